--- a/balance/types.go
+++ b/balance/types.go
@@ -25,13 +25,13 @@
 
 // Category is one kind of op with what the deployment says of it.
 type Category struct {
-	Effect        Effect
-	Group         Group
-	Remembered    float64 // how long a deduplicated op's mark is kept, from its first push
-	TargetLatency float64
-	Benefit       float64
-	LateBenefit   float64 // share of the benefit left after the target latency
-	KeepOrder     bool    // its ops with one key run one at a time, as this node took them
+	Effect        Effect  `json:"Effect"`
+	Group         Group   `json:"Group"`
+	Remembered    float64 `json:"Remembered"` // how long a deduplicated op's mark is kept, from its first push
+	TargetLatency float64 `json:"TargetLatency"`
+	Benefit       float64 `json:"Benefit"`
+	LateBenefit   float64 `json:"LateBenefit"` // share of the benefit left after the target latency
+	KeepOrder     bool    `json:"KeepOrder"`   // its ops with one key run one at a time, as this node took them
 
 	work     mean    // of the hints
 	patience float64 // share of an op's time left that it may wait behind others
@@ -39,40 +39,40 @@
 
 // Tenant is one customer with its share of the service over all nodes.
 type Tenant struct {
-	Quota float64 // ops a second; 0 means no limit
+	Quota float64 `json:"Quota"` // ops a second; 0 means no limit
 
 	rate fader
 }
 
 // Terms are what a deployment tells a node at its start.
 type Terms struct {
-	Seed          uint64
-	Zone          int
-	Nodes         int
-	Number        int // of this one among the nodes, from 0
-	Categories    []Category
-	Tenants       []Tenant
-	ExcessBenefit float64
-	ByWork        bool // benefit is counted for each unit of work
-
-	CrossPrice   float64
-	MaxPushes    int
-	SecondCopies bool
-	Cancel       bool
-	ComeBack     bool // clients are told when to come back
-	MaxComeBack  float64
-
-	MustAsk      bool // the list of backends comes only when asked for
-	AskWithin    float64
-	ColdFrom     float64
-	WarmWithin   float64
-	FallMultiple float64
-	OverloadFor  float64
-
-	SettleAfterDoubt  float64 // a key rests so long after a push that may still run
-	RemovalNotBinding bool    // gone, or missing from the list, without draining is a hint and no order
-	WarmKeys          bool    // a backend that met a key lately has less work with it
-	ConnectionPrice   float64 // of open connections; above 0 backends take few of them
+	Seed          uint64     `json:"Seed"`
+	Zone          int        `json:"Zone"`
+	Nodes         int        `json:"Nodes"`
+	Number        int        `json:"Number"` // of this one among the nodes, from 0
+	Categories    []Category `json:"Categories"`
+	Tenants       []Tenant   `json:"Tenants"`
+	ExcessBenefit float64    `json:"ExcessBenefit"`
+	ByWork        bool       `json:"ByWork"` // benefit is counted for each unit of work
+
+	CrossPrice   float64 `json:"CrossPrice"`
+	MaxPushes    int     `json:"MaxPushes"`
+	SecondCopies bool    `json:"SecondCopies"`
+	Cancel       bool    `json:"Cancel"`
+	ComeBack     bool    `json:"ComeBack"` // clients are told when to come back
+	MaxComeBack  float64 `json:"MaxComeBack"`
+
+	MustAsk      bool    `json:"MustAsk"` // the list of backends comes only when asked for
+	AskWithin    float64 `json:"AskWithin"`
+	ColdFrom     float64 `json:"ColdFrom"`
+	WarmWithin   float64 `json:"WarmWithin"`
+	FallMultiple float64 `json:"FallMultiple"`
+	OverloadFor  float64 `json:"OverloadFor"`
+
+	SettleAfterDoubt  float64 `json:"SettleAfterDoubt"`  // a key rests so long after a push that may still run
+	RemovalNotBinding bool    `json:"RemovalNotBinding"` // gone, or missing from the list, without draining is a hint and no order
+	WarmKeys          bool    `json:"WarmKeys"`          // a backend that met a key lately has less work with it
+	ConnectionPrice   float64 `json:"ConnectionPrice"`   // of open connections; above 0 backends take few of them
 
 	rates fader   // of all tenants together
 	quota float64 // theirs, once added up
--- /dev/null
+++ b/internal/controlplane/client/golden_test.go
@@ -0,0 +1,29 @@
+package client
+
+import (
+	"testing"
+
+	"pearknot/internal/controlplane"
+	"pearknot/internal/goldentest"
+)
+
+// Members, nodes and command lines of other builds send and read these messages.
+func TestMessageForms(t *testing.T) {
+	for file, v := range map[string]any{"call.json": &Call{}, "answer.json": &Answer{}} {
+		t.Run(file, func(t *testing.T) { goldentest.JSON(t, file, v) })
+	}
+}
+
+// The copy of the settings on a node's disk is read by the build that is started next.
+func TestCopyForm(t *testing.T) {
+	text := []byte("{\n\"ttl\":4000\n}")
+	goldentest.Equal(t, "copy.txt", encodeCopy(7, "f", text))
+	doc, err := controlplane.Parse(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := decodeCopy(encodeCopy(7, "f", doc.Text()), "f")
+	if err != nil || c.Version != 7 || string(c.Text.Text()) != string(doc.Text()) {
+		t.Fatal(c, err)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/member/golden_test.go
@@ -0,0 +1,38 @@
+package member
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"pearknot/internal/controlplane"
+)
+
+func appendEntries(n uint64) (all []*pb.Entry) {
+	for k := range n {
+		all = append(all, entry(controlplane.Bootstrap([]uint64{1, 2, 3}).Snapshot.GetMetadata().GetIndex()+1+k, 1))
+	}
+	return all
+}
+
+// A voter is started again with another build: the store that the earlier one left is read whole.
+func TestEarlierStore(t *testing.T) {
+	data, err := os.ReadFile("testdata/voter.db")
+	require.NoError(t, err)
+	path := filepath.Join(t.TempDir(), "c1.db")
+	require.NoError(t, os.WriteFile(path, data, 0o600))
+	s, kept, err := openStore(path, "f/c1", nil)
+	require.NoError(t, err)
+	defer func() { require.NoError(t, s.close()) }()
+	want := controlplane.Bootstrap([]uint64{1, 2, 3})
+	require.Equal(t, want.Hard.String(), kept.Hard.String())
+	require.Equal(t, want.Snapshot.String(), kept.Snapshot.String())
+	entries := appendEntries(5)
+	require.Len(t, kept.Entries, len(entries))
+	for k, e := range entries {
+		require.Equal(t, e.String(), kept.Entries[k].String())
+	}
+}
--- a/internal/handover/wire.go
+++ b/internal/handover/wire.go
@@ -26,31 +26,33 @@
 
 // State is what a process gives the one that follows it.
 type State struct {
-	Zones, Kinds []string // that the list's places are among
-	List         members.List
-	Names        []string // of the backends in Module, in their order
-	Module       []byte   // as internal/snapshot has it; empty where there is none to give
-	Known        []string // names that the list has had
-	Banned       []string // those taken out by hand
-	Away         *float64 // for how many ms clients have been sent away; nil where they are taken
+	Zones  []string     `json:"Zones"` // that the list's places are among
+	Kinds  []string     `json:"Kinds"`
+	List   members.List `json:"List"`
+	Names  []string     `json:"Names"`  // of the backends in Module, in their order
+	Module []byte       `json:"Module"` // as internal/snapshot has it; empty where there is none to give
+	Known  []string     `json:"Known"`  // names that the list has had
+	Banned []string     `json:"Banned"` // those taken out by hand
+	Away   *float64     `json:"Away"`   // for how many ms clients have been sent away; nil where they are taken
 }
 
 // Call is one that an operator made at the other process.
 type Call struct {
-	Verb, ID string
-	Force    bool // the other knows the id, whether this one does or not
+	Verb  string `json:"Verb"`
+	ID    string `json:"ID"`
+	Force bool   `json:"Force"` // the other knows the id, whether this one does or not
 }
 
 // message is one frame.
 type message struct {
-	Kind    string // hello, busy, state, ready, using, call, done
-	Version int    `json:",omitempty"`
-	Name    string `json:",omitempty"` // of the node
-	N       uint64 `json:",omitempty"` // of a call; descriptors of using
-	Call    *Call  `json:",omitempty"`
-	Text    string `json:",omitempty"` // of done
-	Fault   string `json:",omitempty"`
-	State   *State `json:",omitempty"`
+	Kind    string `json:"Kind"` // hello, busy, state, ready, using, call, done
+	Version int    `json:"Version,omitempty"`
+	Name    string `json:"Name,omitempty"` // of the node
+	N       uint64 `json:"N,omitempty"`    // of a call; descriptors of using
+	Call    *Call  `json:"Call,omitempty"`
+	Text    string `json:"Text,omitempty"` // of done
+	Fault   string `json:"Fault,omitempty"`
+	State   *State `json:"State,omitempty"`
 }
 
 // wire writes and reads frames: a length and JSON.
--- a/internal/members/list.go
+++ b/internal/members/list.go
@@ -19,15 +19,15 @@
 
 // Member is one entry of the list.
 type Member struct {
-	Name    string // the same at every node
-	Address string
-	State   balance.State
-	Zone    int
-	Cell    int
-	Kind    int
-	Weight  float64
-	Started float64 // Unix milliseconds; 0 is long ago
-	Odd     Parts   // what of the above could not be read and tells nothing
+	Name    string        `json:"Name"` // the same at every node
+	Address string        `json:"Address"`
+	State   balance.State `json:"State"`
+	Zone    int           `json:"Zone"`
+	Cell    int           `json:"Cell"`
+	Kind    int           `json:"Kind"`
+	Weight  float64       `json:"Weight"`
+	Started float64       `json:"Started"` // Unix milliseconds; 0 is long ago
+	Odd     Parts         `json:"Odd"`     // what of the above could not be read and tells nothing
 }
 
 // Parts are parts of an entry, beside its name.
@@ -73,9 +73,9 @@
 
 // List is what an answer told: the whole list, or the entries that changed.
 type List struct {
-	Version uint64
-	Whole   bool
-	Members []Member
+	Version uint64   `json:"Version"`
+	Whole   bool     `json:"Whole"`
+	Members []Member `json:"Members"`
 }
 
 var states = map[string]balance.State{"up": balance.Ready, "draining": balance.Draining, "removed": balance.Gone}
--- /dev/null
+++ b/internal/snapshot/golden_test.go
@@ -0,0 +1,137 @@
+package snapshot
+
+import (
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"pearknot/balance"
+	"pearknot/internal/goldentest"
+)
+
+// filled has a value of its own in each field, so that two fields that change places are noticed.
+func filled() *balance.Snapshot {
+	return &balance.Snapshot{Now: 2.5,
+		Armed:    3.5,
+		SweepAt:  4.5,
+		Round:    5.5,
+		Extra:    6.5,
+		Doubt:    7.5,
+		Weight:   8.5,
+		AskAt:    9.5,
+		Window:   10.5,
+		Heard:    11.5,
+		Tracked:  true,
+		Stirred:  true,
+		Idle:     true,
+		Failures: 15,
+		Seq:      0x10,
+		Chance:   [2]uint64{0x12, 0x13},
+		Hints:    []float64{21.5},
+		HintNext: 22,
+		Stretch: balance.SnapQuantile{Value: 24.5,
+			Seen: 25},
+		Value: balance.SnapMean{Value: 27.5,
+			Seen: 28.5},
+		Work: balance.SnapMean{Value: 30.5,
+			Seen: 31.5},
+		Service: balance.SnapMean{Value: 33.5,
+			Seen: 34.5},
+		PaceAll:    [2]float64{36.5, 37.5},
+		PaceKinds:  [][2]float64{{40.5, 41.5}},
+		CrowdAll:   [3]float64{43.5, 44.5, 45.5},
+		CrowdZones: [][3]float64{{48.5, 49.5, 50.5}},
+		Warm:       [][2]float64{{53.5, 54.5}},
+		Categories: []balance.SnapMean{{Value: 57.5,
+			Seen: 58.5}},
+		Tenants: [][2]float64{{61.5, 62.5}},
+		Backends: []balance.SnapBackend{{Ref: 0x41,
+			Zone:    66,
+			Cell:    67,
+			Kind:    68,
+			State:   0x45,
+			Weight:  70.5,
+			Started: 71.5,
+			Known:   true,
+			Longs:   73,
+			WorkOut: 74.5,
+			Heard:   75.5,
+			Lingers: 76.5,
+			Best:    77.5,
+			Most:    78.5,
+			Rest:    79.5,
+			Pass:    80.5,
+			Pace:    [2]float64{82.5, 83.5},
+			Tail: balance.SnapQuantile{Value: 85.5,
+				Seen: 86},
+			Flow:     [3]float64{88.5, 89.5, 90.5},
+			Distrust: [2]float64{92.5, 93.5},
+			SpentAt:  []float64{95.5},
+			Spent:    []float64{97.5},
+			Out:      []int{99},
+			Waits:    [3]float64{101.5, 102.5, 103.5},
+			Cores:    104.5,
+			Met:      [2]float64{106.5, 107.5},
+			Banned:   true,
+			Back:     109.5,
+			OutAt:    110.5,
+			GoneAt:   111.5,
+			Drained:  true,
+			Joined:   true,
+			Own:      true,
+			Refused:  115.5,
+			BrokeAt:  116.5}},
+		Order: []int{18},
+		Ops: []balance.SnapOp{{Ref: 0x15,
+			Category: 22,
+			Tenant:   23,
+			Hint:     124.5,
+			Arrived:  125.5,
+			GiveUp:   126.5,
+			Work:     127.5,
+			Estimate: 128.5,
+			HasHint:  true,
+			Repeat:   true,
+			Long:     true,
+			Stage:    32,
+			Pushes: []balance.SnapPush{{Backend: 35,
+				SentAt:  136.5,
+				Expect:  137.5,
+				Out:     true,
+				Revoked: true,
+				Overdue: true,
+				Alone:   true,
+				Ending:  0x2a,
+				Begun:   true}},
+			Excess:   144.5,
+			Streamed: true,
+			Key:      0x2e}},
+		Held: []int{48},
+		Due: []balance.SnapDue{{At: 151.5,
+			Seq:     0x34,
+			Op:      53,
+			Push:    54,
+			Line:    55,
+			Lingers: true}},
+		Of:    57,
+		Whole: 158.5,
+		Lines: []balance.SnapLine{{Key: 0x3d,
+			Rest: 162.5,
+			Ops:  []int{64}}},
+		Doubted: true,
+		FellAt:  166.5,
+		AloneAt: 167.5,
+		Answers: [2]float64{169.5, 170.5},
+		Rates:   [2]float64{172.5, 173.5}}
+}
+
+// An earlier build wrote the file. This one writes the same bytes, and reads each value into its own field.
+func TestSnapshotForm(t *testing.T) {
+	goldentest.Equal(t, "snapshot-v2.bin", Encode(filled()))
+	data, err := os.ReadFile("testdata/snapshot-v2.bin")
+	require.NoError(t, err)
+	got, err := Decode(data)
+	require.NoError(t, err)
+	require.Equal(t, filled(), got)
+}
