--- a/balance/balance.go
+++ b/balancer/balancer.go
@@ -1,8 +1,8 @@
-// Package balance decides what a node does with its ops: which backend gets a push, what is held, what is
+// Package balancer decides what a node does with its ops: which backend gets a push, what is held, what is
 // given up. A host starts a Node with its Terms, tells it what happens through the inputs, which only update
 // what is known, and after each batch pulls decisions with Next, one by one, until there is none. What passes
 // between the two is in types.go. The ordinary path is CDA(c), see docs/design.md.
-package balance
+package balancer
 
 import (
 	"cmp"
--- a/balance/explain.go
+++ b/balancer/explain.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 // Reason is why a backend was passed over for an op.
 type Reason uint8
--- a/balance/tenants_test.go
+++ b/balancer/tenants_test.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"math"
--- a/cmd/pearknot-lab/authority.go
+++ b/cmd/pearknot-lab/authority.go
@@ -14,9 +14,9 @@
 
 	"github.com/spf13/cobra"
 
-	"pearknot/internal/command"
-	"pearknot/internal/lab/authority"
-	"pearknot/internal/strict"
+	"pearknot/internal/cli"
+	"pearknot/internal/lab/acmestub"
+	"pearknot/internal/tomlfile"
 )
 
 // authorityFile is the schedule of an authority's troubles.
@@ -32,23 +32,23 @@
 }
 
 // schedule reads a file of troubles; they count from begun on.
-func schedule(name string, begun time.Time) (all []authority.Trouble, err error) {
+func schedule(name string, begun time.Time) (all []acmestub.Trouble, err error) {
 	var f authorityFile
-	at, err := strict.Read(name, &f)
+	at, err := tomlfile.Read(name, &f)
 	if err != nil {
 		return nil, err
 	}
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	for k, t := range f.Trouble {
 		key := fmt.Sprintf("trouble.%d.", k)
-		kind := authority.Fault(t.Kind)
+		kind := acmestub.Fault(t.Kind)
 		if !kind.Known() {
-			return nil, at.Errorf(key+"kind", "%q is none of %s", t.Kind, strings.Join(authority.Faults(), ", "))
+			return nil, at.Errorf(key+"kind", "%q is none of %s", t.Kind, strings.Join(acmestub.Faults(), ", "))
 		}
 		if t.At < 0 || !(t.For > 0) || t.Delay < 0 || t.AfterS < 0 {
 			return nil, at.Errorf(key+"for_s", "a span that is none")
 		}
-		all = append(all, authority.Trouble{Fault: kind, From: begun.Add(seconds(t.At)), To: begun.Add(seconds(t.At + t.For)), Name: t.Name,
+		all = append(all, acmestub.Trouble{Fault: kind, From: begun.Add(seconds(t.At)), To: begun.Add(seconds(t.At + t.For)), Name: t.Name,
 			Delay: seconds(t.Delay / 1e3), After: seconds(t.AfterS)})
 	}
 	return all, nil
@@ -63,7 +63,7 @@
 challenge is looked up at the two addresses given: names need not resolve. Troubles come on a schedule:
 
     [[trouble]]
-    kind = "unreachable"   # ` + strings.Join(authority.Faults(), ", ") + `
+    kind = "unreachable"   # ` + strings.Join(acmestub.Faults(), ", ") + `
     at_s = 60              # from its start on
     for_s = 3600
     # name = "one.example" # only for it: reject
@@ -73,20 +73,20 @@
 			for what, address := range map[string]string{"--listen": listen, "--http": http1, "--tls": alpn} {
 				host, _, err := net.SplitHostPort(address)
 				if err != nil || !net.ParseIP(host).IsLoopback() {
-					return command.Usage(fmt.Errorf("%s %q is no loopback address with a port", what, address))
+					return cli.Usage(fmt.Errorf("%s %q is no loopback address with a port", what, address))
 				}
 			}
 			if !(life > 0) || !(window >= 0 && window < 1) {
-				return command.Usage(errors.New("--life or --window is none"))
+				return cli.Usage(errors.New("--life or --window is none"))
 			}
-			a, err := authority.New(authority.Options{Life: life, Window: window, HTTP: func(string) string { return http1 }, TLS: func(string) string { return alpn }})
+			a, err := acmestub.New(acmestub.Options{Life: life, Window: window, HTTP: func(string) string { return http1 }, TLS: func(string) string { return alpn }})
 			if err != nil {
 				return err
 			}
 			if troubles != "" {
 				all, err := schedule(troubles, time.Now())
 				if err != nil {
-					return command.Usage(err)
+					return cli.Usage(err)
 				}
 				a.Put(all...)
 			}
--- a/cmd/pearknot-lab/count.go
+++ b/cmd/pearknot-lab/count.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"pearknot/internal/command"
-	"pearknot/internal/lab/tally"
+	"pearknot/internal/cli"
+	"pearknot/internal/lab/logstats"
 )
 
 // countCommand counts over a fleet's logs.
@@ -20,9 +20,9 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			files, err := filepath.Glob(filepath.Join(args[0], "*.log"))
 			if err != nil || len(files) == 0 {
-				return command.Usage(&os.PathError{Op: "count", Path: args[0], Err: os.ErrNotExist})
+				return cli.Usage(&os.PathError{Op: "count", Path: args[0], Err: os.ErrNotExist})
 			}
-			count := tally.New()
+			count := logstats.New()
 			for _, file := range files {
 				log, err := os.Open(file)
 				if err != nil {
--- a/cmd/pearknot-lab/fleet.go
+++ b/cmd/pearknot-lab/fleet.go
@@ -14,13 +14,13 @@
 	"github.com/spf13/cobra"
 
 	"pearknot/internal/agent"
-	"pearknot/internal/command"
-	"pearknot/internal/control"
+	"pearknot/internal/cli"
+	"pearknot/internal/controlsocket"
 	"pearknot/internal/fleet"
 	"pearknot/internal/lab/experiment"
 	"pearknot/internal/lab/loopback"
-	"pearknot/internal/lab/measure"
-	"pearknot/internal/lab/play"
+	"pearknot/internal/lab/metrics"
+	"pearknot/internal/lab/runner"
 )
 
 // fleetCommand plays an experiment over nodes that an agent looks after, with a rolling change of all of them on the way.
@@ -31,7 +31,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			e, err := experiment.Read(file)
 			if err != nil {
-				return command.Missing(err)
+				return cli.Missing(err)
 			}
 			e.Fleet.Nodes, e.Seconds, e.Seeds, e.Trouble = instances, seconds, e.Seeds[:1], nil
 			start, clean, err := p.command(c.Context(), "cda")
@@ -43,9 +43,9 @@
 			if err != nil {
 				return err
 			}
-			res := play.Empty(e, "loopback")
+			res := runner.Empty(e, "loopback")
 			res.Runs = append(res.Runs, r.run)
-			play.Sum(&res)
+			runner.Sum(&res)
 			out := c.OutOrStdout()
 			fmt.Fprintf(out, "apply of %d instances converged in %.2f s, rolling change of all, %d at once, in %.2f s\n", instances, r.first.Seconds(),
 				atOnce, took.Seconds())
@@ -61,7 +61,7 @@
 
 // rolled is what a run with a change brought.
 type rolled struct {
-	run   measure.Run
+	run   metrics.Run
 	first time.Duration // from apply to converged
 }
 
@@ -84,7 +84,7 @@
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(life) }()
-	client := control.NewClient(o.Socket, 20*time.Second)
+	client := controlsocket.NewClient(o.Socket, 20*time.Second)
 	write := func(w agent.Write) error {
 		var v agent.View
 		if err := client.Call(life, http.MethodGet, agent.FleetPath, nil, &v); err != nil {
--- a/cmd/pearknot-lab/instances.go
+++ b/cmd/pearknot-lab/instances.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 
 	"pearknot/internal/agent"
-	"pearknot/internal/control"
+	"pearknot/internal/controlsocket"
 	"pearknot/internal/serve"
 )
 
@@ -62,15 +62,15 @@
 	if _, err := lock.WriteAt(held, 0); err != nil {
 		return nil, err
 	}
-	l, err := control.Listen(filepath.Join(dir, "run", name+".sock"))
+	l, err := controlsocket.Listen(filepath.Join(dir, "run", name+".sock"))
 	if err != nil {
 		return nil, errors.Join(err, lock.Close())
 	}
 	var out atomic.Bool
-	s := control.Server(control.Node(func(context.Context) (control.Status, error) {
-		return control.Status{Token: token, PID: os.Getpid(), Name: name, Listen: fmt.Sprintf("127.0.0.1:%d", 10000+k), Digest: agent.Digest(name),
+	s := controlsocket.Server(controlsocket.Node(func(context.Context) (controlsocket.Status, error) {
+		return controlsocket.Status{Token: token, PID: os.Getpid(), Name: name, Listen: fmt.Sprintf("127.0.0.1:%d", 10000+k), Digest: agent.Digest(name),
 			List: "127.0.0.1:1", Ready: true, InService: !out.Load()}, nil
-	}, func(s control.Service) error {
+	}, func(s controlsocket.Service) error {
 		out.Store(!s.In)
 		return nil
 	}, nil, nil, nil, nil))
--- a/cmd/pearknot-lab/main.go
+++ b/cmd/pearknot-lab/main.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"pearknot/internal/command"
+	"pearknot/internal/cli"
 )
 
 func main() {
@@ -34,9 +34,9 @@
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return command.Usage(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return cli.Usage(err) })
 	root.AddCommand(schedulesCommand(), demoCommand(), runCommand(), sweepCommand(), compareCommand(), searchCommand(), reportCommand(), fleetCommand(), instancesCommand(), nodeCommand(), authorityCommand(), countCommand(), capacityCommand(), scaleCommand(), hollowCommand())
-	return command.Exit("pearknot-lab", root.ExecuteContext(ctx), errs)
+	return cli.Exit("pearknot-lab", root.ExecuteContext(ctx), errs)
 }
 
 // errBroken says nothing more than the report before it.
--- a/cmd/pearknot-lab/play.go
+++ b/cmd/pearknot-lab/play.go
@@ -18,19 +18,19 @@
 	"github.com/klauspost/compress/zstd"
 	"github.com/spf13/cobra"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/capture"
-	"pearknot/internal/command"
+	"pearknot/internal/cli"
+	"pearknot/internal/invariants"
+	"pearknot/internal/lab/baselines"
 	"pearknot/internal/lab/experiment"
 	"pearknot/internal/lab/loopback"
-	"pearknot/internal/lab/measure"
-	"pearknot/internal/lab/play"
-	"pearknot/internal/lab/policy"
+	"pearknot/internal/lab/metrics"
 	"pearknot/internal/lab/program"
 	"pearknot/internal/lab/report"
+	"pearknot/internal/lab/runner"
 	"pearknot/internal/lab/search"
 	"pearknot/internal/lab/virtual"
-	"pearknot/internal/rules"
 	"pearknot/internal/serve"
 )
 
@@ -71,17 +71,17 @@
 // apply puts the command line's wishes over the file's.
 func (p *plan) apply(e *experiment.Experiment) error {
 	if p.tls && (p.virtual || p.policy != "" && p.policy != "cda") {
-		return command.Usage(errors.New("--tls is for real nodes"))
+		return cli.Usage(errors.New("--tls is for real nodes"))
 	}
 	if p.devices < 0 || p.devices > 10_000 {
-		return command.Usage(fmt.Errorf("--devices %d is not 0 to 10000", p.devices))
+		return cli.Usage(fmt.Errorf("--devices %d is not 0 to 10000", p.devices))
 	}
 	if len(p.renew) > 0 && !p.tls {
-		return command.Usage(errors.New("--renew goes with --tls"))
+		return cli.Usage(errors.New("--renew goes with --tls"))
 	}
 	if p.policy != "" {
 		if !slices.Contains(experiment.Policies, p.policy) {
-			return command.Usage(fmt.Errorf("--policy %q is none of %s", p.policy, strings.Join(experiment.Policies, ", ")))
+			return cli.Usage(fmt.Errorf("--policy %q is none of %s", p.policy, strings.Join(experiment.Policies, ", ")))
 		}
 		e.Policy = p.policy
 	}
@@ -92,17 +92,17 @@
 		}
 	}
 	if p.capture != "" && (!p.virtual || len(e.Seeds) > 1 || e.Policy != "cda") {
-		return command.Usage(fmt.Errorf("--capture needs --virtual, one seed and the module itself"))
+		return cli.Usage(fmt.Errorf("--capture needs --virtual, one seed and the module itself"))
 	}
 	if p.events && (p.out == "" || len(e.Seeds) > 1) {
-		return command.Usage(fmt.Errorf("--events writes one history: it needs --out and one seed"))
+		return cli.Usage(fmt.Errorf("--events writes one history: it needs --out and one seed"))
 	}
 	return nil
 }
 
 // play plays an experiment and writes what was asked for.
-func (p *plan) play(ctx context.Context, e *experiment.Experiment, out io.Writer) (r measure.Result, err error) {
-	var watch func(rules.Event)
+func (p *plan) play(ctx context.Context, e *experiment.Experiment, out io.Writer) (r metrics.Result, err error) {
+	var watch func(invariants.Event)
 	if p.events {
 		if err := os.MkdirAll(p.out, 0o755); err != nil {
 			return r, err
@@ -129,7 +129,7 @@
 			defer w.Close()
 			o.Wrap = wrap(w)
 		}
-		r, err = play.Virtual(ctx, e, o)
+		r, err = runner.Virtual(ctx, e, o)
 	} else {
 		r, err = p.sockets(ctx, e, loopback.Options{Watch: watch}, out)
 	}
@@ -148,12 +148,12 @@
 }
 
 // wrap captures node 0.
-func wrap(w *capture.Writer) func(int, int, balance.Decider, *balance.Terms, float64) balance.Decider {
-	return func(node, life int, d balance.Decider, t *balance.Terms, now float64) balance.Decider {
+func wrap(w *capture.Writer) func(int, int, balancer.Decider, *balancer.Terms, float64) balancer.Decider {
+	return func(node, life int, d balancer.Decider, t *balancer.Terms, now float64) balancer.Decider {
 		if node != 0 {
 			return d
 		}
-		r, err := capture.NewRecorder(d, now, capture.Start{Name: "n0", Epoch: uint64(life), Build: command.Version(), Terms: t}, capture.Options{Every: 10e3, Sink: w.Put})
+		r, err := capture.NewRecorder(d, now, capture.Start{Name: "n0", Epoch: uint64(life), Build: cli.Version(), Terms: t}, capture.Options{Every: 10e3, Sink: w.Put})
 		if err != nil {
 			panic(err) // plain values
 		}
@@ -162,8 +162,8 @@
 }
 
 // sockets plays the seeds one after the other with real processes.
-func (p *plan) sockets(ctx context.Context, e *experiment.Experiment, o loopback.Options, out io.Writer) (measure.Result, error) {
-	r := play.Empty(e, "loopback")
+func (p *plan) sockets(ctx context.Context, e *experiment.Experiment, o loopback.Options, out io.Writer) (metrics.Result, error) {
+	r := runner.Empty(e, "loopback")
 	start, clean, err := p.command(ctx, e.Policy)
 	if err != nil {
 		return r, err
@@ -184,7 +184,7 @@
 		}
 		r.Runs = append(r.Runs, run)
 	}
-	play.Sum(&r)
+	runner.Sum(&r)
 	return r, nil
 }
 
@@ -197,7 +197,7 @@
 	}
 	switch beside := filepath.Join(filepath.Dir(self), "pearknot"); {
 	case policy == "all-seeing":
-		return nil, clean, command.Usage(fmt.Errorf("policy all-seeing: only with --virtual"))
+		return nil, clean, cli.Usage(fmt.Errorf("policy all-seeing: only with --virtual"))
 	case policy != "cda":
 		return []string{self, "node", "--policy", policy}, clean, nil
 	case p.pearknot != "":
@@ -224,7 +224,7 @@
 }
 
 // verdict prints a result and gives the exit status that follows.
-func verdict(out io.Writer, r measure.Result) error {
+func verdict(out io.Writer, r metrics.Result) error {
 	fmt.Fprintf(out, "%s, %s, %s: service %s\n", r.Experiment, r.Policy, r.Host, r.Service)
 	for _, run := range r.Runs {
 		fmt.Fprintln(out, " ", run.Line())
@@ -244,8 +244,8 @@
 		}
 		fmt.Fprintln(out, "   ", run.Rules.Text)
 	}
-	if !play.Kept(r) {
-		return &command.Error{Status: command.No, Err: errBroken, Silent: true}
+	if !runner.Kept(r) {
+		return &cli.Error{Status: cli.No, Err: errBroken, Silent: true}
 	}
 	return nil
 }
@@ -256,7 +256,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := experiment.Read(args[0])
 			if err != nil {
-				return command.Missing(err)
+				return cli.Missing(err)
 			}
 			if err := p.apply(e); err != nil {
 				return err
@@ -279,22 +279,22 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			key, list, ok := strings.Cut(over, "=")
 			if !ok || key == "" || list == "" {
-				return command.Usage(fmt.Errorf("--over %q is not KEY=a,b,c", over))
+				return cli.Usage(fmt.Errorf("--over %q is not KEY=a,b,c", over))
 			}
 			data, err := os.ReadFile(args[0])
 			if err != nil {
-				return command.Missing(err)
+				return cli.Missing(err)
 			}
 			broken := false
 			out := p.out
 			for _, value := range strings.Split(list, ",") {
 				text, err := replaced(data, key, value)
 				if err != nil {
-					return command.Usage(fmt.Errorf("--over: %w", err))
+					return cli.Usage(fmt.Errorf("--over: %w", err))
 				}
 				e, err := experiment.Decode(args[0], text)
 				if err != nil {
-					return command.Usage(fmt.Errorf("with %s = %s: %w", key, value, err))
+					return cli.Usage(fmt.Errorf("with %s = %s: %w", key, value, err))
 				}
 				if err := p.apply(e); err != nil {
 					return err
@@ -312,7 +312,7 @@
 				}
 			}
 			if broken {
-				return &command.Error{Status: command.No, Err: errBroken, Silent: true}
+				return &cli.Error{Status: cli.No, Err: errBroken, Silent: true}
 			}
 			return nil
 		}}
@@ -326,16 +326,16 @@
 		Long: `compare takes the seeds that both results have, pair by pair, and tells of each figure the mean difference B - A with its
 95% interval. A difference whose interval holds zero is within noise, and so is any of a single seed.`,
 		RunE: func(c *cobra.Command, args []string) error {
-			var r [2]measure.Result
+			var r [2]metrics.Result
 			for i, dir := range args {
 				var err error
 				if r[i], err = report.Read(dir); err != nil {
-					return command.Usage(err)
+					return cli.Usage(err)
 				}
 			}
-			names, diffs, err := measure.Compare(r[0], r[1])
+			names, diffs, err := metrics.Compare(r[0], r[1])
 			if err != nil {
-				return command.Usage(err)
+				return cli.Usage(err)
 			}
 			out := c.OutOrStdout()
 			fmt.Fprintf(out, "A: %s, %s, %s: service %s\nB: %s, %s, %s: service %s\n", r[0].Experiment, r[0].Policy, r[0].Host, r[0].Service,
@@ -357,7 +357,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := experiment.Read(args[0])
 			if err != nil {
-				return command.Missing(err)
+				return cli.Missing(err)
 			}
 			if err := (&plan{policy: policy}).apply(e); err != nil {
 				return err
@@ -383,7 +383,7 @@
 			}
 			if f.Broken {
 				fmt.Fprintln(c.OutOrStdout(), "a rule was broken: run the file that --out writes")
-				return &command.Error{Status: command.No, Err: errBroken, Silent: true}
+				return &cli.Error{Status: cli.No, Err: errBroken, Silent: true}
 			}
 			return nil
 		}}
@@ -400,7 +400,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			r, err := report.Read(args[0])
 			if err != nil {
-				return command.Usage(err)
+				return cli.Usage(err)
 			}
 			if err := report.Page(args[0], r); err != nil {
 				return err
@@ -418,13 +418,13 @@
 		log := slog.New(slog.NewTextHandler(c.ErrOrStderr(), nil))
 		p, err := serve.Read(file, log)
 		if err != nil {
-			return command.Usage(err)
+			return cli.Usage(err)
 		}
-		if _, err := policy.New(name, &balance.Terms{}, 0, nil); err != nil {
-			return command.Usage(err)
+		if _, err := baselines.New(name, &balancer.Terms{}, 0, nil); err != nil {
+			return cli.Usage(err)
 		}
-		return serve.Run(c.Context(), again, p, serve.Options{Version: command.Version(), Decide: func(t *balance.Terms, now float64) balance.Decider {
-			d, _ := policy.New(name, t, now, nil) // the name was tried above
+		return serve.Run(c.Context(), again, p, serve.Options{Version: cli.Version(), Decide: func(t *balancer.Terms, now float64) balancer.Decider {
+			d, _ := baselines.New(name, t, now, nil) // the name was tried above
 			return d
 		}}, log)
 	}}
@@ -503,7 +503,7 @@
 	return &eventLog{file: f, zip: z, buf: b, json: json.NewEncoder(b)}, nil
 }
 
-func (l *eventLog) write(e rules.Event) {
+func (l *eventLog) write(e invariants.Event) {
 	if l.err == nil {
 		l.err = l.json.Encode(map[string]any{"at_ms": e.At, "what": e.Kind.String(), "op": e.Op, "node": e.Node, "backend": e.Backend,
 			"push": e.Push, "text": e.String()})
--- a/cmd/pearknot-lab/scale.go
+++ b/cmd/pearknot-lab/scale.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"pearknot/internal/command"
+	"pearknot/internal/cli"
 	"pearknot/internal/lab/scale"
 )
 
@@ -25,7 +25,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := scale.Read(args[0])
 			if err != nil {
-				return command.Missing(err)
+				return cli.Missing(err)
 			}
 			start, clean, err := p.command(c.Context(), "cda")
 			if err != nil {
@@ -40,7 +40,7 @@
 			var big *scale.TooBigError
 			switch {
 			case errors.As(err, &big):
-				return command.Usage(err)
+				return cli.Usage(err)
 			case err != nil:
 				return err
 			}
@@ -55,7 +55,7 @@
 			}
 			r.Print(w)
 			if len(r.Broken) > 0 {
-				return &command.Error{Status: command.No, Err: errBroken, Silent: true}
+				return &cli.Error{Status: cli.No, Err: errBroken, Silent: true}
 			}
 			return nil
 		}}
@@ -69,6 +69,6 @@
 // hollowCommand is a process of hollow nodes, as scale starts it.
 func hollowCommand() *cobra.Command {
 	return &cobra.Command{Use: "hollow FILE", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-		return command.Missing(scale.Hollow(c.Context(), args[0], slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: slog.LevelWarn}))))
+		return cli.Missing(scale.Hollow(c.Context(), args[0], slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: slog.LevelWarn}))))
 	}}
 }
--- a/cmd/pearknot-lab/schedules.go
+++ b/cmd/pearknot-lab/schedules.go
@@ -5,9 +5,9 @@
 
 	"github.com/spf13/cobra"
 
-	"pearknot/internal/command"
-	"pearknot/internal/lab/among"
-	"pearknot/internal/lab/simplane"
+	"pearknot/internal/cli"
+	"pearknot/internal/lab/simcluster"
+	"pearknot/internal/lab/simcontrolplane"
 )
 
 // schedulesCommand looks for a broken promise among processes that keep each other's ops, in virtual time.
@@ -22,16 +22,16 @@
 				return planeSchedules(c, from, seeds, voters)
 			}
 			if copies != 3 && copies != 5 || members < copies || members > 64 || seeds < 1 {
-				return command.Usage(fmt.Errorf("%d seeds of %d members with %d copies: give one at least, 3 or 5 copies, and as many members or up to 64", seeds, members, copies))
+				return cli.Usage(fmt.Errorf("%d seeds of %d members with %d copies: give one at least, 3 or 5 copies, and as many members or up to 64", seeds, members, copies))
 			}
-			sum, err := among.Many(c.Context(), from, seeds, members, copies)
+			sum, err := simcluster.Many(c.Context(), from, seeds, members, copies)
 			fmt.Fprintf(c.OutOrStdout(), "%d schedules, %d ops taken over, %d of %d logs served at the end, %d broken\n",
 				sum.Schedules, sum.TookOver, sum.Served, sum.Logs, len(sum.Broken))
 			for _, b := range sum.Broken {
 				fmt.Fprintln(c.OutOrStdout(), b)
 			}
 			if err == nil && len(sum.Broken) > 0 {
-				return &command.Error{Status: command.No, Err: fmt.Errorf("%d of %d schedules break a promise", len(sum.Broken), sum.Schedules), Silent: true}
+				return &cli.Error{Status: cli.No, Err: fmt.Errorf("%d of %d schedules break a promise", len(sum.Broken), sum.Schedules), Silent: true}
 			}
 			return err
 		}}
@@ -46,15 +46,15 @@
 
 func planeSchedules(c *cobra.Command, from, seeds uint64, voters int) error {
 	if voters != 3 && voters != 5 || seeds < 1 {
-		return command.Usage(fmt.Errorf("%d seeds with %d voters: give one at least, and 3 or 5 voters", seeds, voters))
+		return cli.Usage(fmt.Errorf("%d seeds with %d voters: give one at least, and 3 or 5 voters", seeds, voters))
 	}
-	sum, err := simplane.Many(c.Context(), from, seeds, simplane.Standard(voters))
+	sum, err := simcontrolplane.Many(c.Context(), from, seeds, simcontrolplane.Standard(voters))
 	fmt.Fprintln(c.OutOrStdout(), sum)
 	for _, b := range sum.Broken {
 		fmt.Fprintln(c.OutOrStdout(), b)
 	}
 	if err == nil && len(sum.Broken) > 0 {
-		return &command.Error{Status: command.No, Err: fmt.Errorf("%d of %d schedules break a promise", len(sum.Broken), sum.Schedules), Silent: true}
+		return &cli.Error{Status: cli.No, Err: fmt.Errorf("%d of %d schedules break a promise", len(sum.Broken), sum.Schedules), Silent: true}
 	}
 	return err
 }
--- a/cmd/pearknot/call.go
+++ b/cmd/pearknot/call.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"pearknot/internal/command"
-	"pearknot/internal/console"
+	"pearknot/internal/admin"
+	"pearknot/internal/cli"
 )
 
 // callCommand makes an operator's call at a node's second address.
@@ -21,21 +21,21 @@
 		Short: "Make a call at a node's second address; 3 where the answer is no, 1 where there is none",
 		RunE: func(c *cobra.Command, args []string) error {
 			line := strings.Join(args[1:], " ")
-			if _, err := console.Parse([]byte(line)); err != nil {
-				return command.Usage(err)
+			if _, err := admin.Parse([]byte(line)); err != nil {
+				return cli.Usage(err)
 			}
 			if _, _, err := net.SplitHostPort(args[0]); err != nil {
-				return command.Usage(err)
+				return cli.Usage(err)
 			}
 			ctx, cancel := context.WithTimeout(c.Context(), within)
 			defer cancel()
-			answer, yes, err := console.Ask(ctx, args[0], line)
+			answer, yes, err := admin.Ask(ctx, args[0], line)
 			if err != nil {
 				return err
 			}
 			fmt.Fprintln(c.OutOrStdout(), answer)
 			if !yes {
-				return &command.Error{Status: command.No, Err: errors.New(answer), Silent: true}
+				return &cli.Error{Status: cli.No, Err: errors.New(answer), Silent: true}
 			}
 			return nil
 		}}
--- a/cmd/pearknot/capture_test.go
+++ b/cmd/pearknot/capture_test.go
@@ -158,7 +158,7 @@
 	var out, errs bytes.Buffer
 	require.Equal(t, 0, run([]string{"replay", captures}, &out, &errs), out.String()+errs.String())
 	require.Equal(t, 0, run([]string{"replay", captures, "--against", nodeProgram}, &out, &errs), errs.String())
-	source, err := filepath.Abs("../../balance/balance.go")
+	source, err := filepath.Abs("../../balancer/balancer.go")
 	require.NoError(t, err)
 	data, err := os.ReadFile(source)
 	require.NoError(t, err)
--- a/cmd/pearknot/certs.go
+++ b/cmd/pearknot/certs.go
@@ -14,8 +14,8 @@
 
 	"pearknot/internal/acme"
 	"pearknot/internal/certs"
-	"pearknot/internal/command"
-	"pearknot/internal/control"
+	"pearknot/internal/cli"
+	"pearknot/internal/controlsocket"
 	"pearknot/internal/serve"
 )
 
@@ -30,10 +30,10 @@
 	c := &cobra.Command{Use: "certs", Short: "Certificates: what is served, and what becomes of it"}
 	status := &cobra.Command{Use: "status SOCKET|FILE", Args: cobra.ExactArgs(1), Short: "Tell of a node's certificates, by its control socket or by its tls.toml; 3 where one is late, expired or missing",
 		RunE: func(c *cobra.Command, args []string) error {
-			var s control.Status
-			err := control.NewClient(args[0], dialWithin).Call(c.Context(), "GET", control.StatusPath, nil, &s)
+			var s controlsocket.Status
+			err := controlsocket.NewClient(args[0], dialWithin).Call(c.Context(), "GET", controlsocket.StatusPath, nil, &s)
 			if err == nil && s.TLS == nil {
-				return command.Usage(fmt.Errorf("%s: this node serves no TLS", args[0]))
+				return cli.Usage(fmt.Errorf("%s: this node serves no TLS", args[0]))
 			}
 			if err != nil {
 				t, odd := serve.ReadTLS(args[0])
@@ -41,7 +41,7 @@
 					if isSocket(args[0]) {
 						return err
 					}
-					return command.Usage(odd)
+					return cli.Usage(odd)
 				}
 				t.Acme.Log = slog.New(slog.DiscardHandler)
 				return tellCertificates(c.OutOrStdout(), acme.Look(t.Acme))
@@ -57,10 +57,10 @@
 		}}
 	tell := func(use, path, short string, done string) *cobra.Command {
 		return &cobra.Command{Use: use + " SOCKET NAME", Args: cobra.ExactArgs(2), Short: short, RunE: func(c *cobra.Command, args []string) error {
-			err := control.NewClient(args[0], certsWithin).Call(c.Context(), "POST", path, control.Certificate{Name: args[1]}, nil)
-			var refused *control.Refused
+			err := controlsocket.NewClient(args[0], certsWithin).Call(c.Context(), "POST", path, controlsocket.Certificate{Name: args[1]}, nil)
+			var refused *controlsocket.Refused
 			if errors.As(err, &refused) {
-				return &command.Error{Status: command.No, Err: err}
+				return &cli.Error{Status: cli.No, Err: err}
 			}
 			if err == nil {
 				fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", args[1], done)
@@ -71,7 +71,7 @@
 	key := &cobra.Command{Use: "account-key SOCKET", Args: cobra.ExactArgs(1), Short: "Give the account at an authority a new key"}
 	authority := key.Flags().Int("authority", 0, "which one of the file, from 0")
 	key.RunE = func(c *cobra.Command, args []string) error {
-		err := control.NewClient(args[0], certsWithin).Call(c.Context(), "POST", control.KeyPath, control.Certificate{Authority: *authority}, nil)
+		err := controlsocket.NewClient(args[0], certsWithin).Call(c.Context(), "POST", controlsocket.KeyPath, controlsocket.Certificate{Authority: *authority}, nil)
 		if err == nil {
 			fmt.Fprintln(c.OutOrStdout(), "the account has a new key")
 		}
@@ -82,7 +82,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			t, err := serve.ReadTLS(args[0])
 			if err != nil {
-				return command.Usage(err)
+				return cli.Usage(err)
 			}
 			if address == "" {
 				fmt.Fprintf(c.OutOrStdout(), "%s: TLS on %s, %d certificates, %d authorities, store %s\n", args[0], t.Listen, len(t.Acme.Names), len(t.Acme.Authorities), t.Acme.Dir)
@@ -92,8 +92,8 @@
 		}}
 	check.Flags().StringVar(&address, "address", "", "host:port of a listener to look at")
 	c.AddCommand(status, check, key,
-		tell("renew", control.RenewPath, "Have a certificate ordered anew now, whatever its age", "is ordered anew"),
-		tell("revoke", control.RevokePath, "Take a certificate back at its authority; another is ordered at once", "revoked, and ordered anew"))
+		tell("renew", controlsocket.RenewPath, "Have a certificate ordered anew now, whatever its age", "is ordered anew"),
+		tell("revoke", controlsocket.RevokePath, "Take a certificate back at its authority; another is ordered at once", "revoked, and ordered anew"))
 	return c
 }
 
@@ -132,7 +132,7 @@
 	if err := w.Flush(); err != nil || bad == 0 {
 		return err
 	}
-	return &command.Error{Status: command.No, Err: fmt.Errorf("%d of %d certificates want looking after", bad, len(all))}
+	return &cli.Error{Status: cli.No, Err: fmt.Errorf("%d of %d certificates want looking after", bad, len(all))}
 }
 
 // checkServed makes a handshake for each name, as a client would.
@@ -163,7 +163,7 @@
 		}
 	}
 	if bad > 0 {
-		return &command.Error{Status: command.No, Err: fmt.Errorf("%d names are not served as they should", bad)}
+		return &cli.Error{Status: cli.No, Err: fmt.Errorf("%d names are not served as they should", bad)}
 	}
 	return nil
 }
--- a/cmd/pearknot/clients.go
+++ b/cmd/pearknot/clients.go
@@ -10,9 +10,9 @@
 
 	"github.com/spf13/cobra"
 
-	"pearknot/internal/command"
-	"pearknot/internal/control"
-	"pearknot/internal/front"
+	"pearknot/internal/cli"
+	"pearknot/internal/controlsocket"
+	"pearknot/internal/server"
 )
 
 // clientsCommand shows who holds what of a node.
@@ -21,12 +21,12 @@
 	c := &cobra.Command{Use: "clients SOCKET", Args: cobra.ExactArgs(1), Short: "Who holds connections of a node, and who was refused and why; 3 while the node chooses among them",
 		RunE: func(c *cobra.Command, args []string) error {
 			if every < 0 || most < 1 {
-				return command.Usage(fmt.Errorf("--every %v or --most %d is none", every, most))
+				return cli.Usage(fmt.Errorf("--every %v or --most %d is none", every, most))
 			}
-			client := control.NewClient(args[0], dialWithin)
+			client := controlsocket.NewClient(args[0], dialWithin)
 			for {
-				var told front.Clients
-				if err := client.Call(c.Context(), "GET", control.ClientsPath, nil, &told); err != nil {
+				var told server.Clients
+				if err := client.Call(c.Context(), "GET", controlsocket.ClientsPath, nil, &told); err != nil {
 					return err
 				}
 				if every > 0 {
@@ -37,7 +37,7 @@
 				}
 				if every == 0 {
 					if told.Pressed {
-						return &command.Error{Status: command.No, Err: fmt.Errorf("%d of %d connections: the node chooses among its clients", told.Open, told.Limit), Silent: true}
+						return &cli.Error{Status: cli.No, Err: fmt.Errorf("%d of %d connections: the node chooses among its clients", told.Open, told.Limit), Silent: true}
 					}
 					return nil
 				}
@@ -53,7 +53,7 @@
 	return c
 }
 
-func tellClients(out io.Writer, told front.Clients, most int) error {
+func tellClients(out io.Writer, told server.Clients, most int) error {
 	state := "calm"
 	if told.Pressed {
 		state = "pressed"
--- a/cmd/pearknot/controlplane.go
+++ b/cmd/pearknot/controlplane.go
@@ -18,18 +18,18 @@
 
 	"github.com/spf13/cobra"
 
-	"pearknot/internal/command"
-	"pearknot/internal/control"
+	"pearknot/internal/cli"
 	"pearknot/internal/controlplane"
 	"pearknot/internal/controlplane/client"
 	"pearknot/internal/controlplane/member"
-	"pearknot/internal/strict"
+	"pearknot/internal/controlsocket"
+	"pearknot/internal/tomlfile"
 )
 
 // controlPlaneCommand runs a member of the control plane.
 func controlPlaneCommand() *cobra.Command {
 	name, level := "", slog.LevelInfo
-	o := member.Options{Version: command.Version()}
+	o := member.Options{Version: cli.Version()}
 	c := &cobra.Command{Use: "control-plane FILE --name NAME", Args: cobra.ExactArgs(1),
 		Short: "Run a member of the control plane in the foreground until SIGTERM",
 		RunE: func(c *cobra.Command, args []string) error {
@@ -50,9 +50,9 @@
 // readPlane reads the control plane's file; what is wrong in it is the operator's.
 func readPlane(file string) (*client.Plane, error) {
 	p, err := client.ReadFile(file)
-	var odd *strict.Error
+	var odd *tomlfile.Error
 	if err != nil && !errors.As(err, &odd) {
-		return nil, command.Usage(err)
+		return nil, cli.Usage(err)
 	}
 	return p, err
 }
@@ -121,7 +121,7 @@
 	var conflict *client.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		return &command.Error{Status: command.No, Err: err}
+		return &cli.Error{Status: cli.No, Err: err}
 	case err != nil:
 		return err
 	case t.json:
@@ -137,7 +137,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
-				return command.Usage(err)
+				return cli.Usage(err)
 			}
 			if _, err := controlplane.Parse(text); err != nil {
 				return wrongSettings(args[0], err)
@@ -155,7 +155,7 @@
 			var invalid *client.InvalidError
 			if errors.As(err, &invalid) {
 				line, column := settingPlace(text, invalid.Why)
-				return &strict.Error{File: args[0], Line: line, Column: column, What: invalid.Why}
+				return &tomlfile.Error{File: args[0], Line: line, Column: column, What: invalid.Why}
 			}
 			return t.done(c, version, err)
 		}})
@@ -167,11 +167,11 @@
 func wrongSettings(file string, err error) error {
 	m := placed.FindStringSubmatch(err.Error())
 	if m == nil {
-		return &strict.Error{File: file, Line: 1, Column: 1, What: err.Error()}
+		return &tomlfile.Error{File: file, Line: 1, Column: 1, What: err.Error()}
 	}
 	line, _ := strconv.Atoi(m[1])
 	column, _ := strconv.Atoi(m[2])
-	return &strict.Error{File: file, Line: line, Column: column, What: err.Error()[len(m[0]):]}
+	return &tomlfile.Error{File: file, Line: line, Column: column, What: err.Error()[len(m[0]):]}
 }
 
 var faulty = regexp.MustCompile(`setting ([A-Za-z0-9_.]+)`)
@@ -311,7 +311,7 @@
 			}
 			version, err := p.Rollback(ctx, to, base, w.by, w.reason)
 			if errors.Is(err, client.ErrAbsent) {
-				err = command.Usage(fmt.Errorf("version %d: %w", to, err))
+				err = cli.Usage(fmt.Errorf("version %d: %w", to, err))
 			}
 			return t.done(c, version, err)
 		}})
@@ -340,7 +340,7 @@
 				}
 				if !watch {
 					if fault := r.Fault(); fault != "" {
-						return &command.Error{Status: command.No, Err: errors.New(fault), Silent: true}
+						return &cli.Error{Status: cli.No, Err: errors.New(fault), Silent: true}
 					}
 					return nil
 				}
@@ -405,8 +405,8 @@
 func (t *configTool) node() *cobra.Command {
 	return &cobra.Command{Use: "node SOCKET", Args: cobra.ExactArgs(1), Short: "What a node has in force, by its own word at its control socket",
 		RunE: func(c *cobra.Command, args []string) error {
-			var s control.Status
-			if err := control.NewClient(args[0], dialWithin).Call(c.Context(), "GET", control.StatusPath, nil, &s); err != nil {
+			var s controlsocket.Status
+			if err := controlsocket.NewClient(args[0], dialWithin).Call(c.Context(), "GET", controlsocket.StatusPath, nil, &s); err != nil {
 				return err
 			}
 			if s.ControlPlane == nil {
--- a/cmd/pearknot/controlplane_test.go
+++ b/cmd/pearknot/controlplane_test.go
@@ -24,9 +24,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pearknot/internal/control"
 	"pearknot/internal/controlplane/client"
-	"pearknot/internal/lab/wires"
+	"pearknot/internal/controlsocket"
+	"pearknot/internal/lab/faultproxy"
 )
 
 // plane is a control plane of real processes, every link from a process to a member through a relay of its own, judged from
@@ -36,7 +36,7 @@
 	dir       string
 	discovery string
 	members   []client.Member
-	wires     map[string]map[string]*wires.Wire // from a process, to a member
+	wires     map[string]map[string]*faultproxy.Wire // from a process, to a member
 	processes map[string]*planeProcess
 	operators *client.Plane
 	file      string // the operators'
@@ -68,7 +68,7 @@
 
 // newPlane starts members, given as name:region or name:region:voter, and waits until one leads.
 func newPlane(t *testing.T, members ...string) *plane {
-	p := &plane{t: t, dir: memoryDir(t), wires: map[string]map[string]*wires.Wire{}, processes: map[string]*planeProcess{}}
+	p := &plane{t: t, dir: memoryDir(t), wires: map[string]map[string]*faultproxy.Wire{}, processes: map[string]*planeProcess{}}
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	t.Cleanup(silent.Close)
 	p.discovery = silent.Listener.Addr().String()
@@ -107,7 +107,7 @@
 // config writes a process's own file, in which all other members are at relays.
 func (p *plane) config(process, region string) string {
 	if p.wires[process] == nil {
-		p.wires[process] = map[string]*wires.Wire{}
+		p.wires[process] = map[string]*faultproxy.Wire{}
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "fleet = %q\nkey_file = \"control-plane.key\"\nregion = %q\nstate_dir = \"state\"\n", "plane "+p.members[0].Address, region)
@@ -117,7 +117,7 @@
 			w := p.wires[process][m.Name]
 			if w == nil {
 				var err error
-				w, err = wires.Open(m.Address)
+				w, err = faultproxy.Open(m.Address)
 				require.NoError(p.t, err)
 				p.t.Cleanup(w.Close)
 				p.wires[process][m.Name] = w
@@ -236,11 +236,11 @@
 }
 
 // holds is what a node says of itself.
-func (p *plane) holds(node string) (s control.ControlPlane, err error) {
+func (p *plane) holds(node string) (s controlsocket.ControlPlane, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	var told control.Status
-	if err := control.NewClient(p.processes[node].control, time.Second).Call(ctx, "GET", control.StatusPath, nil, &told); err != nil {
+	var told controlsocket.Status
+	if err := controlsocket.NewClient(p.processes[node].control, time.Second).Call(ctx, "GET", controlsocket.StatusPath, nil, &told); err != nil {
 		return s, err
 	}
 	if told.ControlPlane == nil {
@@ -266,7 +266,7 @@
 }
 
 // follows waits until a node follows one of some members, and tells what it then says of itself.
-func (p *plane) follows(node string, members ...string) (s control.ControlPlane) {
+func (p *plane) follows(node string, members ...string) (s controlsocket.ControlPlane) {
 	p.t.Helper()
 	p.within(10*time.Second, node+" follows a member", func() bool {
 		var err error
@@ -286,10 +286,10 @@
 }
 
 // cut sets a fault on all links between two sets of processes, both ways.
-func (p *plane) cut(f wires.Fault, one, other []string) {
+func (p *plane) cut(f faultproxy.Fault, one, other []string) {
 	for _, a := range one {
 		for _, b := range other {
-			for _, w := range []*wires.Wire{p.wires[a][b], p.wires[b][a]} {
+			for _, w := range []*faultproxy.Wire{p.wires[a][b], p.wires[b][a]} {
 				if w != nil {
 					w.Set(f)
 				}
@@ -491,13 +491,13 @@
 	leader := p.leader()
 	version, at := p.apply(tenants(20, 4001))
 	for _, w := range p.wires[leader] {
-		w.Set(wires.Fault{Drop: true})
+		w.Set(faultproxy.Fault{Drop: true})
 	}
 	p.everywhere(version, at, "n1", "n2")
 	version, at = p.apply(tenants(20, 4002))
 	p.everywhere(version, at, "n1", "n2")
 	for _, w := range p.wires[leader] {
-		w.Set(wires.Fault{})
+		w.Set(faultproxy.Fault{})
 	}
 	version, at = p.apply(tenants(20, 4003))
 	p.everywhere(version, at, "n1", "n2")
@@ -517,7 +517,7 @@
 		return err == nil && s.AgeMs != nil
 	})
 	east, rest := []string{"c1", "c4", "n1"}, []string{"c2", "c3", "n2", "operators"}
-	p.cut(wires.Fault{Drop: true, Refuse: true}, east, rest)
+	p.cut(faultproxy.Fault{Drop: true, Refuse: true}, east, rest)
 	for _, m := range []string{"c1", "c4"} {
 		p.wires["operators"][m].Reset()
 	}
@@ -529,7 +529,7 @@
 	})
 	status, out, _ := p.command("status")
 	require.Equal(t, 3, status, out)
-	p.cut(wires.Fault{}, east, rest)
+	p.cut(faultproxy.Fault{}, east, rest)
 	p.everywhere(next, time.Now(), "n1")
 }
 
@@ -630,7 +630,7 @@
 	version, at := p.apply(tenants(1000, 4000))
 	p.everywhere(version, at, "n1", "n2")
 	for _, w := range p.wires["n1"] {
-		w.Set(wires.Fault{Rate: 1 << 10})
+		w.Set(faultproxy.Fault{Rate: 1 << 10})
 	}
 	for k := range 3 {
 		version, at = p.apply(tenants(1000, 4001+k))
@@ -638,7 +638,7 @@
 	p.everywhere(version, at, "n1", "n2")
 	p.config("n3", "east")
 	for _, w := range p.wires["n3"] {
-		w.Set(wires.Fault{Rate: 1 << 10})
+		w.Set(faultproxy.Fault{Rate: 1 << 10})
 	}
 	p.node("n3", "east", settings)
 	p.within(20*time.Second, "n3 has the whole", func() bool {
--- a/cmd/pearknot/crew_test.go
+++ b/cmd/pearknot/crew_test.go
@@ -17,14 +17,14 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pearknot/internal/lab/wires"
+	"pearknot/internal/lab/faultproxy"
 )
 
 // nemesis breaks one thing after the other for a while, some at once; one seed draws one schedule. Processes are killed and
 // started anew, frozen and resumed, links cut both ways and one, slowed, delayed, reset, flapping.
 func (c *crew) nemesis(rng *rand.Rand, until time.Time, log func(string, ...any)) (kills int) {
 	size := len(c.nodes)
-	pairs := func(a int, others []int, f wires.Fault, both bool) {
+	pairs := func(a int, others []int, f faultproxy.Fault, both bool) {
 		for _, b := range others {
 			if a != b {
 				c.wires[a][b].Set(f)
@@ -68,17 +68,17 @@
 			time.Sleep(last)
 			_ = p.Signal(syscall.SIGCONT)
 		case 3, 4:
-			pairs(a, some, wires.Fault{Drop: true}, kind == 3)
+			pairs(a, some, faultproxy.Fault{Drop: true}, kind == 3)
 			time.Sleep(last)
-			pairs(a, some, wires.Fault{}, true)
+			pairs(a, some, faultproxy.Fault{}, true)
 		case 5:
-			pairs(a, some, wires.Fault{Rate: 1024}, true)
+			pairs(a, some, faultproxy.Fault{Rate: 1024}, true)
 			time.Sleep(last)
-			pairs(a, some, wires.Fault{}, true)
+			pairs(a, some, faultproxy.Fault{}, true)
 		case 6:
-			pairs(a, some, wires.Fault{Delay: 800 * time.Millisecond}, true)
+			pairs(a, some, faultproxy.Fault{Delay: 800 * time.Millisecond}, true)
 			time.Sleep(last)
-			pairs(a, some, wires.Fault{}, true)
+			pairs(a, some, faultproxy.Fault{}, true)
 		case 7, 8:
 			for end := time.Now().Add(last); time.Now().Before(end); time.Sleep(150 * time.Millisecond) {
 				for _, b := range some {
@@ -249,7 +249,7 @@
 	for _, row := range c.wires {
 		for _, w := range row {
 			if w != nil {
-				w.Set(wires.Fault{Delay: 300 * time.Millisecond, Odd: 0.005})
+				w.Set(faultproxy.Fault{Delay: 300 * time.Millisecond, Odd: 0.005})
 			}
 		}
 	}
--- a/cmd/pearknot/edge_test.go
+++ b/cmd/pearknot/edge_test.go
@@ -21,8 +21,8 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/time/rate"
 
-	"pearknot/internal/control"
-	"pearknot/internal/front"
+	"pearknot/internal/controlsocket"
+	"pearknot/internal/server"
 )
 
 // from is a dialer whose connections come from an address of 127.0.0.0/8.
@@ -107,8 +107,8 @@
 		ask(k)
 	}
 	require.Equal(t, int64(250), answered.Load())
-	look := func() (c front.Clients) {
-		require.NoError(t, control.NewClient(socket, 2*time.Second).Call(t.Context(), "GET", control.ClientsPath, nil, &c))
+	look := func() (c server.Clients) {
+		require.NoError(t, controlsocket.NewClient(socket, 2*time.Second).Call(t.Context(), "GET", controlsocket.ClientsPath, nil, &c))
 		return c
 	}
 	garbage := strings.Repeat("GET /api HTTP/1.1\r\nHost: x\r\n\r\n", 20)
--- a/cmd/pearknot/fleet.go
+++ b/cmd/pearknot/fleet.go
@@ -19,8 +19,8 @@
 	"github.com/spf13/cobra"
 
 	"pearknot/internal/agent"
-	"pearknot/internal/command"
-	"pearknot/internal/control"
+	"pearknot/internal/cli"
+	"pearknot/internal/controlsocket"
 	"pearknot/internal/fleet"
 )
 
@@ -39,7 +39,7 @@
 	dryRun   bool
 }
 
-func (t *tool) client() *control.Client { return control.NewClient(t.socket, callWithin) }
+func (t *tool) client() *controlsocket.Client { return controlsocket.NewClient(t.socket, callWithin) }
 
 func (t *tool) view(ctx context.Context) (v agent.View, err error) {
 	err = t.client().Call(ctx, http.MethodGet, agent.FleetPath, nil, &v)
@@ -60,7 +60,7 @@
 	root.PersistentFlags().BoolVar(&t.json, "json", false, "JSON for programs")
 	root.PersistentPreRunE = func(*cobra.Command, []string) error {
 		if t.socket == "" {
-			return command.Usage(errors.New("no agent: give --socket or set PEARKNOT_AGENT"))
+			return cli.Usage(errors.New("no agent: give --socket or set PEARKNOT_AGENT"))
 		}
 		return nil
 	}
@@ -107,11 +107,11 @@
 	w.Options.NoRevert = w.Options.NoRevert || t.options.NoRevert
 	var out agent.Written
 	err = t.client().Call(ctx, http.MethodPost, agent.WritePath, w, &out)
-	var refused *control.Refused
+	var refused *controlsocket.Refused
 	if errors.As(err, &refused) {
 		switch refused.Status {
 		case http.StatusConflict:
-			return &command.Error{Status: command.No, Err: err}
+			return &cli.Error{Status: cli.No, Err: err}
 		case agent.NothingToChange:
 			fmt.Fprintln(c.OutOrStdout(), "nothing to change")
 			return nil
@@ -134,7 +134,7 @@
 		return err
 	}
 	if t.wait && out.Change.Status != fleet.Succeeded && !(w.What == "rollback" && out.Change.Status == fleet.RolledBack) {
-		return &command.Error{Status: command.Failed, Err: fmt.Errorf("change %d: %s: %s", out.Change.ID, out.Change.Status, out.Change.Failure)}
+		return &cli.Error{Status: cli.Failed, Err: fmt.Errorf("change %d: %s: %s", out.Change.ID, out.Change.Status, out.Change.Failure)}
 	}
 	return nil
 }
@@ -188,7 +188,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			instances, configs, err := agent.ReadFleet(args[0])
 			if err != nil {
-				return command.Usage(err)
+				return cli.Usage(err)
 			}
 			return t.write(c, agent.Write{What: "apply", Instances: instances, Configs: configs})
 		}})
@@ -199,7 +199,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			instances, configs, err := agent.ReadFleet(args[0])
 			if err != nil {
-				return command.Usage(err)
+				return cli.Usage(err)
 			}
 			v, err := t.view(c.Context())
 			if err != nil {
@@ -244,7 +244,7 @@
 				return err
 			}
 			if len(all) > 0 {
-				return &command.Error{Status: command.No, Err: errors.New("differs"), Silent: true}
+				return &cli.Error{Status: cli.No, Err: errors.New("differs"), Silent: true}
 			}
 			return nil
 		}}
@@ -302,7 +302,7 @@
 			}
 			for _, i := range v.Instances {
 				if i.Verdict != fleet.AsWanted {
-					return &command.Error{Status: command.No, Err: errors.New("not all as wanted"), Silent: true}
+					return &cli.Error{Status: cli.No, Err: errors.New("not all as wanted"), Silent: true}
 				}
 			}
 			return nil
@@ -321,13 +321,13 @@
 		Args: cobra.MinimumNArgs(2), RunE: func(c *cobra.Command, args []string) error {
 			instances, configs, err := agent.ReadFleet(args[0])
 			if err != nil {
-				return command.Usage(err)
+				return cli.Usage(err)
 			}
 			w := agent.Write{What: "reconfigure", Configs: map[string]string{}}
 			for _, name := range args[1:] {
 				k := slices.IndexFunc(instances, func(i fleet.Instance) bool { return i.Name == name })
 				if k < 0 {
-					return command.Usage(fmt.Errorf("%s: no instance %s", args[0], name))
+					return cli.Usage(fmt.Errorf("%s: no instance %s", args[0], name))
 				}
 				w.Instances = append(w.Instances, instances[k])
 				w.Configs[name] = configs[name]
--- a/cmd/pearknot/main.go
+++ b/cmd/pearknot/main.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 	"gopkg.in/natefinch/lumberjack.v2"
 
-	"pearknot/internal/command"
+	"pearknot/internal/cli"
 	"pearknot/internal/node"
 	"pearknot/internal/serve"
 )
@@ -40,17 +40,17 @@
 operator's command came first.`
 	root.Args = nil // an unknown word is an unknown command, whatever follows it
 	root.SilenceUsage, root.SilenceErrors = true, true
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return command.Usage(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return cli.Usage(err) })
 	serveCommand, check := nodeCommand("serve", "serve"), nodeCommand("check", "check")
 	serveCommand.Short = "Serve clients in the foreground until SIGTERM"
 	check.Short = "Read the configuration, tell what it says, and end"
 	root.AddCommand(serveCommand, check, &cobra.Command{Use: "version", Short: "Tell the version", Args: cobra.NoArgs,
-		Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), "pearknot", command.Version()) }},
+		Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), "pearknot", cli.Version()) }},
 		agentCommand(), fleetCommand(), replayCommand(), explainCommand(), captureCommand(), certsCommand(), clientsCommand(), callCommand(), peersCommand(), controlPlaneCommand(), configCommand())
 	root.SetArgs(longFlags(args))
 	root.SetOut(out)
 	root.SetErr(errs)
-	return command.Exit("pearknot", root.ExecuteContext(ctx), errs)
+	return cli.Exit("pearknot", root.ExecuteContext(ctx), errs)
 }
 
 // longFlags takes the node's flags with one dash too, as they always were.
@@ -99,7 +99,7 @@
 			return err
 		case o.Edge != "":
 			if _, err := serve.ReadEdge(o.Edge); err != nil {
-				return command.Usage(err)
+				return cli.Usage(err)
 			}
 		}
 		switch {
@@ -109,17 +109,17 @@
 		}
 		if captureFile != "" {
 			if o.Capture, err = serve.ReadCapture(captureFile); err != nil {
-				return command.Usage(err)
+				return cli.Usage(err)
 			}
 		}
 		if tlsFile != "" {
 			if o.TLS, err = serve.ReadTLS(tlsFile); err != nil {
-				return command.Usage(err)
+				return cli.Usage(err)
 			}
 		}
 		if peersFile != "" {
 			if o.Peers, err = serve.ReadPeers(peersFile); err != nil {
-				return command.Usage(err)
+				return cli.Usage(err)
 			}
 		}
 		if planeFile != "" {
@@ -127,7 +127,7 @@
 				return err
 			}
 		}
-		o.Decide, o.Version, o.Token = node.Module, command.Version(), os.Getenv(serve.TokenVariable)
+		o.Decide, o.Version, o.Token = node.Module, cli.Version(), os.Getenv(serve.TokenVariable)
 		if e := os.Getenv(serve.EpochVariable); e != "" {
 			if o.Epoch, err = strconv.ParseUint(e, 10, 64); err != nil {
 				return fmt.Errorf("%s: %w", serve.EpochVariable, err)
--- a/cmd/pearknot/peers.go
+++ b/cmd/pearknot/peers.go
@@ -10,9 +10,9 @@
 
 	"github.com/spf13/cobra"
 
-	"pearknot/internal/command"
-	"pearknot/internal/control"
-	"pearknot/internal/estate"
+	"pearknot/internal/cli"
+	"pearknot/internal/controlsocket"
+	"pearknot/internal/requestlog"
 )
 
 // peersCommand shows the logs that processes keep for each other, as one of them sees them.
@@ -21,10 +21,10 @@
 	c := &cobra.Command{Use: "peers SOCKET", Args: cobra.ExactArgs(1),
 		Short: "Links to other processes, who leads and holds which log, and what was taken over; 3 while a log is not whole",
 		RunE: func(c *cobra.Command, args []string) error {
-			client := control.NewClient(args[0], dialWithin)
+			client := controlsocket.NewClient(args[0], dialWithin)
 			for {
-				var told estate.Picture
-				if err := client.Call(c.Context(), "GET", control.PeersPath, nil, &told); err != nil {
+				var told requestlog.Picture
+				if err := client.Call(c.Context(), "GET", controlsocket.PeersPath, nil, &told); err != nil {
 					return err
 				}
 				if watch && !asJSON {
@@ -36,7 +36,7 @@
 				if !watch {
 					for _, l := range told.Logs {
 						if !l.Whole {
-							return &command.Error{Status: command.No, Err: fmt.Errorf("the log of %s is not whole", l.Of), Silent: true}
+							return &cli.Error{Status: cli.No, Err: fmt.Errorf("the log of %s is not whole", l.Of), Silent: true}
 						}
 					}
 					return nil
@@ -53,7 +53,7 @@
 	return c
 }
 
-func tellPeers(out io.Writer, told estate.Picture, asJSON bool) error {
+func tellPeers(out io.Writer, told requestlog.Picture, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(out).Encode(told)
 	}
--- a/cmd/pearknot/peers_test.go
+++ b/cmd/pearknot/peers_test.go
@@ -21,10 +21,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
-	"pearknot/internal/control"
-	"pearknot/internal/lab/wires"
-	"pearknot/internal/rules"
+	"pearknot/balancer"
+	"pearknot/internal/controlsocket"
+	"pearknot/internal/invariants"
+	"pearknot/internal/lab/faultproxy"
 )
 
 // crew is several real processes that keep each other's ops, every directed link of two of them through a relay, with
@@ -36,14 +36,14 @@
 	discovery string
 	list      string
 	ports     []string
-	wires     [][]*wires.Wire // from, to
+	wires     [][]*faultproxy.Wire // from, to
 	nodes     []*crewNode
 
 	mu     sync.Mutex
 	ran    map[string]int // effects by key
 	begun  map[string]chan struct{}
 	held   map[string]chan struct{} // backends answer once it is closed
-	keys   *rules.Keys
+	keys   *invariants.Keys
 	logs   []*lockedBuffer // of all lives
 	lives  int
 	acked  int
@@ -98,7 +98,7 @@
 
 func newCrewAt(t *testing.T, size, copies int, listen string) *crew {
 	c := &crew{listen: listen, t: t, copies: copies, dir: t.TempDir(), ran: map[string]int{}, begun: map[string]chan struct{}{}, held: map[string]chan struct{}{},
-		keys: rules.NewKeys()}
+		keys: invariants.NewKeys()}
 	var targets []string
 	for k := range 3 {
 		b := httptest.NewServer(http.HandlerFunc(c.serve))
@@ -114,10 +114,10 @@
 		c.ports = append(c.ports, freePort(t))
 	}
 	for from := range size {
-		c.wires = append(c.wires, make([]*wires.Wire, size))
+		c.wires = append(c.wires, make([]*faultproxy.Wire, size))
 		for to := range size {
 			if to != from {
-				w, err := wires.Open(c.ports[to])
+				w, err := faultproxy.Open(c.ports[to])
 				require.NoError(t, err)
 				t.Cleanup(w.Close)
 				c.wires[from][to] = w
@@ -195,9 +195,9 @@
 	c.mu.Lock()
 	c.ran[key]++
 	n := c.ran[key]
-	effect := balance.AtMostOnce
+	effect := balancer.AtMostOnce
 	if r.Header.Get("X-Qos") == "check" {
-		effect = balance.Redeliverable
+		effect = balancer.Redeliverable
 	}
 	c.keys.Ran(ms(), key, effect)
 	c.keys.Taken(ms(), key, effect, ms()+9000)
@@ -397,8 +397,8 @@
 	}()
 	<-begun
 	for k := 1; k < 3; k++ {
-		c.wires[0][k].Set(wires.Fault{Drop: true})
-		c.wires[k][0].Set(wires.Fault{Drop: true})
+		c.wires[0][k].Set(faultproxy.Fault{Drop: true})
+		c.wires[k][0].Set(faultproxy.Fault{Drop: true})
 	}
 	status, text := c.ask(1, "pay", "pay-cut", "4500", "x")
 	require.Equal(t, 502, status, text)
@@ -418,8 +418,8 @@
 		return status == 200
 	}, 10*time.Second, 50*time.Millisecond)
 	for k := 1; k < 3; k++ {
-		c.wires[0][k].Set(wires.Fault{})
-		c.wires[k][0].Set(wires.Fault{})
+		c.wires[0][k].Set(faultproxy.Fault{})
+		c.wires[k][0].Set(faultproxy.Fault{})
 	}
 	c.whole()
 	require.Eventually(t, func() bool {
@@ -454,16 +454,16 @@
 func TestAKeptOpWhoseClientLeavesBeforeItsRecord(t *testing.T) {
 	c := newCrew(t, 3, 3)
 	defer c.judge()
-	links := func(f wires.Fault) {
+	links := func(f faultproxy.Fault) {
 		for k := 1; k < 3; k++ {
 			c.wires[0][k].Set(f)
 			c.wires[k][0].Set(f)
 		}
 	}
-	looks := control.NewClient(c.nodes[0].control, 5*time.Second)
+	looks := controlsocket.NewClient(c.nodes[0].control, 5*time.Second)
 	open := func() int64 {
-		var s control.Status
-		require.NoError(t, looks.Call(t.Context(), "GET", control.StatusPath, nil, &s))
+		var s controlsocket.Status
+		require.NoError(t, looks.Call(t.Context(), "GET", controlsocket.StatusPath, nil, &s))
 		return s.Open
 	}
 	end := func(c net.Conn) { _ = c.Close() }
@@ -476,7 +476,7 @@
 		leave func(net.Conn)
 		cut   bool
 	}{"end": {end, false}, "reset": {reset, false}, "end in a cut": {end, true}, "reset in a cut": {reset, true}} {
-		links(wires.Fault{Delay: 200 * time.Millisecond})
+		links(faultproxy.Fault{Delay: 200 * time.Millisecond})
 		var all []net.Conn
 		for k := range clients {
 			conn, err := net.Dial("tcp", c.nodes[0].address)
@@ -488,12 +488,12 @@
 		}
 		// Taken, so that its record is on its way for 0.4 s.
 		require.Eventually(t, func() bool { return open() > 0 }, 10*time.Second, time.Millisecond)
-		links(wires.Fault{Delay: 200 * time.Millisecond, Drop: way.cut})
+		links(faultproxy.Fault{Delay: 200 * time.Millisecond, Drop: way.cut})
 		for _, conn := range all {
 			way.leave(conn)
 		}
 		require.Eventually(t, func() bool { return open() == 0 }, 10*time.Second, 10*time.Millisecond)
-		links(wires.Fault{})
+		links(faultproxy.Fault{})
 		c.whole()
 		for k := range clients {
 			key := fmt.Sprintf("%s-%d", name, k)
--- a/cmd/pearknot/tls_test.go
+++ b/cmd/pearknot/tls_test.go
@@ -21,8 +21,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pearknot/internal/control"
-	"pearknot/internal/lab/authority"
+	"pearknot/internal/controlsocket"
+	"pearknot/internal/lab/acmestub"
 )
 
 // call runs the program within the test, and gives its exit status and all that it said.
@@ -36,7 +36,7 @@
 type secureRig struct {
 	t         testing.TB
 	dir       string
-	a         *authority.Authority
+	a         *acmestub.Authority
 	directory string
 	alpn      atomic.Pointer[string] // where the authority looks
 	clients   *tls.Config
@@ -47,7 +47,7 @@
 	require.NoError(t, err)
 	r := &secureRig{t: t, dir: dir}
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	r.a, err = authority.New(authority.Options{Window: 0.7, TLS: func(string) string { return *r.alpn.Load() }})
+	r.a, err = acmestub.New(acmestub.Options{Window: 0.7, TLS: func(string) string { return *r.alpn.Load() }})
 	require.NoError(t, err)
 	s := httptest.NewServer(r.a)
 	t.Cleanup(s.Close)
@@ -148,8 +148,8 @@
 	status, text = call("certs", "renew", socket2, "a")
 	assert.Equal(t, 0, status, text)
 	r.becomes(second, func(s string) bool { return s != last })
-	var s control.Status
-	require.NoError(t, control.NewClient(socket2, time.Second).Call(t.Context(), "GET", control.StatusPath, nil, &s))
+	var s controlsocket.Status
+	require.NoError(t, controlsocket.NewClient(socket2, time.Second).Call(t.Context(), "GET", controlsocket.StatusPath, nil, &s))
 	assert.True(t, s.TLS.Orders)
 	assert.Positive(t, s.TLS.Handshakes.Done)
 	for _, file := range []string{"store/state.json", "store/account-0.key", "store/names/a/served.pem", "store/tickets"} {
@@ -277,8 +277,8 @@
 	for status := range answers {
 		assert.Contains(t, []int{200, 502, 503}, status)
 	}
-	var s control.Status
-	require.NoError(t, control.NewClient(socket, time.Second).Call(t.Context(), "GET", control.StatusPath, nil, &s))
+	var s controlsocket.Status
+	require.NoError(t, controlsocket.NewClient(socket, time.Second).Call(t.Context(), "GET", controlsocket.StatusPath, nil, &s))
 	assert.Zero(t, s.TLS.Handshakes.Evicted)
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -10,14 +10,14 @@
 	"strings"
 	"time"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/capture"
-	"pearknot/internal/simwire"
+	"pearknot/internal/simprotocol"
 )
 
 func main() {
 	debug.SetGCPercent(800) // a node has little CPU in each second, and its live heap is small
-	h := simwire.NewHost()
+	h := simprotocol.NewHost()
 	end, err := captured(h, os.Getenv(captureVariable))
 	if err == nil {
 		err = h.Serve(os.Stdin, os.Stdout)
@@ -32,7 +32,7 @@
 // captureVariable switches a capture on: INSTANCE:DIR, one instance's into a directory.
 const captureVariable = "PEARKNOT_SIM_CAPTURE"
 
-func captured(h *simwire.Host, text string) (end func(), err error) {
+func captured(h *simprotocol.Host, text string) (end func(), err error) {
 	if text == "" {
 		return func() {}, nil
 	}
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	epoch := uint64(0)
-	h.Wrap = func(instance uint32, d balance.Decider, t *balance.Terms, now float64) balance.Decider {
+	h.Wrap = func(instance uint32, d balancer.Decider, t *balancer.Terms, now float64) balancer.Decider {
 		if uint64(instance) != wanted {
 			return d
 		}
--- a/internal/acme/keeper_test.go
+++ b/internal/acme/keeper_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 
 	"pearknot/internal/certs"
-	"pearknot/internal/lab/authority"
+	"pearknot/internal/lab/acmestub"
 )
 
 // world is an authority, the ports that its challenges are looked up on, and a clock that a test moves.
@@ -28,7 +28,7 @@
 	t      *testing.T
 	mu     sync.Mutex
 	now    time.Time
-	a      *authority.Authority
+	a      *acmestub.Authority
 	server *httptest.Server
 	keeper *Keeper // whose challenges are answered
 	port   string
@@ -57,7 +57,7 @@
 	return w.log.Write(b)
 }
 
-func newWorld(t *testing.T, change func(*authority.Options)) *world {
+func newWorld(t *testing.T, change func(*acmestub.Options)) *world {
 	w := &world{t: t, now: time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC), dir: t.TempDir(), points: func(string) {}}
 	http1 := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		text, ok := w.keeper.Challenge(r.URL.Path)
@@ -78,11 +78,11 @@
 		}
 	}()
 	w.port, w.tls = http1.Listener.Addr().String(), l.Addr().String()
-	o := authority.Options{Now: w.clock, HTTP: func(string) string { return w.port }, TLS: func(string) string { return w.tls }, Window: 0.7}
+	o := acmestub.Options{Now: w.clock, HTTP: func(string) string { return w.port }, TLS: func(string) string { return w.tls }, Window: 0.7}
 	if change != nil {
 		change(&o)
 	}
-	w.a, err = authority.New(o)
+	w.a, err = acmestub.New(o)
 	require.NoError(t, err)
 	w.server = httptest.NewServer(w.a)
 	w.server.Config.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)
@@ -162,7 +162,7 @@
 		first := w.leaf(k, "pay.example.org")
 		from := first.NotBefore.Add(50 * 24 * time.Hour)
 		back := first.NotAfter.Add(after)
-		w.a.Put(authority.Trouble{Fault: authority.Unreachable, From: from, To: back})
+		w.a.Put(acmestub.Trouble{Fault: acmestub.Unreachable, From: from, To: back})
 		w.run(k, back)
 		assert.Equal(t, first.SerialNumber, w.leaf(k, "pay.example.org").SerialNumber, name)
 		days := back.Sub(from).Hours() / 24
@@ -181,7 +181,7 @@
 	w := newWorld(t, nil)
 	k := w.open(w.options("pay.example.org"))
 	begun := w.clock()
-	w.a.Put(authority.Trouble{Fault: authority.TooMany, From: begun, To: begun.Add(5 * time.Hour), After: 2 * time.Hour})
+	w.a.Put(acmestub.Trouble{Fault: acmestub.TooMany, From: begun, To: begun.Add(5 * time.Hour), After: 2 * time.Hour})
 	w.run(k, begun.Add(5*time.Hour))
 	assert.LessOrEqual(t, w.a.Calls(begun, begun.Add(5*time.Hour)), 12, "three times, a few calls each")
 	w.run(k, begun.Add(8*time.Hour))
@@ -193,7 +193,7 @@
 	w := newWorld(t, nil)
 	k := w.open(w.options("a.example.org", "b.example.org", "c.example.org"))
 	begun := w.clock()
-	w.a.Put(authority.Trouble{Fault: authority.Reject, From: begun, To: begun.Add(24 * time.Hour), Name: "b.example.org"})
+	w.a.Put(acmestub.Trouble{Fault: acmestub.Reject, From: begun, To: begun.Add(24 * time.Hour), Name: "b.example.org"})
 	w.run(k, begun.Add(3*time.Hour))
 	w.leaf(k, "a.example.org")
 	w.leaf(k, "c.example.org")
@@ -206,12 +206,12 @@
 
 // What does not fit key, name, time or root is never swapped in; once what comes fits, it is.
 func TestUnfit(t *testing.T) {
-	for fault, why := range map[authority.Fault]string{authority.OtherKey: "issued for another key", authority.OtherName: "issued for other names",
-		authority.Outdated: "expired at", authority.TooEarly: "not valid before", authority.WrongChain: "signed by unknown authority"} {
+	for fault, why := range map[acmestub.Fault]string{acmestub.OtherKey: "issued for another key", acmestub.OtherName: "issued for other names",
+		acmestub.Outdated: "expired at", acmestub.TooEarly: "not valid before", acmestub.WrongChain: "signed by unknown authority"} {
 		w := newWorld(t, nil)
 		k := w.open(w.options("pay.example.org"))
 		begun := w.clock()
-		w.a.Put(authority.Trouble{Fault: fault, From: begun, To: begun.Add(6 * time.Hour)})
+		w.a.Put(acmestub.Trouble{Fault: fault, From: begun, To: begun.Add(6 * time.Hour)})
 		w.run(k, begun.Add(5*time.Hour))
 		_, err := k.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org"})
 		require.Error(t, err, fault)
@@ -223,13 +223,13 @@
 
 // The other troubles of an authority end with a certificate once they are over, in bounded memory and with one clear line.
 func TestOtherTroubles(t *testing.T) {
-	for _, fault := range []authority.Fault{authority.Broken, authority.BadNonce, authority.Garbage, authority.Huge, authority.Slow, authority.Stuck} {
+	for _, fault := range []acmestub.Fault{acmestub.Broken, acmestub.BadNonce, acmestub.Garbage, acmestub.Huge, acmestub.Slow, acmestub.Stuck} {
 		w := newWorld(t, nil)
 		o := w.options("pay.example.org")
 		o.Within = 300 * time.Millisecond
 		k := w.open(o)
 		begun := w.clock()
-		w.a.Put(authority.Trouble{Fault: fault, From: begun, To: begun.Add(time.Minute), Delay: time.Second})
+		w.a.Put(acmestub.Trouble{Fault: fault, From: begun, To: begun.Add(time.Minute), Delay: time.Second})
 		for k.Step(t.Context()) == 0 {
 		}
 		_, err := k.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org"})
@@ -304,7 +304,7 @@
 // A binding to an account outside is asked for and given; keys roll over; a certificate is revoked, and then renewed at once.
 func TestAccounts(t *testing.T) {
 	secret := []byte("0123456789abcdef0123456789abcdef")
-	w := newWorld(t, func(o *authority.Options) { o.Binding = map[string][]byte{"kid-1": secret} })
+	w := newWorld(t, func(o *acmestub.Options) { o.Binding = map[string][]byte{"kid-1": secret} })
 	o := w.options("pay.example.org")
 	k := w.open(o)
 	w.run(k, w.clock().Add(time.Minute))
@@ -323,7 +323,7 @@
 
 // A hundred instances over a year: an outage of a day brings no storm, neither in it nor in the first minute after.
 func TestHundredInstances(t *testing.T) {
-	w := newWorld(t, func(o *authority.Options) { o.Window = 0 })
+	w := newWorld(t, func(o *acmestub.Options) { o.Window = 0 })
 	begun := w.clock()
 	var all []*certs.Core
 	calls := map[int]int{} // by minute
--- a/internal/acme/process_test.go
+++ b/internal/acme/process_test.go
@@ -25,7 +25,7 @@
 	"github.com/stretchr/testify/require"
 
 	"pearknot/internal/certs"
-	"pearknot/internal/lab/authority"
+	"pearknot/internal/lab/acmestub"
 )
 
 // What a child process of these tests is told.
@@ -108,7 +108,7 @@
 	require.NoError(t, err)
 	address := free.Addr().String()
 	require.NoError(t, free.Close())
-	w = newWorld(t, func(o *authority.Options) {
+	w = newWorld(t, func(o *acmestub.Options) {
 		o.Now = time.Now
 		o.HTTP = func(string) string { return address }
 	})
--- a/internal/console/call.go
+++ b/internal/admin/call.go
@@ -1,6 +1,6 @@
-// Package console is the node's second address, at which operators call: one line to a connection, one line back. This
+// Package admin is the node's second address, at which operators call: one line to a connection, one line back. This
 // file is its core, which reads a line and words an answer; console.go has the sockets.
-package console
+package admin
 
 import (
 	"errors"
--- a/internal/console/client.go
+++ b/internal/admin/client.go
@@ -1,4 +1,4 @@
-package console
+package admin
 
 import (
 	"bufio"
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -23,10 +23,10 @@
 	"github.com/google/renameio/v2"
 
 	"pearknot/internal/clock"
-	"pearknot/internal/control"
+	"pearknot/internal/controlsocket"
+	"pearknot/internal/discovery"
 	"pearknot/internal/fleet"
 	"pearknot/internal/mailbox"
-	"pearknot/internal/members"
 )
 
 // Options are an agent's, from its file.
@@ -123,9 +123,9 @@
 			_ = lock.Close()
 			continue
 		}
-		var s control.Status
+		var s controlsocket.Status
 		ctx, cancel := context.WithTimeout(context.Background(), a.o.CallWithin)
-		err = control.NewClient(p.socket(), a.o.CallWithin).Call(ctx, "GET", control.StatusPath, nil, &s)
+		err = controlsocket.NewClient(p.socket(), a.o.CallWithin).Call(ctx, "GET", controlsocket.StatusPath, nil, &s)
 		cancel()
 		h, noted := p.holder()
 		if err != nil || noted != nil || h.Token != s.Token || h.PID != s.PID {
@@ -150,11 +150,11 @@
 
 // Run serves until ctx ends. The instances go on.
 func (a *Agent) Run(ctx context.Context) error {
-	l, err := control.Listen(a.o.Socket)
+	l, err := controlsocket.Listen(a.o.Socket)
 	if err != nil {
 		return err
 	}
-	server := control.Server(a.api())
+	server := controlsocket.Server(a.api())
 	failed := make(chan error, 1)
 	go func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
@@ -311,7 +311,7 @@
 	if err != nil {
 		return w, err
 	}
-	w.Version, w.Sum, err = members.Sum(data)
+	w.Version, w.Sum, err = discovery.Sum(data)
 	return w, err
 }
 
@@ -375,8 +375,8 @@
 	case fleet.Kill:
 		return 0, p.signal(a.fleet.Records[x.Name].Token, syscall.SIGKILL)
 	case fleet.Admit, fleet.Withhold:
-		return 0, control.NewClient(p.socket(), a.o.CallWithin).Call(ctx, "POST", control.ServicePath,
-			control.Service{In: x.Step == fleet.Admit, Why: x.Why}, nil)
+		return 0, controlsocket.NewClient(p.socket(), a.o.CallWithin).Call(ctx, "POST", controlsocket.ServicePath,
+			controlsocket.Service{In: x.Step == fleet.Admit, Why: x.Why}, nil)
 	case fleet.Forget:
 		lock, err := p.take()
 		if err != nil || lock == nil {
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"pearknot/internal/control"
+	"pearknot/internal/controlsocket"
 	"pearknot/internal/fleet"
 )
 
@@ -109,18 +109,18 @@
 		var v View
 		var next chan struct{}
 		if err := a.do(r.Context(), func() { v, next = a.view(), a.changed }); err != nil {
-			control.Fail(w, http.StatusServiceUnavailable, err.Error())
+			controlsocket.Fail(w, http.StatusServiceUnavailable, err.Error())
 			return
 		}
 		if !watching || v.Seq > since || ctx.Err() != nil {
-			control.Answer(w, http.StatusOK, v)
+			controlsocket.Answer(w, http.StatusOK, v)
 			return
 		}
 		select {
 		case <-next:
 		case <-ctx.Done():
 		case <-a.done:
-			control.Fail(w, http.StatusServiceUnavailable, "the agent ends")
+			controlsocket.Fail(w, http.StatusServiceUnavailable, "the agent ends")
 			return
 		}
 	}
@@ -128,30 +128,30 @@
 
 func (a *Agent) postWrite(w http.ResponseWriter, r *http.Request) {
 	var x Write
-	if err := control.Decode(r, &x); err != nil {
-		control.Fail(w, http.StatusBadRequest, err.Error())
+	if err := controlsocket.Decode(r, &x); err != nil {
+		controlsocket.Fail(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	author := author(control.Who(r.Context()))
+	author := author(controlsocket.Who(r.Context()))
 	var out Written
 	var err error
 	if e := a.do(r.Context(), func() { out, err = a.write(x, author) }); e != nil {
-		control.Fail(w, http.StatusServiceUnavailable, e.Error())
+		controlsocket.Fail(w, http.StatusServiceUnavailable, e.Error())
 		return
 	}
 	var conflict *fleet.Conflict
 	var busy *fleet.Busy
 	switch {
 	case err == nil:
-		control.Answer(w, http.StatusOK, out)
+		controlsocket.Answer(w, http.StatusOK, out)
 	case errors.As(err, &conflict), errors.As(err, &busy):
-		control.Fail(w, http.StatusConflict, err.Error())
+		controlsocket.Fail(w, http.StatusConflict, err.Error())
 	case errors.Is(err, fleet.ErrNothing):
-		control.Fail(w, NothingToChange, err.Error())
+		controlsocket.Fail(w, NothingToChange, err.Error())
 	case errors.Is(err, errUnwritten):
-		control.Fail(w, http.StatusInsufficientStorage, err.Error())
+		controlsocket.Fail(w, http.StatusInsufficientStorage, err.Error())
 	default:
-		control.Fail(w, http.StatusUnprocessableEntity, err.Error())
+		controlsocket.Fail(w, http.StatusUnprocessableEntity, err.Error())
 	}
 }
 
@@ -161,7 +161,7 @@
 var errUnwritten = errors.New("state can't be written")
 
 // author is the caller's name, where the system knows it.
-func author(c control.Caller) string {
+func author(c controlsocket.Caller) string {
 	id := strconv.FormatUint(uint64(c.UID), 10)
 	if u, err := user.LookupId(id); err == nil {
 		return u.Username
@@ -294,12 +294,12 @@
 			h.Kept = append(h.Kept, g.Number)
 		}
 	}); err != nil {
-		control.Fail(w, http.StatusServiceUnavailable, err.Error())
+		controlsocket.Fail(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
 	slices.Reverse(h.Changes)
 	h.Changes = h.Changes[:min(most, len(h.Changes))]
-	control.Answer(w, http.StatusOK, h)
+	controlsocket.Answer(w, http.StatusOK, h)
 }
 
 // Logs are an instance's last lines.
@@ -316,11 +316,11 @@
 	}
 	known := false
 	if err := a.do(r.Context(), func() { known = slices.Contains(a.fleet.Names(), name) }); err != nil {
-		control.Fail(w, http.StatusServiceUnavailable, err.Error())
+		controlsocket.Fail(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
 	if !known {
-		control.Fail(w, http.StatusNotFound, fmt.Sprintf("instance %s is not known", name))
+		controlsocket.Fail(w, http.StatusNotFound, fmt.Sprintf("instance %s is not known", name))
 		return
 	}
 	p := place{a.o.Dir, name}
@@ -329,5 +329,5 @@
 		l.Lines = nil
 	}
 	l.Out, _ = tail(p.standing(), lines)
-	control.Answer(w, http.StatusOK, l)
+	controlsocket.Answer(w, http.StatusOK, l)
 }
--- a/internal/agent/file.go
+++ b/internal/agent/file.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"pearknot/internal/fleet"
-	"pearknot/internal/strict"
+	"pearknot/internal/tomlfile"
 )
 
 // agentFile is deploy/agent.toml. Times are in ms, as their names say.
@@ -58,7 +58,7 @@
 	t.EveryMs, t.CalmMs, t.CallWithinMs, t.WitnessMs = 100, 1000, 1000, 5000
 	t.StartWithinMs, t.EndWithinMs, t.BackoffMs, t.BackoffMostMs = d.StartWithin, d.EndWithin, d.BackoffMs, d.BackoffMost
 	t.LoopCount, t.LoopWithinMs = d.LoopCount, d.LoopWithin
-	at, err := strict.Decode(name, data, &f)
+	at, err := tomlfile.Decode(name, data, &f)
 	if err != nil {
 		return o, err
 	}
@@ -132,7 +132,7 @@
 // file, with what is said here in the place of what stands there.
 func ReadFleet(name string) (instances []fleet.Instance, configs map[string]string, err error) {
 	var f fleetFile
-	at, err := strict.Read(name, &f)
+	at, err := tomlfile.Read(name, &f)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"pearknot/internal/clock"
-	"pearknot/internal/control"
+	"pearknot/internal/controlsocket"
 	"pearknot/internal/fleet"
 	"pearknot/internal/mailbox"
 )
@@ -85,9 +85,9 @@
 				}
 			}
 		}()
-		l, err := control.Listen(a.o.Socket)
+		l, err := controlsocket.Listen(a.o.Socket)
 		require.NoError(t, err)
-		server := control.Server(a.api())
+		server := controlsocket.Server(a.api())
 		go func() { _ = server.Serve(l) }()
 		require.NoError(t, mkdirs(dir))
 
@@ -98,7 +98,7 @@
 		for operator := range 4 {
 			wg.Go(func() {
 				rng := rand.New(rand.NewPCG(uint64(round), uint64(operator)))
-				c := control.NewClient(a.o.Socket, 10*time.Second)
+				c := controlsocket.NewClient(a.o.Socket, 10*time.Second)
 				seen := uint64(0)
 				for k := range 6 {
 					in := call{write: rng.IntN(3) > 0, revision: seen, value: fmt.Sprintf("%d-%d", operator, k)}
@@ -109,7 +109,7 @@
 						err := c.Call(t.Context(), http.MethodPost, WritePath, Write{What: "apply", Reason: in.value, Revision: in.revision,
 							Instances: []fleet.Instance{{Name: "n", Listen: "127.0.0.1:1", Wanted: fleet.Stopped}},
 							Configs:   map[string]string{"n": in.value}}, &done)
-						var refused *control.Refused
+						var refused *controlsocket.Refused
 						switch {
 						case err == nil:
 							out = answer{taken: true, revision: done.Revision}
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -17,7 +17,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"pearknot/internal/control"
+	"pearknot/internal/controlsocket"
 	"pearknot/internal/fleet"
 	"pearknot/internal/serve"
 )
@@ -167,8 +167,8 @@
 	}
 	h, err := p.holder()
 	proven := err == nil && r.Token != "" && h.Token == r.Token
-	var s control.Status
-	if err := control.NewClient(p.socket(), within).Call(ctx, "GET", control.StatusPath, nil, &s); err != nil {
+	var s controlsocket.Status
+	if err := controlsocket.NewClient(p.socket(), within).Call(ctx, "GET", controlsocket.StatusPath, nil, &s); err != nil {
 		switch {
 		case proven && r.TermAt > 0:
 			return fleet.Seen{Phase: fleet.Ending, At: now(), Pid: h.PID, Proven: true}
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -23,7 +23,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pearknot/internal/control"
+	"pearknot/internal/controlsocket"
 	"pearknot/internal/fleet"
 	"pearknot/internal/lab/program"
 	"pearknot/internal/serve"
@@ -109,17 +109,17 @@
 	if c.Behaviour == "wrong list" {
 		list = "127.0.0.1:9"
 	}
-	l, err := control.Listen(flags["--control"])
+	l, err := controlsocket.Listen(flags["--control"])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	s := control.Server(control.Node(func(context.Context) (control.Status, error) {
+	s := controlsocket.Server(controlsocket.Node(func(context.Context) (controlsocket.Status, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		return control.Status{Token: os.Getenv(serve.TokenVariable), PID: os.Getpid(), Name: c.Name, Listen: c.Listen, Digest: Digest(string(data)),
+		return controlsocket.Status{Token: os.Getenv(serve.TokenVariable), PID: os.Getpid(), Name: c.Name, Listen: c.Listen, Digest: Digest(string(data)),
 			Epoch: epoch, List: list, Ready: c.Behaviour != "never ready", InService: in}, nil
-	}, func(s control.Service) error {
+	}, func(s controlsocket.Service) error {
 		mu.Lock()
 		defer mu.Unlock()
 		in = s.In
@@ -144,13 +144,13 @@
 	agent  *exec.Cmd
 	ended  chan error  // of the agent
 	other  atomic.Bool // the list tells the agent something else than the nodes
-	client *control.Client
+	client *controlsocket.Client
 }
 
 func newRig(t *testing.T, binary, extra string) *rig {
 	dir, err := os.MkdirTemp("", "pk") // short: a socket's path is bounded
 	require.NoError(t, err)
-	r := &rig{t: t, dir: dir, file: filepath.Join(dir, "agent.toml"), client: control.NewClient(filepath.Join(dir, "agent.sock"), 20*time.Second)}
+	r := &rig{t: t, dir: dir, file: filepath.Join(dir, "agent.toml"), client: controlsocket.NewClient(filepath.Join(dir, "agent.sock"), 20*time.Second)}
 	require.NoError(t, os.WriteFile(r.file, fmt.Appendf(nil, `dir = %q
 binary = [%q]
 [rolling]
@@ -361,7 +361,7 @@
 "coldFrom":0.3,"drainGrace":500,"fallMultiple":4,"overloadFor":2000,"warmWithin":9000},"tenants":[],"zones":["a"]}`
 
 func refusedStatus(err error) int {
-	var r *control.Refused
+	var r *controlsocket.Refused
 	if errors.As(err, &r) {
 		return r.Status
 	}
--- a/internal/durable/durable.go
+++ b/internal/boltfile/boltfile.go
@@ -1,6 +1,6 @@
-// Package durable is what the files of bbolt have in common, whoever writes them: values with checksums, and heads of which
+// Package boltfile is what the files of bbolt have in common, whoever writes them: values with checksums, and heads of which
 // both must be whole.
-package durable
+package boltfile
 
 import (
 	"encoding/binary"
--- a/internal/capture/bench_test.go
+++ b/internal/capture/bench_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/snapshot"
 )
 
@@ -14,12 +14,12 @@
 // counted and let go of.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []struct{ backends, nodes int }{{10, 3}, {30, 100}, {200, 1250}} {
-		t := &balance.Terms{Seed: 1, Nodes: size.nodes, MaxPushes: 3, SecondCopies: true, Cancel: true, ColdFrom: 0.3, WarmWithin: 8000,
-			FallMultiple: 4, OverloadFor: 2000, Categories: []balance.Category{{TargetLatency: 600, Benefit: 1}}}
-		b.Run(fmt.Sprintf("%d/off", size.backends), func(b *testing.B) { decide(b, balance.New(t, 1), size.backends) })
+		t := &balancer.Terms{Seed: 1, Nodes: size.nodes, MaxPushes: 3, SecondCopies: true, Cancel: true, ColdFrom: 0.3, WarmWithin: 8000,
+			FallMultiple: 4, OverloadFor: 2000, Categories: []balancer.Category{{TargetLatency: 600, Benefit: 1}}}
+		b.Run(fmt.Sprintf("%d/off", size.backends), func(b *testing.B) { decide(b, balancer.New(t, 1), size.backends) })
 		b.Run(fmt.Sprintf("%d/on", size.backends), func(b *testing.B) {
 			bytes := 0
-			r, err := NewRecorder(balance.New(t, 1), 1, Start{Name: "n", Terms: t}, Options{Every: 10e3, Sink: func(b Batch) { bytes += len(b.Data) }})
+			r, err := NewRecorder(balancer.New(t, 1), 1, Start{Name: "n", Terms: t}, Options{Every: 10e3, Sink: func(b Batch) { bytes += len(b.Data) }})
 			require.NoError(b, err)
 			decide(b, r, size.backends)
 			b.ReportMetric(float64(bytes)/float64(b.N), "bytes/op-unpacked")
@@ -27,10 +27,10 @@
 	}
 }
 
-func decide(b *testing.B, n balance.Decider, backends int) {
-	var lines []balance.Listing
+func decide(b *testing.B, n balancer.Decider, backends int) {
+	var lines []balancer.Listing
 	for k := range backends {
-		lines = append(lines, balance.Listing{Backend: &balance.Backend{Ref: uint64(k)}, State: balance.Ready, Zone: k % 3, Kind: k % 3, Weight: 1})
+		lines = append(lines, balancer.Listing{Backend: &balancer.Backend{Ref: uint64(k)}, State: balancer.Ready, Zone: k % 3, Kind: k % 3, Weight: 1})
 	}
 	n.Listed(1, lines, true, false)
 	b.ReportAllocs()
@@ -38,16 +38,16 @@
 	now := 1.0
 	for range b.N {
 		now += 5
-		op := &balance.Op{GiveUp: now + 2000, Hint: 30, HasHint: true}
+		op := &balancer.Op{GiveUp: now + 2000, Hint: 30, HasHint: true}
 		n.Arrived(now, op)
-		var p *balance.Push
+		var p *balancer.Push
 		for d, more := n.Next(); more; d, more = n.Next() {
-			if d.Kind == balance.DoPush {
+			if d.Kind == balancer.DoPush {
 				p = d.Push
 			}
 		}
-		n.Reported(now+3, p.Backend, balance.Report{Service: 3, Held: 2, Waiting: balance.Untold})
-		n.Ended(now+3, p, balance.Answered, 3, true)
+		n.Reported(now+3, p.Backend, balancer.Report{Service: 3, Held: 2, Waiting: balancer.Untold})
+		n.Ended(now+3, p, balancer.Answered, 3, true)
 		for _, more := n.Next(); more; _, more = n.Next() {
 		}
 	}
@@ -56,27 +56,27 @@
 // A snapshot: of a node that has had two thousand ops, and has one that is open for each backend.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, size := range []struct{ backends, nodes int }{{10, 3}, {30, 100}, {200, 1250}} {
-		t := &balance.Terms{Seed: 1, Nodes: size.nodes, MaxPushes: 3, SecondCopies: true, Cancel: true, ColdFrom: 0.3, WarmWithin: 8000,
-			FallMultiple: 4, OverloadFor: 2000, Categories: []balance.Category{{TargetLatency: 600, Benefit: 1}}}
-		n := balance.New(t, 1)
-		var lines []balance.Listing
+		t := &balancer.Terms{Seed: 1, Nodes: size.nodes, MaxPushes: 3, SecondCopies: true, Cancel: true, ColdFrom: 0.3, WarmWithin: 8000,
+			FallMultiple: 4, OverloadFor: 2000, Categories: []balancer.Category{{TargetLatency: 600, Benefit: 1}}}
+		n := balancer.New(t, 1)
+		var lines []balancer.Listing
 		for k := range size.backends {
-			lines = append(lines, balance.Listing{Backend: &balance.Backend{Ref: uint64(k)}, State: balance.Ready, Zone: k % 3, Kind: k % 3, Weight: 1})
+			lines = append(lines, balancer.Listing{Backend: &balancer.Backend{Ref: uint64(k)}, State: balancer.Ready, Zone: k % 3, Kind: k % 3, Weight: 1})
 		}
 		n.Listed(1, lines, true, false)
-		var open []*balance.Op
-		var backends []*balance.Backend
+		var open []*balancer.Op
+		var backends []*balancer.Backend
 		for _, l := range lines {
 			backends = append(backends, l.Backend)
 		}
 		now := 1.0
 		for k := range 2000 + size.backends {
 			now++
-			op := &balance.Op{GiveUp: now + 2000, Hint: 30, HasHint: true}
+			op := &balancer.Op{GiveUp: now + 2000, Hint: 30, HasHint: true}
 			n.Arrived(now, op)
 			for d, more := n.Next(); more; d, more = n.Next() {
-				if d.Kind == balance.DoPush && k < 2000 {
-					n.Ended(now, d.Push, balance.Answered, 3, true)
+				if d.Kind == balancer.DoPush && k < 2000 {
+					n.Ended(now, d.Push, balancer.Answered, 3, true)
 				}
 			}
 			if k >= 2000 && !op.Over() {
@@ -99,7 +99,7 @@
 			for b.Loop() {
 				s, err := snapshot.Decode(data)
 				require.NoError(b, err)
-				_, _, _, err = balance.Restore(t, s)
+				_, _, _, err = balancer.Restore(t, s)
 				require.NoError(b, err)
 			}
 		})
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -22,7 +22,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"pgregory.net/rapid"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/lab/experiment"
 	"pearknot/internal/lab/virtual"
 )
@@ -32,7 +32,7 @@
 	e, err := experiment.Read("../../experiments/" + name + ".toml")
 	require.NoError(t, err)
 	e.Seconds = seconds
-	run, err := virtual.Run(e, 1, virtual.Options{Wrap: func(n, life int, d balance.Decider, terms *balance.Terms, now float64) balance.Decider {
+	run, err := virtual.Run(e, 1, virtual.Options{Wrap: func(n, life int, d balancer.Decider, terms *balancer.Terms, now float64) balancer.Decider {
 		if n != node {
 			return d
 		}
@@ -106,7 +106,7 @@
 		e, err := experiment.Read("../../experiments/roll-in-a-shrink.toml")
 		require.NoError(t, err)
 		e.Seconds = 15
-		run, err := virtual.Run(e, 3, virtual.Options{Wrap: func(_, _ int, d balance.Decider, terms *balance.Terms, now float64) balance.Decider {
+		run, err := virtual.Run(e, 3, virtual.Options{Wrap: func(_, _ int, d balancer.Decider, terms *balancer.Terms, now float64) balancer.Decider {
 			if o == nil {
 				return d
 			}
@@ -137,24 +137,24 @@
 
 // Names used again and a clock that steps are as they came.
 func TestOddHosts(t *testing.T) {
-	terms := &balance.Terms{Seed: 2, Nodes: 1, MaxPushes: 2, SecondCopies: true, OverloadFor: 100, Categories: []balance.Category{{TargetLatency: 100, Benefit: 1}}}
+	terms := &balancer.Terms{Seed: 2, Nodes: 1, MaxPushes: 2, SecondCopies: true, OverloadFor: 100, Categories: []balancer.Category{{TargetLatency: 100, Benefit: 1}}}
 	var records []Record
-	r, err := NewRecorder(balance.New(terms, 1000), 1000, Start{Terms: terms}, Options{Every: 10, Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
+	r, err := NewRecorder(balancer.New(terms, 1000), 1000, Start{Terms: terms}, Options{Every: 10, Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
 	require.NoError(t, err)
-	drain := func() (pushes []*balance.Push) {
+	drain := func() (pushes []*balancer.Push) {
 		for d, more := r.Next(); more; d, more = r.Next() {
-			if d.Kind == balance.DoPush {
+			if d.Kind == balancer.DoPush {
 				pushes = append(pushes, d.Push)
 			}
 		}
 		return pushes
 	}
-	b := &balance.Backend{Ref: 4}
-	r.Listed(1000, []balance.Listing{{Backend: b, State: balance.Ready, Weight: 1}}, true, false)
+	b := &balancer.Backend{Ref: 4}
+	r.Listed(1000, []balancer.Listing{{Backend: b, State: balancer.Ready, Weight: 1}}, true, false)
 	for k, now := range []float64{1010, 1030, 900, 905, 1500} { // back by a step, and on
-		r.Arrived(now, &balance.Op{Ref: 7, GiveUp: now + 1000, HasHint: true, Hint: 5})
+		r.Arrived(now, &balancer.Op{Ref: 7, GiveUp: now + 1000, HasHint: true, Hint: 5})
 		for _, p := range drain() {
-			r.Ended(now+1, p, balance.Ending(k%2)*balance.Reset, 1, k%2 == 0)
+			r.Ended(now+1, p, balancer.Ending(k%2)*balancer.Reset, 1, k%2 == 0)
 		}
 		drain()
 	}
@@ -166,30 +166,30 @@
 // An op taken over from another node comes with its pushes so far, to backends that this node's list may not have: played again it
 // goes where it went, and explain names it.
 func TestTakenOver(t *testing.T) {
-	terms := &balance.Terms{Seed: 2, Nodes: 1, MaxPushes: 3, SecondCopies: true, OverloadFor: 100, Categories: []balance.Category{
-		{Effect: balance.Deduplicated, Group: balance.GroupZone, Remembered: 500, TargetLatency: 1000, Benefit: 1}}}
+	terms := &balancer.Terms{Seed: 2, Nodes: 1, MaxPushes: 3, SecondCopies: true, OverloadFor: 100, Categories: []balancer.Category{
+		{Effect: balancer.Deduplicated, Group: balancer.GroupZone, Remembered: 500, TargetLatency: 1000, Benefit: 1}}}
 	var records []Record
-	r, err := NewRecorder(balance.New(terms, 1000), 1000, Start{Terms: terms}, Options{Every: 10, Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
+	r, err := NewRecorder(balancer.New(terms, 1000), 1000, Start{Terms: terms}, Options{Every: 10, Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
 	require.NoError(t, err)
-	var pushed []*balance.Push
+	var pushed []*balancer.Push
 	drain := func() {
 		for d, more := r.Next(); more; d, more = r.Next() {
-			if d.Kind == balance.DoPush {
+			if d.Kind == balancer.DoPush {
 				pushed = append(pushed, d.Push)
 			}
 		}
 	}
-	near, far := &balance.Backend{Ref: 4}, &balance.Backend{Ref: 5}
-	r.Listed(1000, []balance.Listing{{Backend: near, State: balance.Ready, Weight: 1}, {Backend: far, State: balance.Ready, Weight: 1, Zone: 1}}, true, false)
+	near, far := &balancer.Backend{Ref: 4}, &balancer.Backend{Ref: 5}
+	r.Listed(1000, []balancer.Listing{{Backend: near, State: balancer.Ready, Weight: 1}, {Backend: far, State: balancer.Ready, Weight: 1, Zone: 1}}, true, false)
 	drain()
-	op := &balance.Op{Ref: 7, GiveUp: 3000}
-	op.Before(&balance.Backend{Ref: 99, Zone: 1}, 900, balance.TimedOut)
+	op := &balancer.Op{Ref: 7, GiveUp: 3000}
+	op.Before(&balancer.Backend{Ref: 99, Zone: 1}, 900, balancer.TimedOut)
 	r.Arrived(1100, op)
 	drain()
 	require.Len(t, pushed, 1)
 	require.Equal(t, far, pushed[0].Backend, "only its zone drops repeats")
 	require.Equal(t, 1, pushed[0].Number)
-	r.Ended(1150, pushed[0], balance.Answered, 50, true)
+	r.Ended(1150, pushed[0], balancer.Answered, 50, true)
 	drain()
 	claim, err := replay(records)
 	require.NoError(t, err)
@@ -232,9 +232,9 @@
 	}
 	assert.Positive(t, found)
 	// Other terms are another module: it can't pass for the one captured.
-	p := &Replayer{New: func(terms *balance.Terms, now float64) balance.Decider {
+	p := &Replayer{New: func(terms *balancer.Terms, now float64) balancer.Decider {
 		terms.Seed ^= 0xff00 // the lowest bit is not the chance's
-		return balance.New(terms, now)
+		return balancer.New(terms, now)
 	}}
 	var err error
 	for _, r := range all {
@@ -261,7 +261,7 @@
 		e.Backend.CrowdQueue = 3
 		p := &Replayer{Strict: true}
 		var start Start
-		_, err = virtual.Run(e, rapid.Uint64().Draw(t, "seed"), virtual.Options{Wrap: func(n, life int, d balance.Decider, terms *balance.Terms, now float64) balance.Decider {
+		_, err = virtual.Run(e, rapid.Uint64().Draw(t, "seed"), virtual.Options{Wrap: func(n, life int, d balancer.Decider, terms *balancer.Terms, now float64) balancer.Decider {
 			if n != 1 {
 				return d
 			}
@@ -377,10 +377,10 @@
 		arrived, decided := bytes.Index(out.Bytes(), []byte("arrived op")), bytes.Index(out.Bytes(), []byte("decided: "))
 		looked := bytes.Index(out.Bytes(), []byte("    "))
 		assert.True(t, arrived >= 0 && arrived < looked && looked < decided, text)
-		if !bytes.Contains(out.Bytes(), []byte(balance.Fallen.String())) { // no backend was looked at
+		if !bytes.Contains(out.Bytes(), []byte(balancer.Fallen.String())) { // no backend was looked at
 			assert.Contains(t, text, "foreseen")
 		}
-		for r := balance.Open; r <= balance.Held; r++ {
+		for r := balancer.Open; r <= balancer.Held; r++ {
 			reasons[r.String()] += bytes.Count(out.Bytes(), []byte(": "+r.String()+";"))
 		}
 	}
@@ -403,10 +403,10 @@
 // What came late stands where it came, and is marked.
 func TestNotes(t *testing.T) {
 	push := func(op, backend uint64, at float64) Record {
-		return Record{Kind: Pulled, Decision: balance.DoPush, Now: at, Op: op, Backend: backend}
+		return Record{Kind: Pulled, Decision: balancer.DoPush, Now: at, Op: op, Backend: backend}
 	}
 	end := func(op uint64, at float64, flags uint64) Record {
-		return Record{Kind: Ended, Ending: balance.Answered, Now: at, Op: op, Flags: flags}
+		return Record{Kind: Ended, Ending: balancer.Answered, Now: at, Op: op, Flags: flags}
 	}
 	var n Notes
 	for _, c := range []struct {
@@ -417,7 +417,7 @@
 		{Record{Kind: Listed, Lines: []Line{{Backend: 1, Started: 40}}}, "older than what is held of backend 1"},
 		{push(1, 1, 10), ""}, {push(2, 1, 20), ""}, {end(2, 30, flagFinished), ""},
 		{end(1, 31, flagFinished), "overtaken: an answer to what was sent later came before"},
-		{push(3, 1, 40), ""}, {Record{Kind: Pulled, Decision: balance.DoNack, Op: 3, Now: 41}, ""}, {end(3, 45, 0), "after the op's final answer"},
+		{push(3, 1, 40), ""}, {Record{Kind: Pulled, Decision: balancer.DoNack, Op: 3, Now: 41}, ""}, {end(3, 45, 0), "after the op's final answer"},
 	} {
 		assert.Equal(t, c.want, n.Note(c.r), c.r)
 	}
@@ -649,7 +649,7 @@
 			Hint: rapid.Float64().Draw(t, "hint"), GiveUp: rapid.Float64().Draw(t, "give up"), Flags: rapid.Uint64().Draw(t, "flags"),
 			Category: rapid.IntRange(0, 300).Draw(t, "category")}
 		for range rapid.IntRange(0, 3).Draw(t, "lines") {
-			r.Lines = append(r.Lines, Line{Backend: rapid.Uint64().Draw(t, "b"), State: balance.State(rapid.IntRange(0, 2).Draw(t, "s")),
+			r.Lines = append(r.Lines, Line{Backend: rapid.Uint64().Draw(t, "b"), State: balancer.State(rapid.IntRange(0, 2).Draw(t, "s")),
 				Zone: rapid.IntRange(0, 9).Draw(t, "z"), Weight: rapid.Float64().Draw(t, "w"), Started: rapid.Float64().Draw(t, "st")})
 		}
 		encoded := r.Append(nil)
@@ -690,7 +690,7 @@
 
 // A report keeps what is not told apart from an idle backend's zeros; one of an earlier build told a service time alone.
 func TestReportsRoundTrip(t *testing.T) {
-	for _, load := range []balance.Report{{Service: 3, Held: balance.Untold, Waiting: balance.Untold, Rate: 7}, {Service: balance.Untold, Held: 0, Waiting: 0}} {
+	for _, load := range []balancer.Report{{Service: 3, Held: balancer.Untold, Waiting: balancer.Untold, Rate: 7}, {Service: balancer.Untold, Held: 0, Waiting: 0}} {
 		r := Record{Kind: Reported, Now: 1, Backend: 2, Load: load}
 		got, err := Decode(r.Append(nil))
 		require.NoError(t, err)
@@ -700,33 +700,33 @@
 	old = protowire.AppendFixed64(protowire.AppendTag(old, fieldValue, protowire.Fixed64Type), math.Float64bits(31.5))
 	got, err := Decode(old)
 	require.NoError(t, err)
-	assert.Equal(t, balance.Report{Service: 31.5, Held: balance.Untold, Waiting: balance.Untold, Rate: balance.Untold}, got.Load)
+	assert.Equal(t, balancer.Report{Service: 31.5, Held: balancer.Untold, Waiting: balancer.Untold, Rate: balancer.Untold}, got.Load)
 }
 
 // A ban, a second process and new terms are replayed as they came, also for an op that came under the earlier terms.
 func TestOperatorsReplayed(t *testing.T) {
-	terms := func(effect balance.Effect) *balance.Terms {
-		return &balance.Terms{Seed: 2, Nodes: 1, MaxPushes: 2, OverloadFor: 100, Categories: []balance.Category{{Effect: effect, TargetLatency: 100, Benefit: 1}}}
+	terms := func(effect balancer.Effect) *balancer.Terms {
+		return &balancer.Terms{Seed: 2, Nodes: 1, MaxPushes: 2, OverloadFor: 100, Categories: []balancer.Category{{Effect: effect, TargetLatency: 100, Benefit: 1}}}
 	}
-	first, second := terms(balance.Redeliverable), terms(balance.AtMostOnce)
+	first, second := terms(balancer.Redeliverable), terms(balancer.AtMostOnce)
 	var records []Record
-	r, err := NewRecorder(balance.New(first, 1000), 1000, Start{Terms: first}, Options{Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
+	r, err := NewRecorder(balancer.New(first, 1000), 1000, Start{Terms: first}, Options{Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
 	require.NoError(t, err)
-	bs := []*balance.Backend{{Ref: 4}, {Ref: 5}, {Ref: 6}}
+	bs := []*balancer.Backend{{Ref: 4}, {Ref: 5}, {Ref: 6}}
 	list := func(now float64, out bool) {
 		for _, b := range bs {
-			r.Listed(now, []balance.Listing{{Backend: b, State: balance.Ready, Weight: 1, Banned: out && b.Ref == 4}}, false, true)
+			r.Listed(now, []balancer.Listing{{Backend: b, State: balancer.Ready, Weight: 1, Banned: out && b.Ref == 4}}, false, true)
 		}
 	}
 	finals := 0
-	ask := func(now float64, under *balance.Terms) {
-		r.Arrived(now, &balance.Op{GiveUp: now + 1000, HasHint: true, Hint: 5, Under: under})
+	ask := func(now float64, under *balancer.Terms) {
+		r.Arrived(now, &balancer.Op{GiveUp: now + 1000, HasHint: true, Hint: 5, Under: under})
 		for d, more := r.Next(); more; d, more = r.Next() {
 			switch d.Kind {
-			case balance.DoPush:
+			case balancer.DoPush:
 				assert.NotEqual(t, uint64(4), d.Push.Backend.Ref)
-				r.Ended(now+1, d.Push, balance.Failed, 1, false)
-			case balance.DoNack, balance.DoDeadLetter:
+				r.Ended(now+1, d.Push, balancer.Failed, 1, false)
+			case balancer.DoNack, balancer.DoDeadLetter:
 				finals++
 			}
 		}
--- a/internal/capture/explain.go
+++ b/internal/capture/explain.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"io"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 // Explainer tells why one op went where it went: as the module itself looks at its backends, by its own reasons. It is a
@@ -41,8 +41,8 @@
 	if err := e.Replayer.Feed(x); err != nil {
 		return err
 	}
-	if n, ok := e.node.(*balance.Node); ok && n.Asked == nil {
-		n.Asked = func(op *balance.Op, b *balance.Backend, r balance.Reason) { e.asked(n, op, b, r) }
+	if n, ok := e.node.(*balancer.Node); ok && n.Asked == nil {
+		n.Asked = func(op *balancer.Op, b *balancer.Backend, r balancer.Reason) { e.asked(n, op, b, r) }
 	}
 	// What the module looked at in this step belongs to the decisions that follow, of this op or of others.
 	for _, line := range e.looked {
@@ -56,13 +56,13 @@
 }
 
 // asked is told by the module of one backend that it looked at.
-func (e *Explainer) asked(n *balance.Node, op *balance.Op, b *balance.Backend, r balance.Reason) {
+func (e *Explainer) asked(n *balancer.Node, op *balancer.Op, b *balancer.Backend, r balancer.Reason) {
 	if e.numbers[op] != e.Op {
 		return
 	}
 	if b == nil {
 		text := "    waits: no backend may have it now"
-		if r == balance.Fallen {
+		if r == balancer.Fallen {
 			text = "    not looked for: " + r.String()
 		}
 		e.looked = append(e.looked, text)
@@ -121,10 +121,10 @@
 		}
 	case Pulled:
 		switch x.Decision {
-		case balance.DoPush:
+		case balancer.DoPush:
 			n.sent[push], n.target[push] = x.Now, x.Backend
 			n.out[x.Op]++
-		case balance.DoNack, balance.DoDeadLetter:
+		case balancer.DoNack, balancer.DoDeadLetter:
 			n.close(x.Op)
 		}
 	case Ended:
@@ -133,13 +133,13 @@
 		delete(n.target, push)
 		defer n.end(x.Op)
 		late := n.heard[b] > at
-		if x.Ending == balance.Answered {
+		if x.Ending == balancer.Answered {
 			n.heard[b] = max(n.heard[b], at)
 		}
 		switch {
 		case n.over[x.Op]:
 			return "after the op's final answer"
-		case late && x.Ending == balance.Answered:
+		case late && x.Ending == balancer.Answered:
 			return "overtaken: an answer to what was sent later came before"
 		}
 		if x.Flags&flagFinished != 0 {
--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/goldentest"
 )
 
@@ -23,11 +23,11 @@
 	}
 	put("record", Begin, Listed, ListFailed, Arrived, Left, Begun, Ended, Reported, Due, Shortened, Pulled, Idle, Gap, Snapshot, Dropped, Split, Sent,
 		Retuned, Taken)
-	put("effect", balance.Redeliverable, balance.Deduplicated, balance.AtMostOnce)
-	put("group", balance.GroupAll, balance.GroupZone, balance.GroupCell)
-	put("state", balance.Gone, balance.Draining, balance.Ready)
-	put("outcome", balance.Answered, balance.Failed, balance.Rejected, balance.TimedOut, balance.NoConnection, balance.Reset, balance.Revoked, balance.NotSent)
-	put("decision", balance.DoPush, balance.DoNack, balance.DoDeadLetter, balance.DoRevoke, balance.DoWatch, balance.DoTimer, balance.DoLog)
+	put("effect", balancer.Redeliverable, balancer.Deduplicated, balancer.AtMostOnce)
+	put("group", balancer.GroupAll, balancer.GroupZone, balancer.GroupCell)
+	put("state", balancer.Gone, balancer.Draining, balancer.Ready)
+	put("outcome", balancer.Answered, balancer.Failed, balancer.Rejected, balancer.TimedOut, balancer.NoConnection, balancer.Reset, balancer.Revoked, balancer.NotSent)
+	put("decision", balancer.DoPush, balancer.DoNack, balancer.DoDeadLetter, balancer.DoRevoke, balancer.DoWatch, balancer.DoTimer, balancer.DoLog)
 	goldentest.Equal(t, "numbers.txt", []byte(text))
 }
 
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -12,7 +12,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/snapshot"
 )
 
@@ -60,8 +60,8 @@
 	Ref      uint64 // the host's name of an op or backend
 	Push     int
 	Backend  uint64 // counts first listings from 1
-	Decision balance.Kind
-	Ending   balance.Ending
+	Decision balancer.Kind
+	Ending   balancer.Ending
 	Value    float64 // elapsed, service, wait, give-up time
 	Flags    uint64
 	Category int
@@ -75,14 +75,14 @@
 	State    []byte   // of Snapshot, as internal/snapshot has it
 	Ops      []uint64 // of Snapshot: the numbers of its ops and backends, in their order there
 	Backends []uint64
-	Load     balance.Report // of Reported
+	Load     balancer.Report // of Reported
 }
 
 // Line is one of a list's.
 type Line struct {
 	Backend uint64
 	Ref     uint64
-	State   balance.State
+	State   balancer.State
 	Zone    int
 	Cell    int
 	Kind    int
@@ -180,8 +180,8 @@
 	return b
 }
 
-func unpackLoad(b []byte) (load balance.Report, err error) {
-	load = balance.NoReport()
+func unpackLoad(b []byte) (load balancer.Report, err error) {
+	load = balancer.NoReport()
 	for _, x := range []*float64{&load.Service, &load.Held, &load.Waiting, &load.Rate} {
 		bits, size := protowire.ConsumeFixed64(b)
 		if len(b) == 0 && x == &load.Rate { // earlier builds told none
@@ -265,9 +265,9 @@
 		case fieldBackend:
 			r.Backend = x
 		case fieldDecision:
-			r.Decision = balance.Kind(min(x, math.MaxUint8))
+			r.Decision = balancer.Kind(min(x, math.MaxUint8))
 		case fieldEnding:
-			r.Ending = balance.Ending(min(x, math.MaxUint8))
+			r.Ending = balancer.Ending(min(x, math.MaxUint8))
 		case fieldValue:
 			r.Value = math.Float64frombits(x)
 		case fieldFlags:
@@ -305,7 +305,7 @@
 		return err
 	})
 	if r.Kind == Reported && !loaded { // earlier builds told a service time alone
-		r.Load = balance.NoReport()
+		r.Load = balancer.NoReport()
 		r.Load.Service = r.Value
 	}
 	if walk == nil && (r.Kind == 0 || math.IsNaN(r.Now)) {
@@ -325,10 +325,10 @@
 		case 2:
 			l.Ref = x
 		case 3:
-			if x > uint64(balance.Ready) {
+			if x > uint64(balancer.Ready) {
 				return errOdd
 			}
-			l.State = balance.State(x)
+			l.State = balancer.State(x)
 		case 4:
 			l.Zone = int(x)
 		case 5:
@@ -349,10 +349,10 @@
 
 // Start is what a Begin record holds.
 type Start struct {
-	Name  string         `json:"name"`  // of the node: epochs of one name belong together
-	Epoch uint64         `json:"epoch"` // its process
-	Build string         `json:"build"`
-	Terms *balance.Terms `json:"terms"`
+	Name  string          `json:"name"`  // of the node: epochs of one name belong together
+	Epoch uint64          `json:"epoch"` // its process
+	Build string          `json:"build"`
+	Terms *balancer.Terms `json:"terms"`
 }
 
 func (r Record) start() (s Start, err error) {
@@ -410,15 +410,15 @@
 		name = decisions[r.Decision]
 	}
 	switch r.Decision {
-	case balance.DoPush:
+	case balancer.DoPush:
 		return fmt.Sprintf("%s op %d to backend %d (push %d), wait %g", name, r.Op, r.Backend, r.Push, r.Value)
-	case balance.DoNack, balance.DoDeadLetter:
+	case balancer.DoNack, balancer.DoDeadLetter:
 		return fmt.Sprintf("%s op %d, come back in %g", name, r.Op, r.Value)
-	case balance.DoRevoke:
+	case balancer.DoRevoke:
 		return fmt.Sprintf("%s op %d push %d", name, r.Op, r.Push)
-	case balance.DoTimer:
+	case balancer.DoTimer:
 		return fmt.Sprintf("%s in %g", name, r.Value)
-	case balance.DoLog:
+	case balancer.DoLog:
 		return fmt.Sprintf("%s %q", name, r.Data)
 	}
 	return name
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/snapshot"
 )
 
@@ -29,15 +29,15 @@
 // Recorder stands between a host and its module: it passes everything on, and tells a sink of it. A batch's records go
 // to the sink together, when the host finds no decision left.
 type Recorder struct {
-	inner    balance.Decider
+	inner    balancer.Decider
 	o        Options
 	begun    Start
 	start    []byte  // the same as JSON
 	next     float64 // when a snapshot is due
 	restart  bool    // the batch has one
 	now      float64
-	ops      map[*balance.Op]uint64
-	backends map[*balance.Backend]uint64
+	ops      map[*balancer.Op]uint64
+	backends map[*balancer.Backend]uint64
 	lastOp   uint64
 	lastB    uint64
 	batch    []byte
@@ -45,12 +45,12 @@
 }
 
 // NewRecorder begins a capture of a module that has just been made at now.
-func NewRecorder(inner balance.Decider, now float64, s Start, o Options) (*Recorder, error) {
+func NewRecorder(inner balancer.Decider, now float64, s Start, o Options) (*Recorder, error) {
 	data, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
-	r := &Recorder{inner: inner, o: o, begun: s, start: data, ops: map[*balance.Op]uint64{}, backends: map[*balance.Backend]uint64{}}
+	r := &Recorder{inner: inner, o: o, begun: s, start: data, ops: map[*balancer.Op]uint64{}, backends: map[*balancer.Backend]uint64{}}
 	r.put(&Record{Kind: Begin, Now: now, Data: data})
 	r.snapshot() // what the terms have learned under a module before it is not in them
 	return r, nil
@@ -59,7 +59,7 @@
 // snapshot puts the module's state, where it has one to give.
 func (r *Recorder) snapshot() {
 	module, ok := r.inner.(interface {
-		Snapshot(ops []*balance.Op, backends []*balance.Backend) (*balance.Snapshot, error)
+		Snapshot(ops []*balancer.Op, backends []*balancer.Backend) (*balancer.Snapshot, error)
 	})
 	if !ok {
 		return
@@ -120,7 +120,7 @@
 }
 
 // backend numbers a backend at its first naming.
-func (r *Recorder) backend(b *balance.Backend) uint64 {
+func (r *Recorder) backend(b *balancer.Backend) uint64 {
 	n, known := r.backends[b]
 	if !known {
 		r.lastB++
@@ -130,7 +130,7 @@
 	return n
 }
 
-func (r *Recorder) Listed(now float64, lines []balance.Listing, full, cached bool) {
+func (r *Recorder) Listed(now float64, lines []balancer.Listing, full, cached bool) {
 	x := Record{Kind: Listed, Now: now}
 	if full {
 		x.Flags |= flagFull
@@ -151,7 +151,7 @@
 	r.inner.ListFailed(now)
 }
 
-func (r *Recorder) Arrived(now float64, op *balance.Op) {
+func (r *Recorder) Arrived(now float64, op *balancer.Op) {
 	r.lastOp++
 	r.ops[op] = r.lastOp
 	for _, p := range op.Pushes { // of another node
@@ -177,29 +177,29 @@
 	r.inner.Arrived(now, op)
 }
 
-func (r *Recorder) Left(now float64, op *balance.Op) {
+func (r *Recorder) Left(now float64, op *balancer.Op) {
 	r.put(&Record{Kind: Left, Now: now, Op: r.ops[op]})
 	r.inner.Left(now, op)
 	r.forget(op)
 }
 
 // Shortened keeps the time to which the host has moved an op's end.
-func (r *Recorder) Shortened(now float64, op *balance.Op) {
+func (r *Recorder) Shortened(now float64, op *balancer.Op) {
 	r.put(&Record{Kind: Shortened, Now: now, Op: r.ops[op], Value: op.GiveUp})
 	r.inner.Shortened(now, op)
 }
 
-func (r *Recorder) Begun(now float64, p *balance.Push) {
+func (r *Recorder) Begun(now float64, p *balancer.Push) {
 	r.put(&Record{Kind: Begun, Now: now, Op: r.ops[p.Op], Push: p.Number})
 	r.inner.Begun(now, p)
 }
 
-func (r *Recorder) Sent(now float64, p *balance.Push) {
+func (r *Recorder) Sent(now float64, p *balancer.Push) {
 	r.put(&Record{Kind: Sent, Now: now, Op: r.ops[p.Op], Push: p.Number, Value: p.Op.GiveUp})
 	r.inner.Sent(now, p)
 }
 
-func (r *Recorder) Ended(now float64, p *balance.Push, how balance.Ending, elapsed float64, finished bool) {
+func (r *Recorder) Ended(now float64, p *balancer.Push, how balancer.Ending, elapsed float64, finished bool) {
 	x := Record{Kind: Ended, Now: now, Op: r.ops[p.Op], Push: p.Number, Ending: how, Value: elapsed}
 	if finished {
 		x.Flags |= flagFinished
@@ -209,7 +209,7 @@
 	r.forget(p.Op)
 }
 
-func (r *Recorder) Reported(now float64, b *balance.Backend, load balance.Report) {
+func (r *Recorder) Reported(now float64, b *balancer.Backend, load balancer.Report) {
 	r.put(&Record{Kind: Reported, Now: now, Backend: r.backends[b], Load: load})
 	r.inner.Reported(now, b, load)
 }
@@ -219,7 +219,7 @@
 	r.inner.Split(now, of)
 }
 
-func (r *Recorder) Retuned(now float64, t *balance.Terms, from []int) {
+func (r *Recorder) Retuned(now float64, t *balancer.Terms, from []int) {
 	s := r.begun
 	s.Terms = t
 	if data, err := json.Marshal(s); err == nil { // terms of numbers, as the first were
@@ -238,7 +238,7 @@
 	r.inner.Due(now)
 }
 
-func (r *Recorder) Next() (balance.Decision, bool) {
+func (r *Recorder) Next() (balancer.Decision, bool) {
 	d, more := r.inner.Next()
 	if !more {
 		r.put(&Record{Kind: Idle, Now: r.now})
@@ -248,30 +248,30 @@
 		r.flush()
 		return d, more
 	}
-	x := pulled(d, func(op *balance.Op) uint64 { return r.ops[op] }, func(b *balance.Backend) uint64 { return r.backends[b] })
+	x := pulled(d, func(op *balancer.Op) uint64 { return r.ops[op] }, func(b *balancer.Backend) uint64 { return r.backends[b] })
 	x.Now = r.now
 	r.put(&x)
-	if d.Kind == balance.DoNack || d.Kind == balance.DoDeadLetter {
+	if d.Kind == balancer.DoNack || d.Kind == balancer.DoDeadLetter {
 		r.forget(d.Op)
 	}
 	return d, more
 }
 
 // Dropped tells that the host has let go of a backend: should it come back, it is a new one to the module as well.
-func (r *Recorder) Dropped(b *balance.Backend) {
+func (r *Recorder) Dropped(b *balancer.Backend) {
 	r.put(&Record{Kind: Dropped, Now: r.now, Backend: r.backends[b]})
 	delete(r.backends, b)
 }
 
 // forget lets go of an op that is over; what of it comes later is not told to the module either.
-func (r *Recorder) forget(op *balance.Op) {
+func (r *Recorder) forget(op *balancer.Op) {
 	if op.Over() {
 		delete(r.ops, op)
 	}
 }
 
 // pulled is a decision as a record.
-func pulled(d balance.Decision, op func(*balance.Op) uint64, backend func(*balance.Backend) uint64) Record {
+func pulled(d balancer.Decision, op func(*balancer.Op) uint64, backend func(*balancer.Backend) uint64) Record {
 	x := Record{Kind: Pulled, Decision: d.Kind, Value: d.Wait, Data: []byte(d.Text)}
 	if d.Op != nil {
 		x.Op = op(d.Op)
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"math"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/snapshot"
 )
 
@@ -41,19 +41,19 @@
 
 // Replayer plays records to a module of its own.
 type Replayer struct {
-	New func(t *balance.Terms, now float64) balance.Decider // the module, where nil
+	New func(t *balancer.Terms, now float64) balancer.Decider // the module, where nil
 
 	Skip   int  // records before which nothing is played
 	Strict bool // the module's state is held against each snapshot too
 
 	Claim    Claim
-	node     balance.Decider
-	ops      map[uint64]*balance.Op
-	numbers  map[*balance.Op]uint64
-	backends map[uint64]*balance.Backend
-	refs     map[*balance.Backend]uint64
-	terms    *balance.Terms // in force, and those before
-	before   *balance.Terms
+	node     balancer.Decider
+	ops      map[uint64]*balancer.Op
+	numbers  map[*balancer.Op]uint64
+	backends map[uint64]*balancer.Backend
+	refs     map[*balancer.Backend]uint64
+	terms    *balancer.Terms // in force, and those before
+	before   *balancer.Terms
 	taken    []Record // pushes of the next op that another node had begun
 	batch    []Record
 	lost     bool // after a gap
@@ -107,15 +107,15 @@
 	return nil
 }
 
-func (r *Replayer) forget(op *balance.Op) {
+func (r *Replayer) forget(op *balancer.Op) {
 	if op != nil && op.Over() {
 		delete(r.ops, r.numbers[op])
 		delete(r.numbers, op)
 	}
 }
 
-func (r *Replayer) pulled(d balance.Decision) Record {
-	return pulled(d, func(op *balance.Op) uint64 { return r.numbers[op] }, func(b *balance.Backend) uint64 { return r.refs[b] })
+func (r *Replayer) pulled(d balancer.Decision) Record {
+	return pulled(d, func(op *balancer.Op) uint64 { return r.numbers[op] }, func(b *balancer.Backend) uint64 { return r.refs[b] })
 }
 
 func (r *Replayer) differs(x Record, captured, replayed string) *Difference {
@@ -130,7 +130,7 @@
 	if r.New != nil {
 		r.node = r.New(s.Terms, x.Now)
 	} else {
-		r.node = balance.New(s.Terms, x.Now)
+		r.node = balancer.New(s.Terms, x.Now)
 	}
 	r.clear()
 	r.terms, r.before = s.Terms, nil
@@ -140,8 +140,8 @@
 
 func (r *Replayer) clear() {
 	r.lost, r.batch = false, nil
-	r.ops, r.numbers = map[uint64]*balance.Op{}, map[*balance.Op]uint64{}
-	r.backends, r.refs = map[uint64]*balance.Backend{}, map[*balance.Backend]uint64{}
+	r.ops, r.numbers = map[uint64]*balancer.Op{}, map[*balancer.Op]uint64{}
+	r.backends, r.refs = map[uint64]*balancer.Backend{}, map[*balancer.Backend]uint64{}
 }
 
 // snapshot begins where nothing is played, and else holds the state against what was captured.
@@ -161,7 +161,7 @@
 
 // state is the module's own, as a snapshot has it; nil where it has none to give.
 func (r *Replayer) state() ([]byte, error) {
-	module, ok := r.node.(*balance.Node)
+	module, ok := r.node.(*balancer.Node)
 	if !ok {
 		return nil, nil
 	}
@@ -182,7 +182,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	n, ops, backends, err := balance.Restore(s.Terms, state)
+	n, ops, backends, err := balancer.Restore(s.Terms, state)
 	if err != nil {
 		return fail(err)
 	}
@@ -224,7 +224,7 @@
 // input tells the module what it was told then.
 func (r *Replayer) input(x Record) error {
 	op := r.ops[x.Op]
-	var push *balance.Push
+	var push *balancer.Push
 	switch x.Kind {
 	case Left, Shortened, Begun, Sent, Ended:
 		if op == nil {
@@ -239,14 +239,14 @@
 	}
 	switch x.Kind {
 	case Listed:
-		lines := make([]balance.Listing, 0, len(x.Lines))
+		lines := make([]balancer.Listing, 0, len(x.Lines))
 		for _, l := range x.Lines {
 			b := r.backends[l.Backend]
 			if b == nil {
-				b = &balance.Backend{Ref: l.Ref}
+				b = &balancer.Backend{Ref: l.Ref}
 				r.backends[l.Backend], r.refs[b] = b, l.Backend
 			}
-			lines = append(lines, balance.Listing{Backend: b, State: l.State, Zone: l.Zone, Cell: l.Cell, Kind: l.Kind, Weight: l.Weight,
+			lines = append(lines, balancer.Listing{Backend: b, State: l.State, Zone: l.Zone, Cell: l.Cell, Kind: l.Kind, Weight: l.Weight,
 				Started: l.Started, Banned: l.Banned})
 		}
 		r.node.Listed(x.Now, lines, x.Flags&flagFull != 0, x.Flags&flagCached != 0)
@@ -258,7 +258,7 @@
 		}
 		r.taken = append(r.taken, x)
 	case Arrived:
-		op = &balance.Op{Ref: x.Ref, Category: x.Category, Tenant: x.Tenant, Hint: x.Hint, HasHint: x.Flags&flagHint != 0,
+		op = &balancer.Op{Ref: x.Ref, Category: x.Category, Tenant: x.Tenant, Hint: x.Hint, HasHint: x.Flags&flagHint != 0,
 			Repeat: x.Flags&flagRepeat != 0, Streamed: x.Flags&flagStreamed != 0, GiveUp: x.GiveUp, Key: x.Key}
 		if op.Under = r.terms; x.Flags&flagEarlier != 0 && r.before != nil {
 			op.Under = r.before
@@ -270,7 +270,7 @@
 			l := t.Lines[0]
 			b := r.backends[l.Backend]
 			if b == nil {
-				b = &balance.Backend{Ref: l.Ref, Zone: l.Zone, Cell: l.Cell}
+				b = &balancer.Backend{Ref: l.Ref, Zone: l.Zone, Cell: l.Cell}
 				r.backends[l.Backend], r.refs[b] = b, l.Backend
 			}
 			op.Before(b, t.Value, t.Ending)
--- a/internal/command/command.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package command is what the project's command lines have in common: exit statuses, errors that mean one, the version.
-package command
+// Package cli is what the project's command lines have in common: exit statuses, errors that mean one, the version.
+package cli
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"runtime/debug"
 	"strings"
 
-	"pearknot/internal/strict"
+	"pearknot/internal/tomlfile"
 )
 
 // Exit statuses.
@@ -34,7 +34,7 @@
 // Exit tells an error in one line and gives its exit status.
 func Exit(program string, err error, errs io.Writer) int {
 	var status *Error
-	var odd *strict.Error
+	var odd *tomlfile.Error
 	switch {
 	case err == nil:
 		return Done
--- a/internal/terms/terms.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package terms reads what a deployment tells a node at its start, once, for the simulator's host and for the
+// Package config reads what a deployment tells a node at its start, once, for the simulator's host and for the
 // one on sockets. Names of the settings end here.
-package terms
+package config
 
 import (
 	"fmt"
@@ -10,13 +10,13 @@
 	"strings"
 	"sync"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 // Deployment is what a host keeps of the settings: the module's part and its own.
 type Deployment struct {
 	Shape      Shape // of an operator's settings
-	Terms      *balance.Terms
+	Terms      *balancer.Terms
 	Categories []string
 	Tenants    []string
 	Zones      []string
@@ -51,7 +51,7 @@
 }
 
 // Tell puts a load report's value in its place by its name; others say nothing to the module.
-func Tell(r *balance.Report, name string, value float64) {
+func Tell(r *balancer.Report, name string, value float64) {
 	switch name {
 	case "mean_ms":
 		r.Service = value
@@ -203,7 +203,7 @@
 }
 
 func (p *pairs) deployment() (*Deployment, error) {
-	t := &balance.Terms{
+	t := &balancer.Terms{
 		Zone:          int(p.number("az")),
 		Nodes:         int(p.within(1, mostNodes)("balancers")),
 		Number:        int(optional(p, "me", p.within(0, mostNodes), 0)),
@@ -241,9 +241,9 @@
 	}
 	for k := range p.count("categories") {
 		at := fmt.Sprintf("categories.%d.", k)
-		t.Categories = append(t.Categories, balance.Category{
-			Effect:        balance.Effect(p.word(at+"idempotency", "pure", "token", "side_effect")),
-			Group:         balance.Group(optional(p, at+"dedupScope", func(s string) int { return p.word(s, "all", "zone", "cell") }, 0)),
+		t.Categories = append(t.Categories, balancer.Category{
+			Effect:        balancer.Effect(p.word(at+"idempotency", "pure", "token", "side_effect")),
+			Group:         balancer.Group(optional(p, at+"dedupScope", func(s string) int { return p.word(s, "all", "zone", "cell") }, 0)),
 			Remembered:    optional(p, at+"keyTtl", p.number, 0),
 			TargetLatency: p.above(at + "targetLatency"),
 			Benefit:       p.number(at + "benefit"),
@@ -256,7 +256,7 @@
 	if p.values["tenants"] == "" && p.values["tenants.count"] != "" {
 		for k := range p.count("tenants") {
 			w := p.tenant(k)
-			t.Tenants = append(t.Tenants, balance.Tenant{Quota: p.quota(k, w.quota)})
+			t.Tenants = append(t.Tenants, balancer.Tenant{Quota: p.quota(k, w.quota)})
 			d.Tenants = append(d.Tenants, w.name)
 		}
 		d.Tenant("") // sorted here, and not on a request's way
--- a/internal/terms/terms_test.go
+++ b/internal/config/config_test.go
@@ -1,4 +1,4 @@
-package terms
+package config
 
 import (
 	"strings"
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 const lines = `az=1
@@ -60,7 +60,7 @@
 	assert.Equal(t, a, b)
 	assert.Equal(t, []string{"first_come", "second"}, a.Categories)
 	assert.Equal(t, 3000.0, a.LongestTTL)
-	assert.Equal(t, balance.GroupCell, a.Terms.Categories[1].Group)
+	assert.Equal(t, balancer.GroupCell, a.Terms.Categories[1].Group)
 	assert.Equal(t, 20.0, a.Terms.Tenants[0].Quota)
 	assert.Equal(t, 250.0, a.ConnectTimeout, "where nothing is said")
 }
@@ -158,7 +158,7 @@
 			continue
 		}
 		assert.Equal(t, []string{"one", "two_words", "", "", ""}, d.Tenants)
-		assert.Equal(t, []balance.Tenant{{Quota: 20}, {}, {Quota: 0.5}, {}, {}}, d.Terms.Tenants)
+		assert.Equal(t, []balancer.Tenant{{Quota: 20}, {}, {Quota: 0.5}, {}, {}}, d.Terms.Tenants)
 	}
 	// A count in lines is held against what stands there.
 	_, err := FromLines([]byte(lines + "tenants.count=1000000000\n"))
--- a/internal/controlplane/client/file.go
+++ b/internal/controlplane/client/file.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 
 	"pearknot/internal/controlplane"
-	"pearknot/internal/peers/link"
-	"pearknot/internal/strict"
+	"pearknot/internal/peers/transport"
+	"pearknot/internal/tomlfile"
 )
 
 const (
@@ -32,7 +32,7 @@
 	Members []Member
 	Keys    [][]byte // the first proves, all are taken
 	Dir     string   // for state
-	at      *strict.File
+	at      *tomlfile.File
 	led     atomic.Pointer[string] // the voter that led when it was last asked
 }
 
@@ -55,7 +55,7 @@
 // ReadFile reads the file, and the keys that it names. Paths in it count from where it lies.
 func ReadFile(name string) (*Plane, error) {
 	f := planeFile{StateDir: "control-plane"}
-	at, err := strict.Read(name, &f)
+	at, err := tomlfile.Read(name, &f)
 	if err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 	case !known:
 		return nil, at.Errorf("region", "%q has no member", f.Region)
 	}
-	if p.Keys, err = link.ReadKeys(beside(name, f.KeyFile)); err != nil {
+	if p.Keys, err = transport.ReadKeys(beside(name, f.KeyFile)); err != nil {
 		return nil, at.Errorf("key_file", "%v", err)
 	}
 	return p, nil
--- a/internal/controlplane/client/link.go
+++ b/internal/controlplane/client/link.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"pearknot/internal/controlplane"
-	"pearknot/internal/peers/link"
+	"pearknot/internal/peers/transport"
 	"pearknot/internal/snapshot"
 )
 
@@ -47,22 +47,22 @@
 const dialWithin = time.Second
 
 // Open dials a member, proves the key and says what the link is for.
-func Open(ctx context.Context, fleet string, keys [][]byte, from string, to Member, what string) (*link.Pipe, error) {
+func Open(ctx context.Context, fleet string, keys [][]byte, from string, to Member, what string) (*transport.Pipe, error) {
 	d := net.Dialer{Timeout: dialWithin}
 	c, err := d.DialContext(ctx, "tcp", to.Address)
 	if err != nil {
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	_, err = link.Call(c, keys, Fleet(fleet), from, to.Name, max(rand.Uint64(), 1))
+	_, err = transport.Call(c, keys, Fleet(fleet), from, to.Name, max(rand.Uint64(), 1))
 	if err == nil {
-		err = link.WriteFrame(c, snapshot.Append(nil, &Opening{Protocol, what}))
+		err = transport.WriteFrame(c, snapshot.Append(nil, &Opening{Protocol, what}))
 	}
 	if !stop() || err != nil {
 		_ = c.Close()
 		return nil, errors.Join(err, ctx.Err())
 	}
-	return link.NewPipe(c), nil
+	return transport.NewPipe(c), nil
 }
 
 // Following is a follower with its connection. It belongs to an actor: whatever comes from elsewhere is put into that one's box,
@@ -79,7 +79,7 @@
 
 	life   uint64 // counts connections and dials
 	cancel context.CancelFunc
-	pipe   *link.Pipe
+	pipe   *transport.Pipe
 	Counters
 }
 
@@ -128,7 +128,7 @@
 	return c
 }
 
-func (c *Counters) add(p *link.Pipe) {
+func (c *Counters) add(p *transport.Pipe) {
 	if p == nil {
 		return
 	}
@@ -163,7 +163,7 @@
 		defer cancel()
 		p, err := Open(ctx, f.terms.Fleet, f.terms.Keys, f.terms.Name, to, ForFollow)
 		if err != nil {
-			if errors.Is(err, link.ErrKey) {
+			if errors.Is(err, transport.ErrKey) {
 				f.odd(to.Name, err)
 			}
 			f.lost(life)
--- a/internal/controlplane/member/call.go
+++ b/internal/controlplane/member/call.go
@@ -8,14 +8,14 @@
 	"strconv"
 	"time"
 
-	"pearknot/internal/control"
 	"pearknot/internal/controlplane"
 	"pearknot/internal/controlplane/client"
-	"pearknot/internal/peers/link"
+	"pearknot/internal/controlsocket"
+	"pearknot/internal/peers/transport"
 )
 
 // take answers one operator's call.
-func (m *Member) take(p *link.Pipe) error {
+func (m *Member) take(p *transport.Pipe) error {
 	select {
 	case m.calls <- struct{}{}:
 		defer func() { <-m.calls }()
@@ -236,7 +236,7 @@
 	if m.o.Control == "" {
 		return nothing{}, nil
 	}
-	l, err := control.Listen(m.o.Control)
+	l, err := controlsocket.Listen(m.o.Control)
 	if err != nil {
 		return nil, err
 	}
@@ -247,17 +247,17 @@
 			a, _ := m.answer(&client.Call{Op: op, Most: max(most, 1)}, nil)
 			switch {
 			case a.Status != nil:
-				control.Answer(w, http.StatusOK, a.Status)
+				controlsocket.Answer(w, http.StatusOK, a.Status)
 			case a.Code == controlplane.Done:
-				control.Answer(w, http.StatusOK, a.Log)
+				controlsocket.Answer(w, http.StatusOK, a.Log)
 			default:
-				control.Fail(w, http.StatusServiceUnavailable, a.Why)
+				controlsocket.Fail(w, http.StatusServiceUnavailable, a.Why)
 			}
 		}
 	}
 	mux.HandleFunc("GET "+StatusPath, say(client.OpStatus))
 	mux.HandleFunc("GET "+LogPath, say(client.OpLog))
-	server := control.Server(mux)
-	m.wg.Go(func() { _ = server.Serve(control.Limited(l)) })
+	server := controlsocket.Server(mux)
+	m.wg.Go(func() { _ = server.Serve(controlsocket.Limited(l)) })
 	return server, nil
 }
--- a/internal/controlplane/member/member.go
+++ b/internal/controlplane/member/member.go
@@ -21,11 +21,11 @@
 	"golang.org/x/time/rate"
 
 	"pearknot/internal/clock"
+	"pearknot/internal/config"
 	"pearknot/internal/controlplane"
 	"pearknot/internal/controlplane/client"
 	"pearknot/internal/mailbox"
-	"pearknot/internal/peers/link"
-	"pearknot/internal/terms"
+	"pearknot/internal/peers/transport"
 )
 
 const (
@@ -93,17 +93,17 @@
 
 // conn is a link that something follows on.
 type conn struct {
-	pipe *link.Pipe
+	pipe *transport.Pipe
 	name string
 }
 
 // voteLink is what goes to and comes from another voter, each on a connection of its own.
 type voteLink struct {
 	to client.Member
-	in *link.Pipe
+	in *transport.Pipe
 
 	mu  sync.Mutex
-	out *link.Pipe
+	out *transport.Pipe
 }
 
 // Run runs a member until ctx ends.
@@ -382,7 +382,7 @@
 			v.out = nil
 			v.mu.Unlock()
 			m.log.Warn("voter lost", "name", v.to.Name, "error", err)
-		} else if errors.Is(err, link.ErrKey) {
+		} else if errors.Is(err, transport.ErrKey) {
 			m.sayOdd(v.to.Name, err)
 		}
 		select {
@@ -429,14 +429,14 @@
 	defer c.Close()
 	stop := context.AfterFunc(m.ctx, func() { _ = c.Close() })
 	defer stop()
-	p := link.NewPipe(c)
+	p := transport.NewPipe(c)
 	who := c.RemoteAddr().String()
-	from, _, err := link.Take(c, p.Reader(), m.plane.Keys, client.Fleet(m.plane.Fleet), m.self.Name, m.life())
+	from, _, err := transport.Take(c, p.Reader(), m.plane.Keys, client.Fleet(m.plane.Fleet), m.self.Name, m.life())
 	what := ""
 	if err == nil {
 		_ = c.SetReadDeadline(time.Now().Add(openWithin))
 		var data []byte
-		if data, err = link.ReadFrame(p.Reader(), mostOpening); err == nil {
+		if data, err = transport.ReadFrame(p.Reader(), mostOpening); err == nil {
 			what, err = client.ReadOpening(data)
 		}
 		_ = c.SetReadDeadline(time.Time{})
@@ -474,7 +474,7 @@
 var errMany = errors.New("too many links")
 
 // serve has a follower followed until its link ends; ends that can be are no error.
-func (m *Member) serve(p *link.Pipe, name string) error {
+func (m *Member) serve(p *transport.Pipe, name string) error {
 	told := make(chan uint64, 1)
 	m.box.Put(func() {
 		if len(m.conns) >= mostConns {
@@ -540,7 +540,7 @@
 
 // unusual is an end that should not be: a frame too long, no end of a connection.
 func unusual(err error) error {
-	var long *link.LongError
+	var long *transport.LongError
 	if errors.As(err, &long) {
 		return err
 	}
@@ -548,7 +548,7 @@
 }
 
 // vote takes another voter's messages; a later link takes the place of one before.
-func (m *Member) vote(p *link.Pipe, name string) error {
+func (m *Member) vote(p *transport.Pipe, name string) error {
 	id := m.numbers[name]
 	v := m.votes[id]
 	if v == nil {
@@ -596,7 +596,7 @@
 	mu   sync.Mutex
 	read [2]struct {
 		digest controlplane.Digest
-		told   *terms.Deployment
+		told   *config.Deployment
 	}
 }
 
@@ -614,14 +614,14 @@
 	return told.Follows(old)
 }
 
-func (v *validator) settings(d *controlplane.Document) (*terms.Deployment, error) {
+func (v *validator) settings(d *controlplane.Document) (*config.Deployment, error) {
 	digest := d.Digest()
 	for k := range v.read {
 		if v.read[k].told != nil && v.read[k].digest == digest {
 			return v.read[k].told, nil
 		}
 	}
-	told, err := terms.Shared(d.Text(), nil)
+	told, err := config.Shared(d.Text(), nil)
 	if err == nil {
 		v.read[1] = v.read[0]
 		v.read[0].digest, v.read[0].told = digest, told
--- a/internal/controlplane/member/member_test.go
+++ b/internal/controlplane/member/member_test.go
@@ -23,7 +23,7 @@
 
 	"pearknot/internal/controlplane"
 	"pearknot/internal/controlplane/client"
-	"pearknot/internal/peers/link"
+	"pearknot/internal/peers/transport"
 	"pearknot/internal/snapshot"
 )
 
@@ -230,11 +230,11 @@
 		ends(c)
 	}
 	c := dial()
-	_, err = link.Call(c, [][]byte{bytes.Repeat([]byte{9}, 32)}, client.Fleet("f"), "n1", "c1", 1)
-	require.ErrorIs(t, err, link.ErrKey)
+	_, err = transport.Call(c, [][]byte{bytes.Repeat([]byte{9}, 32)}, client.Fleet("f"), "n1", "c1", 1)
+	require.ErrorIs(t, err, transport.ErrKey)
 	ends(c)
 	c = dial()
-	_, err = link.Call(c, p.Keys, "f", "n1", "c1", 1) // as a peer of that name would
+	_, err = transport.Call(c, p.Keys, "f", "n1", "c1", 1) // as a peer of that name would
 	require.Error(t, err)
 	ends(c)
 	opening := func(version int, what string) []byte {
@@ -254,13 +254,13 @@
 		"a caller's long":    {opening(client.Protocol, client.ForCall), long},
 	} {
 		c := dial()
-		_, err := link.Call(c, p.Keys, client.Fleet("f"), "n1", "c1", 1)
+		_, err := transport.Call(c, p.Keys, client.Fleet("f"), "n1", "c1", 1)
 		require.NoError(t, err, what)
 		for _, f := range frames {
 			if bytes.Equal(f, long) {
 				_, err = c.Write(f)
 			} else {
-				err = link.WriteFrame(c, f)
+				err = transport.WriteFrame(c, f)
 			}
 			require.NoError(t, err, what)
 		}
--- a/internal/controlplane/member/store.go
+++ b/internal/controlplane/member/store.go
@@ -17,8 +17,8 @@
 	"golang.org/x/sys/unix"
 	"google.golang.org/protobuf/proto"
 
+	"pearknot/internal/boltfile"
 	"pearknot/internal/controlplane"
-	"pearknot/internal/durable"
 )
 
 // schema is the version of what is kept; another one is refused.
@@ -100,7 +100,7 @@
 		if _, err := tx.CreateBucket(entries); err != nil {
 			return err
 		}
-		if err := errors.Join(b.Put([]byte("schema"), durable.Seal(schema)), b.Put([]byte("owner"), durable.Seal(owner)),
+		if err := errors.Join(b.Put([]byte("schema"), boltfile.Seal(schema)), b.Put([]byte("owner"), boltfile.Seal(owner)),
 			s.put(tx, kept.Hard, kept.Snapshot, kept.Entries)); err != nil {
 			return err
 		}
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	return b.Put([]byte(key), durable.Seal(string(data)))
+	return b.Put([]byte(key), boltfile.Seal(string(data)))
 }
 
 func indexKey(index uint64) string { return string(binary.BigEndian.AppendUint64(nil, index)) }
@@ -142,7 +142,7 @@
 }
 
 func (s *store) putLast(b *bbolt.Bucket) error {
-	return b.Put([]byte("last"), durable.Seal(strconv.FormatUint(s.last, 10)))
+	return b.Put([]byte("last"), boltfile.Seal(strconv.FormatUint(s.last, 10)))
 }
 
 // persist makes what a voter gives durable, as one.
@@ -189,11 +189,11 @@
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
 	}
-	if err := durable.Heads(path); err != nil {
+	if err := boltfile.Heads(path); err != nil {
 		return nil, err
 	}
 	damaged := func(format string, args ...any) error {
-		return fmt.Errorf("%s: %w: %s", path, durable.ErrDamaged, fmt.Sprintf(format, args...))
+		return fmt.Errorf("%s: %w: %s", path, boltfile.ErrDamaged, fmt.Sprintf(format, args...))
 	}
 	// A file that was cut short is mapped beyond its end, and one with flipped bytes may send the reader anywhere.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
@@ -219,7 +219,7 @@
 			return damaged("no buckets")
 		}
 		text := func(key string) (string, error) {
-			v, err := durable.Unseal(b.Get([]byte(key)))
+			v, err := boltfile.Unseal(b.Get([]byte(key)))
 			if err != nil {
 				return "", damaged("%s", key)
 			}
@@ -259,7 +259,7 @@
 			if steps++; steps > 10_000_000 { // pages that point at each other
 				return damaged("pages in a ring")
 			}
-			data, err := durable.Unseal(v)
+			data, err := boltfile.Unseal(v)
 			if err != nil {
 				return damaged("entry %x", k)
 			}
--- a/internal/control/control.go
+++ b/internal/controlsocket/controlsocket.go
@@ -1,7 +1,7 @@
-// Package control is the one socket by which a running process is looked at and told things: HTTP over a Unix socket of
+// Package controlsocket is the one socket by which a running process is looked at and told things: HTTP over a Unix socket of
 // mode 0600, whose callers are known by the kernel's word (SO_PEERCRED). The node serves it, the agent calls it; the
 // agent's own API stands on the same listener.
-package control
+package controlsocket
 
 import (
 	"bytes"
--- a/internal/control/control_test.go
+++ b/internal/controlsocket/controlsocket_test.go
@@ -1,4 +1,4 @@
-package control
+package controlsocket
 
 import (
 	"context"
--- a/internal/control/golden_test.go
+++ b/internal/controlsocket/golden_test.go
@@ -1,17 +1,17 @@
-package control
+package controlsocket
 
 import (
 	"testing"
 
-	"pearknot/internal/estate"
-	"pearknot/internal/front"
 	"pearknot/internal/goldentest"
+	"pearknot/internal/requestlog"
+	"pearknot/internal/server"
 )
 
 // Agents, command lines and operators' scripts of other builds read these answers.
 func TestAnswerForms(t *testing.T) {
 	for file, v := range map[string]any{"status.json": &Status{}, "service.json": &Service{}, "certificate.json": &Certificate{},
-		"written.json": &Written{}, "clients.json": &front.Clients{}, "peers.json": &estate.Picture{}} {
+		"written.json": &Written{}, "clients.json": &server.Clients{}, "peers.json": &requestlog.Picture{}} {
 		t.Run(file, func(t *testing.T) { goldentest.JSON(t, file, v) })
 	}
 }
--- a/internal/control/status.go
+++ b/internal/controlsocket/status.go
@@ -1,4 +1,4 @@
-package control
+package controlsocket
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"net/http"
 
 	"pearknot/internal/acme"
-	"pearknot/internal/estate"
-	"pearknot/internal/front"
+	"pearknot/internal/requestlog"
+	"pearknot/internal/server"
 )
 
 // Paths of a node's socket.
@@ -85,12 +85,12 @@
 
 // TLS is what a node serves beside plain connections.
 type TLS struct {
-	Listen       string           `json:"listen"`
-	Dir          string           `json:"dir"`    // the store
-	Orders       bool             `json:"orders"` // this instance does, for all on the store
-	OrderedBy    int              `json:"ordered_by,omitempty"`
-	Handshakes   front.Handshakes `json:"handshakes"`
-	Certificates []acme.Status    `json:"certificates"`
+	Listen       string            `json:"listen"`
+	Dir          string            `json:"dir"`    // the store
+	Orders       bool              `json:"orders"` // this instance does, for all on the store
+	OrderedBy    int               `json:"ordered_by,omitempty"`
+	Handshakes   server.Handshakes `json:"handshakes"`
+	Certificates []acme.Status     `json:"certificates"`
 }
 
 // Worst is the certificate that ends first, with those that are missing before all.
@@ -130,7 +130,7 @@
 // Node serves a node's socket. Dump writes its capture out; nil is a node without one to write, without certificates, or
 // that takes all clients, or shares nothing.
 func Node(status func(context.Context) (Status, error), service func(Service) error, dump func() (string, error), certs Certificates,
-	clients func() front.Clients, peers func(context.Context) (estate.Picture, error)) http.Handler {
+	clients func() server.Clients, peers func(context.Context) (requestlog.Picture, error)) http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET "+PeersPath, func(w http.ResponseWriter, r *http.Request) {
 		if peers == nil {
--- a/internal/sockets/sockets.go
+++ b/internal/descriptors/descriptors.go
@@ -1,6 +1,6 @@
-// Package sockets is the owner of a node's descriptors: every socket is counted here, once when it is taken and
+// Package descriptors is the owner of a node's descriptors: every socket is counted here, once when it is taken and
 // once when it is given back.
-package sockets
+package descriptors
 
 import "sync"
 
--- a/internal/sockets/sockets_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -1,4 +1,4 @@
-package sockets
+package descriptors
 
 import (
 	"runtime"
--- a/internal/members/members_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package members
+package discovery
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 var names = Names{Zones: []string{"a", "b_c"}, Kinds: []string{"m1"}}
@@ -36,16 +36,16 @@
 	require.NoError(t, err)
 	const at, missing = "127.0.0.1:80", oddCell | oddWeight | oddStarted
 	assert.Equal(t, &List{Version: 41, Whole: true, Members: []Member{
-		{Name: "x", Address: "nowhere", State: balance.Ready, Weight: 1, Odd: oddAddress | missing},
-		{Name: "x", Address: at, State: balance.Ready, Zone: -1, Weight: 1, Odd: oddZone | missing},
-		{Name: "x", Address: at, State: balance.Ready, Kind: -1, Weight: 1, Odd: oddKind | missing},
+		{Name: "x", Address: "nowhere", State: balancer.Ready, Weight: 1, Odd: oddAddress | missing},
+		{Name: "x", Address: at, State: balancer.Ready, Zone: -1, Weight: 1, Odd: oddZone | missing},
+		{Name: "x", Address: at, State: balancer.Ready, Kind: -1, Weight: 1, Odd: oddKind | missing},
 		{Name: "x", Address: at, Weight: 1, Odd: oddState | missing},
-		{Name: "x", Address: at, State: balance.Ready, Cell: -1, Weight: 1, Odd: oddCell | oddWeight | oddStarted},
-		{Name: "x", Address: at, State: balance.Draining, Zone: -1, Kind: -1, Odd: oddZone | oddKind | oddCell | oddWeight | oddStarted},
+		{Name: "x", Address: at, State: balancer.Ready, Cell: -1, Weight: 1, Odd: oddCell | oddWeight | oddStarted},
+		{Name: "x", Address: at, State: balancer.Draining, Zone: -1, Kind: -1, Odd: oddZone | oddKind | oddCell | oddWeight | oddStarted},
 		{Name: "x", Weight: 1, Started: 9, Odd: oddAddress | oddState | oddCell | oddWeight},
 		{Name: "x", Zone: -1, Weight: 1, Odd: oddZone | missing},
-		{Name: "s", Address: at, State: balance.Ready, Zone: 1, Cell: 3, Weight: 1, Started: 7},
-		{Name: "g", State: balance.Gone, Weight: 2.5},
+		{Name: "s", Address: at, State: balancer.Ready, Zone: 1, Cell: 3, Weight: 1, Started: 7},
+		{Name: "g", State: balancer.Gone, Weight: 2.5},
 	}}, list)
 	for _, bad := range []string{``, `[]`, `{"all":true,"targets":[]}`, `{"rev":-1}`, `{"rev":"4","targets":[]}`,
 		`{"rev":4,"all":true,"targets":[` + good + `]`, `{"rev":4,"all":true,"targets":[]}}`, `{"rev":4,"all":true,"targets":[]}{}`,
@@ -63,10 +63,10 @@
 // News of a backend that is known, in an entry that can't be read whole: every part that can be is taken, but it brings
 // nothing back into use.
 func TestOver(t *testing.T) {
-	had := Member{"s", "old", balance.Ready, 1, 2, 3, 4, 5, 0}
+	had := Member{"s", "old", balancer.Ready, 1, 2, 3, 4, 5, 0}
 	all := oddAddress | oddState | oddZone | oddCell | oddKind | oddWeight | oddStarted
 	assert.Equal(t, had, Member{Name: "s", Odd: all}.Over(had))
-	now := Member{"s", "new", balance.Draining, 6, 7, 8, 9, 10, 0}
+	now := Member{"s", "new", balancer.Draining, 6, 7, 8, 9, 10, 0}
 	for part := Parts(1); part <= all; part <<= 1 {
 		m := now
 		m.Odd = part
@@ -80,10 +80,10 @@
 		assert.Equal(t, part, kept)
 		assert.Zero(t, got.Odd)
 	}
-	for _, state := range []balance.State{balance.Gone, balance.Draining, balance.Ready} {
+	for _, state := range []balancer.State{balancer.Gone, balancer.Draining, balancer.Ready} {
 		had.State = state
-		assert.Equal(t, state, Member{State: balance.Ready, Odd: oddZone}.Over(had).State)
-		assert.Equal(t, balance.Gone, Member{State: balance.Gone, Odd: oddZone}.Over(had).State)
+		assert.Equal(t, state, Member{State: balancer.Ready, Odd: oddZone}.Over(had).State)
+		assert.Equal(t, balancer.Gone, Member{State: balancer.Gone, Odd: oddZone}.Over(had).State)
 	}
 }
 
--- a/internal/members/list.go
+++ b/internal/discovery/list.go
@@ -1,5 +1,5 @@
-// Package members follows the list of backends.
-package members
+// Package discovery follows the list of backends.
+package discovery
 
 import (
 	"crypto/sha256"
@@ -13,21 +13,21 @@
 	"net"
 	"slices"
 
-	"pearknot/balance"
-	"pearknot/internal/terms"
+	"pearknot/balancer"
+	"pearknot/internal/config"
 )
 
 // Member is one entry of the list.
 type Member struct {
-	Name    string        `json:"Name"` // the same at every node
-	Address string        `json:"Address"`
-	State   balance.State `json:"State"`
-	Zone    int           `json:"Zone"`
-	Cell    int           `json:"Cell"`
-	Kind    int           `json:"Kind"`
-	Weight  float64       `json:"Weight"`
-	Started float64       `json:"Started"` // Unix milliseconds; 0 is long ago
-	Odd     Parts         `json:"Odd"`     // what of the above could not be read and tells nothing
+	Name    string         `json:"Name"` // the same at every node
+	Address string         `json:"Address"`
+	State   balancer.State `json:"State"`
+	Zone    int            `json:"Zone"`
+	Cell    int            `json:"Cell"`
+	Kind    int            `json:"Kind"`
+	Weight  float64        `json:"Weight"`
+	Started float64        `json:"Started"` // Unix milliseconds; 0 is long ago
+	Odd     Parts          `json:"Odd"`     // what of the above could not be read and tells nothing
 }
 
 // Parts are parts of an entry, beside its name.
@@ -78,17 +78,17 @@
 	Members []Member `json:"Members"`
 }
 
-var states = map[string]balance.State{"up": balance.Ready, "draining": balance.Draining, "removed": balance.Gone}
+var states = map[string]balancer.State{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Gone}
 
 // Names are those that the list uses for places of the settings.
 type Names struct{ Zones, Kinds []string }
 
 // Digest tells lists with the same backends in the same states from others, wherever they were read: by names and states
 // of what is not gone, in order.
-func Digest(states map[string]balance.State) string {
+func Digest(states map[string]balancer.State) string {
 	h := sha256.New()
 	for _, name := range slices.Sorted(maps.Keys(states)) {
-		if states[name] != balance.Gone {
+		if states[name] != balancer.Gone {
 			fmt.Fprintf(h, "%q %d\n", name, states[name])
 		}
 	}
@@ -108,7 +108,7 @@
 	if told.Rev == nil || !told.All {
 		return 0, "", errors.New("no whole list")
 	}
-	all := map[string]balance.State{}
+	all := map[string]balancer.State{}
 	for _, t := range told.Targets {
 		state, known := states[t.State]
 		if !known {
@@ -187,7 +187,7 @@
 	if m.Address, err = read[string](told.Endpoint); err == nil {
 		_, _, err = net.SplitHostPort(m.Address)
 	}
-	if err == nil || !known || m.State != balance.Gone { // who is gone needs none
+	if err == nil || !known || m.State != balancer.Gone { // who is gone needs none
 		part(oddAddress, err)
 	}
 	m.Zone, err = place(told.AZ, n.Zones, "zone")
@@ -226,7 +226,7 @@
 // place finds a name among those of the settings.
 func place(part json.RawMessage, names []string, what string) (int, error) {
 	name, err := read[string](part)
-	k := slices.Index(names, terms.Name(name))
+	k := slices.Index(names, config.Name(name))
 	if err == nil && k < 0 {
 		err = fmt.Errorf("unknown %s %.60q", what, name)
 	}
--- a/internal/handover/wire.go
+++ b/internal/hotrestart/wire.go
@@ -1,7 +1,7 @@
-// Package handover links the process of a node with the one that follows it, by a Unix socket in the directory that both
+// Package hotrestart links the process of a node with the one that follows it, by a Unix socket in the directory that both
 // share. The one that runs offers itself there; one that starts asks it for what it has learned, and both hear from then on
 // what operators call at either, until one of them ends.
-package handover
+package hotrestart
 
 import (
 	"encoding/binary"
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"pearknot/internal/members"
+	"pearknot/internal/discovery"
 )
 
 // Version is that of what is said on a link. A process that speaks another starts fresh.
@@ -26,14 +26,14 @@
 
 // State is what a process gives the one that follows it.
 type State struct {
-	Zones  []string     `json:"Zones"` // that the list's places are among
-	Kinds  []string     `json:"Kinds"`
-	List   members.List `json:"List"`
-	Names  []string     `json:"Names"`  // of the backends in Module, in their order
-	Module []byte       `json:"Module"` // as internal/snapshot has it; empty where there is none to give
-	Known  []string     `json:"Known"`  // names that the list has had
-	Banned []string     `json:"Banned"` // those taken out by hand
-	Away   *float64     `json:"Away"`   // for how many ms clients have been sent away; nil where they are taken
+	Zones  []string       `json:"Zones"` // that the list's places are among
+	Kinds  []string       `json:"Kinds"`
+	List   discovery.List `json:"List"`
+	Names  []string       `json:"Names"`  // of the backends in Module, in their order
+	Module []byte         `json:"Module"` // as internal/snapshot has it; empty where there is none to give
+	Known  []string       `json:"Known"`  // names that the list has had
+	Banned []string       `json:"Banned"` // those taken out by hand
+	Away   *float64       `json:"Away"`   // for how many ms clients have been sent away; nil where they are taken
 }
 
 // Call is one that an operator made at the other process.
--- a/internal/rules/events.go
+++ b/internal/invariants/events.go
@@ -1,15 +1,15 @@
-// Package rules judges whether the rules were kept: no op lost, no effect twice, nothing new to a backend after its
+// Package invariants judges whether the rules were kept: no op lost, no effect twice, nothing new to a backend after its
 // drain grace, no cold backend pushed over, by those told of its start nor in the sum of all nodes, and the ops of one key in their order
 // where a category keeps it. It does no I/O and knows nothing of the program judged: a
 // host tells it what was seen from outside, event by event, and it answers with the breaches, each with the
 // events that prove it. What the rules say stands in docs/lab.md.
-package rules
+package invariants
 
 import (
 	"fmt"
 	"strings"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 // Kind tells what was seen.
@@ -67,8 +67,8 @@
 	At       float64
 	Kind     Kind
 	Final    Final
-	Ending   balance.Ending
-	State    balance.State
+	Ending   balancer.Ending
+	State    balancer.State
 	Node     int
 	Backend  int
 	Push     int // from 0 in each op
@@ -143,7 +143,7 @@
 
 // Terms are the figures of the rules.
 type Terms struct {
-	Categories   []balance.Category
+	Categories   []balancer.Category
 	MaxPushes    int  // 0 is no limit
 	SecondCopies bool // a push may go out while another of the op's is
 	DrainGrace   float64
--- a/internal/rules/rules.go
+++ b/internal/invariants/invariants.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 import (
 	"container/heap"
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 const (
@@ -69,7 +69,7 @@
 	backend int
 	at      float64
 	out     bool
-	ending  balance.Ending
+	ending  balancer.Ending
 }
 
 func (p push) mayHaveRun() bool { return p.out || !p.ending.NeverRan() }
@@ -125,9 +125,9 @@
 		if b := a.backends[e.Backend]; b != nil && b.started > 0 && e.Started >= b.started && b.toldBy != nil {
 			b.toldBy[e.Node] = true
 		}
-		if e.State == balance.Ready {
+		if e.State == balancer.Ready {
 			delete(a.told, at)
-		} else if e.State == balance.Gone && a.t.RemovalNotBinding { // without a drain it binds nobody, after one that does
+		} else if e.State == balancer.Gone && a.t.RemovalNotBinding { // without a drain it binds nobody, after one that does
 		} else if _, known := a.told[at]; !known {
 			a.told[at] = e // told again is no new grace
 		}
@@ -323,7 +323,7 @@
 	if e.Final == Acked {
 		made := false
 		for _, p := range o.pushes {
-			made = made || !p.out && p.ending == balance.Answered && (e.Push == AnyPush || e.Push == p.number)
+			made = made || !p.out && p.ending == balancer.Answered && (e.Push == AnyPush || e.Push == p.number)
 		}
 		if !made {
 			a.breach(NoOpLost, o.events, "op %d acked with an answer that no backend made", e.Op)
@@ -339,8 +339,8 @@
 			e.Final, e.At-o.quiet)
 	}
 	c := &a.t.Categories[o.category]
-	if e.Final == Nacked && o.firstMayHaveRun() != nil && (c.Effect == balance.AtMostOnce ||
-		c.Effect == balance.Deduplicated && c.Group != balance.GroupAll) {
+	if e.Final == Nacked && o.firstMayHaveRun() != nil && (c.Effect == balancer.AtMostOnce ||
+		c.Effect == balancer.Deduplicated && c.Group != balancer.GroupAll) {
 		a.breach(NoEffectTwice, o.events, "op %d nacked after a push that may have run: its client would send it again", e.Op)
 	}
 }
@@ -379,7 +379,7 @@
 		return
 	}
 	c := &a.t.Categories[o.category]
-	if c.Effect == balance.AtMostOnce {
+	if c.Effect == balancer.AtMostOnce {
 		a.breach(NoEffectTwice, o.events, "at-most-once op %d pushed again, though push %d may have run", o.id, first.number)
 		return
 	}
@@ -391,17 +391,17 @@
 			}
 		}
 	}
-	if c.Effect != balance.Deduplicated {
+	if c.Effect != balancer.Deduplicated {
 		return
 	}
 	was, is := a.backends[first.backend], a.backends[e.Backend]
 	switch {
 	case e.At-first.at >= c.Remembered+a.t.Slack:
 		a.breach(NoEffectTwice, o.events, "deduplicated op %d pushed again after %.1f ms, its mark is kept for %.1f", o.id, e.At-first.at, c.Remembered)
-	case c.Group == balance.GroupAll:
+	case c.Group == balancer.GroupAll:
 	case was == nil || is == nil:
 		a.breach(NoEffectTwice, o.events, "deduplicated op %d pushed again to a backend of an unknown group", o.id)
-	case c.Group == balance.GroupZone && was.zone != is.zone || c.Group == balance.GroupCell && was.cell != is.cell:
+	case c.Group == balancer.GroupZone && was.zone != is.zone || c.Group == balancer.GroupCell && was.cell != is.cell:
 		a.breach(NoEffectTwice, o.events, "deduplicated op %d pushed again outside its group", o.id)
 	}
 }
@@ -416,7 +416,7 @@
 		if p := &o.pushes[i]; p.number == e.Push && p.out {
 			p.out, p.ending = false, e.Ending
 			o.quiet = e.At
-			if o.line != nil && (e.Ending == balance.TimedOut || e.Ending == balance.Reset || e.Ending == balance.Revoked) {
+			if o.line != nil && (e.Ending == balancer.TimedOut || e.Ending == balancer.Reset || e.Ending == balancer.Revoked) {
 				o.line.rest = math.Max(o.line.rest, e.At+a.t.SettleAfterDoubt)
 			}
 			o.passOn()
@@ -432,7 +432,7 @@
 		return
 	}
 	o.note(e)
-	if o.ran++; o.ran > 1 && a.t.Categories[o.category].Effect == balance.AtMostOnce {
+	if o.ran++; o.ran > 1 && a.t.Categories[o.category].Effect == balancer.AtMostOnce {
 		a.breach(NoEffectTwice, o.events, "at-most-once op %d ran %d times", e.Op, o.ran)
 	}
 }
--- a/internal/rules/rules_test.go
+++ b/internal/invariants/invariants_test.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 const (
@@ -21,10 +21,10 @@
 
 func terms() Terms {
 	return Terms{MaxPushes: 3, SecondCopies: true, DrainGrace: 500, ColdFrom: 0.25, WarmWithin: 8000, FallMultiple: 4,
-		OverloadFor: 2000, MeanWork: 20, Categories: []balance.Category{
-			{}, {Effect: balance.AtMostOnce},
-			{Effect: balance.Deduplicated, Group: balance.GroupZone, Remembered: 300},
-			{Effect: balance.Deduplicated, Group: balance.GroupAll, Remembered: 300}}}
+		OverloadFor: 2000, MeanWork: 20, Categories: []balancer.Category{
+			{}, {Effect: balancer.AtMostOnce},
+			{Effect: balancer.Deduplicated, Group: balancer.GroupZone, Remembered: 300},
+			{Effect: balancer.Deduplicated, Group: balancer.GroupAll, Remembered: 300}}}
 }
 
 // host is a stream of events as a host would tell them: backends 1 and 2 in zone 0, 3 in zone 1, all long warm.
@@ -66,7 +66,7 @@
 	return h.at(after, Event{Kind: PushBegun, Op: op, Push: number, Backend: backend, Work: 10})
 }
 
-func (h *host) end(after float64, op uint64, number int, how balance.Ending) *host {
+func (h *host) end(after float64, op uint64, number int, how balancer.Ending) *host {
 	return h.at(after, Event{Kind: PushEnded, Op: op, Push: number, Ending: how})
 }
 
@@ -74,7 +74,7 @@
 	return h.at(after, Event{Kind: OpAnswered, Op: op, Final: f, Push: AnyPush})
 }
 
-func (h *host) told(after float64, node, backend int, s balance.State) *host {
+func (h *host) told(after float64, node, backend int, s balancer.State) *host {
 	return h.at(after, Event{Kind: ListTold, Node: node, Backend: backend, State: s})
 }
 
@@ -95,10 +95,10 @@
 		for n := range nodes {
 			op := uint64(n + 1)
 			if told {
-				h.at(0, Event{Kind: ListTold, Node: n, Backend: 1, State: balance.Ready, Started: start})
+				h.at(0, Event{Kind: ListTold, Node: n, Backend: 1, State: balancer.Ready, Started: start})
 			}
 			h.take(op, any0).at(0.01, Event{Kind: PushBegun, Op: op, Node: n, Backend: 1, Work: each})
-			h.end(0, op, 0, balance.Answered).final(0, op, Acked)
+			h.end(0, op, 0, balancer.Answered).final(0, op, Acked)
 		}
 	}
 	for _, c := range []struct {
@@ -108,10 +108,10 @@
 		sound  func(*host)
 	}{
 		{"answer late", NoOpLost,
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(1001, 1, 0, balance.TimedOut).final(0, 1, Nacked) },
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(999, 1, 0, balance.TimedOut).final(0, 1, Nacked) }},
+			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(1001, 1, 0, balancer.TimedOut).final(0, 1, Nacked) },
+			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(999, 1, 0, balancer.TimedOut).final(0, 1, Nacked) }},
 		{"no answer", NoOpLost,
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balance.Answered) },
+			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Answered) },
 			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).at(5, Event{Kind: OpLeft, Op: 1}) }},
 		{"pushed out of turn", OrderKept,
 			func(h *host) { h.about(1, 7).about(2, 7).push(0, 2, 0, 1).at(5, Event{Kind: OpLeft, Op: 1}) },
@@ -119,68 +119,68 @@
 		{"pushed while an answered op still has a push out", OrderKept,
 			func(h *host) { h.about(1, 7).push(0, 1, 0, 1).final(5, 1, Nacked).about(2, 7).push(0, 2, 0, 1) },
 			func(h *host) {
-				h.about(1, 7).push(0, 1, 0, 1).final(5, 1, Nacked).end(0, 1, 0, balance.Failed).about(2, 7).push(0, 2, 0, 1)
+				h.about(1, 7).push(0, 1, 0, 1).final(5, 1, Nacked).end(0, 1, 0, balancer.Failed).about(2, 7).push(0, 2, 0, 1)
 			}},
 		{"pushed before the key has rested", OrderKept,
 			func(h *host) {
-				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balance.TimedOut).final(0, 1, Nacked).about(2, 7).push(199, 2, 0, 1)
+				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.TimedOut).final(0, 1, Nacked).about(2, 7).push(199, 2, 0, 1)
 			},
 			func(h *host) {
-				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balance.TimedOut).final(0, 1, Nacked).about(2, 7).push(200, 2, 0, 1)
+				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.TimedOut).final(0, 1, Nacked).about(2, 7).push(200, 2, 0, 1)
 			}},
 		{"the key's rest is for the ops after it", OrderKept,
 			func(h *host) {
-				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balance.Reset).final(0, 1, Nacked).about(2, 7).push(50, 2, 0, 1)
+				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.Reset).final(0, 1, Nacked).about(2, 7).push(50, 2, 0, 1)
 			},
-			func(h *host) { h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balance.Reset).push(50, 1, 1, 2) }},
+			func(h *host) { h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.Reset).push(50, 1, 1, 2) }},
 		{"node killed elsewhere", NoOpLost,
 			func(h *host) { h.take(1, any0).at(5, Event{Kind: NodeKilled, Node: 1}) },
 			func(h *host) { h.take(1, any0).at(5, Event{Kind: NodeKilled, Node: 0}) }},
 		{"two answers", NoOpLost,
 			func(h *host) {
-				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balance.Answered).final(0, 1, Acked).final(3, 1, Nacked)
+				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Answered).final(0, 1, Acked).final(3, 1, Nacked)
 			},
 			func(h *host) {
-				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balance.Answered).final(0, 1, Acked).take(2, any0).final(3, 2, Nacked)
+				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Answered).final(0, 1, Acked).take(2, any0).final(3, 2, Nacked)
 			}},
 		{"answer made up", NoOpLost,
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balance.Failed).final(0, 1, Acked) },
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balance.Answered).final(0, 1, Acked) }},
+			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Failed).final(0, 1, Acked) },
+			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Answered).final(0, 1, Acked) }},
 		{"sat on until near the TTL", NoOpLost,
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balance.Rejected).final(980, 1, Nacked) },
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(975, 1, 0, balance.TimedOut).final(5, 1, Nacked) }},
+			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Rejected).final(980, 1, Nacked) },
+			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(975, 1, 0, balancer.TimedOut).final(5, 1, Nacked) }},
 		{"pushed after the answer", NoOpLost,
 			func(h *host) {
-				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balance.Failed).final(0, 1, Nacked).push(1, 1, 1, 2)
+				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Failed).final(0, 1, Nacked).push(1, 1, 1, 2)
 			},
 			func(h *host) {
-				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balance.Failed).push(1, 1, 1, 2).final(1, 1, Nacked)
+				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Failed).push(1, 1, 1, 2).final(1, 1, Nacked)
 			}},
 		{"pushed after the TTL", NoOpLost,
 			func(h *host) { h.take(1, any0).at(990, Event{Kind: OpLeft, Op: 1}).push(20, 1, 0, 1) },
 			func(h *host) { h.take(1, any0).at(90, Event{Kind: OpLeft, Op: 1}).push(1, 1, 0, 1) }},
 		{"at-most-once sent again after a reset", NoEffectTwice,
 			func(h *host) {
-				h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balance.Reset).push(0, 1, 1, 2).end(5, 1, 1, balance.Answered).final(0, 1, Acked)
+				h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balancer.Reset).push(0, 1, 1, 2).end(5, 1, 1, balancer.Answered).final(0, 1, Acked)
 			},
 			func(h *host) {
-				h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balance.NoConnection).push(0, 1, 1, 2).end(5, 1, 1, balance.Answered).final(0, 1, Acked)
+				h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balancer.NoConnection).push(0, 1, 1, 2).end(5, 1, 1, balancer.Answered).final(0, 1, Acked)
 			}},
 		{"at-most-once copied while out", NoEffectTwice,
 			func(h *host) { h.take(1, once).push(0, 1, 0, 1).push(100, 1, 1, 2).final(100, 1, DeadLettered) },
 			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).push(100, 1, 1, 2).final(100, 1, DeadLettered) }},
 		{"at-most-once ran twice, whatever was proven", NoEffectTwice,
 			func(h *host) {
-				h.take(1, once).push(0, 1, 0, 1).at(0, Event{Kind: PushRan, Op: 1}).end(5, 1, 0, balance.Rejected)
-				h.push(0, 1, 1, 2).at(0, Event{Kind: PushRan, Op: 1, Push: 1}).end(5, 1, 1, balance.Answered).final(0, 1, Acked)
+				h.take(1, once).push(0, 1, 0, 1).at(0, Event{Kind: PushRan, Op: 1}).end(5, 1, 0, balancer.Rejected)
+				h.push(0, 1, 1, 2).at(0, Event{Kind: PushRan, Op: 1, Push: 1}).end(5, 1, 1, balancer.Answered).final(0, 1, Acked)
 			},
 			func(h *host) {
-				h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balance.Rejected)
-				h.push(0, 1, 1, 2).at(0, Event{Kind: PushRan, Op: 1, Push: 1}).end(5, 1, 1, balance.Answered).final(0, 1, Acked)
+				h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balancer.Rejected)
+				h.push(0, 1, 1, 2).at(0, Event{Kind: PushRan, Op: 1, Push: 1}).end(5, 1, 1, balancer.Answered).final(0, 1, Acked)
 			}},
 		{"nack after a push that may have run", NoEffectTwice,
-			func(h *host) { h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balance.Reset).final(0, 1, Nacked) },
-			func(h *host) { h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balance.Reset).final(0, 1, DeadLettered) }},
+			func(h *host) { h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balancer.Reset).final(0, 1, Nacked) },
+			func(h *host) { h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balancer.Reset).final(0, 1, DeadLettered) }},
 		{"nack while a push is out", NoEffectTwice,
 			func(h *host) { h.take(1, zoned).push(0, 1, 0, 1).final(5, 1, Nacked) },
 			func(h *host) { h.take(1, everywhere).push(0, 1, 0, 1).final(5, 1, Nacked) }},
@@ -197,24 +197,24 @@
 			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).push(1, 1, 1, 2).push(1, 1, 2, 3).final(1, 1, Nacked) }},
 		{"past the drain grace", DrainsKept,
 			func(h *host) {
-				h.told(0, 0, 1, balance.Draining).take(1, any0).push(501, 1, 0, 1).final(0, 1, DeadLettered)
+				h.told(0, 0, 1, balancer.Draining).take(1, any0).push(501, 1, 0, 1).final(0, 1, DeadLettered)
 			},
 			func(h *host) {
-				h.told(0, 0, 1, balance.Draining).take(1, any0).push(499, 1, 0, 1).final(0, 1, DeadLettered)
+				h.told(0, 0, 1, balancer.Draining).take(1, any0).push(499, 1, 0, 1).final(0, 1, DeadLettered)
 			}},
 		{"told again is no new grace", DrainsKept,
 			func(h *host) {
-				h.told(0, 0, 1, balance.Draining).told(400, 0, 1, balance.Gone).take(1, any0).push(200, 1, 0, 1).final(0, 1, Nacked)
+				h.told(0, 0, 1, balancer.Draining).told(400, 0, 1, balancer.Gone).take(1, any0).push(200, 1, 0, 1).final(0, 1, Nacked)
 			},
 			func(h *host) {
-				h.told(0, 0, 1, balance.Draining).told(400, 0, 1, balance.Ready).take(1, any0).push(200, 1, 0, 1).final(0, 1, Nacked)
+				h.told(0, 0, 1, balancer.Draining).told(400, 0, 1, balancer.Ready).take(1, any0).push(200, 1, 0, 1).final(0, 1, Nacked)
 			}},
 		{"a restarted node is told anew", DrainsKept,
 			func(h *host) {
-				h.told(0, 0, 1, balance.Gone).take(1, any0).push(600, 1, 0, 1).final(0, 1, Nacked)
+				h.told(0, 0, 1, balancer.Gone).take(1, any0).push(600, 1, 0, 1).final(0, 1, Nacked)
 			},
 			func(h *host) {
-				h.told(0, 0, 1, balance.Gone).at(1, Event{Kind: NodeKilled}).take(1, any0).push(600, 1, 0, 1).final(0, 1, Nacked)
+				h.told(0, 0, 1, balancer.Gone).at(1, Event{Kind: NodeKilled}).take(1, any0).push(600, 1, 0, 1).final(0, 1, Nacked)
 			}},
 		{"retired backend", DrainsKept,
 			func(h *host) {
@@ -250,7 +250,7 @@
 // The evidence is the chain of the op's events, oldest first, in words.
 func TestEvidence(t *testing.T) {
 	h := newHost(terms())
-	h.take(7, once).push(0, 7, 0, 1).end(5, 7, 0, balance.Reset).push(0, 7, 1, 2)
+	h.take(7, once).push(0, 7, 0, 1).end(5, 7, 0, balancer.Reset).push(0, 7, 1, 2)
 	require.Len(t, h.Breaches(), 1)
 	assert.Equal(t, `rule 2 (no effect twice) at 10005.0 ms: at-most-once op 7 pushed again, though push 0 may have run
     10000.0 op taken op 7 node 0 category 1 until 11000.0
@@ -263,7 +263,7 @@
 func TestBoundedMemory(t *testing.T) {
 	h := newHost(terms())
 	for k := range uint64(300_000) {
-		h.take(k, int(k%4)).push(0.2, k, 0, int(k%4)).end(0.2, k, 0, balance.Answered).final(0, k, Acked)
+		h.take(k, int(k%4)).push(0.2, k, 0, int(k%4)).end(0.2, k, 0, balancer.Answered).final(0, k, Acked)
 		require.LessOrEqual(t, h.Open(), 2600)
 	}
 	assert.Equal(t, [7]int{}, h.done())
@@ -294,7 +294,7 @@
 			if rapid.Bool().Draw(t, "drain") {
 				b := rapid.IntRange(1, 3).Draw(t, "which")
 				drained[b] = true
-				h.told(600, 0, b, balance.Draining)
+				h.told(600, 0, b, balancer.Draining)
 			}
 			h.take(id, category)
 			mayHaveRun, acked, zone := false, false, -1
@@ -305,9 +305,9 @@
 					break
 				}
 				h.push(1, id, number, b)
-				how := balance.Ending(rapid.IntRange(0, 7).Draw(t, "how"))
+				how := balancer.Ending(rapid.IntRange(0, 7).Draw(t, "how"))
 				h.end(rapid.Float64Range(0, 80).Draw(t, "ms"), id, number, how)
-				if how == balance.Answered {
+				if how == balancer.Answered {
 					acked = true
 					break
 				}
@@ -374,7 +374,7 @@
 	h := newHost(terms())
 	b.ReportAllocs()
 	for k := range uint64(b.N) {
-		h.take(k, int(k%4)).push(0.2, k, 0, int(k%4)).end(0.2, k, 0, balance.Answered).final(0, k, Acked)
+		h.take(k, int(k%4)).push(0.2, k, 0, int(k%4)).end(0.2, k, 0, balancer.Answered).final(0, k, Acked)
 	}
 }
 
@@ -388,7 +388,7 @@
 		told := terms()
 		told.Slack = c.slack
 		h := newHost(told)
-		h.take(1, 0).push(0, 1, 0, 1).end(20, 1, 0, balance.Answered).final(0, 1, Acked).push(c.after, 1, 1, 2).end(10, 1, 1, balance.Answered)
+		h.take(1, 0).push(0, 1, 0, 1).end(20, 1, 0, balancer.Answered).final(0, 1, Acked).push(c.after, 1, 1, 2).end(10, 1, 1, balancer.Answered)
 		assert.Equal(t, c.breach, h.done()[NoOpLost], "%v", c)
 	}
 }
@@ -399,13 +399,13 @@
 		rule := terms()
 		rule.RemovalNotBinding = !binding
 		h := newHost(rule)
-		h.told(0, 0, 1, balance.Gone).take(1, any0).push(600, 1, 0, 1).end(5, 1, 0, balance.Answered).final(0, 1, Acked)
+		h.told(0, 0, 1, balancer.Gone).take(1, any0).push(600, 1, 0, 1).end(5, 1, 0, balancer.Answered).final(0, 1, Acked)
 		assert.Equal(t, want, h.done()[DrainsKept])
 	}
 	rule := terms()
 	rule.RemovalNotBinding = true
 	h := newHost(rule)
-	h.told(0, 0, 1, balance.Draining).told(100, 0, 1, balance.Gone).take(1, any0).push(600, 1, 0, 1).end(5, 1, 0, balance.Answered).final(0, 1, Acked)
+	h.told(0, 0, 1, balancer.Draining).told(100, 0, 1, balancer.Gone).take(1, any0).push(600, 1, 0, 1).end(5, 1, 0, balancer.Answered).final(0, 1, Acked)
 	assert.Equal(t, 1, h.done()[DrainsKept])
 }
 
@@ -429,7 +429,7 @@
 
 func (r *ramped) tell(nodes int) *ramped {
 	for n := range nodes {
-		r.at(0, Event{Kind: ListTold, Node: n, Backend: 1, State: balance.Ready, Started: r.from})
+		r.at(0, Event{Kind: ListTold, Node: n, Backend: 1, State: balancer.Ready, Started: r.from})
 	}
 	return r
 }
--- a/internal/rules/keys_test.go
+++ b/internal/invariants/keys_test.go
@@ -1,11 +1,11 @@
-package rules
+package invariants
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 // Each verdict notices what it is for, and nothing else.
@@ -15,17 +15,17 @@
 		rule Rule
 	}{
 		"one effect, one outcome, given twice": {func(k *Keys) {
-			k.Ran(1, "a", balance.AtMostOnce)
+			k.Ran(1, "a", balancer.AtMostOnce)
 			k.Outcome(2, "a", "200 x")
 			k.Outcome(3, "a", "200 x")
 		}, 0},
-		"an effect twice":  {func(k *Keys) { k.Ran(1, "a", balance.AtMostOnce); k.Ran(2, "a", balance.AtMostOnce) }, Once},
-		"twice, and may":   {func(k *Keys) { k.Ran(1, "a", balance.Redeliverable); k.Ran(2, "a", balance.Redeliverable) }, 0},
+		"an effect twice":  {func(k *Keys) { k.Ran(1, "a", balancer.AtMostOnce); k.Ran(2, "a", balancer.AtMostOnce) }, Once},
+		"twice, and may":   {func(k *Keys) { k.Ran(1, "a", balancer.Redeliverable); k.Ran(2, "a", balancer.Redeliverable) }, 0},
 		"two outcomes":     {func(k *Keys) { k.Outcome(1, "a", "200 x"); k.Outcome(2, "a", "502 ") }, Once},
-		"no final state":   {func(k *Keys) { k.Taken(1, "a", balance.AtMostOnce, 100) }, Survives},
-		"none yet":         {func(k *Keys) { k.Taken(1, "a", balance.AtMostOnce, 950) }, 0},
-		"over by its log":  {func(k *Keys) { k.Taken(1, "a", balance.AtMostOnce, 100); k.Ended(2, "a") }, 0},
-		"nothing promised": {func(k *Keys) { k.Ran(1, "a", balance.AtMostOnce); k.Ran(2, "a", balance.AtMostOnce); k.Void("a") }, 0},
+		"no final state":   {func(k *Keys) { k.Taken(1, "a", balancer.AtMostOnce, 100) }, Survives},
+		"none yet":         {func(k *Keys) { k.Taken(1, "a", balancer.AtMostOnce, 950) }, 0},
+		"over by its log":  {func(k *Keys) { k.Taken(1, "a", balancer.AtMostOnce, 100); k.Ended(2, "a") }, 0},
+		"nothing promised": {func(k *Keys) { k.Ran(1, "a", balancer.AtMostOnce); k.Ran(2, "a", balancer.AtMostOnce); k.Void("a") }, 0},
 	} {
 		k := NewKeys()
 		c.play(k)
--- a/internal/lab/authority/authority.go
+++ b/internal/lab/acmestub/acmestub.go
@@ -1,7 +1,7 @@
-// Package authority is a stand-in for a certificate authority, written from RFC 8555 with RFC 8737 (tls-alpn-01) and
+// Package acmestub is a stand-in for a certificate authority, written from RFC 8555 with RFC 8737 (tls-alpn-01) and
 // RFC 9773 (renewal information). It validates challenges for real, over loopback, and has faults on a schedule. Its root
 // is its own, and of use for nothing else.
-package authority
+package acmestub
 
 import (
 	"crypto"
--- a/internal/lab/authority/jws.go
+++ b/internal/lab/acmestub/jws.go
@@ -1,4 +1,4 @@
-package authority
+package acmestub
 
 import (
 	"crypto"
--- a/internal/lab/machine/machine.go
+++ b/internal/lab/backendmodel/backendmodel.go
@@ -1,13 +1,13 @@
-// Package machine is the model of one backend: cores that work off a queue, cold after its start, slower when
+// Package backendmodel is the model of one backend: cores that work off a queue, cold after its start, slower when
 // crowded, over when pushed beyond what a cold one stands, with troubles that can be put on it. It does no I/O and
 // holds no clock: both hosts of the lab, virtual time and sockets, drive the same code.
-package machine
+package backendmodel
 
 import (
 	"math"
 	"math/rand/v2"
 
-	"pearknot/internal/rules"
+	"pearknot/internal/invariants"
 )
 
 // Kind is what a machine is like, the same through all its restarts.
@@ -203,7 +203,7 @@
 	m.spent = append(m.spent, spent{now, work})
 	m.sum += work
 	allowed := m.kind.FallMultiple * m.warmth(now) * m.kind.Speed * float64(m.kind.Cores) * m.kind.OverloadFor
-	if m.sum > rules.FallsAbove(allowed, m.kind.MeanWork) {
+	if m.sum > invariants.FallsAbove(allowed, m.kind.MeanWork) {
 		m.fallen = true
 	}
 	return m.fallen
--- a/internal/lab/machine/machine_test.go
+++ b/internal/lab/backendmodel/backendmodel_test.go
@@ -1,4 +1,4 @@
-package machine
+package backendmodel
 
 import (
 	"math"
--- a/internal/lab/policy/policy.go
+++ b/internal/lab/baselines/baselines.go
@@ -1,40 +1,40 @@
-// Package policy has the baselines that the module is measured against, in the lab only. They choose a backend on
+// Package baselines has the baselines that the module is measured against, in the lab only. They choose a backend on
 // arrival, push again after a failure where the category allows it, and know nothing of cold budgets, held ops or
 // nacks in time.
-package policy
+package baselines
 
 import (
 	"fmt"
 	"math"
 	"math/rand/v2"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 // Sight tells what only an all-seeing policy knows: in what time a backend would be done with an op of this work, +Inf
 // where it never would.
-type Sight func(now float64, b *balance.Backend, op *balance.Op) float64
+type Sight func(now float64, b *balancer.Backend, op *balancer.Op) float64
 
 // New makes a policy by its name; sight may be nil for all but all-seeing.
-func New(name string, t *balance.Terms, now float64, sight Sight) (balance.Decider, error) {
+func New(name string, t *balancer.Terms, now float64, sight Sight) (balancer.Decider, error) {
 	if name == "cda" {
-		return balance.New(t, now), nil
+		return balancer.New(t, now), nil
 	}
-	p := &plain{t: t, rng: rand.New(rand.NewPCG(t.Seed, 9)), out: map[*balance.Backend]int{}, ops: map[*balance.Op]*state{},
+	p := &plain{t: t, rng: rand.New(rand.NewPCG(t.Seed, 9)), out: map[*balancer.Backend]int{}, ops: map[*balancer.Op]*state{},
 		turn: int(t.Seed % 1009), askAt: math.Inf(1)}
 	if t.MustAsk {
 		p.askAt = now
 	}
 	switch name {
 	case "random":
-		p.pick = func(open []*balance.Backend, _ *balance.Op) *balance.Backend { return open[p.rng.IntN(len(open))] }
+		p.pick = func(open []*balancer.Backend, _ *balancer.Op) *balancer.Backend { return open[p.rng.IntN(len(open))] }
 	case "rotation":
-		p.pick = func(open []*balance.Backend, _ *balance.Op) *balance.Backend {
+		p.pick = func(open []*balancer.Backend, _ *balancer.Op) *balancer.Backend {
 			p.turn++
 			return open[p.turn%len(open)]
 		}
 	case "fewest":
-		p.pick = func(open []*balance.Backend, _ *balance.Op) *balance.Backend {
+		p.pick = func(open []*balancer.Backend, _ *balancer.Op) *balancer.Backend {
 			from := p.rng.IntN(len(open)) // equals by chance
 			best := open[from]
 			for k := range open {
@@ -45,7 +45,7 @@
 			return best
 		}
 	case "two-choices":
-		p.pick = func(open []*balance.Backend, _ *balance.Op) *balance.Backend {
+		p.pick = func(open []*balancer.Backend, _ *balancer.Op) *balancer.Backend {
 			a, b := open[p.rng.IntN(len(open))], open[p.rng.IntN(len(open))]
 			if p.out[b] < p.out[a] {
 				return b
@@ -56,9 +56,9 @@
 		if sight == nil {
 			return nil, fmt.Errorf("policy %s: only in virtual time", name)
 		}
-		p.pick = func(open []*balance.Backend, op *balance.Op) *balance.Backend {
+		p.pick = func(open []*balancer.Backend, op *balancer.Op) *balancer.Backend {
 			from := p.rng.IntN(len(open))
-			var best *balance.Backend
+			var best *balancer.Backend
 			least := math.Inf(1)
 			for k := range open {
 				b := open[(from+k)%len(open)]
@@ -82,15 +82,15 @@
 }
 
 type plain struct {
-	t        *balance.Terms
+	t        *balancer.Terms
 	rng      *rand.Rand
 	now      float64
-	backends []*balance.Backend
-	out      map[*balance.Backend]int // own pushes
-	ops      map[*balance.Op]*state
+	backends []*balancer.Backend
+	out      map[*balancer.Backend]int // own pushes
+	ops      map[*balancer.Op]*state
 	turn     int
-	pick     func(open []*balance.Backend, op *balance.Op) *balance.Backend
-	queue    []balance.Decision
+	pick     func(open []*balancer.Backend, op *balancer.Op) *balancer.Backend
+	queue    []balancer.Decision
 	tracked  bool
 	askAt    float64
 	armed    float64
@@ -99,19 +99,19 @@
 
 // state is what a baseline keeps of an op.
 type state struct {
-	out   map[*balance.Push]bool
-	first *balance.Push // the first that is not known never to have run
-	ended map[*balance.Push]balance.Ending
+	out   map[*balancer.Push]bool
+	first *balancer.Push // the first that is not known never to have run
+	ended map[*balancer.Push]balancer.Ending
 }
 
-func (p *plain) Listed(now float64, lines []balance.Listing, full, cached bool) {
+func (p *plain) Listed(now float64, lines []balancer.Listing, full, cached bool) {
 	p.now = now
 	if !cached {
 		p.tracked, p.fails = true, 0
 	}
 	if full {
 		for _, b := range p.backends {
-			b.State = balance.Gone
+			b.State = balancer.Gone
 		}
 	}
 	for _, l := range lines {
@@ -125,7 +125,7 @@
 		}
 		b.State, b.Zone, b.Cell, b.Kind, b.Started, b.Weight = l.State, l.Zone, l.Cell, l.Kind, l.Started, l.Weight
 		if l.Banned {
-			b.State = min(b.State, balance.Draining)
+			b.State = min(b.State, balancer.Draining)
 		}
 	}
 }
@@ -137,34 +137,34 @@
 }
 
 // Retuned takes new terms, under which open ops go on too: a baseline keeps no more.
-func (p *plain) Retuned(now float64, t *balance.Terms, _ []int) { p.now, p.t = now, t }
+func (p *plain) Retuned(now float64, t *balancer.Terms, _ []int) { p.now, p.t = now, t }
 
 // Sent says nothing to a baseline either.
-func (p *plain) Sent(now float64, _ *balance.Push) { p.now = now }
+func (p *plain) Sent(now float64, _ *balancer.Push) { p.now = now }
 
 // Split says nothing to a baseline.
 func (p *plain) Split(now float64, _ int) { p.now = now }
 
-func (p *plain) Arrived(now float64, op *balance.Op) {
+func (p *plain) Arrived(now float64, op *balancer.Op) {
 	p.now = now
 	op.Arrived = now
-	p.ops[op] = &state{out: map[*balance.Push]bool{}, ended: map[*balance.Push]balance.Ending{}}
+	p.ops[op] = &state{out: map[*balancer.Push]bool{}, ended: map[*balancer.Push]balancer.Ending{}}
 	p.place(op)
 }
 
-func (p *plain) Left(now float64, op *balance.Op) {
+func (p *plain) Left(now float64, op *balancer.Op) {
 	p.now = now
 	p.close(op)
 }
 
 // Shortened says nothing to a baseline: the host ends what is late.
-func (p *plain) Shortened(now float64, _ *balance.Op) { p.now = now }
+func (p *plain) Shortened(now float64, _ *balancer.Op) { p.now = now }
 
-func (p *plain) Begun(now float64, _ *balance.Push) { p.now = now }
+func (p *plain) Begun(now float64, _ *balancer.Push) { p.now = now }
 
-func (p *plain) Reported(now float64, _ *balance.Backend, _ balance.Report) { p.now = now }
+func (p *plain) Reported(now float64, _ *balancer.Backend, _ balancer.Report) { p.now = now }
 
-func (p *plain) Ended(now float64, push *balance.Push, how balance.Ending, _ float64, finished bool) {
+func (p *plain) Ended(now float64, push *balancer.Push, how balancer.Ending, _ float64, finished bool) {
 	p.now = now
 	p.out[push.Backend]--
 	s := p.ops[push.Op]
@@ -191,7 +191,7 @@
 
 func (p *plain) Due(now float64) { p.now = now; p.armed = 0 }
 
-func (p *plain) Next() (balance.Decision, bool) {
+func (p *plain) Next() (balancer.Decision, bool) {
 	if len(p.queue) > 0 {
 		d := p.queue[0]
 		p.queue = p.queue[1:]
@@ -200,19 +200,19 @@
 	if !p.tracked && !math.IsInf(p.askAt, 1) {
 		if p.now >= p.askAt {
 			p.askAt = p.now + p.t.AskWithin/2
-			return balance.Decision{Kind: balance.DoWatch}, true
+			return balancer.Decision{Kind: balancer.DoWatch}, true
 		}
 		if p.armed == 0 {
 			p.armed = p.askAt
-			return balance.Decision{Kind: balance.DoTimer, Wait: p.askAt - p.now}, true
+			return balancer.Decision{Kind: balancer.DoTimer, Wait: p.askAt - p.now}, true
 		}
 	}
-	return balance.Decision{}, false
+	return balancer.Decision{}, false
 }
 
 // may keeps the rules of repeats and drains; what a cold backend stands is not among what a baseline knows.
-func (p *plain) may(op *balance.Op, s *state, b *balance.Backend) bool {
-	if b.State != balance.Ready || op.GiveUp <= p.now {
+func (p *plain) may(op *balancer.Op, s *state, b *balancer.Backend) bool {
+	if b.State != balancer.Ready || op.GiveUp <= p.now {
 		return false
 	}
 	if s.first == nil {
@@ -220,18 +220,18 @@
 	}
 	c := &p.t.Categories[op.Category]
 	switch c.Effect {
-	case balance.AtMostOnce:
+	case balancer.AtMostOnce:
 		return false
-	case balance.Deduplicated:
-		return p.now-s.first.SentAt < c.Remembered && (c.Group == balance.GroupAll ||
-			c.Group == balance.GroupZone && b.Zone == s.first.Backend.Zone || c.Group == balance.GroupCell && b.Cell == s.first.Backend.Cell)
+	case balancer.Deduplicated:
+		return p.now-s.first.SentAt < c.Remembered && (c.Group == balancer.GroupAll ||
+			c.Group == balancer.GroupZone && b.Zone == s.first.Backend.Zone || c.Group == balancer.GroupCell && b.Cell == s.first.Backend.Cell)
 	}
 	return true
 }
 
-func (p *plain) place(op *balance.Op) {
+func (p *plain) place(op *balancer.Op) {
 	s := p.ops[op]
-	var open, fresh []*balance.Backend
+	var open, fresh []*balancer.Backend
 	for _, b := range p.backends {
 		if !p.may(op, s, b) {
 			continue
@@ -248,7 +248,7 @@
 	if len(fresh) > 0 {
 		open = fresh
 	}
-	var b *balance.Backend
+	var b *balancer.Backend
 	if len(open) > 0 && len(op.Pushes) < p.t.MaxPushes {
 		b = p.pick(open, op)
 	}
@@ -256,24 +256,24 @@
 		p.giveUp(op, s)
 		return
 	}
-	push := &balance.Push{Op: op, Backend: b, Number: len(op.Pushes), SentAt: p.now}
+	push := &balancer.Push{Op: op, Backend: b, Number: len(op.Pushes), SentAt: p.now}
 	op.Pushes = append(op.Pushes, push)
 	s.out[push] = true
 	if s.first == nil {
 		s.first = push
 	}
 	p.out[b]++
-	p.queue = append(p.queue, balance.Decision{Kind: balance.DoPush, Op: op, Push: push})
+	p.queue = append(p.queue, balancer.Decision{Kind: balancer.DoPush, Op: op, Push: push})
 }
 
-func (p *plain) giveUp(op *balance.Op, s *state) {
+func (p *plain) giveUp(op *balancer.Op, s *state) {
 	c := &p.t.Categories[op.Category]
-	kind := balance.DoDeadLetter
-	if s.first == nil || c.Effect == balance.Redeliverable || c.Effect == balance.Deduplicated && c.Group == balance.GroupAll {
-		kind = balance.DoNack
+	kind := balancer.DoDeadLetter
+	if s.first == nil || c.Effect == balancer.Redeliverable || c.Effect == balancer.Deduplicated && c.Group == balancer.GroupAll {
+		kind = balancer.DoNack
 	}
-	d := balance.Decision{Kind: kind, Op: op}
-	if kind == balance.DoNack && p.t.ComeBack {
+	d := balancer.Decision{Kind: kind, Op: op}
+	if kind == balancer.DoNack && p.t.ComeBack {
 		d.Wait = math.Min(p.t.MaxComeBack, c.TargetLatency) * (0.5 + 0.5*p.rng.Float64())
 	}
 	p.queue = append(p.queue, d)
@@ -281,7 +281,7 @@
 }
 
 // close ends an op and calls off what is out.
-func (p *plain) close(op *balance.Op) {
+func (p *plain) close(op *balancer.Op) {
 	s := p.ops[op]
 	if s == nil {
 		return
@@ -290,7 +290,7 @@
 	if p.t.Cancel {
 		for _, q := range op.Pushes {
 			if s.out[q] {
-				p.queue = append(p.queue, balance.Decision{Kind: balance.DoRevoke, Op: op, Push: q})
+				p.queue = append(p.queue, balancer.Decision{Kind: balancer.DoRevoke, Op: op, Push: q})
 			}
 		}
 	}
--- a/internal/lab/capacity/rig_links.go
+++ b/internal/lab/capacity/rig_links.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"runtime"
 
-	"pearknot/internal/lab/among"
+	"pearknot/internal/lab/simcluster"
 )
 
 const settled = 3500.0 // ms of virtual time after which each log has its leader and its copies
@@ -19,7 +19,7 @@
 			{"links.cpu", "the same, processor time a node (simulated cluster: no sockets, no proofs)", "ms/s", false},
 		},
 		open: func(_ context.Context, _ *Bench, size float64) (*rig, error) {
-			f := among.New(1, int(size), 3)
+			f := simcluster.New(1, int(size), 3)
 			f.Up()
 			f.Pass(settled)
 			return &rig{run: func(context.Context) ([]float64, error) {
@@ -41,7 +41,7 @@
 		},
 		open: func(_ context.Context, _ *Bench, size float64) (*rig, error) {
 			return &rig{run: func(context.Context) ([]float64, error) {
-				f := among.New(1, members, 3)
+				f := simcluster.New(1, members, 3)
 				f.Up()
 				f.Pass(settled)
 				before, bytes, cpu, over := heap(), f.Bytes, spent(), size/rate*1e3
--- a/internal/lab/capacity/rig_module.go
+++ b/internal/lab/capacity/rig_module.go
@@ -9,10 +9,10 @@
 	"runtime"
 	"time"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/capture"
 	"pearknot/internal/clock"
-	"pearknot/internal/terms"
+	"pearknot/internal/config"
 )
 
 // perNode is the requests a second at which a node's costs are measured, and busy a node that has ten times as many.
@@ -22,40 +22,40 @@
 )
 
 // plain are terms of a node among many, with so many tenants.
-func plain(tenants int) *balance.Terms {
-	t := &balance.Terms{Seed: 1, Nodes: 100, MaxPushes: 3, SecondCopies: true, Cancel: true, ColdFrom: 0.3, WarmWithin: 8000,
-		FallMultiple: 4, OverloadFor: 2000, Categories: []balance.Category{{TargetLatency: 600, Benefit: 1}}}
+func plain(tenants int) *balancer.Terms {
+	t := &balancer.Terms{Seed: 1, Nodes: 100, MaxPushes: 3, SecondCopies: true, Cancel: true, ColdFrom: 0.3, WarmWithin: 8000,
+		FallMultiple: 4, OverloadFor: 2000, Categories: []balancer.Category{{TargetLatency: 600, Benefit: 1}}}
 	for range tenants {
-		t.Tenants = append(t.Tenants, balance.Tenant{Quota: 5})
+		t.Tenants = append(t.Tenants, balancer.Tenant{Quota: 5})
 	}
 	return t
 }
 
-func lines(backends int) (all []balance.Listing) {
+func lines(backends int) (all []balancer.Listing) {
 	for k := range backends {
-		all = append(all, balance.Listing{Backend: &balance.Backend{Ref: uint64(k)}, State: balance.Ready, Zone: k % 2, Kind: k % 3, Weight: 1})
+		all = append(all, balancer.Listing{Backend: &balancer.Backend{Ref: uint64(k)}, State: balancer.Ready, Zone: k % 2, Kind: k % 3, Weight: 1})
 	}
 	return all
 }
 
 // host drives a module as a node does, at a node's rate, in virtual time.
 type host struct {
-	module  balance.Decider
+	module  balancer.Decider
 	now     float64
 	tenants int
 	rng     *rand.Rand
 }
 
-func newHost(module balance.Decider, tenants, backends int) *host {
+func newHost(module balancer.Decider, tenants, backends int) *host {
 	h := &host{module: module, now: 1, tenants: tenants, rng: rand.New(rand.NewPCG(1, 1))}
 	h.module.Listed(h.now, lines(backends), true, false)
 	h.pull()
 	return h
 }
 
-func (h *host) pull() (p *balance.Push) {
+func (h *host) pull() (p *balancer.Push) {
 	for d, more := h.module.Next(); more; d, more = h.module.Next() {
-		if d.Kind == balance.DoPush {
+		if d.Kind == balancer.DoPush {
 			p = d.Push
 		}
 	}
@@ -63,9 +63,9 @@
 }
 
 // request takes one, and gives the push that was decided; none is out when it comes.
-func (h *host) request() *balance.Push {
+func (h *host) request() *balancer.Push {
 	h.now += 1e3 / perNode
-	op := &balance.Op{GiveUp: h.now + 2000, Hint: 30, HasHint: true}
+	op := &balancer.Op{GiveUp: h.now + 2000, Hint: 30, HasHint: true}
 	if h.tenants > 0 {
 		op.Tenant = h.rng.IntN(h.tenants)
 	}
@@ -73,9 +73,9 @@
 	return h.pull()
 }
 
-func (h *host) answer(p *balance.Push) {
-	h.module.Reported(h.now+3, p.Backend, balance.Report{Service: 3, Held: 2, Waiting: balance.Untold})
-	h.module.Ended(h.now+3, p, balance.Answered, 3, true)
+func (h *host) answer(p *balancer.Push) {
+	h.module.Reported(h.now+3, p.Backend, balancer.Report{Service: 3, Held: 2, Waiting: balancer.Untold})
+	h.module.Ended(h.now+3, p, balancer.Answered, 3, true)
 	h.pull()
 }
 
@@ -126,7 +126,7 @@
 	open := func(backends, tenants func(size float64) float64) func(context.Context, *Bench, float64) (*rig, error) {
 		return func(_ context.Context, b *Bench, size float64) (*rig, error) {
 			t := plain(int(tenants(size)))
-			h := newHost(balance.New(t, 1), len(t.Tenants), int(backends(size)))
+			h := newHost(balancer.New(t, 1), len(t.Tenants), int(backends(size)))
 			h.through(60) // past the first hints
 			return &rig{run: func(context.Context) ([]float64, error) {
 				return h.requests(count(b, backends(size), tenants(size))), nil
@@ -149,7 +149,7 @@
 					before := heap()
 					hosts := make([]*host, int(size))
 					for k := range hosts {
-						hosts[k] = newHost(balance.New(plain(0), 1), 0, 30)
+						hosts[k] = newHost(balancer.New(plain(0), 1), 0, 30)
 						hosts[k].through(60)
 					}
 					after, cpu, n := heap(), spent(), 0
@@ -201,10 +201,10 @@
 				before := heap()
 				_, bytes := made()
 				cpu := spent()
-				var d *terms.Deployment
+				var d *config.Deployment
 				for range rounds {
 					var err error
-					if d, err = terms.FromJSON(text); err != nil {
+					if d, err = config.FromJSON(text); err != nil {
 						return nil, err
 					}
 				}
@@ -226,7 +226,7 @@
 		},
 		open: func(_ context.Context, _ *Bench, size float64) (*rig, error) {
 			return &rig{run: func(context.Context) (values []float64, err error) {
-				through := func(module balance.Decider) float64 {
+				through := func(module balancer.Decider) float64 {
 					h := newHost(module, 0, backends)
 					before := spent()
 					h.through(int(size))
@@ -234,7 +234,7 @@
 				}
 				t := plain(0)
 				runtime.GC()
-				without := through(balance.New(t, 1))
+				without := through(balancer.New(t, 1))
 				dir, err := os.MkdirTemp("", "pearknot-capacity")
 				if err != nil {
 					return nil, err
@@ -246,7 +246,7 @@
 				if err != nil {
 					return nil, err
 				}
-				r, err := capture.NewRecorder(balance.New(t, 1), 1, capture.Start{Name: "n", Terms: t}, capture.Options{Every: 10e3, Sink: w.Put})
+				r, err := capture.NewRecorder(balancer.New(t, 1), 1, capture.Start{Name: "n", Terms: t}, capture.Options{Every: 10e3, Sink: w.Put})
 				if err != nil {
 					w.Close()
 					return nil, err
--- a/internal/lab/capacity/rig_serve.go
+++ b/internal/lab/capacity/rig_serve.go
@@ -23,8 +23,8 @@
 	"syscall"
 	"time"
 
-	"pearknot/balance"
-	"pearknot/internal/lab/roll"
+	"pearknot/balancer"
+	"pearknot/internal/lab/discoverystub"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -34,9 +34,9 @@
 	readyWithin = 60 * time.Second
 )
 
-// discovery is a stand-in for the service that names the backends, which counts what it costs. Every backend's address is that
+// discoveryServer is a stand-in for the service that names the backends, which counts what it costs. Every backend's address is that
 // of one listener.
-type discovery struct {
+type discoveryServer struct {
 	address string
 	backend string
 	calls   atomic.Int64
@@ -45,7 +45,7 @@
 	server *http.Server
 	wg     sync.WaitGroup
 	mu     sync.Mutex
-	roll   *roll.Roll
+	roll   *discoverystub.Roll
 	news   chan struct{} // closed when there is something newer
 }
 
@@ -66,7 +66,7 @@
 	Targets []entry `json:"targets"`
 }
 
-var states = map[balance.State]string{balance.Ready: "up", balance.Draining: "draining", balance.Gone: "removed"}
+var states = map[balancer.State]string{balancer.Ready: "up", balancer.Draining: "draining", balancer.Gone: "removed"}
 
 // counted are connections whose bytes are counted.
 type counted struct {
@@ -99,14 +99,14 @@
 	return n, err
 }
 
-func newDiscovery(backends int, backend string) (*discovery, error) {
+func newDiscovery(backends int, backend string) (*discoveryServer, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &discovery{address: l.Addr().String(), backend: backend, roll: roll.New(0), news: make(chan struct{})}
+	d := &discoveryServer{address: l.Addr().String(), backend: backend, roll: discoverystub.New(0), news: make(chan struct{})}
 	for k := range backends {
-		d.roll.Set(0, 0, roll.Entry{Backend: k, State: balance.Ready})
+		d.roll.Set(0, 0, discoverystub.Entry{Backend: k, State: balancer.Ready})
 	}
 	d.roll.Advance(0)
 	d.server = &http.Server{Handler: http.HandlerFunc(d.serve)}
@@ -114,17 +114,17 @@
 	return d, nil
 }
 
-func (d *discovery) close() {
+func (d *discoveryServer) close() {
 	_ = d.server.Close()
 	d.wg.Wait()
 }
 
 // change tells backends' state, all at once.
-func (d *discovery) change(s balance.State, backends ...int) {
+func (d *discoveryServer) change(s balancer.State, backends ...int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, b := range backends {
-		d.roll.Set(0, 0, roll.Entry{Backend: b, State: s})
+		d.roll.Set(0, 0, discoverystub.Entry{Backend: b, State: s})
 	}
 	d.roll.Advance(0)
 	close(d.news)
@@ -132,13 +132,13 @@
 }
 
 // whole is the list as a configuration has it.
-func (d *discovery) whole() told {
+func (d *discoveryServer) whole() told {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return told{d.roll.Version(), true, d.entries(d.roll.Whole())}
 }
 
-func (d *discovery) entries(from []roll.Entry) []entry {
+func (d *discoveryServer) entries(from []discoverystub.Entry) []entry {
 	all := make([]entry, 0, len(from))
 	for _, e := range from {
 		all = append(all, entry{UID: fmt.Sprintf("s-%d", e.Backend), Endpoint: d.backend, AZ: [...]string{"a", "b"}[e.Backend%2], Model: "m",
@@ -147,7 +147,7 @@
 	return all
 }
 
-func (d *discovery) serve(w http.ResponseWriter, r *http.Request) {
+func (d *discoveryServer) serve(w http.ResponseWriter, r *http.Request) {
 	d.calls.Add(1)
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	watching := err == nil
@@ -185,7 +185,7 @@
 // place is a node's surroundings: a backend that answers at once, or holds its answers, and discovery.
 type place struct {
 	dir       string
-	discovery *discovery
+	discovery *discoveryServer
 	backend   *http.Server
 	address   string        // the backend's
 	hold      chan struct{} // answers wait until it is closed; nil is not at all
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -6,7 +6,7 @@
 import (
 	"math"
 
-	"pearknot/internal/strict"
+	"pearknot/internal/tomlfile"
 )
 
 // Target is a size that is planned.
@@ -43,7 +43,7 @@
 // Read reads a target's file.
 func Read(name string) (*Target, error) {
 	t := &Target{}
-	f, err := strict.Read(name, t)
+	f, err := tomlfile.Read(name, t)
 	if err != nil {
 		return nil, err
 	}
@@ -53,7 +53,7 @@
 // Decode reads text as if it were a file of that name.
 func Decode(name string, data []byte) (*Target, error) {
 	t := &Target{}
-	f, err := strict.Decode(name, data, t)
+	f, err := tomlfile.Decode(name, data, t)
 	if err != nil {
 		return nil, err
 	}
@@ -80,7 +80,7 @@
 // mostFigure is beyond any fleet, and far from where a square of it would be no number any more.
 const mostFigure = 1e12
 
-func (t *Target) check(f *strict.File) error {
+func (t *Target) check(f *tomlfile.File) error {
 	for _, x := range t.figures() {
 		if !(x.value > 0 && x.value <= mostFigure) || math.IsNaN(x.value) {
 			return f.Errorf(x.key, "%v is not above 0 and at most %g", x.value, mostFigure)
--- a/internal/lab/roll/roll.go
+++ b/internal/lab/discoverystub/discoverystub.go
@@ -1,18 +1,18 @@
-// Package roll is the model of the list's service: what it knows lags behind the truth, it tells so many lines a
+// Package discoverystub is the model of the list's service: what it knows lags behind the truth, it tells so many lines a
 // second to all nodes together, and calls that would wait too long fail. It holds no clock and does no I/O.
-package roll
+package discoverystub
 
 import (
 	"math"
 	"slices"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 // Entry is one backend as the list names it.
 type Entry struct {
 	Backend int
-	State   balance.State
+	State   balancer.State
 	Started float64
 }
 
@@ -85,7 +85,7 @@
 func (r *Roll) Whole() []Entry {
 	var all []Entry
 	for _, i := range r.held {
-		if r.told[i].State != balance.Gone {
+		if r.told[i].State != balancer.Gone {
 			all = append(all, r.told[i].Entry)
 		}
 	}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -10,10 +10,10 @@
 	"slices"
 	"strings"
 
-	"pearknot/balance"
-	"pearknot/internal/lab/machine"
-	"pearknot/internal/rules"
-	"pearknot/internal/strict"
+	"pearknot/balancer"
+	"pearknot/internal/invariants"
+	"pearknot/internal/lab/backendmodel"
+	"pearknot/internal/tomlfile"
 )
 
 // Experiment is one file. Zero values of what may be left out are filled in by Read.
@@ -236,7 +236,7 @@
 // Decode reads and checks text as if it were a file of that name.
 func Decode(name string, data []byte) (*Experiment, error) {
 	e := base()
-	f, err := strict.Decode(name, data, e)
+	f, err := tomlfile.Decode(name, data, e)
 	if err != nil {
 		return nil, err
 	}
@@ -250,7 +250,7 @@
 }
 
 // check finds the first thing that can't be.
-func (e *Experiment) check(f *strict.File) error {
+func (e *Experiment) check(f *tomlfile.File) error {
 	c := &checks{f: f}
 	c.within("seconds", e.Seconds, 1, 86400)
 	c.must(len(e.Seeds) > 0, "seeds", "none given")
@@ -381,7 +381,7 @@
 
 // checks keeps the first fault.
 type checks struct {
-	f   *strict.File
+	f   *tomlfile.File
 	err error
 }
 
@@ -400,21 +400,21 @@
 }
 
 // Categories are those that a node's terms hold.
-func (e *Experiment) Categories() []balance.Category {
-	all := make([]balance.Category, 0, len(e.Category))
+func (e *Experiment) Categories() []balancer.Category {
+	all := make([]balancer.Category, 0, len(e.Category))
 	for _, k := range e.Category {
-		all = append(all, balance.Category{Effect: k.effect(), Group: balance.Group(max(slices.Index(groups, k.Group), 0)),
+		all = append(all, balancer.Category{Effect: k.effect(), Group: balancer.Group(max(slices.Index(groups, k.Group), 0)),
 			Remembered: k.RememberMs, TargetLatency: k.TargetMs, Benefit: k.Benefit, LateBenefit: k.Late,
 			KeepOrder: k.KeepOrder})
 	}
 	return all
 }
 
-func (k Category) effect() balance.Effect { return balance.Effect(slices.Index(effects, k.Effect)) }
+func (k Category) effect() balancer.Effect { return balancer.Effect(slices.Index(effects, k.Effect)) }
 
 // Terms are what a node is told; zone and seed are its own.
-func (e *Experiment) Terms(zone int, seed uint64) *balance.Terms {
-	return &balance.Terms{Seed: seed, Zone: zone, Nodes: e.Fleet.Nodes, Categories: e.Categories(), ExcessBenefit: 1,
+func (e *Experiment) Terms(zone int, seed uint64) *balancer.Terms {
+	return &balancer.Terms{Seed: seed, Zone: zone, Nodes: e.Fleet.Nodes, Categories: e.Categories(), ExcessBenefit: 1,
 		ByWork: e.Rules.BenefitByWork, CrossPrice: e.Fleet.CrossPrice, MaxPushes: e.Rules.MaxPushes,
 		SecondCopies: e.Rules.SecondCopies, Cancel: e.Rules.Cancel, ComeBack: e.Rules.ComeBack,
 		MaxComeBack: e.Rules.MaxComeBackMs, MustAsk: e.List.MustAsk, AskWithin: e.Fleet.AskWithinMs, ColdFrom: e.Backend.ColdFrom,
@@ -423,8 +423,8 @@
 }
 
 // Auditor judges the experiment; slack is what the host sees late, in ms.
-func (e *Experiment) Auditor(slack float64) *rules.Auditor {
-	return rules.New(rules.Terms{Categories: e.Categories(), MaxPushes: e.Rules.MaxPushes, SecondCopies: e.Rules.SecondCopies,
+func (e *Experiment) Auditor(slack float64) *invariants.Auditor {
+	return invariants.New(invariants.Terms{Categories: e.Categories(), MaxPushes: e.Rules.MaxPushes, SecondCopies: e.Rules.SecondCopies,
 		DrainGrace: e.Rules.DrainGraceMs, ColdFrom: e.Backend.ColdFrom, WarmWithin: e.Backend.WarmWithinMs,
 		FallMultiple: e.Backend.FallMultiple, OverloadFor: e.Backend.OverloadForMs, MeanWork: e.MeanWork(),
 		SettleAfterDoubt: e.Rules.SettleMs, RemovalNotBinding: e.Rules.RemovalNotBinding, Slack: slack})
@@ -513,9 +513,9 @@
 }
 
 // MachineKind is what a backend is like.
-func (e *Experiment) MachineKind(backend int) machine.Kind {
+func (e *Experiment) MachineKind(backend int) backendmodel.Kind {
 	m, b := e.Machines[e.MachineOf(backend)], e.Backend
-	return machine.Kind{Cores: m.Cores, Speed: m.Speed, Queue: b.Queue, ColdFrom: b.ColdFrom, WarmWithin: b.WarmWithinMs,
+	return backendmodel.Kind{Cores: m.Cores, Speed: m.Speed, Queue: b.Queue, ColdFrom: b.ColdFrom, WarmWithin: b.WarmWithinMs,
 		FallMultiple: b.FallMultiple, OverloadFor: b.OverloadForMs, MeanWork: e.MeanWork(), CrowdQueue: b.CrowdQueue, CrowdAfter: b.CrowdAfterMs,
 		CrowdFactor: b.CrowdFactor, CrowdUntil: b.CrowdUntilMs, ReportAge: b.ReportAgeMs, ReportNoise: b.ReportNoise,
 		StopOnRevoke: b.StopOnRevoke, NewConnection: b.NewConnWorkMs}
--- a/internal/lab/wires/wires.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -1,7 +1,7 @@
-// Package wires stands between two processes: a relay for one directed link, with faults that can be set at any time. What
+// Package faultproxy stands between two processes: a relay for one directed link, with faults that can be set at any time. What
 // is dropped is held, as a network that carries nothing leaves it to TCP to send again: it comes when the fault is over,
 // unless one of the ends has hung up by then.
-package wires
+package faultproxy
 
 import (
 	"errors"
--- a/internal/lab/wires/wires_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -1,4 +1,4 @@
-package wires
+package faultproxy
 
 import (
 	"io"
--- a/internal/lab/trouble/trouble.go
+++ b/internal/lab/faults/faults.go
@@ -1,13 +1,13 @@
-// Package trouble turns an experiment's schedule into switches, each with whom it hits, and keeps what is on at a
+// Package faults turns an experiment's schedule into switches, each with whom it hits, and keeps what is on at a
 // moment. Troubles may overlap, on one machine too. It holds no clock and does no I/O.
-package trouble
+package faults
 
 import (
 	"math/rand/v2"
 	"slices"
 
+	"pearknot/internal/lab/backendmodel"
 	"pearknot/internal/lab/experiment"
-	"pearknot/internal/lab/machine"
 )
 
 // Switch is a trouble's beginning or end.
@@ -106,7 +106,7 @@
 }
 
 // Machine is all that is on for one backend.
-func (s *State) Machine(b int) (m machine.Troubles) {
+func (s *State) Machine(b int) (m backendmodel.Troubles) {
 	hit := func(kind string, f func(experiment.Trouble)) {
 		s.each(kind, func(t experiment.Trouble, targets []int) {
 			if slices.Contains(targets, b) {
