--- a/internal/lab/trouble/trouble_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -1,4 +1,4 @@
-package trouble
+package faults
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"pearknot/internal/lab/backendmodel"
 	"pearknot/internal/lab/experiment"
-	"pearknot/internal/lab/machine"
 )
 
 func file(t *testing.T, troubles string) *experiment.Experiment {
@@ -100,12 +100,12 @@
 factor = 7
 `)
 	s := NewState(e)
-	assert.Equal(t, machine.Troubles{}, s.Machine(1))
+	assert.Equal(t, backendmodel.Troubles{}, s.Machine(1))
 	for i := range e.Trouble {
 		s.Put(Switch{On: true, Index: i, Targets: []int{1}})
 	}
-	assert.Equal(t, machine.Troubles{Slow: 6, Errors: 0.5}, s.Machine(1))
-	assert.Equal(t, machine.Troubles{}, s.Machine(2))
+	assert.Equal(t, backendmodel.Troubles{Slow: 6, Errors: 0.5}, s.Machine(1))
+	assert.Equal(t, backendmodel.Troubles{}, s.Machine(2))
 	assert.InDelta(t, 3, s.Burst(), 1e-9)
 	assert.InDelta(t, 3, MostBurst(e), 1e-9)
 	assert.InDelta(t, 400, s.Lag(), 1e-9)
--- a/internal/lab/tally/tally.go
+++ b/internal/lab/logstats/logstats.go
@@ -1,5 +1,5 @@
-// Package tally counts the debug lines of a whole fleet's logs: what no single node can tell of itself.
-package tally
+// Package logstats counts the debug lines of a whole fleet's logs: what no single node can tell of itself.
+package logstats
 
 import (
 	"bufio"
--- a/internal/lab/tally/tally_test.go
+++ b/internal/lab/logstats/logstats_test.go
@@ -1,4 +1,4 @@
-package tally
+package logstats
 
 import (
 	"strings"
--- a/internal/lab/loopback/backend.go
+++ b/internal/lab/loopback/backend.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"pearknot/balance"
-	"pearknot/internal/lab/machine"
-	"pearknot/internal/rules"
+	"pearknot/balancer"
+	"pearknot/internal/invariants"
+	"pearknot/internal/lab/backendmodel"
 )
 
 // backend is the stand-in for one server: the lab's model of a machine behind real sockets. It listens once for each
@@ -28,7 +28,7 @@
 	cells  int
 
 	mu     sync.Mutex
-	m      *machine.Machine
+	m      *backendmodel.Machine
 	inHand map[uint64]*call // by push
 	seq    uint64
 	timer  *time.Timer
@@ -56,7 +56,7 @@
 	wg      sync.WaitGroup
 }
 
-func newBackend(h *hub, number, zone, kind, zones int, m *machine.Machine) (*backend, error) {
+func newBackend(h *hub, number, zone, kind, zones int, m *backendmodel.Machine) (*backend, error) {
 	b := &backend{hub: h, number: number, zone: zone, kind: kind, cells: number, m: m, inHand: map[uint64]*call{}}
 	b.timer = time.AfterFunc(time.Hour, b.turn)
 	for z := range zones {
@@ -111,7 +111,7 @@
 	b.silent = false
 	started := b.m.Started()
 	b.mu.Unlock()
-	b.hub.tell(rules.Event{Kind: rules.BackendStarted, Backend: b.number, Zone: b.zone, Cell: b.cells, Speed: b.m.Standing(), Started: started})
+	b.hub.tell(invariants.Event{Kind: invariants.BackendStarted, Backend: b.number, Zone: b.zone, Cell: b.cells, Speed: b.m.Standing(), Started: started})
 	for _, d := range b.doors {
 		if err := d.open(); err != nil {
 			return err
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func (b *backend) put() machine.Troubles {
+func (b *backend) put() backendmodel.Troubles {
 	b.hub.mu.Lock()
 	defer b.hub.mu.Unlock()
 	return b.hub.state.Machine(b.number)
@@ -159,13 +159,13 @@
 }
 
 // arrive hands a push to the model.
-func (b *backend) arrive(work float64, fresh bool) (c *call, v machine.Verdict) {
+func (b *backend) arrive(work float64, fresh bool) (c *call, v backendmodel.Verdict) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.seq++
 	c = &call{done: make(chan float64, 1), id: b.seq}
 	v = b.m.Arrive(b.hub.now(), c.id, work, fresh)
-	if v == machine.Taken {
+	if v == backendmodel.Taken {
 		b.inHand[c.id] = c
 	}
 	b.turned()
@@ -182,7 +182,7 @@
 	}
 }
 
-func (b *backend) report() machine.Report {
+func (b *backend) report() backendmodel.Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.m.Report(b.hub.now())
@@ -355,30 +355,30 @@
 
 // push sees one push through; false ends the connection.
 func (d *door) push(ctx context.Context, c *net.TCPConn, try uint64, number int, work float64, fresh bool) bool {
-	ended := func(how balance.Ending) {
-		d.b.hub.tell(rules.Event{Kind: rules.PushEnded, Op: try, Push: number, Ending: how})
+	ended := func(how balancer.Ending) {
+		d.b.hub.tell(invariants.Event{Kind: invariants.PushEnded, Op: try, Push: number, Ending: how})
 	}
 	wait(ctx, d.b.way(d.zone))
 	if d.mute(c) {
 		<-ctx.Done()
-		ended(balance.TimedOut)
+		ended(balancer.TimedOut)
 		return false
 	}
 	k, v := d.b.arrive(work, fresh)
 	switch v {
-	case machine.Rejected:
-		ended(balance.Rejected)
+	case backendmodel.Rejected:
+		ended(balancer.Rejected)
 		return d.write(c, "503 Service Unavailable", "X-Never-Ran: 1\r\n", "full")
-	case machine.Failed:
-		ended(balance.Failed)
+	case backendmodel.Failed:
+		ended(balancer.Failed)
 		wait(ctx, time.Millisecond)
 		return d.write(c, "500 Internal Server Error", "", "failed")
-	case machine.Swallowed:
+	case backendmodel.Swallowed:
 		<-ctx.Done()
-		ended(balance.TimedOut)
+		ended(balancer.TimedOut)
 		return false
-	case machine.Down:
-		ended(balance.Reset)
+	case backendmodel.Down:
+		ended(balancer.Reset)
 		d.b.mu.Lock()
 		fell := d.b.m.Up() && d.b.m.Fallen()
 		d.b.mu.Unlock()
@@ -391,21 +391,21 @@
 		_ = c.SetLinger(0)
 		return false
 	}
-	d.b.hub.tell(rules.Event{Kind: rules.PushRan, Op: try, Push: number, Backend: d.b.number})
+	d.b.hub.tell(invariants.Event{Kind: invariants.PushRan, Op: try, Push: number, Backend: d.b.number})
 	select {
 	case <-k.done:
 	case <-ctx.Done():
 		d.b.revoke(k)
-		ended(balance.Revoked)
+		ended(balancer.Revoked)
 		return false
 	}
 	wait(ctx, d.b.way(d.zone))
 	if d.mute(c) {
 		<-ctx.Done()
-		ended(balance.TimedOut)
+		ended(balancer.TimedOut)
 		return false
 	}
-	ended(balance.Answered)
+	ended(balancer.Answered)
 	r, head := d.b.report(), ""
 	if d.b.hub.e.Backend.Report {
 		head = fmt.Sprintf("Endpoint-Load-Metrics: TEXT mean_ms=%.3f, inflight=%d\r\n", r.Service, r.InHand)
--- a/internal/lab/loopback/clients.go
+++ b/internal/lab/loopback/clients.go
@@ -11,14 +11,14 @@
 	"sync"
 	"time"
 
-	"pearknot/internal/lab/clients"
-	"pearknot/internal/rules"
+	"pearknot/internal/invariants"
+	"pearknot/internal/lab/workload"
 )
 
 // crowd is all clients: they send when the source says so, whether or not answers come.
 type crowd struct {
 	hub    *hub
-	source *clients.Source
+	source *workload.Source
 	nodes  [][]*node // by zone
 	turn   []int
 	http   []*http.Client // devices, each with connections of its own
@@ -30,7 +30,7 @@
 // slackMs is what a node's answer may come late for what sockets and processes take.
 const slackMs = 50.0
 
-func newCrowd(h *hub, s *clients.Source, nodes []*node, secure *secure, devices int) *crowd {
+func newCrowd(h *hub, s *workload.Source, nodes []*node, secure *secure, devices int) *crowd {
 	c := &crowd{hub: h, source: s, nodes: make([][]*node, len(h.e.Fleet.Zones)), turn: make([]int, len(h.e.Fleet.Zones))}
 	for _, n := range nodes {
 		c.nodes[n.zone] = append(c.nodes[n.zone], n)
@@ -76,26 +76,26 @@
 }
 
 // see follows one op through its tries.
-func (c *crowd) see(ctx context.Context, op *clients.Op) {
+func (c *crowd) see(ctx context.Context, op *workload.Op) {
 	for number := 0; ctx.Err() == nil; number++ {
 		how, comeBack, left := c.try(ctx, op, number)
 		c.hub.mu.Lock()
 		switch how {
-		case clients.Acked:
+		case workload.Acked:
 			now := c.hub.now()
 			c.hub.rec.Served(op, now)
 			c.hub.live.Acked++
 			if now-op.At <= c.hub.e.Category[op.Category].TargetMs {
 				c.hub.live.InTime++
 			}
-		case clients.Unreached:
+		case workload.Unreached:
 			c.hub.rec.Unreached()
 		}
 		again, wants := 0.0, false
-		if how != clients.Acked && !left {
+		if how != workload.Acked && !left {
 			again, wants = c.source.Again(op, number, how, comeBack)
 		}
-		if how != clients.Acked && !wants {
+		if how != workload.Acked && !wants {
 			c.hub.rec.Over(op)
 			c.hub.live.Lost++
 		}
@@ -121,11 +121,11 @@
 	return nil
 }
 
-var finals = map[int]rules.Final{http.StatusOK: rules.Acked, http.StatusTooManyRequests: rules.Nacked,
-	http.StatusServiceUnavailable: rules.Nacked}
+var finals = map[int]invariants.Final{http.StatusOK: invariants.Acked, http.StatusTooManyRequests: invariants.Nacked,
+	http.StatusServiceUnavailable: invariants.Nacked}
 
 // try sends once and waits for the answer; left tells that the client went away by itself.
-func (c *crowd) try(ctx context.Context, op *clients.Op, number int) (how clients.Outcome, comeBack float64, left bool) {
+func (c *crowd) try(ctx context.Context, op *workload.Op, number int) (how workload.Outcome, comeBack float64, left bool) {
 	h := c.hub
 	h.mu.Lock()
 	h.rec.Tried()
@@ -133,9 +133,9 @@
 	h.mu.Unlock()
 	n := c.front(op.Zone)
 	if n == nil {
-		return clients.Unreached, 0, false
+		return workload.Unreached, 0, false
 	}
-	id := clients.TryID(op.ID, number)
+	id := workload.TryID(op.ID, number)
 	k := h.e.Category[op.Category]
 	sent := h.now()
 	stay := told.Patience + slackMs
@@ -182,44 +182,44 @@
 	late := h.now() > sent+told.Patience
 	switch {
 	case err != nil && run.Err() != nil: // the run was ended: nothing is owed
-		h.tell(rules.Event{Kind: rules.OpLeft, Op: id})
-		return clients.Lost, 0, true
+		h.tell(invariants.Event{Kind: invariants.OpLeft, Op: id})
+		return workload.Lost, 0, true
 	case err != nil && told.Leaves > 0 && errors.Is(err, context.DeadlineExceeded):
-		h.tell(rules.Event{Kind: rules.OpLeft, Op: id})
-		return clients.Lost, 0, true
+		h.tell(invariants.Event{Kind: invariants.OpLeft, Op: id})
+		return workload.Lost, 0, true
 	case err != nil && ctx.Err() != nil: // the auditor tells whether an answer was owed
 		h.mu.Lock()
 		h.rec.GaveUp()
 		h.mu.Unlock()
-		return clients.Lost, 0, false
+		return workload.Lost, 0, false
 	case err != nil && !taken:
-		return clients.Unreached, 0, false
+		return workload.Unreached, 0, false
 	case err != nil: // ended without an answer: lost, unless its node was killed
-		return clients.Lost, 0, false
+		return workload.Lost, 0, false
 	}
 	f, known := finals[answer.StatusCode]
 	if !known {
-		f = rules.DeadLettered
+		f = invariants.DeadLettered
 	}
-	e := rules.Event{Kind: rules.OpAnswered, Node: n.number, Op: id, Final: f, Push: rules.AnyPush}
+	e := invariants.Event{Kind: invariants.OpAnswered, Node: n.number, Op: id, Final: f, Push: invariants.AnyPush}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if f == rules.Acked && string(data) != answerTo(id) {
+	if f == invariants.Acked && string(data) != answerTo(id) {
 		e.Push = -2 // nobody's
 	}
 	h.told(e)
 	h.rec.Final(h.now(), f)
 	switch f {
-	case rules.Nacked:
+	case invariants.Nacked:
 		h.live.Nacked++
 		s, _ := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64)
-		return clients.Nacked, s * 1e3, false
-	case rules.DeadLettered:
+		return workload.Nacked, s * 1e3, false
+	case invariants.DeadLettered:
 		h.live.Dead++
-		return clients.Lost, 0, false
+		return workload.Lost, 0, false
 	}
 	if late {
-		return clients.Lost, 0, false
+		return workload.Lost, 0, false
 	}
-	return clients.Acked, 0, false
+	return workload.Acked, 0, false
 }
--- a/internal/lab/loopback/hub.go
+++ b/internal/lab/loopback/hub.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"pearknot/internal/clock"
-	"pearknot/internal/lab/clients"
+	"pearknot/internal/invariants"
 	"pearknot/internal/lab/experiment"
-	"pearknot/internal/lab/measure"
-	"pearknot/internal/lab/trouble"
-	"pearknot/internal/rules"
+	"pearknot/internal/lab/faults"
+	"pearknot/internal/lab/metrics"
+	"pearknot/internal/lab/workload"
 )
 
 // hub is where all that is seen comes together, in one order: the auditor, the figures and what is on.
@@ -22,11 +22,11 @@
 	base  atomic.Uint64 // the clock's reading at the run's start, as bits; moved once, before there is any load
 
 	mu      sync.Mutex
-	auditor *rules.Auditor
-	rec     *measure.Recorder
-	state   *trouble.State
+	auditor *invariants.Auditor
+	rec     *metrics.Recorder
+	state   *faults.State
 	tries   map[uint64]known // by id, until their time is over
-	watch   func(rules.Event)
+	watch   func(invariants.Event)
 	fallen  int
 	live    Live
 }
@@ -61,14 +61,14 @@
 func (h *hub) time(ms float64) time.Time { return h.clock.At(h.from() + ms) }
 
 // tell hands an event on, at the present.
-func (h *hub) tell(e rules.Event) {
+func (h *hub) tell(e invariants.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.told(e)
 }
 
 // told is tell for those who hold the lock.
-func (h *hub) told(e rules.Event) {
+func (h *hub) told(e invariants.Event) {
 	e.At = h.now()
 	if h.watch != nil {
 		h.watch(e)
@@ -89,19 +89,19 @@
 	h.tries[try] = t
 	h.live.Pushes++
 	h.rec.Pushed(h.now(), backend, crossing)
-	h.told(rules.Event{Kind: rules.PushBegun, Node: t.node, Op: try, Push: number, Backend: backend, Work: t.work})
+	h.told(invariants.Event{Kind: invariants.PushBegun, Node: t.node, Op: try, Push: number, Backend: backend, Work: t.work})
 	return number, t.work, true
 }
 
 // taken takes an op's last byte at a node's connection.
-func (h *hub) taken(try uint64, node int, op *clients.Op, giveUp float64) {
+func (h *hub) taken(try uint64, node int, op *workload.Op, giveUp float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, again := h.tries[try]; again { // sent once more on a new connection: the same op
 		return
 	}
 	h.tries[try] = known{node: node, work: op.Work, until: giveUp}
-	h.told(rules.Event{Kind: rules.OpTaken, Node: node, Op: try, Category: op.Category, GiveUp: giveUp})
+	h.told(invariants.Event{Kind: invariants.OpTaken, Node: node, Op: try, Category: op.Category, GiveUp: giveUp})
 }
 
 // forget lets go of tries whose time is long over.
--- a/internal/lab/loopback/list.go
+++ b/internal/lab/loopback/list.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"pearknot/balance"
-	"pearknot/internal/lab/roll"
-	"pearknot/internal/rules"
+	"pearknot/balancer"
+	"pearknot/internal/invariants"
+	"pearknot/internal/lab/discoverystub"
 )
 
 // list is the stand-in for the service that names the backends. It listens once for each node, so that it knows whom
@@ -21,14 +21,14 @@
 	backends []*backend
 
 	mu      sync.Mutex
-	roll    *roll.Roll
+	roll    *discoverystub.Roll
 	news    chan struct{} // closed when there is something newer
 	timer   *time.Timer
 	servers []*http.Server
 	wg      sync.WaitGroup
 }
 
-var states = map[balance.State]string{balance.Ready: "up", balance.Draining: "draining", balance.Gone: "removed"}
+var states = map[balancer.State]string{balancer.Ready: "up", balancer.Draining: "draining", balancer.Gone: "removed"}
 
 type entry struct {
 	UID      string  `json:"uid"`
@@ -48,11 +48,11 @@
 }
 
 func newList(h *hub, backends []*backend, joining map[int]bool) *list {
-	l := &list{hub: h, backends: backends, roll: roll.New(h.e.List.LinesPerSecond), news: make(chan struct{})}
+	l := &list{hub: h, backends: backends, roll: discoverystub.New(h.e.List.LinesPerSecond), news: make(chan struct{})}
 	l.timer = time.AfterFunc(time.Hour, l.publish)
 	for _, b := range backends {
 		if !joining[b.number] {
-			l.roll.Set(0, 0, roll.Entry{Backend: b.number, State: balance.Ready})
+			l.roll.Set(0, 0, discoverystub.Entry{Backend: b.number, State: balancer.Ready})
 		}
 	}
 	l.roll.Advance(0)
@@ -60,7 +60,7 @@
 }
 
 // set takes the truth about a backend; it is known after the lag of the moment.
-func (l *list) set(b *backend, s balance.State) {
+func (l *list) set(b *backend, s balancer.State) {
 	l.hub.mu.Lock()
 	lag := l.hub.state.Lag()
 	l.hub.mu.Unlock()
@@ -69,7 +69,7 @@
 	b.mu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.roll.Set(l.hub.now(), lag, roll.Entry{Backend: b.number, State: s, Started: started})
+	l.roll.Set(l.hub.now(), lag, discoverystub.Entry{Backend: b.number, State: s, Started: started})
 	l.timer.Reset(max(0, time.Until(l.hub.time(l.roll.Due()))))
 }
 
@@ -123,7 +123,7 @@
 	l.wg.Wait()
 }
 
-func (l *list) entries(from []roll.Entry, zone int) []entry {
+func (l *list) entries(from []discoverystub.Entry, zone int) []entry {
 	all := make([]entry, 0, len(from))
 	for _, e := range from {
 		b := l.backends[e.Backend]
@@ -174,7 +174,7 @@
 	}
 	// The lock is held here.
 	answer := told{Rev: l.roll.Version(), All: !watching}
-	var entries []roll.Entry
+	var entries []discoverystub.Entry
 	if watching {
 		entries = l.roll.Since(from)
 	} else {
@@ -198,8 +198,8 @@
 	}
 	heard := func(ready bool) {
 		for _, e := range entries {
-			if (e.State == balance.Ready) == ready {
-				l.hub.tell(rules.Event{Kind: rules.ListTold, Node: node, Backend: e.Backend, State: e.State, Started: e.Started})
+			if (e.State == balancer.Ready) == ready {
+				l.hub.tell(invariants.Event{Kind: invariants.ListTold, Node: node, Backend: e.Backend, State: e.State, Started: e.Started})
 			}
 		}
 	}
@@ -220,14 +220,14 @@
 }
 
 // toldWhole tells that a node has heard of all backends not in a whole list that they are gone.
-func (h *hub) toldWhole(node int, entries []roll.Entry, backends int) {
+func (h *hub) toldWhole(node int, entries []discoverystub.Entry, backends int) {
 	named := make([]bool, backends)
 	for _, e := range entries {
 		named[e.Backend] = true
 	}
 	for k := range named {
 		if !named[k] {
-			h.tell(rules.Event{Kind: rules.ListTold, Node: node, Backend: k, State: balance.Gone})
+			h.tell(invariants.Event{Kind: invariants.ListTold, Node: node, Backend: k, State: balancer.Gone})
 		}
 	}
 }
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -15,23 +15,23 @@
 	"syscall"
 	"time"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/clock"
-	"pearknot/internal/lab/clients"
+	"pearknot/internal/invariants"
+	"pearknot/internal/lab/backendmodel"
 	"pearknot/internal/lab/experiment"
-	"pearknot/internal/lab/machine"
-	"pearknot/internal/lab/measure"
-	"pearknot/internal/lab/trouble"
-	"pearknot/internal/rules"
+	"pearknot/internal/lab/faults"
+	"pearknot/internal/lab/metrics"
+	"pearknot/internal/lab/workload"
 )
 
 // Options are how a run is played.
 type Options struct {
-	Command []string          // starts a node; -config FILE is added
-	Dir     string            // for the nodes' files; a temporary one, removed, where empty
-	Watch   func(rules.Event) // is told every event that the auditor is
-	Live    func(Live)        // is told once a second
-	Started func()            // called when all is up and load begins
+	Command []string               // starts a node; -config FILE is added
+	Dir     string                 // for the nodes' files; a temporary one, removed, where empty
+	Watch   func(invariants.Event) // is told every event that the auditor is
+	Live    func(Live)             // is told once a second
+	Started func()                 // called when all is up and load begins
 
 	TLS     *TLS // nil is plain
 	Devices int  // that clients are spread over, each with connections of its own; 0 is one
@@ -70,7 +70,7 @@
 	backends []*backend
 	nodes    []*node
 	crowd    *crowd
-	switches []trouble.Switch
+	switches []faults.Switch
 	secure   *secure // nil is plain
 	failed   chan error
 	wg       sync.WaitGroup
@@ -79,15 +79,15 @@
 func (h *hub) seed() uint64 { return uint64(h.from()) } // nodes' chance differs with each run, as in service
 
 // Run plays one seed. It returns when the experiment is over, ctx ends, or something of the lab's own failed.
-func Run(ctx context.Context, e *experiment.Experiment, seed uint64, o Options) (run measure.Run, err error) {
+func Run(ctx context.Context, e *experiment.Experiment, seed uint64, o Options) (run metrics.Run, err error) {
 	if e.Modelled() {
 		return run, errors.New("a list that empties, reports that stand still, ops that fell backends and squeezed connections: only in virtual time")
 	}
 	c := clock.New()
 	// Until the load begins all times are long before the run's: nothing of the start counts in it.
-	w := &world{o: o, random: seed, dir: o.Dir, failed: make(chan error, 64), switches: trouble.Schedule(e, seed),
-		hub: &hub{e: e, clock: c, auditor: e.Auditor(slackMs), rec: measure.New(e, seed),
-			state: trouble.NewState(e), home: home(), tries: map[uint64]known{}, watch: o.Watch}}
+	w := &world{o: o, random: seed, dir: o.Dir, failed: make(chan error, 64), switches: faults.Schedule(e, seed),
+		hub: &hub{e: e, clock: c, auditor: e.Auditor(slackMs), rec: metrics.New(e, seed),
+			state: faults.NewState(e), home: home(), tries: map[uint64]known{}, watch: o.Watch}}
 	w.startAt(c.Now() + startUp)
 	if w.dir == "" {
 		if w.dir, err = os.MkdirTemp("", "pearknot-lab"); err != nil {
@@ -145,9 +145,9 @@
 
 // build starts backends, list and nodes, and waits until all nodes are ready.
 func (w *world) build(ctx context.Context) error {
-	joining := trouble.Joining(w.e, w.switches)
+	joining := faults.Joining(w.e, w.switches)
 	for k := range w.e.Fleet.Backends {
-		m := machine.New(w.e.MachineKind(k), rand.New(rand.NewPCG(w.random, uint64(k)+1000)))
+		m := backendmodel.New(w.e.MachineKind(k), rand.New(rand.NewPCG(w.random, uint64(k)+1000)))
 		b, err := newBackend(w.hub, k, k%len(w.e.Fleet.Zones), w.e.MachineOf(k), len(w.e.Fleet.Zones), m)
 		if err != nil {
 			return err
@@ -232,7 +232,7 @@
 // begin starts the clock of the experiment: the load, the troubles, the looks.
 func (w *world) begin(ctx context.Context) error {
 	w.startAt(w.clock.Now())
-	joining := trouble.Joining(w.e, w.switches)
+	joining := faults.Joining(w.e, w.switches)
 	for _, b := range w.backends {
 		if joining[b.number] { // its ports were held until all others had theirs
 			b.stop(false)
@@ -242,7 +242,7 @@
 			return err
 		}
 	}
-	w.crowd = newCrowd(w.hub, clients.New(w.e, w.state, w.random), w.nodes, w.secure, w.o.Devices)
+	w.crowd = newCrowd(w.hub, workload.New(w.e, w.state, w.random), w.nodes, w.secure, w.o.Devices)
 	if w.o.Started != nil {
 		w.o.Started()
 	}
@@ -264,7 +264,7 @@
 func (w *world) look(ctx context.Context) {
 	worked := make([]float64, len(w.backends))
 	for tick := 1; ; tick++ {
-		wait(ctx, time.Until(w.time(float64(tick)*measure.Look)))
+		wait(ctx, time.Until(w.time(float64(tick)*metrics.Look)))
 		if ctx.Err() != nil {
 			return
 		}
@@ -274,7 +274,7 @@
 			b.turn()
 			b.mu.Lock()
 			all, _ := b.m.Worked()
-			busy[k] = (all - worked[k]) / (b.m.Standing() * measure.Look)
+			busy[k] = (all - worked[k]) / (b.m.Standing() * metrics.Look)
 			worked[k] = all
 			switch {
 			case b.silent:
@@ -329,7 +329,7 @@
 	}
 }
 
-func (w *world) put(ctx context.Context, s trouble.Switch) error {
+func (w *world) put(ctx context.Context, s faults.Switch) error {
 	w.mu.Lock()
 	w.state.Put(s)
 	w.mu.Unlock()
@@ -394,19 +394,19 @@
 
 // cordon takes a backend out at all nodes, or puts it back. To the judge a node has been told of a drain with its yes.
 func (w *world) cordon(b *backend, out bool) error {
-	line, state := fmt.Sprintf("uncordon s-%d", b.number), balance.Ready
+	line, state := fmt.Sprintf("uncordon s-%d", b.number), balancer.Ready
 	if out {
-		line, state = fmt.Sprintf("cordon s-%d", b.number), balance.Draining
+		line, state = fmt.Sprintf("cordon s-%d", b.number), balancer.Draining
 	}
 	for _, n := range w.nodes {
 		if !out { // the node may push there before its yes is read here
-			w.tell(rules.Event{Kind: rules.ListTold, Node: n.number, Backend: b.number, State: state})
+			w.tell(invariants.Event{Kind: invariants.ListTold, Node: n.number, Backend: b.number, State: state})
 		}
 		if err := n.call(line); err != nil {
 			return err
 		}
 		if out {
-			w.tell(rules.Event{Kind: rules.ListTold, Node: n.number, Backend: b.number, State: state})
+			w.tell(invariants.Event{Kind: invariants.ListTold, Node: n.number, Backend: b.number, State: state})
 		}
 	}
 	return nil
@@ -419,7 +419,7 @@
 	if on {
 		if up {
 			b.stop(silent)
-			w.list.set(b, balance.Gone)
+			w.list.set(b, balancer.Gone)
 		}
 		return nil
 	}
@@ -432,7 +432,7 @@
 	if err := b.start(false); err != nil {
 		return err
 	}
-	w.list.set(b, balance.Ready)
+	w.list.set(b, balancer.Ready)
 	return nil
 }
 
@@ -449,7 +449,7 @@
 	if !up {
 		return nil
 	}
-	w.list.set(b, balance.Draining)
+	w.list.set(b, balancer.Draining)
 	w.wg.Go(func() {
 		wait(ctx, time.Duration(w.e.List.DrainNoticeMs*float64(time.Millisecond)))
 		b.mu.Lock()
@@ -457,13 +457,13 @@
 		b.mu.Unlock()
 		if still && ctx.Err() == nil {
 			b.stop(false)
-			w.list.set(b, balance.Gone)
+			w.list.set(b, balancer.Gone)
 		}
 	})
 	return nil
 }
 
-func (w *world) finish() measure.Run {
+func (w *world) finish() metrics.Run {
 	worked := 0.0
 	for _, b := range w.backends {
 		b.turn()
@@ -472,10 +472,10 @@
 		b.mu.Unlock()
 		worked += all
 	}
-	var spans []measure.Trouble
+	var spans []metrics.Trouble
 	for _, s := range w.switches {
 		if t := w.e.Trouble[s.Index]; s.On {
-			spans = append(spans, measure.Trouble{Kind: t.Kind, From: t.At * 1e3, To: t.Ends(), Targets: s.Targets})
+			spans = append(spans, metrics.Trouble{Kind: t.Kind, From: t.At * 1e3, To: t.Ends(), Targets: s.Targets})
 		}
 	}
 	w.mu.Lock()
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -18,10 +18,10 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"pearknot/balance"
+	"pearknot/balancer"
+	"pearknot/internal/invariants"
 	"pearknot/internal/lab/experiment"
 	"pearknot/internal/lab/program"
-	"pearknot/internal/rules"
 )
 
 var nodeProgram string
@@ -92,16 +92,16 @@
 		experiment.Trouble{Kind: experiment.Shrink, At: 1, For: 3, Count: 2},
 		experiment.Trouble{Kind: experiment.Errors, At: 3, For: 1, Count: 1, Chance: 0.8})
 	dir := t.TempDir()
-	kinds := map[rules.Kind]int{}
+	kinds := map[invariants.Kind]int{}
 	run, err := Run(t.Context(), e, 1, Options{Command: []string{nodeProgram, "serve"}, Dir: dir,
-		Watch: func(e rules.Event) { kinds[e.Kind]++ }})
+		Watch: func(e invariants.Event) { kinds[e.Kind]++ }})
 	require.NoError(t, err)
 	assert.True(t, run.Rules.Kept, run.Rules.Breaches)
 	assert.Greater(t, run.Service, 0.6)
 	assert.Greater(t, run.Ops, 150)
 	assert.Len(t, run.Troubles, 6)
-	for k := rules.OpTaken; k <= rules.NodeKilled; k++ {
-		if k != rules.BackendRetired && k != rules.OpLeft {
+	for k := invariants.OpTaken; k <= invariants.NodeKilled; k++ {
+		if k != invariants.BackendRetired && k != invariants.OpLeft {
 			assert.Positive(t, kinds[k], k)
 		}
 	}
@@ -225,8 +225,8 @@
 	dir := t.TempDir()
 	drained := 0
 	run, err := Run(t.Context(), e, 1, Options{Command: []string{nodeProgram, "serve"}, Dir: dir,
-		Watch: func(e rules.Event) {
-			if e.Kind == rules.ListTold && e.State == balance.Draining {
+		Watch: func(e invariants.Event) {
+			if e.Kind == invariants.ListTold && e.State == balancer.Draining {
 				drained++
 			}
 		}})
--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -17,9 +17,9 @@
 	"syscall"
 	"time"
 
-	"pearknot/internal/console"
+	"pearknot/internal/admin"
+	"pearknot/internal/invariants"
 	"pearknot/internal/lab/experiment"
-	"pearknot/internal/rules"
 )
 
 const (
@@ -147,7 +147,7 @@
 		n.cpu += p.ProcessState.UserTime() + p.ProcessState.SystemTime()
 		n.mu.Unlock()
 		if expected && last {
-			n.hub.tell(rules.Event{Kind: rules.NodeKilled, Node: n.number})
+			n.hub.tell(invariants.Event{Kind: invariants.NodeKilled, Node: n.number})
 		}
 		close(p.ended)
 		if !expected {
@@ -173,7 +173,7 @@
 func (n *node) untilYes(p *process) error {
 	for begun := time.Now(); time.Since(begun) < yesWithin; {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		_, yes, err := console.Ask(ctx, n.control, "health")
+		_, yes, err := admin.Ask(ctx, n.control, "health")
 		cancel()
 		if err == nil && yes {
 			return nil
@@ -215,7 +215,7 @@
 func (n *node) call(line string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	answer, yes, err := console.Ask(ctx, n.control, line)
+	answer, yes, err := admin.Ask(ctx, n.control, line)
 	if err == nil && !yes {
 		err = errors.New(answer)
 	}
--- a/internal/lab/loopback/secure.go
+++ b/internal/lab/loopback/secure.go
@@ -13,9 +13,9 @@
 	"slices"
 	"time"
 
-	"pearknot/internal/control"
-	"pearknot/internal/front"
-	"pearknot/internal/lab/authority"
+	"pearknot/internal/controlsocket"
+	"pearknot/internal/lab/acmestub"
+	"pearknot/internal/server"
 )
 
 // TLS has clients speak TLS with the nodes, whose certificates come from a stand-in authority. All nodes share one
@@ -44,11 +44,11 @@
 type secure struct {
 	o         TLS
 	w         *world
-	authority *authority.Authority
+	authority *acmestub.Authority
 	server    *httptest.Server
 	file      string // roots.pem is beside it
 	config    *tls.Config
-	before    map[int]front.Handshakes
+	before    map[int]server.Handshakes
 	asked     int
 	refused   int
 }
@@ -58,7 +58,7 @@
 func (w *world) newSecure(o TLS) (*secure, error) {
 	s := &secure{o: o, w: w}
 	var err error
-	s.authority, err = authority.New(authority.Options{Window: 0.7, TLS: func(string) string {
+	s.authority, err = acmestub.New(acmestub.Options{Window: 0.7, TLS: func(string) string {
 		for _, n := range slices.Backward(w.nodes) {
 			if n.letter() == 'U' {
 				return n.secure
@@ -116,8 +116,8 @@
 		s.asked++
 		taken := false
 		for _, n := range s.w.nodes {
-			c := control.NewClient(n.socket(), 5*time.Second)
-			if err := c.Call(ctx, http.MethodPost, control.RenewPath, control.Certificate{Name: "members"}, nil); err == nil {
+			c := controlsocket.NewClient(n.socket(), 5*time.Second)
+			if err := c.Call(ctx, http.MethodPost, controlsocket.RenewPath, controlsocket.Certificate{Name: "members"}, nil); err == nil {
 				taken = true
 				break
 			}
@@ -129,11 +129,11 @@
 }
 
 // counts are those of the processes that run now.
-func (s *secure) counts(ctx context.Context) map[int]front.Handshakes {
-	all := map[int]front.Handshakes{}
+func (s *secure) counts(ctx context.Context) map[int]server.Handshakes {
+	all := map[int]server.Handshakes{}
 	for _, n := range s.w.nodes {
-		var status control.Status
-		if control.NewClient(n.socket(), time.Second).Call(ctx, http.MethodGet, control.StatusPath, nil, &status) == nil && status.TLS != nil {
+		var status controlsocket.Status
+		if controlsocket.NewClient(n.socket(), time.Second).Call(ctx, http.MethodGet, controlsocket.StatusPath, nil, &status) == nil && status.TLS != nil {
 			all[status.PID] = status.TLS.Handshakes
 		}
 	}
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/metrics/metrics.go
@@ -1,7 +1,7 @@
-// Package measure turns what happened in a run into its figures: service, answer times, amplification, herding, work
+// Package metrics turns what happened in a run into its figures: service, answer times, amplification, herding, work
 // wasted, and recovery after each trouble. Answer times count from an op's intended first sending, so that a client
 // that stalls hides nothing. Both hosts tell it the same things.
-package measure
+package metrics
 
 import (
 	"fmt"
@@ -10,10 +10,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"pearknot/balance"
-	"pearknot/internal/lab/clients"
+	"pearknot/balancer"
+	"pearknot/internal/invariants"
 	"pearknot/internal/lab/experiment"
-	"pearknot/internal/rules"
+	"pearknot/internal/lab/workload"
 )
 
 const (
@@ -122,7 +122,7 @@
 // Recorder takes what happens in one run.
 type Recorder struct {
 	e       *experiment.Experiment
-	cats    []balance.Category
+	cats    []balancer.Category
 	windows []Window
 	hists   []*hdrhistogram.Histogram
 	counts  []int
@@ -166,7 +166,7 @@
 // a window's times are rougher: there are many windows.
 func histogram1() *hdrhistogram.Histogram { return hdrhistogram.New(100, 600_000_000, 1) }
 
-func (r *Recorder) benefit(op *clients.Op) float64 {
+func (r *Recorder) benefit(op *workload.Op) float64 {
 	b := r.cats[op.Category].Benefit
 	if r.e.Rules.BenefitByWork {
 		b *= op.Work
@@ -175,7 +175,7 @@
 }
 
 // Asked tells of an op that a client wants.
-func (r *Recorder) Asked(op *clients.Op) {
+func (r *Recorder) Asked(op *workload.Op) {
 	w, b := r.at(op.At), r.benefit(op)
 	w.Ops++
 	w.asked[op.Category] += b
@@ -186,13 +186,13 @@
 }
 
 // Served tells that the op's client has its answer. Work is what the answer cost.
-func (r *Recorder) Served(op *clients.Op, now float64) {
+func (r *Recorder) Served(op *workload.Op, now float64) {
 	if !r.open[op.ID] {
 		return
 	}
 	delete(r.open, op.ID)
 	elapsed := math.Max(now-op.At, 0)
-	share := clients.Earned(&r.cats[op.Category], elapsed, r.e.Category[op.Category].TTLMs)
+	share := workload.Earned(&r.cats[op.Category], elapsed, r.e.Category[op.Category].TTLMs)
 	w, b := r.at(op.At), r.benefit(op)*share
 	w.earned[op.Category] += b
 	r.earned[op.Category] += b
@@ -203,7 +203,7 @@
 }
 
 // Over tells that no try follows and nobody served the op.
-func (r *Recorder) Over(op *clients.Op) { delete(r.open, op.ID) }
+func (r *Recorder) Over(op *workload.Op) { delete(r.open, op.ID) }
 
 // Tried counts a sending, Unreached one that no node took, GaveUp one that waited in vain.
 func (r *Recorder) Tried()     { r.tries++ }
@@ -239,12 +239,12 @@
 }
 
 // Final counts an answer of a node's own.
-func (r *Recorder) Final(now float64, f rules.Final) {
+func (r *Recorder) Final(now float64, f invariants.Final) {
 	switch f {
-	case rules.Nacked:
+	case invariants.Nacked:
 		r.run.Nacks++
 		r.at(now).Nacks++
-	case rules.DeadLettered:
+	case invariants.DeadLettered:
 		r.run.DeadLetters++
 	}
 }
@@ -266,7 +266,7 @@
 }
 
 // Finish gives the run's figures. Worked is all work that backends did.
-func (r *Recorder) Finish(a *rules.Auditor, worked float64, fallen int, troubles []Trouble) Run {
+func (r *Recorder) Finish(a *invariants.Auditor, worked float64, fallen int, troubles []Trouble) Run {
 	r.endSpan()
 	run := &r.run
 	n := float64(max(run.Ops, 1))
@@ -312,7 +312,7 @@
 	}
 	run.Rules = Verdict{Kept: a.Kept(), Text: a.Verdict()}
 	for k := range run.Rules.Counts {
-		run.Rules.Counts[k] = a.Count(rules.Rule(k + 1))
+		run.Rules.Counts[k] = a.Count(invariants.Rule(k + 1))
 	}
 	for _, b := range a.Breaches()[:min(len(a.Breaches()), 10)] {
 		run.Rules.Breaches = append(run.Rules.Breaches, b.String())
--- a/internal/lab/measure/stats.go
+++ b/internal/lab/metrics/stats.go
@@ -1,4 +1,4 @@
-package measure
+package metrics
 
 import (
 	"fmt"
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -19,7 +19,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"pearknot/internal/lab/measure"
+	"pearknot/internal/lab/metrics"
 )
 
 // Names of the files in a result's directory.
@@ -30,7 +30,7 @@
 )
 
 // Write puts result.json into a directory, which is made where it isn't there.
-func Write(dir string, r measure.Result) error {
+func Write(dir string, r metrics.Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 }
 
 // Read reads a directory's result; one of another version is refused.
-func Read(dir string) (r measure.Result, err error) {
+func Read(dir string) (r metrics.Result, err error) {
 	name := filepath.Join(dir, ResultFile)
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -52,8 +52,8 @@
 	if err := d.Decode(&r); err != nil {
 		return r, fmt.Errorf("%s: byte %d: %w", name, d.InputOffset(), err)
 	}
-	if r.Version != measure.Version {
-		return r, fmt.Errorf("%s: version %d, this program reads %d", name, r.Version, measure.Version)
+	if r.Version != metrics.Version {
+		return r, fmt.Errorf("%s: version %d, this program reads %d", name, r.Version, metrics.Version)
 	}
 	if len(r.Runs) == 0 {
 		return r, fmt.Errorf("%s: no runs", name)
@@ -62,7 +62,7 @@
 }
 
 // Page writes report.html beside the result.
-func Page(dir string, r measure.Result) error {
+func Page(dir string, r metrics.Result) error {
 	data, err := Render(r)
 	if err != nil {
 		return err
@@ -76,12 +76,12 @@
 }
 
 type section struct {
-	Run     measure.Run
+	Run     metrics.Run
 	Figures []figure
 }
 
 // Render makes the page.
-func Render(r measure.Result) ([]byte, error) {
+func Render(r metrics.Result) ([]byte, error) {
 	var sections []section
 	for _, run := range r.Runs {
 		s := section{Run: run}
@@ -99,8 +99,8 @@
 	return out.Bytes(), err
 }
 
-func kept(r measure.Result) bool {
-	return !slices.ContainsFunc(r.Runs, func(r measure.Run) bool { return !r.Rules.Kept })
+func kept(r metrics.Result) bool {
+	return !slices.ContainsFunc(r.Runs, func(r metrics.Run) bool { return !r.Rules.Kept })
 }
 
 type titled struct {
@@ -111,7 +111,7 @@
 var hues = []color.RGBA{{31, 119, 180, 255}, {214, 90, 30, 255}, {44, 140, 60, 255}, {150, 60, 160, 255}, {120, 90, 40, 255},
 	{90, 90, 90, 255}, {20, 160, 160, 255}, {200, 40, 90, 255}}
 
-func figures(run measure.Run) []titled {
+func figures(run metrics.Run) []titled {
 	var all []titled
 	add := func(title, y string, lines []line, top float64) {
 		p := plot.New()
@@ -139,7 +139,7 @@
 		}
 		all = append(all, titled{title, p})
 	}
-	series := func(name string, of func(measure.Window) float64) line {
+	series := func(name string, of func(metrics.Window) float64) line {
 		l := line{name: name}
 		for _, w := range run.Windows {
 			if y := of(w); y >= 0 && !math.IsInf(y, 0) {
@@ -148,14 +148,14 @@
 		}
 		return l
 	}
-	service := []line{series("all", func(w measure.Window) float64 {
+	service := []line{series("all", func(w metrics.Window) float64 {
 		if w.Asked == 0 {
 			return -1
 		}
 		return w.Earned / w.Asked
 	})}
 	for k, c := range run.Categories {
-		service = append(service, series(c.Name, func(w measure.Window) float64 {
+		service = append(service, series(c.Name, func(w metrics.Window) float64 {
 			if k >= len(w.Category) {
 				return -1
 			}
@@ -163,23 +163,23 @@
 		}))
 	}
 	add("Service by category", "service", service, 1.05)
-	times := []line{series("50 of 100", func(w measure.Window) float64 { return w.Times[0] }),
-		series("99 of 100", func(w measure.Window) float64 { return w.Times[1] })}
+	times := []line{series("50 of 100", func(w metrics.Window) float64 { return w.Times[0] }),
+		series("99 of 100", func(w metrics.Window) float64 { return w.Times[1] })}
 	add("Answer times, from the intended sending", "ms", times, highest(times))
-	perOp := func(of func(measure.Window) int) func(measure.Window) float64 {
-		return func(w measure.Window) float64 {
+	perOp := func(of func(metrics.Window) int) func(metrics.Window) float64 {
+		return func(w metrics.Window) float64 {
 			if w.Ops == 0 {
 				return -1
 			}
 			return float64(of(w)) / float64(w.Ops)
 		}
 	}
-	pushes := []line{series("pushes", perOp(func(w measure.Window) int { return w.Pushes })),
-		series("crossings", perOp(func(w measure.Window) int { return w.Crossings })),
-		series("nacks", perOp(func(w measure.Window) int { return w.Nacks }))}
+	pushes := []line{series("pushes", perOp(func(w metrics.Window) int { return w.Pushes })),
+		series("crossings", perOp(func(w metrics.Window) int { return w.Crossings })),
+		series("nacks", perOp(func(w metrics.Window) int { return w.Nacks }))}
 	add("Pushes, crossings and nacks an op", "an op", pushes, highest(pushes))
-	load := func(share float64) func(measure.Window) float64 {
-		return func(w measure.Window) float64 {
+	load := func(share float64) func(metrics.Window) float64 {
+		return func(w metrics.Window) float64 {
 			if len(w.Load) == 0 {
 				return -1
 			}
@@ -226,7 +226,7 @@
 }
 
 // shade marks the troubles' spans.
-func shade(p *plot.Plot, run measure.Run, top float64) {
+func shade(p *plot.Plot, run metrics.Run, top float64) {
 	for _, t := range run.Troubles {
 		box, err := plotter.NewPolygon(plotter.XYs{{X: t.From, Y: 0}, {X: t.To, Y: 0}, {X: t.To, Y: top}, {X: t.From, Y: top}})
 		if err != nil {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 
 	"pearknot/internal/lab/experiment"
-	"pearknot/internal/lab/measure"
-	"pearknot/internal/lab/play"
+	"pearknot/internal/lab/metrics"
+	"pearknot/internal/lab/runner"
 	"pearknot/internal/lab/virtual"
 )
 
@@ -21,9 +21,9 @@
 	require.NoError(t, err)
 	e.Seconds, e.Seeds = 15, []uint64{1, 2}
 	e.Clients.Ramp = [][]float64{{0, 0.5}, {8, 1.2}, {15, 0.5}}
-	r, err := play.Virtual(t.Context(), e, virtual.Options{})
+	r, err := runner.Virtual(t.Context(), e, virtual.Options{})
 	require.NoError(t, err)
-	assert.True(t, play.Kept(r))
+	assert.True(t, runner.Kept(r))
 	dir := filepath.Join(t.TempDir(), "new")
 	require.NoError(t, Write(dir, r))
 	require.NoError(t, Page(dir, r))
@@ -53,6 +53,6 @@
 	}
 	_, err := Read("/nowhere")
 	assert.Error(t, err)
-	_, err = Render(measure.Result{Version: 1, Runs: []measure.Run{{}}})
+	_, err = Render(metrics.Result{Version: 1, Runs: []metrics.Run{{}}})
 	assert.NoError(t, err, "a run in which nothing happened has a page too")
 }
--- a/internal/lab/play/play.go
+++ b/internal/lab/runner/runner.go
@@ -1,5 +1,5 @@
-// Package play runs an experiment over its seeds and puts the runs together.
-package play
+// Package runner runs an experiment over its seeds and puts the runs together.
+package runner
 
 import (
 	"context"
@@ -9,15 +9,15 @@
 	"golang.org/x/sync/errgroup"
 
 	"pearknot/internal/lab/experiment"
-	"pearknot/internal/lab/measure"
+	"pearknot/internal/lab/metrics"
 	"pearknot/internal/lab/virtual"
 )
 
 // Virtual plays all seeds in virtual time, so many at once as there are processors; each run is one seed's alone, and
 // their order in the result is the file's.
-func Virtual(ctx context.Context, e *experiment.Experiment, o virtual.Options) (measure.Result, error) {
+func Virtual(ctx context.Context, e *experiment.Experiment, o virtual.Options) (metrics.Result, error) {
 	r := Empty(e, "virtual")
-	r.Runs = make([]measure.Run, len(e.Seeds))
+	r.Runs = make([]metrics.Run, len(e.Seeds))
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(runtime.GOMAXPROCS(0))
 	for i, seed := range e.Seeds {
@@ -37,22 +37,22 @@
 }
 
 // Empty is a result without runs.
-func Empty(e *experiment.Experiment, host string) measure.Result {
-	return measure.Result{Version: measure.Version, Experiment: e.Name, About: e.About, Policy: e.Policy, Host: host,
+func Empty(e *experiment.Experiment, host string) metrics.Result {
+	return metrics.Result{Version: metrics.Version, Experiment: e.Name, About: e.About, Policy: e.Policy, Host: host,
 		Seconds: e.Seconds, Nodes: e.Fleet.Nodes, Backends: e.Fleet.Backends}
 }
 
 // Sum brings the result's means up to its runs.
-func Sum(r *measure.Result) {
+func Sum(r *metrics.Result) {
 	var s []float64
 	for _, run := range r.Runs {
 		s = append(s, run.Service)
 	}
-	r.Service = measure.NewSpread(s)
+	r.Service = metrics.NewSpread(s)
 }
 
 // Kept tells whether no run broke a rule.
-func Kept(r measure.Result) bool {
+func Kept(r metrics.Result) bool {
 	for _, run := range r.Runs {
 		if !run.Rules.Kept {
 			return false
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"pearknot/internal/strict"
+	"pearknot/internal/tomlfile"
 )
 
 // Experiment is one file. Zero values of what may be left out are filled in by Read.
@@ -108,7 +108,7 @@
 func Decode(name string, data []byte) (*Experiment, error) {
 	e := &Experiment{Quiet: 5, Seconds: 30, Hollow: 100, Regions: 6, Zones: 12, Members: Members{21, 5}, Tenants: 1000,
 		Changes: Changes{1, 400}, Limits: Limits{1 << 20, mostProcesses}, Bounds: Target}
-	f, err := strict.Decode(name, data, e)
+	f, err := tomlfile.Decode(name, data, e)
 	if err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 }
 
 // check finds the first thing that can't be.
-func (e *Experiment) check(f *strict.File) (err error) {
+func (e *Experiment) check(f *tomlfile.File) (err error) {
 	must := func(ok bool, key, format string, args ...any) {
 		if !ok && err == nil {
 			err = f.Errorf(key, format, args...)
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -11,12 +11,12 @@
 	"strings"
 
 	"pearknot/internal/clock"
-	"pearknot/internal/lab/wires"
+	"pearknot/internal/lab/faultproxy"
 )
 
 // way is a relay from the nodes of one kind in one zone, or from one member, to a member.
 type way struct {
-	*wires.Wire
+	*faultproxy.Wire
 	kind     string // of whoever calls: hollow, real, member
 	from, to int    // zones
 	caller   int    // of a member its number
@@ -121,7 +121,7 @@
 			addresses = append(addresses, "")
 			continue
 		}
-		w, err := wires.Open(to)
+		w, err := faultproxy.Open(to)
 		if err != nil {
 			return nil, err
 		}
@@ -180,21 +180,21 @@
 }
 
 // fault is what the faults that are on make of a link.
-func (w *way) fault(e *Experiment, on []Fault) (f wires.Fault) {
+func (w *way) fault(e *Experiment, on []Fault) (f faultproxy.Fault) {
 	for _, x := range on {
 		from, to := x.at(e, w.from), x.at(e, w.to)
 		switch x.Kind {
 		case Cut:
 			if from != to {
-				f = dropped(f, wires.BothWays)
+				f = dropped(f, faultproxy.BothWays)
 			}
 		case CutIn, CutOut:
 			switch out := x.Kind == CutOut; {
 			case from == to:
 			case from == out: // what is called from within goes out to the target
-				f = dropped(f, wires.ToTarget)
+				f = dropped(f, faultproxy.ToTarget)
 			default:
-				f = dropped(f, wires.FromTarget)
+				f = dropped(f, faultproxy.FromTarget)
 			}
 		case Slow:
 			if from || w.kind == memberKind && to {
@@ -205,18 +205,18 @@
 		case Deaf:
 			switch x.Member {
 			case memberName(w.member):
-				f = dropped(f, wires.ToTarget)
+				f = dropped(f, faultproxy.ToTarget)
 			case memberName(w.caller):
-				f = dropped(f, wires.FromTarget)
+				f = dropped(f, faultproxy.FromTarget)
 			}
 		}
 	}
 	return f
 }
 
-func dropped(f wires.Fault, on wires.Way) wires.Fault {
+func dropped(f faultproxy.Fault, on faultproxy.Way) faultproxy.Fault {
 	if f.Drop && f.Way != on {
-		on = wires.BothWays
+		on = faultproxy.BothWays
 	}
 	f.Drop, f.Way = true, on
 	return f
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -14,8 +14,8 @@
 	"sync"
 
 	"pearknot/internal/clock"
-	"pearknot/internal/control"
 	"pearknot/internal/controlplane/client"
+	"pearknot/internal/controlsocket"
 )
 
 // crowd is what a hollow process is told to be: its nodes, and the socket on which it answers for them.
@@ -115,13 +115,13 @@
 		}
 		h.clients = append(h.clients, c)
 	}
-	l, err := control.Listen(w.Socket)
+	l, err := controlsocket.Listen(w.Socket)
 	if err != nil {
 		return err
 	}
-	s := control.Server(h)
+	s := controlsocket.Server(h)
 	ended := make(chan error, 1)
-	go func() { ended <- s.Serve(control.Limited(l)) }()
+	go func() { ended <- s.Serve(controlsocket.Limited(l)) }()
 	for _, c := range h.clients {
 		c.Start()
 	}
@@ -159,7 +159,7 @@
 func (h *hollow) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.Atoi(r.URL.Query().Get("since"))
 	if r.URL.Path != hollowPath || err != nil || since < 0 {
-		control.Fail(w, http.StatusNotFound, "ask "+hollowPath+"?since=N")
+		controlsocket.Fail(w, http.StatusNotFound, "ask "+hollowPath+"?since=N")
 		return
 	}
 	t := told{LateMs: h.late.ms()}
@@ -175,11 +175,11 @@
 		for _, c := range h.clients {
 			s, err := c.State(r.Context())
 			if err != nil {
-				control.Fail(w, http.StatusServiceUnavailable, err.Error())
+				controlsocket.Fail(w, http.StatusServiceUnavailable, err.Error())
 				return
 			}
 			t.Nodes = append(t.Nodes, hollowState{s.Held, s.InForce, s.Refused, s.Member, s.Counters})
 		}
 	}
-	control.Answer(w, http.StatusOK, t)
+	controlsocket.Answer(w, http.StatusOK, t)
 }
--- a/internal/lab/scale/real.go
+++ b/internal/lab/scale/real.go
@@ -5,7 +5,7 @@
 	"errors"
 	"net/http"
 
-	"pearknot/internal/control"
+	"pearknot/internal/controlsocket"
 )
 
 // standing is what a real node says of its control plane.
@@ -15,9 +15,9 @@
 	links
 }
 
-func askReal(ctx context.Context, socket *control.Client) (standing, error) {
-	var s control.Status
-	if err := socket.Call(ctx, http.MethodGet, control.StatusPath, nil, &s); err != nil {
+func askReal(ctx context.Context, socket *controlsocket.Client) (standing, error) {
+	var s controlsocket.Status
+	if err := socket.Call(ctx, http.MethodGet, controlsocket.StatusPath, nil, &s); err != nil {
 		return standing{}, err
 	}
 	if s.ControlPlane == nil {
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"pearknot/internal/controlplane/client"
-	"pearknot/internal/lab/measure"
+	"pearknot/internal/lab/metrics"
 )
 
 // snap is how much has been taken up to a moment.
@@ -106,7 +106,7 @@
 	Unanswered int       // changes without an answer
 	Unmade     int       // changes for which no time was left
 	Finding    Finding
-	Load       measure.Run
+	Load       metrics.Run
 	LateMs     [2][2]float64 // of this process's timers, and of hollow ones': at most, and in sum
 	Stolen     float64       // share of the processors' time that the machine's host gave to others
 	LabCore    float64       // share of a core that this process took
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"pearknot/internal/clock"
-	"pearknot/internal/control"
 	"pearknot/internal/controlplane/client"
+	"pearknot/internal/controlsocket"
 	"pearknot/internal/lab/loopback"
 )
 
@@ -72,7 +72,7 @@
 	most      int   // processes
 	report    Report
 	crowds    []*crowdAnswer
-	sockets   []*control.Client // of real nodes
+	sockets   []*controlsocket.Client // of real nodes
 }
 
 // cutSpan is a fault that cuts nodes off, as it was.
@@ -83,7 +83,7 @@
 
 // crowdAnswer is where a hollow process answers for its nodes.
 type crowdAnswer struct {
-	socket  *control.Client
+	socket  *controlsocket.Client
 	numbers []int
 	seq     int
 }
@@ -269,7 +269,7 @@
 		r.mu.Lock()
 		r.real = append(r.real, p)
 		r.mu.Unlock()
-		s := control.NewClient(socket, serverWithin)
+		s := controlsocket.NewClient(socket, serverWithin)
 		r.sockets = append(r.sockets, s)
 		r.wg.Go(func() { r.watchReal(ctx, k, s) })
 	}
@@ -285,7 +285,7 @@
 		r.mu.Lock()
 		r.hollow = append(r.hollow, p)
 		r.mu.Unlock()
-		c := &crowdAnswer{socket: control.NewClient(sockets[k], serverWithin), numbers: numbers[k]}
+		c := &crowdAnswer{socket: controlsocket.NewClient(sockets[k], serverWithin), numbers: numbers[k]}
 		r.crowds = append(r.crowds, c)
 		r.wg.Go(func() { r.watchHollow(ctx, c) })
 	}
@@ -378,7 +378,7 @@
 }
 
 // watchReal asks a real node, again and again, what it has in force: what it says counts from when it has said so.
-func (r *run) watchReal(ctx context.Context, node int, socket *control.Client) {
+func (r *run) watchReal(ctx context.Context, node int, socket *controlsocket.Client) {
 	for wait(ctx, realEvery) {
 		if s, err := askReal(ctx, socket); err == nil {
 			r.saw(node, s.version, s.digest, r.clock.Now())
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -13,7 +13,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"pearknot/internal/lab/experiment"
-	"pearknot/internal/lab/play"
+	"pearknot/internal/lab/runner"
 	"pearknot/internal/lab/virtual"
 )
 
@@ -46,11 +46,11 @@
 		x := base
 		x.Trouble = troubles
 		f.Played++
-		r, err := play.Virtual(ctx, &x, virtual.Options{})
+		r, err := runner.Virtual(ctx, &x, virtual.Options{})
 		if err != nil {
 			return 0, false, err
 		}
-		if !play.Kept(r) {
+		if !runner.Kept(r) {
 			return r.Service.Mean - 1, true, nil
 		}
 		return r.Service.Mean, false, nil
--- a/internal/lab/among/many.go
+++ b/internal/lab/simcluster/many.go
@@ -1,4 +1,4 @@
-package among
+package simcluster
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"pearknot/internal/rules"
+	"pearknot/internal/invariants"
 )
 
 // Sum is what many schedules came to.
@@ -24,7 +24,7 @@
 type Broken struct {
 	Seed     uint64
 	Harsh    bool
-	Breaches []rules.Breach
+	Breaches []invariants.Breach
 	Faults   []Fault
 }
 
--- a/internal/lab/among/quiet.go
+++ b/internal/lab/simcluster/quiet.go
@@ -1,11 +1,11 @@
-package among
+package simcluster
 
 import (
 	"container/heap"
 	"fmt"
 
-	"pearknot/balance"
-	"pearknot/internal/estate"
+	"pearknot/balancer"
+	"pearknot/internal/requestlog"
 )
 
 // Up starts all processes, with nothing to do. Pass plays on.
@@ -36,14 +36,14 @@
 		s.after(s.rng.Float64()*over, func() {
 			s.in(k, life, func() {
 				until := s.now + 2000
-				s.write(k, estate.Record{Kind: estate.Begin, Key: key, Op: estate.Op{Print: 1, Effect: balance.AtMostOnce, GiveUp: until,
-					Message: make([]byte, body)}, Push: estate.Push{Backend: "b0", At: s.now}}, until, func(r estate.Reply) {
-					if r.Code != estate.Done {
+				s.write(k, requestlog.Record{Kind: requestlog.Begin, Key: key, Op: requestlog.Op{Print: 1, Effect: balancer.AtMostOnce, GiveUp: until,
+					Message: make([]byte, body)}, Push: requestlog.Push{Backend: "b0", At: s.now}}, until, func(r requestlog.Reply) {
+					if r.Code != requestlog.Done {
 						return
 					}
-					s.write(k, estate.Record{Kind: estate.Finish, Key: key, Outcome: estate.Outcome{Final: estate.Acked, Body: make([]byte, body)}},
-						s.now+1500, func(r estate.Reply) {
-							if r.Code == estate.Done {
+					s.write(k, requestlog.Record{Kind: requestlog.Finish, Key: key, Outcome: requestlog.Outcome{Final: requestlog.Acked, Body: make([]byte, body)}},
+						s.now+1500, func(r requestlog.Reply) {
+							if r.Code == requestlog.Done {
 								s.Finals++
 							}
 						})
--- a/internal/lab/among/quiet_test.go
+++ b/internal/lab/simcluster/quiet_test.go
@@ -1,4 +1,4 @@
-package among
+package simcluster
 
 import (
 	"testing"
--- a/internal/lab/among/among.go
+++ b/internal/lab/simcluster/simcluster.go
@@ -1,7 +1,7 @@
-// Package among plays processes that keep each other's ops in virtual time: the core of takeover, links that can be cut, delayed
+// Package simcluster plays processes that keep each other's ops in virtual time: the core of takeover, links that can be cut, delayed
 // and slowed, processes that are killed and frozen, clients that come back with their keys or come to two nodes at once, and
 // backends that count effects. One seed makes one history. What is judged is what clients and backends saw.
-package among
+package simcluster
 
 import (
 	"container/heap"
@@ -9,9 +9,9 @@
 	"math/rand/v2"
 	"slices"
 
-	"pearknot/balance"
-	"pearknot/internal/estate"
-	"pearknot/internal/rules"
+	"pearknot/balancer"
+	"pearknot/internal/invariants"
+	"pearknot/internal/requestlog"
 )
 
 // Fault is one thing that goes wrong, in ms from the start. Kinds are kill, freeze, cut (a link, both ways), oneway, alone (all
@@ -43,18 +43,18 @@
 }
 
 type proc struct {
-	house  *estate.House
+	house  *requestlog.House
 	life   uint64
 	up     bool
 	frozen bool
 	queue  []func() // what comes while it is frozen
-	waits  map[uint64]func(estate.Reply)
+	waits  map[uint64]func(requestlog.Reply)
 	ids    uint64
 }
 
 type client struct {
 	key    string
-	effect balance.Effect
+	effect balancer.Effect
 	giveUp float64
 }
 
@@ -63,7 +63,7 @@
 	Trace func(format string, args ...any) // is told what happens; nil is nobody
 
 	// Parts left out on purpose, by which tests show that what is judged notices.
-	Flaw     estate.Flaw
+	Flaw     requestlog.Flaw
 	Early    bool // pushes begin before their record is written
 	SameLife bool // a process that is started again goes by its old life
 
@@ -83,13 +83,13 @@
 	arrives [][]float64 // latest arrival, so that a link keeps its order
 	linked  [][]bool
 	copies  int
-	keys    *rules.Keys
+	keys    *invariants.Keys
 	marks   map[string]float64
 }
 
 // New makes a fleet whose load, delays and backends follow from a seed.
 func New(seed uint64, members, copies int) *Fleet {
-	s := &Fleet{rng: rand.New(rand.NewPCG(seed, 17)), copies: copies, keys: rules.NewKeys(), marks: map[string]float64{}, now: 1e6}
+	s := &Fleet{rng: rand.New(rand.NewPCG(seed, 17)), copies: copies, keys: invariants.NewKeys(), marks: map[string]float64{}, now: 1e6}
 	for range members {
 		s.procs = append(s.procs, &proc{})
 		s.down = append(s.down, make([]bool, members))
@@ -134,8 +134,8 @@
 	for m := range s.procs {
 		names = append(names, fmt.Sprintf("n%d", m))
 	}
-	*p = proc{life: life, up: true, waits: map[uint64]func(estate.Reply){},
-		house: estate.New(estate.Terms{Members: names, Self: k, Life: life, Copies: s.copies, Seed: s.rng.Uint64(), Most: 1 << 20, Keep: 60e3, Flaw: s.Flaw}, s.now)}
+	*p = proc{life: life, up: true, waits: map[uint64]func(requestlog.Reply){},
+		house: requestlog.New(requestlog.Terms{Members: names, Self: k, Life: life, Copies: s.copies, Seed: s.rng.Uint64(), Most: 1 << 20, Keep: 60e3, Flaw: s.Flaw}, s.now)}
 	for m := range s.procs {
 		if m != k {
 			s.after(20+s.rng.Float64()*20, func() { s.relink(k, m) })
@@ -150,7 +150,7 @@
 		return
 	}
 	s.in(k, life, func() { p.house.Tick(s.now) })
-	s.after(estate.TickMs, func() { s.tick(k, life) })
+	s.after(requestlog.TickMs, func() { s.tick(k, life) })
 }
 
 // relink brings a link up both ways, if nothing is in its way.
@@ -221,7 +221,7 @@
 	})
 }
 
-func (s *Fleet) write(k int, r estate.Record, until float64, f func(estate.Reply)) {
+func (s *Fleet) write(k int, r requestlog.Record, until float64, f func(requestlog.Reply)) {
 	p := s.procs[k]
 	p.ids++
 	p.waits[p.ids] = f
@@ -234,15 +234,15 @@
 	life := p.life
 	s.in(k, life, func() {
 		p.ids++
-		p.waits[p.ids] = func(r estate.Reply) {
+		p.waits[p.ids] = func(r requestlog.Reply) {
 			switch r.Code {
-			case estate.Free:
+			case requestlog.Free:
 				s.take(k, c)
-			case estate.InHand:
+			case requestlog.InHand:
 				if s.now+50 < c.giveUp {
 					s.after(50, func() { s.come(k, c) })
 				}
-			case estate.Over:
+			case requestlog.Over:
 				s.given(c.key, r.Outcome)
 			}
 		}
@@ -250,26 +250,26 @@
 	})
 }
 
-func (s *Fleet) given(key string, o estate.Outcome) {
+func (s *Fleet) given(key string, o requestlog.Outcome) {
 	s.keys.Outcome(s.now, key, fmt.Sprint(o.Final, string(o.Body)))
 }
 
 func (s *Fleet) take(k int, c client) {
-	op := estate.Op{Print: 1, Effect: c.effect, Remembered: 800, GiveUp: c.giveUp, Message: []byte("op " + c.key)}
-	s.push(k, c.key, op, nil, func(code estate.Code) {
-		if code == estate.InHand {
+	op := requestlog.Op{Print: 1, Effect: c.effect, Remembered: 800, GiveUp: c.giveUp, Message: []byte("op " + c.key)}
+	s.push(k, c.key, op, nil, func(code requestlog.Code) {
+		if code == requestlog.InHand {
 			s.after(50, func() { s.come(k, c) })
 		}
 	})
 }
 
 // push begins one as a node does: its record first.
-func (s *Fleet) push(k int, key string, op estate.Op, before []estate.Push, refused func(estate.Code)) {
+func (s *Fleet) push(k int, key string, op requestlog.Op, before []requestlog.Push, refused func(requestlog.Code)) {
 	number := len(before)
 	p := s.procs[k]
 	life := p.life
 	b := fmt.Sprintf("b%d", s.rng.IntN(5))
-	is := estate.Push{Number: number, Backend: b, At: s.now}
+	is := requestlog.Push{Number: number, Backend: b, At: s.now}
 	all := append(slices.Clone(before), is)
 	run := func(b string) {
 		s.after(1+s.rng.Float64()*120, func() { // at the backend, whatever becomes of the process
@@ -281,21 +281,21 @@
 			s.in(k, life, func() {
 				switch {
 				case !ran:
-					s.write(k, estate.Record{Kind: estate.End, Key: key, Push: estate.Push{Number: number, Ending: balance.NoConnection}}, op.GiveUp+1000, func(estate.Reply) {})
+					s.write(k, requestlog.Record{Kind: requestlog.End, Key: key, Push: requestlog.Push{Number: number, Ending: balancer.NoConnection}}, op.GiveUp+1000, func(requestlog.Reply) {})
 					if number < 2 && s.now < op.GiveUp {
-						all[number].Over, all[number].Ending = true, balance.NoConnection
-						s.push(k, key, op, all, func(estate.Code) {})
-					} else if all[number].Over, all[number].Ending = true, balance.NoConnection; (&estate.Entry{Op: op, Pushes: all}).Nackable() {
-						s.finish(k, key, estate.Outcome{Final: estate.Nacked})
+						all[number].Over, all[number].Ending = true, balancer.NoConnection
+						s.push(k, key, op, all, func(requestlog.Code) {})
+					} else if all[number].Over, all[number].Ending = true, balancer.NoConnection; (&requestlog.Entry{Op: op, Pushes: all}).Nackable() {
+						s.finish(k, key, requestlog.Outcome{Final: requestlog.Nacked})
 					} else {
-						s.finish(k, key, estate.Outcome{Final: estate.DeadLettered})
+						s.finish(k, key, requestlog.Outcome{Final: requestlog.DeadLettered})
 					}
-				case lost && op.Effect == balance.Redeliverable && number < 2:
-					s.push(k, key, op, all, func(estate.Code) {})
+				case lost && op.Effect == balancer.Redeliverable && number < 2:
+					s.push(k, key, op, all, func(requestlog.Code) {})
 				case lost:
-					s.finish(k, key, estate.Outcome{Final: estate.DeadLettered})
+					s.finish(k, key, requestlog.Outcome{Final: requestlog.DeadLettered})
 				default:
-					s.finish(k, key, estate.Outcome{Final: estate.Acked, Body: []byte(b)})
+					s.finish(k, key, requestlog.Outcome{Final: requestlog.Acked, Body: []byte(b)})
 				}
 			})
 		})
@@ -303,22 +303,22 @@
 	if s.Early {
 		run(b)
 	}
-	s.write(k, estate.Record{Kind: estate.Begin, Key: key, Op: op, Push: is}, min(op.GiveUp, s.now+500), func(r estate.Reply) {
+	s.write(k, requestlog.Record{Kind: requestlog.Begin, Key: key, Op: op, Push: is}, min(op.GiveUp, s.now+500), func(r requestlog.Reply) {
 		s.trace("%.0f n%d begin %s %d: %v asked %.0f", s.now, k, key, number, r.Code, r.Asked)
 		switch {
-		case r.Code != estate.Done:
+		case r.Code != requestlog.Done:
 			refused(r.Code)
-		case s.now-r.Asked > estate.FreshFor: // too old a word: asked again
+		case s.now-r.Asked > requestlog.FreshFor: // too old a word: asked again
 			s.push(k, key, op, before, refused)
 		case s.now >= until(op, before):
-			refused(estate.Alone)
+			refused(requestlog.Alone)
 		default:
 			if number == 0 {
 				s.keys.Taken(s.now, key, op.Effect, op.GiveUp)
 			}
 			if !s.Early {
 				// It may be frozen right between its look at the clock and the write; a mark that is forgotten meanwhile helps no more.
-				if op.Effect != balance.Deduplicated && s.rng.Float64() < 0.05 {
+				if op.Effect != balancer.Deduplicated && s.rng.Float64() < 0.05 {
 					s.after(0.2, func() { s.in(k, life, func() { run(b) }) })
 				} else {
 					run(b)
@@ -329,18 +329,18 @@
 }
 
 // until is when a further push of an op must have begun at the latest, by what its effect allows.
-func until(op estate.Op, pushes []estate.Push) float64 {
-	first := (&estate.Entry{Pushes: pushes}).MayHaveRun()
-	if first != nil && op.Effect == balance.Deduplicated {
+func until(op requestlog.Op, pushes []requestlog.Push) float64 {
+	first := (&requestlog.Entry{Pushes: pushes}).MayHaveRun()
+	if first != nil && op.Effect == balancer.Deduplicated {
 		return min(op.GiveUp, first.At+op.Remembered)
 	}
 	return op.GiveUp
 }
 
 // effect is what a push does at a backend; marks are shared by all and kept for a while.
-func (s *Fleet) effect(key string, op estate.Op) {
-	if op.Effect == balance.Deduplicated {
-		if at, marked := s.marks[key]; marked && s.now-at < op.Remembered+estate.SilentFor {
+func (s *Fleet) effect(key string, op requestlog.Op) {
+	if op.Effect == balancer.Deduplicated {
+		if at, marked := s.marks[key]; marked && s.now-at < op.Remembered+requestlog.SilentFor {
 			return
 		}
 		s.marks[key] = s.now
@@ -349,32 +349,32 @@
 	s.trace("%.0f effect of %s", s.now, key)
 }
 
-func (s *Fleet) finish(k int, key string, o estate.Outcome) {
-	s.write(k, estate.Record{Kind: estate.Finish, Key: key, Outcome: o}, s.now+1500, func(r estate.Reply) {
+func (s *Fleet) finish(k int, key string, o requestlog.Outcome) {
+	s.write(k, requestlog.Record{Kind: requestlog.Finish, Key: key, Outcome: o}, s.now+1500, func(r requestlog.Reply) {
 		s.trace("%.0f n%d finish %s %v: %v", s.now, k, key, o.Final, r.Code)
-		if r.Code == estate.Done && o.Final != estate.Nacked {
+		if r.Code == requestlog.Done && o.Final != requestlog.Nacked {
 			s.Finals++
 			s.given(key, o)
 		}
-		if r.Code == estate.Over {
+		if r.Code == requestlog.Over {
 			s.given(key, r.Outcome)
 		}
 	})
 }
 
-func (s *Fleet) inherit(k int, e *estate.Entry) {
+func (s *Fleet) inherit(k int, e *requestlog.Entry) {
 	s.trace("%.0f n%d inherits %s", s.now, k, e.Key)
 	switch duty, _ := e.Succeed(s.now); duty {
-	case estate.NackIt:
-		s.finish(k, e.Key, estate.Outcome{Final: estate.Nacked})
-	case estate.DeadLetter:
-		s.finish(k, e.Key, estate.Outcome{Final: estate.DeadLettered})
+	case requestlog.NackIt:
+		s.finish(k, e.Key, requestlog.Outcome{Final: requestlog.Nacked})
+	case requestlog.DeadLetter:
+		s.finish(k, e.Key, requestlog.Outcome{Final: requestlog.DeadLettered})
 	default:
 		if len(e.Pushes) > 4 {
-			s.finish(k, e.Key, estate.Outcome{Final: estate.DeadLettered})
+			s.finish(k, e.Key, requestlog.Outcome{Final: requestlog.DeadLettered})
 			return
 		}
-		s.push(k, e.Key, e.Op, e.Pushes, func(estate.Code) { s.finish(k, e.Key, estate.Outcome{Final: estate.DeadLettered}) })
+		s.push(k, e.Key, e.Op, e.Pushes, func(requestlog.Code) { s.finish(k, e.Key, requestlog.Outcome{Final: requestlog.DeadLettered}) })
 	}
 }
 
@@ -523,7 +523,7 @@
 
 // Run plays faults over a load for so many ms, and tells what was broken. At the end each key is asked for at some process that
 // can answer; a log that nobody leads by then tells nothing, and Served counts it.
-func (s *Fleet) Run(faults []Fault, until float64) []rules.Breach {
+func (s *Fleet) Run(faults []Fault, until float64) []invariants.Breach {
 	base, keys := s.now, 0
 	s.Up()
 	for _, f := range faults {
@@ -532,7 +532,7 @@
 	var load func()
 	load = func() {
 		keys++
-		c := client{key: fmt.Sprintf("k%d", keys), effect: balance.Effect(keys % 3), giveUp: s.now + 1500 + s.rng.Float64()*1500}
+		c := client{key: fmt.Sprintf("k%d", keys), effect: balancer.Effect(keys % 3), giveUp: s.now + 1500 + s.rng.Float64()*1500}
 		s.come(s.rng.IntN(len(s.procs)), c)
 		if s.rng.Float64() < 0.4 { // comes back with its key, or comes to two nodes at once
 			again := s.rng.IntN(len(s.procs))
@@ -564,8 +564,8 @@
 		}
 		s.in(k, p.life, func() {
 			p.ids++
-			p.waits[p.ids] = func(r estate.Reply) {
-				if r.Code != estate.InHand {
+			p.waits[p.ids] = func(r requestlog.Reply) {
+				if r.Code != requestlog.InHand {
 					s.keys.Ended(s.now, key)
 				}
 			}
--- a/internal/lab/among/among_test.go
+++ b/internal/lab/simcluster/simcluster_test.go
@@ -1,4 +1,4 @@
-package among
+package simcluster
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pearknot/internal/estate"
+	"pearknot/internal/requestlog"
 )
 
 func TestCalm(t *testing.T) {
@@ -44,10 +44,10 @@
 // A build with a part left out must be caught by the same schedules: else the checks show nothing.
 func TestFlawsAreCaught(t *testing.T) {
 	for name, spoil := range map[string]func(*Fleet){
-		"fence left out":                    func(s *Fleet) { s.Flaw = estate.NoFence },
-		"nobody takes over":                 func(s *Fleet) { s.Flaw = estate.NoHeirs },
-		"keys given out twice":              func(s *Fleet) { s.Flaw = estate.NoKeys },
-		"heirs not told of pushes":          func(s *Fleet) { s.Flaw = estate.NoPushes },
+		"fence left out":                    func(s *Fleet) { s.Flaw = requestlog.NoFence },
+		"nobody takes over":                 func(s *Fleet) { s.Flaw = requestlog.NoHeirs },
+		"keys given out twice":              func(s *Fleet) { s.Flaw = requestlog.NoKeys },
+		"heirs not told of pushes":          func(s *Fleet) { s.Flaw = requestlog.NoPushes },
 		"pushes before their record":        func(s *Fleet) { s.Early = true },
 		"a follower rejoins under its name": func(s *Fleet) { s.SameLife = true },
 	} {
--- a/internal/lab/simplane/judge.go
+++ b/internal/lab/simcontrolplane/judge.go
@@ -1,4 +1,4 @@
-package simplane
+package simcontrolplane
 
 import (
 	"fmt"
--- a/internal/lab/simplane/simplane.go
+++ b/internal/lab/simcontrolplane/simcontrolplane.go
@@ -1,7 +1,7 @@
-// Package simplane plays a control plane in virtual time: voters with stores that lose what was not written, relays and followers in
+// Package simcontrolplane plays a control plane in virtual time: voters with stores that lose what was not written, relays and followers in
 // regions, operators that propose at once, links that are cut, slowed, thinned and mangled, processes that are killed and frozen.
 // Clocks differ between processes. One seed makes one history. What is judged is what operators were told and followers have in force.
-package simplane
+package simcontrolplane
 
 import (
 	"container/heap"
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -10,15 +10,15 @@
 	"math/rand/v2"
 	"slices"
 
-	"pearknot/balance"
-	"pearknot/internal/lab/clients"
+	"pearknot/balancer"
+	"pearknot/internal/invariants"
+	"pearknot/internal/lab/backendmodel"
+	"pearknot/internal/lab/baselines"
+	"pearknot/internal/lab/discoverystub"
 	"pearknot/internal/lab/experiment"
-	"pearknot/internal/lab/machine"
-	"pearknot/internal/lab/measure"
-	"pearknot/internal/lab/policy"
-	"pearknot/internal/lab/roll"
-	"pearknot/internal/lab/trouble"
-	"pearknot/internal/rules"
+	"pearknot/internal/lab/faults"
+	"pearknot/internal/lab/metrics"
+	"pearknot/internal/lab/workload"
 )
 
 const (
@@ -31,19 +31,19 @@
 
 // Options are what a run may do beside its figures.
 type Options struct {
-	Watch func(rules.Event) // is told every event that the auditor is
+	Watch func(invariants.Event) // is told every event that the auditor is
 	// Wrap, where given, stands between a node and what decides for it; life counts the node's processes from 0.
-	Wrap func(node, life int, d balance.Decider, t *balance.Terms, now float64) balance.Decider
+	Wrap func(node, life int, d balancer.Decider, t *balancer.Terms, now float64) balancer.Decider
 }
 
 // Run plays one seed.
-func Run(e *experiment.Experiment, seed uint64, o Options) (measure.Run, error) {
+func Run(e *experiment.Experiment, seed uint64, o Options) (metrics.Run, error) {
 	if e.Operated() {
-		return measure.Run{}, errors.New("operators' calls and upgrades are of real processes: only on sockets")
+		return metrics.Run{}, errors.New("operators' calls and upgrades are of real processes: only on sockets")
 	}
 	h := newHost(e, seed, o)
 	if h.err != nil {
-		return measure.Run{}, h.err
+		return metrics.Run{}, h.err
 	}
 	return h.run(), nil
 }
@@ -78,12 +78,12 @@
 	seq      uint64
 	handled  uint64
 	err      error
-	auditor  *rules.Auditor
-	rec      *measure.Recorder
-	state    *trouble.State
-	switches []trouble.Switch
-	source   *clients.Source
-	roll     *roll.Roll
+	auditor  *invariants.Auditor
+	rec      *metrics.Recorder
+	state    *faults.State
+	switches []faults.Switch
+	source   *workload.Source
+	roll     *discoverystub.Roll
 	backends []*backend
 	nodes    []*node
 	byZone   [][]*node
@@ -94,7 +94,7 @@
 }
 
 type backend struct {
-	*machine.Machine
+	*backendmodel.Machine
 	number int
 	zone   int
 	kind   int
@@ -110,9 +110,9 @@
 	alive    bool
 	life     int
 	deadAt   float64
-	module   balance.Decider
-	known    []*balance.Backend // by number of the backend
-	view     []balance.State    // as the list told it
+	module   balancer.Decider
+	known    []*balancer.Backend // by number of the backend
+	view     []balancer.State    // as the list told it
 	pools    [][]conn
 	ops      map[uint64]*op
 	watching bool
@@ -129,7 +129,7 @@
 }
 
 type op struct {
-	balance.Op
+	balancer.Op
 	node     *node
 	try      *try
 	answered bool
@@ -140,7 +140,7 @@
 type push struct {
 	id     uint64
 	op     *op
-	p      *balance.Push
+	p      *balancer.Push
 	target *backend
 	life   int // of the target, when its connection came up
 	fresh  bool
@@ -149,7 +149,7 @@
 }
 
 type try struct {
-	of     *clients.Op
+	of     *workload.Op
 	number int
 	node   *node
 	closed bool // the client has its answer, or is gone
@@ -157,24 +157,24 @@
 }
 
 func newHost(e *experiment.Experiment, seed uint64, o Options) *host {
-	h := &host{e: e, o: o, seed: seed, auditor: e.Auditor(0), rec: measure.New(e, seed), state: trouble.NewState(e),
-		switches: trouble.Schedule(e, seed), roll: roll.New(e.List.LinesPerSecond)}
-	h.source = clients.New(e, h.state, seed)
+	h := &host{e: e, o: o, seed: seed, auditor: e.Auditor(0), rec: metrics.New(e, seed), state: faults.NewState(e),
+		switches: faults.Schedule(e, seed), roll: discoverystub.New(e.List.LinesPerSecond)}
+	h.source = workload.New(e, h.state, seed)
 	zones := len(e.Fleet.Zones)
 	h.byZone, h.turn = make([][]*node, zones), make([]int, zones)
 	h.worked = make([]float64, e.Fleet.Backends)
-	joining := trouble.Joining(e, h.switches)
+	joining := faults.Joining(e, h.switches)
 	for k := range e.Fleet.Backends {
 		kind := e.MachineOf(k)
-		b := &backend{Machine: machine.New(e.MachineKind(k), rand.New(rand.NewPCG(seed, uint64(k)+1000))), number: k,
+		b := &backend{Machine: backendmodel.New(e.MachineKind(k), rand.New(rand.NewPCG(seed, uint64(k)+1000))), number: k,
 			zone: k % zones, kind: kind, inHand: map[uint64]*push{}}
 		h.backends = append(h.backends, b)
 		if joining[k] {
 			continue
 		}
 		b.Start(0, true)
-		h.tell(rules.Event{Kind: rules.BackendStarted, Backend: k, Zone: b.zone, Cell: k, Speed: b.Standing()})
-		h.roll.Set(0, 0, roll.Entry{Backend: k, State: balance.Ready})
+		h.tell(invariants.Event{Kind: invariants.BackendStarted, Backend: k, Zone: b.zone, Cell: k, Speed: b.Standing()})
+		h.roll.Set(0, 0, discoverystub.Entry{Backend: k, State: balancer.Ready})
 	}
 	h.roll.Advance(0)
 	for k := range e.Fleet.Nodes {
@@ -194,7 +194,7 @@
 	heap.Push(&h.queue, event{math.Max(t, h.now), h.seq, do})
 }
 
-func (h *host) tell(e rules.Event) {
+func (h *host) tell(e invariants.Event) {
 	e.At = h.now
 	if h.o.Watch != nil {
 		h.o.Watch(e)
@@ -203,16 +203,16 @@
 }
 
 // run handles events until the experiment's end, and then until no op is open.
-func (h *host) run() measure.Run {
-	var spans []measure.Trouble
+func (h *host) run() metrics.Run {
+	var spans []metrics.Trouble
 	for _, w := range h.switches {
 		h.at(w.At, func() { h.put(w) })
 		if t := h.e.Trouble[w.Index]; w.On {
-			spans = append(spans, measure.Trouble{Kind: t.Kind, From: t.At * 1e3, To: t.Ends(), Targets: w.Targets})
+			spans = append(spans, metrics.Trouble{Kind: t.Kind, From: t.At * 1e3, To: t.Ends(), Targets: w.Targets})
 		}
 	}
 	h.at(h.source.Next(), h.arrive)
-	h.at(measure.Look, h.look)
+	h.at(metrics.Look, h.look)
 	for len(h.queue) > 0 {
 		ev := heap.Pop(&h.queue).(event)
 		if ev.at > h.e.Length() && h.rec.Open() == 0 {
@@ -239,12 +239,12 @@
 	for k, b := range h.backends {
 		h.turnOf(b) // its work stands as of its latest event, which may be long ago
 		all, _ := b.Worked()
-		busy[k] = math.Round((all-h.worked[k])/(b.Standing()*measure.Look)*1e3) / 1e3
+		busy[k] = math.Round((all-h.worked[k])/(b.Standing()*metrics.Look)*1e3) / 1e3
 		h.worked[k] = all
 	}
 	h.rec.Load(h.now, busy)
-	if h.now+measure.Look <= h.e.Length() {
-		h.at(h.now+measure.Look, h.look)
+	if h.now+metrics.Look <= h.e.Length() {
+		h.at(h.now+metrics.Look, h.look)
 	}
 }
 
@@ -281,12 +281,12 @@
 	return nil
 }
 
-func (h *host) send(o *clients.Op, number int) {
+func (h *host) send(o *workload.Op, number int) {
 	h.rec.Tried()
 	t := &try{of: o, number: number, node: h.front(o.Zone)}
 	near := h.e.Fleet.NearMs
 	if t.node == nil {
-		h.at(h.now+near, func() { h.result(t, clients.Unreached, 0) })
+		h.at(h.now+near, func() { h.result(t, workload.Unreached, 0) })
 		return
 	}
 	told := h.source.Try(o, number)
@@ -297,7 +297,7 @@
 			if !t.closed {
 				t.closed = true
 				h.rec.Over(o)
-				h.tell(rules.Event{Kind: rules.OpLeft, Op: clients.TryID(o.ID, number)})
+				h.tell(invariants.Event{Kind: invariants.OpLeft, Op: workload.TryID(o.ID, number)})
 				h.left(t)
 			}
 		})
@@ -306,7 +306,7 @@
 		if !t.closed {
 			h.rec.GaveUp()
 			h.left(t)
-			h.result(t, clients.Lost, 0)
+			h.result(t, workload.Lost, 0)
 		}
 	})
 }
@@ -324,16 +324,16 @@
 }
 
 // result ends a try for its client.
-func (h *host) result(t *try, how clients.Outcome, comeBack float64) {
+func (h *host) result(t *try, how workload.Outcome, comeBack float64) {
 	if t.closed {
 		return
 	}
 	t.closed = true
 	switch how {
-	case clients.Acked:
+	case workload.Acked:
 		h.rec.Served(t.of, h.now)
 		return
-	case clients.Unreached:
+	case workload.Unreached:
 		h.rec.Unreached()
 	}
 	if wait, again := h.source.Again(t.of, t.number, how, comeBack); again {
@@ -349,32 +349,32 @@
 		return
 	}
 	if !n.alive {
-		h.at(h.now+h.e.Fleet.NearMs, func() { h.result(t, clients.Unreached, 0) })
+		h.at(h.now+h.e.Fleet.NearMs, func() { h.result(t, workload.Unreached, 0) })
 		return
 	}
 	c := t.of
 	o := &op{node: n, try: t}
-	o.Ref, o.Category, o.Hint, o.HasHint = clients.TryID(c.ID, t.number), c.Category, c.Hint, c.HasHint
+	o.Ref, o.Category, o.Hint, o.HasHint = workload.TryID(c.ID, t.number), c.Category, c.Hint, c.HasHint
 	o.Repeat, o.GiveUp, o.Key = t.number > 0, sent+patience-marginMs, c.Key
 	t.op = o
 	n.ops[o.Ref] = o
-	h.tell(rules.Event{Kind: rules.OpTaken, Node: n.number, Op: o.Ref, Category: c.Category, Key: c.Key, GiveUp: sent + patience})
+	h.tell(invariants.Event{Kind: invariants.OpTaken, Node: n.number, Op: o.Ref, Category: c.Category, Key: c.Key, GiveUp: sent + patience})
 	n.module.Arrived(h.now, &o.Op)
 	h.pull(n)
 }
 
 // Nodes.
 
-func (h *host) start(n *node, known []roll.Entry, version int) {
+func (h *host) start(n *node, known []discoverystub.Entry, version int) {
 	size := len(h.backends)
 	n.alive, n.watching, n.asking = true, false, false
-	n.known, n.view, n.pools = make([]*balance.Backend, size), make([]balance.State, size), make([][]conn, size)
+	n.known, n.view, n.pools = make([]*balancer.Backend, size), make([]balancer.State, size), make([][]conn, size)
 	n.ops = map[uint64]*op{}
 	n.version = version
 	seed := rand.New(rand.NewPCG(h.seed, uint64(n.number)<<20+uint64(n.life)+5)).Uint64()
 	terms := h.e.Terms(n.zone, seed)
 	terms.Number = n.number
-	n.module, h.err = policy.New(h.e.Policy, terms, h.now, h.sight(n))
+	n.module, h.err = baselines.New(h.e.Policy, terms, h.now, h.sight(n))
 	if h.err != nil {
 		return
 	}
@@ -389,8 +389,8 @@
 }
 
 // sight is what an all-seeing policy knows.
-func (h *host) sight(n *node) policy.Sight {
-	return func(now float64, b *balance.Backend, o *balance.Op) float64 {
+func (h *host) sight(n *node) baselines.Sight {
+	return func(now float64, b *balancer.Backend, o *balancer.Op) float64 {
 		t := h.backends[b.Ref]
 		if t.silent || h.state.Cut(n.zone, t.zone) {
 			return math.Inf(1)
@@ -407,42 +407,42 @@
 	}
 }
 
-func (h *host) listed(n *node, entries []roll.Entry, whole, cached bool) {
-	lines := make([]balance.Listing, 0, len(entries))
+func (h *host) listed(n *node, entries []discoverystub.Entry, whole, cached bool) {
+	lines := make([]balancer.Listing, 0, len(entries))
 	named := make([]bool, len(h.backends))
 	for _, e := range entries {
 		b := n.known[e.Backend]
 		if b == nil {
-			if e.State == balance.Gone {
+			if e.State == balancer.Gone {
 				continue
 			}
-			b = &balance.Backend{Ref: uint64(e.Backend)}
+			b = &balancer.Backend{Ref: uint64(e.Backend)}
 			n.known[e.Backend] = b
 		}
 		named[e.Backend] = true
 		t := h.backends[e.Backend]
 		h.see(n, e.Backend, e.State, e.Started)
-		lines = append(lines, balance.Listing{Backend: b, State: e.State, Zone: t.zone, Cell: t.number, Kind: t.kind,
+		lines = append(lines, balancer.Listing{Backend: b, State: e.State, Zone: t.zone, Cell: t.number, Kind: t.kind,
 			Weight: 1, Started: e.Started})
 	}
 	if whole {
 		for k, b := range n.known {
 			if b != nil && !named[k] {
-				h.see(n, k, balance.Gone, 0)
+				h.see(n, k, balancer.Gone, 0)
 			}
 		}
 	}
 	n.module.Listed(h.now, lines, whole, cached)
 }
 
-func (h *host) see(n *node, b int, s balance.State, started float64) {
-	if s != balance.Gone || n.view[b] != balance.Ready || !h.e.Rules.RemovalNotBinding { // else the module decides
+func (h *host) see(n *node, b int, s balancer.State, started float64) {
+	if s != balancer.Gone || n.view[b] != balancer.Ready || !h.e.Rules.RemovalNotBinding { // else the module decides
 		n.view[b] = s
 	}
-	if n.view[b] == balance.Gone {
+	if n.view[b] == balancer.Gone {
 		n.pools[b] = nil
 	}
-	h.tell(rules.Event{Kind: rules.ListTold, Node: n.number, Backend: b, State: s, Started: started})
+	h.tell(invariants.Event{Kind: invariants.ListTold, Node: n.number, Backend: b, State: s, Started: started})
 }
 
 func (h *host) kill(n *node) {
@@ -451,7 +451,7 @@
 	}
 	n.alive, n.deadAt = false, h.now
 	n.life++
-	h.tell(rules.Event{Kind: rules.NodeKilled, Node: n.number})
+	h.tell(invariants.Event{Kind: invariants.NodeKilled, Node: n.number})
 	refs := make([]uint64, 0, len(n.ops))
 	for ref := range n.ops {
 		refs = append(refs, ref)
@@ -466,7 +466,7 @@
 			}
 		}
 		if !o.answered {
-			h.at(h.now+h.e.Fleet.NearMs, func() { h.result(o.try, clients.Lost, 0) })
+			h.at(h.now+h.e.Fleet.NearMs, func() { h.result(o.try, workload.Lost, 0) })
 		}
 	}
 	n.ops = map[uint64]*op{}
@@ -480,19 +480,19 @@
 			return
 		}
 		switch d.Kind {
-		case balance.DoPush:
+		case balancer.DoPush:
 			h.push(n, d)
-		case balance.DoNack:
-			h.final(n.ops[d.Op.Ref], rules.Nacked, d.Wait)
-		case balance.DoDeadLetter:
-			h.final(n.ops[d.Op.Ref], rules.DeadLettered, 0)
-		case balance.DoRevoke:
+		case balancer.DoNack:
+			h.final(n.ops[d.Op.Ref], invariants.Nacked, d.Wait)
+		case balancer.DoDeadLetter:
+			h.final(n.ops[d.Op.Ref], invariants.DeadLettered, 0)
+		case balancer.DoRevoke:
 			if o := n.ops[d.Op.Ref]; o != nil {
-				h.endSoon(o.calls[d.Push.Number], balance.Revoked)
+				h.endSoon(o.calls[d.Push.Number], balancer.Revoked)
 			}
-		case balance.DoWatch:
+		case balancer.DoWatch:
 			h.ask(n)
-		case balance.DoTimer:
+		case balancer.DoTimer:
 			n.timer++
 			timer, life := n.timer, n.life
 			h.at(h.now+math.Max(d.Wait, 0), func() {
@@ -506,15 +506,15 @@
 }
 
 // outcomes are what the final answers mean to a client.
-var outcomes = [...]clients.Outcome{rules.Acked: clients.Acked, rules.Nacked: clients.Nacked, rules.DeadLettered: clients.Lost}
+var outcomes = [...]workload.Outcome{invariants.Acked: workload.Acked, invariants.Nacked: workload.Nacked, invariants.DeadLettered: workload.Lost}
 
-func (h *host) final(o *op, f rules.Final, comeBack float64) {
+func (h *host) final(o *op, f invariants.Final, comeBack float64) {
 	if o == nil || o.answered {
 		return
 	}
 	o.answered = true
 	h.rec.Final(h.now, f)
-	h.tell(rules.Event{Kind: rules.OpAnswered, Node: o.node.number, Op: o.Ref, Final: f, Push: rules.AnyPush})
+	h.tell(invariants.Event{Kind: invariants.OpAnswered, Node: o.node.number, Op: o.Ref, Final: f, Push: invariants.AnyPush})
 	h.at(h.now+h.e.Fleet.NearMs, func() { h.result(o.try, outcomes[f], comeBack) })
 	h.forget(o)
 }
@@ -527,15 +527,15 @@
 
 // Pushes.
 
-func (h *host) push(n *node, d balance.Decision) {
+func (h *host) push(n *node, d balancer.Decision) {
 	o := n.ops[d.Op.Ref]
 	t := h.backends[d.Push.Backend.Ref]
 	n.pushSeq++
 	c := &push{id: uint64(n.number)<<40 | uint64(n.life)<<32 | n.pushSeq, op: o, p: d.Push, target: t}
 	o.calls = append(o.calls, c)
 	o.out++
-	if n.view[t.number] == balance.Gone {
-		h.endSoon(c, balance.NotSent)
+	if n.view[t.number] == balancer.Gone {
+		h.endSoon(c, balancer.NotSent)
 		return
 	}
 	until := o.GiveUp
@@ -558,16 +558,16 @@
 	way := h.way(n.zone, t.zone)
 	switch {
 	case t.silent || h.state.Cut(n.zone, t.zone):
-		h.at(h.now+h.e.Fleet.ConnectMs, func() { h.end(c, balance.NoConnection) })
+		h.at(h.now+h.e.Fleet.ConnectMs, func() { h.end(c, balancer.NoConnection) })
 	case !t.Up():
-		h.at(h.now+2*way, func() { h.end(c, balance.NoConnection) })
+		h.at(h.now+2*way, func() { h.end(c, balancer.NoConnection) })
 	default:
 		life := t.life
 		h.at(h.now+2*way, func() {
 			if !c.ended && (t.life != life || !t.Up()) {
-				h.end(c, balance.NoConnection)
+				h.end(c, balancer.NoConnection)
 			} else if most := h.state.Connections(t.number); most > 0 && !c.ended && h.connections(t) >= most {
-				h.end(c, balance.NoConnection)
+				h.end(c, balancer.NoConnection)
 			} else if !c.ended {
 				c.life = life
 				h.begin(c)
@@ -592,13 +592,13 @@
 // begin is the one gate before a push's first byte, as the node on sockets has it.
 func (h *host) begin(c *push) {
 	n, t := c.op.node, c.target
-	if c.op.answered || n.view[t.number] != balance.Ready {
-		h.endSoon(c, balance.NotSent)
+	if c.op.answered || n.view[t.number] != balancer.Ready {
+		h.endSoon(c, balancer.NotSent)
 		return
 	}
 	c.begun = true
 	h.rec.Pushed(h.now, t.number, n.zone != t.zone)
-	h.tell(rules.Event{Kind: rules.PushBegun, Node: n.number, Op: c.op.Ref, Push: c.p.Number, Backend: t.number, Work: c.op.try.of.Work})
+	h.tell(invariants.Event{Kind: invariants.PushBegun, Node: n.number, Op: c.op.Ref, Push: c.p.Number, Backend: t.number, Work: c.op.try.of.Work})
 	if t.silent || h.state.Cut(n.zone, t.zone) {
 		return // on an open connection: silence
 	}
@@ -608,24 +608,24 @@
 func (h *host) reach(c *push) {
 	t := c.target
 	if c.life != t.life || !t.Up() {
-		h.answer(c, balance.Reset, 0)
+		h.answer(c, balancer.Reset, 0)
 		return
 	}
 	if t.silent {
 		return
 	}
 	switch t.Arrive(h.now, c.id, c.op.try.of.Work, c.fresh) {
-	case machine.Taken:
+	case backendmodel.Taken:
 		t.inHand[c.id] = c
-	case machine.Rejected:
-		h.answer(c, balance.Rejected, 0)
-	case machine.Failed:
-		h.answer(c, balance.Failed, quickMs)
-	case machine.Down: // this push was too much for it
+	case backendmodel.Rejected:
+		h.answer(c, balancer.Rejected, 0)
+	case backendmodel.Failed:
+		h.answer(c, balancer.Failed, quickMs)
+	case backendmodel.Down: // this push was too much for it
 		h.fallen++
 		h.stop(t, false)
-		h.answer(c, balance.Reset, 0)
-		h.roll.Set(h.now, h.state.Lag(), roll.Entry{Backend: t.number, State: balance.Gone})
+		h.answer(c, balancer.Reset, 0)
+		h.roll.Set(h.now, h.state.Lag(), discoverystub.Entry{Backend: t.number, State: balancer.Gone})
 		h.publishLater()
 	}
 	h.turnOf(t)
@@ -636,12 +636,12 @@
 	for _, d := range t.Advance(h.now) {
 		if c := t.inHand[d.ID]; c != nil {
 			delete(t.inHand, d.ID)
-			h.answer(c, balance.Answered, 0)
+			h.answer(c, balancer.Answered, 0)
 		}
 	}
 	for _, id := range t.Begun() {
 		if c := t.inHand[id]; c != nil {
-			h.tell(rules.Event{Kind: rules.PushRan, Op: c.op.Ref, Push: c.p.Number, Backend: t.number})
+			h.tell(invariants.Event{Kind: invariants.PushRan, Op: c.op.Ref, Push: c.p.Number, Backend: t.number})
 			if c.op.try.of.Fells {
 				h.crash(t, true, false)
 				h.at(h.now+h.state.DownFor(), func() { h.comeBack(t) })
@@ -661,19 +661,19 @@
 }
 
 // answer sends a push's ending back to its node.
-func (h *host) answer(c *push, how balance.Ending, after float64) {
+func (h *host) answer(c *push, how balancer.Ending, after float64) {
 	n, t := c.op.node, c.target
 	if h.state.Cut(n.zone, t.zone) {
 		return
 	}
-	report := balance.NoReport()
+	report := balancer.NoReport()
 	report.Service = t.Report(h.now).Service
 	life := n.life
 	h.at(h.now+after+h.way(n.zone, t.zone), func() {
 		if n.life != life || c.ended {
 			return
 		}
-		if h.e.Backend.Report && how == balance.Answered && report.Service > 0 {
+		if h.e.Backend.Report && how == balancer.Answered && report.Service > 0 {
 			n.module.Reported(h.now, c.p.Backend, report)
 		}
 		h.end(c, how)
@@ -686,22 +686,22 @@
 	}
 	h.abandon(c)
 	if c.begun {
-		h.end(c, balance.TimedOut)
+		h.end(c, balancer.TimedOut)
 	} else {
-		h.end(c, balance.NoConnection)
+		h.end(c, balancer.NoConnection)
 	}
 }
 
-func (h *host) endSoon(c *push, how balance.Ending) {
+func (h *host) endSoon(c *push, how balancer.Ending) {
 	life := c.op.node.life
 	h.at(h.now+loopMs, func() {
 		if c.ended || c.op.node.life != life {
 			return
 		}
-		if how == balance.Revoked {
+		if how == balancer.Revoked {
 			h.abandon(c)
 			if !c.begun {
-				how = balance.NotSent
+				how = balancer.NotSent
 			}
 		}
 		h.end(c, how)
@@ -724,7 +724,7 @@
 }
 
 // end tells the module of a push's ending.
-func (h *host) end(c *push, how balance.Ending) {
+func (h *host) end(c *push, how balancer.Ending) {
 	o := c.op
 	n := o.node
 	if c.ended || !n.alive || n.ops[o.Ref] != o {
@@ -733,14 +733,14 @@
 	c.ended = true
 	o.out--
 	if c.begun {
-		h.tell(rules.Event{Kind: rules.PushEnded, Op: o.Ref, Push: c.p.Number, Ending: how})
+		h.tell(invariants.Event{Kind: invariants.PushEnded, Op: o.Ref, Push: c.p.Number, Ending: how})
 		switch how {
-		case balance.Answered, balance.Failed, balance.Rejected:
+		case balancer.Answered, balancer.Failed, balancer.Rejected:
 			n.pools[c.target.number] = append(n.pools[c.target.number], conn{h.now, c.life})
 		}
 	}
-	if how == balance.Answered {
-		h.final(o, rules.Acked, 0) // the first one; what comes later changes nothing
+	if how == balancer.Answered {
+		h.final(o, invariants.Acked, 0) // the first one; what comes later changes nothing
 	}
 	n.module.Ended(h.now, c.p, how, h.now-c.p.SentAt, o.answered)
 	h.forget(o)
@@ -824,7 +824,7 @@
 
 // Troubles.
 
-func (h *host) put(w trouble.Switch) {
+func (h *host) put(w faults.Switch) {
 	t := h.e.Trouble[w.Index]
 	h.state.Put(w)
 	switch t.Kind {
@@ -861,11 +861,11 @@
 		}
 	case experiment.ListEmpty:
 		for _, b := range h.backends {
-			s := balance.Gone
+			s := balancer.Gone
 			if !w.On && b.Up() {
-				s = balance.Ready
+				s = balancer.Ready
 			}
-			h.roll.Set(h.now, 0, roll.Entry{Backend: b.number, State: s, Started: b.Started()})
+			h.roll.Set(h.now, 0, discoverystub.Entry{Backend: b.number, State: s, Started: b.Started()})
 		}
 		h.publishLater()
 	case experiment.Squeeze:
@@ -890,11 +890,11 @@
 	}
 }
 
-func (h *host) lists(t *backend, s balance.State) {
+func (h *host) lists(t *backend, s balancer.State) {
 	if h.state.Emptied() { // the list learns of it when it is right again
 		return
 	}
-	h.roll.Set(h.now, h.state.Lag(), roll.Entry{Backend: t.number, State: s, Started: t.Started()})
+	h.roll.Set(h.now, h.state.Lag(), discoverystub.Entry{Backend: t.number, State: s, Started: t.Started()})
 	h.publishLater()
 }
 
@@ -905,7 +905,7 @@
 	t.life++
 	for _, id := range lost {
 		if c := t.inHand[id]; c != nil && !silent {
-			h.answer(c, balance.Reset, 0)
+			h.answer(c, balancer.Reset, 0)
 		}
 	}
 	t.inHand = map[uint64]*push{}
@@ -918,7 +918,7 @@
 		}
 		h.stop(t, silent)
 		t.silent = silent
-		h.lists(t, balance.Gone)
+		h.lists(t, balancer.Gone)
 		return
 	}
 	h.comeBack(t)
@@ -935,8 +935,8 @@
 	t.silent = false
 	t.Start(h.now, false)
 	t.Put(h.now, h.state.Machine(t.number))
-	h.tell(rules.Event{Kind: rules.BackendStarted, Backend: t.number, Zone: t.zone, Cell: t.number, Speed: t.Standing(), Started: h.now})
-	h.lists(t, balance.Ready)
+	h.tell(invariants.Event{Kind: invariants.BackendStarted, Backend: t.number, Zone: t.zone, Cell: t.number, Speed: t.Standing(), Started: h.now})
+	h.lists(t, balancer.Ready)
 }
 
 func (h *host) shrink(t *backend, on bool) {
@@ -948,12 +948,12 @@
 		return
 	}
 	t.Drain(h.now)
-	h.lists(t, balance.Draining)
+	h.lists(t, balancer.Draining)
 	life := t.life
 	h.at(h.now+h.e.List.DrainNoticeMs, func() {
 		if t.life == life && t.Draining() {
 			h.stop(t, false)
-			h.lists(t, balance.Gone)
+			h.lists(t, balancer.Gone)
 		}
 	})
 }
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"pearknot/internal/lab/clients"
+	"pearknot/internal/invariants"
 	"pearknot/internal/lab/experiment"
-	"pearknot/internal/rules"
+	"pearknot/internal/lab/workload"
 )
 
 func shipped(t testing.TB, name string) *experiment.Experiment {
@@ -80,9 +80,9 @@
 	require.NoError(t, h.err)
 	count := make([]int, 50)
 	for _, n := range h.nodes {
-		o := &clients.Op{ID: uint64(n.number) + 1, Work: 30}
+		o := &workload.Op{ID: uint64(n.number) + 1, Work: 30}
 		h.take(&try{of: o, node: n}, 0, 2000)
-		for _, c := range n.ops[clients.TryID(o.ID, 0)].calls {
+		for _, c := range n.ops[workload.TryID(o.ID, 0)].calls {
 			count[c.target.number]++
 		}
 	}
@@ -103,11 +103,11 @@
 	e.Backend.FallMultiple = 1.2
 	r, err := Run(e, 1, Options{})
 	require.NoError(t, err)
-	assert.Positive(t, r.Rules.Counts[rules.ColdStarts-1])
+	assert.Positive(t, r.Rules.Counts[invariants.ColdStarts-1])
 	assert.Positive(t, r.Fallen)
-	assert.Zero(t, r.Rules.Counts[rules.NoOpLost-1], r.Rules.Breaches)
-	assert.Zero(t, r.Rules.Counts[rules.NoEffectTwice-1], r.Rules.Breaches)
-	assert.Zero(t, r.Rules.Counts[rules.DrainsKept-1], r.Rules.Breaches)
+	assert.Zero(t, r.Rules.Counts[invariants.NoOpLost-1], r.Rules.Breaches)
+	assert.Zero(t, r.Rules.Counts[invariants.NoEffectTwice-1], r.Rules.Breaches)
+	assert.Zero(t, r.Rules.Counts[invariants.DrainsKept-1], r.Rules.Breaches)
 }
 
 // On calm days the order of policies is as it must be, and nobody beats who sees all by more than chance.
@@ -210,11 +210,11 @@
 				t.Parallel()
 				e := shipped(t, name)
 				starts, pushed := map[int]float64{}, 0
-				r, err := Run(e, seed, Options{Watch: func(ev rules.Event) {
+				r, err := Run(e, seed, Options{Watch: func(ev invariants.Event) {
 					switch ev.Kind {
-					case rules.BackendStarted:
+					case invariants.BackendStarted:
 						starts[ev.Backend] = ev.Started
-					case rules.PushBegun:
+					case invariants.PushBegun:
 						from, started := starts[ev.Backend]
 						assert.True(t, started, "backend %d before it joined", ev.Backend)
 						if from > 0 && ev.At < from+e.Backend.WarmWithinMs {
@@ -250,7 +250,7 @@
 			e.Trouble[2].Factor = 1.92
 			r, err := Run(e, seed+1, Options{})
 			require.NoError(t, err)
-			assert.Zero(t, r.Rules.Counts[rules.RampsKept-1], r.Rules.Breaches)
+			assert.Zero(t, r.Rules.Counts[invariants.RampsKept-1], r.Rules.Breaches)
 			assert.Zero(t, r.Fallen)
 		})
 	}
--- a/internal/lab/clients/clients.go
+++ b/internal/lab/workload/workload.go
@@ -1,15 +1,15 @@
-// Package clients is the model of who asks: ops that arrive whether or not the service keeps up, what they cost, what
+// Package workload is the model of who asks: ops that arrive whether or not the service keeps up, what they cost, what
 // hint they carry, and what a client does when its try ends badly. What an op is like hangs on the seed alone, so that
 // policies are compared on the same ops. It holds no clock and does no I/O.
-package clients
+package workload
 
 import (
 	"math"
 	"math/rand/v2"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/lab/experiment"
-	"pearknot/internal/lab/trouble"
+	"pearknot/internal/lab/faults"
 )
 
 // Op is what one client wants, through all its tries.
@@ -44,7 +44,7 @@
 // Source makes the ops of an experiment.
 type Source struct {
 	e     *experiment.Experiment
-	state *trouble.State
+	state *faults.State
 	rng   *rand.Rand
 	seed  uint64
 	next  float64
@@ -61,9 +61,9 @@
 func TryID(op uint64, number int) uint64 { return op*mostTries + uint64(number) }
 
 // New makes a source; state tells of bursts and costly ops.
-func New(e *experiment.Experiment, state *trouble.State, seed uint64) *Source {
+func New(e *experiment.Experiment, state *faults.State, seed uint64) *Source {
 	s := &Source{e: e, state: state, rng: rand.New(rand.NewPCG(seed, 1)), seed: seed, rate: e.Rate() / 1e3}
-	s.peak = s.rate * e.MostMultiple() * trouble.MostBurst(e)
+	s.peak = s.rate * e.MostMultiple() * faults.MostBurst(e)
 	for z := range e.Fleet.Zones {
 		w := 1.0
 		if len(e.Fleet.NodeWeights) > 0 {
@@ -163,7 +163,7 @@
 }
 
 // Earned is the share of its benefit that an op answered after so long earns.
-func Earned(c *balance.Category, elapsed, ttl float64) float64 {
+func Earned(c *balancer.Category, elapsed, ttl float64) float64 {
 	switch {
 	case elapsed <= c.TargetLatency:
 		return 1
--- a/internal/lab/clients/clients_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -1,4 +1,4 @@
-package clients
+package workload
 
 import (
 	"math"
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/lab/experiment"
-	"pearknot/internal/lab/trouble"
+	"pearknot/internal/lab/faults"
 )
 
 const file = `seconds = 100
@@ -53,9 +53,9 @@
 func source(t *testing.T, hints string, on bool) (*Source, *experiment.Experiment) {
 	e, err := experiment.Decode("e.toml", []byte(strings.Replace(file, "HINTS", hints, 1)))
 	require.NoError(t, err)
-	s := trouble.NewState(e)
+	s := faults.NewState(e)
 	if on {
-		s.Put(trouble.Switch{On: true})
+		s.Put(faults.Switch{On: true})
 	}
 	return New(e, s, 7), e
 }
@@ -156,7 +156,7 @@
 			assert.InDelta(t, 100, wait, 50)
 		}
 	}
-	c := &balance.Category{TargetLatency: 500, LateBenefit: 0.5}
+	c := &balancer.Category{TargetLatency: 500, LateBenefit: 0.5}
 	assert.Equal(t, []float64{1, 0.5, 0}, []float64{Earned(c, 500, 1000), Earned(c, 501, 1000), Earned(c, 1001, 1000)})
 	assert.Equal(t, TryID(78, 0), TryID(77, 31)+1, "tries of two ops never meet")
 }
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -8,9 +8,9 @@
 	"net/textproto"
 	"slices"
 
-	"pearknot/balance"
-	"pearknot/internal/estate"
+	"pearknot/balancer"
 	"pearknot/internal/peers"
+	"pearknot/internal/requestlog"
 	"pearknot/internal/upstream"
 )
 
@@ -33,29 +33,29 @@
 func (n *Node) Keep(p *peers.Peers) { n.keeper = p }
 
 // keepBegin has the record of a push written, and the push sent once a majority holds it.
-func (n *Node) keepBegin(op *Op, p *balance.Push, call *upstream.Call) {
+func (n *Node) keepBegin(op *Op, p *balancer.Push, call *upstream.Call) {
 	b := n.behind[p.Backend]
-	is := estate.Push{Number: p.Number, Backend: b.member.Name, Zone: p.Backend.Zone, Cell: p.Backend.Cell, At: n.now}
-	r := estate.Record{Kind: estate.Begin, Key: op.Kept.Key, Push: is}
+	is := requestlog.Push{Number: p.Number, Backend: b.member.Name, Zone: p.Backend.Zone, Cell: p.Backend.Cell, At: n.now}
+	r := requestlog.Record{Kind: requestlog.Begin, Key: op.Kept.Key, Push: is}
 	if p.Number == 0 {
 		r.Op = n.describe(op)
 	}
 	module := n.module
-	n.keeper.Write(r, min(op.GiveUp, n.now+recordWithin), func(reply estate.Reply) {
+	n.keeper.Write(r, min(op.GiveUp, n.now+recordWithin), func(reply requestlog.Reply) {
 		n.box.Put(func() {
 			if n.module == module {
 				n.keptBegun(op, p, call, reply)
 			} else {
-				call.Done(upstream.Outcome{Ending: balance.NotSent})
+				call.Done(upstream.Outcome{Ending: balancer.NotSent})
 			}
 		})
 	})
 }
 
 // describe is what an heir needs of an op.
-func (n *Node) describe(op *Op) estate.Op {
+func (n *Node) describe(op *Op) requestlog.Op {
 	c := op.Under.Categories[op.Category]
-	d := estate.Op{Print: op.Kept.Print, Category: n.told.Categories[op.Category], Effect: c.Effect, Group: c.Group, Remembered: c.Remembered,
+	d := requestlog.Op{Print: op.Kept.Print, Category: n.told.Categories[op.Category], Effect: c.Effect, Group: c.Group, Remembered: c.Remembered,
 		Hint: op.Hint, HasHint: op.HasHint, Repeat: op.Repeat, About: op.Key, GiveUp: op.GiveUp, Message: op.Message.Pack()}
 	if op.Tenant < len(n.told.Tenants) {
 		d.Tenant = n.told.Tenants[op.Tenant]
@@ -65,31 +65,31 @@
 
 // keptBegun takes what became of a push's record. The push begins only by a word that is not old, so that one who has stood
 // still or was cut off begins none of an op that may have an heir.
-func (n *Node) keptBegun(op *Op, p *balance.Push, call *upstream.Call, reply estate.Reply) {
+func (n *Node) keptBegun(op *Op, p *balancer.Push, call *upstream.Call, reply requestlog.Reply) {
 	k := op.Kept
 	refuse := func(a Answer) {
 		if !op.answered {
 			op.finish(a)
 			n.module.Left(n.now, &op.Op)
 		}
-		call.Done(upstream.Outcome{Ending: balance.NotSent})
+		call.Done(upstream.Outcome{Ending: balancer.NotSent})
 	}
 	switch {
-	case reply.Code == estate.Done && op.answered:
+	case reply.Code == requestlog.Done && op.answered:
 		k.begun = true
-		call.Done(upstream.Outcome{Ending: balance.NotSent})
-	case reply.Code == estate.Done:
+		call.Done(upstream.Outcome{Ending: balancer.NotSent})
+	case reply.Code == requestlog.Done:
 		k.begun = true
 		// What is out of time by then, or by the module's word, is not sent; its ending says that it never ran.
-		until := reply.Asked + estate.FreshFor
-		if c := op.Under.Categories[op.Category]; c.Effect == balance.Deduplicated {
+		until := reply.Asked + requestlog.FreshFor
+		if c := op.Under.Categories[op.Category]; c.Effect == balancer.Deduplicated {
 			until = min(until, op.MayHaveRun().SentAt+c.Remembered) // this one, if no other
 		}
 		call.Before = n.clock.At(until)
 		n.send(p, call)
-	case p.Number == 0 && (reply.Code == estate.InHand || reply.Code == estate.Over || reply.Code == estate.Unlike):
+	case p.Number == 0 && (reply.Code == requestlog.InHand || reply.Code == requestlog.Over || reply.Code == requestlog.Unlike):
 		refuse(Answer{Final: Elsewhere})
-	case (reply.Code == estate.Alone || reply.Code == estate.Full) && p.Number == 0 && !k.heir:
+	case (reply.Code == requestlog.Alone || reply.Code == requestlog.Full) && p.Number == 0 && !k.heir:
 		if k.GoOn {
 			op.Kept = nil
 			n.send(p, call)
@@ -97,19 +97,19 @@
 		}
 		a := Answer{Final: Nacked}
 		if op.Under.ComeBack {
-			a.ComeBack = min(op.Under.MaxComeBack, 2*estate.SilentFor)
+			a.ComeBack = min(op.Under.MaxComeBack, 2*requestlog.SilentFor)
 		}
 		refuse(a)
 	default: // another has it, or nobody answers: no word of this process's own
-		refuse(Answer{Final: AskAgain, ComeBack: estate.SilentFor})
+		refuse(Answer{Final: AskAgain, ComeBack: requestlog.SilentFor})
 	}
 }
 
 // keepEnd tells of a push that never ran: an heir may then send the op on.
-func (n *Node) keepEnd(op *Op, p *balance.Push, how balance.Ending) {
+func (n *Node) keepEnd(op *Op, p *balancer.Push, how balancer.Ending) {
 	if op.Kept != nil && op.Kept.begun && how.NeverRan() {
-		r := estate.Record{Kind: estate.End, Key: op.Kept.Key, Push: estate.Push{Number: p.Number, Ending: how}}
-		n.keeper.Write(r, op.GiveUp, func(estate.Reply) {})
+		r := requestlog.Record{Kind: requestlog.End, Key: op.Kept.Key, Push: requestlog.Push{Number: p.Number, Ending: how}}
+		n.keeper.Write(r, op.GiveUp, func(requestlog.Reply) {})
 	}
 }
 
@@ -128,7 +128,7 @@
 func (n *Node) letGo(op *Op) {
 	op.leave()
 	if op.Kept != nil && len(op.Pushes) > 0 {
-		n.conclude(op, op.Kept.Key, Answer{Final: Nacked}, estate.Outcome{Final: estate.Nacked})
+		n.conclude(op, op.Kept.Key, Answer{Final: Nacked}, requestlog.Outcome{Final: requestlog.Nacked})
 	}
 }
 
@@ -139,36 +139,36 @@
 		return
 	}
 	op.leave()
-	o := estate.Outcome{Final: estate.DeadLettered, Status: http.StatusBadGateway}
+	o := requestlog.Outcome{Final: requestlog.DeadLettered, Status: http.StatusBadGateway}
 	switch {
 	case a.Final == Acked:
 		o = pack(a.Reply, op.Kept.Most)
-	case a.Final == Nacked && (op.MayHaveRun() == nil || op.Under.Categories[op.Category].Effect == balance.Redeliverable):
-		o = estate.Outcome{Final: estate.Nacked}
+	case a.Final == Nacked && (op.MayHaveRun() == nil || op.Under.Categories[op.Category].Effect == balancer.Redeliverable):
+		o = requestlog.Outcome{Final: requestlog.Nacked}
 	case a.Final == Nacked: // its key would be free again, and the mark forgotten before it comes back
 		a = Answer{Final: DeadLettered}
 	}
 	n.conclude(op, op.Kept.Key, a, o)
 }
 
-func (n *Node) conclude(op *Op, key string, a Answer, o estate.Outcome) {
-	n.keeper.Write(estate.Record{Kind: estate.Finish, Key: key, Outcome: o}, math.Max(op.GiveUp, n.now)+finishWithin, func(reply estate.Reply) {
+func (n *Node) conclude(op *Op, key string, a Answer, o requestlog.Outcome) {
+	n.keeper.Write(requestlog.Record{Kind: requestlog.Finish, Key: key, Outcome: o}, math.Max(op.GiveUp, n.now)+finishWithin, func(reply requestlog.Reply) {
 		switch reply.Code {
-		case estate.Done:
+		case requestlog.Done:
 			op.deliver(a)
 			return
-		case estate.Over:
+		case requestlog.Over:
 			op.deliver(Recorded(reply.Outcome))
 		default:
-			op.deliver(Answer{Final: AskAgain, ComeBack: estate.SilentFor})
+			op.deliver(Answer{Final: AskAgain, ComeBack: requestlog.SilentFor})
 		}
 		a.Reply.Release()
 	})
 }
 
 // pack is an answer as it is kept; of one that is too long to be kept only that there was one.
-func pack(r *upstream.Reply, most int) estate.Outcome {
-	o := estate.Outcome{Final: estate.Acked, Status: http.StatusOK}
+func pack(r *upstream.Reply, most int) requestlog.Outcome {
+	o := requestlog.Outcome{Final: requestlog.Acked, Status: http.StatusOK}
 	var head bytes.Buffer
 	h := r.Header.Clone()
 	upstream.EndToEnd(h)
@@ -180,9 +180,9 @@
 }
 
 // Recorded is a kept outcome as an answer.
-func Recorded(o estate.Outcome) Answer {
+func Recorded(o requestlog.Outcome) Answer {
 	switch o.Final {
-	case estate.Acked:
+	case requestlog.Acked:
 		r := &upstream.Reply{Status: o.Status, Header: http.Header{}, Body: o.Body}
 		if h, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(append(o.Header, "\r\n"...)))).ReadMIMEHeader(); err == nil {
 			r.Header = http.Header(h)
@@ -191,7 +191,7 @@
 			r.Header.Set("Pearknot-Answer", "not kept")
 		}
 		return Answer{Final: Acked, Reply: r}
-	case estate.Nacked:
+	case requestlog.Nacked:
 		return Answer{Final: Nacked}
 	}
 	return Answer{Final: DeadLettered}
@@ -199,36 +199,36 @@
 
 // Inherit takes an op over from a process that is lost. What may not be sent again is ended at once; the rest the module
 // decides on as on any op, with what time and pushes it has.
-func (n *Node) Inherit(e estate.Entry) {
+func (n *Node) Inherit(e requestlog.Entry) {
 	n.box.Put(func() {
 		duty, why := e.Succeed(n.now)
 		op := n.revive(&e)
-		if op == nil && duty == estate.GoOn {
-			duty, why = estate.DeadLetter, "its category or message is unknown here"
+		if op == nil && duty == requestlog.GoOn {
+			duty, why = requestlog.DeadLetter, "its category or message is unknown here"
 			if e.Nackable() {
-				duty = estate.NackIt
+				duty = requestlog.NackIt
 			}
 		}
 		n.log.Info("op taken over", "key", e.Key, "from", e.Op.Category, "pushes", len(e.Pushes), "heirs", e.Heirs, "does", duty.String(), "why", why)
 		switch duty {
-		case estate.GoOn:
+		case requestlog.GoOn:
 			n.seq++
 			op.Ref = n.seq
 			n.ops[op.Ref] = op
 			n.module.Arrived(n.now, &op.Op)
 			op.discard() // nobody waits here: whoever comes with the key finds the record
 		default:
-			o := estate.Outcome{Final: estate.DeadLettered, Status: http.StatusBadGateway}
-			if duty == estate.NackIt {
-				o = estate.Outcome{Final: estate.Nacked}
+			o := requestlog.Outcome{Final: requestlog.DeadLettered, Status: http.StatusBadGateway}
+			if duty == requestlog.NackIt {
+				o = requestlog.Outcome{Final: requestlog.Nacked}
 			}
-			n.keeper.Write(estate.Record{Kind: estate.Finish, Key: e.Key, Outcome: o}, n.now+2*estate.SilentFor, func(estate.Reply) {})
+			n.keeper.Write(requestlog.Record{Kind: requestlog.Finish, Key: e.Key, Outcome: o}, n.now+2*requestlog.SilentFor, func(requestlog.Reply) {})
 		}
 	})
 }
 
 // revive makes an op of an entry.
-func (n *Node) revive(e *estate.Entry) *Op {
+func (n *Node) revive(e *requestlog.Entry) *Op {
 	m := upstream.Unpack(e.Op.Message)
 	category := slices.Index(n.told.Categories, e.Op.Category)
 	if m == nil || category < 0 {
@@ -239,11 +239,11 @@
 	op.Under, op.Category, op.Hint, op.HasHint, op.Repeat, op.Op.Key = n.told.Terms, category, e.Op.Hint, e.Op.HasHint, e.Op.Repeat, e.Op.About
 	op.Tenant, op.GiveUp = max(n.told.Tenant(e.Op.Tenant), 0), e.Op.GiveUp
 	for _, p := range e.Pushes {
-		b := &balance.Backend{Ref: ref(p.Backend), Zone: p.Zone, Cell: p.Cell}
+		b := &balancer.Backend{Ref: ref(p.Backend), Zone: p.Zone, Cell: p.Cell}
 		if known := n.backends[p.Backend]; known != nil {
 			b = known.Backend
 		}
-		how := balance.TimedOut // as far as anybody knows
+		how := balancer.TimedOut // as far as anybody knows
 		if p.Over {
 			how = p.Ending
 		}
--- a/internal/node/learned.go
+++ b/internal/node/learned.go
@@ -5,19 +5,19 @@
 	"maps"
 	"slices"
 
-	"pearknot/balance"
-	"pearknot/internal/members"
+	"pearknot/balancer"
+	"pearknot/internal/config"
+	"pearknot/internal/discovery"
 	"pearknot/internal/snapshot"
-	"pearknot/internal/terms"
 )
 
 // Learned is what the node's next process goes on with.
 type Learned struct {
-	List   members.List // whole, as the node has it
-	Names  []string     // of the backends in Module, in their order
-	Module []byte       // empty where the decider has no state to give
-	Known  []string     // names that the list has had
-	Banned []string     // of them and others, those taken out by hand
+	List   discovery.List // whole, as the node has it
+	Names  []string       // of the backends in Module, in their order
+	Module []byte         // empty where the decider has no state to give
+	Known  []string       // names that the list has had
+	Banned []string       // of them and others, those taken out by hand
 }
 
 // Learned asks the actor for it, between two batches.
@@ -37,11 +37,11 @@
 }
 
 func (n *Node) learned() (*Learned, error) {
-	l := &Learned{List: members.List{Version: n.version, Whole: true}, Known: n.names.order, Banned: slices.Sorted(maps.Keys(n.names.banned))}
-	var backends []*balance.Backend
+	l := &Learned{List: discovery.List{Version: n.version, Whole: true}, Known: n.names.order, Banned: slices.Sorted(maps.Keys(n.names.banned))}
+	var backends []*balancer.Backend
 	for name, b := range n.backends {
 		l.Names, backends = append(l.Names, name), append(backends, b.Backend)
-		if b.member.State != balance.Gone {
+		if b.member.State != balancer.Gone {
 			l.List.Members = append(l.List.Members, b.member)
 		}
 	}
@@ -49,7 +49,7 @@
 	if !n.held {
 		return l, nil
 	}
-	module, ok := n.module.(*balance.Node)
+	module, ok := n.module.(*balancer.Node)
 	if !ok { // one with a recorder round it would be restored without its knowing
 		return l, nil
 	}
@@ -78,7 +78,7 @@
 		return err
 	}
 	s.Now = n.clock.Now()
-	module, _, backends, err := balance.Restore(n.told.Terms, s)
+	module, _, backends, err := balancer.Restore(n.told.Terms, s)
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 	}
 	n.module = module
 	for k, name := range l.Names {
-		b := &backend{Backend: backends[k], member: members.Member{Name: name}}
+		b := &backend{Backend: backends[k], member: discovery.Member{Name: name}}
 		n.backends[name], n.behind[b.Backend] = b, b
 	}
 	return nil
@@ -95,7 +95,7 @@
 
 // Retune takes other terms: the module has them, and all ops that come after, when it returns. Ops keep those that they
 // came under.
-func (n *Node) Retune(ctx context.Context, d *terms.Deployment) error {
+func (n *Node) Retune(ctx context.Context, d *config.Deployment) error {
 	done := make(chan error, 1)
 	n.box.PutFirst(func() {
 		from := make([]int, len(d.Categories))
--- a/internal/node/listed_test.go
+++ b/internal/node/listed_test.go
@@ -8,24 +8,24 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/clock"
-	"pearknot/internal/members"
-	"pearknot/internal/sockets"
-	"pearknot/internal/terms"
+	"pearknot/internal/config"
+	"pearknot/internal/descriptors"
+	"pearknot/internal/discovery"
 	"pearknot/internal/upstream"
 )
 
 // told decodes a list as it comes.
-func told(t *testing.T, whole bool, entries string) *members.List {
-	list, err := members.Names{Zones: []string{"a", "b"}, Kinds: []string{"m"}}.Decode(
+func told(t *testing.T, whole bool, entries string) *discovery.List {
+	list, err := discovery.Names{Zones: []string{"a", "b"}, Kinds: []string{"m"}}.Decode(
 		fmt.Appendf(nil, `{"rev":1,"all":%t,"targets":[%s]}`, whole, entries), slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	return list
 }
 
 // had is what the node has of a backend, and the state the module has.
-func had(n *Node, name string) (m members.Member, state balance.State) {
+func had(n *Node, name string) (m discovery.Member, state balancer.State) {
 	done := make(chan bool)
 	n.box.Put(func() {
 		defer close(done)
@@ -41,20 +41,20 @@
 // nothing comes into use on its word.
 func TestOddEntryOfAKnownBackend(t *testing.T) {
 	const was = `{"uid":"x","endpoint":"127.0.0.1:1","az":"b","model":"m","pod_group":2,"state":"up","capacity_hint":3,"boot_ms":4}`
-	for entry, want := range map[string]balance.State{
-		`{"uid":"x","endpoint":"127.0.0.1:1","az":"new","model":"m","pod_group":2,"state":"up","capacity_hint":3,"boot_ms":4}`:   balance.Ready,
-		`{"uid":"x","endpoint":"127.0.0.1:1","az":"b","model":"new","pod_group":2,"state":"up","capacity_hint":3,"boot_ms":4}`:   balance.Ready,
-		`{"uid":"x","endpoint":"127.0.0.1:1","az":"b","model":"m","pod_group":-2,"state":"up","capacity_hint":3,"boot_ms":4}`:    balance.Ready,
-		`{"uid":"x","endpoint":"127.0.0.1:1","az":"b","model":"m","pod_group":2,"state":"up","capacity_hint":"3","boot_ms":4}`:   balance.Ready,
-		`{"uid":"x","endpoint":"127.0.0.1:1","az":"b","model":"m","pod_group":2,"state":"up","capacity_hint":3,"boot_ms":"4"}`:   balance.Ready,
-		`{"uid":"x","endpoint":"nowhere","az":"b","model":"m","pod_group":2,"state":"up","capacity_hint":3,"boot_ms":4}`:         balance.Ready,
-		`{"uid":"x","endpoint":"127.0.0.1:1","az":"b","model":"m","pod_group":2,"state":"asleep","capacity_hint":3,"boot_ms":4}`: balance.Ready,
-		`{"uid":"x","state":1}`: balance.Ready,
-		`{"uid":"x"}`:           balance.Ready,
-		`{"uid":"x","endpoint":"127.0.0.1:1","az":"new","model":"m","pod_group":2,"state":"draining","capacity_hint":3,"boot_ms":4}`: balance.Draining,
-		`{"uid":"x","endpoint":7,"az":7,"model":7,"pod_group":"7","state":"draining","capacity_hint":"7","boot_ms":"7"}`:             balance.Draining,
-		`{"uid":"x","state":"draining"}`: balance.Draining,
-		`{"uid":"x","state":"removed"}`:  balance.Gone,
+	for entry, want := range map[string]balancer.State{
+		`{"uid":"x","endpoint":"127.0.0.1:1","az":"new","model":"m","pod_group":2,"state":"up","capacity_hint":3,"boot_ms":4}`:   balancer.Ready,
+		`{"uid":"x","endpoint":"127.0.0.1:1","az":"b","model":"new","pod_group":2,"state":"up","capacity_hint":3,"boot_ms":4}`:   balancer.Ready,
+		`{"uid":"x","endpoint":"127.0.0.1:1","az":"b","model":"m","pod_group":-2,"state":"up","capacity_hint":3,"boot_ms":4}`:    balancer.Ready,
+		`{"uid":"x","endpoint":"127.0.0.1:1","az":"b","model":"m","pod_group":2,"state":"up","capacity_hint":"3","boot_ms":4}`:   balancer.Ready,
+		`{"uid":"x","endpoint":"127.0.0.1:1","az":"b","model":"m","pod_group":2,"state":"up","capacity_hint":3,"boot_ms":"4"}`:   balancer.Ready,
+		`{"uid":"x","endpoint":"nowhere","az":"b","model":"m","pod_group":2,"state":"up","capacity_hint":3,"boot_ms":4}`:         balancer.Ready,
+		`{"uid":"x","endpoint":"127.0.0.1:1","az":"b","model":"m","pod_group":2,"state":"asleep","capacity_hint":3,"boot_ms":4}`: balancer.Ready,
+		`{"uid":"x","state":1}`: balancer.Ready,
+		`{"uid":"x"}`:           balancer.Ready,
+		`{"uid":"x","endpoint":"127.0.0.1:1","az":"new","model":"m","pod_group":2,"state":"draining","capacity_hint":3,"boot_ms":4}`: balancer.Draining,
+		`{"uid":"x","endpoint":7,"az":7,"model":7,"pod_group":"7","state":"draining","capacity_hint":"7","boot_ms":"7"}`:             balancer.Draining,
+		`{"uid":"x","state":"draining"}`: balancer.Draining,
+		`{"uid":"x","state":"removed"}`:  balancer.Gone,
 	} {
 		for _, whole := range []bool{true, false} {
 			n, _ := start(t, "127.0.0.1:1")
@@ -63,7 +63,7 @@
 			n.Listed(told(t, whole, entry))
 			m, state := had(n, "x")
 			assert.Equal(t, want, state, entry)
-			if want != balance.Gone {
+			if want != balancer.Gone {
 				before.State = want
 				assert.Equal(t, before, m, entry)
 			}
@@ -82,7 +82,7 @@
 	assert.Zero(t, x)
 	assert.ErrorIs(t, n.TakeOut(t.Context(), "x", true, false), ErrNeverListed)
 	y, state := had(n, "y")
-	assert.Equal(t, balance.Draining, state)
+	assert.Equal(t, balancer.Draining, state)
 	assert.InDelta(t, 9, y.Started, 0)
 }
 
@@ -93,10 +93,10 @@
 	for _, test := range []struct {
 		whole   bool
 		entries string
-		want    balance.State
+		want    balancer.State
 	}{
-		{true, up + "," + drains, balance.Draining}, {true, drains + "," + up, balance.Draining}, {true, up + "," + up, balance.Ready},
-		{false, up + "," + drains, balance.Draining}, {false, drains + "," + up, balance.Ready},
+		{true, up + "," + drains, balancer.Draining}, {true, drains + "," + up, balancer.Draining}, {true, up + "," + up, balancer.Ready},
+		{false, up + "," + drains, balancer.Draining}, {false, drains + "," + up, balancer.Ready},
 	} {
 		for _, first := range []string{up, drains, ""} {
 			n, _ := start(t, "127.0.0.1:1")
@@ -125,8 +125,8 @@
 		"asked for, which has time":       {true, true, news, true, true},
 		"asked for, and none to begin by": {true, false, (*Node).ListFailed, false, false},
 	} {
-		n := New(&terms.Deployment{Terms: &balance.Terms{Nodes: 1, MustAsk: test.mustAsk, AskWithin: 1e4, Categories: []balance.Category{{TargetLatency: 1}}}},
-			Module, clock.New(), &upstream.Terms{Budget: sockets.New(64, func() {}), Log: slog.New(slog.DiscardHandler)}, func() {}, slog.New(slog.DiscardHandler))
+		n := New(&config.Deployment{Terms: &balancer.Terms{Nodes: 1, MustAsk: test.mustAsk, AskWithin: 1e4, Categories: []balancer.Category{{TargetLatency: 1}}}},
+			Module, clock.New(), &upstream.Terms{Budget: descriptors.New(64, func() {}), Log: slog.New(slog.DiscardHandler)}, func() {}, slog.New(slog.DiscardHandler))
 		ready := func() bool {
 			look, err := n.Look(t.Context())
 			require.NoError(t, err)
@@ -139,7 +139,7 @@
 				return false
 			}
 		}
-		var known *members.List
+		var known *discovery.List
 		if test.known {
 			known = told(t, true, list)
 		}
--- a/internal/node/moments_test.go
+++ b/internal/node/moments_test.go
@@ -7,11 +7,11 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/clock"
-	"pearknot/internal/members"
-	"pearknot/internal/sockets"
-	"pearknot/internal/terms"
+	"pearknot/internal/config"
+	"pearknot/internal/descriptors"
+	"pearknot/internal/discovery"
 	"pearknot/internal/upstream"
 )
 
@@ -21,13 +21,13 @@
 	for name, order := range map[string]bool{"held": false, "for its turn": true} {
 		silent := silence(t)
 		c, log := clock.New(), slog.New(slog.DiscardHandler)
-		told := &terms.Deployment{Terms: &balance.Terms{Seed: 1, Nodes: 1, MaxPushes: 1, FallMultiple: 3, OverloadFor: 1000, ComeBack: true,
-			MaxComeBack: 2000, Categories: []balance.Category{{TargetLatency: 60e3, Benefit: 1, LateBenefit: 1, KeepOrder: order}}}}
-		peers := &upstream.Terms{Budget: sockets.New(64, func() {}), Log: log}
+		told := &config.Deployment{Terms: &balancer.Terms{Seed: 1, Nodes: 1, MaxPushes: 1, FallMultiple: 3, OverloadFor: 1000, ComeBack: true,
+			MaxComeBack: 2000, Categories: []balancer.Category{{TargetLatency: 60e3, Benefit: 1, LateBenefit: 1, KeepOrder: order}}}}
+		peers := &upstream.Terms{Budget: descriptors.New(64, func() {}), Log: log}
 		peers.ConnectTimeout.Set(time.Second)
 		peers.IdleFor.Set(time.Minute)
 		n := New(told, Module, c, peers, func() {}, log)
-		n.Start(&members.List{Whole: true, Members: []members.Member{{Name: "s", Address: silent.address, State: balance.Ready, Weight: 1}}})
+		n.Start(&discovery.List{Whole: true, Members: []discovery.Member{{Name: "s", Address: silent.address, State: balancer.Ready, Weight: 1}}})
 		var ops []*Op
 		out := 4 // of a node of its own, at a backend of which it knows nothing
 		if order {
@@ -57,8 +57,8 @@
 // the version of one that is held get lost.
 func TestAFaultMakesNoList(t *testing.T) {
 	c, log := clock.New(), slog.New(slog.DiscardHandler)
-	told := &terms.Deployment{Terms: &balance.Terms{Seed: 1, Nodes: 1, MustAsk: true, Categories: []balance.Category{{TargetLatency: 1}}}}
-	n := New(told, Module, c, &upstream.Terms{Budget: sockets.New(64, func() {}), Log: log}, func() {}, log)
+	told := &config.Deployment{Terms: &balancer.Terms{Seed: 1, Nodes: 1, MustAsk: true, Categories: []balancer.Category{{TargetLatency: 1}}}}
+	n := New(told, Module, c, &upstream.Terms{Budget: descriptors.New(64, func() {}), Log: log}, func() {}, log)
 	n.Start(nil)
 	defer n.Stop()
 	fault := func() Look {
@@ -68,8 +68,8 @@
 		return look
 	}
 	assert.False(t, fault().Held)
-	n.Listed(&members.List{Version: 7, Whole: true})
-	assert.Equal(t, Look{Held: true, Version: 7, Digest: members.Digest(nil)}, fault())
+	n.Listed(&discovery.List{Version: 7, Whole: true})
+	assert.Equal(t, Look{Held: true, Version: 7, Digest: discovery.Digest(nil)}, fault())
 }
 
 // The client of an op that others may keep leaves: with a push begun it goes on, so that whoever comes with its key hears of its
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"slices"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 // mostNames bounds the names that are remembered: some hundred of a fleet, and all that replaced them for days.
@@ -79,7 +79,7 @@
 	}
 	if b := n.backends[name]; b != nil {
 		n.tell(b, b.member)
-		n.module.Listed(n.now, []balance.Listing{n.line(b)}, false, true)
+		n.module.Listed(n.now, []balancer.Listing{n.line(b)}, false, true)
 	}
 	n.log.Info("backend taken out or put back", "backend", name, "out", out)
 	return nil
--- a/internal/node/names_test.go
+++ b/internal/node/names_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
-	"pearknot/internal/members"
+	"pearknot/balancer"
+	"pearknot/internal/discovery"
 )
 
 // A backend taken out gets nothing, whatever the list and a fault of the module do meanwhile, until it is put back.
@@ -22,12 +22,15 @@
 	assert.ErrorIs(t, take("other", false), ErrNeverListed)
 	require.NoError(t, take("s", true))
 	require.NoError(t, take("s", true), "may be repeated")
-	up := members.Member{Name: "s", Address: silent.address, State: balance.Ready, Weight: 1}
+	up := discovery.Member{Name: "s", Address: silent.address, State: balancer.Ready, Weight: 1}
 	for name, turn := range map[string]func(){
-		"at once":              func() {},
-		"listed again":         func() { n.Listed(&members.List{Whole: true, Members: []members.Member{up}}) },
-		"gone and listed anew": func() { n.Listed(&members.List{Whole: true}); n.Listed(&members.List{Members: []members.Member{up}}) },
-		"a fault":              func() { n.box.Put(func() { panic("fault") }) },
+		"at once":      func() {},
+		"listed again": func() { n.Listed(&discovery.List{Whole: true, Members: []discovery.Member{up}}) },
+		"gone and listed anew": func() {
+			n.Listed(&discovery.List{Whole: true})
+			n.Listed(&discovery.List{Members: []discovery.Member{up}})
+		},
+		"a fault": func() { n.box.Put(func() { panic("fault") }) },
 	} {
 		turn()
 		o := op(c, 0)
@@ -42,7 +45,7 @@
 	<-silent.got
 
 	// One that the list had once and has no more may be taken out, too.
-	n.Listed(&members.List{Whole: true})
+	n.Listed(&discovery.List{Whole: true})
 	require.NoError(t, take("s", true))
 	assert.Equal(t, true, n.names.banned["s"])
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -12,12 +12,12 @@
 	"runtime/debug"
 	"time"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/clock"
+	"pearknot/internal/config"
+	"pearknot/internal/discovery"
 	"pearknot/internal/mailbox"
-	"pearknot/internal/members"
 	"pearknot/internal/peers"
-	"pearknot/internal/terms"
 	"pearknot/internal/upstream"
 )
 
@@ -26,33 +26,33 @@
 const abandonAfter = 50.0
 
 // Decide makes a decider; now is the node's clock.
-type Decide func(t *balance.Terms, now float64) balance.Decider
+type Decide func(t *balancer.Terms, now float64) balancer.Decider
 
 // Module makes the decision module.
-func Module(t *balance.Terms, now float64) balance.Decider { return balance.New(t, now) }
+func Module(t *balancer.Terms, now float64) balancer.Decider { return balancer.New(t, now) }
 
 // follower is a decider that keeps account of what a host does beside the module's inputs, as a capture has to.
 type follower interface {
-	Dropped(b *balance.Backend) // the backend was let go of
+	Dropped(b *balancer.Backend) // the backend was let go of
 }
 
 // Node is the module's actor. Its fields below box are its own.
 type Node struct {
 	clock *clock.Clock
 	log   *slog.Logger
-	told  *terms.Deployment
+	told  *config.Deployment
 	peers *upstream.Terms
 	ask   func() // begins a watch on the list
 	box   *mailbox.Box[func()]
 	ready chan struct{} // closed once a list is held that may be gone by
 
 	decide   Decide
-	module   balance.Decider
+	module   balancer.Decider
 	now      float64 // the batch's
 	ops      map[uint64]*Op
 	seq      uint64
-	backends map[string]*backend           // by name
-	behind   map[*balance.Backend]*backend // the same, as the module knows them
+	backends map[string]*backend            // by name
+	behind   map[*balancer.Backend]*backend // the same, as the module knows them
 	names    names
 	had      bool   // there is a list, if only that of a process before
 	held     bool   // and it may be gone by
@@ -66,20 +66,20 @@
 
 // backend is one that the list has named.
 type backend struct {
-	*balance.Backend
-	member members.Member
+	*balancer.Backend
+	member discovery.Member
 	peer   *upstream.Peer // nil while the list holds it for gone
 }
 
 // New makes a node; ask is how it begins a watch on the list, and must not block.
-func New(told *terms.Deployment, decide Decide, c *clock.Clock, peers *upstream.Terms, ask func(), log *slog.Logger) *Node {
+func New(told *config.Deployment, decide Decide, c *clock.Clock, peers *upstream.Terms, ask func(), log *slog.Logger) *Node {
 	return &Node{decide: decide, clock: c, log: log, told: told, peers: peers, ask: ask, box: mailbox.New[func()](),
 		ready: make(chan struct{}), ops: map[uint64]*Op{}, backends: map[string]*backend{},
-		behind: map[*balance.Backend]*backend{}, names: newNames(), timer: time.NewTimer(time.Hour), done: make(chan struct{})}
+		behind: map[*balancer.Backend]*backend{}, names: newNames(), timer: time.NewTimer(time.Hour), done: make(chan struct{})}
 }
 
 // Start runs the actor, with the list as the node last had it, if it had one.
-func (n *Node) Start(known *members.List) {
+func (n *Node) Start(known *discovery.List) {
 	n.now = n.clock.Now()
 	if n.module == nil { // none of a process before it
 		n.module = n.decide(n.told.Terms, n.now)
@@ -125,7 +125,7 @@
 }
 
 // Listed takes news of the list.
-func (n *Node) Listed(list *members.List) { n.box.Put(func() { n.listed(list, false) }) }
+func (n *Node) Listed(list *discovery.List) { n.box.Put(func() { n.listed(list, false) }) }
 
 // ListFailed takes a failed call for the list.
 func (n *Node) ListFailed() {
@@ -148,13 +148,13 @@
 func (n *Node) Look(ctx context.Context) (l Look, err error) {
 	told := make(chan Look, 1)
 	n.box.Put(func() {
-		states := make(map[string]balance.State, len(n.backends))
+		states := make(map[string]balancer.State, len(n.backends))
 		for name, b := range n.backends {
-			if b.member.State != balance.Gone {
+			if b.member.State != balancer.Gone {
 				states[name] = b.member.State
 			}
 		}
-		told <- Look{n.held, n.version, members.Digest(states), len(states), len(n.ops)}
+		told <- Look{n.held, n.version, discovery.Digest(states), len(states), len(n.ops)}
 	})
 	select {
 	case l = <-told:
@@ -246,12 +246,12 @@
 			}
 			delete(n.ops, ref)
 		}
-		known := &members.List{Version: n.version, Whole: true}
+		known := &discovery.List{Version: n.version, Whole: true}
 		clear(n.behind)
 		for _, b := range n.backends {
-			b.Backend = &balance.Backend{Ref: b.Ref}
+			b.Backend = &balancer.Backend{Ref: b.Ref}
 			n.behind[b.Backend] = b
-			if b.member.State != balance.Gone {
+			if b.member.State != balancer.Gone {
 				known.Members = append(known.Members, b.member)
 			}
 		}
@@ -271,16 +271,16 @@
 	}
 }
 
-func (n *Node) listed(list *members.List, cached bool) {
-	lines := make([]balance.Listing, 0, len(list.Members))
+func (n *Node) listed(list *discovery.List, cached bool) {
+	lines := make([]balancer.Listing, 0, len(list.Members))
 	named := map[*backend]bool{}
 	for _, m := range list.Members {
 		b := n.backends[m.Name]
-		if b == nil && (m.State == balance.Gone || m.Odd != 0) {
+		if b == nil && (m.State == balancer.Gone || m.Odd != 0) {
 			continue // never had, or let go of long since; or not known and not to be read whole
 		}
 		if b == nil {
-			b = &backend{Backend: &balance.Backend{Ref: ref(m.Name)}}
+			b = &backend{Backend: &balancer.Backend{Ref: ref(m.Name)}}
 			n.backends[m.Name], n.behind[b.Backend] = b, b
 			n.log.Info("backend listed", "backend", m.Name, "ref", fmt.Sprintf("%x", b.Ref), "address", m.Address)
 		}
@@ -301,14 +301,14 @@
 		for _, b := range n.backends {
 			if !named[b] {
 				m := b.member
-				m.State = balance.Gone
+				m.State = balancer.Gone
 				n.tell(b, m)
 			}
 		}
 	}
 	n.module.Listed(n.now, lines, list.Whole, cached)
 	for name, b := range n.backends {
-		if !b.Known() && b.member.State == balance.Gone {
+		if !b.Known() && b.member.State == balancer.Gone {
 			n.close(b)
 			delete(n.backends, name)
 			delete(n.behind, b.Backend)
@@ -335,23 +335,23 @@
 }
 
 // line is a backend's as the module gets it: what the list says, and whether it was taken out by hand.
-func (n *Node) line(b *backend) balance.Listing {
+func (n *Node) line(b *backend) balancer.Listing {
 	m := b.member
-	return balance.Listing{Backend: b.Backend, State: m.State, Zone: m.Zone, Cell: m.Cell, Kind: m.Kind, Weight: m.Weight,
+	return balancer.Listing{Backend: b.Backend, State: m.State, Zone: m.Zone, Cell: m.Cell, Kind: m.Kind, Weight: m.Weight,
 		Started: m.Started, Banned: n.names.banned[m.Name]}
 }
 
 // tell passes an entry on to the backend's actor, which lives while the list names the backend, or, where a list that does
 // not is no proof, while the module remembers it. By then the module still has the state before.
-func (n *Node) tell(b *backend, m members.Member) {
+func (n *Node) tell(b *backend, m discovery.Member) {
 	b.member = m
 	switch {
-	case m.State != balance.Gone:
+	case m.State != balancer.Gone:
 		if b.peer == nil {
 			b.peer = upstream.NewPeer(m.Name, n.peers)
 		}
-		b.peer.Tell(m.Address, m.State == balance.Ready && !n.names.banned[m.Name])
-	case b.peer != nil && (b.State == balance.Draining || !n.told.Terms.RemovalNotBinding):
+		b.peer.Tell(m.Address, m.State == balancer.Ready && !n.names.banned[m.Name])
+	case b.peer != nil && (b.State == balancer.Draining || !n.told.Terms.RemovalNotBinding):
 		n.close(b)
 	}
 }
@@ -379,27 +379,27 @@
 			return
 		}
 		switch d.Kind {
-		case balance.DoPush:
+		case balancer.DoPush:
 			n.push(d)
-		case balance.DoNack:
+		case balancer.DoNack:
 			n.final(d.Op, Answer{Final: Nacked, ComeBack: d.Wait})
-		case balance.DoDeadLetter:
+		case balancer.DoDeadLetter:
 			n.final(d.Op, Answer{Final: DeadLettered})
-		case balance.DoRevoke:
+		case balancer.DoRevoke:
 			if op := n.ops[d.Op.Ref]; op != nil {
 				op.calls[d.Push.Number].Revoke()
 			}
-		case balance.DoWatch:
+		case balancer.DoWatch:
 			n.ask()
-		case balance.DoTimer:
+		case balancer.DoTimer:
 			n.timer.Reset(clock.Span(d.Wait))
-		case balance.DoLog:
+		case balancer.DoLog:
 			n.log.Info(d.Text)
 		}
 	}
 }
 
-func (n *Node) push(d balance.Decision) {
+func (n *Node) push(d balancer.Decision) {
 	op, p := n.ops[d.Op.Ref], d.Push
 	until := op.GiveUp
 	if d.Wait > 0 {
@@ -430,7 +430,7 @@
 	op.calls = append(op.calls, call)
 	op.out++
 	if op.gone.Load() { // no connection and no record for it; of a kept one the module soon has no pushes left
-		call.Done(upstream.Outcome{Ending: balance.NotSent})
+		call.Done(upstream.Outcome{Ending: balancer.NotSent})
 		return
 	}
 	if op.Kept != nil {
@@ -440,21 +440,21 @@
 	n.send(p, call)
 }
 
-func (n *Node) send(p *balance.Push, call *upstream.Call) {
+func (n *Node) send(p *balancer.Push, call *upstream.Call) {
 	if peer := n.behind[p.Backend].peer; peer != nil {
 		peer.Send(call)
 		return
 	}
-	call.Done(upstream.Outcome{Ending: balance.NotSent})
+	call.Done(upstream.Outcome{Ending: balancer.NotSent})
 }
 
 // ended takes a push's ending. The first answer acks its op.
-func (n *Node) ended(op *Op, p *balance.Push, out upstream.Outcome) {
+func (n *Node) ended(op *Op, p *balancer.Push, out upstream.Outcome) {
 	op.out--
 	if out.Reply != nil && out.Report.Told() {
 		n.module.Reported(n.now, p.Backend, out.Report)
 	}
-	if out.Ending == balance.Answered && !op.answered {
+	if out.Ending == balancer.Answered && !op.answered {
 		n.finish(op, Answer{Final: Acked, Reply: out.Reply})
 	} else {
 		out.Reply.Release()
@@ -467,7 +467,7 @@
 	n.forget(op)
 }
 
-func (n *Node) final(o *balance.Op, a Answer) {
+func (n *Node) final(o *balancer.Op, a Answer) {
 	if op := n.ops[o.Ref]; op != nil {
 		n.traceGivenUp(op, a)
 		n.finish(op, a)
@@ -476,7 +476,7 @@
 }
 
 // traceEnded and traceGivenUp write what a count over a whole fleet needs; without -log debug they cost next to nothing.
-func (n *Node) traceEnded(op *Op, p *balance.Push, out upstream.Outcome) {
+func (n *Node) traceEnded(op *Op, p *balancer.Push, out upstream.Outcome) {
 	if n.log.Enabled(context.Background(), slog.LevelDebug) {
 		n.log.Debug("push ended", "op", op.Ref, "category", op.Category, "work", op.Hint, "push", p.Number,
 			"backend", fmt.Sprintf("%x", p.Backend.Ref), "zone", p.Backend.Zone, "kind", p.Backend.Kind,
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -11,26 +11,26 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/clock"
-	"pearknot/internal/members"
-	"pearknot/internal/sockets"
-	"pearknot/internal/terms"
+	"pearknot/internal/config"
+	"pearknot/internal/descriptors"
+	"pearknot/internal/discovery"
 	"pearknot/internal/upstream"
 )
 
 // start runs a node with one backend that takes connections and says nothing.
 func start(t *testing.T, address string) (*Node, *clock.Clock) {
 	c, log := clock.New(), slog.New(slog.DiscardHandler)
-	told := &terms.Deployment{Terms: &balance.Terms{Seed: 1, Nodes: 1, MaxPushes: 1, Cancel: true, FallMultiple: 3,
-		OverloadFor: 1000, Categories: []balance.Category{
+	told := &config.Deployment{Terms: &balancer.Terms{Seed: 1, Nodes: 1, MaxPushes: 1, Cancel: true, FallMultiple: 3,
+		OverloadFor: 1000, Categories: []balancer.Category{
 			{TargetLatency: 60e3, Benefit: 1, LateBenefit: 1},
-			{TargetLatency: 60e3, Benefit: 1, LateBenefit: 1, Effect: balance.AtMostOnce}}}}
-	peers := &upstream.Terms{Budget: sockets.New(64, func() {}), Log: log}
+			{TargetLatency: 60e3, Benefit: 1, LateBenefit: 1, Effect: balancer.AtMostOnce}}}}
+	peers := &upstream.Terms{Budget: descriptors.New(64, func() {}), Log: log}
 	peers.ConnectTimeout.Set(time.Second)
 	peers.IdleFor.Set(time.Minute)
 	n := New(told, Module, c, peers, func() {}, log)
-	n.Start(&members.List{Whole: true, Members: []members.Member{{Name: "s", Address: address, State: balance.Ready, Weight: 1}}})
+	n.Start(&discovery.List{Whole: true, Members: []discovery.Member{{Name: "s", Address: address, State: balancer.Ready, Weight: 1}}})
 	t.Cleanup(n.Stop)
 	return n, c
 }
@@ -108,10 +108,10 @@
 func TestNothingStaysOfGoneBackends(t *testing.T) {
 	n, _ := start(t, "127.0.0.1:1")
 	for k := range 50 {
-		m := members.Member{Name: strconv.Itoa(k), Address: "127.0.0.1:1", State: balance.Ready, Weight: 1}
-		n.Listed(&members.List{Members: []members.Member{m}})
-		m.State = balance.Gone
-		n.Listed(&members.List{Members: []members.Member{m, {Name: "never had", State: balance.Gone}}})
+		m := discovery.Member{Name: strconv.Itoa(k), Address: "127.0.0.1:1", State: balancer.Ready, Weight: 1}
+		n.Listed(&discovery.List{Members: []discovery.Member{m}})
+		m.State = balancer.Gone
+		n.Listed(&discovery.List{Members: []discovery.Member{m, {Name: "never had", State: balancer.Gone}}})
 	}
 	left := make(chan []int)
 	n.box.Put(func() { left <- []int{len(n.backends), len(n.behind)} })
@@ -123,11 +123,11 @@
 func TestAListThatIsNoProofClosesNothing(t *testing.T) {
 	n, _ := start(t, "127.0.0.1:1")
 	n.box.Put(func() { n.told.Terms.RemovalNotBinding = true })
-	drained := members.Member{Name: "drained", Address: "127.0.0.1:1", State: balance.Ready, Weight: 1}
-	n.Listed(&members.List{Members: []members.Member{drained}})
-	drained.State = balance.Draining
-	n.Listed(&members.List{Members: []members.Member{drained}})
-	n.Listed(&members.List{Whole: true})
+	drained := discovery.Member{Name: "drained", Address: "127.0.0.1:1", State: balancer.Ready, Weight: 1}
+	n.Listed(&discovery.List{Members: []discovery.Member{drained}})
+	drained.State = balancer.Draining
+	n.Listed(&discovery.List{Members: []discovery.Member{drained}})
+	n.Listed(&discovery.List{Whole: true})
 	kept := make(chan []bool)
 	n.box.Put(func() {
 		d := n.backends["drained"]
--- a/internal/node/op.go
+++ b/internal/node/op.go
@@ -3,7 +3,7 @@
 import (
 	"sync/atomic"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/upstream"
 )
 
@@ -31,7 +31,7 @@
 
 // Op is an op as the front hands it in, with what the node keeps of it.
 type Op struct {
-	balance.Op
+	balancer.Op
 	Message *upstream.Message
 	Kept    *Kept // nil where no other process keeps it
 
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -15,11 +15,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/clock"
-	"pearknot/internal/members"
-	"pearknot/internal/sockets"
-	"pearknot/internal/terms"
+	"pearknot/internal/config"
+	"pearknot/internal/descriptors"
+	"pearknot/internal/discovery"
 	"pearknot/internal/upstream"
 )
 
@@ -122,10 +122,10 @@
 	go s.serve()
 
 	c, log := clock.New(), slog.New(slog.DiscardHandler)
-	w := &members.Watch{Address: l.Addr().String(), Names: members.Names{Zones: []string{"a"}, Kinds: []string{"m"}}, Version: 1, Held: true, Log: log}
-	told := &terms.Deployment{Terms: &balance.Terms{Seed: farSeed, Nodes: 1, MaxPushes: 1, MustAsk: true, AskWithin: 60e3, FallMultiple: 3, OverloadFor: 1000,
-		Categories: []balance.Category{{TargetLatency: 1000, Benefit: 1, LateBenefit: 1}}}}
-	peers := &upstream.Terms{Budget: sockets.New(64, func() {}), Log: log}
+	w := &discovery.Watch{Address: l.Addr().String(), Names: discovery.Names{Zones: []string{"a"}, Kinds: []string{"m"}}, Version: 1, Held: true, Log: log}
+	told := &config.Deployment{Terms: &balancer.Terms{Seed: farSeed, Nodes: 1, MaxPushes: 1, MustAsk: true, AskWithin: 60e3, FallMultiple: 3, OverloadFor: 1000,
+		Categories: []balancer.Category{{TargetLatency: 1000, Benefit: 1, LateBenefit: 1}}}}
+	peers := &upstream.Terms{Budget: descriptors.New(64, func() {}), Log: log}
 	peers.ConnectTimeout.Set(time.Second)
 	peers.IdleFor.Set(time.Minute)
 	n := New(told, Module, c, peers, w.Ask, log)
@@ -133,14 +133,14 @@
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	w.Start(ctx)
-	n.Start(&members.List{Whole: true, Version: 1, Members: []members.Member{{Name: "x", Address: backend.address, State: balance.Ready, Weight: 1}}})
+	n.Start(&discovery.List{Whole: true, Version: 1, Members: []discovery.Member{{Name: "x", Address: backend.address, State: balancer.Ready, Weight: 1}}})
 	defer n.Stop()
 	for range 5 {
 		n.ListFailed()
 	}
 	w.Ask()
 	begun := <-back
-	require.Eventually(t, func() bool { _, state := had(n, "x"); return state != balance.Ready }, 30*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { _, state := had(n, "x"); return state != balancer.Ready }, 30*time.Second, time.Millisecond)
 	assert.Less(t, time.Since(begun), toldWithin)
 	o := op(c, 0)
 	o.GiveUp = c.Now() + 100
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -1,6 +1,6 @@
 package peers
 
-import "pearknot/internal/peers/link"
+import "pearknot/internal/peers/transport"
 
 // What the tests here speak by hand is the links' own.
-var newHello, call, writeFrame = link.NewHello, link.Call, link.WriteFrame
+var newHello, call, writeFrame = transport.NewHello, transport.Call, transport.WriteFrame
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -16,9 +16,9 @@
 	"golang.org/x/time/rate"
 
 	"pearknot/internal/clock"
-	"pearknot/internal/estate"
 	"pearknot/internal/mailbox"
-	"pearknot/internal/peers/link"
+	"pearknot/internal/peers/transport"
+	"pearknot/internal/requestlog"
 )
 
 // Member is one process of the fleet.
@@ -46,8 +46,8 @@
 
 	dialWithin   = time.Second
 	writeWithin  = time.Second
-	silentWithin = estate.SilentFor * time.Millisecond // a beat comes ten times as often
-	againFrom    = 50 * time.Millisecond               // between two tries to connect, growing
+	silentWithin = requestlog.SilentFor * time.Millisecond // a beat comes ten times as often
+	againFrom    = 50 * time.Millisecond                   // between two tries to connect, growing
 	againUpTo    = time.Second
 )
 
@@ -65,7 +65,7 @@
 	life    uint64
 	clock   *clock.Clock
 	log     *slog.Logger
-	inherit func(estate.Entry)
+	inherit func(requestlog.Entry)
 	odd     rate.Sometimes
 	unsaid  atomic.Int64
 	ctx     context.Context
@@ -74,8 +74,8 @@
 	bound   chan struct{} // closed once this process has the address
 	box     *mailbox.Box[func()]
 
-	house   *estate.House
-	waits   map[uint64]func(estate.Reply)
+	house   *requestlog.House
+	waits   map[uint64]func(requestlog.Reply)
 	seq     uint64
 	members []member
 	took    uint64
@@ -97,15 +97,15 @@
 }
 
 // New makes one; inherit takes what this process has taken over, and must not block.
-func New(t Terms, c *clock.Clock, inherit func(estate.Entry), log *slog.Logger) *Peers {
+func New(t Terms, c *clock.Clock, inherit func(requestlog.Entry), log *slog.Logger) *Peers {
 	names := make([]string, len(t.Members))
 	for k, m := range t.Members {
 		names[k] = m.Name
 	}
 	life := uint64(c.Now())
 	p := &Peers{t: t, life: life, clock: c, log: log, inherit: inherit, bound: make(chan struct{}), odd: rate.Sometimes{Interval: oddEvery}, box: mailbox.New[func()](),
-		waits: map[uint64]func(estate.Reply){}, members: make([]member, len(t.Members)),
-		house: estate.New(estate.Terms{Members: names, Self: t.Self, Life: life, Copies: t.Copies, Seed: rand.Uint64(), Most: t.Most, Keep: t.Keep}, c.Now())}
+		waits: map[uint64]func(requestlog.Reply){}, members: make([]member, len(t.Members)),
+		house: requestlog.New(requestlog.Terms{Members: names, Self: t.Self, Life: life, Copies: t.Copies, Seed: rand.Uint64(), Most: t.Most, Keep: t.Keep}, c.Now())}
 	p.ctx, p.end = context.WithCancel(context.Background())
 	return p
 }
@@ -132,23 +132,23 @@
 }
 
 // Look asks what is known of a key, and Write has a record written; told is called once, and must not block.
-func (p *Peers) Look(key string, print uint64, until float64, told func(estate.Reply)) {
+func (p *Peers) Look(key string, print uint64, until float64, told func(requestlog.Reply)) {
 	p.box.Put(func() { p.house.Look(p.clock.Now(), p.await(told), key, print, until) })
 }
 
-func (p *Peers) Write(r estate.Record, until float64, told func(estate.Reply)) {
+func (p *Peers) Write(r requestlog.Record, until float64, told func(requestlog.Reply)) {
 	p.box.Put(func() { p.house.Write(p.clock.Now(), p.await(told), r, until) })
 }
 
-func (p *Peers) await(told func(estate.Reply)) uint64 {
+func (p *Peers) await(told func(requestlog.Reply)) uint64 {
 	p.seq++
 	p.waits[p.seq] = told
 	return p.seq
 }
 
 // State tells of the logs, for whoever looks; it waits for the actor.
-func (p *Peers) State(ctx context.Context) (s estate.Picture, err error) {
-	told := make(chan estate.Picture, 1)
+func (p *Peers) State(ctx context.Context) (s requestlog.Picture, err error) {
+	told := make(chan requestlog.Picture, 1)
 	p.box.Put(func() {
 		x := p.house.Picture()
 		x.TookOver = p.took
@@ -164,14 +164,14 @@
 
 func (p *Peers) run() {
 	defer p.wg.Done()
-	tick := time.NewTicker(estate.TickMs * time.Millisecond)
+	tick := time.NewTicker(requestlog.TickMs * time.Millisecond)
 	defer tick.Stop()
 	var notes []func()
 	for {
 		select {
 		case <-p.ctx.Done():
 			for _, told := range p.waits {
-				told(estate.Reply{Code: estate.Alone})
+				told(requestlog.Reply{Code: requestlog.Alone})
 			}
 			for k := range p.members {
 				p.dropIn(k)
@@ -233,7 +233,7 @@
 func (p *Peers) link(k int) {
 	m := &p.members[k]
 	if m.out != nil && m.in != nil && m.out.life == m.inPid {
-		p.house.Linked(p.clock.Now(), k, estate.NewPid(k, m.inPid))
+		p.house.Linked(p.clock.Now(), k, requestlog.NewPid(k, m.inPid))
 		p.log.Info("peer linked", "peer", p.t.Members[k].Name)
 	}
 }
@@ -291,12 +291,12 @@
 		c, err := d.DialContext(p.ctx, "tcp", to.Address)
 		if err == nil {
 			var life uint64
-			if life, err = link.Call(c, p.t.Keys, p.t.Fleet, p.t.Members[p.t.Self].Name, to.Name, p.life); err == nil {
+			if life, err = transport.Call(c, p.t.Keys, p.t.Fleet, p.t.Members[p.t.Self].Name, to.Name, p.life); err == nil {
 				wait = againFrom
 				p.carry(k, c, life)
 			} else {
 				_ = c.Close()
-				if p.ctx.Err() == nil && err == link.ErrKey {
+				if p.ctx.Err() == nil && err == transport.ErrKey {
 					p.sayOdd(to.Name, err)
 				}
 			}
@@ -343,7 +343,7 @@
 			return
 		}
 		_ = c.SetWriteDeadline(time.Now().Add(writeWithin))
-		err := link.WriteFrame(w, frame)
+		err := transport.WriteFrame(w, frame)
 		o.bytes.Add(-int64(len(frame)))
 		if err == nil && len(o.frames) == 0 {
 			err = w.Flush()
@@ -398,7 +398,7 @@
 	stop := context.AfterFunc(p.ctx, func() { _ = c.Close() })
 	defer stop()
 	r := bufio.NewReaderSize(c, 64<<10)
-	name, life, err := link.Take(c, r, p.t.Keys, p.t.Fleet, p.t.Members[p.t.Self].Name, p.life)
+	name, life, err := transport.Take(c, r, p.t.Keys, p.t.Fleet, p.t.Members[p.t.Self].Name, p.life)
 	from := -1
 	for k, m := range p.t.Members {
 		if m.Name == name && k != p.t.Self {
@@ -422,7 +422,7 @@
 	})
 	for {
 		_ = c.SetReadDeadline(time.Now().Add(silentWithin))
-		data, err := link.ReadFrame(r, uint32(p.t.mostFrame()))
+		data, err := transport.ReadFrame(r, uint32(p.t.mostFrame()))
 		if err != nil {
 			p.box.Put(func() {
 				if p.members[from].in == c {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/goleak"
 
 	"pearknot/internal/clock"
-	"pearknot/internal/estate"
+	"pearknot/internal/requestlog"
 	"pearknot/internal/snapshot"
 )
 
@@ -60,7 +60,7 @@
 		if k == 2 {
 			spoil(&mine)
 		}
-		p := New(mine, clock.New(), func(estate.Entry) {}, slog.New(slog.NewTextHandler(log, nil)))
+		p := New(mine, clock.New(), func(requestlog.Entry) {}, slog.New(slog.NewTextHandler(log, nil)))
 		p.Start()
 		t.Cleanup(p.Stop)
 		all, logs = append(all, p), append(logs, log)
@@ -83,22 +83,24 @@
 func TestThree(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	all, _ := three(t, func(*Terms) {})
-	write := func(p *Peers, r estate.Record) estate.Code {
-		told := make(chan estate.Reply, 1)
-		p.Write(r, p.clock.Now()+300, func(r estate.Reply) { told <- r })
+	write := func(p *Peers, r requestlog.Record) requestlog.Code {
+		told := make(chan requestlog.Reply, 1)
+		p.Write(r, p.clock.Now()+300, func(r requestlog.Reply) { told <- r })
 		return (<-told).Code
 	}
-	op := estate.Op{Print: 7, GiveUp: all[0].clock.Now() + 60e3}
-	require.Eventually(t, func() bool { return write(all[0], estate.Record{Kind: estate.Begin, Key: "k", Op: op}) == estate.Done },
+	op := requestlog.Op{Print: 7, GiveUp: all[0].clock.Now() + 60e3}
+	require.Eventually(t, func() bool {
+		return write(all[0], requestlog.Record{Kind: requestlog.Begin, Key: "k", Op: op}) == requestlog.Done
+	},
 		10*time.Second, 10*time.Millisecond)
-	require.Equal(t, estate.InHand, write(all[1], estate.Record{Kind: estate.Begin, Key: "k", Op: op}))
-	require.Equal(t, estate.Lost, write(all[1], estate.Record{Kind: estate.Finish, Key: "k", Outcome: estate.Outcome{Final: estate.Acked}}))
+	require.Equal(t, requestlog.InHand, write(all[1], requestlog.Record{Kind: requestlog.Begin, Key: "k", Op: op}))
+	require.Equal(t, requestlog.Lost, write(all[1], requestlog.Record{Kind: requestlog.Finish, Key: "k", Outcome: requestlog.Outcome{Final: requestlog.Acked}}))
 	long := bytes.Repeat([]byte("x"), 200<<10)
-	require.Equal(t, estate.Done, write(all[0], estate.Record{Kind: estate.Finish, Key: "k", Outcome: estate.Outcome{Final: estate.Acked, Body: long}}))
-	told := make(chan estate.Reply, 1)
-	all[2].Look("k", 7, all[2].clock.Now()+3000, func(r estate.Reply) { told <- r })
+	require.Equal(t, requestlog.Done, write(all[0], requestlog.Record{Kind: requestlog.Finish, Key: "k", Outcome: requestlog.Outcome{Final: requestlog.Acked, Body: long}}))
+	told := make(chan requestlog.Reply, 1)
+	all[2].Look("k", 7, all[2].clock.Now()+3000, func(r requestlog.Reply) { told <- r })
 	r := <-told
-	require.Equal(t, estate.Over, r.Code)
+	require.Equal(t, requestlog.Over, r.Code)
 	require.Equal(t, long, r.Outcome.Body)
 	for _, p := range all {
 		p.Stop()
@@ -148,7 +150,7 @@
 		_ = c.(*net.TCPConn).CloseWrite()
 		ends(c)
 	}
-	version := func(v int) []byte { return snapshot.Append(nil, &estate.Frame{Version: v, Kind: 1}) }
+	version := func(v int) []byte { return snapshot.Append(nil, &requestlog.Frame{Version: v, Kind: 1}) }
 	for _, frame := range [][]byte{[]byte("garbage"), version(2), version(1), bytes.Repeat([]byte{0xff}, 1000)} {
 		c, err := net.Dial("tcp", address)
 		require.NoError(t, err)
@@ -167,7 +169,7 @@
 func TestALinkThatComesUpAtTheEndEnds(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	terms := Terms{Fleet: "f", Copies: 3, Keys: [][]byte{key}, Members: []Member{{"a", free(t)}, {"b", free(t)}, {"c", free(t)}}}
-	p := New(terms, clock.New(), func(estate.Entry) {}, slog.New(slog.DiscardHandler))
+	p := New(terms, clock.New(), func(requestlog.Entry) {}, slog.New(slog.DiscardHandler))
 	p.end() // the actor has gone, or never came
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
@@ -190,22 +192,22 @@
 	defer goleak.VerifyNone(t)
 	const most = 6 << 20
 	all, _ := three(t, func(t *Terms) {}, func(t *Terms) { t.Most = most })
-	write := func(r estate.Record) estate.Code {
-		told := make(chan estate.Reply, 1)
-		all[0].Write(r, all[0].clock.Now()+3000, func(r estate.Reply) { told <- r })
+	write := func(r requestlog.Record) requestlog.Code {
+		told := make(chan requestlog.Reply, 1)
+		all[0].Write(r, all[0].clock.Now()+3000, func(r requestlog.Reply) { told <- r })
 		return (<-told).Code
 	}
 	require.Eventually(t, func() bool { return whole(t, all[0]) }, 10*time.Second, 10*time.Millisecond)
 	message, full := bytes.Repeat([]byte("x"), 60<<10), 0
 	for k := range 700 { // what comes and goes leaves nothing behind
 		key := fmt.Sprint("gone ", k)
-		require.Equal(t, estate.Done, write(estate.Record{Kind: estate.Begin, Key: key, Op: estate.Op{GiveUp: all[0].clock.Now() + 600e3, Message: message}}))
-		require.Equal(t, estate.Done, write(estate.Record{Kind: estate.Finish, Key: key, Outcome: estate.Outcome{Final: estate.Nacked}}))
+		require.Equal(t, requestlog.Done, write(requestlog.Record{Kind: requestlog.Begin, Key: key, Op: requestlog.Op{GiveUp: all[0].clock.Now() + 600e3, Message: message}}))
+		require.Equal(t, requestlog.Done, write(requestlog.Record{Kind: requestlog.Finish, Key: key, Outcome: requestlog.Outcome{Final: requestlog.Nacked}}))
 	}
 	for k := 0; k < 2000 && full < 50; k++ {
-		switch code := write(estate.Record{Kind: estate.Begin, Key: fmt.Sprint(k), Op: estate.Op{GiveUp: all[0].clock.Now() + 600e3, Message: message}}); code {
-		case estate.Done:
-		case estate.Full: // one log after the other
+		switch code := write(requestlog.Record{Kind: requestlog.Begin, Key: fmt.Sprint(k), Op: requestlog.Op{GiveUp: all[0].clock.Now() + 600e3, Message: message}}); code {
+		case requestlog.Done:
+		case requestlog.Full: // one log after the other
 			full++
 		default:
 			require.Fail(t, code.String())
@@ -216,7 +218,7 @@
 	require.NoError(t, err)
 	for _, l := range s.Logs {
 		require.LessOrEqual(t, l.Bytes, most)
-		require.LessOrEqual(t, l.Held, int(estate.HeldTimes*most), "ledger, its image and records since")
+		require.LessOrEqual(t, l.Held, int(requestlog.HeldTimes*most), "ledger, its image and records since")
 		require.Greater(t, l.Bytes, most*8/10)
 	}
 	all[2].Stop()
@@ -240,7 +242,7 @@
 
 // restart starts a member's next life.
 func restart(t *testing.T, old *Peers) *Peers {
-	p := New(old.t, clock.New(), func(estate.Entry) {}, old.log)
+	p := New(old.t, clock.New(), func(requestlog.Entry) {}, old.log)
 	p.Start()
 	t.Cleanup(p.Stop)
 	return p
--- a/internal/peers/link/link.go
+++ b/internal/peers/transport/transport.go
@@ -1,6 +1,6 @@
-// Package link is how two processes of a fleet open a connection and what goes over it: each proves that it has the fleet's
+// Package transport is how two processes of a fleet open a connection and what goes over it: each proves that it has the fleet's
 // key, then frames of bytes. Who may call is for the taker to say, by the name that the caller has proven.
-package link
+package transport
 
 import (
 	"bufio"
--- a/internal/peers/link/link_test.go
+++ b/internal/peers/transport/transport_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bytes"
--- a/internal/estate/golden_test.go
+++ b/internal/requestlog/golden_test.go
@@ -1,4 +1,4 @@
-package estate
+package requestlog
 
 import (
 	"os"
--- a/internal/estate/picture.go
+++ b/internal/requestlog/picture.go
@@ -1,4 +1,4 @@
-package estate
+package requestlog
 
 // Picture is a process's part in all logs, for whoever looks.
 type Picture struct {
--- a/internal/estate/record.go
+++ b/internal/requestlog/record.go
@@ -1,9 +1,9 @@
-package estate
+package requestlog
 
 import (
 	"slices"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 // Pid names one life of a process: a process that was started again is another.
@@ -51,8 +51,8 @@
 	Print      uint64 // of method, path and body
 	Category   string
 	Tenant     string
-	Effect     balance.Effect
-	Group      balance.Group
+	Effect     balancer.Effect
+	Group      balancer.Group
 	Remembered float64 // ms
 	Hint       float64 // ms
 	HasHint    bool
@@ -69,7 +69,7 @@
 	Zone, Cell int
 	At         float64
 	Over       bool
-	Ending     balance.Ending // where it is over
+	Ending     balancer.Ending // where it is over
 }
 
 // Outcome is an op's final answer. One too long to be kept is known by its status alone.
@@ -142,7 +142,9 @@
 
 // Nackable tells whether an answer that says "ask again, nothing harmful ran" would be true. It frees the key, and the client
 // may come with it long after the backends have forgotten a mark: so a deduplicated op that may have run is none.
-func (e *Entry) Nackable() bool { return e.MayHaveRun() == nil || e.Op.Effect == balance.Redeliverable }
+func (e *Entry) Nackable() bool {
+	return e.MayHaveRun() == nil || e.Op.Effect == balancer.Redeliverable
+}
 
 // Ledger is what the records of a log come to. The same records in the same order make the same ledger everywhere.
 type Ledger struct {
@@ -231,7 +233,7 @@
 		e.Heirs++
 		if l.flaw == NoPushes {
 			for i := range e.Pushes {
-				e.Pushes[i].Over, e.Pushes[i].Ending = true, balance.NotSent
+				e.Pushes[i].Over, e.Pushes[i].Ending = true, balancer.NotSent
 			}
 		}
 	}
@@ -341,9 +343,9 @@
 	switch {
 	case e.Op.GiveUp-now < leastLeft:
 		return end("its time is over")
-	case first != nil && e.Op.Effect == balance.AtMostOnce:
+	case first != nil && e.Op.Effect == balancer.AtMostOnce:
 		return DeadLetter, "it may have run, and must not run twice"
-	case first != nil && e.Op.Effect == balance.Deduplicated && now-first.At >= e.Op.Remembered:
+	case first != nil && e.Op.Effect == balancer.Deduplicated && now-first.At >= e.Op.Remembered:
 		return end("it may have run, and its mark may be forgotten")
 	}
 	return GoOn, "taken over"
--- a/internal/estate/record_test.go
+++ b/internal/requestlog/record_test.go
@@ -1,4 +1,4 @@
-package estate
+package requestlog
 
 import (
 	"testing"
@@ -6,32 +6,32 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/snapshot"
 )
 
 // What an heir does with an op, by its effect and by what is known of its pushes.
 func TestSucceed(t *testing.T) {
 	out := Push{Backend: "b", At: 1000}
-	never := Push{Backend: "b", At: 1000, Over: true, Ending: balance.NoConnection}
-	timedOut := Push{Backend: "b", At: 1000, Over: true, Ending: balance.TimedOut}
+	never := Push{Backend: "b", At: 1000, Over: true, Ending: balancer.NoConnection}
+	timedOut := Push{Backend: "b", At: 1000, Over: true, Ending: balancer.TimedOut}
 	for name, c := range map[string]struct {
-		effect balance.Effect
+		effect balancer.Effect
 		pushes []Push
 		now    float64
 		duty   Duty
 	}{
-		"redeliverable, out":                    {balance.Redeliverable, []Push{out}, 1500, GoOn},
-		"at-most-once, out":                     {balance.AtMostOnce, []Push{out}, 1500, DeadLetter},
-		"at-most-once, timed out":               {balance.AtMostOnce, []Push{timedOut}, 1500, DeadLetter},
-		"at-most-once, never ran":               {balance.AtMostOnce, []Push{never}, 1500, GoOn},
-		"at-most-once, never ran and then out":  {balance.AtMostOnce, []Push{never, out}, 1500, DeadLetter},
-		"deduplicated, within its time":         {balance.Deduplicated, []Push{out}, 1700, GoOn},
-		"deduplicated, its mark forgotten":      {balance.Deduplicated, []Push{out}, 1801, DeadLetter},
-		"deduplicated, never ran, long ago":     {balance.Deduplicated, []Push{never}, 1900, GoOn},
-		"redeliverable, its time over":          {balance.Redeliverable, []Push{out}, 4990, NackIt},
-		"at-most-once, its time over":           {balance.AtMostOnce, []Push{out}, 6000, DeadLetter},
-		"at-most-once, never ran, time is over": {balance.AtMostOnce, []Push{never}, 6000, NackIt},
+		"redeliverable, out":                    {balancer.Redeliverable, []Push{out}, 1500, GoOn},
+		"at-most-once, out":                     {balancer.AtMostOnce, []Push{out}, 1500, DeadLetter},
+		"at-most-once, timed out":               {balancer.AtMostOnce, []Push{timedOut}, 1500, DeadLetter},
+		"at-most-once, never ran":               {balancer.AtMostOnce, []Push{never}, 1500, GoOn},
+		"at-most-once, never ran and then out":  {balancer.AtMostOnce, []Push{never, out}, 1500, DeadLetter},
+		"deduplicated, within its time":         {balancer.Deduplicated, []Push{out}, 1700, GoOn},
+		"deduplicated, its mark forgotten":      {balancer.Deduplicated, []Push{out}, 1801, DeadLetter},
+		"deduplicated, never ran, long ago":     {balancer.Deduplicated, []Push{never}, 1900, GoOn},
+		"redeliverable, its time over":          {balancer.Redeliverable, []Push{out}, 4990, NackIt},
+		"at-most-once, its time over":           {balancer.AtMostOnce, []Push{out}, 6000, DeadLetter},
+		"at-most-once, never ran, time is over": {balancer.AtMostOnce, []Push{never}, 6000, NackIt},
 	} {
 		e := Entry{Op: Op{Effect: c.effect, Remembered: 800, GiveUp: 5000}, Pushes: c.pushes}
 		duty, why := e.Succeed(c.now)
--- a/internal/estate/estate.go
+++ b/internal/requestlog/requestlog.go
@@ -1,11 +1,11 @@
-// Package estate keeps records of the ops that processes have in hand, each in a log that several of them hold, and
+// Package requestlog keeps records of the ops that processes have in hand, each in a log that several of them hold, and
 // decides who takes over what a lost one had, and what its heir does with it. It does no I/O: time, links and frames come
 // in as values, and frames, answers and inheritances are pulled. Agreement is raft's (go.etcd.io/raft/v3).
 //
 // There is one log for each member of the list, and a key's records lie in the log that its hash names, whoever took the
 // op: so two ops with one key meet in one log, and whose an op is is told by that log alone. docs/takeover.md has the
 // ways weighed and what is promised.
-package estate
+package requestlog
 
 import (
 	"cmp"
--- a/internal/serve/capture.go
+++ b/internal/serve/capture.go
@@ -8,10 +8,10 @@
 	"sync/atomic"
 	"time"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/capture"
 	"pearknot/internal/clock"
-	"pearknot/internal/strict"
+	"pearknot/internal/tomlfile"
 )
 
 // Capture is what an operator's file says of a capture.
@@ -51,7 +51,7 @@
 		}
 	}
 	inner, epoch := o.Decide, uint64(now.Now()) // a process begins where the one before can't have been
-	o.Decide = func(t *balance.Terms, at float64) balance.Decider {
+	o.Decide = func(t *balancer.Terms, at float64) balancer.Decider {
 		d := inner(t, at)
 		r, err := capture.NewRecorder(d, at, capture.Start{Name: p.name, Epoch: epoch, Build: o.Version, Terms: t},
 			capture.Options{Every: o.Capture.Every, Secret: o.Capture.Secret, Sink: sink})
@@ -84,7 +84,7 @@
 // ReadCapture reads the operator's file of a capture.
 func ReadCapture(name string) (*Capture, error) {
 	f := captureFile{SegmentMB: 16, MostMB: 256, MostHours: 48, EveryMs: 1000, BlockKB: 64, MailboxMB: 4, EveryS: 10, Sync: string(capture.SyncSegment)}
-	at, err := strict.Read(name, &f)
+	at, err := tomlfile.Read(name, &f)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/serve/control.go
+++ b/internal/serve/control.go
@@ -11,37 +11,37 @@
 	"time"
 
 	"pearknot/internal/acme"
-	"pearknot/internal/control"
-	"pearknot/internal/estate"
-	"pearknot/internal/front"
+	"pearknot/internal/controlsocket"
 	"pearknot/internal/node"
 	"pearknot/internal/peers"
+	"pearknot/internal/requestlog"
+	"pearknot/internal/server"
 )
 
 // lookWithin is how long the module's actor may take to tell what it holds.
 const lookWithin = time.Second
 
 // openControl serves the node's control socket until it is closed.
-func openControl(p *Place, o Options, n *node.Node, f *front.Front, dump func() (string, error), certificates *acme.Instance,
+func openControl(p *Place, o Options, n *node.Node, f *server.Front, dump func() (string, error), certificates *acme.Instance,
 	links *peers.Peers, settings *shared, started float64, log *slog.Logger) (io.Closer, error) {
-	l, err := control.Listen(o.Control)
+	l, err := controlsocket.Listen(o.Control)
 	if err != nil {
 		return nil, err
 	}
-	status := func(ctx context.Context) (control.Status, error) {
+	status := func(ctx context.Context) (controlsocket.Status, error) {
 		ctx, cancel := context.WithTimeout(ctx, lookWithin)
 		defer cancel()
 		look, err := n.Look(ctx)
 		if err != nil {
-			return control.Status{}, err
+			return controlsocket.Status{}, err
 		}
 		in, ending := f.State()
 		now := p.now.Load()
-		s := control.Status{Token: o.Token, PID: os.Getpid(), Name: p.name, Listen: f.Address(), Version: o.Version, Started: started,
+		s := controlsocket.Status{Token: o.Token, PID: os.Getpid(), Name: p.name, Listen: f.Address(), Version: o.Version, Started: started,
 			Config: p.file, Digest: now.digest, Epoch: o.Epoch, List: now.discovery, ListAt: look.Version, ListSum: look.Digest,
 			Backends: look.Backends, Ready: look.Held, InService: in, Ending: ending, Open: int64(look.Open), MemoryMB: memory()}
 		if certificates != nil {
-			s.TLS = &control.TLS{Listen: f.SecureAddress(), Dir: o.TLS.Acme.Dir, Handshakes: f.Handshakes(), Certificates: certificates.Status()}
+			s.TLS = &controlsocket.TLS{Listen: f.SecureAddress(), Dir: o.TLS.Acme.Dir, Handshakes: f.Handshakes(), Certificates: certificates.Status()}
 			s.TLS.Orders, s.TLS.OrderedBy = certificates.Orders()
 		}
 		if settings != nil {
@@ -49,7 +49,7 @@
 		}
 		return s, nil
 	}
-	service := func(s control.Service) error {
+	service := func(s controlsocket.Service) error {
 		if _, ending := f.State(); ending {
 			return errors.New("the node is about to end")
 		}
@@ -57,25 +57,25 @@
 		log.Info("service", "in", s.In, "why", s.Why)
 		return nil
 	}
-	var keeper control.Certificates
+	var keeper controlsocket.Certificates
 	if certificates != nil {
 		keeper = certificates
 	}
-	var clients func() front.Clients
+	var clients func() server.Clients
 	if o.Edge != "" {
 		clients = f.Clients
 	}
-	var peers func(context.Context) (estate.Picture, error)
+	var peers func(context.Context) (requestlog.Picture, error)
 	if links != nil {
-		peers = func(ctx context.Context) (estate.Picture, error) {
+		peers = func(ctx context.Context) (requestlog.Picture, error) {
 			ctx, cancel := context.WithTimeout(ctx, lookWithin)
 			defer cancel()
 			return links.State(ctx)
 		}
 	}
-	server := control.Server(control.Node(status, service, dump, keeper, clients, peers))
+	server := controlsocket.Server(controlsocket.Node(status, service, dump, keeper, clients, peers))
 	go func() {
-		if err := server.Serve(control.Limited(l)); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(controlsocket.Limited(l)); !errors.Is(err, http.ErrServerClosed) {
 			log.Error("control socket ended", "error", err)
 		}
 	}()
--- a/internal/serve/edge.go
+++ b/internal/serve/edge.go
@@ -4,7 +4,7 @@
 	"net/netip"
 
 	"pearknot/internal/admission"
-	"pearknot/internal/strict"
+	"pearknot/internal/tomlfile"
 )
 
 // edgeFile is deploy/edge.toml.
@@ -28,7 +28,7 @@
 	l := admission.Defaults(0)
 	f := edgeFile{Reserve: l.Reserve, PressedAt: l.PressedAt, CalmAt: l.CalmAt, Unproven: l.Unproven, Penalty: l.Penalty, FadeHalfS: l.FadeHalf / 1e3,
 		KnownAfter: l.KnownAfter, KnownHalfS: l.KnownHalf / 1e3, GraceMs: l.Grace, IdleMs: l.IdleFor, Addresses: l.Addresses}
-	at, err := strict.Read(name, &f)
+	at, err := tomlfile.Read(name, &f)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/serve/pair.go
+++ b/internal/serve/pair.go
@@ -13,12 +13,12 @@
 	"sync/atomic"
 	"time"
 
+	"pearknot/internal/admin"
 	"pearknot/internal/clock"
-	"pearknot/internal/console"
-	"pearknot/internal/front"
-	"pearknot/internal/handover"
+	"pearknot/internal/descriptors"
+	"pearknot/internal/hotrestart"
 	"pearknot/internal/node"
-	"pearknot/internal/sockets"
+	"pearknot/internal/server"
 )
 
 const (
@@ -36,16 +36,16 @@
 	place  *Place
 	path   string // where a process offers itself; empty where none does
 	limit  int    // of descriptors, for both together
-	budget *sockets.Budget
+	budget *descriptors.Budget
 	clock  *clock.Clock
 	log    *slog.Logger
 	node   *node.Node
-	front  *front.Front
+	front  *server.Front
 	serves atomic.Bool
 
 	mu     sync.Mutex
-	before *handover.Link // nil where there is none
-	offer  *handover.Offer
+	before *hotrestart.Link // nil where there is none
+	offer  *hotrestart.Offer
 	closed bool
 }
 
@@ -55,7 +55,7 @@
 	if p.control == "" || dir == "" || strings.HasSuffix(p.listen, ":0") {
 		return ""
 	}
-	path := handover.Path(dir, p.name+"-"+strings.NewReplacer(":", "_", "/", "_").Replace(p.listen))
+	path := hotrestart.Path(dir, p.name+"-"+strings.NewReplacer(":", "_", "/", "_").Replace(p.listen))
 	if len(path) > 100 { // a socket's path is bounded
 		log.Warn("no next process will find this one: TMPDIR is too long", "path", path)
 		return ""
@@ -72,11 +72,11 @@
 }
 
 // follow takes over from a process that runs, if there is one.
-func (p *pair) follow(ctx context.Context) *handover.State {
+func (p *pair) follow(ctx context.Context) *hotrestart.State {
 	if p.path == "" {
 		return nil
 	}
-	link, s, err := handover.Follow(ctx, p.path, p.place.name, p.do, func(used int) { p.budget.Limit(p.limit - used) })
+	link, s, err := hotrestart.Follow(ctx, p.path, p.place.name, p.do, func(used int) { p.budget.Limit(p.limit - used) })
 	if err != nil {
 		p.log.Warn("nothing taken over from the process before, this one starts fresh", "error", err)
 	}
@@ -86,17 +86,17 @@
 	p.mu.Lock()
 	p.before = link
 	p.mu.Unlock()
-	p.budget.Limit(p.limit - int(olderShare*float64(p.limit)) - console.Descriptors) // the other has a second address, too
+	p.budget.Limit(p.limit - int(olderShare*float64(p.limit)) - admin.Descriptors) // the other has a second address, too
 	p.remember(2)
 	if !reflect.DeepEqual(s.Zones, p.place.names.Zones) || !reflect.DeepEqual(s.Kinds, p.place.names.Kinds) {
 		p.log.Warn("what the process before has learned is of other zones or kinds and not taken")
-		return &handover.State{Known: s.Known, Banned: s.Banned, Away: s.Away}
+		return &hotrestart.State{Known: s.Known, Banned: s.Banned, Away: s.Away}
 	}
 	return s
 }
 
 // learn has the node begin with what was taken over; from then on both are one node.
-func (p *pair) learn(s *handover.State) {
+func (p *pair) learn(s *hotrestart.State) {
 	err := p.node.Follow(&node.Learned{Names: s.Names, Module: s.Module, Known: s.Known, Banned: s.Banned})
 	if err != nil {
 		p.log.Warn("what the process before has learned is not taken, this one starts fresh", "error", err)
@@ -143,7 +143,7 @@
 	if p.closed {
 		return
 	}
-	o, err := handover.Open(p.path, handover.Owner{Name: p.place.name, State: p.state, Do: p.do, Log: p.log,
+	o, err := hotrestart.Open(p.path, hotrestart.Owner{Name: p.place.name, State: p.state, Do: p.do, Log: p.log,
 		Alone: func() {
 			p.log.Info("the next process has ended, this one goes on")
 			p.alone()
@@ -156,7 +156,7 @@
 }
 
 // state gives back what the next process needs, then tells it what there is to know.
-func (p *pair) state(ctx context.Context) (*handover.State, error) {
+func (p *pair) state(ctx context.Context) (*hotrestart.State, error) {
 	p.log.Info("another process follows this one")
 	p.budget.Limit(int(olderShare * float64(p.limit)))
 	p.remember(2)
@@ -165,7 +165,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &handover.State{Zones: p.place.names.Zones, Kinds: p.place.names.Kinds, List: l.List, Names: l.Names, Module: l.Module,
+	s := &hotrestart.State{Zones: p.place.names.Zones, Kinds: p.place.names.Kinds, List: l.List, Names: l.Names, Module: l.Module,
 		Known: l.Known, Banned: l.Banned}
 	if passed, away := p.front.AwayFor(); away {
 		ms := float64(passed.Microseconds()) / 1e3
@@ -175,7 +175,7 @@
 }
 
 // other is the node's other process, or nil.
-func (p *pair) other() *handover.Link {
+func (p *pair) other() *hotrestart.Link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
@@ -188,7 +188,7 @@
 }
 
 // succeeded gives the process that serves in this one's place, or nil.
-func (p *pair) succeeded() *handover.Link {
+func (p *pair) succeeded() *hotrestart.Link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.offer != nil {
@@ -204,11 +204,11 @@
 }
 
 // giveBack has this process take no more, and tells the other what it still has, until ctx ends.
-func (p *pair) giveBack(ctx context.Context, to *handover.Link) {
+func (p *pair) giveBack(ctx context.Context, to *hotrestart.Link) {
 	for {
 		used := p.budget.Used() + onTheWay
 		p.budget.Limit(used)
-		to.Using(used + console.Descriptors)
+		to.Using(used + admin.Descriptors)
 		select {
 		case <-ctx.Done():
 			return
@@ -231,21 +231,21 @@
 }
 
 // call is an operator's, carried out here and in the other process.
-func (p *pair) call(ctx context.Context, c console.Call) (string, error) {
+func (p *pair) call(ctx context.Context, c admin.Call) (string, error) {
 	if !p.serves.Load() {
 		return "", errors.New("not serving yet")
 	}
-	if c.Verb == console.Health {
+	if c.Verb == admin.Health {
 		return p.health()
 	}
-	there := handover.Call{Verb: string(c.Verb), ID: c.ID}
+	there := hotrestart.Call{Verb: string(c.Verb), ID: c.ID}
 	text, err := p.do(ctx, there)
 	other := p.other()
 	if other == nil || err != nil && !errors.Is(err, node.ErrNeverListed) {
 		return text, err
 	}
 	there.Force = err == nil // a list is at one of them before it is at the other
-	if _, fault := other.Call(ctx, there); fault != nil && !errors.Is(fault, handover.ErrAlone) {
+	if _, fault := other.Call(ctx, there); fault != nil && !errors.Is(fault, hotrestart.ErrAlone) {
 		return "", fault
 	} else if fault != nil || err == nil {
 		return text, err
@@ -277,19 +277,19 @@
 var errEnding = errors.New("the node is about to end")
 
 // do carries a call out in this process.
-func (p *pair) do(ctx context.Context, c handover.Call) (string, error) {
-	switch v := console.Verb(c.Verb); v {
-	case console.Cordon, console.Uncordon:
-		if err := p.node.TakeOut(ctx, c.ID, v == console.Cordon, c.Force); err != nil {
+func (p *pair) do(ctx context.Context, c hotrestart.Call) (string, error) {
+	switch v := admin.Verb(c.Verb); v {
+	case admin.Cordon, admin.Uncordon:
+		if err := p.node.TakeOut(ctx, c.ID, v == admin.Cordon, c.Force); err != nil {
 			return "", fmt.Errorf("%.80q: %w", c.ID, err)
 		}
-		return map[console.Verb]string{console.Cordon: "out", console.Uncordon: "back"}[v], nil
-	case console.Quiesce:
+		return map[admin.Verb]string{admin.Cordon: "out", admin.Uncordon: "back"}[v], nil
+	case admin.Quiesce:
 		if p.front.SendAway(true) {
 			p.log.Info("clients sent away")
 		}
 		return "clients are sent away", nil
-	case console.Resume:
+	case admin.Resume:
 		if _, ending := p.front.State(); ending && p.other() == nil {
 			return "", errEnding
 		}
--- a/internal/serve/peers.go
+++ b/internal/serve/peers.go
@@ -7,11 +7,11 @@
 	"path/filepath"
 	"slices"
 
-	"pearknot/internal/estate"
-	"pearknot/internal/front"
 	"pearknot/internal/peers"
-	"pearknot/internal/peers/link"
-	"pearknot/internal/strict"
+	"pearknot/internal/peers/transport"
+	"pearknot/internal/requestlog"
+	"pearknot/internal/server"
+	"pearknot/internal/tomlfile"
 )
 
 // peersFile is deploy/peers.toml.
@@ -41,7 +41,7 @@
 // Peers is what an operator says of the processes that share.
 type Peers struct {
 	terms      peers.Terms
-	at         *strict.File
+	at         *tomlfile.File
 	header     string
 	most       int
 	categories map[string]bool // those that are kept; true goes on alone
@@ -50,7 +50,7 @@
 // ReadPeers reads the file, and the keys that it names.
 func ReadPeers(name string) (*Peers, error) {
 	f := peersFile{Copies: 3, Header: "Idempotency-Key", KeepS: 60, MemoryMB: 16, AnswersKB: 64}
-	at, err := strict.Read(name, &f)
+	at, err := tomlfile.Read(name, &f)
 	if err != nil {
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 		}
 	}
 	p := &Peers{at: at, header: f.Header, most: int(f.AnswersKB * 1024), categories: map[string]bool{},
-		terms: peers.Terms{Fleet: f.Fleet, Copies: f.Copies, Keep: f.KeepS * 1e3, Most: int(f.MemoryMB * (1 << 20) / float64(f.Copies) / estate.HeldTimes), Self: -1}}
+		terms: peers.Terms{Fleet: f.Fleet, Copies: f.Copies, Keep: f.KeepS * 1e3, Most: int(f.MemoryMB * (1 << 20) / float64(f.Copies) / requestlog.HeldTimes), Self: -1}}
 	seen := map[string]bool{}
 	for k, m := range f.Member {
 		key := fmt.Sprintf("member.%d.", k)
@@ -101,7 +101,7 @@
 	if !filepath.IsAbs(file) {
 		file = filepath.Join(filepath.Dir(name), file)
 	}
-	if p.terms.Keys, err = link.ReadKeys(file); err != nil {
+	if p.terms.Keys, err = transport.ReadKeys(file); err != nil {
 		return nil, at.Errorf("key_file", "%v", err)
 	}
 	return p, nil
@@ -121,6 +121,6 @@
 	return nil
 }
 
-func (o *Peers) keep(links *peers.Peers) front.Keep {
-	return front.Keep{Peers: links, Header: o.header, Categories: o.categories, Most: o.most}
+func (o *Peers) keep(links *peers.Peers) server.Keep {
+	return server.Keep{Peers: links, Header: o.header, Categories: o.categories, Most: o.most}
 }
--- a/internal/serve/place.go
+++ b/internal/serve/place.go
@@ -19,8 +19,8 @@
 	"strings"
 	"sync/atomic"
 
-	"pearknot/internal/members"
-	"pearknot/internal/terms"
+	"pearknot/internal/config"
+	"pearknot/internal/discovery"
 )
 
 // Place is where a node runs: its addresses, its limits and what the deployment tells it.
@@ -33,12 +33,12 @@
 	cores     float64
 	memory    int64 // bytes; 0 is no limit
 	sockets   int
-	told      *terms.Deployment
-	names     members.Names
-	tls       string        // a file as --tls names one; empty is none
-	tlsListen string        // in the place of that file's
-	edge      string        // a file as --edge names one
-	known     *members.List // nil where the node never had one
+	told      *config.Deployment
+	names     discovery.Names
+	tls       string          // a file as --tls names one; empty is none
+	tlsListen string          // in the place of that file's
+	edge      string          // a file as --edge names one
+	known     *discovery.List // nil where the node never had one
 	knownText json.RawMessage
 	version   uint64   // of the settings, by the control plane; 0 is the file's
 	keys      []string // that the file has beside its settings
@@ -100,7 +100,7 @@
 	if len(read.Settings) == 0 {
 		return nil, fmt.Errorf("%s: no settings", file)
 	}
-	if p.told, err = terms.FromJSON(read.Settings); err != nil {
+	if p.told, err = config.FromJSON(read.Settings); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	if p.told.Terms.Seed, err = strconv.ParseUint(read.Seed, 16, 64); err != nil {
@@ -126,7 +126,7 @@
 
 // readKnown reads the list that the file has, by the names that the settings give.
 func (p *Place) readKnown(log *slog.Logger) {
-	p.names, p.known = members.Names{Zones: p.told.Zones, Kinds: p.told.Kinds}, nil
+	p.names, p.known = discovery.Names{Zones: p.told.Zones, Kinds: p.told.Kinds}, nil
 	if len(p.knownText) == 0 || string(p.knownText) == "null" {
 		return
 	}
@@ -140,7 +140,7 @@
 }
 
 // adopt has a node start with settings that are not the file's.
-func (p *Place) adopt(d *terms.Deployment, version uint64, log *slog.Logger) {
+func (p *Place) adopt(d *config.Deployment, version uint64, log *slog.Logger) {
 	p.told, p.version = d, version
 	p.readKnown(log)
 }
@@ -167,7 +167,7 @@
 // reread takes up a new text of the file, whole or not at all: where the list is asked for, and the whole list from there;
 // and the settings, by retune. Addresses and limits need a start. Once the control plane has put settings in force, the file's
 // are read and no more.
-func (p *Place) reread(move func(address string), retune func(*terms.Deployment) error, log *slog.Logger) {
+func (p *Place) reread(move func(address string), retune func(*config.Deployment) error, log *slog.Logger) {
 	next, err := Read(p.file, log)
 	if err == nil {
 		for _, key := range slices.Sorted(slices.Values(p.keys)) {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -15,15 +15,15 @@
 	"time"
 
 	"pearknot/internal/acme"
+	"pearknot/internal/admin"
 	"pearknot/internal/clock"
-	"pearknot/internal/console"
+	"pearknot/internal/config"
 	"pearknot/internal/controlplane/client"
-	"pearknot/internal/front"
-	"pearknot/internal/members"
+	"pearknot/internal/descriptors"
+	"pearknot/internal/discovery"
 	"pearknot/internal/node"
 	"pearknot/internal/peers"
-	"pearknot/internal/sockets"
-	"pearknot/internal/terms"
+	"pearknot/internal/server"
 	"pearknot/internal/upstream"
 )
 
@@ -88,7 +88,7 @@
 		limit -= tlsReserve
 	}
 	if p.control != "" {
-		limit -= console.Descriptors
+		limit -= admin.Descriptors
 	}
 	if o.Peers != nil {
 		if err := o.Peers.fits(p); err != nil {
@@ -107,7 +107,7 @@
 		defer settings.stop()
 		limit -= client.Descriptors
 	}
-	budget := sockets.New(limit, func() {
+	budget := descriptors.New(limit, func() {
 		select {
 		case pressed <- struct{}{}:
 		default:
@@ -117,7 +117,7 @@
 	both.remember(1)
 	second := ""
 	if p.control != "" {
-		c, err := console.Open(p.control, both.call, log)
+		c, err := admin.Open(p.control, both.call, log)
 		if err != nil {
 			return fmt.Errorf("second address: %w", err)
 		}
@@ -125,7 +125,7 @@
 		second = c.Address()
 	}
 	defer both.close()
-	watch := &members.Watch{Address: p.discovery, Names: p.names, Own: !p.told.Terms.MustAsk, Log: log}
+	watch := &discovery.Watch{Address: p.discovery, Names: p.names, Own: !p.told.Terms.MustAsk, Log: log}
 	if p.known != nil {
 		watch.Version, watch.Held = p.known.Version, true
 	}
@@ -138,9 +138,9 @@
 		}
 		defer end()
 	}
-	backends := &upstream.Terms{Tell: terms.Tell, Budget: budget, Log: log}
-	var told atomic.Pointer[terms.Deployment]
-	retime := func(d *terms.Deployment) {
+	backends := &upstream.Terms{Tell: config.Tell, Budget: budget, Log: log}
+	var told atomic.Pointer[config.Deployment]
+	retime := func(d *config.Deployment) {
 		told.Store(d)
 		backends.ConnectTimeout.Set(clock.Span(d.ConnectTimeout))
 		backends.IdleFor.Set(clock.Span(idleShare * d.ConnectionIdle))
@@ -148,7 +148,7 @@
 	retime(p.told)
 	n := node.New(p.told, o.Decide, now, backends, watch.Ask, log)
 	watch.Told, watch.Failed = n.Listed, n.ListFailed
-	f := front.New(n, p.told, now, budget, log)
+	f := server.New(n, p.told, now, budget, log)
 	if o.Edge != "" {
 		limits, err := ReadEdge(o.Edge)
 		if err != nil {
@@ -217,7 +217,7 @@
 	failed := make(chan error, 1)
 	go func() { failed <- f.Serve() }()
 	both.begin()
-	retune := func(d *terms.Deployment) error {
+	retune := func(d *config.Deployment) error {
 		if err := n.Retune(over, d); err != nil {
 			return err
 		}
@@ -298,7 +298,7 @@
 }
 
 // shed frees descriptors whenever they run out, and goes on while clients wait.
-func shed(ctx context.Context, budget *sockets.Budget, pressed <-chan struct{}, backends, clients func()) {
+func shed(ctx context.Context, budget *descriptors.Budget, pressed <-chan struct{}, backends, clients func()) {
 	for {
 		var again <-chan time.Time
 		if budget.Waiting() {
--- a/internal/serve/shared.go
+++ b/internal/serve/shared.go
@@ -9,15 +9,15 @@
 	"sync/atomic"
 
 	"pearknot/internal/clock"
-	"pearknot/internal/control"
+	"pearknot/internal/config"
 	"pearknot/internal/controlplane/client"
-	"pearknot/internal/terms"
+	"pearknot/internal/controlsocket"
 )
 
 // shared is the settings that the control plane puts in force in the place of the file's.
 type shared struct {
 	place  *Place
-	own    *terms.Deployment // the file's, for what is the node's own
+	own    *config.Deployment // the file's, for what is the node's own
 	client *client.Client
 	asks   chan ask
 	over   context.Context
@@ -29,7 +29,7 @@
 // ask is a version that is to be put in force; told has the answer.
 type ask struct {
 	inForce
-	settings *terms.Deployment
+	settings *config.Deployment
 	told     chan error
 }
 
@@ -54,7 +54,7 @@
 	if !there {
 		return s, nil
 	}
-	d, err := terms.Shared(text, s.own)
+	d, err := config.Shared(text, s.own)
 	if err != nil {
 		log.Error("copy of the settings not taken, the file's hold", "version", version, "error", err)
 		return s, nil
@@ -81,7 +81,7 @@
 	if version == s.now.Load().version { // that it has started with
 		return nil
 	}
-	d, err := terms.Shared(text, s.own)
+	d, err := config.Shared(text, s.own)
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 }
 
 // take puts a version in force, whole or not at all.
-func (s *shared) take(a ask, retune func(*terms.Deployment) error) error {
+func (s *shared) take(a ask, retune func(*config.Deployment) error) error {
 	if err := a.settings.Follows(s.place.told); err != nil {
 		return err
 	}
@@ -114,9 +114,9 @@
 }
 
 // state is for whoever looks at the node.
-func (s *shared) state(ctx context.Context) *control.ControlPlane {
+func (s *shared) state(ctx context.Context) *controlsocket.ControlPlane {
 	now := s.now.Load()
-	c := &control.ControlPlane{InForce: now.version, Held: now.version, Digest: now.digest}
+	c := &controlsocket.ControlPlane{InForce: now.version, Held: now.version, Digest: now.digest}
 	if is, err := s.client.State(ctx); err == nil {
 		c.Held, c.Member, c.Refused, c.Why, c.AgeMs = is.Held, is.Member, is.Refused, is.Why, client.Finite(is.Age)
 		c.BytesIn, c.BytesOut, c.FramesIn, c.FramesOut, c.Dials = is.BytesIn, is.BytesOut, is.FramesIn, is.FramesOut, is.Dials
--- a/internal/serve/tls.go
+++ b/internal/serve/tls.go
@@ -22,9 +22,9 @@
 
 	"pearknot/internal/acme"
 	"pearknot/internal/certs"
-	"pearknot/internal/control"
-	"pearknot/internal/front"
-	"pearknot/internal/strict"
+	"pearknot/internal/controlsocket"
+	"pearknot/internal/server"
+	"pearknot/internal/tomlfile"
 )
 
 // tlsReserve are descriptors that are no client's and no backend's where TLS is served: its listener, the one of
@@ -75,7 +75,7 @@
 	f := tlsFile{ALPN: true}
 	f.Limits.OrdersPerHour, f.Limits.FallBackAfter, f.Limits.ReturnAfterH = d.OrdersPerHour, d.FallBackAfter, d.ReturnAfter/3600e3
 	f.Limits.BackoffS, f.Limits.BackoffMostS, f.Limits.InfoEveryH = d.Backoff/1e3, d.BackoffMost/1e3, d.InfoEvery/3600e3
-	at, err := strict.Read(name, &f)
+	at, err := tomlfile.Read(name, &f)
 	if err != nil {
 		return nil, err
 	}
@@ -174,10 +174,10 @@
 
 // secured opens the TLS listener and the store, and runs the instance's keeper of certificates until ctx ends; wait ends
 // when it has let go of the store.
-func secured(ctx context.Context, p *Place, o *TLS, f *front.Front, log *slog.Logger) (i *acme.Instance, wait func(), err error) {
+func secured(ctx context.Context, p *Place, o *TLS, f *server.Front, log *slog.Logger) (i *acme.Instance, wait func(), err error) {
 	a := o.Acme
 	a.Limits.Instance, a.Log = p.name, log
-	if err := f.ListenSecure(front.Secure{Address: cmp.Or(p.tlsListen, o.Listen), Shared: p.control != "", Challenges: a.TLS,
+	if err := f.ListenSecure(server.Secure{Address: cmp.Or(p.tlsListen, o.Listen), Shared: p.control != "", Challenges: a.TLS,
 		Certificate: func(hello *tls.ClientHelloInfo) (*tls.Certificate, error) { return i.Certificate(hello) }}, p.sockets); err != nil {
 		return nil, nil, err
 	}
@@ -217,7 +217,7 @@
 		log.Info("serving challenges", "address", l.Addr().String())
 		told = ""
 		stop := context.AfterFunc(ctx, func() { _ = s.Close() })
-		if err := s.Serve(control.Limited(l)); ctx.Err() == nil {
+		if err := s.Serve(controlsocket.Limited(l)); ctx.Err() == nil {
 			log.Error("challenges no longer served", "error", err)
 		}
 		stop()
--- a/internal/front/conn.go
+++ b/internal/server/conn.go
@@ -1,4 +1,4 @@
-package front
+package server
 
 import (
 	"context"
@@ -12,13 +12,13 @@
 
 	"golang.org/x/sys/unix"
 
-	"pearknot/internal/sockets"
+	"pearknot/internal/descriptors"
 )
 
 // listener gives out connections as the budget of sockets allows; the others wait in its queue.
 type listener struct {
 	*net.TCPListener
-	budget   *sockets.Budget
+	budget   *descriptors.Budget
 	door     *door // nil lets all in
 	draining atomic.Bool
 }
@@ -61,7 +61,7 @@
 type client struct {
 	net.Conn // the TCP connection, or the TLS one on it
 	tcp      *net.TCPConn
-	budget   *sockets.Budget
+	budget   *descriptors.Budget
 	door     *door
 	id       uint64 // that the door knows it by; 0 is none
 
@@ -74,7 +74,7 @@
 	leaving
 }
 
-func plain(c *net.TCPConn, b *sockets.Budget) *client { return &client{Conn: c, tcp: c, budget: b} }
+func plain(c *net.TCPConn, b *descriptors.Budget) *client { return &client{Conn: c, tcp: c, budget: b} }
 
 // CloseWrite is net/http's, which ends a connection so where the client may still be sending.
 func (c *client) CloseWrite() error {
--- a/internal/front/decode.go
+++ b/internal/server/decode.go
@@ -1,4 +1,4 @@
-package front
+package server
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 	"time"
 
 	"pearknot/internal/clock"
+	"pearknot/internal/config"
 	"pearknot/internal/node"
-	"pearknot/internal/terms"
 	"pearknot/internal/upstream"
 )
 
@@ -84,7 +84,7 @@
 		return bad("no path")
 	}
 	told := f.told.Load()
-	category := slices.Index(told.Categories, terms.Name(r.Header.Get(categoryHeader)))
+	category := slices.Index(told.Categories, config.Name(r.Header.Get(categoryHeader)))
 	if category < 0 {
 		return bad("unknown category %.40q", r.Header.Get(categoryHeader))
 	}
@@ -138,6 +138,6 @@
 	return op, nil
 }
 
-func tenant(told *terms.Deployment, r *http.Request) int {
-	return max(told.Tenant(terms.Name(r.Header.Get(tenantHeader))), 0)
+func tenant(told *config.Deployment, r *http.Request) int {
+	return max(told.Tenant(config.Name(r.Header.Get(tenantHeader))), 0)
 }
--- a/internal/front/door_test.go
+++ b/internal/server/door_test.go
@@ -1,4 +1,4 @@
-package front
+package server
 
 import (
 	"errors"
--- a/internal/front/gone_kept_test.go
+++ b/internal/server/gone_kept_test.go
@@ -1,4 +1,4 @@
-package front
+package server
 
 import (
 	"bytes"
@@ -12,12 +12,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/clock"
-	"pearknot/internal/estate"
-	"pearknot/internal/lab/wires"
-	"pearknot/internal/members"
+	"pearknot/internal/discovery"
+	"pearknot/internal/lab/faultproxy"
 	"pearknot/internal/peers"
+	"pearknot/internal/requestlog"
 )
 
 // unused is an address for a member of a fleet, on a loopback address of its own.
@@ -35,9 +35,9 @@
 	for range 3 {
 		real = append(real, unused(t))
 	}
-	var relays []*wires.Wire
+	var relays []*faultproxy.Wire
 	relay := func(to string) string {
-		w, err := wires.Open(to)
+		w, err := faultproxy.Open(to)
 		require.NoError(t, err)
 		t.Cleanup(w.Close)
 		relays = append(relays, w)
@@ -52,7 +52,7 @@
 			}
 			terms.Members = append(terms.Members, peers.Member{Name: name, Address: address})
 		}
-		p := peers.New(terms, clock.New(), func(estate.Entry) {}, log)
+		p := peers.New(terms, clock.New(), func(requestlog.Entry) {}, log)
 		p.Start()
 		t.Cleanup(p.Stop)
 		if self == 0 {
@@ -61,7 +61,7 @@
 	}
 	return first, func(delay time.Duration) {
 		for _, w := range relays {
-			w.Set(wires.Fault{Delay: delay})
+			w.Set(faultproxy.Fault{Delay: delay})
 		}
 	}
 }
@@ -86,21 +86,21 @@
 // kept is a front whose requests two other processes keep as well, before three backends.
 func kept(t *testing.T, a *attempts, g *gate) (f *Front, slow func(time.Duration)) {
 	keep, slow := keepers(t)
-	list := &members.List{Whole: true}
+	list := &discovery.List{Whole: true}
 	for k := range 3 {
 		list.Members = append(list.Members, member(k, a.backend()))
 	}
-	f, _, _ = fronted(t, 256, &balance.Terms{Seed: 1, Nodes: 1, MaxPushes: 3, SecondCopies: true, Cancel: true, MustAsk: true, AskWithin: 60e3,
-		FallMultiple: 3, OverloadFor: 1000, Categories: []balance.Category{{TargetLatency: 50e3, Benefit: 1, LateBenefit: 1}}}, g.decide, list,
+	f, _, _ = fronted(t, 256, &balancer.Terms{Seed: 1, Nodes: 1, MaxPushes: 3, SecondCopies: true, Cancel: true, MustAsk: true, AskWithin: 60e3,
+		FallMultiple: 3, OverloadFor: 1000, Categories: []balancer.Category{{TargetLatency: 50e3, Benefit: 1, LateBenefit: 1}}}, g.decide, list,
 		func(f *Front) {
 			f.node.Keep(keep)
 			f.Keep(Keep{Peers: keep, Header: "Idempotency-Key", Categories: map[string]bool{"check": false}, Most: 1 << 10})
 		})
 	require.Eventually(t, func() bool { // a majority answers
-		told := make(chan estate.Code, 1)
+		told := make(chan requestlog.Code, 1)
 		now := f.clock.Now()
-		keep.Look("x", 1, now+1000, func(r estate.Reply) { told <- r.Code })
-		return <-told == estate.Free
+		keep.Look("x", 1, now+1000, func(r requestlog.Reply) { told <- r.Code })
+		return <-told == requestlog.Free
 	}, 30*time.Second, 10*time.Millisecond)
 	return f, slow
 }
--- a/internal/front/gone_test.go
+++ b/internal/server/gone_test.go
@@ -1,4 +1,4 @@
-package front
+package server
 
 import (
 	"bufio"
@@ -18,8 +18,8 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"pearknot/balance"
-	"pearknot/internal/members"
+	"pearknot/balancer"
+	"pearknot/internal/discovery"
 )
 
 // A client that closes or cancels has gone: nothing may begin for it 0.1 s later, first attempt, retry or hedge. A busy machine may
@@ -170,7 +170,7 @@
 // gate is a module that stands still before one push is handed on and behind it, as one with very many backends and decisions to
 // make does: the node's actor hears of nothing meanwhile.
 type gate struct {
-	balance.Decider
+	balancer.Decider
 	number  int // of the push among its request's; -1 is none
 	decided chan bool
 	let     chan bool   // hand it on
@@ -184,18 +184,18 @@
 	return &gate{number: number, decided: make(chan bool), let: make(chan bool), on: make(chan bool)}
 }
 
-func (g *gate) decide(t *balance.Terms, now float64) balance.Decider {
-	g.Decider = balance.New(t, now)
+func (g *gate) decide(t *balancer.Terms, now float64) balancer.Decider {
+	g.Decider = balancer.New(t, now)
 	return g
 }
 
-func (g *gate) Next() (balance.Decision, bool) {
+func (g *gate) Next() (balancer.Decision, bool) {
 	if g.at == 1 {
 		g.at = 2
 		<-g.on
 	}
 	d, more := g.Decider.Next()
-	if more && g.at == 0 && d.Kind == balance.DoPush && d.Push.Number == g.number {
+	if more && g.at == 0 && d.Kind == balancer.DoPush && d.Push.Number == g.number {
 		g.wentBy = g.wanted != nil && !g.wanted()
 		close(g.decided)
 		if g.at = 2; !g.wentBy {
@@ -293,17 +293,17 @@
 
 // gone is a front whose node has so many backends, each of which takes what comes; terms are of what may be sent again.
 func gone(t *testing.T, g *gate, addresses ...string) *Front {
-	list := &members.List{Whole: true}
+	list := &discovery.List{Whole: true}
 	for k, address := range addresses {
 		list.Members = append(list.Members, member(k, address))
 	}
-	f, _, _ := fronted(t, 256, &balance.Terms{Seed: 1, Nodes: 1, MaxPushes: 3, SecondCopies: true, Cancel: true, MustAsk: true, AskWithin: 60e3,
-		FallMultiple: 3, OverloadFor: 1000, Categories: []balance.Category{{TargetLatency: 50e3, Benefit: 1, LateBenefit: 1}}}, g.decide, list)
+	f, _, _ := fronted(t, 256, &balancer.Terms{Seed: 1, Nodes: 1, MaxPushes: 3, SecondCopies: true, Cancel: true, MustAsk: true, AskWithin: 60e3,
+		FallMultiple: 3, OverloadFor: 1000, Categories: []balancer.Category{{TargetLatency: 50e3, Benefit: 1, LateBenefit: 1}}}, g.decide, list)
 	return f
 }
 
-func member(k int, address string) members.Member {
-	return members.Member{Name: fmt.Sprint("s", k), Address: address, State: balance.Ready, Weight: 1}
+func member(k int, address string) discovery.Member {
+	return discovery.Member{Name: fmt.Sprint("s", k), Address: address, State: balancer.Ready, Weight: 1}
 }
 
 // over waits until the front has seen so many requests off, and the node each of their attempts.
@@ -404,7 +404,7 @@
 		f = gone(t, g, a.backend())
 		leave = w.begin(t, f, sized("a", map[int]int{retry: 2000, hedge: 100}[kind]))
 		<-a.began
-		f.node.Listed(&members.List{Version: 1, Members: []members.Member{member(9, address)}})
+		f.node.Listed(&discovery.List{Version: 1, Members: []discovery.Member{member(9, address)}})
 		if kind == retry {
 			_, err := f.node.Look(t.Context()) // the list is taken
 			require.NoError(t, err)
--- a/internal/front/kept.go
+++ b/internal/server/kept.go
@@ -1,4 +1,4 @@
-package front
+package server
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"pearknot/internal/estate"
+	"pearknot/internal/config"
 	"pearknot/internal/node"
 	"pearknot/internal/peers"
-	"pearknot/internal/terms"
+	"pearknot/internal/requestlog"
 )
 
 const (
@@ -53,7 +53,7 @@
 	}
 	_, _ = print.Write(body)
 	// A key counts for its tenant alone: nobody hears of another's outcome by guessing.
-	return &node.Kept{Key: string(terms.Name(r.Header.Get(tenantHeader))) + "\x00" + key, Print: print.Sum64(), GoOn: goOn, Most: f.keep.Most}, nil
+	return &node.Kept{Key: string(config.Name(r.Header.Get(tenantHeader))) + "\x00" + key, Print: print.Sum64(), GoOn: goOn, Most: f.keep.Most}, nil
 }
 
 // serveKept sees an op that others keep through to its one answer: its own, or that of the op that has its key already.
@@ -74,10 +74,10 @@
 		default:
 		}
 		switch {
-		case ctx.Err() != nil || code == estate.Alone && f.clock.Now() >= op.GiveUp:
-			f.answer(w, c, node.Answer{Final: node.AskAgain, ComeBack: estate.SilentFor})
+		case ctx.Err() != nil || code == requestlog.Alone && f.clock.Now() >= op.GiveUp:
+			f.answer(w, c, node.Answer{Final: node.AskAgain, ComeBack: requestlog.SilentFor})
 			return
-		case code == estate.Free && !taken:
+		case code == requestlog.Free && !taken:
 			taken = true
 			f.node.Take(op)
 			select {
@@ -92,21 +92,21 @@
 			}
 			f.node.Leave(op) // what has begun goes on: whoever comes with its key finds the outcome
 			return
-		case code == estate.Free: // the op that had the key was nacked
-			f.answer(w, c, node.Answer{Final: node.Nacked, ComeBack: estate.SilentFor / 4})
+		case code == requestlog.Free: // the op that had the key was nacked
+			f.answer(w, c, node.Answer{Final: node.Nacked, ComeBack: requestlog.SilentFor / 4})
 			return
-		case code == estate.Over:
+		case code == requestlog.Over:
 			f.answer(w, c, node.Recorded(o))
 			return
-		case code == estate.Unlike:
+		case code == requestlog.Unlike:
 			f.write(w, c, http.StatusUnprocessableEntity, []byte("the key of another op\n"))
 			return
-		case code == estate.Alone && k.GoOn && !taken:
+		case code == requestlog.Alone && k.GoOn && !taken:
 			op.Kept = nil
 			f.serve(w, r, c, op)
 			return
-		case code == estate.Alone && !taken:
-			f.answer(w, c, node.Answer{Final: node.Nacked, ComeBack: 2 * estate.SilentFor})
+		case code == requestlog.Alone && !taken:
+			f.answer(w, c, node.Answer{Final: node.Nacked, ComeBack: 2 * requestlog.SilentFor})
 			return
 		}
 		select {
@@ -117,14 +117,14 @@
 	}
 }
 
-func (f *Front) look(ctx context.Context, gone <-chan struct{}, k *node.Kept, until float64) (estate.Code, estate.Outcome) {
-	told := make(chan estate.Reply, 1)
-	f.keep.Peers.Look(k.Key, k.Print, until, func(r estate.Reply) { told <- r })
+func (f *Front) look(ctx context.Context, gone <-chan struct{}, k *node.Kept, until float64) (requestlog.Code, requestlog.Outcome) {
+	told := make(chan requestlog.Reply, 1)
+	f.keep.Peers.Look(k.Key, k.Print, until, func(r requestlog.Reply) { told <- r })
 	select {
 	case r := <-told:
 		return r.Code, r.Outcome
 	case <-ctx.Done():
 	case <-gone:
 	}
-	return estate.Alone, estate.Outcome{}
+	return requestlog.Alone, requestlog.Outcome{}
 }
