--- a/internal/front/leaving_test.go
+++ b/internal/server/leaving_test.go
@@ -1,4 +1,4 @@
-package front
+package server
 
 import (
 	"bufio"
@@ -19,13 +19,13 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/admission"
 	"pearknot/internal/clock"
-	"pearknot/internal/members"
+	"pearknot/internal/config"
+	"pearknot/internal/descriptors"
+	"pearknot/internal/discovery"
 	"pearknot/internal/node"
-	"pearknot/internal/sockets"
-	"pearknot/internal/terms"
 )
 
 // busy is a backend that answers nothing until it is let.
@@ -83,10 +83,10 @@
 }
 
 // before is a front, plain and with TLS, of a node whose one backend is at address. Ops wait for it as long as need be.
-func before(t *testing.T, address string, limit int) (*Front, *sockets.Budget) {
-	f, budget, _ := fronted(t, limit, &balance.Terms{Seed: 1, Nodes: 1, MaxPushes: 1, Cancel: true, MustAsk: true, AskWithin: 60e3, FallMultiple: 3,
-		OverloadFor: 1000, Categories: []balance.Category{{TargetLatency: 60e3, Benefit: 1, LateBenefit: 1}}},
-		node.Module, &members.List{Whole: true, Members: []members.Member{{Name: "s", Address: address, State: balance.Ready, Weight: 1}}})
+func before(t *testing.T, address string, limit int) (*Front, *descriptors.Budget) {
+	f, budget, _ := fronted(t, limit, &balancer.Terms{Seed: 1, Nodes: 1, MaxPushes: 1, Cancel: true, MustAsk: true, AskWithin: 60e3, FallMultiple: 3,
+		OverloadFor: 1000, Categories: []balancer.Category{{TargetLatency: 60e3, Benefit: 1, LateBenefit: 1}}},
+		node.Module, &discovery.List{Whole: true, Members: []discovery.Member{{Name: "s", Address: address, State: balancer.Ready, Weight: 1}}})
 	return f, budget
 }
 
@@ -302,7 +302,7 @@
 	c, _ := pair(t)
 	f := &Front{log: slog.New(slog.DiscardHandler), clock: clock.New(), budget: c.budget, ids: map[string]struct{}{},
 		door: &door{core: admission.New(admission.Defaults(16))}}
-	f.told.Store(&terms.Deployment{Categories: []string{"check"}})
+	f.told.Store(&config.Deployment{Categories: []string{"check"}})
 	for name, let := range map[string]func(){
 		"let go by the door":   func() { c.id, c.door = 7, f.door }, // which does not know it any more
 		"closed in the moment": func() { c.id, c.closed = 0, true },
@@ -347,7 +347,7 @@
 // there is no body.
 func TestNoLimitWithoutABody(t *testing.T) {
 	f := &Front{clock: clock.New()}
-	f.told.Store(&terms.Deployment{Categories: []string{"check"}})
+	f.told.Store(&config.Deployment{Categories: []string{"check"}})
 	c, _ := pair(t)
 	r := httptest.NewRequest("GET", "/api", http.NoBody)
 	r.Header = http.Header{"X-Trace-Id": {"a"}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"480"}}
--- a/internal/front/secure_test.go
+++ b/internal/server/secure_test.go
@@ -1,4 +1,4 @@
-package front
+package server
 
 import (
 	"bufio"
@@ -22,12 +22,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/clock"
-	"pearknot/internal/members"
+	"pearknot/internal/config"
+	"pearknot/internal/descriptors"
+	"pearknot/internal/discovery"
 	"pearknot/internal/node"
-	"pearknot/internal/sockets"
-	"pearknot/internal/terms"
 	"pearknot/internal/upstream"
 )
 
@@ -47,17 +47,17 @@
 }
 
 // secured is a front that serves TLS with whatever certificate is held at the moment. Its node knows no backend.
-func secured(t testing.TB, limit int, with ...func(*Front)) (f *Front, budget *sockets.Budget, held *atomic.Pointer[tls.Certificate]) {
-	return fronted(t, limit, &balance.Terms{Nodes: 1, MustAsk: true, AskWithin: 60e3, Categories: []balance.Category{{}}}, node.Module, &members.List{Whole: true}, with...)
+func secured(t testing.TB, limit int, with ...func(*Front)) (f *Front, budget *descriptors.Budget, held *atomic.Pointer[tls.Certificate]) {
+	return fronted(t, limit, &balancer.Terms{Nodes: 1, MustAsk: true, AskWithin: 60e3, Categories: []balancer.Category{{}}}, node.Module, &discovery.List{Whole: true}, with...)
 }
 
 // fronted is that of a node with terms, a module and a list of the test's own.
-func fronted(t testing.TB, limit int, by *balance.Terms, decide node.Decide, list *members.List, with ...func(*Front)) (f *Front, budget *sockets.Budget, held *atomic.Pointer[tls.Certificate]) {
+func fronted(t testing.TB, limit int, by *balancer.Terms, decide node.Decide, list *discovery.List, with ...func(*Front)) (f *Front, budget *descriptors.Budget, held *atomic.Pointer[tls.Certificate]) {
 	held = &atomic.Pointer[tls.Certificate]{}
 	held.Store(certificate(t, "members.example"))
-	budget = sockets.New(limit, func() {})
+	budget = descriptors.New(limit, func() {})
 	now, log := clock.New(), slog.New(slog.DiscardHandler)
-	told := &terms.Deployment{Categories: []string{"check"}, Terms: by}
+	told := &config.Deployment{Categories: []string{"check"}, Terms: by}
 	peers := &upstream.Terms{Budget: budget, Log: log}
 	peers.ConnectTimeout.Set(30 * time.Second)
 	peers.IdleFor.Set(time.Minute)
--- a/internal/front/front.go
+++ b/internal/server/server.go
@@ -1,5 +1,5 @@
-// Package front takes ops from clients on net/http's server and brings each its one final answer.
-package front
+// Package server takes ops from clients on net/http's server and brings each its one final answer.
+package server
 
 import (
 	"context"
@@ -20,9 +20,9 @@
 
 	"pearknot/internal/admission"
 	"pearknot/internal/clock"
+	"pearknot/internal/config"
+	"pearknot/internal/descriptors"
 	"pearknot/internal/node"
-	"pearknot/internal/sockets"
-	"pearknot/internal/terms"
 	"pearknot/internal/upstream"
 )
 
@@ -58,9 +58,9 @@
 // Front is the clients' side of a node.
 type Front struct {
 	node   *node.Node
-	told   atomic.Pointer[terms.Deployment]
+	told   atomic.Pointer[config.Deployment]
 	clock  *clock.Clock
-	budget *sockets.Budget
+	budget *descriptors.Budget
 	log    *slog.Logger
 
 	server    http.Server
@@ -83,7 +83,7 @@
 	unsaid    atomic.Int64           // odd ops since the last line of the log
 }
 
-func New(n *node.Node, told *terms.Deployment, c *clock.Clock, budget *sockets.Budget, log *slog.Logger) *Front {
+func New(n *node.Node, told *config.Deployment, c *clock.Clock, budget *descriptors.Budget, log *slog.Logger) *Front {
 	f := &Front{node: n, clock: c, budget: budget, log: log, between: map[net.Conn]time.Time{},
 		ids: map[string]struct{}{}, odd: rate.Sometimes{Interval: oddEvery}, served: make(chan struct{})}
 	f.told.Store(told)
@@ -108,7 +108,7 @@
 }
 
 // Retune takes up other terms for the ops that come from now on; the module has them already.
-func (f *Front) Retune(told *terms.Deployment) { f.told.Store(told) }
+func (f *Front) Retune(told *config.Deployment) { f.told.Store(told) }
 
 // Relimit takes up other limits, and Clients tells who is here; both only after Admit.
 func (f *Front) Relimit(l admission.Limits) { f.door.relimit(l) }
--- a/internal/front/front_test.go
+++ b/internal/server/server_test.go
@@ -1,4 +1,4 @@
-package front
+package server
 
 import (
 	"bufio"
@@ -18,12 +18,12 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/clock"
-	"pearknot/internal/members"
+	"pearknot/internal/config"
+	"pearknot/internal/descriptors"
+	"pearknot/internal/discovery"
 	"pearknot/internal/node"
-	"pearknot/internal/sockets"
-	"pearknot/internal/terms"
 )
 
 // pair is a client's connection as the front has it, and the client's end.
@@ -35,7 +35,7 @@
 	require.NoError(t, err)
 	near, err := l.Accept()
 	require.NoError(t, err)
-	budget := sockets.New(64, func() {})
+	budget := descriptors.New(64, func() {})
 	require.True(t, budget.Client())
 	t.Cleanup(func() { _ = far.Close() })
 	return plain(near.(*net.TCPConn), budget), far
@@ -43,7 +43,7 @@
 
 func TestDecode(t *testing.T) {
 	f := &Front{clock: clock.New()}
-	f.told.Store(&terms.Deployment{Categories: []string{"check", "pay_out"}, Tenants: []string{"one", "two"}})
+	f.told.Store(&config.Deployment{Categories: []string{"check", "pay_out"}, Tenants: []string{"one", "two"}})
 	c, _ := pair(t)
 	for name, test := range map[string]struct {
 		headers string
@@ -177,8 +177,8 @@
 }
 
 func TestMostHeld(t *testing.T) {
-	f := &Front{budget: sockets.New(64, func() {})}
-	f.told.Store(&terms.Deployment{MostHeld: 1, Terms: &balance.Terms{ComeBack: true, MaxComeBack: 1500}})
+	f := &Front{budget: descriptors.New(64, func() {})}
+	f.told.Store(&config.Deployment{MostHeld: 1, Terms: &balancer.Terms{ComeBack: true, MaxComeBack: 1500}})
 	f.open.Store(1)
 	w := httptest.NewRecorder()
 	c, _ := pair(t)
@@ -209,9 +209,9 @@
 		"not told":     {most: 2000},
 		"nor by bound": {},
 	} {
-		f, _, _ := fronted(t, 64, &balance.Terms{Seed: 1, Nodes: 1, MaxPushes: 1, ComeBack: c.told, MaxComeBack: c.most, FallMultiple: 3,
-			OverloadFor: 1000, Categories: []balance.Category{{TargetLatency: 60e3, Benefit: 1}}}, node.Module,
-			&members.List{Whole: true, Members: []members.Member{{Name: "s", Address: refuses.String(), State: balance.Ready, Weight: 1}}})
+		f, _, _ := fronted(t, 64, &balancer.Terms{Seed: 1, Nodes: 1, MaxPushes: 1, ComeBack: c.told, MaxComeBack: c.most, FallMultiple: 3,
+			OverloadFor: 1000, Categories: []balancer.Category{{TargetLatency: 60e3, Benefit: 1}}}, node.Module,
+			&discovery.List{Whole: true, Members: []discovery.Member{{Name: "s", Address: refuses.String(), State: balancer.Ready, Weight: 1}}})
 		answer, err := http.ReadResponse(bufio.NewReader(connected(t, f, opOf("a", 0))), nil)
 		require.NoError(t, err)
 		require.NoError(t, answer.Body.Close())
@@ -226,7 +226,7 @@
 		assert.LessOrEqual(t, wait*1e3, c.last, name)
 	}
 	f := &Front{}
-	f.told.Store(&terms.Deployment{Terms: &balance.Terms{ComeBack: true, MaxComeBack: 2000}})
+	f.told.Store(&config.Deployment{Terms: &balancer.Terms{ComeBack: true, MaxComeBack: 2000}})
 	assert.NotEqual(t, f.comeBack(node.Answer{}), f.comeBack(node.Answer{}), "spread")
 	assert.Equal(t, 7.0, f.comeBack(node.Answer{ComeBack: 7}), "as foreseen")
 	assert.Less(t, 49.0, f.comeBack(node.Answer{ComeBack: 0.4}), "which would be told as 0.000")
--- a/internal/simwire/simwire.go
+++ b/internal/simprotocol/simprotocol.go
@@ -1,6 +1,6 @@
-// Package simwire speaks the bench's wire: it hosts the instances of the decision module, turns events into
+// Package simprotocol speaks the bench's wire: it hosts the instances of the decision module, turns events into
 // their inputs and their decisions into actions. Names of the wire end here.
-package simwire
+package simprotocol
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"io"
 	"math"
 
-	"pearknot/balance"
-	"pearknot/internal/terms"
+	"pearknot/balancer"
+	"pearknot/internal/config"
 )
 
 // Event codes.
@@ -48,15 +48,15 @@
 	listCount  = 16
 )
 
-var endings = map[byte]balance.Ending{
-	10: balance.Answered, 20: balance.Failed, 30: balance.Rejected, 40: balance.TimedOut,
-	50: balance.NoConnection, 60: balance.Reset, 70: balance.Revoked, 80: balance.NotSent,
+var endings = map[byte]balancer.Ending{
+	10: balancer.Answered, 20: balancer.Failed, 30: balancer.Rejected, 40: balancer.TimedOut,
+	50: balancer.NoConnection, 60: balancer.Reset, 70: balancer.Revoked, 80: balancer.NotSent,
 }
 
 // Host runs the instances of one process.
 type Host struct {
 	// Wrap, where given, stands between an instance and its module.
-	Wrap func(instance uint32, d balance.Decider, t *balance.Terms, now float64) balance.Decider
+	Wrap func(instance uint32, d balancer.Decider, t *balancer.Terms, now float64) balancer.Decider
 
 	instances map[uint32]*instance
 	touched   []*instance // in the order of their first event in the batch
@@ -68,9 +68,9 @@
 
 type instance struct {
 	number     uint32
-	node       balance.Decider
-	ops        map[uint64]*balance.Op
-	backends   map[uint64]*balance.Backend
+	node       balancer.Decider
+	ops        map[uint64]*balancer.Op
+	backends   map[uint64]*balancer.Backend
 	categories int
 	fields     fields
 	inBatch    bool
@@ -178,7 +178,7 @@
 	switch code {
 	case enlist:
 		seed := r.u64()
-		told, err := terms.FromLines(r.take(int(r.u32())))
+		told, err := config.FromLines(r.take(int(r.u32())))
 		if r.err != nil {
 			return
 		}
@@ -190,11 +190,11 @@
 		if i != nil {
 			i.stopped = true
 		}
-		i = &instance{number: number, categories: len(told.Categories), fields: told.Report, ops: map[uint64]*balance.Op{}, backends: map[uint64]*balance.Backend{}}
+		i = &instance{number: number, categories: len(told.Categories), fields: told.Report, ops: map[uint64]*balancer.Op{}, backends: map[uint64]*balancer.Backend{}}
 		h.instances[number] = i
 		h.touch(i)
 		h.guard(i, func() {
-			i.node = balance.New(told.Terms, h.now)
+			i.node = balancer.New(told.Terms, h.now)
 			if h.Wrap != nil {
 				i.node = h.Wrap(number, i.node, told.Terms, h.now)
 			}
@@ -220,7 +220,7 @@
 			}
 		})
 	case accept:
-		op := &balance.Op{Ref: r.u64()}
+		op := &balancer.Op{Ref: r.u64()}
 		marks := r.u16()
 		op.HasHint, op.Repeat = marks&1 != 0, marks&2 != 0
 		op.Hint, op.GiveUp = r.f64(), r.time()
@@ -306,21 +306,21 @@
 	}
 }
 
-func (i *instance) listing(lines []byte) []balance.Listing {
-	list := make([]balance.Listing, 0, len(lines)/lineSize)
+func (i *instance) listing(lines []byte) []balancer.Listing {
+	list := make([]balancer.Listing, 0, len(lines)/lineSize)
 	for ; len(lines) > 0; lines = lines[lineSize:] {
 		ref := address(lines)
 		b := i.backends[ref]
 		if b == nil {
-			b = &balance.Backend{Ref: ref}
+			b = &balancer.Backend{Ref: ref}
 			i.backends[ref] = b
 		}
-		list = append(list, balance.Listing{
+		list = append(list, balancer.Listing{
 			Backend: b,
 			Zone:    int(lines[6]),
 			Kind:    int(lines[7]),
 			Cell:    int(binary.BigEndian.Uint16(lines[8:])),
-			State:   balance.State(lines[10]),
+			State:   balancer.State(lines[10]),
 			Weight:  float64(math.Float32frombits(binary.BigEndian.Uint32(lines[11:]))),
 			Started: math.Float64frombits(binary.BigEndian.Uint64(lines[15:])),
 		})
@@ -336,24 +336,24 @@
 type fields []string
 
 // read takes a report's values; what is missing or can't be is not told.
-func (f fields) read(report []byte) balance.Report {
-	r := balance.NoReport()
+func (f fields) read(report []byte) balancer.Report {
+	r := balancer.NoReport()
 	for k := 0; k < len(f) && 4*k+4 <= len(report); k++ {
 		if x := float64(math.Float32frombits(binary.BigEndian.Uint32(report[4*k:]))); x >= 0 && !math.IsInf(x, 0) {
-			terms.Tell(&r, f[k], x)
+			config.Tell(&r, f[k], x)
 		}
 	}
 	return r
 }
 
-func (i *instance) push(id uint64, try byte) *balance.Push {
+func (i *instance) push(id uint64, try byte) *balancer.Push {
 	if op := i.ops[id]; op != nil && int(try) < len(op.Pushes) && op.Pushes[try].Out() {
 		return op.Pushes[try]
 	}
 	return nil
 }
 
-func (i *instance) forget(op *balance.Op) {
+func (i *instance) forget(op *balancer.Op) {
 	if op.Over() {
 		delete(i.ops, op.Ref)
 	}
@@ -367,33 +367,33 @@
 			return
 		}
 		switch d.Kind {
-		case balance.DoPush:
+		case balancer.DoPush:
 			h.head(callOut, i)
 			h.u64(d.Op.Ref)
 			h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(d.Push.Backend.Ref>>16))
 			h.u16(uint16(d.Push.Backend.Ref))
 			h.f64(d.Wait)
-		case balance.DoNack:
+		case balancer.DoNack:
 			h.head(overloadReply, i)
 			h.u64(d.Op.Ref)
 			h.f64(d.Wait)
 			i.forget(d.Op)
-		case balance.DoDeadLetter:
+		case balancer.DoDeadLetter:
 			h.head(respondError, i)
 			h.u64(d.Op.Ref)
 			i.forget(d.Op)
-		case balance.DoRevoke:
+		case balancer.DoRevoke:
 			h.head(revoke, i)
 			h.u64(d.Op.Ref)
 			h.reply = append(h.reply, byte(d.Push.Number))
-		case balance.DoWatch:
+		case balancer.DoWatch:
 			h.head(track, i)
 			h.reply = append(h.reply, 1)
-		case balance.DoTimer:
+		case balancer.DoTimer:
 			h.head(setTimer, i)
 			h.f64(d.Wait)
 			h.u64(0)
-		case balance.DoLog:
+		case balancer.DoLog:
 			h.text(record, i, d.Text)
 		}
 	}
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -6,13 +6,13 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/goldentest"
 )
 
 // filled has a value of its own in each field, so that two fields that change places are noticed.
-func filled() *balance.Snapshot {
-	return &balance.Snapshot{Now: 2.5,
+func filled() *balancer.Snapshot {
+	return &balancer.Snapshot{Now: 2.5,
 		Armed:    3.5,
 		SweepAt:  4.5,
 		Round:    5.5,
@@ -30,23 +30,23 @@
 		Chance:   [2]uint64{0x12, 0x13},
 		Hints:    []float64{21.5},
 		HintNext: 22,
-		Stretch: balance.SnapQuantile{Value: 24.5,
+		Stretch: balancer.SnapQuantile{Value: 24.5,
 			Seen: 25},
-		Value: balance.SnapMean{Value: 27.5,
+		Value: balancer.SnapMean{Value: 27.5,
 			Seen: 28.5},
-		Work: balance.SnapMean{Value: 30.5,
+		Work: balancer.SnapMean{Value: 30.5,
 			Seen: 31.5},
-		Service: balance.SnapMean{Value: 33.5,
+		Service: balancer.SnapMean{Value: 33.5,
 			Seen: 34.5},
 		PaceAll:    [2]float64{36.5, 37.5},
 		PaceKinds:  [][2]float64{{40.5, 41.5}},
 		CrowdAll:   [3]float64{43.5, 44.5, 45.5},
 		CrowdZones: [][3]float64{{48.5, 49.5, 50.5}},
 		Warm:       [][2]float64{{53.5, 54.5}},
-		Categories: []balance.SnapMean{{Value: 57.5,
+		Categories: []balancer.SnapMean{{Value: 57.5,
 			Seen: 58.5}},
 		Tenants: [][2]float64{{61.5, 62.5}},
-		Backends: []balance.SnapBackend{{Ref: 0x41,
+		Backends: []balancer.SnapBackend{{Ref: 0x41,
 			Zone:    66,
 			Cell:    67,
 			Kind:    68,
@@ -63,7 +63,7 @@
 			Rest:    79.5,
 			Pass:    80.5,
 			Pace:    [2]float64{82.5, 83.5},
-			Tail: balance.SnapQuantile{Value: 85.5,
+			Tail: balancer.SnapQuantile{Value: 85.5,
 				Seen: 86},
 			Flow:     [3]float64{88.5, 89.5, 90.5},
 			Distrust: [2]float64{92.5, 93.5},
@@ -83,7 +83,7 @@
 			Refused:  115.5,
 			BrokeAt:  116.5}},
 		Order: []int{18},
-		Ops: []balance.SnapOp{{Ref: 0x15,
+		Ops: []balancer.SnapOp{{Ref: 0x15,
 			Category: 22,
 			Tenant:   23,
 			Hint:     124.5,
@@ -95,7 +95,7 @@
 			Repeat:   true,
 			Long:     true,
 			Stage:    32,
-			Pushes: []balance.SnapPush{{Backend: 35,
+			Pushes: []balancer.SnapPush{{Backend: 35,
 				SentAt:  136.5,
 				Expect:  137.5,
 				Out:     true,
@@ -108,7 +108,7 @@
 			Streamed: true,
 			Key:      0x2e}},
 		Held: []int{48},
-		Due: []balance.SnapDue{{At: 151.5,
+		Due: []balancer.SnapDue{{At: 151.5,
 			Seq:     0x34,
 			Op:      53,
 			Push:    54,
@@ -116,7 +116,7 @@
 			Lingers: true}},
 		Of:    57,
 		Whole: 158.5,
-		Lines: []balance.SnapLine{{Key: 0x3d,
+		Lines: []balancer.SnapLine{{Key: 0x3d,
 			Rest: 162.5,
 			Ops:  []int{64}}},
 		Doubted: true,
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -12,7 +12,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 // Version is that of the form.
@@ -24,14 +24,14 @@
 var errOdd = errors.New("odd snapshot")
 
 // Encode writes a snapshot.
-func Encode(s *balance.Snapshot) []byte {
+func Encode(s *balancer.Snapshot) []byte {
 	b := protowire.AppendVarint(protowire.AppendTag(nil, 1, protowire.VarintType), Version)
 	return protowire.AppendBytes(protowire.AppendTag(b, 2, protowire.BytesType), appendStruct(nil, reflect.ValueOf(s).Elem()))
 }
 
 // Decode reads one. What it allocates is in proportion to the data.
-func Decode(data []byte) (*balance.Snapshot, error) {
-	s, version := &balance.Snapshot{}, uint64(0)
+func Decode(data []byte) (*balancer.Snapshot, error) {
+	s, version := &balancer.Snapshot{}, uint64(0)
 	err := Walk(data, errOdd, func(n protowire.Number, t protowire.Type, x uint64, body []byte) error {
 		switch {
 		case n == 1 && t == protowire.VarintType:
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
-func sample() *balance.Snapshot {
-	return &balance.Snapshot{Now: 5, Armed: math.Inf(1), Tracked: true, Failures: -3, Seq: 1 << 60, Chance: [2]uint64{1, math.MaxUint64},
-		Hints: []float64{1, 0, math.Copysign(0, -1)}, PaceKinds: [][2]float64{{0, 0}, {1, 2}}, Categories: []balance.SnapMean{{}, {Value: 1, Seen: 2}},
-		Backends: []balance.SnapBackend{{Ref: 9, State: balance.Ready, Out: []int{0, 1, 2, -1}, Distrust: [2]float64{0, 7}}, {}},
-		Ops:      []balance.SnapOp{{Ref: 1, Pushes: []balance.SnapPush{{Backend: 1, Ending: balance.Reset, Out: true}}}}, Due: []balance.SnapDue{{Op: -1, Push: -1}}}
+func sample() *balancer.Snapshot {
+	return &balancer.Snapshot{Now: 5, Armed: math.Inf(1), Tracked: true, Failures: -3, Seq: 1 << 60, Chance: [2]uint64{1, math.MaxUint64},
+		Hints: []float64{1, 0, math.Copysign(0, -1)}, PaceKinds: [][2]float64{{0, 0}, {1, 2}}, Categories: []balancer.SnapMean{{}, {Value: 1, Seen: 2}},
+		Backends: []balancer.SnapBackend{{Ref: 9, State: balancer.Ready, Out: []int{0, 1, 2, -1}, Distrust: [2]float64{0, 7}}, {}},
+		Ops:      []balancer.SnapOp{{Ref: 1, Pushes: []balancer.SnapPush{{Backend: 1, Ending: balancer.Reset, Out: true}}}}, Due: []balancer.SnapDue{{Op: -1, Push: -1}}}
 }
 
 func TestRoundTrip(t *testing.T) {
@@ -50,8 +50,8 @@
 		if err != nil {
 			return
 		}
-		t := &balance.Terms{Nodes: 1, Categories: make([]balance.Category, len(s.Categories)), Tenants: make([]balance.Tenant, len(s.Tenants))}
-		if n, ops, backends, err := balance.Restore(t, s); err == nil {
+		t := &balancer.Terms{Nodes: 1, Categories: make([]balancer.Category, len(s.Categories)), Tenants: make([]balancer.Tenant, len(s.Tenants))}
+		if n, ops, backends, err := balancer.Restore(t, s); err == nil {
 			_, _ = n.Snapshot(ops, backends)
 		}
 	})
--- a/internal/strict/strict.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,6 +1,6 @@
-// Package strict reads the operators' TOML files. Whatever is wrong is one line, file:line:column: what, whether the
+// Package tomlfile reads the operators' TOML files. Whatever is wrong is one line, file:line:column: what, whether the
 // reader finds it (an unknown key, a text for a number) or the one who asked for the file (a zone that isn't there).
-package strict
+package tomlfile
 
 import (
 	"bytes"
--- a/internal/strict/strict_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -1,4 +1,4 @@
-package strict
+package tomlfile
 
 import (
 	"testing"
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -8,15 +8,15 @@
 	"sync/atomic"
 	"time"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 // Outcome is how a call ended.
 type Outcome struct {
-	Ending balance.Ending
-	First  time.Duration  // how long before its end the answer's first byte came, where there is one
-	Reply  *Reply         // where the backend answered at all
-	Report balance.Report // that came with the reply; without one it is not to be read
+	Ending balancer.Ending
+	First  time.Duration   // how long before its end the answer's first byte came, where there is one
+	Reply  *Reply          // where the backend answered at all
+	Report balancer.Report // that came with the reply; without one it is not to be read
 }
 
 // Call is one push on its way. The node may call it off or shorten its time from outside; whether its first byte
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 // conn is a connection to a backend; it carries one message at a time and is the peer's.
@@ -65,11 +65,11 @@
 // exchange writes a call's message and reads the reply. It alone uses the connection meanwhile, and closes nothing.
 func (p *Peer) exchange(c *Call, on *conn) (Outcome, fate) {
 	if !p.open.Load() { // the list said so while the connection came up
-		return Outcome{Ending: balance.NotSent}, kept
+		return Outcome{Ending: balancer.NotSent}, kept
 	}
 	left, ok := c.begin(on)
 	if !ok {
-		return Outcome{Ending: balance.NotSent}, kept
+		return Outcome{Ending: balancer.NotSent}, kept
 	}
 	if out, fate := p.write(c, on, left); fate != kept {
 		return out, fate
@@ -80,13 +80,13 @@
 	if err != nil {
 		switch {
 		case off:
-			return Outcome{Ending: balance.Revoked}, dropped
+			return Outcome{Ending: balancer.Revoked}, dropped
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return Outcome{Ending: balance.TimedOut}, dropped
+			return Outcome{Ending: balancer.TimedOut}, dropped
 		}
 		p.terms.Log.Debug("reply broke", "backend", p.name, "error", err, "reused", on.used,
 			"idle_ms", on.rested.Milliseconds())
-		return Outcome{Ending: balance.Reset}, dropped
+		return Outcome{Ending: balancer.Reset}, dropped
 	}
 	report, odd := reply.load(p.terms.Tell)
 	if odd != "" {
@@ -116,7 +116,7 @@
 		if read, err = c.pass(on); read != nil { // the client's doing: it never was whole, and the backend is well
 			c.end()
 			p.terms.Log.Debug("body broke", "backend", p.name, "error", read)
-			return Outcome{Ending: balance.NotSent}, dropped
+			return Outcome{Ending: balancer.NotSent}, dropped
 		}
 	}
 	if err == nil {
@@ -127,9 +127,9 @@
 	p.terms.Log.Debug("write broke", "backend", p.name, "written", n, "error", err)
 	switch {
 	case off: // this node's own doing: it tells nothing of the backend
-		return Outcome{Ending: balance.NotSent}, dropped
+		return Outcome{Ending: balancer.NotSent}, dropped
 	case c.Message.rest == nil:
-		return Outcome{Ending: balance.NoConnection}, unwritten
+		return Outcome{Ending: balancer.NoConnection}, unwritten
 	}
-	return Outcome{Ending: balance.NoConnection}, dropped // what has gone of the body is not held any more
+	return Outcome{Ending: balancer.NoConnection}, dropped // what has gone of the body is not held any more
 }
--- a/internal/upstream/message.go
+++ b/internal/upstream/message.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 	"pearknot/internal/snapshot"
 )
 
@@ -217,20 +217,20 @@
 }
 
 // ending tells what the reply says of its push; only a proof counts as never having run.
-func (r *Reply) ending() balance.Ending {
+func (r *Reply) ending() balancer.Ending {
 	switch {
 	case r.Status == http.StatusOK:
-		return balance.Answered
+		return balancer.Answered
 	case (r.Status == http.StatusServiceUnavailable || r.Status == http.StatusGatewayTimeout) &&
 		r.Header.Get(neverRan) == "1":
-		return balance.Rejected
+		return balancer.Rejected
 	}
-	return balance.Failed
+	return balancer.Failed
 }
 
 // load reads the reply's load report; an odd one is told, and says nothing.
-func (r *Reply) load(tell func(r *balance.Report, name string, value float64)) (report balance.Report, odd string) {
-	report = balance.NoReport()
+func (r *Reply) load(tell func(r *balancer.Report, name string, value float64)) (report balancer.Report, odd string) {
+	report = balancer.NoReport()
 	text := r.Header.Get(loadReport)
 	if text == "" {
 		return report, ""
@@ -243,7 +243,7 @@
 		field, number, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		x, err := strconv.ParseFloat(number, 64)
 		if !ok || err != nil || math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
-			return balance.NoReport(), text
+			return balancer.NoReport(), text
 		}
 		tell(&report, field, x)
 	}
--- a/internal/upstream/moments_test.go
+++ b/internal/upstream/moments_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
+	"pearknot/balancer"
 )
 
 // breaking is a connection on which writing fails with nothing written, right after something else has happened.
@@ -32,13 +32,13 @@
 	for name, f := range map[string]func(*Call){"answered, or left": (*Call).Withhold, "called off": (*Call).Revoke} {
 		b := listen(t, ok+"\r\nhi", ok+"\r\nhi")
 		p, _ := peer(t, b.Addr().String())
-		require.Equal(t, balance.Answered, (<-send(p, 10*time.Second)).Ending, name)
+		require.Equal(t, balancer.Answered, (<-send(p, 10*time.Second)).Ending, name)
 		<-b.got
 		rested(p)
 		var call atomic.Pointer[Call]
 		p.box.Put(func() { p.idle[0].Conn = &breaking{p.idle[0].Conn, func() { f(call.Load()) }} })
 		out := <-send(p, 10*time.Second, func(c *Call) { call.Store(c) })
-		assert.Equal(t, balance.NotSent, out.Ending, name)
+		assert.Equal(t, balancer.NotSent, out.Ending, name)
 		assert.Empty(t, b.got, name)
 		assert.Len(t, b.conns, 1, "%s: nor is one dialled", name)
 	}
@@ -53,7 +53,7 @@
 	var c *Call
 	c = NewCall(NewMessage("GET", "/", "s", nil, nil), time.Now().Add(10*time.Second), nil)
 	out, _ := p.exchange(c, newConn(&breaking{near, func() { c.Revoke() }}, "127.0.0.1:1"))
-	assert.Equal(t, balance.NotSent, out.Ending)
+	assert.Equal(t, balancer.NotSent, out.Ending)
 }
 
 // The list gives a backend another address while a connection to the old one comes up: nothing is sent there. Whoever listens
@@ -71,9 +71,9 @@
 		p.calls++
 		p.dialled(c, b.Addr().String(), to, nil)
 	})
-	assert.Equal(t, balance.NotSent, (<-ended).Ending)
+	assert.Equal(t, balancer.NotSent, (<-ended).Ending)
 	assert.Empty(t, b.got)
-	assert.Equal(t, balance.Answered, (<-send(p, 10*time.Second)).Ending)
+	assert.Equal(t, balancer.Answered, (<-send(p, 10*time.Second)).Ending)
 	assert.Len(t, other.got, 1)
 }
 
@@ -106,7 +106,7 @@
 	}()
 	select {
 	case out := <-ended:
-		assert.Equal(t, balance.NotSent, out.Ending)
+		assert.Equal(t, balancer.NotSent, out.Ending)
 	case <-time.After(5 * time.Second):
 		t.Fatal("the one waits for the other")
 	}
--- a/internal/upstream/peer.go
+++ b/internal/upstream/peer.go
@@ -13,9 +13,9 @@
 
 	"golang.org/x/time/rate"
 
-	"pearknot/balance"
+	"pearknot/balancer"
+	"pearknot/internal/descriptors"
 	"pearknot/internal/mailbox"
-	"pearknot/internal/sockets"
 )
 
 // oddEvery is the least time between two log lines of one backend's odd reports.
@@ -30,9 +30,9 @@
 // Terms are the same for all backends.
 type Terms struct {
 	ConnectTimeout Span
-	IdleFor        Span                                                // how long an idle connection is kept
-	Tell           func(r *balance.Report, name string, value float64) // puts a load report's value in its place
-	Budget         *sockets.Budget
+	IdleFor        Span                                                 // how long an idle connection is kept
+	Tell           func(r *balancer.Report, name string, value float64) // puts a load report's value in its place
+	Budget         *descriptors.Budget
 	Log            *slog.Logger
 }
 
@@ -146,7 +146,7 @@
 	ctx, cancel, wanted := c.dialling(p.terms.ConnectTimeout.Get())
 	if !wanted || !p.open.Load() || !p.terms.Budget.Peer() {
 		cancel()
-		p.finish(c, nil, Outcome{Ending: balance.NotSent}, dropped)
+		p.finish(c, nil, Outcome{Ending: balancer.NotSent}, dropped)
 		return
 	}
 	address := p.address
@@ -160,7 +160,7 @@
 
 func (p *Peer) dialled(c *Call, address string, to net.Conn, err error) {
 	if err == nil && address != p.address { // moved meanwhile: whoever listens at the old address is another
-		p.finish(c, newConn(to, address), Outcome{Ending: balance.NotSent}, dropped)
+		p.finish(c, newConn(to, address), Outcome{Ending: balancer.NotSent}, dropped)
 		return
 	}
 	if err == nil {
@@ -168,11 +168,11 @@
 		return
 	}
 	p.terms.Budget.PeerBack()
-	how := balance.NoConnection
+	how := balancer.NoConnection
 	// Called off, or this machine's own want: neither tells anything of the backend.
 	if errors.Is(err, context.Canceled) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENOBUFS) {
-		how = balance.NotSent
+		how = balancer.NotSent
 	}
 	p.terms.Log.Debug("no connection", "backend", p.name, "error", err)
 	p.finish(c, nil, Outcome{Ending: how}, dropped)
@@ -187,7 +187,7 @@
 
 func (p *Peer) carried(c *Call, on *conn, out Outcome, fate fate) {
 	if on.used {
-		p.wear.used(on.rested, fate == unwritten || out.Ending == balance.Reset)
+		p.wear.used(on.rested, fate == unwritten || out.Ending == balancer.Reset)
 	}
 	if fate == unwritten && on.used && !c.afresh { // an idle connection closed this moment; nothing has run
 		p.drop(on)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -17,9 +17,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pearknot/balance"
-	"pearknot/internal/sockets"
-	"pearknot/internal/terms"
+	"pearknot/balancer"
+	"pearknot/internal/config"
+	"pearknot/internal/descriptors"
 )
 
 // backend answers each message by the next of its scripts; a script says what goes out and whether the connection
@@ -70,8 +70,8 @@
 }
 
 func peer(t *testing.T, address string) (*Peer, *Terms) {
-	told := &Terms{Tell: terms.Tell,
-		Budget: sockets.New(64, func() {}), Log: slog.New(slog.DiscardHandler)}
+	told := &Terms{Tell: config.Tell,
+		Budget: descriptors.New(64, func() {}), Log: slog.New(slog.DiscardHandler)}
 	told.ConnectTimeout.Set(time.Second)
 	told.IdleFor.Set(time.Minute)
 	p := NewPeer("s", told)
@@ -110,44 +110,44 @@
 func TestEndings(t *testing.T) {
 	for name, c := range map[string]struct {
 		script string
-		want   balance.Ending
+		want   balancer.Ending
 	}{
-		"answered":                {ok + "\r\nhi", balance.Answered},
-		"answered after a hint":   {"HTTP/1.1 103 Early Hints\r\n\r\n" + ok + "\r\nhi", balance.Answered},
-		"error":                   {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", balance.Failed},
-		"never ran":               {"HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.Rejected},
-		"over already":            {"HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.Rejected},
-		"no proof":                {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", balance.Failed},
-		"no proof by that status": {"HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.Failed},
-		"nothing but an end":      {"END", balance.Reset},
-		"half a head":             {"HTTP/1.1 200END", balance.Reset},
-		"half a body":             {ok + "\r\nhEND", balance.Reset},
-		"no HTTP":                 {"hello\r\n\r\n", balance.Reset},
-		"too long":                {"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + strings.Repeat("x", 70000), balance.Reset},
-		"endless":                 {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 70000), balance.Reset},
-		"a head without end":      {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 40000), balance.Reset},
-		"many lines":              {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", 9000), balance.Reset},
-		"hints without end":       {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2000), balance.Reset},
-		"chunk without an end":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;" + strings.Repeat("x", 90000), balance.Reset},
-		"chunks":                  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balance.Answered},
-		"cut off before its end":  {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nhiEND", balance.Reset},
-		"ends by close, unsaid":   {"HTTP/1.1 200 OK\r\n\r\nhiEND", balance.Answered},
-		"ends by close":           {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhiEND", balance.Answered},
-		"ends by close, 1.0":      {"HTTP/1.0 200 OK\r\n\r\nhiEND", balance.Answered},
-		"chunks of all forms":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n1;a=b\r\nh\r\n01\r\ni\r\n0;c\r\nX-Sum: 1\r\n\r\n", balance.Answered},
-		"chunks cut off":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\nEND", balance.Reset},
-		"silence":                 {"", balance.TimedOut},
-		"half a body and silence": {ok + "\r\nh", balance.TimedOut},
+		"answered":                {ok + "\r\nhi", balancer.Answered},
+		"answered after a hint":   {"HTTP/1.1 103 Early Hints\r\n\r\n" + ok + "\r\nhi", balancer.Answered},
+		"error":                   {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", balancer.Failed},
+		"never ran":               {"HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
+		"over already":            {"HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
+		"no proof":                {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", balancer.Failed},
+		"no proof by that status": {"HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failed},
+		"nothing but an end":      {"END", balancer.Reset},
+		"half a head":             {"HTTP/1.1 200END", balancer.Reset},
+		"half a body":             {ok + "\r\nhEND", balancer.Reset},
+		"no HTTP":                 {"hello\r\n\r\n", balancer.Reset},
+		"too long":                {"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + strings.Repeat("x", 70000), balancer.Reset},
+		"endless":                 {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 70000), balancer.Reset},
+		"a head without end":      {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 40000), balancer.Reset},
+		"many lines":              {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", 9000), balancer.Reset},
+		"hints without end":       {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2000), balancer.Reset},
+		"chunk without an end":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;" + strings.Repeat("x", 90000), balancer.Reset},
+		"chunks":                  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balancer.Answered},
+		"cut off before its end":  {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nhiEND", balancer.Reset},
+		"ends by close, unsaid":   {"HTTP/1.1 200 OK\r\n\r\nhiEND", balancer.Answered},
+		"ends by close":           {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhiEND", balancer.Answered},
+		"ends by close, 1.0":      {"HTTP/1.0 200 OK\r\n\r\nhiEND", balancer.Answered},
+		"chunks of all forms":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n1;a=b\r\nh\r\n01\r\ni\r\n0;c\r\nX-Sum: 1\r\n\r\n", balancer.Answered},
+		"chunks cut off":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\nEND", balancer.Reset},
+		"silence":                 {"", balancer.TimedOut},
+		"half a body and silence": {ok + "\r\nh", balancer.TimedOut},
 	} {
 		b := listen(t, c.script)
 		p, _ := peer(t, b.Addr().String())
 		within := 10 * time.Second
-		if c.want == balance.TimedOut {
+		if c.want == balancer.TimedOut {
 			within = 100 * time.Millisecond
 		}
 		out := <-send(p, within)
 		assert.Equal(t, c.want, out.Ending, name)
-		assert.Equal(t, c.want == balance.Answered, out.Reply != nil && string(out.Reply.Body) == "hi", name)
+		assert.Equal(t, c.want == balancer.Answered, out.Reply != nil && string(out.Reply.Body) == "hi", name)
 	}
 }
 
@@ -156,7 +156,7 @@
 		ok+"Endpoint-Load-Metrics: TEXT mean_ms=much\r\n\r\nhi")
 	p, _ := peer(t, b.Addr().String())
 	out := <-send(p, time.Minute)
-	assert.Equal(t, balance.Report{Service: 31.5, Held: 2, Waiting: balance.Untold, Rate: balance.Untold}, out.Report)
+	assert.Equal(t, balancer.Report{Service: 31.5, Held: 2, Waiting: balancer.Untold, Rate: balancer.Untold}, out.Report)
 	assert.Empty(t, out.Reply.Header["Endpoint-Load-Metrics"])
 	m := <-b.got
 	assert.Equal(t, []any{"POST", "/api?x=%20y", "service", "7", int64(4)},
@@ -166,7 +166,7 @@
 	assert.Regexp(t, `^(59\d\d\d|60000)$`, m.Header.Get(ExpiresHeader))
 	rested(p)
 	out = <-send(p, time.Minute)
-	assert.Equal(t, balance.Answered, out.Ending, "an odd report costs no answer")
+	assert.Equal(t, balancer.Answered, out.Ending, "an odd report costs no answer")
 	assert.False(t, out.Report.Told())
 	assert.Len(t, b.conns, 1, "one connection for one after the other")
 }
@@ -181,12 +181,12 @@
 		within  time.Duration
 		tell    func(*Peer)
 		each    func(*Call)
-		want    balance.Ending
+		want    balancer.Ending
 	}{
-		"refused":           {refusing.Addr().String(), time.Second, nil, nil, balance.NoConnection},
-		"called off before": {b.Addr().String(), time.Second, nil, (*Call).Revoke, balance.NotSent},
-		"out of time":       {b.Addr().String(), -time.Second, nil, nil, balance.NoConnection},
-		"draining":          {b.Addr().String(), time.Second, func(p *Peer) { p.Tell(b.Addr().String(), false) }, nil, balance.NotSent},
+		"refused":           {refusing.Addr().String(), time.Second, nil, nil, balancer.NoConnection},
+		"called off before": {b.Addr().String(), time.Second, nil, (*Call).Revoke, balancer.NotSent},
+		"out of time":       {b.Addr().String(), -time.Second, nil, nil, balancer.NoConnection},
+		"draining":          {b.Addr().String(), time.Second, func(p *Peer) { p.Tell(b.Addr().String(), false) }, nil, balancer.NotSent},
 	} {
 		p, _ := peer(t, c.address)
 		if c.tell != nil {
@@ -202,7 +202,7 @@
 	p, terms := peer(t, b.Addr().String())
 	for terms.Budget.Peer() {
 	}
-	assert.Equal(t, balance.NotSent, (<-send(p, 10*time.Second)).Ending, "no descriptor is no fault of the backend's")
+	assert.Equal(t, balancer.NotSent, (<-send(p, 10*time.Second)).Ending, "no descriptor is no fault of the backend's")
 }
 
 // The list may tell of a drain, or the op may end, while its connection comes up.
@@ -223,7 +223,7 @@
 			read <- n
 		}()
 		out, fate := p.exchange(c, newConn(near, "127.0.0.1:1"))
-		assert.Equal(t, balance.NotSent, out.Ending, name)
+		assert.Equal(t, balancer.NotSent, out.Ending, name)
 		assert.Equal(t, kept, fate, name)
 		_ = near.Close()
 		assert.Zero(t, <-read, name)
@@ -233,9 +233,9 @@
 func TestRevokeAndShorten(t *testing.T) {
 	b := listen(t, "", "")
 	p, _ := peer(t, b.Addr().String())
-	for want, f := range map[balance.Ending]func(*Call){
-		balance.Revoked:  (*Call).Revoke,
-		balance.TimedOut: func(c *Call) { c.Shorten(time.Now().Add(10 * time.Millisecond)) },
+	for want, f := range map[balancer.Ending]func(*Call){
+		balancer.Revoked:  (*Call).Revoke,
+		balancer.TimedOut: func(c *Call) { c.Shorten(time.Now().Add(10 * time.Millisecond)) },
 	} {
 		var call *Call
 		out := send(p, time.Minute, func(c *Call) { call = c })
@@ -265,7 +265,7 @@
 		b := listen(t, c.sent, ok+"\r\nhi")
 		p, _ := peer(t, b.Addr().String())
 		out := <-send(p, 300*time.Millisecond)
-		require.Equal(t, balance.Answered, out.Ending, name)
+		require.Equal(t, balancer.Answered, out.Ending, name)
 		assert.Equal(t, c.size, out.Reply.More.Size, name)
 		assert.Equal(t, early, len(out.Reply.Body), name)
 		<-time.After(350 * time.Millisecond) // the op's time is over, and its client still reads
@@ -276,7 +276,7 @@
 		out.Reply.Release()
 		out.Reply.Release() // once
 		rested(p)
-		require.Equal(t, balance.Answered, (<-send(p, 10*time.Second)).Ending, name)
+		require.Equal(t, balancer.Answered, (<-send(p, 10*time.Second)).Ending, name)
 		assert.Equal(t, c.kept, len(b.conns) == 1, "%s: the connection again", name)
 	}
 
@@ -289,7 +289,7 @@
 	out.Reply.Release()
 	out = <-send(p, 10*time.Second)
 	out.Reply.Release()
-	require.Eventually(t, func() bool { return told.Budget.Used() == sockets.New(64, nil).Used() }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return told.Budget.Used() == descriptors.New(64, nil).Used() }, 10*time.Second, time.Millisecond)
 }
 
 // A body that is too large to hold goes out as it comes, once, and the op's time begins with its last byte.
@@ -298,16 +298,16 @@
 	for name, c := range map[string]struct {
 		size int64
 		from func(rest string) io.Reader
-		want balance.Ending
+		want balancer.Ending
 	}{
-		"a length": {int64(len(body)), func(rest string) io.Reader { return strings.NewReader(rest) }, balance.Answered},
-		"chunks":   {-1, func(rest string) io.Reader { return iotest.HalfReader(strings.NewReader(rest)) }, balance.Answered},
-		"slow":     {-1, func(rest string) io.Reader { return &slowly{strings.NewReader(rest)} }, balance.Answered},
+		"a length": {int64(len(body)), func(rest string) io.Reader { return strings.NewReader(rest) }, balancer.Answered},
+		"chunks":   {-1, func(rest string) io.Reader { return iotest.HalfReader(strings.NewReader(rest)) }, balancer.Answered},
+		"slow":     {-1, func(rest string) io.Reader { return &slowly{strings.NewReader(rest)} }, balancer.Answered},
 		"client gone": {-1, func(rest string) io.Reader {
 			return io.MultiReader(strings.NewReader(rest[:9]), iotest.ErrReader(io.ErrUnexpectedEOF))
-		}, balance.NotSent},
-		"too slow":     {int64(len(body)), func(string) io.Reader { return iotest.ErrReader(os.ErrDeadlineExceeded) }, balance.NotSent},
-		"gone at once": {int64(len(body)), func(string) io.Reader { return iotest.ErrReader(io.EOF) }, balance.NoConnection},
+		}, balancer.NotSent},
+		"too slow":     {int64(len(body)), func(string) io.Reader { return iotest.ErrReader(os.ErrDeadlineExceeded) }, balancer.NotSent},
+		"gone at once": {int64(len(body)), func(string) io.Reader { return iotest.ErrReader(io.EOF) }, balancer.NoConnection},
 	} {
 		b := listen(t, ok+"\r\nhi")
 		p, _ := peer(t, b.Addr().String())
@@ -323,7 +323,7 @@
 		p.Send(call)
 		o := <-out
 		assert.Equal(t, c.want, o.Ending, name)
-		if c.want != balance.Answered {
+		if c.want != balancer.Answered {
 			assert.Empty(t, sent, name)
 			assert.True(t, o.Ending.NeverRan(), name)
 			continue
@@ -373,10 +373,10 @@
 	} {
 		b := listen(t, ok+"\r\nhi"+c.behind, ok+"\r\nhi")
 		p, _ := peer(t, b.Addr().String())
-		require.Equal(t, balance.Answered, (<-send(p, 10*time.Second)).Ending, name)
+		require.Equal(t, balancer.Answered, (<-send(p, 10*time.Second)).Ending, name)
 		c.turn(p, <-b.conns)
 		out := <-send(p, 10*time.Second)
-		require.Equal(t, balance.Answered, out.Ending, name)
+		require.Equal(t, balancer.Answered, out.Ending, name)
 		assert.Equal(t, "hi", string(out.Reply.Body), name)
 		assert.Len(t, b.conns, 1, "%s: on a connection of its own", name)
 	}
@@ -400,8 +400,8 @@
 	const hi = ok + "\r\nhi"
 	b := listen(t, hi, "END", hi, "END", hi, hi)
 	p, _ := peer(t, b.Addr().String())
-	for k, want := range []balance.Ending{balance.Answered, balance.Reset, balance.Answered, balance.Reset,
-		balance.Answered, balance.Answered} {
+	for k, want := range []balancer.Ending{balancer.Answered, balancer.Reset, balancer.Answered, balancer.Reset,
+		balancer.Answered, balancer.Answered} {
 		assert.Equal(t, want, (<-send(p, 10*time.Second)).Ending, k)
 		p.box.Put(func() {
 			for _, on := range p.idle {
@@ -416,7 +416,7 @@
 func TestClosedWhileIdle(t *testing.T) {
 	b := listen(t, ok+"\r\nhi", ok+"\r\nhi", ok+"\r\nhi")
 	p, terms := peer(t, b.Addr().String())
-	require.Equal(t, balance.Answered, (<-send(p, 10*time.Second)).Ending)
+	require.Equal(t, balancer.Answered, (<-send(p, 10*time.Second)).Ending)
 	idle := <-b.conns
 	_ = idle.Close()
 	on := make(chan bool)
@@ -425,13 +425,13 @@
 		return !<-on
 	}, 10*time.Second, time.Millisecond)
 	rested(p)
-	assert.Equal(t, balance.Answered, (<-send(p, 10*time.Second)).Ending)
+	assert.Equal(t, balancer.Answered, (<-send(p, 10*time.Second)).Ending)
 	<-b.conns // a fresh one
 
 	// One that breaks at the first byte, unseen before: nothing has run, so once more on a fresh one.
 	p.box.Put(func() { _ = p.idle[0].Conn.(*net.TCPConn).CloseWrite() })
 	rested(p)
-	assert.Equal(t, balance.Answered, (<-send(p, 10*time.Second)).Ending)
+	assert.Equal(t, balancer.Answered, (<-send(p, 10*time.Second)).Ending)
 	<-b.conns
 
 	// What stands idle for too long is closed here, before the backend would.
@@ -446,12 +446,12 @@
 func TestWaitsForAConnectionAtRest(t *testing.T) {
 	b := listen(t, ok+"\r\nhi", ok+"\r\nhi", ok+"\r\nhi")
 	p, _ := peer(t, b.Addr().String())
-	require.Equal(t, balance.Answered, (<-send(p, time.Second)).Ending)
+	require.Equal(t, balancer.Answered, (<-send(p, time.Second)).Ending)
 	answered := time.Now()
 	second, third := send(p, time.Second), send(p, time.Second)
-	require.Equal(t, balance.Answered, (<-second).Ending)
+	require.Equal(t, balancer.Answered, (<-second).Ending)
 	assert.GreaterOrEqual(t, time.Since(answered)+time.Millisecond, rest)
-	require.Equal(t, balance.Answered, (<-third).Ending)
+	require.Equal(t, balancer.Answered, (<-third).Ending)
 	assert.Len(t, b.conns, 2)
 }
 
@@ -459,12 +459,12 @@
 func TestCalledOffWhileAConnectionRests(t *testing.T) {
 	b := listen(t, ok+"\r\nhi")
 	p, told := peer(t, b.Addr().String())
-	require.Equal(t, balance.Answered, (<-send(p, time.Second)).Ending)
-	assert.Equal(t, balance.NotSent, (<-send(p, time.Second, (*Call).Revoke)).Ending)
-	assert.Equal(t, balance.NotSent, (<-send(p, time.Millisecond)).Ending)
+	require.Equal(t, balancer.Answered, (<-send(p, time.Second)).Ending)
+	assert.Equal(t, balancer.NotSent, (<-send(p, time.Second, (*Call).Revoke)).Ending)
+	assert.Equal(t, balancer.NotSent, (<-send(p, time.Millisecond)).Ending)
 	second := send(p, time.Second)
 	p.Tell(b.Addr().String(), false)
-	assert.Equal(t, balance.NotSent, (<-second).Ending)
+	assert.Equal(t, balancer.NotSent, (<-second).Ending)
 	<-b.got
 	assert.Empty(t, b.got)
 	assert.True(t, told.Budget.Peer())
