--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -47,18 +47,18 @@
 	coldSafety   = 0.6     // share of the cold budget used; hints are rough, connections cost work too
 )
 
-var shunFrom = [...]float64{Redeliverable: shunAt, Deduplicated: shunAt, AtMostOnce: blemish} // distrust
+var shunFrom = [...]float64{Idempotent: shunAt, IdempotentWithKey: shunAt, AtMostOnce: blemish} // distrust
 
 // Node decides for one instance. Nothing is shared between nodes.
-type Node struct {
-	t        *Terms
+type Balancer struct {
+	t        *Config
 	now      float64
 	rng      mwc
 	backends []*Backend // all that the list named, in the order of their first naming
 	cutoff   window
-	waiting  []*Op // ops that want a decision
-	held     []*Op // ops without a backend
-	idle     bool  // a backend has room again since held ops were last looked at
+	waiting  []*Request // ops that want a decision
+	held     []*Request // ops without a backend
+	idle     bool       // a backend has room again since held ops were last looked at
 	out      []Decision
 	due      dues
 	seq      uint64
@@ -90,16 +90,16 @@
 	of       int              // processes that this node was made up of
 	whole    float64          // from when it is one again
 
-	Asked func(op *Op, b *Backend, r Reason) // is told of each backend looked at; nil but where it is explained
+	OnConsidered func(op *Request, b *Backend, r Reason) // is told of each backend looked at; nil but where it is explained
 }
 
 // New starts a node; now is the host's clock.
-func New(t *Terms, now float64) *Node {
-	n := &Node{t: t, now: now, rng: newMWC(t.Seed), armed: math.Inf(1), sweepAt: now, weight: 1,
+func New(t *Config, now float64) *Balancer {
+	n := &Balancer{t: t, now: now, rng: newMWC(t.Seed), armed: math.Inf(1), sweepAt: now, weight: 1,
 		extra: extraMost / 2, window: math.Inf(1), askAt: math.Inf(1), lines: map[uint64]*line{},
 		fellAt: math.Inf(-1), aloneAt: math.Inf(-1)}
 	n.weigh()
-	if t.MustAsk {
+	if t.PollEndpoints {
 		// Nodes restarted together must not call the list's one service together.
 		n.askAt = now + 200*n.rng.unit()
 	}
@@ -107,10 +107,10 @@
 }
 
 // Retuned takes new terms; from tells each category's former place, or -1. Ops keep those they came under.
-func (n *Node) Retuned(now float64, t *Terms, from []int) {
+func (n *Balancer) ConfigChanged(now float64, t *Config, from []int) {
 	for i, k := range from {
-		if k >= 0 && k < len(n.t.Categories) && i < len(t.Categories) {
-			t.Categories[i].work = n.t.Categories[k].work
+		if k >= 0 && k < len(n.t.Classes) && i < len(t.Classes) {
+			t.Classes[i].work = n.t.Classes[k].work
 		}
 	}
 	n.now, n.t = now, t
@@ -118,25 +118,25 @@
 }
 
 // weigh tells each category's patience from its benefit against the others'.
-func (n *Node) weigh() {
+func (n *Balancer) weigh() {
 	t, most := n.t, 0.0
-	for _, c := range t.Categories {
-		most = math.Max(most, c.Benefit)
+	for _, c := range t.Classes {
+		most = math.Max(most, c.PriorityWeight)
 	}
-	for i := range t.Categories { // under overload the benefit that a unit of work earns decides who may wait
-		c := &t.Categories[i]
-		share := 0.1 + 0.35*c.Benefit/math.Max(most, 1e-9)
+	for i := range t.Classes { // under overload the benefit that a unit of work earns decides who may wait
+		c := &t.Classes[i]
+		share := 0.1 + 0.35*c.PriorityWeight/math.Max(most, 1e-9)
 		c.patience = share
-		for _, o := range t.Categories { // by a longer target the lesser would stay on in the way of the greater
-			if o.Benefit >= c.Benefit {
-				c.patience = math.Min(c.patience, share*o.TargetLatency/c.TargetLatency)
+		for _, o := range t.Classes { // by a longer target the lesser would stay on in the way of the greater
+			if o.PriorityWeight >= c.PriorityWeight {
+				c.patience = math.Min(c.patience, share*o.LatencyObjective/c.LatencyObjective)
 			}
 		}
 	}
 }
 
 // Listed takes news of the list; where full, a backend not in it is gone.
-func (n *Node) Listed(now float64, lines []Listing, full, cached bool) {
+func (n *Balancer) EndpointsChanged(now float64, lines []Endpoint, full, cached bool) {
 	n.now = now
 	if !cached {
 		n.tracked, n.failures = true, 0
@@ -154,9 +154,9 @@
 			b.most = 1 + n.part(mostFirst)
 			b.pass = n.round + n.rng.unit() // the rotation starts at random
 		}
-		back := b.banned && !l.Banned // by hand: restarted meanwhile, which the list tells of late, if at all
+		back := b.banned && !l.Cordoned // by hand: restarted meanwhile, which the list tells of late, if at all
 		switch {
-		case l.Banned && !b.banned:
+		case l.Cordoned && !b.banned:
 			b.outAt = now
 		case l.Started > b.outAt: // it has told
 			b.back = 0
@@ -166,14 +166,14 @@
 		if l.Started > b.Started || back { // a new process: what was learned of the old one's state is void
 			b.flow, b.most, b.distrust, b.lingers, b.restUntil = flow{}, 1+n.part(mostFirst), fader{}, 0, 0
 		}
-		if l.State == Gone {
+		if l.State == BackendRemoved {
 			b.leave(now)
 		}
 		b.Zone, b.Cell, b.Kind, b.State, b.Started = l.Zone, l.Cell, l.Kind, l.State, l.Started
-		if b.banned = l.Banned; b.banned { // whatever the list says
-			b.State = min(b.State, Draining)
+		if b.banned = l.Cordoned; b.banned { // whatever the list says
+			b.State = min(b.State, BackendDraining)
 		}
-		b.drained = b.State == Draining || b.drained && b.State == Gone
+		b.drained = b.State == BackendDraining || b.drained && b.State == BackendRemoved
 		b.Weight = l.Weight
 		if !(b.Weight > 0) || math.IsInf(b.Weight, 0) {
 			b.Weight = 1
@@ -184,149 +184,149 @@
 
 // judge tells whether to doubt the list, where what it takes away without a drain is a hint: more than half
 // of what it lately had does not go at once, and if it had, failed connects would shun each of them.
-func (n *Node) judge() {
+func (n *Balancer) judge() {
 	gone, had := 0, 0
 	for _, b := range n.backends {
-		if !b.drained && (b.State == Ready || n.now-b.goneAt < n.t.rememberFor()) {
+		if !b.drained && (b.State == BackendReady || n.now-b.goneAt < n.t.rememberFor()) {
 			had++
-			if b.State == Gone {
+			if b.State == BackendRemoved {
 				gone++
 			}
 		}
 	}
-	n.doubted = n.t.RemovalNotBinding && 2*gone > had
+	n.doubted = n.t.RemovalIsHint && 2*gone > had
 }
 
 // serves tells whether a backend may get something: ready, or gone by a list that is doubted.
-func (n *Node) serves(b *Backend) bool {
-	return b.State == Ready || b.State == Gone && n.doubted && !b.drained && n.now-b.goneAt < n.t.rememberFor()
+func (n *Balancer) serves(b *Backend) bool {
+	return b.State == BackendReady || b.State == BackendRemoved && n.doubted && !b.drained && n.now-b.goneAt < n.t.rememberFor()
 }
 
 // ListFailed takes a failed call for the list; the old list still holds.
-func (n *Node) ListFailed(now float64) {
+func (n *Balancer) PollFailed(now float64) {
 	n.now, n.tracked = now, false
 	// Growing, spread waits: a service of fixed capacity must not meet a storm of repeats.
-	n.askAt = now + min(500*math.Exp2(float64(n.failures)), n.t.AskWithin/3, askAgain)*(0.5+n.rng.unit())
+	n.askAt = now + min(500*math.Exp2(float64(n.failures)), n.t.PollInterval/3, askAgain)*(0.5+n.rng.unit())
 	n.failures++
 	n.log("list call failed, %d in a row", n.failures)
 }
 
 // Arrived takes an op.
-func (n *Node) Arrived(now float64, op *Op) {
+func (n *Balancer) RequestArrived(now float64, op *Request) {
 	n.now = now
-	op.Under = cmp.Or(op.Under, n.t)
-	c := &op.Under.Categories[op.Category]
-	op.cat, op.Arrived = c, now
-	op.HasHint = op.HasHint && op.Hint > 0 && !math.IsInf(op.Hint, 0)
-	if op.HasHint {
+	op.Config = cmp.Or(op.Config, n.t)
+	c := &op.Config.Classes[op.Class]
+	op.cat, op.ArrivedAt = c, now
+	op.HasCostHint = op.HasCostHint && op.CostHint > 0 && !math.IsInf(op.CostHint, 0)
+	if op.HasCostHint {
 		if len(n.cutoff.ring) >= hintsNeeded {
-			op.long = op.Hint > n.cutoff.share(cutoffShare)
+			op.long = op.CostHint > n.cutoff.share(cutoffShare)
 		}
-		n.cutoff.add(op.Hint)
-		op.work = op.Hint
+		n.cutoff.add(op.CostHint)
+		op.work = op.CostHint
 	} else {
 		op.work = c.work.value
 	}
 	c.work.add(op.work)
 	if op.work == 0 {
-		op.work = c.TargetLatency / 20 // nothing is known: a small part of what the category allows
+		op.work = c.LatencyObjective / 20 // nothing is known: a small part of what the category allows
 	}
 	n.excess(op)
 	n.stirred = true
 	n.value.add(n.benefit(op))
 	n.work.add(op.work)
 	n.extra = math.Min(n.extra+extraShare, extraMost)
-	if c.KeepOrder && op.Key != 0 {
+	if c.Ordered && op.Key != 0 {
 		n.queue(op)
 	}
 	n.want(op)
 }
 
 // Left takes the news that the op's client is gone.
-func (n *Node) Left(now float64, op *Op) {
+func (n *Balancer) ClientGone(now float64, op *Request) {
 	n.now = now
 	n.end(op)
 }
 
 // Shortened takes an op whose give-up time was moved to sooner: what it waits for may be too late now.
-func (n *Node) Shortened(now float64, op *Op) {
+func (n *Balancer) DeadlineShortened(now float64, op *Request) {
 	n.now = now
 	n.unhold(op)
 	n.want(op)
 }
 
 // Begun takes the start of a streamed answer: the push is the client's from now on.
-func (n *Node) Begun(now float64, p *Push) {
+func (n *Balancer) ResponseStarted(now float64, p *Attempt) {
 	n.now = now
-	if p.Op.stage != ended {
-		p.Op.stage = streaming
+	if p.Request.stage != ended {
+		p.Request.stage = streaming
 	}
 }
 
 // Sent takes the moment at which a streamed op's last byte has come and gone on: now its time counts.
-func (n *Node) Sent(now float64, p *Push) {
+func (n *Balancer) RequestBodySent(now float64, p *Attempt) {
 	n.now = now
-	if p.Op.stage == pushed && p.out {
-		p.SentAt, p.Op.Arrived, p.expect = now, now, n.predict(p.Backend, p.Op)
+	if p.Request.stage == pushed && p.out {
+		p.SentAt, p.Request.ArrivedAt, p.expect = now, now, n.predict(p.Backend, p.Request)
 		n.begin(p)
 	}
 }
 
 // Ended takes a push's ending; finished tells that the op has ended with it or before.
-func (n *Node) Ended(now float64, p *Push, how Ending, elapsed float64, finished bool) {
+func (n *Balancer) AttemptEnded(now float64, p *Attempt, how Outcome, elapsed float64, finished bool) {
 	n.now = now
-	op, b := p.Op, p.Backend
+	op, b := p.Request, p.Backend
 	n.stirred = true
 	b.drop(now, p)
 	counted := p.counted()
-	p.out, p.ending = false, how
-	if counted > 0 && (how == TimedOut || how == Revoked) { // its work may go on, perhaps for as long again
+	p.out, p.outcome = false, how
+	if counted > 0 && (how == OutcomeTimedOut || how == OutcomeCanceled) { // its work may go on, perhaps for as long again
 		n.at(due{at: now + elapsed, lingers: true})
 	} else {
 		n.abroad -= counted
 	}
 	switch {
-	case how == Answered:
+	case how == OutcomeAnswered:
 		n.waited(p, elapsed-op.work*n.paceOf(b))
-	case how == TimedOut && !p.overtaken():
+	case how == OutcomeTimedOut && !p.overtaken():
 		n.waited(p, elapsed)
-	case how == Rejected: // a queue as long as can be
+	case how == OutcomeRejected: // a queue as long as can be
 		n.waited(p, math.Inf(1))
 	}
 	switch how {
-	case Answered:
+	case OutcomeAnswered:
 		n.learn(b, p, elapsed)
-	case TimedOut:
+	case OutcomeTimedOut:
 		if !p.overtaken() { // else a connection fell silent, not the backend
 			n.yield(b, 0)
 			n.suspect(b, 1)
 		}
-	case NoConnection: // it is down, or has as many connections as it takes: either way not soon
+	case OutcomeConnectFailed: // it is down, or has as many connections as it takes: either way not soon
 		b.refused = math.Min(b.refused+1, 4)
-		if n.t.ConnectionPrice > 0 {
+		if n.t.ConnectionCost > 0 {
 			b.restUntil = now + refusedFor*math.Exp2(b.refused-1)*(0.5+n.rng.unit())
 		}
 		n.suspect(b, 1)
-	case Reset:
+	case OutcomeConnectionReset:
 		b.brokeAt, n.fellAt = now, now
 		if !n.breaks() {
 			n.suspect(b, 1)
 		}
-	case Failed:
+	case OutcomeFailed:
 		n.suspect(b, 1)
-	case Rejected: // tells of load, not of a fault; so quick an ending would draw more
+	case OutcomeRejected: // tells of load, not of a fault; so quick an ending would draw more
 		n.yield(b, 0)
 		n.ease(true)
 		b.restUntil = now + n.work.value*n.paceOf(b)
 	}
-	b.joined = how != NoConnection && how != Reset && (b.joined || how == Answered || how == Rejected)
-	if how == TimedOut || how == Revoked {
+	b.joined = how != OutcomeConnectFailed && how != OutcomeConnectionReset && (b.joined || how == OutcomeAnswered || how == OutcomeRejected)
+	if how == OutcomeTimedOut || how == OutcomeCanceled {
 		// Work given up on may go on: the backend is not idle before it could be done.
 		b.lingers = math.Max(b.lingers, now+op.work*n.paceOf(b))
 	}
 	n.idle = true
-	if op.line != nil && (how == TimedOut || how == Reset || how == Revoked) { // it may run on
-		op.line.rest = math.Max(op.line.rest, now+op.Under.SettleAfterDoubt+clockHair)
+	if op.line != nil && (how == OutcomeTimedOut || how == OutcomeConnectionReset || how == OutcomeCanceled) { // it may run on
+		op.line.rest = math.Max(op.line.rest, now+op.Config.UncertainCooldown+clockHair)
 	}
 	n.unqueue(op)
 	if finished {
@@ -337,24 +337,24 @@
 }
 
 // Reported takes a backend's load report: its service time holds no waits, its queue is of all nodes' making.
-func (n *Node) Reported(now float64, b *Backend, r Report) {
+func (n *Balancer) LoadReported(now float64, b *Backend, r LoadReport) {
 	n.now = now
-	if r.Service > 0 {
-		n.service.add(r.Service)
+	if r.ServiceTime > 0 {
+		n.service.add(r.ServiceTime)
 		// The mean of a few hints can be far off: until twenty are seen, the fleet is rather a standard core's.
-		n.paces.add(b, r.Service, (n.work.value*n.work.seen+20*n.service.value)/(n.work.seen+20))
+		n.paces.add(b, r.ServiceTime, (n.work.value*n.work.seen+20*n.service.value)/(n.work.seen+20))
 	}
-	if r.Held >= 0 && r.Waiting >= 0 {
-		b.cores = math.Max(b.cores, r.Held-r.Waiting)
-		n.crowd.add(b, now, r.Waiting*n.work.value*n.paceOf(b)/math.Max(b.cores, 1))
-	} else if r.Held >= 0 && r.Rate >= 0 && r.Service >= 0 { // beyond what its rate keeps at work: a guess
-		b.cores = math.Max(b.cores, math.Max(1, r.Rate*r.Service/1e3))
-		b.waits.add(now, math.Max(0, r.Held-b.cores)*n.work.value*n.paceOf(b)/b.cores)
+	if r.InFlight >= 0 && r.Queued >= 0 {
+		b.cores = math.Max(b.cores, r.InFlight-r.Queued)
+		n.crowd.add(b, now, r.Queued*n.work.value*n.paceOf(b)/math.Max(b.cores, 1))
+	} else if r.InFlight >= 0 && r.Throughput >= 0 && r.ServiceTime >= 0 { // beyond what its rate keeps at work: a guess
+		b.cores = math.Max(b.cores, math.Max(1, r.Throughput*r.ServiceTime/1e3))
+		b.waits.add(now, math.Max(0, r.InFlight-b.cores)*n.work.value*n.paceOf(b)/b.cores)
 	}
 }
 
 // Due takes a timer.
-func (n *Node) Due(now float64) {
+func (n *Balancer) TimerFired(now float64) {
 	n.now = now
 	// A clock rounded to a hair before the time asked for counts: else no timer would ever be set again.
 	if now >= n.armed-clockHair {
@@ -363,7 +363,7 @@
 }
 
 // Next gives the next decision, if there is one. The clock is that of the latest input.
-func (n *Node) Next() (Decision, bool) {
+func (n *Balancer) Next() (Decision, bool) {
 	for len(n.out) == 0 {
 		switch {
 		case len(n.waiting) > 0:
@@ -372,8 +372,8 @@
 			op.queued = false
 			n.decide(op)
 		case !n.tracked && n.now >= n.askAt:
-			n.askAt = n.now + n.t.AskWithin/2 // once more where no reply comes at all
-			n.out = append(n.out, Decision{Kind: DoWatch})
+			n.askAt = n.now + n.t.PollInterval/2 // once more where no reply comes at all
+			n.out = append(n.out, Decision{Kind: DoPoll})
 		case len(n.due) > 0 && n.due[0].at <= n.now:
 			n.fallDue(heap.Pop(&n.due).(due))
 		case n.idle:
@@ -397,7 +397,7 @@
 				return Decision{}, false
 			}
 			n.armed = at
-			return Decision{Kind: DoTimer, Wait: at - n.now}, true
+			return Decision{Kind: DoSetTimer, Wait: at - n.now}, true
 		}
 	}
 	d := n.out[0]
@@ -407,26 +407,26 @@
 
 // Split tells of how many processes the node is made up, among which its cold budgets alone are divided: one
 // has nearly all of its ops at any time. What the other spent counts until its window has passed.
-func (n *Node) Split(now float64, of int) {
+func (n *Balancer) ProcessesChanged(now float64, of int) {
 	n.now, n.of, n.whole = now, max(of, n.of), math.Inf(1)
 	if of == 1 {
-		n.whole = now + n.t.OverloadFor
+		n.whole = now + n.t.OverloadWindow
 	}
 }
 
 // part is this node's of what all nodes together may.
-func (n *Node) part(whole float64) float64 { return whole / float64(max(n.t.Nodes, 1)) }
+func (n *Balancer) part(whole float64) float64 { return whole / float64(max(n.t.Nodes, 1)) }
 
 // decide places an op that has nothing out.
-func (n *Node) decide(op *Op) {
+func (n *Balancer) decide(op *Request) {
 	switch {
 	case op.stage == ended || op.stage == streaming || op.out() > 0:
 	case !n.hasTurn(op):
 		n.await(op)
 	case op.stage == pushed:
 		n.again(op)
-	case op.Repeat && op.cat.Effect != AtMostOnce && n.fell():
-		n.tell(op, nil, Fallen)
+	case op.IsClientRetry && op.cat.Idempotency != AtMostOnce && n.fell():
+		n.tell(op, nil, ReasonPoisonRequest)
 		n.giveUp(op)
 	case !n.place(op):
 		n.hold(op)
@@ -434,19 +434,19 @@
 }
 
 // hasTurn tells whether no earlier op of its key is open or out, nor, before its first push, the key at rest.
-func (n *Node) hasTurn(op *Op) bool {
-	return op.line == nil || op.line.ops[0] == op && (len(op.Pushes) > 0 || n.now >= op.line.rest)
+func (n *Balancer) hasTurn(op *Request) bool {
+	return op.line == nil || op.line.ops[0] == op && (len(op.Attempts) > 0 || n.now >= op.line.rest)
 }
 
 // await keeps an op until it is called up by its turn among those of its key, or ends it out of turn: at once
 // where those before it are foreseen to take too long, else when it could no longer be in time.
-func (n *Node) await(op *Op) {
+func (n *Balancer) await(op *Request) {
 	alone := op.work * n.paceOf(nil)
 	wait := math.Max(0, op.line.rest-n.now)
 	for _, o := range op.line.ops[:slices.Index(op.line.ops, op)] {
 		wait += o.work*n.paceOf(nil) + n.wait(n.t.Zone)
-		if len(o.Pushes) > 0 {
-			wait = math.Max(wait-n.now+o.Pushes[0].SentAt, 0)
+		if len(o.Attempts) > 0 {
+			wait = math.Max(wait-n.now+o.Attempts[0].SentAt, 0)
 		}
 	}
 	if last := n.left(op) - alone; wait > last {
@@ -457,7 +457,7 @@
 }
 
 // place sends an op on the ordinary path, if a backend has room for it.
-func (n *Node) place(op *Op) bool {
+func (n *Balancer) place(op *Request) bool {
 	if op.long {
 		return n.placeLong(op)
 	}
@@ -467,21 +467,21 @@
 
 // fell tells whether ops may bring down whatever backend begins them. Then one that met a reset is not sent
 // on, nor are clients' repeats: each would take one more. First tries go on.
-func (n *Node) fell() bool { return n.now-n.fellAt < fallenFor && !n.breaks() }
+func (n *Balancer) fell() bool { return n.now-n.fellAt < fallenFor && !n.breaks() }
 
 // breaks tells that connections lately broke by themselves: the backend answered right after a reset.
-func (n *Node) breaks() bool { return n.now-n.aloneAt < fallenFor }
+func (n *Balancer) breaks() bool { return n.now-n.aloneAt < fallenFor }
 
 // bringHome finds the backend where an op's key is at home, the same at nodes that see the same fleet: one
 // that met a key lately has less work with it. A cold one's keys wander off and come back.
-func (n *Node) bringHome(op *Op) {
+func (n *Balancer) bringHome(op *Request) {
 	op.home = nil
-	if !n.t.WarmKeys || op.Key == 0 {
+	if !n.t.KeyAffinity || op.Key == 0 {
 		return
 	}
 	best := math.Inf(1)
 	for _, b := range n.backends {
-		x := -math.Log(mix(op.Key, b.Ref)) / (b.Weight * n.warmth(b))
+		x := -math.Log(mix(op.Key, b.ID)) / (b.Weight * n.warmth(b))
 		if x < best && n.serves(b) && n.distrust(b) < shunAt {
 			op.home, best = b, x
 		}
@@ -489,12 +489,12 @@
 }
 
 // again answers the failure of all an op's pushes so far: another backend within the budget, or the end.
-func (n *Node) again(op *Op) {
+func (n *Balancer) again(op *Request) {
 	cost := 1.0
-	if op.MayHaveRun() == nil { // no work for the backends yet: a fleet replaced in bulk turns many away
+	if op.UncertainAttempt() == nil { // no work for the backends yet: a fleet replaced in bulk turns many away
 		cost = 0
 	}
-	felled := n.fell() && slices.ContainsFunc(op.Pushes, func(p *Push) bool { return p.ending == Reset })
+	felled := n.fell() && slices.ContainsFunc(op.Attempts, func(p *Attempt) bool { return p.outcome == OutcomeConnectionReset })
 	if !felled && n.left(op) > 0 && n.extra >= cost {
 		if b := n.rotate(op); b != nil && n.predict(b, op) < n.left(op) && n.send(op, b) {
 			n.extra -= cost
@@ -506,13 +506,13 @@
 
 // placeLong sends a long to a backend with none of this node's work in flight, picked at random; own zone
 // first, others where the op's benefit pays for the way.
-func (n *Node) placeLong(op *Op) bool {
+func (n *Balancer) placeLong(op *Request) bool {
 	n.bringHome(op)
 	patience := n.patienceOf(op)
 	var best []*Backend
 	rank := 0
 	for _, b := range n.backends {
-		if n.tell(op, b, n.unfitForLong(op, b, patience)) != Open {
+		if n.tell(op, b, n.unfitForLong(op, b, patience)) != Eligible {
 			continue
 		}
 		r := -2 * n.slowFor(b, op)
@@ -531,39 +531,39 @@
 
 // unfitForLong tells why a backend may draw no long. A quick error makes one idle at once and a cold one is
 // idle by nature: neither may.
-func (n *Node) unfitForLong(op *Op, b *Backend, patience float64) Reason {
+func (n *Balancer) unfitForLong(op *Request, b *Backend, patience float64) Reason {
 	switch {
-	case n.t.ConnectionPrice > 0 && !b.own:
-		return Full
+	case n.t.ConnectionCost > 0 && !b.own:
+		return ReasonAtCapacity
 	case len(b.out) > 0 || b.lingers > n.now:
-		return Busy
-	case n.distrust(b) >= math.Min(shunAt/2, shunFrom[op.cat.Effect]):
-		return Shunned
+		return ReasonBusy
+	case n.distrust(b) >= math.Min(shunAt/2, shunFrom[op.cat.Idempotency]):
+		return ReasonEjected
 	case n.warmth(b) < 1:
-		return Cold
+		return ReasonWarmingUp
 	}
-	if r := n.gate(op, b); r != Open {
+	if r := n.gate(op, b); r != Eligible {
 		return r
 	}
 	if !n.isNear(b) && n.crossCost(op) >= 0.5 {
-		return Dear
+		return ReasonCrossZoneCost
 	}
 	// Idle of this node's work says little where many nodes have a push out or none: others' may queue there.
 	if n.hopeless(b, op, patience) {
-		return Hopeless
+		return ReasonTooSlow
 	}
-	return Open
+	return Eligible
 }
 
 // hold keeps a long without an idle backend and a short for which all have their most out. Where the wait is
 // foreseen to be too long the op is nacked at once: holding it would only delay that.
-func (n *Node) hold(op *Op) {
+func (n *Balancer) hold(op *Request) {
 	time := n.holdTime(op, n.crossCost(op) < 0.5)
 	if time > n.patienceOf(op) || time+op.work*n.paceOf(nil) > n.left(op) {
 		n.giveUp(op)
 		return
 	}
-	n.tell(op, nil, Held)
+	n.tell(op, nil, ReasonQueued)
 	op.stage = held
 	n.held = append(n.held, op)
 	n.at(due{at: n.now + (1-lateShare)*n.leftToTarget(op), op: op})
@@ -571,14 +571,14 @@
 
 // release gives backends that turned idle the held longs, and those with room again the held shorts, smallest
 // estimate first.
-func (n *Node) release() {
+func (n *Balancer) release() {
 	if len(n.held) == 0 {
 		return
 	}
 	for _, op := range n.held {
-		op.estimate = op.work * n.leftToTarget(op) / math.Max(op.target()-op.Arrived, 1)
+		op.estimate = op.work * n.leftToTarget(op) / math.Max(op.target()-op.ArrivedAt, 1)
 	}
-	slices.SortStableFunc(n.held, func(a, b *Op) int { return cmp.Compare(a.estimate, b.estimate) })
+	slices.SortStableFunc(n.held, func(a, b *Request) int { return cmp.Compare(a.estimate, b.estimate) })
 	rest, misses := n.held[:0], 0
 	for _, op := range n.held {
 		// Where some of the smallest find no room the others hardly do: a node has little CPU for looking on.
@@ -593,7 +593,7 @@
 	n.held = rest
 }
 
-func (n *Node) fallDue(d due) {
+func (n *Balancer) fallDue(d due) {
 	switch {
 	case d.line != nil:
 		n.turn(d.line)
@@ -613,8 +613,8 @@
 
 // overdue answers a push that is out longer than its fellows' high quantile: silence is the first sign of a
 // backend that takes work and answers none, long before a time-out.
-func (n *Node) overdue(p *Push) {
-	op := p.Op
+func (n *Balancer) overdue(p *Attempt) {
+	op := p.Request
 	if op.stage != pushed || p.revoked {
 		return
 	}
@@ -628,24 +628,24 @@
 	}
 	// Where one push is out at most it must end first, and its work goes on there: only where others answer
 	// meanwhile, so that the backend is silent, not all crowded.
-	if op.cat.Effect == AtMostOnce || n.extra < 1 || op.out() > 1 ||
-		!op.Under.SecondCopies && (n.heard <= p.SentAt || n.distrust(p.Backend) < shunAt/2) {
+	if op.cat.Idempotency == AtMostOnce || n.extra < 1 || op.out() > 1 ||
+		!op.Config.AllowHedging && (n.heard <= p.SentAt || n.distrust(p.Backend) < shunAt/2) {
 		return
 	}
-	op.calledOff = !op.Under.SecondCopies
+	op.calledOff = !op.Config.AllowHedging
 	b := n.rotate(op)
 	op.calledOff = false
 	switch {
 	case b == nil || n.predict(b, op) > n.left(op):
-	case !op.Under.SecondCopies:
+	case !op.Config.AllowHedging:
 		n.revoke(p) // its ending brings the op back
-	case op.cat.Effect == Redeliverable && n.send(op, b):
+	case op.cat.Idempotency == Idempotent && n.send(op, b):
 		n.extra--
 	}
 }
 
 // rotate picks a backend by the rotation: own zone first, the others where that gains more than it costs.
-func (n *Node) rotate(op *Op) *Backend {
+func (n *Balancer) rotate(op *Request) *Backend {
 	n.bringHome(op)
 	patience := n.patienceOf(op)
 	near, far := n.inTurn(op, true, patience), n.inTurn(op, false, patience)
@@ -668,7 +668,7 @@
 
 // inTurn is the rotation over one side: the backend whose turn is longest due, without those that run an own
 // long or have more than the margin in flight; where none is left, the least loaded.
-func (n *Node) inTurn(op *Op, near bool, patience float64) *Backend {
+func (n *Balancer) inTurn(op *Request, near bool, patience float64) *Backend {
 	out, room := 0.0, 0.0
 	for _, b := range n.backends {
 		if n.serves(b) && n.isNear(b) == near {
@@ -679,7 +679,7 @@
 	var turn, least *Backend
 	turnSlow, leastLoad := 0, 0.0
 	for _, b := range n.backends {
-		if n.isNear(b) != near || n.tell(op, b, n.passed(op, b, patience)) != Open {
+		if n.isNear(b) != near || n.tell(op, b, n.passed(op, b, patience)) != Eligible {
 			continue
 		}
 		load := float64(len(b.out)) / n.size(b)
@@ -701,35 +701,35 @@
 }
 
 // passed tells why the rotation passes a backend.
-func (n *Node) passed(op *Op, b *Backend, patience float64) Reason {
+func (n *Balancer) passed(op *Request, b *Backend, patience float64) Reason {
 	if op.tried(b) {
-		return Tried
+		return ReasonAlreadyTried
 	}
-	if r := n.unfit(op, b); r != Open {
+	if r := n.unfit(op, b); r != Eligible {
 		return r
 	}
 	if n.hopeless(b, op, patience) {
-		return Hopeless
+		return ReasonTooSlow
 	}
-	return Open
+	return Eligible
 }
 
 // unfit tells why a backend may be sent nothing now.
-func (n *Node) unfit(op *Op, b *Backend) Reason {
+func (n *Balancer) unfit(op *Request, b *Backend) Reason {
 	switch {
-	case n.distrust(b) >= shunFrom[op.cat.Effect]:
-		return Shunned
+	case n.distrust(b) >= shunFrom[op.cat.Idempotency]:
+		return ReasonEjected
 	case n.full(b):
-		return Full
+		return ReasonAtCapacity
 	}
 	return n.gate(op, b)
 }
 
 // slowFor is how many thirty-seconds of its time left an op takes at a backend, alone and behind what lately
 // waited there, all at most: heavy ops earn the most, and a slow machine may not do one in time.
-func (n *Node) slowFor(b *Backend, op *Op) int {
+func (n *Balancer) slowFor(b *Backend, op *Request) int {
 	extra := 0.0
-	if n.t.ConnectionPrice > 0 && !b.joined {
+	if n.t.ConnectionCost > 0 && !b.joined {
 		extra = joinSteps
 	}
 	if op.home != nil && op.home != b {
@@ -739,7 +739,7 @@
 }
 
 // fewest is the backend for a late send: fewest own in flight, own zone first among equals.
-func (n *Node) fewest(op *Op) (best *Backend) {
+func (n *Balancer) fewest(op *Request) (best *Backend) {
 	least := math.Inf(1)
 	for _, b := range n.backends {
 		load := float64(len(b.out)) / n.size(b)
@@ -748,7 +748,7 @@
 		}
 		// Equals by the rotation: by the list's order the late sends of all nodes would meet at one backend.
 		if (load < least || load == least && b.pass < best.pass) &&
-			n.tell(op, b, n.unfit(op, b)) == Open {
+			n.tell(op, b, n.unfit(op, b)) == Eligible {
 			best, least = b, load
 		}
 	}
@@ -756,41 +756,41 @@
 }
 
 // isNear tells whether a backend costs no crossing.
-func (n *Node) isNear(b *Backend) bool { return n.t.CrossPrice == 0 || b.Zone == n.t.Zone }
+func (n *Balancer) isNear(b *Backend) bool { return n.t.CrossZoneCost == 0 || b.Zone == n.t.Zone }
 
 // benefit is what an op answered in time earns.
-func (n *Node) benefit(op *Op) float64 {
-	v := op.cat.Benefit
-	if n.t.ByWork {
+func (n *Balancer) benefit(op *Request) float64 {
+	v := op.cat.PriorityWeight
+	if n.t.WeightByWork {
 		v *= op.work
 	}
 	return v * n.within(op)
 }
 
 // within is the part of an op's benefit that is left by how likely it is beyond its tenant's share.
-func (n *Node) within(op *Op) float64 { return 1 - op.excess*(1-n.t.ExcessBenefit) }
+func (n *Balancer) within(op *Request) float64 { return 1 - op.excess*(1-n.t.OverQuotaWeight) }
 
 // crossCost is the price of crossing zones as a share of what the op earns.
-func (n *Node) crossCost(op *Op) float64 {
-	return n.t.CrossPrice * n.value.value / math.Max(n.benefit(op), 1e-9)
+func (n *Balancer) crossCost(op *Request) float64 {
+	return n.t.CrossZoneCost * n.value.value / math.Max(n.benefit(op), 1e-9)
 }
 
 // hopeless tells whether an op is not to be pushed to a backend: its answer would come too late, or it would
 // wait behind others longer than ops of its benefit may. A heavy op's own time is not held against it.
-func (n *Node) hopeless(b *Backend, op *Op, patience float64) bool {
+func (n *Balancer) hopeless(b *Backend, op *Request, patience float64) bool {
 	time, alone := n.predict(b, op), op.work*n.paceOf(b)
 	if op.long { // a wait does not grow with the op, as what small ones took there would have it
 		time = math.Min(time, alone+n.wait(b.Zone))
 	}
 	// Its say is what it is likely to earn: a quarter of heavy ops take less than half of what is foreseen.
-	patience *= op.cat.LateBenefit + (1-op.cat.LateBenefit)*math.Min(1, n.leftToTarget(op)/time)
+	patience *= op.cat.LateWeight + (1-op.cat.LateWeight)*math.Min(1, n.leftToTarget(op)/time)
 	return time > n.left(op) || time-alone > patience
 }
 
 // patienceOf is the wait behind others above which an op is nacked.
-func (n *Node) patienceOf(op *Op) float64 {
+func (n *Balancer) patienceOf(op *Request) float64 {
 	share := op.cat.patience * n.within(op)
-	if op.Repeat {
+	if op.IsClientRetry {
 		share *= 0.1 // its time is gone for the most part, and in a crowd repeats are what keeps it one
 	}
 	return share * n.leftToTarget(op)
@@ -798,8 +798,8 @@
 
 // open tells whether this node uses a backend in this slot of time. All nodes cross at once in a burst: soft
 // shares bound the far backends, to others in each slot, more of them where answers come promptly.
-func (n *Node) open(b *Backend) bool {
-	if n.t.ConnectionPrice > 0 {
+func (n *Balancer) open(b *Backend) bool {
+	if n.t.ConnectionCost > 0 {
 		return b.own
 	}
 	return n.isNear(b) || n.lot(b, slot) <= max(leastFar, n.part(mostFirst), b.most-1)
@@ -808,11 +808,11 @@
 // allot picks the part of the fleet that this node connects to, where connections have a price: backends take
 // few. By the node's number on a ring that is the same at all nodes the parts spread evenly without
 // agreement; who is shunned or refuses is replaced by the next as long as it does.
-func (n *Node) allot() {
+func (n *Balancer) allot() {
 	for side, want := range [...]int{ownFar, ownNear} { // steps far from any fraction: no two numbers meet
 		ring := n.ring(side == 1)
 		for s := 0; want > 0 && s < 2*len(ring); s++ {
-			_, at := math.Modf(float64(n.t.Number)*0.6180339887 + float64(s)*0.7548776662)
+			_, at := math.Modf(float64(n.t.NodeIndex)*0.6180339887 + float64(s)*0.7548776662)
 			b := ring[int(at*float64(len(ring)))]
 			if !b.own && n.serves(b) && n.distrust(b) < shunAt && (b.refused == 0 || b.restUntil <= n.now) {
 				want--
@@ -823,14 +823,14 @@
 }
 
 // leastWindow is two pushes at least, so that a silent backend doesn't stop a node; else what answers bear.
-func (n *Node) leastWindow() float64 {
+func (n *Balancer) leastWindow() float64 {
 	return max(2, n.part(leastOut*float64(len(n.backends))), n.borne())
 }
 
 // ease lowers or raises how many pushes the node may have out in all. Many nodes of few ops each reach no cap
 // of any backend, and hear of a queue too late to keep from feeding it: what is not answered yet holds back
 // the next.
-func (n *Node) ease(queued bool) {
+func (n *Balancer) ease(queued bool) {
 	least := n.leastWindow()
 	switch {
 	case queued:
@@ -842,7 +842,7 @@
 
 // full tells whether a backend has all the pushes that this node sends there at once. Beyond that they would
 // queue, and a crowded backend may turn slower for all nodes.
-func (n *Node) full(b *Backend) bool {
+func (n *Balancer) full(b *Backend) bool {
 	if float64(n.abroad) >= n.window || b.restUntil > n.now || !n.open(b) {
 		return true
 	}
@@ -851,28 +851,28 @@
 }
 
 // warmth is the share of its capacity that a backend is sure to have.
-func (n *Node) warmth(b *Backend) float64 {
+func (n *Balancer) warmth(b *Backend) float64 {
 	started := math.Max(b.Started, b.back)
-	if age := n.now - started; started > 0 && age < n.t.WarmWithin {
-		return n.t.ColdFrom + (1-n.t.ColdFrom)*math.Max(age, 0)/n.t.WarmWithin
+	if age := n.now - started; started > 0 && age < n.t.SlowStartWindow {
+		return n.t.SlowStartShare + (1-n.t.SlowStartShare)*math.Max(age, 0)/n.t.SlowStartWindow
 	}
 	return 1
 }
 
-func (n *Node) suspect(b *Backend, by float64) {
+func (n *Balancer) suspect(b *Backend, by float64) {
 	before := n.distrust(b)
 	b.distrust.set(n.now, math.Min(b.distrust.get(n.now, distrustHalf)+by, 3*shunAt))
 	if after := n.distrust(b); before < shunAt && after >= shunAt {
-		n.log("backend %x shunned, %d out", b.Ref, len(b.out))
+		n.log("backend %x shunned, %d out", b.ID, len(b.out))
 	}
 }
 
 // learn takes what an answer tells of its backend.
-func (n *Node) learn(b *Backend, p *Push, elapsed float64) {
-	work := p.Op.work
+func (n *Balancer) learn(b *Backend, p *Attempt, elapsed float64) {
+	work := p.Request.work
 	b.hear(n.now, p)
 	n.heard = math.Max(n.heard, p.SentAt)
-	n.answers.set(n.now, n.answers.get(n.now, rateHalf)+work*n.paceOf(b)+bearShare*p.Op.cat.TargetLatency)
+	n.answers.set(n.now, n.answers.get(n.now, rateHalf)+work*n.paceOf(b)+bearShare*p.Request.cat.LatencyObjective)
 	n.paced(p, elapsed)
 	// The mean work keeps small ops, or hints that say nothing, from making a backend look slow.
 	b.tail.add(math.Max(elapsed, 0.1)/(work+n.work.value), 0.9, 0.1)
@@ -884,8 +884,8 @@
 	if b.most <= 1 { // a pause gives up more than a push in flight does: only for a queue that costs answers
 		share = pauseShare
 	}
-	n.ease(elapsed-1.5*work*b.best > pauseShare*p.Op.cat.TargetLatency)
-	if elapsed-1.5*work*b.best > share*p.Op.cat.TargetLatency {
+	n.ease(elapsed-1.5*work*b.best > pauseShare*p.Request.cat.LatencyObjective)
+	if elapsed-1.5*work*b.best > share*p.Request.cat.LatencyObjective {
 		n.yield(b, elapsed)
 	} else if float64(len(b.out)+1) >= b.most {
 		b.most += math.Min(b.most/4, 1/b.most)
@@ -902,7 +902,7 @@
 
 // yield lowers a backend's cap. Below one it stands for pauses between pushes: with many nodes one push of
 // each at all times can be more than a backend stands.
-func (n *Node) yield(b *Backend, elapsed float64) {
+func (n *Balancer) yield(b *Backend, elapsed float64) {
 	b.most = math.Max(b.most*0.8, math.Min(1, n.part(mostFirst)))
 	if b.most < 1 {
 		b.restUntil = math.Max(b.restUntil, n.now+(1/b.most-1)*elapsed)
@@ -910,13 +910,13 @@
 }
 
 // sweep is the periodic look at what backends are against their fellows, and lets go of those long gone.
-func (n *Node) sweep() {
+func (n *Balancer) sweep() {
 	n.backends = slices.DeleteFunc(n.backends, func(b *Backend) bool { return b.past(n.now, n.t) })
 	if math.IsInf(n.window, 1) && len(n.backends) > 0 { // all nodes may start at once, unaware
 		n.window = n.leastWindow()
 	}
 	n.judge()
-	if n.t.ConnectionPrice > 0 {
+	if n.t.ConnectionCost > 0 {
 		n.allot()
 	}
 	n.stirred = len(n.held) > 0
@@ -954,41 +954,41 @@
 }
 
 // gate is the one that every push passes; it holds all the rules and tells by which a push may not go out.
-func (n *Node) gate(op *Op, b *Backend) Reason {
+func (n *Balancer) gate(op *Request, b *Backend) Reason {
 	switch {
-	case op.stage == ended || op.stage == streaming || op.GiveUp <= n.now || len(op.Pushes) >= op.most():
-		return OpOver
+	case op.stage == ended || op.stage == streaming || op.Deadline <= n.now || len(op.Attempts) >= op.most():
+		return ReasonRequestDone
 	case !n.serves(b): // at once on being told: no grace is needed
-		return NotReady
-	case op.out() > 0 && !op.Under.SecondCopies && !op.calledOff:
-		return OneCopy
+		return ReasonNotReady
+	case op.out() > 0 && !op.Config.AllowHedging && !op.calledOff:
+		return ReasonNoHedging
 	case !n.hasTurn(op):
-		return OutOfTurn
+		return ReasonOutOfOrder
 	}
-	if p := op.MayHaveRun(); p != nil {
+	if p := op.UncertainAttempt(); p != nil {
 		switch first := p.Backend; {
-		case op.cat.Effect == AtMostOnce:
-			return MayHaveRun
-		case op.cat.Effect == Deduplicated && (n.now-p.SentAt >= op.cat.Remembered ||
-			op.cat.Group == GroupZone && first.Zone != b.Zone || op.cat.Group == GroupCell && first.Cell != b.Cell):
-			return MayHaveRun
+		case op.cat.Idempotency == AtMostOnce:
+			return ReasonMayHaveRun
+		case op.cat.Idempotency == IdempotentWithKey && (n.now-p.SentAt >= op.cat.DedupWindow ||
+			op.cat.DedupScope == DedupByZone && first.Zone != b.Zone || op.cat.DedupScope == DedupByCell && first.Cell != b.Cell):
+			return ReasonMayHaveRun
 		}
 	}
 	if !n.coldRoom(b, math.Max(op.work, op.cat.work.value/2)) {
-		return ColdBudget
+		return ReasonSlowStartBudget
 	}
-	return Open
+	return Eligible
 }
 
 // coldRoom tells whether this node's part of a cold backend's budget has room for the work, in the window
 // that ends now. Each node's part is its own to know, so that all keep the rule without agreement.
-func (n *Node) coldRoom(b *Backend, work float64) bool {
+func (n *Balancer) coldRoom(b *Backend, work float64) bool {
 	warm := n.warmth(b)
 	if warm == 1 {
 		return true
 	}
 	// Half a standard core until its kind's speed is known, one at most: what looks faster may be untrue.
-	known, window := paceKnown*math.Max(n.work.value, 1), n.t.FallMultiple*warm*n.t.OverloadFor
+	known, window := paceKnown*math.Max(n.work.value, 1), n.t.OverloadMultiple*warm*n.t.OverloadWindow
 	whole := window / math.Max(n.paces.kinds.of(b.Kind).blend(2*n.weight/b.Weight, known), 1)
 	part := coldSafety * n.part(whole) / n.processes()
 	// What the zone's warm backends take of this node's work is its part already: parts add up to what they do.
@@ -996,28 +996,28 @@
 		part = math.Max(part, coldSafety*window*z.took/z.speed*b.Weight/n.paceOf(b)/n.processes())
 	}
 	// Many nodes' parts are less than an op each: one that has spent nothing draws a lot for a whole one.
-	spent := b.recent.within(n.now, n.t.OverloadFor)
+	spent := b.recent.within(n.now, n.t.OverloadWindow)
 	return spent+work <= part ||
-		spent == 0 && work <= lotMost*whole && n.lot(b, n.t.OverloadFor)*n.processes() < lotShare*n.part(whole)/work
+		spent == 0 && work <= lotMost*whole && n.lot(b, n.t.OverloadWindow)*n.processes() < lotShare*n.part(whole)/work
 }
 
 // send is the only way out for a push.
-func (n *Node) send(op *Op, b *Backend) bool {
-	if n.gate(op, b) != Open {
+func (n *Balancer) send(op *Request, b *Backend) bool {
+	if n.gate(op, b) != Eligible {
 		return false
 	}
-	p := &Push{Op: op, Backend: b, Number: len(op.Pushes), SentAt: n.now, expect: n.predict(b, op), out: true,
+	p := &Attempt{Request: op, Backend: b, Number: len(op.Attempts), SentAt: n.now, expect: n.predict(b, op), out: true,
 		alone: len(b.out) < 2}
-	op.Pushes, op.stage = append(op.Pushes, p), pushed
-	b.recent.add(n.now, n.t.OverloadFor, math.Max(op.work, op.cat.work.value/2))
+	op.Attempts, op.stage = append(op.Attempts, p), pushed
+	b.recent.add(n.now, n.t.OverloadWindow, math.Max(op.work, op.cat.work.value/2))
 	// A backend that comes back from being skipped takes its next turn, not all those it missed.
 	n.round = math.Max(n.round, b.pass)
 	b.pass = math.Max(b.pass, n.round-1) + 1/n.size(b)
 	wait := 0.0
-	if op.cat.LateBenefit == 0 && !op.Streamed {
+	if op.cat.LateWeight == 0 && !op.Streamed {
 		wait = math.Max(n.left(op), 0.1)
 	}
-	n.out = append(n.out, Decision{Kind: DoPush, Op: op, Push: p, Wait: wait})
+	n.out = append(n.out, Decision{Kind: DoAttempt, Request: op, Attempt: p, Wait: wait})
 	if !op.Streamed { // else its client may take long to send it, which says nothing of the backend
 		n.begin(p)
 	}
@@ -1025,50 +1025,50 @@
 }
 
 // begin has a push count at its backend, and be looked at again when it is out for longer than its like.
-func (n *Node) begin(p *Push) {
+func (n *Balancer) begin(p *Attempt) {
 	p.begun, n.abroad = true, n.abroad+1
 	p.Backend.take(n.now, p)
 	// 20 ms for a connection's set-up and some ticks; the bounds keep odd days from ending all patience or none.
 	patience := 20 + p.expect*math.Min(math.Max(n.stretch.get(4), 2), 8)
-	if patience < n.left(p.Op) {
+	if patience < n.left(p.Request) {
 		n.at(due{at: n.now + patience, push: p})
 	}
 }
 
-func (n *Node) revoke(p *Push) {
-	if p.Op.Under.Cancel && p.out && !p.revoked {
+func (n *Balancer) revoke(p *Attempt) {
+	if p.Request.Config.CancelAttempts && p.out && !p.revoked {
 		p.revoked = true
-		n.out = append(n.out, Decision{Kind: DoRevoke, Op: p.Op, Push: p})
+		n.out = append(n.out, Decision{Kind: DoCancel, Request: p.Request, Attempt: p})
 	}
 }
 
 // giveUp is the only way to a final answer of the node's own, and gives it at once.
-func (n *Node) giveUp(op *Op) {
+func (n *Balancer) giveUp(op *Request) {
 	if op.stage == ended || op.stage == streaming {
 		return
 	}
-	kind := DoDeadLetter
-	if op.MayHaveRun() == nil || op.cat.Effect == Redeliverable ||
-		op.cat.Effect == Deduplicated && op.cat.Group == GroupAll {
-		kind = DoNack
+	kind := DoFail
+	if op.UncertainAttempt() == nil || op.cat.Idempotency == Idempotent ||
+		op.cat.Idempotency == IdempotentWithKey && op.cat.DedupScope == DedupByAll {
+		kind = DoReject
 	}
-	d := Decision{Kind: kind, Op: op}
-	if kind == DoNack && op.Under.ComeBack {
+	d := Decision{Kind: kind, Request: op}
+	if kind == DoReject && op.Config.SendRetryAfter {
 		// About when half of what is held has gone: a repeat too late is lost, and all at once are a storm.
-		wait := math.Min(op.cat.TargetLatency, n.holdTime(op, false)) * (0.25 + 0.5*n.rng.unit())
-		d.Wait = math.Min(op.Under.MaxComeBack, wait)
+		wait := math.Min(op.cat.LatencyObjective, n.holdTime(op, false)) * (0.25 + 0.5*n.rng.unit())
+		d.Wait = math.Min(op.Config.MaxRetryAfter, wait)
 	}
 	n.out = append(n.out, d)
 	n.end(op)
 }
 
 // end closes an op and calls off what is still out for it.
-func (n *Node) end(op *Op) {
+func (n *Balancer) end(op *Request) {
 	if op.stage == held {
 		n.unhold(op)
 	}
 	if op.stage != streaming { // what streams is the client's
-		for _, p := range op.Pushes {
+		for _, p := range op.Attempts {
 			n.revoke(p)
 		}
 	}
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -15,23 +15,23 @@
 	const again, nack, dead = "push:a", "nack:a", "dead:a"
 	for _, c := range []struct {
 		category int
-		how      Ending
+		how      Outcome
 		backends int
 		want     string
 	}{
-		{0, Failed, 2, again}, {0, Failed, 1, nack}, {0, TimedOut, 2, again}, {0, Reset, 2, nack}, {0, Rejected, 2, again},
-		{1, Failed, 2, dead}, {1, TimedOut, 2, dead}, {1, Reset, 2, dead}, {1, Revoked, 2, dead},
-		{1, Rejected, 2, again}, {1, NoConnection, 2, again}, {1, NotSent, 2, again}, {1, Rejected, 1, nack},
-		{2, Failed, 2, again}, {2, Failed, 1, dead}, {2, Rejected, 1, nack},
-		{3, Failed, 1, nack}, {3, TimedOut, 2, again},
-		{0, Answered, 2, ""}, {1, Answered, 2, ""},
+		{0, OutcomeFailed, 2, again}, {0, OutcomeFailed, 1, nack}, {0, OutcomeTimedOut, 2, again}, {0, OutcomeConnectionReset, 2, nack}, {0, OutcomeRejected, 2, again},
+		{1, OutcomeFailed, 2, dead}, {1, OutcomeTimedOut, 2, dead}, {1, OutcomeConnectionReset, 2, dead}, {1, OutcomeCanceled, 2, dead},
+		{1, OutcomeRejected, 2, again}, {1, OutcomeConnectFailed, 2, again}, {1, OutcomeNotSent, 2, again}, {1, OutcomeRejected, 1, nack},
+		{2, OutcomeFailed, 2, again}, {2, OutcomeFailed, 1, dead}, {2, OutcomeRejected, 1, nack},
+		{3, OutcomeFailed, 1, nack}, {3, OutcomeTimedOut, 2, again},
+		{0, OutcomeAnswered, 2, ""}, {1, OutcomeAnswered, 2, ""},
 	} {
 		d := sit(t, plain(), c.backends)
 		op := d.arrive("a", c.category, 10)
 		require.Equal(t, again, d.pull())
-		d.after(5).end(op.Pushes[0], c.how)
+		d.after(5).end(op.Attempts[0], c.how)
 		assert.Equal(t, c.want, d.pull(), "%+v", c)
-		assert.Equal(t, c.want != again, op.Over(), "%+v", c)
+		assert.Equal(t, c.want != again, op.IsDone(), "%+v", c)
 		if c.want != again {
 			assert.Empty(t, d.after(5000).pull(), "after the final answer nothing is sent: %+v", c)
 		}
@@ -42,49 +42,49 @@
 func TestGate(t *testing.T) {
 	for name, c := range map[string]struct {
 		category int
-		before   func(*desk, *Op)
+		before   func(*desk, *Request)
 		want     bool
 	}{
-		"open":                             {0, func(*desk, *Op) {}, true},
-		"drain told":                       {0, func(d *desk, _ *Op) { d.list(Draining, 0, d.backends[1]) }, false},
-		"gone":                             {0, func(d *desk, _ *Op) { d.list(Gone, 0, d.backends[1]) }, false},
-		"client gave up":                   {0, func(d *desk, _ *Op) { d.now += 4000; d.node.now = d.now }, false},
-		"client left":                      {0, func(d *desk, op *Op) { d.node.Left(d.now, op) }, false},
-		"stream begun":                     {0, func(d *desk, op *Op) { d.node.Begun(d.now, op.Pushes[0]) }, false},
-		"second copy not allowed":          {0, func(d *desk, _ *Op) { d.node.t.SecondCopies = false }, false},
-		"pushes spent":                     {0, func(d *desk, _ *Op) { d.node.t.MaxPushes = 1 }, false},
-		"at-most-once, out":                {1, func(*desk, *Op) {}, false},
-		"at-most-once, quick error":        {1, func(d *desk, op *Op) { d.end(op.Pushes[0], Failed) }, false},
-		"at-most-once, never ran":          {1, func(d *desk, op *Op) { d.end(op.Pushes[0], Rejected) }, true},
-		"deduplicated, same group":         {2, func(*desk, *Op) {}, true},
-		"deduplicated, other group":        {2, func(d *desk, _ *Op) { d.backends[1].Zone = 1 }, false},
-		"deduplicated, forgotten":          {2, func(d *desk, _ *Op) { d.node.now += 500 }, false},
-		"deduplicated, never ran":          {2, func(d *desk, op *Op) { d.end(op.Pushes[0], NoConnection); d.node.now += 600 }, true},
-		"deduplicated all, any zone":       {3, func(d *desk, _ *Op) { d.backends[1].Zone = 1 }, true},
-		"just started, budget left":        {0, func(d *desk, _ *Op) { d.list(Ready, d.now, d.backends[1]) }, true},
+		"open":                             {0, func(*desk, *Request) {}, true},
+		"drain told":                       {0, func(d *desk, _ *Request) { d.list(BackendDraining, 0, d.backends[1]) }, false},
+		"gone":                             {0, func(d *desk, _ *Request) { d.list(BackendRemoved, 0, d.backends[1]) }, false},
+		"client gave up":                   {0, func(d *desk, _ *Request) { d.now += 4000; d.node.now = d.now }, false},
+		"client left":                      {0, func(d *desk, op *Request) { d.node.ClientGone(d.now, op) }, false},
+		"stream begun":                     {0, func(d *desk, op *Request) { d.node.ResponseStarted(d.now, op.Attempts[0]) }, false},
+		"second copy not allowed":          {0, func(d *desk, _ *Request) { d.node.t.AllowHedging = false }, false},
+		"pushes spent":                     {0, func(d *desk, _ *Request) { d.node.t.MaxAttempts = 1 }, false},
+		"at-most-once, out":                {1, func(*desk, *Request) {}, false},
+		"at-most-once, quick error":        {1, func(d *desk, op *Request) { d.end(op.Attempts[0], OutcomeFailed) }, false},
+		"at-most-once, never ran":          {1, func(d *desk, op *Request) { d.end(op.Attempts[0], OutcomeRejected) }, true},
+		"deduplicated, same group":         {2, func(*desk, *Request) {}, true},
+		"deduplicated, other group":        {2, func(d *desk, _ *Request) { d.backends[1].Zone = 1 }, false},
+		"deduplicated, forgotten":          {2, func(d *desk, _ *Request) { d.node.now += 500 }, false},
+		"deduplicated, never ran":          {2, func(d *desk, op *Request) { d.end(op.Attempts[0], OutcomeConnectFailed); d.node.now += 600 }, true},
+		"deduplicated all, any zone":       {3, func(d *desk, _ *Request) { d.backends[1].Zone = 1 }, true},
+		"just started, budget left":        {0, func(d *desk, _ *Request) { d.list(BackendReady, d.now, d.backends[1]) }, true},
 		"just started, budget spent":       {0, spendBudget, false},
-		"budget spent, window over":        {0, func(d *desk, op *Op) { spendBudget(d, op); d.node.now += 2001 }, true},
-		"budget spent before it restarted": {0, func(d *desk, op *Op) { d.backends[1].recent.add(d.now, 2000, 1e4); spendBudget(d, op) }, false},
+		"budget spent, window over":        {0, func(d *desk, op *Request) { spendBudget(d, op); d.node.now += 2001 }, true},
+		"budget spent before it restarted": {0, func(d *desk, op *Request) { d.backends[1].recent.add(d.now, 2000, 1e4); spendBudget(d, op) }, false},
 	} {
 		d := sit(t, plain(), 2)
 		op := d.arrive("a", c.category, 10)
-		op.GiveUp = d.now + 3000
+		op.Deadline = d.now + 3000
 		d.pull()
-		if op.Pushes[0].Backend != d.backends[0] {
+		if op.Attempts[0].Backend != d.backends[0] {
 			d.backends[0], d.backends[1] = d.backends[1], d.backends[0]
 		}
 		c.before(d, op)
-		assert.Equal(t, c.want, d.node.gate(op, d.backends[1]) == Open, name)
+		assert.Equal(t, c.want, d.node.gate(op, d.backends[1]) == Eligible, name)
 		if !c.want {
 			assert.False(t, d.node.send(op, d.backends[1]), name)
 		}
 	}
 }
 
-func spendBudget(d *desk, _ *Op) {
-	d.list(Ready, d.now, d.backends[1])
+func spendBudget(d *desk, _ *Request) {
+	d.list(BackendReady, d.now, d.backends[1])
 	for range 1000 {
-		d.node.send(&Op{Under: d.node.t, GiveUp: d.now + 4000, cat: &d.node.t.Categories[0], work: 10}, d.backends[1])
+		d.node.send(&Request{Config: d.node.t, Deadline: d.now + 4000, cat: &d.node.t.Classes[0], work: 10}, d.backends[1])
 	}
 }
 
@@ -95,15 +95,15 @@
 		terms.Nodes = nodes
 		d := sit(t, terms, 1)
 		b := d.backends[0]
-		d.list(Ready, d.now, b)
+		d.list(BackendReady, d.now, b)
 		type at struct{ when, work float64 }
 		var sent []at
 		for range 5000 {
-			op := &Op{Under: terms, GiveUp: d.now + 4000, cat: &terms.Categories[0], work: 10}
+			op := &Request{Config: terms, Deadline: d.now + 4000, cat: &terms.Classes[0], work: 10}
 			if d.node.send(op, b) {
 				sent = append(sent, at{d.now, op.work})
 				d.pull()
-				d.end(op.Pushes[0], Answered)
+				d.end(op.Attempts[0], OutcomeAnswered)
 			}
 			d.after(2).pull()
 		}
@@ -111,13 +111,13 @@
 		for i, first := range sent {
 			sum := 0.0
 			for _, s := range sent[i:] {
-				if s.when < first.when+terms.OverloadFor && s.when < 1000+terms.WarmWithin {
+				if s.when < first.when+terms.OverloadWindow && s.when < 1000+terms.SlowStartWindow {
 					sum += s.work
 				}
 			}
 			// A backend of one standard core, with what it has by the window's end.
-			warm := math.Min(1, 0.25+0.75*(first.when+terms.OverloadFor-1000)/terms.WarmWithin)
-			assert.LessOrEqual(t, sum, 3*warm*terms.OverloadFor/float64(nodes))
+			warm := math.Min(1, 0.25+0.75*(first.when+terms.OverloadWindow-1000)/terms.SlowStartWindow)
+			assert.LessOrEqual(t, sum, 3*warm*terms.OverloadWindow/float64(nodes))
 		}
 	}
 }
@@ -151,9 +151,9 @@
 		for k := range 400 {
 			op := d.arrive(fmt.Sprint(k), 0, hint(k))
 			d.pull()
-			require.NotEmpty(t, op.Pushes, name)
-			count[op.Pushes[0].Backend]++
-			d.after(20).end(op.Pushes[0], Answered)
+			require.NotEmpty(t, op.Attempts, name)
+			count[op.Attempts[0].Backend]++
+			d.after(20).end(op.Attempts[0], OutcomeAnswered)
 			d.pull()
 			d.after(20).pull()
 		}
@@ -174,7 +174,7 @@
 	d.after(10)
 	d.arrive("small", 0, 100)
 	assert.Empty(t, d.pull())
-	d.end(p, Answered)
+	d.end(p, OutcomeAnswered)
 	assert.Equal(t, "push:small", d.pull(), "one long, the smaller, to the backend that turned idle")
 	d.arrive("short", 0, 10)
 	assert.Equal(t, "push:short", d.pull(), "where all run a long, the least loaded takes shorts")
@@ -186,14 +186,14 @@
 	long := d.arrive("long", 0, 200)
 	require.Equal(t, "push:long", d.pull())
 	loaded := d.backends[0]
-	if long.Pushes[0].Backend == loaded {
+	if long.Attempts[0].Backend == loaded {
 		loaded = d.backends[1]
 	}
 	d.busy(loaded)
 	short := d.arrive("short", 0, 10)
 	d.pull()
-	assert.NotEqual(t, long.Pushes[0].Backend, short.Pushes[0].Backend, "passes a backend with an own long")
-	assert.NotEqual(t, loaded, short.Pushes[0].Backend, "passes a backend above the margin")
+	assert.NotEqual(t, long.Attempts[0].Backend, short.Attempts[0].Backend, "passes a backend with an own long")
+	assert.NotEqual(t, loaded, short.Attempts[0].Backend, "passes a backend above the margin")
 }
 
 // Waiting lowers an estimate: an old large op goes before a new one that is little smaller.
@@ -207,7 +207,7 @@
 	d.after(100).pull()
 	d.arrive("new", 0, 150)
 	d.pull()
-	d.end(first.Pushes[0], Answered)
+	d.end(first.Attempts[0], OutcomeAnswered)
 	assert.Equal(t, "push:old", d.pull())
 }
 
@@ -224,13 +224,13 @@
 // A short that finds all backends with their most out waits for room; one that would wait too long is nacked.
 func TestShortsHeldAndNacked(t *testing.T) {
 	d := sit(t, plain(), 1)
-	var out []*Push
+	var out []*Attempt
 	for !d.node.full(d.backends[0]) {
 		out = append(out, d.busy(d.backends[0]))
 	}
 	d.arrive("a", 0, 10)
 	assert.Empty(t, d.pull())
-	d.after(5).end(out[0], Answered)
+	d.after(5).end(out[0], OutcomeAnswered)
 	assert.Equal(t, "push:a", d.pull())
 	d.arrive("b", 0, 9000)
 	assert.Equal(t, "nack:b", d.pull(), "no hope: at once")
@@ -241,22 +241,22 @@
 		trouble func(*desk, *Backend)
 		shunned bool
 	}{
-		"errors":        {func(d *desk, b *Backend) { d.fail(3, Failed, b) }, true},
-		"no connection": {func(d *desk, b *Backend) { d.fail(3, NoConnection, b) }, true},
+		"errors":        {func(d *desk, b *Backend) { d.fail(3, OutcomeFailed, b) }, true},
+		"no connection": {func(d *desk, b *Backend) { d.fail(3, OutcomeConnectFailed, b) }, true},
 		"silence": {func(d *desk, b *Backend) {
 			for range 4 {
 				d.busy(b)
 			}
 			d.after(900)
 		}, true},
-		"rejections are load": {func(d *desk, b *Backend) { d.fail(1, Rejected, b) }, false},
-		"fades":               {func(d *desk, b *Backend) { d.fail(2, Failed, b); d.after(20e3) }, false},
+		"rejections are load": {func(d *desk, b *Backend) { d.fail(1, OutcomeRejected, b) }, false},
+		"fades":               {func(d *desk, b *Backend) { d.fail(2, OutcomeFailed, b); d.after(20e3) }, false},
 		"a lost zone, half the fleet": {func(d *desk, _ *Backend) {
 			d.node.extra = -100 // no further pushes, which would stay unanswered here
-			d.fail(3, NoConnection, d.backends[:2]...)
+			d.fail(3, OutcomeConnectFailed, d.backends[:2]...)
 			d.after(200)
 		}, true},
-		"all alike": {func(d *desk, _ *Backend) { d.fail(3, Failed, d.backends...); d.after(200) }, false},
+		"all alike": {func(d *desk, _ *Backend) { d.fail(3, OutcomeFailed, d.backends...); d.after(200) }, false},
 	} {
 		d := sit(t, plain(), 4)
 		b := d.backends[0]
@@ -270,7 +270,7 @@
 		for k := range 8 {
 			op := d.arrive(fmt.Sprint(k), 0, 10)
 			d.pull()
-			for _, p := range op.Pushes {
+			for _, p := range op.Attempts {
 				assert.False(t, c.shunned && p.Backend == b, name)
 			}
 		}
@@ -287,7 +287,7 @@
 		d.node.suspect(d.backends[0], shunAt/2) // by one error; TestDistrust has where it comes from
 		op := d.arrive("a", 0, 200)
 		require.Equal(t, "push:a", d.pull())
-		assert.NotEqual(t, d.backends[0], op.Pushes[0].Backend)
+		assert.NotEqual(t, d.backends[0], op.Attempts[0].Backend)
 	}
 }
 
@@ -304,11 +304,11 @@
 		d.node.extra = c.extra
 		assert.Equal(t, c.want, d.after(400).pull(), "%+v", c)
 		if c.want != "" {
-			assert.NotEqual(t, op.Pushes[0].Backend, op.Pushes[1].Backend)
-			d.end(op.Pushes[1], Answered)
+			assert.NotEqual(t, op.Attempts[0].Backend, op.Attempts[1].Backend)
+			d.end(op.Attempts[1], OutcomeAnswered)
 			assert.Equal(t, "revoke:a", d.pull())
-			d.end(op.Pushes[0], Revoked)
-			assert.True(t, op.Over())
+			d.end(op.Attempts[0], OutcomeCanceled)
+			assert.True(t, op.IsDone())
 		}
 	}
 }
@@ -325,13 +325,13 @@
 		require.Equal(t, "push:lost", d.pull(), name)
 		d.after(answered).pull()
 		if answered > 0 {
-			d.end(d.busy(b), Answered)
+			d.end(d.busy(b), OutcomeAnswered)
 		}
 		d.after(500).pull()
 		assert.Equal(t, answered == 0, len(b.out) == 1, name)
 		before := b.distrust.get(d.now, distrustHalf)
 		assert.Equal(t, answered == 1, before == 0, name)
-		d.end(op.Pushes[0], TimedOut)
+		d.end(op.Attempts[0], OutcomeTimedOut)
 		assert.Equal(t, answered == 0, b.distrust.get(d.now, distrustHalf) > before, name)
 		assert.Empty(t, b.out, name)
 		assert.Zero(t, b.workOut, name)
@@ -342,7 +342,7 @@
 func TestRejectingBackendRests(t *testing.T) {
 	d := sit(t, plain(), 2)
 	d.seen()
-	d.fail(1, Rejected, d.backends[0])
+	d.fail(1, OutcomeRejected, d.backends[0])
 	assert.True(t, d.node.full(d.backends[0]))
 	assert.False(t, d.after(d.backends[0].restUntil-d.now).node.full(d.backends[0]))
 }
@@ -350,19 +350,19 @@
 func TestZones(t *testing.T) {
 	for lost, name := range map[bool]string{false: "own zone first", true: "own zone lost"} {
 		terms := plain()
-		terms.CrossPrice, terms.Zone = 0.2, 1
+		terms.CrossZoneCost, terms.Zone = 0.2, 1
 		d := sit(t, terms, 4)
 		d.backends[1].Zone, d.backends[3].Zone = 1, 1
-		d.list(Ready, 0, d.backends...)
+		d.list(BackendReady, 0, d.backends...)
 		if lost {
-			d.list(Gone, 0, d.backends[1], d.backends[3])
+			d.list(BackendRemoved, 0, d.backends[1], d.backends[3])
 		}
 		for range 6 {
 			op := d.arrive("a", 0, 10)
 			d.pull()
-			require.NotEmpty(t, op.Pushes, name)
-			assert.Equal(t, lost, op.Pushes[0].Backend.Zone != 1, name)
-			d.after(10).end(op.Pushes[0], Answered)
+			require.NotEmpty(t, op.Attempts, name)
+			assert.Equal(t, lost, op.Attempts[0].Backend.Zone != 1, name)
+			d.after(10).end(op.Attempts[0], OutcomeAnswered)
 		}
 	}
 }
@@ -370,17 +370,17 @@
 // The list is asked for, again after failures with growing waits, and not once it is followed.
 func TestAskingForTheList(t *testing.T) {
 	terms := plain()
-	terms.MustAsk = true
-	d := &desk{t: t, now: 1000, ops: map[string]*Op{}, node: New(terms, 1000)}
+	terms.PollEndpoints = true
+	d := &desk{t: t, now: 1000, ops: map[string]*Request{}, node: New(terms, 1000)}
 	assert.Empty(t, d.pull(), "not in the first instant: nodes restarted together spread their calls")
 	assert.Equal(t, "watch", d.after(200).pull())
 	last := 0.0
 	for range 4 {
-		d.node.ListFailed(d.now)
+		d.node.PollFailed(d.now)
 		asked := d.now
 		d.pull()
 		for d.after(10).pull() != "watch" {
-			require.Less(t, d.now-asked, terms.AskWithin)
+			require.Less(t, d.now-asked, terms.PollInterval)
 		}
 		assert.Greater(t, d.now-asked, last/2)
 		last = d.now - asked
@@ -391,11 +391,11 @@
 	for until := d.now + 120e3; d.now < until; {
 		if d.after(10).pull() == "watch" {
 			asked++
-			d.node.ListFailed(d.now)
+			d.node.PollFailed(d.now)
 		}
 	}
 	assert.InDelta(t, 120e3/askAgain, asked, 15)
-	d.node.Listed(d.now, nil, false, false)
+	d.node.EndpointsChanged(d.now, nil, false, false)
 	assert.Empty(t, d.after(20e3).pull())
 }
 
@@ -404,11 +404,11 @@
 func TestTheWaitAfterAFailedCallIsBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		terms := plain()
-		terms.Seed, terms.MustAsk = rapid.Uint64().Draw(rt, "seed"), rapid.Bool().Draw(rt, "must ask")
-		terms.AskWithin = rapid.Float64Range(1, 3600e3).Draw(rt, "ask within")
-		d := &desk{t: t, now: 1000, ops: map[string]*Op{}, node: New(terms, 1000)}
+		terms.Seed, terms.PollEndpoints = rapid.Uint64().Draw(rt, "seed"), rapid.Bool().Draw(rt, "must ask")
+		terms.PollInterval = rapid.Float64Range(1, 3600e3).Draw(rt, "ask within")
+		d := &desk{t: t, now: 1000, ops: map[string]*Request{}, node: New(terms, 1000)}
 		for range rapid.IntRange(1, 40).Draw(rt, "failures") {
-			d.node.ListFailed(d.now)
+			d.node.PollFailed(d.now)
 		}
 		asked := false
 		for failed := d.now; d.now <= failed+3600; d.after(10) {
@@ -421,18 +421,18 @@
 // An empty, a full and a flapping list.
 func TestListing(t *testing.T) {
 	d := sit(t, plain(), 2)
-	d.node.Listed(d.now, nil, true, false)
+	d.node.EndpointsChanged(d.now, nil, true, false)
 	d.arrive("a", 0, 10)
 	assert.Equal(t, "nack:a", d.pull(), "nobody to ask: at once")
 	for range 3 {
-		d.list(Ready, 0, d.backends...)
-		d.list(Gone, 0, d.backends[0])
+		d.list(BackendReady, 0, d.backends...)
+		d.list(BackendRemoved, 0, d.backends[0])
 	}
 	for k := range 4 {
 		op := d.arrive(fmt.Sprint(k), 0, 10)
 		d.pull()
-		assert.Equal(t, d.backends[1], op.Pushes[0].Backend)
-		d.after(10).end(op.Pushes[0], Answered)
+		assert.Equal(t, d.backends[1], op.Attempts[0].Backend)
+		d.after(10).end(op.Attempts[0], OutcomeAnswered)
 	}
 }
 
@@ -442,30 +442,30 @@
 func TestGoneBackendsAreLetGo(t *testing.T) {
 	d := sit(t, plain(), 3)
 	p := d.busy(d.backends[1])
-	d.list(Gone, 0, d.backends[:2]...)
+	d.list(BackendRemoved, 0, d.backends[:2]...)
 	require.Len(t, d.node.backends, 2, "one has a push out")
-	require.False(t, d.backends[0].Known())
-	d.end(p, Answered)
-	d.after(d.node.t.OverloadFor - 1).pull()
-	require.True(t, d.backends[1].Known())
+	require.False(t, d.backends[0].IsTracked())
+	d.end(p, OutcomeAnswered)
+	d.after(d.node.t.OverloadWindow - 1).pull()
+	require.True(t, d.backends[1].IsTracked())
 	d.after(1)
 	d.node.sweep()
 	require.Equal(t, d.backends[2:], d.node.backends)
-	d.list(Ready, 0, d.backends[0])
+	d.list(BackendReady, 0, d.backends[0])
 	require.Len(t, d.node.backends, 2)
 }
 
 func TestSameBatch(t *testing.T) {
 	d := sit(t, plain(), 1)
 	op := d.arrive("a", 0, 10)
-	d.list(Draining, 0, d.backends[0])
+	d.list(BackendDraining, 0, d.backends[0])
 	assert.Equal(t, "nack:a", d.pull())
-	assert.Empty(t, op.Pushes)
+	assert.Empty(t, op.Attempts)
 
 	d = sit(t, plain(), 2)
 	op = d.arrive("b", 1, 10)
 	d.pull()
-	d.after(4000).end(op.Pushes[0], TimedOut)
+	d.after(4000).end(op.Attempts[0], OutcomeTimedOut)
 	assert.Equal(t, "dead:b", d.pull(), "answered in the batch of its time-out")
 }
 
@@ -483,14 +483,14 @@
 		"quota unknown": {[4]int{2, 2, 2, 2}, 40, [2]bool{false, false}},
 	} {
 		terms := plain()
-		terms.Nodes, terms.ExcessBenefit = 100, 0.2
+		terms.Nodes, terms.OverQuotaWeight = 100, 0.2
 		terms.Tenants = []Tenant{{Quota: 150}, {Quota: 50}, {}}
 		d := sit(t, terms, 2)
-		var last [3]*Op
+		var last [3]*Request
 		for k := range c.ops {
 			i := c.of[k%4]
-			last[i] = &Op{Tenant: i, GiveUp: d.now + 4000}
-			d.node.Arrived(d.now, last[i])
+			last[i] = &Request{Tenant: i, Deadline: d.now + 4000}
+			d.node.RequestArrived(d.now, last[i])
 			d.after(20).pull()
 		}
 		for i, want := range c.want {
@@ -511,10 +511,10 @@
 		for k := range 300 {
 			op := d.arrive("a", k%4, float64(k*31%97)+1)
 			trace += d.pull()
-			for _, p := range op.Pushes {
-				trace += fmt.Sprint(p.Backend.Ref)
+			for _, p := range op.Attempts {
+				trace += fmt.Sprint(p.Backend.ID)
 				if p.out {
-					d.after(float64(k%7)).end(p, []Ending{Answered, Failed, Rejected, TimedOut}[k*k%4])
+					d.after(float64(k%7)).end(p, []Outcome{OutcomeAnswered, OutcomeFailed, OutcomeRejected, OutcomeTimedOut}[k*k%4])
 				}
 			}
 		}
@@ -531,9 +531,9 @@
 		d.seen()
 		d.node.t.Nodes, d.backends[0].best, d.backends[0].most = nodes, 1, 1.1
 		p := d.busy(d.backends[0])
-		d.after(300).end(p, Answered)
+		d.after(300).end(p, OutcomeAnswered)
 		assert.Equal(t, nodes == 12, d.node.full(d.backends[0]), "%d nodes", nodes)
-		d.after(300).end(d.busy(d.backends[0]), Answered)
+		d.after(300).end(d.busy(d.backends[0]), OutcomeAnswered)
 	}
 }
 
@@ -554,12 +554,12 @@
 func TestCrowdedZoneIsForeseen(t *testing.T) {
 	d := sit(t, plain(), 3)
 	fresh := d.backends[2]
-	quiet := d.node.predict(fresh, &Op{cat: &d.node.t.Categories[0], work: 10})
+	quiet := d.node.predict(fresh, &Request{cat: &d.node.t.Classes[0], work: 10})
 	for range 10 {
-		d.end(d.busy(d.backends[0]), Rejected)
+		d.end(d.busy(d.backends[0]), OutcomeRejected)
 		d.after(200).pull()
 	}
-	op := &Op{Under: d.node.t, cat: &d.node.t.Categories[0], work: 10, GiveUp: d.now + 4000, Arrived: d.now}
+	op := &Request{Config: d.node.t, cat: &d.node.t.Classes[0], work: 10, Deadline: d.now + 4000, ArrivedAt: d.now}
 	assert.Greater(t, d.node.predict(fresh, op), quiet+300)
 	assert.Greater(t, d.node.holdTime(op, false), 300.0)
 	d.after(60e3)
@@ -576,7 +576,7 @@
 		share float64
 	}{{1, 0, 1}, {1, 1, 1}, {300, 0, 1}, {300, 1, leastFar}} {
 		terms := plain()
-		terms.Nodes, terms.CrossPrice, terms.Zone = c.nodes, 0.2, c.zone
+		terms.Nodes, terms.CrossZoneCost, terms.Zone = c.nodes, 0.2, c.zone
 		d := sit(t, terms, 50)
 		opened, used := 0.0, map[*Backend]bool{}
 		for range 40 {
@@ -600,7 +600,7 @@
 		d := sit(t, terms, 1)
 		d.seen()
 		d.backends[0].Kind = kind
-		d.list(Ready, d.now, d.backends[0])
+		d.list(BackendReady, d.now, d.backends[0])
 		*d.node.paces.kinds.of(0), *d.node.paces.kinds.of(1) = pace{1e5, 1e5}, pace{3e5, 1e5}
 		*d.node.warm.of(0) = took{took: 1, speed: 2}
 		for d.node.coldRoom(d.backends[0], spent+10) {
@@ -616,7 +616,7 @@
 	d := sit(t, plain(), 1)
 	d.arrive("a", 0, 5)
 	for range 20 {
-		d.node.Reported(d.now, d.backends[0], Report{Service: 100, Held: Untold})
+		d.node.LoadReported(d.now, d.backends[0], LoadReport{ServiceTime: 100, InFlight: NotReported})
 	}
 	assert.Less(t, d.node.paceOf(nil), 2.0)
 }
@@ -627,8 +627,8 @@
 	d := sit(t, plain(), 2)
 	fast, slow := d.backends[0], d.backends[1]
 	slow.Kind, slow.pass, fast.pass = 1, 0, 1
-	d.node.Reported(d.now, &Backend{Kind: 1}, Report{Service: 3e4, Held: Untold})
-	d.node.Reported(d.now, &Backend{}, Report{Service: 1e4, Held: Untold})
+	d.node.LoadReported(d.now, &Backend{Kind: 1}, LoadReport{ServiceTime: 3e4, InFlight: NotReported})
+	d.node.LoadReported(d.now, &Backend{}, LoadReport{ServiceTime: 1e4, InFlight: NotReported})
 	assert.Greater(t, d.node.size(fast), 1.5*d.node.size(slow))
 	for hint, want := range map[float64]*Backend{1: slow, 200: fast} {
 		assert.Equal(t, want, d.node.rotate(d.arrive("a", 1, hint)), "hint %v", hint)
@@ -642,7 +642,7 @@
 	d.pull()
 	d.after(d.node.armed - 4e-4 - d.now)
 	x, _ := d.node.Next()
-	assert.Equal(t, DoTimer, x.Kind)
+	assert.Equal(t, DoSetTimer, x.Kind)
 }
 
 // What a backend reports to wait there is known before any push of this node waits: turns go round it, and once it
@@ -654,20 +654,20 @@
 		for range 20 {
 			op := d.arrive("a", 1, 50)
 			require.Equal(t, "push:a", d.pull())
-			if op.Pushes[0].Backend == d.backends[0] {
+			if op.Attempts[0].Backend == d.backends[0] {
 				first++
 			}
-			d.after(60).end(op.Pushes[0], Answered)
+			d.after(60).end(op.Attempts[0], OutcomeAnswered)
 			d.after(500).pull()
 		}
 		return first
 	}
 	fresh := &Backend{}
-	d.node.Reported(d.now, fresh, Report{Service: Untold, Held: 14, Waiting: 12})
+	d.node.LoadReported(d.now, fresh, LoadReport{ServiceTime: NotReported, InFlight: 14, Queued: 12})
 	assert.InDelta(t, 300, fresh.waits.mean(d.now, 0, 0), 60, "two at work, twelve of 50 ms wait")
 	assert.InDelta(t, 10, most(), 3)
 	for range 3 {
-		d.node.Reported(d.now, d.backends[0], Report{Service: Untold, Held: 14, Waiting: 12})
+		d.node.LoadReported(d.now, d.backends[0], LoadReport{ServiceTime: NotReported, InFlight: 14, Queued: 12})
 	}
 	assert.Less(t, most(), 8)
 	d.after(60e3)
@@ -683,16 +683,16 @@
 	for range 40 {
 		d.after(100).pull()
 	}
-	require.True(t, op.Pushes[0].overdue)
-	d.end(op.Pushes[0], TimedOut)
+	require.True(t, op.Attempts[0].overdue)
+	d.end(op.Attempts[0], OutcomeTimedOut)
 	require.Equal(t, "dead:a", d.pull())
 	assert.Equal(t, 1.0, d.node.crowd.all.count, "the time-out adds nothing")
 	late := d.arrive("b", 1, 10)
 	d.pull()
 	before := d.node.crowd.all
-	p := late.Pushes[0]
+	p := late.Attempts[0]
 	p.overdue = true // so that the answer alone is looked at
-	d.after(3500).end(p, Answered)
+	d.after(3500).end(p, OutcomeAnswered)
 	left := fade(before.at, d.now, recentHalf)
 	assert.InDelta(t, before.sum*left+1000, d.node.crowd.all.sum, 1e-6, "a wait counts for the target at most")
 }
@@ -700,8 +700,8 @@
 // A category of less benefit and a longer target must not wait on, in the way of one that earns more.
 func TestLesserCategoriesBearLess(t *testing.T) {
 	terms := plain()
-	terms.Categories[0].Benefit, terms.Categories[0].TargetLatency = 8, 500
-	terms.Categories[1].Benefit, terms.Categories[1].TargetLatency = 3, 1500
+	terms.Classes[0].PriorityWeight, terms.Classes[0].LatencyObjective = 8, 500
+	terms.Classes[1].PriorityWeight, terms.Classes[1].LatencyObjective = 3, 1500
 	d := sit(t, terms, 1)
 	greater, lesser := d.arrive("a", 0, 10), d.arrive("b", 1, 10)
 	assert.Less(t, d.node.patienceOf(lesser), d.node.patienceOf(greater))
@@ -727,7 +727,7 @@
 	answer := func() {
 		for _, b := range d.backends {
 			for len(b.out) > 0 {
-				d.end(b.out[0], Answered)
+				d.end(b.out[0], OutcomeAnswered)
 			}
 		}
 		d.pull()
@@ -760,18 +760,18 @@
 		"deduplicated": {2, true, "revoke:a"}, "at-most-once": {1, true, ""}, "nobody answers": {2, false, ""},
 	} {
 		terms := plain()
-		terms.SecondCopies = false
+		terms.AllowHedging = false
 		d := sit(t, terms, 3)
 		op := d.arrive("a", c.category, 10)
 		d.pull()
-		silent := op.Pushes[0].Backend
+		silent := op.Attempts[0].Backend
 		d.node.suspect(silent, 1)
 		if c.others {
 			d.after(10).arrive("b", 1, 10)
 			d.pull()
-			p := d.ops["b"].Pushes[0]
+			p := d.ops["b"].Attempts[0]
 			require.NotSame(t, silent, p.Backend)
-			d.after(10).end(p, Answered)
+			d.after(10).end(p, OutcomeAnswered)
 			d.pull()
 		}
 		got := ""
@@ -780,9 +780,9 @@
 		}
 		require.Equal(t, c.want, got, name)
 		if got != "" {
-			d.end(op.Pushes[0], Revoked)
+			d.end(op.Attempts[0], OutcomeCanceled)
 			assert.Equal(t, "push:a", d.pull())
-			assert.NotSame(t, silent, op.Pushes[1].Backend)
+			assert.NotSame(t, silent, op.Attempts[1].Backend)
 		}
 	}
 }
@@ -808,7 +808,7 @@
 	op := d.arrive("a", 1, 100)
 	require.Equal(t, "push:a", d.pull())
 	require.True(t, op.long)
-	d.after(100).end(op.Pushes[0], Answered)
+	d.after(100).end(op.Attempts[0], OutcomeAnswered)
 	for range 20 {
 		for _, b := range d.backends {
 			d.node.crowd.add(b, d.now, 3000)
@@ -825,7 +825,7 @@
 	d.seen()
 	small := d.arrive("small", 1, 10)
 	require.Equal(t, "push:small", d.pull())
-	d.after(80).end(small.Pushes[0], Answered)
+	d.after(80).end(small.Attempts[0], OutcomeAnswered)
 	d.pull()
 	require.Less(t, d.node.drain(d.backends[0]), 0.8)
 	d.arrive("long", 1, 700)
@@ -842,9 +842,9 @@
 		for k := range 12 {
 			op := d.arrive(fmt.Sprint(k), category, 10)
 			d.pull()
-			require.NotEmpty(t, op.Pushes)
-			met = met || op.Pushes[0].Backend == d.backends[0]
-			d.end(op.Pushes[0], Answered)
+			require.NotEmpty(t, op.Attempts)
+			met = met || op.Attempts[0].Backend == d.backends[0]
+			d.end(op.Attempts[0], OutcomeAnswered)
 			d.pull()
 		}
 		assert.Equal(t, want, met, "category %d", category)
@@ -854,12 +854,12 @@
 // Backends replaced in bulk refuse connections for as long as the list is late: an op that never ran is not given up
 // because copies have used the budget for further pushes.
 func TestPushesThatNeverRanCostNoBudget(t *testing.T) {
-	for how, want := range map[Ending]string{NoConnection: "push:a", Rejected: "push:a", Failed: "nack:a"} {
+	for how, want := range map[Outcome]string{OutcomeConnectFailed: "push:a", OutcomeRejected: "push:a", OutcomeFailed: "nack:a"} {
 		d := sit(t, plain(), 3)
 		d.node.extra = 0
 		op := d.arrive("a", 0, 10)
 		require.Equal(t, "push:a", d.pull())
-		d.end(op.Pushes[0], how)
+		d.end(op.Attempts[0], how)
 		assert.Equal(t, want, d.pull(), how)
 		assert.InDelta(t, 0.1, d.node.extra, 1e-9, "the op's own earning is kept: %v", how)
 	}
@@ -886,7 +886,7 @@
 	op = d.arrive("b", 0, 10)
 	assert.Less(t, d.node.slowFor(a, op), d.node.slowFor(b, op))
 	before := b.met
-	d.node.waited(&Push{Op: op, Backend: b, SentAt: before.at - 1}, 400)
+	d.node.waited(&Attempt{Request: op, Backend: b, SentAt: before.at - 1}, 400)
 	assert.Equal(t, before, b.met, "one sent earlier tells nothing new")
 }
 
@@ -898,13 +898,13 @@
 	for seed := range uint64(4) {
 		rng := newMWC(seed*0x9e3779b97f4a7c15 + 1)
 		sent, when := make([][]float64, backends), make([][]float64, backends)
-		var desks []*Node
+		var desks []*Balancer
 		var cold [][]*Backend
 		for k := range uint64(up) {
 			terms := plain()
-			terms.Nodes, terms.Seed, terms.FallMultiple, terms.OverloadFor = nodes, (seed*up+k)*0xbf58476d1ce4e5b9+7, 4, span
+			terms.Nodes, terms.Seed, terms.OverloadMultiple, terms.OverloadWindow = nodes, (seed*up+k)*0xbf58476d1ce4e5b9+7, 4, span
 			d := sit(t, terms, backends)
-			d.list(Ready, d.now, d.backends...)
+			d.list(BackendReady, d.now, d.backends...)
 			d.node.work = mean{25, 50}
 			*d.node.paces.kinds.of(0) = pace{2e5, 1e5} // half a standard core
 			desks, cold = append(desks, d.node), append(cold, d.backends)
@@ -947,16 +947,16 @@
 func TestLongsStayNearForALittle(t *testing.T) {
 	for wait, near := range map[float64]bool{50: true, 300: false} {
 		terms := plain()
-		terms.CrossPrice = 0.06
+		terms.CrossZoneCost = 0.06
 		d := sit(t, terms, 2)
 		d.seen()
 		d.backends[1].Zone = 1
-		d.list(Ready, 0, d.backends...)
+		d.list(BackendReady, 0, d.backends...)
 		d.backends[0].met, d.backends[1].met = met{wait, d.now}, met{0, d.now}
 		op := d.arrive("a", 0, 200)
 		require.Equal(t, "push:a", d.pull())
 		require.True(t, op.long)
-		assert.Equal(t, near, op.Pushes[0].Backend == d.backends[0], "a wait of %v", wait)
+		assert.Equal(t, near, op.Attempts[0].Backend == d.backends[0], "a wait of %v", wait)
 	}
 }
 
@@ -965,37 +965,37 @@
 func TestTakenOutByHand(t *testing.T) {
 	d := sit(t, plain(), 2)
 	a, b := d.backends[0], d.backends[1]
-	line := func(state State, started float64, out bool) {
-		d.node.Listed(d.now, []Listing{{Backend: a, State: state, Weight: 1, Started: started, Banned: out}}, false, true)
+	line := func(state BackendState, started float64, out bool) {
+		d.node.EndpointsChanged(d.now, []Endpoint{{Backend: a, State: state, Weight: 1, Started: started, Cordoned: out}}, false, true)
 	}
 	d.node.suspect(a, 5)
 	d.pull()
 	a.restUntil, a.most = d.now+1e6, 0.1
 	require.GreaterOrEqual(t, d.node.distrust(a), shunAt)
-	line(Ready, 0, true)
-	for _, listed := range []State{Ready, Draining, Gone, Ready} {
+	line(BackendReady, 0, true)
+	for _, listed := range []BackendState{BackendReady, BackendDraining, BackendRemoved, BackendReady} {
 		line(listed, 0, true)
-		assert.Less(t, a.State, Ready)
+		assert.Less(t, a.State, BackendReady)
 		op := d.arrive("a", 0, 10)
 		require.Equal(t, "push:a", d.pull())
-		assert.Same(t, b, op.Pushes[0].Backend)
-		assert.Equal(t, NotReady, d.node.gate(op, a))
-		d.end(op.Pushes[0], Answered)
+		assert.Same(t, b, op.Attempts[0].Backend)
+		assert.Equal(t, ReasonNotReady, d.node.gate(op, a))
+		d.end(op.Attempts[0], OutcomeAnswered)
 		d.after(10).pull()
 	}
-	line(Draining, 0, false) // the list's own word still holds
-	assert.Equal(t, Draining, a.State)
-	line(Ready, 0, false)
-	assert.Equal(t, d.node.t.ColdFrom, d.node.warmth(a), "nothing tells of its restart but that it was out")
+	line(BackendDraining, 0, false) // the list's own word still holds
+	assert.Equal(t, BackendDraining, a.State)
+	line(BackendReady, 0, false)
+	assert.Equal(t, d.node.t.SlowStartShare, d.node.warmth(a), "nothing tells of its restart but that it was out")
 	assert.Zero(t, a.distrust.get(d.now, distrustHalf))
 	used := 0
 	for k := range 100 {
 		op := d.arrive(fmt.Sprint("c", k), 0, 10)
 		d.pull()
-		if op.Pushes[0].Backend == a {
+		if op.Attempts[0].Backend == a {
 			used++
 		}
-		d.after(10).end(op.Pushes[0], Answered)
+		d.after(10).end(op.Attempts[0], OutcomeAnswered)
 		d.pull()
 	}
 	assert.Positive(t, used)
@@ -1005,16 +1005,16 @@
 
 	// Where the list tells of the restart, before or after it is put back, its warming up counts from that.
 	for _, before := range []bool{true, false} {
-		line(Ready, 0, true)
+		line(BackendReady, 0, true)
 		restart := d.after(1000).now
 		d.after(3000)
 		if before {
-			line(Ready, restart, true)
+			line(BackendReady, restart, true)
 		}
-		line(Ready, map[bool]float64{true: restart}[before], false)
+		line(BackendReady, map[bool]float64{true: restart}[before], false)
 		if !before {
-			assert.Equal(t, d.node.t.ColdFrom, d.node.warmth(a))
-			line(Ready, restart, false)
+			assert.Equal(t, d.node.t.SlowStartShare, d.node.warmth(a))
+			line(BackendReady, restart, false)
 		}
 		assert.InDelta(t, 0.25+0.75*0.3, d.node.warmth(a), 1e-9)
 		d.after(10e3)
@@ -1028,41 +1028,41 @@
 	d.seen()
 	safe, once := d.arrive("safe", 0, 10), d.arrive("once", 1, 20)
 	d.pull()
-	d.node.t.Categories[0].work = mean{40, 9}
+	d.node.t.Classes[0].work = mean{40, 9}
 	d.node.suspect(d.backends[2], 1)
 	later := plain() // the two change places, with one push each
-	later.Categories[0], later.Categories[1] = later.Categories[1], later.Categories[0]
-	later.MaxPushes, later.SecondCopies = 1, false
-	d.node.Retuned(d.now, later, []int{1, 0, 2, -1})
-	assert.Equal(t, mean{40, 9}, d.node.t.Categories[1].work, "learned of a category, by its former place")
-	assert.Equal(t, mean{}, d.node.t.Categories[3].work)
+	later.Classes[0], later.Classes[1] = later.Classes[1], later.Classes[0]
+	later.MaxAttempts, later.AllowHedging = 1, false
+	d.node.ConfigChanged(d.now, later, []int{1, 0, 2, -1})
+	assert.Equal(t, mean{40, 9}, d.node.t.Classes[1].work, "learned of a category, by its former place")
+	assert.Equal(t, mean{}, d.node.t.Classes[3].work)
 	assert.Positive(t, d.node.distrust(d.backends[2]))
-	assert.Positive(t, later.Categories[0].patience)
-	d.end(safe.Pushes[0], Failed)
+	assert.Positive(t, later.Classes[0].patience)
+	d.end(safe.Attempts[0], OutcomeFailed)
 	assert.Equal(t, "push:safe", d.pull(), "redeliverable still, within three pushes")
-	d.end(once.Pushes[0], Reset)
+	d.end(once.Attempts[0], OutcomeConnectionReset)
 	assert.Equal(t, "dead:once", d.pull(), "at-most-once still")
 	d.after(60e3).pull() // distrust fades
 	fresh := d.arrive("fresh", 0, 10)
 	d.pull()
-	d.end(fresh.Pushes[0], Reset)
+	d.end(fresh.Attempts[0], OutcomeConnectionReset)
 	assert.Equal(t, "dead:fresh", d.pull(), "at-most-once now")
 	d.after(60e3).pull()
 	spare := d.arrive("spare", 1, 10)
 	d.pull()
-	d.end(spare.Pushes[0], Reset)
+	d.end(spare.Attempts[0], OutcomeConnectionReset)
 	assert.Equal(t, "nack:spare", d.pull(), "one push now")
 
 	// One that the front read under the earlier terms, and the module got after them.
 	d.after(60e3).pull()
-	late := &Op{Category: 1, Hint: 10, HasHint: true, GiveUp: d.now + 4000, Under: safe.Under}
+	late := &Request{Class: 1, CostHint: 10, HasCostHint: true, Deadline: d.now + 4000, Config: safe.Config}
 	d.ops["late"] = late
-	d.node.Arrived(d.now, late)
+	d.node.RequestArrived(d.now, late)
 	d.pull()
-	d.end(late.Pushes[0], Reset)
+	d.end(late.Attempts[0], OutcomeConnectionReset)
 	assert.Equal(t, "dead:late", d.pull())
-	d.node.Arrived(d.now, &Op{Category: 2, GiveUp: d.now + 4000, Under: safe.Under})
-	_, err := d.node.Snapshot([]*Op{{Under: safe.Under}}, nil)
+	d.node.RequestArrived(d.now, &Request{Class: 2, Deadline: d.now + 4000, Config: safe.Config})
+	_, err := d.node.Snapshot([]*Request{{Config: safe.Config}}, nil)
 	assert.ErrorContains(t, err, "earlier terms")
 }
 
@@ -1071,9 +1071,9 @@
 	whole := func(of ...int) float64 {
 		d := sit(t, plain(), 1)
 		for _, n := range of {
-			d.node.Split(d.now, n)
+			d.node.ProcessesChanged(d.now, n)
 		}
-		d.list(Ready, d.now, d.backends...)
+		d.list(BackendReady, d.now, d.backends...)
 		sent := 0.0
 		for d.node.coldRoom(d.backends[0], 10) {
 			d.backends[0].recent.add(d.now, 2000, 10)
@@ -1086,10 +1086,10 @@
 	assert.LessOrEqual(t, 2*whole(2), alone+20)
 	assert.Equal(t, whole(2), whole(2, 1), "what the other spent still counts")
 	d := sit(t, plain(), 1)
-	d.node.Split(d.now, 2)
-	d.node.Split(d.now, 1)
+	d.node.ProcessesChanged(d.now, 2)
+	d.node.ProcessesChanged(d.now, 1)
 	assert.Equal(t, 2.0, d.node.processes())
-	d.after(d.node.t.OverloadFor)
+	d.after(d.node.t.OverloadWindow)
 	assert.Equal(t, 1.0, d.node.processes())
 }
 
@@ -1101,7 +1101,7 @@
 	d.pull()
 	d.node.suspect(d.backends[0], 3)
 	d.pull()
-	s, err := d.node.Carried(d.backends)
+	s, err := d.node.HandoffSnapshot(d.backends)
 	require.NoError(t, err)
 	n, ops, backends, err := Restore(plain(), s)
 	require.NoError(t, err)
@@ -1114,52 +1114,52 @@
 		assert.Zero(t, b.workOut)
 		assert.Equal(t, d.backends[k].recent.within(d.now, 2000), b.recent.within(d.now, 2000), "what was spent counts for both")
 	}
-	n.Arrived(d.now, &Op{Hint: 10, HasHint: true, GiveUp: d.now + 4000})
+	n.RequestArrived(d.now, &Request{CostHint: 10, HasCostHint: true, Deadline: d.now + 4000})
 	x, more := n.Next()
 	require.True(t, more)
-	assert.Equal(t, DoPush, x.Kind)
+	assert.Equal(t, DoAttempt, x.Kind)
 }
 
 // A streamed op is pushed once. While it comes, nobody is blamed for its client's slowness; from its last byte on its push
 // is looked at like any other.
 func TestStreamedOps(t *testing.T) {
-	for how, want := range map[Ending]string{NoConnection: "nack:a", Reset: "nack:a", Answered: ""} {
+	for how, want := range map[Outcome]string{OutcomeConnectFailed: "nack:a", OutcomeConnectionReset: "nack:a", OutcomeAnswered: ""} {
 		d := sit(t, plain(), 3)
-		op := &Op{Hint: 10, HasHint: true, GiveUp: d.now + 60e3, Streamed: true}
+		op := &Request{CostHint: 10, HasCostHint: true, Deadline: d.now + 60e3, Streamed: true}
 		d.ops["a"] = op
-		d.node.Arrived(d.now, op)
+		d.node.RequestArrived(d.now, op)
 		require.Equal(t, "push:a", d.pull())
 		assert.Empty(t, d.after(5000).pull(), "no copy")
-		b := op.Pushes[0].Backend
+		b := op.Attempts[0].Backend
 		assert.Zero(t, d.node.distrust(b))
 		assert.Empty(t, b.out, "nor is anybody else kept from the backend")
 		assert.Zero(t, d.node.abroad)
-		if how == NoConnection { // before its last byte
-			d.end(op.Pushes[0], how)
+		if how == OutcomeConnectFailed { // before its last byte
+			d.end(op.Attempts[0], how)
 			assert.Equal(t, want, d.pull(), how)
 			assert.Zero(t, d.node.abroad)
 			continue
 		}
-		op.GiveUp = d.now + 2000
-		d.node.Sent(d.now, op.Pushes[0])
+		op.Deadline = d.now + 2000
+		d.node.RequestBodySent(d.now, op.Attempts[0])
 		assert.Equal(t, 1, d.node.abroad)
 		assert.Empty(t, d.after(10).pull())
 		assert.Zero(t, d.node.distrust(b))
-		if how == Reset {
+		if how == OutcomeConnectionReset {
 			assert.Empty(t, d.after(1000).pull(), "overdue, and no copy of it could be made")
 			assert.Positive(t, d.node.distrust(b))
 		}
-		d.end(op.Pushes[0], how)
+		d.end(op.Attempts[0], how)
 		assert.Equal(t, want, d.pull(), how)
 		assert.Zero(t, d.node.abroad)
 	}
 	d := sit(t, plain(), 2)
-	op := &Op{Category: 1, Hint: 10, HasHint: true, GiveUp: d.now + 60e3, Streamed: true}
+	op := &Request{Class: 1, CostHint: 10, HasCostHint: true, Deadline: d.now + 60e3, Streamed: true}
 	d.ops["once"] = op
-	d.node.Arrived(d.now, op)
+	d.node.RequestArrived(d.now, op)
 	d.pull()
-	d.node.Sent(d.now, op.Pushes[0])
-	d.end(op.Pushes[0], Reset)
+	d.node.RequestBodySent(d.now, op.Attempts[0])
+	d.end(op.Attempts[0], OutcomeConnectionReset)
 	assert.Equal(t, "dead:once", d.pull())
 }
 
@@ -1167,16 +1167,16 @@
 // others; what is not worth the way is nacked at once.
 func TestHeldForAnotherZone(t *testing.T) {
 	terms := plain()
-	terms.CrossPrice, terms.ByWork = 0.06, true
+	terms.CrossZoneCost, terms.WeightByWork = 0.06, true
 	d := sit(t, terms, 0)
 	for k, zone := range []int{0, 1, 1} {
-		d.backends = append(d.backends, &Backend{Ref: uint64(k), Zone: zone})
+		d.backends = append(d.backends, &Backend{ID: uint64(k), Zone: zone})
 	}
-	d.list(Ready, 0, d.backends...)
+	d.list(BackendReady, 0, d.backends...)
 	d.seen()
 	d.node.value = mean{50, 50}
-	d.list(Draining, 0, d.backends[0])
-	var out []*Push
+	d.list(BackendDraining, 0, d.backends[0])
+	var out []*Attempt
 	for _, b := range d.backends[1:] {
 		b.most = 1
 		out = append(out, d.busy(b), d.busy(b))
@@ -1188,12 +1188,12 @@
 	assert.Equal(t, "nack:dear", d.pull())
 	d.after(5)
 	for _, p := range out {
-		d.end(p, Answered)
+		d.end(p, OutcomeAnswered)
 	}
 	assert.Equal(t, "push:worth", d.pull())
 
 	// Its own zone is back, with one backend that answers next to nothing: what may cross does not wait for that one.
-	d.list(Ready, 0, d.backends[0])
+	d.list(BackendReady, 0, d.backends[0])
 	d.node.held = append(d.node.held, worth)
 	d.backends[0].flow = flow{done: 1, busy: 1e6, at: d.now}
 	may, mayNot := d.node.holdTime(worth, true), d.node.holdTime(worth, false)
@@ -1211,7 +1211,7 @@
 		d.node.rng = newMWC(1)
 		for k := 0; float64(k)*every < 10e3; k++ {
 			p := d.busy(d.backends[k%20])
-			d.after(every).end(p, Answered)
+			d.after(every).end(p, OutcomeAnswered)
 			d.pull()
 		}
 		s, err := d.node.Snapshot(nil, d.backends)
--- a/balancer/connect_test.go
+++ b/balancer/connect_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func scarce(number, nodes int) *Terms {
+func scarce(number, nodes int) *Config {
 	t := plain()
-	t.Number, t.Nodes, t.ConnectionPrice, t.CrossPrice = number, nodes, 0.06, 0.08
+	t.NodeIndex, t.Nodes, t.ConnectionCost, t.CrossZoneCost = number, nodes, 0.06, 0.08
 	return t
 }
 
@@ -34,7 +34,7 @@
 			d := sit(t, scarce(number, 300), 200)
 			require.Len(t, d.own(), ownNear)
 			for _, b := range d.own() {
-				at[b.Ref]++
+				at[b.ID]++
 			}
 		}
 		mean := 300.0 / float64(zones) * ownNear / 200
@@ -54,7 +54,7 @@
 	own := d.own()
 	for k, b := range own[:2] {
 		for range k + 1 {
-			d.node.Ended(d.now, d.busy(b), NoConnection, 0, true)
+			d.node.AttemptEnded(d.now, d.busy(b), OutcomeConnectFailed, 0, true)
 			b.restUntil = 0
 		}
 		b.restUntil = d.now + 1e3
@@ -64,9 +64,9 @@
 	for range 20 {
 		op := d.arrive("op", 1, 10)
 		require.Equal(t, "push:op", d.pull())
-		require.NotContains(t, own[:2], op.Pushes[0].Backend)
+		require.NotContains(t, own[:2], op.Attempts[0].Backend)
 		d.now += 5
-		d.end(op.Pushes[0], Answered)
+		d.end(op.Attempts[0], OutcomeAnswered)
 		d.pull()
 	}
 	for _, b := range own[:2] {
@@ -83,8 +83,8 @@
 	for range 20 {
 		op := d.arrive("long", 0, 200)
 		require.Equal(t, "push:long", d.pull())
-		require.True(t, op.Pushes[0].Backend.own)
-		d.after(150).end(op.Pushes[0], Answered)
+		require.True(t, op.Attempts[0].Backend.own)
+		d.after(150).end(op.Attempts[0], OutcomeAnswered)
 		d.pull()
 	}
 }
@@ -93,8 +93,8 @@
 func TestQueuesFromOpsHeldAndRate(t *testing.T) {
 	d := sit(t, plain(), 2)
 	d.seen()
-	d.node.Reported(d.now, d.backends[0], Report{Service: 50, Held: 9, Waiting: Untold, Rate: 20})
-	d.node.Reported(d.now, d.backends[1], Report{Service: 50, Held: 1, Waiting: Untold, Rate: 20})
+	d.node.LoadReported(d.now, d.backends[0], LoadReport{ServiceTime: 50, InFlight: 9, Queued: NotReported, Throughput: 20})
+	d.node.LoadReported(d.now, d.backends[1], LoadReport{ServiceTime: 50, InFlight: 1, Queued: NotReported, Throughput: 20})
 	assert.Greater(t, d.backends[0].lately(d.now, 0), 100.0)
 	assert.Zero(t, d.backends[1].lately(d.now, 0))
 	assert.Zero(t, d.node.wait(0), "a guess of one says nothing of the others")
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -4,22 +4,22 @@
 type Reason uint8
 
 const (
-	Open       Reason = iota // it was not
-	Tried                    // the op has been pushed there
-	Shunned                  // distrusted, against its fellows
-	Full                     // it has all the pushes that this node sends there at once, rests, or is not in the node's share
-	Busy                     // a long wants one with none of this node's work
-	Cold                     // a long wants a warm one
-	Dear                     // the way there costs more than the op earns
-	Hopeless                 // the answer would come too late, or the wait be longer than ops of its benefit may
-	OpOver                   // rule 1: the op is over, its time is, or its pushes are spent
-	OneCopy                  // no second copies here, and a push is out
-	MayHaveRun               // rule 2: an earlier push may have run, and the category does not allow another there
-	NotReady                 // rule 3: it drains or is gone
-	ColdBudget               // rule 4: this node's part of its cold budget is spent
-	OutOfTurn                // rule 5: an earlier op of its key is not over, or the key rests
-	Fallen                   // of no backend: a client's repeat, after a backend fell under a push
-	Held                     // of no backend: the op waits for one
+	Eligible              Reason = iota // it was not
+	ReasonAlreadyTried                  // the op has been pushed there
+	ReasonEjected                       // distrusted, against its fellows
+	ReasonAtCapacity                    // it has all the pushes that this node sends there at once, rests, or is not in the node's share
+	ReasonBusy                          // a long wants one with none of this node's work
+	ReasonWarmingUp                     // a long wants a warm one
+	ReasonCrossZoneCost                 // the way there costs more than the op earns
+	ReasonTooSlow                       // the answer would come too late, or the wait be longer than ops of its benefit may
+	ReasonRequestDone                   // rule 1: the op is over, its time is, or its pushes are spent
+	ReasonNoHedging                     // no second copies here, and a push is out
+	ReasonMayHaveRun                    // rule 2: an earlier push may have run, and the category does not allow another there
+	ReasonNotReady                      // rule 3: it drains or is gone
+	ReasonSlowStartBudget               // rule 4: this node's part of its cold budget is spent
+	ReasonOutOfOrder                    // rule 5: an earlier op of its key is not over, or the key rests
+	ReasonPoisonRequest                 // of no backend: a client's repeat, after a backend fell under a push
+	ReasonQueued                        // of no backend: the op waits for one
 )
 
 var reasons = [...]string{"open", "tried before", "shunned", "full", "busy", "cold", "too dear a way", "hopeless", "op over (rule 1)",
@@ -29,9 +29,9 @@
 func (r Reason) String() string { return reasons[r] }
 
 // tell passes a reason on, to whoever explains too.
-func (n *Node) tell(op *Op, b *Backend, r Reason) Reason {
-	if n.Asked != nil {
-		n.Asked(op, b, r)
+func (n *Balancer) tell(op *Request, b *Backend, r Reason) Reason {
+	if n.OnConsidered != nil {
+		n.OnConsidered(op, b, r)
 	}
 	return r
 }
@@ -51,7 +51,7 @@
 }
 
 // Belief is what is believed at this moment.
-func (n *Node) Belief(op *Op, b *Backend) Belief {
+func (n *Balancer) Belief(op *Request, b *Backend) Belief {
 	heard := -1.0
 	if b.heard > 0 {
 		heard = n.now - b.heard
@@ -61,4 +61,4 @@
 }
 
 // Long tells whether the op counts as long, and what work is expected of it.
-func (o *Op) Long() (long bool, work float64) { return o.long, o.work }
+func (o *Request) IsLong() (long bool, work float64) { return o.long, o.work }
--- a/balancer/fall_test.go
+++ b/balancer/fall_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func (d *desk) repeat(name string, category int) *Op {
-	op := &Op{Category: category, Hint: 10, HasHint: true, GiveUp: d.now + 4000, Repeat: true}
+func (d *desk) repeat(name string, category int) *Request {
+	op := &Request{Class: category, CostHint: 10, HasCostHint: true, Deadline: d.now + 4000, IsClientRetry: true}
 	d.ops[name] = op
-	d.node.Arrived(d.now, op)
+	d.node.RequestArrived(d.now, op)
 	return op
 }
 
@@ -20,7 +20,7 @@
 	d := sit(t, plain(), 5)
 	a := d.arrive("a", 0, 10)
 	require.Equal(t, "push:a", d.pull())
-	d.after(5).end(a.Pushes[0], Reset)
+	d.after(5).end(a.Attempts[0], OutcomeConnectionReset)
 	require.Equal(t, "nack:a", d.pull(), "not sent on")
 	d.repeat("again", 0)
 	require.Equal(t, "nack:again", d.pull())
@@ -30,8 +30,8 @@
 	require.Equal(t, "push:once", d.pull())
 	d.arrive("first", 0, 10) // no category is shut out
 	require.Equal(t, "push:first", d.pull())
-	d.end(d.ops["once"].Pushes[0], Answered)
-	d.end(d.ops["first"].Pushes[0], Answered)
+	d.end(d.ops["once"].Attempts[0], OutcomeAnswered)
+	d.end(d.ops["first"].Attempts[0], OutcomeAnswered)
 	d.after(fallenFor).pull()
 	d.repeat("later", 0)
 	require.Equal(t, "push:later", d.pull(), "no longer than the evidence lasts")
@@ -44,18 +44,18 @@
 	a := d.arrive("a", 0, 10)
 	d.arrive("b", 0, 10)
 	require.Equal(t, "push:a push:b", d.pull())
-	d.after(5).end(a.Pushes[0], Reset)
+	d.after(5).end(a.Attempts[0], OutcomeConnectionReset)
 	require.Equal(t, "nack:a", d.pull())
-	d.after(5).end(d.ops["b"].Pushes[0], Answered)
+	d.after(5).end(d.ops["b"].Attempts[0], OutcomeAnswered)
 	d.repeat("again", 0)
 	require.Equal(t, "push:again", d.pull())
-	other := &Backend{Ref: 9}
-	d.list(Ready, 0, other)
-	d.end(d.ops["again"].Pushes[0], Reset)
+	other := &Backend{ID: 9}
+	d.list(BackendReady, 0, other)
+	d.end(d.ops["again"].Attempts[0], OutcomeConnectionReset)
 	require.Equal(t, "push:again", d.pull(), "sent on")
-	require.Equal(t, other, d.ops["again"].Pushes[1].Backend)
+	require.Equal(t, other, d.ops["again"].Attempts[1].Backend)
 	before := d.node.distrust(other)
-	d.end(d.ops["again"].Pushes[1], Reset)
+	d.end(d.ops["again"].Attempts[1], OutcomeConnectionReset)
 	require.Equal(t, before, d.node.distrust(other), "and blamed on the connection: a few backends reset a tenth each and stay")
 }
 
@@ -64,7 +64,7 @@
 	homes := map[uint64]map[uint64]bool{}
 	for seed := range uint64(5) {
 		terms := plain()
-		terms.Seed, terms.WarmKeys = seed, true
+		terms.Seed, terms.KeyAffinity = seed, true
 		d := sit(t, terms, 10)
 		for key := range uint64(20) {
 			op := d.about(key+1, "op", 0)
@@ -72,18 +72,18 @@
 			if homes[key] == nil {
 				homes[key] = map[uint64]bool{}
 			}
-			homes[key][op.Pushes[0].Backend.Ref] = true
-			d.after(5).end(op.Pushes[0], Answered)
+			homes[key][op.Attempts[0].Backend.ID] = true
+			d.after(5).end(op.Attempts[0], OutcomeAnswered)
 			d.pull()
 		}
 		op := d.about(3, "op", 0)
 		d.pull()
-		home := op.Pushes[0].Backend
-		d.end(op.Pushes[0], Answered)
-		d.list(Draining, 0, home)
+		home := op.Attempts[0].Backend
+		d.end(op.Attempts[0], OutcomeAnswered)
+		d.list(BackendDraining, 0, home)
 		op = d.about(3, "op", 0)
 		d.pull()
-		require.NotEqual(t, home, op.Pushes[0].Backend, "a home that drains is none")
+		require.NotEqual(t, home, op.Attempts[0].Backend, "a home that drains is none")
 	}
 	all := map[uint64]bool{}
 	for key, at := range homes {
@@ -102,19 +102,19 @@
 	op := d.arrive("a", 1, 10)
 	d.pull()
 	require.Equal(t, 1, d.node.abroad)
-	d.after(400).end(op.Pushes[0], TimedOut)
+	d.after(400).end(op.Attempts[0], OutcomeTimedOut)
 	d.pull()
 	require.Equal(t, 1, d.node.abroad)
 	s, err := d.node.Snapshot(nil, d.backends)
 	require.NoError(t, err)
 	n, _, _, err := Restore(plain(), s)
 	require.NoError(t, err)
-	for _, node := range []*Node{d.node, n} {
-		node.Due(d.now + 399)
+	for _, node := range []*Balancer{d.node, n} {
+		node.TimerFired(d.now + 399)
 		for _, more := node.Next(); more; _, more = node.Next() {
 		}
 		assert.Equal(t, 1, node.abroad)
-		node.Due(d.now + 401)
+		node.TimerFired(d.now + 401)
 		for _, more := node.Next(); more; _, more = node.Next() {
 		}
 		assert.Zero(t, node.abroad)
@@ -142,14 +142,14 @@
 func TestAnAnswerToAnEarlierPushTellsThatNothingFell(t *testing.T) {
 	d := sit(t, plain(), 1)
 	early, broken := d.busy(d.backends[0]), d.busy(d.backends[0])
-	d.after(10).end(broken, Reset)
+	d.after(10).end(broken, OutcomeConnectionReset)
 	d.pull()
 	require.True(t, d.node.fell())
-	d.after(3000).end(early, Answered)
+	d.after(3000).end(early, OutcomeAnswered)
 	require.False(t, d.node.fell())
 	later := sit(t, plain(), 1)
-	later.end(later.busy(later.backends[0]), Reset)
+	later.end(later.busy(later.backends[0]), OutcomeConnectionReset)
 	again := later.busy(later.backends[0])
-	later.after(3000).end(again, Answered)
+	later.after(3000).end(again, OutcomeAnswered)
 	require.True(t, later.node.fell(), "it may have been started again")
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -11,51 +11,51 @@
 // desk is a node with a few backends a test can talk to.
 type desk struct {
 	t        *testing.T
-	node     *Node
+	node     *Balancer
 	now      float64
 	backends []*Backend
-	ops      map[string]*Op
+	ops      map[string]*Request
 	texts    []string // log lines pulled so far
 }
 
 // plain is a deployment with a category of each kind: 0 redeliverable, 1 at-most-once, 2 deduplicated in a zone,
 // 3 deduplicated everywhere.
-func plain() *Terms {
-	t := &Terms{Seed: 7, Nodes: 1, MaxPushes: 3, SecondCopies: true, Cancel: true, ComeBack: true, MaxComeBack: 2000,
-		AskWithin: 10e3, ColdFrom: 0.25, WarmWithin: 10e3, FallMultiple: 3, OverloadFor: 2000}
-	for _, c := range []Category{{Effect: Redeliverable}, {Effect: AtMostOnce},
-		{Effect: Deduplicated, Group: GroupZone, Remembered: 500}, {Effect: Deduplicated, Remembered: 500}} {
-		c.TargetLatency, c.Benefit, c.LateBenefit = 1000, 1, 0.5
-		t.Categories = append(t.Categories, c)
+func plain() *Config {
+	t := &Config{Seed: 7, Nodes: 1, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, SendRetryAfter: true, MaxRetryAfter: 2000,
+		PollInterval: 10e3, SlowStartShare: 0.25, SlowStartWindow: 10e3, OverloadMultiple: 3, OverloadWindow: 2000}
+	for _, c := range []Class{{Idempotency: Idempotent}, {Idempotency: AtMostOnce},
+		{Idempotency: IdempotentWithKey, DedupScope: DedupByZone, DedupWindow: 500}, {Idempotency: IdempotentWithKey, DedupWindow: 500}} {
+		c.LatencyObjective, c.PriorityWeight, c.LateWeight = 1000, 1, 0.5
+		t.Classes = append(t.Classes, c)
 	}
 	return t
 }
 
 // sit starts a node at 1000 ms with as many ready, warm backends.
-func sit(t *testing.T, terms *Terms, backends int) *desk {
-	d := &desk{t: t, now: 1000, ops: map[string]*Op{}}
+func sit(t *testing.T, terms *Config, backends int) *desk {
+	d := &desk{t: t, now: 1000, ops: map[string]*Request{}}
 	d.node = New(terms, d.now)
 	for k := range backends {
-		d.backends = append(d.backends, &Backend{Ref: uint64(k)})
+		d.backends = append(d.backends, &Backend{ID: uint64(k)})
 	}
-	d.list(Ready, 0, d.backends...)
+	d.list(BackendReady, 0, d.backends...)
 	d.pull()
 	return d
 }
 
-func (d *desk) list(state State, started float64, backends ...*Backend) {
-	var lines []Listing
+func (d *desk) list(state BackendState, started float64, backends ...*Backend) {
+	var lines []Endpoint
 	for _, b := range backends {
-		lines = append(lines, Listing{Backend: b, State: state, Zone: b.Zone, Cell: b.Cell, Kind: b.Kind,
+		lines = append(lines, Endpoint{Backend: b, State: state, Zone: b.Zone, Cell: b.Cell, Kind: b.Kind,
 			Weight: 1, Started: started})
 	}
-	d.node.Listed(d.now, lines, false, false)
+	d.node.EndpointsChanged(d.now, lines, false, false)
 }
 
-func (d *desk) arrive(name string, category int, hint float64) *Op {
-	op := &Op{Category: category, Hint: hint, HasHint: hint != 0, GiveUp: d.now + 4000}
+func (d *desk) arrive(name string, category int, hint float64) *Request {
+	op := &Request{Class: category, CostHint: hint, HasCostHint: hint != 0, Deadline: d.now + 4000}
 	d.ops[name] = op
-	d.node.Arrived(d.now, op)
+	d.node.RequestArrived(d.now, op)
 	return op
 }
 
@@ -67,12 +67,12 @@
 	d.node.work = mean{50, 50}
 }
 
-func (d *desk) end(p *Push, how Ending) {
+func (d *desk) end(p *Attempt, how Outcome) {
 	require.True(d.t, p.out)
-	d.node.Ended(d.now, p, how, d.now-p.SentAt, how == Answered)
+	d.node.AttemptEnded(d.now, p, how, d.now-p.SentAt, how == OutcomeAnswered)
 }
 
-func (d *desk) fail(times int, how Ending, backends ...*Backend) {
+func (d *desk) fail(times int, how Outcome, backends ...*Backend) {
 	for k := range times * len(backends) {
 		d.end(d.busy(backends[k/times]), how)
 	}
@@ -80,7 +80,7 @@
 
 func (d *desk) after(ms float64) *desk {
 	d.now += ms
-	d.node.Due(d.now)
+	d.node.TimerFired(d.now)
 	return d
 }
 
@@ -94,15 +94,15 @@
 			return strings.Join(words, " ")
 		}
 		switch x.Kind {
-		case DoPush:
-			words = append(words, fmt.Sprintf("push:%s", d.name(x.Op)))
-		case DoNack:
-			words = append(words, "nack:"+d.name(x.Op))
-		case DoDeadLetter:
-			words = append(words, "dead:"+d.name(x.Op))
-		case DoRevoke:
-			words = append(words, "revoke:"+d.name(x.Op))
-		case DoWatch:
+		case DoAttempt:
+			words = append(words, fmt.Sprintf("push:%s", d.name(x.Request)))
+		case DoReject:
+			words = append(words, "nack:"+d.name(x.Request))
+		case DoFail:
+			words = append(words, "dead:"+d.name(x.Request))
+		case DoCancel:
+			words = append(words, "revoke:"+d.name(x.Request))
+		case DoPoll:
 			words = append(words, "watch")
 		case DoLog:
 			d.texts = append(d.texts, x.Text)
@@ -110,7 +110,7 @@
 	}
 }
 
-func (d *desk) name(op *Op) string {
+func (d *desk) name(op *Request) string {
 	for name, o := range d.ops {
 		if o == op {
 			return name
@@ -120,10 +120,10 @@
 }
 
 // busy puts a short of its own on a backend.
-func (d *desk) busy(b *Backend) *Push {
-	op := &Op{Category: 0, Hint: 10, HasHint: true, GiveUp: d.now + 4000, Arrived: d.now}
-	op.cat, op.work, op.Under = &d.node.t.Categories[0], 10, d.node.t
+func (d *desk) busy(b *Backend) *Attempt {
+	op := &Request{Class: 0, CostHint: 10, HasCostHint: true, Deadline: d.now + 4000, ArrivedAt: d.now}
+	op.cat, op.work, op.Config = &d.node.t.Classes[0], 10, d.node.t
 	require.True(d.t, d.node.send(op, b))
 	d.pull()
-	return op.Pushes[0]
+	return op.Attempts[0]
 }
--- a/balancer/list_test.go
+++ b/balancer/list_test.go
@@ -7,9 +7,9 @@
 )
 
 // doubtful is plain() where a list that does not name a backend is no proof.
-func doubtful() *Terms {
+func doubtful() *Config {
 	t := plain()
-	t.RemovalNotBinding = true
+	t.RemovalIsHint = true
 	return t
 }
 
@@ -20,9 +20,9 @@
 		op := d.arrive("x", 0, 10)
 		d.pull()
 		d.now += 2
-		if len(op.Pushes) > 0 {
-			on[op.Pushes[0].Backend] = true
-			d.end(op.Pushes[0], Answered)
+		if len(op.Attempts) > 0 {
+			on[op.Attempts[0].Backend] = true
+			d.end(op.Attempts[0], OutcomeAnswered)
 		}
 		d.pull()
 	}
@@ -32,15 +32,15 @@
 // Reported: for seconds the list called every backend gone while all served, and nine in ten ops were nacked.
 func TestAListThatEmptiesIsDoubted(t *testing.T) {
 	for name, empty := range map[string]func(d *desk){
-		"a whole list without entries": func(d *desk) { d.node.Listed(d.now, nil, true, false) },
-		"lines that say gone":          func(d *desk) { d.list(Gone, 0, d.backends...) },
+		"a whole list without entries": func(d *desk) { d.node.EndpointsChanged(d.now, nil, true, false) },
+		"lines that say gone":          func(d *desk) { d.list(BackendRemoved, 0, d.backends...) },
 	} {
 		d := sit(t, doubtful(), 10)
-		d.list(Draining, 0, d.backends[0]) // drained and then gone stays out
+		d.list(BackendDraining, 0, d.backends[0]) // drained and then gone stays out
 		empty(d)
 		require.Len(t, d.served(), 9, name)
 		learned := d.backends[3].flow
-		d.list(Ready, 0, d.backends[1:]...) // its return is no restart of all
+		d.list(BackendReady, 0, d.backends[1:]...) // its return is no restart of all
 		require.Equal(t, learned, d.backends[3].flow, name)
 		require.Equal(t, 1.0, d.node.warmth(d.backends[3]), name)
 
@@ -53,19 +53,19 @@
 // The twin: what crashes or restarts together is less than half, and is believed.
 func TestAListThatTakesLessThanHalfIsBelieved(t *testing.T) {
 	d := sit(t, doubtful(), 10)
-	d.list(Gone, 0, d.backends[:5]...)
+	d.list(BackendRemoved, 0, d.backends[:5]...)
 	require.Len(t, d.served(), 5)
-	d.list(Gone, 0, d.backends[5])
+	d.list(BackendRemoved, 0, d.backends[5])
 	require.Len(t, d.served(), 10)
-	d.list(Ready, 0, d.backends[5])
+	d.list(BackendReady, 0, d.backends[5])
 	require.Len(t, d.served(), 5)
 }
 
 // What is really gone shows within a few connects, and the list's word is forgotten after the stated bound.
 func TestWhatIsReallyGoneIsLeftAloneAndForgotten(t *testing.T) {
 	d := sit(t, doubtful(), 10)
-	d.node.Listed(d.now, nil, true, false)
-	d.fail(3, NoConnection, d.backends[0], d.backends[1])
+	d.node.EndpointsChanged(d.now, nil, true, false)
+	d.fail(3, OutcomeConnectFailed, d.backends[0], d.backends[1])
 	on := d.served()
 	require.GreaterOrEqual(t, len(on), 5)
 	require.False(t, on[d.backends[0]] || on[d.backends[1]])
--- a/balancer/measure.go
+++ b/balancer/measure.go
@@ -223,10 +223,10 @@
 type due struct {
 	at      float64
 	seq     uint64
-	op      *Op   // a held op's late send
-	push    *Push // a push's patience
-	line    *line // a key's rest is over
-	lingers bool  // what was given up on is believed done
+	op      *Request // a held op's late send
+	push    *Attempt // a push's patience
+	line    *line    // a key's rest is over
+	lingers bool     // what was given up on is believed done
 }
 
 type dues []due
@@ -280,19 +280,19 @@
 }
 
 // ring gives one side's backends in an order that is the same at all nodes and has to do with nothing else, owned by none.
-func (n *Node) ring(near bool) (side []*Backend) {
+func (n *Balancer) ring(near bool) (side []*Backend) {
 	for _, b := range n.backends {
 		if n.isNear(b) == near {
 			b.own, side = false, append(side, b)
 		}
 	}
-	slices.SortFunc(side, func(a, b *Backend) int { return cmp.Compare(mix(a.Ref, 1), mix(b.Ref, 1)) })
+	slices.SortFunc(side, func(a, b *Backend) int { return cmp.Compare(mix(a.ID, 1), mix(b.ID, 1)) })
 	return side
 }
 
 // lot is this node's own draw for a backend, another in each span of time.
-func (n *Node) lot(b *Backend, span float64) float64 {
-	return mix(b.Ref+uint64(n.now/span+mix(n.t.Seed, b.Ref))<<48, n.t.Seed)
+func (n *Balancer) lot(b *Backend, span float64) float64 {
+	return mix(b.ID+uint64(n.now/span+mix(n.t.Seed, b.ID))<<48, n.t.Seed)
 }
 
 // share gives the value that this share of the values lie under.
@@ -307,7 +307,7 @@
 // excess judges how likely an op is beyond its tenant's share. Nodes carry very unlike parts of the traffic:
 // against an equal part of the quota alone a busy one always floods. The mix must be off too, beside a few
 // ops of the usual.
-func (n *Node) excess(op *Op) {
+func (n *Balancer) excess(op *Request) {
 	if op.Tenant >= len(n.t.Tenants) {
 		return
 	}
@@ -328,7 +328,7 @@
 }
 
 // quotas is the sum of all tenants', added up when it is first asked for.
-func (t *Terms) quotas() float64 {
+func (t *Config) quotas() float64 {
 	if t.quota == 0 {
 		for _, w := range t.Tenants {
 			t.quota += w.Quota
@@ -338,14 +338,14 @@
 }
 
 // waited takes how long a push waited behind others: no one wait, silence neither, is more than the target.
-func (n *Node) waited(p *Push, wait float64) {
-	wait = math.Min(math.Max(0, wait), p.Op.cat.TargetLatency)
+func (n *Balancer) waited(p *Attempt, wait float64) {
+	wait = math.Min(math.Max(0, wait), p.Request.cat.LatencyObjective)
 	n.crowd.add(p.Backend, n.now, wait)
 	p.Backend.met.see(p.SentAt, wait)
 }
 
 // processes is of how many the node is made up as far as budgets go.
-func (n *Node) processes() float64 {
+func (n *Balancer) processes() float64 {
 	if n.now < n.whole {
 		return float64(max(n.of, 1))
 	}
@@ -353,7 +353,7 @@
 }
 
 // rate is the work that the backends of this node's zone lately did for it over time, or those of all zones.
-func (n *Node) rate(all bool) (rate float64) {
+func (n *Balancer) rate(all bool) (rate float64) {
 	for _, b := range n.backends {
 		if (all || n.isNear(b)) && n.serves(b) && n.distrust(b) < shunAt {
 			rate += n.drain(b)
@@ -364,7 +364,7 @@
 
 // paceOf is a backend's time for a unit of work, its kind's until its own is known, that of all for none.
 // Machines of one weight may differ threefold; where nodes are many, only their kind's pace can be known.
-func (n *Node) paceOf(b *Backend) float64 {
+func (n *Balancer) paceOf(b *Backend) float64 {
 	known := paceKnown * math.Max(n.work.value, 1)
 	if b == nil {
 		return n.paces.all.blend(1, known) // a standard core's, before any answer
@@ -374,11 +374,11 @@
 
 // paced takes what an answer's time tells of its backend's pace. Behind own pushes it tells of the queue, not of the
 // backend; what backends report is better.
-func (n *Node) paced(p *Push, elapsed float64) {
+func (n *Balancer) paced(p *Attempt, elapsed float64) {
 	if !p.alone || n.service.seen > 0 {
 		return
 	}
-	share, work := 1.0, p.Op.work
+	share, work := 1.0, p.Request.work
 	if elapsed > work*n.paceOf(p.Backend) { // others' queues lengthen times, nothing shortens them
 		share = 0.25
 	}
@@ -396,50 +396,50 @@
 // borne is how many pushes would be out if the ops that lately got answers had each waited as long as they may: by
 // Little's law, at the rate at which answers come. Where backends turn slow it falls with that rate, and a node
 // of much traffic has more of it than one of little; all nodes' together keep waits within that time.
-func (n *Node) borne() float64 { return n.answers.get(n.now, rateHalf) * math.Ln2 / rateHalf }
+func (n *Balancer) borne() float64 { return n.answers.get(n.now, rateHalf) * math.Ln2 / rateHalf }
 
 // drain is the work a backend lately did for this node per millisecond with any there. It holds what others
 // send, slowness, and silence: with pushes out and no answers it falls by itself.
-func (n *Node) drain(b *Backend) float64 {
+func (n *Balancer) drain(b *Backend) float64 {
 	return b.flow.rate(n.now, len(b.out) > 0, 1/n.paceOf(b))
 }
 
 // wait is how long pushes lately waited in a zone. One hardly known counts half as crowded as the rest: taken
 // for empty, all nodes would try it as soon as the fleet is crowded; for just as crowded, none ever would.
-func (n *Node) wait(zone int) float64 {
+func (n *Balancer) wait(zone int) float64 {
 	return n.crowd.zones.of(zone).mean(n.now, 0.5*n.crowd.all.mean(n.now, 0, 4), 4)
 }
 
 // left is the time in which an answer still earns something.
-func (n *Node) left(op *Op) float64 {
-	if op.cat.LateBenefit == 0 {
+func (n *Balancer) left(op *Request) float64 {
+	if op.cat.LateWeight == 0 {
 		return op.target() - n.now
 	}
-	return op.GiveUp - n.now
+	return op.Deadline - n.now
 }
 
 // leftToTarget is the time in which an answer earns all, or what little is left where that has passed.
-func (n *Node) leftToTarget(op *Op) float64 {
+func (n *Balancer) leftToTarget(op *Request) float64 {
 	return math.Max(1, op.target()-n.now)
 }
 
 // predict is the answer time expected of a backend: the work this node has there and the new op's at the rate
 // at which it lately drained such work, and never less than the op alone takes. What this node has not lately
 // seen of it is taken from the zone: each of many nodes hears of one backend once in a minute.
-func (n *Node) predict(b *Backend, op *Op) float64 {
+func (n *Balancer) predict(b *Backend, op *Request) float64 {
 	alone := op.work * n.paceOf(b)
 	return math.Max((b.workOut+op.work)/n.drain(b), alone+b.flow.unseen(n.now)*n.wait(b.Zone))
 }
 
 // distrust is the fading score against the fellows': what all show is not the backend's fault.
-func (n *Node) distrust(b *Backend) float64 {
+func (n *Balancer) distrust(b *Backend) float64 {
 	return math.Max(0, b.distrust.get(n.now, distrustHalf)-n.doubt)
 }
 
 // holdTime is the time an op would be held behind what is held already, at the rate at which its zone lately
 // does this node's work, or all zones where it may cross. Its own work counts only where others are held: heavy
 // ops are no cause for nacks.
-func (n *Node) holdTime(op *Op, cross bool) float64 {
+func (n *Balancer) holdTime(op *Request, cross bool) float64 {
 	rate, ahead := n.rate(cross), 0.0
 	for _, o := range n.held {
 		ahead += o.work
@@ -455,6 +455,6 @@
 
 // size is what share of the rotation a backend gets: its weight and speed against the mean, less while it is
 // cold or distrusted.
-func (n *Node) size(b *Backend) float64 {
+func (n *Balancer) size(b *Backend) float64 {
 	return math.Max(b.Weight/n.weight*n.warmth(b)/(1+n.distrust(b))*n.paceOf(nil)/n.paceOf(b), 1e-3)
 }
--- a/balancer/order_test.go
+++ b/balancer/order_test.go
@@ -11,37 +11,37 @@
 const settle = 200.0
 
 // inOrder is plain(), where deduplicated ops (2, 3) keep their key's order, with one push at a time.
-func inOrder() *Terms {
+func inOrder() *Config {
 	t := plain()
-	t.SecondCopies, t.SettleAfterDoubt = false, settle
-	t.Categories[2].KeepOrder, t.Categories[3].KeepOrder = true, true
+	t.AllowHedging, t.UncertainCooldown = false, settle
+	t.Classes[2].Ordered, t.Classes[3].Ordered = true, true
 	return t
 }
 
-func (d *desk) about(key uint64, name string, category int) *Op {
-	op := &Op{Category: category, Hint: 10, HasHint: true, GiveUp: d.now + 4000, Key: key}
+func (d *desk) about(key uint64, name string, category int) *Request {
+	op := &Request{Class: category, CostHint: 10, HasCostHint: true, Deadline: d.now + 4000, Key: key}
 	d.ops[name] = op
-	d.node.Arrived(d.now, op)
+	d.node.RequestArrived(d.now, op)
 	return op
 }
 
 func TestOrderOfAKey(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		how  Ending // of a's push, 30 ms after it went out
-		then string // at once
-		rest string // after the key's rest, and not sooner
+		how  Outcome // of a's push, 30 ms after it went out
+		then string  // at once
+		rest string  // after the key's rest, and not sooner
 	}{
-		{"an answer gives the turn on", Answered, "push:b", ""},
-		{"so does what never ran, once it is given up", Rejected, "nack:a push:b", ""},
+		{"an answer gives the turn on", OutcomeAnswered, "push:b", ""},
+		{"so does what never ran, once it is given up", OutcomeRejected, "nack:a push:b", ""},
 		// Reported: an op was sent 25 ms after a push of its key's earlier op had ended without proof that it runs no more.
-		{"after a time-out the key rests", TimedOut, "nack:a", "push:b"},
-		{"after a reset the key rests", Reset, "nack:a", "push:b"},
-		{"an error is an end", Failed, "nack:a push:b", ""},
+		{"after a time-out the key rests", OutcomeTimedOut, "nack:a", "push:b"},
+		{"after a reset the key rests", OutcomeConnectionReset, "nack:a", "push:b"},
+		{"an error is an end", OutcomeFailed, "nack:a push:b", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			terms := inOrder()
-			terms.MaxPushes = 1
+			terms.MaxAttempts = 1
 			d := sit(t, terms, 4)
 			a := d.about(7, "a", 3)
 			d.about(7, "b", 3)
@@ -51,7 +51,7 @@
 			// Reported: an op of a key was sent while an earlier one of it was not over.
 			require.Equal(t, "push:a push:free push:other push:else", d.pull())
 			d.now += 30
-			d.end(a.Pushes[0], c.how)
+			d.end(a.Attempts[0], c.how)
 			require.Equal(t, c.then, d.pull())
 			require.Empty(t, d.after(settle-1).pull())
 			require.Equal(t, c.rest, d.after(2).pull())
@@ -65,15 +65,15 @@
 	b := d.about(7, "b", 2) // all that keep order share their keys
 	c := d.about(7, "c", 3)
 	require.Equal(t, "push:a", d.pull())
-	d.node.Left(d.now, b) // leaves the line out of turn
+	d.node.ClientGone(d.now, b) // leaves the line out of turn
 	require.Empty(t, d.pull())
-	d.node.Left(d.now, a) // a's push outlives it and holds the key
+	d.node.ClientGone(d.now, a) // a's push outlives it and holds the key
 	require.Equal(t, "revoke:a", d.pull())
 	require.Empty(t, d.after(100).pull())
-	d.end(a.Pushes[0], Revoked)
+	d.end(a.Attempts[0], OutcomeCanceled)
 	require.Empty(t, d.pull())
 	require.Equal(t, "push:c", d.after(settle+1).pull())
-	d.end(c.Pushes[0], Answered)
+	d.end(c.Attempts[0], OutcomeAnswered)
 	require.Empty(t, d.node.lines, "a key without ops that rests no more is let go")
 }
 
@@ -84,14 +84,14 @@
 	a := d.about(7, "a", 3)
 	require.Equal(t, "push:a", d.pull())
 	d.now += 30
-	d.end(a.Pushes[0], TimedOut)
+	d.end(a.Attempts[0], OutcomeTimedOut)
 	require.Equal(t, "push:a", d.pull())
-	d.about(7, "b", 3).GiveUp = d.now + 500
+	d.about(7, "b", 3).Deadline = d.now + 500
 	require.Empty(t, d.pull())
 	for _, name := range []string{"heavy", "behind"} {
-		op := &Op{Category: 3, Hint: 600, HasHint: true, GiveUp: d.now + 1000, Key: 9}
+		op := &Request{Class: 3, CostHint: 600, HasCostHint: true, Deadline: d.now + 1000, Key: 9}
 		d.ops[name] = op
-		d.node.Arrived(d.now, op)
+		d.node.RequestArrived(d.now, op)
 	}
 	require.Equal(t, "push:heavy nack:behind", d.pull())
 	now := d.now
@@ -106,75 +106,75 @@
 // No push out of turn and no key held for good, whatever comes: time-outs, resets, cancels, clients that leave, snapshots,
 // restarts.
 func TestOrderWhateverComes(t *testing.T) {
-	endings := []Ending{Answered, Failed, Rejected, TimedOut, NoConnection, Reset, Revoked, NotSent}
+	endings := []Outcome{OutcomeAnswered, OutcomeFailed, OutcomeRejected, OutcomeTimedOut, OutcomeConnectFailed, OutcomeConnectionReset, OutcomeCanceled, OutcomeNotSent}
 	rapid.Check(t, func(r *rapid.T) {
 		n := New(inOrder(), 1000)
 		now := 1000.0
 		var backends []*Backend
-		var lines []Listing
+		var lines []Endpoint
 		for k := range 5 {
-			backends = append(backends, &Backend{Ref: uint64(k)})
-			lines = append(lines, Listing{Backend: backends[k], State: Ready, Weight: 1})
+			backends = append(backends, &Backend{ID: uint64(k)})
+			lines = append(lines, Endpoint{Backend: backends[k], State: BackendReady, Weight: 1})
 		}
-		n.Listed(now, lines, true, true)
-		var ops []*Op // taken, not over, in order
+		n.EndpointsChanged(now, lines, true, true)
+		var ops []*Request // taken, not over, in order
 		rests := map[uint64]float64{}
-		keeps := func(o *Op) bool { return o.Key != 0 && o.Category >= 2 }
+		keeps := func(o *Request) bool { return o.Key != 0 && o.Class >= 2 }
 		pull := func() {
 			for {
 				d, more := n.Next()
 				if !more {
 					break
 				}
-				if d.Kind != DoPush || !keeps(d.Op) {
+				if d.Kind != DoAttempt || !keeps(d.Request) {
 					continue
 				}
 				for _, o := range ops {
-					if o == d.Op {
+					if o == d.Request {
 						break
 					}
-					if keeps(o) && o.Key == d.Op.Key && !o.Over() {
-						r.Fatalf("op %d sent before %d of its key was over", d.Op.Ref, o.Ref)
+					if keeps(o) && o.Key == d.Request.Key && !o.IsDone() {
+						r.Fatalf("op %d sent before %d of its key was over", d.Request.ID, o.ID)
 					}
 				}
-				if len(d.Op.Pushes) == 1 && now < rests[d.Op.Key] {
-					r.Fatalf("op %d sent while its key rests until %v, at %v", d.Op.Ref, rests[d.Op.Key], now)
+				if len(d.Request.Attempts) == 1 && now < rests[d.Request.Key] {
+					r.Fatalf("op %d sent while its key rests until %v, at %v", d.Request.ID, rests[d.Request.Key], now)
 				}
 			}
 			kept := ops[:0]
 			for _, o := range ops {
-				if !o.Over() {
+				if !o.IsDone() {
 					kept = append(kept, o)
 				}
 			}
 			ops = kept
 		}
-		end := func(o *Op, how Ending) {
-			for _, p := range o.Pushes {
+		end := func(o *Request, how Outcome) {
+			for _, p := range o.Attempts {
 				if p.out {
-					if keeps(o) && (how == TimedOut || how == Reset || how == Revoked) {
+					if keeps(o) && (how == OutcomeTimedOut || how == OutcomeConnectionReset || how == OutcomeCanceled) {
 						rests[o.Key] = now + settle
 					}
-					n.Ended(now, p, how, now-p.SentAt, how == Answered || o.stage == ended)
+					n.AttemptEnded(now, p, how, now-p.SentAt, how == OutcomeAnswered || o.stage == ended)
 					return
 				}
 			}
 		}
-		one := func() *Op { return ops[rapid.IntRange(0, len(ops)-1).Draw(r, "op")] }
+		one := func() *Request { return ops[rapid.IntRange(0, len(ops)-1).Draw(r, "op")] }
 		for k := range rapid.IntRange(1, 80).Draw(r, "steps") {
 			now += rapid.SampledFrom([]float64{0, 5, 50, 300}).Draw(r, "pass")
-			n.Due(now)
+			n.TimerFired(now)
 			pull()
 			switch step := rapid.IntRange(0, 9).Draw(r, "step"); {
 			case step < 4 || len(ops) == 0:
-				o := &Op{Ref: uint64(k), Category: rapid.IntRange(0, 3).Draw(r, "category"), Hint: 20, HasHint: true, GiveUp: now + 2000,
+				o := &Request{ID: uint64(k), Class: rapid.IntRange(0, 3).Draw(r, "category"), CostHint: 20, HasCostHint: true, Deadline: now + 2000,
 					Key: uint64(rapid.IntRange(0, 2).Draw(r, "key"))}
 				ops = append(ops, o)
-				n.Arrived(now, o)
+				n.RequestArrived(now, o)
 			case step < 8:
 				end(one(), rapid.SampledFrom(endings).Draw(r, "how"))
 			case step == 8:
-				n.Left(now, one())
+				n.ClientGone(now, one())
 			default:
 				pull()
 				s, err := n.Snapshot(ops, backends)
@@ -189,15 +189,15 @@
 			if k > 1000 {
 				r.Fatalf("%d ops never end", len(ops))
 			}
-			for _, o := range append([]*Op{}, ops...) {
-				end(o, TimedOut)
+			for _, o := range append([]*Request{}, ops...) {
+				end(o, OutcomeTimedOut)
 			}
 			now += 50
-			n.Due(now)
+			n.TimerFired(now)
 			pull()
 		}
 		now += settle + 1
-		n.Due(now)
+		n.TimerFired(now)
 		pull()
 		if len(n.lines) > 0 {
 			r.Fatalf("%d keys are held for good", len(n.lines))
@@ -212,14 +212,14 @@
 		op := d.about(key, "op", 2)
 		d.pull()
 		d.now += float64(10 * k)
-		d.node.Ended(d.now, op.Pushes[0], TimedOut, 10, true)
+		d.node.AttemptEnded(d.now, op.Attempts[0], OutcomeTimedOut, 10, true)
 	}
-	s, err := d.node.Carried(d.backends)
+	s, err := d.node.HandoffSnapshot(d.backends)
 	require.NoError(t, err)
 	n, _, backends, err := Restore(inOrder(), s)
 	require.NoError(t, err)
-	next := &desk{t: t, node: n, now: d.now, backends: backends, ops: map[string]*Op{}}
-	next.list(Ready, 0, backends...)
+	next := &desk{t: t, node: n, now: d.now, backends: backends, ops: map[string]*Request{}}
+	next.list(BackendReady, 0, backends...)
 	for _, name := range []string{"nine", "five"} {
 		next.about(map[string]uint64{"nine": 9, "five": 5}[name], name, 2)
 	}
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -21,23 +21,23 @@
 	Chance                                                                 [2]uint64
 	Hints                                                                  []float64 // the cutoff's window
 	HintNext                                                               int
-	Stretch                                                                SnapQuantile
-	Value, Work, Service                                                   SnapMean
+	Stretch                                                                QuantileSnapshot
+	Value, Work, Service                                                   MeanSnapshot
 	PaceAll                                                                [2]float64
 	PaceKinds                                                              [][2]float64
 	CrowdAll                                                               [3]float64
 	CrowdZones                                                             [][3]float64
 	Warm                                                                   [][2]float64
-	Categories                                                             []SnapMean   // works
-	Tenants                                                                [][2]float64 // rates
-	Backends                                                               []SnapBackend
+	Classes                                                                []MeanSnapshot // works
+	Tenants                                                                [][2]float64   // rates
+	Backends                                                               []BackendSnapshot
 	Order                                                                  []int // the node's backends among them
-	Ops                                                                    []SnapOp
-	Held                                                                   []int
-	Due                                                                    []SnapDue
+	Requests                                                               []RequestSnapshot
+	Queued                                                                 []int
+	Timers                                                                 []TimerSnapshot
 	Of                                                                     int
 	Whole                                                                  float64
-	Lines                                                                  []SnapLine
+	KeyQueues                                                              []KeyQueueSnapshot
 	Doubted                                                                bool
 	FellAt, AloneAt                                                        float64
 	Answers                                                                [2]float64
@@ -45,23 +45,23 @@
 }
 
 // SnapQuantile, SnapMean and the others below are parts of a Snapshot.
-type SnapQuantile struct {
+type QuantileSnapshot struct {
 	Value float64
 	Seen  int
 }
 
-type SnapMean struct{ Value, Seen float64 }
+type MeanSnapshot struct{ Value, Seen float64 }
 
-type SnapBackend struct {
-	Ref                                             uint64
+type BackendSnapshot struct {
+	ID                                              uint64
 	Zone, Cell, Kind                                int
-	State                                           State
+	State                                           BackendState
 	Weight, Started                                 float64
-	Known                                           bool
+	Tracked                                         bool
 	Longs                                           int
 	WorkOut, Heard, Lingers, Best, Most, Rest, Pass float64
 	Pace                                            [2]float64
-	Tail                                            SnapQuantile
+	Tail                                            QuantileSnapshot
 	Flow                                            [3]float64
 	Distrust                                        [2]float64
 	SpentAt, Spent                                  []float64
@@ -69,57 +69,57 @@
 	Waits                                           [3]float64
 	Cores                                           float64
 	Met                                             [2]float64
-	Banned                                          bool
+	Cordoned                                        bool
 	Back, OutAt                                     float64
 	GoneAt                                          float64
 	Drained, Joined, Own                            bool
 	Refused, BrokeAt                                float64
 }
 
-type SnapOp struct {
-	Ref                         uint64
-	Category, Tenant            int
-	Hint, Arrived, GiveUp, Work float64
-	Estimate                    float64
-	HasHint, Repeat, Long       bool
-	Stage                       int
-	Pushes                      []SnapPush
-	Excess                      float64
-	Streamed                    bool
-	Key                         uint64
+type RequestSnapshot struct {
+	ID                                  uint64
+	Class, Tenant                       int
+	CostHint, ArrivedAt, Deadline, Work float64
+	Estimate                            float64
+	HasCostHint, IsClientRetry, Long    bool
+	Stage                               int
+	Attempts                            []AttemptSnapshot
+	Excess                              float64
+	Streamed                            bool
+	Key                                 uint64
 }
 
-type SnapPush struct {
-	Backend                      int
-	SentAt, Expect               float64
-	Out, Revoked, Overdue, Alone bool
-	Ending                       Ending
-	Begun                        bool
+type AttemptSnapshot struct {
+	Backend                            int
+	SentAt, Expect                     float64
+	InFlight, Canceled, Overdue, Alone bool
+	Outcome                            Outcome
+	Begun                              bool
 }
 
 // SnapDue is something that falls due: of an op, of one of its pushes, or of neither, where what it was for is over.
-type SnapDue struct {
-	At   float64
-	Seq  uint64
-	Op   int // -1 is none
-	Push int // -1 is none
-	Line int // from 1, 0 is none
+type TimerSnapshot struct {
+	At      float64
+	Seq     uint64
+	Request int // -1 is none
+	Attempt int // -1 is none
+	Line    int // from 1, 0 is none
 
 	Lingers bool
 }
 
 // SnapLine is a key's ops that are not over, in their order, and until when the key rests.
-type SnapLine struct {
-	Key  uint64
-	Rest float64
-	Ops  []int
+type KeyQueueSnapshot struct {
+	Key      uint64
+	Rest     float64
+	Requests []int
 }
 
 // Snapshot takes the node's state at a batch's end. The host names all ops that are not over, and all backends that it
 // may name again, in an order of its own.
-func (n *Node) Snapshot(ops []*Op, backends []*Backend) (*Snapshot, error) {
+func (n *Balancer) Snapshot(ops []*Request, backends []*Backend) (*Snapshot, error) {
 	for _, o := range ops {
-		if o.Under != n.t && o.Under != nil { // its category has no place among those of now
+		if o.Config != n.t && o.Config != nil { // its category has no place among those of now
 			return nil, errors.New("snapshot with an op under earlier terms")
 		}
 	}
@@ -128,7 +128,7 @@
 
 // Carried is what another process may go on with: all that was learned and spent. What is out, held or due stays with the
 // process that has it, and so does its chance; the list is asked for anew.
-func (n *Node) Carried(backends []*Backend) (*Snapshot, error) {
+func (n *Balancer) HandoffSnapshot(backends []*Backend) (*Snapshot, error) {
 	s, err := n.snapshot(nil, backends, false)
 	if err != nil {
 		return nil, err
@@ -141,11 +141,11 @@
 	return s, nil
 }
 
-func (n *Node) snapshot(ops []*Op, backends []*Backend, whole bool) (*Snapshot, error) {
+func (n *Balancer) snapshot(ops []*Request, backends []*Backend, whole bool) (*Snapshot, error) {
 	if len(n.waiting) > 0 || len(n.out) > 0 {
 		return nil, errors.New("snapshot in the middle of a batch")
 	}
-	opAt, backendAt := make(map[*Op]int, len(ops)), make(map[*Backend]int, len(backends))
+	opAt, backendAt := make(map[*Request]int, len(ops)), make(map[*Backend]int, len(backends))
 	for i, o := range ops {
 		opAt[o] = i
 	}
@@ -156,8 +156,8 @@
 		Tracked: n.tracked, Stirred: n.stirred, Idle: n.idle, Failures: n.failures, Of: n.of, Whole: n.whole, Doubted: n.doubted, FellAt: n.fellAt, AloneAt: n.aloneAt, Answers: [2]float64{n.answers.sum, n.answers.at},
 		Rates: [2]float64{n.t.rates.sum, n.t.rates.at}, Seq: n.seq, Chance: [2]uint64{n.rng.x, n.rng.carry},
 		Hints: slices.Clone(n.cutoff.ring), HintNext: n.cutoff.next, Stretch: snapQuantile(n.stretch),
-		Value: SnapMean{n.value.value, n.value.seen}, Work: SnapMean{n.work.value, n.work.seen},
-		Service: SnapMean{n.service.value, n.service.seen}, PaceAll: [2]float64{n.paces.all.time, n.paces.all.work},
+		Value: MeanSnapshot{n.value.value, n.value.seen}, Work: MeanSnapshot{n.work.value, n.work.seen},
+		Service: MeanSnapshot{n.service.value, n.service.seen}, PaceAll: [2]float64{n.paces.all.time, n.paces.all.work},
 		CrowdAll: [3]float64{n.crowd.all.sum, n.crowd.all.count, n.crowd.all.at}}
 	for _, p := range n.paces.kinds {
 		s.PaceKinds = append(s.PaceKinds, [2]float64{p.time, p.work})
@@ -168,26 +168,26 @@
 	for _, w := range n.warm {
 		s.Warm = append(s.Warm, [2]float64{w.took, w.speed})
 	}
-	for _, c := range n.t.Categories {
-		s.Categories = append(s.Categories, SnapMean{c.work.value, c.work.seen})
+	for _, c := range n.t.Classes {
+		s.Classes = append(s.Classes, MeanSnapshot{c.work.value, c.work.seen})
 	}
 	for _, t := range n.t.Tenants {
 		s.Tenants = append(s.Tenants, [2]float64{t.rate.sum, t.rate.at})
 	}
 	for _, b := range backends {
-		x := SnapBackend{Ref: b.Ref, Zone: b.Zone, Cell: b.Cell, Kind: b.Kind, State: b.State, Weight: b.Weight, Started: b.Started, Known: b.known,
+		x := BackendSnapshot{ID: b.ID, Zone: b.Zone, Cell: b.Cell, Kind: b.Kind, State: b.State, Weight: b.Weight, Started: b.Started, Tracked: b.known,
 			Longs: b.longs, WorkOut: b.workOut, Heard: b.heard, Lingers: b.lingers, Best: b.best, Most: b.most, Rest: b.restUntil, Pass: b.pass,
 			Pace: [2]float64{b.pace.time, b.pace.work}, Tail: snapQuantile(b.tail), Flow: [3]float64{b.flow.done, b.flow.busy, b.flow.at},
 			Distrust: [2]float64{b.distrust.sum, b.distrust.at}, SpentAt: slices.Clone(b.recent.at), Spent: slices.Clone(b.recent.amount),
 			Waits: [3]float64{b.waits.sum, b.waits.count, b.waits.at}, Cores: b.cores,
-			Met: [2]float64{b.met.wait, b.met.at}, Banned: b.banned, Back: b.back, OutAt: b.outAt, GoneAt: b.goneAt, Drained: b.drained, Joined: b.joined, Own: b.own, Refused: b.refused, BrokeAt: b.brokeAt}
+			Met: [2]float64{b.met.wait, b.met.at}, Cordoned: b.banned, Back: b.back, OutAt: b.outAt, GoneAt: b.goneAt, Drained: b.drained, Joined: b.joined, Own: b.own, Refused: b.refused, BrokeAt: b.brokeAt}
 		for _, p := range b.out {
 			if !whole {
 				break
 			}
-			at, named := opAt[p.Op]
+			at, named := opAt[p.Request]
 			if !named {
-				return nil, fmt.Errorf("snapshot: backend %x has a push of op %d, which the host did not name", b.Ref, p.Op.Ref)
+				return nil, fmt.Errorf("snapshot: backend %x has a push of op %d, which the host did not name", b.ID, p.Request.ID)
 			}
 			x.Out = append(x.Out, at, p.Number)
 		}
@@ -196,78 +196,78 @@
 	for _, b := range n.backends {
 		at, named := backendAt[b]
 		if !named {
-			return nil, fmt.Errorf("snapshot: backend %x was not named by the host", b.Ref)
+			return nil, fmt.Errorf("snapshot: backend %x was not named by the host", b.ID)
 		}
 		s.Order = append(s.Order, at)
 	}
 	for _, o := range ops {
-		x := SnapOp{Ref: o.Ref, Category: o.Category, Tenant: o.Tenant, Hint: o.Hint, Arrived: o.Arrived, GiveUp: o.GiveUp, Work: o.work,
-			Estimate: o.estimate, HasHint: o.HasHint, Repeat: o.Repeat, Long: o.long, Excess: o.excess, Streamed: o.Streamed, Stage: int(o.stage), Key: o.Key}
-		for _, p := range o.Pushes {
+		x := RequestSnapshot{ID: o.ID, Class: o.Class, Tenant: o.Tenant, CostHint: o.CostHint, ArrivedAt: o.ArrivedAt, Deadline: o.Deadline, Work: o.work,
+			Estimate: o.estimate, HasCostHint: o.HasCostHint, IsClientRetry: o.IsClientRetry, Long: o.long, Excess: o.excess, Streamed: o.Streamed, Stage: int(o.stage), Key: o.Key}
+		for _, p := range o.Attempts {
 			at, named := backendAt[p.Backend]
 			if !named {
-				return nil, fmt.Errorf("snapshot: op %d was pushed to backend %x, which the host did not name", o.Ref, p.Backend.Ref)
+				return nil, fmt.Errorf("snapshot: op %d was pushed to backend %x, which the host did not name", o.ID, p.Backend.ID)
 			}
-			x.Pushes = append(x.Pushes, SnapPush{Backend: at, SentAt: p.SentAt, Expect: p.expect, Out: p.out, Revoked: p.revoked, Overdue: p.overdue,
-				Alone: p.alone, Ending: p.ending, Begun: p.begun})
+			x.Attempts = append(x.Attempts, AttemptSnapshot{Backend: at, SentAt: p.SentAt, Expect: p.expect, InFlight: p.out, Canceled: p.revoked, Overdue: p.overdue,
+				Alone: p.alone, Outcome: p.outcome, Begun: p.begun})
 		}
-		s.Ops = append(s.Ops, x)
+		s.Requests = append(s.Requests, x)
 	}
 	lineAt := map[*line]int{}
 	for _, key := range slices.Sorted(maps.Keys(n.lines)) {
 		l := n.lines[key]
-		x := SnapLine{Key: key, Rest: l.rest}
+		x := KeyQueueSnapshot{Key: key, Rest: l.rest}
 		for _, o := range l.ops {
 			if !whole {
 				break
 			}
 			at, named := opAt[o]
 			if !named {
-				return nil, fmt.Errorf("snapshot: op %d in the line of its key was not named by the host", o.Ref)
+				return nil, fmt.Errorf("snapshot: op %d in the line of its key was not named by the host", o.ID)
 			}
-			x.Ops = append(x.Ops, at)
+			x.Requests = append(x.Requests, at)
 		}
 		if whole || l.rest > n.now {
-			s.Lines = append(s.Lines, x)
-			lineAt[l] = len(s.Lines)
+			s.KeyQueues = append(s.KeyQueues, x)
+			lineAt[l] = len(s.KeyQueues)
 		}
 	}
 	if !whole { // rests go over: what may still run there is out of the other process's sight
-		for i, l := range s.Lines {
-			s.Due = append(s.Due, SnapDue{At: l.Rest, Op: -1, Push: -1, Line: i + 1})
+		for i, l := range s.KeyQueues {
+			s.Timers = append(s.Timers, TimerSnapshot{At: l.Rest, Request: -1, Attempt: -1, Line: i + 1})
 		}
 		return s, nil
 	}
 	for _, o := range n.held {
 		at, named := opAt[o]
 		if !named {
-			return nil, fmt.Errorf("snapshot: held op %d was not named by the host", o.Ref)
+			return nil, fmt.Errorf("snapshot: held op %d was not named by the host", o.ID)
 		}
-		s.Held = append(s.Held, at)
+		s.Queued = append(s.Queued, at)
 	}
 	for _, d := range n.due {
-		x := SnapDue{At: d.at, Seq: d.seq, Op: -1, Push: -1, Line: lineAt[d.line], Lingers: d.lingers}
+		x := TimerSnapshot{At: d.at, Seq: d.seq, Request: -1, Attempt: -1, Line: lineAt[d.line], Lingers: d.lingers}
 		switch {
-		case d.op != nil && !d.op.Over():
+		case d.op != nil && !d.op.IsDone():
 			if at, named := opAt[d.op]; named {
-				x.Op = at
+				x.Request = at
 			}
-		case d.push != nil && !d.push.Op.Over():
-			if at, named := opAt[d.push.Op]; named {
-				x.Op, x.Push = at, d.push.Number
+		case d.push != nil && !d.push.Request.IsDone():
+			if at, named := opAt[d.push.Request]; named {
+				x.Request, x.Attempt = at, d.push.Number
 			}
 		}
-		s.Due = append(s.Due, x)
+		s.Timers = append(s.Timers, x)
 	}
 	return s, nil
 }
 
-func snapQuantile(q quantile) SnapQuantile { return SnapQuantile{q.value, q.seen} }
+func snapQuantile(q quantile) QuantileSnapshot { return QuantileSnapshot{q.value, q.seen} }
 
 // Restore makes a node that goes on where a snapshot was taken, with the ops and backends in the snapshot's order. The
 // terms are those of the node then. A snapshot that can't be one of such a node's is an error.
-func Restore(t *Terms, s *Snapshot) (n *Node, ops []*Op, backends []*Backend, err error) {
-	if len(s.Categories) != len(t.Categories) || len(s.Tenants) != len(t.Tenants) || len(s.Hints) > windowSize ||
+func Restore(t *Config, s *Snapshot) (n *Balancer, ops []*Request, backends []*Backend, err error) {
+	if len(s.Classes) != len(t.Classes) || len(s.Tenants) != len(t.Tenants) || len(s.Hints) > windowSize ||
 		s.HintNext < 0 || s.HintNext >= windowSize {
 		return nil, nil, nil, errors.New("snapshot of other terms")
 	}
@@ -295,8 +295,8 @@
 	for _, w := range s.Warm {
 		n.warm = append(n.warm, took{w[0], w[1]})
 	}
-	for i, c := range s.Categories {
-		t.Categories[i].work = mean{c.Value, c.Seen}
+	for i, c := range s.Classes {
+		t.Classes[i].work = mean{c.Value, c.Seen}
 	}
 	for i, r := range s.Tenants {
 		t.Tenants[i].rate = fader{r[0], r[1]}
@@ -313,38 +313,38 @@
 		if len(x.SpentAt) != len(x.Spent) || len(x.Out)%2 != 0 || x.Zone < 0 || x.Kind < 0 || x.Zone > mostPlaces || x.Kind > mostPlaces {
 			return nil, nil, nil, errors.New("snapshot of an odd backend")
 		}
-		backends = append(backends, &Backend{Ref: x.Ref, Zone: x.Zone, Cell: x.Cell, Kind: x.Kind, State: x.State, Weight: x.Weight, Started: x.Started,
-			known: x.Known, longs: x.Longs, workOut: x.WorkOut, heard: x.Heard, lingers: x.Lingers, best: x.Best, most: x.Most, restUntil: x.Rest,
+		backends = append(backends, &Backend{ID: x.ID, Zone: x.Zone, Cell: x.Cell, Kind: x.Kind, State: x.State, Weight: x.Weight, Started: x.Started,
+			known: x.Tracked, longs: x.Longs, workOut: x.WorkOut, heard: x.Heard, lingers: x.Lingers, best: x.Best, most: x.Most, restUntil: x.Rest,
 			pass: x.Pass, pace: pace{x.Pace[0], x.Pace[1]}, tail: quantile{x.Tail.Value, x.Tail.Seen}, flow: flow{x.Flow[0], x.Flow[1], x.Flow[2]},
 			distrust: fader{x.Distrust[0], x.Distrust[1]}, recent: spend{slices.Clone(x.SpentAt), slices.Clone(x.Spent)},
 			waits: recent{x.Waits[0], x.Waits[1], x.Waits[2]}, cores: x.Cores,
-			met: met{x.Met[0], x.Met[1]}, banned: x.Banned, back: x.Back, outAt: x.OutAt, goneAt: x.GoneAt, drained: x.Drained, joined: x.Joined, own: x.Own, refused: x.Refused,
+			met: met{x.Met[0], x.Met[1]}, banned: x.Cordoned, back: x.Back, outAt: x.OutAt, goneAt: x.GoneAt, drained: x.Drained, joined: x.Joined, own: x.Own, refused: x.Refused,
 			brokeAt: x.BrokeAt})
 	}
-	for _, x := range s.Ops {
-		if x.Category < 0 || x.Category >= len(t.Categories) || x.Stage < 0 || x.Stage > int(ended) {
+	for _, x := range s.Requests {
+		if x.Class < 0 || x.Class >= len(t.Classes) || x.Stage < 0 || x.Stage > int(ended) {
 			return nil, nil, nil, errors.New("snapshot of an odd op")
 		}
-		o := &Op{Under: t, Ref: x.Ref, Category: x.Category, Tenant: x.Tenant, Hint: x.Hint, HasHint: x.HasHint, Repeat: x.Repeat, Arrived: x.Arrived,
-			GiveUp: x.GiveUp, Key: x.Key, cat: &t.Categories[x.Category], work: x.Work, long: x.Long, estimate: x.Estimate, excess: x.Excess, Streamed: x.Streamed, stage: stage(x.Stage)}
-		for k, p := range x.Pushes {
+		o := &Request{Config: t, ID: x.ID, Class: x.Class, Tenant: x.Tenant, CostHint: x.CostHint, HasCostHint: x.HasCostHint, IsClientRetry: x.IsClientRetry, ArrivedAt: x.ArrivedAt,
+			Deadline: x.Deadline, Key: x.Key, cat: &t.Classes[x.Class], work: x.Work, long: x.Long, estimate: x.Estimate, excess: x.Excess, Streamed: x.Streamed, stage: stage(x.Stage)}
+		for k, p := range x.Attempts {
 			if p.Backend < 0 || p.Backend >= len(backends) {
 				return nil, nil, nil, errors.New("snapshot of a push to nowhere")
 			}
-			o.Pushes = append(o.Pushes, &Push{Op: o, Backend: backends[p.Backend], Number: k, SentAt: p.SentAt, expect: p.Expect, out: p.Out,
-				revoked: p.Revoked, overdue: p.Overdue, alone: p.Alone, ending: p.Ending, begun: p.Begun})
+			o.Attempts = append(o.Attempts, &Attempt{Request: o, Backend: backends[p.Backend], Number: k, SentAt: p.SentAt, expect: p.Expect, out: p.InFlight,
+				revoked: p.Canceled, overdue: p.Overdue, alone: p.Alone, outcome: p.Outcome, begun: p.Begun})
 		}
 		ops = append(ops, o)
 	}
 	for _, o := range ops {
-		for _, p := range o.Pushes {
+		for _, p := range o.Attempts {
 			n.abroad += p.counted()
 		}
 	}
 	var lines []*line
-	for _, x := range s.Lines {
+	for _, x := range s.KeyQueues {
 		l := &line{key: x.Key, rest: x.Rest}
-		for _, at := range x.Ops {
+		for _, at := range x.Requests {
 			if at < 0 || at >= len(ops) || ops[at].line != nil {
 				return nil, nil, nil, errors.New("snapshot of an odd line")
 			}
@@ -353,11 +353,11 @@
 		lines = append(lines, l)
 		n.lines[x.Key] = l
 	}
-	push := func(op, number int) (*Push, error) {
-		if op < 0 || op >= len(ops) || number < 0 || number >= len(ops[op].Pushes) {
+	push := func(op, number int) (*Attempt, error) {
+		if op < 0 || op >= len(ops) || number < 0 || number >= len(ops[op].Attempts) {
 			return nil, errors.New("snapshot names a push that it has not")
 		}
-		return ops[op].Pushes[number], nil
+		return ops[op].Attempts[number], nil
 	}
 	for i, x := range s.Backends {
 		for k := 0; k < len(x.Out); k += 2 {
@@ -374,28 +374,28 @@
 		}
 		n.backends = append(n.backends, backends[at])
 	}
-	for _, at := range s.Held {
+	for _, at := range s.Queued {
 		if at < 0 || at >= len(ops) {
 			return nil, nil, nil, errors.New("snapshot names an op that it has not")
 		}
 		n.held = append(n.held, ops[at])
 	}
-	for _, x := range s.Due {
+	for _, x := range s.Timers {
 		d := due{at: x.At, seq: x.Seq, lingers: x.Lingers}
 		if x.Lingers {
 			n.abroad++
 		}
 		switch {
-		case math.IsNaN(x.At) || x.Op >= len(ops) || x.Line < 0 || x.Line > len(lines):
+		case math.IsNaN(x.At) || x.Request >= len(ops) || x.Line < 0 || x.Line > len(lines):
 			return nil, nil, nil, errors.New("snapshot of an odd due time")
 		case x.Line > 0:
 			d.line = lines[x.Line-1]
-		case x.Op >= 0 && x.Push >= 0:
-			if d.push, err = push(x.Op, x.Push); err != nil {
+		case x.Request >= 0 && x.Attempt >= 0:
+			if d.push, err = push(x.Request, x.Attempt); err != nil {
 				return nil, nil, nil, err
 			}
-		case x.Op >= 0:
-			d.op = ops[x.Op]
+		case x.Request >= 0:
+			d.op = ops[x.Request]
 		}
 		n.due = append(n.due, d)
 	}
--- a/balancer/tenants_test.go
+++ b/balancer/tenants_test.go
@@ -10,7 +10,7 @@
 )
 
 // walked is what excess would have by adding up all tenants anew for an op just taken.
-func (n *Node) walked(op *Op) (excess, rates float64) {
+func (n *Balancer) walked(op *Request) (excess, rates float64) {
 	w, quotas := n.t.Tenants[op.Tenant], 0.0
 	for _, o := range n.t.Tenants {
 		rates, quotas = rates+o.rate.get(n.now, rateHalf), quotas+o.Quota
@@ -29,9 +29,9 @@
 // snapshot goes on where it was, one of a build that kept no sum with the sum.
 func TestTenantsRatesAddedUp(t *testing.T) {
 	const tenants = 40
-	terms := func() *Terms {
+	terms := func() *Config {
 		x := plain()
-		x.Nodes, x.ExcessBenefit = 3, 0.2
+		x.Nodes, x.OverQuotaWeight = 3, 0.2
 		for k := range tenants {
 			x.Tenants = append(x.Tenants, Tenant{Quota: float64(k % 4)})
 		}
@@ -40,7 +40,7 @@
 	d := sit(t, terms(), 3)
 	chance := rand.New(rand.NewPCG(1, 2))
 	beyond, most := 0, 0.0
-	come := func(n *Node) *Op {
+	come := func(n *Balancer) *Request {
 		d.now += 40 * chance.ExpFloat64()
 		if chance.IntN(500) == 0 {
 			d.now += 50e3 * chance.Float64()
@@ -49,8 +49,8 @@
 		if chance.IntN(3) == 0 {
 			tenant = int(d.now/20e3) % tenants // one floods, another in turn
 		}
-		op := &Op{Tenant: tenant, Hint: 10, HasHint: true, GiveUp: d.now + 4000}
-		n.Arrived(d.now, op)
+		op := &Request{Tenant: tenant, CostHint: 10, HasCostHint: true, Deadline: d.now + 4000}
+		n.RequestArrived(d.now, op)
 		excess, rates := n.walked(op)
 		require.GreaterOrEqual(t, n.t.rates.sum, rates-1e-9)
 		require.LessOrEqual(t, n.t.rates.sum, rates+1e-3*tenants)
@@ -59,7 +59,7 @@
 			beyond++
 		}
 		most = math.Max(most, math.Abs(excess-op.excess))
-		n.Left(d.now, op)
+		n.ClientGone(d.now, op)
 		for _, more := n.Next(); more; _, more = n.Next() {
 		}
 		return op
@@ -86,7 +86,7 @@
 		come(again)
 	}
 
-	d.node.Retuned(d.now, terms(), []int{0, 1, 2, 3})
+	d.node.ConfigChanged(d.now, terms(), []int{0, 1, 2, 3})
 	come(d.node)
 	assert.Equal(t, 1.0, d.node.t.rates.sum)
 }
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -6,32 +6,32 @@
 )
 
 // Effect says what a category's ops allow after a push that may have run.
-type Effect uint8
+type Idempotency uint8
 
 const (
-	Redeliverable Effect = iota
-	Deduplicated
+	Idempotent Idempotency = iota
+	IdempotentWithKey
 	AtMostOnce
 )
 
 // Group is the set of backends that drop a deduplicated op's repeats.
-type Group uint8
+type DedupScope uint8
 
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupByAll DedupScope = iota
+	DedupByZone
+	DedupByCell
 )
 
 // Category is one kind of op with what the deployment says of it.
-type Category struct {
-	Effect        Effect  `json:"Effect"`
-	Group         Group   `json:"Group"`
-	Remembered    float64 `json:"Remembered"` // how long a deduplicated op's mark is kept, from its first push
-	TargetLatency float64 `json:"TargetLatency"`
-	Benefit       float64 `json:"Benefit"`
-	LateBenefit   float64 `json:"LateBenefit"` // share of the benefit left after the target latency
-	KeepOrder     bool    `json:"KeepOrder"`   // its ops with one key run one at a time, as this node took them
+type Class struct {
+	Idempotency      Idempotency `json:"Effect"`
+	DedupScope       DedupScope  `json:"Group"`
+	DedupWindow      float64     `json:"Remembered"` // how long a deduplicated op's mark is kept, from its first push
+	LatencyObjective float64     `json:"TargetLatency"`
+	PriorityWeight   float64     `json:"Benefit"`
+	LateWeight       float64     `json:"LateBenefit"` // share of the benefit left after the target latency
+	Ordered          bool        `json:"KeepOrder"`   // its ops with one key run one at a time, as this node took them
 
 	work     mean    // of the hints
 	patience float64 // share of an op's time left that it may wait behind others
@@ -45,63 +45,63 @@
 }
 
 // Terms are what a deployment tells a node at its start.
-type Terms struct {
-	Seed          uint64     `json:"Seed"`
-	Zone          int        `json:"Zone"`
-	Nodes         int        `json:"Nodes"`
-	Number        int        `json:"Number"` // of this one among the nodes, from 0
-	Categories    []Category `json:"Categories"`
-	Tenants       []Tenant   `json:"Tenants"`
-	ExcessBenefit float64    `json:"ExcessBenefit"`
-	ByWork        bool       `json:"ByWork"` // benefit is counted for each unit of work
-
-	CrossPrice   float64 `json:"CrossPrice"`
-	MaxPushes    int     `json:"MaxPushes"`
-	SecondCopies bool    `json:"SecondCopies"`
-	Cancel       bool    `json:"Cancel"`
-	ComeBack     bool    `json:"ComeBack"` // clients are told when to come back
-	MaxComeBack  float64 `json:"MaxComeBack"`
-
-	MustAsk      bool    `json:"MustAsk"` // the list of backends comes only when asked for
-	AskWithin    float64 `json:"AskWithin"`
-	ColdFrom     float64 `json:"ColdFrom"`
-	WarmWithin   float64 `json:"WarmWithin"`
-	FallMultiple float64 `json:"FallMultiple"`
-	OverloadFor  float64 `json:"OverloadFor"`
-
-	SettleAfterDoubt  float64 `json:"SettleAfterDoubt"`  // a key rests so long after a push that may still run
-	RemovalNotBinding bool    `json:"RemovalNotBinding"` // gone, or missing from the list, without draining is a hint and no order
-	WarmKeys          bool    `json:"WarmKeys"`          // a backend that met a key lately has less work with it
-	ConnectionPrice   float64 `json:"ConnectionPrice"`   // of open connections; above 0 backends take few of them
+type Config struct {
+	Seed            uint64   `json:"Seed"`
+	Zone            int      `json:"Zone"`
+	Nodes           int      `json:"Nodes"`
+	NodeIndex       int      `json:"Number"` // of this one among the nodes, from 0
+	Classes         []Class  `json:"Categories"`
+	Tenants         []Tenant `json:"Tenants"`
+	OverQuotaWeight float64  `json:"ExcessBenefit"`
+	WeightByWork    bool     `json:"ByWork"` // benefit is counted for each unit of work
+
+	CrossZoneCost  float64 `json:"CrossPrice"`
+	MaxAttempts    int     `json:"MaxPushes"`
+	AllowHedging   bool    `json:"SecondCopies"`
+	CancelAttempts bool    `json:"Cancel"`
+	SendRetryAfter bool    `json:"ComeBack"` // clients are told when to come back
+	MaxRetryAfter  float64 `json:"MaxComeBack"`
+
+	PollEndpoints    bool    `json:"MustAsk"` // the list of backends comes only when asked for
+	PollInterval     float64 `json:"AskWithin"`
+	SlowStartShare   float64 `json:"ColdFrom"`
+	SlowStartWindow  float64 `json:"WarmWithin"`
+	OverloadMultiple float64 `json:"FallMultiple"`
+	OverloadWindow   float64 `json:"OverloadFor"`
+
+	UncertainCooldown float64 `json:"SettleAfterDoubt"`  // a key rests so long after a push that may still run
+	RemovalIsHint     bool    `json:"RemovalNotBinding"` // gone, or missing from the list, without draining is a hint and no order
+	KeyAffinity       bool    `json:"WarmKeys"`          // a backend that met a key lately has less work with it
+	ConnectionCost    float64 `json:"ConnectionPrice"`   // of open connections; above 0 backends take few of them
 
 	rates fader   // of all tenants together
 	quota float64 // theirs, once added up
 }
 
 // State is what the list says of a backend.
-type State uint8
+type BackendState uint8
 
 const (
-	Gone State = iota
-	Draining
-	Ready
+	BackendRemoved BackendState = iota
+	BackendDraining
+	BackendReady
 )
 
 // Backend is a server as the list gives it, with what this node has learned of it.
 type Backend struct {
-	Ref     uint64 // the host's name for it, the same at every node
+	ID      uint64 // the host's name for it, the same at every node
 	Zone    int
 	Cell    int
 	Kind    int
-	State   State
+	State   BackendState
 	Weight  float64
 	Started float64 // clock time of its latest start; 0 is long ago
 
-	out       []*Push // pushes not yet ended, oldest first, without those overdue and overtaken
-	longs     int     // of those, the long ones
-	workOut   float64 // their work
-	heard     float64 // when the latest push was sent that has been answered
-	lingers   float64 // until then, work given up on may still run here
+	out       []*Attempt // pushes not yet ended, oldest first, without those overdue and overtaken
+	longs     int        // of those, the long ones
+	workOut   float64    // their work
+	heard     float64    // when the latest push was sent that has been answered
+	lingers   float64    // until then, work given up on may still run here
 	pace      pace
 	best      float64 // the lowest pace seen
 	tail      quantile
@@ -127,21 +127,21 @@
 }
 
 // take and drop keep count of what is out there; one dropped before it ends is not counted twice.
-func (b *Backend) take(now float64, p *Push) {
+func (b *Backend) take(now float64, p *Attempt) {
 	b.flow.tally(now, len(b.out) > 0)
 	b.out = append(b.out, p)
-	b.workOut += p.Op.work
-	if p.Op.long {
+	b.workOut += p.Request.work
+	if p.Request.long {
 		b.longs++
 	}
 }
 
-func (b *Backend) drop(now float64, p *Push) {
+func (b *Backend) drop(now float64, p *Attempt) {
 	b.flow.tally(now, len(b.out) > 0)
 	if k := slices.Index(b.out, p); k >= 0 {
 		b.out = slices.Delete(b.out, k, k+1)
-		b.workOut -= p.Op.work
-		if p.Op.long {
+		b.workOut -= p.Request.work
+		if p.Request.long {
 			b.longs--
 		}
 	}
@@ -149,7 +149,7 @@
 
 // hear takes an answer. What is overdue by then and was sent before it does not occupy the backend: a connection fell
 // silent, or an answer stopped short, and it would keep room, drain and longs from the others until it timed out.
-func (b *Backend) hear(now float64, p *Push) {
+func (b *Backend) hear(now float64, p *Attempt) {
 	b.heard = max(b.heard, p.SentAt)
 	for _, o := range slices.Clone(b.out) {
 		if o.overdue && o.overtaken() {
@@ -160,15 +160,15 @@
 
 // leave takes the word that a backend is gone, by its line or by its missing.
 func (b *Backend) leave(now float64) {
-	if b.State != Gone {
-		b.State, b.goneAt = Gone, now
+	if b.State != BackendRemoved {
+		b.State, b.goneAt = BackendRemoved, now
 	}
 }
 
 // past lets go of a backend that is gone for good: each decision would look at all there ever were. Until its cold
 // budget's window has passed, what it was sent counts, should it come back.
-func (b *Backend) past(now float64, t *Terms) bool {
-	b.known = b.State != Gone || len(b.out) > 0 || b.recent.within(now, t.OverloadFor) > 0 || now-b.goneAt < t.rememberFor()
+func (b *Backend) past(now float64, t *Config) bool {
+	b.known = b.State != BackendRemoved || len(b.out) > 0 || b.recent.within(now, t.OverloadWindow) > 0 || now-b.goneAt < t.rememberFor()
 	return !b.known
 }
 
@@ -177,33 +177,33 @@
 const goneFor = 60e3
 
 // rememberFor is how long a backend is remembered that went without a drain.
-func (t *Terms) rememberFor() float64 {
-	if t.RemovalNotBinding {
+func (t *Config) rememberFor() float64 {
+	if t.RemovalIsHint {
 		return goneFor
 	}
 	return 0
 }
 
 // Known tells whether the node keeps the backend; of one that is gone for good the host may let go too.
-func (b *Backend) Known() bool { return b.known }
+func (b *Backend) IsTracked() bool { return b.known }
 
 // Ending is how a push ended.
-type Ending uint8
+type Outcome uint8
 
 const (
-	Answered Ending = iota
-	Failed
-	Rejected
-	TimedOut
-	NoConnection
-	Reset
-	Revoked
-	NotSent
+	OutcomeAnswered Outcome = iota
+	OutcomeFailed
+	OutcomeRejected
+	OutcomeTimedOut
+	OutcomeConnectFailed
+	OutcomeConnectionReset
+	OutcomeCanceled
+	OutcomeNotSent
 )
 
 var endings = [...]string{"answered", "failed", "rejected", "timed out", "no connection", "reset", "revoked", "not sent"}
 
-func (e Ending) String() string {
+func (e Outcome) String() string {
 	if int(e) < len(endings) {
 		return endings[e]
 	}
@@ -211,24 +211,26 @@
 }
 
 // NeverRan tells whether the ending proves that the push did not run.
-func (e Ending) NeverRan() bool { return e == Rejected || e == NoConnection || e == NotSent }
+func (e Outcome) NeverRan() bool {
+	return e == OutcomeRejected || e == OutcomeConnectFailed || e == OutcomeNotSent
+}
 
 // Op is one client op taken by this node.
-type Op struct {
-	Ref      uint64 // the host's name for it
-	Category int
-	Tenant   int
-	Hint     float64
-	HasHint  bool
-	Repeat   bool
-	Key      uint64 // what it is about; 0 is none
-	Arrived  float64
-	GiveUp   float64 // clock time at which the client gives up on this try
-	Pushes   []*Push
-	Under    *Terms // that it came under; the node's present ones where nil
-	Streamed bool   // it comes and goes on in pieces and is held nowhere: it can be pushed once
-
-	cat       *Category
+type Request struct {
+	ID            uint64 // the host's name for it
+	Class         int
+	Tenant        int
+	CostHint      float64
+	HasCostHint   bool
+	IsClientRetry bool
+	Key           uint64 // what it is about; 0 is none
+	ArrivedAt     float64
+	Deadline      float64 // clock time at which the client gives up on this try
+	Attempts      []*Attempt
+	Config        *Config // that it came under; the node's present ones where nil
+	Streamed      bool    // it comes and goes on in pieces and is held nowhere: it can be pushed once
+
+	cat       *Class
 	work      float64
 	long      bool
 	estimate  float64 // its order among held ops
@@ -241,15 +243,15 @@
 }
 
 // Before tells, ahead of the op's arrival, of a push that another node has begun: it is over as far as this one can know.
-func (o *Op) Before(b *Backend, at float64, how Ending) {
-	o.Pushes = append(o.Pushes, &Push{Op: o, Backend: b, Number: len(o.Pushes), SentAt: at, ending: how})
+func (o *Request) AddEarlierAttempt(b *Backend, at float64, how Outcome) {
+	o.Attempts = append(o.Attempts, &Attempt{Request: o, Backend: b, Number: len(o.Attempts), SentAt: at, outcome: how})
 }
 
 // Over tells whether the op has ended and nothing of it is out, so that the host may forget it.
-func (o *Op) Over() bool { return o.stage == ended && o.out() == 0 }
+func (o *Request) IsDone() bool { return o.stage == ended && o.out() == 0 }
 
-func (o *Op) out() (n int) {
-	for _, p := range o.Pushes {
+func (o *Request) out() (n int) {
+	for _, p := range o.Attempts {
 		if p.out {
 			n++
 		}
@@ -258,18 +260,18 @@
 }
 
 // most is how many pushes it may have in all.
-func (o *Op) most() int {
+func (o *Request) most() int {
 	if o.Streamed {
-		return min(o.Under.MaxPushes, 1)
+		return min(o.Config.MaxAttempts, 1)
 	}
-	return o.Under.MaxPushes
+	return o.Config.MaxAttempts
 }
 
 // target is when an answer stops earning all.
-func (o *Op) target() float64 { return min(o.GiveUp, o.Arrived+o.cat.TargetLatency) }
+func (o *Request) target() float64 { return min(o.Deadline, o.ArrivedAt+o.cat.LatencyObjective) }
 
-func (o *Op) tried(b *Backend) bool {
-	for _, p := range o.Pushes {
+func (o *Request) tried(b *Backend) bool {
+	for _, p := range o.Attempts {
 		if p.Backend == b {
 			return true
 		}
@@ -278,9 +280,9 @@
 }
 
 // MayHaveRun gives the first push that is not known never to have run.
-func (o *Op) MayHaveRun() *Push {
-	for _, p := range o.Pushes {
-		if p.out || !p.ending.NeverRan() {
+func (o *Request) UncertainAttempt() *Attempt {
+	for _, p := range o.Attempts {
+		if p.out || !p.outcome.NeverRan() {
 			return p
 		}
 	}
@@ -298,8 +300,8 @@
 )
 
 // Push is one send of an op to a backend.
-type Push struct {
-	Op      *Op
+type Attempt struct {
+	Request *Request
 	Backend *Backend
 	Number  int
 	SentAt  float64
@@ -310,11 +312,11 @@
 	revoked bool
 	overdue bool
 	alone   bool // sent with next to nothing else of this node's out there
-	ending  Ending
+	outcome Outcome
 }
 
 // counted is 1 while it counts at its backend and in the node's window.
-func (p *Push) counted() int {
+func (p *Attempt) counted() int {
 	if p.out && p.begun {
 		return 1
 	}
@@ -322,76 +324,78 @@
 }
 
 // overtaken tells that its backend has answered a push sent later: what is wrong is not the backend's.
-func (p *Push) overtaken() bool { return p.Backend.heard > p.SentAt }
+func (p *Attempt) overtaken() bool { return p.Backend.heard > p.SentAt }
 
 // Decider is what a host asks: a Node, or what stands round one or in its place.
 type Decider interface {
-	Listed(now float64, lines []Listing, full, cached bool)
-	ListFailed(now float64)
-	Arrived(now float64, op *Op)
-	Left(now float64, op *Op)
-	Shortened(now float64, op *Op)
-	Begun(now float64, p *Push)
-	Sent(now float64, p *Push)
-	Ended(now float64, p *Push, how Ending, elapsed float64, finished bool)
-	Reported(now float64, b *Backend, r Report)
-	Split(now float64, of int)
-	Retuned(now float64, t *Terms, from []int)
-	Due(now float64)
+	EndpointsChanged(now float64, lines []Endpoint, full, cached bool)
+	PollFailed(now float64)
+	RequestArrived(now float64, op *Request)
+	ClientGone(now float64, op *Request)
+	DeadlineShortened(now float64, op *Request)
+	ResponseStarted(now float64, p *Attempt)
+	RequestBodySent(now float64, p *Attempt)
+	AttemptEnded(now float64, p *Attempt, how Outcome, elapsed float64, finished bool)
+	LoadReported(now float64, b *Backend, r LoadReport)
+	ProcessesChanged(now float64, of int)
+	ConfigChanged(now float64, t *Config, from []int)
+	TimerFired(now float64)
 	Next() (Decision, bool)
 }
 
 // Kind is what a decision asks the host to do.
-type Kind uint8
+type DecisionKind uint8
 
 const (
-	DoPush Kind = iota
-	DoNack
-	DoDeadLetter
-	DoRevoke
-	DoWatch
-	DoTimer
+	DoAttempt DecisionKind = iota
+	DoReject
+	DoFail
+	DoCancel
+	DoPoll
+	DoSetTimer
 	DoLog
 )
 
 // Decision is one thing for the host to do.
 type Decision struct {
-	Kind Kind
-	Op   *Op
-	Push *Push
-	Wait float64 // DoPush: its time-out, 0 for none; DoNack: when to come back; DoTimer: how far from now
-	Text string  // DoLog: the line
+	Kind    DecisionKind
+	Request *Request
+	Attempt *Attempt
+	Wait    float64 // DoPush: its time-out, 0 for none; DoNack: when to come back; DoTimer: how far from now
+	Text    string  // DoLog: the line
 }
 
 // Ending is how it ended, once it has.
-func (p *Push) Ending() Ending { return p.ending }
+func (p *Attempt) Outcome() Outcome { return p.outcome }
 
 // Out tells whether the push has not ended yet.
-func (p *Push) Out() bool { return p.out }
+func (p *Attempt) InFlight() bool { return p.out }
 
 // Untold is below what any value of a load report can be.
-const Untold = -1
+const NotReported = -1
 
 // Report is what a backend says of its load; below 0 is not told.
-type Report struct {
-	Service float64 // mean service time
-	Held    float64 // ops it has
-	Waiting float64 // of those, the ones not yet at work
-	Rate    float64 // ops done a second
+type LoadReport struct {
+	ServiceTime float64 // mean service time
+	InFlight    float64 // ops it has
+	Queued      float64 // of those, the ones not yet at work
+	Throughput  float64 // ops done a second
 }
 
 // NoReport is one that tells nothing.
-func NoReport() Report { return Report{Untold, Untold, Untold, Untold} }
+func EmptyLoadReport() LoadReport {
+	return LoadReport{NotReported, NotReported, NotReported, NotReported}
+}
 
 // Told tells whether it says anything.
-func (r Report) Told() bool { return r != NoReport() }
+func (r LoadReport) HasValues() bool { return r != EmptyLoadReport() }
 
 // Listing is one line of the list of backends.
-type Listing struct {
+type Endpoint struct {
 	Backend         *Backend
-	State           State
+	State           BackendState
 	Zone, Cell      int
 	Kind            int // of machine
 	Weight, Started float64
-	Banned          bool // taken out by hand: draining, whatever its state is here
+	Cordoned        bool // taken out by hand: draining, whatever its state is here
 }
--- a/cmd/pearknot-lab/play.go
+++ b/cmd/pearknot-lab/play.go
@@ -148,12 +148,12 @@
 }
 
 // wrap captures node 0.
-func wrap(w *capture.Writer) func(int, int, balancer.Decider, *balancer.Terms, float64) balancer.Decider {
-	return func(node, life int, d balancer.Decider, t *balancer.Terms, now float64) balancer.Decider {
+func wrap(w *capture.Writer) func(int, int, balancer.Decider, *balancer.Config, float64) balancer.Decider {
+	return func(node, life int, d balancer.Decider, t *balancer.Config, now float64) balancer.Decider {
 		if node != 0 {
 			return d
 		}
-		r, err := capture.NewRecorder(d, now, capture.Start{Name: "n0", Epoch: uint64(life), Build: cli.Version(), Terms: t}, capture.Options{Every: 10e3, Sink: w.Put})
+		r, err := capture.NewRecorder(d, now, capture.Start{Name: "n0", Epoch: uint64(life), Build: cli.Version(), Config: t}, capture.Options{Every: 10e3, Sink: w.Put})
 		if err != nil {
 			panic(err) // plain values
 		}
@@ -420,10 +420,10 @@
 		if err != nil {
 			return cli.Usage(err)
 		}
-		if _, err := baselines.New(name, &balancer.Terms{}, 0, nil); err != nil {
+		if _, err := baselines.New(name, &balancer.Config{}, 0, nil); err != nil {
 			return cli.Usage(err)
 		}
-		return serve.Run(c.Context(), again, p, serve.Options{Version: cli.Version(), Decide: func(t *balancer.Terms, now float64) balancer.Decider {
+		return serve.Run(c.Context(), again, p, serve.Options{Version: cli.Version(), Decide: func(t *balancer.Config, now float64) balancer.Decider {
 			d, _ := baselines.New(name, t, now, nil) // the name was tried above
 			return d
 		}}, log)
@@ -505,8 +505,8 @@
 
 func (l *eventLog) write(e invariants.Event) {
 	if l.err == nil {
-		l.err = l.json.Encode(map[string]any{"at_ms": e.At, "what": e.Kind.String(), "op": e.Op, "node": e.Node, "backend": e.Backend,
-			"push": e.Push, "text": e.String()})
+		l.err = l.json.Encode(map[string]any{"at_ms": e.At, "what": e.Kind.String(), "op": e.Request, "node": e.Node, "backend": e.Backend,
+			"push": e.Attempt, "text": e.String()})
 	}
 }
 
--- a/cmd/pearknot/capture.go
+++ b/cmd/pearknot/capture.go
@@ -127,8 +127,8 @@
 				ref := number
 				number = 0
 				if err := eachRecord(c, args[0], func(r capture.Record) error {
-					if r.Kind == capture.Arrived && r.Ref == ref && number == 0 {
-						number = r.Op
+					if r.Kind == capture.RequestArrived && r.ID == ref && number == 0 {
+						number = r.Request
 					}
 					return nil
 				}); err != nil {
@@ -177,7 +177,7 @@
 				err := capture.Read(file, func(r capture.Record) error {
 					records++
 					switch r.Kind {
-					case capture.Arrived:
+					case capture.RequestArrived:
 						ops++
 					case capture.Begin:
 						starts++
--- a/cmd/pearknot/capture_test.go
+++ b/cmd/pearknot/capture_test.go
@@ -42,7 +42,7 @@
 		for _, f := range files {
 			_ = capture.Read(f, func(r capture.Record) error {
 				switch r.Kind {
-				case capture.Arrived:
+				case capture.RequestArrived:
 					ops++
 				case capture.Begin:
 					starts++
@@ -124,7 +124,7 @@
 	var last capture.Record
 	first := 0.0
 	require.NoError(t, capture.Read(second, func(r capture.Record) error {
-		if r.Kind == capture.Arrived {
+		if r.Kind == capture.RequestArrived {
 			last = r
 		}
 		if first == 0 {
@@ -132,10 +132,10 @@
 		}
 		return nil
 	}))
-	why := call(0, "explain", second, fmt.Sprint(last.Op))
+	why := call(0, "explain", second, fmt.Sprint(last.Request))
 	assert.Contains(t, why, "decided: push op")
 	assert.Contains(t, why, ": open; answer in")
-	assert.Equal(t, why, call(0, "explain", second, fmt.Sprintf("x%x", last.Ref)))
+	assert.Equal(t, why, call(0, "explain", second, fmt.Sprintf("x%x", last.ID)))
 	part := filepath.Join(dir, "part.pkcap")
 	call(0, "capture", "cut", second, "--from", fmt.Sprintf("%f", last.Now), "--out", part)
 	assert.Contains(t, call(0, "replay", part), "from 0 starts and 1 snapshots")
@@ -163,8 +163,8 @@
 	data, err := os.ReadFile(source)
 	require.NoError(t, err)
 	for k, flip := range [][2]string{
-		{"best == nil || r > rank", "best == nil || r < rank"}, {"slow < turnSlow", "slow > turnSlow"}, {"if patience < n.left(p.Op) {", "if patience > n.left(p.Op) {"},
-		{"op.long = op.Hint > n.cutoff", "op.long = op.Hint < n.cutoff"},
+		{"best == nil || r > rank", "best == nil || r < rank"}, {"slow < turnSlow", "slow > turnSlow"}, {"if patience < n.left(p.Request) {", "if patience > n.left(p.Request) {"},
+		{"op.long = op.CostHint > n.cutoff", "op.long = op.CostHint < n.cutoff"},
 	} {
 		require.Equal(t, 1, strings.Count(string(data), flip[0]), flip[0])
 		mutant := filepath.Join(dir, fmt.Sprint(k, ".go"))
--- a/cmd/pearknot/main.go
+++ b/cmd/pearknot/main.go
@@ -127,7 +127,7 @@
 				return err
 			}
 		}
-		o.Decide, o.Version, o.Token = node.Module, cli.Version(), os.Getenv(serve.TokenVariable)
+		o.Decide, o.Version, o.Token = node.NewBalancer, cli.Version(), os.Getenv(serve.TokenVariable)
 		if e := os.Getenv(serve.EpochVariable); e != "" {
 			if o.Epoch, err = strconv.ParseUint(e, 10, 64); err != nil {
 				return fmt.Errorf("%s: %w", serve.EpochVariable, err)
--- a/cmd/pearknot/peers.go
+++ b/cmd/pearknot/peers.go
@@ -23,7 +23,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			client := controlsocket.NewClient(args[0], dialWithin)
 			for {
-				var told requestlog.Picture
+				var told requestlog.StateDigest
 				if err := client.Call(c.Context(), "GET", controlsocket.PeersPath, nil, &told); err != nil {
 					return err
 				}
@@ -53,15 +53,15 @@
 	return c
 }
 
-func tellPeers(out io.Writer, told requestlog.Picture, asJSON bool) error {
+func tellPeers(out io.Writer, told requestlog.StateDigest, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(out).Encode(told)
 	}
-	fmt.Fprintf(out, "%s, life %d, %d ops taken over\n", told.Self, told.Life, told.TookOver)
+	fmt.Fprintf(out, "%s, life %d, %d ops taken over\n", told.Self, told.Incarnation, told.TookOver)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "peer\tlinked\tsilent ms\tlife")
 	for _, p := range told.Peers {
-		fmt.Fprintf(w, "%s\t%v\t%.0f\t%d\n", p.Name, p.Linked, p.Silent, p.Life)
+		fmt.Fprintf(w, "%s\t%v\t%.0f\t%d\n", p.Name, p.Linked, p.Silent, p.Incarnation)
 	}
 	fmt.Fprintln(w, "log of\tleader\twhole\tterm\theld by\tlag\tin hand\trecords\tbytes")
 	for _, l := range told.Logs {
--- a/cmd/pearknot/peers_test.go
+++ b/cmd/pearknot/peers_test.go
@@ -197,7 +197,7 @@
 	n := c.ran[key]
 	effect := balancer.AtMostOnce
 	if r.Header.Get("X-Qos") == "check" {
-		effect = balancer.Redeliverable
+		effect = balancer.Idempotent
 	}
 	c.keys.Ran(ms(), key, effect)
 	c.keys.Taken(ms(), key, effect, ms()+9000)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -48,11 +48,11 @@
 		return nil, err
 	}
 	epoch := uint64(0)
-	h.Wrap = func(instance uint32, d balancer.Decider, t *balancer.Terms, now float64) balancer.Decider {
+	h.Wrap = func(instance uint32, d balancer.Decider, t *balancer.Config, now float64) balancer.Decider {
 		if uint64(instance) != wanted {
 			return d
 		}
-		r, err := capture.NewRecorder(d, now, capture.Start{Name: number, Epoch: epoch, Terms: t}, capture.Options{Every: 10e3, Sink: w.Put})
+		r, err := capture.NewRecorder(d, now, capture.Start{Name: number, Epoch: epoch, Config: t}, capture.Options{Every: 10e3, Sink: w.Put})
 		if err != nil {
 			panic(err) // plain values
 		}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -24,12 +24,12 @@
 const Descriptors = mostCallers + 2
 
 // Do carries a call out within ctx's time.
-type Do func(ctx context.Context, c Call) (text string, err error)
+type Handler func(ctx context.Context, c Call) (text string, err error)
 
 // Console answers calls until it is closed.
-type Console struct {
+type Server struct {
 	listener net.Listener
-	do       Do
+	do       Handler
 	log      *slog.Logger
 
 	mu      sync.Mutex
@@ -41,12 +41,12 @@
 }
 
 // Open listens at an address and answers there.
-func Open(address string, do Do, log *slog.Logger) (*Console, error) {
+func Open(address string, do Handler, log *slog.Logger) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	c := &Console{listener: l, do: do, log: log}
+	c := &Server{listener: l, do: do, log: log}
 	c.room = sync.NewCond(&c.mu)
 	c.left.Add(1)
 	go c.run()
@@ -54,10 +54,10 @@
 }
 
 // Address is where it listens.
-func (c *Console) Address() string { return c.listener.Addr().String() }
+func (c *Server) Address() string { return c.listener.Addr().String() }
 
 // Close ends it, and the calls that wait.
-func (c *Console) Close() error {
+func (c *Server) Close() error {
 	c.mu.Lock()
 	c.closed = true
 	for _, s := range c.silent {
@@ -70,7 +70,7 @@
 	return err
 }
 
-func (c *Console) run() {
+func (c *Server) run() {
 	defer c.left.Done()
 	for {
 		to, err := c.listener.Accept()
@@ -89,7 +89,7 @@
 }
 
 // enter makes room for a caller, or waits for one that is being answered at this moment.
-func (c *Console) enter(to net.Conn) bool {
+func (c *Server) enter(to net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for !c.closed && c.callers >= mostCallers && len(c.silent) == 0 {
@@ -109,7 +109,7 @@
 }
 
 // spoken takes a caller from those that may have to make room; false tells that it had to.
-func (c *Console) spoken(to net.Conn) bool {
+func (c *Server) spoken(to net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := slices.Index(c.silent, to)
@@ -119,7 +119,7 @@
 	return k >= 0
 }
 
-func (c *Console) serve(to net.Conn) {
+func (c *Server) serve(to net.Conn) {
 	defer c.left.Done()
 	defer to.Close()
 	line, err := readLine(to)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -48,7 +48,7 @@
 	})
 }
 
-func open(t *testing.T, do Do) *Console {
+func open(t *testing.T, do Handler) *Server {
 	c, err := Open("127.0.0.1:0", do, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	t.Cleanup(func() { assert.NoError(t, c.Close()) })
--- a/internal/capture/bench_test.go
+++ b/internal/capture/bench_test.go
@@ -14,12 +14,12 @@
 // counted and let go of.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []struct{ backends, nodes int }{{10, 3}, {30, 100}, {200, 1250}} {
-		t := &balancer.Terms{Seed: 1, Nodes: size.nodes, MaxPushes: 3, SecondCopies: true, Cancel: true, ColdFrom: 0.3, WarmWithin: 8000,
-			FallMultiple: 4, OverloadFor: 2000, Categories: []balancer.Category{{TargetLatency: 600, Benefit: 1}}}
+		t := &balancer.Config{Seed: 1, Nodes: size.nodes, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, SlowStartShare: 0.3, SlowStartWindow: 8000,
+			OverloadMultiple: 4, OverloadWindow: 2000, Classes: []balancer.Class{{LatencyObjective: 600, PriorityWeight: 1}}}
 		b.Run(fmt.Sprintf("%d/off", size.backends), func(b *testing.B) { decide(b, balancer.New(t, 1), size.backends) })
 		b.Run(fmt.Sprintf("%d/on", size.backends), func(b *testing.B) {
 			bytes := 0
-			r, err := NewRecorder(balancer.New(t, 1), 1, Start{Name: "n", Terms: t}, Options{Every: 10e3, Sink: func(b Batch) { bytes += len(b.Data) }})
+			r, err := NewRecorder(balancer.New(t, 1), 1, Start{Name: "n", Config: t}, Options{Every: 10e3, Sink: func(b Batch) { bytes += len(b.Data) }})
 			require.NoError(b, err)
 			decide(b, r, size.backends)
 			b.ReportMetric(float64(bytes)/float64(b.N), "bytes/op-unpacked")
@@ -28,26 +28,26 @@
 }
 
 func decide(b *testing.B, n balancer.Decider, backends int) {
-	var lines []balancer.Listing
+	var lines []balancer.Endpoint
 	for k := range backends {
-		lines = append(lines, balancer.Listing{Backend: &balancer.Backend{Ref: uint64(k)}, State: balancer.Ready, Zone: k % 3, Kind: k % 3, Weight: 1})
+		lines = append(lines, balancer.Endpoint{Backend: &balancer.Backend{ID: uint64(k)}, State: balancer.BackendReady, Zone: k % 3, Kind: k % 3, Weight: 1})
 	}
-	n.Listed(1, lines, true, false)
+	n.EndpointsChanged(1, lines, true, false)
 	b.ReportAllocs()
 	b.ResetTimer()
 	now := 1.0
 	for range b.N {
 		now += 5
-		op := &balancer.Op{GiveUp: now + 2000, Hint: 30, HasHint: true}
-		n.Arrived(now, op)
-		var p *balancer.Push
+		op := &balancer.Request{Deadline: now + 2000, CostHint: 30, HasCostHint: true}
+		n.RequestArrived(now, op)
+		var p *balancer.Attempt
 		for d, more := n.Next(); more; d, more = n.Next() {
-			if d.Kind == balancer.DoPush {
-				p = d.Push
+			if d.Kind == balancer.DoAttempt {
+				p = d.Attempt
 			}
 		}
-		n.Reported(now+3, p.Backend, balancer.Report{Service: 3, Held: 2, Waiting: balancer.Untold})
-		n.Ended(now+3, p, balancer.Answered, 3, true)
+		n.LoadReported(now+3, p.Backend, balancer.LoadReport{ServiceTime: 3, InFlight: 2, Queued: balancer.NotReported})
+		n.AttemptEnded(now+3, p, balancer.OutcomeAnswered, 3, true)
 		for _, more := n.Next(); more; _, more = n.Next() {
 		}
 	}
@@ -56,15 +56,15 @@
 // A snapshot: of a node that has had two thousand ops, and has one that is open for each backend.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, size := range []struct{ backends, nodes int }{{10, 3}, {30, 100}, {200, 1250}} {
-		t := &balancer.Terms{Seed: 1, Nodes: size.nodes, MaxPushes: 3, SecondCopies: true, Cancel: true, ColdFrom: 0.3, WarmWithin: 8000,
-			FallMultiple: 4, OverloadFor: 2000, Categories: []balancer.Category{{TargetLatency: 600, Benefit: 1}}}
+		t := &balancer.Config{Seed: 1, Nodes: size.nodes, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, SlowStartShare: 0.3, SlowStartWindow: 8000,
+			OverloadMultiple: 4, OverloadWindow: 2000, Classes: []balancer.Class{{LatencyObjective: 600, PriorityWeight: 1}}}
 		n := balancer.New(t, 1)
-		var lines []balancer.Listing
+		var lines []balancer.Endpoint
 		for k := range size.backends {
-			lines = append(lines, balancer.Listing{Backend: &balancer.Backend{Ref: uint64(k)}, State: balancer.Ready, Zone: k % 3, Kind: k % 3, Weight: 1})
+			lines = append(lines, balancer.Endpoint{Backend: &balancer.Backend{ID: uint64(k)}, State: balancer.BackendReady, Zone: k % 3, Kind: k % 3, Weight: 1})
 		}
-		n.Listed(1, lines, true, false)
-		var open []*balancer.Op
+		n.EndpointsChanged(1, lines, true, false)
+		var open []*balancer.Request
 		var backends []*balancer.Backend
 		for _, l := range lines {
 			backends = append(backends, l.Backend)
@@ -72,14 +72,14 @@
 		now := 1.0
 		for k := range 2000 + size.backends {
 			now++
-			op := &balancer.Op{GiveUp: now + 2000, Hint: 30, HasHint: true}
-			n.Arrived(now, op)
+			op := &balancer.Request{Deadline: now + 2000, CostHint: 30, HasCostHint: true}
+			n.RequestArrived(now, op)
 			for d, more := n.Next(); more; d, more = n.Next() {
-				if d.Kind == balancer.DoPush && k < 2000 {
-					n.Ended(now, d.Push, balancer.Answered, 3, true)
+				if d.Kind == balancer.DoAttempt && k < 2000 {
+					n.AttemptEnded(now, d.Attempt, balancer.OutcomeAnswered, 3, true)
 				}
 			}
-			if k >= 2000 && !op.Over() {
+			if k >= 2000 && !op.IsDone() {
 				open = append(open, op)
 			}
 		}
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -32,11 +32,11 @@
 	e, err := experiment.Read("../../experiments/" + name + ".toml")
 	require.NoError(t, err)
 	e.Seconds = seconds
-	run, err := virtual.Run(e, 1, virtual.Options{Wrap: func(n, life int, d balancer.Decider, terms *balancer.Terms, now float64) balancer.Decider {
+	run, err := virtual.Run(e, 1, virtual.Options{Wrap: func(n, life int, d balancer.Decider, terms *balancer.Config, now float64) balancer.Decider {
 		if n != node {
 			return d
 		}
-		r, err := NewRecorder(d, now, Start{Name: fmt.Sprint("n", n), Epoch: uint64(life), Build: "test", Terms: terms}, o)
+		r, err := NewRecorder(d, now, Start{Name: fmt.Sprint("n", n), Epoch: uint64(life), Build: "test", Config: terms}, o)
 		require.NoError(t, err)
 		return r
 	}})
@@ -106,11 +106,11 @@
 		e, err := experiment.Read("../../experiments/roll-in-a-shrink.toml")
 		require.NoError(t, err)
 		e.Seconds = 15
-		run, err := virtual.Run(e, 3, virtual.Options{Wrap: func(_, _ int, d balancer.Decider, terms *balancer.Terms, now float64) balancer.Decider {
+		run, err := virtual.Run(e, 3, virtual.Options{Wrap: func(_, _ int, d balancer.Decider, terms *balancer.Config, now float64) balancer.Decider {
 			if o == nil {
 				return d
 			}
-			r, err := NewRecorder(d, now, Start{Terms: terms}, *o)
+			r, err := NewRecorder(d, now, Start{Config: terms}, *o)
 			require.NoError(t, err)
 			return r
 		}})
@@ -137,24 +137,24 @@
 
 // Names used again and a clock that steps are as they came.
 func TestOddHosts(t *testing.T) {
-	terms := &balancer.Terms{Seed: 2, Nodes: 1, MaxPushes: 2, SecondCopies: true, OverloadFor: 100, Categories: []balancer.Category{{TargetLatency: 100, Benefit: 1}}}
+	terms := &balancer.Config{Seed: 2, Nodes: 1, MaxAttempts: 2, AllowHedging: true, OverloadWindow: 100, Classes: []balancer.Class{{LatencyObjective: 100, PriorityWeight: 1}}}
 	var records []Record
-	r, err := NewRecorder(balancer.New(terms, 1000), 1000, Start{Terms: terms}, Options{Every: 10, Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
+	r, err := NewRecorder(balancer.New(terms, 1000), 1000, Start{Config: terms}, Options{Every: 10, Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
 	require.NoError(t, err)
-	drain := func() (pushes []*balancer.Push) {
+	drain := func() (pushes []*balancer.Attempt) {
 		for d, more := r.Next(); more; d, more = r.Next() {
-			if d.Kind == balancer.DoPush {
-				pushes = append(pushes, d.Push)
+			if d.Kind == balancer.DoAttempt {
+				pushes = append(pushes, d.Attempt)
 			}
 		}
 		return pushes
 	}
-	b := &balancer.Backend{Ref: 4}
-	r.Listed(1000, []balancer.Listing{{Backend: b, State: balancer.Ready, Weight: 1}}, true, false)
+	b := &balancer.Backend{ID: 4}
+	r.EndpointsChanged(1000, []balancer.Endpoint{{Backend: b, State: balancer.BackendReady, Weight: 1}}, true, false)
 	for k, now := range []float64{1010, 1030, 900, 905, 1500} { // back by a step, and on
-		r.Arrived(now, &balancer.Op{Ref: 7, GiveUp: now + 1000, HasHint: true, Hint: 5})
+		r.RequestArrived(now, &balancer.Request{ID: 7, Deadline: now + 1000, HasCostHint: true, CostHint: 5})
 		for _, p := range drain() {
-			r.Ended(now+1, p, balancer.Ending(k%2)*balancer.Reset, 1, k%2 == 0)
+			r.AttemptEnded(now+1, p, balancer.Outcome(k%2)*balancer.OutcomeConnectionReset, 1, k%2 == 0)
 		}
 		drain()
 	}
@@ -166,30 +166,30 @@
 // An op taken over from another node comes with its pushes so far, to backends that this node's list may not have: played again it
 // goes where it went, and explain names it.
 func TestTakenOver(t *testing.T) {
-	terms := &balancer.Terms{Seed: 2, Nodes: 1, MaxPushes: 3, SecondCopies: true, OverloadFor: 100, Categories: []balancer.Category{
-		{Effect: balancer.Deduplicated, Group: balancer.GroupZone, Remembered: 500, TargetLatency: 1000, Benefit: 1}}}
+	terms := &balancer.Config{Seed: 2, Nodes: 1, MaxAttempts: 3, AllowHedging: true, OverloadWindow: 100, Classes: []balancer.Class{
+		{Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupByZone, DedupWindow: 500, LatencyObjective: 1000, PriorityWeight: 1}}}
 	var records []Record
-	r, err := NewRecorder(balancer.New(terms, 1000), 1000, Start{Terms: terms}, Options{Every: 10, Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
+	r, err := NewRecorder(balancer.New(terms, 1000), 1000, Start{Config: terms}, Options{Every: 10, Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
 	require.NoError(t, err)
-	var pushed []*balancer.Push
+	var pushed []*balancer.Attempt
 	drain := func() {
 		for d, more := r.Next(); more; d, more = r.Next() {
-			if d.Kind == balancer.DoPush {
-				pushed = append(pushed, d.Push)
+			if d.Kind == balancer.DoAttempt {
+				pushed = append(pushed, d.Attempt)
 			}
 		}
 	}
-	near, far := &balancer.Backend{Ref: 4}, &balancer.Backend{Ref: 5}
-	r.Listed(1000, []balancer.Listing{{Backend: near, State: balancer.Ready, Weight: 1}, {Backend: far, State: balancer.Ready, Weight: 1, Zone: 1}}, true, false)
+	near, far := &balancer.Backend{ID: 4}, &balancer.Backend{ID: 5}
+	r.EndpointsChanged(1000, []balancer.Endpoint{{Backend: near, State: balancer.BackendReady, Weight: 1}, {Backend: far, State: balancer.BackendReady, Weight: 1, Zone: 1}}, true, false)
 	drain()
-	op := &balancer.Op{Ref: 7, GiveUp: 3000}
-	op.Before(&balancer.Backend{Ref: 99, Zone: 1}, 900, balancer.TimedOut)
-	r.Arrived(1100, op)
+	op := &balancer.Request{ID: 7, Deadline: 3000}
+	op.AddEarlierAttempt(&balancer.Backend{ID: 99, Zone: 1}, 900, balancer.OutcomeTimedOut)
+	r.RequestArrived(1100, op)
 	drain()
 	require.Len(t, pushed, 1)
 	require.Equal(t, far, pushed[0].Backend, "only its zone drops repeats")
 	require.Equal(t, 1, pushed[0].Number)
-	r.Ended(1150, pushed[0], balancer.Answered, 50, true)
+	r.AttemptEnded(1150, pushed[0], balancer.OutcomeAnswered, 50, true)
 	drain()
 	claim, err := replay(records)
 	require.NoError(t, err)
@@ -218,7 +218,7 @@
 	all := captured(t, "hung", 12, 0)
 	found := 0
 	for k, r := range all {
-		if k%97 != 0 || r.Kind != Pulled {
+		if k%97 != 0 || r.Kind != Decided {
 			continue
 		}
 		wrong := append([]Record{}, all...)
@@ -232,7 +232,7 @@
 	}
 	assert.Positive(t, found)
 	// Other terms are another module: it can't pass for the one captured.
-	p := &Replayer{New: func(terms *balancer.Terms, now float64) balancer.Decider {
+	p := &Replayer{New: func(terms *balancer.Config, now float64) balancer.Decider {
 		terms.Seed ^= 0xff00 // the lowest bit is not the chance's
 		return balancer.New(terms, now)
 	}}
@@ -261,17 +261,17 @@
 		e.Backend.CrowdQueue = 3
 		p := &Replayer{Strict: true}
 		var start Start
-		_, err = virtual.Run(e, rapid.Uint64().Draw(t, "seed"), virtual.Options{Wrap: func(n, life int, d balancer.Decider, terms *balancer.Terms, now float64) balancer.Decider {
+		_, err = virtual.Run(e, rapid.Uint64().Draw(t, "seed"), virtual.Options{Wrap: func(n, life int, d balancer.Decider, terms *balancer.Config, now float64) balancer.Decider {
 			if n != 1 {
 				return d
 			}
-			start = Start{Name: "n1", Terms: terms}
+			start = Start{Name: "n1", Config: terms}
 			r, err := NewRecorder(d, now, start, Options{Every: 500, Sink: func(b Batch) {
 				for _, x := range unframed(b.Data) {
 					if err := p.Feed(x); err != nil {
 						t.Fatal(err)
 					}
-					if x.Kind == Idle {
+					if x.Kind == BatchEnd {
 						if err := p.Renew(start); err != nil {
 							t.Fatal(err)
 						}
@@ -345,8 +345,8 @@
 			require.NoError(t, claim.Feed(r))
 		}
 		for _, r := range records {
-			if r.Kind == Arrived {
-				all = append(all, r.Ref)
+			if r.Kind == RequestArrived {
+				all = append(all, r.ID)
 			}
 		}
 		return all
@@ -377,10 +377,10 @@
 		arrived, decided := bytes.Index(out.Bytes(), []byte("arrived op")), bytes.Index(out.Bytes(), []byte("decided: "))
 		looked := bytes.Index(out.Bytes(), []byte("    "))
 		assert.True(t, arrived >= 0 && arrived < looked && looked < decided, text)
-		if !bytes.Contains(out.Bytes(), []byte(balancer.Fallen.String())) { // no backend was looked at
+		if !bytes.Contains(out.Bytes(), []byte(balancer.ReasonPoisonRequest.String())) { // no backend was looked at
 			assert.Contains(t, text, "foreseen")
 		}
-		for r := balancer.Open; r <= balancer.Held; r++ {
+		for r := balancer.Eligible; r <= balancer.ReasonQueued; r++ {
 			reasons[r.String()] += bytes.Count(out.Bytes(), []byte(": "+r.String()+";"))
 		}
 	}
@@ -403,21 +403,21 @@
 // What came late stands where it came, and is marked.
 func TestNotes(t *testing.T) {
 	push := func(op, backend uint64, at float64) Record {
-		return Record{Kind: Pulled, Decision: balancer.DoPush, Now: at, Op: op, Backend: backend}
+		return Record{Kind: Decided, Decision: balancer.DoAttempt, Now: at, Request: op, Backend: backend}
 	}
 	end := func(op uint64, at float64, flags uint64) Record {
-		return Record{Kind: Ended, Ending: balancer.Answered, Now: at, Op: op, Flags: flags}
+		return Record{Kind: AttemptEnded, Outcome: balancer.OutcomeAnswered, Now: at, Request: op, Flags: flags}
 	}
 	var n Notes
 	for _, c := range []struct {
 		r    Record
 		want string
 	}{
-		{Record{Kind: Listed, Lines: []Line{{Backend: 1, Started: 50}}}, ""},
-		{Record{Kind: Listed, Lines: []Line{{Backend: 1, Started: 40}}}, "older than what is held of backend 1"},
+		{Record{Kind: EndpointsChanged, Endpoints: []Endpoint{{Backend: 1, Started: 50}}}, ""},
+		{Record{Kind: EndpointsChanged, Endpoints: []Endpoint{{Backend: 1, Started: 40}}}, "older than what is held of backend 1"},
 		{push(1, 1, 10), ""}, {push(2, 1, 20), ""}, {end(2, 30, flagFinished), ""},
 		{end(1, 31, flagFinished), "overtaken: an answer to what was sent later came before"},
-		{push(3, 1, 40), ""}, {Record{Kind: Pulled, Decision: balancer.DoNack, Op: 3, Now: 41}, ""}, {end(3, 45, 0), "after the op's final answer"},
+		{push(3, 1, 40), ""}, {Record{Kind: Decided, Decision: balancer.DoReject, Request: 3, Now: 41}, ""}, {end(3, 45, 0), "after the op's final answer"},
 	} {
 		assert.Equal(t, c.want, n.Note(c.r), c.r)
 	}
@@ -595,7 +595,7 @@
 	}
 	put := func(n int) {
 		for range n {
-			x := Record{Kind: Due, Now: 1}
+			x := Record{Kind: TimerFired, Now: 1}
 			w.Put(Batch{Records: 1, Data: Frame(x)})
 		}
 	}
@@ -629,7 +629,7 @@
 	})
 	begun := time.Now()
 	for range 20_000 {
-		x := Record{Kind: Due, Now: 1}
+		x := Record{Kind: TimerFired, Now: 1}
 		w.Put(Batch{Records: 1, Data: Frame(x)})
 	}
 	assert.Less(t, time.Since(begun), 5*time.Second)
@@ -644,12 +644,12 @@
 
 func TestRecordsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := Record{Kind: Kind(rapid.IntRange(1, 15).Draw(t, "kind")), Now: rapid.Float64Range(0, 1e13).Draw(t, "now"), Op: rapid.Uint64().Draw(t, "op"),
-			Ref: rapid.Uint64().Draw(t, "ref"), Push: rapid.IntRange(0, 200).Draw(t, "push"), Value: rapid.Float64().Draw(t, "value"),
-			Hint: rapid.Float64().Draw(t, "hint"), GiveUp: rapid.Float64().Draw(t, "give up"), Flags: rapid.Uint64().Draw(t, "flags"),
-			Category: rapid.IntRange(0, 300).Draw(t, "category")}
+		r := Record{Kind: Kind(rapid.IntRange(1, 15).Draw(t, "kind")), Now: rapid.Float64Range(0, 1e13).Draw(t, "now"), Request: rapid.Uint64().Draw(t, "op"),
+			ID: rapid.Uint64().Draw(t, "ref"), Attempt: rapid.IntRange(0, 200).Draw(t, "push"), Value: rapid.Float64().Draw(t, "value"),
+			CostHint: rapid.Float64().Draw(t, "hint"), Deadline: rapid.Float64().Draw(t, "give up"), Flags: rapid.Uint64().Draw(t, "flags"),
+			Class: rapid.IntRange(0, 300).Draw(t, "category")}
 		for range rapid.IntRange(0, 3).Draw(t, "lines") {
-			r.Lines = append(r.Lines, Line{Backend: rapid.Uint64().Draw(t, "b"), State: balancer.State(rapid.IntRange(0, 2).Draw(t, "s")),
+			r.Endpoints = append(r.Endpoints, Endpoint{Backend: rapid.Uint64().Draw(t, "b"), State: balancer.BackendState(rapid.IntRange(0, 2).Draw(t, "s")),
 				Zone: rapid.IntRange(0, 9).Draw(t, "z"), Weight: rapid.Float64().Draw(t, "w"), Started: rapid.Float64().Draw(t, "st")})
 		}
 		encoded := r.Append(nil)
@@ -665,7 +665,7 @@
 
 func FuzzReader(f *testing.F) {
 	var data bytes.Buffer
-	x := Record{Kind: Due, Now: 3}
+	x := Record{Kind: TimerFired, Now: 3}
 	data.WriteString(magic + "\x02")
 	f.Add(data.Bytes())
 	f.Add(append(data.Bytes(), Frame(x)...))
@@ -690,51 +690,51 @@
 
 // A report keeps what is not told apart from an idle backend's zeros; one of an earlier build told a service time alone.
 func TestReportsRoundTrip(t *testing.T) {
-	for _, load := range []balancer.Report{{Service: 3, Held: balancer.Untold, Waiting: balancer.Untold, Rate: 7}, {Service: balancer.Untold, Held: 0, Waiting: 0}} {
-		r := Record{Kind: Reported, Now: 1, Backend: 2, Load: load}
+	for _, load := range []balancer.LoadReport{{ServiceTime: 3, InFlight: balancer.NotReported, Queued: balancer.NotReported, Throughput: 7}, {ServiceTime: balancer.NotReported, InFlight: 0, Queued: 0}} {
+		r := Record{Kind: LoadReported, Now: 1, Backend: 2, Load: load}
 		got, err := Decode(r.Append(nil))
 		require.NoError(t, err)
 		assert.Equal(t, r, got)
 	}
-	old := protowire.AppendVarint(protowire.AppendTag(nil, fieldKind, protowire.VarintType), uint64(Reported))
+	old := protowire.AppendVarint(protowire.AppendTag(nil, fieldKind, protowire.VarintType), uint64(LoadReported))
 	old = protowire.AppendFixed64(protowire.AppendTag(old, fieldValue, protowire.Fixed64Type), math.Float64bits(31.5))
 	got, err := Decode(old)
 	require.NoError(t, err)
-	assert.Equal(t, balancer.Report{Service: 31.5, Held: balancer.Untold, Waiting: balancer.Untold, Rate: balancer.Untold}, got.Load)
+	assert.Equal(t, balancer.LoadReport{ServiceTime: 31.5, InFlight: balancer.NotReported, Queued: balancer.NotReported, Throughput: balancer.NotReported}, got.Load)
 }
 
 // A ban, a second process and new terms are replayed as they came, also for an op that came under the earlier terms.
 func TestOperatorsReplayed(t *testing.T) {
-	terms := func(effect balancer.Effect) *balancer.Terms {
-		return &balancer.Terms{Seed: 2, Nodes: 1, MaxPushes: 2, OverloadFor: 100, Categories: []balancer.Category{{Effect: effect, TargetLatency: 100, Benefit: 1}}}
+	terms := func(effect balancer.Idempotency) *balancer.Config {
+		return &balancer.Config{Seed: 2, Nodes: 1, MaxAttempts: 2, OverloadWindow: 100, Classes: []balancer.Class{{Idempotency: effect, LatencyObjective: 100, PriorityWeight: 1}}}
 	}
-	first, second := terms(balancer.Redeliverable), terms(balancer.AtMostOnce)
+	first, second := terms(balancer.Idempotent), terms(balancer.AtMostOnce)
 	var records []Record
-	r, err := NewRecorder(balancer.New(first, 1000), 1000, Start{Terms: first}, Options{Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
+	r, err := NewRecorder(balancer.New(first, 1000), 1000, Start{Config: first}, Options{Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
 	require.NoError(t, err)
-	bs := []*balancer.Backend{{Ref: 4}, {Ref: 5}, {Ref: 6}}
+	bs := []*balancer.Backend{{ID: 4}, {ID: 5}, {ID: 6}}
 	list := func(now float64, out bool) {
 		for _, b := range bs {
-			r.Listed(now, []balancer.Listing{{Backend: b, State: balancer.Ready, Weight: 1, Banned: out && b.Ref == 4}}, false, true)
+			r.EndpointsChanged(now, []balancer.Endpoint{{Backend: b, State: balancer.BackendReady, Weight: 1, Cordoned: out && b.ID == 4}}, false, true)
 		}
 	}
 	finals := 0
-	ask := func(now float64, under *balancer.Terms) {
-		r.Arrived(now, &balancer.Op{GiveUp: now + 1000, HasHint: true, Hint: 5, Under: under})
+	ask := func(now float64, under *balancer.Config) {
+		r.RequestArrived(now, &balancer.Request{Deadline: now + 1000, HasCostHint: true, CostHint: 5, Config: under})
 		for d, more := r.Next(); more; d, more = r.Next() {
 			switch d.Kind {
-			case balancer.DoPush:
-				assert.NotEqual(t, uint64(4), d.Push.Backend.Ref)
-				r.Ended(now+1, d.Push, balancer.Failed, 1, false)
-			case balancer.DoNack, balancer.DoDeadLetter:
+			case balancer.DoAttempt:
+				assert.NotEqual(t, uint64(4), d.Attempt.Backend.ID)
+				r.AttemptEnded(now+1, d.Attempt, balancer.OutcomeFailed, 1, false)
+			case balancer.DoReject, balancer.DoFail:
 				finals++
 			}
 		}
 	}
 	list(1000, true)
 	ask(1010, first)
-	r.Split(1020, 2)
-	r.Retuned(1030, second, []int{0})
+	r.ProcessesChanged(1020, 2)
+	r.ConfigChanged(1030, second, []int{0})
 	ask(1040, second)
 	ask(1050, first)
 	ask(1060, nil)
--- a/internal/capture/explain.go
+++ b/internal/capture/explain.go
@@ -26,29 +26,29 @@
 		e.reported = map[uint64]float64{}
 	}
 	switch x.Kind {
-	case Listed:
+	case EndpointsChanged:
 		if x.Flags&flagCached == 0 {
 			e.told = x.Now
 		}
-	case Reported:
+	case LoadReported:
 		e.reported[x.Backend] = x.Now
 	}
-	mine := x.Op == e.Op && x.Kind != Snapshot
-	if mine && x.Kind != Pulled {
+	mine := x.Request == e.Op && x.Kind != Snapshot
+	if mine && x.Kind != Decided {
 		fmt.Fprintln(e.Out, x)
 	}
 	e.looked = e.looked[:0]
 	if err := e.Replayer.Feed(x); err != nil {
 		return err
 	}
-	if n, ok := e.node.(*balancer.Node); ok && n.Asked == nil {
-		n.Asked = func(op *balancer.Op, b *balancer.Backend, r balancer.Reason) { e.asked(n, op, b, r) }
+	if n, ok := e.node.(*balancer.Balancer); ok && n.OnConsidered == nil {
+		n.OnConsidered = func(op *balancer.Request, b *balancer.Backend, r balancer.Reason) { e.asked(n, op, b, r) }
 	}
 	// What the module looked at in this step belongs to the decisions that follow, of this op or of others.
 	for _, line := range e.looked {
 		fmt.Fprintln(e.Out, line)
 	}
-	if mine && x.Kind == Pulled {
+	if mine && x.Kind == Decided {
 		e.seen = true
 		fmt.Fprintf(e.Out, "%.3f decided: %s\n", x.Now, decision(x))
 	}
@@ -56,13 +56,13 @@
 }
 
 // asked is told by the module of one backend that it looked at.
-func (e *Explainer) asked(n *balancer.Node, op *balancer.Op, b *balancer.Backend, r balancer.Reason) {
+func (e *Explainer) asked(n *balancer.Balancer, op *balancer.Request, b *balancer.Backend, r balancer.Reason) {
 	if e.numbers[op] != e.Op {
 		return
 	}
 	if b == nil {
 		text := "    waits: no backend may have it now"
-		if r == balancer.Fallen {
+		if r == balancer.ReasonPoisonRequest {
 			text = "    not looked for: " + r.String()
 		}
 		e.looked = append(e.looked, text)
@@ -70,7 +70,7 @@
 	}
 	x, number := n.Belief(op, b), e.refs[b]
 	line := fmt.Sprintf("    backend %d (%x): %s; answer in %.1f ms foreseen (%.1f alone), %d of %.1f pushes out, distrust %.2f, warmth %.2f, turn in %.2f",
-		number, b.Ref, r, x.Predict, x.Alone, x.Out, x.Most, x.Distrust, x.Warmth, x.Pass)
+		number, b.ID, r, x.Predict, x.Alone, x.Out, x.Most, x.Distrust, x.Warmth, x.Pass)
 	if !x.Near {
 		line += ", another zone"
 	}
@@ -110,40 +110,40 @@
 		*n = Notes{map[uint64]float64{}, map[uint64]bool{}, map[uint64]int{}, map[[2]uint64]float64{}, map[[2]uint64]uint64{},
 			map[uint64]float64{}}
 	}
-	push := [2]uint64{x.Op, uint64(x.Push)}
+	push := [2]uint64{x.Request, uint64(x.Attempt)}
 	switch x.Kind {
-	case Listed:
-		for _, l := range x.Lines {
+	case EndpointsChanged:
+		for _, l := range x.Endpoints {
 			if l.Started < n.started[l.Backend] {
 				return fmt.Sprintf("older than what is held of backend %d", l.Backend)
 			}
 			n.started[l.Backend] = l.Started
 		}
-	case Pulled:
+	case Decided:
 		switch x.Decision {
-		case balancer.DoPush:
+		case balancer.DoAttempt:
 			n.sent[push], n.target[push] = x.Now, x.Backend
-			n.out[x.Op]++
-		case balancer.DoNack, balancer.DoDeadLetter:
-			n.close(x.Op)
+			n.out[x.Request]++
+		case balancer.DoReject, balancer.DoFail:
+			n.close(x.Request)
 		}
-	case Ended:
+	case AttemptEnded:
 		at, b := n.sent[push], n.target[push]
 		delete(n.sent, push)
 		delete(n.target, push)
-		defer n.end(x.Op)
+		defer n.end(x.Request)
 		late := n.heard[b] > at
-		if x.Ending == balancer.Answered {
+		if x.Outcome == balancer.OutcomeAnswered {
 			n.heard[b] = max(n.heard[b], at)
 		}
 		switch {
-		case n.over[x.Op]:
+		case n.over[x.Request]:
 			return "after the op's final answer"
-		case late && x.Ending == balancer.Answered:
+		case late && x.Outcome == balancer.OutcomeAnswered:
 			return "overtaken: an answer to what was sent later came before"
 		}
 		if x.Flags&flagFinished != 0 {
-			n.over[x.Op] = true
+			n.over[x.Request] = true
 		}
 	}
 	return ""
