--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -21,13 +21,13 @@
 			text += fmt.Sprintln(name, reflect.ValueOf(v).Uint())
 		}
 	}
-	put("record", Begin, Listed, ListFailed, Arrived, Left, Begun, Ended, Reported, Due, Shortened, Pulled, Idle, Gap, Snapshot, Dropped, Split, Sent,
-		Retuned, Taken)
-	put("effect", balancer.Redeliverable, balancer.Deduplicated, balancer.AtMostOnce)
-	put("group", balancer.GroupAll, balancer.GroupZone, balancer.GroupCell)
-	put("state", balancer.Gone, balancer.Draining, balancer.Ready)
-	put("outcome", balancer.Answered, balancer.Failed, balancer.Rejected, balancer.TimedOut, balancer.NoConnection, balancer.Reset, balancer.Revoked, balancer.NotSent)
-	put("decision", balancer.DoPush, balancer.DoNack, balancer.DoDeadLetter, balancer.DoRevoke, balancer.DoWatch, balancer.DoTimer, balancer.DoLog)
+	put("record", Begin, EndpointsChanged, PollFailed, RequestArrived, ClientGone, ResponseStarted, AttemptEnded, LoadReported, TimerFired, DeadlineShortened, Decided, BatchEnd, Gap, Snapshot, BackendForgotten, ProcessesChanged, RequestBodySent,
+		ConfigChanged, EarlierAttempt)
+	put("effect", balancer.Idempotent, balancer.IdempotentWithKey, balancer.AtMostOnce)
+	put("group", balancer.DedupByAll, balancer.DedupByZone, balancer.DedupByCell)
+	put("state", balancer.BackendRemoved, balancer.BackendDraining, balancer.BackendReady)
+	put("outcome", balancer.OutcomeAnswered, balancer.OutcomeFailed, balancer.OutcomeRejected, balancer.OutcomeTimedOut, balancer.OutcomeConnectFailed, balancer.OutcomeConnectionReset, balancer.OutcomeCanceled, balancer.OutcomeNotSent)
+	put("decision", balancer.DoAttempt, balancer.DoReject, balancer.DoFail, balancer.DoCancel, balancer.DoPoll, balancer.DoSetTimer, balancer.DoLog)
 	goldentest.Equal(t, "numbers.txt", []byte(text))
 }
 
@@ -45,7 +45,7 @@
 		require.NoError(t, err)
 		require.Equal(t, r, data)
 	}
-	for _, k := range []Kind{Begin, Listed, Arrived, Ended, Reported, Due, Pulled, Idle, Snapshot} {
+	for _, k := range []Kind{Begin, EndpointsChanged, RequestArrived, AttemptEnded, LoadReported, TimerFired, Decided, BatchEnd, Snapshot} {
 		require.True(t, kinds[k], k)
 	}
 }
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -22,24 +22,24 @@
 const (
 	// Begin: a module's start: the clock, and in Data its terms, name, epoch and build as JSON.
 	Begin Kind = iota + 1
-	Listed
-	ListFailed
-	Arrived
-	Left
-	Begun
-	Ended
-	Reported
-	Due
-	Shortened // an op's give-up time was moved, as a node does that is about to end
-	Pulled    // a decision
-	Idle      // there was none left: the batch's end
-	Gap       // records are missing here: Count of them
-	Snapshot  // the module's state at a batch's end, from which a replay may begin
-	Dropped   // the host let go of a backend
-	Split     // of how many processes the node is made up: Count
-	Sent      // a streamed push's last byte went out; Value is when its op's client gives up
-	Retuned   // new terms, in Data as of Begin; Ops has each category's former place, from 1 on, 0 where it had none
-	Taken     // ahead of Arrived: a push that another node had begun of an op taken over from it; its backend is in Lines
+	EndpointsChanged
+	PollFailed
+	RequestArrived
+	ClientGone
+	ResponseStarted
+	AttemptEnded
+	LoadReported
+	TimerFired
+	DeadlineShortened // an op's give-up time was moved, as a node does that is about to end
+	Decided           // a decision
+	BatchEnd          // there was none left: the batch's end
+	Gap               // records are missing here: Count of them
+	Snapshot          // the module's state at a batch's end, from which a replay may begin
+	BackendForgotten  // the host let go of a backend
+	ProcessesChanged  // of how many processes the node is made up: Count
+	RequestBodySent   // a streamed push's last byte went out; Value is when its op's client gives up
+	ConfigChanged     // new terms, in Data as of Begin; Ops has each category's former place, from 1 on, 0 where it had none
+	EarlierAttempt    // ahead of Arrived: a push that another node had begun of an op taken over from it; its backend is in Lines
 )
 
 var kinds = [...]string{"", "begin", "listed", "list failed", "arrived", "left", "begun", "ended", "reported", "due", "shortened", "pulled",
@@ -54,41 +54,41 @@
 
 // Record is one thing told or pulled. Ops and backends go by the numbers that the capture gave them.
 type Record struct {
-	Kind     Kind
-	Now      float64
-	Op       uint64 // counts arrivals from 1
-	Ref      uint64 // the host's name of an op or backend
-	Push     int
-	Backend  uint64 // counts first listings from 1
-	Decision balancer.Kind
-	Ending   balancer.Ending
-	Value    float64 // elapsed, service, wait, give-up time
-	Flags    uint64
-	Category int
-	Tenant   int
-	Hint     float64
-	GiveUp   float64
-	Key      uint64 // what an op is about, as it is: decisions follow from it
-	Count    uint64
-	Lines    []Line
-	Data     []byte   // of Begin and Snapshot, a Start as JSON; a log line of Pulled
-	State    []byte   // of Snapshot, as internal/snapshot has it
-	Ops      []uint64 // of Snapshot: the numbers of its ops and backends, in their order there
-	Backends []uint64
-	Load     balancer.Report // of Reported
+	Kind      Kind
+	Now       float64
+	Request   uint64 // counts arrivals from 1
+	ID        uint64 // the host's name of an op or backend
+	Attempt   int
+	Backend   uint64 // counts first listings from 1
+	Decision  balancer.DecisionKind
+	Outcome   balancer.Outcome
+	Value     float64 // elapsed, service, wait, give-up time
+	Flags     uint64
+	Class     int
+	Tenant    int
+	CostHint  float64
+	Deadline  float64
+	Key       uint64 // what an op is about, as it is: decisions follow from it
+	Count     uint64
+	Endpoints []Endpoint
+	Data      []byte   // of Begin and Snapshot, a Start as JSON; a log line of Pulled
+	State     []byte   // of Snapshot, as internal/snapshot has it
+	Requests  []uint64 // of Snapshot: the numbers of its ops and backends, in their order there
+	Backends  []uint64
+	Load      balancer.LoadReport // of Reported
 }
 
 // Line is one of a list's.
-type Line struct {
-	Backend uint64
-	Ref     uint64
-	State   balancer.State
-	Zone    int
-	Cell    int
-	Kind    int
-	Weight  float64
-	Started float64
-	Banned  bool
+type Endpoint struct {
+	Backend  uint64
+	ID       uint64
+	State    balancer.BackendState
+	Zone     int
+	Cell     int
+	Kind     int
+	Weight   float64
+	Started  float64
+	Cordoned bool
 }
 
 // Flags of records.
@@ -142,27 +142,27 @@
 	}
 	number(fieldKind, uint64(r.Kind))
 	float(fieldNow, r.Now)
-	number(fieldOp, r.Op)
-	number(fieldRef, r.Ref)
-	number(fieldPush, uint64(r.Push))
+	number(fieldOp, r.Request)
+	number(fieldRef, r.ID)
+	number(fieldPush, uint64(r.Attempt))
 	number(fieldBackend, r.Backend)
 	number(fieldDecision, uint64(r.Decision))
-	number(fieldEnding, uint64(r.Ending))
+	number(fieldEnding, uint64(r.Outcome))
 	float(fieldValue, r.Value)
 	number(fieldFlags, r.Flags)
-	number(fieldCategory, uint64(r.Category))
+	number(fieldCategory, uint64(r.Class))
 	number(fieldTenant, uint64(r.Tenant))
 	number(fieldKey, r.Key)
-	float(fieldHint, r.Hint)
-	float(fieldGiveUp, r.GiveUp)
+	float(fieldHint, r.CostHint)
+	float(fieldGiveUp, r.Deadline)
 	number(fieldCount, r.Count)
-	for _, l := range r.Lines {
+	for _, l := range r.Endpoints {
 		b = protowire.AppendBytes(protowire.AppendTag(b, fieldLine, protowire.BytesType), l.append(nil))
 	}
 	for _, x := range []struct {
 		field protowire.Number
 		data  []byte
-	}{{fieldData, r.Data}, {fieldState, r.State}, {fieldOps, packed(r.Ops)}, {fieldBackends, packed(r.Backends)}, {fieldLoad, r.load()}} {
+	}{{fieldData, r.Data}, {fieldState, r.State}, {fieldOps, packed(r.Requests)}, {fieldBackends, packed(r.Backends)}, {fieldLoad, r.load()}} {
 		if len(x.data) > 0 {
 			b = protowire.AppendBytes(protowire.AppendTag(b, x.field, protowire.BytesType), x.data)
 		}
@@ -172,19 +172,19 @@
 
 // load gives a report's values; what is not told is below 0, and differs from an idle backend's zeros.
 func (r *Record) load() (b []byte) {
-	if r.Kind == Reported {
-		for _, x := range []float64{r.Load.Service, r.Load.Held, r.Load.Waiting, r.Load.Rate} {
+	if r.Kind == LoadReported {
+		for _, x := range []float64{r.Load.ServiceTime, r.Load.InFlight, r.Load.Queued, r.Load.Throughput} {
 			b = protowire.AppendFixed64(b, math.Float64bits(x))
 		}
 	}
 	return b
 }
 
-func unpackLoad(b []byte) (load balancer.Report, err error) {
-	load = balancer.NoReport()
-	for _, x := range []*float64{&load.Service, &load.Held, &load.Waiting, &load.Rate} {
+func unpackLoad(b []byte) (load balancer.LoadReport, err error) {
+	load = balancer.EmptyLoadReport()
+	for _, x := range []*float64{&load.ServiceTime, &load.InFlight, &load.Queued, &load.Throughput} {
 		bits, size := protowire.ConsumeFixed64(b)
-		if len(b) == 0 && x == &load.Rate { // earlier builds told none
+		if len(b) == 0 && x == &load.Throughput { // earlier builds told none
 			break
 		}
 		if size < 0 {
@@ -213,8 +213,8 @@
 	return numbers, nil
 }
 
-func (l Line) append(b []byte) []byte {
-	for field, x := range []uint64{l.Backend, l.Ref, uint64(l.State), uint64(l.Zone), uint64(l.Cell), uint64(l.Kind)} {
+func (l Endpoint) append(b []byte) []byte {
+	for field, x := range []uint64{l.Backend, l.ID, uint64(l.State), uint64(l.Zone), uint64(l.Cell), uint64(l.Kind)} {
 		if x != 0 {
 			b = protowire.AppendVarint(protowire.AppendTag(b, protowire.Number(field+1), protowire.VarintType), x)
 		}
@@ -224,7 +224,7 @@
 			b = protowire.AppendFixed64(protowire.AppendTag(b, protowire.Number(field+7), protowire.Fixed64Type), bits)
 		}
 	}
-	if l.Banned {
+	if l.Cordoned {
 		b = protowire.AppendVarint(protowire.AppendTag(b, 9, protowire.VarintType), 1)
 	}
 	return b
@@ -257,31 +257,31 @@
 		case fieldNow:
 			r.Now = math.Float64frombits(x)
 		case fieldOp:
-			r.Op = x
+			r.Request = x
 		case fieldRef:
-			r.Ref = x
+			r.ID = x
 		case fieldPush:
-			r.Push = small(x)
+			r.Attempt = small(x)
 		case fieldBackend:
 			r.Backend = x
 		case fieldDecision:
-			r.Decision = balancer.Kind(min(x, math.MaxUint8))
+			r.Decision = balancer.DecisionKind(min(x, math.MaxUint8))
 		case fieldEnding:
-			r.Ending = balancer.Ending(min(x, math.MaxUint8))
+			r.Outcome = balancer.Outcome(min(x, math.MaxUint8))
 		case fieldValue:
 			r.Value = math.Float64frombits(x)
 		case fieldFlags:
 			r.Flags = x
 		case fieldCategory:
-			r.Category = small(x)
+			r.Class = small(x)
 		case fieldTenant:
 			r.Tenant = small(x)
 		case fieldKey:
 			r.Key = x
 		case fieldHint:
-			r.Hint = math.Float64frombits(x)
+			r.CostHint = math.Float64frombits(x)
 		case fieldGiveUp:
-			r.GiveUp = math.Float64frombits(x)
+			r.Deadline = math.Float64frombits(x)
 		case fieldCount:
 			r.Count = x
 		case fieldLine:
@@ -289,7 +289,7 @@
 			if odd != nil {
 				return odd
 			}
-			r.Lines = append(r.Lines, l)
+			r.Endpoints = append(r.Endpoints, l)
 		case fieldLoad:
 			loaded = true
 			r.Load, err = unpackLoad(data)
@@ -298,15 +298,15 @@
 		case fieldState:
 			r.State = append([]byte{}, data...)
 		case fieldOps:
-			r.Ops, err = unpacked(data)
+			r.Requests, err = unpacked(data)
 		case fieldBackends:
 			r.Backends, err = unpacked(data)
 		}
 		return err
 	})
-	if r.Kind == Reported && !loaded { // earlier builds told a service time alone
-		r.Load = balancer.NoReport()
-		r.Load.Service = r.Value
+	if r.Kind == LoadReported && !loaded { // earlier builds told a service time alone
+		r.Load = balancer.EmptyLoadReport()
+		r.Load.ServiceTime = r.Value
 	}
 	if walk == nil && (r.Kind == 0 || math.IsNaN(r.Now)) {
 		walk = errOdd
@@ -314,7 +314,7 @@
 	return r, walk
 }
 
-func decodeLine(b []byte) (l Line, err error) {
+func decodeLine(b []byte) (l Endpoint, err error) {
 	walk := fields(b, func(n protowire.Number, x uint64, _ []byte) error {
 		if n >= 3 && n <= 6 && x > mostNumber {
 			return errOdd
@@ -323,12 +323,12 @@
 		case 1:
 			l.Backend = x
 		case 2:
-			l.Ref = x
+			l.ID = x
 		case 3:
-			if x > uint64(balancer.Ready) {
+			if x > uint64(balancer.BackendReady) {
 				return errOdd
 			}
-			l.State = balancer.State(x)
+			l.State = balancer.BackendState(x)
 		case 4:
 			l.Zone = int(x)
 		case 5:
@@ -340,7 +340,7 @@
 		case 8:
 			l.Started = math.Float64frombits(x)
 		case 9:
-			l.Banned = x != 0
+			l.Cordoned = x != 0
 		}
 		return nil
 	})
@@ -349,17 +349,17 @@
 
 // Start is what a Begin record holds.
 type Start struct {
-	Name  string          `json:"name"`  // of the node: epochs of one name belong together
-	Epoch uint64          `json:"epoch"` // its process
-	Build string          `json:"build"`
-	Terms *balancer.Terms `json:"terms"`
+	Name   string           `json:"name"`  // of the node: epochs of one name belong together
+	Epoch  uint64           `json:"epoch"` // its process
+	Build  string           `json:"build"`
+	Config *balancer.Config `json:"terms"`
 }
 
 func (r Record) start() (s Start, err error) {
 	if err := json.Unmarshal(r.Data, &s); err != nil {
 		return s, fmt.Errorf("begin: %w", err)
 	}
-	if s.Terms == nil {
+	if s.Config == nil {
 		return s, errors.New("begin: no terms")
 	}
 	return s, nil
@@ -371,30 +371,30 @@
 	switch r.Kind {
 	case Begin:
 		if s, err := r.start(); err == nil {
-			text += fmt.Sprintf(" %s epoch %d, seed %x, %d nodes, %d categories", s.Name, s.Epoch, s.Terms.Seed, s.Terms.Nodes, len(s.Terms.Categories))
+			text += fmt.Sprintf(" %s epoch %d, seed %x, %d nodes, %d categories", s.Name, s.Epoch, s.Config.Seed, s.Config.Nodes, len(s.Config.Classes))
 		}
-	case Listed:
-		text += fmt.Sprintf(" %d lines, whole %t, held %t", len(r.Lines), r.Flags&flagFull != 0, r.Flags&flagCached != 0)
-	case Arrived:
-		text += fmt.Sprintf(" op %d (%x) category %d hint %g until %.3f", r.Op, r.Ref, r.Category, r.Hint, r.GiveUp)
-	case Taken:
-		text += fmt.Sprintf(" another node: op %d, its push at %.3f, %s as far as is known", r.Op, r.Value, r.Ending)
-		if len(r.Lines) > 0 {
-			text += fmt.Sprintf(", to backend %x", r.Lines[0].Ref)
+	case EndpointsChanged:
+		text += fmt.Sprintf(" %d lines, whole %t, held %t", len(r.Endpoints), r.Flags&flagFull != 0, r.Flags&flagCached != 0)
+	case RequestArrived:
+		text += fmt.Sprintf(" op %d (%x) category %d hint %g until %.3f", r.Request, r.ID, r.Class, r.CostHint, r.Deadline)
+	case EarlierAttempt:
+		text += fmt.Sprintf(" another node: op %d, its push at %.3f, %s as far as is known", r.Request, r.Value, r.Outcome)
+		if len(r.Endpoints) > 0 {
+			text += fmt.Sprintf(", to backend %x", r.Endpoints[0].ID)
 		}
-	case Left, Shortened:
-		text += fmt.Sprintf(" op %d", r.Op)
-	case Begun:
-		text += fmt.Sprintf(" op %d push %d", r.Op, r.Push)
-	case Ended:
-		text += fmt.Sprintf(" op %d push %d %s after %.3f ms, finished %t", r.Op, r.Push, r.Ending, r.Value, r.Flags&flagFinished != 0)
+	case ClientGone, DeadlineShortened:
+		text += fmt.Sprintf(" op %d", r.Request)
+	case ResponseStarted:
+		text += fmt.Sprintf(" op %d push %d", r.Request, r.Attempt)
+	case AttemptEnded:
+		text += fmt.Sprintf(" op %d push %d %s after %.3f ms, finished %t", r.Request, r.Attempt, r.Outcome, r.Value, r.Flags&flagFinished != 0)
 	case Snapshot:
-		text += fmt.Sprintf(" of %d bytes, %d ops, %d backends", len(r.State), len(r.Ops), len(r.Backends))
-	case Dropped:
+		text += fmt.Sprintf(" of %d bytes, %d ops, %d backends", len(r.State), len(r.Requests), len(r.Backends))
+	case BackendForgotten:
 		text += fmt.Sprintf(" backend %d", r.Backend)
-	case Reported:
-		text += fmt.Sprintf(" backend %d, service %.3f, held %g, waiting %g", r.Backend, r.Load.Service, r.Load.Held, r.Load.Waiting)
-	case Pulled:
+	case LoadReported:
+		text += fmt.Sprintf(" backend %d, service %.3f, held %g, waiting %g", r.Backend, r.Load.ServiceTime, r.Load.InFlight, r.Load.Queued)
+	case Decided:
 		text += " " + decision(r)
 	case Gap:
 		text += fmt.Sprintf(" %d records missing", r.Count)
@@ -410,13 +410,13 @@
 		name = decisions[r.Decision]
 	}
 	switch r.Decision {
-	case balancer.DoPush:
-		return fmt.Sprintf("%s op %d to backend %d (push %d), wait %g", name, r.Op, r.Backend, r.Push, r.Value)
-	case balancer.DoNack, balancer.DoDeadLetter:
-		return fmt.Sprintf("%s op %d, come back in %g", name, r.Op, r.Value)
-	case balancer.DoRevoke:
-		return fmt.Sprintf("%s op %d push %d", name, r.Op, r.Push)
-	case balancer.DoTimer:
+	case balancer.DoAttempt:
+		return fmt.Sprintf("%s op %d to backend %d (push %d), wait %g", name, r.Request, r.Backend, r.Attempt, r.Value)
+	case balancer.DoReject, balancer.DoFail:
+		return fmt.Sprintf("%s op %d, come back in %g", name, r.Request, r.Value)
+	case balancer.DoCancel:
+		return fmt.Sprintf("%s op %d push %d", name, r.Request, r.Attempt)
+	case balancer.DoSetTimer:
 		return fmt.Sprintf("%s in %g", name, r.Value)
 	case balancer.DoLog:
 		return fmt.Sprintf("%s %q", name, r.Data)
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -36,7 +36,7 @@
 	next     float64 // when a snapshot is due
 	restart  bool    // the batch has one
 	now      float64
-	ops      map[*balancer.Op]uint64
+	ops      map[*balancer.Request]uint64
 	backends map[*balancer.Backend]uint64
 	lastOp   uint64
 	lastB    uint64
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Recorder{inner: inner, o: o, begun: s, start: data, ops: map[*balancer.Op]uint64{}, backends: map[*balancer.Backend]uint64{}}
+	r := &Recorder{inner: inner, o: o, begun: s, start: data, ops: map[*balancer.Request]uint64{}, backends: map[*balancer.Backend]uint64{}}
 	r.put(&Record{Kind: Begin, Now: now, Data: data})
 	r.snapshot() // what the terms have learned under a module before it is not in them
 	return r, nil
@@ -59,7 +59,7 @@
 // snapshot puts the module's state, where it has one to give.
 func (r *Recorder) snapshot() {
 	module, ok := r.inner.(interface {
-		Snapshot(ops []*balancer.Op, backends []*balancer.Backend) (*balancer.Snapshot, error)
+		Snapshot(ops []*balancer.Request, backends []*balancer.Backend) (*balancer.Snapshot, error)
 	})
 	if !ok {
 		return
@@ -69,12 +69,12 @@
 	if err != nil { // of a batch that goes on: the next will do
 		return
 	}
-	for i := range s.Ops { // the module itself goes on with the true names
-		s.Ops[i].Ref = r.hashed(s.Ops[i].Ref)
+	for i := range s.Requests { // the module itself goes on with the true names
+		s.Requests[i].ID = r.hashed(s.Requests[i].ID)
 	}
 	x := Record{Kind: Snapshot, Now: r.now, Data: r.start, State: snapshot.Encode(s)}
 	for _, op := range ops {
-		x.Ops = append(x.Ops, r.ops[op])
+		x.Requests = append(x.Requests, r.ops[op])
 	}
 	for _, b := range backends {
 		x.Backends = append(x.Backends, r.backends[b])
@@ -130,8 +130,8 @@
 	return n
 }
 
-func (r *Recorder) Listed(now float64, lines []balancer.Listing, full, cached bool) {
-	x := Record{Kind: Listed, Now: now}
+func (r *Recorder) EndpointsChanged(now float64, lines []balancer.Endpoint, full, cached bool) {
+	x := Record{Kind: EndpointsChanged, Now: now}
 	if full {
 		x.Flags |= flagFull
 	}
@@ -139,145 +139,145 @@
 		x.Flags |= flagCached
 	}
 	for _, l := range lines {
-		x.Lines = append(x.Lines, Line{Backend: r.backend(l.Backend), Ref: l.Backend.Ref, State: l.State, Zone: l.Zone, Cell: l.Cell, Kind: l.Kind,
-			Weight: l.Weight, Started: l.Started, Banned: l.Banned})
+		x.Endpoints = append(x.Endpoints, Endpoint{Backend: r.backend(l.Backend), ID: l.Backend.ID, State: l.State, Zone: l.Zone, Cell: l.Cell, Kind: l.Kind,
+			Weight: l.Weight, Started: l.Started, Cordoned: l.Cordoned})
 	}
 	r.put(&x)
-	r.inner.Listed(now, lines, full, cached)
+	r.inner.EndpointsChanged(now, lines, full, cached)
 }
 
-func (r *Recorder) ListFailed(now float64) {
-	r.put(&Record{Kind: ListFailed, Now: now})
-	r.inner.ListFailed(now)
+func (r *Recorder) PollFailed(now float64) {
+	r.put(&Record{Kind: PollFailed, Now: now})
+	r.inner.PollFailed(now)
 }
 
-func (r *Recorder) Arrived(now float64, op *balancer.Op) {
+func (r *Recorder) RequestArrived(now float64, op *balancer.Request) {
 	r.lastOp++
 	r.ops[op] = r.lastOp
-	for _, p := range op.Pushes { // of another node
+	for _, p := range op.Attempts { // of another node
 		b := p.Backend
-		r.put(&Record{Kind: Taken, Now: now, Op: r.lastOp, Value: p.SentAt, Ending: p.Ending(),
-			Lines: []Line{{Backend: r.backend(b), Ref: b.Ref, Zone: b.Zone, Cell: b.Cell}}})
+		r.put(&Record{Kind: EarlierAttempt, Now: now, Request: r.lastOp, Value: p.SentAt, Outcome: p.Outcome(),
+			Endpoints: []Endpoint{{Backend: r.backend(b), ID: b.ID, Zone: b.Zone, Cell: b.Cell}}})
 	}
-	x := Record{Kind: Arrived, Now: now, Op: r.lastOp, Ref: r.hashed(op.Ref), Category: op.Category, Tenant: op.Tenant, Hint: op.Hint,
-		GiveUp: op.GiveUp, Key: op.Key}
-	if op.HasHint {
+	x := Record{Kind: RequestArrived, Now: now, Request: r.lastOp, ID: r.hashed(op.ID), Class: op.Class, Tenant: op.Tenant, CostHint: op.CostHint,
+		Deadline: op.Deadline, Key: op.Key}
+	if op.HasCostHint {
 		x.Flags |= flagHint
 	}
-	if op.Repeat {
+	if op.IsClientRetry {
 		x.Flags |= flagRepeat
 	}
 	if op.Streamed {
 		x.Flags |= flagStreamed
 	}
-	if op.Under != nil && op.Under != r.begun.Terms {
+	if op.Config != nil && op.Config != r.begun.Config {
 		x.Flags |= flagEarlier
 	}
 	r.put(&x)
-	r.inner.Arrived(now, op)
+	r.inner.RequestArrived(now, op)
 }
 
-func (r *Recorder) Left(now float64, op *balancer.Op) {
-	r.put(&Record{Kind: Left, Now: now, Op: r.ops[op]})
-	r.inner.Left(now, op)
+func (r *Recorder) ClientGone(now float64, op *balancer.Request) {
+	r.put(&Record{Kind: ClientGone, Now: now, Request: r.ops[op]})
+	r.inner.ClientGone(now, op)
 	r.forget(op)
 }
 
 // Shortened keeps the time to which the host has moved an op's end.
-func (r *Recorder) Shortened(now float64, op *balancer.Op) {
-	r.put(&Record{Kind: Shortened, Now: now, Op: r.ops[op], Value: op.GiveUp})
-	r.inner.Shortened(now, op)
+func (r *Recorder) DeadlineShortened(now float64, op *balancer.Request) {
+	r.put(&Record{Kind: DeadlineShortened, Now: now, Request: r.ops[op], Value: op.Deadline})
+	r.inner.DeadlineShortened(now, op)
 }
 
-func (r *Recorder) Begun(now float64, p *balancer.Push) {
-	r.put(&Record{Kind: Begun, Now: now, Op: r.ops[p.Op], Push: p.Number})
-	r.inner.Begun(now, p)
+func (r *Recorder) ResponseStarted(now float64, p *balancer.Attempt) {
+	r.put(&Record{Kind: ResponseStarted, Now: now, Request: r.ops[p.Request], Attempt: p.Number})
+	r.inner.ResponseStarted(now, p)
 }
 
-func (r *Recorder) Sent(now float64, p *balancer.Push) {
-	r.put(&Record{Kind: Sent, Now: now, Op: r.ops[p.Op], Push: p.Number, Value: p.Op.GiveUp})
-	r.inner.Sent(now, p)
+func (r *Recorder) RequestBodySent(now float64, p *balancer.Attempt) {
+	r.put(&Record{Kind: RequestBodySent, Now: now, Request: r.ops[p.Request], Attempt: p.Number, Value: p.Request.Deadline})
+	r.inner.RequestBodySent(now, p)
 }
 
-func (r *Recorder) Ended(now float64, p *balancer.Push, how balancer.Ending, elapsed float64, finished bool) {
-	x := Record{Kind: Ended, Now: now, Op: r.ops[p.Op], Push: p.Number, Ending: how, Value: elapsed}
+func (r *Recorder) AttemptEnded(now float64, p *balancer.Attempt, how balancer.Outcome, elapsed float64, finished bool) {
+	x := Record{Kind: AttemptEnded, Now: now, Request: r.ops[p.Request], Attempt: p.Number, Outcome: how, Value: elapsed}
 	if finished {
 		x.Flags |= flagFinished
 	}
 	r.put(&x)
-	r.inner.Ended(now, p, how, elapsed, finished)
-	r.forget(p.Op)
+	r.inner.AttemptEnded(now, p, how, elapsed, finished)
+	r.forget(p.Request)
 }
 
-func (r *Recorder) Reported(now float64, b *balancer.Backend, load balancer.Report) {
-	r.put(&Record{Kind: Reported, Now: now, Backend: r.backends[b], Load: load})
-	r.inner.Reported(now, b, load)
+func (r *Recorder) LoadReported(now float64, b *balancer.Backend, load balancer.LoadReport) {
+	r.put(&Record{Kind: LoadReported, Now: now, Backend: r.backends[b], Load: load})
+	r.inner.LoadReported(now, b, load)
 }
 
-func (r *Recorder) Split(now float64, of int) {
-	r.put(&Record{Kind: Split, Now: now, Count: uint64(of)})
-	r.inner.Split(now, of)
+func (r *Recorder) ProcessesChanged(now float64, of int) {
+	r.put(&Record{Kind: ProcessesChanged, Now: now, Count: uint64(of)})
+	r.inner.ProcessesChanged(now, of)
 }
 
-func (r *Recorder) Retuned(now float64, t *balancer.Terms, from []int) {
+func (r *Recorder) ConfigChanged(now float64, t *balancer.Config, from []int) {
 	s := r.begun
-	s.Terms = t
+	s.Config = t
 	if data, err := json.Marshal(s); err == nil { // terms of numbers, as the first were
 		r.start, r.begun = data, s
 	}
-	x := Record{Kind: Retuned, Now: now, Data: r.start}
+	x := Record{Kind: ConfigChanged, Now: now, Data: r.start}
 	for _, k := range from {
-		x.Ops = append(x.Ops, uint64(k+1))
+		x.Requests = append(x.Requests, uint64(k+1))
 	}
 	r.put(&x)
-	r.inner.Retuned(now, t, from)
+	r.inner.ConfigChanged(now, t, from)
 }
 
-func (r *Recorder) Due(now float64) {
-	r.put(&Record{Kind: Due, Now: now})
-	r.inner.Due(now)
+func (r *Recorder) TimerFired(now float64) {
+	r.put(&Record{Kind: TimerFired, Now: now})
+	r.inner.TimerFired(now)
 }
 
 func (r *Recorder) Next() (balancer.Decision, bool) {
 	d, more := r.inner.Next()
 	if !more {
-		r.put(&Record{Kind: Idle, Now: r.now})
+		r.put(&Record{Kind: BatchEnd, Now: r.now})
 		if r.o.Every > 0 && r.now >= r.next {
 			r.snapshot()
 		}
 		r.flush()
 		return d, more
 	}
-	x := pulled(d, func(op *balancer.Op) uint64 { return r.ops[op] }, func(b *balancer.Backend) uint64 { return r.backends[b] })
+	x := pulled(d, func(op *balancer.Request) uint64 { return r.ops[op] }, func(b *balancer.Backend) uint64 { return r.backends[b] })
 	x.Now = r.now
 	r.put(&x)
-	if d.Kind == balancer.DoNack || d.Kind == balancer.DoDeadLetter {
-		r.forget(d.Op)
+	if d.Kind == balancer.DoReject || d.Kind == balancer.DoFail {
+		r.forget(d.Request)
 	}
 	return d, more
 }
 
 // Dropped tells that the host has let go of a backend: should it come back, it is a new one to the module as well.
 func (r *Recorder) Dropped(b *balancer.Backend) {
-	r.put(&Record{Kind: Dropped, Now: r.now, Backend: r.backends[b]})
+	r.put(&Record{Kind: BackendForgotten, Now: r.now, Backend: r.backends[b]})
 	delete(r.backends, b)
 }
 
 // forget lets go of an op that is over; what of it comes later is not told to the module either.
-func (r *Recorder) forget(op *balancer.Op) {
-	if op.Over() {
+func (r *Recorder) forget(op *balancer.Request) {
+	if op.IsDone() {
 		delete(r.ops, op)
 	}
 }
 
 // pulled is a decision as a record.
-func pulled(d balancer.Decision, op func(*balancer.Op) uint64, backend func(*balancer.Backend) uint64) Record {
-	x := Record{Kind: Pulled, Decision: d.Kind, Value: d.Wait, Data: []byte(d.Text)}
-	if d.Op != nil {
-		x.Op = op(d.Op)
+func pulled(d balancer.Decision, op func(*balancer.Request) uint64, backend func(*balancer.Backend) uint64) Record {
+	x := Record{Kind: Decided, Decision: d.Kind, Value: d.Wait, Data: []byte(d.Text)}
+	if d.Request != nil {
+		x.Request = op(d.Request)
 	}
-	if d.Push != nil {
-		x.Push, x.Backend = d.Push.Number, backend(d.Push.Backend)
+	if d.Attempt != nil {
+		x.Attempt, x.Backend = d.Attempt.Number, backend(d.Attempt.Backend)
 	}
 	return x
 }
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -41,19 +41,19 @@
 
 // Replayer plays records to a module of its own.
 type Replayer struct {
-	New func(t *balancer.Terms, now float64) balancer.Decider // the module, where nil
+	New func(t *balancer.Config, now float64) balancer.Decider // the module, where nil
 
 	Skip   int  // records before which nothing is played
 	Strict bool // the module's state is held against each snapshot too
 
 	Claim    Claim
 	node     balancer.Decider
-	ops      map[uint64]*balancer.Op
-	numbers  map[*balancer.Op]uint64
+	ops      map[uint64]*balancer.Request
+	numbers  map[*balancer.Request]uint64
 	backends map[uint64]*balancer.Backend
 	refs     map[*balancer.Backend]uint64
-	terms    *balancer.Terms // in force, and those before
-	before   *balancer.Terms
+	terms    *balancer.Config // in force, and those before
+	before   *balancer.Config
 	taken    []Record // pushes of the next op that another node had begun
 	batch    []Record
 	lost     bool // after a gap
@@ -82,12 +82,12 @@
 		r.Claim.Unclaimed++
 		return nil
 	}
-	if x.Kind != Pulled && x.Kind != Idle {
+	if x.Kind != Decided && x.Kind != BatchEnd {
 		r.batch = append(r.batch, x)
 		return r.input(x)
 	}
 	d, more := r.node.Next()
-	if x.Kind == Idle {
+	if x.Kind == BatchEnd {
 		if more {
 			return r.differs(x, "no decision left", decision(r.pulled(d)))
 		}
@@ -103,19 +103,19 @@
 		return r.differs(x, decision(x), decision(got))
 	}
 	r.Claim.Decisions++
-	r.forget(d.Op)
+	r.forget(d.Request)
 	return nil
 }
 
-func (r *Replayer) forget(op *balancer.Op) {
-	if op != nil && op.Over() {
+func (r *Replayer) forget(op *balancer.Request) {
+	if op != nil && op.IsDone() {
 		delete(r.ops, r.numbers[op])
 		delete(r.numbers, op)
 	}
 }
 
 func (r *Replayer) pulled(d balancer.Decision) Record {
-	return pulled(d, func(op *balancer.Op) uint64 { return r.numbers[op] }, func(b *balancer.Backend) uint64 { return r.refs[b] })
+	return pulled(d, func(op *balancer.Request) uint64 { return r.numbers[op] }, func(b *balancer.Backend) uint64 { return r.refs[b] })
 }
 
 func (r *Replayer) differs(x Record, captured, replayed string) *Difference {
@@ -128,19 +128,19 @@
 		return fmt.Errorf("record %d: %w", r.Claim.Records, err)
 	}
 	if r.New != nil {
-		r.node = r.New(s.Terms, x.Now)
+		r.node = r.New(s.Config, x.Now)
 	} else {
-		r.node = balancer.New(s.Terms, x.Now)
+		r.node = balancer.New(s.Config, x.Now)
 	}
 	r.clear()
-	r.terms, r.before = s.Terms, nil
+	r.terms, r.before = s.Config, nil
 	r.Claim.Epochs++
 	return nil
 }
 
 func (r *Replayer) clear() {
 	r.lost, r.batch = false, nil
-	r.ops, r.numbers = map[uint64]*balancer.Op{}, map[*balancer.Op]uint64{}
+	r.ops, r.numbers = map[uint64]*balancer.Request{}, map[*balancer.Request]uint64{}
 	r.backends, r.refs = map[uint64]*balancer.Backend{}, map[*balancer.Backend]uint64{}
 }
 
@@ -161,7 +161,7 @@
 
 // state is the module's own, as a snapshot has it; nil where it has none to give.
 func (r *Replayer) state() ([]byte, error) {
-	module, ok := r.node.(*balancer.Node)
+	module, ok := r.node.(*balancer.Balancer)
 	if !ok {
 		return nil, nil
 	}
@@ -182,17 +182,17 @@
 	if err != nil {
 		return fail(err)
 	}
-	n, ops, backends, err := balancer.Restore(s.Terms, state)
+	n, ops, backends, err := balancer.Restore(s.Config, state)
 	if err != nil {
 		return fail(err)
 	}
-	if len(ops) != len(x.Ops) || len(backends) != len(x.Backends) {
+	if len(ops) != len(x.Requests) || len(backends) != len(x.Backends) {
 		return fail(errOdd)
 	}
 	r.clear()
-	r.node, r.terms, r.before = n, s.Terms, nil
+	r.node, r.terms, r.before = n, s.Config, nil
 	for i, op := range ops {
-		r.ops[x.Ops[i]], r.numbers[op] = op, x.Ops[i]
+		r.ops[x.Requests[i]], r.numbers[op] = op, x.Requests[i]
 	}
 	for i, b := range backends {
 		r.backends[x.Backends[i]], r.refs[b] = b, x.Backends[i]
@@ -213,7 +213,7 @@
 	}
 	x := Record{Kind: Snapshot, Data: text, State: data}
 	for _, op := range ordered(r.numbers) {
-		x.Ops = append(x.Ops, r.numbers[op])
+		x.Requests = append(x.Requests, r.numbers[op])
 	}
 	for _, b := range ordered(r.refs) {
 		x.Backends = append(x.Backends, r.refs[b])
@@ -223,95 +223,95 @@
 
 // input tells the module what it was told then.
 func (r *Replayer) input(x Record) error {
-	op := r.ops[x.Op]
-	var push *balancer.Push
+	op := r.ops[x.Request]
+	var push *balancer.Attempt
 	switch x.Kind {
-	case Left, Shortened, Begun, Sent, Ended:
+	case ClientGone, DeadlineShortened, ResponseStarted, RequestBodySent, AttemptEnded:
 		if op == nil {
-			return fmt.Errorf("record %d at %.3f: op %d never came", r.Claim.Records, x.Now, x.Op)
+			return fmt.Errorf("record %d at %.3f: op %d never came", r.Claim.Records, x.Now, x.Request)
 		}
-		if x.Kind == Begun || x.Kind == Sent || x.Kind == Ended {
-			if x.Push >= len(op.Pushes) {
-				return r.differs(x, fmt.Sprintf("op %d has push %d", x.Op, x.Push), fmt.Sprintf("it has %d pushes", len(op.Pushes)))
+		if x.Kind == ResponseStarted || x.Kind == RequestBodySent || x.Kind == AttemptEnded {
+			if x.Attempt >= len(op.Attempts) {
+				return r.differs(x, fmt.Sprintf("op %d has push %d", x.Request, x.Attempt), fmt.Sprintf("it has %d pushes", len(op.Attempts)))
 			}
-			push = op.Pushes[x.Push]
+			push = op.Attempts[x.Attempt]
 		}
 	}
 	switch x.Kind {
-	case Listed:
-		lines := make([]balancer.Listing, 0, len(x.Lines))
-		for _, l := range x.Lines {
+	case EndpointsChanged:
+		lines := make([]balancer.Endpoint, 0, len(x.Endpoints))
+		for _, l := range x.Endpoints {
 			b := r.backends[l.Backend]
 			if b == nil {
-				b = &balancer.Backend{Ref: l.Ref}
+				b = &balancer.Backend{ID: l.ID}
 				r.backends[l.Backend], r.refs[b] = b, l.Backend
 			}
-			lines = append(lines, balancer.Listing{Backend: b, State: l.State, Zone: l.Zone, Cell: l.Cell, Kind: l.Kind, Weight: l.Weight,
-				Started: l.Started, Banned: l.Banned})
+			lines = append(lines, balancer.Endpoint{Backend: b, State: l.State, Zone: l.Zone, Cell: l.Cell, Kind: l.Kind, Weight: l.Weight,
+				Started: l.Started, Cordoned: l.Cordoned})
 		}
-		r.node.Listed(x.Now, lines, x.Flags&flagFull != 0, x.Flags&flagCached != 0)
-	case ListFailed:
-		r.node.ListFailed(x.Now)
-	case Taken:
-		if len(x.Lines) != 1 {
+		r.node.EndpointsChanged(x.Now, lines, x.Flags&flagFull != 0, x.Flags&flagCached != 0)
+	case PollFailed:
+		r.node.PollFailed(x.Now)
+	case EarlierAttempt:
+		if len(x.Endpoints) != 1 {
 			return fmt.Errorf("record %d at %.3f: a push taken over without its backend", r.Claim.Records, x.Now)
 		}
 		r.taken = append(r.taken, x)
-	case Arrived:
-		op = &balancer.Op{Ref: x.Ref, Category: x.Category, Tenant: x.Tenant, Hint: x.Hint, HasHint: x.Flags&flagHint != 0,
-			Repeat: x.Flags&flagRepeat != 0, Streamed: x.Flags&flagStreamed != 0, GiveUp: x.GiveUp, Key: x.Key}
-		if op.Under = r.terms; x.Flags&flagEarlier != 0 && r.before != nil {
-			op.Under = r.before
+	case RequestArrived:
+		op = &balancer.Request{ID: x.ID, Class: x.Class, Tenant: x.Tenant, CostHint: x.CostHint, HasCostHint: x.Flags&flagHint != 0,
+			IsClientRetry: x.Flags&flagRepeat != 0, Streamed: x.Flags&flagStreamed != 0, Deadline: x.Deadline, Key: x.Key}
+		if op.Config = r.terms; x.Flags&flagEarlier != 0 && r.before != nil {
+			op.Config = r.before
 		}
-		if op.Category >= len(op.Under.Categories) {
-			return fmt.Errorf("record %d at %.3f: category %d of %d", r.Claim.Records, x.Now, op.Category, len(op.Under.Categories))
+		if op.Class >= len(op.Config.Classes) {
+			return fmt.Errorf("record %d at %.3f: category %d of %d", r.Claim.Records, x.Now, op.Class, len(op.Config.Classes))
 		}
 		for _, t := range r.taken {
-			l := t.Lines[0]
+			l := t.Endpoints[0]
 			b := r.backends[l.Backend]
 			if b == nil {
-				b = &balancer.Backend{Ref: l.Ref, Zone: l.Zone, Cell: l.Cell}
+				b = &balancer.Backend{ID: l.ID, Zone: l.Zone, Cell: l.Cell}
 				r.backends[l.Backend], r.refs[b] = b, l.Backend
 			}
-			op.Before(b, t.Value, t.Ending)
+			op.AddEarlierAttempt(b, t.Value, t.Outcome)
 		}
 		r.taken = r.taken[:0]
-		r.ops[x.Op], r.numbers[op] = op, x.Op
-		r.node.Arrived(x.Now, op)
-	case Left:
-		r.node.Left(x.Now, op)
-	case Shortened:
-		op.GiveUp = x.Value
-		r.node.Shortened(x.Now, op)
-	case Begun:
-		r.node.Begun(x.Now, push)
-	case Sent:
-		op.GiveUp = x.Value
-		r.node.Sent(x.Now, push)
-	case Ended:
-		r.node.Ended(x.Now, push, x.Ending, x.Value, x.Flags&flagFinished != 0)
-	case Reported:
+		r.ops[x.Request], r.numbers[op] = op, x.Request
+		r.node.RequestArrived(x.Now, op)
+	case ClientGone:
+		r.node.ClientGone(x.Now, op)
+	case DeadlineShortened:
+		op.Deadline = x.Value
+		r.node.DeadlineShortened(x.Now, op)
+	case ResponseStarted:
+		r.node.ResponseStarted(x.Now, push)
+	case RequestBodySent:
+		op.Deadline = x.Value
+		r.node.RequestBodySent(x.Now, push)
+	case AttemptEnded:
+		r.node.AttemptEnded(x.Now, push, x.Outcome, x.Value, x.Flags&flagFinished != 0)
+	case LoadReported:
 		b := r.backends[x.Backend]
 		if b == nil {
 			return fmt.Errorf("record %d at %.3f: backend %d was never listed", r.Claim.Records, x.Now, x.Backend)
 		}
-		r.node.Reported(x.Now, b, x.Load)
-	case Retuned:
+		r.node.LoadReported(x.Now, b, x.Load)
+	case ConfigChanged:
 		s, err := x.start()
 		if err != nil {
 			return fmt.Errorf("record %d at %.3f: %w", r.Claim.Records, x.Now, err)
 		}
-		from := make([]int, 0, len(x.Ops))
-		for _, k := range x.Ops {
+		from := make([]int, 0, len(x.Requests))
+		for _, k := range x.Requests {
 			from = append(from, int(min(k, mostNumber))-1)
 		}
-		r.before, r.terms = r.terms, s.Terms
-		r.node.Retuned(x.Now, s.Terms, from)
-	case Split:
-		r.node.Split(x.Now, int(min(x.Count, mostNumber)))
-	case Due:
-		r.node.Due(x.Now)
-	case Dropped:
+		r.before, r.terms = r.terms, s.Config
+		r.node.ConfigChanged(x.Now, s.Config, from)
+	case ProcessesChanged:
+		r.node.ProcessesChanged(x.Now, int(min(x.Count, mostNumber)))
+	case TimerFired:
+		r.node.TimerFired(x.Now)
+	case BackendForgotten:
 		delete(r.refs, r.backends[x.Backend])
 		delete(r.backends, x.Backend)
 	default: // of a later build: what it told the module is not known here
--- a/internal/config/change.go
+++ b/internal/config/change.go
@@ -57,7 +57,7 @@
 		}
 	}
 	switch {
-	case len(d.Categories) == 0 && len(old.Categories) > 0:
+	case len(d.Classes) == 0 && len(old.Classes) > 0:
 		return errors.New("setting categories is empty")
 	case !slices.Equal(d.Zones, old.Zones):
 		return fmt.Errorf("setting zones is %v, and only a start takes up others than %v", d.Zones, old.Zones)
--- a/internal/config/change_test.go
+++ b/internal/config/change_test.go
@@ -79,19 +79,19 @@
 func TestShared(t *testing.T) {
 	own, err := FromJSON([]byte(strings.NewReplacer(`"az":1`, `"az":1,"me":7`).Replace(nested)))
 	require.NoError(t, err)
-	own.Terms.Seed = 99
-	require.Equal(t, []int{1, 7}, []int{own.Terms.Zone, own.Terms.Number})
+	own.Balancer.Seed = 99
+	require.Equal(t, []int{1, 7}, []int{own.Balancer.Zone, own.Balancer.NodeIndex})
 	for _, text := range []string{strings.Replace(nested, `"az":1`, `"az":0,"me":3`, 1), strings.Replace(nested, `"az":1,`, ``, 1)} {
 		d, err := Shared([]byte(text), own)
 		require.NoError(t, err)
-		require.Equal(t, own.Terms, d.Terms)
+		require.Equal(t, own.Balancer, d.Balancer)
 		require.NoError(t, d.Follows(own))
 	}
 	without, err := FromJSON([]byte(nested))
 	require.NoError(t, err)
 	d, err := Shared([]byte(strings.Replace(nested, `"az":1`, `"az":1,"me":3`, 1)), without)
 	require.NoError(t, err)
-	require.Zero(t, d.Terms.Number, "another node's")
+	require.Zero(t, d.Balancer.NodeIndex, "another node's")
 	require.NoError(t, d.Follows(without))
 	_, err = Shared([]byte(strings.Replace(nested, `"az":1,`, ``, 1)), nil)
 	require.NoError(t, err)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,18 +15,18 @@
 
 // Deployment is what a host keeps of the settings: the module's part and its own.
 type Deployment struct {
-	Shape      Shape // of an operator's settings
-	Terms      *balancer.Terms
-	Categories []string
-	Tenants    []string
-	Zones      []string
-	Kinds      []string
-	Report     []string // names of a load report's values, in their order
+	Shape    Shape // of an operator's settings
+	Balancer *balancer.Config
+	Classes  []string
+	Tenants  []string
+	Zones    []string
+	Kinds    []string
+	Report   []string // names of a load report's values, in their order
 
-	LongestTTL     float64
-	ConnectTimeout float64 // a connection not up after it never comes up
-	ConnectionIdle float64 // a backend closes a connection idle for so long
-	MostHeld       int     // ops open at a node
+	MaxDeadline     float64
+	ConnectTimeout  float64 // a connection not up after it never comes up
+	ConnectionIdle  float64 // a backend closes a connection idle for so long
+	MaxOpenRequests int     // ops open at a node
 
 	keys keys // of the settings that it was read from
 
@@ -51,16 +51,16 @@
 }
 
 // Tell puts a load report's value in its place by its name; others say nothing to the module.
-func Tell(r *balancer.Report, name string, value float64) {
+func SetReportValue(r *balancer.LoadReport, name string, value float64) {
 	switch name {
 	case "mean_ms":
-		r.Service = value
+		r.ServiceTime = value
 	case "concurrent":
-		r.Held = value
+		r.InFlight = value
 	case "tps":
-		r.Rate = value
+		r.Throughput = value
 	case "depth":
-		r.Waiting = value
+		r.Queued = value
 	}
 }
 
@@ -203,55 +203,55 @@
 }
 
 func (p *pairs) deployment() (*Deployment, error) {
-	t := &balancer.Terms{
-		Zone:          int(p.number("az")),
-		Nodes:         int(p.within(1, mostNodes)("balancers")),
-		Number:        int(optional(p, "me", p.within(0, mostNodes), 0)),
-		ByWork:        p.text("benefitBy") == "work",
-		ExcessBenefit: optional(p, "excessBenefit", p.within(0, 1), 1),
-		CrossPrice:    optional(p, "prices.crossZone", p.number, 0),
-		MaxPushes:     int(p.within(1, math.MaxUint16)("bounds.mostPushes")),
-		SecondCopies:  p.flag("bounds.secondCopies"),
-		Cancel:        p.flag("bounds.cancel"),
-		ComeBack:      p.flag("bounds.retryAfter"),
-		MaxComeBack:   optional(p, "bounds.maxRetryAfter", p.number, 0),
-		MustAsk:       p.word("registryMode", "automatic", "subscribe") == 1,
-		AskWithin:     p.within(leastAskWithin, math.MaxFloat64)("rules.askWithin"),
-		ColdFrom:      p.number("rules.coldFrom"),
-		WarmWithin:    p.number("rules.warmWithin"),
-		FallMultiple:  p.number("rules.fallMultiple"),
-		OverloadFor:   p.number("rules.overloadFor"),
+	t := &balancer.Config{
+		Zone:             int(p.number("az")),
+		Nodes:            int(p.within(1, mostNodes)("balancers")),
+		NodeIndex:        int(optional(p, "me", p.within(0, mostNodes), 0)),
+		WeightByWork:     p.text("benefitBy") == "work",
+		OverQuotaWeight:  optional(p, "excessBenefit", p.within(0, 1), 1),
+		CrossZoneCost:    optional(p, "prices.crossZone", p.number, 0),
+		MaxAttempts:      int(p.within(1, math.MaxUint16)("bounds.mostPushes")),
+		AllowHedging:     p.flag("bounds.secondCopies"),
+		CancelAttempts:   p.flag("bounds.cancel"),
+		SendRetryAfter:   p.flag("bounds.retryAfter"),
+		MaxRetryAfter:    optional(p, "bounds.maxRetryAfter", p.number, 0),
+		PollEndpoints:    p.word("registryMode", "automatic", "subscribe") == 1,
+		PollInterval:     p.within(leastAskWithin, math.MaxFloat64)("rules.askWithin"),
+		SlowStartShare:   p.number("rules.coldFrom"),
+		SlowStartWindow:  p.number("rules.warmWithin"),
+		OverloadMultiple: p.number("rules.fallMultiple"),
+		OverloadWindow:   p.number("rules.overloadFor"),
 
-		SettleAfterDoubt:  optional(p, "rules.settleAfterDoubt", p.within(0, math.MaxFloat64), 0),
-		RemovalNotBinding: optional(p, "rules.removalNotBinding", p.flag, false),
-		WarmKeys:          optional(p, "familyInfo.warmKeys", p.flag, false),
-		ConnectionPrice:   optional(p, "prices.connection", p.within(0, math.MaxFloat64), 0),
+		UncertainCooldown: optional(p, "rules.settleAfterDoubt", p.within(0, math.MaxFloat64), 0),
+		RemovalIsHint:     optional(p, "rules.removalNotBinding", p.flag, false),
+		KeyAffinity:       optional(p, "familyInfo.warmKeys", p.flag, false),
+		ConnectionCost:    optional(p, "prices.connection", p.within(0, math.MaxFloat64), 0),
 	}
-	if t.ConnectionPrice > 0 {
+	if t.ConnectionCost > 0 {
 		p.text("me") // nodes that all took themselves for the first would all connect to the same backends
 	}
 	d := &Deployment{
-		Terms:          t,
-		Zones:          p.list("zones"),
-		Kinds:          p.list("kinds"),
-		Report:         p.list("loadReport.fields"),
-		ConnectTimeout: optional(p, "bounds.connectTimeout", p.number, 250),
-		ConnectionIdle: optional(p, "bounds.connIdle", p.number, 15e3),
-		MostHeld:       int(optional(p, "bounds.mostHeld", p.number, 0)),
+		Balancer:        t,
+		Zones:           p.list("zones"),
+		Kinds:           p.list("kinds"),
+		Report:          p.list("loadReport.fields"),
+		ConnectTimeout:  optional(p, "bounds.connectTimeout", p.number, 250),
+		ConnectionIdle:  optional(p, "bounds.connIdle", p.number, 15e3),
+		MaxOpenRequests: int(optional(p, "bounds.mostHeld", p.number, 0)),
 	}
 	for k := range p.count("categories") {
 		at := fmt.Sprintf("categories.%d.", k)
-		t.Categories = append(t.Categories, balancer.Category{
-			Effect:        balancer.Effect(p.word(at+"idempotency", "pure", "token", "side_effect")),
-			Group:         balancer.Group(optional(p, at+"dedupScope", func(s string) int { return p.word(s, "all", "zone", "cell") }, 0)),
-			Remembered:    optional(p, at+"keyTtl", p.number, 0),
-			TargetLatency: p.above(at + "targetLatency"),
-			Benefit:       p.number(at + "benefit"),
-			LateBenefit:   optional(p, at+"overdueBenefit", p.within(0, 1), 0),
-			KeepOrder:     optional(p, at+"keepOrder", p.flag, false),
+		t.Classes = append(t.Classes, balancer.Class{
+			Idempotency:      balancer.Idempotency(p.word(at+"idempotency", "pure", "token", "side_effect")),
+			DedupScope:       balancer.DedupScope(optional(p, at+"dedupScope", func(s string) int { return p.word(s, "all", "zone", "cell") }, 0)),
+			DedupWindow:      optional(p, at+"keyTtl", p.number, 0),
+			LatencyObjective: p.above(at + "targetLatency"),
+			PriorityWeight:   p.number(at + "benefit"),
+			LateWeight:       optional(p, at+"overdueBenefit", p.within(0, 1), 0),
+			Ordered:          optional(p, at+"keepOrder", p.flag, false),
 		})
-		d.Categories = append(d.Categories, p.values[at+"name"])
-		d.LongestTTL = max(d.LongestTTL, p.above(at+"ttl"))
+		d.Classes = append(d.Classes, p.values[at+"name"])
+		d.MaxDeadline = max(d.MaxDeadline, p.above(at+"ttl"))
 	}
 	if p.values["tenants"] == "" && p.values["tenants.count"] != "" {
 		for k := range p.count("tenants") {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -58,10 +58,10 @@
 	require.NoError(t, err)
 	b.keys = keys{} // which lines are never held against
 	assert.Equal(t, a, b)
-	assert.Equal(t, []string{"first_come", "second"}, a.Categories)
-	assert.Equal(t, 3000.0, a.LongestTTL)
-	assert.Equal(t, balancer.GroupCell, a.Terms.Categories[1].Group)
-	assert.Equal(t, 20.0, a.Terms.Tenants[0].Quota)
+	assert.Equal(t, []string{"first_come", "second"}, a.Classes)
+	assert.Equal(t, 3000.0, a.MaxDeadline)
+	assert.Equal(t, balancer.DedupByCell, a.Balancer.Classes[1].DedupScope)
+	assert.Equal(t, 20.0, a.Balancer.Tenants[0].Quota)
 	assert.Equal(t, 250.0, a.ConnectTimeout, "where nothing is said")
 }
 
@@ -122,9 +122,9 @@
 	d, err := FromLines([]byte(lines + "categories.1.keepOrder=true\nrules.settleAfterDoubt=200.0\nrules.removalNotBinding=true\n" +
 		"me=2\nfamilyInfo.warmKeys=true\nprices.connection=0.06\ngoal.nines=0.2\ngoal.ninesWanted=3.0\n"))
 	require.NoError(t, err)
-	assert.True(t, d.Terms.Categories[1].KeepOrder && d.Terms.RemovalNotBinding && d.Terms.WarmKeys)
-	assert.False(t, d.Terms.Categories[0].KeepOrder)
-	assert.Equal(t, []float64{200, 2, 0.06}, []float64{d.Terms.SettleAfterDoubt, float64(d.Terms.Number), d.Terms.ConnectionPrice})
+	assert.True(t, d.Balancer.Classes[1].Ordered && d.Balancer.RemovalIsHint && d.Balancer.KeyAffinity)
+	assert.False(t, d.Balancer.Classes[0].Ordered)
+	assert.Equal(t, []float64{200, 2, 0.06}, []float64{d.Balancer.UncertainCooldown, float64(d.Balancer.NodeIndex), d.Balancer.ConnectionCost})
 	for line, want := range map[string]string{
 		"categories.1.keepOrder=si\n":       `setting categories.1.keepOrder is neither true nor false: "si"`,
 		"prices.connection=0.06\n":          "setting me is missing",
@@ -158,7 +158,7 @@
 			continue
 		}
 		assert.Equal(t, []string{"one", "two_words", "", "", ""}, d.Tenants)
-		assert.Equal(t, []balancer.Tenant{{Quota: 20}, {}, {Quota: 0.5}, {}, {}}, d.Terms.Tenants)
+		assert.Equal(t, []balancer.Tenant{{Quota: 20}, {}, {Quota: 0.5}, {}, {}}, d.Balancer.Tenants)
 	}
 	// A count in lines is held against what stands there.
 	_, err := FromLines([]byte(lines + "tenants.count=1000000000\n"))
--- a/internal/config/json.go
+++ b/internal/config/json.go
@@ -37,14 +37,14 @@
 	case own == nil:
 		tree["az"], tree["me"] = number(0), number(0)
 	case own.keys.plain["me"]:
-		tree["me"] = number(own.Terms.Number)
+		tree["me"] = number(own.Balancer.NodeIndex)
 		fallthrough
 	default:
-		tree["az"] = number(own.Terms.Zone)
+		tree["az"] = number(own.Balancer.Zone)
 	}
 	d, err := fromTree(tree)
 	if err == nil && own != nil {
-		d.Terms.Seed = own.Terms.Seed
+		d.Balancer.Seed = own.Balancer.Seed
 	}
 	return d, err
 }
@@ -70,8 +70,8 @@
 	}
 	told.Shape = p.shape(told)
 	told.keys = p.keys()
-	for k, name := range told.Categories { // by which ops come
-		if p.err == nil && (name == "" || slices.Index(told.Categories, name) < k) {
+	for k, name := range told.Classes { // by which ops come
+		if p.err == nil && (name == "" || slices.Index(told.Classes, name) < k) {
 			p.err = fmt.Errorf("setting categories.%d.name is missing or another's: %q", k, name)
 		}
 	}
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -31,12 +31,12 @@
 		}
 	}
 	switch {
-	case s == Beside && d.Terms.SecondCopies:
-		mixed("bounds.secondCopies", fmt.Sprint(d.Terms.SecondCopies))
+	case s == Beside && d.Balancer.AllowHedging:
+		mixed("bounds.secondCopies", fmt.Sprint(d.Balancer.AllowHedging))
 	case s == Beside && len(d.Zones) != 1:
 		mixed("zones", fmt.Sprint(d.Zones))
-	case s == Beside && d.Terms.CrossPrice != 0:
-		mixed("prices.crossZone", fmt.Sprint(d.Terms.CrossPrice))
+	case s == Beside && d.Balancer.CrossZoneCost != 0:
+		mixed("prices.crossZone", fmt.Sprint(d.Balancer.CrossZoneCost))
 	}
 	return s
 }
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -22,7 +22,7 @@
 const oddEvery = time.Second
 
 // Terms are a follower's own.
-type Terms struct {
+type Config struct {
 	Fleet, Name, Region string
 	Members             []Member
 	Keys                [][]byte // the first proves, all are taken
@@ -55,7 +55,7 @@
 }
 
 // New makes one, and reads the copy; apply puts a version in force, whole, or tells why not.
-func New(t Terms, apply func(version uint64, text []byte) error, c *clock.Clock, log *slog.Logger) (*Client, error) {
+func New(t Config, apply func(version uint64, text []byte) error, c *clock.Clock, log *slog.Logger) (*Client, error) {
 	x := &Client{clock: c, log: log, apply: apply, odd: rate.Sometimes{Interval: oddEvery}, box: mailbox.New[func()](),
 		newest: make(chan controlplane.Copy, 1)}
 	if t.Copy != "" {
--- a/internal/controlplane/client/client_test.go
+++ b/internal/controlplane/client/client_test.go
@@ -173,7 +173,7 @@
 	require.NoError(t, d.Keep(7, []byte(`{"a":1}`)))
 	d.Close()
 	put := make(chan uint64, 1)
-	c, err := New(Terms{Fleet: "f", Name: "n1", Region: "r", Members: []Member{{Name: "c1", Region: "r", Address: "127.0.0.1:1"}},
+	c, err := New(Config{Fleet: "f", Name: "n1", Region: "r", Members: []Member{{Name: "c1", Region: "r", Address: "127.0.0.1:1"}},
 		Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, Copy: file}, func(version uint64, _ []byte) error { put <- version; return nil }, clock.New(), slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	version, text, there := c.Copy()
@@ -194,7 +194,7 @@
 // Newest only: versions that come while one is being put in force are passed over but for the last.
 func TestNewestOnly(t *testing.T) {
 	begun, goOn, put := make(chan bool, 1), make(chan bool), make(chan uint64, 10)
-	c, err := New(Terms{Fleet: "f", Name: "n1", Region: "r"}, func(version uint64, _ []byte) error {
+	c, err := New(Config{Fleet: "f", Name: "n1", Region: "r"}, func(version uint64, _ []byte) error {
 		if version == 1 {
 			begun <- true
 			<-goOn
--- a/internal/controlplane/client/file.go
+++ b/internal/controlplane/client/file.go
@@ -134,10 +134,10 @@
 }
 
 // Node gives a node's terms, with its copy in the file's directory.
-func (p *Plane) Node(name string) (Terms, error) {
+func (p *Plane) Node(name string) (Config, error) {
 	if !plain(name) {
-		return Terms{}, p.at.Errorf("state_dir", "a node called %q can't have a file there: letters, digits, dots and dashes", name)
+		return Config{}, p.at.Errorf("state_dir", "a node called %q can't have a file there: letters, digits, dots and dashes", name)
 	}
-	return Terms{Fleet: p.Fleet, Name: name, Region: p.Region, Members: p.Members, Keys: p.Keys, Copy: filepath.Join(p.Dir, name+".copy"),
+	return Config{Fleet: p.Fleet, Name: name, Region: p.Region, Members: p.Members, Keys: p.Keys, Copy: filepath.Join(p.Dir, name+".copy"),
 		Kind: controlplane.KindNode}, nil
 }
--- a/internal/controlplane/client/link.go
+++ b/internal/controlplane/client/link.go
@@ -69,7 +69,7 @@
 // and Pull is to be called after each of its steps.
 type Following struct {
 	*controlplane.Follower
-	terms Terms
+	terms Config
 	ctx   context.Context
 	now   func() float64
 	put   func(func())
@@ -89,14 +89,14 @@
 }
 
 // NewFollowing makes one; taken is called by Pull, odd for refusals and at any time.
-func NewFollowing(ctx context.Context, t Terms, held controlplane.Copy, now func() float64, put func(func()), run func(func()),
+func NewFollowing(ctx context.Context, t Config, held controlplane.Copy, now func() float64, put func(func()), run func(func()),
 	taken func(controlplane.Take), odd func(string, error)) *Following {
 	targets := make([]controlplane.Target, len(t.Members))
 	for k, m := range t.Members {
 		targets[k] = controlplane.Target{Name: m.Name, Region: m.Region}
 	}
 	return &Following{terms: t, ctx: ctx, now: now, put: put, dials: run, taken: taken, odd: odd,
-		Follower: controlplane.NewFollower(controlplane.FollowerTerms{Name: t.Name, Region: t.Region, Kind: t.Kind, Members: targets,
+		Follower: controlplane.NewFollower(controlplane.FollowerConfig{Name: t.Name, Region: t.Region, Kind: t.Kind, Members: targets,
 			Seed: rand.Uint64()}, held, now())}
 }
 
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -12,17 +12,17 @@
 )
 
 // Flaw names a part left out on purpose, so that a test can show that its absence is noticed.
-type Flaw int
+type InjectedBug int
 
 const (
-	NoFlaw          Flaw = iota
-	OutOfOrder           // a follower applies whatever change comes, whichever version it holds; one out of turn unchecked
-	DigestUnchecked      // a follower doesn't compare digests
-	AckEarly             // a leader answers once it has the proposal itself
-	StaleServe           // a voter that leads takes itself for fresh without asking the others
-	ReceiptAge           // a follower counts an age from a heartbeat's receipt
-	StayPut              // a follower stays with a server however old that one's copy is
-	BaseUnchecked        // the state machine takes a change to whatever version it has
+	NoInjectedBug   InjectedBug = iota
+	OutOfOrder                  // a follower applies whatever change comes, whichever version it holds; one out of turn unchecked
+	DigestUnchecked             // a follower doesn't compare digests
+	AckEarly                    // a leader answers once it has the proposal itself
+	StaleServe                  // a voter that leads takes itself for fresh without asking the others
+	ReceiptAge                  // a follower counts an age from a heartbeat's receipt
+	StayPut                     // a follower stays with a server however old that one's copy is
+	BaseUnchecked               // the state machine takes a change to whatever version it has
 )
 
 // Digest is the SHA-256 of a document's text.
@@ -45,13 +45,13 @@
 }
 
 // VoterTerms are a voter's own.
-type VoterTerms struct {
-	ID      uint64
-	Voters  []uint64
-	Seed    uint64
-	Entries int // bytes of entries between two images; 0 is the usual, 1 MB or a quarter of the text
-	Kept    int // changes kept, the same for all voters; 0 is the usual, 4,096
-	Flaw    Flaw
+type VoterConfig struct {
+	ID          uint64
+	Voters      []uint64
+	Seed        uint64
+	Entries     int // bytes of entries between two images; 0 is the usual, 1 MB or a quarter of the text
+	Kept        int // changes kept, the same for all voters; 0 is the usual, 4,096
+	InjectedBug InjectedBug
 }
 
 // Stored is what a voter's store holds. Keep does to it what a store must do at a Persist.
@@ -141,7 +141,7 @@
 )
 
 // ServerTerms are a server's own.
-type ServerTerms struct {
+type ServerConfig struct {
 	Name, Region string
 	Seed         uint64
 }
@@ -165,12 +165,12 @@
 }
 
 // FollowerTerms are a follower's own.
-type FollowerTerms struct {
+type FollowerConfig struct {
 	Name, Region, Kind string
 	Members            []Target
 	Kept               int // changes that a member keeps; 0 is the usual, 4,096. A node keeps none
 	Seed               uint64
-	Flaw               Flaw
+	InjectedBug        InjectedBug
 }
 
 // Take is the newest copy held, to be put in force and kept on disk. What is in force is said by InForce, or Refused.
--- a/internal/controlplane/follow_test.go
+++ b/internal/controlplane/follow_test.go
@@ -62,14 +62,14 @@
 }
 
 func newPair(t *testing.T, followers int) *pair {
-	p := &pair{t: t, now: 1e6, s: NewServer(ServerTerms{Name: "m", Region: "r", Seed: 1}, 1e6), h: newHistory(0, nothing(), mostKept), fresh: true}
+	p := &pair{t: t, now: 1e6, s: NewServer(ServerConfig{Name: "m", Region: "r", Seed: 1}, 1e6), h: newHistory(0, nothing(), mostKept), fresh: true}
 	for k := range followers {
-		p.add(FollowerTerms{Name: fmt.Sprintf("n%d", k), Region: "r", Kind: KindNode, Members: []Target{{"m", "r"}}, Seed: uint64(k)}, Copy{})
+		p.add(FollowerConfig{Name: fmt.Sprintf("n%d", k), Region: "r", Kind: KindNode, Members: []Target{{"m", "r"}}, Seed: uint64(k)}, Copy{})
 	}
 	return p
 }
 
-func (p *pair) add(t FollowerTerms, c Copy) int {
+func (p *pair) add(t FollowerConfig, c Copy) int {
 	p.followers = append(p.followers, NewFollower(t, c, p.now))
 	p.takes, p.toServer, p.toFollow = append(p.takes, nil), append(p.toServer, 0), append(p.toFollow, 0)
 	return len(p.followers) - 1
@@ -237,7 +237,7 @@
 			if c.other {
 				doc = parse(t, `{"a":1}`)
 			}
-			p.add(FollowerTerms{Name: "n0", Region: "r", Kind: KindNode, Members: []Target{{"m", "r"}}}, Copy{version, doc})
+			p.add(FollowerConfig{Name: "n0", Region: "r", Kind: KindNode, Members: []Target{{"m", "r"}}}, Copy{version, doc})
 			p.followers[0].InForce(p.now, version)
 			p.pass(1500)
 			p.same(0)
@@ -307,7 +307,7 @@
 	head, doc := p.h.Head()
 	size := len(pack([]byte(doc.Text())))
 	t.Logf("the whole is %d bytes, %d packed", len(doc.Text()), size)
-	live := p.add(FollowerTerms{Name: "n40", Region: "r", Kind: KindNode, Members: []Target{{"m", "r"}}}, Copy{head, doc})
+	live := p.add(FollowerConfig{Name: "n40", Region: "r", Kind: KindNode, Members: []Target{{"m", "r"}}}, Copy{head, doc})
 	p.pass(300)
 	before := append([]int(nil), p.toFollow...)
 	for range 10 {
@@ -397,14 +397,14 @@
 		"long words":      frame(frameHello, &status{Why: strings.Repeat("x", mostWords+1), Digest: make([]byte, 32), Kind: KindNode}),
 		"too long":        append(frame(frameHello, &hello), make([]byte, MostFrame)...),
 	} {
-		s := NewServer(ServerTerms{}, 0)
+		s := NewServer(ServerConfig{}, 0)
 		s.Join(0, 1, "n")
 		require.Error(t, s.Frame(0, 1, f), name)
 		require.NoError(t, s.Frame(0, 1, frame(frameHello, &hello)), "%s: it is gone by then", name)
 		require.Empty(t, s.conns)
 		require.Empty(t, s.Leases(0))
 	}
-	s := NewServer(ServerTerms{}, 0)
+	s := NewServer(ServerConfig{}, 0)
 	s.Join(0, 1, "n")
 	require.NoError(t, s.Frame(0, 1, frame(frameHello, &hello)))
 	s.Join(0, 2, "n")
@@ -423,7 +423,7 @@
 	members := []Target{{"a", "east"}, {"b", "east"}, {"c", "east"}, {"d", "east"}, {"x", "west"}, {"y", "west"}}
 	first, second := map[int]int{}, map[[2]int]int{}
 	for n := range 4000 {
-		f := NewFollower(FollowerTerms{Name: fmt.Sprintf("node-%d", n), Region: "east", Members: members}, Copy{}, 0)
+		f := NewFollower(FollowerConfig{Name: fmt.Sprintf("node-%d", n), Region: "east", Members: members}, Copy{}, 0)
 		require.Equal(t, 4, f.own)
 		for _, k := range f.order[:4] {
 			require.Equal(t, "east", members[k].Region)
@@ -469,7 +469,7 @@
 func TestAnotherMemberWithin2s(t *testing.T) {
 	members := []Target{{"a", "east"}, {"b", "east"}, {"x", "west"}}
 	for seed := range uint64(50) {
-		f := NewFollower(FollowerTerms{Name: fmt.Sprintf("n%d", seed), Region: "east", Members: members, Seed: seed}, Copy{}, 0)
+		f := NewFollower(FollowerConfig{Name: fmt.Sprintf("n%d", seed), Region: "east", Members: members, Seed: seed}, Copy{}, 0)
 		got, at := dials(t, f, 0, 30e3, func(int) string { return "refused" })
 		require.Equal(t, []int{f.order[0], f.order[1], f.order[2]}, got[:3], "the others' region last")
 		require.LessOrEqual(t, at[1], 2*againFrom+TickMs)
@@ -478,10 +478,10 @@
 		}
 		require.Greater(t, len(at), 15)
 		// One that answers nothing is left after a while, one that says nothing too.
-		f = NewFollower(FollowerTerms{Name: "n", Region: "east", Members: members, Seed: seed}, Copy{}, 0)
+		f = NewFollower(FollowerConfig{Name: "n", Region: "east", Members: members, Seed: seed}, Copy{}, 0)
 		_, at = dials(t, f, 0, 10e3, func(int) string { return "nothing" })
 		require.LessOrEqual(t, at[1]-at[0], dialWithin+againFrom+2*TickMs)
-		f = NewFollower(FollowerTerms{Name: "n", Region: "east", Members: members, Seed: seed}, Copy{}, 0)
+		f = NewFollower(FollowerConfig{Name: "n", Region: "east", Members: members, Seed: seed}, Copy{}, 0)
 		got, at = dials(t, f, 0, 10e3, func(int) string { return "connected" })
 		require.LessOrEqual(t, at[1]-at[0], silentAfter+againFrom+2*TickMs)
 		require.NotEqual(t, got[0], got[1])
@@ -490,7 +490,7 @@
 
 // A server whose copy is old is left for another, ever more seldom where none is fresher; in a foreign region the own is tried again.
 func TestOldCopiesAndHome(t *testing.T) {
-	f := NewFollower(FollowerTerms{Name: "n", Region: "east", Members: []Target{{"a", "east"}, {"b", "east"}}}, Copy{}, 0)
+	f := NewFollower(FollowerConfig{Name: "n", Region: "east", Members: []Target{{"a", "east"}, {"b", "east"}}}, Copy{}, 0)
 	var at []float64
 	beats := func(f *Follower, ms, age float64, down func(int) bool) (members []int) {
 		for now := 0.0; now < ms; now += TickMs {
@@ -521,7 +521,7 @@
 	// A region alone keeps to its own members; each cycle one of another region is tried, each time the next.
 	all := []Target{{"a", "east"}, {"b", "east"}, {"c", "west"}, {"d", "west"}, {"e", "north"}}
 	far := map[int]int{}
-	f = NewFollower(FollowerTerms{Name: "n", Region: "east", Members: all}, Copy{}, 0)
+	f = NewFollower(FollowerConfig{Name: "n", Region: "east", Members: all}, Copy{}, 0)
 	members = beats(f, 600e3, 10e3, func(m int) bool {
 		if m >= 2 {
 			far[m]++
@@ -534,24 +534,24 @@
 	}
 	require.InDelta(t, len(members)/2, far[2]+far[3]+far[4], 1)
 	// Where those are as old, it goes home at once.
-	f = NewFollower(FollowerTerms{Name: "n", Region: "east", Members: all}, Copy{}, 0)
+	f = NewFollower(FollowerConfig{Name: "n", Region: "east", Members: all}, Copy{}, 0)
 	members = beats(f, 600e3, 10e3, none)
 	for k := 1; k < len(members); k++ {
 		require.False(t, members[k-1] >= 2 && members[k] >= 2, "%d", members)
 	}
 
-	f = NewFollower(FollowerTerms{Name: "n", Region: "east", Members: []Target{{"a", "east"}, {"x", "west"}}}, Copy{}, 0)
+	f = NewFollower(FollowerConfig{Name: "n", Region: "east", Members: []Target{{"a", "east"}, {"x", "west"}}}, Copy{}, 0)
 	members = beats(f, 120e3, 0, func(m int) bool { return m == 0 })
 	require.Equal(t, 1, members[0])
 	require.Greater(t, len(members), 1, "goes home now and then")
 	require.LessOrEqual(t, len(members), 4, "ever more seldom")
-	f = NewFollower(FollowerTerms{Name: "n", Region: "east", Members: []Target{{"a", "east"}, {"x", "west"}}}, Copy{}, 0)
+	f = NewFollower(FollowerConfig{Name: "n", Region: "east", Members: []Target{{"a", "east"}, {"x", "west"}}}, Copy{}, 0)
 	require.Equal(t, []int{0}, beats(f, 120e3, 0, none), "at home it stays")
 }
 
 // An age is reckoned from when the server heard the follower's status: a heartbeat that took long is not taken for fresh.
 func TestAgeOfALateHeartbeat(t *testing.T) {
-	f := NewFollower(FollowerTerms{Name: "n", Members: []Target{{"m", ""}}}, Copy{}, 0)
+	f := NewFollower(FollowerConfig{Name: "n", Members: []Target{{"m", ""}}}, Copy{}, 0)
 	require.True(t, math.IsInf(f.State(0).Age, 1))
 	for now := 0.0; f.link != dialing; now += TickMs {
 		f.Tick(now)
@@ -578,7 +578,7 @@
 	f.Add(frame(frameBegin, &begin{Version: 3, Digest: next.digest[:], Size: 10, Text: 9}))
 	f.Add(frame(frameChunk, &chunk{Data: pack([]byte("{}\n"))}))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		w := NewFollower(FollowerTerms{Name: "n", Kind: KindMember, Members: []Target{{"m", ""}}}, Copy{}, 0)
+		w := NewFollower(FollowerConfig{Name: "n", Kind: KindMember, Members: []Target{{"m", ""}}}, Copy{}, 0)
 		w.link, w.heardAt = linked, 0
 		w.Frame(10, data)
 		w.Frame(20, data)
@@ -598,7 +598,7 @@
 	h := newHistory(0, nothing(), 4)
 	grow(f, h, 50, 9)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s := NewServer(ServerTerms{}, 0)
+		s := NewServer(ServerConfig{}, 0)
 		s.Set(0, h, 0)
 		s.Join(0, 1, "n")
 		_ = s.Frame(1, 1, frame(frameHello, &status{At: 1, Digest: make([]byte, 32), Region: "r", Kind: KindNode}))
@@ -616,7 +616,7 @@
 func TestOldCopyAbroadWhileHomeIsDown(t *testing.T) {
 	all := []Target{{"a", "east"}, {"c", "west"}, {"d", "west"}, {"e", "north"}}
 	for seed := range uint64(50) {
-		f := NewFollower(FollowerTerms{Name: fmt.Sprintf("n%d", seed), Region: "east", Members: all, Seed: seed}, Copy{}, 0)
+		f := NewFollower(FollowerConfig{Name: fmt.Sprintf("n%d", seed), Region: "east", Members: all, Seed: seed}, Copy{}, 0)
 		fresh := f.order[2+seed%2] // all others' copies are old
 		had := math.Inf(1)
 		for now := 0.0; now < 30e3 && math.IsInf(had, 1); now += TickMs {
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -29,7 +29,7 @@
 // Follower is a node's part, or that of a member without a vote: it holds one connection, to a member that it picks, and what it last
 // got, whatever becomes of that. A copy that it begins with is taken for what is held: its Take is not given again.
 type Follower struct {
-	t       FollowerTerms
+	t       FollowerConfig
 	chance  *rand.Rand
 	order   []int // of members: the own region's first, in the order of their scores
 	own     int   // so many are of the own region
@@ -73,7 +73,7 @@
 )
 
 // NewFollower begins with a copy, or none.
-func NewFollower(t FollowerTerms, c Copy, now float64) *Follower {
+func NewFollower(t FollowerConfig, c Copy, now float64) *Follower {
 	most := 0
 	if t.Kind == KindMember {
 		most = cmp.Or(t.Kept, mostKept)
@@ -253,7 +253,7 @@
 	}
 	version, doc := f.h.Head()
 	switch {
-	case c.Version == version+1, f.t.Flaw == OutOfOrder:
+	case c.Version == version+1, f.t.InjectedBug == OutOfOrder:
 	case c.Version <= version:
 		return nil // it is known
 	default:
@@ -261,7 +261,7 @@
 		return nil
 	}
 	next, err := doc.splice(c.Splices)
-	if err == nil && next.digest != c.Digest && f.t.Flaw != DigestUnchecked && c.Version == version+1 {
+	if err == nil && next.digest != c.Digest && f.t.InjectedBug != DigestUnchecked && c.Version == version+1 {
 		err = errDigest
 	}
 	if err != nil {
@@ -327,7 +327,7 @@
 		return f.wrong(now)
 	}
 	doc, err := newDocument(string(text))
-	if err != nil || doc.digest != in.digest && f.t.Flaw != DigestUnchecked {
+	if err != nil || doc.digest != in.digest && f.t.InjectedBug != DigestUnchecked {
 		return f.wrong(now)
 	}
 	f.bad = 0
@@ -352,7 +352,7 @@
 	switch {
 	case b.Sent > version && b.Sent <= b.Head, f.in == nil && b.Whole > 0, f.in != nil && b.Whole > uint64(len(f.in.data)):
 		f.askAgain(now) // something of it was lost
-	case b.Head == version && b.Digest != doc.digest.start() && f.t.Flaw != DigestUnchecked:
+	case b.Head == version && b.Digest != doc.digest.start() && f.t.InjectedBug != DigestUnchecked:
 		if now-f.askedAt >= askEvery {
 			return f.wrong(now)
 		}
@@ -364,7 +364,7 @@
 	} else if f.restAt == 0 {
 		f.restAt = now // at once, the first time
 	}
-	if b.Age > staleAfter && now >= f.restAt && len(f.order) > 1 && f.t.Flaw != StayPut {
+	if b.Age > staleAfter && now >= f.restAt && len(f.order) > 1 && f.t.InjectedBug != StayPut {
 		f.restAt = now + f.rest*(1+f.chance.Float64()/2)
 		if f.tried++; f.tried >= f.own {
 			f.rest = min(2*f.rest, restUpTo)
@@ -399,7 +399,7 @@
 func (f *Follower) freshen(now float64) {
 	if version, _ := f.h.Head(); f.claimed && version >= f.claim.Head {
 		at := f.claim.Echo + f.claim.Offset
-		if f.t.Flaw == ReceiptAge {
+		if f.t.InjectedBug == ReceiptAge {
 			at = now - f.claim.Age
 		}
 		f.freshAt = max(f.freshAt, min(at, now))
--- a/internal/controlplane/member/member.go
+++ b/internal/controlplane/member/member.go
@@ -138,7 +138,7 @@
 		return err
 	}
 	defer socket.Close()
-	m.server = controlplane.NewServer(controlplane.ServerTerms{Name: name, Region: self.Region, Seed: rand.Uint64()}, m.clock.Now())
+	m.server = controlplane.NewServer(controlplane.ServerConfig{Name: name, Region: self.Region, Seed: rand.Uint64()}, m.clock.Now())
 	m.set.freshAt = math.Inf(-1)
 	log.Info("member of the control plane", "name", name, "region", self.Region, "voter", self.Voter, "address", l.Addr().String(), "version", o.Version)
 	m.wg.Go(m.run)
@@ -186,7 +186,7 @@
 	if err != nil {
 		return err
 	}
-	v, err := controlplane.NewVoter(controlplane.VoterTerms{ID: m.id, Voters: ids, Seed: rand.Uint64()}, kept, m.clock.Now())
+	v, err := controlplane.NewVoter(controlplane.VoterConfig{ID: m.id, Voters: ids, Seed: rand.Uint64()}, kept, m.clock.Now())
 	if err != nil {
 		_ = s.close()
 		return err
@@ -213,7 +213,7 @@
 		}
 	}
 	m.disk = disk
-	t := client.Terms{Fleet: m.plane.Fleet, Name: m.self.Name, Region: m.self.Region, Members: voters, Keys: m.plane.Keys, Kind: controlplane.KindMember}
+	t := client.Config{Fleet: m.plane.Fleet, Name: m.self.Name, Region: m.self.Region, Members: voters, Keys: m.plane.Keys, Kind: controlplane.KindMember}
 	m.follow = client.NewFollowing(m.ctx, t, held, m.clock.Now, m.box.Put, m.wg.Go, func(t controlplane.Take) {
 		m.follow.InForce(m.clock.Now(), t.Version)
 		m.disk.Offer(controlplane.Copy{Version: t.Version, Text: t.Text})
--- a/internal/controlplane/rest_test.go
+++ b/internal/controlplane/rest_test.go
@@ -11,7 +11,7 @@
 func TestTwoOldCopiesInARow(t *testing.T) {
 	members := []Target{{"a", "east"}, {"b", "east"}, {"c", "east"}}
 	for seed := range uint64(20) {
-		f := NewFollower(FollowerTerms{Name: "n", Region: "east", Members: members, Seed: seed}, Copy{}, 0)
+		f := NewFollower(FollowerConfig{Name: "n", Region: "east", Members: members, Seed: seed}, Copy{}, 0)
 		var at []float64
 		for now := 0.0; now < 20e3 && len(at) < 3; now += TickMs {
 			f.Tick(now)
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -29,7 +29,7 @@
 
 // Server is what a member says to its followers: changes as they come, to each what it lacks, and how old all of it can be.
 type Server struct {
-	t       ServerTerms
+	t       ServerConfig
 	chance  *rand.Rand
 	h       *History
 	version uint64
@@ -79,7 +79,7 @@
 	ageAt float64 // when it said its age
 }
 
-func NewServer(t ServerTerms, now float64) *Server {
+func NewServer(t ServerConfig, now float64) *Server {
 	return &Server{t: t, chance: rand.New(rand.NewPCG(t.Seed, 1)), h: newHistory(0, nothing(), 0), freshAt: math.Inf(-1),
 		conns: map[uint64]*conn{}, leases: map[string]*lease{}, ticked: now}
 }
--- a/internal/controlplane/voter.go
+++ b/internal/controlplane/voter.go
@@ -36,7 +36,7 @@
 // Voter is one of those that agree on the history. What Next gives is to be carried out in order, to its end, before anything else is
 // asked of it: History and FreshAt are ahead of a Persist that is still to come.
 type Voter struct {
-	t        VoterTerms
+	t        VoterConfig
 	rn       *raft.RawNode
 	store    *raft.MemoryStorage // what the durable one has, but for a few entries from before its image
 	conf     *pb.ConfState
@@ -113,7 +113,7 @@
 }
 
 // check tells what is wrong with a store.
-func (s *Stored) check(t *VoterTerms) error {
+func (s *Stored) check(t *VoterConfig) error {
 	if s == nil || s.Snapshot == nil || s.Hard == nil {
 		return errors.New("no store")
 	}
@@ -141,7 +141,7 @@
 }
 
 // NewVoter goes on from a store.
-func NewVoter(t VoterTerms, s *Stored, now float64) (*Voter, error) {
+func NewVoter(t VoterConfig, s *Stored, now float64) (*Voter, error) {
 	if !slices.Contains(t.Voters, t.ID) {
 		return nil, fmt.Errorf("voter %d is not one of %d", t.ID, t.Voters)
 	}
@@ -334,7 +334,7 @@
 		v.reply(id, Result{Code: Done, Version: version})
 		return
 	}
-	if p.Base != head && v.t.Flaw != BaseUnchecked {
+	if p.Base != head && v.t.InjectedBug != BaseUnchecked {
 		v.reply(id, Result{Code: Conflict, Version: head})
 		return
 	}
@@ -344,7 +344,7 @@
 		v.reply(id, Result{Code: Busy})
 		return
 	}
-	if v.t.Flaw == AckEarly && len(v.pending) == 0 { // nothing but a majority is wanting
+	if v.t.InjectedBug == AckEarly && len(v.pending) == 0 { // nothing but a majority is wanting
 		v.reply(id, Result{Code: Done, Version: head + 1})
 	}
 	v.pending[id] = true
@@ -458,7 +458,7 @@
 		}
 		return r.known && r.index <= v.applied
 	})
-	if v.t.Flaw == StaleServe && v.leading() {
+	if v.t.InjectedBug == StaleServe && v.leading() {
 		v.freshAt = now
 	}
 }
@@ -494,12 +494,12 @@
 	if version, known := v.history.Find(c.ID); known {
 		return Result{Code: Done, Version: version}
 	}
-	if base != head && v.t.Flaw != BaseUnchecked {
+	if base != head && v.t.InjectedBug != BaseUnchecked {
 		return Result{Code: Conflict, Version: head}
 	}
 	next, err := doc.splice(c.Splices)
 	if err == nil && next.digest != c.Digest {
-		if err = errDigest; v.t.Flaw == BaseUnchecked {
+		if err = errDigest; v.t.InjectedBug == BaseUnchecked {
 			c.Digest, err = next.digest, nil
 		}
 	}
--- a/internal/controlplane/voter_test.go
+++ b/internal/controlplane/voter_test.go
@@ -18,7 +18,7 @@
 type voters struct {
 	t       require.TestingT
 	now     float64
-	terms   VoterTerms
+	terms   VoterConfig
 	all     map[uint64]*Voter
 	stores  map[uint64]*Stored
 	cut     map[uint64]bool
@@ -27,7 +27,7 @@
 	log     []*Persist // of voter 1
 }
 
-func newVoters(t require.TestingT, n int, terms VoterTerms) *voters {
+func newVoters(t require.TestingT, n int, terms VoterConfig) *voters {
 	c := &voters{t: t, now: 1e6, terms: terms, all: map[uint64]*Voter{}, stores: map[uint64]*Stored{}, cut: map[uint64]bool{}, replies: map[uint64][]Result{}}
 	for id := range n {
 		c.terms.Voters = append(c.terms.Voters, uint64(id+1))
@@ -118,7 +118,7 @@
 func number(n int) string { return fmt.Sprintf(`{"n":%d}`, n) }
 
 func TestProposals(t *testing.T) {
-	c := newVoters(t, 3, VoterTerms{Seed: 1})
+	c := newVoters(t, 3, VoterConfig{Seed: 1})
 	id, l := c.leader()
 	require.Equal(t, Result{Code: Done, Version: 1}, c.propose(l, 11, 0, number(1)))
 	require.Equal(t, Result{Code: Conflict, Version: 1}, c.propose(l, 12, 0, number(2)), "the later of two")
@@ -153,7 +153,7 @@
 
 // A leader that is cut off has no answer but that it doesn't know; the next leader tells, asked with the same id.
 func TestLostLeader(t *testing.T) {
-	c := newVoters(t, 3, VoterTerms{Seed: 2})
+	c := newVoters(t, 3, VoterConfig{Seed: 2})
 	id, l := c.leader()
 	require.Equal(t, Done, c.propose(l, 1, 0, number(1)).Code)
 	c.pass(1000)
@@ -179,7 +179,7 @@
 }
 
 func TestTooManyProposals(t *testing.T) {
-	c := newVoters(t, 3, VoterTerms{Seed: 3})
+	c := newVoters(t, 3, VoterConfig{Seed: 3})
 	id, l := c.leader()
 	c.cut[id] = true
 	for n := range mostWaiting + 2 {
@@ -195,7 +195,7 @@
 
 // A voter that was away for long gets an image, in pieces that fit a frame, and goes on from it after a start too.
 func TestImageInPieces(t *testing.T) {
-	c := newVoters(t, 3, VoterTerms{Seed: 4, Entries: 2000})
+	c := newVoters(t, 3, VoterConfig{Seed: 4, Entries: 2000})
 	id, l := c.leader()
 	away := id%3 + 1
 	c.cut[away] = true
@@ -222,7 +222,7 @@
 
 // Killed between any two writes, a voter goes on from what was written, and has all that it told of by then.
 func TestStartsFromAnyWrite(t *testing.T) {
-	c := newVoters(t, 3, VoterTerms{Seed: 5, Entries: 300})
+	c := newVoters(t, 3, VoterConfig{Seed: 5, Entries: 300})
 	for n := range 40 {
 		if n%13 == 12 {
 			c.cut = map[uint64]bool{uint64(n%3 + 1): true}
@@ -250,7 +250,7 @@
 }
 
 func TestDamagedStores(t *testing.T) {
-	c := newVoters(t, 3, VoterTerms{Seed: 6})
+	c := newVoters(t, 3, VoterConfig{Seed: 6})
 	_, l := c.leader()
 	for n := range 5 {
 		c.propose(l, uint64(n+1), uint64(n), number(n))
@@ -284,7 +284,7 @@
 
 // A voter whose store has gone back says so once its leader speaks of more.
 func TestStoreThatWentBack(t *testing.T) {
-	c := newVoters(t, 3, VoterTerms{Seed: 7})
+	c := newVoters(t, 3, VoterConfig{Seed: 7})
 	id, l := c.leader()
 	old := Bootstrap(c.terms.Voters)
 	for n := range 5 {
@@ -371,7 +371,7 @@
 // Messages that no sound voter sends are as good as lost: none ends the process.
 func TestOddMessages(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		c := newVoters(rt, 3, VoterTerms{Seed: rapid.Uint64Range(0, 9).Draw(rt, "seed")})
+		c := newVoters(rt, 3, VoterConfig{Seed: rapid.Uint64Range(0, 9).Draw(rt, "seed")})
 		_, l := c.leader()
 		for n := range 3 {
 			c.propose(l, uint64(n+1), uint64(n), number(n))
@@ -402,7 +402,7 @@
 		}
 		c.pass(500)
 	})
-	c := newVoters(t, 3, VoterTerms{Seed: 1})
+	c := newVoters(t, 3, VoterConfig{Seed: 1})
 	id, _ := c.leader()
 	asked := &pb.Message{Type: pb.MsgReadIndex.Enum(), From: proto.Uint64(id), To: proto.Uint64(id%3 + 1), Term: proto.Uint64(2), Entries: []*pb.Entry{{}}}
 	data, err := proto.Marshal(asked)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -35,17 +35,17 @@
 		good+`,{"uid":"g","az":"a","model":"m1","state":"removed","capacity_hint":2.5}]}`), slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	const at, missing = "127.0.0.1:80", oddCell | oddWeight | oddStarted
-	assert.Equal(t, &List{Version: 41, Whole: true, Members: []Member{
-		{Name: "x", Address: "nowhere", State: balancer.Ready, Weight: 1, Odd: oddAddress | missing},
-		{Name: "x", Address: at, State: balancer.Ready, Zone: -1, Weight: 1, Odd: oddZone | missing},
-		{Name: "x", Address: at, State: balancer.Ready, Kind: -1, Weight: 1, Odd: oddKind | missing},
-		{Name: "x", Address: at, Weight: 1, Odd: oddState | missing},
-		{Name: "x", Address: at, State: balancer.Ready, Cell: -1, Weight: 1, Odd: oddCell | oddWeight | oddStarted},
-		{Name: "x", Address: at, State: balancer.Draining, Zone: -1, Kind: -1, Odd: oddZone | oddKind | oddCell | oddWeight | oddStarted},
-		{Name: "x", Weight: 1, Started: 9, Odd: oddAddress | oddState | oddCell | oddWeight},
-		{Name: "x", Zone: -1, Weight: 1, Odd: oddZone | missing},
-		{Name: "s", Address: at, State: balancer.Ready, Zone: 1, Cell: 3, Weight: 1, Started: 7},
-		{Name: "g", State: balancer.Gone, Weight: 2.5},
+	assert.Equal(t, &List{Version: 41, Complete: true, Endpoints: []Endpoint{
+		{Name: "x", Address: "nowhere", State: balancer.BackendReady, Weight: 1, Invalid: oddAddress | missing},
+		{Name: "x", Address: at, State: balancer.BackendReady, Zone: -1, Weight: 1, Invalid: oddZone | missing},
+		{Name: "x", Address: at, State: balancer.BackendReady, Kind: -1, Weight: 1, Invalid: oddKind | missing},
+		{Name: "x", Address: at, Weight: 1, Invalid: oddState | missing},
+		{Name: "x", Address: at, State: balancer.BackendReady, Cell: -1, Weight: 1, Invalid: oddCell | oddWeight | oddStarted},
+		{Name: "x", Address: at, State: balancer.BackendDraining, Zone: -1, Kind: -1, Invalid: oddZone | oddKind | oddCell | oddWeight | oddStarted},
+		{Name: "x", Weight: 1, Started: 9, Invalid: oddAddress | oddState | oddCell | oddWeight},
+		{Name: "x", Zone: -1, Weight: 1, Invalid: oddZone | missing},
+		{Name: "s", Address: at, State: balancer.BackendReady, Zone: 1, Cell: 3, Weight: 1, Started: 7},
+		{Name: "g", State: balancer.BackendRemoved, Weight: 2.5},
 	}}, list)
 	for _, bad := range []string{``, `[]`, `{"all":true,"targets":[]}`, `{"rev":-1}`, `{"rev":"4","targets":[]}`,
 		`{"rev":4,"all":true,"targets":[` + good + `]`, `{"rev":4,"all":true,"targets":[]}}`, `{"rev":4,"all":true,"targets":[]}{}`,
@@ -56,21 +56,21 @@
 	for _, empty := range []string{`{"rev":4,"all":true,"targets":[]}`, "{\n\t\"rev\": 4,\r\n\t\"all\": true,\n\t\"targets\": [\n\t]\n}\n"} {
 		list, err := names.Decode([]byte(empty), slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
-		assert.Equal(t, &List{Version: 4, Whole: true}, list)
+		assert.Equal(t, &List{Version: 4, Complete: true}, list)
 	}
 }
 
 // News of a backend that is known, in an entry that can't be read whole: every part that can be is taken, but it brings
 // nothing back into use.
 func TestOver(t *testing.T) {
-	had := Member{"s", "old", balancer.Ready, 1, 2, 3, 4, 5, 0}
+	had := Endpoint{"s", "old", balancer.BackendReady, 1, 2, 3, 4, 5, 0}
 	all := oddAddress | oddState | oddZone | oddCell | oddKind | oddWeight | oddStarted
-	assert.Equal(t, had, Member{Name: "s", Odd: all}.Over(had))
-	now := Member{"s", "new", balancer.Draining, 6, 7, 8, 9, 10, 0}
-	for part := Parts(1); part <= all; part <<= 1 {
+	assert.Equal(t, had, Endpoint{Name: "s", Invalid: all}.MergeInto(had))
+	now := Endpoint{"s", "new", balancer.BackendDraining, 6, 7, 8, 9, 10, 0}
+	for part := Fields(1); part <= all; part <<= 1 {
 		m := now
-		m.Odd = part
-		got, kept := m.Over(had), Parts(0)
+		m.Invalid = part
+		got, kept := m.MergeInto(had), Fields(0)
 		for k, same := range []bool{got.Address == had.Address, got.State == had.State, got.Zone == had.Zone, got.Cell == had.Cell,
 			got.Kind == had.Kind, got.Weight == had.Weight, got.Started == had.Started} {
 			if same {
@@ -78,12 +78,12 @@
 			}
 		}
 		assert.Equal(t, part, kept)
-		assert.Zero(t, got.Odd)
+		assert.Zero(t, got.Invalid)
 	}
-	for _, state := range []balancer.State{balancer.Gone, balancer.Draining, balancer.Ready} {
+	for _, state := range []balancer.BackendState{balancer.BackendRemoved, balancer.BackendDraining, balancer.BackendReady} {
 		had.State = state
-		assert.Equal(t, state, Member{State: balancer.Ready, Odd: oddZone}.Over(had).State)
-		assert.Equal(t, balancer.Gone, Member{State: balancer.Gone, Odd: oddZone}.Over(had).State)
+		assert.Equal(t, state, Endpoint{State: balancer.BackendReady, Invalid: oddZone}.MergeInto(had).State)
+		assert.Equal(t, balancer.BackendRemoved, Endpoint{State: balancer.BackendRemoved, Invalid: oddZone}.MergeInto(had).State)
 	}
 }
 
@@ -106,18 +106,18 @@
 	defer discovery.Close()
 	told, failed := make(chan *List, 1), make(chan bool, 1)
 	w := &Watch{Address: discovery.Listener.Addr().String(), Names: names, Log: slog.New(slog.DiscardHandler),
-		Told: func(l *List) { told <- l }, Failed: func() { failed <- true }}
+		OnList: func(l *List) { told <- l }, OnFailure: func() { failed <- true }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w.Start(ctx)
-	w.Ask()
+	w.Poll()
 	assert.Equal(t, "", <-asked, "the whole list, where none is held")
 	answer <- `{"rev":41,"all":true,"targets":[` + good + `]}`
 	assert.Equal(t, uint64(41), (<-told).Version)
 	assert.Equal(t, "from=41&hold_ms=1200", <-asked)
 	assert.Less(t, apart, 200*time.Millisecond, "the watch goes on")
 	answer <- `{"rev":43,"all":false,"targets":[]}`
-	assert.False(t, (<-told).Whole)
+	assert.False(t, (<-told).Complete)
 	assert.Equal(t, "from=43&hold_ms=1200", <-asked)
 	answer <- "close" // no failure: the next call takes another connection
 	assert.Equal(t, uint64(44), (<-told).Version)
@@ -130,7 +130,7 @@
 			t.Error("asked again before the module said so")
 		case <-time.After(50 * time.Millisecond):
 		}
-		w.Ask()
+		w.Poll()
 	}
 	<-asked
 	cancel()
@@ -161,20 +161,20 @@
 	}
 	told := make(chan *List, 1)
 	w := &Watch{Address: place("old ", `{"rev":41,"all":true,"targets":[]}`), Names: names,
-		Log: slog.New(slog.DiscardHandler), Told: func(l *List) { told <- l }, Failed: func() { t.Error("failed") }}
+		Log: slog.New(slog.DiscardHandler), OnList: func(l *List) { told <- l }, OnFailure: func() { t.Error("failed") }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer close(hold)
 	defer cancel()
 	w.Start(ctx)
-	w.Ask()
+	w.Poll()
 	assert.Equal(t, "old ", <-asked)
 	assert.Equal(t, uint64(41), (<-told).Version)
 	assert.Equal(t, "old from=41&hold_ms=1200", <-asked)
-	w.Move(place("new ", `{"rev":7,"all":true,"targets":[`+good+`]}`))
+	w.SetAddress(place("new ", `{"rev":7,"all":true,"targets":[`+good+`]}`))
 	assert.Equal(t, "new ", <-asked)
 	list := <-told
-	assert.True(t, list.Whole)
-	assert.Len(t, list.Members, 1)
+	assert.True(t, list.Complete)
+	assert.Len(t, list.Endpoints, 1)
 	assert.Equal(t, "new from=7&hold_ms=1200", <-asked)
 }
 
@@ -208,11 +208,11 @@
 	}()
 	failed := make(chan bool, 1)
 	w := &Watch{Address: l.Addr().String(), Names: names, Log: slog.New(slog.DiscardHandler), hold: time.Millisecond, turn: time.Second / 2,
-		Told: func(*List) {}, Failed: func() { failed <- true }}
+		OnList: func(*List) {}, OnFailure: func() { failed <- true }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w.Start(ctx)
-	w.Ask()
+	w.Poll()
 	assert.Equal(t, "", <-targets)
 	for range 2 {
 		assert.Equal(t, "from=7&hold_ms=1", <-targets)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -18,23 +18,23 @@
 )
 
 // Member is one entry of the list.
-type Member struct {
-	Name    string         `json:"Name"` // the same at every node
-	Address string         `json:"Address"`
-	State   balancer.State `json:"State"`
-	Zone    int            `json:"Zone"`
-	Cell    int            `json:"Cell"`
-	Kind    int            `json:"Kind"`
-	Weight  float64        `json:"Weight"`
-	Started float64        `json:"Started"` // Unix milliseconds; 0 is long ago
-	Odd     Parts          `json:"Odd"`     // what of the above could not be read and tells nothing
+type Endpoint struct {
+	Name    string                `json:"Name"` // the same at every node
+	Address string                `json:"Address"`
+	State   balancer.BackendState `json:"State"`
+	Zone    int                   `json:"Zone"`
+	Cell    int                   `json:"Cell"`
+	Kind    int                   `json:"Kind"`
+	Weight  float64               `json:"Weight"`
+	Started float64               `json:"Started"` // Unix milliseconds; 0 is long ago
+	Invalid Fields                `json:"Odd"`     // what of the above could not be read and tells nothing
 }
 
 // Parts are parts of an entry, beside its name.
-type Parts uint8
+type Fields uint8
 
 const (
-	oddAddress Parts = 1 << iota
+	oddAddress Fields = 1 << iota
 	oddState
 	oddZone
 	oddCell
@@ -45,50 +45,50 @@
 
 // Over gives an entry that could not be read whole as news of a backend that is known: what is odd stays as it was. It may
 // take the backend out, as a drain counts whatever else is odd, but not bring it back, which would be to trust it.
-func (m Member) Over(had Member) Member {
-	if m.Odd&oddAddress != 0 {
+func (m Endpoint) MergeInto(had Endpoint) Endpoint {
+	if m.Invalid&oddAddress != 0 {
 		m.Address = had.Address
 	}
-	if m.Odd&oddState != 0 || m.State > had.State {
+	if m.Invalid&oddState != 0 || m.State > had.State {
 		m.State = had.State
 	}
-	if m.Odd&oddZone != 0 {
+	if m.Invalid&oddZone != 0 {
 		m.Zone = had.Zone
 	}
-	if m.Odd&oddCell != 0 {
+	if m.Invalid&oddCell != 0 {
 		m.Cell = had.Cell
 	}
-	if m.Odd&oddKind != 0 {
+	if m.Invalid&oddKind != 0 {
 		m.Kind = had.Kind
 	}
-	if m.Odd&oddWeight != 0 {
+	if m.Invalid&oddWeight != 0 {
 		m.Weight = had.Weight
 	}
-	if m.Odd&oddStarted != 0 {
+	if m.Invalid&oddStarted != 0 {
 		m.Started = had.Started
 	}
-	m.Odd = 0
+	m.Invalid = 0
 	return m
 }
 
 // List is what an answer told: the whole list, or the entries that changed.
 type List struct {
-	Version uint64   `json:"Version"`
-	Whole   bool     `json:"Whole"`
-	Members []Member `json:"Members"`
+	Version   uint64     `json:"Version"`
+	Complete  bool       `json:"Whole"`
+	Endpoints []Endpoint `json:"Members"`
 }
 
-var states = map[string]balancer.State{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Gone}
+var states = map[string]balancer.BackendState{"up": balancer.BackendReady, "draining": balancer.BackendDraining, "removed": balancer.BackendRemoved}
 
 // Names are those that the list uses for places of the settings.
 type Names struct{ Zones, Kinds []string }
 
 // Digest tells lists with the same backends in the same states from others, wherever they were read: by names and states
 // of what is not gone, in order.
-func Digest(states map[string]balancer.State) string {
+func Digest(states map[string]balancer.BackendState) string {
 	h := sha256.New()
 	for _, name := range slices.Sorted(maps.Keys(states)) {
-		if states[name] != balancer.Gone {
+		if states[name] != balancer.BackendRemoved {
 			fmt.Fprintf(h, "%q %d\n", name, states[name])
 		}
 	}
@@ -108,7 +108,7 @@
 	if told.Rev == nil || !told.All {
 		return 0, "", errors.New("no whole list")
 	}
-	all := map[string]balancer.State{}
+	all := map[string]balancer.BackendState{}
 	for _, t := range told.Targets {
 		state, known := states[t.State]
 		if !known {
@@ -143,14 +143,14 @@
 	if told.All && told.Targets == nil { // one that is empty says so: what names nobody must not take all away
 		return nil, errors.New("whole list without its entries")
 	}
-	list := &List{Version: *told.Rev, Whole: told.All}
+	list := &List{Version: *told.Rev, Complete: told.All}
 	for _, entry := range told.Targets {
 		m, err := n.member(entry)
 		if err != nil && say(m.Name) {
 			log.Warn("odd list entry", "entry", string(entry[:min(len(entry), mostShown)]), "error", err)
 		}
 		if m.Name != "" {
-			list.Members = append(list.Members, m)
+			list.Endpoints = append(list.Endpoints, m)
 		}
 	}
 	return list, nil
@@ -158,7 +158,7 @@
 
 // member reads an entry part by part, since one that is odd must not hide its name and state. The error tells what is odd;
 // where there is no name, it is nobody's.
-func (n Names) member(entry []byte) (m Member, err error) {
+func (n Names) member(entry []byte) (m Endpoint, err error) {
 	var told struct {
 		UID, Endpoint, AZ, Model, State json.RawMessage
 		PodGroup                        json.RawMessage `json:"pod_group"`
@@ -169,12 +169,12 @@
 		return m, err
 	}
 	if m.Name, err = read[string](told.UID); err != nil || m.Name == "" {
-		return Member{}, errors.Join(errors.New("no uid"), err)
+		return Endpoint{}, errors.Join(errors.New("no uid"), err)
 	}
 	var why error
-	part := func(p Parts, err error) {
+	part := func(p Fields, err error) {
 		if err != nil {
-			m.Odd |= p
+			m.Invalid |= p
 			why = errors.Join(why, err)
 		}
 	}
@@ -187,7 +187,7 @@
 	if m.Address, err = read[string](told.Endpoint); err == nil {
 		_, _, err = net.SplitHostPort(m.Address)
 	}
-	if err == nil || !known || m.State != balancer.Gone { // who is gone needs none
+	if err == nil || !known || m.State != balancer.BackendRemoved { // who is gone needs none
 		part(oddAddress, err)
 	}
 	m.Zone, err = place(told.AZ, n.Zones, "zone")
@@ -205,10 +205,10 @@
 	part(oddWeight, err)
 	m.Started, err = read[float64](told.BootMs)
 	part(oddStarted, err)
-	if m.Odd != 0 { // what is not there may be lost with the rest
-		for p, there := range map[Parts]json.RawMessage{oddCell: told.PodGroup, oddWeight: told.CapacityHint, oddStarted: told.BootMs} {
+	if m.Invalid != 0 { // what is not there may be lost with the rest
+		for p, there := range map[Fields]json.RawMessage{oddCell: told.PodGroup, oddWeight: told.CapacityHint, oddStarted: told.BootMs} {
 			if len(there) == 0 {
-				m.Odd |= p
+				m.Invalid |= p
 			}
 		}
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -45,14 +45,14 @@
 // Watch is the list's actor: one call at a time, on one connection. It asks when it is told to and goes on until
 // a call fails; when to ask again is the module's to say. Where to ask may change while it goes on.
 type Watch struct {
-	Address string
-	Names   Names
-	Version uint64 // of the list held at the start
-	Held    bool   // there was one
-	Log     *slog.Logger
-	Told    func(*List) // takes news; must not block
-	Failed  func()      // takes a failed call; must not block
-	Own     bool        // its source is this machine's own, and may be asked as often as need be
+	Address   string
+	Names     Names
+	Version   uint64 // of the list held at the start
+	Held      bool   // there was one
+	Log       *slog.Logger
+	OnList    func(*List) // takes news; must not block
+	OnFailure func()      // takes a failed call; must not block
+	Own       bool        // its source is this machine's own, and may be asked as often as need be
 
 	hold, turn, apart, spread time.Duration                                                        // a test's own, else as above
 	dial                      func(ctx context.Context, network, address string) (net.Conn, error) // likewise
@@ -79,7 +79,7 @@
 }
 
 // Ask begins a watch; while one goes on it changes nothing.
-func (w *Watch) Ask() {
+func (w *Watch) Poll() {
 	select {
 	case w.asked <- struct{}{}:
 	default:
@@ -87,12 +87,12 @@
 }
 
 // Move ends the watch that goes on and asks at once for the whole list, at that address from now on.
-func (w *Watch) Move(address string) {
+func (w *Watch) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.next = &address
 	w.end()
-	w.Ask()
+	w.Poll()
 }
 
 func (w *Watch) run(ctx context.Context) {
@@ -113,13 +113,13 @@
 		}
 		if !w.Own || !w.failing { // of its own source the first in a row is enough
 			w.Log.Warn("list call failed", "address", w.Address, "error", err)
-			w.Failed()
+			w.OnFailure()
 		}
 		switch w.failing = true; {
 		case w.Own: // what it has at its return counts as told at once
-			time.AfterFunc(w.apart, w.Ask)
+			time.AfterFunc(w.apart, w.Poll)
 		case givenUp(err):
-			time.AfterFunc(rand.N(w.spread), w.Ask)
+			time.AfterFunc(rand.N(w.spread), w.Poll)
 		}
 	}
 }
@@ -205,7 +205,7 @@
 			return true, ctx.Err()
 		}
 		heard, w.failing = true, false
-		if !list.Whole && list.Version < w.Version {
+		if !list.Complete && list.Version < w.Version {
 			// Its service has begun anew: what changed since is not to be added to what it told before.
 			w.Held = false
 			if w.behind { // just after the whole list: no end would come to asking for that
@@ -214,9 +214,9 @@
 			w.Log.Warn("list has begun anew, asking for all of it", "version", list.Version, "held", w.Version)
 			w.behind = true
 		} else {
-			w.behind = w.behind && list.Whole
+			w.behind = w.behind && list.Complete
 			w.Version, w.Held = list.Version, true
-			w.Told(list)
+			w.OnList(list)
 		}
 		select {
 		case <-ctx.Done():
@@ -268,7 +268,7 @@
 	if list, err = w.Names.decode(answer.Body, w.Log, w.say); err != nil {
 		return nil, false, err
 	}
-	if !w.Held && !list.Whole { // changes of what is not held
+	if !w.Held && !list.Complete { // changes of what is not held
 		return nil, false, fmt.Errorf("%w: changes alone", errNoList)
 	}
 	return list, keep, nil
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -149,7 +149,7 @@
 }
 
 func (m *walk) ask() {
-	m.w.Ask()
+	m.w.Poll()
 	m.heard, m.wait, m.silent = false, false, 0
 	m.called(true)
 }
@@ -157,7 +157,7 @@
 func (m *walk) move() {
 	m.place = 1 - m.place
 	m.version, m.held, m.heard, m.wait, m.behind, m.silent = 0, false, false, false, false, 0
-	m.w.Move(m.places[m.place].Addr().String())
+	m.w.SetAddress(m.places[m.place].Addr().String())
 	m.called(true)
 }
 
@@ -186,17 +186,17 @@
 func (m *walk) answered(l *List, end end) {
 	m.silent = 0
 	switch {
-	case !l.Whole && !m.held:
+	case !l.Complete && !m.held:
 		m.broke(false, true)
 		return
-	case !l.Whole && l.Version < m.version: // changes of another list than that held
+	case !l.Complete && l.Version < m.version: // changes of another list than that held
 		again := !m.behind
 		if m.held, m.behind = false, true; !again {
 			m.broke(false, true)
 			return
 		}
 	default:
-		m.behind = m.behind && l.Whole
+		m.behind = m.behind && l.Complete
 		m.version, m.held = l.Version, true
 		require.Equal(m, l, m.next().list)
 	}
@@ -221,15 +221,15 @@
 )
 
 func (m *walk) list() (*List, string) {
-	l := &List{Version: rapid.Uint64Range(0, 9).Draw(m.T, "version"), Whole: rapid.Bool().Draw(m.T, "whole")}
+	l := &List{Version: rapid.Uint64Range(0, 9).Draw(m.T, "version"), Complete: rapid.Bool().Draw(m.T, "whole")}
 	targets := []any{}
 	for range rapid.IntRange(0, 2).Draw(m.T, "members") {
 		member, err := names.member([]byte(good))
 		require.NoError(m, err)
-		l.Members = append(l.Members, member)
+		l.Endpoints = append(l.Endpoints, member)
 		targets = append(targets, json.RawMessage(good))
 	}
-	body, err := json.Marshal(map[string]any{"rev": l.Version, "all": l.Whole, "targets": targets})
+	body, err := json.Marshal(map[string]any{"rev": l.Version, "all": l.Complete, "targets": targets})
 	require.NoError(m, err)
 	if rapid.Bool().Draw(m.T, "indented") {
 		var b bytes.Buffer
@@ -249,7 +249,7 @@
 			defer l.Close()
 		}
 		m.w = &Watch{Address: m.places[0].Addr().String(), Names: names, Log: slog.New(slog.DiscardHandler), apart: time.Microsecond, spread: time.Microsecond,
-			Told: func(l *List) { m.happens <- seen{list: l} }, Failed: func() { m.happens <- seen{failed: true} },
+			OnList: func(l *List) { m.happens <- seen{list: l} }, OnFailure: func() { m.happens <- seen{failed: true} },
 			dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 				c, err := (&net.Dialer{}).DialContext(ctx, network, address)
 				if err != nil {
@@ -275,7 +275,7 @@
 			}
 		}
 		rt.Repeat(map[string]func(*rapid.T){
-			"asked": inHand(m.w.Ask), // changes nothing
+			"asked": inHand(m.w.Poll), // changes nothing
 			"list": inHand(func() {
 				l, body := m.list()
 				m.now.answer(body, "")
@@ -335,15 +335,15 @@
 	defer after.Close()
 	w := &Watch{Address: before.Addr().String(), Names: names, Log: slog.New(slog.DiscardHandler), apart: time.Microsecond,
 		hold: time.Hour, turn: time.Hour,
-		Told: func(l *List) { happens <- seen{list: l} }, Failed: func() { happens <- seen{failed: true} }}
+		OnList: func(l *List) { happens <- seen{list: l} }, OnFailure: func() { happens <- seen{failed: true} }}
 	w.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return &moving{Conn: c, ended: make(chan bool), move: func() { w.Move(after.Addr().String()) }}, err
+		return &moving{Conn: c, ended: make(chan bool), move: func() { w.SetAddress(after.Addr().String()) }}, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w.Start(ctx)
-	w.Ask()
+	w.Poll()
 	(<-happens).call.answer(`{"rev":41,"all":true,"targets":[]}`, "")
 	assert.Equal(t, uint64(41), (<-happens).list.Version)
 	select {
@@ -383,11 +383,11 @@
 	l := service(happens)
 	defer l.Close()
 	w := &Watch{Address: l.Addr().String(), Names: names, Log: slog.New(slog.DiscardHandler), turn: 20 * time.Millisecond,
-		Told: func(l *List) { happens <- seen{list: l} }, Failed: func() { happens <- seen{failed: true} }}
+		OnList: func(l *List) { happens <- seen{list: l} }, OnFailure: func() { happens <- seen{failed: true} }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w.Start(ctx)
-	w.Ask()
+	w.Poll()
 	c := (<-happens).call
 	go func() {
 		defer close(stop)
@@ -431,11 +431,11 @@
 	defer s.Close()
 	told, failed := make(chan *List, 9), make(chan bool, 9)
 	w := &Watch{Address: s.Listener.Addr().String(), Names: names, Own: true, Log: slog.New(slog.DiscardHandler), apart: time.Millisecond,
-		Told: func(l *List) { told <- l }, Failed: func() { failed <- true }}
+		OnList: func(l *List) { told <- l }, OnFailure: func() { failed <- true }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w.Start(ctx)
-	w.Ask() // once: nobody asks again
+	w.Poll() // once: nobody asks again
 	for range 2 {
 		for range 5 {
 			(<-calls) <- ""
@@ -466,16 +466,16 @@
 	older, _ := lists(90)
 	newer, asked := lists(3)
 	told := make(chan *List, 9)
-	w := &Watch{Address: older.Listener.Addr().String(), Names: names, Log: slog.New(slog.DiscardHandler), Failed: func() { t.Error("a move is no failure") }}
-	w.Told = func(l *List) {
+	w := &Watch{Address: older.Listener.Addr().String(), Names: names, Log: slog.New(slog.DiscardHandler), OnFailure: func() { t.Error("a move is no failure") }}
+	w.OnList = func(l *List) {
 		if told <- l; l.Version == 90 {
-			w.Move(newer.Listener.Addr().String())
+			w.SetAddress(newer.Listener.Addr().String())
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w.Start(ctx)
-	w.Ask()
+	w.Poll()
 	assert.Equal(t, uint64(90), (<-told).Version)
 	assert.Equal(t, uint64(3), (<-told).Version)
 	assert.Equal(t, "", <-asked)
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -23,12 +23,12 @@
 func Path(dir, name string) string { return filepath.Join(dir, "pearknot-"+name+".sock") }
 
 // Do carries out a call made at the other process.
-type Do func(ctx context.Context, c Call) (text string, err error)
+type CallHandler func(ctx context.Context, c Call) (text string, err error)
 
 // Link is what a process has of the other while both run.
 type Link struct {
 	wire  *wire
-	do    Do
+	do    CallHandler
 	using func(descriptors int)
 
 	mu    sync.Mutex
@@ -39,7 +39,7 @@
 	ended chan struct{}
 }
 
-func newLink(w *wire, do Do, using func(int)) *Link {
+func newLink(w *wire, do CallHandler, using func(int)) *Link {
 	return &Link{wire: w, do: do, using: using, calls: map[uint64]chan message{}, ready: make(chan struct{}), ended: make(chan struct{})}
 }
 
@@ -137,7 +137,7 @@
 
 // Follow asks the process that runs, if one does, for its state. Both nil is that there is none: this one starts fresh.
 // What can't be understood is an error, and a fresh start as well.
-func Follow(ctx context.Context, path, name string, do Do, using func(descriptors int)) (*Link, *State, error) {
+func Follow(ctx context.Context, path, name string, do CallHandler, using func(descriptors int)) (*Link, *State, error) {
 	ctx, cancel := context.WithTimeout(ctx, followFor)
 	defer cancel()
 	for {
@@ -158,7 +158,7 @@
 
 var errBusy = errors.New("the node's process has another that follows it")
 
-func follow(ctx context.Context, path, name string, do Do, using func(int)) (*Link, *State, error) {
+func follow(ctx context.Context, path, name string, do CallHandler, using func(int)) (*Link, *State, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "unix", path)
 	if err != nil {
@@ -193,7 +193,7 @@
 	Name  string
 	State func(ctx context.Context) (*State, error) // gives back first, then tells
 	Alone func()                                    // the next process has ended, and this one goes on
-	Do    Do
+	Do    CallHandler
 	Log   *slog.Logger
 }
 
--- a/internal/invariants/events.go
+++ b/internal/invariants/events.go
@@ -17,19 +17,19 @@
 
 const (
 	// OpTaken: a live node has an op's last byte. Node, Op, Category, Key, GiveUp.
-	OpTaken Kind = iota
+	RequestAccepted Kind = iota
 	// OpAnswered: the op's final answer. Node, Op, Final; where acked, Push or AnyPush.
-	OpAnswered
+	RequestAnswered
 	// OpLeft: the op's client is gone, and no answer is owed any more. Op.
-	OpLeft
+	ClientGone
 	// PushBegun: a push's first byte came to a backend. Node, Op, Push, Backend, Work.
-	PushBegun
+	AttemptStarted
 	// PushEnded: how the push ended. Op, Push, Ending.
-	PushEnded
+	AttemptEnded
 	// PushRan: the backend has begun the work, whatever became of the answer. Op, Push, Backend.
-	PushRan
+	AttemptRan
 	// ListTold: a node was told of a backend's state. Node, Backend, State, Started as the list has it.
-	ListTold
+	EndpointNotified
 	// BackendStarted: a backend's process. Backend, Started, Speed, Zone, Cell.
 	BackendStarted
 	// BackendRetired: the backend will never be named again, and its number neither. Backend.
@@ -52,32 +52,32 @@
 type Final uint8
 
 const (
-	Acked Final = iota
-	Nacked
-	DeadLettered
+	Served Final = iota
+	Rejected
+	Failed
 )
 
 func (f Final) String() string { return [...]string{"acked", "nacked", "dead-lettered"}[f] }
 
 // AnyPush stands for a push where the host can't tell which of an op's made the answer.
-const AnyPush = -1
+const AnyAttempt = -1
 
 // Event is one thing seen. Times are in ms on one clock; numbers name nodes, backends and ops through a whole run.
 type Event struct {
 	At       float64
 	Kind     Kind
 	Final    Final
-	Ending   balancer.Ending
-	State    balancer.State
+	Outcome  balancer.Outcome
+	State    balancer.BackendState
 	Node     int
 	Backend  int
-	Push     int // from 0 in each op
-	Category int
+	Attempt  int // from 0 in each op
+	Class    int
 	Zone     int
 	Cell     int
-	Op       uint64
+	Request  uint64
 	Key      uint64  // what the op is about; 0 is none
-	GiveUp   float64 // when the op's TTL ends
+	Deadline float64 // when the op's TTL ends
 	Work     float64 // ms of a standard core
 	Started  float64 // 0 is long ago
 	Speed    float64 // of all cores together, warm, in standard cores
@@ -87,19 +87,19 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%.1f %s", e.At, e.Kind)
 	switch e.Kind {
-	case OpTaken:
-		fmt.Fprintf(&b, " op %d node %d category %d until %.1f", e.Op, e.Node, e.Category, e.GiveUp)
-	case OpAnswered:
-		fmt.Fprintf(&b, " op %d node %d %s", e.Op, e.Node, e.Final)
-	case OpLeft:
-		fmt.Fprintf(&b, " op %d", e.Op)
-	case PushBegun:
-		fmt.Fprintf(&b, " op %d push %d node %d backend %d work %.1f", e.Op, e.Push, e.Node, e.Backend, e.Work)
-	case PushEnded:
-		fmt.Fprintf(&b, " op %d push %d %s", e.Op, e.Push, e.Ending)
-	case PushRan:
-		fmt.Fprintf(&b, " op %d push %d backend %d", e.Op, e.Push, e.Backend)
-	case ListTold:
+	case RequestAccepted:
+		fmt.Fprintf(&b, " op %d node %d category %d until %.1f", e.Request, e.Node, e.Class, e.Deadline)
+	case RequestAnswered:
+		fmt.Fprintf(&b, " op %d node %d %s", e.Request, e.Node, e.Final)
+	case ClientGone:
+		fmt.Fprintf(&b, " op %d", e.Request)
+	case AttemptStarted:
+		fmt.Fprintf(&b, " op %d push %d node %d backend %d work %.1f", e.Request, e.Attempt, e.Node, e.Backend, e.Work)
+	case AttemptEnded:
+		fmt.Fprintf(&b, " op %d push %d %s", e.Request, e.Attempt, e.Outcome)
+	case AttemptRan:
+		fmt.Fprintf(&b, " op %d push %d backend %d", e.Request, e.Attempt, e.Backend)
+	case EndpointNotified:
 		fmt.Fprintf(&b, " node %d backend %d %s", e.Node, e.Backend, [...]string{"gone", "draining", "ready"}[e.State])
 	case BackendStarted, BackendRetired:
 		fmt.Fprintf(&b, " backend %d", e.Backend)
@@ -142,8 +142,8 @@
 }
 
 // Terms are the figures of the rules.
-type Terms struct {
-	Categories   []balancer.Category
+type Config struct {
+	Categories   []balancer.Class
 	MaxPushes    int  // 0 is no limit
 	SecondCopies bool // a push may go out while another of the op's is
 	DrainGrace   float64
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -22,7 +22,7 @@
 // Auditor takes events in the order of time. It keeps what is open, and of each op what happened until its TTL
 // ends; so its memory is bounded by the rate of ops times the longest TTL, whatever the length of the day.
 type Auditor struct {
-	t        Terms
+	t        Config
 	now      float64
 	ops      map[uint64]*op
 	due      dues
@@ -69,7 +69,7 @@
 	backend int
 	at      float64
 	out     bool
-	ending  balancer.Ending
+	ending  balancer.Outcome
 }
 
 func (p push) mayHaveRun() bool { return p.out || !p.ending.NeverRan() }
@@ -96,7 +96,7 @@
 }
 
 // New makes an auditor.
-func New(t Terms) *Auditor {
+func New(t Config) *Auditor {
 	return &Auditor{t: t, now: math.Inf(-1), ops: map[uint64]*op{}, backends: map[int]*backend{}, told: map[pair]Event{}, lines: map[lineOf]*line{}}
 }
 
@@ -104,30 +104,30 @@
 func (a *Auditor) Feed(e Event) {
 	a.advance(e.At)
 	switch e.Kind {
-	case OpTaken:
+	case RequestAccepted:
 		a.take(e)
-	case OpAnswered:
+	case RequestAnswered:
 		a.answer(e)
-	case OpLeft:
-		if o := a.ops[e.Op]; o != nil && !o.closed {
+	case ClientGone:
+		if o := a.ops[e.Request]; o != nil && !o.closed {
 			o.note(e)
 			o.closed, o.left = true, true
 			o.passOn()
 		}
-	case PushBegun:
+	case AttemptStarted:
 		a.begin(e)
-	case PushEnded:
+	case AttemptEnded:
 		a.end(e)
-	case PushRan:
+	case AttemptRan:
 		a.run(e)
-	case ListTold:
+	case EndpointNotified:
 		at := pair{e.Node, e.Backend}
 		if b := a.backends[e.Backend]; b != nil && b.started > 0 && e.Started >= b.started && b.toldBy != nil {
 			b.toldBy[e.Node] = true
 		}
-		if e.State == balancer.Ready {
+		if e.State == balancer.BackendReady {
 			delete(a.told, at)
-		} else if e.State == balancer.Gone && a.t.RemovalNotBinding { // without a drain it binds nobody, after one that does
+		} else if e.State == balancer.BackendRemoved && a.t.RemovalNotBinding { // without a drain it binds nobody, after one that does
 		} else if _, known := a.told[at]; !known {
 			a.told[at] = e // told again is no new grace
 		}
@@ -225,12 +225,12 @@
 }
 
 func (a *Auditor) take(e Event) {
-	if a.ops[e.Op] != nil {
-		a.breach(NoOpLost, append(a.ops[e.Op].events, e), "op %d taken twice", e.Op)
+	if a.ops[e.Request] != nil {
+		a.breach(NoOpLost, append(a.ops[e.Request].events, e), "op %d taken twice", e.Request)
 		return
 	}
-	if e.Category < 0 || e.Category >= len(a.t.Categories) {
-		a.breach(NoOpLost, []Event{e}, "op %d of category %d, which the terms don't name", e.Op, e.Category)
+	if e.Class < 0 || e.Class >= len(a.t.Categories) {
+		a.breach(NoOpLost, []Event{e}, "op %d of category %d, which the terms don't name", e.Request, e.Class)
 		return
 	}
 	if a.taken++; a.taken%1024 == 0 {
@@ -240,10 +240,10 @@
 			}
 		}
 	}
-	o := &op{id: e.Op, node: e.Node, category: e.Category, taken: e.At, quiet: e.At, giveUp: e.GiveUp}
+	o := &op{id: e.Request, node: e.Node, category: e.Class, taken: e.At, quiet: e.At, giveUp: e.Deadline}
 	o.note(e)
-	a.ops[e.Op] = o
-	if a.t.Categories[e.Category].KeepOrder && e.Key != 0 {
+	a.ops[e.Request] = o
+	if a.t.Categories[e.Class].Ordered && e.Key != 0 {
 		at := lineOf{e.Node, e.Key}
 		if a.lines[at] == nil {
 			a.lines[at] = &line{}
@@ -302,14 +302,14 @@
 }
 
 func (a *Auditor) answer(e Event) {
-	o := a.ops[e.Op]
+	o := a.ops[e.Request]
 	if o == nil {
-		a.breach(NoOpLost, []Event{e}, "op %d %s, though it is not open: answered before, never taken, or past its TTL", e.Op, e.Final)
+		a.breach(NoOpLost, []Event{e}, "op %d %s, though it is not open: answered before, never taken, or past its TTL", e.Request, e.Final)
 		return
 	}
 	o.note(e)
 	if o.answered {
-		a.breach(NoOpLost, o.events, "op %d has a second final answer", e.Op)
+		a.breach(NoOpLost, o.events, "op %d has a second final answer", e.Request)
 		return
 	}
 	if o.left { // what crosses a client's leaving, or its node's end, is nobody's
@@ -318,15 +318,15 @@
 	o.closed, o.answered, o.finalAt = true, true, e.At
 	defer o.passOn()
 	if e.At > o.giveUp+a.t.Slack {
-		a.breach(NoOpLost, o.events, "op %d %s %.1f ms after its TTL's end", e.Op, e.Final, e.At-o.giveUp)
+		a.breach(NoOpLost, o.events, "op %d %s %.1f ms after its TTL's end", e.Request, e.Final, e.At-o.giveUp)
 	}
-	if e.Final == Acked {
+	if e.Final == Served {
 		made := false
 		for _, p := range o.pushes {
-			made = made || !p.out && p.ending == balancer.Answered && (e.Push == AnyPush || e.Push == p.number)
+			made = made || !p.out && p.ending == balancer.OutcomeAnswered && (e.Attempt == AnyAttempt || e.Attempt == p.number)
 		}
 		if !made {
-			a.breach(NoOpLost, o.events, "op %d acked with an answer that no backend made", e.Op)
+			a.breach(NoOpLost, o.events, "op %d acked with an answer that no backend made", e.Request)
 		}
 		return
 	}
@@ -335,38 +335,38 @@
 		out = out || p.out
 	}
 	if !out && e.At-o.taken > satOnFrom*life && e.At-o.quiet > satOnFor*life+a.t.Slack {
-		a.breach(NoOpLost, o.events, "op %d %s %.1f ms after its last push ended: sat on until its TTL was near", e.Op,
+		a.breach(NoOpLost, o.events, "op %d %s %.1f ms after its last push ended: sat on until its TTL was near", e.Request,
 			e.Final, e.At-o.quiet)
 	}
 	c := &a.t.Categories[o.category]
-	if e.Final == Nacked && o.firstMayHaveRun() != nil && (c.Effect == balancer.AtMostOnce ||
-		c.Effect == balancer.Deduplicated && c.Group != balancer.GroupAll) {
-		a.breach(NoEffectTwice, o.events, "op %d nacked after a push that may have run: its client would send it again", e.Op)
+	if e.Final == Rejected && o.firstMayHaveRun() != nil && (c.Idempotency == balancer.AtMostOnce ||
+		c.Idempotency == balancer.IdempotentWithKey && c.DedupScope != balancer.DedupByAll) {
+		a.breach(NoEffectTwice, o.events, "op %d nacked after a push that may have run: its client would send it again", e.Request)
 	}
 }
 
 func (a *Auditor) begin(e Event) {
 	a.drained(e)
 	a.cold(e)
-	o := a.ops[e.Op]
+	o := a.ops[e.Request]
 	if o == nil {
-		a.breach(NoOpLost, []Event{e}, "op %d pushed to backend %d, though it is not open: past its TTL, or never taken", e.Op, e.Backend)
+		a.breach(NoOpLost, []Event{e}, "op %d pushed to backend %d, though it is not open: past its TTL, or never taken", e.Request, e.Backend)
 		return
 	}
 	o.note(e)
 	// A push that was sent a moment before the answer may be seen a moment after it: by others, on another machine.
 	if o.answered && e.At-o.finalAt >= a.t.Slack {
-		a.breach(NoOpLost, o.events, "op %d pushed to backend %d after its final answer", e.Op, e.Backend)
+		a.breach(NoOpLost, o.events, "op %d pushed to backend %d after its final answer", e.Request, e.Backend)
 	}
 	if e.At > o.giveUp+a.t.Slack {
-		a.breach(NoOpLost, o.events, "op %d pushed to backend %d after its TTL's end", e.Op, e.Backend)
+		a.breach(NoOpLost, o.events, "op %d pushed to backend %d after its TTL's end", e.Request, e.Backend)
 	}
 	if a.t.MaxPushes > 0 && len(o.pushes) >= a.t.MaxPushes {
-		a.breach(NoEffectTwice, o.events, "op %d pushed %d times, %d allowed", e.Op, len(o.pushes)+1, a.t.MaxPushes)
+		a.breach(NoEffectTwice, o.events, "op %d pushed %d times, %d allowed", e.Request, len(o.pushes)+1, a.t.MaxPushes)
 	}
 	a.again(o, e)
 	a.inOrder(o, e)
-	o.pushes = append(o.pushes, push{number: e.Push, backend: e.Backend, at: e.At, out: true})
+	o.pushes = append(o.pushes, push{number: e.Attempt, backend: e.Backend, at: e.At, out: true})
 	if len(o.pushes) > mostEvidence {
 		o.pushes = o.pushes[1:]
 	}
@@ -379,7 +379,7 @@
 		return
 	}
 	c := &a.t.Categories[o.category]
-	if c.Effect == balancer.AtMostOnce {
+	if c.Idempotency == balancer.AtMostOnce {
 		a.breach(NoEffectTwice, o.events, "at-most-once op %d pushed again, though push %d may have run", o.id, first.number)
 		return
 	}
@@ -391,32 +391,32 @@
 			}
 		}
 	}
-	if c.Effect != balancer.Deduplicated {
+	if c.Idempotency != balancer.IdempotentWithKey {
 		return
 	}
 	was, is := a.backends[first.backend], a.backends[e.Backend]
 	switch {
-	case e.At-first.at >= c.Remembered+a.t.Slack:
-		a.breach(NoEffectTwice, o.events, "deduplicated op %d pushed again after %.1f ms, its mark is kept for %.1f", o.id, e.At-first.at, c.Remembered)
-	case c.Group == balancer.GroupAll:
+	case e.At-first.at >= c.DedupWindow+a.t.Slack:
+		a.breach(NoEffectTwice, o.events, "deduplicated op %d pushed again after %.1f ms, its mark is kept for %.1f", o.id, e.At-first.at, c.DedupWindow)
+	case c.DedupScope == balancer.DedupByAll:
 	case was == nil || is == nil:
 		a.breach(NoEffectTwice, o.events, "deduplicated op %d pushed again to a backend of an unknown group", o.id)
-	case c.Group == balancer.GroupZone && was.zone != is.zone || c.Group == balancer.GroupCell && was.cell != is.cell:
+	case c.DedupScope == balancer.DedupByZone && was.zone != is.zone || c.DedupScope == balancer.DedupByCell && was.cell != is.cell:
 		a.breach(NoEffectTwice, o.events, "deduplicated op %d pushed again outside its group", o.id)
 	}
 }
 
 func (a *Auditor) end(e Event) {
-	o := a.ops[e.Op]
+	o := a.ops[e.Request]
 	if o == nil { // an ending may come after the op's time
 		return
 	}
 	o.note(e)
 	for i := range o.pushes {
-		if p := &o.pushes[i]; p.number == e.Push && p.out {
-			p.out, p.ending = false, e.Ending
+		if p := &o.pushes[i]; p.number == e.Attempt && p.out {
+			p.out, p.ending = false, e.Outcome
 			o.quiet = e.At
-			if o.line != nil && (e.Ending == balancer.TimedOut || e.Ending == balancer.Reset || e.Ending == balancer.Revoked) {
+			if o.line != nil && (e.Outcome == balancer.OutcomeTimedOut || e.Outcome == balancer.OutcomeConnectionReset || e.Outcome == balancer.OutcomeCanceled) {
 				o.line.rest = math.Max(o.line.rest, e.At+a.t.SettleAfterDoubt)
 			}
 			o.passOn()
@@ -427,13 +427,13 @@
 
 // run counts what really happened: the effect itself, whatever proofs the node had.
 func (a *Auditor) run(e Event) {
-	o := a.ops[e.Op]
+	o := a.ops[e.Request]
 	if o == nil {
 		return
 	}
 	o.note(e)
-	if o.ran++; o.ran > 1 && a.t.Categories[o.category].Effect == balancer.AtMostOnce {
-		a.breach(NoEffectTwice, o.events, "at-most-once op %d ran %d times", e.Op, o.ran)
+	if o.ran++; o.ran > 1 && a.t.Categories[o.category].Idempotency == balancer.AtMostOnce {
+		a.breach(NoEffectTwice, o.events, "at-most-once op %d ran %d times", e.Request, o.ran)
 	}
 }
 
--- a/internal/invariants/invariants_test.go
+++ b/internal/invariants/invariants_test.go
@@ -19,12 +19,12 @@
 	everywhere
 )
 
-func terms() Terms {
-	return Terms{MaxPushes: 3, SecondCopies: true, DrainGrace: 500, ColdFrom: 0.25, WarmWithin: 8000, FallMultiple: 4,
-		OverloadFor: 2000, MeanWork: 20, Categories: []balancer.Category{
-			{}, {Effect: balancer.AtMostOnce},
-			{Effect: balancer.Deduplicated, Group: balancer.GroupZone, Remembered: 300},
-			{Effect: balancer.Deduplicated, Group: balancer.GroupAll, Remembered: 300}}}
+func terms() Config {
+	return Config{MaxPushes: 3, SecondCopies: true, DrainGrace: 500, ColdFrom: 0.25, WarmWithin: 8000, FallMultiple: 4,
+		OverloadFor: 2000, MeanWork: 20, Categories: []balancer.Class{
+			{}, {Idempotency: balancer.AtMostOnce},
+			{Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupByZone, DedupWindow: 300},
+			{Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupByAll, DedupWindow: 300}}}
 }
 
 // host is a stream of events as a host would tell them: backends 1 and 2 in zone 0, 3 in zone 1, all long warm.
@@ -34,7 +34,7 @@
 	open []uint64 // ops that leave at the end, where they are not answered
 }
 
-func newHost(t Terms) *host {
+func newHost(t Config) *host {
 	h := &host{Auditor: New(t), now: 10e3}
 	for b, zone := range []int{0, 0, 0, 1} {
 		h.at(0, Event{Kind: BackendStarted, Backend: b, Zone: zone, Cell: b, Speed: 1})
@@ -50,37 +50,37 @@
 }
 
 func (h *host) take(op uint64, category int) *host {
-	return h.at(0, Event{Kind: OpTaken, Op: op, Category: category, GiveUp: h.now + 1000})
+	return h.at(0, Event{Kind: RequestAccepted, Request: op, Class: category, Deadline: h.now + 1000})
 }
 
 // about takes an op of a category that keeps order, and answers whatever is left open.
 func (h *host) about(op, key uint64) *host {
 	h.t.Categories = append(h.t.Categories[:0:0], h.t.Categories...)
-	h.t.Categories[everywhere].KeepOrder, h.t.SettleAfterDoubt = true, 200
-	h.at(0, Event{Kind: OpTaken, Op: op, Category: everywhere, Key: key, GiveUp: h.now + 1000})
+	h.t.Categories[everywhere].Ordered, h.t.SettleAfterDoubt = true, 200
+	h.at(0, Event{Kind: RequestAccepted, Request: op, Class: everywhere, Key: key, Deadline: h.now + 1000})
 	h.open = append(h.open, op)
 	return h
 }
 
 func (h *host) push(after float64, op uint64, number, backend int) *host {
-	return h.at(after, Event{Kind: PushBegun, Op: op, Push: number, Backend: backend, Work: 10})
+	return h.at(after, Event{Kind: AttemptStarted, Request: op, Attempt: number, Backend: backend, Work: 10})
 }
 
-func (h *host) end(after float64, op uint64, number int, how balancer.Ending) *host {
-	return h.at(after, Event{Kind: PushEnded, Op: op, Push: number, Ending: how})
+func (h *host) end(after float64, op uint64, number int, how balancer.Outcome) *host {
+	return h.at(after, Event{Kind: AttemptEnded, Request: op, Attempt: number, Outcome: how})
 }
 
 func (h *host) final(after float64, op uint64, f Final) *host {
-	return h.at(after, Event{Kind: OpAnswered, Op: op, Final: f, Push: AnyPush})
+	return h.at(after, Event{Kind: RequestAnswered, Request: op, Final: f, Attempt: AnyAttempt})
 }
 
-func (h *host) told(after float64, node, backend int, s balancer.State) *host {
-	return h.at(after, Event{Kind: ListTold, Node: node, Backend: backend, State: s})
+func (h *host) told(after float64, node, backend int, s balancer.BackendState) *host {
+	return h.at(after, Event{Kind: EndpointNotified, Node: node, Backend: backend, State: s})
 }
 
 func (h *host) done() [7]int {
 	for _, op := range h.open {
-		h.at(0, Event{Kind: OpLeft, Op: op})
+		h.at(0, Event{Kind: ClientGone, Request: op})
 	}
 	h.now += 1e5
 	h.Finish(h.now)
@@ -95,10 +95,10 @@
 		for n := range nodes {
 			op := uint64(n + 1)
 			if told {
-				h.at(0, Event{Kind: ListTold, Node: n, Backend: 1, State: balancer.Ready, Started: start})
+				h.at(0, Event{Kind: EndpointNotified, Node: n, Backend: 1, State: balancer.BackendReady, Started: start})
 			}
-			h.take(op, any0).at(0.01, Event{Kind: PushBegun, Op: op, Node: n, Backend: 1, Work: each})
-			h.end(0, op, 0, balancer.Answered).final(0, op, Acked)
+			h.take(op, any0).at(0.01, Event{Kind: AttemptStarted, Request: op, Node: n, Backend: 1, Work: each})
+			h.end(0, op, 0, balancer.OutcomeAnswered).final(0, op, Served)
 		}
 	}
 	for _, c := range []struct {
@@ -108,120 +108,140 @@
 		sound  func(*host)
 	}{
 		{"answer late", NoOpLost,
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(1001, 1, 0, balancer.TimedOut).final(0, 1, Nacked) },
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(999, 1, 0, balancer.TimedOut).final(0, 1, Nacked) }},
+			func(h *host) {
+				h.take(1, any0).push(0, 1, 0, 1).end(1001, 1, 0, balancer.OutcomeTimedOut).final(0, 1, Rejected)
+			},
+			func(h *host) {
+				h.take(1, any0).push(0, 1, 0, 1).end(999, 1, 0, balancer.OutcomeTimedOut).final(0, 1, Rejected)
+			}},
 		{"no answer", NoOpLost,
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Answered) },
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).at(5, Event{Kind: OpLeft, Op: 1}) }},
+			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeAnswered) },
+			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).at(5, Event{Kind: ClientGone, Request: 1}) }},
 		{"pushed out of turn", OrderKept,
-			func(h *host) { h.about(1, 7).about(2, 7).push(0, 2, 0, 1).at(5, Event{Kind: OpLeft, Op: 1}) },
-			func(h *host) { h.about(1, 7).about(2, 8).push(0, 2, 0, 1).at(5, Event{Kind: OpLeft, Op: 1}) }},
+			func(h *host) { h.about(1, 7).about(2, 7).push(0, 2, 0, 1).at(5, Event{Kind: ClientGone, Request: 1}) },
+			func(h *host) { h.about(1, 7).about(2, 8).push(0, 2, 0, 1).at(5, Event{Kind: ClientGone, Request: 1}) }},
 		{"pushed while an answered op still has a push out", OrderKept,
-			func(h *host) { h.about(1, 7).push(0, 1, 0, 1).final(5, 1, Nacked).about(2, 7).push(0, 2, 0, 1) },
+			func(h *host) { h.about(1, 7).push(0, 1, 0, 1).final(5, 1, Rejected).about(2, 7).push(0, 2, 0, 1) },
 			func(h *host) {
-				h.about(1, 7).push(0, 1, 0, 1).final(5, 1, Nacked).end(0, 1, 0, balancer.Failed).about(2, 7).push(0, 2, 0, 1)
+				h.about(1, 7).push(0, 1, 0, 1).final(5, 1, Rejected).end(0, 1, 0, balancer.OutcomeFailed).about(2, 7).push(0, 2, 0, 1)
 			}},
 		{"pushed before the key has rested", OrderKept,
 			func(h *host) {
-				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.TimedOut).final(0, 1, Nacked).about(2, 7).push(199, 2, 0, 1)
+				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeTimedOut).final(0, 1, Rejected).about(2, 7).push(199, 2, 0, 1)
 			},
 			func(h *host) {
-				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.TimedOut).final(0, 1, Nacked).about(2, 7).push(200, 2, 0, 1)
+				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeTimedOut).final(0, 1, Rejected).about(2, 7).push(200, 2, 0, 1)
 			}},
 		{"the key's rest is for the ops after it", OrderKept,
 			func(h *host) {
-				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.Reset).final(0, 1, Nacked).about(2, 7).push(50, 2, 0, 1)
+				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeConnectionReset).final(0, 1, Rejected).about(2, 7).push(50, 2, 0, 1)
 			},
-			func(h *host) { h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.Reset).push(50, 1, 1, 2) }},
+			func(h *host) {
+				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeConnectionReset).push(50, 1, 1, 2)
+			}},
 		{"node killed elsewhere", NoOpLost,
 			func(h *host) { h.take(1, any0).at(5, Event{Kind: NodeKilled, Node: 1}) },
 			func(h *host) { h.take(1, any0).at(5, Event{Kind: NodeKilled, Node: 0}) }},
 		{"two answers", NoOpLost,
 			func(h *host) {
-				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Answered).final(0, 1, Acked).final(3, 1, Nacked)
+				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeAnswered).final(0, 1, Served).final(3, 1, Rejected)
 			},
 			func(h *host) {
-				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Answered).final(0, 1, Acked).take(2, any0).final(3, 2, Nacked)
+				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeAnswered).final(0, 1, Served).take(2, any0).final(3, 2, Rejected)
 			}},
 		{"answer made up", NoOpLost,
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Failed).final(0, 1, Acked) },
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Answered).final(0, 1, Acked) }},
+			func(h *host) {
+				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeFailed).final(0, 1, Served)
+			},
+			func(h *host) {
+				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeAnswered).final(0, 1, Served)
+			}},
 		{"sat on until near the TTL", NoOpLost,
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Rejected).final(980, 1, Nacked) },
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(975, 1, 0, balancer.TimedOut).final(5, 1, Nacked) }},
+			func(h *host) {
+				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeRejected).final(980, 1, Rejected)
+			},
+			func(h *host) {
+				h.take(1, any0).push(0, 1, 0, 1).end(975, 1, 0, balancer.OutcomeTimedOut).final(5, 1, Rejected)
+			}},
 		{"pushed after the answer", NoOpLost,
 			func(h *host) {
-				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Failed).final(0, 1, Nacked).push(1, 1, 1, 2)
+				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeFailed).final(0, 1, Rejected).push(1, 1, 1, 2)
 			},
 			func(h *host) {
-				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.Failed).push(1, 1, 1, 2).final(1, 1, Nacked)
+				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeFailed).push(1, 1, 1, 2).final(1, 1, Rejected)
 			}},
 		{"pushed after the TTL", NoOpLost,
-			func(h *host) { h.take(1, any0).at(990, Event{Kind: OpLeft, Op: 1}).push(20, 1, 0, 1) },
-			func(h *host) { h.take(1, any0).at(90, Event{Kind: OpLeft, Op: 1}).push(1, 1, 0, 1) }},
+			func(h *host) { h.take(1, any0).at(990, Event{Kind: ClientGone, Request: 1}).push(20, 1, 0, 1) },
+			func(h *host) { h.take(1, any0).at(90, Event{Kind: ClientGone, Request: 1}).push(1, 1, 0, 1) }},
 		{"at-most-once sent again after a reset", NoEffectTwice,
 			func(h *host) {
-				h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balancer.Reset).push(0, 1, 1, 2).end(5, 1, 1, balancer.Answered).final(0, 1, Acked)
+				h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeConnectionReset).push(0, 1, 1, 2).end(5, 1, 1, balancer.OutcomeAnswered).final(0, 1, Served)
 			},
 			func(h *host) {
-				h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balancer.NoConnection).push(0, 1, 1, 2).end(5, 1, 1, balancer.Answered).final(0, 1, Acked)
+				h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeConnectFailed).push(0, 1, 1, 2).end(5, 1, 1, balancer.OutcomeAnswered).final(0, 1, Served)
 			}},
 		{"at-most-once copied while out", NoEffectTwice,
-			func(h *host) { h.take(1, once).push(0, 1, 0, 1).push(100, 1, 1, 2).final(100, 1, DeadLettered) },
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).push(100, 1, 1, 2).final(100, 1, DeadLettered) }},
+			func(h *host) { h.take(1, once).push(0, 1, 0, 1).push(100, 1, 1, 2).final(100, 1, Failed) },
+			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).push(100, 1, 1, 2).final(100, 1, Failed) }},
 		{"at-most-once ran twice, whatever was proven", NoEffectTwice,
 			func(h *host) {
-				h.take(1, once).push(0, 1, 0, 1).at(0, Event{Kind: PushRan, Op: 1}).end(5, 1, 0, balancer.Rejected)
-				h.push(0, 1, 1, 2).at(0, Event{Kind: PushRan, Op: 1, Push: 1}).end(5, 1, 1, balancer.Answered).final(0, 1, Acked)
+				h.take(1, once).push(0, 1, 0, 1).at(0, Event{Kind: AttemptRan, Request: 1}).end(5, 1, 0, balancer.OutcomeRejected)
+				h.push(0, 1, 1, 2).at(0, Event{Kind: AttemptRan, Request: 1, Attempt: 1}).end(5, 1, 1, balancer.OutcomeAnswered).final(0, 1, Served)
 			},
 			func(h *host) {
-				h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balancer.Rejected)
-				h.push(0, 1, 1, 2).at(0, Event{Kind: PushRan, Op: 1, Push: 1}).end(5, 1, 1, balancer.Answered).final(0, 1, Acked)
+				h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeRejected)
+				h.push(0, 1, 1, 2).at(0, Event{Kind: AttemptRan, Request: 1, Attempt: 1}).end(5, 1, 1, balancer.OutcomeAnswered).final(0, 1, Served)
 			}},
 		{"nack after a push that may have run", NoEffectTwice,
-			func(h *host) { h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balancer.Reset).final(0, 1, Nacked) },
-			func(h *host) { h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balancer.Reset).final(0, 1, DeadLettered) }},
+			func(h *host) {
+				h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeConnectionReset).final(0, 1, Rejected)
+			},
+			func(h *host) {
+				h.take(1, once).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeConnectionReset).final(0, 1, Failed)
+			}},
 		{"nack while a push is out", NoEffectTwice,
-			func(h *host) { h.take(1, zoned).push(0, 1, 0, 1).final(5, 1, Nacked) },
-			func(h *host) { h.take(1, everywhere).push(0, 1, 0, 1).final(5, 1, Nacked) }},
+			func(h *host) { h.take(1, zoned).push(0, 1, 0, 1).final(5, 1, Rejected) },
+			func(h *host) { h.take(1, everywhere).push(0, 1, 0, 1).final(5, 1, Rejected) }},
 		{"deduplicated outside its group", NoEffectTwice,
-			func(h *host) { h.take(1, zoned).push(0, 1, 0, 1).push(50, 1, 1, 3).final(1, 1, DeadLettered) },
-			func(h *host) { h.take(1, zoned).push(0, 1, 0, 1).push(50, 1, 1, 2).final(1, 1, DeadLettered) }},
+			func(h *host) { h.take(1, zoned).push(0, 1, 0, 1).push(50, 1, 1, 3).final(1, 1, Failed) },
+			func(h *host) { h.take(1, zoned).push(0, 1, 0, 1).push(50, 1, 1, 2).final(1, 1, Failed) }},
 		{"deduplicated and forgotten", NoEffectTwice,
-			func(h *host) { h.take(1, everywhere).push(0, 1, 0, 1).push(300, 1, 1, 3).final(1, 1, Nacked) },
-			func(h *host) { h.take(1, everywhere).push(0, 1, 0, 1).push(299, 1, 1, 3).final(1, 1, Nacked) }},
+			func(h *host) { h.take(1, everywhere).push(0, 1, 0, 1).push(300, 1, 1, 3).final(1, 1, Rejected) },
+			func(h *host) { h.take(1, everywhere).push(0, 1, 0, 1).push(299, 1, 1, 3).final(1, 1, Rejected) }},
 		{"one push too many", NoEffectTwice,
 			func(h *host) {
-				h.take(1, any0).push(0, 1, 0, 1).push(1, 1, 1, 2).push(1, 1, 2, 3).push(1, 1, 3, 0).final(1, 1, Nacked)
+				h.take(1, any0).push(0, 1, 0, 1).push(1, 1, 1, 2).push(1, 1, 2, 3).push(1, 1, 3, 0).final(1, 1, Rejected)
 			},
-			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).push(1, 1, 1, 2).push(1, 1, 2, 3).final(1, 1, Nacked) }},
+			func(h *host) {
+				h.take(1, any0).push(0, 1, 0, 1).push(1, 1, 1, 2).push(1, 1, 2, 3).final(1, 1, Rejected)
+			}},
 		{"past the drain grace", DrainsKept,
 			func(h *host) {
-				h.told(0, 0, 1, balancer.Draining).take(1, any0).push(501, 1, 0, 1).final(0, 1, DeadLettered)
+				h.told(0, 0, 1, balancer.BackendDraining).take(1, any0).push(501, 1, 0, 1).final(0, 1, Failed)
 			},
 			func(h *host) {
-				h.told(0, 0, 1, balancer.Draining).take(1, any0).push(499, 1, 0, 1).final(0, 1, DeadLettered)
+				h.told(0, 0, 1, balancer.BackendDraining).take(1, any0).push(499, 1, 0, 1).final(0, 1, Failed)
 			}},
 		{"told again is no new grace", DrainsKept,
 			func(h *host) {
-				h.told(0, 0, 1, balancer.Draining).told(400, 0, 1, balancer.Gone).take(1, any0).push(200, 1, 0, 1).final(0, 1, Nacked)
+				h.told(0, 0, 1, balancer.BackendDraining).told(400, 0, 1, balancer.BackendRemoved).take(1, any0).push(200, 1, 0, 1).final(0, 1, Rejected)
 			},
 			func(h *host) {
-				h.told(0, 0, 1, balancer.Draining).told(400, 0, 1, balancer.Ready).take(1, any0).push(200, 1, 0, 1).final(0, 1, Nacked)
+				h.told(0, 0, 1, balancer.BackendDraining).told(400, 0, 1, balancer.BackendReady).take(1, any0).push(200, 1, 0, 1).final(0, 1, Rejected)
 			}},
 		{"a restarted node is told anew", DrainsKept,
 			func(h *host) {
-				h.told(0, 0, 1, balancer.Gone).take(1, any0).push(600, 1, 0, 1).final(0, 1, Nacked)
+				h.told(0, 0, 1, balancer.BackendRemoved).take(1, any0).push(600, 1, 0, 1).final(0, 1, Rejected)
 			},
 			func(h *host) {
-				h.told(0, 0, 1, balancer.Gone).at(1, Event{Kind: NodeKilled}).take(1, any0).push(600, 1, 0, 1).final(0, 1, Nacked)
+				h.told(0, 0, 1, balancer.BackendRemoved).at(1, Event{Kind: NodeKilled}).take(1, any0).push(600, 1, 0, 1).final(0, 1, Rejected)
 			}},
 		{"retired backend", DrainsKept,
 			func(h *host) {
-				h.at(0, Event{Kind: BackendRetired, Backend: 1}).take(1, any0).push(0, 1, 0, 1).final(0, 1, Nacked)
+				h.at(0, Event{Kind: BackendRetired, Backend: 1}).take(1, any0).push(0, 1, 0, 1).final(0, 1, Rejected)
 			},
 			func(h *host) {
-				h.at(0, Event{Kind: BackendRetired, Backend: 1}).take(1, any0).push(0, 1, 0, 2).final(0, 1, Nacked)
+				h.at(0, Event{Kind: BackendRetired, Backend: 1}).take(1, any0).push(0, 1, 0, 2).final(0, 1, Rejected)
 			}},
 		// Cold, it stands 4 x 0.25 x 2000 = 2000 ms of work: a floor of one op of 30 ms for each node is no bound at all.
 		{"each node within a floor of one", ColdStarts,
@@ -250,7 +270,7 @@
 // The evidence is the chain of the op's events, oldest first, in words.
 func TestEvidence(t *testing.T) {
 	h := newHost(terms())
-	h.take(7, once).push(0, 7, 0, 1).end(5, 7, 0, balancer.Reset).push(0, 7, 1, 2)
+	h.take(7, once).push(0, 7, 0, 1).end(5, 7, 0, balancer.OutcomeConnectionReset).push(0, 7, 1, 2)
 	require.Len(t, h.Breaches(), 1)
 	assert.Equal(t, `rule 2 (no effect twice) at 10005.0 ms: at-most-once op 7 pushed again, though push 0 may have run
     10000.0 op taken op 7 node 0 category 1 until 11000.0
@@ -263,7 +283,7 @@
 func TestBoundedMemory(t *testing.T) {
 	h := newHost(terms())
 	for k := range uint64(300_000) {
-		h.take(k, int(k%4)).push(0.2, k, 0, int(k%4)).end(0.2, k, 0, balancer.Answered).final(0, k, Acked)
+		h.take(k, int(k%4)).push(0.2, k, 0, int(k%4)).end(0.2, k, 0, balancer.OutcomeAnswered).final(0, k, Served)
 		require.LessOrEqual(t, h.Open(), 2600)
 	}
 	assert.Equal(t, [7]int{}, h.done())
@@ -294,7 +314,7 @@
 			if rapid.Bool().Draw(t, "drain") {
 				b := rapid.IntRange(1, 3).Draw(t, "which")
 				drained[b] = true
-				h.told(600, 0, b, balancer.Draining)
+				h.told(600, 0, b, balancer.BackendDraining)
 			}
 			h.take(id, category)
 			mayHaveRun, acked, zone := false, false, -1
@@ -305,9 +325,9 @@
 					break
 				}
 				h.push(1, id, number, b)
-				how := balancer.Ending(rapid.IntRange(0, 7).Draw(t, "how"))
+				how := balancer.Outcome(rapid.IntRange(0, 7).Draw(t, "how"))
 				h.end(rapid.Float64Range(0, 80).Draw(t, "ms"), id, number, how)
-				if how == balancer.Answered {
+				if how == balancer.OutcomeAnswered {
 					acked = true
 					break
 				}
@@ -321,22 +341,22 @@
 				done++
 				continue
 			case hit && fault == "again" && acked && category == once:
-				h.push(0, id, 9, 0).final(0, id, Acked)
+				h.push(0, id, 9, 0).final(0, id, Served)
 				done++
 				continue
 			case hit && fault == "nack" && mayHaveRun && (category == once || category == zoned):
-				h.final(0, id, Nacked)
+				h.final(0, id, Rejected)
 				done++
 				continue
 			case acked:
-				h.final(0, id, Acked)
+				h.final(0, id, Served)
 			case mayHaveRun && (category == once || category == zoned):
-				h.final(0, id, DeadLettered)
+				h.final(0, id, Failed)
 			default:
-				h.final(0, id, Nacked)
+				h.final(0, id, Rejected)
 			}
 			if hit && fault == "twice" {
-				h.final(1, id, DeadLettered)
+				h.final(1, id, Failed)
 				done++
 			}
 			if hit && fault == "after" {
@@ -358,10 +378,10 @@
 func TestOddEvents(t *testing.T) {
 	h := newHost(terms())
 	h.take(1, any0).take(1, any0)
-	h.Feed(Event{At: h.now, Kind: OpTaken, Op: 5, Category: 99})
-	h.Feed(Event{At: 1, Kind: PushEnded, Op: 77})
-	h.Feed(Event{At: 1, Kind: PushRan, Op: 77})
-	h.Feed(Event{At: 1, Kind: OpLeft, Op: 77})
+	h.Feed(Event{At: h.now, Kind: RequestAccepted, Request: 5, Class: 99})
+	h.Feed(Event{At: 1, Kind: AttemptEnded, Request: 77})
+	h.Feed(Event{At: 1, Kind: AttemptRan, Request: 77})
+	h.Feed(Event{At: 1, Kind: ClientGone, Request: 77})
 	h.Feed(Event{At: 1, Kind: 200})
 	assert.Equal(t, 2, h.Count(NoOpLost))
 	assert.Equal(t, "1.0 kind 200", Event{At: 1, Kind: 200}.String())
@@ -374,7 +394,7 @@
 	h := newHost(terms())
 	b.ReportAllocs()
 	for k := range uint64(b.N) {
-		h.take(k, int(k%4)).push(0.2, k, 0, int(k%4)).end(0.2, k, 0, balancer.Answered).final(0, k, Acked)
+		h.take(k, int(k%4)).push(0.2, k, 0, int(k%4)).end(0.2, k, 0, balancer.OutcomeAnswered).final(0, k, Served)
 	}
 }
 
@@ -388,7 +408,7 @@
 		told := terms()
 		told.Slack = c.slack
 		h := newHost(told)
-		h.take(1, 0).push(0, 1, 0, 1).end(20, 1, 0, balancer.Answered).final(0, 1, Acked).push(c.after, 1, 1, 2).end(10, 1, 1, balancer.Answered)
+		h.take(1, 0).push(0, 1, 0, 1).end(20, 1, 0, balancer.OutcomeAnswered).final(0, 1, Served).push(c.after, 1, 1, 2).end(10, 1, 1, balancer.OutcomeAnswered)
 		assert.Equal(t, c.breach, h.done()[NoOpLost], "%v", c)
 	}
 }
@@ -399,13 +419,13 @@
 		rule := terms()
 		rule.RemovalNotBinding = !binding
 		h := newHost(rule)
-		h.told(0, 0, 1, balancer.Gone).take(1, any0).push(600, 1, 0, 1).end(5, 1, 0, balancer.Answered).final(0, 1, Acked)
+		h.told(0, 0, 1, balancer.BackendRemoved).take(1, any0).push(600, 1, 0, 1).end(5, 1, 0, balancer.OutcomeAnswered).final(0, 1, Served)
 		assert.Equal(t, want, h.done()[DrainsKept])
 	}
 	rule := terms()
 	rule.RemovalNotBinding = true
 	h := newHost(rule)
-	h.told(0, 0, 1, balancer.Draining).told(100, 0, 1, balancer.Gone).take(1, any0).push(600, 1, 0, 1).end(5, 1, 0, balancer.Answered).final(0, 1, Acked)
+	h.told(0, 0, 1, balancer.BackendDraining).told(100, 0, 1, balancer.BackendRemoved).take(1, any0).push(600, 1, 0, 1).end(5, 1, 0, balancer.OutcomeAnswered).final(0, 1, Served)
 	assert.Equal(t, 1, h.done()[DrainsKept])
 }
 
@@ -429,7 +449,7 @@
 
 func (r *ramped) tell(nodes int) *ramped {
 	for n := range nodes {
-		r.at(0, Event{Kind: ListTold, Node: n, Backend: 1, State: balancer.Ready, Started: r.from})
+		r.at(0, Event{Kind: EndpointNotified, Node: n, Backend: 1, State: balancer.BackendReady, Started: r.from})
 	}
 	return r
 }
@@ -443,9 +463,9 @@
 	r.now = r.from + at
 	for k := range pushes {
 		r.next++
-		r.at(0, Event{Kind: OpTaken, Op: r.next, Node: first + k%nodes, GiveUp: r.now + 1e3})
-		r.at(0, Event{Kind: PushBegun, Op: r.next, Node: first + k%nodes, Backend: 1, Work: each})
-		r.at(0, Event{Kind: OpLeft, Op: r.next})
+		r.at(0, Event{Kind: RequestAccepted, Request: r.next, Node: first + k%nodes, Deadline: r.now + 1e3})
+		r.at(0, Event{Kind: AttemptStarted, Request: r.next, Node: first + k%nodes, Backend: 1, Work: each})
+		r.at(0, Event{Kind: ClientGone, Request: r.next})
 	}
 	return r
 }
--- a/internal/invariants/keys.go
+++ b/internal/invariants/keys.go
@@ -21,7 +21,7 @@
 }
 
 type keyed struct {
-	effect   balancer.Effect
+	effect   balancer.Idempotency
 	ran      int
 	outcomes map[string]bool
 	taken    bool
@@ -47,13 +47,13 @@
 }
 
 // Taken: an op was acknowledged as kept, by whoever keeps it.
-func (k *Keys) Taken(at float64, key string, effect balancer.Effect, giveUp float64) {
+func (k *Keys) Taken(at float64, key string, effect balancer.Idempotency, giveUp float64) {
 	o := k.of(key, "%.1f taken, %v", at, effect)
 	o.taken, o.effect, o.giveUp = true, effect, max(o.giveUp, giveUp)
 }
 
 // Ran: its effect happened at a backend; a repeat that a mark has dropped is none.
-func (k *Keys) Ran(at float64, key string, effect balancer.Effect) {
+func (k *Keys) Ran(at float64, key string, effect balancer.Idempotency) {
 	o := k.of(key, "%.1f ran", at)
 	o.ran++
 	o.effect = effect
@@ -80,7 +80,7 @@
 		}
 		switch {
 		case o.void:
-		case o.ran > 1 && o.effect != balancer.Redeliverable:
+		case o.ran > 1 && o.effect != balancer.Idempotent:
 			breach(Once, fmt.Sprintf("%d effects", o.ran))
 		case len(o.outcomes) > 1:
 			breach(Once, fmt.Sprintf("%d outcomes", len(o.outcomes)))
--- a/internal/invariants/keys_test.go
+++ b/internal/invariants/keys_test.go
@@ -20,7 +20,7 @@
 			k.Outcome(3, "a", "200 x")
 		}, 0},
 		"an effect twice":  {func(k *Keys) { k.Ran(1, "a", balancer.AtMostOnce); k.Ran(2, "a", balancer.AtMostOnce) }, Once},
-		"twice, and may":   {func(k *Keys) { k.Ran(1, "a", balancer.Redeliverable); k.Ran(2, "a", balancer.Redeliverable) }, 0},
+		"twice, and may":   {func(k *Keys) { k.Ran(1, "a", balancer.Idempotent); k.Ran(2, "a", balancer.Idempotent) }, 0},
 		"two outcomes":     {func(k *Keys) { k.Outcome(1, "a", "200 x"); k.Outcome(2, "a", "502 ") }, Once},
 		"no final state":   {func(k *Keys) { k.Taken(1, "a", balancer.AtMostOnce, 100) }, Survives},
 		"none yet":         {func(k *Keys) { k.Taken(1, "a", balancer.AtMostOnce, 950) }, 0},
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -339,7 +339,7 @@
 	require.Len(t, whole.Targets, 3)
 	assert.True(t, whole.All)
 	assert.Equal(t, 3, whole.Rev)
-	d.change(balancer.Gone, 1)
+	d.change(balancer.BackendRemoved, 1)
 	whole = d.whole()
 	assert.Len(t, whole.Targets, 2)
 	assert.Equal(t, 4, whole.Rev)
--- a/internal/lab/capacity/rig_list.go
+++ b/internal/lab/capacity/rig_list.go
@@ -67,7 +67,7 @@
 					return nil, err
 				}
 				sleep(ctx, b.Span) // what the start leaves behind
-				d, pid, state := p.discovery, x.cmd.Process.Pid, balancer.Ready
+				d, pid, state := p.discovery, x.cmd.Process.Pid, balancer.BackendReady
 				over := func(ctx context.Context, span time.Duration, do func()) (seconds, calls, bytes, cpu float64) {
 					calls, bytes, cpu = float64(d.calls.Load()), float64(d.bytes.Load()), spentBy(pid)
 					begun := time.Now()
@@ -80,11 +80,11 @@
 					const changes = 8
 					s2, _, bytes2, cpu2 := over(ctx, 1300*time.Millisecond, func() {
 						for k := range changes { // further apart than calls are
-							d.change([...]balancer.State{balancer.Draining, balancer.Ready}[k/2%2], k%int(size))
+							d.change([...]balancer.BackendState{balancer.BackendDraining, balancer.BackendReady}[k/2%2], k%int(size))
 							sleep(ctx, 150*time.Millisecond)
 						}
 					})
-					state = balancer.Draining + balancer.Ready - state
+					state = balancer.BackendDraining + balancer.BackendReady - state
 					s3, _, bytes3, cpu3 := over(ctx, 800*time.Millisecond, func() {
 						zone := make([]int, max(int(size)/12, 1))
 						for k := range zone {
@@ -115,14 +115,14 @@
 				watchers := make([]*discovery.Watch, int(size))
 				for range watchers {
 					w := &discovery.Watch{Address: d.address, Names: names, Log: quiet}
-					w.Told = func(l *discovery.List) {
-						if len(l.Members) > 0 {
+					w.OnList = func(l *discovery.List) {
+						if len(l.Endpoints) > 0 {
 							heard.Add(1)
 						}
 					}
-					w.Failed = w.Ask
+					w.OnFailure = w.Poll
 					w.Start(ctx)
-					w.Ask()
+					w.Poll()
 					sleep(ctx, holdFor/time.Duration(len(watchers))) // spread, as starts are
 				}
 				until := func(n int64) bool {
@@ -144,7 +144,7 @@
 					bytes2, cpu2, begun := float64(d.bytes.Load()), spent(), time.Now()
 					before := heard.Load()
 					k++
-					d.change(balancer.State(1+k%2), k%200)
+					d.change(balancer.BackendState(1+k%2), k%200)
 					until(before + int64(size))
 					ms := float64(time.Since(begun).Microseconds()) / 1e3
 					bytes2, cpu2 = float64(d.bytes.Load())-bytes2, spent()-cpu2
--- a/internal/lab/capacity/rig_module.go
+++ b/internal/lab/capacity/rig_module.go
@@ -22,18 +22,18 @@
 )
 
 // plain are terms of a node among many, with so many tenants.
-func plain(tenants int) *balancer.Terms {
-	t := &balancer.Terms{Seed: 1, Nodes: 100, MaxPushes: 3, SecondCopies: true, Cancel: true, ColdFrom: 0.3, WarmWithin: 8000,
-		FallMultiple: 4, OverloadFor: 2000, Categories: []balancer.Category{{TargetLatency: 600, Benefit: 1}}}
+func plain(tenants int) *balancer.Config {
+	t := &balancer.Config{Seed: 1, Nodes: 100, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, SlowStartShare: 0.3, SlowStartWindow: 8000,
+		OverloadMultiple: 4, OverloadWindow: 2000, Classes: []balancer.Class{{LatencyObjective: 600, PriorityWeight: 1}}}
 	for range tenants {
 		t.Tenants = append(t.Tenants, balancer.Tenant{Quota: 5})
 	}
 	return t
 }
 
-func lines(backends int) (all []balancer.Listing) {
+func lines(backends int) (all []balancer.Endpoint) {
 	for k := range backends {
-		all = append(all, balancer.Listing{Backend: &balancer.Backend{Ref: uint64(k)}, State: balancer.Ready, Zone: k % 2, Kind: k % 3, Weight: 1})
+		all = append(all, balancer.Endpoint{Backend: &balancer.Backend{ID: uint64(k)}, State: balancer.BackendReady, Zone: k % 2, Kind: k % 3, Weight: 1})
 	}
 	return all
 }
@@ -48,34 +48,34 @@
 
 func newHost(module balancer.Decider, tenants, backends int) *host {
 	h := &host{module: module, now: 1, tenants: tenants, rng: rand.New(rand.NewPCG(1, 1))}
-	h.module.Listed(h.now, lines(backends), true, false)
+	h.module.EndpointsChanged(h.now, lines(backends), true, false)
 	h.pull()
 	return h
 }
 
-func (h *host) pull() (p *balancer.Push) {
+func (h *host) pull() (p *balancer.Attempt) {
 	for d, more := h.module.Next(); more; d, more = h.module.Next() {
-		if d.Kind == balancer.DoPush {
-			p = d.Push
+		if d.Kind == balancer.DoAttempt {
+			p = d.Attempt
 		}
 	}
 	return p
 }
 
 // request takes one, and gives the push that was decided; none is out when it comes.
-func (h *host) request() *balancer.Push {
+func (h *host) request() *balancer.Attempt {
 	h.now += 1e3 / perNode
-	op := &balancer.Op{GiveUp: h.now + 2000, Hint: 30, HasHint: true}
+	op := &balancer.Request{Deadline: h.now + 2000, CostHint: 30, HasCostHint: true}
 	if h.tenants > 0 {
 		op.Tenant = h.rng.IntN(h.tenants)
 	}
-	h.module.Arrived(h.now, op)
+	h.module.RequestArrived(h.now, op)
 	return h.pull()
 }
 
-func (h *host) answer(p *balancer.Push) {
-	h.module.Reported(h.now+3, p.Backend, balancer.Report{Service: 3, Held: 2, Waiting: balancer.Untold})
-	h.module.Ended(h.now+3, p, balancer.Answered, 3, true)
+func (h *host) answer(p *balancer.Attempt) {
+	h.module.LoadReported(h.now+3, p.Backend, balancer.LoadReport{ServiceTime: 3, InFlight: 2, Queued: balancer.NotReported})
+	h.module.AttemptEnded(h.now+3, p, balancer.OutcomeAnswered, 3, true)
 	h.pull()
 }
 
@@ -246,7 +246,7 @@
 				if err != nil {
 					return nil, err
 				}
-				r, err := capture.NewRecorder(balancer.New(t, 1), 1, capture.Start{Name: "n", Terms: t}, capture.Options{Every: 10e3, Sink: w.Put})
+				r, err := capture.NewRecorder(balancer.New(t, 1), 1, capture.Start{Name: "n", Config: t}, capture.Options{Every: 10e3, Sink: w.Put})
 				if err != nil {
 					w.Close()
 					return nil, err
--- a/internal/lab/capacity/rig_serve.go
+++ b/internal/lab/capacity/rig_serve.go
@@ -66,7 +66,7 @@
 	Targets []entry `json:"targets"`
 }
 
-var states = map[balancer.State]string{balancer.Ready: "up", balancer.Draining: "draining", balancer.Gone: "removed"}
+var states = map[balancer.BackendState]string{balancer.BackendReady: "up", balancer.BackendDraining: "draining", balancer.BackendRemoved: "removed"}
 
 // counted are connections whose bytes are counted.
 type counted struct {
@@ -106,7 +106,7 @@
 	}
 	d := &discoveryServer{address: l.Addr().String(), backend: backend, roll: discoverystub.New(0), news: make(chan struct{})}
 	for k := range backends {
-		d.roll.Set(0, 0, discoverystub.Entry{Backend: k, State: balancer.Ready})
+		d.roll.Set(0, 0, discoverystub.Entry{Backend: k, State: balancer.BackendReady})
 	}
 	d.roll.Advance(0)
 	d.server = &http.Server{Handler: http.HandlerFunc(d.serve)}
@@ -120,7 +120,7 @@
 }
 
 // change tells backends' state, all at once.
-func (d *discoveryServer) change(s balancer.State, backends ...int) {
+func (d *discoveryServer) change(s balancer.BackendState, backends ...int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, b := range backends {
--- a/internal/lab/discoverystub/discoverystub.go
+++ b/internal/lab/discoverystub/discoverystub.go
@@ -12,7 +12,7 @@
 // Entry is one backend as the list names it.
 type Entry struct {
 	Backend int
-	State   balancer.State
+	State   balancer.BackendState
 	Started float64
 }
 
@@ -85,7 +85,7 @@
 func (r *Roll) Whole() []Entry {
 	var all []Entry
 	for _, i := range r.held {
-		if r.told[i].State != balancer.Gone {
+		if r.told[i].State != balancer.BackendRemoved {
 			all = append(all, r.told[i].Entry)
 		}
 	}
--- a/internal/lab/discoverystub/discoverystub_test.go
+++ b/internal/lab/discoverystub/discoverystub_test.go
@@ -11,16 +11,16 @@
 
 func TestLagAndVersions(t *testing.T) {
 	r := New(0)
-	r.Set(0, 0, Entry{Backend: 1, State: balancer.Ready})
-	r.Set(0, 0, Entry{Backend: 0, State: balancer.Ready})
+	r.Set(0, 0, Entry{Backend: 1, State: balancer.BackendReady})
+	r.Set(0, 0, Entry{Backend: 0, State: balancer.BackendReady})
 	assert.True(t, r.Advance(0))
-	r.Set(10, 100, Entry{Backend: 1, State: balancer.Draining})
-	r.Set(20, 5, Entry{Backend: 1, State: balancer.Gone}) // known no sooner than what came before
+	r.Set(10, 100, Entry{Backend: 1, State: balancer.BackendDraining})
+	r.Set(20, 5, Entry{Backend: 1, State: balancer.BackendRemoved}) // known no sooner than what came before
 	assert.False(t, r.Advance(109))
 	assert.InDelta(t, 110, r.Due(), 0)
 	assert.True(t, r.Advance(110))
-	assert.Equal(t, []Entry{{Backend: 1, State: balancer.Gone}}, r.Since(2), "the latest of each")
-	assert.Equal(t, []Entry{{Backend: 0, State: balancer.Ready}}, r.Whole())
+	assert.Equal(t, []Entry{{Backend: 1, State: balancer.BackendRemoved}}, r.Since(2), "the latest of each")
+	assert.Equal(t, []Entry{{Backend: 0, State: balancer.BackendReady}}, r.Whole())
 	old, version := r.WholeAt(50)
 	assert.Len(t, old, 2)
 	assert.Equal(t, 2, version)
@@ -46,10 +46,10 @@
 func TestChangesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := New(0)
-		held, version := map[int]balancer.State{}, 0
+		held, version := map[int]balancer.BackendState{}, 0
 		for now := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			r.Set(float64(now), rapid.Float64Range(0, 10).Draw(t, "lag"), Entry{Backend: rapid.IntRange(0, 4).Draw(t, "backend"),
-				State: balancer.State(rapid.IntRange(0, 2).Draw(t, "state"))})
+				State: balancer.BackendState(rapid.IntRange(0, 2).Draw(t, "state"))})
 			r.Advance(float64(now))
 			if rapid.Bool().Draw(t, "asks") {
 				for _, e := range r.Since(version) {
@@ -63,7 +63,7 @@
 		}
 		n := 0
 		for _, s := range held {
-			if s != balancer.Gone {
+			if s != balancer.BackendRemoved {
 				n++
 			}
 		}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -400,31 +400,33 @@
 }
 
 // Categories are those that a node's terms hold.
-func (e *Experiment) Categories() []balancer.Category {
-	all := make([]balancer.Category, 0, len(e.Category))
+func (e *Experiment) Categories() []balancer.Class {
+	all := make([]balancer.Class, 0, len(e.Category))
 	for _, k := range e.Category {
-		all = append(all, balancer.Category{Effect: k.effect(), Group: balancer.Group(max(slices.Index(groups, k.Group), 0)),
-			Remembered: k.RememberMs, TargetLatency: k.TargetMs, Benefit: k.Benefit, LateBenefit: k.Late,
-			KeepOrder: k.KeepOrder})
+		all = append(all, balancer.Class{Idempotency: k.effect(), DedupScope: balancer.DedupScope(max(slices.Index(groups, k.Group), 0)),
+			DedupWindow: k.RememberMs, LatencyObjective: k.TargetMs, PriorityWeight: k.Benefit, LateWeight: k.Late,
+			Ordered: k.KeepOrder})
 	}
 	return all
 }
 
-func (k Category) effect() balancer.Effect { return balancer.Effect(slices.Index(effects, k.Effect)) }
+func (k Category) effect() balancer.Idempotency {
+	return balancer.Idempotency(slices.Index(effects, k.Effect))
+}
 
 // Terms are what a node is told; zone and seed are its own.
-func (e *Experiment) Terms(zone int, seed uint64) *balancer.Terms {
-	return &balancer.Terms{Seed: seed, Zone: zone, Nodes: e.Fleet.Nodes, Categories: e.Categories(), ExcessBenefit: 1,
-		ByWork: e.Rules.BenefitByWork, CrossPrice: e.Fleet.CrossPrice, MaxPushes: e.Rules.MaxPushes,
-		SecondCopies: e.Rules.SecondCopies, Cancel: e.Rules.Cancel, ComeBack: e.Rules.ComeBack,
-		MaxComeBack: e.Rules.MaxComeBackMs, MustAsk: e.List.MustAsk, AskWithin: e.Fleet.AskWithinMs, ColdFrom: e.Backend.ColdFrom,
-		WarmWithin: e.Backend.WarmWithinMs, FallMultiple: e.Backend.FallMultiple, OverloadFor: e.Backend.OverloadForMs,
-		SettleAfterDoubt: e.Rules.SettleMs, RemovalNotBinding: e.Rules.RemovalNotBinding, ConnectionPrice: e.Rules.ConnectionPrice}
+func (e *Experiment) Terms(zone int, seed uint64) *balancer.Config {
+	return &balancer.Config{Seed: seed, Zone: zone, Nodes: e.Fleet.Nodes, Classes: e.Categories(), OverQuotaWeight: 1,
+		WeightByWork: e.Rules.BenefitByWork, CrossZoneCost: e.Fleet.CrossPrice, MaxAttempts: e.Rules.MaxPushes,
+		AllowHedging: e.Rules.SecondCopies, CancelAttempts: e.Rules.Cancel, SendRetryAfter: e.Rules.ComeBack,
+		MaxRetryAfter: e.Rules.MaxComeBackMs, PollEndpoints: e.List.MustAsk, PollInterval: e.Fleet.AskWithinMs, SlowStartShare: e.Backend.ColdFrom,
+		SlowStartWindow: e.Backend.WarmWithinMs, OverloadMultiple: e.Backend.FallMultiple, OverloadWindow: e.Backend.OverloadForMs,
+		UncertainCooldown: e.Rules.SettleMs, RemovalIsHint: e.Rules.RemovalNotBinding, ConnectionCost: e.Rules.ConnectionPrice}
 }
 
 // Auditor judges the experiment; slack is what the host sees late, in ms.
 func (e *Experiment) Auditor(slack float64) *invariants.Auditor {
-	return invariants.New(invariants.Terms{Categories: e.Categories(), MaxPushes: e.Rules.MaxPushes, SecondCopies: e.Rules.SecondCopies,
+	return invariants.New(invariants.Config{Categories: e.Categories(), MaxPushes: e.Rules.MaxPushes, SecondCopies: e.Rules.SecondCopies,
 		DrainGrace: e.Rules.DrainGraceMs, ColdFrom: e.Backend.ColdFrom, WarmWithin: e.Backend.WarmWithinMs,
 		FallMultiple: e.Backend.FallMultiple, OverloadFor: e.Backend.OverloadForMs, MeanWork: e.MeanWork(),
 		SettleAfterDoubt: e.Rules.SettleMs, RemovalNotBinding: e.Rules.RemovalNotBinding, Slack: slack})
--- a/internal/lab/loopback/backend.go
+++ b/internal/lab/loopback/backend.go
@@ -355,30 +355,30 @@
 
 // push sees one push through; false ends the connection.
 func (d *door) push(ctx context.Context, c *net.TCPConn, try uint64, number int, work float64, fresh bool) bool {
-	ended := func(how balancer.Ending) {
-		d.b.hub.tell(invariants.Event{Kind: invariants.PushEnded, Op: try, Push: number, Ending: how})
+	ended := func(how balancer.Outcome) {
+		d.b.hub.tell(invariants.Event{Kind: invariants.AttemptEnded, Request: try, Attempt: number, Outcome: how})
 	}
 	wait(ctx, d.b.way(d.zone))
 	if d.mute(c) {
 		<-ctx.Done()
-		ended(balancer.TimedOut)
+		ended(balancer.OutcomeTimedOut)
 		return false
 	}
 	k, v := d.b.arrive(work, fresh)
 	switch v {
 	case backendmodel.Rejected:
-		ended(balancer.Rejected)
+		ended(balancer.OutcomeRejected)
 		return d.write(c, "503 Service Unavailable", "X-Never-Ran: 1\r\n", "full")
 	case backendmodel.Failed:
-		ended(balancer.Failed)
+		ended(balancer.OutcomeFailed)
 		wait(ctx, time.Millisecond)
 		return d.write(c, "500 Internal Server Error", "", "failed")
 	case backendmodel.Swallowed:
 		<-ctx.Done()
-		ended(balancer.TimedOut)
+		ended(balancer.OutcomeTimedOut)
 		return false
 	case backendmodel.Down:
-		ended(balancer.Reset)
+		ended(balancer.OutcomeConnectionReset)
 		d.b.mu.Lock()
 		fell := d.b.m.Up() && d.b.m.Fallen()
 		d.b.mu.Unlock()
@@ -391,21 +391,21 @@
 		_ = c.SetLinger(0)
 		return false
 	}
-	d.b.hub.tell(invariants.Event{Kind: invariants.PushRan, Op: try, Push: number, Backend: d.b.number})
+	d.b.hub.tell(invariants.Event{Kind: invariants.AttemptRan, Request: try, Attempt: number, Backend: d.b.number})
 	select {
 	case <-k.done:
 	case <-ctx.Done():
 		d.b.revoke(k)
-		ended(balancer.Revoked)
+		ended(balancer.OutcomeCanceled)
 		return false
 	}
 	wait(ctx, d.b.way(d.zone))
 	if d.mute(c) {
 		<-ctx.Done()
-		ended(balancer.TimedOut)
+		ended(balancer.OutcomeTimedOut)
 		return false
 	}
-	ended(balancer.Answered)
+	ended(balancer.OutcomeAnswered)
 	r, head := d.b.report(), ""
 	if d.b.hub.e.Backend.Report {
 		head = fmt.Sprintf("Endpoint-Load-Metrics: TEXT mean_ms=%.3f, inflight=%d\r\n", r.Service, r.InHand)
--- a/internal/lab/loopback/clients.go
+++ b/internal/lab/loopback/clients.go
@@ -76,7 +76,7 @@
 }
 
 // see follows one op through its tries.
-func (c *crowd) see(ctx context.Context, op *workload.Op) {
+func (c *crowd) see(ctx context.Context, op *workload.Request) {
 	for number := 0; ctx.Err() == nil; number++ {
 		how, comeBack, left := c.try(ctx, op, number)
 		c.hub.mu.Lock()
@@ -121,11 +121,11 @@
 	return nil
 }
 
-var finals = map[int]invariants.Final{http.StatusOK: invariants.Acked, http.StatusTooManyRequests: invariants.Nacked,
-	http.StatusServiceUnavailable: invariants.Nacked}
+var finals = map[int]invariants.Final{http.StatusOK: invariants.Served, http.StatusTooManyRequests: invariants.Rejected,
+	http.StatusServiceUnavailable: invariants.Rejected}
 
 // try sends once and waits for the answer; left tells that the client went away by itself.
-func (c *crowd) try(ctx context.Context, op *workload.Op, number int) (how workload.Outcome, comeBack float64, left bool) {
+func (c *crowd) try(ctx context.Context, op *workload.Request, number int) (how workload.Outcome, comeBack float64, left bool) {
 	h := c.hub
 	h.mu.Lock()
 	h.rec.Tried()
@@ -182,10 +182,10 @@
 	late := h.now() > sent+told.Patience
 	switch {
 	case err != nil && run.Err() != nil: // the run was ended: nothing is owed
-		h.tell(invariants.Event{Kind: invariants.OpLeft, Op: id})
+		h.tell(invariants.Event{Kind: invariants.ClientGone, Request: id})
 		return workload.Lost, 0, true
 	case err != nil && told.Leaves > 0 && errors.Is(err, context.DeadlineExceeded):
-		h.tell(invariants.Event{Kind: invariants.OpLeft, Op: id})
+		h.tell(invariants.Event{Kind: invariants.ClientGone, Request: id})
 		return workload.Lost, 0, true
 	case err != nil && ctx.Err() != nil: // the auditor tells whether an answer was owed
 		h.mu.Lock()
@@ -199,22 +199,22 @@
 	}
 	f, known := finals[answer.StatusCode]
 	if !known {
-		f = invariants.DeadLettered
+		f = invariants.Failed
 	}
-	e := invariants.Event{Kind: invariants.OpAnswered, Node: n.number, Op: id, Final: f, Push: invariants.AnyPush}
+	e := invariants.Event{Kind: invariants.RequestAnswered, Node: n.number, Request: id, Final: f, Attempt: invariants.AnyAttempt}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if f == invariants.Acked && string(data) != answerTo(id) {
-		e.Push = -2 // nobody's
+	if f == invariants.Served && string(data) != answerTo(id) {
+		e.Attempt = -2 // nobody's
 	}
 	h.told(e)
 	h.rec.Final(h.now(), f)
 	switch f {
-	case invariants.Nacked:
+	case invariants.Rejected:
 		h.live.Nacked++
 		s, _ := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64)
 		return workload.Nacked, s * 1e3, false
-	case invariants.DeadLettered:
+	case invariants.Failed:
 		h.live.Dead++
 		return workload.Lost, 0, false
 	}
--- a/internal/lab/loopback/hub.go
+++ b/internal/lab/loopback/hub.go
@@ -89,19 +89,19 @@
 	h.tries[try] = t
 	h.live.Pushes++
 	h.rec.Pushed(h.now(), backend, crossing)
-	h.told(invariants.Event{Kind: invariants.PushBegun, Node: t.node, Op: try, Push: number, Backend: backend, Work: t.work})
+	h.told(invariants.Event{Kind: invariants.AttemptStarted, Node: t.node, Request: try, Attempt: number, Backend: backend, Work: t.work})
 	return number, t.work, true
 }
 
 // taken takes an op's last byte at a node's connection.
-func (h *hub) taken(try uint64, node int, op *workload.Op, giveUp float64) {
+func (h *hub) taken(try uint64, node int, op *workload.Request, giveUp float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, again := h.tries[try]; again { // sent once more on a new connection: the same op
 		return
 	}
 	h.tries[try] = known{node: node, work: op.Work, until: giveUp}
-	h.told(invariants.Event{Kind: invariants.OpTaken, Node: node, Op: try, Category: op.Category, GiveUp: giveUp})
+	h.told(invariants.Event{Kind: invariants.RequestAccepted, Node: node, Request: try, Class: op.Category, Deadline: giveUp})
 }
 
 // forget lets go of tries whose time is long over.
--- a/internal/lab/loopback/list.go
+++ b/internal/lab/loopback/list.go
@@ -28,7 +28,7 @@
 	wg      sync.WaitGroup
 }
 
-var states = map[balancer.State]string{balancer.Ready: "up", balancer.Draining: "draining", balancer.Gone: "removed"}
+var states = map[balancer.BackendState]string{balancer.BackendReady: "up", balancer.BackendDraining: "draining", balancer.BackendRemoved: "removed"}
 
 type entry struct {
 	UID      string  `json:"uid"`
@@ -52,7 +52,7 @@
 	l.timer = time.AfterFunc(time.Hour, l.publish)
 	for _, b := range backends {
 		if !joining[b.number] {
-			l.roll.Set(0, 0, discoverystub.Entry{Backend: b.number, State: balancer.Ready})
+			l.roll.Set(0, 0, discoverystub.Entry{Backend: b.number, State: balancer.BackendReady})
 		}
 	}
 	l.roll.Advance(0)
@@ -60,7 +60,7 @@
 }
 
 // set takes the truth about a backend; it is known after the lag of the moment.
-func (l *list) set(b *backend, s balancer.State) {
+func (l *list) set(b *backend, s balancer.BackendState) {
 	l.hub.mu.Lock()
 	lag := l.hub.state.Lag()
 	l.hub.mu.Unlock()
@@ -198,8 +198,8 @@
 	}
 	heard := func(ready bool) {
 		for _, e := range entries {
-			if (e.State == balancer.Ready) == ready {
-				l.hub.tell(invariants.Event{Kind: invariants.ListTold, Node: node, Backend: e.Backend, State: e.State, Started: e.Started})
+			if (e.State == balancer.BackendReady) == ready {
+				l.hub.tell(invariants.Event{Kind: invariants.EndpointNotified, Node: node, Backend: e.Backend, State: e.State, Started: e.Started})
 			}
 		}
 	}
@@ -227,7 +227,7 @@
 	}
 	for k := range named {
 		if !named[k] {
-			h.tell(invariants.Event{Kind: invariants.ListTold, Node: node, Backend: k, State: balancer.Gone})
+			h.tell(invariants.Event{Kind: invariants.EndpointNotified, Node: node, Backend: k, State: balancer.BackendRemoved})
 		}
 	}
 }
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -394,19 +394,19 @@
 
 // cordon takes a backend out at all nodes, or puts it back. To the judge a node has been told of a drain with its yes.
 func (w *world) cordon(b *backend, out bool) error {
-	line, state := fmt.Sprintf("uncordon s-%d", b.number), balancer.Ready
+	line, state := fmt.Sprintf("uncordon s-%d", b.number), balancer.BackendReady
 	if out {
-		line, state = fmt.Sprintf("cordon s-%d", b.number), balancer.Draining
+		line, state = fmt.Sprintf("cordon s-%d", b.number), balancer.BackendDraining
 	}
 	for _, n := range w.nodes {
 		if !out { // the node may push there before its yes is read here
-			w.tell(invariants.Event{Kind: invariants.ListTold, Node: n.number, Backend: b.number, State: state})
+			w.tell(invariants.Event{Kind: invariants.EndpointNotified, Node: n.number, Backend: b.number, State: state})
 		}
 		if err := n.call(line); err != nil {
 			return err
 		}
 		if out {
-			w.tell(invariants.Event{Kind: invariants.ListTold, Node: n.number, Backend: b.number, State: state})
+			w.tell(invariants.Event{Kind: invariants.EndpointNotified, Node: n.number, Backend: b.number, State: state})
 		}
 	}
 	return nil
@@ -419,7 +419,7 @@
 	if on {
 		if up {
 			b.stop(silent)
-			w.list.set(b, balancer.Gone)
+			w.list.set(b, balancer.BackendRemoved)
 		}
 		return nil
 	}
@@ -432,7 +432,7 @@
 	if err := b.start(false); err != nil {
 		return err
 	}
-	w.list.set(b, balancer.Ready)
+	w.list.set(b, balancer.BackendReady)
 	return nil
 }
 
@@ -449,7 +449,7 @@
 	if !up {
 		return nil
 	}
-	w.list.set(b, balancer.Draining)
+	w.list.set(b, balancer.BackendDraining)
 	w.wg.Go(func() {
 		wait(ctx, time.Duration(w.e.List.DrainNoticeMs*float64(time.Millisecond)))
 		b.mu.Lock()
@@ -457,7 +457,7 @@
 		b.mu.Unlock()
 		if still && ctx.Err() == nil {
 			b.stop(false)
-			w.list.set(b, balancer.Gone)
+			w.list.set(b, balancer.BackendRemoved)
 		}
 	})
 	return nil
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -100,8 +100,8 @@
 	assert.Greater(t, run.Service, 0.6)
 	assert.Greater(t, run.Ops, 150)
 	assert.Len(t, run.Troubles, 6)
-	for k := invariants.OpTaken; k <= invariants.NodeKilled; k++ {
-		if k != invariants.BackendRetired && k != invariants.OpLeft {
+	for k := invariants.RequestAccepted; k <= invariants.NodeKilled; k++ {
+		if k != invariants.BackendRetired && k != invariants.ClientGone {
 			assert.Positive(t, kinds[k], k)
 		}
 	}
@@ -226,7 +226,7 @@
 	drained := 0
 	run, err := Run(t.Context(), e, 1, Options{Command: []string{nodeProgram, "serve"}, Dir: dir,
 		Watch: func(e invariants.Event) {
-			if e.Kind == invariants.ListTold && e.State == balancer.Draining {
+			if e.Kind == invariants.EndpointNotified && e.State == balancer.BackendDraining {
 				drained++
 			}
 		}})
--- a/internal/lab/metrics/metrics.go
+++ b/internal/lab/metrics/metrics.go
@@ -122,7 +122,7 @@
 // Recorder takes what happens in one run.
 type Recorder struct {
 	e       *experiment.Experiment
-	cats    []balancer.Category
+	cats    []balancer.Class
 	windows []Window
 	hists   []*hdrhistogram.Histogram
 	counts  []int
@@ -166,8 +166,8 @@
 // a window's times are rougher: there are many windows.
 func histogram1() *hdrhistogram.Histogram { return hdrhistogram.New(100, 600_000_000, 1) }
 
-func (r *Recorder) benefit(op *workload.Op) float64 {
-	b := r.cats[op.Category].Benefit
+func (r *Recorder) benefit(op *workload.Request) float64 {
+	b := r.cats[op.Category].PriorityWeight
 	if r.e.Rules.BenefitByWork {
 		b *= op.Work
 	}
@@ -175,7 +175,7 @@
 }
 
 // Asked tells of an op that a client wants.
-func (r *Recorder) Asked(op *workload.Op) {
+func (r *Recorder) Asked(op *workload.Request) {
 	w, b := r.at(op.At), r.benefit(op)
 	w.Ops++
 	w.asked[op.Category] += b
@@ -186,7 +186,7 @@
 }
 
 // Served tells that the op's client has its answer. Work is what the answer cost.
-func (r *Recorder) Served(op *workload.Op, now float64) {
+func (r *Recorder) Served(op *workload.Request, now float64) {
 	if !r.open[op.ID] {
 		return
 	}
@@ -203,7 +203,7 @@
 }
 
 // Over tells that no try follows and nobody served the op.
-func (r *Recorder) Over(op *workload.Op) { delete(r.open, op.ID) }
+func (r *Recorder) Over(op *workload.Request) { delete(r.open, op.ID) }
 
 // Tried counts a sending, Unreached one that no node took, GaveUp one that waited in vain.
 func (r *Recorder) Tried()     { r.tries++ }
@@ -241,10 +241,10 @@
 // Final counts an answer of a node's own.
 func (r *Recorder) Final(now float64, f invariants.Final) {
 	switch f {
-	case invariants.Nacked:
+	case invariants.Rejected:
 		r.run.Nacks++
 		r.at(now).Nacks++
-	case invariants.DeadLettered:
+	case invariants.Failed:
 		r.run.DeadLetters++
 	}
 }
--- a/internal/lab/metrics/metrics_test.go
+++ b/internal/lab/metrics/metrics_test.go
@@ -38,7 +38,7 @@
 func play(e *experiment.Experiment, after func(at float64) float64, troubles ...Trouble) Run {
 	r := New(e, 1)
 	for k := range int(e.Seconds * 10) {
-		op := &workload.Op{ID: uint64(k) + 1, At: float64(k) * 100, Work: 10}
+		op := &workload.Request{ID: uint64(k) + 1, At: float64(k) * 100, Work: 10}
 		r.Asked(op)
 		r.Tried()
 		r.Pushed(op.At, k%2, k%4 == 0)
--- a/internal/lab/simcluster/quiet.go
+++ b/internal/lab/simcluster/quiet.go
@@ -36,14 +36,14 @@
 		s.after(s.rng.Float64()*over, func() {
 			s.in(k, life, func() {
 				until := s.now + 2000
-				s.write(k, requestlog.Record{Kind: requestlog.Begin, Key: key, Op: requestlog.Op{Print: 1, Effect: balancer.AtMostOnce, GiveUp: until,
-					Message: make([]byte, body)}, Push: requestlog.Push{Backend: "b0", At: s.now}}, until, func(r requestlog.Reply) {
-					if r.Code != requestlog.Done {
+				s.write(k, requestlog.Record{Kind: requestlog.AttemptStarted, Key: key, Request: requestlog.Request{Fingerprint: 1, Idempotency: balancer.AtMostOnce, Deadline: until,
+					EncodedMessage: make([]byte, body)}, Attempt: requestlog.Attempt{Backend: "b0", StartedAt: s.now}}, until, func(r requestlog.Reply) {
+					if r.Result != requestlog.Committed {
 						return
 					}
-					s.write(k, requestlog.Record{Kind: requestlog.Finish, Key: key, Outcome: requestlog.Outcome{Final: requestlog.Acked, Body: make([]byte, body)}},
+					s.write(k, requestlog.Record{Kind: requestlog.RequestAnswered, Key: key, Answer: requestlog.FinalAnswer{Status: requestlog.Served, Body: make([]byte, body)}},
 						s.now+1500, func(r requestlog.Reply) {
-							if r.Code == requestlog.Done {
+							if r.Result == requestlog.Committed {
 								s.Finals++
 							}
 						})
--- a/internal/lab/simcluster/simcluster.go
+++ b/internal/lab/simcluster/simcluster.go
@@ -43,7 +43,7 @@
 }
 
 type proc struct {
-	house  *requestlog.House
+	house  *requestlog.Member
 	life   uint64
 	up     bool
 	frozen bool
@@ -54,7 +54,7 @@
 
 type client struct {
 	key    string
-	effect balancer.Effect
+	effect balancer.Idempotency
 	giveUp float64
 }
 
@@ -63,7 +63,7 @@
 	Trace func(format string, args ...any) // is told what happens; nil is nobody
 
 	// Parts left out on purpose, by which tests show that what is judged notices.
-	Flaw     requestlog.Flaw
+	Flaw     requestlog.InjectedBug
 	Early    bool // pushes begin before their record is written
 	SameLife bool // a process that is started again goes by its old life
 
@@ -135,7 +135,7 @@
 		names = append(names, fmt.Sprintf("n%d", m))
 	}
 	*p = proc{life: life, up: true, waits: map[uint64]func(requestlog.Reply){},
-		house: requestlog.New(requestlog.Terms{Members: names, Self: k, Life: life, Copies: s.copies, Seed: s.rng.Uint64(), Most: 1 << 20, Keep: 60e3, Flaw: s.Flaw}, s.now)}
+		house: requestlog.New(requestlog.Config{Members: names, Self: k, Incarnation: life, Replicas: s.copies, Seed: s.rng.Uint64(), MaxLogBytes: 1 << 20, OutcomeTTL: 60e3, InjectedBug: s.Flaw}, s.now)}
 	for m := range s.procs {
 		if m != k {
 			s.after(20+s.rng.Float64()*20, func() { s.relink(k, m) })
@@ -163,7 +163,7 @@
 		k, m := x[0], x[1]
 		pid := s.procs[m].house.Self()
 		s.linked[k][m] = true
-		s.in(k, s.procs[k].life, func() { s.procs[k].house.Linked(s.now, m, pid) })
+		s.in(k, s.procs[k].life, func() { s.procs[k].house.PeerConnected(s.now, m, pid) })
 	}
 }
 
@@ -172,7 +172,7 @@
 		k, m := x[0], x[1]
 		if s.linked[k][m] {
 			s.linked[k][m] = false
-			s.in(k, s.procs[k].life, func() { s.procs[k].house.Broken(s.now, m) })
+			s.in(k, s.procs[k].life, func() { s.procs[k].house.PeerDisconnected(s.now, m) })
 		}
 	}
 }
@@ -192,9 +192,9 @@
 				delete(p.waits, o.Reply.ID)
 				f(*o.Reply)
 			}
-		case o.Inherit != nil:
+		case o.TakenOver != nil:
 			s.TookOver++
-			s.inherit(k, o.Inherit)
+			s.inherit(k, o.TakenOver)
 		case o.Log != "":
 			s.trace("%.0f n%d %s", s.now, k, o.Log)
 		}
@@ -213,7 +213,7 @@
 	s.after(at-s.now, func() {
 		if s.linked[to][from] && s.procs[from].life == sender {
 			s.in(to, life, func() {
-				if err := s.procs[to].house.Take(s.now, from, frame); err != nil {
+				if err := s.procs[to].house.Receive(s.now, from, frame); err != nil {
 					panic(err)
 				}
 			})
@@ -225,7 +225,7 @@
 	p := s.procs[k]
 	p.ids++
 	p.waits[p.ids] = f
-	p.house.Write(s.now, p.ids, r, until)
+	p.house.Append(s.now, p.ids, r, until)
 }
 
 // come is a client's try at a node.
@@ -235,41 +235,41 @@
 	s.in(k, life, func() {
 		p.ids++
 		p.waits[p.ids] = func(r requestlog.Reply) {
-			switch r.Code {
-			case requestlog.Free:
+			switch r.Result {
+			case requestlog.KeyUnused:
 				s.take(k, c)
-			case requestlog.InHand:
+			case requestlog.KeyInFlight:
 				if s.now+50 < c.giveUp {
 					s.after(50, func() { s.come(k, c) })
 				}
-			case requestlog.Over:
-				s.given(c.key, r.Outcome)
+			case requestlog.KeyAnswered:
+				s.given(c.key, r.Answer)
 			}
 		}
-		p.house.Look(s.now, p.ids, c.key, 1, min(s.now+500, c.giveUp))
+		p.house.Lookup(s.now, p.ids, c.key, 1, min(s.now+500, c.giveUp))
 	})
 }
 
-func (s *Fleet) given(key string, o requestlog.Outcome) {
-	s.keys.Outcome(s.now, key, fmt.Sprint(o.Final, string(o.Body)))
+func (s *Fleet) given(key string, o requestlog.FinalAnswer) {
+	s.keys.Outcome(s.now, key, fmt.Sprint(o.Status, string(o.Body)))
 }
 
 func (s *Fleet) take(k int, c client) {
-	op := requestlog.Op{Print: 1, Effect: c.effect, Remembered: 800, GiveUp: c.giveUp, Message: []byte("op " + c.key)}
-	s.push(k, c.key, op, nil, func(code requestlog.Code) {
-		if code == requestlog.InHand {
+	op := requestlog.Request{Fingerprint: 1, Idempotency: c.effect, DedupWindow: 800, Deadline: c.giveUp, EncodedMessage: []byte("op " + c.key)}
+	s.push(k, c.key, op, nil, func(code requestlog.Result) {
+		if code == requestlog.KeyInFlight {
 			s.after(50, func() { s.come(k, c) })
 		}
 	})
 }
 
 // push begins one as a node does: its record first.
-func (s *Fleet) push(k int, key string, op requestlog.Op, before []requestlog.Push, refused func(requestlog.Code)) {
+func (s *Fleet) push(k int, key string, op requestlog.Request, before []requestlog.Attempt, refused func(requestlog.Result)) {
 	number := len(before)
 	p := s.procs[k]
 	life := p.life
 	b := fmt.Sprintf("b%d", s.rng.IntN(5))
-	is := requestlog.Push{Number: number, Backend: b, At: s.now}
+	is := requestlog.Attempt{Number: number, Backend: b, StartedAt: s.now}
 	all := append(slices.Clone(before), is)
 	run := func(b string) {
 		s.after(1+s.rng.Float64()*120, func() { // at the backend, whatever becomes of the process
@@ -281,21 +281,21 @@
 			s.in(k, life, func() {
 				switch {
 				case !ran:
-					s.write(k, requestlog.Record{Kind: requestlog.End, Key: key, Push: requestlog.Push{Number: number, Ending: balancer.NoConnection}}, op.GiveUp+1000, func(requestlog.Reply) {})
-					if number < 2 && s.now < op.GiveUp {
-						all[number].Over, all[number].Ending = true, balancer.NoConnection
-						s.push(k, key, op, all, func(requestlog.Code) {})
-					} else if all[number].Over, all[number].Ending = true, balancer.NoConnection; (&requestlog.Entry{Op: op, Pushes: all}).Nackable() {
-						s.finish(k, key, requestlog.Outcome{Final: requestlog.Nacked})
+					s.write(k, requestlog.Record{Kind: requestlog.AttemptEnded, Key: key, Attempt: requestlog.Attempt{Number: number, Outcome: balancer.OutcomeConnectFailed}}, op.Deadline+1000, func(requestlog.Reply) {})
+					if number < 2 && s.now < op.Deadline {
+						all[number].Ended, all[number].Outcome = true, balancer.OutcomeConnectFailed
+						s.push(k, key, op, all, func(requestlog.Result) {})
+					} else if all[number].Ended, all[number].Outcome = true, balancer.OutcomeConnectFailed; (&requestlog.Entry{Request: op, Attempts: all}).CanReject() {
+						s.finish(k, key, requestlog.FinalAnswer{Status: requestlog.Rejected})
 					} else {
-						s.finish(k, key, requestlog.Outcome{Final: requestlog.DeadLettered})
+						s.finish(k, key, requestlog.FinalAnswer{Status: requestlog.Failed})
 					}
-				case lost && op.Effect == balancer.Redeliverable && number < 2:
-					s.push(k, key, op, all, func(requestlog.Code) {})
+				case lost && op.Idempotency == balancer.Idempotent && number < 2:
+					s.push(k, key, op, all, func(requestlog.Result) {})
 				case lost:
-					s.finish(k, key, requestlog.Outcome{Final: requestlog.DeadLettered})
+					s.finish(k, key, requestlog.FinalAnswer{Status: requestlog.Failed})
 				default:
-					s.finish(k, key, requestlog.Outcome{Final: requestlog.Acked, Body: []byte(b)})
+					s.finish(k, key, requestlog.FinalAnswer{Status: requestlog.Served, Body: []byte(b)})
 				}
 			})
 		})
@@ -303,22 +303,22 @@
 	if s.Early {
 		run(b)
 	}
-	s.write(k, requestlog.Record{Kind: requestlog.Begin, Key: key, Op: op, Push: is}, min(op.GiveUp, s.now+500), func(r requestlog.Reply) {
-		s.trace("%.0f n%d begin %s %d: %v asked %.0f", s.now, k, key, number, r.Code, r.Asked)
+	s.write(k, requestlog.Record{Kind: requestlog.AttemptStarted, Key: key, Request: op, Attempt: is}, min(op.Deadline, s.now+500), func(r requestlog.Reply) {
+		s.trace("%.0f n%d begin %s %d: %v asked %.0f", s.now, k, key, number, r.Result, r.SentAt)
 		switch {
-		case r.Code != requestlog.Done:
-			refused(r.Code)
-		case s.now-r.Asked > requestlog.FreshFor: // too old a word: asked again
+		case r.Result != requestlog.Committed:
+			refused(r.Result)
+		case s.now-r.SentAt > requestlog.LeaseMs: // too old a word: asked again
 			s.push(k, key, op, before, refused)
 		case s.now >= until(op, before):
-			refused(requestlog.Alone)
+			refused(requestlog.NoQuorum)
 		default:
 			if number == 0 {
-				s.keys.Taken(s.now, key, op.Effect, op.GiveUp)
+				s.keys.Taken(s.now, key, op.Idempotency, op.Deadline)
 			}
 			if !s.Early {
 				// It may be frozen right between its look at the clock and the write; a mark that is forgotten meanwhile helps no more.
-				if op.Effect != balancer.Deduplicated && s.rng.Float64() < 0.05 {
+				if op.Idempotency != balancer.IdempotentWithKey && s.rng.Float64() < 0.05 {
 					s.after(0.2, func() { s.in(k, life, func() { run(b) }) })
 				} else {
 					run(b)
@@ -329,52 +329,52 @@
 }
 
 // until is when a further push of an op must have begun at the latest, by what its effect allows.
-func until(op requestlog.Op, pushes []requestlog.Push) float64 {
-	first := (&requestlog.Entry{Pushes: pushes}).MayHaveRun()
-	if first != nil && op.Effect == balancer.Deduplicated {
-		return min(op.GiveUp, first.At+op.Remembered)
+func until(op requestlog.Request, pushes []requestlog.Attempt) float64 {
+	first := (&requestlog.Entry{Attempts: pushes}).UncertainAttempt()
+	if first != nil && op.Idempotency == balancer.IdempotentWithKey {
+		return min(op.Deadline, first.StartedAt+op.DedupWindow)
 	}
-	return op.GiveUp
+	return op.Deadline
 }
 
 // effect is what a push does at a backend; marks are shared by all and kept for a while.
-func (s *Fleet) effect(key string, op requestlog.Op) {
-	if op.Effect == balancer.Deduplicated {
-		if at, marked := s.marks[key]; marked && s.now-at < op.Remembered+requestlog.SilentFor {
+func (s *Fleet) effect(key string, op requestlog.Request) {
+	if op.Idempotency == balancer.IdempotentWithKey {
+		if at, marked := s.marks[key]; marked && s.now-at < op.DedupWindow+requestlog.PeerTimeoutMs {
 			return
 		}
 		s.marks[key] = s.now
 	}
-	s.keys.Ran(s.now, key, op.Effect)
+	s.keys.Ran(s.now, key, op.Idempotency)
 	s.trace("%.0f effect of %s", s.now, key)
 }
 
-func (s *Fleet) finish(k int, key string, o requestlog.Outcome) {
-	s.write(k, requestlog.Record{Kind: requestlog.Finish, Key: key, Outcome: o}, s.now+1500, func(r requestlog.Reply) {
-		s.trace("%.0f n%d finish %s %v: %v", s.now, k, key, o.Final, r.Code)
-		if r.Code == requestlog.Done && o.Final != requestlog.Nacked {
+func (s *Fleet) finish(k int, key string, o requestlog.FinalAnswer) {
+	s.write(k, requestlog.Record{Kind: requestlog.RequestAnswered, Key: key, Answer: o}, s.now+1500, func(r requestlog.Reply) {
+		s.trace("%.0f n%d finish %s %v: %v", s.now, k, key, o.Status, r.Result)
+		if r.Result == requestlog.Committed && o.Status != requestlog.Rejected {
 			s.Finals++
 			s.given(key, o)
 		}
-		if r.Code == requestlog.Over {
-			s.given(key, r.Outcome)
+		if r.Result == requestlog.KeyAnswered {
+			s.given(key, r.Answer)
 		}
 	})
 }
 
 func (s *Fleet) inherit(k int, e *requestlog.Entry) {
 	s.trace("%.0f n%d inherits %s", s.now, k, e.Key)
-	switch duty, _ := e.Succeed(s.now); duty {
-	case requestlog.NackIt:
-		s.finish(k, e.Key, requestlog.Outcome{Final: requestlog.Nacked})
-	case requestlog.DeadLetter:
-		s.finish(k, e.Key, requestlog.Outcome{Final: requestlog.DeadLettered})
+	switch duty, _ := e.TakeoverAction(s.now); duty {
+	case requestlog.RejectRequest:
+		s.finish(k, e.Key, requestlog.FinalAnswer{Status: requestlog.Rejected})
+	case requestlog.FailRequest:
+		s.finish(k, e.Key, requestlog.FinalAnswer{Status: requestlog.Failed})
 	default:
-		if len(e.Pushes) > 4 {
-			s.finish(k, e.Key, requestlog.Outcome{Final: requestlog.DeadLettered})
+		if len(e.Attempts) > 4 {
+			s.finish(k, e.Key, requestlog.FinalAnswer{Status: requestlog.Failed})
 			return
 		}
-		s.push(k, e.Key, e.Op, e.Pushes, func(requestlog.Code) { s.finish(k, e.Key, requestlog.Outcome{Final: requestlog.DeadLettered}) })
+		s.push(k, e.Key, e.Request, e.Attempts, func(requestlog.Result) { s.finish(k, e.Key, requestlog.FinalAnswer{Status: requestlog.Failed}) })
 	}
 }
 
@@ -532,7 +532,7 @@
 	var load func()
 	load = func() {
 		keys++
-		c := client{key: fmt.Sprintf("k%d", keys), effect: balancer.Effect(keys % 3), giveUp: s.now + 1500 + s.rng.Float64()*1500}
+		c := client{key: fmt.Sprintf("k%d", keys), effect: balancer.Idempotency(keys % 3), giveUp: s.now + 1500 + s.rng.Float64()*1500}
 		s.come(s.rng.IntN(len(s.procs)), c)
 		if s.rng.Float64() < 0.4 { // comes back with its key, or comes to two nodes at once
 			again := s.rng.IntN(len(s.procs))
@@ -565,11 +565,11 @@
 		s.in(k, p.life, func() {
 			p.ids++
 			p.waits[p.ids] = func(r requestlog.Reply) {
-				if r.Code != requestlog.InHand {
+				if r.Result != requestlog.KeyInFlight {
 					s.keys.Ended(s.now, key)
 				}
 			}
-			p.house.Look(s.now, p.ids, key, 1, s.now+lastLook*0.8)
+			p.house.Lookup(s.now, p.ids, key, 1, s.now+lastLook*0.8)
 		})
 		return
 	}
@@ -579,7 +579,7 @@
 func (s *Fleet) Served() (n int) {
 	for _, p := range s.procs {
 		if p.up {
-			x := p.house.Picture()
+			x := p.house.StateDigest()
 			for _, l := range x.Logs {
 				if l.Leader == x.Self {
 					n++
--- a/internal/lab/simcluster/simcluster_test.go
+++ b/internal/lab/simcluster/simcluster_test.go
@@ -44,10 +44,10 @@
 // A build with a part left out must be caught by the same schedules: else the checks show nothing.
 func TestFlawsAreCaught(t *testing.T) {
 	for name, spoil := range map[string]func(*Fleet){
-		"fence left out":                    func(s *Fleet) { s.Flaw = requestlog.NoFence },
-		"nobody takes over":                 func(s *Fleet) { s.Flaw = requestlog.NoHeirs },
-		"keys given out twice":              func(s *Fleet) { s.Flaw = requestlog.NoKeys },
-		"heirs not told of pushes":          func(s *Fleet) { s.Flaw = requestlog.NoPushes },
+		"fence left out":                    func(s *Fleet) { s.Flaw = requestlog.BugNoFencing },
+		"nobody takes over":                 func(s *Fleet) { s.Flaw = requestlog.BugNoTakeover },
+		"keys given out twice":              func(s *Fleet) { s.Flaw = requestlog.BugNoKeyCheck },
+		"heirs not told of pushes":          func(s *Fleet) { s.Flaw = requestlog.BugForgottenAttempts },
 		"pushes before their record":        func(s *Fleet) { s.Early = true },
 		"a follower rejoins under its name": func(s *Fleet) { s.SameLife = true },
 	} {
--- a/internal/lab/simcontrolplane/simcontrolplane.go
+++ b/internal/lab/simcontrolplane/simcontrolplane.go
@@ -86,7 +86,7 @@
 	Trace func(format string, args ...any) // is told what happens; nil is nobody
 
 	// Flaw is left out in voters, and in nodes as followers; not in relays, whose own History would not hold together.
-	Flaw controlplane.Flaw
+	Flaw controlplane.InjectedBug
 	// Mangle loses, doubles, swaps and corrupts frames, which TCP doesn't: only digests, versions and heartbeats are left then.
 	Mangle bool
 	// Unsynced is a store that says a write is done 3 s before it is.
@@ -186,15 +186,15 @@
 			p.store = controlplane.Bootstrap(voters)
 		}
 		var err error
-		p.voter, err = controlplane.NewVoter(controlplane.VoterTerms{ID: uint64(p.id + 1), Voters: voters, Seed: seed, Entries: 4000, Kept: s.t.Kept, Flaw: s.Flaw}, p.store, s.at(p))
+		p.voter, err = controlplane.NewVoter(controlplane.VoterConfig{ID: uint64(p.id + 1), Voters: voters, Seed: seed, Entries: 4000, Kept: s.t.Kept, InjectedBug: s.Flaw}, p.store, s.at(p))
 		if err != nil {
 			panic(err)
 		}
 	} else {
-		t := controlplane.FollowerTerms{Name: p.name, Region: p.region, Kind: controlplane.KindNode, Kept: s.t.Kept, Seed: seed, Flaw: s.Flaw}
+		t := controlplane.FollowerConfig{Name: p.name, Region: p.region, Kind: controlplane.KindNode, Kept: s.t.Kept, Seed: seed, InjectedBug: s.Flaw}
 		most := s.members()
 		if p.id < s.members() {
-			t.Kind, t.Flaw, most = controlplane.KindMember, controlplane.NoFlaw, s.t.Voters
+			t.Kind, t.InjectedBug, most = controlplane.KindMember, controlplane.NoInjectedBug, s.t.Voters
 		}
 		for _, m := range s.procs[:most] {
 			t.Members = append(t.Members, controlplane.Target{Name: m.name, Region: m.region})
@@ -207,7 +207,7 @@
 		}
 	}
 	if p.id < s.members() {
-		p.server = controlplane.NewServer(controlplane.ServerTerms{Name: p.name, Region: p.region, Seed: seed}, s.at(p))
+		p.server = controlplane.NewServer(controlplane.ServerConfig{Name: p.name, Region: p.region, Seed: seed}, s.at(p))
 	}
 	s.pump(p)
 	life := p.life
--- a/internal/lab/simcontrolplane/simcontrolplane_test.go
+++ b/internal/lab/simcontrolplane/simcontrolplane_test.go
@@ -51,7 +51,7 @@
 // A build with a part left out must be caught by the same schedules: else the checks show nothing.
 func TestFlawsAreCaught(t *testing.T) {
 	for name, c := range map[string]struct {
-		flaw   controlplane.Flaw
+		flaw   controlplane.InjectedBug
 		kind   Kind
 		says   string
 		faults []Fault // else those of the seed
@@ -85,13 +85,13 @@
 }
 
 // caught plays a schedule; a voter that finds itself broken counts as well.
-func caught(seed uint64, kind Kind, faults []Fault, flaw controlplane.Flaw) (wrong string) {
+func caught(seed uint64, kind Kind, faults []Fault, flaw controlplane.InjectedBug) (wrong string) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			wrong = fmt.Sprint(fault)
 		}
 	}()
-	_, all := play(seed, small, kind, faults, func(s *Plane) { s.Flaw, s.Unsynced = flaw, flaw == controlplane.NoFlaw })
+	_, all := play(seed, small, kind, faults, func(s *Plane) { s.Flaw, s.Unsynced = flaw, flaw == controlplane.NoInjectedBug })
 	return strings.Join(all, "; ")
 }
 
