--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -33,7 +33,7 @@
 type Options struct {
 	Watch func(invariants.Event) // is told every event that the auditor is
 	// Wrap, where given, stands between a node and what decides for it; life counts the node's processes from 0.
-	Wrap func(node, life int, d balancer.Decider, t *balancer.Terms, now float64) balancer.Decider
+	Wrap func(node, life int, d balancer.Decider, t *balancer.Config, now float64) balancer.Decider
 }
 
 // Run plays one seed.
@@ -111,8 +111,8 @@
 	life     int
 	deadAt   float64
 	module   balancer.Decider
-	known    []*balancer.Backend // by number of the backend
-	view     []balancer.State    // as the list told it
+	known    []*balancer.Backend     // by number of the backend
+	view     []balancer.BackendState // as the list told it
 	pools    [][]conn
 	ops      map[uint64]*op
 	watching bool
@@ -129,7 +129,7 @@
 }
 
 type op struct {
-	balancer.Op
+	balancer.Request
 	node     *node
 	try      *try
 	answered bool
@@ -140,7 +140,7 @@
 type push struct {
 	id     uint64
 	op     *op
-	p      *balancer.Push
+	p      *balancer.Attempt
 	target *backend
 	life   int // of the target, when its connection came up
 	fresh  bool
@@ -149,7 +149,7 @@
 }
 
 type try struct {
-	of     *workload.Op
+	of     *workload.Request
 	number int
 	node   *node
 	closed bool // the client has its answer, or is gone
@@ -174,7 +174,7 @@
 		}
 		b.Start(0, true)
 		h.tell(invariants.Event{Kind: invariants.BackendStarted, Backend: k, Zone: b.zone, Cell: k, Speed: b.Standing()})
-		h.roll.Set(0, 0, discoverystub.Entry{Backend: k, State: balancer.Ready})
+		h.roll.Set(0, 0, discoverystub.Entry{Backend: k, State: balancer.BackendReady})
 	}
 	h.roll.Advance(0)
 	for k := range e.Fleet.Nodes {
@@ -281,7 +281,7 @@
 	return nil
 }
 
-func (h *host) send(o *workload.Op, number int) {
+func (h *host) send(o *workload.Request, number int) {
 	h.rec.Tried()
 	t := &try{of: o, number: number, node: h.front(o.Zone)}
 	near := h.e.Fleet.NearMs
@@ -297,7 +297,7 @@
 			if !t.closed {
 				t.closed = true
 				h.rec.Over(o)
-				h.tell(invariants.Event{Kind: invariants.OpLeft, Op: workload.TryID(o.ID, number)})
+				h.tell(invariants.Event{Kind: invariants.ClientGone, Request: workload.TryID(o.ID, number)})
 				h.left(t)
 			}
 		})
@@ -314,9 +314,9 @@
 // left tells the node that its client is gone, or waits no longer.
 func (h *host) left(t *try) {
 	h.at(h.now+h.e.Fleet.NearMs, func() {
-		if o := t.op; o != nil && !o.answered && o.node.ops[o.Ref] == o {
+		if o := t.op; o != nil && !o.answered && o.node.ops[o.ID] == o {
 			o.answered = true
-			o.node.module.Left(h.now, &o.Op)
+			o.node.module.ClientGone(h.now, &o.Request)
 			h.forget(o)
 			h.pull(o.node)
 		}
@@ -354,12 +354,12 @@
 	}
 	c := t.of
 	o := &op{node: n, try: t}
-	o.Ref, o.Category, o.Hint, o.HasHint = workload.TryID(c.ID, t.number), c.Category, c.Hint, c.HasHint
-	o.Repeat, o.GiveUp, o.Key = t.number > 0, sent+patience-marginMs, c.Key
+	o.ID, o.Class, o.CostHint, o.HasCostHint = workload.TryID(c.ID, t.number), c.Category, c.Hint, c.HasHint
+	o.IsClientRetry, o.Deadline, o.Key = t.number > 0, sent+patience-marginMs, c.Key
 	t.op = o
-	n.ops[o.Ref] = o
-	h.tell(invariants.Event{Kind: invariants.OpTaken, Node: n.number, Op: o.Ref, Category: c.Category, Key: c.Key, GiveUp: sent + patience})
-	n.module.Arrived(h.now, &o.Op)
+	n.ops[o.ID] = o
+	h.tell(invariants.Event{Kind: invariants.RequestAccepted, Node: n.number, Request: o.ID, Class: c.Category, Key: c.Key, Deadline: sent + patience})
+	n.module.RequestArrived(h.now, &o.Request)
 	h.pull(n)
 }
 
@@ -368,12 +368,12 @@
 func (h *host) start(n *node, known []discoverystub.Entry, version int) {
 	size := len(h.backends)
 	n.alive, n.watching, n.asking = true, false, false
-	n.known, n.view, n.pools = make([]*balancer.Backend, size), make([]balancer.State, size), make([][]conn, size)
+	n.known, n.view, n.pools = make([]*balancer.Backend, size), make([]balancer.BackendState, size), make([][]conn, size)
 	n.ops = map[uint64]*op{}
 	n.version = version
 	seed := rand.New(rand.NewPCG(h.seed, uint64(n.number)<<20+uint64(n.life)+5)).Uint64()
 	terms := h.e.Terms(n.zone, seed)
-	terms.Number = n.number
+	terms.NodeIndex = n.number
 	n.module, h.err = baselines.New(h.e.Policy, terms, h.now, h.sight(n))
 	if h.err != nil {
 		return
@@ -390,59 +390,59 @@
 
 // sight is what an all-seeing policy knows.
 func (h *host) sight(n *node) baselines.Sight {
-	return func(now float64, b *balancer.Backend, o *balancer.Op) float64 {
-		t := h.backends[b.Ref]
+	return func(now float64, b *balancer.Backend, o *balancer.Request) float64 {
+		t := h.backends[b.ID]
 		if t.silent || h.state.Cut(n.zone, t.zone) {
 			return math.Inf(1)
 		}
-		work := n.ops[o.Ref].try.of.Work
+		work := n.ops[o.ID].try.of.Work
 		if !t.ColdRoom(now, work) {
 			return math.Inf(1)
 		}
 		time := t.Backlog(now) + work/t.Pace() + 2*h.way(n.zone, t.zone)
 		if n.zone != t.zone { // the price of a crossing, in the target's time
-			time += h.e.Fleet.CrossPrice * h.e.Category[o.Category].TargetMs
+			time += h.e.Fleet.CrossPrice * h.e.Category[o.Class].TargetMs
 		}
 		return time
 	}
 }
 
 func (h *host) listed(n *node, entries []discoverystub.Entry, whole, cached bool) {
-	lines := make([]balancer.Listing, 0, len(entries))
+	lines := make([]balancer.Endpoint, 0, len(entries))
 	named := make([]bool, len(h.backends))
 	for _, e := range entries {
 		b := n.known[e.Backend]
 		if b == nil {
-			if e.State == balancer.Gone {
+			if e.State == balancer.BackendRemoved {
 				continue
 			}
-			b = &balancer.Backend{Ref: uint64(e.Backend)}
+			b = &balancer.Backend{ID: uint64(e.Backend)}
 			n.known[e.Backend] = b
 		}
 		named[e.Backend] = true
 		t := h.backends[e.Backend]
 		h.see(n, e.Backend, e.State, e.Started)
-		lines = append(lines, balancer.Listing{Backend: b, State: e.State, Zone: t.zone, Cell: t.number, Kind: t.kind,
+		lines = append(lines, balancer.Endpoint{Backend: b, State: e.State, Zone: t.zone, Cell: t.number, Kind: t.kind,
 			Weight: 1, Started: e.Started})
 	}
 	if whole {
 		for k, b := range n.known {
 			if b != nil && !named[k] {
-				h.see(n, k, balancer.Gone, 0)
+				h.see(n, k, balancer.BackendRemoved, 0)
 			}
 		}
 	}
-	n.module.Listed(h.now, lines, whole, cached)
+	n.module.EndpointsChanged(h.now, lines, whole, cached)
 }
 
-func (h *host) see(n *node, b int, s balancer.State, started float64) {
-	if s != balancer.Gone || n.view[b] != balancer.Ready || !h.e.Rules.RemovalNotBinding { // else the module decides
+func (h *host) see(n *node, b int, s balancer.BackendState, started float64) {
+	if s != balancer.BackendRemoved || n.view[b] != balancer.BackendReady || !h.e.Rules.RemovalNotBinding { // else the module decides
 		n.view[b] = s
 	}
-	if n.view[b] == balancer.Gone {
+	if n.view[b] == balancer.BackendRemoved {
 		n.pools[b] = nil
 	}
-	h.tell(invariants.Event{Kind: invariants.ListTold, Node: n.number, Backend: b, State: s, Started: started})
+	h.tell(invariants.Event{Kind: invariants.EndpointNotified, Node: n.number, Backend: b, State: s, Started: started})
 }
 
 func (h *host) kill(n *node) {
@@ -480,24 +480,24 @@
 			return
 		}
 		switch d.Kind {
-		case balancer.DoPush:
+		case balancer.DoAttempt:
 			h.push(n, d)
-		case balancer.DoNack:
-			h.final(n.ops[d.Op.Ref], invariants.Nacked, d.Wait)
-		case balancer.DoDeadLetter:
-			h.final(n.ops[d.Op.Ref], invariants.DeadLettered, 0)
-		case balancer.DoRevoke:
-			if o := n.ops[d.Op.Ref]; o != nil {
-				h.endSoon(o.calls[d.Push.Number], balancer.Revoked)
+		case balancer.DoReject:
+			h.final(n.ops[d.Request.ID], invariants.Rejected, d.Wait)
+		case balancer.DoFail:
+			h.final(n.ops[d.Request.ID], invariants.Failed, 0)
+		case balancer.DoCancel:
+			if o := n.ops[d.Request.ID]; o != nil {
+				h.endSoon(o.calls[d.Attempt.Number], balancer.OutcomeCanceled)
 			}
-		case balancer.DoWatch:
+		case balancer.DoPoll:
 			h.ask(n)
-		case balancer.DoTimer:
+		case balancer.DoSetTimer:
 			n.timer++
 			timer, life := n.timer, n.life
 			h.at(h.now+math.Max(d.Wait, 0), func() {
 				if n.timer == timer && n.life == life && n.alive {
-					n.module.Due(h.now)
+					n.module.TimerFired(h.now)
 					h.pull(n)
 				}
 			})
@@ -506,7 +506,7 @@
 }
 
 // outcomes are what the final answers mean to a client.
-var outcomes = [...]workload.Outcome{invariants.Acked: workload.Acked, invariants.Nacked: workload.Nacked, invariants.DeadLettered: workload.Lost}
+var outcomes = [...]workload.Outcome{invariants.Served: workload.Acked, invariants.Rejected: workload.Nacked, invariants.Failed: workload.Lost}
 
 func (h *host) final(o *op, f invariants.Final, comeBack float64) {
 	if o == nil || o.answered {
@@ -514,31 +514,31 @@
 	}
 	o.answered = true
 	h.rec.Final(h.now, f)
-	h.tell(invariants.Event{Kind: invariants.OpAnswered, Node: o.node.number, Op: o.Ref, Final: f, Push: invariants.AnyPush})
+	h.tell(invariants.Event{Kind: invariants.RequestAnswered, Node: o.node.number, Request: o.ID, Final: f, Attempt: invariants.AnyAttempt})
 	h.at(h.now+h.e.Fleet.NearMs, func() { h.result(o.try, outcomes[f], comeBack) })
 	h.forget(o)
 }
 
 func (h *host) forget(o *op) {
 	if o.answered && o.out == 0 {
-		delete(o.node.ops, o.Ref)
+		delete(o.node.ops, o.ID)
 	}
 }
 
 // Pushes.
 
 func (h *host) push(n *node, d balancer.Decision) {
-	o := n.ops[d.Op.Ref]
-	t := h.backends[d.Push.Backend.Ref]
+	o := n.ops[d.Request.ID]
+	t := h.backends[d.Attempt.Backend.ID]
 	n.pushSeq++
-	c := &push{id: uint64(n.number)<<40 | uint64(n.life)<<32 | n.pushSeq, op: o, p: d.Push, target: t}
+	c := &push{id: uint64(n.number)<<40 | uint64(n.life)<<32 | n.pushSeq, op: o, p: d.Attempt, target: t}
 	o.calls = append(o.calls, c)
 	o.out++
-	if n.view[t.number] == balancer.Gone {
-		h.endSoon(c, balancer.NotSent)
+	if n.view[t.number] == balancer.BackendRemoved {
+		h.endSoon(c, balancer.OutcomeNotSent)
 		return
 	}
-	until := o.GiveUp
+	until := o.Deadline
 	if d.Wait > 0 {
 		until = math.Min(until, h.now+d.Wait)
 	}
@@ -558,16 +558,16 @@
 	way := h.way(n.zone, t.zone)
 	switch {
 	case t.silent || h.state.Cut(n.zone, t.zone):
-		h.at(h.now+h.e.Fleet.ConnectMs, func() { h.end(c, balancer.NoConnection) })
+		h.at(h.now+h.e.Fleet.ConnectMs, func() { h.end(c, balancer.OutcomeConnectFailed) })
 	case !t.Up():
-		h.at(h.now+2*way, func() { h.end(c, balancer.NoConnection) })
+		h.at(h.now+2*way, func() { h.end(c, balancer.OutcomeConnectFailed) })
 	default:
 		life := t.life
 		h.at(h.now+2*way, func() {
 			if !c.ended && (t.life != life || !t.Up()) {
-				h.end(c, balancer.NoConnection)
+				h.end(c, balancer.OutcomeConnectFailed)
 			} else if most := h.state.Connections(t.number); most > 0 && !c.ended && h.connections(t) >= most {
-				h.end(c, balancer.NoConnection)
+				h.end(c, balancer.OutcomeConnectFailed)
 			} else if !c.ended {
 				c.life = life
 				h.begin(c)
@@ -592,13 +592,13 @@
 // begin is the one gate before a push's first byte, as the node on sockets has it.
 func (h *host) begin(c *push) {
 	n, t := c.op.node, c.target
-	if c.op.answered || n.view[t.number] != balancer.Ready {
-		h.endSoon(c, balancer.NotSent)
+	if c.op.answered || n.view[t.number] != balancer.BackendReady {
+		h.endSoon(c, balancer.OutcomeNotSent)
 		return
 	}
 	c.begun = true
 	h.rec.Pushed(h.now, t.number, n.zone != t.zone)
-	h.tell(invariants.Event{Kind: invariants.PushBegun, Node: n.number, Op: c.op.Ref, Push: c.p.Number, Backend: t.number, Work: c.op.try.of.Work})
+	h.tell(invariants.Event{Kind: invariants.AttemptStarted, Node: n.number, Request: c.op.ID, Attempt: c.p.Number, Backend: t.number, Work: c.op.try.of.Work})
 	if t.silent || h.state.Cut(n.zone, t.zone) {
 		return // on an open connection: silence
 	}
@@ -608,7 +608,7 @@
 func (h *host) reach(c *push) {
 	t := c.target
 	if c.life != t.life || !t.Up() {
-		h.answer(c, balancer.Reset, 0)
+		h.answer(c, balancer.OutcomeConnectionReset, 0)
 		return
 	}
 	if t.silent {
@@ -618,14 +618,14 @@
 	case backendmodel.Taken:
 		t.inHand[c.id] = c
 	case backendmodel.Rejected:
-		h.answer(c, balancer.Rejected, 0)
+		h.answer(c, balancer.OutcomeRejected, 0)
 	case backendmodel.Failed:
-		h.answer(c, balancer.Failed, quickMs)
+		h.answer(c, balancer.OutcomeFailed, quickMs)
 	case backendmodel.Down: // this push was too much for it
 		h.fallen++
 		h.stop(t, false)
-		h.answer(c, balancer.Reset, 0)
-		h.roll.Set(h.now, h.state.Lag(), discoverystub.Entry{Backend: t.number, State: balancer.Gone})
+		h.answer(c, balancer.OutcomeConnectionReset, 0)
+		h.roll.Set(h.now, h.state.Lag(), discoverystub.Entry{Backend: t.number, State: balancer.BackendRemoved})
 		h.publishLater()
 	}
 	h.turnOf(t)
@@ -636,12 +636,12 @@
 	for _, d := range t.Advance(h.now) {
 		if c := t.inHand[d.ID]; c != nil {
 			delete(t.inHand, d.ID)
-			h.answer(c, balancer.Answered, 0)
+			h.answer(c, balancer.OutcomeAnswered, 0)
 		}
 	}
 	for _, id := range t.Begun() {
 		if c := t.inHand[id]; c != nil {
-			h.tell(invariants.Event{Kind: invariants.PushRan, Op: c.op.Ref, Push: c.p.Number, Backend: t.number})
+			h.tell(invariants.Event{Kind: invariants.AttemptRan, Request: c.op.ID, Attempt: c.p.Number, Backend: t.number})
 			if c.op.try.of.Fells {
 				h.crash(t, true, false)
 				h.at(h.now+h.state.DownFor(), func() { h.comeBack(t) })
@@ -661,20 +661,20 @@
 }
 
 // answer sends a push's ending back to its node.
-func (h *host) answer(c *push, how balancer.Ending, after float64) {
+func (h *host) answer(c *push, how balancer.Outcome, after float64) {
 	n, t := c.op.node, c.target
 	if h.state.Cut(n.zone, t.zone) {
 		return
 	}
-	report := balancer.NoReport()
-	report.Service = t.Report(h.now).Service
+	report := balancer.EmptyLoadReport()
+	report.ServiceTime = t.Report(h.now).Service
 	life := n.life
 	h.at(h.now+after+h.way(n.zone, t.zone), func() {
 		if n.life != life || c.ended {
 			return
 		}
-		if h.e.Backend.Report && how == balancer.Answered && report.Service > 0 {
-			n.module.Reported(h.now, c.p.Backend, report)
+		if h.e.Backend.Report && how == balancer.OutcomeAnswered && report.ServiceTime > 0 {
+			n.module.LoadReported(h.now, c.p.Backend, report)
 		}
 		h.end(c, how)
 	})
@@ -686,22 +686,22 @@
 	}
 	h.abandon(c)
 	if c.begun {
-		h.end(c, balancer.TimedOut)
+		h.end(c, balancer.OutcomeTimedOut)
 	} else {
-		h.end(c, balancer.NoConnection)
+		h.end(c, balancer.OutcomeConnectFailed)
 	}
 }
 
-func (h *host) endSoon(c *push, how balancer.Ending) {
+func (h *host) endSoon(c *push, how balancer.Outcome) {
 	life := c.op.node.life
 	h.at(h.now+loopMs, func() {
 		if c.ended || c.op.node.life != life {
 			return
 		}
-		if how == balancer.Revoked {
+		if how == balancer.OutcomeCanceled {
 			h.abandon(c)
 			if !c.begun {
-				how = balancer.NotSent
+				how = balancer.OutcomeNotSent
 			}
 		}
 		h.end(c, how)
@@ -724,25 +724,25 @@
 }
 
 // end tells the module of a push's ending.
-func (h *host) end(c *push, how balancer.Ending) {
+func (h *host) end(c *push, how balancer.Outcome) {
 	o := c.op
 	n := o.node
-	if c.ended || !n.alive || n.ops[o.Ref] != o {
+	if c.ended || !n.alive || n.ops[o.ID] != o {
 		return
 	}
 	c.ended = true
 	o.out--
 	if c.begun {
-		h.tell(invariants.Event{Kind: invariants.PushEnded, Op: o.Ref, Push: c.p.Number, Ending: how})
+		h.tell(invariants.Event{Kind: invariants.AttemptEnded, Request: o.ID, Attempt: c.p.Number, Outcome: how})
 		switch how {
-		case balancer.Answered, balancer.Failed, balancer.Rejected:
+		case balancer.OutcomeAnswered, balancer.OutcomeFailed, balancer.OutcomeRejected:
 			n.pools[c.target.number] = append(n.pools[c.target.number], conn{h.now, c.life})
 		}
 	}
-	if how == balancer.Answered {
-		h.final(o, invariants.Acked, 0) // the first one; what comes later changes nothing
+	if how == balancer.OutcomeAnswered {
+		h.final(o, invariants.Served, 0) // the first one; what comes later changes nothing
 	}
-	n.module.Ended(h.now, c.p, how, h.now-c.p.SentAt, o.answered)
+	n.module.AttemptEnded(h.now, c.p, how, h.now-c.p.SentAt, o.answered)
 	h.forget(o)
 	h.pull(n)
 }
@@ -769,7 +769,7 @@
 			}
 			n.asking = false
 			if !ok || h.state.ListDown() {
-				n.module.ListFailed(h.now)
+				n.module.PollFailed(h.now)
 			} else {
 				n.watching = true
 				h.news(n)
@@ -813,7 +813,7 @@
 			}
 			if !ok {
 				n.watching = false
-				n.module.ListFailed(h.now)
+				n.module.PollFailed(h.now)
 			} else if n.version < h.roll.Version() {
 				h.news(n)
 			}
@@ -861,9 +861,9 @@
 		}
 	case experiment.ListEmpty:
 		for _, b := range h.backends {
-			s := balancer.Gone
+			s := balancer.BackendRemoved
 			if !w.On && b.Up() {
-				s = balancer.Ready
+				s = balancer.BackendReady
 			}
 			h.roll.Set(h.now, 0, discoverystub.Entry{Backend: b.number, State: s, Started: b.Started()})
 		}
@@ -881,7 +881,7 @@
 				life := n.life
 				h.at(h.now+h.e.Fleet.NearMs, func() {
 					if n.life == life && n.alive {
-						n.module.ListFailed(h.now)
+						n.module.PollFailed(h.now)
 						h.pull(n)
 					}
 				})
@@ -890,7 +890,7 @@
 	}
 }
 
-func (h *host) lists(t *backend, s balancer.State) {
+func (h *host) lists(t *backend, s balancer.BackendState) {
 	if h.state.Emptied() { // the list learns of it when it is right again
 		return
 	}
@@ -905,7 +905,7 @@
 	t.life++
 	for _, id := range lost {
 		if c := t.inHand[id]; c != nil && !silent {
-			h.answer(c, balancer.Reset, 0)
+			h.answer(c, balancer.OutcomeConnectionReset, 0)
 		}
 	}
 	t.inHand = map[uint64]*push{}
@@ -918,7 +918,7 @@
 		}
 		h.stop(t, silent)
 		t.silent = silent
-		h.lists(t, balancer.Gone)
+		h.lists(t, balancer.BackendRemoved)
 		return
 	}
 	h.comeBack(t)
@@ -936,7 +936,7 @@
 	t.Start(h.now, false)
 	t.Put(h.now, h.state.Machine(t.number))
 	h.tell(invariants.Event{Kind: invariants.BackendStarted, Backend: t.number, Zone: t.zone, Cell: t.number, Speed: t.Standing(), Started: h.now})
-	h.lists(t, balancer.Ready)
+	h.lists(t, balancer.BackendReady)
 }
 
 func (h *host) shrink(t *backend, on bool) {
@@ -948,12 +948,12 @@
 		return
 	}
 	t.Drain(h.now)
-	h.lists(t, balancer.Draining)
+	h.lists(t, balancer.BackendDraining)
 	life := t.life
 	h.at(h.now+h.e.List.DrainNoticeMs, func() {
 		if t.life == life && t.Draining() {
 			h.stop(t, false)
-			h.lists(t, balancer.Gone)
+			h.lists(t, balancer.BackendRemoved)
 		}
 	})
 }
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -80,7 +80,7 @@
 	require.NoError(t, h.err)
 	count := make([]int, 50)
 	for _, n := range h.nodes {
-		o := &workload.Op{ID: uint64(n.number) + 1, Work: 30}
+		o := &workload.Request{ID: uint64(n.number) + 1, Work: 30}
 		h.take(&try{of: o, node: n}, 0, 2000)
 		for _, c := range n.ops[workload.TryID(o.ID, 0)].calls {
 			count[c.target.number]++
@@ -214,7 +214,7 @@
 					switch ev.Kind {
 					case invariants.BackendStarted:
 						starts[ev.Backend] = ev.Started
-					case invariants.PushBegun:
+					case invariants.AttemptStarted:
 						from, started := starts[ev.Backend]
 						assert.True(t, started, "backend %d before it joined", ev.Backend)
 						if from > 0 && ev.At < from+e.Backend.WarmWithinMs {
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -13,7 +13,7 @@
 )
 
 // Op is what one client wants, through all its tries.
-type Op struct {
+type Request struct {
 	ID       uint64
 	Category int
 	Zone     int
@@ -87,7 +87,7 @@
 func (s *Source) Next() float64 { return s.next }
 
 // Arrive gives the op that arrives at Next, or nil where the load of that moment is under its peak.
-func (s *Source) Arrive() *Op {
+func (s *Source) Arrive() *Request {
 	at := s.next
 	keep := s.rng.Float64()*s.peak <= s.rate*s.e.Multiple(at)*s.state.Burst()
 	s.step()
@@ -96,7 +96,7 @@
 	}
 	s.count++
 	rng := rand.New(rand.NewPCG(s.seed, s.count<<8)) // an op's own, whatever came before
-	op := &Op{ID: s.count, At: at, Zone: choose(rng, s.zones), Category: choose(rng, s.kinds)}
+	op := &Request{ID: s.count, At: at, Zone: choose(rng, s.zones), Category: choose(rng, s.kinds)}
 	k := s.e.Category[op.Category]
 	op.Work = logNormal(rng, k.WorkMs, k.Spread)
 	noise, other, costly := rng.NormFloat64(), logNormal(rng, k.WorkMs, 1), rng.Float64()
@@ -137,7 +137,7 @@
 }
 
 // Try tells how long the client waits in one of its tries.
-func (s *Source) Try(op *Op, number int) Try {
+func (s *Source) Try(op *Request, number int) Try {
 	rng := rand.New(rand.NewPCG(s.seed, op.ID<<8+1+uint64(number)))
 	from, to := s.e.Clients.GiveUp[0], s.e.Clients.GiveUp[1]
 	t := Try{Patience: math.Max(1, math.Floor(s.e.Category[op.Category].TTLMs*(from+(to-from)*rng.Float64())))}
@@ -149,7 +149,7 @@
 
 // Again tells after how long the client tries once more, if it does. It never repeats what may have run and may not
 // run twice.
-func (s *Source) Again(op *Op, number int, how Outcome, comeBack float64) (wait float64, again bool) {
+func (s *Source) Again(op *Request, number int, how Outcome, comeBack float64) (wait float64, again bool) {
 	c := s.e.Clients
 	if number >= c.Retries || how == Acked ||
 		how == Lost && s.e.Category[op.Category].Effect != "redeliverable" {
@@ -163,12 +163,12 @@
 }
 
 // Earned is the share of its benefit that an op answered after so long earns.
-func Earned(c *balancer.Category, elapsed, ttl float64) float64 {
+func Earned(c *balancer.Class, elapsed, ttl float64) float64 {
 	switch {
-	case elapsed <= c.TargetLatency:
+	case elapsed <= c.LatencyObjective:
 		return 1
 	case elapsed <= ttl:
-		return c.LateBenefit
+		return c.LateWeight
 	}
 	return 0
 }
--- a/internal/lab/workload/workload_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -60,7 +60,7 @@
 	return New(e, s, 7), e
 }
 
-func all(s *Source, e *experiment.Experiment) (ops []*Op) {
+func all(s *Source, e *experiment.Experiment) (ops []*Request) {
 	for s.Next() < e.Length() {
 		if op := s.Arrive(); op != nil {
 			ops = append(ops, op)
@@ -137,9 +137,9 @@
 
 func TestAgain(t *testing.T) {
 	s, _ := source(t, "rough", false)
-	look, pay := &Op{ID: 1}, &Op{ID: 2, Category: 1}
+	look, pay := &Request{ID: 1}, &Request{ID: 2, Category: 1}
 	for _, c := range []struct {
-		op     *Op
+		op     *Request
 		number int
 		how    Outcome
 		back   float64
@@ -156,7 +156,7 @@
 			assert.InDelta(t, 100, wait, 50)
 		}
 	}
-	c := &balancer.Category{TargetLatency: 500, LateBenefit: 0.5}
+	c := &balancer.Class{LatencyObjective: 500, LateWeight: 0.5}
 	assert.Equal(t, []float64{1, 0.5, 0}, []float64{Earned(c, 500, 1000), Earned(c, 501, 1000), Earned(c, 1001, 1000)})
 	assert.Equal(t, TryID(78, 0), TryID(77, 31)+1, "tries of two ops never meet")
 }
--- a/internal/node/moments_test.go
+++ b/internal/node/moments_test.go
@@ -21,22 +21,22 @@
 	for name, order := range map[string]bool{"held": false, "for its turn": true} {
 		silent := silence(t)
 		c, log := clock.New(), slog.New(slog.DiscardHandler)
-		told := &config.Deployment{Terms: &balancer.Terms{Seed: 1, Nodes: 1, MaxPushes: 1, FallMultiple: 3, OverloadFor: 1000, ComeBack: true,
-			MaxComeBack: 2000, Categories: []balancer.Category{{TargetLatency: 60e3, Benefit: 1, LateBenefit: 1, KeepOrder: order}}}}
-		peers := &upstream.Terms{Budget: descriptors.New(64, func() {}), Log: log}
+		told := &config.Deployment{Balancer: &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 1, OverloadMultiple: 3, OverloadWindow: 1000, SendRetryAfter: true,
+			MaxRetryAfter: 2000, Classes: []balancer.Class{{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1, Ordered: order}}}}
+		peers := &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}
 		peers.ConnectTimeout.Set(time.Second)
 		peers.IdleFor.Set(time.Minute)
-		n := New(told, Module, c, peers, func() {}, log)
-		n.Start(&discovery.List{Whole: true, Members: []discovery.Member{{Name: "s", Address: silent.address, State: balancer.Ready, Weight: 1}}})
-		var ops []*Op
+		n := New(told, NewBalancer, c, peers, func() {}, log)
+		n.Start(&discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{Name: "s", Address: silent.address, State: balancer.BackendReady, Weight: 1}}})
+		var ops []*Request
 		out := 4 // of a node of its own, at a backend of which it knows nothing
 		if order {
 			out = 1
 		}
 		for range 8 {
 			o := op(c, 0)
-			o.Hint, o.HasHint, o.Op.Key = 1, true, 7
-			n.Take(o)
+			o.CostHint, o.HasCostHint, o.Request.Key = 1, true, 7
+			n.Submit(o)
 			ops = append(ops, o)
 		}
 		for range out {
@@ -46,7 +46,7 @@
 		n.Drain(until)
 		for _, o := range ops[out:] {
 			a := <-o.Answer()
-			assert.Equal(t, Nacked, a.Final, name)
+			assert.Equal(t, Rejected, a.Status, name)
 			assert.Less(t, c.Now(), until+abandonAfter, "%s: not at the node's last moment", name)
 		}
 		n.Stop()
@@ -57,19 +57,19 @@
 // the version of one that is held get lost.
 func TestAFaultMakesNoList(t *testing.T) {
 	c, log := clock.New(), slog.New(slog.DiscardHandler)
-	told := &config.Deployment{Terms: &balancer.Terms{Seed: 1, Nodes: 1, MustAsk: true, Categories: []balancer.Category{{TargetLatency: 1}}}}
-	n := New(told, Module, c, &upstream.Terms{Budget: descriptors.New(64, func() {}), Log: log}, func() {}, log)
+	told := &config.Deployment{Balancer: &balancer.Config{Seed: 1, Nodes: 1, PollEndpoints: true, Classes: []balancer.Class{{LatencyObjective: 1}}}}
+	n := New(told, NewBalancer, c, &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}, func() {}, log)
 	n.Start(nil)
 	defer n.Stop()
-	fault := func() Look {
+	fault := func() Status {
 		n.box.Put(func() { panic("fault") })
-		look, err := n.Look(t.Context())
+		look, err := n.Status(t.Context())
 		assert.NoError(t, err)
 		return look
 	}
-	assert.False(t, fault().Held)
-	n.Listed(&discovery.List{Version: 7, Whole: true})
-	assert.Equal(t, Look{Held: true, Version: 7, Digest: discovery.Digest(nil)}, fault())
+	assert.False(t, fault().HasList)
+	n.EndpointsChanged(&discovery.List{Version: 7, Complete: true})
+	assert.Equal(t, Status{HasList: true, Version: 7, Digest: discovery.Digest(nil)}, fault())
 }
 
 // The client of an op that others may keep leaves: with a push begun it goes on, so that whoever comes with its key hears of its
@@ -77,42 +77,42 @@
 func TestAKeptOpWhoseClientLeaves(t *testing.T) {
 	silent := silence(t)
 	n, c := start(t, silent.address)
-	var out []*Op
+	var out []*Request
 	for range 4 {
 		o := op(c, 0)
-		o.Hint, o.HasHint = 1, true
-		n.Take(o)
+		o.CostHint, o.HasCostHint = 1, true
+		n.Submit(o)
 		out = append(out, o)
 		_, err := (<-silent.got).Read(make([]byte, 1))
 		assert.NoError(t, err) // it has begun
 	}
 	held := op(c, 0)
-	held.Hint, held.HasHint, held.Kept = 1, true, &Kept{Key: "a"}
-	n.Take(held)
-	n.Leave(held)
+	held.CostHint, held.HasCostHint, held.Logged = 1, true, &Logged{Key: "a"}
+	n.Submit(held)
+	n.Cancel(held)
 	open := make(chan int)
 	n.box.Put(func() {
 		for _, o := range out {
-			o.Kept = &Kept{Key: "b"}
+			o.Logged = &Logged{Key: "b"}
 		}
 	})
-	n.Leave(out[0])
+	n.Cancel(out[0])
 	n.box.Put(func() { open <- len(n.ops) })
 	assert.Equal(t, 4, <-open, "what has begun goes on, the other is gone")
 	assert.Empty(t, out[0].Answer())
 	n.box.Put(func() {
 		for _, o := range out {
-			o.Kept = nil
+			o.Logged = nil
 		}
 	})
-	n.Leave(out[0]) // makes room, which nobody takes
+	n.Cancel(out[0]) // makes room, which nobody takes
 	n.box.Put(func() {
-		assert.Empty(t, held.Pushes)
+		assert.Empty(t, held.Attempts)
 		open <- 0
 	})
 	<-open
 	for _, o := range out[1:] {
-		n.Leave(o)
+		n.Cancel(o)
 	}
 }
 
@@ -124,13 +124,13 @@
 	until := c.Now() + 300
 	n.Drain(until)
 	pure, once := op(c, 0), op(c, 1)
-	for _, o := range []*Op{pure, once} {
-		o.Hint, o.HasHint = 1, true
+	for _, o := range []*Request{pure, once} {
+		o.CostHint, o.HasCostHint = 1, true
 	}
-	n.Take(pure)
-	n.Take(once)
-	assert.Equal(t, Nacked, (<-pure.Answer()).Final)
-	assert.Equal(t, DeadLettered, (<-once.Answer()).Final)
+	n.Submit(pure)
+	n.Submit(once)
+	assert.Equal(t, Rejected, (<-pure.Answer()).Status)
+	assert.Equal(t, Failed, (<-once.Answer()).Status)
 	assert.Less(t, c.Now(), until+abandonAfter)
 	assert.Len(t, silent.got, 2, "a push each")
 }
@@ -143,7 +143,7 @@
 	before := budget.Used()
 	for _, turn := range []func(){func() { n.box.Put(func() { panic("fault") }) }, func() { n.Drain(c.Now()) }} {
 		o := op(c, 0)
-		n.Take(o)
+		n.Submit(o)
 		out := <-silent.got
 		_, err := out.Read(make([]byte, 4096)) // it has begun
 		assert.NoError(t, err)
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -42,7 +42,7 @@
 // TakeOut has a backend count as draining, whatever the list says of it, or ends that. It returns when the module has
 // taken it, and may be repeated. Ops that wait for the module let it pass. A name that is known from elsewhere need not
 // have been listed here.
-func (n *Node) TakeOut(ctx context.Context, name string, out, known bool) error {
+func (n *Node) Cordon(ctx context.Context, name string, out, known bool) error {
 	done := make(chan error, 1)
 	n.box.PutFirst(func() {
 		if known {
@@ -79,7 +79,7 @@
 	}
 	if b := n.backends[name]; b != nil {
 		n.tell(b, b.member)
-		n.module.Listed(n.now, []balancer.Listing{n.line(b)}, false, true)
+		n.module.EndpointsChanged(n.now, []balancer.Endpoint{n.line(b)}, false, true)
 	}
 	n.log.Info("backend taken out or put back", "backend", name, "out", out)
 	return nil
--- a/internal/node/names_test.go
+++ b/internal/node/names_test.go
@@ -17,35 +17,35 @@
 func TestTakeOut(t *testing.T) {
 	silent := silence(t)
 	n, c := start(t, silent.address)
-	take := func(name string, out bool) error { return n.TakeOut(t.Context(), name, out, false) }
+	take := func(name string, out bool) error { return n.Cordon(t.Context(), name, out, false) }
 	assert.ErrorIs(t, take("other", true), ErrNeverListed)
 	assert.ErrorIs(t, take("other", false), ErrNeverListed)
 	require.NoError(t, take("s", true))
 	require.NoError(t, take("s", true), "may be repeated")
-	up := discovery.Member{Name: "s", Address: silent.address, State: balancer.Ready, Weight: 1}
+	up := discovery.Endpoint{Name: "s", Address: silent.address, State: balancer.BackendReady, Weight: 1}
 	for name, turn := range map[string]func(){
 		"at once":      func() {},
-		"listed again": func() { n.Listed(&discovery.List{Whole: true, Members: []discovery.Member{up}}) },
+		"listed again": func() { n.EndpointsChanged(&discovery.List{Complete: true, Endpoints: []discovery.Endpoint{up}}) },
 		"gone and listed anew": func() {
-			n.Listed(&discovery.List{Whole: true})
-			n.Listed(&discovery.List{Members: []discovery.Member{up}})
+			n.EndpointsChanged(&discovery.List{Complete: true})
+			n.EndpointsChanged(&discovery.List{Endpoints: []discovery.Endpoint{up}})
 		},
 		"a fault": func() { n.box.Put(func() { panic("fault") }) },
 	} {
 		turn()
 		o := op(c, 0)
-		o.GiveUp = c.Now() + 100
-		n.Take(o)
-		assert.Equal(t, Nacked, (<-o.Answer()).Final, name)
+		o.Deadline = c.Now() + 100
+		n.Submit(o)
+		assert.Equal(t, Rejected, (<-o.Answer()).Status, name)
 	}
 	assert.Empty(t, silent.got)
 	require.NoError(t, take("s", false))
 	require.NoError(t, take("s", false))
-	n.Take(op(c, 0))
+	n.Submit(op(c, 0))
 	<-silent.got
 
 	// One that the list had once and has no more may be taken out, too.
-	n.Listed(&discovery.List{Whole: true})
+	n.EndpointsChanged(&discovery.List{Complete: true})
 	require.NoError(t, take("s", true))
 	assert.Equal(t, true, n.names.banned["s"])
 }
@@ -59,7 +59,7 @@
 	<-begun
 	n.box.Put(func() { order <- n.names.banned["s"] })
 	done := make(chan error, 1)
-	go func() { done <- n.TakeOut(t.Context(), "s", true, false) }()
+	go func() { done <- n.Cordon(t.Context(), "s", true, false) }()
 	require.Eventually(t, func() bool { return n.box.Len() == 2 }, 10*time.Second, time.Millisecond)
 	close(hold)
 	require.NoError(t, <-done)
@@ -72,7 +72,7 @@
 	<-begun
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
-	assert.ErrorIs(t, n.TakeOut(ctx, "s", false, false), context.DeadlineExceeded)
+	assert.ErrorIs(t, n.Cordon(ctx, "s", false, false), context.DeadlineExceeded)
 }
 
 // Names are remembered within a bound; those taken out stay.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -26,10 +26,10 @@
 const abandonAfter = 50.0
 
 // Decide makes a decider; now is the node's clock.
-type Decide func(t *balancer.Terms, now float64) balancer.Decider
+type NewDecider func(t *balancer.Config, now float64) balancer.Decider
 
 // Module makes the decision module.
-func Module(t *balancer.Terms, now float64) balancer.Decider { return balancer.New(t, now) }
+func NewBalancer(t *balancer.Config, now float64) balancer.Decider { return balancer.New(t, now) }
 
 // follower is a decider that keeps account of what a host does beside the module's inputs, as a capture has to.
 type follower interface {
@@ -41,15 +41,15 @@
 	clock *clock.Clock
 	log   *slog.Logger
 	told  *config.Deployment
-	peers *upstream.Terms
+	peers *upstream.Config
 	ask   func() // begins a watch on the list
 	box   *mailbox.Box[func()]
 	ready chan struct{} // closed once a list is held that may be gone by
 
-	decide   Decide
+	decide   NewDecider
 	module   balancer.Decider
 	now      float64 // the batch's
-	ops      map[uint64]*Op
+	ops      map[uint64]*Request
 	seq      uint64
 	backends map[string]*backend            // by name
 	behind   map[*balancer.Backend]*backend // the same, as the module knows them
@@ -67,14 +67,14 @@
 // backend is one that the list has named.
 type backend struct {
 	*balancer.Backend
-	member discovery.Member
-	peer   *upstream.Peer // nil while the list holds it for gone
+	member discovery.Endpoint
+	peer   *upstream.Backend // nil while the list holds it for gone
 }
 
 // New makes a node; ask is how it begins a watch on the list, and must not block.
-func New(told *config.Deployment, decide Decide, c *clock.Clock, peers *upstream.Terms, ask func(), log *slog.Logger) *Node {
+func New(told *config.Deployment, decide NewDecider, c *clock.Clock, peers *upstream.Config, ask func(), log *slog.Logger) *Node {
 	return &Node{decide: decide, clock: c, log: log, told: told, peers: peers, ask: ask, box: mailbox.New[func()](),
-		ready: make(chan struct{}), ops: map[uint64]*Op{}, backends: map[string]*backend{},
+		ready: make(chan struct{}), ops: map[uint64]*Request{}, backends: map[string]*backend{},
 		behind: map[*balancer.Backend]*backend{}, names: newNames(), timer: time.NewTimer(time.Hour), done: make(chan struct{})}
 }
 
@@ -82,12 +82,12 @@
 func (n *Node) Start(known *discovery.List) {
 	n.now = n.clock.Now()
 	if n.module == nil { // none of a process before it
-		n.module = n.decide(n.told.Terms, n.now)
+		n.module = n.decide(n.told.Balancer, n.now)
 	}
 	if known != nil {
 		n.listed(known, true)
 	}
-	if !n.told.Terms.MustAsk { // where changes come by themselves, on sockets a watch brings them
+	if !n.told.Balancer.PollEndpoints { // where changes come by themselves, on sockets a watch brings them
 		n.ask()
 	}
 	n.box.Put(func() {}) // a first look at what the module wants, before anything comes in
@@ -98,26 +98,26 @@
 func (n *Node) Ready() <-chan struct{} { return n.ready }
 
 // Take hands an op in; its answer comes on the op's channel.
-func (n *Node) Take(op *Op) {
+func (n *Node) Submit(op *Request) {
 	n.box.Put(func() {
 		n.seq++
-		op.Ref = n.seq
+		op.ID = n.seq
 		if n.until > 0 {
-			op.GiveUp = min(op.GiveUp, n.until)
+			op.Deadline = min(op.Deadline, n.until)
 		}
-		n.ops[op.Ref] = op
-		n.module.Arrived(n.now, &op.Op)
+		n.ops[op.ID] = op
+		n.module.RequestArrived(n.now, &op.Request)
 	})
 }
 
 // Leave tells that the op's client is gone: no answer is owed to it any more. One that others keep goes on all the same where a
 // push of it has begun, for whoever comes with its key; no further push begins.
-func (n *Node) Leave(op *Op) {
+func (n *Node) Cancel(op *Request) {
 	op.gone.Store(true) // counts at once: the actor may be at a batch that takes long
 	n.box.Put(func() {
-		if n.ops[op.Ref] == op && !op.answered && !n.goesOn(op) {
+		if n.ops[op.ID] == op && !op.answered && !n.goesOn(op) {
 			n.letGo(op)
-			n.module.Left(n.now, &op.Op)
+			n.module.ClientGone(n.now, &op.Request)
 			n.forget(op)
 		}
 		op.discard()
@@ -125,19 +125,19 @@
 }
 
 // Listed takes news of the list.
-func (n *Node) Listed(list *discovery.List) { n.box.Put(func() { n.listed(list, false) }) }
+func (n *Node) EndpointsChanged(list *discovery.List) { n.box.Put(func() { n.listed(list, false) }) }
 
 // ListFailed takes a failed call for the list.
-func (n *Node) ListFailed() {
+func (n *Node) PollFailed() {
 	n.box.Put(func() {
-		n.module.ListFailed(n.now)
+		n.module.PollFailed(n.now)
 		n.hold()
 	})
 }
 
 // Look is what the node holds.
-type Look struct {
-	Held     bool
+type Status struct {
+	HasList  bool
 	Version  uint64 // of the list
 	Digest   string // of the list
 	Backends int
@@ -145,16 +145,16 @@
 }
 
 // Look asks the actor; one that does not answer in ctx's time is no state to guess.
-func (n *Node) Look(ctx context.Context) (l Look, err error) {
-	told := make(chan Look, 1)
+func (n *Node) Status(ctx context.Context) (l Status, err error) {
+	told := make(chan Status, 1)
 	n.box.Put(func() {
-		states := make(map[string]balancer.State, len(n.backends))
+		states := make(map[string]balancer.BackendState, len(n.backends))
 		for name, b := range n.backends {
-			if b.member.State != balancer.Gone {
+			if b.member.State != balancer.BackendRemoved {
 				states[name] = b.member.State
 			}
 		}
-		told <- Look{n.held, n.version, discovery.Digest(states), len(states), len(n.ops)}
+		told <- Status{n.held, n.version, discovery.Digest(states), len(states), len(n.ops)}
 	})
 	select {
 	case l = <-told:
@@ -182,12 +182,12 @@
 	n.box.Put(func() {
 		n.until = until
 		for _, op := range n.ops {
-			if op.GiveUp > until {
-				op.GiveUp = until
-				n.module.Shortened(n.now, &op.Op)
+			if op.Deadline > until {
+				op.Deadline = until
+				n.module.DeadlineShortened(n.now, &op.Request)
 			}
 			for _, c := range op.calls {
-				c.Shorten(n.clock.At(until))
+				c.ShortenDeadline(n.clock.At(until))
 			}
 		}
 		time.AfterFunc(clock.Span(until+abandonAfter-n.now), func() { n.box.Put(n.abandon) })
@@ -215,7 +215,7 @@
 		case <-n.box.Some():
 			notes = n.box.Take(notes)
 		case <-n.timer.C:
-			notes = append(notes[:0], func() { n.module.Due(n.now) })
+			notes = append(notes[:0], func() { n.module.TimerFired(n.now) })
 		}
 		n.now = n.clock.Now()
 		for _, note := range notes {
@@ -238,21 +238,21 @@
 			return
 		}
 		n.log.Error("module fault, starting it anew", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
-		n.module = n.decide(n.told.Terms, n.now)
+		n.module = n.decide(n.told.Balancer, n.now)
 		for ref, op := range n.ops {
-			n.finish(op, Answer{Final: DeadLettered})
+			n.finish(op, Answer{Status: Failed})
 			for _, c := range op.calls {
-				c.Revoke()
+				c.Cancel()
 			}
 			delete(n.ops, ref)
 		}
-		known := &discovery.List{Version: n.version, Whole: true}
+		known := &discovery.List{Version: n.version, Complete: true}
 		clear(n.behind)
 		for _, b := range n.backends {
-			b.Backend = &balancer.Backend{Ref: b.Ref}
+			b.Backend = &balancer.Backend{ID: b.ID}
 			n.behind[b.Backend] = b
-			if b.member.State != balancer.Gone {
-				known.Members = append(known.Members, b.member)
+			if b.member.State != balancer.BackendRemoved {
+				known.Endpoints = append(known.Endpoints, b.member)
 			}
 		}
 		if n.had {
@@ -265,29 +265,29 @@
 // abandon dead-letters what the module still has open when the node ends.
 func (n *Node) abandon() {
 	for _, op := range n.ops {
-		n.finish(op, Answer{Final: DeadLettered})
-		n.module.Left(n.now, &op.Op)
+		n.finish(op, Answer{Status: Failed})
+		n.module.ClientGone(n.now, &op.Request)
 		n.forget(op)
 	}
 }
 
 func (n *Node) listed(list *discovery.List, cached bool) {
-	lines := make([]balancer.Listing, 0, len(list.Members))
+	lines := make([]balancer.Endpoint, 0, len(list.Endpoints))
 	named := map[*backend]bool{}
-	for _, m := range list.Members {
+	for _, m := range list.Endpoints {
 		b := n.backends[m.Name]
-		if b == nil && (m.State == balancer.Gone || m.Odd != 0) {
+		if b == nil && (m.State == balancer.BackendRemoved || m.Invalid != 0) {
 			continue // never had, or let go of long since; or not known and not to be read whole
 		}
 		if b == nil {
-			b = &backend{Backend: &balancer.Backend{Ref: ref(m.Name)}}
+			b = &backend{Backend: &balancer.Backend{ID: ref(m.Name)}}
 			n.backends[m.Name], n.behind[b.Backend] = b, b
-			n.log.Info("backend listed", "backend", m.Name, "ref", fmt.Sprintf("%x", b.Ref), "address", m.Address)
+			n.log.Info("backend listed", "backend", m.Name, "ref", fmt.Sprintf("%x", b.ID), "address", m.Address)
 		}
-		if m.Odd != 0 {
-			m = m.Over(b.member)
+		if m.Invalid != 0 {
+			m = m.MergeInto(b.member)
 		}
-		if list.Whole && named[b] {
+		if list.Complete && named[b] {
 			// Changes are told in their order, and the last counts. A whole list has none: whichever of two entries came
 			// last, neither may hide that the other calls the backend draining, or newly started.
 			m.State, m.Started = min(m.State, b.member.State), max(m.Started, b.member.Started)
@@ -297,18 +297,18 @@
 		n.tell(b, m)
 		lines = append(lines, n.line(b))
 	}
-	if list.Whole {
+	if list.Complete {
 		for _, b := range n.backends {
 			if !named[b] {
 				m := b.member
-				m.State = balancer.Gone
+				m.State = balancer.BackendRemoved
 				n.tell(b, m)
 			}
 		}
 	}
-	n.module.Listed(n.now, lines, list.Whole, cached)
+	n.module.EndpointsChanged(n.now, lines, list.Complete, cached)
 	for name, b := range n.backends {
-		if !b.Known() && b.member.State == balancer.Gone {
+		if !b.IsTracked() && b.member.State == balancer.BackendRemoved {
 			n.close(b)
 			delete(n.backends, name)
 			delete(n.behind, b.Backend)
@@ -318,10 +318,10 @@
 		}
 	}
 	n.had, n.version = true, list.Version
-	n.log.Debug("list", "version", list.Version, "whole", list.Whole, "entries", len(lines))
+	n.log.Debug("list", "version", list.Version, "whole", list.Complete, "entries", len(lines))
 	// Where changes come by themselves, what there is to tell counts as told from a new process's first moment: a backend
 	// that the list of before calls ready may be draining by now, and nothing may go there on that word.
-	if !cached || n.told.Terms.MustAsk {
+	if !cached || n.told.Balancer.PollEndpoints {
 		n.hold()
 	}
 }
@@ -335,23 +335,23 @@
 }
 
 // line is a backend's as the module gets it: what the list says, and whether it was taken out by hand.
-func (n *Node) line(b *backend) balancer.Listing {
+func (n *Node) line(b *backend) balancer.Endpoint {
 	m := b.member
-	return balancer.Listing{Backend: b.Backend, State: m.State, Zone: m.Zone, Cell: m.Cell, Kind: m.Kind, Weight: m.Weight,
-		Started: m.Started, Banned: n.names.banned[m.Name]}
+	return balancer.Endpoint{Backend: b.Backend, State: m.State, Zone: m.Zone, Cell: m.Cell, Kind: m.Kind, Weight: m.Weight,
+		Started: m.Started, Cordoned: n.names.banned[m.Name]}
 }
 
 // tell passes an entry on to the backend's actor, which lives while the list names the backend, or, where a list that does
 // not is no proof, while the module remembers it. By then the module still has the state before.
-func (n *Node) tell(b *backend, m discovery.Member) {
+func (n *Node) tell(b *backend, m discovery.Endpoint) {
 	b.member = m
 	switch {
-	case m.State != balancer.Gone:
+	case m.State != balancer.BackendRemoved:
 		if b.peer == nil {
-			b.peer = upstream.NewPeer(m.Name, n.peers)
+			b.peer = upstream.NewBackend(m.Name, n.peers)
 		}
-		b.peer.Tell(m.Address, m.State == balancer.Ready && !n.names.banned[m.Name])
-	case b.peer != nil && (b.State == balancer.Draining || !n.told.Terms.RemovalNotBinding):
+		b.peer.Tell(m.Address, m.State == balancer.BackendReady && !n.names.banned[m.Name])
+	case b.peer != nil && (b.State == balancer.BackendDraining || !n.told.Balancer.RemovalIsHint):
 		n.close(b)
 	}
 }
@@ -379,19 +379,19 @@
 			return
 		}
 		switch d.Kind {
-		case balancer.DoPush:
+		case balancer.DoAttempt:
 			n.push(d)
-		case balancer.DoNack:
-			n.final(d.Op, Answer{Final: Nacked, ComeBack: d.Wait})
-		case balancer.DoDeadLetter:
-			n.final(d.Op, Answer{Final: DeadLettered})
-		case balancer.DoRevoke:
-			if op := n.ops[d.Op.Ref]; op != nil {
-				op.calls[d.Push.Number].Revoke()
+		case balancer.DoReject:
+			n.final(d.Request, Answer{Status: Rejected, RetryAfter: d.Wait})
+		case balancer.DoFail:
+			n.final(d.Request, Answer{Status: Failed})
+		case balancer.DoCancel:
+			if op := n.ops[d.Request.ID]; op != nil {
+				op.calls[d.Attempt.Number].Cancel()
 			}
-		case balancer.DoWatch:
+		case balancer.DoPoll:
 			n.ask()
-		case balancer.DoTimer:
+		case balancer.DoSetTimer:
 			n.timer.Reset(clock.Span(d.Wait))
 		case balancer.DoLog:
 			n.log.Info(d.Text)
@@ -400,13 +400,13 @@
 }
 
 func (n *Node) push(d balancer.Decision) {
-	op, p := n.ops[d.Op.Ref], d.Push
-	until := op.GiveUp
+	op, p := n.ops[d.Request.ID], d.Attempt
+	until := op.Deadline
 	if d.Wait > 0 {
 		until = min(until, n.now+d.Wait)
 	}
 	module := n.module
-	call := upstream.NewCall(op.Message, n.clock.At(until), func(out upstream.Outcome) {
+	call := upstream.NewCall(op.Message, n.clock.At(until), func(out upstream.Result) {
 		n.box.Put(func() {
 			if n.module == module {
 				n.ended(op, p, out)
@@ -420,8 +420,8 @@
 			left := time.Until(until)
 			n.box.Put(func() {
 				if n.module == module && !op.answered {
-					op.GiveUp = n.now + float64(left.Microseconds())/1e3
-					n.module.Sent(n.now, p)
+					op.Deadline = n.now + float64(left.Microseconds())/1e3
+					n.module.RequestBodySent(n.now, p)
 				}
 			})
 		}
@@ -430,45 +430,45 @@
 	op.calls = append(op.calls, call)
 	op.out++
 	if op.gone.Load() { // no connection and no record for it; of a kept one the module soon has no pushes left
-		call.Done(upstream.Outcome{Ending: balancer.NotSent})
+		call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
 		return
 	}
-	if op.Kept != nil {
+	if op.Logged != nil {
 		n.keepBegin(op, p, call)
 		return
 	}
 	n.send(p, call)
 }
 
-func (n *Node) send(p *balancer.Push, call *upstream.Call) {
+func (n *Node) send(p *balancer.Attempt, call *upstream.Call) {
 	if peer := n.behind[p.Backend].peer; peer != nil {
 		peer.Send(call)
 		return
 	}
-	call.Done(upstream.Outcome{Ending: balancer.NotSent})
+	call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
 }
 
 // ended takes a push's ending. The first answer acks its op.
-func (n *Node) ended(op *Op, p *balancer.Push, out upstream.Outcome) {
+func (n *Node) ended(op *Request, p *balancer.Attempt, out upstream.Result) {
 	op.out--
-	if out.Reply != nil && out.Report.Told() {
-		n.module.Reported(n.now, p.Backend, out.Report)
+	if out.Reply != nil && out.Report.HasValues() {
+		n.module.LoadReported(n.now, p.Backend, out.Report)
 	}
-	if out.Ending == balancer.Answered && !op.answered {
-		n.finish(op, Answer{Final: Acked, Reply: out.Reply})
+	if out.Outcome == balancer.OutcomeAnswered && !op.answered {
+		n.finish(op, Answer{Status: Served, Reply: out.Reply})
 	} else {
 		out.Reply.Release()
-		n.keepEnd(op, p, out.Ending)
+		n.keepEnd(op, p, out.Outcome)
 	}
 	// The backend's work was done when its answer began: some take long to send it, and some to be read.
 	elapsed := max(n.now-p.SentAt-float64(out.First.Microseconds())/1e3, 0)
-	n.module.Ended(n.now, p, out.Ending, elapsed, op.answered)
+	n.module.AttemptEnded(n.now, p, out.Outcome, elapsed, op.answered)
 	n.traceEnded(op, p, out)
 	n.forget(op)
 }
 
-func (n *Node) final(o *balancer.Op, a Answer) {
-	if op := n.ops[o.Ref]; op != nil {
+func (n *Node) final(o *balancer.Request, a Answer) {
+	if op := n.ops[o.ID]; op != nil {
 		n.traceGivenUp(op, a)
 		n.finish(op, a)
 		n.forget(op)
@@ -476,26 +476,26 @@
 }
 
 // traceEnded and traceGivenUp write what a count over a whole fleet needs; without -log debug they cost next to nothing.
-func (n *Node) traceEnded(op *Op, p *balancer.Push, out upstream.Outcome) {
+func (n *Node) traceEnded(op *Request, p *balancer.Attempt, out upstream.Result) {
 	if n.log.Enabled(context.Background(), slog.LevelDebug) {
-		n.log.Debug("push ended", "op", op.Ref, "category", op.Category, "work", op.Hint, "push", p.Number,
-			"backend", fmt.Sprintf("%x", p.Backend.Ref), "zone", p.Backend.Zone, "kind", p.Backend.Kind,
-			"sent_ms", p.SentAt-op.Arrived, "after_ms", n.now-p.SentAt, "first_ms", float64(out.First.Microseconds())/1e3, "at_ms", n.now, "ending", out.Ending.String())
+		n.log.Debug("push ended", "op", op.ID, "category", op.Class, "work", op.CostHint, "push", p.Number,
+			"backend", fmt.Sprintf("%x", p.Backend.ID), "zone", p.Backend.Zone, "kind", p.Backend.Kind,
+			"sent_ms", p.SentAt-op.ArrivedAt, "after_ms", n.now-p.SentAt, "first_ms", float64(out.First.Microseconds())/1e3, "at_ms", n.now, "ending", out.Outcome.String())
 	}
 }
 
-func (n *Node) traceGivenUp(op *Op, a Answer) {
+func (n *Node) traceGivenUp(op *Request, a Answer) {
 	if n.log.Enabled(context.Background(), slog.LevelDebug) {
-		n.log.Debug("op given up", "op", op.Ref, "category", op.Category, "work", op.Hint, "pushes", len(op.Pushes),
-			"age_ms", n.now-op.Arrived, "left_ms", op.GiveUp-n.now, "final", a.Final.String())
+		n.log.Debug("op given up", "op", op.ID, "category", op.Class, "work", op.CostHint, "pushes", len(op.Attempts),
+			"age_ms", n.now-op.ArrivedAt, "left_ms", op.Deadline-n.now, "final", a.Status.String())
 	}
 }
 
 // forget lets go of an op that is over. The module's due times hold its part for as long as its TTL: not what it
 // carried as well.
-func (n *Node) forget(op *Op) {
+func (n *Node) forget(op *Request) {
 	if op.answered && op.out == 0 {
-		delete(n.ops, op.Ref)
+		delete(n.ops, op.ID)
 		op.Message, op.calls = nil, nil
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -22,22 +22,22 @@
 // start runs a node with one backend that takes connections and says nothing.
 func start(t *testing.T, address string) (*Node, *clock.Clock) {
 	c, log := clock.New(), slog.New(slog.DiscardHandler)
-	told := &config.Deployment{Terms: &balancer.Terms{Seed: 1, Nodes: 1, MaxPushes: 1, Cancel: true, FallMultiple: 3,
-		OverloadFor: 1000, Categories: []balancer.Category{
-			{TargetLatency: 60e3, Benefit: 1, LateBenefit: 1},
-			{TargetLatency: 60e3, Benefit: 1, LateBenefit: 1, Effect: balancer.AtMostOnce}}}}
-	peers := &upstream.Terms{Budget: descriptors.New(64, func() {}), Log: log}
+	told := &config.Deployment{Balancer: &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 1, CancelAttempts: true, OverloadMultiple: 3,
+		OverloadWindow: 1000, Classes: []balancer.Class{
+			{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1},
+			{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1, Idempotency: balancer.AtMostOnce}}}}
+	peers := &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}
 	peers.ConnectTimeout.Set(time.Second)
 	peers.IdleFor.Set(time.Minute)
-	n := New(told, Module, c, peers, func() {}, log)
-	n.Start(&discovery.List{Whole: true, Members: []discovery.Member{{Name: "s", Address: address, State: balancer.Ready, Weight: 1}}})
+	n := New(told, NewBalancer, c, peers, func() {}, log)
+	n.Start(&discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{Name: "s", Address: address, State: balancer.BackendReady, Weight: 1}}})
 	t.Cleanup(n.Stop)
 	return n, c
 }
 
-func op(c *clock.Clock, category int) *Op {
-	o := NewOp(upstream.NewMessage("GET", "/", "s", http.Header{}, nil))
-	o.Category, o.GiveUp = category, c.Now()+60e3
+func op(c *clock.Clock, category int) *Request {
+	o := NewRequest(upstream.NewMessage("GET", "/", "s", http.Header{}, nil))
+	o.Class, o.Deadline = category, c.Now()+60e3
 	return o
 }
 
@@ -46,25 +46,25 @@
 	for name, test := range map[string]struct {
 		category int
 		turn     func(*Node, *clock.Clock)
-		want     Final
+		want     AnswerStatus
 	}{
 		// Pushes end by then, so that the module answers in time for the node's own end.
-		"redeliverable, draining": {0, func(n *Node, c *clock.Clock) { n.Drain(c.Now() + 50) }, Nacked},
-		"at-most-once, draining":  {1, func(n *Node, c *clock.Clock) { n.Drain(c.Now() + 50) }, DeadLettered},
+		"redeliverable, draining": {0, func(n *Node, c *clock.Clock) { n.Drain(c.Now() + 50) }, Rejected},
+		"at-most-once, draining":  {1, func(n *Node, c *clock.Clock) { n.Drain(c.Now() + 50) }, Failed},
 		// A fault of the module must not take the ops with it, nor claim that they never ran.
-		"module fault": {0, func(n *Node, _ *clock.Clock) { n.box.Put(func() { panic("fault") }) }, DeadLettered},
+		"module fault": {0, func(n *Node, _ *clock.Clock) { n.box.Put(func() { panic("fault") }) }, Failed},
 	} {
 		n, c := start(t, silent.address)
 		o := op(c, test.category)
-		n.Take(o)
+		n.Submit(o)
 		<-silent.got
 		test.turn(n, c)
-		assert.Equal(t, test.want, (<-o.Answer()).Final, name)
+		assert.Equal(t, test.want, (<-o.Answer()).Status, name)
 
 		o = op(c, 0) // what comes after has an answer too
-		o.GiveUp = c.Now() + 50
-		n.Take(o)
-		assert.Equal(t, Nacked, (<-o.Answer()).Final, name)
+		o.Deadline = c.Now() + 50
+		n.Submit(o)
+		assert.Equal(t, Rejected, (<-o.Answer()).Status, name)
 	}
 }
 
@@ -74,25 +74,25 @@
 	o := op(c, 0)
 	n.box.Put(func() {
 		n.seq++
-		o.Ref = n.seq
-		n.ops[o.Ref] = o // unknown to the module, as if it had forgotten it
-		n.module.Arrived(n.now, &o.Op)
+		o.ID = n.seq
+		n.ops[o.ID] = o // unknown to the module, as if it had forgotten it
+		n.module.RequestArrived(n.now, &o.Request)
 		for _, more := n.module.Next(); more; _, more = n.module.Next() {
 		}
 	})
 	n.Drain(c.Now() + 20)
-	assert.Equal(t, DeadLettered, (<-o.Answer()).Final)
+	assert.Equal(t, Failed, (<-o.Answer()).Status)
 }
 
 func TestLeave(t *testing.T) {
 	silent := silence(t)
 	n, c := start(t, silent.address)
 	o := op(c, 1)
-	n.Take(o)
+	n.Submit(o)
 	conn := <-silent.got
 	_, err := conn.Read(make([]byte, 4096)) // the push is out
 	require.NoError(t, err)
-	n.Leave(o)
+	n.Cancel(o)
 	for err == nil { // until its connection closes: the push is given up
 		_, err = conn.Read(make([]byte, 4096))
 	}
@@ -108,10 +108,10 @@
 func TestNothingStaysOfGoneBackends(t *testing.T) {
 	n, _ := start(t, "127.0.0.1:1")
 	for k := range 50 {
-		m := discovery.Member{Name: strconv.Itoa(k), Address: "127.0.0.1:1", State: balancer.Ready, Weight: 1}
-		n.Listed(&discovery.List{Members: []discovery.Member{m}})
-		m.State = balancer.Gone
-		n.Listed(&discovery.List{Members: []discovery.Member{m, {Name: "never had", State: balancer.Gone}}})
+		m := discovery.Endpoint{Name: strconv.Itoa(k), Address: "127.0.0.1:1", State: balancer.BackendReady, Weight: 1}
+		n.EndpointsChanged(&discovery.List{Endpoints: []discovery.Endpoint{m}})
+		m.State = balancer.BackendRemoved
+		n.EndpointsChanged(&discovery.List{Endpoints: []discovery.Endpoint{m, {Name: "never had", State: balancer.BackendRemoved}}})
 	}
 	left := make(chan []int)
 	n.box.Put(func() { left <- []int{len(n.backends), len(n.behind)} })
@@ -122,12 +122,12 @@
 // that drained does not.
 func TestAListThatIsNoProofClosesNothing(t *testing.T) {
 	n, _ := start(t, "127.0.0.1:1")
-	n.box.Put(func() { n.told.Terms.RemovalNotBinding = true })
-	drained := discovery.Member{Name: "drained", Address: "127.0.0.1:1", State: balancer.Ready, Weight: 1}
-	n.Listed(&discovery.List{Members: []discovery.Member{drained}})
-	drained.State = balancer.Draining
-	n.Listed(&discovery.List{Members: []discovery.Member{drained}})
-	n.Listed(&discovery.List{Whole: true})
+	n.box.Put(func() { n.told.Balancer.RemovalIsHint = true })
+	drained := discovery.Endpoint{Name: "drained", Address: "127.0.0.1:1", State: balancer.BackendReady, Weight: 1}
+	n.EndpointsChanged(&discovery.List{Endpoints: []discovery.Endpoint{drained}})
+	drained.State = balancer.BackendDraining
+	n.EndpointsChanged(&discovery.List{Endpoints: []discovery.Endpoint{drained}})
+	n.EndpointsChanged(&discovery.List{Complete: true})
 	kept := make(chan []bool)
 	n.box.Put(func() {
 		d := n.backends["drained"]
--- a/internal/node/op.go
+++ b/internal/node/op.go
@@ -8,32 +8,32 @@
 )
 
 // Final is which of the final answers an op gets.
-type Final uint8
+type AnswerStatus uint8
 
 const (
-	Acked Final = iota
-	Nacked
-	DeadLettered
+	Served AnswerStatus = iota
+	Rejected
+	Failed
 	AskAgain  // no outcome: another process has the op, or nobody can tell yet; whoever asks with its key will hear
 	Elsewhere // never given: the key is another op's
 )
 
-func (f Final) String() string {
+func (f AnswerStatus) String() string {
 	return [...]string{"acked", "nacked", "dead-lettered", "ask again", "elsewhere"}[f]
 }
 
 // Answer is an op's final answer.
 type Answer struct {
-	Final    Final
-	Reply    *upstream.Reply // of the backend that acked it
-	ComeBack float64         // ms; 0 is no advice
+	Status     AnswerStatus
+	Reply      *upstream.Reply // of the backend that acked it
+	RetryAfter float64         // ms; 0 is no advice
 }
 
 // Op is an op as the front hands it in, with what the node keeps of it.
-type Op struct {
-	balancer.Op
+type Request struct {
+	balancer.Request
 	Message *upstream.Message
-	Kept    *Kept // nil where no other process keeps it
+	Logged  *Logged // nil where no other process keeps it
 
 	answer   chan Answer
 	unread   atomic.Bool      // nobody waits for the answer
@@ -44,18 +44,18 @@
 }
 
 // NewOp makes an op; the front fills in what it knows of it.
-func NewOp(m *upstream.Message) *Op {
-	op := &Op{Message: m, answer: make(chan Answer, 1)}
+func NewRequest(m *upstream.Message) *Request {
+	op := &Request{Message: m, answer: make(chan Answer, 1)}
 	op.Streamed = m.Streamed()
 	return op
 }
 
 // Answer brings the op's one final answer, unless its client left first.
-func (o *Op) Answer() <-chan Answer { return o.answer }
+func (o *Request) Answer() <-chan Answer { return o.answer }
 
 // finish gives the final answer. Nothing is sent for the op after it: a push whose connection is still coming up
 // is withheld first.
-func (o *Op) finish(a Answer) {
+func (o *Request) finish(a Answer) {
 	if !o.answered {
 		o.leave()
 		o.deliver(a)
@@ -63,7 +63,7 @@
 }
 
 // deliver brings the answer to whoever waits, or lets go of it.
-func (o *Op) deliver(a Answer) {
+func (o *Request) deliver(a Answer) {
 	o.answer <- a
 	if o.unread.Load() {
 		o.discard()
@@ -71,7 +71,7 @@
 }
 
 // discard has the answer, whether it is there or comes later, let go of.
-func (o *Op) discard() {
+func (o *Request) discard() {
 	o.unread.Store(true)
 	select {
 	case a := <-o.answer:
@@ -81,7 +81,7 @@
 }
 
 // leave ends what is owed to the client, with an answer or because it is gone.
-func (o *Op) leave() {
+func (o *Request) leave() {
 	o.answered = true
 	for _, c := range o.calls {
 		c.Withhold()
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -123,28 +123,28 @@
 
 	c, log := clock.New(), slog.New(slog.DiscardHandler)
 	w := &discovery.Watch{Address: l.Addr().String(), Names: discovery.Names{Zones: []string{"a"}, Kinds: []string{"m"}}, Version: 1, Held: true, Log: log}
-	told := &config.Deployment{Terms: &balancer.Terms{Seed: farSeed, Nodes: 1, MaxPushes: 1, MustAsk: true, AskWithin: 60e3, FallMultiple: 3, OverloadFor: 1000,
-		Categories: []balancer.Category{{TargetLatency: 1000, Benefit: 1, LateBenefit: 1}}}}
-	peers := &upstream.Terms{Budget: descriptors.New(64, func() {}), Log: log}
+	told := &config.Deployment{Balancer: &balancer.Config{Seed: farSeed, Nodes: 1, MaxAttempts: 1, PollEndpoints: true, PollInterval: 60e3, OverloadMultiple: 3, OverloadWindow: 1000,
+		Classes: []balancer.Class{{LatencyObjective: 1000, PriorityWeight: 1, LateWeight: 1}}}}
+	peers := &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}
 	peers.ConnectTimeout.Set(time.Second)
 	peers.IdleFor.Set(time.Minute)
-	n := New(told, Module, c, peers, w.Ask, log)
-	w.Told, w.Failed = n.Listed, n.ListFailed
+	n := New(told, NewBalancer, c, peers, w.Poll, log)
+	w.OnList, w.OnFailure = n.EndpointsChanged, n.PollFailed
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	w.Start(ctx)
-	n.Start(&discovery.List{Whole: true, Version: 1, Members: []discovery.Member{{Name: "x", Address: backend.address, State: balancer.Ready, Weight: 1}}})
+	n.Start(&discovery.List{Complete: true, Version: 1, Endpoints: []discovery.Endpoint{{Name: "x", Address: backend.address, State: balancer.BackendReady, Weight: 1}}})
 	defer n.Stop()
 	for range 5 {
-		n.ListFailed()
+		n.PollFailed()
 	}
-	w.Ask()
+	w.Poll()
 	begun := <-back
-	require.Eventually(t, func() bool { _, state := had(n, "x"); return state != balancer.Ready }, 30*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { _, state := had(n, "x"); return state != balancer.BackendReady }, 30*time.Second, time.Millisecond)
 	assert.Less(t, time.Since(begun), toldWithin)
 	o := op(c, 0)
-	o.GiveUp = c.Now() + 100
-	n.Take(o)
-	assert.Equal(t, Nacked, (<-o.Answer()).Final)
+	o.Deadline = c.Now() + 100
+	n.Submit(o)
+	assert.Equal(t, Rejected, (<-o.Answer()).Status)
 	assert.Empty(t, backend.got, "nothing goes there")
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -28,14 +28,14 @@
 }
 
 // Terms are what the operator says.
-type Terms struct {
-	Fleet   string
-	Members []Member
-	Self    int
-	Copies  int
-	Keys    [][]byte // the first proves, all are taken
-	Most    int      // bytes that one log may hold
-	Keep    float64  // ms that an outcome is kept
+type Config struct {
+	Fleet       string
+	Members     []Member
+	Self        int
+	Replicas    int
+	Keys        [][]byte // the first proves, all are taken
+	MaxLogBytes int      // bytes that one log may hold
+	OutcomeTTL  float64  // ms that an outcome is kept
 }
 
 const (
@@ -46,22 +46,22 @@
 
 	dialWithin   = time.Second
 	writeWithin  = time.Second
-	silentWithin = requestlog.SilentFor * time.Millisecond // a beat comes ten times as often
-	againFrom    = 50 * time.Millisecond                   // between two tries to connect, growing
+	silentWithin = requestlog.PeerTimeoutMs * time.Millisecond // a beat comes ten times as often
+	againFrom    = 50 * time.Millisecond                       // between two tries to connect, growing
 	againUpTo    = time.Second
 )
 
 // mostFrame is the size of the largest frame: an image of a ledger that is full. Of two of them one may be queued behind the other.
-func (t *Terms) mostFrame() int { return t.Most + t.Most/4 + beside }
+func (t *Config) mostFrame() int { return t.MaxLogBytes + t.MaxLogBytes/4 + beside }
 
 // Descriptors is what links take at most of the node's limit: two a member, a listener, and some that prove nothing.
-func (t *Terms) Descriptors() int { return 2*len(t.Members) + 1 + mostUnproven }
+func (t *Config) Descriptors() int { return 2*len(t.Members) + 1 + mostUnproven }
 
 const mostUnproven = 8
 
 // Peers is this process's part of the fleet. Its fields below box are the actor's.
 type Peers struct {
-	t       Terms
+	t       Config
 	life    uint64
 	clock   *clock.Clock
 	log     *slog.Logger
@@ -74,7 +74,7 @@
 	bound   chan struct{} // closed once this process has the address
 	box     *mailbox.Box[func()]
 
-	house   *requestlog.House
+	house   *requestlog.Member
 	waits   map[uint64]func(requestlog.Reply)
 	seq     uint64
 	members []member
@@ -97,7 +97,7 @@
 }
 
 // New makes one; inherit takes what this process has taken over, and must not block.
-func New(t Terms, c *clock.Clock, inherit func(requestlog.Entry), log *slog.Logger) *Peers {
+func New(t Config, c *clock.Clock, inherit func(requestlog.Entry), log *slog.Logger) *Peers {
 	names := make([]string, len(t.Members))
 	for k, m := range t.Members {
 		names[k] = m.Name
@@ -105,7 +105,7 @@
 	life := uint64(c.Now())
 	p := &Peers{t: t, life: life, clock: c, log: log, inherit: inherit, bound: make(chan struct{}), odd: rate.Sometimes{Interval: oddEvery}, box: mailbox.New[func()](),
 		waits: map[uint64]func(requestlog.Reply){}, members: make([]member, len(t.Members)),
-		house: requestlog.New(requestlog.Terms{Members: names, Self: t.Self, Life: life, Copies: t.Copies, Seed: rand.Uint64(), Most: t.Most, Keep: t.Keep}, c.Now())}
+		house: requestlog.New(requestlog.Config{Members: names, Self: t.Self, Incarnation: life, Replicas: t.Replicas, Seed: rand.Uint64(), MaxLogBytes: t.MaxLogBytes, OutcomeTTL: t.OutcomeTTL}, c.Now())}
 	p.ctx, p.end = context.WithCancel(context.Background())
 	return p
 }
@@ -124,7 +124,7 @@
 }
 
 // Leave passes on what this process leads; Stop ends all.
-func (p *Peers) Leave() { p.box.Put(func() { p.house.Leave(p.clock.Now()) }) }
+func (p *Peers) Shutdown() { p.box.Put(func() { p.house.Shutdown(p.clock.Now()) }) }
 
 func (p *Peers) Stop() {
 	p.end()
@@ -132,12 +132,12 @@
 }
 
 // Look asks what is known of a key, and Write has a record written; told is called once, and must not block.
-func (p *Peers) Look(key string, print uint64, until float64, told func(requestlog.Reply)) {
-	p.box.Put(func() { p.house.Look(p.clock.Now(), p.await(told), key, print, until) })
+func (p *Peers) Lookup(key string, print uint64, until float64, told func(requestlog.Reply)) {
+	p.box.Put(func() { p.house.Lookup(p.clock.Now(), p.await(told), key, print, until) })
 }
 
-func (p *Peers) Write(r requestlog.Record, until float64, told func(requestlog.Reply)) {
-	p.box.Put(func() { p.house.Write(p.clock.Now(), p.await(told), r, until) })
+func (p *Peers) Append(r requestlog.Record, until float64, told func(requestlog.Reply)) {
+	p.box.Put(func() { p.house.Append(p.clock.Now(), p.await(told), r, until) })
 }
 
 func (p *Peers) await(told func(requestlog.Reply)) uint64 {
@@ -147,10 +147,10 @@
 }
 
 // State tells of the logs, for whoever looks; it waits for the actor.
-func (p *Peers) State(ctx context.Context) (s requestlog.Picture, err error) {
-	told := make(chan requestlog.Picture, 1)
+func (p *Peers) State(ctx context.Context) (s requestlog.StateDigest, err error) {
+	told := make(chan requestlog.StateDigest, 1)
 	p.box.Put(func() {
-		x := p.house.Picture()
+		x := p.house.StateDigest()
 		x.TookOver = p.took
 		told <- x
 	})
@@ -171,7 +171,7 @@
 		select {
 		case <-p.ctx.Done():
 			for _, told := range p.waits {
-				told(requestlog.Reply{Code: requestlog.Alone})
+				told(requestlog.Reply{Result: requestlog.NoQuorum})
 			}
 			for k := range p.members {
 				p.dropIn(k)
@@ -203,9 +203,9 @@
 				delete(p.waits, o.Reply.ID)
 				told(*o.Reply)
 			}
-		case o.Inherit != nil:
+		case o.TakenOver != nil:
 			p.took++
-			p.inherit(*o.Inherit)
+			p.inherit(*o.TakenOver)
 		case o.Log != "":
 			p.log.Info(o.Log)
 		}
@@ -233,7 +233,7 @@
 func (p *Peers) link(k int) {
 	m := &p.members[k]
 	if m.out != nil && m.in != nil && m.out.life == m.inPid {
-		p.house.Linked(p.clock.Now(), k, requestlog.NewPid(k, m.inPid))
+		p.house.PeerConnected(p.clock.Now(), k, requestlog.NewIncarnation(k, m.inPid))
 		p.log.Info("peer linked", "peer", p.t.Members[k].Name)
 	}
 }
@@ -264,7 +264,7 @@
 }
 
 func (p *Peers) unlinked(k int, was bool) {
-	p.house.Broken(p.clock.Now(), k)
+	p.house.PeerDisconnected(p.clock.Now(), k)
 	if was {
 		p.log.Warn("peer lost", "peer", p.t.Members[k].Name)
 	}
@@ -435,7 +435,7 @@
 			if p.members[from].in != c || p.members[from].out == nil {
 				return // of a link that is not whole
 			}
-			if err := p.house.Take(p.clock.Now(), from, data); err != nil {
+			if err := p.house.Receive(p.clock.Now(), from, data); err != nil {
 				p.sayOdd(name, err)
 				p.dropIn(from)
 				p.dropOut(from)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -46,8 +46,8 @@
 var key, other = bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)
 
 // three starts a fleet, the third member by terms of its own.
-func three(t *testing.T, spoil func(*Terms), change ...func(*Terms)) (all []*Peers, logs []*lines) {
-	terms := Terms{Fleet: "f", Copies: 3, Keys: [][]byte{key}, Most: 1 << 20, Keep: 60e3}
+func three(t *testing.T, spoil func(*Config), change ...func(*Config)) (all []*Peers, logs []*lines) {
+	terms := Config{Fleet: "f", Replicas: 3, Keys: [][]byte{key}, MaxLogBytes: 1 << 20, OutcomeTTL: 60e3}
 	for _, f := range change {
 		f(&terms)
 	}
@@ -82,26 +82,26 @@
 // A record is written at whatever process is asked, and read at all others.
 func TestThree(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	all, _ := three(t, func(*Terms) {})
-	write := func(p *Peers, r requestlog.Record) requestlog.Code {
+	all, _ := three(t, func(*Config) {})
+	write := func(p *Peers, r requestlog.Record) requestlog.Result {
 		told := make(chan requestlog.Reply, 1)
-		p.Write(r, p.clock.Now()+300, func(r requestlog.Reply) { told <- r })
-		return (<-told).Code
+		p.Append(r, p.clock.Now()+300, func(r requestlog.Reply) { told <- r })
+		return (<-told).Result
 	}
-	op := requestlog.Op{Print: 7, GiveUp: all[0].clock.Now() + 60e3}
+	op := requestlog.Request{Fingerprint: 7, Deadline: all[0].clock.Now() + 60e3}
 	require.Eventually(t, func() bool {
-		return write(all[0], requestlog.Record{Kind: requestlog.Begin, Key: "k", Op: op}) == requestlog.Done
+		return write(all[0], requestlog.Record{Kind: requestlog.AttemptStarted, Key: "k", Request: op}) == requestlog.Committed
 	},
 		10*time.Second, 10*time.Millisecond)
-	require.Equal(t, requestlog.InHand, write(all[1], requestlog.Record{Kind: requestlog.Begin, Key: "k", Op: op}))
-	require.Equal(t, requestlog.Lost, write(all[1], requestlog.Record{Kind: requestlog.Finish, Key: "k", Outcome: requestlog.Outcome{Final: requestlog.Acked}}))
+	require.Equal(t, requestlog.KeyInFlight, write(all[1], requestlog.Record{Kind: requestlog.AttemptStarted, Key: "k", Request: op}))
+	require.Equal(t, requestlog.NotOwner, write(all[1], requestlog.Record{Kind: requestlog.RequestAnswered, Key: "k", Answer: requestlog.FinalAnswer{Status: requestlog.Served}}))
 	long := bytes.Repeat([]byte("x"), 200<<10)
-	require.Equal(t, requestlog.Done, write(all[0], requestlog.Record{Kind: requestlog.Finish, Key: "k", Outcome: requestlog.Outcome{Final: requestlog.Acked, Body: long}}))
+	require.Equal(t, requestlog.Committed, write(all[0], requestlog.Record{Kind: requestlog.RequestAnswered, Key: "k", Answer: requestlog.FinalAnswer{Status: requestlog.Served, Body: long}}))
 	told := make(chan requestlog.Reply, 1)
-	all[2].Look("k", 7, all[2].clock.Now()+3000, func(r requestlog.Reply) { told <- r })
+	all[2].Lookup("k", 7, all[2].clock.Now()+3000, func(r requestlog.Reply) { told <- r })
 	r := <-told
-	require.Equal(t, requestlog.Over, r.Code)
-	require.Equal(t, long, r.Outcome.Body)
+	require.Equal(t, requestlog.KeyAnswered, r.Result)
+	require.Equal(t, long, r.Answer.Body)
 	for _, p := range all {
 		p.Stop()
 	}
@@ -109,10 +109,10 @@
 
 // Whoever does not prove the key, is of another fleet or of another version is refused, with few lines; the rest goes on.
 func TestStrangersAreRefused(t *testing.T) {
-	for what, spoil := range map[string]func(*Terms){
-		"wrong key":    func(t *Terms) { t.Keys = [][]byte{other} },
-		"is not":       func(t *Terms) { t.Fleet = "g" },
-		"is no member": func(t *Terms) { t.Members = append([]Member(nil), t.Members...); t.Members[2].Name = "x" },
+	for what, spoil := range map[string]func(*Config){
+		"wrong key":    func(t *Config) { t.Keys = [][]byte{other} },
+		"is not":       func(t *Config) { t.Fleet = "g" },
+		"is no member": func(t *Config) { t.Members = append([]Member(nil), t.Members...); t.Members[2].Name = "x" },
 	} {
 		t.Run(what, func(t *testing.T) {
 			all, logs := three(t, spoil)
@@ -125,13 +125,13 @@
 		})
 	}
 	// A key is changed without a gap: both are taken while the first proves.
-	all, _ := three(t, func(t *Terms) { t.Keys = [][]byte{key, other} })
+	all, _ := three(t, func(t *Config) { t.Keys = [][]byte{key, other} })
 	require.Eventually(t, func() bool { return linked(t, all[2]) == 2 }, 10*time.Second, 10*time.Millisecond)
 }
 
 // Garbage, frames too long and versions unknown end their connection, whether before or after the proof; nothing panics.
 func TestGarbage(t *testing.T) {
-	all, logs := three(t, func(*Terms) {})
+	all, logs := three(t, func(*Config) {})
 	require.Eventually(t, func() bool { return linked(t, all[0]) == 2 }, 10*time.Second, 10*time.Millisecond)
 	address := all[0].t.Members[0].Address
 	ends := func(c net.Conn) {
@@ -168,7 +168,7 @@
 // then, and a node hung until it was killed.
 func TestALinkThatComesUpAtTheEndEnds(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	terms := Terms{Fleet: "f", Copies: 3, Keys: [][]byte{key}, Members: []Member{{"a", free(t)}, {"b", free(t)}, {"c", free(t)}}}
+	terms := Config{Fleet: "f", Replicas: 3, Keys: [][]byte{key}, Members: []Member{{"a", free(t)}, {"b", free(t)}, {"c", free(t)}}}
 	p := New(terms, clock.New(), func(requestlog.Entry) {}, slog.New(slog.DiscardHandler))
 	p.end() // the actor has gone, or never came
 	ours, theirs := net.Pipe()
@@ -191,23 +191,23 @@
 func TestFullLedgersFitWhatTheyMay(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	const most = 6 << 20
-	all, _ := three(t, func(t *Terms) {}, func(t *Terms) { t.Most = most })
-	write := func(r requestlog.Record) requestlog.Code {
+	all, _ := three(t, func(t *Config) {}, func(t *Config) { t.MaxLogBytes = most })
+	write := func(r requestlog.Record) requestlog.Result {
 		told := make(chan requestlog.Reply, 1)
-		all[0].Write(r, all[0].clock.Now()+3000, func(r requestlog.Reply) { told <- r })
-		return (<-told).Code
+		all[0].Append(r, all[0].clock.Now()+3000, func(r requestlog.Reply) { told <- r })
+		return (<-told).Result
 	}
 	require.Eventually(t, func() bool { return whole(t, all[0]) }, 10*time.Second, 10*time.Millisecond)
 	message, full := bytes.Repeat([]byte("x"), 60<<10), 0
 	for k := range 700 { // what comes and goes leaves nothing behind
 		key := fmt.Sprint("gone ", k)
-		require.Equal(t, requestlog.Done, write(requestlog.Record{Kind: requestlog.Begin, Key: key, Op: requestlog.Op{GiveUp: all[0].clock.Now() + 600e3, Message: message}}))
-		require.Equal(t, requestlog.Done, write(requestlog.Record{Kind: requestlog.Finish, Key: key, Outcome: requestlog.Outcome{Final: requestlog.Nacked}}))
+		require.Equal(t, requestlog.Committed, write(requestlog.Record{Kind: requestlog.AttemptStarted, Key: key, Request: requestlog.Request{Deadline: all[0].clock.Now() + 600e3, EncodedMessage: message}}))
+		require.Equal(t, requestlog.Committed, write(requestlog.Record{Kind: requestlog.RequestAnswered, Key: key, Answer: requestlog.FinalAnswer{Status: requestlog.Rejected}}))
 	}
 	for k := 0; k < 2000 && full < 50; k++ {
-		switch code := write(requestlog.Record{Kind: requestlog.Begin, Key: fmt.Sprint(k), Op: requestlog.Op{GiveUp: all[0].clock.Now() + 600e3, Message: message}}); code {
-		case requestlog.Done:
-		case requestlog.Full: // one log after the other
+		switch code := write(requestlog.Record{Kind: requestlog.AttemptStarted, Key: fmt.Sprint(k), Request: requestlog.Request{Deadline: all[0].clock.Now() + 600e3, EncodedMessage: message}}); code {
+		case requestlog.Committed:
+		case requestlog.LogFull: // one log after the other
 			full++
 		default:
 			require.Fail(t, code.String())
@@ -218,7 +218,7 @@
 	require.NoError(t, err)
 	for _, l := range s.Logs {
 		require.LessOrEqual(t, l.Bytes, most)
-		require.LessOrEqual(t, l.Held, int(requestlog.HeldTimes*most), "ledger, its image and records since")
+		require.LessOrEqual(t, l.Held, int(requestlog.MemoryFactor*most), "ledger, its image and records since")
 		require.Greater(t, l.Bytes, most*8/10)
 	}
 	all[2].Stop()
--- a/internal/requestlog/log.go
+++ b/internal/requestlog/log.go
@@ -21,7 +21,7 @@
 
 	// HeldTimes is how much of a process's memory a log takes at most, in times of what its ledger may hold: the ledger, its image,
 	// and records of a quarter of that since, which are let go of as an image is made. Whoever lags behind is given the image.
-	HeldTimes = 2.5
+	MemoryFactor = 2.5
 )
 
 // log is one replicated log as this process has it: a raft node, and what its records come to.
@@ -58,8 +58,8 @@
 func (quiet) Errorf(string, ...any)   {}
 
 // newLog makes one that knows nothing yet, or, founded, one with this process as its only voter.
-func newLog(t *Terms, slot int, gen, seat uint64, founded bool) (*log, error) {
-	l := &log{slot: slot, gen: gen, seat: seat, store: raft.NewMemoryStorage(), ledger: newLedger(t.Most, t.Keep, t.Flaw),
+func newLog(t *Config, slot int, gen, seat uint64, founded bool) (*log, error) {
+	l := &log{slot: slot, gen: gen, seat: seat, store: raft.NewMemoryStorage(), ledger: newLedger(t.MaxLogBytes, t.OutcomeTTL, t.InjectedBug),
 		conf: &pb.ConfState{}, chance: rand.New(rand.NewPCG(t.Seed, seat)), claimed: map[string]float64{}}
 	if founded {
 		l.conf = &pb.ConfState{Voters: []uint64{seat}}
@@ -119,7 +119,7 @@
 }
 
 // work carries out what the raft node is ready for. Messages go out by send, records that count by told.
-func (l *log) work(send func(*pb.Message), told func(*Record, Code, Outcome)) {
+func (l *log) work(send func(*pb.Message), told func(*Record, Result, FinalAnswer)) {
 	for l.rn.HasReady() {
 		rd := l.rn.Ready()
 		if rd.Snapshot != nil && !raft.IsEmptySnap(rd.Snapshot) {
@@ -152,7 +152,7 @@
 	}
 }
 
-func (l *log) take(e *pb.Entry, told func(*Record, Code, Outcome)) {
+func (l *log) take(e *pb.Entry, told func(*Record, Result, FinalAnswer)) {
 	l.applied = e.GetIndex()
 	l.weight += len(e.GetData()) + 64
 	switch e.GetType() {
--- a/internal/requestlog/numbers_test.go
+++ b/internal/requestlog/numbers_test.go
@@ -21,9 +21,9 @@
 		}
 	}
 	put("frame", raftFrame, askFrame, toldFrame, beatFrame)
-	put("record", Begin, End, Finish, Assign, Forget)
-	put("final", Open, Acked, Nacked, DeadLettered)
-	put("code", Done, Free, InHand, Over, Unlike, Lost, Full, NotHere, Alone, Refused)
-	put("process", NewPid(3, 7), NewPid(0, 1<<40))
+	put("record", AttemptStarted, AttemptEnded, RequestAnswered, OwnerChanged, AnswersExpired)
+	put("final", Unanswered, Served, Rejected, Failed)
+	put("code", Committed, KeyUnused, KeyInFlight, KeyAnswered, KeyMismatch, NotOwner, LogFull, NotLeader, NoQuorum, InvalidRecord)
+	put("process", NewIncarnation(3, 7), NewIncarnation(0, 1<<40))
 	goldentest.Equal(t, "numbers.txt", []byte(text))
 }
--- a/internal/requestlog/picture.go
+++ b/internal/requestlog/picture.go
@@ -1,20 +1,20 @@
 package requestlog
 
 // Picture is a process's part in all logs, for whoever looks.
-type Picture struct {
-	Self     string      `json:"self"`
-	Life     uint64      `json:"life"`
-	Peers    []PeerState `json:"peers"`
-	Logs     []LogState  `json:"logs"`
-	TookOver uint64      `json:"took_over"`
+type StateDigest struct {
+	Self        string      `json:"self"`
+	Incarnation uint64      `json:"life"`
+	Peers       []PeerState `json:"peers"`
+	Logs        []LogState  `json:"logs"`
+	TookOver    uint64      `json:"took_over"`
 }
 
 // PeerState is what is known of a member.
 type PeerState struct {
-	Name   string  `json:"name"`
-	Life   uint64  `json:"life"`
-	Linked bool    `json:"linked"`
-	Silent float64 `json:"silent_ms"`
+	Name        string  `json:"name"`
+	Incarnation uint64  `json:"life"`
+	Linked      bool    `json:"linked"`
+	Silent      float64 `json:"silent_ms"`
 }
 
 // LogState is one log.
@@ -33,8 +33,8 @@
 }
 
 // Picture gives it.
-func (h *House) Picture() Picture {
-	x := Picture{Self: h.t.Members[h.t.Self], Life: h.t.Life}
+func (h *Member) StateDigest() StateDigest {
+	x := StateDigest{Self: h.t.Members[h.t.Self], Incarnation: h.t.Incarnation}
 	for m := range h.peers {
 		if p := &h.peers[m]; m != h.t.Self {
 			x.Peers = append(x.Peers, PeerState{h.t.Members[m], p.pid.life(), p.linked, h.now - p.heard})
@@ -45,10 +45,10 @@
 		if lead, known := h.leads(slot); known {
 			s.Leader = h.t.Members[lead]
 			if lead == h.t.Self {
-				s.Whole = h.state(slot).Whole
+				s.Whole = h.state(slot).Complete
 			} else if b := h.peers[lead].beat; b != nil {
 				for _, o := range b.Logs {
-					s.Whole = s.Whole || o.Slot == slot && o.Whole
+					s.Whole = s.Whole || o.Log == slot && o.Complete
 				}
 			}
 		}
--- a/internal/requestlog/requestlog.go
+++ b/internal/requestlog/requestlog.go
@@ -25,15 +25,15 @@
 const Version = 1
 
 // Terms are what a house is told at its start.
-type Terms struct {
-	Members []string // the same at all processes, in the same order
-	Self    int
-	Life    uint64 // above those before it under the name
-	Copies  int
-	Seed    uint64
-	Most    int     // bytes that a log's ledger may hold
-	Keep    float64 // ms that an outcome is kept
-	Flaw    Flaw
+type Config struct {
+	Members     []string // the same at all processes, in the same order
+	Self        int
+	Incarnation uint64 // above those before it under the name
+	Replicas    int
+	Seed        uint64
+	MaxLogBytes int     // bytes that a log's ledger may hold
+	OutcomeTTL  float64 // ms that an outcome is kept
+	InjectedBug InjectedBug
 }
 
 const (
@@ -41,9 +41,9 @@
 
 	// SilentFor is how long a linked process may say nothing before what it had is another's; BrokenFor how long a
 	// broken link may stay so. An owner begins no push by a word asked for FreshFor ago or longer.
-	SilentFor = 1000.0
-	BrokenFor = 400.0
-	FreshFor  = 700.0
+	PeerTimeoutMs      = 1000.0
+	ReconnectTimeoutMs = 400.0
+	LeaseMs            = 700.0
 
 	beatEvery   = 100.0
 	againAfter  = 200.0 // an ask that had no answer
@@ -67,60 +67,60 @@
 
 // Frame is what goes between two houses.
 type Frame struct {
-	Version int
-	Kind    int
-	Log     int
-	Gen     uint64
-	Raft    []byte
-	Ask     Ask
-	Told    Told
-	Beat    Beat
+	Version    int
+	Kind       int
+	Log        int
+	Generation uint64
+	Raft       []byte
+	Call       Call
+	Reply      CallReply
+	Heartbeat  Heartbeat
 }
 
 // Ask is a look, or a record to be written.
-type Ask struct {
+type Call struct {
 	Seq    uint64
-	Look   bool
+	Lookup bool
 	Record Record
 }
 
 // Told is the answer to one.
-type Told struct {
-	Seq     uint64
-	Code    Code
-	Outcome Outcome
+type CallReply struct {
+	Seq    uint64
+	Result Result
+	Answer FinalAnswer
 }
 
 // Beat is what a process says of itself now and then.
-type Beat struct {
+type Heartbeat struct {
 	Leaving bool
 	Nonce   uint64   // to be given back, so that an old beat is known from one of now
 	Echo    []uint64 // the nonces that came from each member
-	Logs    []State
+	Logs    []LogStatus
 }
 
 // State is a process's part in one log.
-type State struct {
-	Slot   int
-	Gen    uint64
-	Known  uint64 // the latest founding that it has ever heard of
-	Seat   uint64 // by which it is to be taken in
-	Holds  bool
-	Leads  bool
-	Term   uint64
-	Voters []uint64
-	Former []uint64 // in the middle of a change, those before it
-	At     uint64   // how far it has applied the log
-	Whole  bool     // it leads, and all that are meant to hold the log live and do
+type LogStatus struct {
+	Log             int
+	Generation      uint64
+	KnownGeneration uint64 // the latest founding that it has ever heard of
+	VoterID         uint64 // by which it is to be taken in
+	HasReplica      bool
+	IsLeader        bool
+	Term            uint64
+	Voters          []uint64
+	OutgoingVoters  []uint64 // in the middle of a change, those before it
+	Applied         uint64   // how far it has applied the log
+	Complete        bool     // it leads, and all that are meant to hold the log live and do
 }
 
 // peer is what is known of a member.
 type peer struct {
-	pid    Pid // 0 is unknown
+	pid    Incarnation // 0 is unknown
 	linked bool
 	heard  float64
 	broke  float64
-	beat   *Beat
+	beat   *Heartbeat
 }
 
 // ask is one of this process's that has no answer yet.
@@ -135,34 +135,34 @@
 }
 
 // Out is one thing for the host to do.
-type Out struct {
-	To      int    // with a frame: to this member
-	Frame   []byte // nil is none
-	Reply   *Reply
-	Inherit *Entry // this process has the op from now on
-	Log     string // a line for the log
+type Output struct {
+	To        int    // with a frame: to this member
+	Frame     []byte // nil is none
+	Reply     *Reply
+	TakenOver *Entry // this process has the op from now on
+	Log       string // a line for the log
 }
 
 // Reply answers Look or Write.
 type Reply struct {
-	ID      uint64
-	Code    Code
-	Outcome Outcome
-	Asked   float64 // when the answered ask was sent
+	ID     uint64
+	Result Result
+	Answer FinalAnswer
+	SentAt float64 // when the answered ask was sent
 }
 
 // House is one process's part in all logs.
-type House struct {
-	t       Terms
+type Member struct {
+	t       Config
 	now     float64
-	self    Pid
+	self    Incarnation
 	logs    []*log
 	seats   []uint64 // by log, the seat that this process would take
 	peers   []peer
 	asks    map[uint64]*ask // by seq
 	mine    map[string]bool // keys whose ops this process has in hand
 	seq     uint64
-	out     []Out
+	out     []Output
 	tickAt  float64
 	beatAt  float64
 	steerAt float64
@@ -177,10 +177,10 @@
 }
 
 // New makes a house.
-func New(t Terms, now float64) *House {
-	h := &House{t: t, now: now, self: NewPid(t.Self, t.Life), logs: make([]*log, len(t.Members)), seats: make([]uint64, len(t.Members)),
+func New(t Config, now float64) *Member {
+	h := &Member{t: t, now: now, self: NewIncarnation(t.Self, t.Incarnation), logs: make([]*log, len(t.Members)), seats: make([]uint64, len(t.Members)),
 		peers: make([]peer, len(t.Members)), asks: map[uint64]*ask{}, mine: map[string]bool{}, tickAt: now, beatAt: now,
-		steerAt: now + steerEvery, cleanAt: now + forgetEvery, born: now, doubt: now + SilentFor, known: make([]uint64, len(t.Members)), nonce: t.Life}
+		steerAt: now + steerEvery, cleanAt: now + forgetEvery, born: now, doubt: now + PeerTimeoutMs, known: make([]uint64, len(t.Members)), nonce: t.Incarnation}
 	for k := range h.seats {
 		h.seats[k] = uint64(h.self) + 1
 	}
@@ -188,13 +188,15 @@
 }
 
 // Self is this process's life.
-func (h *House) Self() Pid { return h.self }
+func (h *Member) Self() Incarnation { return h.self }
 
 // LogOf tells in which log a key's records lie.
-func (h *House) LogOf(key string) int { return int(xxhash.Sum64String(key) % uint64(len(h.t.Members))) }
+func (h *Member) LogOf(key string) int {
+	return int(xxhash.Sum64String(key) % uint64(len(h.t.Members)))
+}
 
 // Linked takes a link to a member that has come up.
-func (h *House) Linked(now float64, member int, pid Pid) {
+func (h *Member) PeerConnected(now float64, member int, pid Incarnation) {
 	h.now = now
 	p := &h.peers[member]
 	p.pid, p.beat = pid, nil
@@ -202,7 +204,7 @@
 }
 
 // Broken takes a link's end.
-func (h *House) Broken(now float64, member int) {
+func (h *Member) PeerDisconnected(now float64, member int) {
 	h.now = now
 	if p := &h.peers[member]; p.linked {
 		p.linked, p.broke, p.beat = false, now, nil
@@ -210,23 +212,23 @@
 }
 
 // Leave has this process's logs led by others, as far as they can.
-func (h *House) Leave(now float64) {
+func (h *Member) Shutdown(now float64) {
 	h.now, h.leaving, h.beatAt = now, true, now
 	h.steer()
 }
 
 // Look asks what is known of a key; the answer comes as a Reply.
-func (h *House) Look(now float64, id uint64, key string, print uint64, until float64) {
+func (h *Member) Lookup(now float64, id uint64, key string, print uint64, until float64) {
 	h.now = now
-	h.send(&ask{id: id, until: until, log: h.LogOf(key), look: true, record: Record{Key: key, Op: Op{Print: print}}})
+	h.send(&ask{id: id, until: until, log: h.LogOf(key), look: true, record: Record{Key: key, Request: Request{Fingerprint: print}}})
 }
 
 // Write has a record written; Done comes when a majority holds it.
-func (h *House) Write(now float64, id uint64, r Record, until float64) {
+func (h *Member) Append(now float64, id uint64, r Record, until float64) {
 	h.now = now
-	if r.Kind == Begin && r.Push.Number == 0 {
+	if r.Kind == AttemptStarted && r.Attempt.Number == 0 {
 		if h.mine[r.Key] {
-			h.out = append(h.out, Out{Reply: &Reply{ID: id, Code: InHand, Asked: now}})
+			h.out = append(h.out, Output{Reply: &Reply{ID: id, Result: KeyInFlight, SentAt: now}})
 			return
 		}
 		h.mine[r.Key] = true
@@ -236,9 +238,9 @@
 }
 
 // leads gives the member that leads a log, as far as is known.
-func (h *House) leads(slot int) (int, bool) {
+func (h *Member) leads(slot int) (int, bool) {
 	if l := h.logs[slot]; l != nil {
-		if l.serves(h.t.Copies) {
+		if l.serves(h.t.Replicas) {
 			return h.t.Self, true
 		}
 		if lead := of(l.leader()).Member(); l.leader() != 0 && lead != h.t.Self && h.peers[lead].linked {
@@ -252,8 +254,8 @@
 			continue
 		}
 		for _, s := range p.beat.Logs {
-			if s.Slot == slot && s.Leads && (best < 0 || s.Gen > at || s.Gen == at && s.Term > term) {
-				best, at, term = m, s.Gen, s.Term
+			if s.Log == slot && s.IsLeader && (best < 0 || s.Generation > at || s.Generation == at && s.Term > term) {
+				best, at, term = m, s.Generation, s.Term
 			}
 		}
 	}
@@ -261,7 +263,7 @@
 }
 
 // send sends an ask to whoever leads its log, once more where there was no answer.
-func (h *House) send(a *ask) {
+func (h *Member) send(a *ask) {
 	delete(h.asks, a.seq)
 	h.seq++
 	a.seq, a.sent = h.seq, h.now
@@ -270,13 +272,13 @@
 	switch {
 	case !known:
 	case to == h.t.Self:
-		h.serve(h.self, a.log, Ask{Seq: a.seq, Look: a.look, Record: a.record})
+		h.serve(h.self, a.log, Call{Seq: a.seq, Lookup: a.look, Record: a.record})
 	default:
-		h.frame(to, &Frame{Kind: askFrame, Log: a.log, Ask: Ask{Seq: a.seq, Look: a.look, Record: a.record}})
+		h.frame(to, &Frame{Kind: askFrame, Log: a.log, Call: Call{Seq: a.seq, Lookup: a.look, Record: a.record}})
 	}
 }
 
-func (h *House) frame(to int, f *Frame) { h.out = append(h.out, Out{To: to, Frame: encode(f)}) }
+func (h *Member) frame(to int, f *Frame) { h.out = append(h.out, Output{To: to, Frame: encode(f)}) }
 
 func encode(f *Frame) []byte {
 	f.Version = Version
@@ -284,63 +286,63 @@
 }
 
 // serve answers an ask, if this process leads its log.
-func (h *House) serve(from Pid, slot int, a Ask) {
+func (h *Member) serve(from Incarnation, slot int, a Call) {
 	l := h.logs[slot]
 	switch {
-	case l == nil || !l.serves(h.t.Copies):
-		h.answer(from, a.Seq, NotHere, Outcome{})
-	case a.Look:
-		code, o := l.ledger.look(a.Record.Key, a.Record.Op.Print)
+	case l == nil || !l.serves(h.t.Replicas):
+		h.answer(from, a.Seq, NotLeader, FinalAnswer{})
+	case a.Lookup:
+		code, o := l.ledger.look(a.Record.Key, a.Record.Request.Fingerprint)
 		h.answer(from, a.Seq, code, o)
-	case a.Record.Owner != from || a.Record.Kind == 0 || a.Record.Kind > Finish:
-		h.answer(from, a.Seq, Refused, Outcome{})
+	case a.Record.Owner != from || a.Record.Kind == 0 || a.Record.Kind > RequestAnswered:
+		h.answer(from, a.Seq, InvalidRecord, FinalAnswer{})
 	default:
 		r := a.Record
-		r.At, r.Asker, r.Seq = h.now, from, a.Seq
+		r.At, r.Caller, r.Seq = h.now, from, a.Seq
 		if l.rn.Propose(snapshot.Append(nil, &r)) != nil { // it hands its lead on, or has much under way: neither lasts
-			h.answer(from, a.Seq, NotHere, Outcome{})
+			h.answer(from, a.Seq, NotLeader, FinalAnswer{})
 		}
 	}
 }
 
-func (h *House) answer(to Pid, seq uint64, code Code, o Outcome) {
+func (h *Member) answer(to Incarnation, seq uint64, code Result, o FinalAnswer) {
 	if to == h.self {
-		h.told(Told{seq, code, o})
+		h.told(CallReply{seq, code, o})
 	} else if h.peers[to.Member()].pid == to {
-		h.frame(to.Member(), &Frame{Kind: toldFrame, Told: Told{seq, code, o}})
+		h.frame(to.Member(), &Frame{Kind: toldFrame, Reply: CallReply{seq, code, o}})
 	}
 }
 
 // told takes an answer. One to an earlier sending is not heard: what counts is how long ago the ask went out.
-func (h *House) told(t Told) {
+func (h *Member) told(t CallReply) {
 	a := h.asks[t.Seq]
 	if a == nil {
 		return
 	}
-	if t.Code == NotHere { // sent again soon, to whoever leads by then
+	if t.Result == NotLeader { // sent again soon, to whoever leads by then
 		a.sent = math.Min(a.sent, h.now-againAfter+2*TickMs)
 		return
 	}
 	delete(h.asks, t.Seq)
-	h.reply(a, t.Code, t.Outcome)
+	h.reply(a, t.Result, t.Answer)
 }
 
-func (h *House) reply(a *ask, code Code, o Outcome) {
+func (h *Member) reply(a *ask, code Result, o FinalAnswer) {
 	if r := &a.record; !a.look {
 		switch {
-		case r.Kind == Begin && r.Push.Number == 0 && code != Done:
+		case r.Kind == AttemptStarted && r.Attempt.Number == 0 && code != Committed:
 			delete(h.mine, r.Key)
-		case r.Kind == Finish:
+		case r.Kind == RequestAnswered:
 			delete(h.mine, r.Key)
 		}
 	}
-	h.out = append(h.out, Out{Reply: &Reply{ID: a.id, Code: code, Outcome: o, Asked: a.sent}})
+	h.out = append(h.out, Output{Reply: &Reply{ID: a.id, Result: code, Answer: o, SentAt: a.sent}})
 }
 
 var errFrame = errors.New("odd frame")
 
 // Take takes a frame of a linked process.
-func (h *House) Take(now float64, from int, data []byte) error {
+func (h *Member) Receive(now float64, from int, data []byte) error {
 	h.now = now
 	p := &h.peers[from]
 	f := &Frame{}
@@ -362,20 +364,20 @@
 		}
 		h.agree(f, m)
 	case askFrame:
-		h.serve(p.pid, f.Log, f.Ask)
+		h.serve(p.pid, f.Log, f.Call)
 	case toldFrame:
-		h.told(f.Told)
+		h.told(f.Reply)
 	case beatFrame:
-		if len(f.Beat.Echo) != len(h.peers) {
+		if len(f.Heartbeat.Echo) != len(h.peers) {
 			return errFrame
 		}
-		for _, s := range f.Beat.Logs {
-			if s.Slot < 0 || s.Slot >= len(h.logs) {
+		for _, s := range f.Heartbeat.Logs {
+			if s.Log < 0 || s.Log >= len(h.logs) {
 				return errFrame
 			}
-			h.known[s.Slot] = max(h.known[s.Slot], s.Known)
+			h.known[s.Log] = max(h.known[s.Log], s.KnownGeneration)
 		}
-		p.beat = &f.Beat
+		p.beat = &f.Heartbeat
 		h.compare(from)
 	default:
 		return errFrame
@@ -384,28 +386,28 @@
 }
 
 // agree hands a raft message on. A process that is taken in finds out by the first one.
-func (h *House) agree(f *Frame, m *pb.Message) {
+func (h *Member) agree(f *Frame, m *pb.Message) {
 	l := h.logs[f.Log]
-	if l != nil && f.Gen > l.gen {
+	if l != nil && f.Generation > l.gen {
 		h.drop(f.Log)
 		l = nil
 	}
-	if m.GetTo() != h.seats[f.Log] || l != nil && f.Gen < l.gen {
+	if m.GetTo() != h.seats[f.Log] || l != nil && f.Generation < l.gen {
 		return
 	}
 	if l == nil {
 		var err error
-		if l, err = newLog(&h.t, f.Log, f.Gen, h.seats[f.Log], false); err != nil {
+		if l, err = newLog(&h.t, f.Log, f.Generation, h.seats[f.Log], false); err != nil {
 			return
 		}
 		h.logs[f.Log] = l
-		h.known[f.Log] = max(h.known[f.Log], f.Gen)
+		h.known[f.Log] = max(h.known[f.Log], f.Generation)
 	}
 	l.step(m)
 }
 
 // drop lets go of a log. The seat is never taken again: its votes and its word are forgotten.
-func (h *House) drop(slot int) {
+func (h *Member) drop(slot int) {
 	h.logs[slot] = nil
 	h.seats[slot]++
 	h.beatAt = h.now
@@ -413,29 +415,29 @@
 
 // compare lets go of logs from which this process was removed, and of those founded anew. One that was removed stays for a
 // while, and votes: the others may have yet to hear that the change is over, and until then they can't do without it.
-func (h *House) compare(from int) {
+func (h *Member) compare(from int) {
 	for _, s := range h.peers[from].beat.Logs {
-		l := h.logs[s.Slot]
+		l := h.logs[s.Log]
 		switch {
-		case l == nil || !s.Leads:
-		case s.Gen > l.gen:
-			h.drop(s.Slot)
-		case s.Gen < l.gen || s.Term < l.term() || l.leads || slices.Contains(s.Voters, l.seat) || slices.Contains(s.Former, l.seat) || !s.Whole:
+		case l == nil || !s.IsLeader:
+		case s.Generation > l.gen:
+			h.drop(s.Log)
+		case s.Generation < l.gen || s.Term < l.term() || l.leads || slices.Contains(s.Voters, l.seat) || slices.Contains(s.OutgoingVoters, l.seat) || !s.Complete:
 			l.outSince = 0
 		case l.outSince == 0:
 			l.outSince = h.now
 		case h.now-l.outSince > lingerFor:
-			h.drop(s.Slot)
+			h.drop(s.Log)
 		}
 	}
 }
 
 // Tick lets time pass; it is called every TickMs or so.
-func (h *House) Tick(now float64) {
+func (h *Member) Tick(now float64) {
 	gap := now - h.now
 	h.now = now
 	if now-h.tickAt > frozenFrom || gap > frozenFrom {
-		h.doubt = now + SilentFor
+		h.doubt = now + PeerTimeoutMs
 		h.tickAt, h.still = now, now
 		h.nonce++
 		for m := range h.peers {
@@ -459,7 +461,7 @@
 		switch {
 		case now >= a.until, h.cut() && now-a.sent >= TickMs: // an election may be under way, but not with nobody
 			delete(h.asks, seq)
-			h.reply(a, Alone, Outcome{})
+			h.reply(a, NoQuorum, FinalAnswer{})
 		case now-a.sent >= againAfter:
 			h.send(a)
 		}
@@ -469,15 +471,15 @@
 		h.steer()
 	}
 	for _, l := range h.logs {
-		if l != nil && l.serves(h.t.Copies) && h.t.Flaw != NoHeirs {
+		if l != nil && l.serves(h.t.Replicas) && h.t.InjectedBug != BugNoTakeover {
 			h.inherit(l)
 		}
 	}
 	if now >= h.cleanAt {
 		h.cleanAt = now + forgetEvery
 		for _, l := range h.logs {
-			if l != nil && l.serves(h.t.Copies) {
-				_ = l.rn.Propose(snapshot.Append(nil, &Record{Kind: Forget, At: now}))
+			if l != nil && l.serves(h.t.Replicas) {
+				_ = l.rn.Propose(snapshot.Append(nil, &Record{Kind: AnswersExpired, At: now}))
 			}
 		}
 	}
@@ -485,7 +487,7 @@
 
 // cut tells whether this process hears so few that no majority of any log's copies can be among them. One that has just
 // begun has yet to hear.
-func (h *House) cut() bool {
+func (h *Member) cut() bool {
 	if h.now < h.born+youngFor {
 		return false
 	}
@@ -495,11 +497,11 @@
 			n++
 		}
 	}
-	return 2*n <= h.t.Copies
+	return 2*n <= h.t.Replicas
 }
 
 // open gives the asks without an answer, in their order.
-func (h *House) open() []uint64 {
+func (h *Member) open() []uint64 {
 	all := make([]uint64, 0, len(h.asks))
 	for seq := range h.asks {
 		all = append(all, seq)
@@ -508,8 +510,8 @@
 	return all
 }
 
-func (h *House) beat() {
-	b := Beat{Leaving: h.leaving, Nonce: h.nonce, Echo: make([]uint64, len(h.peers))}
+func (h *Member) beat() {
+	b := Heartbeat{Leaving: h.leaving, Nonce: h.nonce, Echo: make([]uint64, len(h.peers))}
 	for m := range h.peers {
 		if p := &h.peers[m]; p.beat != nil {
 			b.Echo[m] = p.beat.Nonce
@@ -518,24 +520,24 @@
 	for slot := range h.logs {
 		b.Logs = append(b.Logs, h.state(slot))
 	}
-	data := encode(&Frame{Kind: beatFrame, Beat: b})
+	data := encode(&Frame{Kind: beatFrame, Heartbeat: b})
 	for m := range h.peers {
 		if m != h.t.Self && h.peers[m].linked {
-			h.out = append(h.out, Out{To: m, Frame: data})
+			h.out = append(h.out, Output{To: m, Frame: data})
 		}
 	}
 }
 
-func (h *House) state(slot int) State {
-	s := State{Slot: slot, Known: h.known[slot], Seat: h.seats[slot]}
+func (h *Member) state(slot int) LogStatus {
+	s := LogStatus{Log: slot, KnownGeneration: h.known[slot], VoterID: h.seats[slot]}
 	if l := h.logs[slot]; l != nil {
-		s.Gen, s.Holds, s.Term = l.gen, true, l.term()
-		s.Leads = l.leads && l.began > 0
-		s.Voters, s.Former, s.At = l.conf.GetVoters(), l.conf.GetVotersOutgoing(), l.applied
-		s.Whole = l.serves(h.t.Copies) && len(l.conf.GetVotersOutgoing()) == 0
+		s.Generation, s.HasReplica, s.Term = l.gen, true, l.term()
+		s.IsLeader = l.leads && l.began > 0
+		s.Voters, s.OutgoingVoters, s.Applied = l.conf.GetVoters(), l.conf.GetVotersOutgoing(), l.applied
+		s.Complete = l.serves(h.t.Replicas) && len(l.conf.GetVotersOutgoing()) == 0
 		for _, v := range l.conf.GetVoters() {
 			m := of(v).Member()
-			s.Whole = s.Whole && h.alive(m) && h.seatOf(m, slot) == v
+			s.Complete = s.Complete && h.alive(m) && h.seatOf(m, slot) == v
 		}
 	}
 	return s
@@ -545,7 +547,7 @@
 // have heard of it, among so many that a majority of its copies can't be among the others. Anew, all members have to be
 // heard, and what they say must show, unchanged for a while, that nobody leads it and no majority of its copies is left.
 // Whoever is heard has given back a nonce of now: what was said before this process stood still proves nothing.
-func (h *House) found() {
+func (h *Member) found() {
 	own := h.t.Self
 	mine := h.logs[own]
 	if h.leaving || mine != nil && (mine.leads || mine.leader() != 0) {
@@ -554,7 +556,7 @@
 	}
 	unheard, leads := 0, false
 	held := map[uint64]bool{}
-	var states []State
+	var states []LogStatus
 	if mine != nil {
 		held[mine.seat] = true
 		states = append(states, h.state(own))
@@ -564,31 +566,31 @@
 			unheard++
 		} else if m != own {
 			for _, s := range p.beat.Logs {
-				if s.Slot == own && s.Holds {
-					held[s.Seat], leads = true, leads || s.Leads
+				if s.Log == own && s.HasReplica {
+					held[s.VoterID], leads = true, leads || s.IsLeader
 					states = append(states, s)
 				}
 			}
 		}
 	}
 	if h.known[own] == 0 {
-		if unheard <= (h.t.Copies-1)/2 {
+		if unheard <= (h.t.Replicas-1)/2 {
 			h.begin(own)
 		}
 		return
 	}
-	if sum := xxhash.Sum64(snapshot.Append(nil, &Beat{Logs: states})); unheard > 0 || leads || sum != h.picture {
+	if sum := xxhash.Sum64(snapshot.Append(nil, &Heartbeat{Logs: states})); unheard > 0 || leads || sum != h.picture {
 		h.picture, h.still = sum, h.now
 		return
 	}
 	// What the one says that has come farthest is the latest: those behind may name voters of before.
-	slices.SortStableFunc(states, func(a, b State) int { return cmp.Compare(b.At, a.At) })
-	if len(states) > 0 && majority(states[0].Voters, held) && (len(states[0].Former) == 0 || majority(states[0].Former, held)) {
+	slices.SortStableFunc(states, func(a, b LogStatus) int { return cmp.Compare(b.Applied, a.Applied) })
+	if len(states) > 0 && majority(states[0].Voters, held) && (len(states[0].OutgoingVoters) == 0 || majority(states[0].OutgoingVoters, held)) {
 		h.still = h.now
 		return
 	}
 	if h.now-h.still > lostAfter {
-		h.out = append(h.out, Out{Log: "log founded anew: the majority of its copies is lost"})
+		h.out = append(h.out, Output{Log: "log founded anew: the majority of its copies is lost"})
 		if mine != nil {
 			h.drop(own)
 		}
@@ -607,39 +609,39 @@
 	return 2*n > len(voters)
 }
 
-func (h *House) begin(own int) {
+func (h *Member) begin(own int) {
 	l, err := newLog(&h.t, own, max(h.known[own]+1, uint64(h.now)), h.seats[own], true)
 	if err != nil {
-		h.out = append(h.out, Out{Log: "log not founded: " + err.Error()})
+		h.out = append(h.out, Output{Log: "log not founded: " + err.Error()})
 		return
 	}
 	h.logs[own], h.known[own] = l, l.gen
 }
 
 // alive tells whether a member's process can take part.
-func (h *House) alive(m int) bool {
+func (h *Member) alive(m int) bool {
 	if m == h.t.Self {
 		return !h.leaving
 	}
 	p := &h.peers[m]
-	return p.linked && p.beat != nil && !p.beat.Leaving && h.now-p.heard < SilentFor
+	return p.linked && p.beat != nil && !p.beat.Leaving && h.now-p.heard < PeerTimeoutMs
 }
 
 // seatOf is the seat by which a member is in a log, or would be.
-func (h *House) seatOf(m, slot int) uint64 {
+func (h *Member) seatOf(m, slot int) uint64 {
 	if m == h.t.Self {
 		return h.seats[slot]
 	}
 	for _, s := range h.peers[m].beat.Logs {
-		if s.Slot == slot {
-			return s.Seat
+		if s.Log == slot {
+			return s.VoterID
 		}
 	}
 	return 0
 }
 
 // rank orders members for a log: its own first, then by a hash that is the same everywhere.
-func (h *House) rank(slot int) []int {
+func (h *Member) rank(slot int) []int {
 	all := make([]int, len(h.t.Members))
 	weight := make([]uint64, len(all))
 	for m := range all {
@@ -660,7 +662,7 @@
 
 // steer has the logs that this process leads held by as many live processes as are meant to, one change at a time, and led by
 // their own members.
-func (h *House) steer() {
+func (h *Member) steer() {
 	for slot, l := range h.logs {
 		if l == nil || !l.leads || l.began == 0 {
 			continue
@@ -675,12 +677,12 @@
 }
 
 // rearrange proposes a change of voters, if one is due.
-func (h *House) rearrange(slot int, l *log) bool {
+func (h *Member) rearrange(slot int, l *log) bool {
 	voters := l.conf.GetVoters()
 	var want []uint64
 	for pass := range 3 { // its own member, those who hold it, others
 		for _, m := range h.rank(slot) {
-			if len(want) == h.t.Copies || !h.alive(m) {
+			if len(want) == h.t.Replicas || !h.alive(m) {
 				continue
 			}
 			seat := h.seatOf(m, slot)
@@ -705,7 +707,7 @@
 			added++
 		}
 	}
-	spare := len(voters) + added - h.t.Copies // a lost voter stays until another is there in its place
+	spare := len(voters) + added - h.t.Replicas // a lost voter stays until another is there in its place
 	for _, seat := range voters {
 		if spare > 0 && !slices.Contains(want, seat) && seat != l.seat {
 			change(pb.ConfChangeRemoveNode, seat)
@@ -723,7 +725,7 @@
 }
 
 // pass hands the lead to the log's own member once it is a voter, or to any where this process leaves.
-func (h *House) pass(slot int, l *log) {
+func (h *Member) pass(slot int, l *log) {
 	for _, m := range h.rank(slot) {
 		if m != h.t.Self && h.alive(m) && slices.Contains(l.conf.GetVoters(), h.seatOf(m, slot)) && (m == slot || h.leaving) {
 			l.rn.TransferLeader(h.seatOf(m, slot))
@@ -737,7 +739,7 @@
 
 // gone tells whether a life is lost, as far as this process can tell. It may be wrong: the log's word keeps a
 // process that lives from acting on what it no longer has.
-func (h *House) gone(owner Pid) bool {
+func (h *Member) gone(owner Incarnation) bool {
 	if owner.Member() >= len(h.peers) {
 		return true
 	}
@@ -748,13 +750,13 @@
 	case owner.Member() == h.t.Self, p.pid.life() > owner.life():
 		return true
 	case p.linked:
-		return h.now-p.heard > SilentFor
+		return h.now-p.heard > PeerTimeoutMs
 	}
-	return h.now-p.broke > BrokenFor
+	return h.now-p.broke > ReconnectTimeoutMs
 }
 
 // inherit proposes to take over what lost processes had, and what is past its time.
-func (h *House) inherit(l *log) {
+func (h *Member) inherit(l *log) {
 	for key, at := range l.claimed {
 		if h.now-at > 2*againAfter {
 			delete(l.claimed, key)
@@ -763,18 +765,18 @@
 	due := map[string]*Entry{}
 	for key, e := range l.ledger.open {
 		_, already := l.claimed[key]
-		if !already && (h.gone(e.Owner) || h.now >= e.Op.GiveUp+overdueFor || e.Owner == h.self && !h.mine[key]) {
+		if !already && (h.gone(e.Owner) || h.now >= e.Request.Deadline+overdueFor || e.Owner == h.self && !h.mine[key]) {
 			due[key] = e
 		}
 	}
 	for _, e := range sorted(due) {
 		l.claimed[e.Key] = h.now
-		_ = l.rn.Propose(snapshot.Append(nil, &Record{Kind: Assign, Key: e.Key, Owner: e.Owner, To: h.self, At: h.now}))
+		_ = l.rn.Propose(snapshot.Append(nil, &Record{Kind: OwnerChanged, Key: e.Key, Owner: e.Owner, NewOwner: h.self, At: h.now}))
 	}
 }
 
 // work carries out what the logs are ready for.
-func (h *House) work() {
+func (h *Member) work() {
 	for again := true; again; {
 		again = false
 		for slot, l := range h.logs {
@@ -783,7 +785,7 @@
 			}
 			again = true
 			led := l.leads
-			l.work(func(m *pb.Message) { h.post(l, m) }, func(r *Record, code Code, o Outcome) { h.applied(l, r, code, o) })
+			l.work(func(m *pb.Message) { h.post(l, m) }, func(r *Record, code Result, o FinalAnswer) { h.applied(l, r, code, o) })
 			if l.leads != led {
 				h.beatAt = h.now
 				clear(l.claimed)
@@ -792,13 +794,13 @@
 				if led {
 					verb = "leads no more"
 				}
-				h.out = append(h.out, Out{Log: fmt.Sprintf("%s the log of %s, term %d", verb, h.t.Members[slot], l.term())})
+				h.out = append(h.out, Output{Log: fmt.Sprintf("%s the log of %s, term %d", verb, h.t.Members[slot], l.term())})
 			}
 		}
 	}
 }
 
-func (h *House) post(l *log, m *pb.Message) {
+func (h *Member) post(l *log, m *pb.Message) {
 	to := of(m.GetTo())
 	if p := &h.peers[to.Member()]; to == h.self || p.pid != to || !p.linked {
 		l.sent(m, false)
@@ -808,34 +810,34 @@
 	if err != nil {
 		return
 	}
-	h.frame(to.Member(), &Frame{Kind: raftFrame, Log: l.slot, Gen: l.gen, Raft: data})
+	h.frame(to.Member(), &Frame{Kind: raftFrame, Log: l.slot, Generation: l.gen, Raft: data})
 	l.sent(m, true)
 }
 
 // applied hears of each record that a log has taken.
-func (h *House) applied(l *log, r *Record, code Code, o Outcome) {
-	if r.Kind == Assign {
+func (h *Member) applied(l *log, r *Record, code Result, o FinalAnswer) {
+	if r.Kind == OwnerChanged {
 		delete(l.claimed, r.Key)
-		if code == Done && r.To == h.self {
+		if code == Committed && r.NewOwner == h.self {
 			e := *l.ledger.entries[r.Key]
-			e.Pushes = slices.Clone(e.Pushes)
+			e.Attempts = slices.Clone(e.Attempts)
 			h.mine[r.Key] = true
-			h.out = append(h.out, Out{Inherit: &e})
+			h.out = append(h.out, Output{TakenOver: &e})
 		}
 		return
 	}
-	if r.Asker != 0 && l.leading() {
-		h.answer(r.Asker, r.Seq, code, o)
+	if r.Caller != 0 && l.leading() {
+		h.answer(r.Caller, r.Seq, code, o)
 	}
 }
 
 // Next gives the next thing to do, if there is one. The logs are worked at here: what came in together goes out together.
-func (h *House) Next() (Out, bool) {
+func (h *Member) Next() (Output, bool) {
 	if len(h.out) == 0 {
 		h.work()
 	}
 	if len(h.out) == 0 {
-		return Out{}, false
+		return Output{}, false
 	}
 	o := h.out[0]
 	h.out = h.out[1:]
--- a/internal/serve/capture.go
+++ b/internal/serve/capture.go
@@ -24,7 +24,7 @@
 
 // captured puts a recorder round each module that the node makes. End is called when the node has ended; dump writes a
 // ring in memory out, and is nil where there is none.
-func captured(p *Place, o *Options, now *clock.Clock, log *slog.Logger) (end func(), dump func() (string, error), err error) {
+func captured(p *Config, o *Options, now *clock.Clock, log *slog.Logger) (end func(), dump func() (string, error), err error) {
 	ring := o.Capture.Ring
 	ring.Node, ring.Log, ring.Now = p.name, log, now.Now
 	var sink func(capture.Batch)
@@ -51,9 +51,9 @@
 		}
 	}
 	inner, epoch := o.Decide, uint64(now.Now()) // a process begins where the one before can't have been
-	o.Decide = func(t *balancer.Terms, at float64) balancer.Decider {
+	o.Decide = func(t *balancer.Config, at float64) balancer.Decider {
 		d := inner(t, at)
-		r, err := capture.NewRecorder(d, at, capture.Start{Name: p.name, Epoch: epoch, Build: o.Version, Terms: t},
+		r, err := capture.NewRecorder(d, at, capture.Start{Name: p.name, Epoch: epoch, Build: o.Version, Config: t},
 			capture.Options{Every: o.Capture.Every, Secret: o.Capture.Secret, Sink: sink})
 		if err != nil {
 			log.Error("no capture", "error", err)
--- a/internal/serve/control.go
+++ b/internal/serve/control.go
@@ -22,7 +22,7 @@
 const lookWithin = time.Second
 
 // openControl serves the node's control socket until it is closed.
-func openControl(p *Place, o Options, n *node.Node, f *server.Front, dump func() (string, error), certificates *acme.Instance,
+func openControl(p *Config, o Options, n *node.Node, f *server.Server, dump func() (string, error), certificates *acme.Instance,
 	links *peers.Peers, settings *shared, started float64, log *slog.Logger) (io.Closer, error) {
 	l, err := controlsocket.Listen(o.Control)
 	if err != nil {
@@ -31,7 +31,7 @@
 	status := func(ctx context.Context) (controlsocket.Status, error) {
 		ctx, cancel := context.WithTimeout(ctx, lookWithin)
 		defer cancel()
-		look, err := n.Look(ctx)
+		look, err := n.Status(ctx)
 		if err != nil {
 			return controlsocket.Status{}, err
 		}
@@ -39,7 +39,7 @@
 		now := p.now.Load()
 		s := controlsocket.Status{Token: o.Token, PID: os.Getpid(), Name: p.name, Listen: f.Address(), Version: o.Version, Started: started,
 			Config: p.file, Digest: now.digest, Epoch: o.Epoch, List: now.discovery, ListAt: look.Version, ListSum: look.Digest,
-			Backends: look.Backends, Ready: look.Held, InService: in, Ending: ending, Open: int64(look.Open), MemoryMB: memory()}
+			Backends: look.Backends, Ready: look.HasList, InService: in, Ending: ending, Open: int64(look.Open), MemoryMB: memory()}
 		if certificates != nil {
 			s.TLS = &controlsocket.TLS{Listen: f.SecureAddress(), Dir: o.TLS.Acme.Dir, Handshakes: f.Handshakes(), Certificates: certificates.Status()}
 			s.TLS.Orders, s.TLS.OrderedBy = certificates.Orders()
@@ -65,9 +65,9 @@
 	if o.Edge != "" {
 		clients = f.Clients
 	}
-	var peers func(context.Context) (requestlog.Picture, error)
+	var peers func(context.Context) (requestlog.StateDigest, error)
 	if links != nil {
-		peers = func(ctx context.Context) (requestlog.Picture, error) {
+		peers = func(ctx context.Context) (requestlog.StateDigest, error) {
 			ctx, cancel := context.WithTimeout(ctx, lookWithin)
 			defer cancel()
 			return links.State(ctx)
--- a/internal/serve/pair.go
+++ b/internal/serve/pair.go
@@ -33,14 +33,14 @@
 
 // pair is what the processes of one node know of each other: one that was there before, one that follows.
 type pair struct {
-	place  *Place
+	place  *Config
 	path   string // where a process offers itself; empty where none does
 	limit  int    // of descriptors, for both together
 	budget *descriptors.Budget
 	clock  *clock.Clock
 	log    *slog.Logger
 	node   *node.Node
-	front  *server.Front
+	front  *server.Server
 	serves atomic.Bool
 
 	mu     sync.Mutex
@@ -50,7 +50,7 @@
 }
 
 // handoverPath is where the node's processes meet: a directory that both have to themselves.
-func handoverPath(p *Place, log *slog.Logger) string {
+func handoverPath(p *Config, log *slog.Logger) string {
 	dir := os.Getenv("TMPDIR")
 	if p.control == "" || dir == "" || strings.HasSuffix(p.listen, ":0") {
 		return ""
@@ -97,12 +97,12 @@
 
 // learn has the node begin with what was taken over; from then on both are one node.
 func (p *pair) learn(s *hotrestart.State) {
-	err := p.node.Follow(&node.Learned{Names: s.Names, Module: s.Module, Known: s.Known, Banned: s.Banned})
+	err := p.node.Restore(&node.LearnedState{Names: s.Names, Module: s.Module, Known: s.Known, Banned: s.Banned})
 	if err != nil {
 		p.log.Warn("what the process before has learned is not taken, this one starts fresh", "error", err)
 	}
 	if s.Away != nil {
-		p.front.SendAwaySince(true, time.Now().Add(-clock.Span(*s.Away)))
+		p.front.SendClientsAwaySince(true, time.Now().Add(-clock.Span(*s.Away)))
 	}
 	p.log.Info("following the process before", "backends", len(s.Names), "taken_out", len(s.Banned), "away", s.Away != nil, "learned_bytes", len(s.Module))
 }
@@ -131,7 +131,7 @@
 func (p *pair) alone() {
 	p.budget.Limit(p.limit)
 	p.remember(1)
-	p.node.Split(1)
+	p.node.ProcessesChanged(1)
 }
 
 func (p *pair) open() {
@@ -160,14 +160,14 @@
 	p.log.Info("another process follows this one")
 	p.budget.Limit(int(olderShare * float64(p.limit)))
 	p.remember(2)
-	p.node.Split(2)
-	l, err := p.node.Learned(ctx)
+	p.node.ProcessesChanged(2)
+	l, err := p.node.LearnedState(ctx)
 	if err != nil {
 		return nil, err
 	}
 	s := &hotrestart.State{Zones: p.place.names.Zones, Kinds: p.place.names.Kinds, List: l.List, Names: l.Names, Module: l.Module,
 		Known: l.Known, Banned: l.Banned}
-	if passed, away := p.front.AwayFor(); away {
+	if passed, away := p.front.ClientsAwayFor(); away {
 		ms := float64(passed.Microseconds()) / 1e3
 		s.Away = &ms
 	}
@@ -280,12 +280,12 @@
 func (p *pair) do(ctx context.Context, c hotrestart.Call) (string, error) {
 	switch v := admin.Verb(c.Verb); v {
 	case admin.Cordon, admin.Uncordon:
-		if err := p.node.TakeOut(ctx, c.ID, v == admin.Cordon, c.Force); err != nil {
+		if err := p.node.Cordon(ctx, c.ID, v == admin.Cordon, c.Force); err != nil {
 			return "", fmt.Errorf("%.80q: %w", c.ID, err)
 		}
 		return map[admin.Verb]string{admin.Cordon: "out", admin.Uncordon: "back"}[v], nil
 	case admin.Quiesce:
-		if p.front.SendAway(true) {
+		if p.front.SendClientsAway(true) {
 			p.log.Info("clients sent away")
 		}
 		return "clients are sent away", nil
@@ -293,7 +293,7 @@
 		if _, ending := p.front.State(); ending && p.other() == nil {
 			return "", errEnding
 		}
-		if p.front.SendAway(false) {
+		if p.front.SendClientsAway(false) {
 			p.log.Info("clients taken again")
 		}
 		return "clients are taken", nil
--- a/internal/serve/peers.go
+++ b/internal/serve/peers.go
@@ -40,7 +40,7 @@
 
 // Peers is what an operator says of the processes that share.
 type Peers struct {
-	terms      peers.Terms
+	terms      peers.Config
 	at         *tomlfile.File
 	header     string
 	most       int
@@ -73,7 +73,7 @@
 		}
 	}
 	p := &Peers{at: at, header: f.Header, most: int(f.AnswersKB * 1024), categories: map[string]bool{},
-		terms: peers.Terms{Fleet: f.Fleet, Copies: f.Copies, Keep: f.KeepS * 1e3, Most: int(f.MemoryMB * (1 << 20) / float64(f.Copies) / requestlog.HeldTimes), Self: -1}}
+		terms: peers.Config{Fleet: f.Fleet, Replicas: f.Copies, OutcomeTTL: f.KeepS * 1e3, MaxLogBytes: int(f.MemoryMB * (1 << 20) / float64(f.Copies) / requestlog.MemoryFactor), Self: -1}}
 	seen := map[string]bool{}
 	for k, m := range f.Member {
 		key := fmt.Sprintf("member.%d.", k)
@@ -108,19 +108,19 @@
 }
 
 // fits takes the node's name for the member's, and looks whether the categories are there.
-func (o *Peers) fits(p *Place) error {
+func (o *Peers) fits(p *Config) error {
 	o.terms.Self = slices.IndexFunc(o.terms.Members, func(m peers.Member) bool { return m.Name == p.name })
 	if o.terms.Self < 0 {
 		return o.at.Errorf("member", "none is called %q, as this node is", p.name)
 	}
 	for name := range o.categories {
-		if !slices.Contains(p.told.Categories, name) {
+		if !slices.Contains(p.told.Classes, name) {
 			return o.at.Errorf("category", "%q is none of the node's categories", name)
 		}
 	}
 	return nil
 }
 
-func (o *Peers) keep(links *peers.Peers) server.Keep {
-	return server.Keep{Peers: links, Header: o.header, Categories: o.categories, Most: o.most}
+func (o *Peers) keep(links *peers.Peers) server.RequestLogging {
+	return server.RequestLogging{Peers: links, Header: o.header, Categories: o.categories, Most: o.most}
 }
--- a/internal/serve/place.go
+++ b/internal/serve/place.go
@@ -24,7 +24,7 @@
 )
 
 // Place is where a node runs: its addresses, its limits and what the deployment tells it.
-type Place struct {
+type Config struct {
 	file      string
 	name      string
 	listen    string
@@ -49,7 +49,7 @@
 type reading struct{ digest, discovery string }
 
 // Read reads the configuration; the environment's own variables stand in for what it leaves out.
-func Read(file string, log *slog.Logger) (*Place, error) {
+func Read(file string, log *slog.Logger) (*Config, error) {
 	if file == "" {
 		return nil, errors.New("no configuration: give -config or set ROUTER_CONFIG")
 	}
@@ -73,7 +73,7 @@
 	if err := json.Unmarshal(data, &read); err != nil {
 		return nil, wrong(file, data, err)
 	}
-	p := &Place{
+	p := &Config{
 		file:      file,
 		name:      cmp.Or(read.Name, os.Getenv("ROUTER_NAME")),
 		listen:    cmp.Or(read.Listen, os.Getenv("ROUTER_LISTEN")),
@@ -103,7 +103,7 @@
 	if p.told, err = config.FromJSON(read.Settings); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	if p.told.Terms.Seed, err = strconv.ParseUint(read.Seed, 16, 64); err != nil {
+	if p.told.Balancer.Seed, err = strconv.ParseUint(read.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("%s: seed: %w", file, err)
 	}
 	sum := sha256.Sum256(data)
@@ -125,7 +125,7 @@
 }
 
 // readKnown reads the list that the file has, by the names that the settings give.
-func (p *Place) readKnown(log *slog.Logger) {
+func (p *Config) readKnown(log *slog.Logger) {
 	p.names, p.known = discovery.Names{Zones: p.told.Zones, Kinds: p.told.Kinds}, nil
 	if len(p.knownText) == 0 || string(p.knownText) == "null" {
 		return
@@ -133,14 +133,14 @@
 	var err error
 	if p.known, err = p.names.Decode(p.knownText, log); err != nil {
 		log.Warn("known list skipped", "error", err) // the list itself will tell
-	} else if !p.known.Whole { // a watch from its version would never tell of the rest
+	} else if !p.known.Complete { // a watch from its version would never tell of the rest
 		log.Warn("known list skipped", "error", "changes alone")
 		p.known = nil
 	}
 }
 
 // adopt has a node start with settings that are not the file's.
-func (p *Place) adopt(d *config.Deployment, version uint64, log *slog.Logger) {
+func (p *Config) adopt(d *config.Deployment, version uint64, log *slog.Logger) {
 	p.told, p.version = d, version
 	p.readKnown(log)
 }
@@ -167,7 +167,7 @@
 // reread takes up a new text of the file, whole or not at all: where the list is asked for, and the whole list from there;
 // and the settings, by retune. Addresses and limits need a start. Once the control plane has put settings in force, the file's
 // are read and no more.
-func (p *Place) reread(move func(address string), retune func(*config.Deployment) error, log *slog.Logger) {
+func (p *Config) reread(move func(address string), retune func(*config.Deployment) error, log *slog.Logger) {
 	next, err := Read(p.file, log)
 	if err == nil {
 		for _, key := range slices.Sorted(slices.Values(p.keys)) {
@@ -204,14 +204,14 @@
 	}
 	p.discovery = next.discovery
 	p.now.Store(next.now.Load())
-	log.Info("new configuration", "discovery", p.discovery, "categories", strings.Join(p.told.Categories, " "))
+	log.Info("new configuration", "discovery", p.discovery, "categories", strings.Join(p.told.Classes, " "))
 }
 
-func (p *Place) String() string {
+func (p *Config) String() string {
 	known := 0
 	if p.known != nil {
-		known = len(p.known.Members)
+		known = len(p.known.Endpoints)
 	}
 	return fmt.Sprintf("%s on %s, list at %s: %s, reports of %v, %d categories, %d known backends, %d nodes; %g cores, %d MB, %d sockets",
-		p.name, p.listen, p.discovery, p.told.Shape, p.told.Report, len(p.told.Categories), known, p.told.Terms.Nodes, p.cores, p.memory>>20, p.sockets)
+		p.name, p.listen, p.discovery, p.told.Shape, p.told.Report, len(p.told.Classes), known, p.told.Balancer.Nodes, p.cores, p.memory>>20, p.sockets)
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -42,7 +42,7 @@
 
 // Options are how a node is run; zero is a node that stands alone.
 type Options struct {
-	Decide  node.Decide // makes its decision module
+	Decide  node.NewDecider // makes its decision module
 	Version string
 	Control string        // path of its control socket; none is served where empty
 	Held    bool          // out of service until the control socket says otherwise
@@ -64,7 +64,7 @@
 }
 
 // Run runs a node until ctx, which SIGTERM has to end from before the configuration is read, too; again is Hear's.
-func Run(ctx context.Context, again chan os.Signal, p *Place, o Options, log *slog.Logger) error {
+func Run(ctx context.Context, again chan os.Signal, p *Config, o Options, log *slog.Logger) error {
 	defer signal.Stop(again)
 	if ctx.Err() != nil { // told to end before it was there
 		return nil
@@ -125,7 +125,7 @@
 		second = c.Address()
 	}
 	defer both.close()
-	watch := &discovery.Watch{Address: p.discovery, Names: p.names, Own: !p.told.Terms.MustAsk, Log: log}
+	watch := &discovery.Watch{Address: p.discovery, Names: p.names, Own: !p.told.Balancer.PollEndpoints, Log: log}
 	if p.known != nil {
 		watch.Version, watch.Held = p.known.Version, true
 	}
@@ -138,7 +138,7 @@
 		}
 		defer end()
 	}
-	backends := &upstream.Terms{Tell: config.Tell, Budget: budget, Log: log}
+	backends := &upstream.Config{SetReportValue: config.SetReportValue, Budget: budget, Log: log}
 	var told atomic.Pointer[config.Deployment]
 	retime := func(d *config.Deployment) {
 		told.Store(d)
@@ -146,8 +146,8 @@
 		backends.IdleFor.Set(clock.Span(idleShare * d.ConnectionIdle))
 	}
 	retime(p.told)
-	n := node.New(p.told, o.Decide, now, backends, watch.Ask, log)
-	watch.Told, watch.Failed = n.Listed, n.ListFailed
+	n := node.New(p.told, o.Decide, now, backends, watch.Poll, log)
+	watch.OnList, watch.OnFailure = n.EndpointsChanged, n.PollFailed
 	f := server.New(n, p.told, now, budget, log)
 	if o.Edge != "" {
 		limits, err := ReadEdge(o.Edge)
@@ -165,13 +165,13 @@
 	both.node, both.front = n, f
 	var links *peers.Peers
 	if o.Peers != nil {
-		links = peers.New(o.Peers.terms, now, n.Inherit, log)
+		links = peers.New(o.Peers.terms, now, n.TakeOver, log)
 		n.Keep(links)
-		f.Keep(o.Peers.keep(links))
+		f.LogRequests(o.Peers.keep(links))
 	}
 	if before := both.follow(ctx); before != nil {
 		both.learn(before)
-		if before.List.Members != nil {
+		if before.List.Endpoints != nil {
 			p.known = &before.List
 			watch.Version, watch.Held = before.List.Version, true
 		}
@@ -191,7 +191,7 @@
 	watch.Start(over)
 	n.Start(p.known)
 	if both.before != nil {
-		n.Split(2)
+		n.ProcessesChanged(2)
 		select { // the one before serves on until this one can
 		case <-n.Ready():
 		case <-ctx.Done():
@@ -218,10 +218,10 @@
 	go func() { failed <- f.Serve() }()
 	both.begin()
 	retune := func(d *config.Deployment) error {
-		if err := n.Retune(over, d); err != nil {
+		if err := n.Reconfigure(over, d); err != nil {
 			return err
 		}
-		f.Retune(d)
+		f.Reconfigure(d)
 		retime(d)
 		return nil
 	}
@@ -238,12 +238,12 @@
 			case a := <-asks:
 				a.told <- settings.take(a, retune)
 			case <-again:
-				p.reread(watch.Move, retune, log)
+				p.reread(watch.SetAddress, retune, log)
 				if o.Edge != "" {
 					if limits, err := ReadEdge(o.Edge); err != nil {
 						log.Error("new limits of clients not taken, the old ones hold", "error", err)
 					} else {
-						f.Relimit(*limits)
+						f.SetLimits(*limits)
 					}
 				}
 			case <-dumps:
@@ -262,13 +262,13 @@
 		return err
 	case <-ctx.Done():
 	}
-	longest := min(told.Load().LongestTTL, longestWait)
+	longest := min(told.Load().MaxDeadline, longestWait)
 	left := longest + killAfter - margin
 	log.Info("draining", "within_ms", left)
 	began := now.Now()
 	n.Drain(began + left)
 	if links != nil {
-		links.Leave()
+		links.Shutdown()
 	}
 	last, cancel := context.WithTimeout(over, clock.Span(left+margin/3))
 	defer cancel()
@@ -287,7 +287,7 @@
 		whole, cancel := context.WithTimeout(over, clock.Span(began+left+margin*2/3-now.Now())) // what streams has all the time there is
 		defer cancel()
 		go both.giveBack(whole, next)
-		unanswered = f.HandOver(whole)
+		unanswered = f.DrainForHandoff(whole)
 	} else {
 		unanswered = f.Drain(last)
 	}
--- a/internal/serve/shared.go
+++ b/internal/serve/shared.go
@@ -16,7 +16,7 @@
 
 // shared is the settings that the control plane puts in force in the place of the file's.
 type shared struct {
-	place  *Place
+	place  *Config
 	own    *config.Deployment // the file's, for what is the node's own
 	client *client.Client
 	asks   chan ask
@@ -39,7 +39,7 @@
 }
 
 // openShared reads the last good copy: a node that has one starts with it, whatever its file says.
-func openShared(p *Place, plane *client.Plane, c *clock.Clock, log *slog.Logger) (*shared, error) {
+func openShared(p *Config, plane *client.Plane, c *clock.Clock, log *slog.Logger) (*shared, error) {
 	t, err := plane.Node(p.name)
 	if err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 	}
 	s.place.told, s.place.version = a.settings, a.version
 	s.now.Store(&inForce{a.version, a.digest})
-	s.log.Info("new settings", "version", a.version, "digest", a.digest[:12], "categories", strings.Join(a.settings.Categories, " "))
+	s.log.Info("new settings", "version", a.version, "digest", a.digest[:12], "categories", strings.Join(a.settings.Classes, " "))
 	return nil
 }
 
--- a/internal/serve/tls.go
+++ b/internal/serve/tls.go
@@ -174,7 +174,7 @@
 
 // secured opens the TLS listener and the store, and runs the instance's keeper of certificates until ctx ends; wait ends
 // when it has let go of the store.
-func secured(ctx context.Context, p *Place, o *TLS, f *server.Front, log *slog.Logger) (i *acme.Instance, wait func(), err error) {
+func secured(ctx context.Context, p *Config, o *TLS, f *server.Server, log *slog.Logger) (i *acme.Instance, wait func(), err error) {
 	a := o.Acme
 	a.Limits.Instance, a.Log = p.name, log
 	if err := f.ListenSecure(server.Secure{Address: cmp.Or(p.tlsListen, o.Listen), Shared: p.control != "", Challenges: a.TLS,
--- a/internal/server/away.go
+++ b/internal/server/away.go
@@ -29,7 +29,7 @@
 }
 
 // AwayFor is for how long clients have been sent away, if they are.
-func (f *Front) AwayFor() (passed time.Duration, out bool) {
+func (f *Server) ClientsAwayFor() (passed time.Duration, out bool) {
 	f.away.mu.Lock()
 	defer f.away.mu.Unlock()
 	return time.Since(f.away.since), f.away.stop != nil
@@ -43,10 +43,10 @@
 
 // SendAway has the health check say no and, once that has been heard, clients go; or takes them again, at any point of
 // that. What is so already stays so. It tells whether anything changed.
-func (f *Front) SendAway(out bool) bool { return f.SendAwaySince(out, time.Now()) }
+func (f *Server) SendClientsAway(out bool) bool { return f.SendClientsAwaySince(out, time.Now()) }
 
 // SendAwaySince is SendAway where clients have been sent away before, by another process of the node.
-func (f *Front) SendAwaySince(out bool, since time.Time) bool {
+func (f *Server) SendClientsAwaySince(out bool, since time.Time) bool {
 	a := &f.away
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -67,7 +67,7 @@
 }
 
 // sendAway closes what is idle, again and again: an op in hand keeps its connection until its answer is out.
-func (f *Front) sendAway(stop <-chan struct{}, since time.Time) {
+func (f *Server) sendAway(stop <-chan struct{}, since time.Time) {
 	tick := time.NewTicker(awayTick)
 	defer tick.Stop()
 	for {
--- a/internal/server/decode.go
+++ b/internal/server/decode.go
@@ -33,7 +33,7 @@
 	// bodyPause. longestBody is what the largest takes so, in ms.
 	leastRate   = 32 << 10 // bytes a second
 	bodyPause   = 2 * time.Second
-	longestBody = 1e3 * upstream.MostBody / leastRate
+	longestBody = 1e3 * upstream.MaxBody / leastRate
 )
 
 // slowBody reads a client's body within the time that such a one may take.
@@ -68,8 +68,8 @@
 }
 
 // decode reads an op once.
-func (f *Front) decode(w http.ResponseWriter, r *http.Request, c *client) (*node.Op, *malformed) {
-	bad := func(format string, args ...any) (*node.Op, *malformed) {
+func (f *Server) decode(w http.ResponseWriter, r *http.Request, c *client) (*node.Request, *malformed) {
+	bad := func(format string, args ...any) (*node.Request, *malformed) {
 		return nil, &malformed{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 	}
 	if why := c.unclear(); why != "" {
@@ -84,7 +84,7 @@
 		return bad("no path")
 	}
 	told := f.told.Load()
-	category := slices.Index(told.Categories, config.Name(r.Header.Get(categoryHeader)))
+	category := slices.Index(told.Classes, config.Name(r.Header.Get(categoryHeader)))
 	if category < 0 {
 		return bad("unknown category %.40q", r.Header.Get(categoryHeader))
 	}
@@ -99,13 +99,13 @@
 		}
 	}
 	tooLong := &malformed{http.StatusRequestEntityTooLarge, "body of more than 32 MiB"}
-	if r.ContentLength > upstream.MostBody { // nothing of it is read
+	if r.ContentLength > upstream.MaxBody { // nothing of it is read
 		return nil, tooLong
 	}
-	slow := &slowBody{c: http.NewResponseController(w), from: http.MaxBytesReader(w, r.Body, upstream.MostBody), begun: time.Now()}
+	slow := &slowBody{c: http.NewResponseController(w), from: http.MaxBytesReader(w, r.Body, upstream.MaxBody), begun: time.Now()}
 	var body []byte
 	if r.Body != http.NoBody { // a limit that is past, where this machine stood still, would look like a client that left
-		body, err = io.ReadAll(io.LimitReader(slow, upstream.MostHeld+1))
+		body, err = io.ReadAll(io.LimitReader(slow, upstream.MaxBufferedBody+1))
 	}
 	if over := (*http.MaxBytesError)(nil); errors.As(err, &over) {
 		return nil, tooLong
@@ -118,20 +118,20 @@
 	// Of a body that is too large to hold the rest is passed on as it comes, and the op's time begins with its last byte.
 	var rest *upstream.Rest
 	least := min(float64(ttl), longestTTL)
-	if len(body) > upstream.MostHeld {
+	if len(body) > upstream.MaxBufferedBody {
 		slow.of = c
 		rest = &upstream.Rest{Size: r.ContentLength, TTL: clock.Span(least - onTheWay), From: slow}
 		least += longestBody
 	}
 	now := f.clock.Now()
 	repeat, tenant := r.Header.Get(repeatHeader) == "1", tenant(told, r)
-	op := node.NewOp(upstream.NewStreamed(r.Method, r.RequestURI, r.Host, r.Header, body, rest))
-	op.Under, op.Category, op.Tenant, op.Repeat = told.Terms, category, tenant, repeat
-	op.Hint, op.HasHint = hint/1e3, hinted != ""
-	op.GiveUp = now - c.wayHere() + least
+	op := node.NewRequest(upstream.NewStreamed(r.Method, r.RequestURI, r.Host, r.Header, body, rest))
+	op.Config, op.Class, op.Tenant, op.IsClientRetry = told.Balancer, category, tenant, repeat
+	op.CostHint, op.HasCostHint = hint/1e3, hinted != ""
+	op.Deadline = now - c.wayHere() + least
 	if f.keep != nil {
 		var bad *malformed
-		if op.Kept, bad = f.keyed(r, op, body); bad != nil {
+		if op.Logged, bad = f.keyed(r, op, body); bad != nil {
 			return nil, bad
 		}
 	}
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -19,7 +19,7 @@
 func TestDoor(t *testing.T) {
 	var mu sync.Mutex
 	var told []bool
-	f, budget, _ := secured(t, 96, func(f *Front) {
+	f, budget, _ := secured(t, 96, func(f *Server) {
 		l := admission.Defaults(0)
 		l.Grace = 1
 		f.Admit(l, func(pressed bool) {
@@ -55,7 +55,7 @@
 		if k%30 == 0 {
 			l := admission.Defaults(0)
 			l.Unproven = 4 + k
-			f.Relimit(l)
+			f.SetLimits(l)
 			assert.LessOrEqual(t, f.Clients().Open, f.Clients().Limit)
 		}
 	}
@@ -71,7 +71,7 @@
 
 // An op that is on its way here may be let go until it is taken; one that is in hand may not, and has its answer.
 func TestLetGoUntilTaken(t *testing.T) {
-	f, _, _ := secured(t, 96, func(f *Front) { f.Admit(admission.Defaults(0), func(bool) {}) })
+	f, _, _ := secured(t, 96, func(f *Server) { f.Admit(admission.Defaults(0), func(bool) {}) })
 	c, err := net.Dial("tcp", f.Address())
 	require.NoError(t, err)
 	defer c.Close()
--- a/internal/server/gone_kept_test.go
+++ b/internal/server/gone_kept_test.go
@@ -44,7 +44,7 @@
 		return w.Address()
 	}
 	for self := range 3 {
-		terms := peers.Terms{Fleet: "f", Copies: 3, Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, Most: 1 << 20, Keep: 60e3, Self: self}
+		terms := peers.Config{Fleet: "f", Replicas: 3, Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, MaxLogBytes: 1 << 20, OutcomeTTL: 60e3, Self: self}
 		for k, name := range []string{"a", "b", "c"} {
 			address := real[k]
 			if k != self && (k == 0 || self == 0) {
@@ -84,23 +84,23 @@
 }
 
 // kept is a front whose requests two other processes keep as well, before three backends.
-func kept(t *testing.T, a *attempts, g *gate) (f *Front, slow func(time.Duration)) {
+func kept(t *testing.T, a *attempts, g *gate) (f *Server, slow func(time.Duration)) {
 	keep, slow := keepers(t)
-	list := &discovery.List{Whole: true}
+	list := &discovery.List{Complete: true}
 	for k := range 3 {
-		list.Members = append(list.Members, member(k, a.backend()))
+		list.Endpoints = append(list.Endpoints, member(k, a.backend()))
 	}
-	f, _, _ = fronted(t, 256, &balancer.Terms{Seed: 1, Nodes: 1, MaxPushes: 3, SecondCopies: true, Cancel: true, MustAsk: true, AskWithin: 60e3,
-		FallMultiple: 3, OverloadFor: 1000, Categories: []balancer.Category{{TargetLatency: 50e3, Benefit: 1, LateBenefit: 1}}}, g.decide, list,
-		func(f *Front) {
+	f, _, _ = fronted(t, 256, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3,
+		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, g.decide, list,
+		func(f *Server) {
 			f.node.Keep(keep)
-			f.Keep(Keep{Peers: keep, Header: "Idempotency-Key", Categories: map[string]bool{"check": false}, Most: 1 << 10})
+			f.LogRequests(RequestLogging{Peers: keep, Header: "Idempotency-Key", Categories: map[string]bool{"check": false}, Most: 1 << 10})
 		})
 	require.Eventually(t, func() bool { // a majority answers
-		told := make(chan requestlog.Code, 1)
+		told := make(chan requestlog.Result, 1)
 		now := f.clock.Now()
-		keep.Look("x", 1, now+1000, func(r requestlog.Reply) { told <- r.Code })
-		return <-told == requestlog.Free
+		keep.Lookup("x", 1, now+1000, func(r requestlog.Reply) { told <- r.Result })
+		return <-told == requestlog.KeyUnused
 	}, 30*time.Second, 10*time.Millisecond)
 	return f, slow
 }
@@ -134,7 +134,7 @@
 	slow(250 * time.Millisecond) // its record takes 0.5 s
 	close(g.let)
 	close(g.on)
-	_, err := f.node.Look(t.Context())
+	_, err := f.node.Status(t.Context())
 	require.NoError(t, err)
 	leave()
 	seen(t, f)
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -184,7 +184,7 @@
 	return &gate{number: number, decided: make(chan bool), let: make(chan bool), on: make(chan bool)}
 }
 
-func (g *gate) decide(t *balancer.Terms, now float64) balancer.Decider {
+func (g *gate) decide(t *balancer.Config, now float64) balancer.Decider {
 	g.Decider = balancer.New(t, now)
 	return g
 }
@@ -195,7 +195,7 @@
 		<-g.on
 	}
 	d, more := g.Decider.Next()
-	if more && g.at == 0 && d.Kind == balancer.DoPush && d.Push.Number == g.number {
+	if more && g.at == 0 && d.Kind == balancer.DoAttempt && d.Attempt.Number == g.number {
 		g.wentBy = g.wanted != nil && !g.wanted()
 		close(g.decided)
 		if g.at = 2; !g.wentBy {
@@ -209,11 +209,11 @@
 // way is how a client leaves that has sent a request.
 type way struct {
 	name  string
-	begin func(t *testing.T, f *Front, said string) (leave func())
+	begin func(t *testing.T, f *Server, said string) (leave func())
 }
 
-func plainly(end func(net.Conn)) func(*testing.T, *Front, string) func() {
-	return func(t *testing.T, f *Front, said string) func() {
+func plainly(end func(net.Conn)) func(*testing.T, *Server, string) func() {
+	return func(t *testing.T, f *Server, said string) func() {
 		c := connected(t, f, said)
 		return func() { end(c) }
 	}
@@ -223,7 +223,7 @@
 	{"FIN", plainly(end)},
 	{"RST", plainly(reset)},
 	{"end of its sending", plainly(func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() })},
-	{"TLS's own end alone", func(t *testing.T, f *Front, said string) func() {
+	{"TLS's own end alone", func(t *testing.T, f *Server, said string) func() {
 		c, err := dial(f, &tls.Config{})
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
@@ -231,7 +231,7 @@
 		require.NoError(t, err)
 		return func() { _ = c.CloseWrite() }
 	}},
-	{"an HTTP client's cancel", func(t *testing.T, f *Front, said string) func() {
+	{"an HTTP client's cancel", func(t *testing.T, f *Server, said string) func() {
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(said)))
 		require.NoError(t, err)
 		r.RequestURI, r.URL.Scheme, r.URL.Host = "", "http", f.Address()
@@ -251,7 +251,7 @@
 // long is a way with a body that is passed on as it comes, so that net/http does not watch for the client.
 func long(w way) way {
 	begin := w.begin
-	w.begin = func(t *testing.T, f *Front, said string) func() {
+	w.begin = func(t *testing.T, f *Server, said string) func() {
 		return begin(t, f, strings.Replace(said, "Content-Length: 0\r\n\r\n", "Content-Length: 70000\r\n\r\n"+strings.Repeat("x", 70_000), 1))
 	}
 	w.name += " behind a long body"
@@ -292,30 +292,30 @@
 }
 
 // gone is a front whose node has so many backends, each of which takes what comes; terms are of what may be sent again.
-func gone(t *testing.T, g *gate, addresses ...string) *Front {
-	list := &discovery.List{Whole: true}
+func gone(t *testing.T, g *gate, addresses ...string) *Server {
+	list := &discovery.List{Complete: true}
 	for k, address := range addresses {
-		list.Members = append(list.Members, member(k, address))
+		list.Endpoints = append(list.Endpoints, member(k, address))
 	}
-	f, _, _ := fronted(t, 256, &balancer.Terms{Seed: 1, Nodes: 1, MaxPushes: 3, SecondCopies: true, Cancel: true, MustAsk: true, AskWithin: 60e3,
-		FallMultiple: 3, OverloadFor: 1000, Categories: []balancer.Category{{TargetLatency: 50e3, Benefit: 1, LateBenefit: 1}}}, g.decide, list)
+	f, _, _ := fronted(t, 256, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3,
+		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, g.decide, list)
 	return f
 }
 
-func member(k int, address string) discovery.Member {
-	return discovery.Member{Name: fmt.Sprint("s", k), Address: address, State: balancer.Ready, Weight: 1}
+func member(k int, address string) discovery.Endpoint {
+	return discovery.Endpoint{Name: fmt.Sprint("s", k), Address: address, State: balancer.BackendReady, Weight: 1}
 }
 
 // over waits until the front has seen so many requests off, and the node each of their attempts.
-func over(t *testing.T, f *Front, left int) {
+func over(t *testing.T, f *Server, left int) {
 	require.Eventually(t, func() bool {
-		l, err := f.node.Look(t.Context())
+		l, err := f.node.Status(t.Context())
 		return f.open.Load() == int64(left) && err == nil && l.Open == left
 	}, 10*time.Second, time.Millisecond)
 }
 
 // seen waits until the front has seen all clients leave.
-func seen(t *testing.T, f *Front) {
+func seen(t *testing.T, f *Server) {
 	require.Eventually(t, func() bool { return f.open.Load() == 0 }, 10*time.Second, time.Millisecond)
 }
 
@@ -395,7 +395,7 @@
 	a := newAttempts(t, map[int]int{first: 0, retry: 1, hedge: 1}[kind])
 	address, connecting, let, arrived := a.unreachable()
 	close(g.let)
-	var f *Front
+	var f *Server
 	var leave func()
 	if kind == first {
 		f = gone(t, g, address)
@@ -404,9 +404,9 @@
 		f = gone(t, g, a.backend())
 		leave = w.begin(t, f, sized("a", map[int]int{retry: 2000, hedge: 100}[kind]))
 		<-a.began
-		f.node.Listed(&discovery.List{Version: 1, Members: []discovery.Member{member(9, address)}})
+		f.node.EndpointsChanged(&discovery.List{Version: 1, Endpoints: []discovery.Endpoint{member(9, address)}})
 		if kind == retry {
-			_, err := f.node.Look(t.Context()) // the list is taken
+			_, err := f.node.Status(t.Context()) // the list is taken
 			require.NoError(t, err)
 			a.answer <- fails
 		}
--- a/internal/server/kept.go
+++ b/internal/server/kept.go
@@ -23,7 +23,7 @@
 )
 
 // Keep says which ops other processes keep.
-type Keep struct {
+type RequestLogging struct {
 	Peers      *peers.Peers
 	Header     string          // that names an op
 	Categories map[string]bool // that are kept; true goes on unprotected where no majority answers
@@ -31,15 +31,15 @@
 }
 
 // Keep has ops kept from now on; it is called before Serve.
-func (f *Front) Keep(k Keep) { f.keep = &k }
+func (f *Server) LogRequests(k RequestLogging) { f.keep = &k }
 
 // keyed tells whether an op is to be kept, and what it is known by.
-func (f *Front) keyed(r *http.Request, op *node.Op, body []byte) (*node.Kept, *malformed) {
+func (f *Server) keyed(r *http.Request, op *node.Request, body []byte) (*node.Logged, *malformed) {
 	keys := r.Header.Values(f.keep.Header)
 	if len(keys) == 0 {
 		return nil, nil
 	}
-	goOn, kept := f.keep.Categories[f.told.Load().Categories[op.Category]]
+	goOn, kept := f.keep.Categories[f.told.Load().Classes[op.Class]]
 	if !kept || op.Streamed {
 		return nil, nil
 	}
@@ -53,36 +53,36 @@
 	}
 	_, _ = print.Write(body)
 	// A key counts for its tenant alone: nobody hears of another's outcome by guessing.
-	return &node.Kept{Key: string(config.Name(r.Header.Get(tenantHeader))) + "\x00" + key, Print: print.Sum64(), GoOn: goOn, Most: f.keep.Most}, nil
+	return &node.Logged{Key: string(config.Name(r.Header.Get(tenantHeader))) + "\x00" + key, Fingerprint: print.Sum64(), GoOn: goOn, Most: f.keep.Most}, nil
 }
 
 // serveKept sees an op that others keep through to its one answer: its own, or that of the op that has its key already.
-func (f *Front) serveKept(w http.ResponseWriter, r *http.Request, c *client, op *node.Op) {
+func (f *Server) serveKept(w http.ResponseWriter, r *http.Request, c *client, op *node.Request) {
 	f.open.Add(1)
 	defer f.open.Add(-1)
 	f.latest.Store(time.Now().UnixMilli())
-	k := op.Kept
-	op.GiveUp -= finalTime
-	ctx, cancel := context.WithDeadline(r.Context(), f.clock.At(op.GiveUp))
+	k := op.Logged
+	op.Deadline -= finalTime
+	ctx, cancel := context.WithDeadline(r.Context(), f.clock.At(op.Deadline))
 	defer cancel()
 	taken, pause := false, lookAgain
 	for {
-		code, o := f.look(ctx, c.gone, k, min(op.GiveUp, f.clock.Now()+lookWithin))
+		code, o := f.look(ctx, c.gone, k, min(op.Deadline, f.clock.Now()+lookWithin))
 		select {
 		case <-c.gone: // before it is taken, or it might be sent on before that is called off
 			cancel()
 		default:
 		}
 		switch {
-		case ctx.Err() != nil || code == requestlog.Alone && f.clock.Now() >= op.GiveUp:
-			f.answer(w, c, node.Answer{Final: node.AskAgain, ComeBack: requestlog.SilentFor})
+		case ctx.Err() != nil || code == requestlog.NoQuorum && f.clock.Now() >= op.Deadline:
+			f.answer(w, c, node.Answer{Status: node.AskAgain, RetryAfter: requestlog.PeerTimeoutMs})
 			return
-		case code == requestlog.Free && !taken:
+		case code == requestlog.KeyUnused && !taken:
 			taken = true
-			f.node.Take(op)
+			f.node.Submit(op)
 			select {
 			case a := <-op.Answer():
-				if a.Final == node.Elsewhere {
+				if a.Status == node.Elsewhere {
 					continue
 				}
 				f.answer(w, c, a)
@@ -90,23 +90,23 @@
 			case <-r.Context().Done():
 			case <-c.gone:
 			}
-			f.node.Leave(op) // what has begun goes on: whoever comes with its key finds the outcome
+			f.node.Cancel(op) // what has begun goes on: whoever comes with its key finds the outcome
 			return
-		case code == requestlog.Free: // the op that had the key was nacked
-			f.answer(w, c, node.Answer{Final: node.Nacked, ComeBack: requestlog.SilentFor / 4})
+		case code == requestlog.KeyUnused: // the op that had the key was nacked
+			f.answer(w, c, node.Answer{Status: node.Rejected, RetryAfter: requestlog.PeerTimeoutMs / 4})
 			return
-		case code == requestlog.Over:
+		case code == requestlog.KeyAnswered:
 			f.answer(w, c, node.Recorded(o))
 			return
-		case code == requestlog.Unlike:
+		case code == requestlog.KeyMismatch:
 			f.write(w, c, http.StatusUnprocessableEntity, []byte("the key of another op\n"))
 			return
-		case code == requestlog.Alone && k.GoOn && !taken:
-			op.Kept = nil
+		case code == requestlog.NoQuorum && k.GoOn && !taken:
+			op.Logged = nil
 			f.serve(w, r, c, op)
 			return
-		case code == requestlog.Alone && !taken:
-			f.answer(w, c, node.Answer{Final: node.Nacked, ComeBack: 2 * requestlog.SilentFor})
+		case code == requestlog.NoQuorum && !taken:
+			f.answer(w, c, node.Answer{Status: node.Rejected, RetryAfter: 2 * requestlog.PeerTimeoutMs})
 			return
 		}
 		select {
@@ -117,14 +117,14 @@
 	}
 }
 
-func (f *Front) look(ctx context.Context, gone <-chan struct{}, k *node.Kept, until float64) (requestlog.Code, requestlog.Outcome) {
+func (f *Server) look(ctx context.Context, gone <-chan struct{}, k *node.Logged, until float64) (requestlog.Result, requestlog.FinalAnswer) {
 	told := make(chan requestlog.Reply, 1)
-	f.keep.Peers.Look(k.Key, k.Print, until, func(r requestlog.Reply) { told <- r })
+	f.keep.Peers.Lookup(k.Key, k.Fingerprint, until, func(r requestlog.Reply) { told <- r })
 	select {
 	case r := <-told:
-		return r.Code, r.Outcome
+		return r.Result, r.Answer
 	case <-ctx.Done():
 	case <-gone:
 	}
-	return requestlog.Alone, requestlog.Outcome{}
+	return requestlog.NoQuorum, requestlog.FinalAnswer{}
 }
--- a/internal/server/leaving_test.go
+++ b/internal/server/leaving_test.go
@@ -83,15 +83,15 @@
 }
 
 // before is a front, plain and with TLS, of a node whose one backend is at address. Ops wait for it as long as need be.
-func before(t *testing.T, address string, limit int) (*Front, *descriptors.Budget) {
-	f, budget, _ := fronted(t, limit, &balancer.Terms{Seed: 1, Nodes: 1, MaxPushes: 1, Cancel: true, MustAsk: true, AskWithin: 60e3, FallMultiple: 3,
-		OverloadFor: 1000, Categories: []balancer.Category{{TargetLatency: 60e3, Benefit: 1, LateBenefit: 1}}},
-		node.Module, &discovery.List{Whole: true, Members: []discovery.Member{{Name: "s", Address: address, State: balancer.Ready, Weight: 1}}})
+func before(t *testing.T, address string, limit int) (*Server, *descriptors.Budget) {
+	f, budget, _ := fronted(t, limit, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 1, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3, OverloadMultiple: 3,
+		OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1}}},
+		node.NewBalancer, &discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{Name: "s", Address: address, State: balancer.BackendReady, Weight: 1}}})
 	return f, budget
 }
 
 // connected is a client's connection that has said something.
-func connected(t *testing.T, f *Front, said string) net.Conn {
+func connected(t *testing.T, f *Server, said string) net.Conn {
 	c, err := net.Dial("tcp", f.Address())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
@@ -101,7 +101,7 @@
 }
 
 // occupied has a backend hold as many ops as a node of its own has out where nothing is known of it: what comes next waits.
-func occupied(t *testing.T, f *Front, b *busy) (first []net.Conn) {
+func occupied(t *testing.T, f *Server, b *busy) (first []net.Conn) {
 	for k := range 4 {
 		first = append(first, connected(t, f, opOf(fmt.Sprintf("first %d", k), 0)))
 	}
@@ -300,9 +300,9 @@
 // one of its own, 200, for a handler that returns: over TLS, or before the door closes the connection, it got out.
 func TestAnOpNotTakenIsNotAnswered(t *testing.T) {
 	c, _ := pair(t)
-	f := &Front{log: slog.New(slog.DiscardHandler), clock: clock.New(), budget: c.budget, ids: map[string]struct{}{},
+	f := &Server{log: slog.New(slog.DiscardHandler), clock: clock.New(), budget: c.budget, ids: map[string]struct{}{},
 		door: &door{core: admission.New(admission.Defaults(16))}}
-	f.told.Store(&config.Deployment{Categories: []string{"check"}})
+	f.told.Store(&config.Deployment{Classes: []string{"check"}})
 	for name, let := range map[string]func(){
 		"let go by the door":   func() { c.id, c.door = 7, f.door }, // which does not know it any more
 		"closed in the moment": func() { c.id, c.closed = 0, true },
@@ -319,7 +319,7 @@
 // What lies unread on a connection may be an op: it is not closed as idle.
 func TestShedLeavesWhatIsUnread(t *testing.T) {
 	c, far := pair(t)
-	f := &Front{between: map[net.Conn]time.Time{c: {}}}
+	f := &Server{between: map[net.Conn]time.Time{c: {}}}
 	_, err := io.WriteString(far, "G")
 	require.NoError(t, err)
 	require.Eventually(t, c.waits, 10*time.Second, time.Millisecond)
@@ -346,8 +346,8 @@
 // A node that stood still for seconds between two lines must not take its own limit on bodies for a client that left, where
 // there is no body.
 func TestNoLimitWithoutABody(t *testing.T) {
-	f := &Front{clock: clock.New()}
-	f.told.Store(&config.Deployment{Categories: []string{"check"}})
+	f := &Server{clock: clock.New()}
+	f.told.Store(&config.Deployment{Classes: []string{"check"}})
 	c, _ := pair(t)
 	r := httptest.NewRequest("GET", "/api", http.NoBody)
 	r.Header = http.Header{"X-Trace-Id": {"a"}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"480"}}
--- a/internal/server/secure_test.go
+++ b/internal/server/secure_test.go
@@ -47,18 +47,18 @@
 }
 
 // secured is a front that serves TLS with whatever certificate is held at the moment. Its node knows no backend.
-func secured(t testing.TB, limit int, with ...func(*Front)) (f *Front, budget *descriptors.Budget, held *atomic.Pointer[tls.Certificate]) {
-	return fronted(t, limit, &balancer.Terms{Nodes: 1, MustAsk: true, AskWithin: 60e3, Categories: []balancer.Category{{}}}, node.Module, &discovery.List{Whole: true}, with...)
+func secured(t testing.TB, limit int, with ...func(*Server)) (f *Server, budget *descriptors.Budget, held *atomic.Pointer[tls.Certificate]) {
+	return fronted(t, limit, &balancer.Config{Nodes: 1, PollEndpoints: true, PollInterval: 60e3, Classes: []balancer.Class{{}}}, node.NewBalancer, &discovery.List{Complete: true}, with...)
 }
 
 // fronted is that of a node with terms, a module and a list of the test's own.
-func fronted(t testing.TB, limit int, by *balancer.Terms, decide node.Decide, list *discovery.List, with ...func(*Front)) (f *Front, budget *descriptors.Budget, held *atomic.Pointer[tls.Certificate]) {
+func fronted(t testing.TB, limit int, by *balancer.Config, decide node.NewDecider, list *discovery.List, with ...func(*Server)) (f *Server, budget *descriptors.Budget, held *atomic.Pointer[tls.Certificate]) {
 	held = &atomic.Pointer[tls.Certificate]{}
 	held.Store(certificate(t, "members.example"))
 	budget = descriptors.New(limit, func() {})
 	now, log := clock.New(), slog.New(slog.DiscardHandler)
-	told := &config.Deployment{Categories: []string{"check"}, Terms: by}
-	peers := &upstream.Terms{Budget: budget, Log: log}
+	told := &config.Deployment{Classes: []string{"check"}, Balancer: by}
+	peers := &upstream.Config{Budget: budget, Log: log}
 	peers.ConnectTimeout.Set(30 * time.Second)
 	peers.IdleFor.Set(time.Minute)
 	n := node.New(told, decide, now, peers, func() {}, log)
@@ -87,7 +87,7 @@
 	return f, budget, held
 }
 
-func dial(f *Front, c *tls.Config) (*tls.Conn, error) {
+func dial(f *Server, c *tls.Config) (*tls.Conn, error) {
 	c.InsecureSkipVerify = true
 	c.ServerName = "members.example"
 	return tls.DialWithDialer(&net.Dialer{Timeout: 5 * time.Second}, "tcp", f.SecureAddress(), c)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -56,7 +56,7 @@
 )
 
 // Front is the clients' side of a node.
-type Front struct {
+type Server struct {
 	node   *node.Node
 	told   atomic.Pointer[config.Deployment]
 	clock  *clock.Clock
@@ -65,13 +65,13 @@
 
 	server    http.Server
 	listener  *listener
-	secure    *secure     // nil where no TLS is served
-	door      *door       // nil lets all in
-	keep      *Keep       // nil where no other process keeps ops
-	withheld  atomic.Bool // kept out of service
-	leaving   atomic.Bool // told to end: no client is to be sent here any more
-	draining  atomic.Bool // those who still come are asked to close
-	succeeded atomic.Bool // another process serves in its place: the node goes on
+	secure    *secure         // nil where no TLS is served
+	door      *door           // nil lets all in
+	keep      *RequestLogging // nil where no other process keeps ops
+	withheld  atomic.Bool     // kept out of service
+	leaving   atomic.Bool     // told to end: no client is to be sent here any more
+	draining  atomic.Bool     // those who still come are asked to close
+	succeeded atomic.Bool     // another process serves in its place: the node goes on
 	away      away
 	latest    atomic.Int64 // when an op came, Unix ms
 	open      atomic.Int64 // ops taken and not answered
@@ -83,8 +83,8 @@
 	unsaid    atomic.Int64           // odd ops since the last line of the log
 }
 
-func New(n *node.Node, told *config.Deployment, c *clock.Clock, budget *descriptors.Budget, log *slog.Logger) *Front {
-	f := &Front{node: n, clock: c, budget: budget, log: log, between: map[net.Conn]time.Time{},
+func New(n *node.Node, told *config.Deployment, c *clock.Clock, budget *descriptors.Budget, log *slog.Logger) *Server {
+	f := &Server{node: n, clock: c, budget: budget, log: log, between: map[net.Conn]time.Time{},
 		ids: map[string]struct{}{}, odd: rate.Sometimes{Interval: oddEvery}, served: make(chan struct{})}
 	f.told.Store(told)
 	f.server = http.Server{
@@ -102,21 +102,21 @@
 
 // Admit has a core choose among clients by limits; it is called before the front listens. Told hears of each time at which
 // choosing begins or ends.
-func (f *Front) Admit(l admission.Limits, told func(pressed bool)) {
+func (f *Server) Admit(l admission.Limits, told func(pressed bool)) {
 	l.Conns = max(f.budget.ForClients()-headroom, 1)
 	f.door = &door{clock: f.clock, core: admission.New(l), clients: map[uint64]*client{}, told: told}
 }
 
 // Retune takes up other terms for the ops that come from now on; the module has them already.
-func (f *Front) Retune(told *config.Deployment) { f.told.Store(told) }
+func (f *Server) Reconfigure(told *config.Deployment) { f.told.Store(told) }
 
 // Relimit takes up other limits, and Clients tells who is here; both only after Admit.
-func (f *Front) Relimit(l admission.Limits) { f.door.relimit(l) }
-func (f *Front) Clients() Clients           { return f.door.look() }
+func (f *Server) SetLimits(l admission.Limits) { f.door.relimit(l) }
+func (f *Server) Clients() Clients             { return f.door.look() }
 
 // Listen opens the address; clients are served from Serve on. Where it is to be shared, another process of the node may listen
 // there as well.
-func (f *Front) Listen(address string, share bool) error {
+func (f *Server) Listen(address string, share bool) error {
 	l, err := listen(address, share)
 	if err == nil {
 		f.listener = &listener{TCPListener: l.(*net.TCPListener), budget: f.budget, door: f.door}
@@ -133,7 +133,7 @@
 
 // ListenSecure opens a second address, for TLS; it is served from Serve on. Its descriptors
 // are of the same budget, half-open ones at most a quarter of the limit.
-func (f *Front) ListenSecure(o Secure, limit int) error {
+func (f *Server) ListenSecure(o Secure, limit int) error {
 	l, err := listen(o.Address, o.Shared)
 	if err == nil {
 		f.secure = newSecure(&listener{TCPListener: l.(*net.TCPListener), budget: f.budget, door: f.door}, o, limit)
@@ -142,17 +142,17 @@
 }
 
 // Tickets sets the keys of TLS session tickets: the first seals, all open. Connections go on.
-func (f *Front) Tickets(keys [][32]byte) { f.secure.tickets(keys) }
+func (f *Server) Tickets(keys [][32]byte) { f.secure.tickets(keys) }
 
 // Handshakes counts those of TLS.
-func (f *Front) Handshakes() Handshakes { return f.secure.handshakes() }
+func (f *Server) Handshakes() Handshakes { return f.secure.handshakes() }
 
 // Address is where the front listens; SecureAddress where it does for TLS.
-func (f *Front) Address() string       { return f.listener.Addr().String() }
-func (f *Front) SecureAddress() string { return f.secure.Addr().String() }
+func (f *Server) Address() string       { return f.listener.Addr().String() }
+func (f *Server) SecureAddress() string { return f.secure.Addr().String() }
 
 // Serve goes on until Drain has ended it.
-func (f *Front) Serve() error {
+func (f *Server) Serve() error {
 	defer close(f.served)
 	if f.secure == nil {
 		return f.serveOn(f.listener)
@@ -167,7 +167,7 @@
 	return <-failed
 }
 
-func (f *Front) serveOn(l net.Listener) error {
+func (f *Server) serveOn(l net.Listener) error {
 	if err := f.server.Serve(l); !errors.Is(err, net.ErrClosed) && !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
@@ -176,7 +176,7 @@
 
 // ServeOn goes on serving as long as clients come, for so long at most: those who have connections use them for as long as
 // these stay open, and may have no other node yet. Drain follows, or HandOver, where it ends since another process serves.
-func (f *Front) ServeOn(most time.Duration, followed func() bool) {
+func (f *Server) ServeOn(most time.Duration, followed func() bool) {
 	f.leaving.Store(true)
 	f.latest.Store(time.Now().UnixMilli())
 	begun := time.Now()
@@ -190,7 +190,7 @@
 
 // Drain asks clients to close their connections, takes no more and waits until all is answered or ctx ends. It tells how
 // many ops are left without an answer.
-func (f *Front) Drain(ctx context.Context) int64 {
+func (f *Server) Drain(ctx context.Context) int64 {
 	f.leaving.Store(true)
 	f.draining.Store(true)
 	for range 2 { // while those who come back still find the listener
@@ -208,7 +208,7 @@
 
 // empty closes connections once they have been idle for so long, by the time that has passed, until there is none or ctx ends.
 // net/http's Shutdown would close them with what lies there unread, so it comes after.
-func (f *Front) empty(ctx context.Context, idle func(passed time.Duration) time.Duration) {
+func (f *Server) empty(ctx context.Context, idle func(passed time.Duration) time.Duration) {
 	begun, tick := time.Now(), time.NewTicker(quiet)
 	defer tick.Stop()
 	for ctx.Err() == nil && (f.budget.Clients() > 0 || !f.ended()) {
@@ -222,7 +222,7 @@
 
 // HandOver ends serving while another process of the node serves: new connections go there, those in the queue here are
 // taken, each is let go after its answer or when it is idle. It ends when none is left or ctx does, and tells like Drain.
-func (f *Front) HandOver(ctx context.Context) int64 {
+func (f *Server) DrainForHandoff(ctx context.Context) int64 {
 	f.succeeded.Store(true)
 	f.leaving.Store(true)
 	f.draining.Store(true)
@@ -247,7 +247,7 @@
 	return f.open.Load()
 }
 
-func (f *Front) ended() bool {
+func (f *Server) ended() bool {
 	select {
 	case <-f.served:
 		return true
@@ -257,16 +257,16 @@
 }
 
 // Withhold keeps the node out of service, or takes it back: its health says so, and whoever comes is served all the same.
-func (f *Front) Withhold(out bool) { f.withheld.Store(out) }
+func (f *Server) Withhold(out bool) { f.withheld.Store(out) }
 
 // State tells whether the node's health would send clients here, and whether it is about to end.
-func (f *Front) State() (in, ending bool) {
+func (f *Server) State() (in, ending bool) {
 	return !f.withheld.Load() && (!f.leaving.Load() || f.succeeded.Load()) && !f.away.now(), f.leaving.Load()
 }
 
 // Shed closes clients' connections that have had no op for a while; what crosses that a client sends again on
 // another.
-func (f *Front) Shed() {
+func (f *Server) Shed() {
 	f.shed(idleAtLeast, true)
 	if f.secure != nil {
 		f.secure.shed(silentAtLeast)
@@ -275,7 +275,7 @@
 
 // shed closes connections that have had no op for so long, those with a part of one only where that is meant as well, and none
 // on which something lies that is not read yet: it may be an op, which would be lost with the connection.
-func (f *Front) shed(idle time.Duration, parts bool) {
+func (f *Server) shed(idle time.Duration, parts bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c, since := range f.between {
@@ -286,7 +286,7 @@
 	}
 }
 
-func (f *Front) state(c net.Conn, s http.ConnState) {
+func (f *Server) state(c net.Conn, s http.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch s {
@@ -297,16 +297,16 @@
 	}
 }
 
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := r.Context().Value(clientKey{}).(*client)
-	var op *node.Op
+	var op *node.Request
 	defer func() { // net/http would end the connection, and lose an op taken
 		if fault := recover(); fault == http.ErrAbortHandler { // net/http's way to end an answer that is not whole
 			panic(fault)
 		} else if fault != nil {
 			f.log.Error("front fault", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
 			if op != nil {
-				f.node.Leave(op)
+				f.node.Cancel(op)
 			}
 			f.write(w, c, http.StatusInternalServerError, nil) // a dead letter: no claim about what ran
 		}
@@ -336,10 +336,10 @@
 	defer c.release()
 	defer c.judged((*admission.Core).Answered)
 	if c.left() { // it may have waited for a descriptor for longer than its client did
-		f.answer(w, c, node.Answer{Final: node.DeadLettered})
+		f.answer(w, c, node.Answer{Status: node.Failed})
 		return
 	}
-	if op.Kept != nil {
+	if op.Logged != nil {
 		f.serveKept(w, r, c, op)
 		return
 	}
@@ -347,7 +347,7 @@
 }
 
 // enter takes an op's id until leave gives it back; false tells that another op has it.
-func (f *Front) enter(id string) bool {
+func (f *Server) enter(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, taken := f.ids[id]
@@ -355,19 +355,19 @@
 	return !taken
 }
 
-func (f *Front) leave(id string) {
+func (f *Server) leave(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.ids, id)
 }
 
 // sayOdd logs a malformed op now and then, with how many there were.
-func (f *Front) sayOdd(why string) {
+func (f *Server) sayOdd(why string) {
 	f.unsaid.Add(1)
 	f.odd.Do(func() { f.log.Warn("op malformed", "error", why, "since_last", f.unsaid.Swap(0)) })
 }
 
-func (f *Front) health(w http.ResponseWriter, c *client) {
+func (f *Server) health(w http.ResponseWriter, c *client) {
 	select {
 	case <-f.node.Ready():
 		if in, _ := f.State(); in {
@@ -380,20 +380,20 @@
 }
 
 // serve sees an op through to its one answer.
-func (f *Front) serve(w http.ResponseWriter, r *http.Request, c *client, op *node.Op) {
+func (f *Server) serve(w http.ResponseWriter, r *http.Request, c *client, op *node.Request) {
 	open := f.open.Add(1)
 	f.latest.Store(time.Now().UnixMilli())
 	defer f.open.Add(-1)
 	told := f.told.Load()
-	if most := int64(told.MostHeld); open > most && most > 0 || f.away.empty.Load() {
-		full := node.Answer{Final: node.Nacked}
-		if told.Terms.ComeBack { // a node as full as that is not soon another
-			full.ComeBack = told.Terms.MaxComeBack
+	if most := int64(told.MaxOpenRequests); open > most && most > 0 || f.away.empty.Load() {
+		full := node.Answer{Status: node.Rejected}
+		if told.Balancer.SendRetryAfter { // a node as full as that is not soon another
+			full.RetryAfter = told.Balancer.MaxRetryAfter
 		}
 		f.answer(w, c, full)
 		return
 	}
-	f.node.Take(op)
+	f.node.Submit(op)
 	select {
 	case a := <-op.Answer():
 		f.answer(w, c, a)
@@ -401,13 +401,13 @@
 	case <-r.Context().Done():
 	case <-c.gone:
 	}
-	f.node.Leave(op)
-	f.answer(w, c, node.Answer{Final: node.DeadLettered}) // one that only ended its sending may still read
+	f.node.Cancel(op)
+	f.answer(w, c, node.Answer{Status: node.Failed}) // one that only ended its sending may still read
 }
 
-func (f *Front) answer(w http.ResponseWriter, c *client, a node.Answer) {
-	switch a.Final {
-	case node.Acked:
+func (f *Server) answer(w http.ResponseWriter, c *client, a node.Answer) {
+	switch a.Status {
+	case node.Served:
 		defer a.Reply.Release()
 		upstream.EndToEnd(a.Reply.Header)
 		for name, values := range a.Reply.Header {
@@ -418,13 +418,13 @@
 			return
 		}
 		f.write(w, c, http.StatusOK, a.Reply.Body)
-	case node.Nacked:
+	case node.Rejected:
 		if wait := f.comeBack(a); wait > 0 {
 			w.Header().Set("Retry-After", strconv.FormatFloat(wait/1e3, 'f', 3, 64))
 		}
 		f.write(w, c, http.StatusServiceUnavailable, nil)
 	case node.AskAgain:
-		w.Header().Set("Retry-After", strconv.FormatFloat(a.ComeBack/1e3, 'f', 3, 64))
+		w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter/1e3, 'f', 3, 64))
 		f.write(w, c, http.StatusConflict, []byte("the op is in hand; ask again with its key\n"))
 	default:
 		f.write(w, c, http.StatusBadGateway, nil)
@@ -433,25 +433,25 @@
 
 // comeBack is when a client that is turned away is to come again, in ms: as foreseen, or where no wait was, a little later all
 // the same, where clients may be told. Those who are turned away together don't come together.
-func (f *Front) comeBack(a node.Answer) float64 {
-	t := f.told.Load().Terms
-	if a.ComeBack >= soonest || !t.ComeBack {
-		return a.ComeBack
+func (f *Server) comeBack(a node.Answer) float64 {
+	t := f.told.Load().Balancer
+	if a.RetryAfter >= soonest || !t.SendRetryAfter {
+		return a.RetryAfter
 	}
 	wait := unforeseen * (0.5 + 0.5*rand.Float64())
-	if t.MaxComeBack > 0 {
-		wait = min(wait, t.MaxComeBack)
+	if t.MaxRetryAfter > 0 {
+		wait = min(wait, t.MaxRetryAfter)
 	}
 	return wait
 }
 
-func (f *Front) write(w http.ResponseWriter, c *client, status int, body []byte) {
+func (f *Server) write(w http.ResponseWriter, c *client, status int, body []byte) {
 	f.head(w, c, status, int64(len(body)))
 	_, _ = w.Write(body) // a client that is gone is no fault
 }
 
 // head writes an answer's head; its body's size below 0 is not known.
-func (f *Front) head(w http.ResponseWriter, c *client, status int, size int64) {
+func (f *Server) head(w http.ResponseWriter, c *client, status int, size int64) {
 	if c.answering() || f.draining.Load() || f.away.closing.Load() || f.budget.Crowded() {
 		w.Header().Set("Connection", "close")
 	}
@@ -464,7 +464,7 @@
 
 // stream passes a long answer on as it comes: its first bytes at once, and the rest no faster than the client takes it,
 // which may be slow but must not stop. What the backend does not finish is broken off, so that the client can tell.
-func (f *Front) stream(w http.ResponseWriter, c *client, reply *upstream.Reply) {
+func (f *Server) stream(w http.ResponseWriter, c *client, reply *upstream.Reply) {
 	to := http.NewResponseController(w)
 	f.head(w, c, http.StatusOK, reply.More.Size)
 	part, buffer := reply.Body, make([]byte, streamed)
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -42,8 +42,8 @@
 }
 
 func TestDecode(t *testing.T) {
-	f := &Front{clock: clock.New()}
-	f.told.Store(&config.Deployment{Categories: []string{"check", "pay_out"}, Tenants: []string{"one", "two"}})
+	f := &Server{clock: clock.New()}
+	f.told.Store(&config.Deployment{Classes: []string{"check", "pay_out"}, Tenants: []string{"one", "two"}})
 	c, _ := pair(t)
 	for name, test := range map[string]struct {
 		headers string
@@ -74,7 +74,7 @@
 		op, bad := f.decode(httptest.NewRecorder(), r, c)
 		if test.want == 0 {
 			require.Nil(t, bad, name)
-			assert.Less(t, op.GiveUp, f.clock.Now()+longestTTL+longestBody, name)
+			assert.Less(t, op.Deadline, f.clock.Now()+longestTTL+longestBody, name)
 			assert.Equal(t, len(test.body) > 64<<10, op.Streamed, name)
 			continue
 		}
@@ -89,9 +89,9 @@
 	before := f.clock.Now()
 	op, bad := f.decode(httptest.NewRecorder(), r, c)
 	require.Nil(t, bad)
-	assert.Equal(t, []any{1, 1, 1.5, true, true}, []any{op.Category, op.Tenant, op.Hint, op.HasHint, op.Repeat})
-	assert.Less(t, op.GiveUp, f.clock.Now()+480, "the TTL counts from the sending")
-	assert.Greater(t, op.GiveUp, before+480-100)
+	assert.Equal(t, []any{1, 1, 1.5, true, true}, []any{op.Class, op.Tenant, op.CostHint, op.HasCostHint, op.IsClientRetry})
+	assert.Less(t, op.Deadline, f.clock.Now()+480, "the TTL counts from the sending")
+	assert.Greater(t, op.Deadline, before+480-100)
 }
 
 // An op that may hide another in its body, or has one behind it, is known as such whatever the pieces it comes in.
@@ -177,8 +177,8 @@
 }
 
 func TestMostHeld(t *testing.T) {
-	f := &Front{budget: descriptors.New(64, func() {})}
-	f.told.Store(&config.Deployment{MostHeld: 1, Terms: &balancer.Terms{ComeBack: true, MaxComeBack: 1500}})
+	f := &Server{budget: descriptors.New(64, func() {})}
+	f.told.Store(&config.Deployment{MaxOpenRequests: 1, Balancer: &balancer.Config{SendRetryAfter: true, MaxRetryAfter: 1500}})
 	f.open.Store(1)
 	w := httptest.NewRecorder()
 	c, _ := pair(t)
@@ -209,9 +209,9 @@
 		"not told":     {most: 2000},
 		"nor by bound": {},
 	} {
-		f, _, _ := fronted(t, 64, &balancer.Terms{Seed: 1, Nodes: 1, MaxPushes: 1, ComeBack: c.told, MaxComeBack: c.most, FallMultiple: 3,
-			OverloadFor: 1000, Categories: []balancer.Category{{TargetLatency: 60e3, Benefit: 1}}}, node.Module,
-			&discovery.List{Whole: true, Members: []discovery.Member{{Name: "s", Address: refuses.String(), State: balancer.Ready, Weight: 1}}})
+		f, _, _ := fronted(t, 64, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 1, SendRetryAfter: c.told, MaxRetryAfter: c.most, OverloadMultiple: 3,
+			OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 60e3, PriorityWeight: 1}}}, node.NewBalancer,
+			&discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{Name: "s", Address: refuses.String(), State: balancer.BackendReady, Weight: 1}}})
 		answer, err := http.ReadResponse(bufio.NewReader(connected(t, f, opOf("a", 0))), nil)
 		require.NoError(t, err)
 		require.NoError(t, answer.Body.Close())
@@ -225,17 +225,17 @@
 		assert.LessOrEqual(t, c.least, wait*1e3, name)
 		assert.LessOrEqual(t, wait*1e3, c.last, name)
 	}
-	f := &Front{}
-	f.told.Store(&config.Deployment{Terms: &balancer.Terms{ComeBack: true, MaxComeBack: 2000}})
+	f := &Server{}
+	f.told.Store(&config.Deployment{Balancer: &balancer.Config{SendRetryAfter: true, MaxRetryAfter: 2000}})
 	assert.NotEqual(t, f.comeBack(node.Answer{}), f.comeBack(node.Answer{}), "spread")
-	assert.Equal(t, 7.0, f.comeBack(node.Answer{ComeBack: 7}), "as foreseen")
-	assert.Less(t, 49.0, f.comeBack(node.Answer{ComeBack: 0.4}), "which would be told as 0.000")
+	assert.Equal(t, 7.0, f.comeBack(node.Answer{RetryAfter: 7}), "as foreseen")
+	assert.Less(t, 49.0, f.comeBack(node.Answer{RetryAfter: 0.4}), "which would be told as 0.000")
 }
 
 // A fault of the front is a dead letter: net/http would end the connection and lose the op.
 func TestFaultIsAnswered(t *testing.T) {
 	c, _ := pair(t)
-	f := &Front{log: slog.New(slog.DiscardHandler), budget: c.budget} // told nothing, so decoding panics
+	f := &Server{log: slog.New(slog.DiscardHandler), budget: c.budget} // told nothing, so decoding panics
 	r := httptest.NewRequest("GET", "/api", nil)
 	r.Header = http.Header{"X-Trace-Id": {"a"}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"480"}}
 	w := httptest.NewRecorder()
--- a/internal/simprotocol/simprotocol.go
+++ b/internal/simprotocol/simprotocol.go
@@ -48,15 +48,15 @@
 	listCount  = 16
 )
 
-var endings = map[byte]balancer.Ending{
-	10: balancer.Answered, 20: balancer.Failed, 30: balancer.Rejected, 40: balancer.TimedOut,
-	50: balancer.NoConnection, 60: balancer.Reset, 70: balancer.Revoked, 80: balancer.NotSent,
+var endings = map[byte]balancer.Outcome{
+	10: balancer.OutcomeAnswered, 20: balancer.OutcomeFailed, 30: balancer.OutcomeRejected, 40: balancer.OutcomeTimedOut,
+	50: balancer.OutcomeConnectFailed, 60: balancer.OutcomeConnectionReset, 70: balancer.OutcomeCanceled, 80: balancer.OutcomeNotSent,
 }
 
 // Host runs the instances of one process.
 type Host struct {
 	// Wrap, where given, stands between an instance and its module.
-	Wrap func(instance uint32, d balancer.Decider, t *balancer.Terms, now float64) balancer.Decider
+	Wrap func(instance uint32, d balancer.Decider, t *balancer.Config, now float64) balancer.Decider
 
 	instances map[uint32]*instance
 	touched   []*instance // in the order of their first event in the batch
@@ -69,7 +69,7 @@
 type instance struct {
 	number     uint32
 	node       balancer.Decider
-	ops        map[uint64]*balancer.Op
+	ops        map[uint64]*balancer.Request
 	backends   map[uint64]*balancer.Backend
 	categories int
 	fields     fields
@@ -186,17 +186,17 @@
 			r.err = err
 			return
 		}
-		told.Terms.Seed = seed
+		told.Balancer.Seed = seed
 		if i != nil {
 			i.stopped = true
 		}
-		i = &instance{number: number, categories: len(told.Categories), fields: told.Report, ops: map[uint64]*balancer.Op{}, backends: map[uint64]*balancer.Backend{}}
+		i = &instance{number: number, categories: len(told.Classes), fields: told.Report, ops: map[uint64]*balancer.Request{}, backends: map[uint64]*balancer.Backend{}}
 		h.instances[number] = i
 		h.touch(i)
 		h.guard(i, func() {
-			i.node = balancer.New(told.Terms, h.now)
+			i.node = balancer.New(told.Balancer, h.now)
 			if h.Wrap != nil {
-				i.node = h.Wrap(number, i.node, told.Terms, h.now)
+				i.node = h.Wrap(number, i.node, told.Balancer, h.now)
 			}
 		})
 	case down:
@@ -214,30 +214,30 @@
 		}
 		h.input(r, i, func() {
 			if mode == 3 {
-				i.node.ListFailed(h.now)
+				i.node.PollFailed(h.now)
 			} else {
-				i.node.Listed(h.now, i.listing(h.lists[list]), mode != 0, mode == 2)
+				i.node.EndpointsChanged(h.now, i.listing(h.lists[list]), mode != 0, mode == 2)
 			}
 		})
 	case accept:
-		op := &balancer.Op{Ref: r.u64()}
+		op := &balancer.Request{ID: r.u64()}
 		marks := r.u16()
-		op.HasHint, op.Repeat = marks&1 != 0, marks&2 != 0
-		op.Hint, op.GiveUp = r.f64(), r.time()
+		op.HasCostHint, op.IsClientRetry = marks&1 != 0, marks&2 != 0
+		op.CostHint, op.Deadline = r.f64(), r.time()
 		op.Key = r.u64()
-		op.Category, op.Tenant = int(r.u8()), int(r.u16())
-		if r.err == nil && i != nil && op.Category >= i.categories {
-			r.fail("category %d of %d", op.Category, i.categories)
+		op.Class, op.Tenant = int(r.u8()), int(r.u16())
+		if r.err == nil && i != nil && op.Class >= i.categories {
+			r.fail("category %d of %d", op.Class, i.categories)
 		}
 		h.input(r, i, func() {
-			i.ops[op.Ref] = op
-			i.node.Arrived(h.now, op)
+			i.ops[op.ID] = op
+			i.node.RequestArrived(h.now, op)
 		})
 	case gone:
 		id := r.u64()
 		h.input(r, i, func() {
 			if op := i.ops[id]; op != nil {
-				i.node.Left(h.now, op)
+				i.node.ClientGone(h.now, op)
 				i.forget(op)
 			}
 		})
@@ -246,7 +246,7 @@
 		r.take(6)
 		h.input(r, i, func() {
 			if p := i.push(id, try); p != nil {
-				i.node.Begun(h.now, p)
+				i.node.ResponseStarted(h.now, p)
 			}
 		})
 	case answer:
@@ -260,16 +260,16 @@
 		}
 		h.input(r, i, func() {
 			if p := i.push(id, try); p != nil {
-				if told := i.fields.read(report); told.Told() {
-					i.node.Reported(h.now, p.Backend, told)
+				if told := i.fields.read(report); told.HasValues() {
+					i.node.LoadReported(h.now, p.Backend, told)
 				}
-				i.node.Ended(h.now, p, ending, elapsed, finished != 0)
-				i.forget(p.Op)
+				i.node.AttemptEnded(h.now, p, ending, elapsed, finished != 0)
+				i.forget(p.Request)
 			}
 		})
 	case deadlineHit:
 		r.u64()
-		h.input(r, i, func() { i.node.Due(h.now) })
+		h.input(r, i, func() { i.node.TimerFired(h.now) })
 	case pong: // the module sends no probes
 		r.time()
 		r.take(7)
@@ -306,21 +306,21 @@
 	}
 }
 
-func (i *instance) listing(lines []byte) []balancer.Listing {
-	list := make([]balancer.Listing, 0, len(lines)/lineSize)
+func (i *instance) listing(lines []byte) []balancer.Endpoint {
+	list := make([]balancer.Endpoint, 0, len(lines)/lineSize)
 	for ; len(lines) > 0; lines = lines[lineSize:] {
 		ref := address(lines)
 		b := i.backends[ref]
 		if b == nil {
-			b = &balancer.Backend{Ref: ref}
+			b = &balancer.Backend{ID: ref}
 			i.backends[ref] = b
 		}
-		list = append(list, balancer.Listing{
+		list = append(list, balancer.Endpoint{
 			Backend: b,
 			Zone:    int(lines[6]),
 			Kind:    int(lines[7]),
 			Cell:    int(binary.BigEndian.Uint16(lines[8:])),
-			State:   balancer.State(lines[10]),
+			State:   balancer.BackendState(lines[10]),
 			Weight:  float64(math.Float32frombits(binary.BigEndian.Uint32(lines[11:]))),
 			Started: math.Float64frombits(binary.BigEndian.Uint64(lines[15:])),
 		})
@@ -336,26 +336,26 @@
 type fields []string
 
 // read takes a report's values; what is missing or can't be is not told.
-func (f fields) read(report []byte) balancer.Report {
-	r := balancer.NoReport()
+func (f fields) read(report []byte) balancer.LoadReport {
+	r := balancer.EmptyLoadReport()
 	for k := 0; k < len(f) && 4*k+4 <= len(report); k++ {
 		if x := float64(math.Float32frombits(binary.BigEndian.Uint32(report[4*k:]))); x >= 0 && !math.IsInf(x, 0) {
-			config.Tell(&r, f[k], x)
+			config.SetReportValue(&r, f[k], x)
 		}
 	}
 	return r
 }
 
-func (i *instance) push(id uint64, try byte) *balancer.Push {
-	if op := i.ops[id]; op != nil && int(try) < len(op.Pushes) && op.Pushes[try].Out() {
-		return op.Pushes[try]
+func (i *instance) push(id uint64, try byte) *balancer.Attempt {
+	if op := i.ops[id]; op != nil && int(try) < len(op.Attempts) && op.Attempts[try].InFlight() {
+		return op.Attempts[try]
 	}
 	return nil
 }
 
-func (i *instance) forget(op *balancer.Op) {
-	if op.Over() {
-		delete(i.ops, op.Ref)
+func (i *instance) forget(op *balancer.Request) {
+	if op.IsDone() {
+		delete(i.ops, op.ID)
 	}
 }
 
@@ -367,29 +367,29 @@
 			return
 		}
 		switch d.Kind {
-		case balancer.DoPush:
+		case balancer.DoAttempt:
 			h.head(callOut, i)
-			h.u64(d.Op.Ref)
-			h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(d.Push.Backend.Ref>>16))
-			h.u16(uint16(d.Push.Backend.Ref))
+			h.u64(d.Request.ID)
+			h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(d.Attempt.Backend.ID>>16))
+			h.u16(uint16(d.Attempt.Backend.ID))
 			h.f64(d.Wait)
-		case balancer.DoNack:
+		case balancer.DoReject:
 			h.head(overloadReply, i)
-			h.u64(d.Op.Ref)
+			h.u64(d.Request.ID)
 			h.f64(d.Wait)
-			i.forget(d.Op)
-		case balancer.DoDeadLetter:
+			i.forget(d.Request)
+		case balancer.DoFail:
 			h.head(respondError, i)
-			h.u64(d.Op.Ref)
-			i.forget(d.Op)
-		case balancer.DoRevoke:
+			h.u64(d.Request.ID)
+			i.forget(d.Request)
+		case balancer.DoCancel:
 			h.head(revoke, i)
-			h.u64(d.Op.Ref)
-			h.reply = append(h.reply, byte(d.Push.Number))
-		case balancer.DoWatch:
+			h.u64(d.Request.ID)
+			h.reply = append(h.reply, byte(d.Attempt.Number))
+		case balancer.DoPoll:
 			h.head(track, i)
 			h.reply = append(h.reply, 1)
-		case balancer.DoTimer:
+		case balancer.DoSetTimer:
 			h.head(setTimer, i)
 			h.f64(d.Wait)
 			h.u64(0)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -13,9 +13,9 @@
 
 func sample() *balancer.Snapshot {
 	return &balancer.Snapshot{Now: 5, Armed: math.Inf(1), Tracked: true, Failures: -3, Seq: 1 << 60, Chance: [2]uint64{1, math.MaxUint64},
-		Hints: []float64{1, 0, math.Copysign(0, -1)}, PaceKinds: [][2]float64{{0, 0}, {1, 2}}, Categories: []balancer.SnapMean{{}, {Value: 1, Seen: 2}},
-		Backends: []balancer.SnapBackend{{Ref: 9, State: balancer.Ready, Out: []int{0, 1, 2, -1}, Distrust: [2]float64{0, 7}}, {}},
-		Ops:      []balancer.SnapOp{{Ref: 1, Pushes: []balancer.SnapPush{{Backend: 1, Ending: balancer.Reset, Out: true}}}}, Due: []balancer.SnapDue{{Op: -1, Push: -1}}}
+		Hints: []float64{1, 0, math.Copysign(0, -1)}, PaceKinds: [][2]float64{{0, 0}, {1, 2}}, Classes: []balancer.MeanSnapshot{{}, {Value: 1, Seen: 2}},
+		Backends: []balancer.BackendSnapshot{{ID: 9, State: balancer.BackendReady, Out: []int{0, 1, 2, -1}, Distrust: [2]float64{0, 7}}, {}},
+		Requests: []balancer.RequestSnapshot{{ID: 1, Attempts: []balancer.AttemptSnapshot{{Backend: 1, Outcome: balancer.OutcomeConnectionReset, InFlight: true}}}}, Timers: []balancer.TimerSnapshot{{Request: -1, Attempt: -1}}}
 }
 
 func TestRoundTrip(t *testing.T) {
@@ -50,7 +50,7 @@
 		if err != nil {
 			return
 		}
-		t := &balancer.Terms{Nodes: 1, Categories: make([]balancer.Category, len(s.Categories)), Tenants: make([]balancer.Tenant, len(s.Tenants))}
+		t := &balancer.Config{Nodes: 1, Classes: make([]balancer.Class, len(s.Classes)), Tenants: make([]balancer.Tenant, len(s.Tenants))}
 		if n, ops, backends, err := balancer.Restore(t, s); err == nil {
 			_, _ = n.Snapshot(ops, backends)
 		}
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -12,18 +12,18 @@
 )
 
 // Outcome is how a call ended.
-type Outcome struct {
-	Ending balancer.Ending
-	First  time.Duration   // how long before its end the answer's first byte came, where there is one
-	Reply  *Reply          // where the backend answered at all
-	Report balancer.Report // that came with the reply; without one it is not to be read
+type Result struct {
+	Outcome balancer.Outcome
+	First   time.Duration       // how long before its end the answer's first byte came, where there is one
+	Reply   *Reply              // where the backend answered at all
+	Report  balancer.LoadReport // that came with the reply; without one it is not to be read
 }
 
 // Call is one push on its way. The node may call it off or shorten its time from outside; whether its first byte
 // may still go out is decided in one place, begin.
 type Call struct {
 	Message *Message
-	Done    func(Outcome)   // called once; must not block
+	Done    func(Result)    // called once; must not block
 	Before  time.Time       // it begins no later than this; zero is no bound. Set before it is sent
 	Sent    func(time.Time) // takes when a streamed op's time is over, once its last byte has come; must not block
 	Left    *atomic.Bool    // whether its op's client has; known here at once, however long the node's actor takes. nil is never
@@ -40,7 +40,7 @@
 }
 
 // NewCall makes a call that ends at until.
-func NewCall(m *Message, until time.Time, done func(Outcome)) *Call {
+func NewCall(m *Message, until time.Time, done func(Result)) *Call {
 	return &Call{Message: m, Done: done, until: until}
 }
 
@@ -56,7 +56,7 @@
 }
 
 // Forestall calls it off unless it has begun, and tells which.
-func (c *Call) Forestall() bool {
+func (c *Call) ClaimStart() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.begun {
@@ -66,7 +66,7 @@
 }
 
 // Revoke calls it off: what has not begun never does, what is out is no longer waited for.
-func (c *Call) Revoke() {
+func (c *Call) Cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.callOff()
@@ -83,7 +83,7 @@
 }
 
 // Shorten ends its time sooner.
-func (c *Call) Shorten(until time.Time) {
+func (c *Call) ShortenDeadline(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if until.Before(c.until) {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -63,32 +63,32 @@
 )
 
 // exchange writes a call's message and reads the reply. It alone uses the connection meanwhile, and closes nothing.
-func (p *Peer) exchange(c *Call, on *conn) (Outcome, fate) {
+func (p *Backend) exchange(c *Call, on *conn) (Result, fate) {
 	if !p.open.Load() { // the list said so while the connection came up
-		return Outcome{Ending: balancer.NotSent}, kept
+		return Result{Outcome: balancer.OutcomeNotSent}, kept
 	}
 	left, ok := c.begin(on)
 	if !ok {
-		return Outcome{Ending: balancer.NotSent}, kept
+		return Result{Outcome: balancer.OutcomeNotSent}, kept
 	}
 	if out, fate := p.write(c, on, left); fate != kept {
 		return out, fate
 	}
 	first := on.r.begins()
-	reply, more, keep, err := ReadReply(on.r, c.Message.bare, MostBody, MostHeld)
+	reply, more, keep, err := ReadReply(on.r, c.Message.bare, MaxBody, MaxBufferedBody)
 	off := c.end()
 	if err != nil {
 		switch {
 		case off:
-			return Outcome{Ending: balancer.Revoked}, dropped
+			return Result{Outcome: balancer.OutcomeCanceled}, dropped
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return Outcome{Ending: balancer.TimedOut}, dropped
+			return Result{Outcome: balancer.OutcomeTimedOut}, dropped
 		}
 		p.terms.Log.Debug("reply broke", "backend", p.name, "error", err, "reused", on.used,
 			"idle_ms", on.rested.Milliseconds())
-		return Outcome{Ending: balancer.Reset}, dropped
+		return Result{Outcome: balancer.OutcomeConnectionReset}, dropped
 	}
-	report, odd := reply.load(p.terms.Tell)
+	report, odd := reply.load(p.terms.SetReportValue)
 	if odd != "" {
 		p.odd.Do(func() { p.terms.Log.Warn("odd load report skipped", "backend", p.name, "report", odd) })
 	}
@@ -97,18 +97,18 @@
 	switch {
 	case reply.More != nil:
 		s := reply.More
-		s.body, s.on, s.keep, s.most = more, on, keep, MostBody-int64(len(reply.Body))
+		s.body, s.on, s.keep, s.most = more, on, keep, MaxBody-int64(len(reply.Body))
 		s.back = func(keep bool) { p.box.Put(func() { p.returned(on, keep) }) }
 		_ = on.SetDeadline(time.Time{}) // the op's time ends with its first bytes
 		fate = lent
 	case keep:
 		fate = kept
 	}
-	return Outcome{Ending: reply.ending(), First: time.Since(first), Reply: reply, Report: report}, fate
+	return Result{Outcome: reply.ending(), First: time.Since(first), Reply: reply, Report: report}, fate
 }
 
 // write sends the message; kept is that it is out whole.
-func (p *Peer) write(c *Call, on *conn, left time.Duration) (Outcome, fate) {
+func (p *Backend) write(c *Call, on *conn, left time.Duration) (Result, fate) {
 	message := c.Message.encode(float64(left.Microseconds()) / 1e3)
 	n, err := message.WriteTo(on.Conn)
 	if err == nil && c.Message.rest != nil {
@@ -116,20 +116,20 @@
 		if read, err = c.pass(on); read != nil { // the client's doing: it never was whole, and the backend is well
 			c.end()
 			p.terms.Log.Debug("body broke", "backend", p.name, "error", read)
-			return Outcome{Ending: balancer.NotSent}, dropped
+			return Result{Outcome: balancer.OutcomeNotSent}, dropped
 		}
 	}
 	if err == nil {
-		return Outcome{}, kept
+		return Result{}, kept
 	}
 	// An error is told only where bytes are left.
 	off := c.end()
 	p.terms.Log.Debug("write broke", "backend", p.name, "written", n, "error", err)
 	switch {
 	case off: // this node's own doing: it tells nothing of the backend
-		return Outcome{Ending: balancer.NotSent}, dropped
+		return Result{Outcome: balancer.OutcomeNotSent}, dropped
 	case c.Message.rest == nil:
-		return Outcome{Ending: balancer.NoConnection}, unwritten
+		return Result{Outcome: balancer.OutcomeConnectFailed}, unwritten
 	}
-	return Outcome{Ending: balancer.NoConnection}, dropped // what has gone of the body is not held any more
+	return Result{Outcome: balancer.OutcomeConnectFailed}, dropped // what has gone of the body is not held any more
 }
--- a/internal/upstream/message.go
+++ b/internal/upstream/message.go
@@ -19,8 +19,8 @@
 // MostHeld is the size of the largest body, an op's or an answer's, that is held whole; MostBody that of the largest there
 // may be, which is passed on as it comes.
 const (
-	MostHeld = 64 << 10
-	MostBody = 32 << 20
+	MaxBufferedBody = 64 << 10
+	MaxBody         = 32 << 20
 )
 
 // Names on the way to a backend and back.
@@ -217,20 +217,20 @@
 }
 
 // ending tells what the reply says of its push; only a proof counts as never having run.
-func (r *Reply) ending() balancer.Ending {
+func (r *Reply) ending() balancer.Outcome {
 	switch {
 	case r.Status == http.StatusOK:
-		return balancer.Answered
+		return balancer.OutcomeAnswered
 	case (r.Status == http.StatusServiceUnavailable || r.Status == http.StatusGatewayTimeout) &&
 		r.Header.Get(neverRan) == "1":
-		return balancer.Rejected
+		return balancer.OutcomeRejected
 	}
-	return balancer.Failed
+	return balancer.OutcomeFailed
 }
 
 // load reads the reply's load report; an odd one is told, and says nothing.
-func (r *Reply) load(tell func(r *balancer.Report, name string, value float64)) (report balancer.Report, odd string) {
-	report = balancer.NoReport()
+func (r *Reply) load(tell func(r *balancer.LoadReport, name string, value float64)) (report balancer.LoadReport, odd string) {
+	report = balancer.EmptyLoadReport()
 	text := r.Header.Get(loadReport)
 	if text == "" {
 		return report, ""
@@ -243,7 +243,7 @@
 		field, number, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		x, err := strconv.ParseFloat(number, 64)
 		if !ok || err != nil || math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
-			return balancer.NoReport(), text
+			return balancer.EmptyLoadReport(), text
 		}
 		tell(&report, field, x)
 	}
--- a/internal/upstream/moments_test.go
+++ b/internal/upstream/moments_test.go
@@ -29,16 +29,16 @@
 // An op gets its final answer, or its client leaves, just as the write of its push breaks on a connection that the backend
 // has closed: the push is not sent on a fresh connection then. It once was, since Withhold left alone what had begun.
 func TestNothingIsSentAfreshForAnOpThatIsOver(t *testing.T) {
-	for name, f := range map[string]func(*Call){"answered, or left": (*Call).Withhold, "called off": (*Call).Revoke} {
+	for name, f := range map[string]func(*Call){"answered, or left": (*Call).Withhold, "called off": (*Call).Cancel} {
 		b := listen(t, ok+"\r\nhi", ok+"\r\nhi")
 		p, _ := peer(t, b.Addr().String())
-		require.Equal(t, balancer.Answered, (<-send(p, 10*time.Second)).Ending, name)
+		require.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome, name)
 		<-b.got
 		rested(p)
 		var call atomic.Pointer[Call]
 		p.box.Put(func() { p.idle[0].Conn = &breaking{p.idle[0].Conn, func() { f(call.Load()) }} })
 		out := <-send(p, 10*time.Second, func(c *Call) { call.Store(c) })
-		assert.Equal(t, balancer.NotSent, out.Ending, name)
+		assert.Equal(t, balancer.OutcomeNotSent, out.Outcome, name)
 		assert.Empty(t, b.got, name)
 		assert.Len(t, b.conns, 1, "%s: nor is one dialled", name)
 	}
@@ -52,8 +52,8 @@
 	p, _ := peer(t, "127.0.0.1:1")
 	var c *Call
 	c = NewCall(NewMessage("GET", "/", "s", nil, nil), time.Now().Add(10*time.Second), nil)
-	out, _ := p.exchange(c, newConn(&breaking{near, func() { c.Revoke() }}, "127.0.0.1:1"))
-	assert.Equal(t, balancer.NotSent, out.Ending)
+	out, _ := p.exchange(c, newConn(&breaking{near, func() { c.Cancel() }}, "127.0.0.1:1"))
+	assert.Equal(t, balancer.OutcomeNotSent, out.Outcome)
 }
 
 // The list gives a backend another address while a connection to the old one comes up: nothing is sent there. Whoever listens
@@ -61,8 +61,8 @@
 func TestMovedWhileItsConnectionComesUp(t *testing.T) {
 	b, other := listen(t, ok+"\r\nhi"), listen(t, ok+"\r\nhi")
 	p, told := peer(t, b.Addr().String())
-	ended := make(chan Outcome, 1)
-	c := NewCall(NewMessage("GET", "/", "s", nil, nil), time.Now().Add(10*time.Second), func(o Outcome) { ended <- o })
+	ended := make(chan Result, 1)
+	c := NewCall(NewMessage("GET", "/", "s", nil, nil), time.Now().Add(10*time.Second), func(o Result) { ended <- o })
 	to, err := net.Dial("tcp", b.Addr().String())
 	require.NoError(t, err)
 	require.True(t, told.Budget.Peer())
@@ -71,9 +71,9 @@
 		p.calls++
 		p.dialled(c, b.Addr().String(), to, nil)
 	})
-	assert.Equal(t, balancer.NotSent, (<-ended).Ending)
+	assert.Equal(t, balancer.OutcomeNotSent, (<-ended).Outcome)
 	assert.Empty(t, b.got)
-	assert.Equal(t, balancer.Answered, (<-send(p, 10*time.Second)).Ending)
+	assert.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome)
 	assert.Len(t, other.got, 1)
 }
 
@@ -99,14 +99,14 @@
 	p, _ := peer(t, "127.0.0.1:1")
 	m := NewStreamed("POST", "/", "s", http.Header{}, []byte("a"), &Rest{Size: -1, TTL: 10 * time.Second, From: strings.NewReader("b")})
 	c := NewCall(m, time.Now().Add(10*time.Second), nil)
-	ended := make(chan Outcome, 1)
+	ended := make(chan Result, 1)
 	go func() {
-		out, _ := p.exchange(c, newConn(&ending{near, c.Revoke}, "127.0.0.1:1"))
+		out, _ := p.exchange(c, newConn(&ending{near, c.Cancel}, "127.0.0.1:1"))
 		ended <- out
 	}()
 	select {
 	case out := <-ended:
-		assert.Equal(t, balancer.NotSent, out.Ending)
+		assert.Equal(t, balancer.OutcomeNotSent, out.Outcome)
 	case <-time.After(5 * time.Second):
 		t.Fatal("the one waits for the other")
 	}
