--- a/internal/upstream/peer.go
+++ b/internal/upstream/peer.go
@@ -28,18 +28,18 @@
 func (s *Span) Set(d time.Duration) { s.ns.Store(int64(d)) }
 
 // Terms are the same for all backends.
-type Terms struct {
+type Config struct {
 	ConnectTimeout Span
-	IdleFor        Span                                                 // how long an idle connection is kept
-	Tell           func(r *balancer.Report, name string, value float64) // puts a load report's value in its place
+	IdleFor        Span                                                     // how long an idle connection is kept
+	SetReportValue func(r *balancer.LoadReport, name string, value float64) // puts a load report's value in its place
 	Budget         *descriptors.Budget
 	Log            *slog.Logger
 }
 
 // Peer is one backend's actor. Its fields below box are its own.
-type Peer struct {
+type Backend struct {
 	name  string
-	terms *Terms
+	terms *Config
 	open  atomic.Bool // the list lets new pushes go there
 	box   *mailbox.Box[func()]
 
@@ -54,15 +54,15 @@
 }
 
 // NewPeer starts a backend's actor; it takes no calls before Tell.
-func NewPeer(name string, t *Terms) *Peer {
-	p := &Peer{name: name, terms: t, box: mailbox.New[func()](), reap: time.NewTimer(time.Hour),
+func NewBackend(name string, t *Config) *Backend {
+	p := &Backend{name: name, terms: t, box: mailbox.New[func()](), reap: time.NewTimer(time.Hour),
 		odd: rate.Sometimes{Interval: oddEvery}}
 	go p.run()
 	return p
 }
 
 // Tell takes what the list says: the address, and whether new pushes may go there. The latter counts at once.
-func (p *Peer) Tell(address string, open bool) {
+func (p *Backend) Tell(address string, open bool) {
 	p.open.Store(open)
 	p.box.Put(func() {
 		if address != p.address || !open {
@@ -73,7 +73,7 @@
 }
 
 // Send starts a call.
-func (p *Peer) Send(c *Call) {
+func (p *Backend) Send(c *Call) {
 	p.box.Put(func() {
 		p.calls++
 		p.start(c)
@@ -81,10 +81,10 @@
 }
 
 // Shed closes idle connections: their descriptors are wanted elsewhere.
-func (p *Peer) Shed() { p.box.Put(func() { p.shed(0) }) }
+func (p *Backend) Shed() { p.box.Put(func() { p.shed(0) }) }
 
 // Close ends the actor after its last call; no Send may follow.
-func (p *Peer) Close() {
+func (p *Backend) Close() {
 	p.open.Store(false)
 	p.box.Put(func() {
 		p.closing = true
@@ -92,7 +92,7 @@
 	})
 }
 
-func (p *Peer) run() {
+func (p *Backend) run() {
 	var notes []func()
 	for !p.closing || p.calls > 0 {
 		select {
@@ -110,7 +110,7 @@
 
 // start takes the connection that was used last, of those that have rested. Where there is none but one still rests, the
 // call waits for that: a new one would take as long and cost the backend work and a place.
-func (p *Peer) start(c *Call) {
+func (p *Backend) start(c *Call) {
 	resting, first := 0, rest
 	for k := len(p.idle) - 1; k >= 0; k-- {
 		on := p.idle[k]
@@ -142,11 +142,11 @@
 	p.dial(c)
 }
 
-func (p *Peer) dial(c *Call) {
+func (p *Backend) dial(c *Call) {
 	ctx, cancel, wanted := c.dialling(p.terms.ConnectTimeout.Get())
 	if !wanted || !p.open.Load() || !p.terms.Budget.Peer() {
 		cancel()
-		p.finish(c, nil, Outcome{Ending: balancer.NotSent}, dropped)
+		p.finish(c, nil, Result{Outcome: balancer.OutcomeNotSent}, dropped)
 		return
 	}
 	address := p.address
@@ -158,9 +158,9 @@
 	}()
 }
 
-func (p *Peer) dialled(c *Call, address string, to net.Conn, err error) {
+func (p *Backend) dialled(c *Call, address string, to net.Conn, err error) {
 	if err == nil && address != p.address { // moved meanwhile: whoever listens at the old address is another
-		p.finish(c, newConn(to, address), Outcome{Ending: balancer.NotSent}, dropped)
+		p.finish(c, newConn(to, address), Result{Outcome: balancer.OutcomeNotSent}, dropped)
 		return
 	}
 	if err == nil {
@@ -168,26 +168,26 @@
 		return
 	}
 	p.terms.Budget.PeerBack()
-	how := balancer.NoConnection
+	how := balancer.OutcomeConnectFailed
 	// Called off, or this machine's own want: neither tells anything of the backend.
 	if errors.Is(err, context.Canceled) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENOBUFS) {
-		how = balancer.NotSent
+		how = balancer.OutcomeNotSent
 	}
 	p.terms.Log.Debug("no connection", "backend", p.name, "error", err)
-	p.finish(c, nil, Outcome{Ending: how}, dropped)
+	p.finish(c, nil, Result{Outcome: how}, dropped)
 }
 
-func (p *Peer) carry(c *Call, on *conn) {
+func (p *Backend) carry(c *Call, on *conn) {
 	go func() {
 		out, fate := p.exchange(c, on)
 		p.box.Put(func() { p.carried(c, on, out, fate) })
 	}()
 }
 
-func (p *Peer) carried(c *Call, on *conn, out Outcome, fate fate) {
+func (p *Backend) carried(c *Call, on *conn, out Result, fate fate) {
 	if on.used {
-		p.wear.used(on.rested, fate == unwritten || out.Ending == balancer.Reset)
+		p.wear.used(on.rested, fate == unwritten || out.Outcome == balancer.OutcomeConnectionReset)
 	}
 	if fate == unwritten && on.used && !c.afresh { // an idle connection closed this moment; nothing has run
 		p.drop(on)
@@ -199,7 +199,7 @@
 }
 
 // finish is where each call ends and its connection comes back.
-func (p *Peer) finish(c *Call, on *conn, out Outcome, fate fate) {
+func (p *Backend) finish(c *Call, on *conn, out Result, fate fate) {
 	if fate != lent {
 		p.returned(on, fate == kept)
 	}
@@ -207,7 +207,7 @@
 }
 
 // returned takes a connection back with which a call has nothing more to do, or none where it had none.
-func (p *Peer) returned(on *conn, keep bool) {
+func (p *Backend) returned(on *conn, keep bool) {
 	p.calls--
 	switch {
 	case on == nil:
@@ -223,7 +223,7 @@
 }
 
 // shed closes the connections that have been idle for so long.
-func (p *Peer) shed(idle time.Duration) {
+func (p *Backend) shed(idle time.Duration) {
 	for len(p.idle) > 0 && time.Since(p.idle[0].since) >= idle {
 		p.drop(p.idle[0])
 		p.idle = p.idle[1:]
@@ -234,7 +234,7 @@
 }
 
 // drop is the one place where a connection closes and its descriptor is given back.
-func (p *Peer) drop(on *conn) {
+func (p *Backend) drop(on *conn) {
 	_ = on.Close()
 	p.terms.Budget.PeerBack()
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -69,23 +69,23 @@
 	return b
 }
 
-func peer(t *testing.T, address string) (*Peer, *Terms) {
-	told := &Terms{Tell: config.Tell,
+func peer(t *testing.T, address string) (*Backend, *Config) {
+	told := &Config{SetReportValue: config.SetReportValue,
 		Budget: descriptors.New(64, func() {}), Log: slog.New(slog.DiscardHandler)}
 	told.ConnectTimeout.Set(time.Second)
 	told.IdleFor.Set(time.Minute)
-	p := NewPeer("s", told)
+	p := NewBackend("s", told)
 	p.Tell(address, true)
 	t.Cleanup(p.Close)
 	return p, told
 }
 
 // send starts a call with so much time; the channel brings its outcome.
-func send(p *Peer, within time.Duration, each ...func(*Call)) chan Outcome {
-	out := make(chan Outcome, 1)
+func send(p *Backend, within time.Duration, each ...func(*Call)) chan Result {
+	out := make(chan Result, 1)
 	m := NewMessage("POST", "/api?x=%20y", "service", http.Header{"X-Trace-Id": {"7"}, "Connection": {"X-Hop"},
 		"X-Hop": {"1"}, "X-Expires-In-Ms": {"9999"}}, []byte("body"))
-	c := NewCall(m, time.Now().Add(within), func(o Outcome) { out <- o })
+	c := NewCall(m, time.Now().Add(within), func(o Result) { out <- o })
 	for _, f := range each {
 		f(c)
 	}
@@ -94,7 +94,7 @@
 }
 
 // rested lets time pass for idle connections.
-func rested(p *Peer) {
+func rested(p *Backend) {
 	done := make(chan bool)
 	p.box.Put(func() {
 		for _, on := range p.idle {
@@ -110,44 +110,44 @@
 func TestEndings(t *testing.T) {
 	for name, c := range map[string]struct {
 		script string
-		want   balancer.Ending
+		want   balancer.Outcome
 	}{
-		"answered":                {ok + "\r\nhi", balancer.Answered},
-		"answered after a hint":   {"HTTP/1.1 103 Early Hints\r\n\r\n" + ok + "\r\nhi", balancer.Answered},
-		"error":                   {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", balancer.Failed},
-		"never ran":               {"HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
-		"over already":            {"HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
-		"no proof":                {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", balancer.Failed},
-		"no proof by that status": {"HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failed},
-		"nothing but an end":      {"END", balancer.Reset},
-		"half a head":             {"HTTP/1.1 200END", balancer.Reset},
-		"half a body":             {ok + "\r\nhEND", balancer.Reset},
-		"no HTTP":                 {"hello\r\n\r\n", balancer.Reset},
-		"too long":                {"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + strings.Repeat("x", 70000), balancer.Reset},
-		"endless":                 {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 70000), balancer.Reset},
-		"a head without end":      {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 40000), balancer.Reset},
-		"many lines":              {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", 9000), balancer.Reset},
-		"hints without end":       {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2000), balancer.Reset},
-		"chunk without an end":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;" + strings.Repeat("x", 90000), balancer.Reset},
-		"chunks":                  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balancer.Answered},
-		"cut off before its end":  {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nhiEND", balancer.Reset},
-		"ends by close, unsaid":   {"HTTP/1.1 200 OK\r\n\r\nhiEND", balancer.Answered},
-		"ends by close":           {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhiEND", balancer.Answered},
-		"ends by close, 1.0":      {"HTTP/1.0 200 OK\r\n\r\nhiEND", balancer.Answered},
-		"chunks of all forms":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n1;a=b\r\nh\r\n01\r\ni\r\n0;c\r\nX-Sum: 1\r\n\r\n", balancer.Answered},
-		"chunks cut off":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\nEND", balancer.Reset},
-		"silence":                 {"", balancer.TimedOut},
-		"half a body and silence": {ok + "\r\nh", balancer.TimedOut},
+		"answered":                {ok + "\r\nhi", balancer.OutcomeAnswered},
+		"answered after a hint":   {"HTTP/1.1 103 Early Hints\r\n\r\n" + ok + "\r\nhi", balancer.OutcomeAnswered},
+		"error":                   {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", balancer.OutcomeFailed},
+		"never ran":               {"HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.OutcomeRejected},
+		"over already":            {"HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.OutcomeRejected},
+		"no proof":                {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", balancer.OutcomeFailed},
+		"no proof by that status": {"HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.OutcomeFailed},
+		"nothing but an end":      {"END", balancer.OutcomeConnectionReset},
+		"half a head":             {"HTTP/1.1 200END", balancer.OutcomeConnectionReset},
+		"half a body":             {ok + "\r\nhEND", balancer.OutcomeConnectionReset},
+		"no HTTP":                 {"hello\r\n\r\n", balancer.OutcomeConnectionReset},
+		"too long":                {"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + strings.Repeat("x", 70000), balancer.OutcomeConnectionReset},
+		"endless":                 {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 70000), balancer.OutcomeConnectionReset},
+		"a head without end":      {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 40000), balancer.OutcomeConnectionReset},
+		"many lines":              {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", 9000), balancer.OutcomeConnectionReset},
+		"hints without end":       {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2000), balancer.OutcomeConnectionReset},
+		"chunk without an end":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;" + strings.Repeat("x", 90000), balancer.OutcomeConnectionReset},
+		"chunks":                  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balancer.OutcomeAnswered},
+		"cut off before its end":  {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nhiEND", balancer.OutcomeConnectionReset},
+		"ends by close, unsaid":   {"HTTP/1.1 200 OK\r\n\r\nhiEND", balancer.OutcomeAnswered},
+		"ends by close":           {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhiEND", balancer.OutcomeAnswered},
+		"ends by close, 1.0":      {"HTTP/1.0 200 OK\r\n\r\nhiEND", balancer.OutcomeAnswered},
+		"chunks of all forms":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n1;a=b\r\nh\r\n01\r\ni\r\n0;c\r\nX-Sum: 1\r\n\r\n", balancer.OutcomeAnswered},
+		"chunks cut off":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\nEND", balancer.OutcomeConnectionReset},
+		"silence":                 {"", balancer.OutcomeTimedOut},
+		"half a body and silence": {ok + "\r\nh", balancer.OutcomeTimedOut},
 	} {
 		b := listen(t, c.script)
 		p, _ := peer(t, b.Addr().String())
 		within := 10 * time.Second
-		if c.want == balancer.TimedOut {
+		if c.want == balancer.OutcomeTimedOut {
 			within = 100 * time.Millisecond
 		}
 		out := <-send(p, within)
-		assert.Equal(t, c.want, out.Ending, name)
-		assert.Equal(t, c.want == balancer.Answered, out.Reply != nil && string(out.Reply.Body) == "hi", name)
+		assert.Equal(t, c.want, out.Outcome, name)
+		assert.Equal(t, c.want == balancer.OutcomeAnswered, out.Reply != nil && string(out.Reply.Body) == "hi", name)
 	}
 }
 
@@ -156,7 +156,7 @@
 		ok+"Endpoint-Load-Metrics: TEXT mean_ms=much\r\n\r\nhi")
 	p, _ := peer(t, b.Addr().String())
 	out := <-send(p, time.Minute)
-	assert.Equal(t, balancer.Report{Service: 31.5, Held: 2, Waiting: balancer.Untold, Rate: balancer.Untold}, out.Report)
+	assert.Equal(t, balancer.LoadReport{ServiceTime: 31.5, InFlight: 2, Queued: balancer.NotReported, Throughput: balancer.NotReported}, out.Report)
 	assert.Empty(t, out.Reply.Header["Endpoint-Load-Metrics"])
 	m := <-b.got
 	assert.Equal(t, []any{"POST", "/api?x=%20y", "service", "7", int64(4)},
@@ -166,8 +166,8 @@
 	assert.Regexp(t, `^(59\d\d\d|60000)$`, m.Header.Get(ExpiresHeader))
 	rested(p)
 	out = <-send(p, time.Minute)
-	assert.Equal(t, balancer.Answered, out.Ending, "an odd report costs no answer")
-	assert.False(t, out.Report.Told())
+	assert.Equal(t, balancer.OutcomeAnswered, out.Outcome, "an odd report costs no answer")
+	assert.False(t, out.Report.HasValues())
 	assert.Len(t, b.conns, 1, "one connection for one after the other")
 }
 
@@ -179,14 +179,14 @@
 	for name, c := range map[string]struct {
 		address string
 		within  time.Duration
-		tell    func(*Peer)
+		tell    func(*Backend)
 		each    func(*Call)
-		want    balancer.Ending
+		want    balancer.Outcome
 	}{
-		"refused":           {refusing.Addr().String(), time.Second, nil, nil, balancer.NoConnection},
-		"called off before": {b.Addr().String(), time.Second, nil, (*Call).Revoke, balancer.NotSent},
-		"out of time":       {b.Addr().String(), -time.Second, nil, nil, balancer.NoConnection},
-		"draining":          {b.Addr().String(), time.Second, func(p *Peer) { p.Tell(b.Addr().String(), false) }, nil, balancer.NotSent},
+		"refused":           {refusing.Addr().String(), time.Second, nil, nil, balancer.OutcomeConnectFailed},
+		"called off before": {b.Addr().String(), time.Second, nil, (*Call).Cancel, balancer.OutcomeNotSent},
+		"out of time":       {b.Addr().String(), -time.Second, nil, nil, balancer.OutcomeConnectFailed},
+		"draining":          {b.Addr().String(), time.Second, func(p *Backend) { p.Tell(b.Addr().String(), false) }, nil, balancer.OutcomeNotSent},
 	} {
 		p, _ := peer(t, c.address)
 		if c.tell != nil {
@@ -196,22 +196,22 @@
 		if c.each != nil {
 			each = append(each, c.each)
 		}
-		assert.Equal(t, c.want, (<-send(p, c.within, each...)).Ending, name)
+		assert.Equal(t, c.want, (<-send(p, c.within, each...)).Outcome, name)
 		assert.Empty(t, b.got, name)
 	}
 	p, terms := peer(t, b.Addr().String())
 	for terms.Budget.Peer() {
 	}
-	assert.Equal(t, balancer.NotSent, (<-send(p, 10*time.Second)).Ending, "no descriptor is no fault of the backend's")
+	assert.Equal(t, balancer.OutcomeNotSent, (<-send(p, 10*time.Second)).Outcome, "no descriptor is no fault of the backend's")
 }
 
 // The list may tell of a drain, or the op may end, while its connection comes up.
 func TestCheckedAgainBeforeTheFirstByte(t *testing.T) {
-	for name, turn := range map[string]func(*Peer, *Call){
-		"draining":   func(p *Peer, _ *Call) { p.open.Store(false) },
-		"called off": func(_ *Peer, c *Call) { c.Revoke() },
-		"answered":   func(_ *Peer, c *Call) { c.Withhold() },
-		"too late":   func(_ *Peer, c *Call) { c.Shorten(time.Now()) },
+	for name, turn := range map[string]func(*Backend, *Call){
+		"draining":   func(p *Backend, _ *Call) { p.open.Store(false) },
+		"called off": func(_ *Backend, c *Call) { c.Cancel() },
+		"answered":   func(_ *Backend, c *Call) { c.Withhold() },
+		"too late":   func(_ *Backend, c *Call) { c.ShortenDeadline(time.Now()) },
 	} {
 		near, far := net.Pipe()
 		p, _ := peer(t, "127.0.0.1:1")
@@ -223,7 +223,7 @@
 			read <- n
 		}()
 		out, fate := p.exchange(c, newConn(near, "127.0.0.1:1"))
-		assert.Equal(t, balancer.NotSent, out.Ending, name)
+		assert.Equal(t, balancer.OutcomeNotSent, out.Outcome, name)
 		assert.Equal(t, kept, fate, name)
 		_ = near.Close()
 		assert.Zero(t, <-read, name)
@@ -233,15 +233,15 @@
 func TestRevokeAndShorten(t *testing.T) {
 	b := listen(t, "", "")
 	p, _ := peer(t, b.Addr().String())
-	for want, f := range map[balancer.Ending]func(*Call){
-		balancer.Revoked:  (*Call).Revoke,
-		balancer.TimedOut: func(c *Call) { c.Shorten(time.Now().Add(10 * time.Millisecond)) },
+	for want, f := range map[balancer.Outcome]func(*Call){
+		balancer.OutcomeCanceled: (*Call).Cancel,
+		balancer.OutcomeTimedOut: func(c *Call) { c.ShortenDeadline(time.Now().Add(10 * time.Millisecond)) },
 	} {
 		var call *Call
 		out := send(p, time.Minute, func(c *Call) { call = c })
 		<-b.got
 		f(call)
-		assert.Equal(t, want, (<-out).Ending)
+		assert.Equal(t, want, (<-out).Outcome)
 		_, err := (<-b.conns).Read(make([]byte, 1))
 		assert.Error(t, err, "given up by closing the connection")
 	}
@@ -265,7 +265,7 @@
 		b := listen(t, c.sent, ok+"\r\nhi")
 		p, _ := peer(t, b.Addr().String())
 		out := <-send(p, 300*time.Millisecond)
-		require.Equal(t, balancer.Answered, out.Ending, name)
+		require.Equal(t, balancer.OutcomeAnswered, out.Outcome, name)
 		assert.Equal(t, c.size, out.Reply.More.Size, name)
 		assert.Equal(t, early, len(out.Reply.Body), name)
 		<-time.After(350 * time.Millisecond) // the op's time is over, and its client still reads
@@ -276,7 +276,7 @@
 		out.Reply.Release()
 		out.Reply.Release() // once
 		rested(p)
-		require.Equal(t, balancer.Answered, (<-send(p, 10*time.Second)).Ending, name)
+		require.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome, name)
 		assert.Equal(t, c.kept, len(b.conns) == 1, "%s: the connection again", name)
 	}
 
@@ -298,16 +298,16 @@
 	for name, c := range map[string]struct {
 		size int64
 		from func(rest string) io.Reader
-		want balancer.Ending
+		want balancer.Outcome
 	}{
-		"a length": {int64(len(body)), func(rest string) io.Reader { return strings.NewReader(rest) }, balancer.Answered},
-		"chunks":   {-1, func(rest string) io.Reader { return iotest.HalfReader(strings.NewReader(rest)) }, balancer.Answered},
-		"slow":     {-1, func(rest string) io.Reader { return &slowly{strings.NewReader(rest)} }, balancer.Answered},
+		"a length": {int64(len(body)), func(rest string) io.Reader { return strings.NewReader(rest) }, balancer.OutcomeAnswered},
+		"chunks":   {-1, func(rest string) io.Reader { return iotest.HalfReader(strings.NewReader(rest)) }, balancer.OutcomeAnswered},
+		"slow":     {-1, func(rest string) io.Reader { return &slowly{strings.NewReader(rest)} }, balancer.OutcomeAnswered},
 		"client gone": {-1, func(rest string) io.Reader {
 			return io.MultiReader(strings.NewReader(rest[:9]), iotest.ErrReader(io.ErrUnexpectedEOF))
-		}, balancer.NotSent},
-		"too slow":     {int64(len(body)), func(string) io.Reader { return iotest.ErrReader(os.ErrDeadlineExceeded) }, balancer.NotSent},
-		"gone at once": {int64(len(body)), func(string) io.Reader { return iotest.ErrReader(io.EOF) }, balancer.NoConnection},
+		}, balancer.OutcomeNotSent},
+		"too slow":     {int64(len(body)), func(string) io.Reader { return iotest.ErrReader(os.ErrDeadlineExceeded) }, balancer.OutcomeNotSent},
+		"gone at once": {int64(len(body)), func(string) io.Reader { return iotest.ErrReader(io.EOF) }, balancer.OutcomeConnectFailed},
 	} {
 		b := listen(t, ok+"\r\nhi")
 		p, _ := peer(t, b.Addr().String())
@@ -316,16 +316,16 @@
 		}
 		m := NewStreamed("POST", "/", "s", http.Header{"X-Trace-Id": {"7"}}, []byte(body[:1000]),
 			&Rest{Size: c.size, TTL: 250 * time.Millisecond, From: c.from(body[1000:])})
-		out, sent := make(chan Outcome, 1), make(chan time.Time, 1)
-		call := NewCall(m, time.Now().Add(time.Minute), func(o Outcome) { out <- o })
+		out, sent := make(chan Result, 1), make(chan time.Time, 1)
+		call := NewCall(m, time.Now().Add(time.Minute), func(o Result) { out <- o })
 		call.Sent = func(until time.Time) { sent <- until }
 		begun := time.Now()
 		p.Send(call)
 		o := <-out
-		assert.Equal(t, c.want, o.Ending, name)
-		if c.want != balancer.Answered {
+		assert.Equal(t, c.want, o.Outcome, name)
+		if c.want != balancer.OutcomeAnswered {
 			assert.Empty(t, sent, name)
-			assert.True(t, o.Ending.NeverRan(), name)
+			assert.True(t, o.Outcome.NeverRan(), name)
 			continue
 		}
 		got := <-b.got
@@ -357,15 +357,15 @@
 	const copy = ok + "\r\nho"
 	for name, c := range map[string]struct {
 		behind string // at once
-		turn   func(p *Peer, first net.Conn)
+		turn   func(p *Backend, first net.Conn)
 	}{
-		"at once": {copy, func(p *Peer, _ net.Conn) { rested(p) }},
-		"late": {"", func(p *Peer, first net.Conn) {
+		"at once": {copy, func(p *Backend, _ net.Conn) { rested(p) }},
+		"late": {"", func(p *Backend, first net.Conn) {
 			_, err := first.Write([]byte(copy))
 			require.NoError(t, err)
 			rested(p)
 		}},
-		"while the next op waits for the connection to rest": {"", func(p *Peer, first net.Conn) {
+		"while the next op waits for the connection to rest": {"", func(p *Backend, first net.Conn) {
 			p.box.Put(func() { p.idle[0].since = time.Now().Add(50 * time.Millisecond) })
 			_, err := first.Write([]byte(copy))
 			require.NoError(t, err)
@@ -373,10 +373,10 @@
 	} {
 		b := listen(t, ok+"\r\nhi"+c.behind, ok+"\r\nhi")
 		p, _ := peer(t, b.Addr().String())
-		require.Equal(t, balancer.Answered, (<-send(p, 10*time.Second)).Ending, name)
+		require.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome, name)
 		c.turn(p, <-b.conns)
 		out := <-send(p, 10*time.Second)
-		require.Equal(t, balancer.Answered, out.Ending, name)
+		require.Equal(t, balancer.OutcomeAnswered, out.Outcome, name)
 		assert.Equal(t, "hi", string(out.Reply.Body), name)
 		assert.Len(t, b.conns, 1, "%s: on a connection of its own", name)
 	}
@@ -400,9 +400,9 @@
 	const hi = ok + "\r\nhi"
 	b := listen(t, hi, "END", hi, "END", hi, hi)
 	p, _ := peer(t, b.Addr().String())
-	for k, want := range []balancer.Ending{balancer.Answered, balancer.Reset, balancer.Answered, balancer.Reset,
-		balancer.Answered, balancer.Answered} {
-		assert.Equal(t, want, (<-send(p, 10*time.Second)).Ending, k)
+	for k, want := range []balancer.Outcome{balancer.OutcomeAnswered, balancer.OutcomeConnectionReset, balancer.OutcomeAnswered, balancer.OutcomeConnectionReset,
+		balancer.OutcomeAnswered, balancer.OutcomeAnswered} {
+		assert.Equal(t, want, (<-send(p, 10*time.Second)).Outcome, k)
 		p.box.Put(func() {
 			for _, on := range p.idle {
 				on.since = on.since.Add(-200 * time.Millisecond)
@@ -416,7 +416,7 @@
 func TestClosedWhileIdle(t *testing.T) {
 	b := listen(t, ok+"\r\nhi", ok+"\r\nhi", ok+"\r\nhi")
 	p, terms := peer(t, b.Addr().String())
-	require.Equal(t, balancer.Answered, (<-send(p, 10*time.Second)).Ending)
+	require.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome)
 	idle := <-b.conns
 	_ = idle.Close()
 	on := make(chan bool)
@@ -425,13 +425,13 @@
 		return !<-on
 	}, 10*time.Second, time.Millisecond)
 	rested(p)
-	assert.Equal(t, balancer.Answered, (<-send(p, 10*time.Second)).Ending)
+	assert.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome)
 	<-b.conns // a fresh one
 
 	// One that breaks at the first byte, unseen before: nothing has run, so once more on a fresh one.
 	p.box.Put(func() { _ = p.idle[0].Conn.(*net.TCPConn).CloseWrite() })
 	rested(p)
-	assert.Equal(t, balancer.Answered, (<-send(p, 10*time.Second)).Ending)
+	assert.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome)
 	<-b.conns
 
 	// What stands idle for too long is closed here, before the backend would.
@@ -446,12 +446,12 @@
 func TestWaitsForAConnectionAtRest(t *testing.T) {
 	b := listen(t, ok+"\r\nhi", ok+"\r\nhi", ok+"\r\nhi")
 	p, _ := peer(t, b.Addr().String())
-	require.Equal(t, balancer.Answered, (<-send(p, time.Second)).Ending)
+	require.Equal(t, balancer.OutcomeAnswered, (<-send(p, time.Second)).Outcome)
 	answered := time.Now()
 	second, third := send(p, time.Second), send(p, time.Second)
-	require.Equal(t, balancer.Answered, (<-second).Ending)
+	require.Equal(t, balancer.OutcomeAnswered, (<-second).Outcome)
 	assert.GreaterOrEqual(t, time.Since(answered)+time.Millisecond, rest)
-	require.Equal(t, balancer.Answered, (<-third).Ending)
+	require.Equal(t, balancer.OutcomeAnswered, (<-third).Outcome)
 	assert.Len(t, b.conns, 2)
 }
 
@@ -459,12 +459,12 @@
 func TestCalledOffWhileAConnectionRests(t *testing.T) {
 	b := listen(t, ok+"\r\nhi")
 	p, told := peer(t, b.Addr().String())
-	require.Equal(t, balancer.Answered, (<-send(p, time.Second)).Ending)
-	assert.Equal(t, balancer.NotSent, (<-send(p, time.Second, (*Call).Revoke)).Ending)
-	assert.Equal(t, balancer.NotSent, (<-send(p, time.Millisecond)).Ending)
+	require.Equal(t, balancer.OutcomeAnswered, (<-send(p, time.Second)).Outcome)
+	assert.Equal(t, balancer.OutcomeNotSent, (<-send(p, time.Second, (*Call).Cancel)).Outcome)
+	assert.Equal(t, balancer.OutcomeNotSent, (<-send(p, time.Millisecond)).Outcome)
 	second := send(p, time.Second)
 	p.Tell(b.Addr().String(), false)
-	assert.Equal(t, balancer.NotSent, (<-second).Ending)
+	assert.Equal(t, balancer.OutcomeNotSent, (<-second).Outcome)
 	<-b.got
 	assert.Empty(t, b.got)
 	assert.True(t, told.Budget.Peer())
