--- a/cmd/pearknot-lab/authority.go
+++ b/cmd/pearknot-lab/authority.go
@@ -76,7 +76,7 @@
 					return cli.Usage(fmt.Errorf("%s %q is no loopback address with a port", what, address))
 				}
 			}
-			if !(life > 0) || !(window >= 0 && window < 1) {
+			if valid := life > 0 && window >= 0 && window < 1; !valid { // NaN is refused too
 				return cli.Usage(errors.New("--life or --window is none"))
 			}
 			a, err := acmestub.New(acmestub.Options{Life: life, Window: window, HTTP: func(string) string { return http1 }, TLS: func(string) string { return alpn }})
--- a/cmd/pearknot-lab/fleet.go
+++ b/cmd/pearknot-lab/fleet.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return r, 0, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	o, err := agent.DecodeOptions(filepath.Join(dir, "agent.toml"), fmt.Appendf(nil,
 		"dir = %q\nbinary = [%q]\n[rolling]\nhealth_ms = 300\n[timing]\nevery_ms = 20\ncalm_ms = 200\n", dir, program))
 	if err != nil {
--- a/cmd/pearknot-lab/main.go
+++ b/cmd/pearknot-lab/main.go
@@ -17,8 +17,9 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
+	status := run(ctx, os.Args[1:], os.Stdout, os.Stderr)
+	stop()
+	os.Exit(status)
 }
 
 // run gives the exit status.
--- a/cmd/pearknot-lab/play.go
+++ b/cmd/pearknot-lab/play.go
@@ -169,7 +169,7 @@
 		return r, err
 	}
 	defer clean()
-	o.Command = append(start, p.nodeArgs...)
+	o.Command = slices.Concat(start, p.nodeArgs)
 	o.Devices = p.devices
 	if p.tls {
 		o.TLS = &loopback.TLS{Renew: p.renew, Resume: true, Told: func(s loopback.Swaps) {
--- a/cmd/pearknot-lab/scale.go
+++ b/cmd/pearknot-lab/scale.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"io"
 	"log/slog"
 	"os"
 
@@ -44,16 +43,12 @@
 			case err != nil:
 				return err
 			}
-			w := c.OutOrStdout()
 			if out != "" {
-				f, err := os.Create(out)
-				if err != nil {
+				if err := writeResult(out, r); err != nil {
 					return err
 				}
-				defer f.Close()
-				w = io.MultiWriter(w, f)
 			}
-			r.Print(w)
+			r.Print(c.OutOrStdout())
 			if len(r.Broken) > 0 {
 				return &cli.Error{Status: cli.No, Err: errBroken, Silent: true}
 			}
@@ -66,6 +61,15 @@
 	return c
 }
 
+func writeResult(name string, r *scale.Report) error {
+	f, err := os.Create(name)
+	if err != nil {
+		return err
+	}
+	r.Print(f)
+	return f.Close()
+}
+
 // hollowCommand is a process of hollow nodes, as scale starts it.
 func hollowCommand() *cobra.Command {
 	return &cobra.Command{Use: "hollow FILE", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/pearknot/capture_test.go
+++ b/cmd/pearknot/capture_test.go
@@ -64,10 +64,11 @@
 		if life == 0 {
 			require.Eventually(t, func() bool { ops, _ := count(); return ops == 60 }, 5*time.Second, 5*time.Millisecond)
 			require.NoError(t, w.process.Process.Kill())
+			require.Error(t, <-w.ended, "killed")
 		} else {
 			require.NoError(t, w.process.Process.Signal(os.Interrupt))
+			require.NoError(t, <-w.ended, "ended by itself")
 		}
-		<-w.ended
 	}
 	ops, starts := count()
 	assert.Equal(t, 120, ops)
--- a/cmd/pearknot/controlplane_test.go
+++ b/cmd/pearknot/controlplane_test.go
@@ -176,14 +176,13 @@
 var servingAt = regexp.MustCompile(`msg=serving .*address=(\S+)`)
 
 // node starts a node, or its next life, with settings of its own file.
-func (p *plane) node(name, region, settings string) *planeProcess {
+func (p *plane) node(name, region, settings string) {
 	config := filepath.Join(p.dir, name+".json")
 	require.NoError(p.t, os.WriteFile(config, fmt.Appendf(nil, `{"name":%q,"listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f",
 "limits":{"cores":1,"memory_mb":192,"sockets":256},"known":{"rev":41,"all":true,"targets":[]},"settings":%s}`, name, p.discovery, settings), 0o600))
 	socket := filepath.Join(p.dir, name+".sock")
 	x := p.run(name, "msg=serving", "serve", "-config", config, "--control-plane", p.config(name, region), "--control", socket)
 	x.control, x.address = socket, servingAt.FindStringSubmatch(x.log.String())[1]
-	return x
 }
 
 // within waits for something.
--- a/cmd/pearknot/fleet.go
+++ b/cmd/pearknot/fleet.go
@@ -133,7 +133,8 @@
 	if err := t.show(c, out, func(w io.Writer) { line(w, out.Change) }); err != nil {
 		return err
 	}
-	if t.wait && out.Change.Status != fleet.Succeeded && !(w.What == "rollback" && out.Change.Status == fleet.RolledBack) {
+	done := out.Change.Status == fleet.Succeeded || w.What == "rollback" && out.Change.Status == fleet.RolledBack
+	if t.wait && !done {
 		return &cli.Error{Status: cli.Failed, Err: fmt.Errorf("change %d: %s: %s", out.Change.ID, out.Change.Status, out.Change.Failure)}
 	}
 	return nil
--- a/cmd/pearknot/main.go
+++ b/cmd/pearknot/main.go
@@ -81,10 +81,10 @@
 		if what == "serve" { // first of all
 			again = serve.Hear()
 		}
-		var sink io.Writer = c.ErrOrStderr()
+		sink := c.ErrOrStderr()
 		if logFile != "" {
 			rotated := &lumberjack.Logger{Filename: logFile, MaxSize: logMB, MaxBackups: logKept}
-			defer rotated.Close()
+			defer func() { _ = rotated.Close() }()
 			sink = rotated
 		}
 		log := slog.New(slog.NewTextHandler(sink, &slog.HandlerOptions{Level: level}))
@@ -102,8 +102,7 @@
 				return cli.Usage(err)
 			}
 		}
-		switch {
-		case what == "check":
+		if what == "check" {
 			fmt.Fprintln(c.OutOrStdout(), p)
 			return nil
 		}
--- a/cmd/pearknot/tls_test.go
+++ b/cmd/pearknot/tls_test.go
@@ -139,7 +139,7 @@
 	ask(first, "3") // on the connection from before
 
 	require.NoError(t, one.process.Process.Kill())
-	<-one.ended
+	require.Error(t, <-one.ended, "killed")
 	require.Eventually(t, func() bool { status, text = call("certs", "revoke", socket2, "a"); return status == 0 }, 15*time.Second, 50*time.Millisecond, text)
 	last := r.becomes(second, func(s string) bool { return s != fresh })
 	assert.NotEqual(t, old, last)
--- a/internal/acme/instance.go
+++ b/internal/acme/instance.go
@@ -231,6 +231,7 @@
 	return i.do(ctx, func(k *Keeper) error { return k.Renew(name) })
 }
 
+// Revoke revokes the certificate of that name at its authority, and orders another.
 func (i *Instance) Revoke(ctx context.Context, name string) error {
 	return i.do(ctx, func(k *Keeper) error { return k.Revoke(ctx, name) })
 }
--- a/internal/acme/keeper_test.go
+++ b/internal/acme/keeper_test.go
@@ -255,7 +255,7 @@
 			}
 		}
 		func() {
-			defer func() { recover() }()
+			defer func() { _ = recover() }()
 			for range 10 {
 				w.pass(k.Step(t.Context()))
 			}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -382,7 +382,7 @@
 		if err != nil || lock == nil {
 			return 0, errors.Join(err, errors.New("still held"))
 		}
-		defer lock.Close()
+		defer func() { _ = lock.Close() }()
 		for _, name := range []string{p.socket(), p.lock()} {
 			if err := os.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return 0, err
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -55,9 +55,10 @@
 	var returns []time.Duration
 	for k, point := range Points {
 		for _, nth := range []int{1, 3} {
-			if point == "proposed" || point == "planned" {
+			switch point {
+			case "proposed", "planned":
 				nth = 1
-			} else if point == "snapshot" {
+			case "snapshot":
 				nth = 2 // the first is right after the start
 			}
 			r.stop()
@@ -181,7 +182,7 @@
 		pids[i.Name] = i.Seen.Pid
 	}
 	require.NoError(t, r.agent.Process.Kill())
-	<-r.ended
+	require.Error(t, <-r.ended, "killed")
 	require.NoError(t, syscall.Kill(pids["n01"], syscall.SIGKILL))
 	r.start("")
 	v = r.until(10*time.Second, "four run again", func(v View) bool { return settled(v) && len(v.Instances) == 4 })
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -204,7 +204,7 @@
 	a.o.Point("proposed")
 	if !a.save() {
 		a.fleet.Restore(before)
-		return Written{}, fmt.Errorf("%w: %v", errUnwritten, a.broken)
+		return Written{}, fmt.Errorf("%w: %w", errUnwritten, a.broken)
 	}
 	a.o.Point("planned")
 	a.log.Info("change", "id", c.ID, "what", c.What, "author", author, "reason", x.Reason, "instances", len(c.Order))
@@ -235,7 +235,7 @@
 			}
 			digest, err := a.keep(text)
 			if err != nil {
-				return nil, fmt.Errorf("%w: %v", errUnwritten, err)
+				return nil, fmt.Errorf("%w: %w", errUnwritten, err)
 			}
 			i.Digest, i.Epoch = digest, was.Epoch
 			set[i.Name] = i
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -11,6 +11,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"time"
@@ -78,7 +79,7 @@
 	if lock == nil {
 		return 0, fmt.Errorf("%s: held by a process: not started again", p.lock())
 	}
-	defer lock.Close()
+	defer func() { _ = lock.Close() }()
 	point("locked")
 	if err := lock.Truncate(0); err != nil {
 		return 0, err
@@ -87,8 +88,8 @@
 	if err != nil {
 		return 0, err
 	}
-	defer out.Close()
-	args := append(binary[1:len(binary):len(binary)], "serve", "--config", file(p.dir, i.Digest), "--control", p.socket(), "--held",
+	defer func() { _ = out.Close() }()
+	args := append(slices.Clone(binary[1:]), "serve", "--config", file(p.dir, i.Digest), "--control", p.socket(), "--held",
 		"--log-file", p.log())
 	c := exec.Command(binary[0], args...)
 	c.Env = append(clean(os.Environ()), serve.TokenVariable+"="+token, serve.LockVariable+"="+p.lock(),
@@ -129,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	defer handle.Release()
+	defer func() { _ = handle.Release() }()
 	if err := p.prove(h, token); err != nil {
 		return err
 	}
@@ -204,7 +205,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	info, err := f.Stat()
 	if err != nil {
 		return nil, err
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -47,8 +47,8 @@
 		}
 		if err == nil {
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
-			defer stop()
 			err = a.Run(ctx)
+			stop()
 		}
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -198,7 +198,9 @@
 func (r *rig) stop() {
 	if r.agent != nil {
 		_ = r.agent.Process.Signal(syscall.SIGTERM)
-		<-r.ended
+		if err := <-r.ended; err != nil {
+			r.t.Logf("the agent ended with %v", err)
+		}
 		r.agent = nil
 	}
 }
--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -211,9 +211,9 @@
 		case errors.Is(err, os.ErrPermission):
 			return nil, err
 		}
-		return nil, fmt.Errorf("%s: %w: %v", path, errDamaged, err)
+		return nil, fmt.Errorf("%s: %w: %w", path, errDamaged, err)
 	}
-	defer db.Close()
+	defer func() { _ = db.Close() }()
 	kept = map[string]string{}
 	var sum []byte
 	steps := 0
--- a/internal/capture/file.go
+++ b/internal/capture/file.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	defer zip.Close()
+	defer func() { _ = zip.Close() }()
 	out := bytes.Clone(header)
 	var block []byte
 	for i, r := range records {
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	return ReadFrom(name, file, f)
 }
 
@@ -161,7 +161,7 @@
 	for {
 		var frame [blockHead]byte
 		n, err := io.ReadFull(in, frame[:])
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -15,6 +15,7 @@
 // Sync says when what is written is made durable.
 type Sync string
 
+// When a segment is forced to the disk.
 const (
 	SyncNever   Sync = "never"   // the system's own time
 	SyncSegment Sync = "segment" // when a segment is done
@@ -135,7 +136,7 @@
 
 func (w *Writer) run() {
 	defer close(w.closed)
-	defer w.zip.Close()
+	defer func() { _ = w.zip.Close() }()
 	tick := time.NewTicker(max(w.r.Every, time.Millisecond))
 	defer tick.Stop()
 	for ending := false; !ending; {
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -103,6 +103,7 @@
 // Kind is what is to be done.
 type Kind string
 
+// Kinds of an Action.
 const (
 	Begin Kind = "order"    // make an order
 	Go    Kind = "continue" // go on with the one that is open
@@ -297,6 +298,7 @@
 // Fault is whose a failure is.
 type Fault string
 
+// Faults of an order, by who is at fault.
 const (
 	Away     Fault = "away"    // the authority did not answer, or by an error of its own
 	Limited  Fault = "limited" // it said that there are too many
@@ -351,6 +353,7 @@
 // Stage is what a name's certificate is, in the operator's words.
 type Stage string
 
+// Stages of a certificate.
 const (
 	Fine    Stage = "fine"
 	Due     Stage = "renewal due"
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -262,6 +262,7 @@
 // Verdict is what an instance is against what it is to be.
 type Verdict string
 
+// Verdicts on an instance.
 const (
 	AsWanted   Verdict = "as wanted"
 	OnTheWay   Verdict = "on the way"
--- a/internal/fleet/types.go
+++ b/internal/fleet/types.go
@@ -12,6 +12,7 @@
 // Wanted is whether an instance is to run.
 type Wanted string
 
+// Whether an instance is to run.
 const (
 	Running Wanted = "running"
 	Stopped Wanted = "stopped"
@@ -46,6 +47,7 @@
 // Phase is what an instance is seen to be.
 type Phase string
 
+// Phases of an instance, as the agent observes them.
 const (
 	Unknown  Phase = "unknown" // it can't be told now: never the last good value
 	Down     Phase = "down"    // proven: nothing holds its lock
@@ -85,6 +87,7 @@
 // Status of a change.
 type Status string
 
+// Statuses of a Change.
 const (
 	Rolling    Status = "rolling"
 	Reverting  Status = "rolling back"
@@ -133,6 +136,7 @@
 // Step is what the agent does about one instance.
 type Step string
 
+// Steps that the agent takes for one instance.
 const (
 	Start     Step = "start"
 	Terminate Step = "terminate"
--- a/internal/lab/acmestub/acmestub.go
+++ b/internal/lab/acmestub/acmestub.go
@@ -32,6 +32,7 @@
 // Fault is a kind of trouble.
 type Fault string
 
+// Faults that the stand-in can play.
 const (
 	Unreachable Fault = "unreachable"   // connections break
 	Slow        Fault = "slow"          // answers come after Delay
@@ -54,6 +55,7 @@
 // Known tells whether it is one of them, and Faults names them all.
 func (f Fault) Known() bool { return slices.Contains(faults, f) }
 
+// Faults lists the names of all faults.
 func Faults() (names []string) {
 	for _, f := range faults {
 		names = append(names, string(f))
@@ -682,7 +684,7 @@
 	if err != nil {
 		return err
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	s := c.ConnectionState()
 	if s.NegotiatedProtocol != "acme-tls/1" || len(s.PeerCertificates) == 0 {
 		return errors.New("does not speak acme-tls/1")
--- a/internal/lab/acmestub/jws.go
+++ b/internal/lab/acmestub/jws.go
@@ -69,13 +69,13 @@
 	var text string
 	switch {
 	case j.Kty == "EC" && j.Crv == "P-256":
-		p := &ecdsa.PublicKey{Curve: elliptic.P256(), X: number(j.X), Y: number(j.Y)}
-		if err == nil {
-			if _, e := p.ECDH(); e != nil { // not on the curve
-				return k, e
-			}
+		x, y := number(j.X), number(j.Y)
+		if err != nil {
+			return k, err
+		}
+		if k.public, err = p256Key(x, y); err != nil {
+			return k, err
 		}
-		k.public = p
 		text = fmt.Sprintf(`{"crv":"P-256","kty":"EC","x":%q,"y":%q}`, j.X, j.Y)
 	case j.Kty == "RSA":
 		k.public = &rsa.PublicKey{N: number(j.N), E: int(number(j.E).Int64())}
@@ -125,3 +125,16 @@
 	}
 	return nil
 }
+
+// p256Key makes a key of a point's coordinates, which must lie on the curve P-256.
+func p256Key(x, y *big.Int) (*ecdsa.PublicKey, error) {
+	const size = 32 // bytes of a coordinate
+	if x.BitLen() > 8*size || y.BitLen() > 8*size {
+		return nil, errors.New("coordinate of a P-256 key is too long")
+	}
+	point := make([]byte, 1+2*size)
+	point[0] = 4 // uncompressed
+	x.FillBytes(point[1 : 1+size])
+	y.FillBytes(point[1+size:])
+	return ecdsa.ParseUncompressedPublicKey(elliptic.P256(), point)
+}
--- a/internal/lab/backendmodel/backendmodel.go
+++ b/internal/lab/backendmodel/backendmodel.go
@@ -33,6 +33,7 @@
 // Verdict is what becomes of a push that comes.
 type Verdict uint8
 
+// Verdicts on an attempt that reaches the backend.
 const (
 	Taken     Verdict = iota
 	Rejected          // never ran: its queue is full, or it drains
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -33,6 +33,7 @@
 // Shape is how a cost grows.
 type Shape int
 
+// Shapes of a cost over the size.
 const (
 	Constant Shape = iota
 	Linear
--- a/internal/lab/capacity/rig_module.go
+++ b/internal/lab/capacity/rig_module.go
@@ -239,7 +239,7 @@
 				if err != nil {
 					return nil, err
 				}
-				defer os.RemoveAll(dir)
+				defer func() { _ = os.RemoveAll(dir) }()
 				now := clock.New()
 				w, err := capture.NewWriter(capture.Ring{Dir: dir, Node: "n", SegmentMB: 64, MostMB: 512, MostAge: time.Hour, Every: time.Second,
 					BlockKB: 256, MailboxMB: 256, Sync: capture.SyncNever, Log: quiet, Now: now.Now})
--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -26,6 +26,7 @@
 // Way is a direction of what goes through.
 type Way int
 
+// Directions that a fault hits.
 const (
 	BothWays Way = iota
 	ToTarget
--- a/internal/lab/knownred/main.go
+++ b/internal/lab/knownred/main.go
@@ -84,11 +84,12 @@
 	for {
 		line, err := lines.ReadBytes('\n')
 		var e event
-		if json.Unmarshal(line, &e) != nil {
-			out.Write(line)
-		} else if e.Package == "" { // of a build
-			io.WriteString(out, e.Output)
-		} else {
+		switch {
+		case json.Unmarshal(line, &e) != nil:
+			_, _ = out.Write(line)
+		case e.Package == "": // of a build
+			_, _ = io.WriteString(out, e.Output)
+		default:
 			k := slices.IndexFunc(packs, func(p *pack) bool { return p.name == e.Package })
 			if k < 0 {
 				k, packs = len(packs), append(packs, &pack{name: e.Package, tests: map[string]string{}, said: map[string]bool{}})
@@ -132,7 +133,7 @@
 		case p.action != "fail" && (e.Test != "" || !strings.HasPrefix(e.Output, "ok  \t") && !strings.HasPrefix(e.Output, "?   \t")):
 		case begins, quiet && (p.whole || frame(e.Output)):
 		default:
-			io.WriteString(out, e.Output)
+			_, _ = io.WriteString(out, e.Output)
 		}
 	}
 	p.output = nil
--- a/internal/lab/knownred/main_test.go
+++ b/internal/lab/knownred/main_test.go
@@ -12,12 +12,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// module is a folder with a module of its own that has this command and the repository's .ci/run.
+// module is a folder with a module of its own that has this command and the repository's .ci/test.
 type module string
 
 func newModule(t *testing.T) module {
 	m := module(t.TempDir())
-	for _, path := range []string{".ci/run", "internal/lab/knownred/main.go"} {
+	for _, path := range []string{".ci/test", "internal/lab/knownred/main.go"} {
 		data, err := os.ReadFile(filepath.Join("../../..", path))
 		require.NoError(t, err)
 		m.write(t, path, string(data))
@@ -33,8 +33,8 @@
 }
 
 // run gives what CI prints and whether it passes.
-func (m module) run(t *testing.T, flags ...string) (string, bool) {
-	cmd := exec.Command("bash", filepath.Join(string(m), ".ci/run"))
+func (m module) run(flags ...string) (string, bool) {
+	cmd := exec.Command("bash", filepath.Join(string(m), ".ci/test"))
 	cmd.Env = append(os.Environ(), "GOFLAGS="+strings.Join(append(flags, "-mod=mod"), " "), "GOPROXY=off", "GOWORK=off")
 	out, err := cmd.CombinedOutput()
 	return string(out), err == nil
@@ -99,7 +99,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m.write(t, "KNOWN-RED.txt", c.known)
-			out, passes := m.run(t)
+			out, passes := m.run()
 			assert.Equal(t, c.passes, passes, out)
 			for _, says := range c.says {
 				assert.Contains(t, out, says)
@@ -108,10 +108,10 @@
 		})
 	}
 	require.NoError(t, os.Remove(filepath.Join(string(m), "KNOWN-RED.txt")))
-	out, passes := m.run(t)
+	out, passes := m.run()
 	assert.False(t, passes, out)
 	m.write(t, "red_test.go", strings.ReplaceAll(twoRed, "t.Error(", "t.Log("))
-	out, passes = m.run(t)
+	out, passes = m.run()
 	assert.True(t, passes, out)
 	assert.Regexp(t, `(?m)^ok  \tred\t[0-9.]+s$`, out)
 	assert.NotContains(t, out, "first is red")
@@ -167,7 +167,7 @@
 			if c.name == "times out" {
 				flags = []string{"-timeout=1s"}
 			}
-			out, passes := m.run(t, flags...)
+			out, passes := m.run(flags...)
 			assert.Equal(t, c.passes, passes, out)
 			assert.Contains(t, out, c.says)
 			if c.passes {
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -93,7 +93,7 @@
 		if w.dir, err = os.MkdirTemp("", "pearknot-lab"); err != nil {
 			return run, err
 		}
-		defer os.RemoveAll(w.dir)
+		defer func() { _ = os.RemoveAll(w.dir) }()
 	} else if err = os.MkdirAll(w.dir, 0o755); err != nil {
 		return run, err
 	}
--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -151,7 +151,7 @@
 		}
 		close(p.ended)
 		if !expected {
-			n.crashed(fmt.Errorf("node %d ended by itself: %v, see %s", n.number, err, log.Name()))
+			n.crashed(fmt.Errorf("node %d ended by itself: %w, see %s", n.number, err, log.Name()))
 		}
 	}()
 	if older != nil && !older.over() {
--- a/internal/lab/loopback/secure.go
+++ b/internal/lab/loopback/secure.go
@@ -46,7 +46,6 @@
 	w         *world
 	authority *acmestub.Authority
 	server    *httptest.Server
-	file      string // roots.pem is beside it
 	config    *tls.Config
 	before    map[int]server.Handshakes
 	asked     int
--- a/internal/lab/metrics/metrics.go
+++ b/internal/lab/metrics/metrics.go
@@ -206,9 +206,13 @@
 func (r *Recorder) Over(op *workload.Request) { delete(r.open, op.ID) }
 
 // Tried counts a sending, Unreached one that no node took, GaveUp one that waited in vain.
-func (r *Recorder) Tried()     { r.tries++ }
+func (r *Recorder) Tried() { r.tries++ }
+
+// Unreached counts a client that reached no node.
 func (r *Recorder) Unreached() { r.run.Unreached++ }
-func (r *Recorder) GaveUp()    { r.run.GivenUp++ }
+
+// GaveUp counts a client that gave up on its request.
+func (r *Recorder) GaveUp() { r.run.GivenUp++ }
 
 // Pushed counts a push.
 func (r *Recorder) Pushed(now float64, backend int, crossing bool) {
--- a/internal/lab/program/program.go
+++ b/internal/lab/program/program.go
@@ -15,7 +15,7 @@
 	bin := filepath.Join(dir, "pearknot")
 	args := append(append([]string{"build"}, flags...), "-o", bin, "pearknot/cmd/pearknot")
 	if text, err := exec.CommandContext(ctx, "go", args...).CombinedOutput(); err != nil {
-		return "", fmt.Errorf("go build: %v: %s", err, strings.TrimSpace(string(text)))
+		return "", fmt.Errorf("go build: %w: %s", err, strings.TrimSpace(string(text)))
 	}
 	return bin, nil
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -232,7 +232,7 @@
 		if err != nil {
 			continue
 		}
-		box.Color, box.LineStyle.Width = color.NRGBA{200, 60, 60, 35}, 0
+		box.Color, box.Width = color.NRGBA{200, 60, 60, 35}, 0
 		p.Add(box)
 	}
 }
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -189,11 +189,12 @@
 				f = dropped(f, faultproxy.BothWays)
 			}
 		case CutIn, CutOut:
-			switch out := x.Kind == CutOut; {
-			case from == to:
-			case from == out: // what is called from within goes out to the target
+			if from == to {
+				continue
+			}
+			if from == (x.Kind == CutOut) { // what is called from within goes out to the target
 				f = dropped(f, faultproxy.ToTarget)
-			default:
+			} else {
 				f = dropped(f, faultproxy.FromTarget)
 			}
 		case Slow:
--- a/internal/lab/scale/judge.go
+++ b/internal/lab/scale/judge.go
@@ -34,6 +34,7 @@
 	at      float64
 }
 
+// NewJudge makes a judge with the bounds, in ms, that nine in ten changes and every change must keep.
 func NewJudge(boundMs, mostMs float64) *Judge {
 	return &Judge{bound: boundMs, most: mostMs, truth: map[uint64]string{}, acked: map[uint64]float64{}, started: map[string]float64{}, seen: map[string][]sight{},
 		digests: map[uint64]map[string]string{}}
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	p := &process{cmd: exec.Command(command[0], command[1:]...), log: log, ended: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = f, f
 	p.cmd.Env = append(os.Environ(), "TMPDIR="+filepath.Dir(log)) // what one that is killed has half written goes with the rest
@@ -61,7 +61,7 @@
 	}
 	text, _ := os.ReadFile(p.log)
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
-	return fmt.Errorf("%s ended by itself (%v): %s", strings.TrimSuffix(filepath.Base(p.log), ".log"), p.err, lines[len(lines)-1])
+	return fmt.Errorf("%s ended by itself (%w): %s", strings.TrimSuffix(filepath.Base(p.log), ".log"), p.err, lines[len(lines)-1])
 }
 
 // usage is what a process has taken.
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -110,7 +110,7 @@
 		if dir, err = os.MkdirTemp("", "pkscale"); err != nil { // short: a socket's path is bounded
 			return nil, err
 		}
-		defer os.RemoveAll(dir)
+		defer func() { _ = os.RemoveAll(dir) }()
 	} else if err = os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	} else if dir, err = filepath.Abs(dir); err != nil {
@@ -469,7 +469,7 @@
 				return fmt.Errorf("fault %d: nobody leads", s.fault)
 			}
 		}
-		if err := r.put(ctx, *x, s.fault, s.on); err != nil {
+		if err := r.put(ctx, *x, s.on); err != nil {
 			return err
 		}
 	}
@@ -487,7 +487,7 @@
 	return ""
 }
 
-func (r *run) put(ctx context.Context, x Fault, number int, on bool) error {
+func (r *run) put(ctx context.Context, x Fault, on bool) error {
 	r.mu.Lock()
 	switch {
 	case on:
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -122,7 +122,9 @@
 // What a run must notice: nodes that say what is not so, and bounds too small for what was measured.
 func TestRunNotices(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	short := strings.Replace(strings.Replace(small[:strings.Index(small, "[[fault]]")], "seconds = 10", "seconds = 5", 1), "quiet_seconds = 2", "quiet_seconds = 1", 1)
+	before, _, found := strings.Cut(small, "[[fault]]")
+	require.True(t, found)
+	short := strings.Replace(strings.Replace(before, "seconds = 10", "seconds = 5", 1), "quiet_seconds = 2", "quiet_seconds = 1", 1)
 	bin := build(t)
 	for _, c := range []struct {
 		hollow, want string
--- a/internal/lab/simcontrolplane/judge.go
+++ b/internal/lab/simcontrolplane/judge.go
@@ -19,6 +19,7 @@
 // end (Finally, where frames are mangled).
 type Strict int
 
+// How strictly freshness is judged.
 const (
 	Paths Strict = iota
 	Quiet
@@ -160,7 +161,8 @@
 		if !p.up || p.frozen || p.busy { // can't be asked
 			continue
 		}
-		fresh, held := 0.0, uint64(0)
+		var fresh float64
+		var held uint64
 		if p.voter != nil {
 			fresh = p.voter.FreshAt() - p.clock
 			held, _ = p.voter.History().Head()
--- a/internal/lab/simcontrolplane/many.go
+++ b/internal/lab/simcontrolplane/many.go
@@ -14,6 +14,7 @@
 // swapped and corrupted.
 type Kind int
 
+// Kinds of a schedule, by how hard its faults are.
 const (
 	Mild Kind = iota
 	Harsh
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -12,7 +12,7 @@
 	"pearknot/internal/lab/faults"
 )
 
-// Op is what one client wants, through all its tries.
+// Request is what one client wants, through all its tries.
 type Request struct {
 	ID       uint64
 	Category int
@@ -28,6 +28,7 @@
 // Outcome is how a try ended for its client.
 type Outcome uint8
 
+// How an answer reads to the client.
 const (
 	Acked Outcome = iota
 	Nacked
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -52,9 +52,10 @@
 	return s, nil
 }
 
-// Append writes any plain struct in the same form, without a version; Read reads one. Texts and bytes may be in it.
+// Append writes any plain struct in the same form, without a version. Strings and bytes may be in it.
 func Append(b []byte, v any) []byte { return appendStruct(b, reflect.ValueOf(v).Elem()) }
 
+// Read reads a struct that Append wrote; fields of a later build are skipped.
 func Read(data []byte, v any) error { return decodeStruct(data, reflect.ValueOf(v).Elem()) }
 
 // Walk goes through a message's fields; what is of no known form is the error odd, what is of no known number is told all
