--- a/cmd/pearknot/crew_test.go
+++ b/cmd/pearknot/crew_test.go
@@ -273,7 +273,7 @@
 	clients.Wait()
 	took := 0
 	for _, n := range c.nodes {
-		took += strings.Count(n.log.String(), "op taken over")
+		took += strings.Count(n.log.String(), "request taken over")
 	}
 	t.Logf("%d s: %d acked, %d not, %d taken over", seconds, acked.Load(), other.Load(), took)
 	require.Zero(t, took)
@@ -324,7 +324,7 @@
 	defer c.mu.Unlock()
 	c.t.Logf("%d keys, %d settled, %d dead-lettered", asked, settled, c.dead)
 	require.Equal(c.t, asked, settled)
-	require.Empty(c.t, c.said("op taken over"))
+	require.Empty(c.t, c.said("request taken over"))
 }
 
 // All processes in turn under load, each started again once the last is whole: by SIGTERM at three copies, by kills at five. What
--- a/internal/lab/logstats/logstats.go
+++ b/internal/lab/logstats/logstats.go
@@ -92,15 +92,15 @@
 			why = "all busy"
 		}
 		c.Dials[why]++
-	case "op given up":
-		c.GivenUp[fmt.Sprintf("%s after %s pushes", line["final"], line["pushes"])]++
-	case "push ended":
-		c.Pushes[line["ending"]]++
-		if number("push") > 0 {
+	case "request not served":
+		c.GivenUp[fmt.Sprintf("%s after %s attempts", line["answer"], line["attempts"])]++
+	case "attempt ended":
+		c.Pushes[line["outcome"]]++
+		if number("attempt") > 0 {
 			c.Further++
 		}
-		if line["ending"] == "answered" {
-			r := row{node: node, backend: line["backend"], kind: line["kind"], at: number("at_ms"), work: number("work")}
+		if line["outcome"] == "answered" {
+			r := row{node: node, backend: line["backend"], kind: line["kind"], at: number("at_ms"), work: number("cost_hint")}
 			r.sent = r.at - number("after_ms")
 			if err == nil {
 				c.rows = append(c.rows, r)
--- a/internal/lab/logstats/logstats_test.go
+++ b/internal/lab/logstats/logstats_test.go
@@ -12,12 +12,12 @@
 0.1 time=x level=DEBUG msg=dial backend=s-1 resting=0 calls=1
 time=x level=DEBUG msg=dial backend=s-1 resting=1 calls=1
 time=x level=DEBUG msg=dial backend=s-1 resting=0 calls=2
-time=x level=DEBUG msg="push ended" op=1 work=10 push=0 backend=a kind=0 after_ms=10 at_ms=1010 ending=answered
-time=x level=DEBUG msg="push ended" op=2 work=10 push=0 backend=a kind=0 after_ms=30 at_ms=1070 ending=answered
-time=x level=DEBUG msg="push ended" op=3 work=10 push=0 backend=b kind=0 after_ms=10 at_ms=1080 ending=answered
-time=x level=DEBUG msg="push ended" op=4 work=10 push=0 backend=a kind=0 after_ms=100 at_ms=1300 ending=answered
-time=x level=DEBUG msg="push ended" op=5 work=10 push=1 backend=a kind=0 after_ms=1 at_ms=1400 ending="no connection"
-time=x level=DEBUG msg="op given up" op=5 pushes=2 final=nacked
+time=x level=DEBUG msg="attempt ended" request=1 cost_hint=10 attempt=0 backend=a kind=0 after_ms=10 at_ms=1010 outcome=answered
+time=x level=DEBUG msg="attempt ended" request=2 cost_hint=10 attempt=0 backend=a kind=0 after_ms=30 at_ms=1070 outcome=answered
+time=x level=DEBUG msg="attempt ended" request=3 cost_hint=10 attempt=0 backend=b kind=0 after_ms=10 at_ms=1080 outcome=answered
+time=x level=DEBUG msg="attempt ended" request=4 cost_hint=10 attempt=0 backend=a kind=0 after_ms=100 at_ms=1300 outcome=answered
+time=x level=DEBUG msg="attempt ended" request=5 cost_hint=10 attempt=1 backend=a kind=0 after_ms=1 at_ms=1400 outcome="no connection"
+time=x level=DEBUG msg="request not served" request=5 attempts=2 answer=rejected
 `
 
 func TestCount(t *testing.T) {
@@ -27,7 +27,7 @@
 	c.Done()
 	assert.Equal(t, map[string]int{"answered": 8, "no connection": 2}, c.Pushes)
 	assert.Equal(t, map[string]int{"none open": 2, "all rest": 2, "all busy": 2}, c.Dials)
-	assert.Equal(t, map[string]int{"nacked after 2 pushes": 2}, c.GivenUp)
+	assert.Equal(t, map[string]int{"rejected after 2 attempts": 2}, c.GivenUp)
 	assert.Equal(t, 2, c.Further)
 	assert.Equal(t, Mean{Sum: 40, N: 2}, c.Waits[0], "sent 30 ms after an answer without a queue")
 	assert.Equal(t, Mean{Sum: 180, N: 6}, c.Unmet, "first ones, and one after an answer that met a queue")
@@ -38,6 +38,6 @@
 
 // A line that can't be counted is told with its place, not left out of the figures.
 func TestOddLine(t *testing.T) {
-	err := New().Read("n0", strings.NewReader("msg=serving\nmsg=\"push ended\" push=0 ending=answered at_ms=1 after_ms=x work=1\n"))
+	err := New().Read("n0", strings.NewReader("msg=serving\nmsg=\"attempt ended\" attempt=0 outcome=answered at_ms=1 after_ms=x cost_hint=1\n"))
 	assert.EqualError(t, err, `n0:2: after_ms is no number: "x"`)
 }
--- /dev/null
+++ b/internal/node/attempts.go
@@ -0,0 +1,107 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"pearknot/balancer"
+	"pearknot/internal/upstream"
+)
+
+// startAttempt begins an attempt that the balancer decided on.
+func (n *Node) startAttempt(decision balancer.Decision) {
+	request, attempt := n.requests[decision.Request.ID], decision.Attempt
+	deadline := request.Deadline
+	if decision.Wait > 0 {
+		deadline = min(deadline, n.now+decision.Wait)
+	}
+	call := n.newCall(request, attempt, deadline)
+	request.calls = append(request.calls, call)
+	request.attemptsInFlight++
+	switch {
+	case request.clientGone.Load(): // needs no connection and no record; Cancel's message follows
+		call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
+	case request.Logged != nil:
+		n.logAttemptStart(request, attempt, call)
+	default:
+		n.sendAttempt(attempt, call)
+	}
+}
+
+// newCall makes the attempt's call. An attempt that a panicked balancer has decided on is unknown to the one
+// that replaces it, so its results are dropped.
+func (n *Node) newCall(request *Request, attempt *balancer.Attempt, deadline float64) *upstream.Call {
+	decider := n.decider
+	call := upstream.NewCall(request.Message, n.clock.At(deadline), func(result upstream.Result) {
+		n.mailbox.Put(func() {
+			if n.decider == decider {
+				n.attemptEnded(request, attempt, result)
+			} else {
+				result.Reply.Release()
+			}
+		})
+	})
+	if request.Streamed {
+		call.Sent = func(deadline time.Time) {
+			left := time.Until(deadline)
+			n.mailbox.Put(func() {
+				if n.decider == decider && !request.answered {
+					request.Deadline = n.now + float64(left.Microseconds())/1e3
+					n.decider.RequestBodySent(n.now, attempt)
+				}
+			})
+		}
+	}
+	call.Left = &request.clientGone
+	return call
+}
+
+// sendAttempt sends the call to its backend, unless that has been removed.
+func (n *Node) sendAttempt(attempt *balancer.Attempt, call *upstream.Call) {
+	if connections := n.backendOf[attempt.Backend].upstream; connections != nil {
+		connections.Send(call)
+		return
+	}
+	call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
+}
+
+// attemptEnded takes an attempt's result. The first response is the request's answer.
+func (n *Node) attemptEnded(request *Request, attempt *balancer.Attempt, result upstream.Result) {
+	request.attemptsInFlight--
+	if result.Reply != nil && result.Report.HasValues() {
+		n.decider.LoadReported(n.now, attempt.Backend, result.Report)
+	}
+	if result.Outcome == balancer.OutcomeAnswered && !request.answered {
+		n.finish(request, Answer{Status: Served, Reply: result.Reply})
+	} else {
+		result.Reply.Release()
+		n.logAttemptEnd(request, attempt, result.Outcome)
+	}
+	// A backend's work ends where its response begins: sending and reading a long response takes time as well.
+	elapsed := max(n.now-attempt.SentAt-float64(result.First.Microseconds())/1e3, 0)
+	n.decider.AttemptEnded(n.now, attempt, result.Outcome, elapsed, request.answered)
+	n.logAttempt(request, attempt, result)
+	n.forgetIfOver(request)
+}
+
+// logAttempt and logUnserved write the lines that `pearknot-lab count` adds up over a fleet.
+func (n *Node) logAttempt(request *Request, attempt *balancer.Attempt, result upstream.Result) {
+	if !n.log.Enabled(context.Background(), slog.LevelDebug) {
+		return
+	}
+	n.log.Debug("attempt ended", "request", request.ID, "class", request.Class, "cost_hint", request.CostHint,
+		"attempt", attempt.Number, "backend", fmt.Sprintf("%x", attempt.Backend.ID), "zone", attempt.Backend.Zone,
+		"kind", attempt.Backend.Kind, "sent_ms", attempt.SentAt-request.ArrivedAt, "after_ms", n.now-attempt.SentAt,
+		"first_ms", float64(result.First.Microseconds())/1e3, "at_ms", n.now, "outcome", result.Outcome.String())
+}
+
+func (n *Node) logUnserved(request *Request, answer Answer) {
+	if !n.log.Enabled(context.Background(), slog.LevelDebug) {
+		return
+	}
+	n.log.Debug("request not served", "request", request.ID, "class", request.Class, "cost_hint", request.CostHint,
+		"attempts", len(request.Attempts), "age_ms", n.now-request.ArrivedAt, "left_ms", request.Deadline-n.now,
+		"answer", answer.Status.String())
+}
--- /dev/null
+++ b/internal/node/cordon.go
@@ -0,0 +1,79 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"slices"
+
+	"pearknot/balancer"
+)
+
+// maxKnownNames bounds the names that are remembered. A fleet has some hundred at a time; the rest covers what
+// replaced them for days.
+const maxKnownNames = 4096
+
+// ErrNeverListed means that the endpoint list has never named a backend, or so long ago that it is forgotten.
+var ErrNeverListed = errors.New("never listed")
+
+// cordonedNames has the names that the endpoint list has had, whether it still has them or not, and those that
+// operators have cordoned.
+type cordonedNames struct {
+	known          map[string]struct{}
+	byFirstListing []string // the known names
+	cordoned       map[string]bool
+}
+
+func newCordonedNames() cordonedNames {
+	return cordonedNames{known: map[string]struct{}{}, cordoned: map[string]bool{}}
+}
+
+// add remembers a name. Beyond maxKnownNames it forgets the oldest one that is not cordoned.
+func (c *cordonedNames) add(name string) {
+	if _, known := c.known[name]; known {
+		return
+	}
+	if len(c.byFirstListing) >= maxKnownNames {
+		oldest := slices.IndexFunc(c.byFirstListing, func(old string) bool { return !c.cordoned[old] })
+		if oldest >= 0 {
+			delete(c.known, c.byFirstListing[oldest])
+			c.byFirstListing = slices.Delete(c.byFirstListing, oldest, oldest+1)
+		}
+	}
+	c.known[name] = struct{}{}
+	c.byFirstListing = append(c.byFirstListing, name)
+}
+
+// Cordon has a backend count as draining, whatever the endpoint list says of it, or ends that. It returns when
+// the balancer has it, may be repeated, and goes ahead of waiting messages. isKnown says that the node's other
+// process knows the name: the backend need not have been listed here. It returns ErrNeverListed for a name that
+// is not known at all.
+func (n *Node) Cordon(ctx context.Context, name string, cordoned, isKnown bool) error {
+	done := make(chan error, 1)
+	n.mailbox.PutFirst(func() {
+		if isKnown {
+			n.cordons.add(name)
+		}
+		done <- n.setCordoned(name, cordoned)
+	})
+	return n.wait(ctx, done)
+}
+
+func (n *Node) setCordoned(name string, cordoned bool) error {
+	if _, known := n.cordons.known[name]; !known && !n.cordons.cordoned[name] {
+		return ErrNeverListed
+	}
+	if n.cordons.cordoned[name] == cordoned {
+		return nil
+	}
+	if cordoned {
+		n.cordons.cordoned[name] = true
+	} else {
+		delete(n.cordons.cordoned, name)
+	}
+	if b := n.backends[name]; b != nil {
+		n.setEndpoint(b, b.endpoint)
+		n.decider.EndpointsChanged(n.now, []balancer.Endpoint{n.balancerEndpoint(b)}, false, true)
+	}
+	n.log.Info("backend cordon changed", "backend", name, "cordoned", cordoned)
+	return nil
+}
--- /dev/null
+++ b/internal/node/decisions.go
@@ -0,0 +1,52 @@
+package node
+
+import (
+	"pearknot/balancer"
+	"pearknot/internal/clock"
+)
+
+// carryOutDecisions carries out the balancer's decisions until it has none left.
+func (n *Node) carryOutDecisions() {
+	for {
+		decision, more := n.decider.Next()
+		if !more {
+			return
+		}
+		switch decision.Kind {
+		case balancer.DoAttempt:
+			n.startAttempt(decision)
+		case balancer.DoReject:
+			n.finishUnserved(decision.Request, Answer{Status: Rejected, RetryAfter: decision.Wait})
+		case balancer.DoFail:
+			n.finishUnserved(decision.Request, Answer{Status: Failed})
+		case balancer.DoCancel:
+			if request := n.requests[decision.Request.ID]; request != nil {
+				request.calls[decision.Attempt.Number].Cancel()
+			}
+		case balancer.DoPoll:
+			n.pollEndpoints()
+		case balancer.DoSetTimer:
+			n.timer.Reset(clock.Span(decision.Wait))
+		case balancer.DoLog:
+			n.log.Info(decision.Text)
+		}
+	}
+}
+
+// finishUnserved ends a request that no backend serves.
+func (n *Node) finishUnserved(decided *balancer.Request, answer Answer) {
+	if request := n.requests[decided.ID]; request != nil {
+		n.logUnserved(request, answer)
+		n.finish(request, answer)
+		n.forgetIfOver(request)
+	}
+}
+
+// forgetIfOver forgets a request that is answered and has no attempt in flight. The balancer's timers keep its
+// own part until the request's deadline; the body need not stay as long.
+func (n *Node) forgetIfOver(request *Request) {
+	if request.answered && request.attemptsInFlight == 0 {
+		delete(n.requests, request.ID)
+		request.Message, request.calls = nil, nil
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,13 +1,13 @@
-// Package node runs the decision module on sockets: an actor that alone calls it. Events from the front, the
-// backends' actors, the list and the timer come in through its mailbox; after each batch it pulls decisions until
-// there is none and hands them on.
+// Package node runs the balancer on sockets. A single goroutine, the node's actor, calls the balancer: requests
+// from the server, results from the backends' connections, endpoint lists and the timer reach it through a
+// mailbox. After each batch of messages it pulls the balancer's decisions until there are none left and carries
+// them out.
 package node
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"hash/fnv"
 	"log/slog"
 	"runtime/debug"
 	"time"
@@ -21,185 +21,211 @@
 	"pearknot/internal/upstream"
 )
 
-// abandonAfter is how long past the end of their time ops wait for the module when the node ends, in ms: their
-// pushes time out and it answers them; what it holds for a later moment has none.
-const abandonAfter = 50.0
+// drainGraceMs is how long after the drain deadline the balancer may still answer requests itself, in ms: by
+// then the attempts have timed out. A request that it queues for a later moment is failed by the node.
+const drainGraceMs = 50.0
 
-// Decide makes a decider; now is the node's clock.
-type NewDecider func(t *balancer.Config, now float64) balancer.Decider
+var errStopped = errors.New("the node has ended")
 
-// Module makes the decision module.
-func NewBalancer(t *balancer.Config, now float64) balancer.Decider { return balancer.New(t, now) }
+// NewDecider makes the part that decides; now is the node's clock, in ms.
+type NewDecider func(options *balancer.Config, now float64) balancer.Decider
 
-// follower is a decider that keeps account of what a host does beside the module's inputs, as a capture has to.
-type follower interface {
-	Dropped(b *balancer.Backend) // the backend was let go of
+// NewBalancer is the NewDecider of a node that serves.
+func NewBalancer(options *balancer.Config, now float64) balancer.Decider {
+	return balancer.New(options, now)
 }
 
-// Node is the module's actor. Its fields below box are its own.
+// Node is the actor that owns the balancer. Its methods may be called from any goroutine.
 type Node struct {
-	clock *clock.Clock
-	log   *slog.Logger
-	told  *config.Deployment
-	peers *upstream.Config
-	ask   func() // begins a watch on the list
-	box   *mailbox.Box[func()]
-	ready chan struct{} // closed once a list is held that may be gone by
-
-	decide   NewDecider
-	module   balancer.Decider
-	now      float64 // the batch's
-	ops      map[uint64]*Request
-	seq      uint64
-	backends map[string]*backend            // by name
-	behind   map[*balancer.Backend]*backend // the same, as the module knows them
-	names    names
-	had      bool   // there is a list, if only that of a process before
-	held     bool   // and it may be gone by
-	version  uint64 // of that list
-	timer    *time.Timer
-	until    float64 // when the node ends; 0 while it goes on
-	keeper   *peers.Peers
-	after    []func() // what waits for the batch's end
-	done     chan struct{}
-}
-
-// backend is one that the list has named.
-type backend struct {
-	*balancer.Backend
-	member discovery.Endpoint
-	peer   *upstream.Backend // nil while the list holds it for gone
+	clock          *clock.Clock
+	log            *slog.Logger
+	upstreamConfig *upstream.Config
+	pollEndpoints  func() // begins a poll of the endpoint list
+	newDecider     NewDecider
+	mailbox        *mailbox.Box[func()]
+	ready          chan struct{}
+	done           chan struct{} // closed once the actor stops
+
+	// The actor alone uses the following fields.
+	deployment       *config.Deployment
+	decider          balancer.Decider
+	now              float64 // when the batch at hand began, in ms
+	requests         map[uint64]*Request
+	lastRequestID    uint64
+	backends         map[string]*backend            // by name
+	backendOf        map[*balancer.Backend]*backend // the same backends, by what the balancer calls them
+	cordons          cordonedNames
+	hasEndpoints     bool   // there is an endpoint list, if only that of a process before this one
+	isReady          bool   // requests may be routed by that list
+	endpointsVersion uint64 // of that list
+	timer            *time.Timer
+	drainDeadline    float64      // ms; 0 while the node is not draining
+	requestLog       *peers.Peers // nil where no request is logged
+	afterBatch       []func()     // runs once the batch is over
 }
 
-// New makes a node; ask is how it begins a watch on the list, and must not block.
-func New(told *config.Deployment, decide NewDecider, c *clock.Clock, peers *upstream.Config, ask func(), log *slog.Logger) *Node {
-	return &Node{decide: decide, clock: c, log: log, told: told, peers: peers, ask: ask, box: mailbox.New[func()](),
-		ready: make(chan struct{}), ops: map[uint64]*Request{}, backends: map[string]*backend{},
-		behind: map[*balancer.Backend]*backend{}, names: newNames(), timer: time.NewTimer(time.Hour), done: make(chan struct{})}
+// New makes a node. pollEndpoints begins a poll of the endpoint list and must not block.
+func New(deployment *config.Deployment, newDecider NewDecider, nodeClock *clock.Clock, upstreamConfig *upstream.Config,
+	pollEndpoints func(), log *slog.Logger) *Node {
+	return &Node{
+		clock:          nodeClock,
+		log:            log,
+		upstreamConfig: upstreamConfig,
+		pollEndpoints:  pollEndpoints,
+		newDecider:     newDecider,
+		mailbox:        mailbox.New[func()](),
+		ready:          make(chan struct{}),
+		done:           make(chan struct{}),
+		deployment:     deployment,
+		requests:       map[uint64]*Request{},
+		backends:       map[string]*backend{},
+		backendOf:      map[*balancer.Backend]*backend{},
+		cordons:        newCordonedNames(),
+		timer:          time.NewTimer(time.Hour),
+	}
 }
 
-// Start runs the actor, with the list as the node last had it, if it had one.
-func (n *Node) Start(known *discovery.List) {
+// Start runs the actor. cached is the endpoint list that a process before this one had; nil is none.
+func (n *Node) Start(cached *discovery.List) {
 	n.now = n.clock.Now()
-	if n.module == nil { // none of a process before it
-		n.module = n.decide(n.told.Balancer, n.now)
+	if n.decider == nil { // Restore has not set one
+		n.decider = n.newDecider(n.deployment.Balancer, n.now)
 	}
-	if known != nil {
-		n.listed(known, true)
+	if cached != nil {
+		n.applyEndpoints(cached, true)
 	}
-	if !n.told.Balancer.PollEndpoints { // where changes come by themselves, on sockets a watch brings them
-		n.ask()
+	if !n.deployment.Balancer.PollEndpoints { // the balancer never asks for a poll: the list is watched
+		n.pollEndpoints()
 	}
-	n.box.Put(func() {}) // a first look at what the module wants, before anything comes in
+	n.mailbox.Put(func() {}) // so that the balancer's first decisions are pulled before any event
 	go n.run()
 }
 
-// Ready is closed once the node holds a list.
+// Ready is closed once the node has an endpoint list to route requests by.
 func (n *Node) Ready() <-chan struct{} { return n.ready }
 
-// Take hands an op in; its answer comes on the op's channel.
-func (n *Node) Submit(op *Request) {
-	n.box.Put(func() {
-		n.seq++
-		op.ID = n.seq
-		if n.until > 0 {
-			op.Deadline = min(op.Deadline, n.until)
+// Submit takes a request over; its answer comes on request.Answer.
+func (n *Node) Submit(request *Request) {
+	n.mailbox.Put(func() {
+		n.addRequest(request)
+		if n.drainDeadline > 0 {
+			request.Deadline = min(request.Deadline, n.drainDeadline)
 		}
-		n.ops[op.ID] = op
-		n.module.RequestArrived(n.now, &op.Request)
+		n.decider.RequestArrived(n.now, &request.Request)
 	})
 }
 
-// Leave tells that the op's client is gone: no answer is owed to it any more. One that others keep goes on all the same where a
-// push of it has begun, for whoever comes with its key; no further push begins.
-func (n *Node) Cancel(op *Request) {
-	op.gone.Store(true) // counts at once: the actor may be at a batch that takes long
-	n.box.Put(func() {
-		if n.ops[op.ID] == op && !op.answered && !n.goesOn(op) {
-			n.letGo(op)
-			n.module.ClientGone(n.now, &op.Request)
-			n.forget(op)
-		}
-		op.discard()
-	})
+func (n *Node) addRequest(request *Request) {
+	n.lastRequestID++
+	request.ID = n.lastRequestID
+	n.requests[request.ID] = request
 }
 
-// Listed takes news of the list.
-func (n *Node) EndpointsChanged(list *discovery.List) { n.box.Put(func() { n.listed(list, false) }) }
-
-// ListFailed takes a failed call for the list.
-func (n *Node) PollFailed() {
-	n.box.Put(func() {
-		n.module.PollFailed(n.now)
-		n.hold()
+// Cancel tells the node that the request's client is gone: no answer is owed to it any more. A logged request
+// continues where one of its attempts has begun, for whoever asks with its key; no further attempt begins.
+func (n *Node) Cancel(request *Request) {
+	request.clientGone.Store(true) // takes effect at once: the actor may be in a long batch
+	n.mailbox.Put(func() {
+		if n.requests[request.ID] == request && !request.answered && !n.continuesWithoutClient(request) {
+			n.abandonRequest(request)
+			n.decider.ClientGone(n.now, &request.Request)
+			n.forgetIfOver(request)
+		}
+		request.discardAnswer()
 	})
 }
 
-// Look is what the node holds.
+// Status is a node's state, as operators and health checks see it.
 type Status struct {
-	HasList  bool
-	Version  uint64 // of the list
-	Digest   string // of the list
-	Backends int
-	Open     int // ops
+	HasEndpoints bool   // the node is ready
+	Version      uint64 // of the endpoint list
+	Digest       string // of the endpoint list
+	Backends     int    // on the endpoint list
+	OpenRequests int
 }
 
-// Look asks the actor; one that does not answer in ctx's time is no state to guess.
-func (n *Node) Status(ctx context.Context) (l Status, err error) {
-	told := make(chan Status, 1)
-	n.box.Put(func() {
+// Status asks the actor for its state. It fails once ctx is done, and after Stop.
+func (n *Node) Status(ctx context.Context) (Status, error) {
+	var status Status
+	done := make(chan error, 1)
+	n.mailbox.Put(func() {
 		states := make(map[string]balancer.BackendState, len(n.backends))
 		for name, b := range n.backends {
-			if b.member.State != balancer.BackendRemoved {
-				states[name] = b.member.State
+			if b.endpoint.State != balancer.BackendRemoved {
+				states[name] = b.endpoint.State
 			}
 		}
-		told <- Status{n.held, n.version, discovery.Digest(states), len(states), len(n.ops)}
+		status = Status{
+			HasEndpoints: n.isReady,
+			Version:      n.endpointsVersion,
+			Digest:       discovery.Digest(states),
+			Backends:     len(states),
+			OpenRequests: len(n.requests),
+		}
+		done <- nil
 	})
+	if err := n.wait(ctx, done); err != nil {
+		return Status{}, err
+	}
+	return status, nil
+}
+
+// wait waits until the actor has sent its result.
+func (n *Node) wait(ctx context.Context, done <-chan error) error {
 	select {
-	case l = <-told:
-		return l, nil
+	case err := <-done:
+		return err
 	case <-n.done:
-		return l, errors.New("the node has ended")
+		return errStopped
 	case <-ctx.Done():
-		return l, fmt.Errorf("the node does not answer: %w", ctx.Err())
+		return fmt.Errorf("the node does not answer: %w", ctx.Err())
 	}
 }
 
-// Shed has idle connections to backends closed.
-func (n *Node) Shed() {
-	n.box.Put(func() {
+// CloseIdleConnections closes idle connections to backends, to free file descriptors.
+func (n *Node) CloseIdleConnections() {
+	n.mailbox.Put(func() {
 		for _, b := range n.backends {
-			if b.peer != nil {
-				b.peer.Shed()
+			if b.upstream != nil {
+				b.upstream.Shed()
 			}
 		}
 	})
 }
 
-// Drain has everything answered until then: no client can wait longer for a node that ends.
-func (n *Node) Drain(until float64) {
-	n.box.Put(func() {
-		n.until = until
-		for _, op := range n.ops {
-			if op.Deadline > until {
-				op.Deadline = until
-				n.module.DeadlineShortened(n.now, &op.Request)
+// Drain has every request answered by deadline, which is in ms of the node's clock: no client can wait longer
+// for a node that stops then.
+func (n *Node) Drain(deadline float64) {
+	n.mailbox.Put(func() {
+		n.drainDeadline = deadline
+		for _, request := range n.requests {
+			if request.Deadline > deadline {
+				request.Deadline = deadline
+				n.decider.DeadlineShortened(n.now, &request.Request)
 			}
-			for _, c := range op.calls {
-				c.ShortenDeadline(n.clock.At(until))
+			for _, call := range request.calls {
+				call.ShortenDeadline(n.clock.At(deadline))
 			}
 		}
-		time.AfterFunc(clock.Span(until+abandonAfter-n.now), func() { n.box.Put(n.abandon) })
+		time.AfterFunc(clock.Span(deadline+drainGraceMs-n.now), func() { n.mailbox.Put(n.failOpenRequests) })
 	})
 }
 
-// Stop ends the actor and those of the backends.
+// failOpenRequests fails what the balancer has left open when the node ends.
+func (n *Node) failOpenRequests() {
+	for _, request := range n.requests {
+		n.finish(request, Answer{Status: Failed})
+		n.decider.ClientGone(n.now, &request.Request)
+		n.forgetIfOver(request)
+	}
+}
+
+// Stop ends the actor and closes the connections to all backends.
 func (n *Node) Stop() {
-	n.box.Put(func() {
+	n.mailbox.Put(func() {
 		for _, b := range n.backends {
-			if b.peer != nil {
-				b.peer.Close()
+			if b.upstream != nil {
+				b.upstream.Close() // and stays set: later messages of the batch must not open it again
 			}
 		}
 		close(n.done)
@@ -207,295 +233,61 @@
 }
 
 func (n *Node) run() {
-	var notes []func()
+	var messages []func()
 	for {
 		select {
 		case <-n.done:
 			return
-		case <-n.box.Some():
-			notes = n.box.Take(notes)
+		case <-n.mailbox.Some():
+			messages = n.mailbox.Take(messages)
 		case <-n.timer.C:
-			notes = append(notes[:0], func() { n.module.TimerFired(n.now) })
+			messages = append(messages[:0], func() { n.decider.TimerFired(n.now) })
 		}
 		n.now = n.clock.Now()
-		for _, note := range notes {
-			n.guard(note)
+		for _, message := range messages {
+			n.recoverFrom(message)
 		}
-		n.guard(n.pull)
-		for _, f := range n.after {
-			f()
+		n.recoverFrom(n.carryOutDecisions)
+		for _, call := range n.afterBatch {
+			call()
 		}
-		n.after = n.after[:0]
+		n.afterBatch = n.afterBatch[:0]
 	}
 }
 
-// guard keeps a fault of the module from taking the node's ops with it: each is dead-lettered, which claims
-// nothing, and the module starts anew, as after a restart.
-func (n *Node) guard(f func()) {
+// recoverFrom runs step and restarts the balancer if it panics.
+func (n *Node) recoverFrom(step func()) {
 	defer func() {
-		fault := recover()
-		if fault == nil {
-			return
-		}
-		n.log.Error("module fault, starting it anew", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
-		n.module = n.decide(n.told.Balancer, n.now)
-		for ref, op := range n.ops {
-			n.finish(op, Answer{Status: Failed})
-			for _, c := range op.calls {
-				c.Cancel()
-			}
-			delete(n.ops, ref)
-		}
-		known := &discovery.List{Version: n.version, Complete: true}
-		clear(n.behind)
-		for _, b := range n.backends {
-			b.Backend = &balancer.Backend{ID: b.ID}
-			n.behind[b.Backend] = b
-			if b.member.State != balancer.BackendRemoved {
-				known.Endpoints = append(known.Endpoints, b.member)
-			}
-		}
-		if n.had {
-			n.listed(known, true)
+		if fault := recover(); fault != nil {
+			n.log.Error("balancer panicked, restarting it", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
+			n.restartDecider()
 		}
 	}()
-	f()
-}
-
-// abandon dead-letters what the module still has open when the node ends.
-func (n *Node) abandon() {
-	for _, op := range n.ops {
-		n.finish(op, Answer{Status: Failed})
-		n.module.ClientGone(n.now, &op.Request)
-		n.forget(op)
-	}
+	step()
 }
 
-func (n *Node) listed(list *discovery.List, cached bool) {
-	lines := make([]balancer.Endpoint, 0, len(list.Endpoints))
-	named := map[*backend]bool{}
-	for _, m := range list.Endpoints {
-		b := n.backends[m.Name]
-		if b == nil && (m.State == balancer.BackendRemoved || m.Invalid != 0) {
-			continue // never had, or let go of long since; or not known and not to be read whole
-		}
-		if b == nil {
-			b = &backend{Backend: &balancer.Backend{ID: ref(m.Name)}}
-			n.backends[m.Name], n.behind[b.Backend] = b, b
-			n.log.Info("backend listed", "backend", m.Name, "ref", fmt.Sprintf("%x", b.ID), "address", m.Address)
-		}
-		if m.Invalid != 0 {
-			m = m.MergeInto(b.member)
+// restartDecider begins anew after a panic of the balancer, as after a restart of the process. A panic would
+// otherwise end the process and leave every client without an answer. All open requests are failed, which
+// claims nothing about whether they ran, since the old balancer's state can't be trusted.
+func (n *Node) restartDecider() {
+	n.decider = n.newDecider(n.deployment.Balancer, n.now)
+	for id, request := range n.requests {
+		n.finish(request, Answer{Status: Failed})
+		for _, call := range request.calls {
+			call.Cancel()
 		}
-		if list.Complete && named[b] {
-			// Changes are told in their order, and the last counts. A whole list has none: whichever of two entries came
-			// last, neither may hide that the other calls the backend draining, or newly started.
-			m.State, m.Started = min(m.State, b.member.State), max(m.Started, b.member.Started)
-		}
-		named[b] = true
-		n.names.listed(m.Name)
-		n.tell(b, m)
-		lines = append(lines, n.line(b))
+		delete(n.requests, id)
 	}
-	if list.Complete {
-		for _, b := range n.backends {
-			if !named[b] {
-				m := b.member
-				m.State = balancer.BackendRemoved
-				n.tell(b, m)
-			}
+	current := &discovery.List{Version: n.endpointsVersion, Complete: true}
+	clear(n.backendOf)
+	for _, b := range n.backends {
+		b.Backend = &balancer.Backend{ID: b.ID}
+		n.backendOf[b.Backend] = b
+		if b.endpoint.State != balancer.BackendRemoved {
+			current.Endpoints = append(current.Endpoints, b.endpoint)
 		}
 	}
-	n.module.EndpointsChanged(n.now, lines, list.Complete, cached)
-	for name, b := range n.backends {
-		if !b.IsTracked() && b.member.State == balancer.BackendRemoved {
-			n.close(b)
-			delete(n.backends, name)
-			delete(n.behind, b.Backend)
-			if f, ok := n.module.(follower); ok {
-				f.Dropped(b.Backend)
-			}
-		}
-	}
-	n.had, n.version = true, list.Version
-	n.log.Debug("list", "version", list.Version, "whole", list.Complete, "entries", len(lines))
-	// Where changes come by themselves, what there is to tell counts as told from a new process's first moment: a backend
-	// that the list of before calls ready may be draining by now, and nothing may go there on that word.
-	if !cached || n.told.Balancer.PollEndpoints {
-		n.hold()
-	}
-}
-
-// hold has the node go by the list that there is: one just told, or where none can be had.
-func (n *Node) hold() {
-	if n.had && !n.held {
-		n.held = true
-		close(n.ready)
-	}
-}
-
-// line is a backend's as the module gets it: what the list says, and whether it was taken out by hand.
-func (n *Node) line(b *backend) balancer.Endpoint {
-	m := b.member
-	return balancer.Endpoint{Backend: b.Backend, State: m.State, Zone: m.Zone, Cell: m.Cell, Kind: m.Kind, Weight: m.Weight,
-		Started: m.Started, Cordoned: n.names.banned[m.Name]}
-}
-
-// tell passes an entry on to the backend's actor, which lives while the list names the backend, or, where a list that does
-// not is no proof, while the module remembers it. By then the module still has the state before.
-func (n *Node) tell(b *backend, m discovery.Endpoint) {
-	b.member = m
-	switch {
-	case m.State != balancer.BackendRemoved:
-		if b.peer == nil {
-			b.peer = upstream.NewBackend(m.Name, n.peers)
-		}
-		b.peer.Tell(m.Address, m.State == balancer.BackendReady && !n.names.banned[m.Name])
-	case b.peer != nil && (b.State == balancer.BackendDraining || !n.told.Balancer.RemovalIsHint):
-		n.close(b)
-	}
-}
-
-// close ends a backend's actor.
-func (n *Node) close(b *backend) {
-	if b.peer != nil {
-		b.peer.Close()
-		b.peer = nil
-	}
-}
-
-// ref names a backend to the module, the same at every node.
-func ref(name string) uint64 {
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(name))
-	return h.Sum64() >> 16
-}
-
-// pull hands on the module's decisions until it has none left.
-func (n *Node) pull() {
-	for {
-		d, more := n.module.Next()
-		if !more {
-			return
-		}
-		switch d.Kind {
-		case balancer.DoAttempt:
-			n.push(d)
-		case balancer.DoReject:
-			n.final(d.Request, Answer{Status: Rejected, RetryAfter: d.Wait})
-		case balancer.DoFail:
-			n.final(d.Request, Answer{Status: Failed})
-		case balancer.DoCancel:
-			if op := n.ops[d.Request.ID]; op != nil {
-				op.calls[d.Attempt.Number].Cancel()
-			}
-		case balancer.DoPoll:
-			n.ask()
-		case balancer.DoSetTimer:
-			n.timer.Reset(clock.Span(d.Wait))
-		case balancer.DoLog:
-			n.log.Info(d.Text)
-		}
-	}
-}
-
-func (n *Node) push(d balancer.Decision) {
-	op, p := n.ops[d.Request.ID], d.Attempt
-	until := op.Deadline
-	if d.Wait > 0 {
-		until = min(until, n.now+d.Wait)
-	}
-	module := n.module
-	call := upstream.NewCall(op.Message, n.clock.At(until), func(out upstream.Result) {
-		n.box.Put(func() {
-			if n.module == module {
-				n.ended(op, p, out)
-			} else { // a push of a module that had a fault is nobody's
-				out.Reply.Release()
-			}
-		})
-	})
-	if op.Streamed {
-		call.Sent = func(until time.Time) {
-			left := time.Until(until)
-			n.box.Put(func() {
-				if n.module == module && !op.answered {
-					op.Deadline = n.now + float64(left.Microseconds())/1e3
-					n.module.RequestBodySent(n.now, p)
-				}
-			})
-		}
-	}
-	call.Left = &op.gone
-	op.calls = append(op.calls, call)
-	op.out++
-	if op.gone.Load() { // no connection and no record for it; of a kept one the module soon has no pushes left
-		call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
-		return
-	}
-	if op.Logged != nil {
-		n.keepBegin(op, p, call)
-		return
-	}
-	n.send(p, call)
-}
-
-func (n *Node) send(p *balancer.Attempt, call *upstream.Call) {
-	if peer := n.behind[p.Backend].peer; peer != nil {
-		peer.Send(call)
-		return
-	}
-	call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
-}
-
-// ended takes a push's ending. The first answer acks its op.
-func (n *Node) ended(op *Request, p *balancer.Attempt, out upstream.Result) {
-	op.out--
-	if out.Reply != nil && out.Report.HasValues() {
-		n.module.LoadReported(n.now, p.Backend, out.Report)
-	}
-	if out.Outcome == balancer.OutcomeAnswered && !op.answered {
-		n.finish(op, Answer{Status: Served, Reply: out.Reply})
-	} else {
-		out.Reply.Release()
-		n.keepEnd(op, p, out.Outcome)
-	}
-	// The backend's work was done when its answer began: some take long to send it, and some to be read.
-	elapsed := max(n.now-p.SentAt-float64(out.First.Microseconds())/1e3, 0)
-	n.module.AttemptEnded(n.now, p, out.Outcome, elapsed, op.answered)
-	n.traceEnded(op, p, out)
-	n.forget(op)
-}
-
-func (n *Node) final(o *balancer.Request, a Answer) {
-	if op := n.ops[o.ID]; op != nil {
-		n.traceGivenUp(op, a)
-		n.finish(op, a)
-		n.forget(op)
-	}
-}
-
-// traceEnded and traceGivenUp write what a count over a whole fleet needs; without -log debug they cost next to nothing.
-func (n *Node) traceEnded(op *Request, p *balancer.Attempt, out upstream.Result) {
-	if n.log.Enabled(context.Background(), slog.LevelDebug) {
-		n.log.Debug("push ended", "op", op.ID, "category", op.Class, "work", op.CostHint, "push", p.Number,
-			"backend", fmt.Sprintf("%x", p.Backend.ID), "zone", p.Backend.Zone, "kind", p.Backend.Kind,
-			"sent_ms", p.SentAt-op.ArrivedAt, "after_ms", n.now-p.SentAt, "first_ms", float64(out.First.Microseconds())/1e3, "at_ms", n.now, "ending", out.Outcome.String())
-	}
-}
-
-func (n *Node) traceGivenUp(op *Request, a Answer) {
-	if n.log.Enabled(context.Background(), slog.LevelDebug) {
-		n.log.Debug("op given up", "op", op.ID, "category", op.Class, "work", op.CostHint, "pushes", len(op.Attempts),
-			"age_ms", n.now-op.ArrivedAt, "left_ms", op.Deadline-n.now, "final", a.Status.String())
-	}
-}
-
-// forget lets go of an op that is over. The module's due times hold its part for as long as its TTL: not what it
-// carried as well.
-func (n *Node) forget(op *Request) {
-	if op.answered && op.out == 0 {
-		delete(n.ops, op.ID)
-		op.Message, op.calls = nil, nil
+	if n.hasEndpoints {
+		n.applyEndpoints(current, true)
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -19,138 +19,139 @@
 	"pearknot/internal/upstream"
 )
 
-// start runs a node with one backend that takes connections and says nothing.
-func start(t *testing.T, address string) (*Node, *clock.Clock) {
+// startNode runs a node with one backend, "s", at address.
+func startNode(t *testing.T, address string) (*Node, *clock.Clock) {
+	t.Helper()
 	c, log := clock.New(), slog.New(slog.DiscardHandler)
-	told := &config.Deployment{Balancer: &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 1, CancelAttempts: true, OverloadMultiple: 3,
+	deployment := &config.Deployment{Balancer: &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 1, CancelAttempts: true, OverloadMultiple: 3,
 		OverloadWindow: 1000, Classes: []balancer.Class{
 			{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1},
 			{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1, Idempotency: balancer.AtMostOnce}}}}
 	peers := &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}
 	peers.ConnectTimeout.Set(time.Second)
 	peers.IdleFor.Set(time.Minute)
-	n := New(told, NewBalancer, c, peers, func() {}, log)
+	n := New(deployment, NewBalancer, c, peers, func() {}, log)
 	n.Start(&discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{Name: "s", Address: address, State: balancer.BackendReady, Weight: 1}}})
 	t.Cleanup(n.Stop)
 	return n, c
 }
 
-func op(c *clock.Clock, category int) *Request {
-	o := NewRequest(upstream.NewMessage("GET", "/", "s", http.Header{}, nil))
-	o.Class, o.Deadline = category, c.Now()+60e3
-	return o
+// newTestRequest makes a request of a class with a minute's deadline.
+func newTestRequest(c *clock.Clock, class int) *Request {
+	request := NewRequest(upstream.NewMessage("GET", "/", "s", http.Header{}, nil))
+	request.Class, request.Deadline = class, c.Now()+60e3
+	return request
 }
 
 func TestFinalAnswers(t *testing.T) {
-	silent := silence(t)
+	silent := startSilentBackend(t)
 	for name, test := range map[string]struct {
-		category int
-		turn     func(*Node, *clock.Clock)
-		want     AnswerStatus
+		class int
+		event func(*Node, *clock.Clock)
+		want  AnswerStatus
 	}{
-		// Pushes end by then, so that the module answers in time for the node's own end.
-		"redeliverable, draining": {0, func(n *Node, c *clock.Clock) { n.Drain(c.Now() + 50) }, Rejected},
-		"at-most-once, draining":  {1, func(n *Node, c *clock.Clock) { n.Drain(c.Now() + 50) }, Failed},
-		// A fault of the module must not take the ops with it, nor claim that they never ran.
-		"module fault": {0, func(n *Node, _ *clock.Clock) { n.box.Put(func() { panic("fault") }) }, Failed},
+		// Attempts end with the drain, so that the balancer answers before the node ends.
+		"idempotent, draining":   {0, func(n *Node, c *clock.Clock) { n.Drain(c.Now() + 50) }, Rejected},
+		"at-most-once, draining": {1, func(n *Node, c *clock.Clock) { n.Drain(c.Now() + 50) }, Failed},
+		// A panic of the balancer must neither leave requests without an answer nor claim that they never ran.
+		"balancer panics": {0, func(n *Node, _ *clock.Clock) { n.mailbox.Put(func() { panic("fault") }) }, Failed},
 	} {
-		n, c := start(t, silent.address)
-		o := op(c, test.category)
-		n.Submit(o)
-		<-silent.got
-		test.turn(n, c)
-		assert.Equal(t, test.want, (<-o.Answer()).Status, name)
+		n, c := startNode(t, silent.address)
+		request := newTestRequest(c, test.class)
+		n.Submit(request)
+		<-silent.accepted
+		test.event(n, c)
+		assert.Equal(t, test.want, (<-request.Answer()).Status, name)
 
-		o = op(c, 0) // what comes after has an answer too
-		o.Deadline = c.Now() + 50
-		n.Submit(o)
-		assert.Equal(t, Rejected, (<-o.Answer()).Status, name)
+		request = newTestRequest(c, 0) // later requests are answered, too
+		request.Deadline = c.Now() + 50
+		n.Submit(request)
+		assert.Equal(t, Rejected, (<-request.Answer()).Status, name)
 	}
 }
 
-// A held op that no push is out for is answered when the node ends, too.
-func TestNothingIsLeftAtTheEnd(t *testing.T) {
-	n, c := start(t, "127.0.0.1:1")
-	o := op(c, 0)
-	n.box.Put(func() {
-		n.seq++
-		o.ID = n.seq
-		n.ops[o.ID] = o // unknown to the module, as if it had forgotten it
-		n.module.RequestArrived(n.now, &o.Request)
-		for _, more := n.module.Next(); more; _, more = n.module.Next() {
+// The balancer has lost track of a request without an attempt. The node's drain answers it all the same.
+func TestForgottenRequestFailsAtDrain(t *testing.T) {
+	n, c := startNode(t, "127.0.0.1:1")
+	request := newTestRequest(c, 0)
+	n.mailbox.Put(func() {
+		n.addRequest(request)
+		n.decider.RequestArrived(n.now, &request.Request)
+		for _, more := n.decider.Next(); more; _, more = n.decider.Next() { // decisions that nobody carries out
 		}
 	})
 	n.Drain(c.Now() + 20)
-	assert.Equal(t, Failed, (<-o.Answer()).Status)
+	assert.Equal(t, Failed, (<-request.Answer()).Status)
 }
 
-func TestLeave(t *testing.T) {
-	silent := silence(t)
-	n, c := start(t, silent.address)
-	o := op(c, 1)
-	n.Submit(o)
-	conn := <-silent.got
-	_, err := conn.Read(make([]byte, 4096)) // the push is out
+func TestCancelClosesConnection(t *testing.T) {
+	silent := startSilentBackend(t)
+	n, c := startNode(t, silent.address)
+	request := newTestRequest(c, 1)
+	n.Submit(request)
+	conn := <-silent.accepted
+	_, err := conn.Read(make([]byte, 4096)) // the attempt has begun
 	require.NoError(t, err)
-	n.Cancel(o)
-	for err == nil { // until its connection closes: the push is given up
+	n.Cancel(request)
+	for err == nil { // until the attempt is canceled and its connection closes
 		_, err = conn.Read(make([]byte, 4096))
 	}
 	open := make(chan int)
 	require.Eventually(t, func() bool {
-		n.box.Put(func() { open <- len(n.ops) })
+		n.mailbox.Put(func() { open <- len(n.requests) })
 		return <-open == 0
 	}, time.Second, time.Millisecond)
-	assert.Empty(t, o.Answer())
+	assert.Empty(t, request.Answer())
 }
 
-// Backends are replaced all day: of those long gone nothing stays.
-func TestNothingStaysOfGoneBackends(t *testing.T) {
-	n, _ := start(t, "127.0.0.1:1")
-	for k := range 50 {
-		m := discovery.Endpoint{Name: strconv.Itoa(k), Address: "127.0.0.1:1", State: balancer.BackendReady, Weight: 1}
-		n.EndpointsChanged(&discovery.List{Endpoints: []discovery.Endpoint{m}})
-		m.State = balancer.BackendRemoved
-		n.EndpointsChanged(&discovery.List{Endpoints: []discovery.Endpoint{m, {Name: "never had", State: balancer.BackendRemoved}}})
+// Backends are replaced all day; nothing of the removed ones may stay.
+func TestRemovedBackendsAreForgotten(t *testing.T) {
+	n, _ := startNode(t, "127.0.0.1:1")
+	for i := range 50 {
+		endpoint := discovery.Endpoint{Name: strconv.Itoa(i), Address: "127.0.0.1:1", State: balancer.BackendReady, Weight: 1}
+		n.EndpointsChanged(&discovery.List{Endpoints: []discovery.Endpoint{endpoint}})
+		endpoint.State = balancer.BackendRemoved
+		n.EndpointsChanged(&discovery.List{Endpoints: []discovery.Endpoint{endpoint, {Name: "never listed", State: balancer.BackendRemoved}}})
 	}
 	left := make(chan []int)
-	n.box.Put(func() { left <- []int{len(n.backends), len(n.behind)} })
+	n.mailbox.Put(func() { left <- []int{len(n.backends), len(n.backendOf)} })
 	assert.Equal(t, []int{1, 1}, <-left)
 }
 
-// Where a list is no proof, a backend that it no longer names keeps its connections until the module has forgotten it; one
-// that drained does not.
-func TestAListThatIsNoProofClosesNothing(t *testing.T) {
-	n, _ := start(t, "127.0.0.1:1")
-	n.box.Put(func() { n.told.Balancer.RemovalIsHint = true })
+// Where a removal is only a hint, a backend that the list no longer names keeps its connections until the balancer
+// forgets it. One that was draining does not.
+func TestRemovalHintClosesNoConnections(t *testing.T) {
+	n, _ := startNode(t, "127.0.0.1:1")
+	n.mailbox.Put(func() { n.deployment.Balancer.RemovalIsHint = true })
 	drained := discovery.Endpoint{Name: "drained", Address: "127.0.0.1:1", State: balancer.BackendReady, Weight: 1}
 	n.EndpointsChanged(&discovery.List{Endpoints: []discovery.Endpoint{drained}})
 	drained.State = balancer.BackendDraining
 	n.EndpointsChanged(&discovery.List{Endpoints: []discovery.Endpoint{drained}})
 	n.EndpointsChanged(&discovery.List{Complete: true})
-	kept := make(chan []bool)
-	n.box.Put(func() {
+	connected := make(chan []bool)
+	n.mailbox.Put(func() {
 		d := n.backends["drained"]
-		kept <- []bool{n.backends["s"].peer != nil, d != nil && d.peer != nil}
+		connected <- []bool{n.backends["s"].upstream != nil, d != nil && d.upstream != nil}
 	})
-	assert.Equal(t, []bool{true, false}, <-kept)
+	assert.Equal(t, []bool{true, false}, <-connected)
 }
 
-type quiet struct {
-	address string
-	got     chan net.Conn
+type silentBackend struct {
+	address  string
+	accepted chan net.Conn
 }
 
-// silence listens and answers nothing.
-func silence(t *testing.T) *quiet {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// startSilentBackend accepts connections and never responds.
+func startSilentBackend(t *testing.T) *silentBackend {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() })
-	q := &quiet{l.Addr().String(), make(chan net.Conn, 9)}
+	t.Cleanup(func() { _ = listener.Close() })
+	server := &silentBackend{listener.Addr().String(), make(chan net.Conn, 9)}
 	go func() {
-		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
-			q.got <- c
+		for conn, err := listener.Accept(); err == nil; conn, err = listener.Accept() {
+			server.accepted <- conn
 		}
 	}()
-	return q
+	return server
 }
--- /dev/null
+++ b/internal/node/request.go
@@ -0,0 +1,98 @@
+package node
+
+import (
+	"sync/atomic"
+
+	"pearknot/balancer"
+	"pearknot/internal/upstream"
+)
+
+// AnswerStatus is the kind of a request's final answer.
+type AnswerStatus uint8
+
+const (
+	// Served means that a backend responded.
+	Served AnswerStatus = iota
+	// Rejected means that no attempt had an effect; the client may send the request again.
+	Rejected
+	// Failed means that there is no response, and the request may have run.
+	Failed
+	// RetryLater means that the outcome is not known here. Another node has the request, or no majority of the
+	// request log answers. A client that asks again with the same key gets the outcome.
+	RetryLater
+	// KeyTaken means that the request log has another request or an answer under the request's key. The
+	// server looks that up; no client gets this status.
+	KeyTaken
+)
+
+func (s AnswerStatus) String() string {
+	return [...]string{"served", "rejected", "failed", "retry later", "key taken"}[s]
+}
+
+// Answer is a request's final answer.
+type Answer struct {
+	Status     AnswerStatus
+	Reply      *upstream.Reply // the backend's response, where Status is Served; whoever receives it releases it
+	RetryAfter float64         // ms; 0 is no advice
+}
+
+// Request is a client's request together with the node's state of it.
+type Request struct {
+	balancer.Request
+	Message *upstream.Message
+	Logged  *LoggedRequest // nil where the request is not in the request log
+
+	answer     chan Answer
+	isUnread   atomic.Bool // nobody waits for the answer
+	clientGone atomic.Bool // no attempt begins any more
+
+	// The node's actor alone uses the following fields.
+	answered         bool             // the answer is decided, or the client is gone
+	calls            []*upstream.Call // by the attempt's number
+	attemptsInFlight int              // attempts that have not ended
+}
+
+// NewRequest makes a request that sends message; the caller sets the balancer's fields.
+func NewRequest(message *upstream.Message) *Request {
+	request := &Request{Message: message, answer: make(chan Answer, 1)}
+	request.Streamed = message.Streamed()
+	return request
+}
+
+// Answer delivers the request's one final answer. Nothing comes after Node.Cancel.
+func (r *Request) Answer() <-chan Answer { return r.answer }
+
+// finish gives the final answer unless there is one. Nothing is sent for the request after its answer: an
+// attempt whose connection is still being opened is withheld first.
+func (r *Request) finish(answer Answer) {
+	if !r.answered {
+		r.markAnswered()
+		r.deliver(answer)
+	}
+}
+
+// deliver hands the answer to whoever waits, or releases it.
+func (r *Request) deliver(answer Answer) {
+	r.answer <- answer
+	if r.isUnread.Load() {
+		r.discardAnswer()
+	}
+}
+
+// discardAnswer releases the answer, whether it is there or comes later.
+func (r *Request) discardAnswer() {
+	r.isUnread.Store(true)
+	select {
+	case answer := <-r.answer:
+		answer.Reply.Release()
+	default:
+	}
+}
+
+// markAnswered notes that the client is owed nothing more, and withholds attempts that have not begun.
+func (r *Request) markAnswered() {
+	r.answered = true
+	for _, call := range r.calls {
+		call.Withhold()
+	}
+}
--- a/internal/serve/control.go
+++ b/internal/serve/control.go
@@ -39,7 +39,7 @@
 		now := p.now.Load()
 		s := controlsocket.Status{Token: o.Token, PID: os.Getpid(), Name: p.name, Listen: f.Address(), Version: o.Version, Started: started,
 			Config: p.file, Digest: now.digest, Epoch: o.Epoch, List: now.discovery, ListAt: look.Version, ListSum: look.Digest,
-			Backends: look.Backends, Ready: look.HasList, InService: in, Ending: ending, Open: int64(look.Open), MemoryMB: memory()}
+			Backends: look.Backends, Ready: look.HasEndpoints, InService: in, Ending: ending, Open: int64(look.OpenRequests), MemoryMB: memory()}
 		if certificates != nil {
 			s.TLS = &controlsocket.TLS{Listen: f.SecureAddress(), Dir: o.TLS.Acme.Dir, Handshakes: f.Handshakes(), Certificates: certificates.Status()}
 			s.TLS.Orders, s.TLS.OrderedBy = certificates.Orders()
--- a/internal/serve/pair.go
+++ b/internal/serve/pair.go
@@ -97,7 +97,7 @@
 
 // learn has the node begin with what was taken over; from then on both are one node.
 func (p *pair) learn(s *hotrestart.State) {
-	err := p.node.Restore(&node.LearnedState{Names: s.Names, Module: s.Module, Known: s.Known, Banned: s.Banned})
+	err := p.node.Restore(&node.LearnedState{BackendNames: s.Names, BalancerSnapshot: s.Module, KnownNames: s.Known, CordonedNames: s.Banned})
 	if err != nil {
 		p.log.Warn("what the process before has learned is not taken, this one starts fresh", "error", err)
 	}
@@ -165,8 +165,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &hotrestart.State{Zones: p.place.names.Zones, Kinds: p.place.names.Kinds, List: l.List, Names: l.Names, Module: l.Module,
-		Known: l.Known, Banned: l.Banned}
+	s := &hotrestart.State{Zones: p.place.names.Zones, Kinds: p.place.names.Kinds, List: l.Endpoints, Names: l.BackendNames, Module: l.BalancerSnapshot,
+		Known: l.KnownNames, Banned: l.CordonedNames}
 	if passed, away := p.front.ClientsAwayFor(); away {
 		ms := float64(passed.Microseconds()) / 1e3
 		s.Away = &ms
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -166,7 +166,7 @@
 	var links *peers.Peers
 	if o.Peers != nil {
 		links = peers.New(o.Peers.terms, now, n.TakeOver, log)
-		n.Keep(links)
+		n.LogRequests(links)
 		f.LogRequests(o.Peers.keep(links))
 	}
 	if before := both.follow(ctx); before != nil {
@@ -212,7 +212,7 @@
 		}
 		defer c.Close()
 	}
-	go shed(over, budget, pressed, n.Shed, f.Shed)
+	go shed(over, budget, pressed, n.CloseIdleConnections, f.Shed)
 	log.Info("serving", "name", p.name, "address", f.Address(), "control", second, "version", o.Version)
 	failed := make(chan error, 1)
 	go func() { failed <- f.Serve() }()
--- a/internal/server/gone_kept_test.go
+++ b/internal/server/gone_kept_test.go
@@ -93,7 +93,7 @@
 	f, _, _ = fronted(t, 256, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3,
 		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, g.decide, list,
 		func(f *Server) {
-			f.node.Keep(keep)
+			f.node.LogRequests(keep)
 			f.LogRequests(RequestLogging{Peers: keep, Header: "Idempotency-Key", Categories: map[string]bool{"check": false}, Most: 1 << 10})
 		})
 	require.Eventually(t, func() bool { // a majority answers
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -310,7 +310,7 @@
 func over(t *testing.T, f *Server, left int) {
 	require.Eventually(t, func() bool {
 		l, err := f.node.Status(t.Context())
-		return f.open.Load() == int64(left) && err == nil && l.Open == left
+		return f.open.Load() == int64(left) && err == nil && l.OpenRequests == left
 	}, 10*time.Second, time.Millisecond)
 }
 
--- a/internal/server/kept.go
+++ b/internal/server/kept.go
@@ -34,7 +34,7 @@
 func (f *Server) LogRequests(k RequestLogging) { f.keep = &k }
 
 // keyed tells whether an op is to be kept, and what it is known by.
-func (f *Server) keyed(r *http.Request, op *node.Request, body []byte) (*node.Logged, *malformed) {
+func (f *Server) keyed(r *http.Request, op *node.Request, body []byte) (*node.LoggedRequest, *malformed) {
 	keys := r.Header.Values(f.keep.Header)
 	if len(keys) == 0 {
 		return nil, nil
@@ -53,7 +53,7 @@
 	}
 	_, _ = print.Write(body)
 	// A key counts for its tenant alone: nobody hears of another's outcome by guessing.
-	return &node.Logged{Key: string(config.Name(r.Header.Get(tenantHeader))) + "\x00" + key, Fingerprint: print.Sum64(), GoOn: goOn, Most: f.keep.Most}, nil
+	return &node.LoggedRequest{Key: string(config.Name(r.Header.Get(tenantHeader))) + "\x00" + key, Fingerprint: print.Sum64(), ProceedWithoutQuorum: goOn, MaxAnswerBytes: f.keep.Most}, nil
 }
 
 // serveKept sees an op that others keep through to its one answer: its own, or that of the op that has its key already.
@@ -75,14 +75,14 @@
 		}
 		switch {
 		case ctx.Err() != nil || code == requestlog.NoQuorum && f.clock.Now() >= op.Deadline:
-			f.answer(w, c, node.Answer{Status: node.AskAgain, RetryAfter: requestlog.PeerTimeoutMs})
+			f.answer(w, c, node.Answer{Status: node.RetryLater, RetryAfter: requestlog.PeerTimeoutMs})
 			return
 		case code == requestlog.KeyUnused && !taken:
 			taken = true
 			f.node.Submit(op)
 			select {
 			case a := <-op.Answer():
-				if a.Status == node.Elsewhere {
+				if a.Status == node.KeyTaken {
 					continue
 				}
 				f.answer(w, c, a)
@@ -96,12 +96,12 @@
 			f.answer(w, c, node.Answer{Status: node.Rejected, RetryAfter: requestlog.PeerTimeoutMs / 4})
 			return
 		case code == requestlog.KeyAnswered:
-			f.answer(w, c, node.Recorded(o))
+			f.answer(w, c, node.AnswerFromLog(o))
 			return
 		case code == requestlog.KeyMismatch:
 			f.write(w, c, http.StatusUnprocessableEntity, []byte("the key of another op\n"))
 			return
-		case code == requestlog.NoQuorum && k.GoOn && !taken:
+		case code == requestlog.NoQuorum && k.ProceedWithoutQuorum && !taken:
 			op.Logged = nil
 			f.serve(w, r, c, op)
 			return
@@ -117,7 +117,7 @@
 	}
 }
 
-func (f *Server) look(ctx context.Context, gone <-chan struct{}, k *node.Logged, until float64) (requestlog.Result, requestlog.FinalAnswer) {
+func (f *Server) look(ctx context.Context, gone <-chan struct{}, k *node.LoggedRequest, until float64) (requestlog.Result, requestlog.FinalAnswer) {
 	told := make(chan requestlog.Reply, 1)
 	f.keep.Peers.Lookup(k.Key, k.Fingerprint, until, func(r requestlog.Reply) { told <- r })
 	select {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -423,7 +423,7 @@
 			w.Header().Set("Retry-After", strconv.FormatFloat(wait/1e3, 'f', 3, 64))
 		}
 		f.write(w, c, http.StatusServiceUnavailable, nil)
-	case node.AskAgain:
+	case node.RetryLater:
 		w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter/1e3, 'f', 3, 64))
 		f.write(w, c, http.StatusConflict, []byte("the op is in hand; ask again with its key\n"))
 	default:
