--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -311,7 +311,7 @@
 	if err != nil {
 		return w, err
 	}
-	w.Version, w.Sum, err = discovery.Sum(data)
+	w.Version, w.Sum, err = discovery.ReadDigest(data)
 	return w, err
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -17,13 +17,13 @@
 	"pearknot/balancer"
 )
 
-var names = Names{Zones: []string{"a", "b_c"}, Kinds: []string{"m1"}}
+var testNames = DeploymentNames{Zones: []string{"a", "b_c"}, Kinds: []string{"m1"}}
 
-const good = `{"uid":"s","endpoint":"127.0.0.1:80","az":"b c","model":"m1","pod_group":3,"state":"up","boot_ms":7}`
+const validEntry = `{"uid":"s","endpoint":"127.0.0.1:80","az":"b c","model":"m1","pod_group":3,"state":"up","boot_ms":7}`
 
 // Odd entries stand alone: a list must not be lost, nor the program, over one of them, nor what else they say.
 func TestDecode(t *testing.T) {
-	list, err := names.Decode([]byte(`{"rev":41,"all":true,"targets":[7,null,{},{"uid":""},{"uid":8,"state":"draining"},`+
+	list, err := testNames.Decode([]byte(`{"rev":41,"all":true,"targets":[7,null,{},{"uid":""},{"uid":8,"state":"draining"},`+
 		`{"uid":"x","endpoint":"nowhere","az":"a","model":"m1","state":"up"},`+
 		`{"uid":"x","endpoint":"127.0.0.1:80","az":"z","model":"m1","state":"up"},`+
 		`{"uid":"x","endpoint":"127.0.0.1:80","az":"a","model":"m9","state":"up"},`+
@@ -32,29 +32,29 @@
 		`{"uid":"x","endpoint":"127.0.0.1:80","az":["a"],"model":{},"state":"draining","pod_group":"3","capacity_hint":"1","boot_ms":"0"},`+
 		`{"uid":"x","endpoint":80,"az":"a","model":"m1","state":["up"],"pod_group":1.5,"boot_ms":9},`+
 		`{"uid":"x","endpoint":7,"az":"z","model":"m1","state":"removed"},`+
-		good+`,{"uid":"g","az":"a","model":"m1","state":"removed","capacity_hint":2.5}]}`), slog.New(slog.DiscardHandler))
+		validEntry+`,{"uid":"g","az":"a","model":"m1","state":"removed","capacity_hint":2.5}]}`), slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	const at, missing = "127.0.0.1:80", oddCell | oddWeight | oddStarted
+	const at, missing = "127.0.0.1:80", invalidCell | invalidWeight | invalidStarted
 	assert.Equal(t, &List{Version: 41, Complete: true, Endpoints: []Endpoint{
-		{Name: "x", Address: "nowhere", State: balancer.BackendReady, Weight: 1, Invalid: oddAddress | missing},
-		{Name: "x", Address: at, State: balancer.BackendReady, Zone: -1, Weight: 1, Invalid: oddZone | missing},
-		{Name: "x", Address: at, State: balancer.BackendReady, Kind: -1, Weight: 1, Invalid: oddKind | missing},
-		{Name: "x", Address: at, Weight: 1, Invalid: oddState | missing},
-		{Name: "x", Address: at, State: balancer.BackendReady, Cell: -1, Weight: 1, Invalid: oddCell | oddWeight | oddStarted},
-		{Name: "x", Address: at, State: balancer.BackendDraining, Zone: -1, Kind: -1, Invalid: oddZone | oddKind | oddCell | oddWeight | oddStarted},
-		{Name: "x", Weight: 1, Started: 9, Invalid: oddAddress | oddState | oddCell | oddWeight},
-		{Name: "x", Zone: -1, Weight: 1, Invalid: oddZone | missing},
+		{Name: "x", Address: "nowhere", State: balancer.BackendReady, Weight: 1, Invalid: invalidAddress | missing},
+		{Name: "x", Address: at, State: balancer.BackendReady, Zone: -1, Weight: 1, Invalid: invalidZone | missing},
+		{Name: "x", Address: at, State: balancer.BackendReady, Kind: -1, Weight: 1, Invalid: invalidKind | missing},
+		{Name: "x", Address: at, Weight: 1, Invalid: invalidState | missing},
+		{Name: "x", Address: at, State: balancer.BackendReady, Cell: -1, Weight: 1, Invalid: invalidCell | invalidWeight | invalidStarted},
+		{Name: "x", Address: at, State: balancer.BackendDraining, Zone: -1, Kind: -1, Invalid: invalidZone | invalidKind | invalidCell | invalidWeight | invalidStarted},
+		{Name: "x", Weight: 1, Started: 9, Invalid: invalidAddress | invalidState | invalidCell | invalidWeight},
+		{Name: "x", Zone: -1, Weight: 1, Invalid: invalidZone | missing},
 		{Name: "s", Address: at, State: balancer.BackendReady, Zone: 1, Cell: 3, Weight: 1, Started: 7},
 		{Name: "g", State: balancer.BackendRemoved, Weight: 2.5},
 	}}, list)
 	for _, bad := range []string{``, `[]`, `{"all":true,"targets":[]}`, `{"rev":-1}`, `{"rev":"4","targets":[]}`,
-		`{"rev":4,"all":true,"targets":[` + good + `]`, `{"rev":4,"all":true,"targets":[]}}`, `{"rev":4,"all":true,"targets":[]}{}`,
+		`{"rev":4,"all":true,"targets":[` + validEntry + `]`, `{"rev":4,"all":true,"targets":[]}}`, `{"rev":4,"all":true,"targets":[]}{}`,
 		`{"rev":4,"all":true}`, `{"rev":4,"all":true,"targets":null}`, `{"rev":4,"all":true,"targets":{}}`} {
-		_, err := names.Decode([]byte(bad), slog.New(slog.DiscardHandler))
+		_, err := testNames.Decode([]byte(bad), slog.New(slog.DiscardHandler))
 		assert.Error(t, err, bad)
 	}
 	for _, empty := range []string{`{"rev":4,"all":true,"targets":[]}`, "{\n\t\"rev\": 4,\r\n\t\"all\": true,\n\t\"targets\": [\n\t]\n}\n"} {
-		list, err := names.Decode([]byte(empty), slog.New(slog.DiscardHandler))
+		list, err := testNames.Decode([]byte(empty), slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
 		assert.Equal(t, &List{Version: 4, Complete: true}, list)
 	}
@@ -62,9 +62,9 @@
 
 // News of a backend that is known, in an entry that can't be read whole: every part that can be is taken, but it brings
 // nothing back into use.
-func TestOver(t *testing.T) {
+func TestMergeInto(t *testing.T) {
 	had := Endpoint{"s", "old", balancer.BackendReady, 1, 2, 3, 4, 5, 0}
-	all := oddAddress | oddState | oddZone | oddCell | oddKind | oddWeight | oddStarted
+	all := invalidAddress | invalidState | invalidZone | invalidCell | invalidKind | invalidWeight | invalidStarted
 	assert.Equal(t, had, Endpoint{Name: "s", Invalid: all}.MergeInto(had))
 	now := Endpoint{"s", "new", balancer.BackendDraining, 6, 7, 8, 9, 10, 0}
 	for part := Fields(1); part <= all; part <<= 1 {
@@ -82,8 +82,8 @@
 	}
 	for _, state := range []balancer.BackendState{balancer.BackendRemoved, balancer.BackendDraining, balancer.BackendReady} {
 		had.State = state
-		assert.Equal(t, state, Endpoint{State: balancer.BackendReady, Invalid: oddZone}.MergeInto(had).State)
-		assert.Equal(t, balancer.BackendRemoved, Endpoint{State: balancer.BackendRemoved, Invalid: oddZone}.MergeInto(had).State)
+		assert.Equal(t, state, Endpoint{State: balancer.BackendReady, Invalid: invalidZone}.MergeInto(had).State)
+		assert.Equal(t, balancer.BackendRemoved, Endpoint{State: balancer.BackendRemoved, Invalid: invalidZone}.MergeInto(had).State)
 	}
 }
 
@@ -105,17 +105,17 @@
 	}))
 	defer discovery.Close()
 	told, failed := make(chan *List, 1), make(chan bool, 1)
-	w := &Watch{Address: discovery.Listener.Addr().String(), Names: names, Log: slog.New(slog.DiscardHandler),
+	w := &Watch{Address: discovery.Listener.Addr().String(), Deployment: testNames, Log: slog.New(slog.DiscardHandler),
 		OnList: func(l *List) { told <- l }, OnFailure: func() { failed <- true }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w.Start(ctx)
 	w.Poll()
 	assert.Equal(t, "", <-asked, "the whole list, where none is held")
-	answer <- `{"rev":41,"all":true,"targets":[` + good + `]}`
+	answer <- `{"rev":41,"all":true,"targets":[` + validEntry + `]}`
 	assert.Equal(t, uint64(41), (<-told).Version)
 	assert.Equal(t, "from=41&hold_ms=1200", <-asked)
-	assert.Less(t, apart, 200*time.Millisecond, "the watch goes on")
+	assert.Less(t, minPollInterval, 200*time.Millisecond, "the watch goes on")
 	answer <- `{"rev":43,"all":false,"targets":[]}`
 	assert.False(t, (<-told).Complete)
 	assert.Equal(t, "from=43&hold_ms=1200", <-asked)
@@ -139,7 +139,7 @@
 
 // A new address is asked at once for its whole list, also while the old one holds a call; what the old one tells of
 // later changes nothing, and its version is never sent to the new one.
-func TestMove(t *testing.T) {
+func TestSetAddress(t *testing.T) {
 	asked, hold := make(chan string), make(chan struct{})
 	place := func(name, list string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -160,7 +160,7 @@
 		return s.Listener.Addr().String()
 	}
 	told := make(chan *List, 1)
-	w := &Watch{Address: place("old ", `{"rev":41,"all":true,"targets":[]}`), Names: names,
+	w := &Watch{Address: place("old ", `{"rev":41,"all":true,"targets":[]}`), Deployment: testNames,
 		Log: slog.New(slog.DiscardHandler), OnList: func(l *List) { told <- l }, OnFailure: func() { t.Error("failed") }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer close(hold)
@@ -170,7 +170,7 @@
 	assert.Equal(t, "old ", <-asked)
 	assert.Equal(t, uint64(41), (<-told).Version)
 	assert.Equal(t, "old from=41&hold_ms=1200", <-asked)
-	w.SetAddress(place("new ", `{"rev":7,"all":true,"targets":[`+good+`]}`))
+	w.SetAddress(place("new ", `{"rev":7,"all":true,"targets":[`+validEntry+`]}`))
 	assert.Equal(t, "new ", <-asked)
 	list := <-told
 	assert.True(t, list.Complete)
@@ -207,7 +207,7 @@
 		}
 	}()
 	failed := make(chan bool, 1)
-	w := &Watch{Address: l.Addr().String(), Names: names, Log: slog.New(slog.DiscardHandler), hold: time.Millisecond, turn: time.Second / 2,
+	w := &Watch{Address: l.Addr().String(), Deployment: testNames, Log: slog.New(slog.DiscardHandler), longPollWait: time.Millisecond, answerTimeout: time.Second / 2,
 		OnList: func(*List) {}, OnFailure: func() { failed <- true }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/discovery/list.go
+++ b/internal/discovery/endpoint.go
@@ -34,37 +34,37 @@
 type Fields uint8
 
 const (
-	oddAddress Fields = 1 << iota
-	oddState
-	oddZone
-	oddCell
-	oddKind
-	oddWeight
-	oddStarted
+	invalidAddress Fields = 1 << iota
+	invalidState
+	invalidZone
+	invalidCell
+	invalidKind
+	invalidWeight
+	invalidStarted
 )
 
 // Over gives an entry that could not be read whole as news of a backend that is known: what is odd stays as it was. It may
 // take the backend out, as a drain counts whatever else is odd, but not bring it back, which would be to trust it.
 func (m Endpoint) MergeInto(had Endpoint) Endpoint {
-	if m.Invalid&oddAddress != 0 {
+	if m.Invalid&invalidAddress != 0 {
 		m.Address = had.Address
 	}
-	if m.Invalid&oddState != 0 || m.State > had.State {
+	if m.Invalid&invalidState != 0 || m.State > had.State {
 		m.State = had.State
 	}
-	if m.Invalid&oddZone != 0 {
+	if m.Invalid&invalidZone != 0 {
 		m.Zone = had.Zone
 	}
-	if m.Invalid&oddCell != 0 {
+	if m.Invalid&invalidCell != 0 {
 		m.Cell = had.Cell
 	}
-	if m.Invalid&oddKind != 0 {
+	if m.Invalid&invalidKind != 0 {
 		m.Kind = had.Kind
 	}
-	if m.Invalid&oddWeight != 0 {
+	if m.Invalid&invalidWeight != 0 {
 		m.Weight = had.Weight
 	}
-	if m.Invalid&oddStarted != 0 {
+	if m.Invalid&invalidStarted != 0 {
 		m.Started = had.Started
 	}
 	m.Invalid = 0
@@ -81,7 +81,7 @@
 var states = map[string]balancer.BackendState{"up": balancer.BackendReady, "draining": balancer.BackendDraining, "removed": balancer.BackendRemoved}
 
 // Names are those that the list uses for places of the settings.
-type Names struct{ Zones, Kinds []string }
+type DeploymentNames struct{ Zones, Kinds []string }
 
 // Digest tells lists with the same backends in the same states from others, wherever they were read: by names and states
 // of what is not gone, in order.
@@ -96,7 +96,7 @@
 }
 
 // Sum reads the version of a whole list, as its source gives it, and its digest, without the names of any settings.
-func Sum(data []byte) (version uint64, digest string, err error) {
+func ReadDigest(data []byte) (version uint64, digest string, err error) {
 	var told struct {
 		Rev     *uint64
 		All     bool
@@ -120,15 +120,15 @@
 }
 
 // mostShown is how much of an odd entry a line shows.
-const mostShown = 400
+const maxLoggedEntry = 400
 
 // Decode reads a list. Entries that can't be read whole are logged; they must not hide the others.
-func (n Names) Decode(data []byte, log *slog.Logger) (*List, error) {
+func (n DeploymentNames) Decode(data []byte, log *slog.Logger) (*List, error) {
 	return n.decode(data, log, func(string) bool { return true })
 }
 
 // decode asks of each odd entry's name whether to log it.
-func (n Names) decode(data []byte, log *slog.Logger, say func(name string) bool) (*List, error) {
+func (n DeploymentNames) decode(data []byte, log *slog.Logger, say func(name string) bool) (*List, error) {
 	var told struct {
 		Rev     *uint64
 		All     bool
@@ -145,9 +145,9 @@
 	}
 	list := &List{Version: *told.Rev, Complete: told.All}
 	for _, entry := range told.Targets {
-		m, err := n.member(entry)
+		m, err := n.endpoint(entry)
 		if err != nil && say(m.Name) {
-			log.Warn("odd list entry", "entry", string(entry[:min(len(entry), mostShown)]), "error", err)
+			log.Warn("odd list entry", "entry", string(entry[:min(len(entry), maxLoggedEntry)]), "error", err)
 		}
 		if m.Name != "" {
 			list.Endpoints = append(list.Endpoints, m)
@@ -158,7 +158,7 @@
 
 // member reads an entry part by part, since one that is odd must not hide its name and state. The error tells what is odd;
 // where there is no name, it is nobody's.
-func (n Names) member(entry []byte) (m Endpoint, err error) {
+func (n DeploymentNames) endpoint(entry []byte) (m Endpoint, err error) {
 	var told struct {
 		UID, Endpoint, AZ, Model, State json.RawMessage
 		PodGroup                        json.RawMessage `json:"pod_group"`
@@ -168,7 +168,7 @@
 	if err := json.Unmarshal(entry, &told); err != nil {
 		return m, err
 	}
-	if m.Name, err = read[string](told.UID); err != nil || m.Name == "" {
+	if m.Name, err = readField[string](told.UID); err != nil || m.Name == "" {
 		return Endpoint{}, errors.Join(errors.New("no uid"), err)
 	}
 	var why error
@@ -178,35 +178,35 @@
 			why = errors.Join(why, err)
 		}
 	}
-	state, err := read[string](told.State)
+	state, err := readField[string](told.State)
 	known := false
 	if m.State, known = states[state]; err == nil && !known {
 		err = fmt.Errorf("unknown state %.60q", state)
 	}
-	part(oddState, err)
-	if m.Address, err = read[string](told.Endpoint); err == nil {
+	part(invalidState, err)
+	if m.Address, err = readField[string](told.Endpoint); err == nil {
 		_, _, err = net.SplitHostPort(m.Address)
 	}
 	if err == nil || !known || m.State != balancer.BackendRemoved { // who is gone needs none
-		part(oddAddress, err)
+		part(invalidAddress, err)
 	}
-	m.Zone, err = place(told.AZ, n.Zones, "zone")
-	part(oddZone, err)
-	m.Kind, err = place(told.Model, n.Kinds, "kind")
-	part(oddKind, err)
-	if m.Cell, err = read[int](told.PodGroup); err == nil && (m.Cell < 0 || m.Cell > math.MaxUint16) {
+	m.Zone, err = indexOfName(told.AZ, n.Zones, "zone")
+	part(invalidZone, err)
+	m.Kind, err = indexOfName(told.Model, n.Kinds, "kind")
+	part(invalidKind, err)
+	if m.Cell, err = readField[int](told.PodGroup); err == nil && (m.Cell < 0 || m.Cell > math.MaxUint16) {
 		err = fmt.Errorf("group %d", m.Cell)
 	}
-	part(oddCell, err)
-	hint, err := read[*float64](told.CapacityHint)
+	part(invalidCell, err)
+	hint, err := readField[*float64](told.CapacityHint)
 	if m.Weight = 1; hint != nil {
 		m.Weight = *hint
 	}
-	part(oddWeight, err)
-	m.Started, err = read[float64](told.BootMs)
-	part(oddStarted, err)
+	part(invalidWeight, err)
+	m.Started, err = readField[float64](told.BootMs)
+	part(invalidStarted, err)
 	if m.Invalid != 0 { // what is not there may be lost with the rest
-		for p, there := range map[Fields]json.RawMessage{oddCell: told.PodGroup, oddWeight: told.CapacityHint, oddStarted: told.BootMs} {
+		for p, there := range map[Fields]json.RawMessage{invalidCell: told.PodGroup, invalidWeight: told.CapacityHint, invalidStarted: told.BootMs} {
 			if len(there) == 0 {
 				m.Invalid |= p
 			}
@@ -216,7 +216,7 @@
 }
 
 // read reads one part; one that is not there is zero.
-func read[T any](part json.RawMessage) (value T, err error) {
+func readField[T any](part json.RawMessage) (value T, err error) {
 	if len(part) > 0 {
 		err = json.Unmarshal(part, &value)
 	}
@@ -224,8 +224,8 @@
 }
 
 // place finds a name among those of the settings.
-func place(part json.RawMessage, names []string, what string) (int, error) {
-	name, err := read[string](part)
+func indexOfName(part json.RawMessage, names []string, what string) (int, error) {
+	name, err := readField[string](part)
 	k := slices.Index(names, config.Name(name))
 	if err == nil && k < 0 {
 		err = fmt.Errorf("unknown %s %.60q", what, name)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -21,59 +21,59 @@
 const (
 	// turn is how long an answer may take beside what its call waits for: calls are worked through in turn, and one that
 	// waited for over two seconds fails.
-	turn = 2200 * time.Millisecond
+	answerTimeout = 2200 * time.Millisecond
 	// hold is how long a call waits for news. A connection may fall silent without an end, and what its service then has to
 	// tell counts as told 6 s later, whether or not it came. Of that, 0.1 s (apart), hold and turn may pass until the silence
 	// is noticed, and turn until one more call, that waits for nothing, has had its answer: 5.7 s, and 0.3 s to connect. The
 	// more of it is turn and the less hold, the fewer calls are given up that are only late, which costs the one service of
 	// all nodes another watch's beginning; going on with one costs it next to nothing.
-	hold = 1200 * time.Millisecond
+	longPollWait = 1200 * time.Millisecond
 	// atOnce is the wait of a call that has only to tell what there is. Not zero, which some would read as none given.
-	atOnce = time.Millisecond
+	immediateWait = time.Millisecond
 	// apart is the least time between the starts of two calls, well within the 200 ms in which a watch goes on.
-	apart = 100 * time.Millisecond
+	minPollInterval = 100 * time.Millisecond
 	// spread is the most that passes from a call that was given up until the next, spread evenly: silence is a way that is cut, not
 	// a service with too many callers, which says so. The way may be whole again as that call begins, and what there is to tell is
 	// to be in hand 6 s later: turn, spread and turn are 5.6 s. The module's own waits, for calls that were turned away, take longer.
-	spread = 1200 * time.Millisecond
+	maxTimeoutBackoff = 1200 * time.Millisecond
 
-	sayAgain = time.Minute // between two lines on one odd entry
-	mostSaid = 1000        // names whose lines are remembered
-	mostList = 4 << 20     // bytes of an answer
+	relogInterval  = time.Minute // between two lines on one odd entry
+	maxLoggedNames = 1000        // names whose lines are remembered
+	maxListSize    = 4 << 20     // bytes of an answer
 )
 
 // Watch is the list's actor: one call at a time, on one connection. It asks when it is told to and goes on until
 // a call fails; when to ask again is the module's to say. Where to ask may change while it goes on.
 type Watch struct {
-	Address   string
-	Names     Names
-	Version   uint64 // of the list held at the start
-	Held      bool   // there was one
-	Log       *slog.Logger
-	OnList    func(*List) // takes news; must not block
-	OnFailure func()      // takes a failed call; must not block
-	Own       bool        // its source is this machine's own, and may be asked as often as need be
+	Address     string
+	Deployment  DeploymentNames
+	Version     uint64 // of the list held at the start
+	HasList     bool   // there was one
+	Log         *slog.Logger
+	OnList      func(*List) // takes news; must not block
+	OnFailure   func()      // takes a failed call; must not block
+	LocalSource bool        // its source is this machine's own, and may be asked as often as need be
 
-	hold, turn, apart, spread time.Duration                                                        // a test's own, else as above
-	dial                      func(ctx context.Context, network, address string) (net.Conn, error) // likewise
-	said                      map[string]time.Time                                                 // when an odd entry was last logged, by name
+	longPollWait, answerTimeout, minPollInterval, maxTimeoutBackoff time.Duration                                                        // a test's own, else as above
+	dial                                                            func(ctx context.Context, network, address string) (net.Conn, error) // likewise
+	lastLogged                                                      map[string]time.Time                                                 // when an odd entry was last logged, by name
 
-	failing bool // no answer has come since the latest failure
-	behind  bool // the list has begun anew, and no change of it come since
+	failing   bool // no answer has come since the latest failure
+	restarted bool // the list has begun anew, and no change of it come since
 
-	asked chan struct{}
-	mu    sync.Mutex
-	next  *string            // where to ask from now on, not yet taken up
-	end   context.CancelFunc // of the watch that goes on
+	pollRequested chan struct{}
+	mu            sync.Mutex
+	nextAddress   *string            // where to ask from now on, not yet taken up
+	cancelSession context.CancelFunc // of the watch that goes on
 }
 
 // Start runs the actor until ctx ends.
 func (w *Watch) Start(ctx context.Context) {
-	w.asked, w.end, w.said = make(chan struct{}, 1), func() {}, map[string]time.Time{}
-	w.hold, w.turn, w.apart = cmp.Or(w.hold, hold), cmp.Or(w.turn, turn), cmp.Or(w.apart, apart)
-	w.spread = cmp.Or(w.spread, spread)
+	w.pollRequested, w.cancelSession, w.lastLogged = make(chan struct{}, 1), func() {}, map[string]time.Time{}
+	w.longPollWait, w.answerTimeout, w.minPollInterval = cmp.Or(w.longPollWait, longPollWait), cmp.Or(w.answerTimeout, answerTimeout), cmp.Or(w.minPollInterval, minPollInterval)
+	w.maxTimeoutBackoff = cmp.Or(w.maxTimeoutBackoff, maxTimeoutBackoff)
 	if w.dial == nil {
-		w.dial = (&net.Dialer{Timeout: w.turn}).DialContext
+		w.dial = (&net.Dialer{Timeout: w.answerTimeout}).DialContext
 	}
 	go w.run(ctx)
 }
@@ -81,7 +81,7 @@
 // Ask begins a watch; while one goes on it changes nothing.
 func (w *Watch) Poll() {
 	select {
-	case w.asked <- struct{}{}:
+	case w.pollRequested <- struct{}{}:
 	default:
 	}
 }
@@ -90,8 +90,8 @@
 func (w *Watch) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.next = &address
-	w.end()
+	w.nextAddress = &address
+	w.cancelSession()
 	w.Poll()
 }
 
@@ -100,77 +100,77 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.asked:
+		case <-w.pollRequested:
 		}
-		one, end := w.begin(ctx)
-		err := w.watch(one)
+		one, end := w.beginSession(ctx)
+		err := w.pollUntilFailure(one)
 		end()
 		if ctx.Err() != nil {
 			return
 		}
-		if w.moved() {
+		if w.consumeRequest() {
 			continue
 		}
-		if !w.Own || !w.failing { // of its own source the first in a row is enough
+		if !w.LocalSource || !w.failing { // of its own source the first in a row is enough
 			w.Log.Warn("list call failed", "address", w.Address, "error", err)
 			w.OnFailure()
 		}
 		switch w.failing = true; {
-		case w.Own: // what it has at its return counts as told at once
-			time.AfterFunc(w.apart, w.Poll)
-		case givenUp(err):
-			time.AfterFunc(rand.N(w.spread), w.Poll)
+		case w.LocalSource: // what it has at its return counts as told at once
+			time.AfterFunc(w.minPollInterval, w.Poll)
+		case isTimeout(err):
+			time.AfterFunc(rand.N(w.maxTimeoutBackoff), w.Poll)
 		}
 	}
 }
 
 // givenUp tells whether it was this side that ended a call, or a connection that did not come up.
-func givenUp(err error) bool {
+func isTimeout(err error) bool {
 	var silent net.Error
 	return errors.As(err, &silent) && silent.Timeout()
 }
 
 // begin takes up a move: versions of two addresses have nothing to do with each other, and the first call at a new
 // one is for the whole list.
-func (w *Watch) begin(ctx context.Context) (context.Context, context.CancelFunc) {
+func (w *Watch) beginSession(ctx context.Context) (context.Context, context.CancelFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.next != nil {
-		w.Address, w.Version, w.Held, w.behind, w.next = *w.next, 0, false, false, nil
+	if w.nextAddress != nil {
+		w.Address, w.Version, w.HasList, w.restarted, w.nextAddress = *w.nextAddress, 0, false, false, nil
 	}
 	one, end := context.WithCancel(ctx)
-	w.end = end
+	w.cancelSession = end
 	return one, end
 }
 
 // moved tells whether a watch ended for a move, which is no failure and has asked for the next one. What else was
 // asked while it went on was answered by it.
-func (w *Watch) moved() bool {
+func (w *Watch) consumeRequest() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.next == nil {
+	if w.nextAddress == nil {
 		select {
-		case <-w.asked:
+		case <-w.pollRequested:
 		default:
 		}
 	}
-	return w.next != nil
+	return w.nextAddress != nil
 }
 
 // watch makes calls until one fails. Where a connection breaks or falls silent after there have been answers, another
 // is tried at once, and only once: it tells nothing of the list's service itself. The first call of all, and that after
 // a silence, does not wait for news: what there is to tell may be late already, and a second silence must not cost the
 // time of a wait as well.
-func (w *Watch) watch(ctx context.Context) error {
+func (w *Watch) pollUntilFailure(ctx context.Context) error {
 	for heard, wait := false, false; ; {
-		more, err := w.connected(ctx, wait)
+		more, err := w.pollConnection(ctx, wait)
 		heard = heard || more
 		if err == nil {
 			wait = true
 			continue
 		}
 		silent := errors.Is(err, os.ErrDeadlineExceeded)
-		if ctx.Err() != nil || errors.Is(err, errNoList) || !heard && !(silent && wait && w.Held) {
+		if ctx.Err() != nil || errors.Is(err, errNoList) || !heard && !(silent && wait && w.HasList) {
 			return err
 		}
 		w.Log.Debug("list connection broke", "error", err)
@@ -183,19 +183,19 @@
 
 // connected makes calls on one connection until one fails or discovery wants another connection; heard tells whether
 // any was answered, wait whether the first waits for news.
-func (w *Watch) connected(ctx context.Context, wait bool) (heard bool, err error) {
+func (w *Watch) pollConnection(ctx context.Context, wait bool) (heard bool, err error) {
 	c, err := w.dial(ctx, "tcp", w.Address)
 	if err != nil {
 		return false, err
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })()
-	from := &source{Conn: c}
+	from := &errorRecorder{Conn: c}
 	r := upstream.NewReader(from)
 	for keep := true; keep; wait = true {
 		begun := time.Now()
 		var list *List
-		if list, keep, err = w.call(ctx, c, r, wait); err != nil {
+		if list, keep, err = w.fetch(ctx, c, r, wait); err != nil {
 			if from.err != nil && !errors.Is(err, from.err) {
 				err = fmt.Errorf("%w: %w", err, from.err)
 			}
@@ -207,21 +207,21 @@
 		heard, w.failing = true, false
 		if !list.Complete && list.Version < w.Version {
 			// Its service has begun anew: what changed since is not to be added to what it told before.
-			w.Held = false
-			if w.behind { // just after the whole list: no end would come to asking for that
+			w.HasList = false
+			if w.restarted { // just after the whole list: no end would come to asking for that
 				return true, fmt.Errorf("%w: changes up to %d where %d is held", errNoList, list.Version, w.Version)
 			}
 			w.Log.Warn("list has begun anew, asking for all of it", "version", list.Version, "held", w.Version)
-			w.behind = true
+			w.restarted = true
 		} else {
-			w.behind = w.behind && list.Complete
-			w.Version, w.Held = list.Version, true
+			w.restarted = w.restarted && list.Complete
+			w.Version, w.HasList = list.Version, true
 			w.OnList(list)
 		}
 		select {
 		case <-ctx.Done():
 			return true, ctx.Err()
-		case <-time.After(w.apart - time.Since(begun)):
+		case <-time.After(w.minPollInterval - time.Since(begun)):
 		}
 	}
 	return true, nil
@@ -229,22 +229,22 @@
 
 // source keeps the error that reading it ended with. Who reads lines takes what came before a silence for a line, and
 // finds fault with that instead.
-type source struct {
+type errorRecorder struct {
 	net.Conn
 	err error
 }
 
-func (s *source) Read(p []byte) (n int, err error) {
+func (s *errorRecorder) Read(p []byte) (n int, err error) {
 	n, s.err = s.Conn.Read(p)
 	return n, s.err
 }
 
-func (w *Watch) call(ctx context.Context, c net.Conn, r *upstream.Reader, wait bool) (list *List, keep bool, err error) {
-	target, within := "/catalog/members", w.turn
-	if w.Held {
-		waits := atOnce
+func (w *Watch) fetch(ctx context.Context, c net.Conn, r *upstream.Reader, wait bool) (list *List, keep bool, err error) {
+	target, within := "/catalog/members", w.answerTimeout
+	if w.HasList {
+		waits := immediateWait
 		if wait {
-			waits = w.hold
+			waits = w.longPollWait
 		}
 		target += "?from=" + strconv.FormatUint(w.Version, 10) + "&hold_ms=" + strconv.FormatInt(waits.Milliseconds(), 10)
 		within += waits
@@ -258,31 +258,31 @@
 	if _, err := io.WriteString(c, "GET "+target+" HTTP/1.1\r\nHost: "+w.Address+"\r\n\r\n"); err != nil {
 		return nil, false, err
 	}
-	answer, _, keep, err := upstream.ReadReply(r, false, mostList, mostList)
+	answer, _, keep, err := upstream.ReadReply(r, false, maxListSize, maxListSize)
 	switch {
 	case err != nil:
 		return nil, false, err
 	case answer.Status != http.StatusOK:
 		return nil, false, fmt.Errorf("%w: answered %d", errNoList, answer.Status)
 	}
-	if list, err = w.Names.decode(answer.Body, w.Log, w.say); err != nil {
+	if list, err = w.Deployment.decode(answer.Body, w.Log, w.shouldLog); err != nil {
 		return nil, false, err
 	}
-	if !w.Held && !list.Complete { // changes of what is not held
+	if !w.HasList && !list.Complete { // changes of what is not held
 		return nil, false, fmt.Errorf("%w: changes alone", errNoList)
 	}
 	return list, keep, nil
 }
 
 // say tells whether a line on an odd entry is due: a list may come ten times a second, and the same entry with each.
-func (w *Watch) say(name string) bool {
+func (w *Watch) shouldLog(name string) bool {
 	now := time.Now()
-	if last, said := w.said[name]; said && now.Sub(last) < sayAgain {
+	if last, said := w.lastLogged[name]; said && now.Sub(last) < relogInterval {
 		return false
 	}
-	if len(w.said) >= mostSaid {
-		clear(w.said)
+	if len(w.lastLogged) >= maxLoggedNames {
+		clear(w.lastLogged)
 	}
-	w.said[name] = now
+	w.lastLogged[name] = now
 	return true
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -24,25 +24,25 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // seen is what happens, in its order: a list told, a call, or a failed call.
-type seen struct {
+type event struct {
 	list   *List
-	call   *call
+	call   *poll
 	failed bool
 }
 
-type call struct {
+type poll struct {
 	at, query string
-	conn      *peer
+	conn      *serviceConn
 }
 
 // peer is the service's end of a connection; what comes after its last answer is not read.
-type peer struct {
+type serviceConn struct {
 	net.Conn
 	last atomic.Bool
 }
 
 // service listens as the list's service would and passes on each call; the test answers it.
-func service(happens chan<- seen) net.Listener {
+func startService(happens chan<- event) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -55,13 +55,13 @@
 			}
 			go func() {
 				defer c.Close()
-				p := &peer{Conn: c}
+				p := &serviceConn{Conn: c}
 				for r := bufio.NewReader(c); ; {
 					q, err := http.ReadRequest(r)
 					if err != nil || p.last.Load() {
 						return
 					}
-					happens <- seen{call: &call{l.Addr().String(), q.URL.RawQuery, p}}
+					happens <- event{call: &poll{l.Addr().String(), q.URL.RawQuery, p}}
 				}
 			}()
 		}
@@ -69,22 +69,22 @@
 	return l
 }
 
-func (c *call) answer(body, head string) {
+func (c *poll) answer(body, head string) {
 	_, _ = fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
 }
 
-func (c *call) reset() {
+func (c *poll) reset() {
 	_ = c.conn.Conn.(*net.TCPConn).SetLinger(0)
 	_ = c.conn.Close()
 }
 
 // limited is a connection whose time ends when the test says so, and that tells how much of it a call was given.
-type limited struct {
+type deadlineConn struct {
 	net.Conn
 	limit time.Duration // of the latest call
 }
 
-func (c *limited) SetDeadline(until time.Time) error {
+func (c *deadlineConn) SetDeadline(until time.Time) error {
 	if left := time.Until(until); left > 0 {
 		c.limit, until = left, time.Time{}
 	}
@@ -92,20 +92,20 @@
 }
 
 // end ends the call's time. The call was written, and its time set before that.
-func (c *limited) end() { _ = c.Conn.SetDeadline(time.Unix(1, 0)) }
+func (c *deadlineConn) end() { _ = c.Conn.SetDeadline(time.Unix(1, 0)) }
 
 // walk is a model of the watch beside the true one, on true connections. No time passes in it: what ends by time does so at
 // the test's word, and the limits that calls were given are added up.
-type walk struct {
+type watchModel struct {
 	*rapid.T
 	w       *Watch
-	happens chan seen
-	dialled chan *limited
+	happens chan event
+	dialled chan *deadlineConn
 	places  []net.Listener
 
 	place   int
-	now     *call    // in hand; nil where none is
-	conn    *limited // its own
+	now     *poll         // in hand; nil where none is
+	conn    *deadlineConn // its own
 	version uint64
 	held    bool
 	heard   bool // there was an answer since a connection last broke
@@ -114,29 +114,29 @@
 	silent  time.Duration // since a wait's connection fell silent; 0 where the list came since
 }
 
-func (m *walk) next() seen {
+func (m *watchModel) next() event {
 	select {
 	case s := <-m.happens:
 		return s
 	case <-time.After(30 * time.Second):
 		m.Fatal("nothing happens")
-		return seen{}
+		return event{}
 	}
 }
 
 // called takes the next call, which is the only one there is: there was no end of one before it that the test did not make.
-func (m *walk) called(fresh bool) {
+func (m *watchModel) called(fresh bool) {
 	s := m.next()
 	require.NotNil(m, s.call, "%+v", s)
 	if fresh {
 		m.conn = <-m.dialled
 	}
 	require.Empty(m, m.dialled)
-	want, within := "", turn
+	want, within := "", answerTimeout
 	if m.held && m.wait {
-		want, within = fmt.Sprintf("from=%d&hold_ms=1200", m.version), hold+turn
+		want, within = fmt.Sprintf("from=%d&hold_ms=1200", m.version), longPollWait+answerTimeout
 	} else if m.held {
-		want, within = fmt.Sprintf("from=%d&hold_ms=1", m.version), turn+atOnce
+		want, within = fmt.Sprintf("from=%d&hold_ms=1", m.version), answerTimeout+immediateWait
 	}
 	require.Equal(m, want, s.call.query)
 	require.Equal(m, m.places[m.place].Addr().String(), s.call.at)
@@ -144,17 +144,17 @@
 	m.now = s.call
 	// The list has to be in hand 6 s after the silence, where the connection comes up and calls are taken in their two seconds.
 	if m.silent > 0 {
-		require.LessOrEqual(m, m.silent+within, 6*time.Second-300*time.Millisecond+atOnce)
+		require.LessOrEqual(m, m.silent+within, 6*time.Second-300*time.Millisecond+immediateWait)
 	}
 }
 
-func (m *walk) ask() {
+func (m *watchModel) ask() {
 	m.w.Poll()
 	m.heard, m.wait, m.silent = false, false, 0
 	m.called(true)
 }
 
-func (m *walk) move() {
+func (m *watchModel) move() {
 	m.place = 1 - m.place
 	m.version, m.held, m.heard, m.wait, m.behind, m.silent = 0, false, false, false, false, 0
 	m.w.SetAddress(m.places[m.place].Addr().String())
@@ -162,13 +162,13 @@
 }
 
 // broke is the end of a call's connection.
-func (m *walk) broke(silent, refused bool) {
+func (m *watchModel) broke(silent, refused bool) {
 	again := m.heard || silent && m.wait && m.held
 	m.now = nil
 	if m.silent = 0; silent {
-		m.silent = apart + hold + turn
+		m.silent = minPollInterval + longPollWait + answerTimeout
 		if !m.wait || !m.held {
-			m.silent = apart + turn
+			m.silent = minPollInterval + answerTimeout
 		}
 	}
 	if m.heard, m.wait = false, !silent; again && !refused {
@@ -177,13 +177,13 @@
 	}
 	require.True(m, m.next().failed)
 	if silent { // asked again by itself, soon
-		m.silent += spread
+		m.silent += maxTimeoutBackoff
 		m.called(true)
 	}
 }
 
 // answered is a list that came whole.
-func (m *walk) answered(l *List, end end) {
+func (m *watchModel) answered(l *List, end connFate) {
 	m.silent = 0
 	switch {
 	case !l.Complete && !m.held:
@@ -202,32 +202,32 @@
 	}
 	m.heard, m.wait = true, true
 	switch end {
-	case goesOn:
+	case connStaysOpen:
 		m.called(false)
-	case ends:
+	case connCloseAnnounced:
 		m.called(true)
-	case breaks: // the next call finds it so
+	case connCloseUnannounced: // the next call finds it so
 		m.broke(false, false)
 	}
 }
 
 // end is what becomes of a connection after an answer.
-type end int
+type connFate int
 
 const (
-	goesOn end = iota
-	ends       // as the answer says
-	breaks     // without a word
+	connStaysOpen        connFate = iota
+	connCloseAnnounced            // as the answer says
+	connCloseUnannounced          // without a word
 )
 
-func (m *walk) list() (*List, string) {
+func (m *watchModel) list() (*List, string) {
 	l := &List{Version: rapid.Uint64Range(0, 9).Draw(m.T, "version"), Complete: rapid.Bool().Draw(m.T, "whole")}
 	targets := []any{}
 	for range rapid.IntRange(0, 2).Draw(m.T, "members") {
-		member, err := names.member([]byte(good))
+		member, err := testNames.endpoint([]byte(validEntry))
 		require.NoError(m, err)
 		l.Endpoints = append(l.Endpoints, member)
-		targets = append(targets, json.RawMessage(good))
+		targets = append(targets, json.RawMessage(validEntry))
 	}
 	body, err := json.Marshal(map[string]any{"rev": l.Version, "all": l.Complete, "targets": targets})
 	require.NoError(m, err)
@@ -241,27 +241,27 @@
 
 // Whatever comes in whatever order, each list is told once and in order, changes only on the version that they follow, one
 // call is in hand at a time, and after a silence the next list can be in hand in the time that the protocol gives.
-func TestWatchWalk(t *testing.T) {
+func TestWatchAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := &walk{T: rt, happens: make(chan seen, 16), dialled: make(chan *limited, 16)}
-		m.places = []net.Listener{service(m.happens), service(m.happens)}
+		m := &watchModel{T: rt, happens: make(chan event, 16), dialled: make(chan *deadlineConn, 16)}
+		m.places = []net.Listener{startService(m.happens), startService(m.happens)}
 		for _, l := range m.places {
 			defer l.Close()
 		}
-		m.w = &Watch{Address: m.places[0].Addr().String(), Names: names, Log: slog.New(slog.DiscardHandler), apart: time.Microsecond, spread: time.Microsecond,
-			OnList: func(l *List) { m.happens <- seen{list: l} }, OnFailure: func() { m.happens <- seen{failed: true} },
+		m.w = &Watch{Address: m.places[0].Addr().String(), Deployment: testNames, Log: slog.New(slog.DiscardHandler), minPollInterval: time.Microsecond, maxTimeoutBackoff: time.Microsecond,
+			OnList: func(l *List) { m.happens <- event{list: l} }, OnFailure: func() { m.happens <- event{failed: true} },
 			dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 				c, err := (&net.Dialer{}).DialContext(ctx, network, address)
 				if err != nil {
 					return nil, err
 				}
-				l := &limited{Conn: c}
+				l := &deadlineConn{Conn: c}
 				m.dialled <- l
 				return l, nil
 			}}
 		if rapid.Bool().Draw(rt, "known") {
 			m.version, m.held = 5, true
-			m.w.Version, m.w.Held = 5, true
+			m.w.Version, m.w.HasList = 5, true
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -279,19 +279,19 @@
 			"list": inHand(func() {
 				l, body := m.list()
 				m.now.answer(body, "")
-				m.answered(l, goesOn)
+				m.answered(l, connStaysOpen)
 			}),
 			"list, and an end that is told": inHand(func() {
 				l, body := m.list()
 				m.now.answer(body, "Connection: close\r\n")
-				m.answered(l, ends)
+				m.answered(l, connCloseAnnounced)
 			}),
 			"list, and an end between two calls": inHand(func() {
 				l, body := m.list()
 				m.now.conn.last.Store(true)
 				m.now.answer(body, "")
 				_ = m.now.conn.Close()
-				m.answered(l, breaks)
+				m.answered(l, connCloseUnannounced)
 			}),
 			"moved": func(rt *rapid.T) {
 				m.T = rt
@@ -328,17 +328,17 @@
 
 // A list is moved just as the next call is given its time: the end of the old watch's time must not be undone by that, or
 // it goes on for all of a wait before the new address is asked.
-func TestMoveAsACallBegins(t *testing.T) {
-	happens := make(chan seen, 9)
-	before, after := service(happens), service(happens)
+func TestSetAddressAsAPollBegins(t *testing.T) {
+	happens := make(chan event, 9)
+	before, after := startService(happens), startService(happens)
 	defer before.Close()
 	defer after.Close()
-	w := &Watch{Address: before.Addr().String(), Names: names, Log: slog.New(slog.DiscardHandler), apart: time.Microsecond,
-		hold: time.Hour, turn: time.Hour,
-		OnList: func(l *List) { happens <- seen{list: l} }, OnFailure: func() { happens <- seen{failed: true} }}
+	w := &Watch{Address: before.Addr().String(), Deployment: testNames, Log: slog.New(slog.DiscardHandler), minPollInterval: time.Microsecond,
+		longPollWait: time.Hour, answerTimeout: time.Hour,
+		OnList: func(l *List) { happens <- event{list: l} }, OnFailure: func() { happens <- event{failed: true} }}
 	w.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return &moving{Conn: c, ended: make(chan bool), move: func() { w.SetAddress(after.Addr().String()) }}, err
+		return &movingConn{Conn: c, ended: make(chan bool), move: func() { w.SetAddress(after.Addr().String()) }}, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -357,14 +357,14 @@
 }
 
 // moving is a connection whose list is moved when its second call is given its time, but just before it has it.
-type moving struct {
+type movingConn struct {
 	net.Conn
 	calls int
 	move  func()
 	ended chan bool
 }
 
-func (c *moving) SetDeadline(until time.Time) error {
+func (c *movingConn) SetDeadline(until time.Time) error {
 	if time.Until(until) < 0 {
 		err := c.Conn.SetDeadline(until)
 		close(c.ended)
@@ -378,12 +378,12 @@
 }
 
 // An answer that comes a byte at a time, for ever, has the time of its call and no more.
-func TestDribble(t *testing.T) {
-	happens, stop := make(chan seen, 9), make(chan bool)
-	l := service(happens)
+func TestAnswerThatTrickles(t *testing.T) {
+	happens, stop := make(chan event, 9), make(chan bool)
+	l := startService(happens)
 	defer l.Close()
-	w := &Watch{Address: l.Addr().String(), Names: names, Log: slog.New(slog.DiscardHandler), turn: 20 * time.Millisecond,
-		OnList: func(l *List) { happens <- seen{list: l} }, OnFailure: func() { happens <- seen{failed: true} }}
+	w := &Watch{Address: l.Addr().String(), Deployment: testNames, Log: slog.New(slog.DiscardHandler), answerTimeout: 20 * time.Millisecond,
+		OnList: func(l *List) { happens <- event{list: l} }, OnFailure: func() { happens <- event{failed: true} }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w.Start(ctx)
@@ -400,24 +400,24 @@
 }
 
 // A list comes ten times a second, with the same odd entries each time: they are logged, but don't fill the log.
-func TestOddEntriesAreLoggedOnce(t *testing.T) {
+func TestInvalidEntriesAreLoggedOnce(t *testing.T) {
 	var lines bytes.Buffer
-	w := &Watch{Names: names, Log: slog.New(slog.NewTextHandler(&lines, nil)), said: map[string]time.Time{}}
+	w := &Watch{Deployment: testNames, Log: slog.New(slog.NewTextHandler(&lines, nil)), lastLogged: map[string]time.Time{}}
 	for range 50 {
-		_, err := w.Names.decode([]byte(`{"rev":1,"targets":[7,{"uid":"x","state":"up"},{"uid":"y","az":"`+strings.Repeat("z", 9999)+`"}]}`), w.Log, w.say)
+		_, err := w.Deployment.decode([]byte(`{"rev":1,"targets":[7,{"uid":"x","state":"up"},{"uid":"y","az":"`+strings.Repeat("z", 9999)+`"}]}`), w.Log, w.shouldLog)
 		require.NoError(t, err)
 	}
 	assert.Equal(t, 3, strings.Count(lines.String(), "odd list entry"))
-	assert.Less(t, lines.Len(), 4*(mostShown+400))
-	for k := range 3 * mostSaid {
-		w.say(fmt.Sprint(k))
+	assert.Less(t, lines.Len(), 4*(maxLoggedEntry+400))
+	for k := range 3 * maxLoggedNames {
+		w.shouldLog(fmt.Sprint(k))
 	}
-	assert.LessOrEqual(t, len(w.said), mostSaid)
+	assert.LessOrEqual(t, len(w.lastLogged), maxLoggedNames)
 }
 
 // Where lists are pushed, discovery is this machine's own agent, and what it has at its return counts as told at once. It was asked
 // again after the module's growing waits of seconds; now at once, and the module hears of the first failure alone.
-func TestOwnSourceIsAskedAgainAtOnce(t *testing.T) {
+func TestLocalSourceIsPolledAgainAtOnce(t *testing.T) {
 	calls := make(chan chan string)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		answer := make(chan string)
@@ -430,7 +430,7 @@
 	}))
 	defer s.Close()
 	told, failed := make(chan *List, 9), make(chan bool, 9)
-	w := &Watch{Address: s.Listener.Addr().String(), Names: names, Own: true, Log: slog.New(slog.DiscardHandler), apart: time.Millisecond,
+	w := &Watch{Address: s.Listener.Addr().String(), Deployment: testNames, LocalSource: true, Log: slog.New(slog.DiscardHandler), minPollInterval: time.Millisecond,
 		OnList: func(l *List) { told <- l }, OnFailure: func() { failed <- true }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -451,7 +451,7 @@
 
 // The list's address moves as an answer of the old one is being told: it counts as come before, and what follows is the whole list
 // of the new one, whatever version the old one had.
-func TestMoveWhileAListIsTold(t *testing.T) {
+func TestSetAddressDuringOnList(t *testing.T) {
 	lists := func(version int) (*httptest.Server, chan string) {
 		asked := make(chan string, 9)
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -466,7 +466,7 @@
 	older, _ := lists(90)
 	newer, asked := lists(3)
 	told := make(chan *List, 9)
-	w := &Watch{Address: older.Listener.Addr().String(), Names: names, Log: slog.New(slog.DiscardHandler), OnFailure: func() { t.Error("a move is no failure") }}
+	w := &Watch{Address: older.Listener.Addr().String(), Deployment: testNames, Log: slog.New(slog.DiscardHandler), OnFailure: func() { t.Error("a move is no failure") }}
 	w.OnList = func(l *List) {
 		if told <- l; l.Version == 90 {
 			w.SetAddress(newer.Listener.Addr().String())
--- a/internal/lab/capacity/rig_list.go
+++ b/internal/lab/capacity/rig_list.go
@@ -11,7 +11,7 @@
 	"pearknot/internal/discovery"
 )
 
-var names = discovery.Names{Zones: []string{"a", "b"}, Kinds: []string{"m"}}
+var names = discovery.DeploymentNames{Zones: []string{"a", "b"}, Kinds: []string{"m"}}
 
 // holdFor is what a call of a quiet list waits for news. Runs last as many of them as are whole: calls that a change has brought
 // into step would else count once more in some.
@@ -114,7 +114,7 @@
 				var heard atomic.Int64
 				watchers := make([]*discovery.Watch, int(size))
 				for range watchers {
-					w := &discovery.Watch{Address: d.address, Names: names, Log: quiet}
+					w := &discovery.Watch{Address: d.address, Deployment: names, Log: quiet}
 					w.OnList = func(l *discovery.List) {
 						if len(l.Endpoints) > 0 {
 							heard.Add(1)
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -46,7 +46,7 @@
 			if n.module == module {
 				n.keptBegun(op, p, call, reply)
 			} else {
-				call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
+				call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 			}
 		})
 	})
@@ -56,7 +56,7 @@
 func (n *Node) describe(op *Request) requestlog.Request {
 	c := op.Config.Classes[op.Class]
 	d := requestlog.Request{Fingerprint: op.Logged.Fingerprint, Class: n.told.Classes[op.Class], Idempotency: c.Idempotency, DedupScope: c.DedupScope, DedupWindow: c.DedupWindow,
-		CostHint: op.CostHint, HasCostHint: op.HasCostHint, IsClientRetry: op.IsClientRetry, Key: op.Key, Deadline: op.Deadline, EncodedMessage: op.Message.Pack()}
+		CostHint: op.CostHint, HasCostHint: op.HasCostHint, IsClientRetry: op.IsClientRetry, Key: op.Key, Deadline: op.Deadline, EncodedMessage: op.Message.Encode()}
 	if op.Tenant < len(n.told.Tenants) {
 		d.Tenant = n.told.Tenants[op.Tenant]
 	}
@@ -72,12 +72,12 @@
 			op.finish(a)
 			n.module.ClientGone(n.now, &op.Request)
 		}
-		call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
+		call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 	}
 	switch {
 	case reply.Result == requestlog.Committed && op.answered:
 		k.begun = true
-		call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
+		call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 	case reply.Result == requestlog.Committed:
 		k.begun = true
 		// What is out of time by then, or by the module's word, is not sent; its ending says that it never ran.
@@ -85,7 +85,7 @@
 		if c := op.Config.Classes[op.Class]; c.Idempotency == balancer.IdempotentWithKey {
 			until = min(until, op.UncertainAttempt().SentAt+c.DedupWindow) // this one, if no other
 		}
-		call.Before = n.clock.At(until)
+		call.StartBefore = n.clock.At(until)
 		n.send(p, call)
 	case p.Number == 0 && (reply.Result == requestlog.KeyInFlight || reply.Result == requestlog.KeyAnswered || reply.Result == requestlog.KeyMismatch):
 		refuse(Answer{Status: Elsewhere})
@@ -118,7 +118,7 @@
 	begun := false
 	if op.Logged != nil {
 		for _, c := range op.calls {
-			begun = !c.ClaimStart() || begun
+			begun = !c.CancelIfNotStarted() || begun
 		}
 	}
 	return begun
@@ -171,9 +171,9 @@
 	o := requestlog.FinalAnswer{Status: requestlog.Served, HTTPStatus: http.StatusOK}
 	var head bytes.Buffer
 	h := r.Header.Clone()
-	upstream.EndToEnd(h)
+	upstream.RemoveHopByHop(h)
 	_ = h.Write(&head)
-	if o.Truncated = r.More != nil || len(r.Body)+head.Len() > most; !o.Truncated {
+	if o.Truncated = r.Stream != nil || len(r.Body)+head.Len() > most; !o.Truncated {
 		o.Header, o.Body = head.Bytes(), r.Body
 	}
 	return o
@@ -229,7 +229,7 @@
 
 // revive makes an op of an entry.
 func (n *Node) revive(e *requestlog.Entry) *Request {
-	m := upstream.Unpack(e.Request.EncodedMessage)
+	m := upstream.DecodeMessage(e.Request.EncodedMessage)
 	category := slices.Index(n.told.Classes, e.Request.Class)
 	if m == nil || category < 0 {
 		return nil
--- a/internal/node/listed_test.go
+++ b/internal/node/listed_test.go
@@ -18,7 +18,7 @@
 
 // told decodes a list as it comes.
 func told(t *testing.T, whole bool, entries string) *discovery.List {
-	list, err := discovery.Names{Zones: []string{"a", "b"}, Kinds: []string{"m"}}.Decode(
+	list, err := discovery.DeploymentNames{Zones: []string{"a", "b"}, Kinds: []string{"m"}}.Decode(
 		fmt.Appendf(nil, `{"rev":1,"all":%t,"targets":[%s]}`, whole, entries), slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	return list
--- a/internal/node/moments_test.go
+++ b/internal/node/moments_test.go
@@ -25,7 +25,7 @@
 			MaxRetryAfter: 2000, Classes: []balancer.Class{{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1, Ordered: order}}}}
 		peers := &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}
 		peers.ConnectTimeout.Set(time.Second)
-		peers.IdleFor.Set(time.Minute)
+		peers.IdleTimeout.Set(time.Minute)
 		n := New(told, NewBalancer, c, peers, func() {}, log)
 		n.Start(&discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{Name: "s", Address: silent.address, State: balancer.BackendReady, Weight: 1}}})
 		var ops []*Request
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -171,7 +171,7 @@
 	n.box.Put(func() {
 		for _, b := range n.backends {
 			if b.peer != nil {
-				b.peer.Shed()
+				b.peer.CloseIdle()
 			}
 		}
 	})
@@ -350,7 +350,7 @@
 		if b.peer == nil {
 			b.peer = upstream.NewBackend(m.Name, n.peers)
 		}
-		b.peer.Tell(m.Address, m.State == balancer.BackendReady && !n.names.banned[m.Name])
+		b.peer.Update(m.Address, m.State == balancer.BackendReady && !n.names.banned[m.Name])
 	case b.peer != nil && (b.State == balancer.BackendDraining || !n.told.Balancer.RemovalIsHint):
 		n.close(b)
 	}
@@ -416,7 +416,7 @@
 		})
 	})
 	if op.Streamed {
-		call.Sent = func(until time.Time) {
+		call.OnBodySent = func(until time.Time) {
 			left := time.Until(until)
 			n.box.Put(func() {
 				if n.module == module && !op.answered {
@@ -426,11 +426,11 @@
 			})
 		}
 	}
-	call.Left = &op.gone
+	call.ClientGone = &op.gone
 	op.calls = append(op.calls, call)
 	op.out++
 	if op.gone.Load() { // no connection and no record for it; of a kept one the module soon has no pushes left
-		call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
+		call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 		return
 	}
 	if op.Logged != nil {
@@ -445,7 +445,7 @@
 		peer.Send(call)
 		return
 	}
-	call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
+	call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 }
 
 // ended takes a push's ending. The first answer acks its op.
@@ -461,7 +461,7 @@
 		n.keepEnd(op, p, out.Outcome)
 	}
 	// The backend's work was done when its answer began: some take long to send it, and some to be read.
-	elapsed := max(n.now-p.SentAt-float64(out.First.Microseconds())/1e3, 0)
+	elapsed := max(n.now-p.SentAt-float64(out.SinceFirstByte.Microseconds())/1e3, 0)
 	n.module.AttemptEnded(n.now, p, out.Outcome, elapsed, op.answered)
 	n.traceEnded(op, p, out)
 	n.forget(op)
@@ -480,7 +480,7 @@
 	if n.log.Enabled(context.Background(), slog.LevelDebug) {
 		n.log.Debug("push ended", "op", op.ID, "category", op.Class, "work", op.CostHint, "push", p.Number,
 			"backend", fmt.Sprintf("%x", p.Backend.ID), "zone", p.Backend.Zone, "kind", p.Backend.Kind,
-			"sent_ms", p.SentAt-op.ArrivedAt, "after_ms", n.now-p.SentAt, "first_ms", float64(out.First.Microseconds())/1e3, "at_ms", n.now, "ending", out.Outcome.String())
+			"sent_ms", p.SentAt-op.ArrivedAt, "after_ms", n.now-p.SentAt, "first_ms", float64(out.SinceFirstByte.Microseconds())/1e3, "at_ms", n.now, "ending", out.Outcome.String())
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -28,7 +28,7 @@
 			{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1, Idempotency: balancer.AtMostOnce}}}}
 	peers := &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}
 	peers.ConnectTimeout.Set(time.Second)
-	peers.IdleFor.Set(time.Minute)
+	peers.IdleTimeout.Set(time.Minute)
 	n := New(told, NewBalancer, c, peers, func() {}, log)
 	n.Start(&discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{Name: "s", Address: address, State: balancer.BackendReady, Weight: 1}}})
 	t.Cleanup(n.Stop)
@@ -36,7 +36,7 @@
 }
 
 func op(c *clock.Clock, category int) *Request {
-	o := NewRequest(upstream.NewMessage("GET", "/", "s", http.Header{}, nil))
+	o := NewRequest(upstream.NewMessage("GET", "/", "s", http.Header{}, nil, nil))
 	o.Class, o.Deadline = category, c.Now()+60e3
 	return o
 }
--- a/internal/node/op.go
+++ b/internal/node/op.go
@@ -84,6 +84,6 @@
 func (o *Request) leave() {
 	o.answered = true
 	for _, c := range o.calls {
-		c.Withhold()
+		c.PreventStart()
 	}
 }
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -122,12 +122,12 @@
 	go s.serve()
 
 	c, log := clock.New(), slog.New(slog.DiscardHandler)
-	w := &discovery.Watch{Address: l.Addr().String(), Names: discovery.Names{Zones: []string{"a"}, Kinds: []string{"m"}}, Version: 1, Held: true, Log: log}
+	w := &discovery.Watch{Address: l.Addr().String(), Deployment: discovery.DeploymentNames{Zones: []string{"a"}, Kinds: []string{"m"}}, Version: 1, HasList: true, Log: log}
 	told := &config.Deployment{Balancer: &balancer.Config{Seed: farSeed, Nodes: 1, MaxAttempts: 1, PollEndpoints: true, PollInterval: 60e3, OverloadMultiple: 3, OverloadWindow: 1000,
 		Classes: []balancer.Class{{LatencyObjective: 1000, PriorityWeight: 1, LateWeight: 1}}}}
 	peers := &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}
 	peers.ConnectTimeout.Set(time.Second)
-	peers.IdleFor.Set(time.Minute)
+	peers.IdleTimeout.Set(time.Minute)
 	n := New(told, NewBalancer, c, peers, w.Poll, log)
 	w.OnList, w.OnFailure = n.EndpointsChanged, n.PollFailed
 	ctx, end := context.WithCancel(t.Context())
--- a/internal/serve/place.go
+++ b/internal/serve/place.go
@@ -34,7 +34,7 @@
 	memory    int64 // bytes; 0 is no limit
 	sockets   int
 	told      *config.Deployment
-	names     discovery.Names
+	names     discovery.DeploymentNames
 	tls       string          // a file as --tls names one; empty is none
 	tlsListen string          // in the place of that file's
 	edge      string          // a file as --edge names one
@@ -126,7 +126,7 @@
 
 // readKnown reads the list that the file has, by the names that the settings give.
 func (p *Config) readKnown(log *slog.Logger) {
-	p.names, p.known = discovery.Names{Zones: p.told.Zones, Kinds: p.told.Kinds}, nil
+	p.names, p.known = discovery.DeploymentNames{Zones: p.told.Zones, Kinds: p.told.Kinds}, nil
 	if len(p.knownText) == 0 || string(p.knownText) == "null" {
 		return
 	}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -125,9 +125,9 @@
 		second = c.Address()
 	}
 	defer both.close()
-	watch := &discovery.Watch{Address: p.discovery, Names: p.names, Own: !p.told.Balancer.PollEndpoints, Log: log}
+	watch := &discovery.Watch{Address: p.discovery, Deployment: p.names, LocalSource: !p.told.Balancer.PollEndpoints, Log: log}
 	if p.known != nil {
-		watch.Version, watch.Held = p.known.Version, true
+		watch.Version, watch.HasList = p.known.Version, true
 	}
 	var dump func() (string, error)
 	if o.Capture != nil {
@@ -143,7 +143,7 @@
 	retime := func(d *config.Deployment) {
 		told.Store(d)
 		backends.ConnectTimeout.Set(clock.Span(d.ConnectTimeout))
-		backends.IdleFor.Set(clock.Span(idleShare * d.ConnectionIdle))
+		backends.IdleTimeout.Set(clock.Span(idleShare * d.ConnectionIdle))
 	}
 	retime(p.told)
 	n := node.New(p.told, o.Decide, now, backends, watch.Poll, log)
@@ -173,7 +173,7 @@
 		both.learn(before)
 		if before.List.Endpoints != nil {
 			p.known = &before.List
-			watch.Version, watch.Held = before.List.Version, true
+			watch.Version, watch.HasList = before.List.Version, true
 		}
 	}
 	f.Withhold(o.Held)
--- a/internal/server/decode.go
+++ b/internal/server/decode.go
@@ -116,16 +116,16 @@
 		return bad("%s", why)
 	}
 	// Of a body that is too large to hold the rest is passed on as it comes, and the op's time begins with its last byte.
-	var rest *upstream.Rest
+	var rest *upstream.StreamedBody
 	least := min(float64(ttl), longestTTL)
 	if len(body) > upstream.MaxBufferedBody {
 		slow.of = c
-		rest = &upstream.Rest{Size: r.ContentLength, TTL: clock.Span(least - onTheWay), From: slow}
+		rest = &upstream.StreamedBody{Size: r.ContentLength, TTL: clock.Span(least - onTheWay), Reader: slow}
 		least += longestBody
 	}
 	now := f.clock.Now()
 	repeat, tenant := r.Header.Get(repeatHeader) == "1", tenant(told, r)
-	op := node.NewRequest(upstream.NewStreamed(r.Method, r.RequestURI, r.Host, r.Header, body, rest))
+	op := node.NewRequest(upstream.NewMessage(r.Method, r.RequestURI, r.Host, r.Header, body, rest))
 	op.Config, op.Class, op.Tenant, op.IsClientRetry = told.Balancer, category, tenant, repeat
 	op.CostHint, op.HasCostHint = hint/1e3, hinted != ""
 	op.Deadline = now - c.wayHere() + least
--- a/internal/server/secure_test.go
+++ b/internal/server/secure_test.go
@@ -60,7 +60,7 @@
 	told := &config.Deployment{Classes: []string{"check"}, Balancer: by}
 	peers := &upstream.Config{Budget: budget, Log: log}
 	peers.ConnectTimeout.Set(30 * time.Second)
-	peers.IdleFor.Set(time.Minute)
+	peers.IdleTimeout.Set(time.Minute)
 	n := node.New(told, decide, now, peers, func() {}, log)
 	n.Start(list)
 	f = New(n, told, now, budget, log)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -409,11 +409,11 @@
 	switch a.Status {
 	case node.Served:
 		defer a.Reply.Release()
-		upstream.EndToEnd(a.Reply.Header)
+		upstream.RemoveHopByHop(a.Reply.Header)
 		for name, values := range a.Reply.Header {
 			w.Header()[name] = values
 		}
-		if a.Reply.More != nil {
+		if a.Reply.Stream != nil {
 			f.stream(w, c, a.Reply)
 			return
 		}
@@ -466,14 +466,14 @@
 // which may be slow but must not stop. What the backend does not finish is broken off, so that the client can tell.
 func (f *Server) stream(w http.ResponseWriter, c *client, reply *upstream.Reply) {
 	to := http.NewResponseController(w)
-	f.head(w, c, http.StatusOK, reply.More.Size)
+	f.head(w, c, http.StatusOK, reply.Stream.Size)
 	part, buffer := reply.Body, make([]byte, streamed)
 	reply.Body = nil
 	for {
 		if _, err := w.Write(part); err != nil || to.Flush() != nil {
 			return // gone, or standing still
 		}
-		n, err := reply.More.Read(buffer)
+		n, err := reply.Stream.Read(buffer)
 		if part = buffer[:n]; err == io.EOF && n == 0 {
 			return
 		} else if err != nil && err != io.EOF {
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -10,12 +10,12 @@
 const (
 	// stall is how long a side may give or take nothing of what streams. Backends and clients are seen to pause for
 	// seconds; what has stopped for good must not hold a descriptor for long.
-	stall = 10 * time.Second
+	stallTimeout = 10 * time.Second
 	// early is how much of a long answer must have come before it is passed on, or of one whose size is not told: some
 	// backends send 64 KiB in a second, and one whose length was spoilt shows by falling silent before, and can still be
 	// had from another backend.
-	early = 4 << 10
-	piece = 16 << 10 // bytes that a stream holds at a time
+	streamThreshold  = 4 << 10
+	streamBufferSize = 16 << 10 // bytes that a stream holds at a time
 )
 
 // Stream is the rest of an answer that is passed on as it comes. Whoever reads it closes it, which gives its connection
@@ -23,29 +23,29 @@
 type Stream struct {
 	Size int64 // of the whole body; below 0 is not told
 
-	body io.Reader
-	on   *conn
-	most int64 // bytes that are left of the bound
-	keep bool  // the connection may go on once all is read
-	back func(keep bool)
+	body      io.Reader
+	conn      *conn
+	remaining int64 // bytes that are left of the bound
+	reusable  bool  // the connection may go on once all is read
+	giveBack  func(keep bool)
 
-	mu    sync.Mutex
-	whole bool
-	once  sync.Once
+	mu       sync.Mutex
+	complete bool
+	once     sync.Once
 }
 
-var errTooLong = errors.New("more than a body may have")
+var errBodyTooLong = errors.New("more than a body may have")
 
 // Read gives what has come; io.EOF is that the answer is whole.
 func (s *Stream) Read(b []byte) (int, error) {
-	_ = s.on.SetReadDeadline(time.Now().Add(stall))
-	n, err := s.body.Read(b[:min(len(b), piece)])
-	if s.most -= int64(n); s.most < 0 {
-		return 0, errTooLong
+	_ = s.conn.SetReadDeadline(time.Now().Add(stallTimeout))
+	n, err := s.body.Read(b[:min(len(b), streamBufferSize)])
+	if s.remaining -= int64(n); s.remaining < 0 {
+		return 0, errBodyTooLong
 	}
 	if err == io.EOF {
 		s.mu.Lock()
-		s.whole = true
+		s.complete = true
 		s.mu.Unlock()
 	}
 	return n, err
@@ -55,11 +55,11 @@
 func (s *Stream) Close() {
 	s.once.Do(func() {
 		s.mu.Lock()
-		keep := s.whole && s.keep && s.on.r.Buffered() == 0
+		keep := s.complete && s.reusable && s.conn.reader.Buffered() == 0
 		s.mu.Unlock()
 		if keep {
-			_ = s.on.SetDeadline(time.Time{})
+			_ = s.conn.SetDeadline(time.Time{})
 		}
-		s.back(keep)
+		s.giveBack(keep)
 	})
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -24,17 +24,17 @@
 
 // backend answers each message by the next of its scripts; a script says what goes out and whether the connection
 // ends. What arrives is told on got.
-type backend struct {
+type stubBackend struct {
 	net.Listener
 	got   chan *http.Request
 	conns chan net.Conn
 }
 
-func listen(t *testing.T, scripts ...string) *backend {
+func newStubBackend(t *testing.T, scripts ...string) *stubBackend {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	b := &backend{l, make(chan *http.Request, 9), make(chan net.Conn, 9)}
+	b := &stubBackend{l, make(chan *http.Request, 9), make(chan net.Conn, 9)}
 	next := make(chan string, len(scripts))
 	for _, s := range scripts {
 		next <- s
@@ -69,13 +69,13 @@
 	return b
 }
 
-func peer(t *testing.T, address string) (*Backend, *Config) {
+func newTestBackend(t *testing.T, address string) (*Backend, *Config) {
 	told := &Config{SetReportValue: config.SetReportValue,
 		Budget: descriptors.New(64, func() {}), Log: slog.New(slog.DiscardHandler)}
 	told.ConnectTimeout.Set(time.Second)
-	told.IdleFor.Set(time.Minute)
+	told.IdleTimeout.Set(time.Minute)
 	p := NewBackend("s", told)
-	p.Tell(address, true)
+	p.Update(address, true)
 	t.Cleanup(p.Close)
 	return p, told
 }
@@ -84,7 +84,7 @@
 func send(p *Backend, within time.Duration, each ...func(*Call)) chan Result {
 	out := make(chan Result, 1)
 	m := NewMessage("POST", "/api?x=%20y", "service", http.Header{"X-Trace-Id": {"7"}, "Connection": {"X-Hop"},
-		"X-Hop": {"1"}, "X-Expires-In-Ms": {"9999"}}, []byte("body"))
+		"X-Hop": {"1"}, "X-Expires-In-Ms": {"9999"}}, []byte("body"), nil)
 	c := NewCall(m, time.Now().Add(within), func(o Result) { out <- o })
 	for _, f := range each {
 		f(c)
@@ -94,26 +94,26 @@
 }
 
 // rested lets time pass for idle connections.
-func rested(p *Backend) {
+func ageIdleConns(p *Backend) {
 	done := make(chan bool)
-	p.box.Put(func() {
+	p.mailbox.Put(func() {
 		for _, on := range p.idle {
-			on.since = on.since.Add(-rest)
+			on.idleSince = on.idleSince.Add(-minIdle)
 		}
 		close(done)
 	})
 	<-done
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
+const okHead = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
 
-func TestEndings(t *testing.T) {
+func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		script string
 		want   balancer.Outcome
 	}{
-		"answered":                {ok + "\r\nhi", balancer.OutcomeAnswered},
-		"answered after a hint":   {"HTTP/1.1 103 Early Hints\r\n\r\n" + ok + "\r\nhi", balancer.OutcomeAnswered},
+		"answered":                {okHead + "\r\nhi", balancer.OutcomeAnswered},
+		"answered after a hint":   {"HTTP/1.1 103 Early Hints\r\n\r\n" + okHead + "\r\nhi", balancer.OutcomeAnswered},
 		"error":                   {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", balancer.OutcomeFailed},
 		"never ran":               {"HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.OutcomeRejected},
 		"over already":            {"HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.OutcomeRejected},
@@ -121,7 +121,7 @@
 		"no proof by that status": {"HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.OutcomeFailed},
 		"nothing but an end":      {"END", balancer.OutcomeConnectionReset},
 		"half a head":             {"HTTP/1.1 200END", balancer.OutcomeConnectionReset},
-		"half a body":             {ok + "\r\nhEND", balancer.OutcomeConnectionReset},
+		"half a body":             {okHead + "\r\nhEND", balancer.OutcomeConnectionReset},
 		"no HTTP":                 {"hello\r\n\r\n", balancer.OutcomeConnectionReset},
 		"too long":                {"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + strings.Repeat("x", 70000), balancer.OutcomeConnectionReset},
 		"endless":                 {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 70000), balancer.OutcomeConnectionReset},
@@ -137,10 +137,10 @@
 		"chunks of all forms":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n1;a=b\r\nh\r\n01\r\ni\r\n0;c\r\nX-Sum: 1\r\n\r\n", balancer.OutcomeAnswered},
 		"chunks cut off":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\nEND", balancer.OutcomeConnectionReset},
 		"silence":                 {"", balancer.OutcomeTimedOut},
-		"half a body and silence": {ok + "\r\nh", balancer.OutcomeTimedOut},
+		"half a body and silence": {okHead + "\r\nh", balancer.OutcomeTimedOut},
 	} {
-		b := listen(t, c.script)
-		p, _ := peer(t, b.Addr().String())
+		b := newStubBackend(t, c.script)
+		p, _ := newTestBackend(t, b.Addr().String())
 		within := 10 * time.Second
 		if c.want == balancer.OutcomeTimedOut {
 			within = 100 * time.Millisecond
@@ -152,9 +152,9 @@
 }
 
 func TestMessage(t *testing.T) {
-	b := listen(t, ok+"Endpoint-Load-Metrics: TEXT mean_ms=31.5, concurrent=2\r\n\r\nhi",
-		ok+"Endpoint-Load-Metrics: TEXT mean_ms=much\r\n\r\nhi")
-	p, _ := peer(t, b.Addr().String())
+	b := newStubBackend(t, okHead+"Endpoint-Load-Metrics: TEXT mean_ms=31.5, concurrent=2\r\n\r\nhi",
+		okHead+"Endpoint-Load-Metrics: TEXT mean_ms=much\r\n\r\nhi")
+	p, _ := newTestBackend(t, b.Addr().String())
 	out := <-send(p, time.Minute)
 	assert.Equal(t, balancer.LoadReport{ServiceTime: 31.5, InFlight: 2, Queued: balancer.NotReported, Throughput: balancer.NotReported}, out.Report)
 	assert.Empty(t, out.Reply.Header["Endpoint-Load-Metrics"])
@@ -164,7 +164,7 @@
 	assert.Empty(t, m.Header.Get("X-Hop"), "headers of a hop end there")
 	assert.Len(t, m.Header[ExpiresHeader], 1)
 	assert.Regexp(t, `^(59\d\d\d|60000)$`, m.Header.Get(ExpiresHeader))
-	rested(p)
+	ageIdleConns(p)
 	out = <-send(p, time.Minute)
 	assert.Equal(t, balancer.OutcomeAnswered, out.Outcome, "an odd report costs no answer")
 	assert.False(t, out.Report.HasValues())
@@ -172,10 +172,10 @@
 }
 
 // What never went out whole can't have run, and ends so: an at-most-once op may go elsewhere then.
-func TestNeverOut(t *testing.T) {
-	refusing := listen(t)
+func TestNeverSent(t *testing.T) {
+	refusing := newStubBackend(t)
 	_ = refusing.Close()
-	b := listen(t, ok+"\r\nhi")
+	b := newStubBackend(t, okHead+"\r\nhi")
 	for name, c := range map[string]struct {
 		address string
 		within  time.Duration
@@ -186,9 +186,9 @@
 		"refused":           {refusing.Addr().String(), time.Second, nil, nil, balancer.OutcomeConnectFailed},
 		"called off before": {b.Addr().String(), time.Second, nil, (*Call).Cancel, balancer.OutcomeNotSent},
 		"out of time":       {b.Addr().String(), -time.Second, nil, nil, balancer.OutcomeConnectFailed},
-		"draining":          {b.Addr().String(), time.Second, func(p *Backend) { p.Tell(b.Addr().String(), false) }, nil, balancer.OutcomeNotSent},
+		"draining":          {b.Addr().String(), time.Second, func(p *Backend) { p.Update(b.Addr().String(), false) }, nil, balancer.OutcomeNotSent},
 	} {
-		p, _ := peer(t, c.address)
+		p, _ := newTestBackend(t, c.address)
 		if c.tell != nil {
 			c.tell(p)
 		}
@@ -199,7 +199,7 @@
 		assert.Equal(t, c.want, (<-send(p, c.within, each...)).Outcome, name)
 		assert.Empty(t, b.got, name)
 	}
-	p, terms := peer(t, b.Addr().String())
+	p, terms := newTestBackend(t, b.Addr().String())
 	for terms.Budget.Peer() {
 	}
 	assert.Equal(t, balancer.OutcomeNotSent, (<-send(p, 10*time.Second)).Outcome, "no descriptor is no fault of the backend's")
@@ -208,14 +208,14 @@
 // The list may tell of a drain, or the op may end, while its connection comes up.
 func TestCheckedAgainBeforeTheFirstByte(t *testing.T) {
 	for name, turn := range map[string]func(*Backend, *Call){
-		"draining":   func(p *Backend, _ *Call) { p.open.Store(false) },
+		"draining":   func(p *Backend, _ *Call) { p.acceptsAttempts.Store(false) },
 		"called off": func(_ *Backend, c *Call) { c.Cancel() },
-		"answered":   func(_ *Backend, c *Call) { c.Withhold() },
+		"answered":   func(_ *Backend, c *Call) { c.PreventStart() },
 		"too late":   func(_ *Backend, c *Call) { c.ShortenDeadline(time.Now()) },
 	} {
 		near, far := net.Pipe()
-		p, _ := peer(t, "127.0.0.1:1")
-		c := NewCall(NewMessage("GET", "/", "s", http.Header{}, nil), time.Now().Add(time.Second), nil)
+		p, _ := newTestBackend(t, "127.0.0.1:1")
+		c := NewCall(NewMessage("GET", "/", "s", http.Header{}, nil, nil), time.Now().Add(time.Second), nil)
 		turn(p, c)
 		read := make(chan int)
 		go func() {
@@ -224,15 +224,15 @@
 		}()
 		out, fate := p.exchange(c, newConn(near, "127.0.0.1:1"))
 		assert.Equal(t, balancer.OutcomeNotSent, out.Outcome, name)
-		assert.Equal(t, kept, fate, name)
+		assert.Equal(t, connReusable, fate, name)
 		_ = near.Close()
 		assert.Zero(t, <-read, name)
 	}
 }
 
-func TestRevokeAndShorten(t *testing.T) {
-	b := listen(t, "", "")
-	p, _ := peer(t, b.Addr().String())
+func TestCancelAndShortenDeadline(t *testing.T) {
+	b := newStubBackend(t, "", "")
+	p, _ := newTestBackend(t, b.Addr().String())
 	for want, f := range map[balancer.Outcome]func(*Call){
 		balancer.OutcomeCanceled: (*Call).Cancel,
 		balancer.OutcomeTimedOut: func(c *Call) { c.ShortenDeadline(time.Now().Add(10 * time.Millisecond)) },
@@ -249,7 +249,7 @@
 
 // A long answer is the client's with its first bytes, and is read no faster than it is wanted; its connection comes back
 // with its last.
-func TestLongAnswers(t *testing.T) {
+func TestStreamedResponses(t *testing.T) {
 	body := strings.Repeat("0123456789", 300_000)
 	length := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	chunks := fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)
@@ -262,29 +262,29 @@
 		"chunks":        {chunks, -1, true},
 		"ends by close": {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body + "END", -1, false},
 	} {
-		b := listen(t, c.sent, ok+"\r\nhi")
-		p, _ := peer(t, b.Addr().String())
+		b := newStubBackend(t, c.sent, okHead+"\r\nhi")
+		p, _ := newTestBackend(t, b.Addr().String())
 		out := <-send(p, 300*time.Millisecond)
 		require.Equal(t, balancer.OutcomeAnswered, out.Outcome, name)
-		assert.Equal(t, c.size, out.Reply.More.Size, name)
-		assert.Equal(t, early, len(out.Reply.Body), name)
+		assert.Equal(t, c.size, out.Reply.Stream.Size, name)
+		assert.Equal(t, streamThreshold, len(out.Reply.Body), name)
 		<-time.After(350 * time.Millisecond) // the op's time is over, and its client still reads
-		rest, err := io.ReadAll(out.Reply.More)
+		rest, err := io.ReadAll(out.Reply.Stream)
 		require.NoError(t, err, name)
 		assert.Equal(t, len(body), len(out.Reply.Body)+len(rest), name)
 		assert.Equal(t, body[len(body)-len(rest):], string(rest), name)
 		out.Reply.Release()
 		out.Reply.Release() // once
-		rested(p)
+		ageIdleConns(p)
 		require.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome, name)
 		assert.Equal(t, c.kept, len(b.conns) == 1, "%s: the connection again", name)
 	}
 
 	// What breaks off is told as such, and what nobody wants any more is let go of, with its descriptor.
-	b := listen(t, length[:200_000]+"END", length)
-	p, told := peer(t, b.Addr().String())
+	b := newStubBackend(t, length[:200_000]+"END", length)
+	p, told := newTestBackend(t, b.Addr().String())
 	out := <-send(p, 10*time.Second)
-	_, err := io.ReadAll(out.Reply.More)
+	_, err := io.ReadAll(out.Reply.Stream)
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	out.Reply.Release()
 	out = <-send(p, 10*time.Second)
@@ -293,7 +293,7 @@
 }
 
 // A body that is too large to hold goes out as it comes, once, and the op's time begins with its last byte.
-func TestLongBodies(t *testing.T) {
+func TestStreamedBodies(t *testing.T) {
 	body := strings.Repeat("0123456789", 30_000)
 	for name, c := range map[string]struct {
 		size int64
@@ -302,23 +302,23 @@
 	}{
 		"a length": {int64(len(body)), func(rest string) io.Reader { return strings.NewReader(rest) }, balancer.OutcomeAnswered},
 		"chunks":   {-1, func(rest string) io.Reader { return iotest.HalfReader(strings.NewReader(rest)) }, balancer.OutcomeAnswered},
-		"slow":     {-1, func(rest string) io.Reader { return &slowly{strings.NewReader(rest)} }, balancer.OutcomeAnswered},
+		"slow":     {-1, func(rest string) io.Reader { return &slowReader{strings.NewReader(rest)} }, balancer.OutcomeAnswered},
 		"client gone": {-1, func(rest string) io.Reader {
 			return io.MultiReader(strings.NewReader(rest[:9]), iotest.ErrReader(io.ErrUnexpectedEOF))
 		}, balancer.OutcomeNotSent},
 		"too slow":     {int64(len(body)), func(string) io.Reader { return iotest.ErrReader(os.ErrDeadlineExceeded) }, balancer.OutcomeNotSent},
 		"gone at once": {int64(len(body)), func(string) io.Reader { return iotest.ErrReader(io.EOF) }, balancer.OutcomeConnectFailed},
 	} {
-		b := listen(t, ok+"\r\nhi")
-		p, _ := peer(t, b.Addr().String())
+		b := newStubBackend(t, okHead+"\r\nhi")
+		p, _ := newTestBackend(t, b.Addr().String())
 		if name == "gone at once" { // the backend, that is
 			_ = b.Close()
 		}
-		m := NewStreamed("POST", "/", "s", http.Header{"X-Trace-Id": {"7"}}, []byte(body[:1000]),
-			&Rest{Size: c.size, TTL: 250 * time.Millisecond, From: c.from(body[1000:])})
+		m := NewMessage("POST", "/", "s", http.Header{"X-Trace-Id": {"7"}}, []byte(body[:1000]),
+			&StreamedBody{Size: c.size, TTL: 250 * time.Millisecond, Reader: c.from(body[1000:])})
 		out, sent := make(chan Result, 1), make(chan time.Time, 1)
 		call := NewCall(m, time.Now().Add(time.Minute), func(o Result) { out <- o })
-		call.Sent = func(until time.Time) { sent <- until }
+		call.OnBodySent = func(until time.Time) { sent <- until }
 		begun := time.Now()
 		p.Send(call)
 		o := <-out
@@ -343,9 +343,9 @@
 }
 
 // slowly gives half of what there is, and the rest after a while.
-type slowly struct{ *strings.Reader }
+type slowReader struct{ *strings.Reader }
 
-func (s *slowly) Read(b []byte) (int, error) {
+func (s *slowReader) Read(b []byte) (int, error) {
 	if s.Len() < 1000 {
 		<-time.After(50 * time.Millisecond)
 	}
@@ -353,26 +353,26 @@
 }
 
 // What comes behind an answer, at once or a way between machines later, is never taken for the next op's answer.
-func TestBytesBehindAnAnswer(t *testing.T) {
-	const copy = ok + "\r\nho"
+func TestBytesAfterAResponse(t *testing.T) {
+	const copy = okHead + "\r\nho"
 	for name, c := range map[string]struct {
 		behind string // at once
 		turn   func(p *Backend, first net.Conn)
 	}{
-		"at once": {copy, func(p *Backend, _ net.Conn) { rested(p) }},
+		"at once": {copy, func(p *Backend, _ net.Conn) { ageIdleConns(p) }},
 		"late": {"", func(p *Backend, first net.Conn) {
 			_, err := first.Write([]byte(copy))
 			require.NoError(t, err)
-			rested(p)
+			ageIdleConns(p)
 		}},
 		"while the next op waits for the connection to rest": {"", func(p *Backend, first net.Conn) {
-			p.box.Put(func() { p.idle[0].since = time.Now().Add(50 * time.Millisecond) })
+			p.mailbox.Put(func() { p.idle[0].idleSince = time.Now().Add(50 * time.Millisecond) })
 			_, err := first.Write([]byte(copy))
 			require.NoError(t, err)
 		}},
 	} {
-		b := listen(t, ok+"\r\nhi"+c.behind, ok+"\r\nhi")
-		p, _ := peer(t, b.Addr().String())
+		b := newStubBackend(t, okHead+"\r\nhi"+c.behind, okHead+"\r\nhi")
+		p, _ := newTestBackend(t, b.Addr().String())
 		require.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome, name)
 		c.turn(p, <-b.conns)
 		out := <-send(p, 10*time.Second)
@@ -383,29 +383,29 @@
 }
 
 // Connections that break on the next message after a while are not used again after so long, until that is forgotten.
-func TestWornConnections(t *testing.T) {
-	var w wear
-	for range 2 * wornLeast {
-		w.used(150*time.Millisecond, true)
+func TestConnectionsThatBreakAfterIdling(t *testing.T) {
+	var w idleBreakage
+	for range 2 * minBreaks {
+		w.record(150*time.Millisecond, true)
 	}
 	for idle, worn := range map[time.Duration]bool{20: false, 100: false, 130: true, 300: true, 20_000: true} {
-		assert.Equal(t, worn, w.worn(idle*time.Millisecond), idle)
+		assert.Equal(t, worn, w.isLikelyBroken(idle*time.Millisecond), idle)
 	}
 	for range 100 { // no more than at any other time
-		w.used(150*time.Millisecond, false)
+		w.record(150*time.Millisecond, false)
 	}
-	assert.False(t, w.worn(150*time.Millisecond))
+	assert.False(t, w.isLikelyBroken(150*time.Millisecond))
 
 	// The second of two messages on one connection breaks, twice; then each gets a connection of its own.
-	const hi = ok + "\r\nhi"
-	b := listen(t, hi, "END", hi, "END", hi, hi)
-	p, _ := peer(t, b.Addr().String())
+	const hi = okHead + "\r\nhi"
+	b := newStubBackend(t, hi, "END", hi, "END", hi, hi)
+	p, _ := newTestBackend(t, b.Addr().String())
 	for k, want := range []balancer.Outcome{balancer.OutcomeAnswered, balancer.OutcomeConnectionReset, balancer.OutcomeAnswered, balancer.OutcomeConnectionReset,
 		balancer.OutcomeAnswered, balancer.OutcomeAnswered} {
 		assert.Equal(t, want, (<-send(p, 10*time.Second)).Outcome, k)
-		p.box.Put(func() {
+		p.mailbox.Put(func() {
 			for _, on := range p.idle {
-				on.since = on.since.Add(-200 * time.Millisecond)
+				on.idleSince = on.idleSince.Add(-200 * time.Millisecond)
 			}
 		})
 	}
@@ -414,56 +414,56 @@
 
 // A message written to a connection that the backend has closed ends as a reset that may have run.
 func TestClosedWhileIdle(t *testing.T) {
-	b := listen(t, ok+"\r\nhi", ok+"\r\nhi", ok+"\r\nhi")
-	p, terms := peer(t, b.Addr().String())
+	b := newStubBackend(t, okHead+"\r\nhi", okHead+"\r\nhi", okHead+"\r\nhi")
+	p, terms := newTestBackend(t, b.Addr().String())
 	require.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome)
 	idle := <-b.conns
 	_ = idle.Close()
 	on := make(chan bool)
 	require.Eventually(t, func() bool {
-		p.box.Put(func() { on <- p.idle[0].sound() })
+		p.mailbox.Put(func() { on <- p.idle[0].isUsable() })
 		return !<-on
 	}, 10*time.Second, time.Millisecond)
-	rested(p)
+	ageIdleConns(p)
 	assert.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome)
 	<-b.conns // a fresh one
 
 	// One that breaks at the first byte, unseen before: nothing has run, so once more on a fresh one.
-	p.box.Put(func() { _ = p.idle[0].Conn.(*net.TCPConn).CloseWrite() })
-	rested(p)
+	p.mailbox.Put(func() { _ = p.idle[0].Conn.(*net.TCPConn).CloseWrite() })
+	ageIdleConns(p)
 	assert.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome)
 	<-b.conns
 
 	// What stands idle for too long is closed here, before the backend would.
-	terms.IdleFor.Set(0)
-	p.Shed()
-	p.box.Put(func() { on <- len(p.idle) == 0 })
+	terms.IdleTimeout.Set(0)
+	p.CloseIdle()
+	p.mailbox.Put(func() { on <- len(p.idle) == 0 })
 	assert.True(t, <-on)
 }
 
 // An op that comes right after an answer waits for its connection to have rested: a new one for each such op cost a backend
 // of many nodes a handshake and a place. One that finds no further connection at rest dials at once.
-func TestWaitsForAConnectionAtRest(t *testing.T) {
-	b := listen(t, ok+"\r\nhi", ok+"\r\nhi", ok+"\r\nhi")
-	p, _ := peer(t, b.Addr().String())
+func TestWaitsForARecentlyUsedConnection(t *testing.T) {
+	b := newStubBackend(t, okHead+"\r\nhi", okHead+"\r\nhi", okHead+"\r\nhi")
+	p, _ := newTestBackend(t, b.Addr().String())
 	require.Equal(t, balancer.OutcomeAnswered, (<-send(p, time.Second)).Outcome)
 	answered := time.Now()
 	second, third := send(p, time.Second), send(p, time.Second)
 	require.Equal(t, balancer.OutcomeAnswered, (<-second).Outcome)
-	assert.GreaterOrEqual(t, time.Since(answered)+time.Millisecond, rest)
+	assert.GreaterOrEqual(t, time.Since(answered)+time.Millisecond, minIdle)
 	require.Equal(t, balancer.OutcomeAnswered, (<-third).Outcome)
 	assert.Len(t, b.conns, 2)
 }
 
 // What is over or called off while it waits for a connection never goes out.
-func TestCalledOffWhileAConnectionRests(t *testing.T) {
-	b := listen(t, ok+"\r\nhi")
-	p, told := peer(t, b.Addr().String())
+func TestCancelWhileWaitingForAConnection(t *testing.T) {
+	b := newStubBackend(t, okHead+"\r\nhi")
+	p, told := newTestBackend(t, b.Addr().String())
 	require.Equal(t, balancer.OutcomeAnswered, (<-send(p, time.Second)).Outcome)
 	assert.Equal(t, balancer.OutcomeNotSent, (<-send(p, time.Second, (*Call).Cancel)).Outcome)
 	assert.Equal(t, balancer.OutcomeNotSent, (<-send(p, time.Millisecond)).Outcome)
 	second := send(p, time.Second)
-	p.Tell(b.Addr().String(), false)
+	p.Update(b.Addr().String(), false)
 	assert.Equal(t, balancer.OutcomeNotSent, (<-second).Outcome)
 	<-b.got
 	assert.Empty(t, b.got)
