--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -22,7 +22,7 @@
 	request.attemptsInFlight++
 	switch {
 	case request.clientGone.Load(): // needs no connection and no record; Cancel's message follows
-		call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
+		call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 	case request.Logged != nil:
 		n.logAttemptStart(request, attempt, call)
 	default:
@@ -44,7 +44,7 @@
 		})
 	})
 	if request.Streamed {
-		call.Sent = func(deadline time.Time) {
+		call.OnBodySent = func(deadline time.Time) {
 			left := time.Until(deadline)
 			n.mailbox.Put(func() {
 				if n.decider == decider && !request.answered {
@@ -54,7 +54,7 @@
 			})
 		}
 	}
-	call.Left = &request.clientGone
+	call.ClientGone = &request.clientGone
 	return call
 }
 
@@ -64,7 +64,7 @@
 		connections.Send(call)
 		return
 	}
-	call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
+	call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 }
 
 // attemptEnded takes an attempt's result. The first response is the request's answer.
@@ -80,7 +80,7 @@
 		n.logAttemptEnd(request, attempt, result.Outcome)
 	}
 	// A backend's work ends where its response begins: sending and reading a long response takes time as well.
-	elapsed := max(n.now-attempt.SentAt-float64(result.First.Microseconds())/1e3, 0)
+	elapsed := max(n.now-attempt.SentAt-float64(result.SinceFirstByte.Microseconds())/1e3, 0)
 	n.decider.AttemptEnded(n.now, attempt, result.Outcome, elapsed, request.answered)
 	n.logAttempt(request, attempt, result)
 	n.forgetIfOver(request)
@@ -94,7 +94,7 @@
 	n.log.Debug("attempt ended", "request", request.ID, "class", request.Class, "cost_hint", request.CostHint,
 		"attempt", attempt.Number, "backend", fmt.Sprintf("%x", attempt.Backend.ID), "zone", attempt.Backend.Zone,
 		"kind", attempt.Backend.Kind, "sent_ms", attempt.SentAt-request.ArrivedAt, "after_ms", n.now-attempt.SentAt,
-		"first_ms", float64(result.First.Microseconds())/1e3, "at_ms", n.now, "outcome", result.Outcome.String())
+		"first_ms", float64(result.SinceFirstByte.Microseconds())/1e3, "at_ms", n.now, "outcome", result.Outcome.String())
 }
 
 func (n *Node) logUnserved(request *Request, answer Answer) {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -150,7 +150,7 @@
 		if b.upstream == nil {
 			b.upstream = upstream.NewBackend(endpoint.Name, n.upstreamConfig)
 		}
-		b.upstream.Tell(endpoint.Address, endpoint.State == balancer.BackendReady && !n.cordons.cordoned[endpoint.Name])
+		b.upstream.Update(endpoint.Address, endpoint.State == balancer.BackendReady && !n.cordons.cordoned[endpoint.Name])
 	case b.State == balancer.BackendDraining || !n.deployment.Balancer.RemovalIsHint:
 		b.closeUpstream()
 	}
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -19,7 +19,7 @@
 // decodeList decodes endpoint list entries in discovery's JSON.
 func decodeList(t *testing.T, complete bool, entries string) *discovery.List {
 	t.Helper()
-	list, err := discovery.Names{Zones: []string{"a", "b"}, Kinds: []string{"m"}}.Decode(
+	list, err := discovery.DeploymentNames{Zones: []string{"a", "b"}, Kinds: []string{"m"}}.Decode(
 		fmt.Appendf(nil, `{"rev":1,"all":%t,"targets":[%s]}`, complete, entries), slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	return list
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -187,7 +187,7 @@
 	n.mailbox.Put(func() {
 		for _, b := range n.backends {
 			if b.upstream != nil {
-				b.upstream.Shed()
+				b.upstream.CloseIdle()
 			}
 		}
 	})
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -29,7 +29,7 @@
 			{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1, Idempotency: balancer.AtMostOnce}}}}
 	peers := &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}
 	peers.ConnectTimeout.Set(time.Second)
-	peers.IdleFor.Set(time.Minute)
+	peers.IdleTimeout.Set(time.Minute)
 	n := New(deployment, NewBalancer, c, peers, func() {}, log)
 	n.Start(&discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{Name: "s", Address: address, State: balancer.BackendReady, Weight: 1}}})
 	t.Cleanup(n.Stop)
@@ -38,7 +38,7 @@
 
 // newTestRequest makes a request of a class with a minute's deadline.
 func newTestRequest(c *clock.Clock, class int) *Request {
-	request := NewRequest(upstream.NewMessage("GET", "/", "s", http.Header{}, nil))
+	request := NewRequest(upstream.NewMessage("GET", "/", "s", http.Header{}, nil, nil))
 	request.Class, request.Deadline = class, c.Now()+60e3
 	return request
 }
--- a/internal/node/polling_test.go
+++ b/internal/node/polling_test.go
@@ -125,12 +125,12 @@
 	go s.serve()
 
 	c, log := clock.New(), slog.New(slog.DiscardHandler)
-	watch := &discovery.Watch{Address: listener.Addr().String(), Names: discovery.Names{Zones: []string{"a"}, Kinds: []string{"m"}}, Version: 1, Held: true, Log: log}
+	watch := &discovery.Watch{Address: listener.Addr().String(), Deployment: discovery.DeploymentNames{Zones: []string{"a"}, Kinds: []string{"m"}}, Version: 1, HasList: true, Log: log}
 	deployment := &config.Deployment{Balancer: &balancer.Config{Seed: longBackoffSeed, Nodes: 1, MaxAttempts: 1, PollEndpoints: true, PollInterval: 60e3, OverloadMultiple: 3, OverloadWindow: 1000,
 		Classes: []balancer.Class{{LatencyObjective: 1000, PriorityWeight: 1, LateWeight: 1}}}}
 	peers := &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}
 	peers.ConnectTimeout.Set(time.Second)
-	peers.IdleFor.Set(time.Minute)
+	peers.IdleTimeout.Set(time.Minute)
 	n := New(deployment, NewBalancer, c, peers, watch.Poll, log)
 	watch.OnList, watch.OnFailure = n.EndpointsChanged, n.PollFailed
 	ctx, end := context.WithCancel(t.Context())
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -93,6 +93,6 @@
 func (r *Request) markAnswered() {
 	r.answered = true
 	for _, call := range r.calls {
-		call.Withhold()
+		call.PreventStart()
 	}
 }
--- a/internal/node/requestlogging.go
+++ b/internal/node/requestlogging.go
@@ -66,7 +66,7 @@
 			if n.decider == decider {
 				n.attemptStartLogged(request, attempt, call, reply)
 			} else {
-				call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
+				call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 			}
 		})
 	})
@@ -86,7 +86,7 @@
 		IsClientRetry:  request.IsClientRetry,
 		Key:            request.Key,
 		Deadline:       request.Deadline,
-		EncodedMessage: request.Message.Pack(),
+		EncodedMessage: request.Message.Encode(),
 	}
 	if request.Tenant < len(n.deployment.Tenants) {
 		form.Tenant = n.deployment.Tenants[request.Tenant]
@@ -106,10 +106,10 @@
 	case requestlog.Committed:
 		logged.hasRecord = true
 		if request.answered {
-			call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
+			call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 			return
 		}
-		call.Before = n.clock.At(n.latestStart(request, reply))
+		call.StartBefore = n.clock.At(n.latestStart(request, reply))
 		n.sendAttempt(attempt, call)
 		return
 	case requestlog.KeyInFlight, requestlog.KeyAnswered, requestlog.KeyMismatch:
@@ -154,7 +154,7 @@
 		request.finish(answer)
 		n.decider.ClientGone(n.now, &request.Request)
 	}
-	call.Done(upstream.Result{Outcome: balancer.OutcomeNotSent})
+	call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 }
 
 // logAttemptEnd records an attempt that never ran: a successor may then send the request again.
@@ -178,7 +178,7 @@
 	}
 	hasBegun := false
 	for _, call := range request.calls {
-		if !call.ClaimStart() {
+		if !call.CancelIfNotStarted() {
 			hasBegun = true
 		}
 	}
@@ -244,10 +244,10 @@
 func answerForLog(reply *upstream.Reply, maxBytes int) requestlog.FinalAnswer {
 	final := requestlog.FinalAnswer{Status: requestlog.Served, HTTPStatus: http.StatusOK}
 	header := reply.Header.Clone()
-	upstream.EndToEnd(header)
+	upstream.RemoveHopByHop(header)
 	var encodedHeader bytes.Buffer
 	_ = header.Write(&encodedHeader)
-	final.Truncated = reply.More != nil || len(reply.Body)+encodedHeader.Len() > maxBytes
+	final.Truncated = reply.Stream != nil || len(reply.Body)+encodedHeader.Len() > maxBytes
 	if !final.Truncated {
 		final.Header, final.Body = encodedHeader.Bytes(), reply.Body
 	}
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -46,7 +46,7 @@
 // requestFromLog makes a request of its log entry, or nil where its class or message is unknown here.
 func (n *Node) requestFromLog(entry *requestlog.Entry) *Request {
 	logged := &entry.Request
-	message := upstream.Unpack(logged.EncodedMessage)
+	message := upstream.DecodeMessage(logged.EncodedMessage)
 	class := slices.Index(n.deployment.Classes, logged.Class)
 	if message == nil || class < 0 {
 		return nil
