--- a/cmd/pearknot/clients.go
+++ b/cmd/pearknot/clients.go
@@ -25,7 +25,7 @@
 			}
 			client := controlsocket.NewClient(args[0], dialWithin)
 			for {
-				var told server.Clients
+				var told server.ClientStats
 				if err := client.Call(c.Context(), "GET", controlsocket.ClientsPath, nil, &told); err != nil {
 					return err
 				}
@@ -36,7 +36,7 @@
 					return err
 				}
 				if every == 0 {
-					if told.Pressed {
+					if told.UnderPressure {
 						return &cli.Error{Status: cli.No, Err: fmt.Errorf("%d of %d connections: the node chooses among its clients", told.Open, told.Limit), Silent: true}
 					}
 					return nil
@@ -53,23 +53,23 @@
 	return c
 }
 
-func tellClients(out io.Writer, told server.Clients, most int) error {
+func tellClients(out io.Writer, told server.ClientStats, most int) error {
 	state := "calm"
-	if told.Pressed {
+	if told.UnderPressure {
 		state = "pressed"
 	}
 	fmt.Fprintf(out, "%d of %d connections, %s\n", told.Open, told.Limit, state)
 	for _, m := range []struct {
 		what string
 		of   map[string]uint64
-	}{{"refused", told.Refused}, {"let go", told.LetGo}} {
+	}{{"refused", told.Refused}, {"let go", told.Evicted}} {
 		for _, why := range slices.Sorted(maps.Keys(m.of)) {
 			fmt.Fprintf(out, "%s: %d, %s\n", m.what, m.of[why], why)
 		}
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "address\tknown\tconnections\twithout an op\tgood\todd\t")
-	for _, r := range told.Rows[:min(most, len(told.Rows))] {
+	for _, r := range told.Addresses[:min(most, len(told.Addresses))] {
 		fmt.Fprintf(w, "%s\t%v\t%d\t%d\t%.1f\t%.1f\t\n", r.Address, r.Known, r.Conns, r.Unproven, r.Good, r.Odd)
 	}
 	return w.Flush()
--- a/cmd/pearknot/edge_test.go
+++ b/cmd/pearknot/edge_test.go
@@ -107,7 +107,7 @@
 		ask(k)
 	}
 	require.Equal(t, int64(250), answered.Load())
-	look := func() (c server.Clients) {
+	look := func() (c server.ClientStats) {
 		require.NoError(t, controlsocket.NewClient(socket, 2*time.Second).Call(t.Context(), "GET", controlsocket.ClientsPath, nil, &c))
 		return c
 	}
@@ -144,8 +144,8 @@
 		assert.GreaterOrEqual(t, quick.Load(), int64(180), a.name)
 		assert.GreaterOrEqual(t, answered.Load(), int64(198), a.name)
 		c := look()
-		t.Logf("%s: %d of %d within 100 ms, %d answered; refused %v, let go %v", a.name, quick.Load(), asked.Load(), answered.Load(), c.Refused, c.LetGo)
-		require.Eventually(t, func() bool { c := look(); return !c.Pressed && c.Open < 60 }, 5*time.Second, 20*time.Millisecond, a.name)
+		t.Logf("%s: %d of %d within 100 ms, %d answered; refused %v, let go %v", a.name, quick.Load(), asked.Load(), answered.Load(), c.Refused, c.Evicted)
+		require.Eventually(t, func() bool { c := look(); return !c.UnderPressure && c.Open < 60 }, 5*time.Second, 20*time.Millisecond, a.name)
 	}
 	if without {
 		return
--- a/internal/controlsocket/status.go
+++ b/internal/controlsocket/status.go
@@ -89,7 +89,7 @@
 	Dir          string            `json:"dir"`    // the store
 	Orders       bool              `json:"orders"` // this instance does, for all on the store
 	OrderedBy    int               `json:"ordered_by,omitempty"`
-	Handshakes   server.Handshakes `json:"handshakes"`
+	Handshakes   server.HandshakeStats `json:"handshakes"`
 	Certificates []acme.Status     `json:"certificates"`
 }
 
@@ -130,7 +130,7 @@
 // Node serves a node's socket. Dump writes its capture out; nil is a node without one to write, without certificates, or
 // that takes all clients, or shares nothing.
 func Node(status func(context.Context) (Status, error), service func(Service) error, dump func() (string, error), certs Certificates,
-	clients func() server.Clients, peers func(context.Context) (requestlog.StateDigest, error)) http.Handler {
+	clients func() server.ClientStats, peers func(context.Context) (requestlog.StateDigest, error)) http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET "+PeersPath, func(w http.ResponseWriter, r *http.Request) {
 		if peers == nil {
--- a/internal/lab/loopback/secure.go
+++ b/internal/lab/loopback/secure.go
@@ -47,7 +47,7 @@
 	authority *acmestub.Authority
 	server    *httptest.Server
 	config    *tls.Config
-	before    map[int]server.Handshakes
+	before    map[int]server.HandshakeStats
 	asked     int
 	refused   int
 }
@@ -128,8 +128,8 @@
 }
 
 // counts are those of the processes that run now.
-func (s *secure) counts(ctx context.Context) map[int]server.Handshakes {
-	all := map[int]server.Handshakes{}
+func (s *secure) counts(ctx context.Context) map[int]server.HandshakeStats {
+	all := map[int]server.HandshakeStats{}
 	for _, n := range s.w.nodes {
 		var status controlsocket.Status
 		if controlsocket.NewClient(n.socket(), time.Second).Call(ctx, http.MethodGet, controlsocket.StatusPath, nil, &status) == nil && status.TLS != nil {
--- a/internal/serve/control.go
+++ b/internal/serve/control.go
@@ -35,13 +35,13 @@
 		if err != nil {
 			return controlsocket.Status{}, err
 		}
-		in, ending := f.State()
+		in, ending := f.ServiceState()
 		now := p.now.Load()
 		s := controlsocket.Status{Token: o.Token, PID: os.Getpid(), Name: p.name, Listen: f.Address(), Version: o.Version, Started: started,
 			Config: p.file, Digest: now.digest, Epoch: o.Epoch, List: now.discovery, ListAt: look.Version, ListSum: look.Digest,
 			Backends: look.Backends, Ready: look.HasEndpoints, InService: in, Ending: ending, Open: int64(look.OpenRequests), MemoryMB: memory()}
 		if certificates != nil {
-			s.TLS = &controlsocket.TLS{Listen: f.SecureAddress(), Dir: o.TLS.Acme.Dir, Handshakes: f.Handshakes(), Certificates: certificates.Status()}
+			s.TLS = &controlsocket.TLS{Listen: f.TLSAddress(), Dir: o.TLS.Acme.Dir, Handshakes: f.HandshakeStats(), Certificates: certificates.Status()}
 			s.TLS.Orders, s.TLS.OrderedBy = certificates.Orders()
 		}
 		if settings != nil {
@@ -50,10 +50,10 @@
 		return s, nil
 	}
 	service := func(s controlsocket.Service) error {
-		if _, ending := f.State(); ending {
+		if _, ending := f.ServiceState(); ending {
 			return errors.New("the node is about to end")
 		}
-		f.Withhold(!s.In)
+		f.SetOutOfService(!s.In)
 		log.Info("service", "in", s.In, "why", s.Why)
 		return nil
 	}
@@ -61,9 +61,9 @@
 	if certificates != nil {
 		keeper = certificates
 	}
-	var clients func() server.Clients
+	var clients func() server.ClientStats
 	if o.Edge != "" {
-		clients = f.Clients
+		clients = f.ClientStats
 	}
 	var peers func(context.Context) (requestlog.StateDigest, error)
 	if links != nil {
--- a/internal/serve/pair.go
+++ b/internal/serve/pair.go
@@ -102,7 +102,7 @@
 		p.log.Warn("what the process before has learned is not taken, this one starts fresh", "error", err)
 	}
 	if s.Away != nil {
-		p.front.SendClientsAwaySince(true, time.Now().Add(-clock.Span(*s.Away)))
+		p.front.SetQuiescedSince(true, time.Now().Add(-clock.Span(*s.Away)))
 	}
 	p.log.Info("following the process before", "backends", len(s.Names), "taken_out", len(s.Banned), "away", s.Away != nil, "learned_bytes", len(s.Module))
 }
@@ -167,7 +167,7 @@
 	}
 	s := &hotrestart.State{Zones: p.place.names.Zones, Kinds: p.place.names.Kinds, List: l.Endpoints, Names: l.BackendNames, Module: l.BalancerSnapshot,
 		Known: l.KnownNames, Banned: l.CordonedNames}
-	if passed, away := p.front.ClientsAwayFor(); away {
+	if passed, away := p.front.QuiescedFor(); away {
 		ms := float64(passed.Microseconds()) / 1e3
 		s.Away = &ms
 	}
@@ -263,7 +263,7 @@
 	p.mu.Lock()
 	follows := p.before != nil
 	p.mu.Unlock()
-	switch in, ending := p.front.State(); {
+	switch in, ending := p.front.ServiceState(); {
 	case ending:
 		return "", errEnding
 	case !in && follows: // ready to take over a node whose clients are sent away
@@ -285,15 +285,15 @@
 		}
 		return map[admin.Verb]string{admin.Cordon: "out", admin.Uncordon: "back"}[v], nil
 	case admin.Quiesce:
-		if p.front.SendClientsAway(true) {
+		if p.front.SetQuiesced(true) {
 			p.log.Info("clients sent away")
 		}
 		return "clients are sent away", nil
 	case admin.Resume:
-		if _, ending := p.front.State(); ending && p.other() == nil {
+		if _, ending := p.front.ServiceState(); ending && p.other() == nil {
 			return "", errEnding
 		}
-		if p.front.SendClientsAway(false) {
+		if p.front.SetQuiesced(false) {
 			p.log.Info("clients taken again")
 		}
 		return "clients are taken", nil
--- a/internal/serve/peers.go
+++ b/internal/serve/peers.go
@@ -122,5 +122,5 @@
 }
 
 func (o *Peers) keep(links *peers.Peers) server.RequestLogging {
-	return server.RequestLogging{Peers: links, Header: o.header, Categories: o.categories, Most: o.most}
+	return server.RequestLogging{Peers: links, KeyHeader: o.header, Classes: o.categories, MaxAnswerBytes: o.most}
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -154,7 +154,7 @@
 		if err != nil {
 			return err
 		}
-		f.Admit(*limits, func(pressed bool) {
+		f.EnableAdmission(*limits, func(pressed bool) {
 			if pressed {
 				log.Warn("descriptors run short: clients are chosen among")
 			} else {
@@ -176,7 +176,7 @@
 			watch.Version, watch.HasList = before.List.Version, true
 		}
 	}
-	f.Withhold(o.Held)
+	f.SetOutOfService(o.Held)
 	over, end := context.WithCancel(context.Background())
 	defer end()
 	var certificates *acme.Instance
@@ -212,7 +212,7 @@
 		}
 		defer c.Close()
 	}
-	go shed(over, budget, pressed, n.CloseIdleConnections, f.Shed)
+	go shed(over, budget, pressed, n.CloseIdleConnections, f.CloseIdleConnections)
 	log.Info("serving", "name", p.name, "address", f.Address(), "control", second, "version", o.Version)
 	failed := make(chan error, 1)
 	go func() { failed <- f.Serve() }()
@@ -243,7 +243,7 @@
 					if limits, err := ReadEdge(o.Edge); err != nil {
 						log.Error("new limits of clients not taken, the old ones hold", "error", err)
 					} else {
-						f.SetLimits(*limits)
+						f.SetAdmissionLimits(*limits)
 					}
 				}
 			case <-dumps:
@@ -277,7 +277,7 @@
 	if next == nil {
 		// By lastOps alone a node whose ops are all short would end before clients have heard of its end. A process that follows may
 		// be ready only now: closing the listener beside it would lose what the kernel has put in the queue here.
-		f.ServeOn(clock.Span(left-min(lastOps, longest)), func() bool {
+		f.ServeUntilQuiet(clock.Span(left-min(lastOps, longest)), func() bool {
 			next = both.succeeded()
 			return next != nil
 		})
--- a/internal/serve/tls.go
+++ b/internal/serve/tls.go
@@ -177,11 +177,11 @@
 func secured(ctx context.Context, p *Config, o *TLS, f *server.Server, log *slog.Logger) (i *acme.Instance, wait func(), err error) {
 	a := o.Acme
 	a.Limits.Instance, a.Log = p.name, log
-	if err := f.ListenSecure(server.Secure{Address: cmp.Or(p.tlsListen, o.Listen), Shared: p.control != "", Challenges: a.TLS,
-		Certificate: func(hello *tls.ClientHelloInfo) (*tls.Certificate, error) { return i.Certificate(hello) }}, p.sockets); err != nil {
+	if err := f.ListenTLS(server.TLSConfig{Address: cmp.Or(p.tlsListen, o.Listen), ReusePort: p.control != "", AnswerChallenges: a.TLS,
+		GetCertificate: func(hello *tls.ClientHelloInfo) (*tls.Certificate, error) { return i.Certificate(hello) }}, p.sockets); err != nil {
 		return nil, nil, err
 	}
-	if i, err = acme.Open(a, f.Tickets); err != nil {
+	if i, err = acme.Open(a, f.SetSessionTicketKeys); err != nil {
 		return nil, nil, fmt.Errorf("certificates: %w", err)
 	}
 	var all sync.WaitGroup
@@ -190,7 +190,7 @@
 		all.Go(func() { challenges(ctx, o.Challenge, i, log) })
 	}
 	here, pid := i.Orders()
-	log.Info("serving TLS", "address", f.SecureAddress(), "certificates", len(a.Names), "orders", here, "ordered_by", pid)
+	log.Info("serving TLS", "address", f.TLSAddress(), "certificates", len(a.Names), "orders", here, "ordered_by", pid)
 	return i, all.Wait, nil
 }
 
--- /dev/null
+++ b/internal/server/admission.go
@@ -0,0 +1,134 @@
+package server
+
+import (
+	"net/netip"
+	"sync"
+
+	"pearknot/internal/admission"
+	"pearknot/internal/clock"
+)
+
+// refusalReserve are descriptors of the clients' that stay free for connections about to be refused. A flood is thus
+// answered by closing at once, and not by a queue in which known clients would wait as well.
+const refusalReserve = 4
+
+// maxStatsAddresses bounds the addresses in ClientStats.
+const maxStatsAddresses = 200
+
+// connectionAdmitter has the core that decides which connections are admitted and evicted, and the connections. The
+// listeners and handlers call it; no connection is closed under its lock.
+type connectionAdmitter struct {
+	clock      *clock.Clock
+	onPressure func(underPressure bool) // of each change
+
+	mu            sync.Mutex
+	core          *admission.Core
+	lastID        uint64
+	conns         map[uint64]*clientConn
+	underPressure bool
+}
+
+// ClientStats says who is connected, and what was refused since the start.
+type ClientStats struct {
+	Open          int               `json:"open"`
+	Limit         int               `json:"limit"`
+	UnderPressure bool              `json:"pressed"`
+	Refused       map[string]uint64 `json:"refused"`   // connections, by reason
+	Evicted       map[string]uint64 `json:"let_go"`    // connections, by reason
+	Addresses     []admission.Row   `json:"addresses"` // those with most connections first
+}
+
+// admit takes a new connection or refuses it, and closes those that the core evicts for it.
+func (a *connectionAdmitter) admit(conn *clientConn) bool {
+	remote, err := netip.ParseAddrPort(conn.RemoteAddr().String())
+	if err != nil { // no address to judge by
+		return true
+	}
+	verdict, evicted := a.decide(conn, remote.Addr())
+	for _, other := range evicted {
+		_ = other.Close() // it has no request, and requestBegan refuses it one from now on
+	}
+	return verdict.Why == admission.Admitted
+}
+
+func (a *connectionAdmitter) decide(conn *clientConn, address netip.Addr) (verdict admission.Verdict, evicted []*clientConn) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.lastID++
+	verdict = a.core.Connect(a.clock.Now(), a.lastID, address)
+	for _, loss := range verdict.LetGo {
+		if other := a.conns[loss.ID]; other != nil {
+			evicted = append(evicted, other)
+		}
+		delete(a.conns, loss.ID)
+	}
+	if verdict.Why == admission.Admitted {
+		conn.admissionID = a.lastID
+		a.conns[a.lastID] = conn
+	}
+	a.notifyPressure()
+	return verdict, evicted
+}
+
+// notifyPressure calls onPressure where connections have become scarce or suffice again. The lock is held.
+func (a *connectionAdmitter) notifyPressure() {
+	if underPressure := a.core.Pressed(); underPressure != a.underPressure {
+		a.underPressure = underPressure
+		a.onPressure(underPressure)
+	}
+}
+
+// requestBegan notes that a complete request has come. It reports false where the connection has been evicted and is
+// about to be closed: the request must not be taken.
+func (a *connectionAdmitter) requestBegan(conn *clientConn) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.core.Began(conn.admissionID)
+}
+
+// connClosed notes that a connection has closed.
+func (a *connectionAdmitter) connClosed(conn *clientConn) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.core.Closed(a.clock.Now(), conn.admissionID)
+	delete(a.conns, conn.admissionID)
+	a.notifyPressure()
+}
+
+func (a *connectionAdmitter) setLimits(limits admission.Limits) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.core.Relimit(limits)
+	a.notifyPressure()
+}
+
+func (a *connectionAdmitter) stats() ClientStats {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return ClientStats{
+		Open:          a.core.Open(),
+		Limit:         a.core.Limit(),
+		UnderPressure: a.core.Pressed(),
+		Refused:       countsByText(a.core.Refused),
+		Evicted:       countsByText(a.core.Let),
+		Addresses:     a.core.Table(a.clock.Now(), maxStatsAddresses),
+	}
+}
+
+func countsByText(counts map[admission.Reason]uint64) map[string]uint64 {
+	byText := make(map[string]uint64, len(counts))
+	for reason, count := range counts {
+		byText[string(reason)] = count
+	}
+	return byText
+}
+
+// reportToAdmission reports what became of a request on the connection, where connections are limited.
+func (c *clientConn) reportToAdmission(report func(core *admission.Core, now float64, id uint64)) {
+	if c.admissionID == 0 {
+		return
+	}
+	c.admitter.mu.Lock()
+	defer c.admitter.mu.Unlock()
+	report(c.admitter.core, c.admitter.clock.Now(), c.admissionID)
+}
--- a/internal/server/door_test.go
+++ b/internal/server/admission_test.go
@@ -22,18 +22,18 @@
 	f, budget, _ := secured(t, 96, func(f *Server) {
 		l := admission.Defaults(0)
 		l.Grace = 1
-		f.Admit(l, func(pressed bool) {
+		f.EnableAdmission(l, func(pressed bool) {
 			mu.Lock()
 			defer mu.Unlock()
 			told = append(told, pressed)
 		})
 	})
-	require.Equal(t, (96-24)*3/4-headroom, f.Clients().Limit)
+	require.Equal(t, (96-24)*3/4-refusalReserve, f.ClientStats().Limit)
 	var all sync.WaitGroup
 	for k := range 120 {
 		all.Go(func() {
 			d := net.Dialer{Timeout: 5 * time.Second, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, byte(1+k%40))}}
-			c, err := d.Dial("tcp", map[bool]string{true: f.Address(), false: f.SecureAddress()}[k%3 > 0])
+			c, err := d.Dial("tcp", map[bool]string{true: f.Address(), false: f.TLSAddress()}[k%3 > 0])
 			if err != nil {
 				return // refused
 			}
@@ -55,13 +55,13 @@
 		if k%30 == 0 {
 			l := admission.Defaults(0)
 			l.Unproven = 4 + k
-			f.SetLimits(l)
-			assert.LessOrEqual(t, f.Clients().Open, f.Clients().Limit)
+			f.SetAdmissionLimits(l)
+			assert.LessOrEqual(t, f.ClientStats().Open, f.ClientStats().Limit)
 		}
 	}
 	all.Wait()
 	// Each listener has one descriptor taken for whoever comes next.
-	require.Eventually(t, func() bool { return f.Clients().Open == 0 && budget.Clients() == 2 }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return f.ClientStats().Open == 0 && budget.Clients() == 2 }, 10*time.Second, 5*time.Millisecond)
 	mu.Lock()
 	defer mu.Unlock()
 	for k := range told {
@@ -71,25 +71,25 @@
 
 // An op that is on its way here may be let go until it is taken; one that is in hand may not, and has its answer.
 func TestLetGoUntilTaken(t *testing.T) {
-	f, _, _ := secured(t, 96, func(f *Server) { f.Admit(admission.Defaults(0), func(bool) {}) })
+	f, _, _ := secured(t, 96, func(f *Server) { f.EnableAdmission(admission.Defaults(0), func(bool) {}) })
 	c, err := net.Dial("tcp", f.Address())
 	require.NoError(t, err)
 	defer c.Close()
 	_, err = fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: check\r\nX-Expires-In-Ms: 1000\r\nContent-Length: 100\r\n\r\nx")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return f.Clients().Open == 1 }, 5*time.Second, time.Millisecond)
-	f.door.mu.Lock()
-	var there *client
-	for _, x := range f.door.clients {
+	require.Eventually(t, func() bool { return f.ClientStats().Open == 1 }, 5*time.Second, time.Millisecond)
+	f.admitter.mu.Lock()
+	var there *clientConn
+	for _, x := range f.admitter.conns {
 		there = x
 	}
-	f.door.mu.Unlock()
+	f.admitter.mu.Unlock()
 	require.NoError(t, there.Close())
 	_ = c.SetReadDeadline(time.Now().Add(time.Second))
 	_, err = c.Read(make([]byte, 1))
 	assert.Error(t, err)
 	var slow net.Error
 	assert.False(t, errors.As(err, &slow) && slow.Timeout(), "closed, not merely quiet")
-	require.Eventually(t, func() bool { return f.Clients().Open == 0 }, 5*time.Second, time.Millisecond)
-	assert.Zero(t, f.open.Load(), "nothing was taken")
+	require.Eventually(t, func() bool { return f.ClientStats().Open == 0 }, 5*time.Second, time.Millisecond)
+	assert.Zero(t, f.openRequests.Load(), "nothing was taken")
 }
--- a/internal/server/gone_kept_test.go
+++ b/internal/server/client_gone_logged_test.go
@@ -94,7 +94,7 @@
 		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, g.decide, list,
 		func(f *Server) {
 			f.node.LogRequests(keep)
-			f.LogRequests(RequestLogging{Peers: keep, Header: "Idempotency-Key", Categories: map[string]bool{"check": false}, Most: 1 << 10})
+			f.LogRequests(RequestLogging{Peers: keep, KeyHeader: "Idempotency-Key", Classes: map[string]bool{"check": false}, MaxAnswerBytes: 1 << 10})
 		})
 	require.Eventually(t, func() bool { // a majority answers
 		told := make(chan requestlog.Result, 1)
@@ -153,7 +153,7 @@
 	f, slow := kept(t, a, newGate(-1))
 	slow(700 * time.Millisecond)
 	c := connected(t, f, keyed(sized("a", 1)))
-	require.Eventually(t, func() bool { return f.open.Load() == 1 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return f.openRequests.Load() == 1 }, 10*time.Second, time.Millisecond)
 	_, err := io.WriteString(c, "\r\n") // net/http reads it and looks no further
 	require.NoError(t, err)
 	begun := time.Now()
--- a/internal/server/gone_test.go
+++ b/internal/server/client_gone_test.go
@@ -310,13 +310,13 @@
 func over(t *testing.T, f *Server, left int) {
 	require.Eventually(t, func() bool {
 		l, err := f.node.Status(t.Context())
-		return f.open.Load() == int64(left) && err == nil && l.OpenRequests == left
+		return f.openRequests.Load() == int64(left) && err == nil && l.OpenRequests == left
 	}, 10*time.Second, time.Millisecond)
 }
 
 // seen waits until the front has seen all clients leave.
 func seen(t *testing.T, f *Server) {
-	require.Eventually(t, func() bool { return f.open.Load() == 0 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return f.openRequests.Load() == 0 }, 10*time.Second, time.Millisecond)
 }
 
 // sized is a request whose hedge is due about so many times four ms after its first attempt.
@@ -337,7 +337,7 @@
 			<-a.began
 		}
 		leave := w.begin(t, f, sized("a", 1000))
-		require.Eventually(t, func() bool { return f.open.Load() == int64(most+1) }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return f.openRequests.Load() == int64(most+1) }, 10*time.Second, time.Millisecond)
 		leave()
 		over(t, f, most)
 		a.answer <- fails // makes room
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -15,22 +15,34 @@
 	"pearknot/internal/descriptors"
 )
 
-// listener gives out connections as the budget of sockets allows; the others wait in its queue.
+const (
+	// interruptDeadlineAge tells a read deadline that net/http sets to interrupt a read, which lies years back, from
+	// one that has run out.
+	interruptDeadlineAge = 24 * time.Hour
+
+	// lateReadTimeout is for reading what has come already when a read deadline runs out.
+	lateReadTimeout = 200 * time.Millisecond
+
+	// defaultTransitMs is allowed for the way from the client's machine where nothing is known of it, in ms.
+	defaultTransitMs = 2.0
+)
+
+// listener accepts connections as the descriptor budget allows; the others wait in its queue.
 type listener struct {
 	*net.TCPListener
 	budget   *descriptors.Budget
-	door     *door // nil lets all in
+	admitter *connectionAdmitter // nil admits every connection
 	draining atomic.Bool
 }
 
-// Accept ends with net.ErrClosed also when drain finds the queue empty.
+// Accept returns net.ErrClosed also when the queue is empty after drain.
 func (l *listener) Accept() (net.Conn, error) {
 	if !l.budget.Client() {
 		return nil, net.ErrClosed
 	}
 	for {
 		if l.draining.Load() {
-			_ = l.SetDeadline(time.Now().Add(quiet))
+			_ = l.SetDeadline(time.Now().Add(listenerQuiet))
 		}
 		tcp, err := l.AcceptTCP()
 		if err != nil {
@@ -40,191 +52,207 @@
 			}
 			return nil, err
 		}
-		c := plain(tcp, l.budget)
-		c.door = l.door
-		if l.door == nil || l.door.enter(c) {
-			return c, nil
+		conn := newClientConn(tcp, l.budget)
+		conn.admitter = l.admitter
+		if l.admitter == nil || l.admitter.admit(conn) {
+			return conn, nil
 		}
-		refuse(tcp)
+		resetConn(tcp)
 	}
 }
 
 // drain lets Accept go on until nothing has come for a while.
 func (l *listener) drain() {
 	l.draining.Store(true)
-	_ = l.SetDeadline(time.Now().Add(quiet))
+	_ = l.SetDeadline(time.Now().Add(listenerQuiet))
 }
 
-// client is a client's connection; its descriptor is given back when it closes, once. An op in hand and the end of
-// its connection exclude each other: net/http closes idle connections on a look that may be out of date by then, a
-// client whose connection ends without an answer sends the op again, and an op already taken would run twice.
-type client struct {
-	net.Conn // the TCP connection, or the TLS one on it
-	tcp      *net.TCPConn
-	budget   *descriptors.Budget
-	door     *door
-	id       uint64 // that the door knows it by; 0 is none
+// resetConn ends a connection that was refused, at once and without the state that an orderly close leaves here.
+func resetConn(tcp *net.TCPConn) {
+	_ = tcp.SetLinger(0)
+	_ = tcp.Close()
+}
+
+// clientConn is a client's connection. Closing it returns its descriptor to the budget, once.
+//
+// A request and the close of its connection exclude each other. net/http closes idle connections by a state that may
+// be out of date by then, and a client whose connection closes without a response sends its request again: a request
+// that was taken already would run twice. Close therefore does nothing while the connection has a request.
+type clientConn struct {
+	net.Conn    // the TCP connection, or the TLS one on it
+	tcp         *net.TCPConn
+	budget      *descriptors.Budget
+	admitter    *connectionAdmitter
+	admissionID uint64 // the admitter's name of it; 0 is none
+
+	mu              sync.Mutex
+	hasRequest      bool
+	closed          bool
+	framing         framing
+	readInterrupted bool // net/http has interrupted its read: nothing is to be read now
+	pipelined       bool // bytes came behind a request before its response
+	disconnectWatch
+}
 
-	mu      sync.Mutex
-	inHand  bool
-	closed  bool
-	framing framing
-	cut     bool // whatever is there is not to be read now
-	crossed bool // bytes came behind an op that was not answered yet
-	leaving
+func newClientConn(tcp *net.TCPConn, budget *descriptors.Budget) *clientConn {
+	return &clientConn{Conn: tcp, tcp: tcp, budget: budget}
 }
 
-func plain(c *net.TCPConn, b *descriptors.Budget) *client { return &client{Conn: c, tcp: c, budget: b} }
+// connContextKey is the key of a request's clientConn in its context.
+type connContextKey struct{}
+
+// withConn is net/http's hook for a connection's context.
+func withConn(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connContextKey{}, conn)
+}
 
-// CloseWrite is net/http's, which ends a connection so where the client may still be sending.
-func (c *client) CloseWrite() error {
-	if t, ok := c.Conn.(*tls.Conn); ok {
-		return t.CloseWrite()
+// CloseWrite ends the sending. net/http calls it before Close where the client may still be sending.
+func (c *clientConn) CloseWrite() error {
+	if conn, ok := c.Conn.(*tls.Conn); ok {
+		return conn.CloseWrite()
 	}
 	return c.tcp.CloseWrite()
 }
 
-// longPast tells a limit that only ends a read, as net/http sets one, from one whose time is over.
-const longPast = -24 * time.Hour
-
-// SetReadDeadline notes what it is for.
-func (c *client) SetReadDeadline(limit time.Time) error {
+// SetReadDeadline sets the deadline, and notes whether it interrupts a read.
+func (c *clientConn) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut = !limit.IsZero() && time.Until(limit) < longPast
-	return c.Conn.SetReadDeadline(limit)
+	c.readInterrupted = !deadline.IsZero() && time.Until(deadline) < -interruptDeadlineAge
+	return c.Conn.SetReadDeadline(deadline)
 }
 
-// lateWithin is for reading what there is after a standstill.
-const lateWithin = 200 * time.Millisecond
-
-// late tells whether the time for an op ran out while its first bytes lay there: the process stood still, not the client, which
-// may have sent an op whole, and is owed its answer.
-func (c *client) late() bool {
+// Read reads, and follows the requests' framing.
+func (c *clientConn) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extendLateRead() {
+		n, err = c.Conn.Read(buffer)
+	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cut || c.closed || c.framing.stage != between || c.Conn != net.Conn(c.tcp) {
-		return false
+	if c.framing.observe(buffer[:n]) {
+		c.pipelined = true
 	}
-	n, _ := c.peek()
-	return n > 0 && c.tcp.SetReadDeadline(time.Now().Add(lateWithin)) == nil
+	// net/http reads a single byte where it looks for a client that disconnects, and looks no more once that has come.
+	c.httpStoppedWatching = len(buffer) == 1 && n == 1
+	if c.httpStoppedWatching && c.hasRequest {
+		c.startWatch(true)
+	}
+	return n, err
 }
 
-// Read follows what net/http reads, which is one byte alone where it looks for a client that leaves.
-func (c *client) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.late() {
-		n, err = c.Conn.Read(b)
-	}
+// extendLateRead extends a read deadline that ran out while the first bytes of a request lay there. Then this process
+// stood still and not the client, which may have sent the whole request and is owed a response.
+func (c *clientConn) extendLateRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.framing.see(b[:n]) {
-		c.crossed = true
-	}
-	if c.byItself = len(b) == 1 && n == 1; c.byItself && c.inHand {
-		c.watch(true)
+	if c.readInterrupted || c.closed || c.framing.stage != stageBetween || c.Conn != net.Conn(c.tcp) {
+		return false
 	}
-	return n, err
+	n, _ := c.peek()
+	return n > 0 && c.tcp.SetReadDeadline(time.Now().Add(lateReadTimeout)) == nil
 }
 
-// within tells whether a part of an op has come: net/http says so only once its head is whole, which may take seconds.
-func (c *client) within() bool {
+// isWithinRequest reports whether a part of a request has come. net/http says so only once its header is complete,
+// which may take seconds.
+func (c *clientConn) isWithinRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.framing.stage != between
+	return c.framing.stage != stageBetween
 }
 
-// unclear tells why what was read can't be taken for one op with nothing around it.
-func (c *client) unclear() string {
+// framingError says why what was read can't be taken for a single request with nothing around it; "" is no reason.
+// Clients see the text.
+func (c *clientConn) framingError() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.framing.ambiguous:
 		return "both a length and an encoding"
-	case c.crossed:
+	case c.pipelined:
 		return "a further op before the answer"
 	}
 	return ""
 }
 
-// answering is called before the first byte of an answer goes out. It tells whether the connection has to end with
-// it: what is left of an op, or came behind it, must not be taken for the next one.
-func (c *client) answering() (last bool) {
-	c.unwatch()
+// beginResponse is called before a response's first byte. It reports whether the connection has to close after the
+// response: what is left of a request, or came behind it, must not be taken for the next one.
+func (c *clientConn) beginResponse() (isLast bool) {
+	c.stopWatch()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	last = c.crossed || c.framing.last || c.framing.stage == body
-	c.framing.ended = false
-	return last
+	isLast = c.pipelined || c.framing.mustBeLast || c.framing.stage == stageBody
+	c.framing.requestEnded = false
+	return isLast
 }
 
-// claim takes an op in hand, unless the connection was closed before; streamed tells that its body is not read whole.
-func (c *client) claim(streamed bool) bool {
+// takeRequest takes a request over. It reports false where the connection was closed or evicted before.
+func (c *clientConn) takeRequest(isStreamed bool) bool {
+	if c.admissionID != 0 && !c.admitter.requestBegan(c) {
+		return false
+	}
+	return c.claimForRequest(isStreamed)
+}
+
+// claimForRequest keeps the connection from being closed until releaseFromRequest, and watches for a disconnect where
+// net/http does not: the body is streamed, or a byte has come behind the request.
+func (c *clientConn) claimForRequest(isStreamed bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return false
 	}
-	c.inHand = true
-	c.leaving = leaving{gone: make(chan struct{}), byItself: c.byItself}
-	if streamed || c.byItself {
-		c.watch(!streamed)
+	c.hasRequest = true
+	c.disconnectWatch = disconnectWatch{gone: make(chan struct{}), httpStoppedWatching: c.httpStoppedWatching}
+	if isStreamed || c.httpStoppedWatching {
+		c.startWatch(!isStreamed)
 	}
 	return true
 }
 
-// release is called when the op's answer has been handed to net/http, which then writes it out and closes.
-func (c *client) release() {
-	c.unwatch()
+// releaseFromRequest is called when the response has been handed to net/http, which then writes it out and closes.
+func (c *clientConn) releaseFromRequest() {
+	c.stopWatch()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.inHand = false
+	c.hasRequest = false
 }
 
-// Close does nothing while an op is in hand: the server closes again after it, being told to end.
-func (c *client) Close() error {
+// Close does nothing while the connection has a request: net/http closes it again after that when it shuts down.
+func (c *clientConn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.inHand || c.closed {
+	if c.hasRequest || c.closed {
 		return nil
 	}
 	c.closed = true
-	if c.id != 0 {
-		c.door.closed(c)
+	if c.admissionID != 0 {
+		c.admitter.connClosed(c)
 	}
 	if c.Conn == net.Conn(c.tcp) {
 		defer c.budget.ClientBack()
 		return c.tcp.Close()
 	}
-	go func() { // the last record may wait for a client that reads nothing; whoever closes does not
+	go func() { // TLS's last record may wait for a client that does not read
 		defer c.budget.ClientBack()
 		_ = c.Conn.Close()
 	}()
 	return nil
 }
 
-type clientKey struct{}
-
-// withClient lets a handler find its connection.
-func withClient(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, clientKey{}, c)
-}
-
-// onTheWay is allowed for the way from the client's machine where nothing is known of it, in ms.
-const onTheWay = 2.0
-
-// wayHere is how long ago the client sent what was just read whole, in ms: the time that its last bytes waited on
-// this machine and half a round trip. A busy node reads late, and the TTL counts from the sending.
-func (c *client) wayHere() float64 {
-	raw, err := c.tcp.SyscallConn()
+// transitTimeMs is how long ago the client sent what was just read completely, in ms: the time that its last bytes
+// waited on this machine and half a round trip. A busy node reads late, and a request's time counts from its sending.
+func (c *clientConn) transitTimeMs() float64 {
+	socket, err := c.tcp.SyscallConn()
 	if err != nil {
-		return onTheWay
+		return defaultTransitMs
 	}
-	way := onTheWay
-	_ = raw.Control(func(fd uintptr) {
+	transit := defaultTransitMs
+	_ = socket.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			way = float64(info.Last_data_recv) + max(float64(info.Rtt)/2e3, onTheWay)
+			halfRoundTripMs := float64(info.Rtt) / 2e3 // Rtt is in microseconds
+			transit = float64(info.Last_data_recv) + max(halfRoundTripMs, defaultTransitMs)
 		}
 	})
-	return way
+	return transit
 }
--- a/internal/server/decode.go
+++ b/internal/server/decode.go
@@ -1,14 +1,11 @@
 package server
 
 import (
-	"errors"
 	"fmt"
-	"io"
 	"math"
 	"net/http"
 	"slices"
 	"strconv"
-	"time"
 
 	"pearknot/internal/clock"
 	"pearknot/internal/config"
@@ -16,128 +13,114 @@
 	"pearknot/internal/upstream"
 )
 
-// Names on the way from clients and back.
+// Header fields of requests. Their names are the protocol's; backends get them as they came.
 const (
-	idHeader       = "X-Trace-Id"
-	categoryHeader = "X-Qos"
-	tenantHeader   = "X-Customer"
-	repeatHeader   = "X-Second-Try"
-	hintHeader     = "X-Size-Hint"
+	idHeader          = "X-Trace-Id"
+	classHeader       = "X-Qos"
+	tenantHeader      = "X-Customer"
+	clientRetryHeader = "X-Second-Try"
+	costHintHeader    = "X-Size-Hint" // in thousandths
 )
 
-// longestTTL keeps odd times within what a clock can hold, in ms.
-const longestTTL = 3600e3
+// maxTTLMs bounds a request's time to live to what a clock can hold, in ms.
+const maxTTLMs = 3600e3
 
-const (
-	// A body must come at leastRate on the whole, which is half of what slow clients are known to manage, with a pause of
-	// bodyPause. longestBody is what the largest takes so, in ms.
-	leastRate   = 32 << 10 // bytes a second
-	bodyPause   = 2 * time.Second
-	longestBody = 1e3 * upstream.MaxBody / leastRate
-)
-
-// slowBody reads a client's body within the time that such a one may take.
-type slowBody struct {
-	c     *http.ResponseController
-	from  io.Reader
-	begun time.Time
-	got   int64
-	of    *client // whose body is passed on as it comes; nil while it is held
+// requestError says why a request is not taken. The client gets the status and the reason, whose words are the
+// protocol's.
+type requestError struct {
+	status int
+	reason string
 }
 
-// errLeft is of a body that came whole from a client that has left since: what lay unread here hid the end of its connection. It
-// is not passed on whole, and so never runs.
-var errLeft = errors.New("its client has left")
-
-func (s *slowBody) Read(b []byte) (int, error) {
-	_ = s.c.SetReadDeadline(s.begun.Add(bodyPause + time.Duration(s.got)*time.Second/leastRate))
-	n, err := s.from.Read(b)
-	if s.got += int64(n); err == io.EOF { // the limit must not end the watch for a client that leaves
-		_ = s.c.SetReadDeadline(time.Time{})
-		if s.of != nil && s.of.left() {
-			return 0, errLeft
-		}
-	}
-	return n, err
+func badRequest(format string, args ...any) *requestError {
+	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// malformed is why an op is not taken.
-type malformed struct {
-	status int
-	why    string
+// requestHeader is what a request's header says.
+type requestHeader struct {
+	class       int
+	ttlMs       float64
+	costHint    float64
+	hasCostHint bool
 }
 
-// decode reads an op once.
-func (f *Server) decode(w http.ResponseWriter, r *http.Request, c *client) (*node.Request, *malformed) {
-	bad := func(format string, args ...any) (*node.Request, *malformed) {
-		return nil, &malformed{http.StatusBadRequest, fmt.Sprintf(format, args...)}
-	}
-	if why := c.unclear(); why != "" {
-		return bad("%s", why)
+// decode reads a request, with its body as far as that is held in memory. It returns a requestError where the request
+// is malformed.
+func (s *Server) decode(w http.ResponseWriter, r *http.Request, conn *clientConn) (*node.Request, *requestError) {
+	if reason := conn.framingError(); reason != "" {
+		return nil, badRequest("%s", reason)
 	}
-	for _, name := range []string{idHeader, categoryHeader, upstream.ExpiresHeader} { // backends may read another of two
-		if r.Header.Get(name) == "" || len(r.Header[name]) > 1 {
-			return bad("no or several %s", name)
-		}
+	deployment := s.deployment.Load()
+	header, malformed := decodeHeader(r, deployment)
+	if malformed != nil {
+		return nil, malformed
 	}
-	if r.RequestURI[0] != '/' {
-		return bad("no path")
+	body, rest, malformed := readBody(w, r)
+	if malformed != nil {
+		return nil, malformed
 	}
-	told := f.told.Load()
-	category := slices.Index(told.Classes, config.Name(r.Header.Get(categoryHeader)))
-	if category < 0 {
-		return bad("unknown category %.40q", r.Header.Get(categoryHeader))
+	if reason := conn.framingError(); reason != "" { // the body's last bytes may have brought more
+		return nil, badRequest("%s", reason)
 	}
-	ttl, err := strconv.ParseUint(r.Header.Get(upstream.ExpiresHeader), 10, 63)
-	if err != nil {
-		return bad("odd %s %.40q", upstream.ExpiresHeader, r.Header.Get(upstream.ExpiresHeader))
+	timeLeft := header.ttlMs
+	var streamed *upstream.StreamedBody
+	if len(body) > upstream.MaxBufferedBody {
+		// The rest is passed on as it comes, and the request's time to live begins with its last byte.
+		rest.conn = conn
+		streamed = &upstream.StreamedBody{Size: r.ContentLength, TTL: clock.Span(header.ttlMs - defaultTransitMs), Reader: rest}
+		timeLeft += maxBodyMs
 	}
-	hint, hinted := 0.0, r.Header.Get(hintHeader)
-	if hinted != "" {
-		if hint, err = strconv.ParseFloat(hinted, 64); err != nil || !(hint >= 0) || math.IsInf(hint, 0) {
-			return bad("odd %s %.40q", hintHeader, hinted)
+	now := s.clock.Now()
+	request := node.NewRequest(upstream.NewMessage(r.Method, r.RequestURI, r.Host, r.Header, body, streamed))
+	request.Config = deployment.Balancer
+	request.Class = header.class
+	request.Tenant = tenantIndex(deployment, r)
+	request.IsClientRetry = r.Header.Get(clientRetryHeader) == "1"
+	request.CostHint, request.HasCostHint = header.costHint, header.hasCostHint
+	request.Deadline = now - conn.transitTimeMs() + timeLeft
+	if s.requestLogging != nil {
+		logged, malformed := s.loggedRequest(r, request, body)
+		if malformed != nil {
+			return nil, malformed
 		}
+		request.Logged = logged
 	}
-	tooLong := &malformed{http.StatusRequestEntityTooLarge, "body of more than 32 MiB"}
-	if r.ContentLength > upstream.MaxBody { // nothing of it is read
-		return nil, tooLong
-	}
-	slow := &slowBody{c: http.NewResponseController(w), from: http.MaxBytesReader(w, r.Body, upstream.MaxBody), begun: time.Now()}
-	var body []byte
-	if r.Body != http.NoBody { // a limit that is past, where this machine stood still, would look like a client that left
-		body, err = io.ReadAll(io.LimitReader(slow, upstream.MaxBufferedBody+1))
+	return request, nil
+}
+
+// decodeHeader reads a request's header fields.
+func decodeHeader(r *http.Request, deployment *config.Deployment) (header requestHeader, malformed *requestError) {
+	// Of a field that stands twice a backend may read the other one.
+	for _, name := range []string{idHeader, classHeader, upstream.ExpiresHeader} {
+		if r.Header.Get(name) == "" || len(r.Header[name]) > 1 {
+			return header, badRequest("no or several %s", name)
+		}
 	}
-	if over := (*http.MaxBytesError)(nil); errors.As(err, &over) {
-		return nil, tooLong
-	} else if err != nil {
-		return bad("body: %v", err)
+	if r.RequestURI[0] != '/' {
+		return header, badRequest("no path")
 	}
-	if why := c.unclear(); why != "" { // its last bytes may have brought more
-		return bad("%s", why)
+	className := r.Header.Get(classHeader)
+	header.class = slices.Index(deployment.Classes, config.Name(className))
+	if header.class < 0 {
+		return header, badRequest("unknown category %.40q", className)
 	}
-	// Of a body that is too large to hold the rest is passed on as it comes, and the op's time begins with its last byte.
-	var rest *upstream.StreamedBody
-	least := min(float64(ttl), longestTTL)
-	if len(body) > upstream.MaxBufferedBody {
-		slow.of = c
-		rest = &upstream.StreamedBody{Size: r.ContentLength, TTL: clock.Span(least - onTheWay), Reader: slow}
-		least += longestBody
+	expires := r.Header.Get(upstream.ExpiresHeader)
+	ttl, err := strconv.ParseUint(expires, 10, 63)
+	if err != nil {
+		return header, badRequest("odd %s %.40q", upstream.ExpiresHeader, expires)
 	}
-	now := f.clock.Now()
-	repeat, tenant := r.Header.Get(repeatHeader) == "1", tenant(told, r)
-	op := node.NewRequest(upstream.NewMessage(r.Method, r.RequestURI, r.Host, r.Header, body, rest))
-	op.Config, op.Class, op.Tenant, op.IsClientRetry = told.Balancer, category, tenant, repeat
-	op.CostHint, op.HasCostHint = hint/1e3, hinted != ""
-	op.Deadline = now - c.wayHere() + least
-	if f.keep != nil {
-		var bad *malformed
-		if op.Logged, bad = f.keyed(r, op, body); bad != nil {
-			return nil, bad
+	header.ttlMs = min(float64(ttl), maxTTLMs)
+	if hint := r.Header.Get(costHintHeader); hint != "" {
+		value, err := strconv.ParseFloat(hint, 64)
+		if err != nil || !(value >= 0) || math.IsInf(value, 0) {
+			return header, badRequest("odd %s %.40q", costHintHeader, hint)
 		}
+		header.costHint, header.hasCostHint = value/1e3, true
 	}
-	return op, nil
+	return header, nil
 }
 
-func tenant(told *config.Deployment, r *http.Request) int {
-	return max(told.Tenant(config.Name(r.Header.Get(tenantHeader))), 0)
+// tenantIndex is the index of a request's tenant; unknown ones count as the first.
+func tenantIndex(deployment *config.Deployment, r *http.Request) int {
+	return max(deployment.Tenant(config.Name(r.Header.Get(tenantHeader))), 0)
 }
--- /dev/null
+++ b/internal/server/disconnect.go
@@ -0,0 +1,155 @@
+package server
+
+import (
+	"errors"
+	"os"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// net/http reads on while a request is in flight and so notices a client that disconnects, but not while the request's
+// body is unread, and no more once a byte has come behind the request. No attempt may begin for a client that has gone,
+// so in these cases disconnectWatch looks for the end of the connection.
+const (
+	// disconnectCheckInterval is well within the 0.1 s after which no attempt may begin for a client that has gone.
+	disconnectCheckInterval = 25 * time.Millisecond
+
+	// maxReadBehind bounds what is read behind a request between two checks. The connection's end comes after all of
+	// that, and a flood must cost next to nothing.
+	maxReadBehind = 16 << 10
+
+	// behindBufferBytes is how much of that is read at a time.
+	behindBufferBytes = 4 << 10
+)
+
+// disconnectWatch is the watch for a client that disconnects. Its fields are under its connection's lock.
+type disconnectWatch struct {
+	gone                chan struct{} // closed when the client has gone while its request is in flight
+	stop                chan struct{} // ends the watch; nil while there is none
+	done                chan struct{} // closed when the watch has ended
+	reads               bool          // the watch reads what comes behind the request
+	httpStoppedWatching bool          // a byte has come behind the request, so net/http notices nothing more
+	responseBegun       bool          // no watch is needed: the writes show whether the client is there
+}
+
+// startWatch begins to look for the client's end. With reads it reads what comes behind the request. The connection's
+// lock is held.
+func (c *clientConn) startWatch(reads bool) {
+	if c.stop == nil && !c.responseBegun {
+		c.stop, c.done, c.reads = make(chan struct{}), make(chan struct{}), reads
+		go c.watchForDisconnect(c.gone, c.stop, c.done, reads)
+	}
+}
+
+func (c *clientConn) watchForDisconnect(gone chan<- struct{}, stop <-chan struct{}, done chan<- struct{}, reads bool) {
+	defer close(done)
+	tick := time.NewTicker(disconnectCheckInterval)
+	defer tick.Stop()
+	buffer := make([]byte, behindBufferBytes)
+	for {
+		if reads {
+			isStopped, err := c.readBehind(buffer, stop)
+			if isStopped {
+				return
+			}
+			if err != nil {
+				close(gone)
+				return
+			}
+		}
+		select {
+		case <-stop:
+			return
+		case <-tick.C:
+		}
+		if c.hasDisconnected() {
+			close(gone)
+			return
+		}
+	}
+}
+
+// readBehind reads up to maxReadBehind of what comes behind the request, until stop is closed or the connection ends.
+func (c *clientConn) readBehind(buffer []byte, stop <-chan struct{}) (isStopped bool, err error) {
+	for total := 0; total < maxReadBehind; {
+		n, err := c.Conn.Read(buffer)
+		total += n
+		c.mu.Lock()
+		if c.framing.observe(buffer[:n]) {
+			c.pipelined = true // the connection closes after the response, so what was read here is no loss
+		}
+		c.mu.Unlock()
+		select {
+		case <-stop:
+			return true, nil
+		default:
+		}
+		if err != nil {
+			return false, err
+		}
+	}
+	return false, nil
+}
+
+// stopWatch ends the watch, if there is one, and lets none begin until the next request.
+func (c *clientConn) stopWatch() {
+	c.mu.Lock()
+	c.responseBegun = true
+	stop, done, reads := c.stop, c.done, c.reads
+	c.stop = nil
+	c.mu.Unlock()
+	if stop == nil {
+		return
+	}
+	close(stop)
+	if !reads {
+		// net/http may be reading. A deadline would interrupt that read, which net/http takes for a client that has gone,
+		// for all further requests of the connection.
+		<-done
+		return
+	}
+	_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
+	<-done
+	_ = c.Conn.SetReadDeadline(time.Time{})
+}
+
+// hasUnreadData reports whether something lies on the connection that was not read yet, be it its end.
+func (c *clientConn) hasUnreadData() bool {
+	n, err := c.peek()
+	return n > 0 || !errors.Is(err, unix.EAGAIN)
+}
+
+// hasDisconnected reports whether the client has closed its connection, also where unread bytes lie before the end.
+func (c *clientConn) hasDisconnected() bool {
+	n, err := c.peek()
+	if n <= 0 {
+		return !errors.Is(err, unix.EAGAIN) && !errors.Is(err, unix.EINTR)
+	}
+	socket, err := c.tcp.SyscallConn()
+	if err != nil {
+		return false
+	}
+	disconnected := false
+	_ = socket.Control(func(fd uintptr) {
+		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+		disconnected = err == nil && (info.State == unix.BPF_TCP_CLOSE_WAIT || info.State == unix.BPF_TCP_CLOSE)
+	})
+	return disconnected
+}
+
+// peek looks at what comes next on the TCP connection: bytes, its end (0 and no error), or nothing yet (EAGAIN).
+func (c *clientConn) peek() (n int, err error) {
+	socket, err := c.tcp.SyscallConn()
+	if err != nil {
+		return 0, err
+	}
+	var buffer [1]byte
+	if controlErr := socket.Control(func(fd uintptr) {
+		n, _, err = syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	}); controlErr != nil {
+		return 0, os.ErrClosed
+	}
+	return n, err
+}
--- a/internal/server/leaving_test.go
+++ b/internal/server/disconnect_test.go
@@ -163,7 +163,7 @@
 				c = connected(t, f, said)
 			}
 			all, leave = append(all, c), append(leave, w.leave)
-			require.Eventually(t, func() bool { return f.open.Load() == int64(4+len(all)) }, 10*time.Second, time.Millisecond, name)
+			require.Eventually(t, func() bool { return f.openRequests.Load() == int64(4+len(all)) }, 10*time.Second, time.Millisecond, name)
 			if says := w.says + strings.Repeat("x", w.behind); says != "" {
 				go func() { _, _ = io.WriteString(c, says) }()
 			}
@@ -174,7 +174,7 @@
 		gone.Go(func() { leave[k](c) })
 	}
 	gone.Wait()
-	require.Eventually(t, func() bool { return f.open.Load() == 4 }, 10*time.Second, time.Millisecond, "each is seen")
+	require.Eventually(t, func() bool { return f.openRequests.Load() == 4 }, 10*time.Second, time.Millisecond, "each is seen")
 	close(b.let)
 	for _, c := range append(first, connected(t, f, opOf("last", 0))) { // what waits would go before it
 		served(t, bufio.NewReader(c))
@@ -182,7 +182,7 @@
 	}
 	assert.Equal(t, []string{"first 0", "first 1", "first 2", "first 3", "last"}, b.got())
 	require.Eventually(t, func() bool { return budget.Clients() == 2 }, 10*time.Second, time.Millisecond, "each descriptor is given back")
-	assert.LessOrEqual(t, lookEvery, 50*time.Millisecond, "nothing may begin 0.1 s after an end: half of that is for looking")
+	assert.LessOrEqual(t, disconnectCheckInterval, 50*time.Millisecond, "nothing may begin 0.1 s after an end: half of that is for looking")
 }
 
 // A client sends a long body and leaves, and what lies unread of it, here and with the client, keeps the end of its connection from
@@ -195,13 +195,13 @@
 		first := occupied(t, f, b)
 		head, _, _ := strings.Cut(opOf("left", 0), "Content-Length")
 		c := connected(t, f, head+form)
-		require.Eventually(t, func() bool { return f.open.Load() == 5 }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return f.openRequests.Load() == 5 }, 10*time.Second, time.Millisecond)
 		require.NoError(t, c.Close())
 		close(b.let)
 		for _, c := range first {
 			served(t, bufio.NewReader(c))
 		}
-		require.Eventually(t, func() bool { return f.open.Load() == 0 }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return f.openRequests.Load() == 0 }, 10*time.Second, time.Millisecond)
 		assert.Equal(t, []string{"first 0", "first 1", "first 2", "first 3"}, b.got())
 	}
 }
@@ -229,9 +229,9 @@
 	f, _ := before(t, address, 256)
 	for _, leave := range []func(net.Conn){end, reset} {
 		c := connected(t, f, opOf("a", 0))
-		require.Eventually(t, func() bool { return f.open.Load() == 1 }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return f.openRequests.Load() == 1 }, 10*time.Second, time.Millisecond)
 		leave(c)
-		require.Eventually(t, func() bool { return f.open.Load() == 0 }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return f.openRequests.Load() == 0 }, 10*time.Second, time.Millisecond)
 	}
 	taken, _, err := unix.Accept(fd) // there is room for others now
 	require.NoError(t, err)
@@ -300,37 +300,37 @@
 // one of its own, 200, for a handler that returns: over TLS, or before the door closes the connection, it got out.
 func TestAnOpNotTakenIsNotAnswered(t *testing.T) {
 	c, _ := pair(t)
-	f := &Server{log: slog.New(slog.DiscardHandler), clock: clock.New(), budget: c.budget, ids: map[string]struct{}{},
-		door: &door{core: admission.New(admission.Defaults(16))}}
-	f.told.Store(&config.Deployment{Classes: []string{"check"}})
+	f := &Server{log: slog.New(slog.DiscardHandler), clock: clock.New(), budget: c.budget, openIDs: map[string]struct{}{},
+		admitter: &connectionAdmitter{core: admission.New(admission.Defaults(16))}}
+	f.deployment.Store(&config.Deployment{Classes: []string{"check"}})
 	for name, let := range map[string]func(){
-		"let go by the door":   func() { c.id, c.door = 7, f.door }, // which does not know it any more
-		"closed in the moment": func() { c.id, c.closed = 0, true },
+		"let go by the door":   func() { c.admissionID, c.admitter = 7, f.admitter }, // which does not know it any more
+		"closed in the moment": func() { c.admissionID, c.closed = 0, true },
 	} {
 		let()
 		r := httptest.NewRequest("GET", "/api", nil)
 		r.Header = http.Header{"X-Trace-Id": {"a"}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"480"}}
 		w := httptest.NewRecorder()
-		assert.PanicsWithValue(t, http.ErrAbortHandler, func() { f.ServeHTTP(w, r.WithContext(withClient(r.Context(), c))) }, name)
-		assert.Empty(t, f.ids, name)
+		assert.PanicsWithValue(t, http.ErrAbortHandler, func() { f.ServeHTTP(w, r.WithContext(withConn(r.Context(), c))) }, name)
+		assert.Empty(t, f.openIDs, name)
 	}
 }
 
 // What lies unread on a connection may be an op: it is not closed as idle.
 func TestShedLeavesWhatIsUnread(t *testing.T) {
 	c, far := pair(t)
-	f := &Server{between: map[net.Conn]time.Time{c: {}}}
+	f := &Server{idleConns: map[net.Conn]time.Time{c: {}}}
 	_, err := io.WriteString(far, "G")
 	require.NoError(t, err)
-	require.Eventually(t, c.waits, 10*time.Second, time.Millisecond)
-	f.shed(0, true)
-	assert.Len(t, f.between, 1)
+	require.Eventually(t, c.hasUnreadData, 10*time.Second, time.Millisecond)
+	f.closeIdle(0, true)
+	assert.Len(t, f.idleConns, 1)
 	_, err = c.Read(make([]byte, 9))
 	require.NoError(t, err)
-	f.shed(0, false)
-	assert.Len(t, f.between, 1, "within an op")
-	f.shed(0, true)
-	assert.Empty(t, f.between)
+	f.closeIdle(0, false)
+	assert.Len(t, f.idleConns, 1, "within an op")
+	f.closeIdle(0, true)
+	assert.Empty(t, f.idleConns)
 }
 
 type timed struct {
@@ -347,7 +347,7 @@
 // there is no body.
 func TestNoLimitWithoutABody(t *testing.T) {
 	f := &Server{clock: clock.New()}
-	f.told.Store(&config.Deployment{Classes: []string{"check"}})
+	f.deployment.Store(&config.Deployment{Classes: []string{"check"}})
 	c, _ := pair(t)
 	r := httptest.NewRequest("GET", "/api", http.NoBody)
 	r.Header = http.Header{"X-Trace-Id": {"a"}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"480"}}
--- /dev/null
+++ b/internal/server/drain.go
@@ -0,0 +1,96 @@
+package server
+
+import (
+	"context"
+	"time"
+)
+
+const (
+	// maxShutdownQuiet is how long a node without requests waits for another one while it shuts down, and how long
+	// clients may need to hear of the shutdown and still come.
+	maxShutdownQuiet = 500 * time.Millisecond
+
+	// listenerQuiet is how long a listener's queue must be empty before the listener closes.
+	listenerQuiet = 50 * time.Millisecond
+)
+
+// ServeUntilQuiet goes on serving while requests come, for maxWait at most: clients with connections use them for as
+// long as these stay open, and may have no other node yet. It returns early once isHandedOff says so. Drain follows, or
+// DrainForHandoff where another process serves in this one's place.
+func (s *Server) ServeUntilQuiet(maxWait time.Duration, isHandedOff func() bool) {
+	s.shuttingDown.Store(true)
+	s.lastRequestAt.Store(time.Now().UnixMilli())
+	start := time.Now()
+	for time.Since(start) < maxWait && !isHandedOff() {
+		sinceRequest := time.Since(time.UnixMilli(s.lastRequestAt.Load()))
+		if time.Since(start) > maxShutdownQuiet && sinceRequest > maxShutdownQuiet && s.openRequests.Load() == 0 {
+			break
+		}
+		time.Sleep(listenerQuiet)
+	}
+}
+
+// Drain ends serving: it asks clients to close their connections, takes no new ones, and waits until all requests have
+// their responses or ctx is done. It returns how many requests are left without one.
+func (s *Server) Drain(ctx context.Context) int64 {
+	s.shuttingDown.Store(true)
+	s.draining.Store(true)
+	// Clients whose idle connections are closed come back, and must still find the listener.
+	for range 2 {
+		s.closeIdle(listenerQuiet, false)
+		time.Sleep(listenerQuiet)
+	}
+	for _, l := range s.listeners() {
+		l.drain()
+	}
+	s.closeUntilEmpty(ctx, func(time.Duration) time.Duration { return listenerQuiet })
+	_ = s.httpServer.Shutdown(ctx) // requests still open by then are counted
+	return s.openRequests.Load()
+}
+
+// DrainForHandoff ends serving while another process of the node serves. New connections go to that one; those in the
+// listener's queue here are taken. Each connection is closed after its response or when it is idle. It waits until none
+// is left or ctx is done, and returns how many requests are left without a response.
+func (s *Server) DrainForHandoff(ctx context.Context) int64 {
+	s.handedOff.Store(true)
+	s.shuttingDown.Store(true)
+	s.draining.Store(true)
+	for _, l := range s.listeners() {
+		if err := steerToNextProcess(l.TCPListener); err != nil {
+			s.log.Warn("new connections are not steered to the next process", "error", err)
+		}
+		l.drain()
+	}
+	s.closeUntilEmpty(ctx, func(elapsed time.Duration) time.Duration {
+		if elapsed > quiesceCloseAll {
+			return quiesceTick
+		}
+		return quiesceIdle
+	})
+	s.closeIdle(0, true)
+	_ = s.httpServer.Shutdown(ctx)
+	return s.openRequests.Load()
+}
+
+// listeners are the TCP listeners of plain HTTP and, where it is served, TLS.
+func (s *Server) listeners() []*listener {
+	if s.tlsListener == nil {
+		return []*listener{s.listener}
+	}
+	return []*listener{s.listener, s.tlsListener.inner}
+}
+
+// closeUntilEmpty closes connections that are idle until there is none left or ctx is done; minIdle says how long they
+// must be idle, by the time since the start. net/http's Shutdown would close connections with a request that lies there
+// unread, so it comes after this.
+func (s *Server) closeUntilEmpty(ctx context.Context, minIdle func(elapsed time.Duration) time.Duration) {
+	start, tick := time.Now(), time.NewTicker(listenerQuiet)
+	defer tick.Stop()
+	for ctx.Err() == nil && (s.budget.Clients() > 0 || !s.hasEnded()) {
+		s.closeIdle(minIdle(time.Since(start)), false)
+		select {
+		case <-tick.C:
+		case <-ctx.Done():
+		}
+	}
+}
--- a/internal/server/framing.go
+++ b/internal/server/framing.go
@@ -6,91 +6,99 @@
 	"strings"
 )
 
-// framing follows where the ops on a connection begin and end, from the bytes themselves: net/http drops a length
-// that stands beside a transfer encoding before a handler sees it, and takes whatever follows an op for the next.
+// framing follows where the requests on a connection begin and end, from the bytes themselves. net/http alone is not
+// enough: it drops a Content-Length that stands beside a Transfer-Encoding before a handler sees it, so that a request
+// hidden in the body (request smuggling) would pass, and it takes whatever follows a request for the next one.
 type framing struct {
-	stage stage
-	line  [48]byte // how the head's line begins, as far as is looked at
-	size  int      // of that line
-	left  int64    // of the body
+	stage    framingStage
+	line     [48]byte // the beginning of the header line at hand, as far as it is needed
+	lineSize int      // of the whole line so far
+	bodyLeft int64
 
-	sized, coded bool // the head names a length, an encoding
-	ambiguous    bool // one named both: an op may be hidden in its body
-	last         bool // where the op ends is not followed: nothing may come behind it
-	ended        bool // the latest op has
+	hasLength    bool // the header has a Content-Length
+	hasEncoding  bool // the header has a Transfer-Encoding
+	ambiguous    bool // a request had both
+	mustBeLast   bool // the request's end is not followed: nothing may come after it
+	requestEnded bool // the latest request has come completely
 }
 
-type stage uint8
+type framingStage uint8
 
 const (
-	between stage = iota
-	head
-	body
-	astray
+	stageBetween framingStage = iota // no part of a request has come
+	stageHead
+	stageBody
+	stageUntracked // mustBeLast: the rest of the connection is not followed
 )
 
-// see takes what was read and tells whether any of it lies behind an op's end.
-func (f *framing) see(b []byte) (behind bool) {
-	for len(b) > 0 {
+// observe takes bytes that were read and reports whether any of them lies behind a request's end.
+func (f *framing) observe(data []byte) (isBehind bool) {
+	for len(data) > 0 {
 		switch f.stage {
-		case between:
-			if b[0] == '\r' || b[0] == '\n' { // some clients end a body so
-				b = b[1:]
+		case stageBetween:
+			if data[0] == '\r' || data[0] == '\n' { // some clients end a body with a line
+				data = data[1:]
 				continue
 			}
-			behind = behind || f.ended
-			*f = framing{stage: head, ambiguous: f.ambiguous}
-		case head:
-			end := bytes.IndexByte(b, '\n')
-			part := b
-			if end >= 0 {
-				part = b[:end]
-			}
-			if f.size < len(f.line) {
-				copy(f.line[f.size:], part)
-			}
-			f.size += len(part)
-			if end < 0 {
-				return behind
-			}
-			b = b[end+1:]
-			f.lineEnds()
-		case body:
-			n := min(int64(len(b)), f.left)
-			f.left, b = f.left-n, b[n:]
-			f.bodyEnds()
-		case astray:
-			return behind
+			isBehind = isBehind || f.requestEnded
+			*f = framing{stage: stageHead, ambiguous: f.ambiguous}
+		case stageHead:
+			data = f.observeHead(data)
+		case stageBody:
+			size := min(int64(len(data)), f.bodyLeft)
+			f.bodyLeft -= size
+			data = data[size:]
+			f.endBodyIfComplete()
+		case stageUntracked:
+			return isBehind
 		}
 	}
-	return behind
+	return isBehind
 }
 
-func (f *framing) lineEnds() {
-	line := string(f.line[:min(f.size, len(f.line))])
-	whole := f.size <= len(f.line)
-	f.size = 0
+// observeHead takes bytes up to the end of a header line, and returns the rest.
+func (f *framing) observeHead(data []byte) (rest []byte) {
+	part, rest, isLineEnd := bytes.Cut(data, []byte{'\n'})
+	if f.lineSize < len(f.line) {
+		copy(f.line[f.lineSize:], part)
+	}
+	f.lineSize += len(part)
+	if isLineEnd {
+		f.endLine()
+	}
+	return rest
+}
+
+// endLine takes what a complete header line says of the body.
+func (f *framing) endLine() {
+	line := string(f.line[:min(f.lineSize, len(f.line))])
+	isComplete := f.lineSize <= len(f.line)
+	f.lineSize = 0
 	name, value, _ := strings.Cut(line, ":")
 	switch {
-	case whole && (line == "" || line == "\r"):
-		f.ambiguous = f.ambiguous || f.sized && f.coded
-		if f.last {
-			f.stage = astray
-			return
-		}
-		f.stage = body
-		f.bodyEnds()
+	case isComplete && (line == "" || line == "\r"):
+		f.endHead()
 	case strings.EqualFold(name, "Transfer-Encoding"):
-		f.coded, f.last = true, true
+		f.hasEncoding, f.mustBeLast = true, true
 	case strings.EqualFold(name, "Content-Length"):
-		var err error
-		f.left, err = strconv.ParseInt(strings.Trim(value, " \t\r"), 10, 64)
-		f.sized, f.last = true, f.last || err != nil || !whole || f.left < 0
+		size, err := strconv.ParseInt(strings.Trim(value, " \t\r"), 10, 64)
+		f.bodyLeft, f.hasLength = size, true
+		f.mustBeLast = f.mustBeLast || err != nil || !isComplete || size < 0
+	}
+}
+
+func (f *framing) endHead() {
+	f.ambiguous = f.ambiguous || f.hasLength && f.hasEncoding
+	if f.mustBeLast {
+		f.stage = stageUntracked
+		return
 	}
+	f.stage = stageBody
+	f.endBodyIfComplete()
 }
 
-func (f *framing) bodyEnds() {
-	if f.left == 0 {
-		f.stage, f.ended = between, true
+func (f *framing) endBodyIfComplete() {
+	if f.bodyLeft == 0 {
+		f.stage, f.requestEnded = stageBetween, true
 	}
 }
--- /dev/null
+++ b/internal/server/handler.go
@@ -0,0 +1,134 @@
+package server
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"runtime/debug"
+	"time"
+
+	"pearknot/internal/admission"
+	"pearknot/internal/node"
+)
+
+// healthPath is where load balancers ask whether clients may be sent here.
+const healthPath = "/_health"
+
+// ServeHTTP handles the health check and requests.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	conn := r.Context().Value(connContextKey{}).(*clientConn)
+	var request *node.Request
+	defer func() { s.recoverHandler(recover(), w, conn, request) }()
+	if r.URL.Path == healthPath {
+		conn.reportToAdmission((*admission.Core).Looked)
+		s.serveHealth(w, conn)
+		return
+	}
+	id := r.Header.Get(idHeader)
+	request, refusal := s.decode(w, r, conn)
+	if refusal == nil && !s.reserveID(id) {
+		refusal = &requestError{http.StatusConflict, "the id of an open op"}
+	}
+	if refusal != nil {
+		s.logMalformed(refusal.reason)
+		conn.reportToAdmission((*admission.Core).Odd)
+		s.writeResponse(w, conn, refusal.status, []byte(refusal.reason+"\n"))
+		return
+	}
+	defer s.releaseID(id)
+	if !conn.takeRequest(request.Streamed) {
+		// Nothing of the request was taken. If this handler returned, net/http would send a 200, which gets out where
+		// the connection is only about to be closed.
+		panic(http.ErrAbortHandler)
+	}
+	defer conn.releaseFromRequest()
+	defer conn.reportToAdmission((*admission.Core).Answered)
+	if conn.hasDisconnected() { // the connection may have waited for a descriptor for longer than its client did
+		s.writeAnswer(w, conn, node.Answer{Status: node.Failed})
+		return
+	}
+	if request.Logged != nil {
+		s.serveLogged(w, r, conn, request)
+		return
+	}
+	s.serveRequest(w, r, conn, request)
+}
+
+// recoverHandler answers a request whose handler panicked with 500, which claims nothing about what ran. Without it
+// net/http would end the connection, and a request that was taken would get no response.
+func (s *Server) recoverHandler(fault any, w http.ResponseWriter, conn *clientConn, request *node.Request) {
+	if fault == nil {
+		return
+	}
+	if err, ok := fault.(error); ok && errors.Is(err, http.ErrAbortHandler) { // net/http's way to abort a response
+		panic(fault)
+	}
+	s.log.Error("request handler panicked", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
+	if request != nil {
+		s.node.Cancel(request)
+	}
+	s.writeResponse(w, conn, http.StatusInternalServerError, nil)
+}
+
+// reserveID reserves a request's id until releaseID. It reports false where another open request has the id.
+func (s *Server) reserveID(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_, isOpen := s.openIDs[id]
+	s.openIDs[id] = struct{}{}
+	return !isOpen
+}
+
+func (s *Server) releaseID(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.openIDs, id)
+}
+
+// logMalformed logs malformed requests now and then, with how many there were.
+func (s *Server) logMalformed(reason string) {
+	s.malformedUnlogged.Add(1)
+	s.malformedLog.Do(func() {
+		s.log.Warn("malformed request", "error", reason, "since_last", s.malformedUnlogged.Swap(0))
+	})
+}
+
+func (s *Server) serveHealth(w http.ResponseWriter, conn *clientConn) {
+	select {
+	case <-s.node.Ready():
+		if inService, _ := s.ServiceState(); inService {
+			s.writeResponse(w, conn, http.StatusOK, []byte("ready\n"))
+			return
+		}
+	default:
+	}
+	s.writeResponse(w, conn, http.StatusServiceUnavailable, []byte("not ready\n"))
+}
+
+// serveRequest passes a request to the node and writes its answer.
+func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, conn *clientConn, request *node.Request) {
+	openRequests := s.openRequests.Add(1)
+	defer s.openRequests.Add(-1)
+	s.lastRequestAt.Store(time.Now().UnixMilli())
+	deployment := s.deployment.Load()
+	maxOpen := int64(deployment.MaxOpenRequests)
+	if maxOpen > 0 && openRequests > maxOpen || s.quiesce.rejecting.Load() {
+		rejection := node.Answer{Status: node.Rejected}
+		if deployment.Balancer.SendRetryAfter { // a node as full as this stays full for a while
+			rejection.RetryAfter = deployment.Balancer.MaxRetryAfter
+		}
+		s.writeAnswer(w, conn, rejection)
+		return
+	}
+	s.node.Submit(request)
+	select {
+	case answer := <-request.Answer():
+		s.writeAnswer(w, conn, answer)
+		return
+	case <-r.Context().Done():
+	case <-conn.gone:
+	}
+	s.node.Cancel(request)
+	// A client that has only ended its sending may still read.
+	s.writeAnswer(w, conn, node.Answer{Status: node.Failed})
+}
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -27,7 +27,7 @@
 )
 
 // pair is a client's connection as the front has it, and the client's end.
-func pair(t *testing.T) (*client, net.Conn) {
+func pair(t *testing.T) (*clientConn, net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -38,12 +38,12 @@
 	budget := descriptors.New(64, func() {})
 	require.True(t, budget.Client())
 	t.Cleanup(func() { _ = far.Close() })
-	return plain(near.(*net.TCPConn), budget), far
+	return newClientConn(near.(*net.TCPConn), budget), far
 }
 
 func TestDecode(t *testing.T) {
 	f := &Server{clock: clock.New()}
-	f.told.Store(&config.Deployment{Classes: []string{"check", "pay_out"}, Tenants: []string{"one", "two"}})
+	f.deployment.Store(&config.Deployment{Classes: []string{"check", "pay_out"}, Tenants: []string{"one", "two"}})
 	c, _ := pair(t)
 	for name, test := range map[string]struct {
 		headers string
@@ -74,7 +74,7 @@
 		op, bad := f.decode(httptest.NewRecorder(), r, c)
 		if test.want == 0 {
 			require.Nil(t, bad, name)
-			assert.Less(t, op.Deadline, f.clock.Now()+longestTTL+longestBody, name)
+			assert.Less(t, op.Deadline, f.clock.Now()+maxTTLMs+maxBodyMs, name)
 			assert.Equal(t, len(test.body) > 64<<10, op.Streamed, name)
 			continue
 		}
@@ -117,9 +117,9 @@
 			var f framing
 			behind := false
 			for part := range slices.Chunk([]byte(c.sent), size) {
-				behind = f.see(part) || behind
+				behind = f.observe(part) || behind
 			}
-			assert.Equal(t, []bool{c.ambiguous, c.behind, c.last}, []bool{f.ambiguous, behind, f.last}, "%s by %d", name, size)
+			assert.Equal(t, []bool{c.ambiguous, c.behind, c.last}, []bool{f.ambiguous, behind, f.mustBeLast}, "%s by %d", name, size)
 		}
 	}
 }
@@ -128,14 +128,14 @@
 // again, and it would run twice.
 func TestOpInHandKeepsItsConnection(t *testing.T) {
 	c, far := pair(t)
-	require.True(t, c.claim(false))
+	require.True(t, c.claimForRequest(false))
 	require.NoError(t, c.Close())
 	_, err := c.Write([]byte("x"))
 	assert.NoError(t, err, "the answer still goes out")
-	c.release()
+	c.releaseFromRequest()
 	require.NoError(t, c.Close())
 	require.NoError(t, c.Close(), "its descriptor comes back once")
-	assert.False(t, c.claim(false), "what crosses the end is not taken")
+	assert.False(t, c.claimForRequest(false), "what crosses the end is not taken")
 	_, _ = far.Read(make([]byte, 1))
 	_, err = far.Read(make([]byte, 1))
 	assert.Error(t, err)
@@ -158,7 +158,7 @@
 	send := func(text string) {
 		_, err := io.WriteString(far, text)
 		require.NoError(t, err)
-		require.Eventually(t, c.waits, 20*time.Second, time.Millisecond)
+		require.Eventually(t, c.hasUnreadData, 20*time.Second, time.Millisecond)
 	}
 	over()
 	assert.Empty(t, late(), "a client that sent nothing")
@@ -178,14 +178,14 @@
 
 func TestMostHeld(t *testing.T) {
 	f := &Server{budget: descriptors.New(64, func() {})}
-	f.told.Store(&config.Deployment{MaxOpenRequests: 1, Balancer: &balancer.Config{SendRetryAfter: true, MaxRetryAfter: 1500}})
-	f.open.Store(1)
+	f.deployment.Store(&config.Deployment{MaxOpenRequests: 1, Balancer: &balancer.Config{SendRetryAfter: true, MaxRetryAfter: 1500}})
+	f.openRequests.Store(1)
 	w := httptest.NewRecorder()
 	c, _ := pair(t)
-	f.serve(w, httptest.NewRequest("GET", "/api", nil), c, nil)
+	f.serveRequest(w, httptest.NewRequest("GET", "/api", nil), c, nil)
 	assert.Equal(t, http.StatusServiceUnavailable, w.Code)
 	assert.Equal(t, "1.500", w.Header().Get("Retry-After"))
-	assert.Equal(t, int64(1), f.open.Load())
+	assert.Equal(t, int64(1), f.openRequests.Load())
 }
 
 // An op that is turned away with no wait foreseen, here by a backend that refuses the first connection, tells when to come back
@@ -226,10 +226,10 @@
 		assert.LessOrEqual(t, wait*1e3, c.last, name)
 	}
 	f := &Server{}
-	f.told.Store(&config.Deployment{Balancer: &balancer.Config{SendRetryAfter: true, MaxRetryAfter: 2000}})
-	assert.NotEqual(t, f.comeBack(node.Answer{}), f.comeBack(node.Answer{}), "spread")
-	assert.Equal(t, 7.0, f.comeBack(node.Answer{RetryAfter: 7}), "as foreseen")
-	assert.Less(t, 49.0, f.comeBack(node.Answer{RetryAfter: 0.4}), "which would be told as 0.000")
+	f.deployment.Store(&config.Deployment{Balancer: &balancer.Config{SendRetryAfter: true, MaxRetryAfter: 2000}})
+	assert.NotEqual(t, f.retryAfterMs(node.Answer{}), f.retryAfterMs(node.Answer{}), "spread")
+	assert.Equal(t, 7.0, f.retryAfterMs(node.Answer{RetryAfter: 7}), "as foreseen")
+	assert.Less(t, 49.0, f.retryAfterMs(node.Answer{RetryAfter: 0.4}), "which would be told as 0.000")
 }
 
 // A fault of the front is a dead letter: net/http would end the connection and lose the op.
@@ -239,7 +239,7 @@
 	r := httptest.NewRequest("GET", "/api", nil)
 	r.Header = http.Header{"X-Trace-Id": {"a"}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"480"}}
 	w := httptest.NewRecorder()
-	f.ServeHTTP(w, r.WithContext(withClient(r.Context(), c)))
+	f.ServeHTTP(w, r.WithContext(withConn(r.Context(), c)))
 	assert.Equal(t, http.StatusInternalServerError, w.Code)
-	assert.False(t, c.inHand)
+	assert.False(t, c.hasRequest)
 }
--- /dev/null
+++ b/internal/server/tlslistener.go
@@ -0,0 +1,284 @@
+package server
+
+import (
+	"context"
+	"crypto/tls"
+	"errors"
+	"net"
+	"slices"
+	"sync"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	// handshakeTimeout is for a whole handshake.
+	handshakeTimeout = 2 * time.Second
+
+	// acceptRetryDelay is the wait after an Accept that failed for want of a resource.
+	acceptRetryDelay = 5 * time.Millisecond
+
+	// A client's first message comes right behind its connection, and its second a round trip later. A handshake whose
+	// client has not sent the first after silentEvictionAge, or the second after spokenEvictionAge, may be evicted.
+	silentEvictionAge = 100 * time.Millisecond
+	spokenEvictionAge = 500 * time.Millisecond
+
+	// Handshakes in progress are bounded by maxHandshakes and by one for descriptorsPerHandshake descriptors, but
+	// minHandshakes are always possible.
+	maxHandshakes           = 64
+	descriptorsPerHandshake = 4
+	minHandshakes           = 4
+
+	// acmeTLSProtocol is the protocol of tls-alpn-01 challenges, RFC 8737, 6.2.
+	acmeTLSProtocol = "acme-tls/1"
+)
+
+// TLSConfig is how the server serves TLS.
+type TLSConfig struct {
+	Address          string
+	ReusePort        bool // another process of the node may listen there as well
+	GetCertificate   func(*tls.ClientHelloInfo) (*tls.Certificate, error)
+	AnswerChallenges bool // tls-alpn-01 is answered, by certificates that GetCertificate returns
+}
+
+// tlsListener accepts connections whose handshake is complete. Handshakes run concurrently, bounded in number and time.
+// Where the number is reached, a new one takes the place of one whose client keeps it waiting, so that a client that
+// opens connections and sends nothing can't lock the others out.
+type tlsListener struct {
+	inner         *listener
+	config        *tls.Config
+	maxHandshakes int
+	ready         chan net.Conn // connections whose handshake is complete
+	ended         chan struct{} // closed when the inner listener has ended
+	err           error         // the inner listener's; set before ended is closed
+	handshakeDone chan struct{} // signals that a handshake has ended
+
+	mu         sync.Mutex
+	handshakes []*handshake // in progress, in the order in which they came
+	counts     HandshakeStats
+}
+
+// HandshakeStats counts TLS handshakes since the start.
+type HandshakeStats struct {
+	Done    uint64 `json:"done"`
+	Resumed uint64 `json:"resumed"` // of those done
+	Failed  uint64 `json:"failed"`  // by the client or its timeout
+	Evicted uint64 `json:"evicted"` // for another handshake, or for a descriptor
+	Open    int    `json:"open"`    // in progress
+}
+
+// handshake is one in progress.
+type handshake struct {
+	tcp       *net.TCPConn
+	startedAt time.Time
+	hasSpoken bool // the client has sent something
+	evicted   bool
+}
+
+// newTLSListener listens for TLS on inner; maxDescriptors is what the budget has.
+func newTLSListener(inner *listener, options TLSConfig, maxDescriptors int) *tlsListener {
+	l := &tlsListener{
+		inner: inner,
+		// HTTP/1.1 alone: framing follows the requests by their bytes.
+		config:        &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: []string{"http/1.1"}, GetCertificate: options.GetCertificate},
+		maxHandshakes: min(maxHandshakes, max(maxDescriptors/descriptorsPerHandshake, minHandshakes)),
+		ready:         make(chan net.Conn),
+		ended:         make(chan struct{}),
+		handshakeDone: make(chan struct{}, 1),
+	}
+	if options.AnswerChallenges {
+		l.config.NextProtos = append(l.config.NextProtos, acmeTLSProtocol)
+	}
+	return l
+}
+
+// setSessionTicketKeys sets the keys of session tickets: the first is used for new ones, the others still decrypt.
+func (l *tlsListener) setSessionTicketKeys(keys [][32]byte) {
+	if len(keys) > 0 {
+		l.config.SetSessionTicketKeys(keys)
+	}
+}
+
+// Accept returns the next connection whose handshake is complete.
+func (l *tlsListener) Accept() (net.Conn, error) {
+	select {
+	case conn := <-l.ready:
+		return conn, nil
+	case <-l.ended:
+		return nil, l.err
+	}
+}
+
+// Close closes the TCP listener.
+func (l *tlsListener) Close() error { return l.inner.Close() }
+
+// Addr is the TCP listener's address.
+func (l *tlsListener) Addr() net.Addr { return l.inner.Addr() }
+
+// run makes handshakes until the inner listener ends.
+func (l *tlsListener) run() {
+	var running sync.WaitGroup
+	for {
+		conn, err := l.inner.Accept()
+		var netErr net.Error
+		if errors.As(err, &netErr) && netErr.Temporary() { //nolint:staticcheck // as net/http does: descriptors may be short
+			time.Sleep(acceptRetryDelay)
+			continue
+		}
+		if err != nil {
+			running.Wait()
+			l.err = err
+			close(l.ended)
+			return
+		}
+		client := conn.(*clientConn)
+		h := &handshake{tcp: client.tcp, startedAt: time.Now()}
+		l.add(h)
+		running.Go(func() { l.handshake(client, h) })
+	}
+}
+
+// add adds a handshake to those in progress. Where there is no place for it, it takes that of one whose client keeps it
+// waiting, and otherwise waits: honest clients' handshakes wait for this machine and not for their clients, and must not
+// evict each other.
+func (l *tlsListener) add(h *handshake) {
+	for {
+		wait, added := l.tryAdd(h, time.Now())
+		if added {
+			return
+		}
+		timer := time.NewTimer(wait)
+		select {
+		case <-l.handshakeDone:
+		case <-timer.C:
+		}
+		timer.Stop()
+	}
+}
+
+// tryAdd adds a handshake if there is a place. Otherwise it returns how long it takes until one may be evicted, should
+// none end before.
+func (l *tlsListener) tryAdd(h *handshake, now time.Time) (wait time.Duration, added bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for len(l.handshakes) >= l.maxHandshakes {
+		index, wait := l.evictionCandidate(now)
+		if index < 0 {
+			return wait, false
+		}
+		l.evict(index)
+	}
+	l.handshakes = append(l.handshakes, h)
+	return 0, true
+}
+
+// evictionCandidate is the index of the oldest handshake whose client has sent nothing for too long, or else of the
+// oldest one whose client has sent something and then fell silent. It is -1 where there is neither; then wait is how
+// long it takes until there is one.
+func (l *tlsListener) evictionCandidate(now time.Time) (index int, wait time.Duration) {
+	index, wait = -1, handshakeTimeout
+	for i, h := range l.handshakes {
+		timeLeft := silentEvictionAge - now.Sub(h.startedAt)
+		if timeLeft <= 0 {
+			// What has come and is not read yet counts: then this machine is late, not the client.
+			if ago, received := h.lastReceived(); received {
+				h.hasSpoken = true
+				timeLeft = spokenEvictionAge - ago
+			}
+		}
+		if timeLeft <= 0 && (index < 0 || l.handshakes[index].hasSpoken && !h.hasSpoken) {
+			index = i
+		}
+		wait = min(wait, timeLeft)
+	}
+	return index, wait
+}
+
+// lastReceived asks the kernel how long ago the client last sent something, if it ever did.
+func (h *handshake) lastReceived() (ago time.Duration, received bool) {
+	socket, err := h.tcp.SyscallConn()
+	if err != nil {
+		return 0, false
+	}
+	_ = socket.Control(func(fd uintptr) {
+		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+		if err == nil && info.Bytes_received > 0 {
+			ago, received = time.Duration(info.Last_data_recv)*time.Millisecond, true
+		}
+	})
+	return ago, received
+}
+
+// evict ends a handshake; its goroutine returns the descriptor. The lock is held.
+func (l *tlsListener) evict(index int) {
+	h := l.handshakes[index]
+	h.evicted = true
+	l.handshakes = slices.Delete(l.handshakes, index, index+1)
+	_ = h.tcp.Close()
+}
+
+// evictSilent evicts the handshakes that are at least minAge old and whose clients have sent nothing.
+func (l *tlsListener) evictSilent(minAge time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for i := 0; i < len(l.handshakes); {
+		h := l.handshakes[i]
+		if _, received := h.lastReceived(); !received && time.Since(h.startedAt) >= minAge {
+			l.evict(i)
+			continue
+		}
+		i++
+	}
+}
+
+// handshake runs a handshake and hands the connection to Accept.
+func (l *tlsListener) handshake(client *clientConn, h *handshake) {
+	conn := tls.Server(client.tcp, l.config)
+	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
+	err := conn.HandshakeContext(ctx)
+	cancel()
+	l.remove(h, conn, err)
+	isChallenge := err == nil && conn.ConnectionState().NegotiatedProtocol == acmeTLSProtocol
+	if err != nil || h.evicted || isChallenge { // a challenge ends with its handshake: RFC 8737, 3
+		if err == nil {
+			_ = conn.Close()
+		}
+		_ = client.Close()
+		return
+	}
+	client.Conn = conn
+	l.ready <- client
+}
+
+// remove takes a handshake that has ended off those in progress, and counts it.
+func (l *tlsListener) remove(h *handshake, conn *tls.Conn, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if index := slices.Index(l.handshakes, h); index >= 0 {
+		l.handshakes = slices.Delete(l.handshakes, index, index+1)
+	}
+	select {
+	case l.handshakeDone <- struct{}{}:
+	default:
+	}
+	switch {
+	case h.evicted:
+		l.counts.Evicted++
+	case err != nil:
+		l.counts.Failed++
+	default:
+		l.counts.Done++
+		if conn.ConnectionState().DidResume {
+			l.counts.Resumed++
+		}
+	}
+}
+
+func (l *tlsListener) stats() HandshakeStats {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	stats := l.counts
+	stats.Open = len(l.handshakes)
+	return stats
+}
--- a/internal/server/secure_test.go
+++ b/internal/server/tlslistener_test.go
@@ -68,7 +68,7 @@
 		w(f)
 	}
 	require.NoError(t, f.Listen("127.0.0.1:0", false))
-	require.NoError(t, f.ListenSecure(Secure{Address: "127.0.0.1:0", Challenges: true, Certificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+	require.NoError(t, f.ListenTLS(TLSConfig{Address: "127.0.0.1:0", AnswerChallenges: true, GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 		if c := held.Load(); c != nil {
 			return c, nil
 		}
@@ -78,9 +78,9 @@
 	go func() { failed <- f.Serve() }()
 	t.Cleanup(func() {
 		_ = f.listener.Close()
-		_ = f.secure.Close()
+		_ = f.tlsListener.Close()
 		assert.NoError(t, <-failed)
-		_ = f.server.Close()
+		_ = f.httpServer.Close()
 		budget.Close()
 		n.Stop()
 	})
@@ -90,7 +90,7 @@
 func dial(f *Server, c *tls.Config) (*tls.Conn, error) {
 	c.InsecureSkipVerify = true
 	c.ServerName = "members.example"
-	return tls.DialWithDialer(&net.Dialer{Timeout: 5 * time.Second}, "tcp", f.SecureAddress(), c)
+	return tls.DialWithDialer(&net.Dialer{Timeout: 5 * time.Second}, "tcp", f.TLSAddress(), c)
 }
 
 // health asks on a connection that is there.
@@ -110,7 +110,7 @@
 // Connections go on over a swap, new ones get the new certificate, and tickets hold.
 func TestSwap(t *testing.T) {
 	f, _, held := secured(t, 256)
-	f.Tickets([][32]byte{{1}})
+	f.SetSessionTicketKeys([][32]byte{{1}})
 	cache := tls.NewLRUClientSessionCache(4)
 	old, err := dial(f, &tls.Config{ClientSessionCache: cache})
 	require.NoError(t, err)
@@ -127,7 +127,7 @@
 
 	next := certificate(t, "members.example")
 	held.Store(next)
-	f.Tickets([][32]byte{{2}, {1}})
+	f.SetSessionTicketKeys([][32]byte{{2}, {1}})
 	got, err = health(old)
 	require.NoError(t, err)
 	assert.Equal(t, "HTTP/1.1 200", got, "a connection outlives its certificate")
@@ -151,8 +151,8 @@
 	held.Store(nil)
 	_, err = dial(f, &tls.Config{})
 	assert.Error(t, err)
-	require.Eventually(t, func() bool { return f.Handshakes().Open == 0 }, 5*time.Second, time.Millisecond)
-	h := f.Handshakes()
+	require.Eventually(t, func() bool { return f.HandshakeStats().Open == 0 }, 5*time.Second, time.Millisecond)
+	h := f.HandshakeStats()
 	assert.Equal(t, uint64(1), h.Resumed)
 	assert.Equal(t, uint64(5), h.Done)
 	assert.Equal(t, uint64(3), h.Failed)
@@ -168,7 +168,7 @@
 		}
 	}()
 	for range 200 {
-		c, err := net.Dial("tcp", f.SecureAddress())
+		c, err := net.Dial("tcp", f.TLSAddress())
 		require.NoError(t, err)
 		silent = append(silent, c)
 		if len(silent)%20 == 0 {
@@ -180,12 +180,12 @@
 			_ = in.Close()
 		}
 	}
-	h := f.Handshakes()
+	h := f.HandshakeStats()
 	assert.LessOrEqual(t, h.Open, 24, "a quarter of the descriptors")
 	assert.Equal(t, uint64(10), h.Done)
 	assert.Greater(t, h.Evicted, uint64(100))
 	// Each listener has one taken for whoever comes next.
-	require.Eventually(t, func() bool { f.secure.shed(0); return budget.Clients() == 2 }, 5*time.Second, time.Millisecond, "each descriptor is given back, once")
+	require.Eventually(t, func() bool { f.tlsListener.evictSilent(0); return budget.Clients() == 2 }, 5*time.Second, time.Millisecond, "each descriptor is given back, once")
 }
 
 // Who has to make room: the oldest of those who have said nothing for a while, then of those who spoke and went silent;
@@ -202,28 +202,28 @@
 		"one has spoken":   {[2]bool{true, false}, [2]time.Duration{190 * time.Millisecond, 160 * time.Millisecond}, 1},
 		"both have spoken": {[2]bool{true, true}, [2]time.Duration{900 * time.Millisecond, 160 * time.Millisecond}, -1},
 	} {
-		s := &secure{most: 2}
+		s := &tlsListener{maxHandshakes: 2}
 		var all [2]*handshake
 		for i := range all {
 			conn, far := pair(t)
-			all[i] = &handshake{c: conn.tcp, begun: begun.Add(-c.ages[i])}
+			all[i] = &handshake{tcp: conn.tcp, startedAt: begun.Add(-c.ages[i])}
 			if c.spoke[i] {
 				_, err := far.Write([]byte{22})
 				require.NoError(t, err)
-				require.Eventually(t, func() bool { _, spoke := all[i].spoke(); return spoke }, 5*time.Second, time.Millisecond)
+				require.Eventually(t, func() bool { _, spoke := all[i].lastReceived(); return spoke }, 5*time.Second, time.Millisecond)
 			}
-			_, entered := s.try(all[i], begun)
+			_, entered := s.tryAdd(all[i], begun)
 			require.True(t, entered, name)
 		}
 		conn, _ := pair(t)
-		wait, entered := s.try(&handshake{c: conn.tcp, begun: begun}, begun)
+		wait, entered := s.tryAdd(&handshake{tcp: conn.tcp, startedAt: begun}, begun)
 		assert.Equal(t, c.goes >= 0, entered, name)
 		for i, h := range all {
 			assert.Equal(t, i == c.goes, h.evicted, name)
 		}
 		if !entered {
 			assert.Positive(t, wait, name)
-			assert.LessOrEqual(t, wait, spokenAtLeast, name)
+			assert.LessOrEqual(t, wait, spokenEvictionAge, name)
 		}
 	}
 }
