--- a/cmd/pearknot/idle_test.go
+++ b/cmd/pearknot/idle_test.go
@@ -134,7 +134,7 @@
 		<-time.After(2 * pressedFor) // the pace at which ops come
 	}
 	list.be(refusing)
-	require.Eventually(t, func() bool { return log.count(`msg="list call failed"`) >= 1 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return log.count(`msg="endpoint list poll failed"`) >= 1 }, 20*time.Second, time.Millisecond)
 	ask()
 	assert.GreaterOrEqual(t, served[0].Load()-before, int64(4))
 	assert.LessOrEqual(t, dials[0].Load()-dialled, int64(2), "the node keeps its connections to backends")
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -21,7 +21,8 @@
 
 const validEntry = `{"uid":"s","endpoint":"127.0.0.1:80","az":"b c","model":"m1","pod_group":3,"state":"up","boot_ms":7}`
 
-// Odd entries stand alone: a list must not be lost, nor the program, over one of them, nor what else they say.
+// A discovery service sends entries with missing, mistyped or unknown values among valid ones. The list must not be
+// lost over one of them, and neither must the valid fields of such an entry.
 func TestDecode(t *testing.T) {
 	list, err := testNames.Decode([]byte(`{"rev":41,"all":true,"targets":[7,null,{},{"uid":""},{"uid":8,"state":"draining"},`+
 		`{"uid":"x","endpoint":"nowhere","az":"a","model":"m1","state":"up"},`+
@@ -60,38 +61,40 @@
 	}
 }
 
-// News of a backend that is known, in an entry that can't be read whole: every part that can be is taken, but it brings
-// nothing back into use.
+// An entry for a known backend is partly invalid. Each valid field is taken, each invalid one keeps its known value, and
+// the entry takes the backend out of use but never back into use.
 func TestMergeInto(t *testing.T) {
-	had := Endpoint{"s", "old", balancer.BackendReady, 1, 2, 3, 4, 5, 0}
+	known := Endpoint{"s", "old", balancer.BackendReady, 1, 2, 3, 4, 5, 0}
 	all := invalidAddress | invalidState | invalidZone | invalidCell | invalidKind | invalidWeight | invalidStarted
-	assert.Equal(t, had, Endpoint{Name: "s", Invalid: all}.MergeInto(had))
-	now := Endpoint{"s", "new", balancer.BackendDraining, 6, 7, 8, 9, 10, 0}
-	for part := Fields(1); part <= all; part <<= 1 {
-		m := now
-		m.Invalid = part
-		got, kept := m.MergeInto(had), Fields(0)
-		for k, same := range []bool{got.Address == had.Address, got.State == had.State, got.Zone == had.Zone, got.Cell == had.Cell,
-			got.Kind == had.Kind, got.Weight == had.Weight, got.Started == had.Started} {
-			if same {
-				kept |= 1 << k
+	assert.Equal(t, known, Endpoint{Name: "s", Invalid: all}.MergeInto(known))
+	update := Endpoint{"s", "new", balancer.BackendDraining, 6, 7, 8, 9, 10, 0}
+	for field := Fields(1); field <= all; field <<= 1 {
+		endpoint := update
+		endpoint.Invalid = field
+		merged, unchanged := endpoint.MergeInto(known), Fields(0)
+		for k, isSame := range []bool{merged.Address == known.Address, merged.State == known.State, merged.Zone == known.Zone,
+			merged.Cell == known.Cell, merged.Kind == known.Kind, merged.Weight == known.Weight, merged.Started == known.Started} {
+			if isSame {
+				unchanged |= 1 << k
 			}
 		}
-		assert.Equal(t, part, kept)
-		assert.Zero(t, got.Invalid)
+		assert.Equal(t, field, unchanged)
+		assert.Zero(t, merged.Invalid)
 	}
 	for _, state := range []balancer.BackendState{balancer.BackendRemoved, balancer.BackendDraining, balancer.BackendReady} {
-		had.State = state
-		assert.Equal(t, state, Endpoint{State: balancer.BackendReady, Invalid: invalidZone}.MergeInto(had).State)
-		assert.Equal(t, balancer.BackendRemoved, Endpoint{State: balancer.BackendRemoved, Invalid: invalidZone}.MergeInto(had).State)
+		known.State = state
+		assert.Equal(t, state, Endpoint{State: balancer.BackendReady, Invalid: invalidZone}.MergeInto(known).State)
+		assert.Equal(t, balancer.BackendRemoved, Endpoint{State: balancer.BackendRemoved, Invalid: invalidZone}.MergeInto(known).State)
 	}
 }
 
+// A watch polls for the complete list, then for changes from each version it has, over a connection that the service
+// closes once. A refusal, a reset and a malformed answer each end the session, and nothing is polled until Poll is called.
 func TestWatch(t *testing.T) {
-	asked, answer := make(chan string), make(chan string)
-	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.RawQuery
-		switch body := <-answer; body {
+	queries, answers := make(chan string), make(chan string)
+	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		queries <- r.URL.RawQuery
+		switch body := <-answers; body {
 		case "down":
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case "reset":
@@ -103,49 +106,50 @@
 			fmt.Fprint(w, body)
 		}
 	}))
-	defer discovery.Close()
-	told, failed := make(chan *List, 1), make(chan bool, 1)
-	w := &Watch{Address: discovery.Listener.Addr().String(), Deployment: testNames, Log: slog.New(slog.DiscardHandler),
-		OnList: func(l *List) { told <- l }, OnFailure: func() { failed <- true }}
+	defer service.Close()
+	lists, failed := make(chan *List, 1), make(chan bool, 1)
+	watch := &Watch{Address: service.Listener.Addr().String(), Deployment: testNames,
+		Log:    slog.New(slog.DiscardHandler),
+		OnList: func(list *List) { lists <- list }, OnFailure: func() { failed <- true }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.Start(ctx)
-	w.Poll()
-	assert.Equal(t, "", <-asked, "the whole list, where none is held")
-	answer <- `{"rev":41,"all":true,"targets":[` + validEntry + `]}`
-	assert.Equal(t, uint64(41), (<-told).Version)
-	assert.Equal(t, "from=41&hold_ms=1200", <-asked)
-	assert.Less(t, minPollInterval, 200*time.Millisecond, "the watch goes on")
-	answer <- `{"rev":43,"all":false,"targets":[]}`
-	assert.False(t, (<-told).Complete)
-	assert.Equal(t, "from=43&hold_ms=1200", <-asked)
-	answer <- "close" // no failure: the next call takes another connection
-	assert.Equal(t, uint64(44), (<-told).Version)
+	watch.Start(ctx)
+	watch.Poll()
+	assert.Equal(t, "", <-queries, "the complete list, since there is none yet")
+	answers <- `{"rev":41,"all":true,"targets":[` + validEntry + `]}`
+	assert.Equal(t, uint64(41), (<-lists).Version)
+	assert.Equal(t, "from=41&hold_ms=1200", <-queries)
+	assert.Less(t, minPollInterval, 200*time.Millisecond, "the service expects the next poll by then")
+	answers <- `{"rev":43,"all":false,"targets":[]}`
+	assert.False(t, (<-lists).Complete)
+	assert.Equal(t, "from=43&hold_ms=1200", <-queries)
+	answers <- "close" // no failure: the next poll takes another connection
+	assert.Equal(t, uint64(44), (<-lists).Version)
 	for k, fault := range []string{"down", "reset", "{}"} {
-		assert.Equal(t, []string{"from=44&hold_ms=1200", "from=44&hold_ms=1", "from=44&hold_ms=1"}[k], <-asked, "from the version held")
-		answer <- fault
+		assert.Equal(t, []string{"from=44&hold_ms=1200", "from=44&hold_ms=1", "from=44&hold_ms=1"}[k], <-queries, "from the latest version")
+		answers <- fault
 		assert.True(t, <-failed)
 		select {
-		case <-asked:
-			t.Error("asked again before the module said so")
+		case <-queries:
+			t.Error("polled again before Poll was called")
 		case <-time.After(50 * time.Millisecond):
 		}
-		w.Poll()
+		watch.Poll()
 	}
-	<-asked
+	<-queries
 	cancel()
-	answer <- "{}"
+	answers <- "{}"
 }
 
-// A new address is asked at once for its whole list, also while the old one holds a call; what the old one tells of
-// later changes nothing, and its version is never sent to the new one.
+// The discovery address changes while the old service holds a long poll. The new service is polled at once for its
+// complete list, and the old service's version is never sent to it.
 func TestSetAddress(t *testing.T) {
-	asked, hold := make(chan string), make(chan struct{})
-	place := func(name, list string) string {
+	queries, release := make(chan string), make(chan struct{})
+	newService := func(name, list string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
-			case asked <- name + r.URL.RawQuery:
-			case <-hold:
+			case queries <- name + r.URL.RawQuery:
+			case <-release:
 			}
 			if r.URL.RawQuery == "" {
 				fmt.Fprint(w, list)
@@ -153,51 +157,51 @@
 			}
 			select {
 			case <-r.Context().Done():
-			case <-hold:
+			case <-release:
 			}
 		}))
 		t.Cleanup(s.Close)
 		return s.Listener.Addr().String()
 	}
-	told := make(chan *List, 1)
-	w := &Watch{Address: place("old ", `{"rev":41,"all":true,"targets":[]}`), Deployment: testNames,
-		Log: slog.New(slog.DiscardHandler), OnList: func(l *List) { told <- l }, OnFailure: func() { t.Error("failed") }}
+	lists := make(chan *List, 1)
+	watch := &Watch{Address: newService("old ", `{"rev":41,"all":true,"targets":[]}`), Deployment: testNames,
+		Log: slog.New(slog.DiscardHandler), OnList: func(list *List) { lists <- list }, OnFailure: func() { t.Error("failed") }}
 	ctx, cancel := context.WithCancel(context.Background())
-	defer close(hold)
+	defer close(release)
 	defer cancel()
-	w.Start(ctx)
-	w.Poll()
-	assert.Equal(t, "old ", <-asked)
-	assert.Equal(t, uint64(41), (<-told).Version)
-	assert.Equal(t, "old from=41&hold_ms=1200", <-asked)
-	w.SetAddress(place("new ", `{"rev":7,"all":true,"targets":[`+validEntry+`]}`))
-	assert.Equal(t, "new ", <-asked)
-	list := <-told
+	watch.Start(ctx)
+	watch.Poll()
+	assert.Equal(t, "old ", <-queries)
+	assert.Equal(t, uint64(41), (<-lists).Version)
+	assert.Equal(t, "old from=41&hold_ms=1200", <-queries)
+	watch.SetAddress(newService("new ", `{"rev":7,"all":true,"targets":[`+validEntry+`]}`))
+	assert.Equal(t, "new ", <-queries)
+	list := <-lists
 	assert.True(t, list.Complete)
 	assert.Len(t, list.Endpoints, 1)
-	assert.Equal(t, "new from=7&hold_ms=1200", <-asked)
+	assert.Equal(t, "new from=7&hold_ms=1200", <-queries)
 }
 
-// A connection to the list may fall silent without an end, while its service tells others of changes: the next one is
-// asked at once. One that never said anything is a failed call.
+// A connection to the discovery service falls silent without being closed, while the service sends changes to other
+// nodes. Another connection is tried at once. If that one never answers, the session has failed.
 func TestSilentConnection(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
-	targets := make(chan string, 9)
+	defer listener.Close()
+	queries := make(chan string, 9)
 	go func() {
 		for first := true; ; first = false {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func(answers bool) { // one call, on the first connection
+			go func(answers bool) { // the first poll of the first connection is answered, and no other
 				for r := bufio.NewReader(c); ; answers = false {
-					call, err := http.ReadRequest(r)
+					request, err := http.ReadRequest(r)
 					if err != nil {
 						return
 					}
-					targets <- call.URL.RawQuery
+					queries <- request.URL.RawQuery
 					if answers {
 						const list = `{"rev":7,"all":true,"targets":[]}`
 						_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
@@ -207,15 +211,16 @@
 		}
 	}()
 	failed := make(chan bool, 1)
-	w := &Watch{Address: l.Addr().String(), Deployment: testNames, Log: slog.New(slog.DiscardHandler), longPollWait: time.Millisecond, answerTimeout: time.Second / 2,
+	watch := &Watch{Address: listener.Addr().String(), Deployment: testNames,
+		Log: slog.New(slog.DiscardHandler), longPollWait: time.Millisecond, answerTimeout: time.Second / 2,
 		OnList: func(*List) {}, OnFailure: func() { failed <- true }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.Start(ctx)
-	w.Poll()
-	assert.Equal(t, "", <-targets)
+	watch.Start(ctx)
+	watch.Poll()
+	assert.Equal(t, "", <-queries)
 	for range 2 {
-		assert.Equal(t, "from=7&hold_ms=1", <-targets)
+		assert.Equal(t, "from=7&hold_ms=1", <-queries)
 	}
 	assert.True(t, <-failed)
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -23,461 +23,473 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// seen is what happens, in its order: a list told, a call, or a failed call.
+// event is what the watch or the service observes: exactly one of a list passed on, a poll received, or a failed session.
 type event struct {
 	list   *List
-	call   *poll
+	poll   *poll
 	failed bool
 }
 
+// poll is a request as the service receives it.
 type poll struct {
-	at, query string
-	conn      *serviceConn
+	address, query string
+	conn           *serviceConn
 }
 
-// peer is the service's end of a connection; what comes after its last answer is not read.
+// serviceConn is the service's end of a connection.
 type serviceConn struct {
 	net.Conn
-	last atomic.Bool
+	closed atomic.Bool // the test closes it: requests that still arrive are dropped
 }
 
-// service listens as the list's service would and passes on each call; the test answers it.
-func startService(happens chan<- event) net.Listener {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// startService listens as the discovery service would and reports each poll to events; the test answers it.
+func startService(events chan<- event) net.Listener {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
 				defer c.Close()
-				p := &serviceConn{Conn: c}
-				for r := bufio.NewReader(c); ; {
-					q, err := http.ReadRequest(r)
-					if err != nil || p.last.Load() {
+				serviceEnd := &serviceConn{Conn: c}
+				for reader := bufio.NewReader(c); ; {
+					request, err := http.ReadRequest(reader)
+					if err != nil || serviceEnd.closed.Load() {
 						return
 					}
-					happens <- event{call: &poll{l.Addr().String(), q.URL.RawQuery, p}}
+					events <- event{poll: &poll{listener.Addr().String(), request.URL.RawQuery, serviceEnd}}
 				}
 			}()
 		}
 	}()
-	return l
+	return listener
 }
 
 func (c *poll) answer(body, head string) {
 	_, _ = fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
 }
 
-func (c *poll) reset() {
+func (c *poll) resetConn() {
 	_ = c.conn.Conn.(*net.TCPConn).SetLinger(0)
 	_ = c.conn.Close()
 }
 
-// limited is a connection whose time ends when the test says so, and that tells how much of it a call was given.
+// deadlineConn is a connection whose deadline passes when the test says so. It records the timeouts that it was given.
 type deadlineConn struct {
 	net.Conn
-	limit time.Duration // of the latest call
+	timeout time.Duration // of the latest poll
 }
 
 func (c *deadlineConn) SetDeadline(until time.Time) error {
 	if left := time.Until(until); left > 0 {
-		c.limit, until = left, time.Time{}
+		c.timeout, until = left, time.Time{}
 	}
 	return c.Conn.SetDeadline(until)
 }
 
-// end ends the call's time. The call was written, and its time set before that.
-func (c *deadlineConn) end() { _ = c.Conn.SetDeadline(time.Unix(1, 0)) }
+// expire lets the deadline of the current poll pass. The poll must have been received, since its deadline is set before
+// it is written.
+func (c *deadlineConn) expire() { _ = c.Conn.SetDeadline(time.Unix(1, 0)) }
 
-// walk is a model of the watch beside the true one, on true connections. No time passes in it: what ends by time does so at
-// the test's word, and the limits that calls were given are added up.
+// watchModel is a model of the watch that runs beside a real one, on real connections. No time passes in it: deadlines
+// pass when the test says so, and the timeouts that polls were given are added up.
 type watchModel struct {
 	*rapid.T
-	w       *Watch
-	happens chan event
-	dialled chan *deadlineConn
-	places  []net.Listener
+	watch    *Watch
+	events   chan event
+	dialed   chan *deadlineConn
+	services []net.Listener
 
-	place   int
-	now     *poll         // in hand; nil where none is
-	conn    *deadlineConn // its own
-	version uint64
-	held    bool
-	heard   bool // there was an answer since a connection last broke
-	wait    bool // the next call waits for news
-	behind  bool
-	silent  time.Duration // since a wait's connection fell silent; 0 where the list came since
+	current    int
+	pending    *poll         // received and not answered; nil if there is none
+	clientConn *deadlineConn // the watch's end of its connection
+	version    uint64
+	hasList    bool
+	answered   bool // there was an answer since a connection last failed
+	longPoll   bool // the next poll waits for an event
+	restarted  bool
+	silentFor  time.Duration // since the connection of a long poll fell silent; 0 if a list came since
 }
 
-func (m *watchModel) next() event {
+func (m *watchModel) nextEvent() event {
 	select {
-	case s := <-m.happens:
-		return s
+	case next := <-m.events:
+		return next
 	case <-time.After(30 * time.Second):
-		m.Fatal("nothing happens")
+		m.Fatal("no event within 30 s")
 		return event{}
 	}
 }
 
-// called takes the next call, which is the only one there is: there was no end of one before it that the test did not make.
-func (m *watchModel) called(fresh bool) {
-	s := m.next()
-	require.NotNil(m, s.call, "%+v", s)
-	if fresh {
-		m.conn = <-m.dialled
+// expectPoll takes the next poll and checks its query, address and timeout. It must be the only event: no session failed
+// that the test did not make fail.
+func (m *watchModel) expectPoll(freshConn bool) {
+	received := m.nextEvent()
+	require.NotNil(m, received.poll, "%+v", received)
+	if freshConn {
+		m.clientConn = <-m.dialed
 	}
-	require.Empty(m, m.dialled)
+	require.Empty(m, m.dialed)
 	want, within := "", answerTimeout
-	if m.held && m.wait {
+	if m.hasList && m.longPoll {
 		want, within = fmt.Sprintf("from=%d&hold_ms=1200", m.version), longPollWait+answerTimeout
-	} else if m.held {
+	} else if m.hasList {
 		want, within = fmt.Sprintf("from=%d&hold_ms=1", m.version), answerTimeout+immediateWait
 	}
-	require.Equal(m, want, s.call.query)
-	require.Equal(m, m.places[m.place].Addr().String(), s.call.at)
-	require.InDelta(m, within.Seconds(), m.conn.limit.Seconds(), 0.5)
-	m.now = s.call
-	// The list has to be in hand 6 s after the silence, where the connection comes up and calls are taken in their two seconds.
-	if m.silent > 0 {
-		require.LessOrEqual(m, m.silent+within, 6*time.Second-300*time.Millisecond+immediateWait)
+	require.Equal(m, want, received.poll.query)
+	require.Equal(m, m.services[m.current].Addr().String(), received.poll.address)
+	require.InDelta(m, within.Seconds(), m.clientConn.timeout.Seconds(), 0.5)
+	m.pending = received.poll
+	// The list has to arrive within 6 s of the silence, of which 0.3 s are left to connect.
+	if m.silentFor > 0 {
+		require.LessOrEqual(m, m.silentFor+within, 6*time.Second-300*time.Millisecond+immediateWait)
 	}
 }
 
-func (m *watchModel) ask() {
-	m.w.Poll()
-	m.heard, m.wait, m.silent = false, false, 0
-	m.called(true)
+func (m *watchModel) startPolling() {
+	m.watch.Poll()
+	m.answered, m.longPoll, m.silentFor = false, false, 0
+	m.expectPoll(true)
 }
 
-func (m *watchModel) move() {
-	m.place = 1 - m.place
-	m.version, m.held, m.heard, m.wait, m.behind, m.silent = 0, false, false, false, false, 0
-	m.w.SetAddress(m.places[m.place].Addr().String())
-	m.called(true)
+func (m *watchModel) setAddress() {
+	m.current = 1 - m.current
+	m.version, m.hasList, m.answered, m.longPoll, m.restarted, m.silentFor = 0, false, false, false, false, 0
+	m.watch.SetAddress(m.services[m.current].Addr().String())
+	m.expectPoll(true)
 }
 
-// broke is the end of a call's connection.
-func (m *watchModel) broke(silent, refused bool) {
-	again := m.heard || silent && m.wait && m.held
-	m.now = nil
-	if m.silent = 0; silent {
-		m.silent = minPollInterval + longPollWait + answerTimeout
-		if !m.wait || !m.held {
-			m.silent = minPollInterval + answerTimeout
+// connectionFailed updates the model for a poll whose connection failed, and checks that the watch polls again or reports
+// a failed session. refused means that the service did answer, though with no list that can be used.
+func (m *watchModel) connectionFailed(silent, refused bool) {
+	retries := m.answered || silent && m.longPoll && m.hasList
+	m.pending = nil
+	if m.silentFor = 0; silent {
+		m.silentFor = minPollInterval + longPollWait + answerTimeout
+		if !m.longPoll || !m.hasList {
+			m.silentFor = minPollInterval + answerTimeout
 		}
 	}
-	if m.heard, m.wait = false, !silent; again && !refused {
-		m.called(true)
+	if m.answered, m.longPoll = false, !silent; retries && !refused {
+		m.expectPoll(true)
 		return
 	}
-	require.True(m, m.next().failed)
-	if silent { // asked again by itself, soon
-		m.silent += maxTimeoutBackoff
-		m.called(true)
+	require.True(m, m.nextEvent().failed)
+	if silent { // the watch polls again by itself, after a short backoff
+		m.silentFor += maxTimeoutBackoff
+		m.expectPoll(true)
 	}
 }
 
-// answered is a list that came whole.
-func (m *watchModel) answered(l *List, end connFate) {
-	m.silent = 0
+// listSent updates the model for a list that the service sent, and checks that the watch passes it on or refuses it.
+func (m *watchModel) listSent(list *List, fate connFate) {
+	m.silentFor = 0
 	switch {
-	case !l.Complete && !m.held:
-		m.broke(false, true)
+	case !list.Complete && !m.hasList:
+		m.connectionFailed(false, true)
 		return
-	case !l.Complete && l.Version < m.version: // changes of another list than that held
-		again := !m.behind
-		if m.held, m.behind = false, true; !again {
-			m.broke(false, true)
+	case !list.Complete && list.Version < m.version: // the service restarted: these are changes of another list
+		isFirst := !m.restarted
+		if m.hasList, m.restarted = false, true; !isFirst {
+			m.connectionFailed(false, true)
 			return
 		}
 	default:
-		m.behind = m.behind && l.Complete
-		m.version, m.held = l.Version, true
-		require.Equal(m, l, m.next().list)
+		m.restarted = m.restarted && list.Complete
+		m.version, m.hasList = list.Version, true
+		require.Equal(m, list, m.nextEvent().list)
 	}
-	m.heard, m.wait = true, true
-	switch end {
+	m.answered, m.longPoll = true, true
+	switch fate {
 	case connStaysOpen:
-		m.called(false)
+		m.expectPoll(false)
 	case connCloseAnnounced:
-		m.called(true)
-	case connCloseUnannounced: // the next call finds it so
-		m.broke(false, false)
+		m.expectPoll(true)
+	case connCloseUnannounced: // the next poll finds it closed
+		m.connectionFailed(false, false)
 	}
 }
 
-// end is what becomes of a connection after an answer.
+// connFate is what becomes of a connection after an answer.
 type connFate int
 
 const (
 	connStaysOpen        connFate = iota
-	connCloseAnnounced            // as the answer says
-	connCloseUnannounced          // without a word
+	connCloseAnnounced            // closed, by a header of the answer
+	connCloseUnannounced          // closed without notice
 )
 
-func (m *watchModel) list() (*List, string) {
-	l := &List{Version: rapid.Uint64Range(0, 9).Draw(m.T, "version"), Complete: rapid.Bool().Draw(m.T, "whole")}
+// drawList draws a list and returns it with its encoded form.
+func (m *watchModel) drawList() (*List, string) {
+	list := &List{Version: rapid.Uint64Range(0, 9).Draw(m.T, "version"), Complete: rapid.Bool().Draw(m.T, "whole")}
 	targets := []any{}
 	for range rapid.IntRange(0, 2).Draw(m.T, "members") {
-		member, err := testNames.endpoint([]byte(validEntry))
+		endpoint, err := testNames.endpoint([]byte(validEntry))
 		require.NoError(m, err)
-		l.Endpoints = append(l.Endpoints, member)
+		list.Endpoints = append(list.Endpoints, endpoint)
 		targets = append(targets, json.RawMessage(validEntry))
 	}
-	body, err := json.Marshal(map[string]any{"rev": l.Version, "all": l.Complete, "targets": targets})
+	body, err := json.Marshal(map[string]any{"rev": list.Version, "all": list.Complete, "targets": targets})
 	require.NoError(m, err)
 	if rapid.Bool().Draw(m.T, "indented") {
 		var b bytes.Buffer
 		require.NoError(m, json.Indent(&b, body, "", "\t"))
 		body = b.Bytes()
 	}
-	return l, string(body)
+	return list, string(body)
 }
 
-// Whatever comes in whatever order, each list is told once and in order, changes only on the version that they follow, one
-// call is in hand at a time, and after a silence the next list can be in hand in the time that the protocol gives.
+// A discovery service answers, refuses, resets, truncates, falls silent or restarts, in any order, and its address
+// changes at any point. Each list is passed on once and in order, changes only if they follow the version that the owner
+// has, one poll is in flight at a time, and after a silence the next list can arrive in the time that the protocol gives.
 func TestWatchAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := &watchModel{T: rt, happens: make(chan event, 16), dialled: make(chan *deadlineConn, 16)}
-		m.places = []net.Listener{startService(m.happens), startService(m.happens)}
-		for _, l := range m.places {
-			defer l.Close()
+		m := &watchModel{T: rt, events: make(chan event, 16), dialed: make(chan *deadlineConn, 16)}
+		m.services = []net.Listener{startService(m.events), startService(m.events)}
+		for _, service := range m.services {
+			defer service.Close()
 		}
-		m.w = &Watch{Address: m.places[0].Addr().String(), Deployment: testNames, Log: slog.New(slog.DiscardHandler), minPollInterval: time.Microsecond, maxTimeoutBackoff: time.Microsecond,
-			OnList: func(l *List) { m.happens <- event{list: l} }, OnFailure: func() { m.happens <- event{failed: true} },
+		m.watch = &Watch{Address: m.services[0].Addr().String(), Deployment: testNames, Log: slog.New(slog.DiscardHandler),
+			minPollInterval: time.Microsecond, maxTimeoutBackoff: time.Microsecond,
+			OnList: func(list *List) { m.events <- event{list: list} }, OnFailure: func() { m.events <- event{failed: true} },
 			dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 				c, err := (&net.Dialer{}).DialContext(ctx, network, address)
 				if err != nil {
 					return nil, err
 				}
-				l := &deadlineConn{Conn: c}
-				m.dialled <- l
-				return l, nil
+				conn := &deadlineConn{Conn: c}
+				m.dialed <- conn
+				return conn, nil
 			}}
 		if rapid.Bool().Draw(rt, "known") {
-			m.version, m.held = 5, true
-			m.w.Version, m.w.HasList = 5, true
+			m.version, m.hasList = 5, true
+			m.watch.Version, m.watch.HasList = 5, true
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		m.w.Start(ctx)
-		inHand := func(f func()) func(*rapid.T) {
+		m.watch.Start(ctx)
+		whilePolling := func(action func()) func(*rapid.T) {
 			return func(rt *rapid.T) {
-				if m.T = rt; m.now == nil {
-					m.ask()
+				if m.T = rt; m.pending == nil {
+					m.startPolling()
 				}
-				f()
+				action()
 			}
 		}
 		rt.Repeat(map[string]func(*rapid.T){
-			"asked": inHand(m.w.Poll), // changes nothing
-			"list": inHand(func() {
-				l, body := m.list()
-				m.now.answer(body, "")
-				m.answered(l, connStaysOpen)
+			"Poll while polling": whilePolling(m.watch.Poll), // has no effect
+			"list": whilePolling(func() {
+				list, body := m.drawList()
+				m.pending.answer(body, "")
+				m.listSent(list, connStaysOpen)
 			}),
-			"list, and an end that is told": inHand(func() {
-				l, body := m.list()
-				m.now.answer(body, "Connection: close\r\n")
-				m.answered(l, connCloseAnnounced)
+			"list, connection closed by a header": whilePolling(func() {
+				list, body := m.drawList()
+				m.pending.answer(body, "Connection: close\r\n")
+				m.listSent(list, connCloseAnnounced)
 			}),
-			"list, and an end between two calls": inHand(func() {
-				l, body := m.list()
-				m.now.conn.last.Store(true)
-				m.now.answer(body, "")
-				_ = m.now.conn.Close()
-				m.answered(l, connCloseUnannounced)
+			"list, connection closed without notice": whilePolling(func() {
+				list, body := m.drawList()
+				m.pending.conn.closed.Store(true)
+				m.pending.answer(body, "")
+				_ = m.pending.conn.Close()
+				m.listSent(list, connCloseUnannounced)
 			}),
-			"moved": func(rt *rapid.T) {
+			"address changed": func(rt *rapid.T) {
 				m.T = rt
-				m.move()
+				m.setAddress()
 			},
-			"refused": inHand(func() {
-				_, _ = fmt.Fprint(m.now.conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-				m.broke(false, true)
+			"refused": whilePolling(func() {
+				_, _ = fmt.Fprint(m.pending.conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+				m.connectionFailed(false, true)
 			}),
-			"reset": inHand(func() {
-				_, body := m.list()
-				_, _ = fmt.Fprintf(m.now.conn, "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n%s", body[:rapid.IntRange(0, len(body)).Draw(m.T, "come")])
-				m.now.reset()
-				m.broke(false, false)
+			"reset": whilePolling(func() {
+				_, body := m.drawList()
+				_, _ = fmt.Fprintf(m.pending.conn, "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n%s", body[:rapid.IntRange(0, len(body)).Draw(m.T, "come")])
+				m.pending.resetConn()
+				m.connectionFailed(false, false)
 			}),
-			"spoilt": inHand(func() {
-				_, body := m.list()
-				m.now.answer(rapid.SampledFrom([]string{body + "}", body[1:], body[:len(body)-1], "", "null", "[]"}).Draw(m.T, "body"), "")
-				m.broke(false, false)
+			"malformed": whilePolling(func() {
+				_, body := m.drawList()
+				m.pending.answer(rapid.SampledFrom([]string{body + "}", body[1:], body[:len(body)-1], "", "null", "[]"}).Draw(m.T, "body"), "")
+				m.connectionFailed(false, false)
 			}),
-			"silent": inHand(func() {
-				old, conn := m.now, m.conn
-				_, body := m.list()
+			"silent": whilePolling(func() {
+				silentPoll, conn := m.pending, m.clientConn
+				_, body := m.drawList()
 				part := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 				part = part[:rapid.IntRange(0, len(part)-1).Draw(m.T, "come")]
-				_, _ = fmt.Fprint(old.conn, part)
-				conn.end()
-				m.broke(true, false)
-				old.answer(body, "") // too late: its connection is closed
+				_, _ = fmt.Fprint(silentPoll.conn, part)
+				conn.expire()
+				m.connectionFailed(true, false)
+				silentPoll.answer(body, "") // too late: its connection is closed
 			}),
 		})
 	})
 }
 
-// A list is moved just as the next call is given its time: the end of the old watch's time must not be undone by that, or
-// it goes on for all of a wait before the new address is asked.
+// The address changes just as the next poll sets its deadline. The cancelled session has set a deadline in the past; if
+// the poll's deadline replaced that, the old service's long poll would run to its end before the new one is polled.
 func TestSetAddressAsAPollBegins(t *testing.T) {
-	happens := make(chan event, 9)
-	before, after := startService(happens), startService(happens)
-	defer before.Close()
-	defer after.Close()
-	w := &Watch{Address: before.Addr().String(), Deployment: testNames, Log: slog.New(slog.DiscardHandler), minPollInterval: time.Microsecond,
+	events := make(chan event, 9)
+	oldService, newService := startService(events), startService(events)
+	defer oldService.Close()
+	defer newService.Close()
+	watch := &Watch{Address: oldService.Addr().String(), Deployment: testNames,
+		Log: slog.New(slog.DiscardHandler), minPollInterval: time.Microsecond,
 		longPollWait: time.Hour, answerTimeout: time.Hour,
-		OnList: func(l *List) { happens <- event{list: l} }, OnFailure: func() { happens <- event{failed: true} }}
-	w.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		OnList: func(list *List) { events <- event{list: list} }, OnFailure: func() { events <- event{failed: true} }}
+	watch.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return &movingConn{Conn: c, ended: make(chan bool), move: func() { w.SetAddress(after.Addr().String()) }}, err
+		return &movingConn{Conn: c, canceled: make(chan bool), setAddress: func() { watch.SetAddress(newService.Addr().String()) }}, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.Start(ctx)
-	w.Poll()
-	(<-happens).call.answer(`{"rev":41,"all":true,"targets":[]}`, "")
-	assert.Equal(t, uint64(41), (<-happens).list.Version)
+	watch.Start(ctx)
+	watch.Poll()
+	(<-events).poll.answer(`{"rev":41,"all":true,"targets":[]}`, "")
+	assert.Equal(t, uint64(41), (<-events).list.Version)
 	select {
-	case s := <-happens:
-		require.NotNil(t, s.call)
-		assert.Equal(t, after.Addr().String(), s.call.at)
-		assert.Empty(t, s.call.query)
+	case next := <-events:
+		require.NotNil(t, next.poll)
+		assert.Equal(t, newService.Addr().String(), next.poll.address)
+		assert.Empty(t, next.poll.query)
 	case <-time.After(10 * time.Second):
-		t.Fatal("the new address is not asked")
+		t.Fatal("the new address is not polled")
 	}
 }
 
-// moving is a connection whose list is moved when its second call is given its time, but just before it has it.
+// movingConn is a connection that calls setAddress just before its second deadline is set, which is the second poll's.
 type movingConn struct {
 	net.Conn
-	calls int
-	move  func()
-	ended chan bool
+	deadlines  int
+	setAddress func()
+	canceled   chan bool
 }
 
 func (c *movingConn) SetDeadline(until time.Time) error {
 	if time.Until(until) < 0 {
 		err := c.Conn.SetDeadline(until)
-		close(c.ended)
+		close(c.canceled)
 		return err
 	}
-	if c.calls++; c.calls == 2 {
-		c.move()
-		<-c.ended
+	if c.deadlines++; c.deadlines == 2 {
+		c.setAddress()
+		<-c.canceled
 	}
 	return c.Conn.SetDeadline(until)
 }
 
-// An answer that comes a byte at a time, for ever, has the time of its call and no more.
+// An answer arrives a byte at a time and never ends. The poll fails at its deadline all the same.
 func TestAnswerThatTrickles(t *testing.T) {
-	happens, stop := make(chan event, 9), make(chan bool)
-	l := startService(happens)
-	defer l.Close()
-	w := &Watch{Address: l.Addr().String(), Deployment: testNames, Log: slog.New(slog.DiscardHandler), answerTimeout: 20 * time.Millisecond,
-		OnList: func(l *List) { happens <- event{list: l} }, OnFailure: func() { happens <- event{failed: true} }}
+	events, writerDone := make(chan event, 9), make(chan bool)
+	service := startService(events)
+	defer service.Close()
+	watch := &Watch{Address: service.Addr().String(), Deployment: testNames,
+		Log: slog.New(slog.DiscardHandler), answerTimeout: 20 * time.Millisecond,
+		OnList: func(list *List) { events <- event{list: list} }, OnFailure: func() { events <- event{failed: true} }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.Start(ctx)
-	w.Poll()
-	c := (<-happens).call
+	watch.Start(ctx)
+	watch.Poll()
+	request := (<-events).poll
 	go func() {
-		defer close(stop)
-		for _, err := fmt.Fprint(c.conn, "HTTP/1.1 200 OK\r\nX: "); err == nil; _, err = fmt.Fprint(c.conn, "x") {
+		defer close(writerDone)
+		for _, err := fmt.Fprint(request.conn, "HTTP/1.1 200 OK\r\nX: "); err == nil; _, err = fmt.Fprint(request.conn, "x") {
 			time.Sleep(time.Millisecond) // a slow writer, until the reader hangs up
 		}
 	}()
-	assert.True(t, (<-happens).failed)
-	<-stop
+	assert.True(t, (<-events).failed)
+	<-writerDone
 }
 
-// A list comes ten times a second, with the same odd entries each time: they are logged, but don't fill the log.
+// A list comes ten times a second, with the same invalid entries each time. They are logged, but don't flood the log.
 func TestInvalidEntriesAreLoggedOnce(t *testing.T) {
 	var lines bytes.Buffer
-	w := &Watch{Deployment: testNames, Log: slog.New(slog.NewTextHandler(&lines, nil)), lastLogged: map[string]time.Time{}}
+	watch := &Watch{Deployment: testNames, Log: slog.New(slog.NewTextHandler(&lines, nil)), lastLogged: map[string]time.Time{}}
 	for range 50 {
-		_, err := w.Deployment.decode([]byte(`{"rev":1,"targets":[7,{"uid":"x","state":"up"},{"uid":"y","az":"`+strings.Repeat("z", 9999)+`"}]}`), w.Log, w.shouldLog)
+		_, err := watch.Deployment.decode([]byte(`{"rev":1,"targets":[7,{"uid":"x","state":"up"},{"uid":"y","az":"`+strings.Repeat("z", 9999)+`"}]}`), watch.Log, watch.shouldLog)
 		require.NoError(t, err)
 	}
-	assert.Equal(t, 3, strings.Count(lines.String(), "odd list entry"))
+	assert.Equal(t, 3, strings.Count(lines.String(), "endpoint list entry invalid"))
 	assert.Less(t, lines.Len(), 4*(maxLoggedEntry+400))
 	for k := range 3 * maxLoggedNames {
-		w.shouldLog(fmt.Sprint(k))
+		watch.shouldLog(fmt.Sprint(k))
 	}
-	assert.LessOrEqual(t, len(w.lastLogged), maxLoggedNames)
+	assert.LessOrEqual(t, len(watch.lastLogged), maxLoggedNames)
 }
 
-// Where lists are pushed, discovery is this machine's own agent, and what it has at its return counts as told at once. It was asked
-// again after the module's growing waits of seconds; now at once, and the module hears of the first failure alone.
+// The list comes from this machine's own agent, which restarts. What it has then counts as known to the node at once, so
+// the node polls it every minPollInterval. It once did so after the balancer's backoff of seconds. The balancer is
+// notified of the first failure in a row alone.
 func TestLocalSourceIsPolledAgainAtOnce(t *testing.T) {
-	calls := make(chan chan string)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	polls := make(chan chan string)
+	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		answer := make(chan string)
-		calls <- answer
+		polls <- answer
 		if body := <-answer; body != "" {
 			fmt.Fprint(w, body)
 			return
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
-	defer s.Close()
-	told, failed := make(chan *List, 9), make(chan bool, 9)
-	w := &Watch{Address: s.Listener.Addr().String(), Deployment: testNames, LocalSource: true, Log: slog.New(slog.DiscardHandler), minPollInterval: time.Millisecond,
-		OnList: func(l *List) { told <- l }, OnFailure: func() { failed <- true }}
+	defer service.Close()
+	lists, failed := make(chan *List, 9), make(chan bool, 9)
+	watch := &Watch{Address: service.Listener.Addr().String(), Deployment: testNames,
+		LocalSource: true, Log: slog.New(slog.DiscardHandler), minPollInterval: time.Millisecond,
+		OnList: func(list *List) { lists <- list }, OnFailure: func() { failed <- true }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.Start(ctx)
-	w.Poll() // once: nobody asks again
+	watch.Start(ctx)
+	watch.Poll() // only once: the watch itself polls again
 	for range 2 {
 		for range 5 {
-			(<-calls) <- ""
+			(<-polls) <- ""
 		}
-		(<-calls) <- `{"rev":41,"all":true,"targets":[]}`
-		assert.Equal(t, uint64(41), (<-told).Version)
+		(<-polls) <- `{"rev":41,"all":true,"targets":[]}`
+		assert.Equal(t, uint64(41), (<-lists).Version)
 	}
 	assert.Len(t, failed, 2)
-	last := <-calls
+	last := <-polls
 	cancel()
 	last <- ""
 }
 
-// The list's address moves as an answer of the old one is being told: it counts as come before, and what follows is the whole list
-// of the new one, whatever version the old one had.
+// The address changes while a list of the old service is being passed on. That list counts as received before the change,
+// and the next one is the new service's complete list, whatever version the old one had.
 func TestSetAddressDuringOnList(t *testing.T) {
-	lists := func(version int) (*httptest.Server, chan string) {
-		asked := make(chan string, 9)
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if asked <- r.URL.RawQuery; r.URL.RawQuery != "" {
+	startServer := func(version int) (*httptest.Server, chan string) {
+		queries := make(chan string, 9)
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			if queries <- r.URL.RawQuery; r.URL.RawQuery != "" {
 				<-r.Context().Done()
 			}
 			fmt.Fprintf(w, `{"rev":%d,"all":true,"targets":[]}`, version)
 		}))
-		t.Cleanup(s.Close)
-		return s, asked
+		t.Cleanup(server.Close)
+		return server, queries
 	}
-	older, _ := lists(90)
-	newer, asked := lists(3)
-	told := make(chan *List, 9)
-	w := &Watch{Address: older.Listener.Addr().String(), Deployment: testNames, Log: slog.New(slog.DiscardHandler), OnFailure: func() { t.Error("a move is no failure") }}
-	w.OnList = func(l *List) {
-		if told <- l; l.Version == 90 {
-			w.SetAddress(newer.Listener.Addr().String())
+	oldService, _ := startServer(90)
+	newService, queries := startServer(3)
+	lists := make(chan *List, 9)
+	watch := &Watch{Address: oldService.Listener.Addr().String(), Deployment: testNames,
+		Log: slog.New(slog.DiscardHandler), OnFailure: func() { t.Error("a change of address is no failure") }}
+	watch.OnList = func(list *List) {
+		if lists <- list; list.Version == 90 {
+			watch.SetAddress(newService.Listener.Addr().String())
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.Start(ctx)
-	w.Poll()
-	assert.Equal(t, uint64(90), (<-told).Version)
-	assert.Equal(t, uint64(3), (<-told).Version)
-	assert.Equal(t, "", <-asked)
-	assert.Equal(t, "from=3&hold_ms=1200", <-asked)
+	watch.Start(ctx)
+	watch.Poll()
+	assert.Equal(t, uint64(90), (<-lists).Version)
+	assert.Equal(t, uint64(3), (<-lists).Version)
+	assert.Equal(t, "", <-queries)
+	assert.Equal(t, "from=3&hold_ms=1200", <-queries)
 }
