--- a/cmd/pearknot/peers.go
+++ b/cmd/pearknot/peers.go
@@ -35,8 +35,8 @@
 				}
 				if !watch {
 					for _, l := range told.Logs {
-						if !l.Whole {
-							return &cli.Error{Status: cli.No, Err: fmt.Errorf("the log of %s is not whole", l.Of), Silent: true}
+						if !l.Complete {
+							return &cli.Error{Status: cli.No, Err: fmt.Errorf("the log of %s is not whole", l.Member), Silent: true}
 						}
 					}
 					return nil
@@ -57,11 +57,11 @@
 	if asJSON {
 		return json.NewEncoder(out).Encode(told)
 	}
-	fmt.Fprintf(out, "%s, life %d, %d ops taken over\n", told.Self, told.Incarnation, told.TookOver)
+	fmt.Fprintf(out, "%s, life %d, %d ops taken over\n", told.Self, told.Incarnation, told.Takeovers)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "peer\tlinked\tsilent ms\tlife")
 	for _, p := range told.Peers {
-		fmt.Fprintf(w, "%s\t%v\t%.0f\t%d\n", p.Name, p.Linked, p.Silent, p.Incarnation)
+		fmt.Fprintf(w, "%s\t%v\t%.0f\t%d\n", p.Name, p.Connected, p.SilentMs, p.Incarnation)
 	}
 	fmt.Fprintln(w, "log of\tleader\twhole\tterm\theld by\tlag\tin hand\trecords\tbytes")
 	for _, l := range told.Logs {
@@ -70,10 +70,10 @@
 			leader = "none known"
 		}
 		held := "not here"
-		if l.Holds {
+		if l.HasReplica {
 			held = strings.Join(l.Voters, " ")
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%s\t%d\t%d\t%d\t%d\n", l.Of, leader, l.Whole, l.Term, held, l.Lag, l.InHand, l.Records, l.Bytes)
+		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%s\t%d\t%d\t%d\t%d\n", l.Member, leader, l.Complete, l.Term, held, l.Lag, l.InFlight, l.Records, l.Bytes)
 	}
 	return w.Flush()
 }
--- a/internal/lab/simcluster/simcluster.go
+++ b/internal/lab/simcluster/simcluster.go
@@ -135,7 +135,7 @@
 		names = append(names, fmt.Sprintf("n%d", m))
 	}
 	*p = proc{life: life, up: true, waits: map[uint64]func(requestlog.Reply){},
-		house: requestlog.New(requestlog.Config{Members: names, Self: k, Incarnation: life, Replicas: s.copies, Seed: s.rng.Uint64(), MaxLogBytes: 1 << 20, OutcomeTTL: 60e3, InjectedBug: s.Flaw}, s.now)}
+		house: requestlog.New(requestlog.Config{Members: names, Self: k, Incarnation: life, Replicas: s.copies, Seed: s.rng.Uint64(), MaxLogBytes: 1 << 20, AnswerTTL: 60e3, InjectedBug: s.Flaw}, s.now)}
 	for m := range s.procs {
 		if m != k {
 			s.after(20+s.rng.Float64()*20, func() { s.relink(k, m) })
@@ -195,8 +195,8 @@
 		case o.TakenOver != nil:
 			s.TookOver++
 			s.inherit(k, o.TakenOver)
-		case o.Log != "":
-			s.trace("%.0f n%d %s", s.now, k, o.Log)
+		case o.Event != nil:
+			s.trace("%.0f n%d %s %v", s.now, k, o.Event.Message, o.Event.Attrs())
 		}
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -35,7 +35,7 @@
 	Replicas    int
 	Keys        [][]byte // the first proves, all are taken
 	MaxLogBytes int      // bytes that one log may hold
-	OutcomeTTL  float64  // ms that an outcome is kept
+	AnswerTTL   float64  // ms that an outcome is kept
 }
 
 const (
@@ -105,7 +105,7 @@
 	life := uint64(c.Now())
 	p := &Peers{t: t, life: life, clock: c, log: log, inherit: inherit, bound: make(chan struct{}), odd: rate.Sometimes{Interval: oddEvery}, box: mailbox.New[func()](),
 		waits: map[uint64]func(requestlog.Reply){}, members: make([]member, len(t.Members)),
-		house: requestlog.New(requestlog.Config{Members: names, Self: t.Self, Incarnation: life, Replicas: t.Replicas, Seed: rand.Uint64(), MaxLogBytes: t.MaxLogBytes, OutcomeTTL: t.OutcomeTTL}, c.Now())}
+		house: requestlog.New(requestlog.Config{Members: names, Self: t.Self, Incarnation: life, Replicas: t.Replicas, Seed: rand.Uint64(), MaxLogBytes: t.MaxLogBytes, AnswerTTL: t.AnswerTTL}, c.Now())}
 	p.ctx, p.end = context.WithCancel(context.Background())
 	return p
 }
@@ -151,7 +151,7 @@
 	told := make(chan requestlog.StateDigest, 1)
 	p.box.Put(func() {
 		x := p.house.StateDigest()
-		x.TookOver = p.took
+		x.Takeovers = p.took
 		told <- x
 	})
 	select {
@@ -206,8 +206,8 @@
 		case o.TakenOver != nil:
 			p.took++
 			p.inherit(*o.TakenOver)
-		case o.Log != "":
-			p.log.Info(o.Log)
+		case o.Event != nil:
+			p.log.LogAttrs(p.ctx, slog.LevelInfo, o.Event.Message, o.Event.Attrs()...)
 		}
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -47,7 +47,7 @@
 
 // three starts a fleet, the third member by terms of its own.
 func three(t *testing.T, spoil func(*Config), change ...func(*Config)) (all []*Peers, logs []*lines) {
-	terms := Config{Fleet: "f", Replicas: 3, Keys: [][]byte{key}, MaxLogBytes: 1 << 20, OutcomeTTL: 60e3}
+	terms := Config{Fleet: "f", Replicas: 3, Keys: [][]byte{key}, MaxLogBytes: 1 << 20, AnswerTTL: 60e3}
 	for _, f := range change {
 		f(&terms)
 	}
@@ -72,7 +72,7 @@
 	s, err := p.State(t.Context())
 	require.NoError(t, err)
 	for _, o := range s.Peers {
-		if o.Linked {
+		if o.Connected {
 			n++
 		}
 	}
@@ -218,7 +218,7 @@
 	require.NoError(t, err)
 	for _, l := range s.Logs {
 		require.LessOrEqual(t, l.Bytes, most)
-		require.LessOrEqual(t, l.Held, int(requestlog.MemoryFactor*most), "ledger, its image and records since")
+		require.LessOrEqual(t, l.MemoryBytes, int(requestlog.MemoryFactor*most), "ledger, its image and records since")
 		require.Greater(t, l.Bytes, most*8/10)
 	}
 	all[2].Stop()
@@ -233,7 +233,7 @@
 	s, err := p.State(t.Context())
 	require.NoError(t, err)
 	for _, l := range s.Logs {
-		if !l.Whole {
+		if !l.Complete {
 			return false
 		}
 	}
--- /dev/null
+++ b/internal/requestlog/bootstrap.go
@@ -0,0 +1,133 @@
+package requestlog
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+
+	"pearknot/internal/snapshot"
+)
+
+// quorumLostAfterMs is how long the members' statuses must show unchanged that a log has lost its quorum before it is
+// bootstrapped again: several elections would have been over by then.
+const quorumLostAfterMs = 3000.0
+
+// maybeBootstrap bootstraps this member's own log, with its own replica as the only voter, if the log does not exist or has
+// lost its quorum for good. Each bootstrap begins a new generation of the log.
+//
+// Two generations at once would let two requests with one key run, so:
+//   - only the member itself bootstraps its log, so no two members do;
+//   - for the first time it does so once so many say that they never heard of the log that no majority of its replicas can
+//     be among the others;
+//   - after that it hears from all members, and what they say must show, unchanged for quorumLostAfterMs, that nobody leads
+//     the log and that no majority of its replicas is left;
+//   - only heartbeats count that echo this process's present nonce: what was sent before this process was paused may be long
+//     out of date, and once led to a second generation beside one that lived.
+func (m *Member) maybeBootstrap() {
+	own := m.config.Self
+	log := m.replicas[own]
+	if m.shuttingDown || log != nil && (log.isLeader || log.leader() != 0) {
+		m.bootstrapDigestSince = m.now
+		return
+	}
+	evidence := m.collectBootstrapEvidence()
+	if m.knownGenerations[own] == 0 {
+		if evidence.unheard <= (m.config.Replicas-1)/2 {
+			m.bootstrap()
+		}
+		return
+	}
+	if digest := evidence.digest(); evidence.unheard > 0 || evidence.hasLeader || digest != m.bootstrapDigest {
+		m.bootstrapDigest, m.bootstrapDigestSince = digest, m.now
+		return
+	}
+	if evidence.hasQuorum() {
+		m.bootstrapDigestSince = m.now
+		return
+	}
+	if m.now-m.bootstrapDigestSince <= quorumLostAfterMs {
+		return
+	}
+	m.logEvent(Event{Message: "request log lost its quorum, bootstrapping a new generation", Log: m.config.Members[own]})
+	if log != nil {
+		m.dropReplica(own)
+	}
+	m.bootstrap()
+}
+
+// bootstrapEvidence is what all members say of this member's own log.
+type bootstrapEvidence struct {
+	unheard   int         // members that said nothing since this process started, was paused or lost its link to them
+	hasLeader bool        // a member says that it leads the log
+	statuses  []LogStatus // of the members with a replica
+}
+
+func (m *Member) collectBootstrapEvidence() bootstrapEvidence {
+	own := m.config.Self
+	var evidence bootstrapEvidence
+	if m.replicas[own] != nil {
+		evidence.statuses = append(evidence.statuses, m.logStatus(own))
+	}
+	for i := range m.peers {
+		if i == own {
+			continue
+		}
+		peer := &m.peers[i]
+		if peer.heartbeat == nil || !peer.connected || peer.heartbeat.EchoedNonces[own] != m.nonce {
+			evidence.unheard++
+			continue
+		}
+		for _, status := range peer.heartbeat.Logs {
+			if status.Log == own && status.HasReplica {
+				evidence.hasLeader = evidence.hasLeader || status.IsLeader
+				evidence.statuses = append(evidence.statuses, status)
+			}
+		}
+	}
+	return evidence
+}
+
+func (e *bootstrapEvidence) digest() uint64 {
+	return xxhash.Sum64(snapshot.Append(nil, &Heartbeat{Logs: e.statuses}))
+}
+
+// hasQuorum reports whether the replicas that are left can elect a leader. The voters are those that the replica names that
+// has applied most: the ones behind may still name voters of before a change.
+func (e *bootstrapEvidence) hasQuorum() bool {
+	if len(e.statuses) == 0 {
+		return false
+	}
+	latest := slices.MaxFunc(e.statuses, func(a, b LogStatus) int { return cmp.Compare(a.Applied, b.Applied) })
+	left := map[uint64]bool{}
+	for _, status := range e.statuses {
+		left[status.VoterID] = true
+	}
+	isJoint := len(latest.OutgoingVoters) > 0
+	return isMajority(latest.Voters, left) && (!isJoint || isMajority(latest.OutgoingVoters, left))
+}
+
+// isMajority reports whether a majority of the voters is left.
+func isMajority(voters []uint64, left map[uint64]bool) bool {
+	count := 0
+	for _, voterID := range voters {
+		if left[voterID] {
+			count++
+		}
+	}
+	return 2*count > len(voters)
+}
+
+// bootstrap begins a generation of this member's own log. Generations are numbered by time, so that a member that has
+// forgotten all of them, as has everybody else, does not use a number again.
+func (m *Member) bootstrap() {
+	own := m.config.Self
+	generation := max(m.knownGenerations[own]+1, uint64(m.now))
+	log, err := bootstrapReplica(&m.config, own, generation, m.voterIDs[own])
+	if err != nil {
+		m.logEvent(Event{Message: "request log bootstrap failed", Log: m.config.Members[own], Err: err})
+		return
+	}
+	m.replicas[own] = log
+	m.knownGenerations[own] = generation
+}
--- /dev/null
+++ b/internal/requestlog/calls.go
@@ -0,0 +1,224 @@
+package requestlog
+
+import (
+	"maps"
+	"math"
+	"slices"
+
+	"pearknot/internal/snapshot"
+)
+
+// Calls: a member looks up a key or appends a record by calling the leader of the key's log, which may be itself. A call
+// without a reply is sent again, to whoever leads the log by then, until its deadline.
+const (
+	// callRetryMs is how long a call waits for its reply before it is sent again: some round trips between regions.
+	callRetryMs = 200.0
+	// notLeaderRetryMs is how long a call waits that was sent to a member that does not lead the log. The leader is known
+	// after the next heartbeat or raft message, so this is shorter than callRetryMs.
+	notLeaderRetryMs = 2 * TickMs
+	// startupGraceMs is the time from a start of a process in which it is not taken for isolated, as it may have yet to
+	// connect. A process that it replaces may also still hold the address of the member.
+	startupGraceMs = 2500.0
+)
+
+// Call asks the leader of a log to look up a key or to append a record.
+type Call struct {
+	Seq    uint64
+	Lookup bool
+	Record Record // of a lookup, Key and Request.Fingerprint alone
+}
+
+// CallReply is a leader's reply to a call.
+type CallReply struct {
+	Seq    uint64
+	Result Result
+	Answer FinalAnswer // of KeyAnswered
+}
+
+// Reply is the result of a Lookup or Append of this member.
+type Reply struct {
+	ID     uint64 // as given to Lookup or Append
+	Result Result
+	Answer FinalAnswer // of KeyAnswered
+	SentAt float64     // when the call that was replied to was sent; a lease counts from here
+}
+
+// pendingCall is a call of this member that has no reply yet.
+type pendingCall struct {
+	id       uint64
+	seq      uint64  // of the latest sending
+	sentAt   float64 // of the latest sending
+	deadline float64
+	logIndex int
+	isLookup bool
+	record   Record
+}
+
+// Lookup asks what is known of a key. The result comes as a Reply with the ID; after the deadline it is NoQuorum.
+func (m *Member) Lookup(now float64, id uint64, key string, fingerprint uint64, deadline float64) {
+	m.now = now
+	m.sendCall(&pendingCall{
+		id:       id,
+		deadline: deadline,
+		logIndex: m.LogOf(key),
+		isLookup: true,
+		record:   Record{Key: key, Request: Request{Fingerprint: fingerprint}},
+	})
+}
+
+// Append appends a record to the log of its key. The result comes as a Reply with the ID: Committed once the record is on a
+// majority of the replicas. After the deadline it is NoQuorum, and the record may be committed nevertheless.
+func (m *Member) Append(now float64, id uint64, record Record, deadline float64) {
+	m.now = now
+	if record.Kind == AttemptStarted && record.Attempt.Number == 0 {
+		if m.ownedKeys[record.Key] {
+			m.outputs = append(m.outputs, Output{Reply: &Reply{ID: id, Result: KeyInFlight, SentAt: now}})
+			return
+		}
+		m.ownedKeys[record.Key] = true
+	}
+	record.Owner = m.self
+	m.sendCall(&pendingCall{id: id, deadline: deadline, logIndex: m.LogOf(record.Key), record: record})
+}
+
+// leaderOf returns the member that leads a log, as far as is known.
+func (m *Member) leaderOf(logIndex int) (member int, known bool) {
+	if log := m.replicas[logIndex]; log != nil {
+		if log.canServe(m.config.Replicas) {
+			return m.config.Self, true
+		}
+		if voterID := log.leader(); voterID != 0 {
+			leader := incarnationOf(voterID).Member()
+			if leader != m.config.Self && m.peers[leader].connected {
+				return leader, true
+			}
+		}
+	}
+	return m.leaderByHeartbeats(logIndex)
+}
+
+// leaderByHeartbeats returns the member that says it leads a log. A leader that was cut off may say so for a while after
+// another was elected, so the latest generation and term count.
+func (m *Member) leaderByHeartbeats(logIndex int) (member int, known bool) {
+	var latest LogStatus
+	for i := range m.peers {
+		peer := &m.peers[i]
+		if peer.heartbeat == nil || !peer.connected {
+			continue
+		}
+		for _, status := range peer.heartbeat.Logs {
+			if status.Log != logIndex || !status.IsLeader {
+				continue
+			}
+			if !known || status.isLaterThan(&latest) {
+				member, known, latest = i, true, status
+			}
+		}
+	}
+	return member, known
+}
+
+// sendCall sends a call to the leader of its log under a new sequence number. If the leader is not known the call waits for
+// retryCalls.
+func (m *Member) sendCall(call *pendingCall) {
+	delete(m.pendingCalls, call.seq)
+	m.lastCallSeq++
+	call.seq, call.sentAt = m.lastCallSeq, m.now
+	m.pendingCalls[call.seq] = call
+	leader, known := m.leaderOf(call.logIndex)
+	if !known {
+		return
+	}
+	request := Call{Seq: call.seq, Lookup: call.isLookup, Record: call.record}
+	if leader == m.config.Self {
+		m.serveCall(m.self, call.logIndex, request)
+		return
+	}
+	m.sendFrame(leader, &Frame{Kind: frameCall, Log: call.logIndex, Call: request})
+}
+
+// serveCall serves a call of an incarnation, which may be this one, if this member leads the log. A record's reply goes out
+// once it is applied.
+func (m *Member) serveCall(caller Incarnation, logIndex int, call Call) {
+	log := m.replicas[logIndex]
+	switch {
+	case log == nil || !log.canServe(m.config.Replicas):
+		m.replyTo(caller, CallReply{Seq: call.Seq, Result: NotLeader})
+	case call.Lookup:
+		result, answer := log.ledger.lookup(call.Record.Key, call.Record.Request.Fingerprint)
+		m.replyTo(caller, CallReply{call.Seq, result, answer})
+	case call.Record.Owner != caller || call.Record.Kind == 0 || call.Record.Kind > RequestAnswered:
+		m.replyTo(caller, CallReply{Seq: call.Seq, Result: InvalidRecord})
+	default:
+		record := call.Record
+		record.LeaderTime, record.Caller, record.CallSeq = m.now, caller, call.Seq
+		if err := log.node.Propose(snapshot.Append(nil, &record)); err != nil {
+			// A transfer of the leadership is under way, or too many bytes are uncommitted. Neither lasts, so the caller is
+			// told to come again and not that the log is full.
+			m.replyTo(caller, CallReply{Seq: call.Seq, Result: NotLeader})
+		}
+	}
+}
+
+func (m *Member) replyTo(caller Incarnation, reply CallReply) {
+	if caller == m.self {
+		m.receiveReply(reply)
+	} else if m.peers[caller.Member()].incarnation == caller {
+		m.sendFrame(caller.Member(), &Frame{Kind: frameReply, Reply: reply})
+	}
+}
+
+// receiveReply takes a leader's reply. A reply to an earlier sending of a call is dropped: a lease counts from the time of
+// the sending that was replied to, and that time is known of the latest one only.
+func (m *Member) receiveReply(reply CallReply) {
+	call := m.pendingCalls[reply.Seq]
+	if call == nil {
+		return
+	}
+	if reply.Result == NotLeader {
+		call.sentAt = math.Min(call.sentAt, m.now-callRetryMs+notLeaderRetryMs)
+		return
+	}
+	delete(m.pendingCalls, reply.Seq)
+	m.finishCall(call, reply.Result, reply.Answer)
+}
+
+func (m *Member) finishCall(call *pendingCall, result Result, answer FinalAnswer) {
+	if record := &call.record; !call.isLookup {
+		isFirstAttempt := record.Kind == AttemptStarted && record.Attempt.Number == 0
+		if record.Kind == RequestAnswered || isFirstAttempt && result != Committed {
+			delete(m.ownedKeys, record.Key)
+		}
+	}
+	m.outputs = append(m.outputs, Output{Reply: &Reply{ID: call.id, Result: result, Answer: answer, SentAt: call.sentAt}})
+}
+
+// retryCalls ends the calls whose deadline has passed and sends those again that have waited for long, in their order. While
+// this member is isolated no call can succeed, so calls end within a tick and do not wait for their deadline.
+func (m *Member) retryCalls() {
+	for _, seq := range slices.Sorted(maps.Keys(m.pendingCalls)) {
+		call := m.pendingCalls[seq]
+		waited := m.now - call.sentAt
+		switch {
+		case m.now >= call.deadline, m.isIsolated() && waited >= TickMs:
+			delete(m.pendingCalls, seq)
+			m.finishCall(call, NoQuorum, FinalAnswer{})
+		case waited >= callRetryMs:
+			m.sendCall(call)
+		}
+	}
+}
+
+// isIsolated reports whether this member is connected with so few that no majority of any log's replicas can be among them.
+func (m *Member) isIsolated() bool {
+	if m.now < m.startedAt+startupGraceMs {
+		return false
+	}
+	reachable := 1 // itself
+	for i := range m.peers {
+		if m.peers[i].connected {
+			reachable++
+		}
+	}
+	return 2*reachable <= m.config.Replicas
+}
--- /dev/null
+++ b/internal/requestlog/digest.go
@@ -0,0 +1,98 @@
+package requestlog
+
+// StateDigest is a member's view of all logs, for operators. Its JSON is read by scripts: the tags keep earlier words.
+type StateDigest struct {
+	Self        string      `json:"self"`
+	Incarnation uint64      `json:"life"`
+	Peers       []PeerState `json:"peers"`
+	Logs        []LogState  `json:"logs"`
+	Takeovers   uint64      `json:"took_over"` // requests that this process has taken over; counted by the host
+}
+
+// PeerState is what is known of another member.
+type PeerState struct {
+	Name        string  `json:"name"`
+	Incarnation uint64  `json:"life"` // 0 is unknown
+	Connected   bool    `json:"linked"`
+	SilentMs    float64 `json:"silent_ms"` // since its last frame
+}
+
+// LogState is one log as this member sees it. What follows Complete is of its own replica.
+type LogState struct {
+	Member      string   `json:"of"` // whose log it is
+	HasReplica  bool     `json:"holds"`
+	Leader      string   `json:"leader"` // empty is unknown
+	Complete    bool     `json:"whole"`  // its leader says that as many live members as configured hold replicas
+	Term        uint64   `json:"term"`
+	Voters      []string `json:"voters"`
+	Lag         uint64   `json:"lag"` // entries that are stored and not applied
+	InFlight    int      `json:"in_hand"`
+	Records     int      `json:"records"`    // requests in the ledger, in flight or answered
+	Bytes       int      `json:"bytes"`      // of the ledger
+	MemoryBytes int      `json:"held_bytes"` // of the ledger, its snapshot and the records since
+}
+
+// StateDigest returns the member's view. Takeovers is left to the host.
+func (m *Member) StateDigest() StateDigest {
+	digest := StateDigest{Self: m.config.Members[m.config.Self], Incarnation: m.config.Incarnation}
+	for i := range m.peers {
+		if i == m.config.Self {
+			continue
+		}
+		peer := &m.peers[i]
+		digest.Peers = append(digest.Peers, PeerState{
+			Name:        m.config.Members[i],
+			Incarnation: peer.incarnation.number(),
+			Connected:   peer.connected,
+			SilentMs:    m.now - peer.lastReceivedAt,
+		})
+	}
+	for logIndex := range m.replicas {
+		digest.Logs = append(digest.Logs, m.logState(logIndex))
+	}
+	return digest
+}
+
+func (m *Member) logState(logIndex int) LogState {
+	state := LogState{Member: m.config.Members[logIndex]}
+	if leader, known := m.leaderOf(logIndex); known {
+		state.Leader = m.config.Members[leader]
+		state.Complete = m.isCompleteBy(leader, logIndex)
+	}
+	log := m.replicas[logIndex]
+	if log == nil {
+		return state
+	}
+	state.HasReplica, state.Term = true, log.term()
+	for _, voterID := range log.confState.GetVoters() {
+		state.Voters = append(state.Voters, m.config.Members[incarnationOf(voterID).Member()])
+	}
+	if last, err := log.storage.LastIndex(); err == nil && last > log.appliedIndex {
+		state.Lag = last - log.appliedIndex
+	}
+	state.InFlight = len(log.ledger.unanswered)
+	state.Records = len(log.ledger.entries)
+	state.Bytes = log.ledger.bytes
+	state.MemoryBytes = log.ledger.bytes + log.bytesSinceSnapshot
+	if stored, err := log.storage.Snapshot(); err == nil {
+		state.MemoryBytes += len(stored.GetData())
+	}
+	return state
+}
+
+// isCompleteBy reports whether a log's leader says that it is complete.
+func (m *Member) isCompleteBy(leader, logIndex int) bool {
+	if leader == m.config.Self {
+		return m.logStatus(logIndex).Complete
+	}
+	heartbeat := m.peers[leader].heartbeat
+	if heartbeat == nil {
+		return false
+	}
+	for _, status := range heartbeat.Logs {
+		if status.Log == logIndex && status.Complete {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/requestlog/frame.go
@@ -0,0 +1,79 @@
+package requestlog
+
+import (
+	"errors"
+	"fmt"
+
+	"pearknot/internal/snapshot"
+)
+
+// Version is the version of the frames. Frames of another version are refused.
+const Version = 1
+
+// The kinds of frames. Members of other builds send these numbers.
+const (
+	frameRaft = iota + 1
+	frameCall
+	frameReply
+	frameHeartbeat
+)
+
+// Frame is what one member sends to another, encoded by the order of its fields.
+type Frame struct {
+	Version    int
+	Kind       int
+	Log        int       // index of the log; of a heartbeat, 0
+	Generation uint64    // of the log; of frameRaft
+	Raft       []byte    // a raftpb.Message; of frameRaft
+	Call       Call      // of frameCall
+	Reply      CallReply // of frameReply
+	Heartbeat  Heartbeat // of frameHeartbeat
+}
+
+// The errors of Receive. The sender's link should be closed on either.
+var (
+	ErrMalformedFrame = errors.New("malformed frame")
+	ErrFrameVersion   = errors.New("unsupported frame version")
+)
+
+func encodeFrame(frame *Frame) []byte {
+	frame.Version = Version
+	return snapshot.Append(nil, frame)
+}
+
+func (m *Member) sendFrame(to int, frame *Frame) {
+	m.outputs = append(m.outputs, Output{To: to, Frame: encodeFrame(frame)})
+}
+
+// Receive takes a frame of a connected member.
+func (m *Member) Receive(now float64, from int, data []byte) error {
+	m.now = now
+	frame := &Frame{}
+	if err := snapshot.Read(data, frame); err != nil {
+		return fmt.Errorf("%w: %w", ErrMalformedFrame, err)
+	}
+	if frame.Version != Version {
+		return fmt.Errorf("%w: %d, this build reads %d", ErrFrameVersion, frame.Version, Version)
+	}
+	if frame.Log < 0 || frame.Log >= len(m.replicas) {
+		return fmt.Errorf("%w: log %d of %d", ErrMalformedFrame, frame.Log, len(m.replicas))
+	}
+	peer := &m.peers[from]
+	if peer.incarnation == 0 {
+		return fmt.Errorf("%w: from a member that has never been connected", ErrMalformedFrame)
+	}
+	peer.lastReceivedAt = now
+	switch frame.Kind {
+	case frameRaft:
+		return m.receiveRaftMessage(peer, frame)
+	case frameCall:
+		m.serveCall(peer.incarnation, frame.Log, frame.Call)
+		return nil
+	case frameReply:
+		m.receiveReply(frame.Reply)
+		return nil
+	case frameHeartbeat:
+		return m.receiveHeartbeat(peer, &frame.Heartbeat)
+	}
+	return fmt.Errorf("%w: kind %d", ErrMalformedFrame, frame.Kind)
+}
--- /dev/null
+++ b/internal/requestlog/heartbeat.go
@@ -0,0 +1,164 @@
+package requestlog
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+)
+
+const (
+	// heartbeatIntervalMs is how often a member sends heartbeats: ten in PeerTimeoutMs.
+	heartbeatIntervalMs = 100.0
+	// removedReplicaLingerMs is how long a replica that was removed from its log's voters is kept and still votes.
+	removedReplicaLingerMs = 2000.0
+)
+
+// Heartbeat is what a member says of itself to all others, every heartbeatIntervalMs.
+type Heartbeat struct {
+	ShuttingDown bool
+	Nonce        uint64
+	EchoedNonces []uint64 // by member, the latest nonce that came from it
+	Logs         []LogStatus
+}
+
+// LogStatus is a member's part in one log.
+type LogStatus struct {
+	Log             int // its index
+	Generation      uint64
+	KnownGeneration uint64 // the latest generation of the log that the member has heard of
+	VoterID         uint64 // by which the member is in the log, or would join it
+	HasReplica      bool
+	IsLeader        bool
+	Term            uint64
+	Voters          []uint64
+	OutgoingVoters  []uint64 // of a joint configuration, the voters before the change
+	Applied         uint64   // index of the last entry applied
+	Complete        bool     // it leads, and as many live members as configured hold replicas
+}
+
+// isLaterThan reports whether this status of a log is of a later generation, or of a later term of the same one.
+func (s *LogStatus) isLaterThan(other *LogStatus) bool {
+	return cmp.Or(cmp.Compare(s.Generation, other.Generation), cmp.Compare(s.Term, other.Term)) > 0
+}
+
+func (s *LogStatus) isVoter(voterID uint64) bool {
+	return slices.Contains(s.Voters, voterID) || slices.Contains(s.OutgoingVoters, voterID)
+}
+
+// peer is what is known of another member.
+type peer struct {
+	incarnation    Incarnation // 0 is unknown
+	connected      bool
+	lastReceivedAt float64
+	disconnectedAt float64
+	heartbeat      *Heartbeat // the latest of this connection; nil is none
+}
+
+func (m *Member) sendHeartbeats() {
+	heartbeat := Heartbeat{ShuttingDown: m.shuttingDown, Nonce: m.nonce, EchoedNonces: make([]uint64, len(m.peers))}
+	for i := range m.peers {
+		if latest := m.peers[i].heartbeat; latest != nil {
+			heartbeat.EchoedNonces[i] = latest.Nonce
+		}
+	}
+	for logIndex := range m.replicas {
+		heartbeat.Logs = append(heartbeat.Logs, m.logStatus(logIndex))
+	}
+	data := encodeFrame(&Frame{Kind: frameHeartbeat, Heartbeat: heartbeat})
+	for i := range m.peers {
+		if i != m.config.Self && m.peers[i].connected {
+			m.outputs = append(m.outputs, Output{To: i, Frame: data})
+		}
+	}
+}
+
+// logStatus returns this member's part in a log.
+func (m *Member) logStatus(logIndex int) LogStatus {
+	status := LogStatus{Log: logIndex, KnownGeneration: m.knownGenerations[logIndex], VoterID: m.voterIDs[logIndex]}
+	log := m.replicas[logIndex]
+	if log == nil {
+		return status
+	}
+	status.Generation, status.HasReplica = log.generation, true
+	status.IsLeader = log.isLeader && log.readyTerm > 0
+	status.Term = log.term()
+	status.Voters, status.OutgoingVoters = log.confState.GetVoters(), log.confState.GetVotersOutgoing()
+	status.Applied = log.appliedIndex
+	status.Complete = log.canServe(m.config.Replicas) && len(status.OutgoingVoters) == 0
+	for _, voterID := range status.Voters {
+		member := incarnationOf(voterID).Member()
+		status.Complete = status.Complete && m.isAvailable(member) && m.voterIDOf(member, logIndex) == voterID
+	}
+	return status
+}
+
+func (m *Member) receiveHeartbeat(peer *peer, heartbeat *Heartbeat) error {
+	if len(heartbeat.EchoedNonces) != len(m.peers) {
+		return fmt.Errorf("%w: heartbeat of a fleet of %d members", ErrMalformedFrame, len(heartbeat.EchoedNonces))
+	}
+	for _, status := range heartbeat.Logs {
+		if status.Log < 0 || status.Log >= len(m.replicas) {
+			return fmt.Errorf("%w: status of log %d", ErrMalformedFrame, status.Log)
+		}
+		m.knownGenerations[status.Log] = max(m.knownGenerations[status.Log], status.KnownGeneration)
+	}
+	peer.heartbeat = heartbeat
+	for i := range heartbeat.Logs {
+		m.dropIfRemoved(&heartbeat.Logs[i])
+	}
+	return nil
+}
+
+// dropIfRemoved drops this member's replica of a log if the log's leader has a later generation, or has long been complete
+// without this replica.
+//
+// A replica that was removed stays for removedReplicaLingerMs and votes. The other voters may have yet to learn that the
+// change of voters is committed; if the leader dies just then, they still need this vote by the joint configuration, and the
+// log would never get a leader again without it.
+func (m *Member) dropIfRemoved(leader *LogStatus) {
+	log := m.replicas[leader.Log]
+	if log == nil || !leader.IsLeader {
+		return
+	}
+	isOutdated := leader.Generation < log.generation || leader.Generation == log.generation && leader.Term < log.term()
+	switch {
+	case leader.Generation > log.generation:
+		m.dropReplica(leader.Log)
+	case isOutdated, log.isLeader, leader.isVoter(log.voterID), !leader.Complete:
+		log.removedSince = 0
+	case log.removedSince == 0:
+		log.removedSince = m.now
+	case m.now-log.removedSince > removedReplicaLingerMs:
+		m.dropReplica(leader.Log)
+	}
+}
+
+// dropReplica drops this member's replica of a log. Its votes and its log are forgotten, so its voter ID is never used again:
+// under the same ID the member could vote twice in a term, or lack entries that it has acknowledged.
+func (m *Member) dropReplica(logIndex int) {
+	m.replicas[logIndex] = nil
+	m.voterIDs[logIndex]++
+	m.nextHeartbeatAt = m.now
+}
+
+// isAvailable reports whether a member can hold replicas: it is connected, sends heartbeats and is not shutting down.
+func (m *Member) isAvailable(member int) bool {
+	if member == m.config.Self {
+		return !m.shuttingDown
+	}
+	peer := &m.peers[member]
+	return peer.connected && peer.heartbeat != nil && !peer.heartbeat.ShuttingDown && m.now-peer.lastReceivedAt < PeerTimeoutMs
+}
+
+// voterIDOf returns the voter ID by which an available member is in a log, or would join it. 0 is unknown.
+func (m *Member) voterIDOf(member, logIndex int) uint64 {
+	if member == m.config.Self {
+		return m.voterIDs[logIndex]
+	}
+	for _, status := range m.peers[member].heartbeat.Logs {
+		if status.Log == logIndex {
+			return status.VoterID
+		}
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/requestlog/incarnation.go
@@ -0,0 +1,33 @@
+package requestlog
+
+// Incarnation names one run of a member's process: a process that was started again is another incarnation.
+//
+// It holds the member's index in the fleet above a number of numberBits bits, which is a time in ms and grows with each
+// start. The lowest voterIDBits bits are zero. A voter ID is an incarnation with a counter in these bits: an incarnation that
+// drops its replica of a log uses the next voter ID when it gets a new one.
+type Incarnation uint64
+
+const (
+	voterIDBits = 12
+	numberBits  = 44
+)
+
+// NewIncarnation returns the incarnation of a member by its index and the number of its run, in ms.
+func NewIncarnation(member int, number uint64) Incarnation {
+	const withoutMember = 1<<(numberBits+voterIDBits) - 1
+	return Incarnation(uint64(member)<<(numberBits+voterIDBits) | number<<voterIDBits&withoutMember)
+}
+
+// Member returns the index in the fleet of the member whose incarnation this is.
+func (i Incarnation) Member() int { return int(i >> (numberBits + voterIDBits)) }
+
+func (i Incarnation) number() uint64 {
+	const memberBits = 64 - numberBits - voterIDBits
+	return uint64(i) << memberBits >> (memberBits + voterIDBits)
+}
+
+// firstVoterID returns the voter ID by which the incarnation joins a log for the first time.
+func (i Incarnation) firstVoterID() uint64 { return uint64(i) + 1 }
+
+// incarnationOf returns the incarnation that uses a voter ID.
+func incarnationOf(voterID uint64) Incarnation { return Incarnation(voterID &^ (1<<voterIDBits - 1)) }
--- /dev/null
+++ b/internal/requestlog/member.go
@@ -0,0 +1,248 @@
+package requestlog
+
+import (
+	"log/slog"
+	"math"
+
+	"github.com/cespare/xxhash/v2"
+
+	"pearknot/internal/snapshot"
+)
+
+// Config is what a member is told at its start.
+type Config struct {
+	Members     []string // names, the same in the same order at all members
+	Self        int      // this member's index among them
+	Incarnation uint64   // the number of this run: above the numbers of all runs of the member before it
+	Replicas    int      // of each log
+	Seed        uint64   // of the election timeouts
+	MaxLogBytes int      // that the ledger of one log may hold
+	AnswerTTL   float64  // ms that an answer is kept
+	InjectedBug InjectedBug
+}
+
+const (
+	// TickMs is the time of one tick of the logs, in ms.
+	TickMs = 25.0
+
+	// pauseMs is a gap between two calls of Tick after which this process assumes that it was paused itself, rather than
+	// that all others fell silent: ten ticks.
+	pauseMs = 250.0
+	// expiryIntervalMs is how often a leader has expired answers removed.
+	expiryIntervalMs = 1000.0
+)
+
+// Member is one process's part in all logs. It is not safe for concurrent use.
+type Member struct {
+	config Config
+	self   Incarnation
+	now    float64 // of the latest input
+	peers  []peer  // by member; the one of this member is not used
+
+	// By log. A replica is nil where this member has none.
+	replicas         []*replica
+	voterIDs         []uint64 // by which this member is in the log, or would join it
+	knownGenerations []uint64 // the latest generation that any member is known to have heard of
+
+	// Calls of this member.
+	pendingCalls map[uint64]*pendingCall // by the sequence number of the latest sending
+	lastCallSeq  uint64
+	ownedKeys    map[string]bool // keys of the requests that this member has in flight
+
+	outputs []Output
+
+	// When the next step of each kind is due.
+	nextTickAt            float64
+	nextHeartbeatAt       float64
+	nextReconfigurationAt float64
+	nextExpiryAt          float64
+
+	nonce              uint64 // goes out with heartbeats; a new one after each pause of this process
+	startedAt          float64
+	suspectNobodyUntil float64 // after a start or a pause nobody has been heard yet, so nobody is taken for lost
+	shuttingDown       bool
+
+	// What the members say of this member's own log while nobody leads it: a digest, and since when it is unchanged.
+	bootstrapDigest      uint64
+	bootstrapDigestSince float64
+}
+
+// Output is one thing for the host to do. One of its fields is set, To beside Frame.
+type Output struct {
+	To        int    // the member that the frame is for
+	Frame     []byte // to be sent
+	Reply     *Reply // to a call of this member
+	TakenOver *Entry // a request that this member owns from now on
+	Event     *Event // to be logged
+}
+
+// Event is something that operators should know of.
+type Event struct {
+	Message string
+	Log     string // the member whose log it is about
+	Term    uint64 // 0 is none
+	Err     error
+}
+
+// Attrs returns the event's attributes for a log line.
+func (e *Event) Attrs() []slog.Attr {
+	attrs := []slog.Attr{slog.String("log", e.Log)}
+	if e.Term > 0 {
+		attrs = append(attrs, slog.Uint64("term", e.Term))
+	}
+	if e.Err != nil {
+		attrs = append(attrs, slog.Any("error", e.Err))
+	}
+	return attrs
+}
+
+// New returns a member that is connected with nobody and has no replica of any log.
+func New(config Config, now float64) *Member {
+	members := len(config.Members)
+	m := &Member{
+		config:                config,
+		self:                  NewIncarnation(config.Self, config.Incarnation),
+		now:                   now,
+		peers:                 make([]peer, members),
+		replicas:              make([]*replica, members),
+		voterIDs:              make([]uint64, members),
+		knownGenerations:      make([]uint64, members),
+		pendingCalls:          map[uint64]*pendingCall{},
+		ownedKeys:             map[string]bool{},
+		nextTickAt:            now,
+		nextHeartbeatAt:       now,
+		nextReconfigurationAt: now + reconfigurationIntervalMs,
+		nextExpiryAt:          now + expiryIntervalMs,
+		nonce:                 config.Incarnation,
+		startedAt:             now,
+		suspectNobodyUntil:    now + PeerTimeoutMs,
+	}
+	for i := range m.voterIDs {
+		m.voterIDs[i] = m.self.firstVoterID()
+	}
+	return m
+}
+
+// Self returns this process's incarnation.
+func (m *Member) Self() Incarnation { return m.self }
+
+// LogOf returns the index of the log that holds a key's records.
+func (m *Member) LogOf(key string) int {
+	return int(xxhash.Sum64String(key) % uint64(len(m.config.Members)))
+}
+
+// PeerConnected tells that frames can go both ways between this member and an incarnation of another.
+func (m *Member) PeerConnected(now float64, member int, incarnation Incarnation) {
+	m.now = now
+	peer := &m.peers[member]
+	peer.incarnation = incarnation
+	peer.heartbeat = nil
+	peer.connected, peer.lastReceivedAt = true, now
+}
+
+// PeerDisconnected tells that the link to a member is down.
+func (m *Member) PeerDisconnected(now float64, member int) {
+	m.now = now
+	peer := &m.peers[member]
+	if !peer.connected {
+		return
+	}
+	peer.connected, peer.disconnectedAt = false, now
+	peer.heartbeat = nil
+}
+
+// Shutdown begins a graceful shutdown: as far as possible, the logs that this member leads get other leaders.
+func (m *Member) Shutdown(now float64) {
+	m.now = now
+	m.shuttingDown = true
+	m.nextHeartbeatAt = now
+	m.reconfigureLogs()
+}
+
+// Tick lets time pass. The host calls it about every TickMs.
+func (m *Member) Tick(now float64) {
+	m.detectPause(now)
+	m.now = now
+	for ; m.nextTickAt <= now; m.nextTickAt += TickMs {
+		m.tickReplicas()
+	}
+	if now >= m.nextHeartbeatAt {
+		m.nextHeartbeatAt = now + heartbeatIntervalMs
+		m.sendHeartbeats()
+	}
+	m.maybeBootstrap()
+	m.retryCalls()
+	if now >= m.nextReconfigurationAt {
+		m.nextReconfigurationAt = now + reconfigurationIntervalMs
+		m.reconfigureLogs()
+	}
+	if m.config.InjectedBug != BugNoTakeover {
+		for _, log := range m.servableReplicas() {
+			m.proposeTakeovers(log)
+		}
+	}
+	if now >= m.nextExpiryAt {
+		m.nextExpiryAt = now + expiryIntervalMs
+		m.proposeExpiry()
+	}
+}
+
+// detectPause notices that this process itself was paused, by a stop signal, a suspended machine or a lack of processor time.
+// Seen from here all others fell silent at once, and all that they said last is old. So nobody is taken for lost until they
+// have had time to be heard again, ticks that were missed are not made up for, and heartbeats must echo a new nonce before
+// they count as evidence for a bootstrap.
+func (m *Member) detectPause(now float64) {
+	if now-m.nextTickAt <= pauseMs && now-m.now <= pauseMs {
+		return
+	}
+	m.suspectNobodyUntil = now + PeerTimeoutMs
+	m.nextTickAt, m.bootstrapDigestSince = now, now
+	m.nonce++
+	for i := range m.peers {
+		m.peers[i].lastReceivedAt = math.Max(m.peers[i].lastReceivedAt, now)
+	}
+}
+
+func (m *Member) tickReplicas() {
+	for _, log := range m.replicas {
+		if log != nil {
+			log.tick()
+		}
+	}
+}
+
+// servableReplicas returns the replicas of the logs that this member leads and can serve calls of.
+func (m *Member) servableReplicas() []*replica {
+	var servable []*replica
+	for _, log := range m.replicas {
+		if log != nil && log.canServe(m.config.Replicas) {
+			servable = append(servable, log)
+		}
+	}
+	return servable
+}
+
+func (m *Member) proposeExpiry() {
+	record := snapshot.Append(nil, &Record{Kind: AnswersExpired, LeaderTime: m.now})
+	for _, log := range m.servableReplicas() {
+		_ = log.node.Propose(record) // proposed again after expiryIntervalMs
+	}
+}
+
+// Next returns the next thing for the host to do, if there is one. The logs process their inputs here and not as these come,
+// so that the messages that answer a batch of inputs go out together.
+func (m *Member) Next() (Output, bool) {
+	if len(m.outputs) == 0 {
+		m.processReplicas()
+	}
+	if len(m.outputs) == 0 {
+		return Output{}, false
+	}
+	output := m.outputs[0]
+	m.outputs = m.outputs[1:]
+	return output, true
+}
+
+func (m *Member) logEvent(event Event) {
+	m.outputs = append(m.outputs, Output{Event: &event})
+}
--- a/internal/requestlog/numbers_test.go
+++ b/internal/requestlog/numbers_test.go
@@ -8,22 +8,23 @@
 	"pearknot/internal/goldentest"
 )
 
-// Frames and logs hold these numbers.
+// Frames and logs hold these numbers, and members of two builds read each other's. The file was written by an earlier build.
 func TestWireNumbers(t *testing.T) {
 	text := ""
-	put := func(name string, values ...any) {
+	addLine := func(name string, values ...any) {
 		for _, v := range values {
-			if n := reflect.ValueOf(v); n.CanInt() {
-				text += fmt.Sprintln(name, n.Int())
+			if number := reflect.ValueOf(v); number.CanInt() {
+				text += fmt.Sprintln(name, number.Int())
 			} else {
-				text += fmt.Sprintln(name, n.Uint())
+				text += fmt.Sprintln(name, number.Uint())
 			}
 		}
 	}
-	put("frame", raftFrame, askFrame, toldFrame, beatFrame)
-	put("record", AttemptStarted, AttemptEnded, RequestAnswered, OwnerChanged, AnswersExpired)
-	put("final", Unanswered, Served, Rejected, Failed)
-	put("code", Committed, KeyUnused, KeyInFlight, KeyAnswered, KeyMismatch, NotOwner, LogFull, NotLeader, NoQuorum, InvalidRecord)
-	put("process", NewIncarnation(3, 7), NewIncarnation(0, 1<<40))
+	// The names at the left are the file's.
+	addLine("frame", frameRaft, frameCall, frameReply, frameHeartbeat)
+	addLine("record", AttemptStarted, AttemptEnded, RequestAnswered, OwnerChanged, AnswersExpired)
+	addLine("final", Unanswered, Served, Rejected, Failed)
+	addLine("code", Committed, KeyUnused, KeyInFlight, KeyAnswered, KeyMismatch, NotOwner, LogFull, NotLeader, NoQuorum, InvalidRecord)
+	addLine("process", NewIncarnation(3, 7), NewIncarnation(0, 1<<40))
 	goldentest.Equal(t, "numbers.txt", []byte(text))
 }
--- /dev/null
+++ b/internal/requestlog/raftmessages.go
@@ -0,0 +1,100 @@
+package requestlog
+
+import (
+	"fmt"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// receiveRaftMessage hands a raft message to the replica that it is for. A member that was added to a log's voters learns of
+// it by the first message, and gets an empty replica then.
+func (m *Member) receiveRaftMessage(peer *peer, frame *Frame) error {
+	message := &pb.Message{}
+	if err := proto.Unmarshal(frame.Raft, message); err != nil {
+		return fmt.Errorf("%w: raft message: %w", ErrMalformedFrame, err)
+	}
+	if incarnationOf(message.GetFrom()) != peer.incarnation {
+		return fmt.Errorf("%w: raft message of another incarnation", ErrMalformedFrame)
+	}
+	log := m.replicas[frame.Log]
+	if log != nil && frame.Generation > log.generation {
+		m.dropReplica(frame.Log)
+		log = nil
+	}
+	isForEarlierReplica := message.GetTo() != m.voterIDs[frame.Log]
+	isOfEarlierGeneration := log != nil && frame.Generation < log.generation
+	if isForEarlierReplica || isOfEarlierGeneration {
+		return nil
+	}
+	if log == nil {
+		var err error
+		if log, err = newReplica(&m.config, frame.Log, frame.Generation, m.voterIDs[frame.Log]); err != nil {
+			return nil // raft refuses the configuration; the sender is not to blame
+		}
+		m.replicas[frame.Log] = log
+		m.knownGenerations[frame.Log] = max(m.knownGenerations[frame.Log], frame.Generation)
+	}
+	log.step(message)
+	return nil
+}
+
+// sendRaftMessage sends a message of a replica, if the incarnation that it is for is connected. What can't be sent is lost;
+// raft sends it again.
+func (m *Member) sendRaftMessage(log *replica, message *pb.Message) {
+	to := incarnationOf(message.GetTo())
+	peer := &m.peers[to.Member()]
+	if to == m.self || peer.incarnation != to || !peer.connected {
+		log.reportSnapshot(message, false)
+		return
+	}
+	data, err := proto.Marshal(message)
+	if err != nil {
+		return
+	}
+	m.sendFrame(to.Member(), &Frame{Kind: frameRaft, Log: log.logIndex, Generation: log.generation, Raft: data})
+	log.reportSnapshot(message, true)
+}
+
+// processReplicas carries out what the replicas are ready for, until none of them is. Applying a record of one log may make
+// another one ready.
+func (m *Member) processReplicas() {
+	for again := true; again; {
+		again = false
+		for _, log := range m.replicas {
+			if log == nil || !log.node.HasReady() {
+				continue
+			}
+			again = true
+			wasLeader := log.isLeader
+			log.processReady(
+				func(message *pb.Message) { m.sendRaftMessage(log, message) },
+				func(record *Record, result Result, answer FinalAnswer) { m.recordApplied(log, record, result, answer) })
+			if log.isLeader != wasLeader {
+				m.leadershipChanged(log)
+			}
+		}
+	}
+}
+
+func (m *Member) leadershipChanged(log *replica) {
+	m.nextHeartbeatAt = m.now
+	clear(log.takeoverProposedAt)
+	log.confChangeProposedAt = 0
+	message := "became leader of request log"
+	if !log.isLeader {
+		message = "lost leadership of request log"
+	}
+	m.logEvent(Event{Message: message, Log: m.config.Members[log.logIndex], Term: log.term()})
+}
+
+// recordApplied is called for each record that a replica has applied. The leader replies to the record's caller.
+func (m *Member) recordApplied(log *replica, record *Record, result Result, answer FinalAnswer) {
+	if record.Kind == OwnerChanged {
+		m.ownerChangeApplied(log, record, result)
+		return
+	}
+	if record.Caller != 0 && log.isLeaderNow() {
+		m.replyTo(record.Caller, CallReply{record.CallSeq, result, answer})
+	}
+}
--- a/internal/requestlog/record.go
+++ b/internal/requestlog/record.go
@@ -2,53 +2,40 @@
 
 import (
 	"slices"
+	"strings"
 
 	"pearknot/balancer"
 )
 
-// Pid names one life of a process: a process that was started again is another.
-type Incarnation uint64
+// Records lie in logs and travel in frames, encoded by the order of their fields (internal/snapshot): a field is only ever
+// added at the end, and the numbers of the enumerations stay.
 
-// A life is a time in ms, of 44 bits; the last 12 bits name the seats that it takes one after the other in a log.
-const seatBits, lifeBits = 12, 44
-
-// NewPid names a life of a member.
-func NewIncarnation(member int, life uint64) Incarnation {
-	return Incarnation(uint64(member)<<(lifeBits+seatBits) | life<<seatBits&(1<<(lifeBits+seatBits)-1))
-}
-
-// Member tells whose life it is, by the member's place in the list.
-func (p Incarnation) Member() int { return int(p >> (lifeBits + seatBits)) }
-
-func (p Incarnation) life() uint64 { return uint64(p) << 8 >> (8 + seatBits) }
-
-// of is the life that has a seat.
-func of(seat uint64) Incarnation { return Incarnation(seat &^ (1<<seatBits - 1)) }
-
-// Kind is what a record says.
+// RecordKind tells what a record says.
 type RecordKind uint8
 
+// The kinds of records.
 const (
-	AttemptStarted  RecordKind = iota + 1 // an op, with its first push, or a further push, is about to begin
-	AttemptEnded                          // a push has ended
-	RequestAnswered                       // the op's final answer
-	OwnerChanged                          // another process has the op from now on
-	AnswersExpired                        // outcomes that were kept for long enough
+	AttemptStarted  RecordKind = iota + 1 // a request with its first attempt, or a further attempt, is about to start
+	AttemptEnded                          // an attempt has ended
+	RequestAnswered                       // the request has its final answer
+	OwnerChanged                          // another incarnation owns the request from now on
+	AnswersExpired                        // answers older than their TTL are removed
 )
 
-// Final is what became of an op; there is none while it is in hand.
+// AnswerStatus tells how a request was answered.
 type AnswerStatus uint8
 
+// The states of an answer.
 const (
-	Unanswered AnswerStatus = iota
+	Unanswered AnswerStatus = iota // still in flight
 	Served
-	Rejected
+	Rejected // with Retry-After, and the key is unused again
 	Failed
 )
 
-// Op is what an heir needs to go on with an op.
+// Request is what a successor needs to continue a request.
 type Request struct {
-	Fingerprint    uint64 // of method, path and body
+	Fingerprint    uint64 // hash of method, path and body
 	Class          string
 	Tenant         string
 	Idempotency    balancer.Idempotency
@@ -57,296 +44,111 @@
 	CostHint       float64 // ms
 	HasCostHint    bool
 	IsClientRetry  bool
-	Key            uint64 // balance.Op's Key
+	Key            uint64 // as in balancer.Request
 	Deadline       float64
 	EncodedMessage []byte
 }
 
-// Push is one that has begun, as far as anybody knows.
+// Attempt is an attempt that has started, as far as the log knows.
 type Attempt struct {
-	Number     int
+	Number     int // counts from 0
 	Backend    string
 	Zone, Cell int
 	StartedAt  float64
 	Ended      bool
-	Outcome    balancer.Outcome // where it is over
+	Outcome    balancer.Outcome // valid if Ended
 }
 
-// Outcome is an op's final answer. One too long to be kept is known by its status alone.
+// FinalAnswer is the final answer of a request.
 type FinalAnswer struct {
 	Status     AnswerStatus
 	HTTPStatus int
 	Header     []byte
 	Body       []byte
-	Truncated  bool
+	Truncated  bool // the answer was too long to be stored: only its status is known
 }
 
 // Record is one entry of a log.
 type Record struct {
-	Kind     RecordKind
-	Key      string
-	Owner    Incarnation // who says it; with Assign, who had the op
-	At       float64     // the leader's clock
-	Request  Request
-	Attempt  Attempt
-	Answer   FinalAnswer
-	NewOwner Incarnation // with Assign
-	Caller   Incarnation // who is to be told what became of it
-	Seq      uint64      // by which the asker knows it
+	Kind       RecordKind
+	Key        string
+	Owner      Incarnation // who wrote it; of OwnerChanged, the owner until then
+	LeaderTime float64     // ms of the leader's clock when it was proposed
+	Request    Request     // of AttemptStarted
+	Attempt    Attempt     // of AttemptStarted and AttemptEnded
+	Answer     FinalAnswer // of RequestAnswered
+	NewOwner   Incarnation // of OwnerChanged
+	Caller     Incarnation // who gets the reply once the record is applied; 0 is nobody
+	CallSeq    uint64      // the caller's sequence number of the call
 }
 
-// Code is what became of a record, or of a look.
+// Result is the result of appending a record or of looking up a key.
 type Result uint8
 
+// The results of a call.
 const (
-	Committed     Result = iota + 1
-	KeyUnused            // nobody has such a key
-	KeyInFlight          // another process has the op
-	KeyAnswered          // it has its outcome
-	KeyMismatch          // another op has the key
-	NotOwner             // the op is not the speaker's, or not any more
-	LogFull              // the log holds as much as it may
-	NotLeader            // the one asked does not lead the log
-	NoQuorum             // no majority has answered in time
-	InvalidRecord        // odd
+	Committed     Result = iota + 1 // the record is on a majority of the log's replicas and holds
+	KeyUnused                       // no request has the key
+	KeyInFlight                     // another incarnation owns a request with the key
+	KeyAnswered                     // the request with the key has its final answer
+	KeyMismatch                     // the key belongs to a request with another fingerprint
+	NotOwner                        // the caller does not own the request, or does not own it any more
+	LogFull                         // the log holds as many bytes as it may
+	NotLeader                       // the called member does not lead the log
+	NoQuorum                        // no majority has answered before the deadline
+	InvalidRecord                   // a record that a caller may not append
 )
 
-func (c Result) String() string {
-	return [...]string{"", "done", "free", "in hand", "over", "unlike", "lost", "full", "not here", "alone", "refused"}[c]
+// String names the result.
+func (r Result) String() string {
+	return [...]string{"", "committed", "key unused", "key in flight", "key answered", "key mismatch", "not owner",
+		"log full", "not leader", "no quorum", "invalid record"}[r]
 }
 
-// Entry is what a log knows of one op.
+// Entry is what a log knows of one request.
 type Entry struct {
 	Key        string
 	Owner      Incarnation
 	Request    Request
 	Attempts   []Attempt
 	Answer     FinalAnswer
-	AnsweredAt float64
-	Takeovers  int // how often it was taken over
+	AnsweredAt float64 // ms of the leader's clock
+	Takeovers  int     // how often another incarnation has taken the request over
 }
 
+// size estimates the bytes of memory that the entry takes.
 func (e *Entry) size() int {
-	return 200 + len(e.Key) + len(e.Request.EncodedMessage) + 80*len(e.Attempts) + len(e.Answer.Body) + len(e.Answer.Header)
+	const (
+		entryBytes   = 200 // of the structure, its place in two maps and short strings
+		attemptBytes = 80
+	)
+	return entryBytes + len(e.Key) + len(e.Request.EncodedMessage) + attemptBytes*len(e.Attempts) + len(e.Answer.Body) + len(e.Answer.Header)
 }
 
-// MayHaveRun gives the first push that is not known never to have run.
+// UncertainAttempt returns the first attempt that may have run on its backend, or nil if none has.
 func (e *Entry) UncertainAttempt() *Attempt {
 	for i := range e.Attempts {
-		if p := &e.Attempts[i]; !p.Ended || !p.Outcome.NeverRan() {
-			return p
+		if attempt := &e.Attempts[i]; !attempt.Ended || !attempt.Outcome.NeverRan() {
+			return attempt
 		}
 	}
 	return nil
 }
 
-// Nackable tells whether an answer that says "ask again, nothing harmful ran" would be true. It frees the key, and the client
-// may come with it long after the backends have forgotten a mark: so a deduplicated op that may have run is none.
+// CanReject reports whether the request may be rejected with Retry-After, which tells the client that it may repeat it.
+//
+// A rejection frees the key, and the client may come back with it long after the backends have forgotten the idempotency key
+// of the first attempt. A request with an idempotency key that may have run is therefore not rejected.
 func (e *Entry) CanReject() bool {
 	return e.UncertainAttempt() == nil || e.Request.Idempotency == balancer.Idempotent
 }
 
-// Ledger is what the records of a log come to. The same records in the same order make the same ledger everywhere.
-type Ledger struct {
-	entries map[string]*Entry
-	open    map[string]*Entry // those without an outcome
-	bytes   int
-	most    int
-	keep    float64
-	flaw    InjectedBug
-}
-
-// Flaw leaves out a part on purpose: tests show by it that their checks notice.
-type InjectedBug uint8
-
-const (
-	NoInjectedBug        InjectedBug = iota
-	BugNoFencing                     // whoever speaks is heard, whose op it is or not
-	BugNoKeyCheck                    // a key in hand is given out again
-	BugForgottenAttempts             // an heir is not told of pushes that have begun
-	BugNoTakeover                    // nobody takes over
-)
-
-func newLedger(most int, keep float64, flaw InjectedBug) *Ledger {
-	return &Ledger{entries: map[string]*Entry{}, open: map[string]*Entry{}, most: most, keep: keep, flaw: flaw}
-}
-
-// look tells of a key.
-func (l *Ledger) look(key string, print uint64) (Result, FinalAnswer) {
-	switch e := l.entries[key]; {
-	case e == nil:
-		return KeyUnused, FinalAnswer{}
-	case e.Request.Fingerprint != print:
-		return KeyMismatch, FinalAnswer{}
-	case e.Answer.Status != Unanswered:
-		return KeyAnswered, e.Answer
-	}
-	return KeyInFlight, FinalAnswer{}
-}
-
-// apply takes a record. A record that comes twice counts once.
-func (l *Ledger) apply(r *Record) (Result, FinalAnswer) {
-	if r.Kind == AnswersExpired { // of no key
-		l.forget(r.At)
-		return Committed, FinalAnswer{}
-	}
-	e := l.entries[r.Key]
-	if e != nil {
-		l.bytes -= e.size()
-	}
-	defer func() {
-		delete(l.open, r.Key)
-		if is := l.entries[r.Key]; is != nil {
-			l.bytes += is.size()
-			if is.Answer.Status == Unanswered {
-				l.open[r.Key] = is
-			}
-		}
-	}()
-	foreign := e != nil && e.Owner != r.Owner && l.flaw != BugNoFencing
-	switch r.Kind {
-	case AttemptStarted:
-		return l.begin(e, foreign, r)
-	case AttemptEnded:
-		if e == nil || foreign || e.Answer.Status != Unanswered || r.Attempt.Number >= len(e.Attempts) {
-			return NotOwner, FinalAnswer{}
-		}
-		p := &e.Attempts[r.Attempt.Number]
-		p.Ended, p.Outcome = true, r.Attempt.Outcome
-	case RequestAnswered:
-		switch {
-		case e == nil && r.Answer.Status == Rejected: // it never began, or has gone as it should
-		case e == nil || foreign:
-			return NotOwner, FinalAnswer{}
-		case e.Answer.Status != Unanswered && l.flaw != BugNoFencing:
-			return KeyAnswered, e.Answer // of its owner's own doing, who may have ended it twice: the first one holds
-		case r.Answer.Status == Rejected: // no outcome: the client is asked to come again, and the key is free
-			delete(l.entries, r.Key)
-		default:
-			e.Answer, e.AnsweredAt, e.Request.EncodedMessage, e.Attempts = r.Answer, r.At, nil, nil
-		}
-	case OwnerChanged:
-		if e == nil || foreign || e.Answer.Status != Unanswered {
-			return NotOwner, FinalAnswer{}
-		}
-		e.Owner = r.NewOwner
-		e.Takeovers++
-		if l.flaw == BugForgottenAttempts {
-			for i := range e.Attempts {
-				e.Attempts[i].Ended, e.Attempts[i].Outcome = true, balancer.OutcomeNotSent
-			}
-		}
-	}
-	return Committed, FinalAnswer{}
-}
-
-func (l *Ledger) forget(now float64) {
-	for key, e := range l.entries {
-		if e.Answer.Status != Unanswered && e.AnsweredAt+l.keep < now {
-			l.bytes -= e.size()
-			delete(l.entries, key)
-		}
-	}
-}
-
-func (l *Ledger) begin(e *Entry, foreign bool, r *Record) (Result, FinalAnswer) {
-	if e != nil && l.flaw == BugNoKeyCheck && r.Attempt.Number == 0 {
-		e.Owner, e.Attempts, e.Answer = r.Owner, nil, FinalAnswer{}
-		foreign = false
-	}
-	switch {
-	case e == nil && r.Attempt.Number > 0:
-		return NotOwner, FinalAnswer{}
-	case e == nil:
-		e = &Entry{Key: r.Key, Owner: r.Owner, Request: r.Request, Attempts: []Attempt{r.Attempt}}
-		if l.bytes+e.size() > l.most {
-			return LogFull, FinalAnswer{}
-		}
-		l.entries[r.Key] = e
-	case r.Attempt.Number == 0 && e.Request.Fingerprint != r.Request.Fingerprint:
-		return KeyMismatch, FinalAnswer{}
-	case e.Answer.Status != Unanswered && r.Attempt.Number == 0:
-		return KeyAnswered, e.Answer
-	case e.Answer.Status != Unanswered:
-		return NotOwner, FinalAnswer{}
-	case foreign && r.Attempt.Number == 0:
-		return KeyInFlight, FinalAnswer{}
-	case foreign, r.Attempt.Number > len(e.Attempts):
-		return NotOwner, FinalAnswer{}
-	case r.Attempt.Number == len(e.Attempts):
-		e.Attempts = append(e.Attempts, r.Attempt)
-	}
-	return Committed, FinalAnswer{}
-}
-
-// image is a ledger as it is passed on whole.
-type image struct{ Entries []Entry }
-
-func (l *Ledger) image() *image {
-	m := &image{}
-	for _, e := range sorted(l.entries) {
-		m.Entries = append(m.Entries, *e)
-	}
-	return m
-}
-
-func (l *Ledger) restore(m *image) {
-	l.entries, l.open, l.bytes = make(map[string]*Entry, len(m.Entries)), map[string]*Entry{}, 0
-	for i := range m.Entries {
-		e := &m.Entries[i]
-		l.entries[e.Key] = e
-		if e.Answer.Status == Unanswered {
-			l.open[e.Key] = e
-		}
-		l.bytes += e.size()
-	}
-}
-
-// sorted gives the entries in an order that is the same everywhere.
-func sorted(entries map[string]*Entry) []*Entry {
-	all := make([]*Entry, 0, len(entries))
-	for _, e := range entries {
-		all = append(all, e)
-	}
-	slices.SortFunc(all, func(a, b *Entry) int {
-		if a.Key < b.Key {
-			return -1
-		}
-		return 1
-	})
-	return all
-}
-
-// Duty is what an heir does with an op that it has taken over.
-type TakeoverAction uint8
-
-const (
-	ContinueRequest TakeoverAction = iota // with the module, as an op with what time and pushes it has
-	RejectRequest                         // nothing harmful ran
-	FailRequest                           // it may have run, and nobody can tell
-)
-
-func (d TakeoverAction) String() string { return [...]string{"goes on", "nacks", "dead-letters"}[d] }
-
-// leastLeft is the time, in ms, with which an op is still worth a push of its heir.
-const leastLeft = 20.0
-
-// Succeed tells what an heir does with an entry, and why.
-func (e *Entry) TakeoverAction(now float64) (TakeoverAction, string) {
-	end := func(why string) (TakeoverAction, string) {
-		if e.CanReject() {
-			return RejectRequest, why
-		}
-		return FailRequest, why
-	}
-	first := e.UncertainAttempt()
-	switch {
-	case e.Request.Deadline-now < leastLeft:
-		return end("its time is over")
-	case first != nil && e.Request.Idempotency == balancer.AtMostOnce:
-		return FailRequest, "it may have run, and must not run twice"
-	case first != nil && e.Request.Idempotency == balancer.IdempotentWithKey && now-first.StartedAt >= e.Request.DedupWindow:
-		return end("it may have run, and its mark may be forgotten")
+// sortedEntries returns the entries ordered by key, which is the same order on all members.
+func sortedEntries(entries map[string]*Entry) []*Entry {
+	sorted := make([]*Entry, 0, len(entries))
+	for _, entry := range entries {
+		sorted = append(sorted, entry)
 	}
-	return ContinueRequest, "taken over"
+	slices.SortFunc(sorted, func(a, b *Entry) int { return strings.Compare(a.Key, b.Key) })
+	return sorted
 }
--- a/internal/serve/peers.go
+++ b/internal/serve/peers.go
@@ -73,7 +73,7 @@
 		}
 	}
 	p := &Peers{at: at, header: f.Header, most: int(f.AnswersKB * 1024), categories: map[string]bool{},
-		terms: peers.Config{Fleet: f.Fleet, Replicas: f.Copies, OutcomeTTL: f.KeepS * 1e3, MaxLogBytes: int(f.MemoryMB * (1 << 20) / float64(f.Copies) / requestlog.MemoryFactor), Self: -1}}
+		terms: peers.Config{Fleet: f.Fleet, Replicas: f.Copies, AnswerTTL: f.KeepS * 1e3, MaxLogBytes: int(f.MemoryMB * (1 << 20) / float64(f.Copies) / requestlog.MemoryFactor), Self: -1}}
 	seen := map[string]bool{}
 	for k, m := range f.Member {
 		key := fmt.Sprintf("member.%d.", k)
--- a/internal/server/gone_kept_test.go
+++ b/internal/server/gone_kept_test.go
@@ -44,7 +44,7 @@
 		return w.Address()
 	}
 	for self := range 3 {
-		terms := peers.Config{Fleet: "f", Replicas: 3, Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, MaxLogBytes: 1 << 20, OutcomeTTL: 60e3, Self: self}
+		terms := peers.Config{Fleet: "f", Replicas: 3, Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, MaxLogBytes: 1 << 20, AnswerTTL: 60e3, Self: self}
 		for k, name := range []string{"a", "b", "c"} {
 			address := real[k]
 			if k != self && (k == 0 || self == 0) {
