--- a/cmd/pearknot/controlplane.go
+++ b/cmd/pearknot/controlplane.go
@@ -48,7 +48,7 @@
 }
 
 // readPlane reads the control plane's file; what is wrong in it is the operator's.
-func readPlane(file string) (*client.Plane, error) {
+func readPlane(file string) (*client.ControlPlane, error) {
 	p, err := client.ReadFile(file)
 	var odd *tomlfile.Error
 	if err != nil && !errors.As(err, &odd) {
@@ -78,7 +78,7 @@
 }
 
 // plane reads the file and bounds the time.
-func (t *configTool) plane(c *cobra.Command) (*client.Plane, context.Context, context.CancelFunc, error) {
+func (t *configTool) plane(c *cobra.Command) (*client.ControlPlane, context.Context, context.CancelFunc, error) {
 	p, err := readPlane(t.file)
 	if err != nil {
 		return nil, nil, nil, err
@@ -109,11 +109,11 @@
 }
 
 // from gives the base: an explicit 0 is one, too.
-func (w *change) from(ctx context.Context, c *cobra.Command, p *client.Plane) (uint64, error) {
+func (w *change) from(ctx context.Context, c *cobra.Command, p *client.ControlPlane) (uint64, error) {
 	if c.Flags().Changed("base") {
 		return w.base, nil
 	}
-	return p.Head(ctx)
+	return p.HeadVersion(ctx)
 }
 
 // done tells of a version made, or why there is none.
@@ -154,8 +154,8 @@
 			version, err := p.Apply(ctx, base, text, w.by, w.reason)
 			var invalid *client.InvalidError
 			if errors.As(err, &invalid) {
-				line, column := settingPlace(text, invalid.Why)
-				return &tomlfile.Error{File: args[0], Line: line, Column: column, What: invalid.Why}
+				line, column := settingPlace(text, invalid.Detail)
+				return &tomlfile.Error{File: args[0], Line: line, Column: column, What: invalid.Detail}
 			}
 			return t.done(c, version, err)
 		}})
@@ -241,7 +241,7 @@
 			return err
 		}
 		defer cancel()
-		got, text, age, err := p.Get(ctx, version)
+		got, text, age, err := p.GetVersion(ctx, version)
 		if err != nil {
 			return err
 		}
@@ -261,7 +261,7 @@
 	switch {
 	case age == nil:
 		fmt.Fprintln(c.ErrOrStderr(), "pearknot: no voter that answers knows how old this is")
-	case *age > client.BehindFor:
+	case *age > client.MaxBehindMs:
 		fmt.Fprintf(c.ErrOrStderr(), "pearknot: this may be %.0f s old: no majority of the voters is reached\n", *age/1e3)
 	}
 }
@@ -274,7 +274,7 @@
 			return err
 		}
 		defer cancel()
-		entries, age, err := p.Log(ctx, most)
+		entries, age, err := p.RecentChanges(ctx, most)
 		if err != nil {
 			return err
 		}
@@ -285,7 +285,7 @@
 		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "version\tat\tby\tdigest\tid\treason")
 		for _, e := range entries {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%.12s\t%s\t%s\n", e.Version, time.UnixMilli(int64(e.At)).UTC().Format(time.RFC3339), e.By, e.Digest, e.ID, e.Reason)
+			fmt.Fprintf(w, "%d\t%s\t%s\t%.12s\t%s\t%s\n", e.Version, time.UnixMilli(int64(e.ProposedAtMs)).UTC().Format(time.RFC3339), e.By, e.Digest, e.ID, e.Reason)
 		}
 		return w.Flush()
 	}}
@@ -310,7 +310,7 @@
 				w.reason = fmt.Sprintf("back to version %d", to)
 			}
 			version, err := p.Rollback(ctx, to, base, w.by, w.reason)
-			if errors.Is(err, client.ErrAbsent) {
+			if errors.Is(err, client.ErrVersionNotFound) {
 				err = cli.Usage(fmt.Errorf("version %d: %w", to, err))
 			}
 			return t.done(c, version, err)
@@ -330,7 +330,7 @@
 				if err != nil {
 					return err
 				}
-				r := client.Reported(p.Statuses(ctx))
+				r := client.NewReport(p.MemberStatuses(ctx))
 				cancel()
 				if watch && !t.json {
 					fmt.Fprint(c.OutOrStdout(), "\x1b[H\x1b[2J") // the top of a cleared screen
@@ -339,7 +339,7 @@
 					return err
 				}
 				if !watch {
-					if fault := r.Fault(); fault != "" {
+					if fault := r.FirstProblem(); fault != "" {
 						return &cli.Error{Status: cli.No, Err: errors.New(fault), Silent: true}
 					}
 					return nil
@@ -371,25 +371,25 @@
 		if m.Voter {
 			role = "voter"
 		}
-		if m.Unknown != "" {
-			fmt.Fprintf(w, "%s\t%s\t%s\tunknown\t\t\t%s\n", m.Name, m.Region, role, m.Unknown)
+		if m.UnreachableReason != "" {
+			fmt.Fprintf(w, "%s\t%s\t%s\tunknown\t\t\t%s\n", m.Name, m.Region, role, m.UnreachableReason)
 			continue
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%s\n", m.Name, m.Region, role, m.Head, seconds(m.AgeMs), m.Nodes, m.Follows)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%s\n", m.Name, m.Region, role, m.Head, seconds(m.StalenessMs), m.Nodes, m.Follows)
 	}
 	fmt.Fprintln(w, "region\tnodes\tbehind\tworst")
 	for _, g := range r.Regions {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", g.Region, g.Nodes, g.Behind, seconds(&g.WorstMs))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", g.Region, g.Nodes, g.Behind, seconds(&g.WorstBehindMs))
 	}
 	if len(r.Behind) > 0 {
 		fmt.Fprintln(w, "node behind\tregion\tin force\theld\tfor\tmember\trefuses")
 	}
 	for _, n := range r.Behind {
 		refuses := ""
-		if n.Refused > n.InForce {
-			refuses = fmt.Sprintf("%d: %s", n.Refused, n.Why)
+		if n.RejectedVersion > n.AppliedVersion {
+			refuses = fmt.Sprintf("%d: %s", n.RejectedVersion, n.RejectReason)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\t%s\n", n.Name, n.Region, n.InForce, n.Held, seconds(&n.BehindMs), n.Member, refuses)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\t%s\n", n.Name, n.Region, n.AppliedVersion, n.StoredVersion, seconds(&n.BehindMs), n.Member, refuses)
 	}
 	return w.Flush()
 }
--- a/cmd/pearknot/controlplane_test.go
+++ b/cmd/pearknot/controlplane_test.go
@@ -38,7 +38,7 @@
 	members   []client.Member
 	wires     map[string]map[string]*faultproxy.Wire // from a process, to a member
 	processes map[string]*planeProcess
-	operators *client.Plane
+	operators *client.ControlPlane
 	file      string // the operators'
 }
 
@@ -86,8 +86,8 @@
 	}
 	p.leader()
 	p.within(10*time.Second, "all members are in touch", func() bool { // else nodes begin by looking for a fresher one
-		return !slices.ContainsFunc(client.Reported(p.statuses()).Members, func(m client.ReportMember) bool {
-			return m.AgeMs == nil || *m.AgeMs > 1500
+		return !slices.ContainsFunc(client.NewReport(p.statuses()).Members, func(m client.ReportMember) bool {
+			return m.StalenessMs == nil || *m.StalenessMs > 1500
 		})
 	})
 	return p
@@ -204,17 +204,17 @@
 	return logs.String()
 }
 
-func (p *plane) statuses() []client.Asked {
+func (p *plane) statuses() []client.StatusResult {
 	ctx, cancel := context.WithTimeout(p.t.Context(), 2*time.Second)
 	defer cancel()
-	return p.operators.Statuses(ctx)
+	return p.operators.MemberStatuses(ctx)
 }
 
 // leader waits until a voter leads that a majority follows, and gives its name.
 func (p *plane) leader() (name string) {
 	p.t.Helper()
 	p.within(10*time.Second, "a voter leads", func() bool {
-		name = client.Reported(p.statuses()).Leader
+		name = client.NewReport(p.statuses()).Leader
 		return name != ""
 	})
 	return name
@@ -225,7 +225,7 @@
 	p.t.Helper()
 	ctx, cancel := context.WithTimeout(p.t.Context(), 10*time.Second)
 	defer cancel()
-	base, err := p.operators.Head(ctx)
+	base, err := p.operators.HeadVersion(ctx)
 	if err == nil {
 		version, err = p.operators.Apply(ctx, base, []byte(text), "test", "")
 	}
@@ -254,7 +254,7 @@
 	p.t.Helper()
 	ctx, cancel := context.WithTimeout(p.t.Context(), 10*time.Second)
 	defer cancel()
-	_, text, _, err := p.operators.Get(ctx, version)
+	_, text, _, err := p.operators.GetVersion(ctx, version)
 	require.NoError(p.t, err)
 	for _, n := range nodes {
 		p.within(time.Until(from.Add(inForceWithin)), fmt.Sprintf("version %d at %s", version, n), func() bool {
@@ -352,7 +352,7 @@
 	require.Equal(t, [2]int{0, 3}, made)
 	status, out, errs = p.command("log", "--json")
 	require.Equal(t, 0, status, errs)
-	var log []client.Entry
+	var log []client.LogEntry
 	require.NoError(t, json.Unmarshal([]byte(out), &log))
 	require.Len(t, log, 3)
 	require.Equal(t, "somebody", log[1].By)
@@ -392,9 +392,9 @@
 		p.everywhere(version, at, "n1", "n2")
 		p.member(leader, false)
 		p.within(10*time.Second, leader+" has what it missed", func() bool {
-			r := client.Reported(p.statuses())
+			r := client.NewReport(p.statuses())
 			k := slices.IndexFunc(r.Members, func(m client.ReportMember) bool { return m.Name == leader })
-			return r.Members[k].Unknown == "" && r.Members[k].Head == version
+			return r.Members[k].UnreachableReason == "" && r.Members[k].Head == version
 		})
 	}
 }
@@ -437,9 +437,9 @@
 	p.signal(leader, syscall.SIGCONT)
 	p.everywhere(next, nextAt, "n1", "n2")
 	p.within(10*time.Second, leader+" has what it missed", func() bool {
-		r := client.Reported(p.statuses())
+		r := client.NewReport(p.statuses())
 		k := slices.IndexFunc(r.Members, func(m client.ReportMember) bool { return m.Name == leader })
-		return r.Members[k].Unknown == "" && r.Members[k].Head == next
+		return r.Members[k].UnreachableReason == "" && r.Members[k].Head == next
 	})
 	last, lastAt := p.apply(tenants(20, 4003))
 	require.Equal(t, next+1, last, "nothing of the frozen one's came between")
@@ -717,7 +717,7 @@
 		version, _ = p.apply(tenants(5, 4001+k))
 	}
 	p.within(10*time.Second, voter+" has all", func() bool {
-		r := client.Reported(p.statuses())
+		r := client.NewReport(p.statuses())
 		return r.Members[slices.IndexFunc(r.Members, func(m client.ReportMember) bool { return m.Name == voter })].Head == version
 	})
 	p.kill(voter)
--- a/internal/controlplane/client/call.go
+++ b/internal/controlplane/client/call.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	answerWithin = 5 * time.Second // a call of one member, a change's commit among them
-	statusWithin = 2 * time.Second
-	retryEvery   = 200 * time.Millisecond
-	askBeside    = 250 * time.Millisecond
-	freshWithin  = 2000.0 // ms; an answer that is older is compared with others'
-	operator     = "operator"
+	callTimeout         = 5 * time.Second // a call of one member, a change's commit among them
+	statusTimeout       = 2 * time.Second
+	retryInterval       = 200 * time.Millisecond
+	hedgeDelay          = 250 * time.Millisecond
+	maxFreshStalenessMs = 2000.0 // ms; an answer that is older is compared with others'
+	operatorName        = "operator"
 )
 
 // ConflictError is a change made from another version than the head.
@@ -30,22 +30,22 @@
 }
 
 // InvalidError is a text that no node could put in force.
-type InvalidError struct{ Why string }
+type InvalidError struct{ Detail string }
 
-func (e *InvalidError) Error() string { return e.Why }
+func (e *InvalidError) Error() string { return e.Detail }
 
 // ErrAbsent is a version that nobody who answered has.
-var ErrAbsent = errors.New("no such version is kept")
+var ErrVersionNotFound = errors.New("no such version is kept")
 
 // ask makes one call of one member.
-func (p *Plane) ask(ctx context.Context, m Member, within time.Duration, c *Call, text []byte) (a *Answer, its []byte, err error) {
+func (p *ControlPlane) callMember(ctx context.Context, m Member, within time.Duration, c *CallRequest, text []byte) (a *CallResponse, its []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	frames, err := Pieces(c, text)
+	frames, err := EncodeMessage(c, text)
 	if err != nil {
 		return nil, nil, err
 	}
-	pipe, err := Open(ctx, p.Fleet, p.Keys, operator, m, ForCall)
+	pipe, err := OpenLink(ctx, p.Fleet, p.Keys, operatorName, m, PurposeCall)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", m.Name, err)
 	}
@@ -54,12 +54,12 @@
 	for _, f := range frames {
 		pipe.Send(f)
 	}
-	var g Gathered
-	err = pipe.Run(controlplane.MostFrame, 0, func(data []byte) {
-		if whole, e := g.Add(data); e != nil || whole {
+	var g MessageAssembler
+	err = pipe.Run(controlplane.MaxFrameBytes, 0, func(data []byte) {
+		if whole, e := g.AddFrame(data); e != nil || whole {
 			if e == nil {
-				a = &Answer{}
-				if its, e = g.Read(a); e != nil {
+				a = &CallResponse{}
+				if its, e = g.Decode(a); e != nil {
 					a = nil
 				}
 			}
@@ -72,7 +72,7 @@
 	return a, its, nil
 }
 
-func (p *Plane) voters() (all []Member) {
+func (p *ControlPlane) voters() (all []Member) {
 	for _, m := range p.Members {
 		if m.Voter {
 			all = append(all, m)
@@ -83,33 +83,33 @@
 
 // atLeader calls until the leader has answered, or ctx ends. A call whose answer was lost is made again: a change by its ID comes
 // into force once.
-func (p *Plane) atLeader(ctx context.Context, c *Call, text []byte) (*Answer, []byte, error) {
+func (p *ControlPlane) callLeader(ctx context.Context, c *CallRequest, text []byte) (*CallResponse, []byte, error) {
 	voters := p.voters()
-	next, failed := p.likely(ctx, voters), errors.New("no voter leads")
+	next, failed := p.findLeader(ctx, voters), errors.New("no voter leads")
 	unsure := false
 	for {
 		m := voters[next%len(voters)]
 		next++
-		a, its, err := p.ask(ctx, m, answerWithin, c, text)
-		wait := retryEvery
+		a, its, err := p.callMember(ctx, m, callTimeout, c, text)
+		wait := retryInterval
 		switch {
 		case err != nil:
-			failed, unsure = err, unsure || c.Op == OpApply
-			wait = retryEvery / 4
-		case a.Code == controlplane.NotLeader:
+			failed, unsure = err, unsure || c.Method == MethodApply
+			wait = retryInterval / 4
+		case a.Code == controlplane.CodeNotLeader:
 			if k := slices.IndexFunc(voters, func(v Member) bool { return v.Name == a.Leader }); k >= 0 && a.Leader != m.Name {
-				next, wait = k, retryEvery/20
+				next, wait = k, retryInterval/20
 			}
 			failed = fmt.Errorf("%s does not lead, and knows of leader %q", m.Name, a.Leader)
-		case a.Code == controlplane.Lost:
+		case a.Code == controlplane.CodeLeadershipLost:
 			failed, unsure = fmt.Errorf("%s lost the lead", m.Name), true
-		case a.Code == controlplane.Busy:
+		case a.Code == controlplane.CodeBusy:
 			failed = fmt.Errorf("%s has too many changes in hand", m.Name)
 		default:
-			p.led.Store(&m.Name)
+			p.lastLeader.Store(&m.Name)
 			return a, its, nil
 		}
-		p.led.Store(nil)
+		p.lastLeader.Store(nil)
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -123,8 +123,8 @@
 
 // likely is the place of the voter that leads: the one that did, or the first of all that says so. One that is frozen keeps nobody
 // waiting who can ask another.
-func (p *Plane) likely(ctx context.Context, voters []Member) int {
-	if last := p.led.Load(); last != nil {
+func (p *ControlPlane) findLeader(ctx context.Context, voters []Member) int {
+	if last := p.lastLeader.Load(); last != nil {
 		return max(slices.IndexFunc(voters, func(v Member) bool { return v.Name == *last }), 0)
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -132,8 +132,8 @@
 	answers := make(chan int, len(voters))
 	for k, m := range voters {
 		go func() {
-			a, _, err := p.ask(ctx, m, statusWithin, &Call{Op: OpHead}, nil)
-			if err != nil || a.Code != controlplane.Done {
+			a, _, err := p.callMember(ctx, m, statusTimeout, &CallRequest{Method: MethodHead}, nil)
+			if err != nil || a.Code != controlplane.CodeDone {
 				k = -1
 			}
 			answers <- k
@@ -148,8 +148,8 @@
 }
 
 // Head asks the leader for the head's version.
-func (p *Plane) Head(ctx context.Context) (uint64, error) {
-	a, _, err := p.atLeader(ctx, &Call{Op: OpHead}, nil)
+func (p *ControlPlane) HeadVersion(ctx context.Context) (uint64, error) {
+	a, _, err := p.callLeader(ctx, &CallRequest{Method: MethodHead}, nil)
 	if err != nil {
 		return 0, err
 	}
@@ -157,35 +157,35 @@
 }
 
 // Apply makes the next version, from base; it is on a majority's disks when this returns.
-func (p *Plane) Apply(ctx context.Context, base uint64, text []byte, by, reason string) (uint64, error) {
-	c := &Call{Op: OpApply, Base: base, ID: max(rand.Uint64(), 1), By: by, Reason: reason}
-	a, _, err := p.atLeader(ctx, c, text)
+func (p *ControlPlane) Apply(ctx context.Context, base uint64, text []byte, by, reason string) (uint64, error) {
+	c := &CallRequest{Method: MethodApply, Base: base, ID: max(rand.Uint64(), 1), By: by, Reason: reason}
+	a, _, err := p.callLeader(ctx, c, text)
 	if err != nil {
 		return 0, err
 	}
 	switch a.Code {
-	case controlplane.Done:
+	case controlplane.CodeDone:
 		return a.Version, nil
-	case controlplane.Conflict:
+	case controlplane.CodeConflict:
 		return 0, &ConflictError{base, a.Version}
 	}
-	return 0, &InvalidError{a.Why}
+	return 0, &InvalidError{a.Detail}
 }
 
 // freshest asks until it has what was there when it began: a version that was asked for by its number, or an answer that is as
 // fresh. Where no majority confirms one it takes the freshest, after a while; members that are no voters are asked where none answers.
-func (p *Plane) freshest(ctx context.Context, c *Call) (best *Answer, text []byte, err error) {
+func (p *ControlPlane) callFreshest(ctx context.Context, c *CallRequest) (best *CallResponse, text []byte, err error) {
 	begun := time.Now()
-	enough := func(a *Answer) bool {
-		return a.Code == controlplane.Done && c.Version > 0 || age(a) <= float64(time.Since(begun).Microseconds())/1e3
+	enough := func(a *CallResponse) bool {
+		return a.Code == controlplane.CodeDone && c.Version > 0 || stalenessMs(a) <= float64(time.Since(begun).Microseconds())/1e3
 	}
 	for {
-		best, text, err = p.once(ctx, c, enough)
-		if best != nil && (enough(best) || best.Code == controlplane.Done && time.Since(begun) > statusWithin) {
+		best, text, err = p.callUntilFresh(ctx, c, enough)
+		if best != nil && (enough(best) || best.Code == controlplane.CodeDone && time.Since(begun) > statusTimeout) {
 			break
 		}
 		select {
-		case <-time.After(retryEvery / 4):
+		case <-time.After(retryInterval / 4):
 			continue
 		case <-ctx.Done():
 		}
@@ -194,14 +194,14 @@
 	switch {
 	case best == nil:
 		return nil, nil, err
-	case best.Code != controlplane.Done:
-		return nil, nil, ErrAbsent
+	case best.Code != controlplane.CodeDone:
+		return nil, nil, ErrVersionNotFound
 	}
 	return best, text, nil
 }
 
 // once asks each once, until one is enough. Who takes long has the next one asked beside it.
-func (p *Plane) once(ctx context.Context, c *Call, enough func(*Answer) bool) (best *Answer, text []byte, err error) {
+func (p *ControlPlane) callUntilFresh(ctx context.Context, c *CallRequest, enough func(*CallResponse) bool) (best *CallResponse, text []byte, err error) {
 	order := p.voters()
 	rand.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	voters := len(order)
@@ -213,7 +213,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type told struct {
-		a    *Answer
+		a    *CallResponse
 		text []byte
 		err  error
 	}
@@ -224,7 +224,7 @@
 			m := order[asked]
 			asked, open = asked+1, open+1
 			go func() {
-				a, text, err := p.ask(ctx, m, statusWithin, c, nil)
+				a, text, err := p.callMember(ctx, m, statusTimeout, c, nil)
 				answers <- told{a, text, err}
 			}()
 		} else if open == 0 {
@@ -234,14 +234,14 @@
 		select {
 		case x = <-answers:
 			open--
-		case <-time.After(askBeside):
+		case <-time.After(hedgeDelay):
 			continue
 		}
 		switch {
 		case x.err != nil:
 			err = x.err
 			continue
-		case best == nil, best.Code != controlplane.Done && x.a.Code == controlplane.Done, age(x.a) < age(best) && x.a.Code == best.Code:
+		case best == nil, best.Code != controlplane.CodeDone && x.a.Code == controlplane.CodeDone, stalenessMs(x.a) < stalenessMs(best) && x.a.Code == best.Code:
 			best, text = x.a, x.text
 		}
 		if enough(best) {
@@ -250,34 +250,34 @@
 	}
 }
 
-func age(a *Answer) float64 {
-	if a.AgeMs == nil {
+func stalenessMs(a *CallResponse) float64 {
+	if a.StalenessMs == nil {
 		return 1e18
 	}
-	return *a.AgeMs
+	return *a.StalenessMs
 }
 
 // Get gives a version's text, the head's where version is 0, and how old the answer may be (ms; nil is unknown).
-func (p *Plane) Get(ctx context.Context, version uint64) (uint64, []byte, *float64, error) {
-	a, text, err := p.freshest(ctx, &Call{Op: OpGet, Version: version})
+func (p *ControlPlane) GetVersion(ctx context.Context, version uint64) (uint64, []byte, *float64, error) {
+	a, text, err := p.callFreshest(ctx, &CallRequest{Method: MethodGet, Version: version})
 	if err != nil {
 		return 0, nil, nil, err
 	}
-	return a.Version, text, a.AgeMs, nil
+	return a.Version, text, a.StalenessMs, nil
 }
 
 // Log gives the last changes, newest first.
-func (p *Plane) Log(ctx context.Context, most int) ([]Entry, *float64, error) {
-	a, _, err := p.freshest(ctx, &Call{Op: OpLog, Most: most})
+func (p *ControlPlane) RecentChanges(ctx context.Context, most int) ([]LogEntry, *float64, error) {
+	a, _, err := p.callFreshest(ctx, &CallRequest{Method: MethodLog, Limit: most})
 	if err != nil {
 		return nil, nil, err
 	}
-	return a.Log, a.AgeMs, nil
+	return a.Log, a.StalenessMs, nil
 }
 
 // Rollback makes a next version with an earlier one's text.
-func (p *Plane) Rollback(ctx context.Context, to, base uint64, by, reason string) (uint64, error) {
-	_, text, _, err := p.Get(ctx, to)
+func (p *ControlPlane) Rollback(ctx context.Context, to, base uint64, by, reason string) (uint64, error) {
+	_, text, _, err := p.GetVersion(ctx, to)
 	if err != nil {
 		return 0, err
 	}
@@ -285,23 +285,23 @@
 }
 
 // Asked is what a member answered, or why it did not.
-type Asked struct {
+type StatusResult struct {
 	Member Member
 	Status *MemberStatus
 	Err    error
 }
 
 // Statuses asks all members at once.
-func (p *Plane) Statuses(ctx context.Context) []Asked {
-	all := make([]Asked, len(p.Members))
+func (p *ControlPlane) MemberStatuses(ctx context.Context) []StatusResult {
+	all := make([]StatusResult, len(p.Members))
 	var wg sync.WaitGroup
 	for k, m := range p.Members {
 		wg.Go(func() {
-			a, _, err := p.ask(ctx, m, statusWithin, &Call{Op: OpStatus}, nil)
+			a, _, err := p.callMember(ctx, m, statusTimeout, &CallRequest{Method: MethodStatus}, nil)
 			if err == nil && a.Status == nil {
-				err = fmt.Errorf("%s: no status: %s", m.Name, a.Why)
+				err = fmt.Errorf("%s: no status: %s", m.Name, a.Detail)
 			}
-			all[k] = Asked{Member: m, Err: err}
+			all[k] = StatusResult{Member: m, Err: err}
 			if err == nil {
 				all[k].Status = a.Status
 			}
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -17,16 +17,16 @@
 
 // Descriptors is what a node's link takes at most of its limit: the connection, the next one's dial while that one ends, the lock,
 // the copy as it is written.
-const Descriptors = 4
+const MaxDescriptors = 4
 
-const oddEvery = time.Second
+const refusedLogInterval = time.Second
 
 // Terms are a follower's own.
 type Config struct {
 	Fleet, Name, Region string
 	Members             []Member
 	Keys                [][]byte // the first proves, all are taken
-	Copy                string   // file of the last good version; empty keeps none
+	CopyFile            string   // file of the last good version; empty keeps none
 	Kind                string
 }
 
@@ -39,74 +39,74 @@
 // Client follows the control plane for one node. Its actor owns the follower and the link; what is to be put in force is given to
 // another goroutine, the newest only and one at a time, and what is in force to one that keeps it on disk.
 type Client struct {
-	clock  *clock.Clock
-	log    *slog.Logger
-	apply  func(uint64, []byte) error
-	disk   *Disk // nil keeps none
-	held   controlplane.Copy
-	odd    rate.Sometimes
-	unsaid atomic.Int64
-	ctx    context.Context
-	end    context.CancelFunc
-	wg     sync.WaitGroup
-	box    *mailbox.Box[func()]
-	follow *Following
-	newest chan controlplane.Copy // holds one at most
+	clock           *clock.Clock
+	log             *slog.Logger
+	apply           func(uint64, []byte) error
+	copyStore       *CopyStore // nil keeps none
+	initial         controlplane.VersionedDocument
+	refusedLog      rate.Sometimes
+	refusedSinceLog atomic.Int64
+	ctx             context.Context
+	cancel          context.CancelFunc
+	wg              sync.WaitGroup
+	mailbox         *mailbox.Box[func()]
+	link            *FollowerLink
+	nextToApply     chan controlplane.VersionedDocument // holds one at most
 }
 
 // New makes one, and reads the copy; apply puts a version in force, whole, or tells why not.
 func New(t Config, apply func(version uint64, text []byte) error, c *clock.Clock, log *slog.Logger) (*Client, error) {
-	x := &Client{clock: c, log: log, apply: apply, odd: rate.Sometimes{Interval: oddEvery}, box: mailbox.New[func()](),
-		newest: make(chan controlplane.Copy, 1)}
-	if t.Copy != "" {
+	x := &Client{clock: c, log: log, apply: apply, refusedLog: rate.Sometimes{Interval: refusedLogInterval}, mailbox: mailbox.New[func()](),
+		nextToApply: make(chan controlplane.VersionedDocument, 1)}
+	if t.CopyFile != "" {
 		var err error
-		if x.disk, x.held, err = OpenDisk(t.Copy, t.Fleet, log); err != nil {
+		if x.copyStore, x.initial, err = OpenCopyStore(t.CopyFile, t.Fleet, log); err != nil {
 			return nil, err
 		}
 	}
 	if t.Kind == "" {
 		t.Kind = controlplane.KindNode
 	}
-	x.ctx, x.end = context.WithCancel(context.Background())
-	x.follow = NewFollowing(x.ctx, t, x.held, c.Now, x.box.Put, x.wg.Go, func(t controlplane.Take) {
-		x.offer(controlplane.Copy{Version: t.Version, Text: t.Text})
-	}, x.sayOdd)
+	x.ctx, x.cancel = context.WithCancel(context.Background())
+	x.link = NewFollowerLink(x.ctx, t, x.initial, c.Now, x.mailbox.Put, x.wg.Go, func(t controlplane.DocumentUpdate) {
+		x.queueForApply(controlplane.VersionedDocument{Version: t.Version, Document: t.Document})
+	}, x.logRefused)
 	return x, nil
 }
 
 // Copy is what was on disk.
-func (c *Client) Copy() (version uint64, text []byte, ok bool) {
-	if c.held.Version == 0 {
+func (c *Client) StoredCopy() (version uint64, text []byte, ok bool) {
+	if c.initial.Version == 0 {
 		return 0, nil, false
 	}
-	return c.held.Version, c.held.Text.Text(), true
+	return c.initial.Version, c.initial.Document.Text(), true
 }
 
 // Start follows until Stop. What was on disk is applied first, as any other version.
 func (c *Client) Start() {
-	if c.held.Version > 0 {
-		c.offer(c.held)
+	if c.initial.Version > 0 {
+		c.queueForApply(c.initial)
 	}
 	c.wg.Go(c.run)
-	c.wg.Go(c.put)
-	if c.disk != nil {
-		c.wg.Go(func() { c.disk.Run(c.ctx) })
+	c.wg.Go(c.applyVersions)
+	if c.copyStore != nil {
+		c.wg.Go(func() { c.copyStore.Run(c.ctx) })
 	}
 }
 
 // Stop ends the link. An apply that is under way ends first.
 func (c *Client) Stop() {
-	c.end()
+	c.cancel()
 	c.wg.Wait()
-	if c.disk != nil {
-		c.disk.Close()
+	if c.copyStore != nil {
+		c.copyStore.Close()
 	}
 }
 
 // State tells how it stands; it waits for the actor.
 func (c *Client) State(ctx context.Context) (State, error) {
 	told := make(chan State, 1)
-	c.box.PutFirst(func() { told <- State{c.follow.State(c.clock.Now()), c.follow.Count()} })
+	c.mailbox.PutFirst(func() { told <- State{c.link.State(c.clock.Now()), c.link.TotalCounters()} })
 	select {
 	case s := <-told:
 		return s, nil
@@ -118,25 +118,25 @@
 }
 
 func (c *Client) run() {
-	tick := time.NewTicker(controlplane.TickMs * time.Millisecond)
+	tick := time.NewTicker(controlplane.TickIntervalMs * time.Millisecond)
 	defer tick.Stop()
-	defer func() { c.follow.Hangup() }()
+	defer func() { c.link.Disconnect() }()
 	var notes []func()
 	member := ""
 	for {
 		select {
 		case <-c.ctx.Done():
 			return
-		case <-c.box.Some():
-			notes = c.box.Take(notes)
+		case <-c.mailbox.Some():
+			notes = c.mailbox.Take(notes)
 			for _, note := range notes {
 				note()
 			}
 		case <-tick.C:
-			c.follow.Tick(c.clock.Now())
+			c.link.Tick(c.clock.Now())
 		}
-		c.follow.Pull()
-		if now := c.follow.State(c.clock.Now()).Member; now != member {
+		c.link.CarryOutDecisions()
+		if now := c.link.State(c.clock.Now()).Member; now != member {
 			if now == "" {
 				c.log.Warn("control plane lost", "member", member)
 			} else {
@@ -148,40 +148,42 @@
 }
 
 // offer takes the place of what waits to be put in force: the actor's alone.
-func (c *Client) offer(next controlplane.Copy) {
+func (c *Client) queueForApply(next controlplane.VersionedDocument) {
 	select {
-	case <-c.newest:
+	case <-c.nextToApply:
 	default:
 	}
-	c.newest <- next
+	c.nextToApply <- next
 }
 
 // put has versions put in force, off the actor: reading the settings may take long.
-func (c *Client) put() {
+func (c *Client) applyVersions() {
 	for {
-		var next controlplane.Copy
+		var next controlplane.VersionedDocument
 		select {
 		case <-c.ctx.Done():
 			return
-		case next = <-c.newest:
+		case next = <-c.nextToApply:
 		}
-		if err := c.apply(next.Version, next.Text.Text()); err != nil {
+		if err := c.apply(next.Version, next.Document.Text()); err != nil {
 			if c.ctx.Err() != nil || errors.Is(err, context.Canceled) { // that is no word on the version
 				return
 			}
 			c.log.Error("version of the settings refused, the one before holds", "version", next.Version, "error", err)
-			c.box.Put(func() { c.follow.Refused(c.clock.Now(), next.Version, err.Error()) })
+			c.mailbox.Put(func() { c.link.VersionRejected(c.clock.Now(), next.Version, err.Error()) })
 			continue
 		}
-		c.box.Put(func() { c.follow.InForce(c.clock.Now(), next.Version) })
-		if c.disk != nil {
-			c.disk.Offer(next)
+		c.mailbox.Put(func() { c.link.VersionApplied(c.clock.Now(), next.Version) })
+		if c.copyStore != nil {
+			c.copyStore.QueueWrite(next)
 		}
 	}
 }
 
 // sayOdd logs now and then what a link ends by that should not be.
-func (c *Client) sayOdd(who string, err error) {
-	c.unsaid.Add(1)
-	c.odd.Do(func() { c.log.Warn("member refused", "member", who, "error", err, "since_last", c.unsaid.Swap(0)) })
+func (c *Client) logRefused(who string, err error) {
+	c.refusedSinceLog.Add(1)
+	c.refusedLog.Do(func() {
+		c.log.Warn("member refused", "member", who, "error", err, "since_last", c.refusedSinceLog.Swap(0))
+	})
 }
--- a/internal/controlplane/client/client_test.go
+++ b/internal/controlplane/client/client_test.go
@@ -24,18 +24,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type lines struct {
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
@@ -46,7 +46,7 @@
 	text, err := os.ReadFile("../../../deploy/control-plane.toml")
 	require.NoError(t, err)
 	whole := string(text)
-	read := func(t *testing.T, text string, mode os.FileMode, key string) (*Plane, error) {
+	read := func(t *testing.T, text string, mode os.FileMode, key string) (*ControlPlane, error) {
 		dir := t.TempDir()
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "control-plane.key"), []byte(key), mode))
 		require.NoError(t, os.Chmod(filepath.Join(dir, "control-plane.key"), mode))
@@ -59,12 +59,12 @@
 	require.NoError(t, err)
 	require.Len(t, p.Members, 4)
 	require.Equal(t, Member{Name: "c4", Region: "east", Address: "127.0.0.1:7304"}, p.Members[3])
-	n, err := p.Node("n1")
+	n, err := p.NodeConfig("n1")
 	require.NoError(t, err)
-	require.Equal(t, "n1.copy", filepath.Base(n.Copy))
-	_, err = p.Node("../n1")
+	require.Equal(t, "n1.copy", filepath.Base(n.CopyFile))
+	_, err = p.NodeConfig("../n1")
 	require.ErrorContains(t, err, "can't have a file there")
-	_, err = p.Self("c9")
+	_, err = p.FindMember("c9")
 	require.ErrorContains(t, err, `none is called "c9"`)
 
 	replace := func(pairs ...string) string { return strings.NewReplacer(pairs...).Replace(whole) }
@@ -113,7 +113,7 @@
 	got, err := decodeCopy(whole, "fleet \"one\"")
 	require.NoError(t, err)
 	require.Equal(t, uint64(12), got.Version)
-	require.Equal(t, doc.Digest(), got.Text.Digest())
+	require.Equal(t, doc.Digest(), got.Document.Digest())
 	for k := range whole {
 		_, err := decodeCopy(whole[:k], "fleet \"one\"")
 		require.Error(t, err, "cut at %d", k)
@@ -128,33 +128,33 @@
 
 // One process writes; one that comes beside it reads, and writes once the other has gone. What is damaged is set aside with one line.
 func TestDiskHasOneWriter(t *testing.T) {
-	file, log := filepath.Join(t.TempDir(), "state", "n1.copy"), &lines{}
+	file, log := filepath.Join(t.TempDir(), "state", "n1.copy"), &logBuffer{}
 	say := slog.New(slog.NewTextHandler(log, nil))
-	one, held, err := OpenDisk(file, "f", say)
+	one, held, err := OpenCopyStore(file, "f", say)
 	require.NoError(t, err)
 	require.Zero(t, held.Version)
-	require.NoError(t, one.Keep(3, []byte(`{}`)))
-	two, held, err := OpenDisk(file, "f", say)
+	require.NoError(t, one.Write(3, []byte(`{}`)))
+	two, held, err := OpenCopyStore(file, "f", say)
 	require.NoError(t, err)
 	require.Equal(t, uint64(3), held.Version)
-	require.ErrorIs(t, two.Keep(4, []byte(`{}`)), errBusy)
+	require.ErrorIs(t, two.Write(4, []byte(`{}`)), errLocked)
 	one.Close()
-	require.NoError(t, two.Keep(5, []byte(`{}`)))
+	require.NoError(t, two.Write(5, []byte(`{}`)))
 	doc, err := controlplane.Parse([]byte(`{"a":1}`)) // offered, and the process ends: the newest is there
 	require.NoError(t, err)
 	for v := range uint64(3) {
-		two.Offer(controlplane.Copy{Version: 6 + v, Text: doc})
+		two.QueueWrite(controlplane.VersionedDocument{Version: 6 + v, Document: doc})
 	}
 	ended, end := context.WithCancel(t.Context())
 	end()
 	two.Run(ended)
 	two.Close()
-	last, held, err := OpenDisk(file, "f", say)
+	last, held, err := OpenCopyStore(file, "f", say)
 	require.NoError(t, err)
 	require.Equal(t, uint64(8), held.Version)
 	last.Close()
 	require.NoError(t, os.WriteFile(file, []byte("garbage"), 0o600))
-	three, held, err := OpenDisk(file, "f", say)
+	three, held, err := OpenCopyStore(file, "f", say)
 	require.NoError(t, err)
 	defer three.Close()
 	require.Zero(t, held.Version)
@@ -168,15 +168,15 @@
 // A client without a member that answers: what was on disk is put in force, and it ends at once.
 func TestClientAlone(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "n1.copy")
-	d, _, err := OpenDisk(file, "f", slog.New(slog.DiscardHandler))
+	d, _, err := OpenCopyStore(file, "f", slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	require.NoError(t, d.Keep(7, []byte(`{"a":1}`)))
+	require.NoError(t, d.Write(7, []byte(`{"a":1}`)))
 	d.Close()
 	put := make(chan uint64, 1)
 	c, err := New(Config{Fleet: "f", Name: "n1", Region: "r", Members: []Member{{Name: "c1", Region: "r", Address: "127.0.0.1:1"}},
-		Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, Copy: file}, func(version uint64, _ []byte) error { put <- version; return nil }, clock.New(), slog.New(slog.DiscardHandler))
+		Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, CopyFile: file}, func(version uint64, _ []byte) error { put <- version; return nil }, clock.New(), slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	version, text, there := c.Copy()
+	version, text, there := c.StoredCopy()
 	require.True(t, there)
 	require.Equal(t, uint64(7), version)
 	require.Contains(t, string(text), `"a":1`)
@@ -184,7 +184,7 @@
 	require.Equal(t, uint64(7), <-put)
 	require.Eventually(t, func() bool {
 		s, err := c.State(t.Context())
-		return err == nil && s.InForce == 7 && s.Member == "" && s.Dials > 0 && Finite(s.Age) == nil
+		return err == nil && s.AppliedVersion == 7 && s.Member == "" && s.Dials > 0 && FiniteOrNil(s.StalenessMs) == nil
 	}, 5*time.Second, 10*time.Millisecond)
 	c.Stop()
 	_, err = c.State(t.Context())
@@ -210,7 +210,9 @@
 	defer c.Stop()
 	doc, err := controlplane.Parse([]byte(`{}`))
 	require.NoError(t, err)
-	offer := func(v uint64) { c.box.Put(func() { c.offer(controlplane.Copy{Version: v, Text: doc}) }) }
+	offer := func(v uint64) {
+		c.mailbox.Put(func() { c.queueForApply(controlplane.VersionedDocument{Version: v, Document: doc}) })
+	}
 	offer(1)
 	<-begun
 	for v := range uint64(3) {
@@ -223,40 +225,40 @@
 	require.Equal(t, uint64(4), <-put)
 	require.Eventually(t, func() bool {
 		s, err := c.State(t.Context())
-		return err == nil && s.InForce == 1 && s.Refused == 4 && s.Why == "not that one"
+		return err == nil && s.AppliedVersion == 1 && s.RejectedVersion == 4 && s.RejectReason == "not that one"
 	}, 5*time.Second, time.Millisecond)
 }
 
 // A message in pieces comes out as it went in; what is no message is an error, and nothing panics.
 func TestMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := Call{Op: rapid.String().Draw(t, "op"), Version: rapid.Uint64().Draw(t, "version")}
+		in := CallRequest{Method: rapid.String().Draw(t, "op"), Version: rapid.Uint64().Draw(t, "version")}
 		text := bytes.Repeat([]byte(rapid.StringN(0, 40, 40).Draw(t, "text")), rapid.IntRange(0, 200).Draw(t, "times"))
-		frames, err := Pieces(&in, text)
+		frames, err := EncodeMessage(&in, text)
 		require.NoError(t, err)
-		var g Gathered
+		var g MessageAssembler
 		for k, f := range frames {
-			whole, err := g.Add(f)
+			whole, err := g.AddFrame(f)
 			require.NoError(t, err)
 			require.Equal(t, k == len(frames)-1, whole)
 		}
-		var out Call
-		its, err := g.Read(&out)
+		var out CallRequest
+		its, err := g.Decode(&out)
 		require.NoError(t, err)
-		in.Op = strings.ToValidUTF8(in.Op, "\ufffd")
+		in.Method = strings.ToValidUTF8(in.Method, "\ufffd")
 		require.Equal(t, in, out)
 		require.True(t, bytes.Equal(text, its))
 	})
 	for _, odd := range [][]byte{nil, {9}, {0}, {0, 1, 2, 3}} {
-		var g Gathered
-		if whole, err := g.Add(odd); err == nil && whole {
-			_, err = g.Read(&Call{})
+		var g MessageAssembler
+		if whole, err := g.AddFrame(odd); err == nil && whole {
+			_, err = g.Decode(&CallRequest{})
 			require.Error(t, err, "%v", odd)
 		}
 	}
-	var g Gathered
-	g.data = make([]byte, MostMessage)
-	_, err := g.Add([]byte{more, 1})
+	var g MessageAssembler
+	g.data = make([]byte, MaxMessageBytes)
+	_, err := g.AddFrame([]byte{fragmentMore, 1})
 	require.ErrorContains(t, err, "message of over")
 }
 
@@ -265,26 +267,26 @@
 func TestReported(t *testing.T) {
 	ms := func(x float64) *float64 { return &x }
 	node := func(name string, inForce uint64, behind, age, seen float64) FollowerStatus {
-		return FollowerStatus{Name: name, Region: "east", Kind: controlplane.KindNode, Held: inForce, InForce: inForce, BehindMs: behind, AgeMs: ms(age), SeenMs: seen}
+		return FollowerStatus{Name: name, Region: "east", Kind: controlplane.KindNode, StoredVersion: inForce, AppliedVersion: inForce, BehindMs: behind, StalenessMs: ms(age), LastSeenMs: seen}
 	}
-	all := []Asked{
-		{Member: Member{Name: "c1"}, Status: &MemberStatus{Name: "c1", Head: 9, AgeMs: ms(100), Leader: "c1", Followers: []FollowerStatus{
+	all := []StatusResult{
+		{Member: Member{Name: "c1"}, Status: &MemberStatus{Name: "c1", Head: 9, StalenessMs: ms(100), Leader: "c1", Followers: []FollowerStatus{
 			node("n1", 7, 3000, 100, 5000), node("n2", 9, 0, 100, 10)}}},
-		{Member: Member{Name: "c2"}, Status: &MemberStatus{Name: "c2", Head: 8, AgeMs: ms(9000), Leader: "c2", Followers: []FollowerStatus{
+		{Member: Member{Name: "c2"}, Status: &MemberStatus{Name: "c2", Head: 8, StalenessMs: ms(9000), Leader: "c2", Followers: []FollowerStatus{
 			node("n1", 8, 0, 9000, 100), {Name: "c4", Kind: controlplane.KindMember}}}},
 	}
-	r := Reported(all)
+	r := NewReport(all)
 	require.Equal(t, uint64(9), r.Version)
 	require.Equal(t, "c1", r.Leader, "the other one's word is old")
-	require.Equal(t, []ReportRegion{{Region: "east", Nodes: 2, Behind: 1, WorstMs: 9000}}, r.Regions)
+	require.Equal(t, []ReportRegion{{Region: "east", Nodes: 2, Behind: 1, WorstBehindMs: 9000}}, r.Regions)
 	require.Len(t, r.Behind, 1)
 	require.Equal(t, "c2", r.Behind[0].Member)
-	require.Equal(t, "node n1 is behind", r.Fault())
+	require.Equal(t, "node n1 is behind", r.FirstProblem())
 	all[1].Status.Head = 9
-	require.Zero(t, Reported(all).Behind[0].BehindMs, "its member has the version, and no time has passed since")
+	require.Zero(t, NewReport(all).Behind[0].BehindMs, "its member has the version, and no time has passed since")
 	all[1].Err = context.DeadlineExceeded
-	require.Equal(t, "member c2 does not answer", Reported(all).Fault())
+	require.Equal(t, "member c2 does not answer", NewReport(all).FirstProblem())
 	all = all[:1]
-	all[0].Status.Followers[0].Refused, all[0].Status.Followers[0].Why = 9, "kinds"
-	require.Equal(t, "node n1 refuses: kinds", Reported(all).Fault())
+	all[0].Status.Followers[0].RejectedVersion, all[0].Status.Followers[0].RejectReason = 9, "kinds"
+	require.Equal(t, "node n1 refuses: kinds", NewReport(all).FirstProblem())
 }
--- a/internal/controlplane/client/disk.go
+++ b/internal/controlplane/client/disk.go
@@ -21,49 +21,49 @@
 )
 
 // A copy's file: a line with its form, the checksum of all that follows, the version, the fleet; then the text.
-const copyForm = "pearknot-copy-1"
+const copyFormat = "pearknot-copy-1"
 
 // errBusy is a copy that another process keeps, such as the one that this one comes after.
-var errBusy = errors.New("another process keeps it")
+var errLocked = errors.New("another process keeps it")
 
 // Disk is where a process keeps the last good version. One process writes: whoever comes beside it may read.
-type Disk struct {
-	file, fleet string
-	lock        *os.File // nil until this process has it
-	kept        uint64   // version on disk
-	newest      chan controlplane.Copy
-	log         *slog.Logger
+type CopyStore struct {
+	file, fleet   string
+	lock          *os.File // nil until this process has it
+	storedVersion uint64   // version on disk
+	nextToWrite   chan controlplane.VersionedDocument
+	log           *slog.Logger
 }
 
 // OpenDisk reads what is there. A damaged copy is set aside with one line, and none is held then; so is another fleet's.
-func OpenDisk(file, fleet string, log *slog.Logger) (*Disk, controlplane.Copy, error) {
-	d := &Disk{file: file, fleet: fleet, newest: make(chan controlplane.Copy, 1), log: log}
+func OpenCopyStore(file, fleet string, log *slog.Logger) (*CopyStore, controlplane.VersionedDocument, error) {
+	d := &CopyStore{file: file, fleet: fleet, nextToWrite: make(chan controlplane.VersionedDocument, 1), log: log}
 	if err := os.MkdirAll(filepath.Dir(file), 0o700); err != nil {
-		return nil, controlplane.Copy{}, err
+		return nil, controlplane.VersionedDocument{}, err
 	}
-	if err := d.own(); err != nil && !errors.Is(err, errBusy) {
-		return nil, controlplane.Copy{}, err
+	if err := d.acquireLock(); err != nil && !errors.Is(err, errLocked) {
+		return nil, controlplane.VersionedDocument{}, err
 	}
 	data, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
-		return d, controlplane.Copy{}, nil
+		return d, controlplane.VersionedDocument{}, nil
 	} else if err != nil {
-		return nil, controlplane.Copy{}, err
+		return nil, controlplane.VersionedDocument{}, err
 	}
 	c, err := decodeCopy(data, fleet)
 	if err != nil {
 		aside := fmt.Sprintf("%s.damaged-%d", file, time.Now().UnixNano())
 		if e := os.Rename(file, aside); e != nil {
-			return nil, controlplane.Copy{}, e
+			return nil, controlplane.VersionedDocument{}, e
 		}
 		log.Error("copy of the settings damaged, set aside", "file", file, "error", err, "as", aside)
 	}
-	d.kept = c.Version
+	d.storedVersion = c.Version
 	return d, c, nil
 }
 
 // own takes the lock, if nobody else has it.
-func (d *Disk) own() error {
+func (d *CopyStore) acquireLock() error {
 	if d.lock != nil {
 		return nil
 	}
@@ -73,57 +73,57 @@
 	}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		_ = lock.Close()
-		return fmt.Errorf("%s: %w", d.file, errBusy)
+		return fmt.Errorf("%s: %w", d.file, errLocked)
 	}
 	d.lock = lock
 	return nil
 }
 
 // Owned tells whether this process is the one that writes.
-func (d *Disk) Owned() bool { return d.lock != nil }
+func (d *CopyStore) HasLock() bool { return d.lock != nil }
 
 // Keep writes a version, whole or not at all; it is durable when it returns.
-func (d *Disk) Keep(version uint64, text []byte) error {
-	if err := d.own(); err != nil {
+func (d *CopyStore) Write(version uint64, text []byte) error {
+	if err := d.acquireLock(); err != nil {
 		return err
 	}
 	return renameio.WriteFile(d.file, encodeCopy(version, d.fleet, text), 0o600)
 }
 
 // Offer has a version written by Run, in the place of one that waits for it: the disk may be slow, and stands before nothing.
-func (d *Disk) Offer(c controlplane.Copy) {
+func (d *CopyStore) QueueWrite(c controlplane.VersionedDocument) {
 	select {
-	case <-d.newest:
+	case <-d.nextToWrite:
 	default:
 	}
-	d.newest <- c
+	d.nextToWrite <- c
 }
 
 // Run writes what is offered until ctx ends, and what waits then.
-func (d *Disk) Run(ctx context.Context) {
+func (d *CopyStore) Run(ctx context.Context) {
 	busy := false
-	write := func(c controlplane.Copy) {
-		if c.Version == d.kept {
+	write := func(c controlplane.VersionedDocument) {
+		if c.Version == d.storedVersion {
 			return
 		}
-		switch err := d.Keep(c.Version, c.Text.Text()); {
+		switch err := d.Write(c.Version, c.Document.Text()); {
 		case err == nil:
-			d.kept, busy = c.Version, false
-		case errors.Is(err, errBusy) && busy: // said once
+			d.storedVersion, busy = c.Version, false
+		case errors.Is(err, errLocked) && busy: // said once
 		default:
-			busy = errors.Is(err, errBusy)
+			busy = errors.Is(err, errLocked)
 			d.log.Warn("copy of the settings not kept", "version", c.Version, "error", err)
 		}
 	}
 	for {
 		select {
-		case c := <-d.newest:
+		case c := <-d.nextToWrite:
 			write(c)
 			continue
 		case <-ctx.Done():
 		}
 		select {
-		case c := <-d.newest:
+		case c := <-d.nextToWrite:
 			write(c)
 		default:
 		}
@@ -132,7 +132,7 @@
 }
 
 // Close lets another process write.
-func (d *Disk) Close() {
+func (d *CopyStore) Close() {
 	if d.lock != nil {
 		_ = d.lock.Close()
 	}
@@ -141,12 +141,12 @@
 func encodeCopy(version uint64, fleet string, text []byte) []byte {
 	rest := fmt.Appendf(nil, "%d %s\n%s", version, strconv.Quote(fleet), text)
 	sum := sha256.Sum256(rest)
-	return fmt.Appendf(nil, "%s %x %s", copyForm, sum, rest)
+	return fmt.Appendf(nil, "%s %x %s", copyFormat, sum, rest)
 }
 
-func decodeCopy(data []byte, fleet string) (c controlplane.Copy, err error) {
+func decodeCopy(data []byte, fleet string) (c controlplane.VersionedDocument, err error) {
 	form, rest, _ := bytes.Cut(data, []byte(" "))
-	if string(form) != copyForm {
+	if string(form) != copyFormat {
 		return c, fmt.Errorf("no copy: begins with %.20q", form)
 	}
 	sum, rest, _ := bytes.Cut(rest, []byte(" "))
@@ -166,5 +166,5 @@
 	if err != nil {
 		return c, err
 	}
-	return controlplane.Copy{Version: version, Text: doc}, nil
+	return controlplane.VersionedDocument{Version: version, Document: doc}, nil
 }
--- a/internal/controlplane/client/file.go
+++ b/internal/controlplane/client/file.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	mostMembers = 21
-	mostName    = 64
+	maxMembers   = 21
+	maxNameBytes = 64
 )
 
 // Member is one process of the control plane.
@@ -26,26 +26,26 @@
 }
 
 // Plane is what the file says, the same for members, nodes and operators but for the region.
-type Plane struct {
-	Fleet   string
-	Region  string // of a node that reads it
-	Members []Member
-	Keys    [][]byte // the first proves, all are taken
-	Dir     string   // for state
-	at      *tomlfile.File
-	led     atomic.Pointer[string] // the voter that led when it was last asked
+type ControlPlane struct {
+	Fleet      string
+	Region     string // of a node that reads it
+	Members    []Member
+	Keys       [][]byte // the first proves, all are taken
+	StateDir   string   // for state
+	source     *tomlfile.File
+	lastLeader atomic.Pointer[string] // the voter that led when it was last asked
 }
 
 // planeFile is deploy/control-plane.toml.
-type planeFile struct {
-	Fleet    string       `toml:"fleet"`
-	KeyFile  string       `toml:"key_file"`
-	Region   string       `toml:"region"`
-	StateDir string       `toml:"state_dir"`
-	Member   []memberFile `toml:"member"`
+type controlPlaneFile struct {
+	Fleet    string        `toml:"fleet"`
+	KeyFile  string        `toml:"key_file"`
+	Region   string        `toml:"region"`
+	StateDir string        `toml:"state_dir"`
+	Members  []memberEntry `toml:"member"`
 }
 
-type memberFile struct {
+type memberEntry struct {
 	Name    string `toml:"name"`
 	Region  string `toml:"region"`
 	Address string `toml:"address"`
@@ -53,29 +53,29 @@
 }
 
 // ReadFile reads the file, and the keys that it names. Paths in it count from where it lies.
-func ReadFile(name string) (*Plane, error) {
-	f := planeFile{StateDir: "control-plane"}
+func ReadFile(name string) (*ControlPlane, error) {
+	f := controlPlaneFile{StateDir: "control-plane"}
 	at, err := tomlfile.Read(name, &f)
 	if err != nil {
 		return nil, err
 	}
 	switch {
-	case f.Fleet == "" || len(f.Fleet) > mostName:
-		return nil, at.Errorf("fleet", "a name of up to %d bytes is wanted", mostName)
+	case f.Fleet == "" || len(f.Fleet) > maxNameBytes:
+		return nil, at.Errorf("fleet", "a name of up to %d bytes is wanted", maxNameBytes)
 	case f.StateDir == "":
 		return nil, at.Errorf("state_dir", "a directory is wanted")
-	case len(f.Member) > mostMembers:
-		return nil, at.Errorf("member", "%d members, %d at most", len(f.Member), mostMembers)
+	case len(f.Members) > maxMembers:
+		return nil, at.Errorf("member", "%d members, %d at most", len(f.Members), maxMembers)
 	}
-	p := &Plane{Fleet: f.Fleet, Region: f.Region, Dir: beside(name, f.StateDir), at: at}
+	p := &ControlPlane{Fleet: f.Fleet, Region: f.Region, StateDir: resolvePath(name, f.StateDir), source: at}
 	names, addresses, voters, known := map[string]bool{}, map[string]bool{}, 0, false
-	for k, m := range f.Member {
+	for k, m := range f.Members {
 		key := fmt.Sprintf("member.%d.", k)
 		switch {
-		case !plain(m.Name) || names[m.Name]:
+		case !isFileName(m.Name) || names[m.Name]:
 			return nil, at.Errorf(key+"name", "%q is no name of letters, digits, dots and dashes, or another's", m.Name)
-		case m.Region == "" || len(m.Region) > mostName:
-			return nil, at.Errorf(key+"region", "a name of up to %d bytes is wanted", mostName)
+		case m.Region == "" || len(m.Region) > maxNameBytes:
+			return nil, at.Errorf(key+"region", "a name of up to %d bytes is wanted", maxNameBytes)
 		case addresses[m.Address]:
 			return nil, at.Errorf(key+"address", "%q is another's", m.Address)
 		}
@@ -101,14 +101,14 @@
 	case !known:
 		return nil, at.Errorf("region", "%q has no member", f.Region)
 	}
-	if p.Keys, err = transport.ReadKeys(beside(name, f.KeyFile)); err != nil {
+	if p.Keys, err = transport.ReadKeys(resolvePath(name, f.KeyFile)); err != nil {
 		return nil, at.Errorf("key_file", "%v", err)
 	}
 	return p, nil
 }
 
 // beside is a path as a file names it.
-func beside(file, path string) string {
+func resolvePath(file, path string) string {
 	if filepath.IsAbs(path) {
 		return path
 	}
@@ -116,28 +116,28 @@
 }
 
 // plain is a name that a file may have.
-func plain(name string) bool {
+func isFileName(name string) bool {
 	for _, r := range name {
 		if !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' || r == '.') {
 			return false
 		}
 	}
-	return name != "" && len(name) <= mostName && name != "." && name != ".."
+	return name != "" && len(name) <= maxNameBytes && name != "." && name != ".."
 }
 
 // Self finds a member by its name.
-func (p *Plane) Self(name string) (Member, error) {
+func (p *ControlPlane) FindMember(name string) (Member, error) {
 	if k := slices.IndexFunc(p.Members, func(m Member) bool { return m.Name == name }); k >= 0 {
 		return p.Members[k], nil
 	}
-	return Member{}, p.at.Errorf("member", "none is called %q", name)
+	return Member{}, p.source.Errorf("member", "none is called %q", name)
 }
 
 // Node gives a node's terms, with its copy in the file's directory.
-func (p *Plane) Node(name string) (Config, error) {
-	if !plain(name) {
-		return Config{}, p.at.Errorf("state_dir", "a node called %q can't have a file there: letters, digits, dots and dashes", name)
+func (p *ControlPlane) NodeConfig(name string) (Config, error) {
+	if !isFileName(name) {
+		return Config{}, p.source.Errorf("state_dir", "a node called %q can't have a file there: letters, digits, dots and dashes", name)
 	}
-	return Config{Fleet: p.Fleet, Name: name, Region: p.Region, Members: p.Members, Keys: p.Keys, Copy: filepath.Join(p.Dir, name+".copy"),
+	return Config{Fleet: p.Fleet, Name: name, Region: p.Region, Members: p.Members, Keys: p.Keys, CopyFile: filepath.Join(p.StateDir, name+".copy"),
 		Kind: controlplane.KindNode}, nil
 }
--- a/internal/controlplane/client/golden_test.go
+++ b/internal/controlplane/client/golden_test.go
@@ -9,7 +9,7 @@
 
 // Members, nodes and command lines of other builds send and read these messages.
 func TestMessageForms(t *testing.T) {
-	for file, v := range map[string]any{"call.json": &Call{}, "answer.json": &Answer{}} {
+	for file, v := range map[string]any{"call.json": &CallRequest{}, "answer.json": &CallResponse{}} {
 		t.Run(file, func(t *testing.T) { goldentest.JSON(t, file, v) })
 	}
 }
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	c, err := decodeCopy(encodeCopy(7, "f", doc.Text()), "f")
-	if err != nil || c.Version != 7 || string(c.Text.Text()) != string(doc.Text()) {
+	if err != nil || c.Version != 7 || string(c.Document.Text()) != string(doc.Text()) {
 		t.Fatal(c, err)
 	}
 }
--- a/internal/controlplane/client/link.go
+++ b/internal/controlplane/client/link.go
@@ -14,49 +14,49 @@
 )
 
 // Protocol is the version of what goes over a link once both ends are proven.
-const Protocol = 1
+const ProtocolVersion = 1
 
 // What a link is for: its caller says so in its first frame.
 const (
-	ForFollow = "follow" // a node or a relay follows
-	ForVote   = "vote"   // a voter's messages
-	ForCall   = "call"   // an operator's call
+	PurposeFollow = "follow" // a node or a relay follows
+	PurposeVote   = "vote"   // a voter's messages
+	PurposeCall   = "call"   // an operator's call
 )
 
 // Opening is a link's first frame.
-type Opening struct {
+type LinkHeader struct {
 	Version int
-	For     string
+	Purpose string
 }
 
 // ReadOpening reads one; of another version there may be anything in it.
-func ReadOpening(data []byte) (what string, err error) {
-	o := &Opening{}
+func DecodeLinkHeader(data []byte) (what string, err error) {
+	o := &LinkHeader{}
 	if err := snapshot.Read(data, o); err != nil {
 		return "", err
 	}
-	if o.Version != Protocol {
-		return "", fmt.Errorf("protocol of version %d, this build has %d", o.Version, Protocol)
+	if o.Version != ProtocolVersion {
+		return "", fmt.Errorf("protocol of version %d, this build has %d", o.Version, ProtocolVersion)
 	}
-	return o.For, nil
+	return o.Purpose, nil
 }
 
 // Fleet is the fleet's name on the control plane's links: a key that peers share too opens none of theirs here.
-func Fleet(name string) string { return name + " control plane" }
+func HandshakeFleet(name string) string { return name + " control plane" }
 
-const dialWithin = time.Second
+const dialTimeout = time.Second
 
 // Open dials a member, proves the key and says what the link is for.
-func Open(ctx context.Context, fleet string, keys [][]byte, from string, to Member, what string) (*transport.Pipe, error) {
-	d := net.Dialer{Timeout: dialWithin}
+func OpenLink(ctx context.Context, fleet string, keys [][]byte, from string, to Member, what string) (*transport.Pipe, error) {
+	d := net.Dialer{Timeout: dialTimeout}
 	c, err := d.DialContext(ctx, "tcp", to.Address)
 	if err != nil {
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	_, err = transport.Call(c, keys, Fleet(fleet), from, to.Name, max(rand.Uint64(), 1))
+	_, err = transport.Call(c, keys, HandshakeFleet(fleet), from, to.Name, max(rand.Uint64(), 1))
 	if err == nil {
-		err = transport.WriteFrame(c, snapshot.Append(nil, &Opening{Protocol, what}))
+		err = transport.WriteFrame(c, snapshot.Append(nil, &LinkHeader{ProtocolVersion, what}))
 	}
 	if !stop() || err != nil {
 		_ = c.Close()
@@ -67,19 +67,19 @@
 
 // Following is a follower with its connection. It belongs to an actor: whatever comes from elsewhere is put into that one's box,
 // and Pull is to be called after each of its steps.
-type Following struct {
+type FollowerLink struct {
 	*controlplane.Follower
-	terms Config
-	ctx   context.Context
-	now   func() float64
-	put   func(func())
-	taken func(controlplane.Take)
-	odd   func(who string, err error)
-	dials func(func()) // runs what dials and carries, until ctx has ended
-
-	life   uint64 // counts connections and dials
-	cancel context.CancelFunc
-	pipe   *transport.Pipe
+	config         Config
+	ctx            context.Context
+	now            func() float64
+	post           func(func())
+	onUpdate       func(controlplane.DocumentUpdate)
+	onRefused      func(who string, err error)
+	startGoroutine func(func()) // runs what dials and carries, until ctx has ended
+
+	generation uint64 // counts connections and dials
+	cancel     context.CancelFunc
+	pipe       *transport.Pipe
 	Counters
 }
 
@@ -89,19 +89,19 @@
 }
 
 // NewFollowing makes one; taken is called by Pull, odd for refusals and at any time.
-func NewFollowing(ctx context.Context, t Config, held controlplane.Copy, now func() float64, put func(func()), run func(func()),
-	taken func(controlplane.Take), odd func(string, error)) *Following {
+func NewFollowerLink(ctx context.Context, t Config, held controlplane.VersionedDocument, now func() float64, put func(func()), run func(func()),
+	taken func(controlplane.DocumentUpdate), odd func(string, error)) *FollowerLink {
 	targets := make([]controlplane.Target, len(t.Members))
 	for k, m := range t.Members {
 		targets[k] = controlplane.Target{Name: m.Name, Region: m.Region}
 	}
-	return &Following{terms: t, ctx: ctx, now: now, put: put, dials: run, taken: taken, odd: odd,
+	return &FollowerLink{config: t, ctx: ctx, now: now, post: put, startGoroutine: run, onUpdate: taken, onRefused: odd,
 		Follower: controlplane.NewFollower(controlplane.FollowerConfig{Name: t.Name, Region: t.Region, Kind: t.Kind, Members: targets,
 			Seed: rand.Uint64()}, held, now())}
 }
 
 // Pull carries out what the follower has decided.
-func (f *Following) Pull() {
+func (f *FollowerLink) CarryOutDecisions() {
 	for {
 		o, more := f.Next()
 		switch {
@@ -109,20 +109,20 @@
 			return
 		case o.Dial:
 			f.dial(o.Member)
-		case o.Hangup:
-			f.Hangup()
+		case o.Disconnect:
+			f.Disconnect()
 		case o.Frame != nil:
 			if f.pipe != nil {
 				f.pipe.Send(o.Frame)
 			}
-		case o.Take != nil:
-			f.taken(*o.Take)
+		case o.Update != nil:
+			f.onUpdate(*o.Update)
 		}
 	}
 }
 
 // Count gives the counters with those of the link that is up.
-func (f *Following) Count() Counters {
+func (f *FollowerLink) TotalCounters() Counters {
 	c := f.Counters
 	c.add(f.pipe)
 	return c
@@ -140,8 +140,8 @@
 }
 
 // Hangup ends the connection, or the dial.
-func (f *Following) Hangup() {
-	f.life++
+func (f *FollowerLink) Disconnect() {
+	f.generation++
 	if f.cancel != nil {
 		f.cancel()
 		f.cancel = nil
@@ -153,26 +153,26 @@
 	}
 }
 
-func (f *Following) dial(k int) {
-	f.Hangup()
+func (f *FollowerLink) dial(k int) {
+	f.Disconnect()
 	f.Dials++
-	life, to := f.life, f.terms.Members[k]
+	life, to := f.generation, f.config.Members[k]
 	ctx, cancel := context.WithCancel(f.ctx)
 	f.cancel = cancel
-	f.dials(func() {
+	f.startGoroutine(func() {
 		defer cancel()
-		p, err := Open(ctx, f.terms.Fleet, f.terms.Keys, f.terms.Name, to, ForFollow)
+		p, err := OpenLink(ctx, f.config.Fleet, f.config.Keys, f.config.Name, to, PurposeFollow)
 		if err != nil {
 			if errors.Is(err, transport.ErrKey) {
-				f.odd(to.Name, err)
+				f.onRefused(to.Name, err)
 			}
-			f.lost(life)
+			f.connectionLost(life)
 			return
 		}
 		stop := context.AfterFunc(ctx, p.Close)
 		defer stop()
-		f.put(func() {
-			if f.life != life || f.ctx.Err() != nil {
+		f.post(func() {
+			if f.generation != life || f.ctx.Err() != nil {
 				p.Close()
 				return
 			}
@@ -180,37 +180,37 @@
 			f.Connected(f.now(), k)
 		})
 		p.Heard(func() {
-			f.put(func() {
-				if f.life == life {
-					f.Heard(f.now())
+			f.post(func() {
+				if f.generation == life {
+					f.BytesReceived(f.now())
 				}
 			})
 		})
-		room := make(chan struct{}, mostInHand) // frames that the actor has yet to take
-		_ = p.Run(controlplane.MostFrame, 0, func(data []byte) {
+		room := make(chan struct{}, maxQueuedFrames) // frames that the actor has yet to take
+		_ = p.Run(controlplane.MaxFrameBytes, 0, func(data []byte) {
 			select {
 			case room <- struct{}{}:
 			case <-ctx.Done():
 				return
 			}
-			f.put(func() {
+			f.post(func() {
 				<-room
-				if f.life == life {
-					f.Frame(f.now(), data)
+				if f.generation == life {
+					f.HandleFrame(f.now(), data)
 				}
 			})
 		}, nil)
-		f.lost(life)
+		f.connectionLost(life)
 	})
 }
 
-const mostInHand = 16
+const maxQueuedFrames = 16
 
-func (f *Following) lost(life uint64) {
-	f.put(func() {
-		if f.life == life {
-			f.Hangup()
-			f.Lost(f.now())
+func (f *FollowerLink) connectionLost(life uint64) {
+	f.post(func() {
+		if f.generation == life {
+			f.Disconnect()
+			f.Disconnected(f.now())
 		}
 	})
 }
--- a/internal/controlplane/client/message.go
+++ b/internal/controlplane/client/message.go
@@ -14,77 +14,77 @@
 
 // What an operator's call asks for.
 const (
-	OpStatus = "status" // how this member stands, and who follows it
-	OpGet    = "get"    // a version's text; 0 is the head
-	OpLog    = "log"    // the last changes
-	OpApply  = "apply"  // of the leader: the next version
-	OpHead   = "head"   // of the leader: the head's version
+	MethodStatus = "status" // how this member stands, and who follows it
+	MethodGet    = "get"    // a version's text; 0 is the head
+	MethodLog    = "log"    // the last changes
+	MethodApply  = "apply"  // of the leader: the next version
+	MethodHead   = "head"   // of the leader: the head's version
 )
 
 // Call is what an operator asks of a member; a text may follow it.
-type Call struct {
-	Op      string `json:"op"`
+type CallRequest struct {
+	Method  string `json:"op"`
 	Version uint64 `json:"version,omitempty"`
 	Base    uint64 `json:"base,omitempty"`
 	ID      uint64 `json:"id,omitempty"`
 	By      string `json:"by,omitempty"`
 	Reason  string `json:"reason,omitempty"`
-	Most    int    `json:"most,omitempty"`
+	Limit   int    `json:"most,omitempty"`
 }
 
 // Answer is what the member says; a text may follow it.
-type Answer struct {
-	Code    controlplane.Code `json:"code"`
-	Version uint64            `json:"version,omitempty"`
-	Leader  string            `json:"leader,omitempty"`
-	Why     string            `json:"why,omitempty"`
-	AgeMs   *float64          `json:"age_ms,omitempty"` // of what it says; none is unknown
-	Log     []Entry           `json:"log,omitempty"`
-	Status  *MemberStatus     `json:"status,omitempty"`
+type CallResponse struct {
+	Code        controlplane.Code `json:"code"`
+	Version     uint64            `json:"version,omitempty"`
+	Leader      string            `json:"leader,omitempty"`
+	Detail      string            `json:"why,omitempty"`
+	StalenessMs *float64          `json:"age_ms,omitempty"` // of what it says; none is unknown
+	Log         []LogEntry        `json:"log,omitempty"`
+	Status      *MemberStatus     `json:"status,omitempty"`
 }
 
 // Entry is a change as the log shows it.
-type Entry struct {
-	Version uint64  `json:"version"`
-	ID      string  `json:"id"`
-	Digest  string  `json:"digest"`
-	By      string  `json:"by,omitempty"`
-	Reason  string  `json:"reason,omitempty"`
-	At      float64 `json:"at_unix_ms"` // by the clock of the leader that took it
+type LogEntry struct {
+	Version      uint64  `json:"version"`
+	ID           string  `json:"id"`
+	Digest       string  `json:"digest"`
+	By           string  `json:"by,omitempty"`
+	Reason       string  `json:"reason,omitempty"`
+	ProposedAtMs float64 `json:"at_unix_ms"` // by the clock of the leader that took it
 }
 
 // MemberStatus is a member's word about itself and those that follow it.
 type MemberStatus struct {
-	Name      string           `json:"name"`
-	Region    string           `json:"region"`
-	Voter     bool             `json:"voter"`
-	Build     string           `json:"build,omitempty"`
-	Leader    string           `json:"leader,omitempty"` // that it knows of
-	Follows   string           `json:"follows,omitempty"`
-	Head      uint64           `json:"head"`
-	Digest    string           `json:"digest,omitempty"`
-	AgeMs     *float64         `json:"age_ms,omitempty"` // of its copy; none is unknown
-	Followers []FollowerStatus `json:"followers"`
-	BytesIn   int64            `json:"bytes_in"`
-	BytesOut  int64            `json:"bytes_out"`
+	Name        string           `json:"name"`
+	Region      string           `json:"region"`
+	Voter       bool             `json:"voter"`
+	Build       string           `json:"build,omitempty"`
+	Leader      string           `json:"leader,omitempty"` // that it knows of
+	Follows     string           `json:"follows,omitempty"`
+	Head        uint64           `json:"head"`
+	Digest      string           `json:"digest,omitempty"`
+	StalenessMs *float64         `json:"age_ms,omitempty"` // of its copy; none is unknown
+	Followers   []FollowerStatus `json:"followers"`
+	BytesIn     int64            `json:"bytes_in"`
+	BytesOut    int64            `json:"bytes_out"`
 }
 
 // FollowerStatus is what a member knows of one that follows it.
 type FollowerStatus struct {
-	Name     string   `json:"name"`
-	Region   string   `json:"region"`
-	Kind     string   `json:"kind"`
-	Held     uint64   `json:"held"`
-	InForce  uint64   `json:"in_force"`
-	Refused  uint64   `json:"refused,omitempty"`
-	Why      string   `json:"why,omitempty"`
-	BehindMs float64  `json:"behind_ms"`
-	AgeMs    *float64 `json:"age_ms,omitempty"`
-	SeenMs   float64  `json:"seen_ms"` // ago
+	Name            string   `json:"name"`
+	Region          string   `json:"region"`
+	Kind            string   `json:"kind"`
+	StoredVersion   uint64   `json:"held"`
+	AppliedVersion  uint64   `json:"in_force"`
+	RejectedVersion uint64   `json:"refused,omitempty"`
+	RejectReason    string   `json:"why,omitempty"`
+	BehindMs        float64  `json:"behind_ms"`
+	StalenessMs     *float64 `json:"age_ms,omitempty"`
+	LastSeenMs      float64  `json:"seen_ms"` // ago
 }
 
 // Finite is a number that JSON can have, or none.
-func Finite(x float64) *float64 {
+func FiniteOrNil(x float64) *float64 {
 	if math.IsInf(x, 0) || math.IsNaN(x) {
 		return nil
 	}
@@ -92,18 +92,18 @@
 }
 
 const (
-	pieceSize   = 256 << 10 // of a message on the link
-	MostMessage = controlplane.MostDocument + 8<<20
+	fragmentBytes   = 256 << 10 // of a message on the link
+	MaxMessageBytes = controlplane.MaxDocumentBytes + 8<<20
 )
 
 // A piece begins with whether more of its message follow.
 const (
-	last byte = iota
-	more
+	fragmentLast byte = iota
+	fragmentMore
 )
 
 // Pieces cuts a message and the text that follows it into frames.
-func Pieces(message any, text []byte) ([][]byte, error) {
+func EncodeMessage(message any, text []byte) ([][]byte, error) {
 	head, err := json.Marshal(message)
 	if err != nil {
 		return nil, err
@@ -115,31 +115,31 @@
 	data := z.EncodeAll(append(append(head, '\n'), text...), nil)
 	_ = z.Close()
 	var frames [][]byte
-	for len(data) > pieceSize {
-		frames = append(frames, append([]byte{more}, data[:pieceSize]...))
-		data = data[pieceSize:]
+	for len(data) > fragmentBytes {
+		frames = append(frames, append([]byte{fragmentMore}, data[:fragmentBytes]...))
+		data = data[fragmentBytes:]
 	}
-	return append(frames, append([]byte{last}, data...)), nil
+	return append(frames, append([]byte{fragmentLast}, data...)), nil
 }
 
 // Gathered is a message that comes in pieces.
-type Gathered struct{ data []byte }
+type MessageAssembler struct{ data []byte }
 
 // Add takes a frame; whole tells that it was the last.
-func (g *Gathered) Add(frame []byte) (whole bool, err error) {
+func (g *MessageAssembler) AddFrame(frame []byte) (whole bool, err error) {
 	switch {
-	case len(frame) == 0 || frame[0] > more:
+	case len(frame) == 0 || frame[0] > fragmentMore:
 		return false, errors.New("odd piece of a message")
-	case len(g.data)+len(frame) > MostMessage:
-		return false, fmt.Errorf("message of over %d bytes", MostMessage)
+	case len(g.data)+len(frame) > MaxMessageBytes:
+		return false, fmt.Errorf("message of over %d bytes", MaxMessageBytes)
 	}
 	g.data = append(g.data, frame[1:]...)
-	return frame[0] == last, nil
+	return frame[0] == fragmentLast, nil
 }
 
 // Read gives the message and its text.
-func (g *Gathered) Read(message any) (text []byte, err error) {
-	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MostMessage))
+func (g *MessageAssembler) Decode(message any) (text []byte, err error) {
+	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxMessageBytes))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/client/report.go
+++ b/internal/controlplane/client/report.go
@@ -9,7 +9,7 @@
 )
 
 // BehindFor is how long (ms) a node may be behind before a status says no: the bound that the control plane states.
-const BehindFor = 6000.0
+const MaxBehindMs = 6000.0
 
 // Report is the control plane as all its members' words show it together.
 type Report struct {
@@ -23,22 +23,22 @@
 
 // ReportMember is a member; without an answer its state is unknown.
 type ReportMember struct {
-	Name    string   `json:"name"`
-	Region  string   `json:"region"`
-	Voter   bool     `json:"voter"`
-	Unknown string   `json:"unknown,omitempty"` // why it did not answer
-	Head    uint64   `json:"head"`
-	AgeMs   *float64 `json:"age_ms,omitempty"`
-	Follows string   `json:"follows,omitempty"`
-	Nodes   int      `json:"nodes"`
+	Name              string   `json:"name"`
+	Region            string   `json:"region"`
+	Voter             bool     `json:"voter"`
+	UnreachableReason string   `json:"unknown,omitempty"` // why it did not answer
+	Head              uint64   `json:"head"`
+	StalenessMs       *float64 `json:"age_ms,omitempty"`
+	Follows           string   `json:"follows,omitempty"`
+	Nodes             int      `json:"nodes"`
 }
 
 // ReportRegion is a region's nodes.
 type ReportRegion struct {
-	Region  string  `json:"region"`
-	Nodes   int     `json:"nodes"`
-	Behind  int     `json:"behind"`
-	WorstMs float64 `json:"worst_ms"`
+	Region        string  `json:"region"`
+	Nodes         int     `json:"nodes"`
+	Behind        int     `json:"behind"`
+	WorstBehindMs float64 `json:"worst_ms"`
 }
 
 // ReportNode is a node.
@@ -48,23 +48,23 @@
 }
 
 // Reported puts the members' answers together: of a node that several know of, the latest word counts.
-func Reported(all []Asked) *Report {
+func NewReport(all []StatusResult) *Report {
 	r := &Report{Members: []ReportMember{}, Regions: []ReportRegion{}, Behind: []ReportNode{}}
 	nodes := map[string]ReportNode{}
 	for _, a := range all {
 		m := ReportMember{Name: a.Member.Name, Region: a.Member.Region, Voter: a.Member.Voter}
 		if a.Err != nil {
-			m.Unknown = a.Err.Error()
+			m.UnreachableReason = a.Err.Error()
 			r.Members = append(r.Members, m)
 			continue
 		}
 		s := a.Status
-		m.Head, m.AgeMs, m.Follows = s.Head, s.AgeMs, s.Follows
+		m.Head, m.StalenessMs, m.Follows = s.Head, s.StalenessMs, s.Follows
 		if s.Head >= r.Version {
 			r.Version, r.Digest = s.Head, s.Digest
 		}
 		if s.Leader == s.Name { // by its own word; one that was deposed and doesn't know yet is not fresh
-			if r.Leader == "" || s.AgeMs != nil && *s.AgeMs < freshWithin {
+			if r.Leader == "" || s.StalenessMs != nil && *s.StalenessMs < maxFreshStalenessMs {
 				r.Leader = s.Leader
 			}
 		}
@@ -73,7 +73,7 @@
 				continue
 			}
 			m.Nodes++
-			if old, known := nodes[f.Name]; !known || f.SeenMs < old.SeenMs {
+			if old, known := nodes[f.Name]; !known || f.LastSeenMs < old.LastSeenMs {
 				nodes[f.Name] = ReportNode{f, s.Name}
 			}
 		}
@@ -88,14 +88,14 @@
 			regions[n.Region] = g
 		}
 		g.Nodes++
-		if n.InForce >= r.Version {
+		if n.AppliedVersion >= r.Version {
 			continue
 		}
-		if k := slices.IndexFunc(r.Members, func(m ReportMember) bool { return m.Name == n.Member }); r.Members[k].Head < r.Version && r.Members[k].AgeMs != nil {
-			n.BehindMs = max(n.BehindMs, *r.Members[k].AgeMs) // its member doesn't have the version either
+		if k := slices.IndexFunc(r.Members, func(m ReportMember) bool { return m.Name == n.Member }); r.Members[k].Head < r.Version && r.Members[k].StalenessMs != nil {
+			n.BehindMs = max(n.BehindMs, *r.Members[k].StalenessMs) // its member doesn't have the version either
 		}
 		g.Behind++
-		g.WorstMs = max(g.WorstMs, n.BehindMs)
+		g.WorstBehindMs = max(g.WorstBehindMs, n.BehindMs)
 		r.Behind = append(r.Behind, n)
 	}
 	slices.SortStableFunc(r.Behind, func(a, b ReportNode) int { return cmp.Compare(b.BehindMs, a.BehindMs) })
@@ -106,17 +106,17 @@
 }
 
 // Fault tells the first thing for which a check says no; empty is none.
-func (r *Report) Fault() string {
+func (r *Report) FirstProblem() string {
 	for _, m := range r.Members {
-		if m.Unknown != "" {
+		if m.UnreachableReason != "" {
 			return "member " + m.Name + " does not answer"
 		}
 	}
 	for _, n := range r.Behind {
 		switch {
-		case n.Refused > n.InForce:
-			return "node " + n.Name + " refuses: " + n.Why
-		case n.BehindMs > BehindFor:
+		case n.RejectedVersion > n.AppliedVersion:
+			return "node " + n.Name + " refuses: " + n.RejectReason
+		case n.BehindMs > MaxBehindMs:
 			return "node " + n.Name + " is behind"
 		}
 	}
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -15,14 +15,14 @@
 type InjectedBug int
 
 const (
-	NoInjectedBug   InjectedBug = iota
-	OutOfOrder                  // a follower applies whatever change comes, whichever version it holds; one out of turn unchecked
-	DigestUnchecked             // a follower doesn't compare digests
-	AckEarly                    // a leader answers once it has the proposal itself
-	StaleServe                  // a voter that leads takes itself for fresh without asking the others
-	ReceiptAge                  // a follower counts an age from a heartbeat's receipt
-	StayPut                     // a follower stays with a server however old that one's copy is
-	BaseUnchecked               // the state machine takes a change to whatever version it has
+	NoInjectedBug           InjectedBug = iota
+	BugOutOfOrderChange                 // a follower applies whatever change comes, whichever version it holds; one out of turn unchecked
+	BugDigestUnchecked                  // a follower doesn't compare digests
+	BugReplyBeforeCommit                // a leader answers once it has the proposal itself
+	BugFreshWithoutQuorum               // a voter that leads takes itself for fresh without asking the others
+	BugStalenessFromReceipt             // a follower counts an age from a heartbeat's receipt
+	BugStayWithStaleServer              // a follower stays with a server however old that one's copy is
+	BugBaseUnchecked                    // the state machine takes a change to whatever version it has
 )
 
 // Digest is the SHA-256 of a document's text.
@@ -30,52 +30,52 @@
 
 // Splice replaces lines: At counts lines of the document before the change; splices ascend and don't overlap.
 type Splice struct {
-	At, Delete uint64
-	Insert     []string // without their line ends
+	Line, Delete uint64
+	Insert       []string // without their line ends
 }
 
 // Change leads from one version to the next.
 type Change struct {
-	Version    uint64
-	ID         uint64 // the proposal's, drawn by whoever proposed it: by it a client that lost its answer finds it in the log
-	Digest     Digest // of the result
-	Splices    []Splice
-	By, Reason string
-	At         float64 // Unix ms by the leader's clock: shown, never reckoned with
+	Version      uint64
+	ID           uint64 // the proposal's, drawn by whoever proposed it: by it a client that lost its answer finds it in the log
+	Digest       Digest // of the result
+	Splices      []Splice
+	By, Reason   string
+	ProposedAtMs float64 // Unix ms by the leader's clock: shown, never reckoned with
 }
 
 // VoterTerms are a voter's own.
 type VoterConfig struct {
-	ID          uint64
-	Voters      []uint64
-	Seed        uint64
-	Entries     int // bytes of entries between two images; 0 is the usual, 1 MB or a quarter of the text
-	Kept        int // changes kept, the same for all voters; 0 is the usual, 4,096
-	InjectedBug InjectedBug
+	ID                uint64
+	Voters            []uint64
+	Seed              uint64
+	SnapshotThreshold int // bytes of entries between two images; 0 is the usual, 1 MB or a quarter of the text
+	RetainedChanges   int // changes kept, the same for all voters; 0 is the usual, 4,096
+	InjectedBug       InjectedBug
 }
 
 // Stored is what a voter's store holds. Keep does to it what a store must do at a Persist.
-type Stored struct {
-	Hard     *pb.HardState
-	Conf     *pb.ConfState // also in the snapshot
-	Snapshot *pb.Snapshot
-	Entries  []*pb.Entry // ascending without gaps, right after the snapshot's index or from before it
+type StoredState struct {
+	HardState *pb.HardState
+	ConfState *pb.ConfState // also in the snapshot
+	Snapshot  *pb.Snapshot
+	Entries   []*pb.Entry // ascending without gaps, right after the snapshot's index or from before it
 }
 
 // Persist is to be durable as a whole before anything that Next gives after it. A snapshot takes the place of the one before, and
 // entries up to its index go (all of them where it is Restored, from another voter). Entries take the place of all stored ones from
 // their first index on.
 type Persist struct {
-	Hard     *pb.HardState
-	Snapshot *pb.Snapshot
-	Restored bool
-	Entries  []*pb.Entry
+	HardState *pb.HardState
+	Snapshot  *pb.Snapshot
+	Restored  bool
+	Entries   []*pb.Entry
 }
 
 // Proposal is an operator's change: the whole document as it shall be.
 type Proposal struct {
 	Base       uint64 // the version that it was made from
-	Text       *Document
+	Document   *Document
 	By, Reason string
 }
 
@@ -83,12 +83,12 @@
 type Code int
 
 const (
-	Done      Code = iota + 1 // in the history, on a majority's disks
-	Conflict                  // the head is another than its base: Version
-	NotLeader                 // not taken: Leader leads, or nobody known (0)
-	Lost                      // the leader went: it may or may not come into force; the log will tell by its ID
-	Invalid                   // can't be: Why
-	Busy                      // not taken: too many proposals in hand
+	CodeDone           Code = iota + 1 // in the history, on a majority's disks
+	CodeConflict                       // the head is another than its base: Version
+	CodeNotLeader                      // not taken: Leader leads, or nobody known (0)
+	CodeLeadershipLost                 // the leader went: it may or may not come into force; the log will tell by its ID
+	CodeInvalid                        // can't be: Why
+	CodeBusy                           // not taken: too many proposals in hand
 )
 
 func (c Code) String() string {
@@ -101,11 +101,11 @@
 	Code    Code
 	Version uint64
 	Leader  uint64
-	Why     string
+	Detail  string
 }
 
 // VoterSend is a message for another voter; messages to one voter are to stay in order, any may be lost.
-type VoterSend struct {
+type VoterMessage struct {
 	To   uint64
 	Data []byte // at most MostFrame
 }
@@ -119,16 +119,16 @@
 // VoterOutput is one of these.
 type VoterOutput struct {
 	Persist   *Persist
-	Send      *VoterSend
+	Send      *VoterMessage
 	Reply     *Reply
 	Committed *Change // now in History
 	Restored  bool    // History is another voter's, whole
 }
 
 // Copy is a version of the document; version 0 is none.
-type Copy struct {
-	Version uint64
-	Text    *Document
+type VersionedDocument struct {
+	Version  uint64
+	Document *Document
 }
 
 // Target is a member that can be followed.
@@ -148,52 +148,52 @@
 
 // ServerOutput is a frame for a connection, or its end.
 type ServerOutput struct {
-	Conn   uint64
-	Frame  []byte // at most MostFrame; nil with Hangup
-	Hangup bool
-	Why    string
+	Conn             uint64
+	Frame            []byte // at most MostFrame; nil with Hangup
+	Disconnect       bool
+	DisconnectReason string
 }
 
 // Lease is what a server knows of one follower that it has heard of within LeaseMs.
 type Lease struct {
-	Name, Region, Kind     string
-	Held, InForce, Refused uint64
-	Why                    string  // why it refused
-	Behind                 float64 // ms since the head that it hasn't in force came here; 0 is up to date
-	Age                    float64 // ms: how old its copy may be, by its own word
-	Seen                   float64 // when it was last heard
+	Name, Region, Kind                             string
+	StoredVersion, AppliedVersion, RejectedVersion uint64
+	RejectReason                                   string  // why it refused
+	BehindMs                                       float64 // ms since the head that it hasn't in force came here; 0 is up to date
+	StalenessMs                                    float64 // ms: how old its copy may be, by its own word
+	LastSeenAt                                     float64 // when it was last heard
 }
 
 // FollowerTerms are a follower's own.
 type FollowerConfig struct {
 	Name, Region, Kind string
 	Members            []Target
-	Kept               int // changes that a member keeps; 0 is the usual, 4,096. A node keeps none
+	RetainedChanges    int // changes that a member keeps; 0 is the usual, 4,096. A node keeps none
 	Seed               uint64
 	InjectedBug        InjectedBug
 }
 
 // Take is the newest copy held, to be put in force and kept on disk. What is in force is said by InForce, or Refused.
-type Take struct {
-	Version uint64
-	Text    *Document
-	Changes []Change // that led there from the Take before; nil where it came whole
+type DocumentUpdate struct {
+	Version  uint64
+	Document *Document
+	Changes  []Change // that led there from the Take before; nil where it came whole
 }
 
 // FollowerOutput is one of these.
 type FollowerOutput struct {
-	Dial   bool // a connection to Members[Member], that ends in Connected or Lost
-	Member int
-	Hangup bool // the connection, or the dial, is given up: no Lost follows
-	Frame  []byte
-	Take   *Take
+	Dial       bool // a connection to Members[Member], that ends in Connected or Lost
+	Member     int
+	Disconnect bool // the connection, or the dial, is given up: no Lost follows
+	Frame      []byte
+	Update     *DocumentUpdate
 }
 
 // FollowerState is how a follower stands.
 type FollowerState struct {
-	Held, InForce, Refused uint64
-	Why                    string
-	Digest                 Digest
-	Age                    float64 // ms: it has all that was acknowledged before; infinite before the first contact
-	Member                 string  // that it follows, or ""
+	StoredVersion, AppliedVersion, RejectedVersion uint64
+	RejectReason                                   string
+	Digest                                         Digest
+	StalenessMs                                    float64 // ms: it has all that was acknowledged before; infinite before the first contact
+	Member                                         string  // that it follows, or ""
 }
--- a/internal/controlplane/document.go
+++ b/internal/controlplane/document.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	MostDocument = 32 << 20 // bytes of a document's text: six times what 140,000 tenants take
-	mostLines    = 2 << 20
+	MaxDocumentBytes = 32 << 20 // bytes of a document's text: six times what 140,000 tenants take
+	maxDocumentLines = 2 << 20
 )
 
 // Document is the canonical text of a JSON object: no blanks, a line for each member at depth 1 and each element at depth 2, order and
 // the values' own text kept. A tenant is a line. It never changes.
 type Document struct {
-	text   string
-	starts []uint32 // of the lines, and the text's end
-	digest Digest
+	text       string
+	lineStarts []uint32 // of the lines, and the text's end
+	digest     Digest
 }
 
 // Parse makes the canonical form of a JSON object. An error begins with line:column.
 func Parse(text []byte) (*Document, error) {
-	if len(text) > MostDocument {
-		return nil, fmt.Errorf("1:1: %d bytes, %d at most", len(text), MostDocument)
+	if len(text) > MaxDocumentBytes {
+		return nil, fmt.Errorf("1:1: %d bytes, %d at most", len(text), MaxDocumentBytes)
 	}
-	if at := oddUTF8(text); at >= 0 {
-		return nil, fault(text, at, "not UTF-8")
+	if at := invalidUTF8Offset(text); at >= 0 {
+		return nil, syntaxError(text, at, "not UTF-8")
 	}
 	if !json.Valid(text) {
 		var s *json.SyntaxError
 		if err := json.Unmarshal(text, new(json.RawMessage)); errors.As(err, &s) {
-			return nil, fault(text, max(int(s.Offset)-1, 0), s.Error())
+			return nil, syntaxError(text, max(int(s.Offset)-1, 0), s.Error())
 		}
-		return nil, fault(text, 0, "not JSON")
+		return nil, syntaxError(text, 0, "not JSON")
 	}
 	if at := len(text) - len(bytes.TrimLeft(text, " \t\r\n")); text[at] != '{' {
-		return nil, fault(text, at, "not an object")
+		return nil, syntaxError(text, at, "not an object")
 	}
 	out := make([]byte, 0, len(text)+64)
 	depth, quoted := 0, false
@@ -88,7 +88,7 @@
 }
 
 // oddUTF8 tells where a text stops being UTF-8; -1 is nowhere.
-func oddUTF8(text []byte) int {
+func invalidUTF8Offset(text []byte) int {
 	if utf8.Valid(text) {
 		return -1
 	}
@@ -102,27 +102,27 @@
 	}
 }
 
-func fault(text []byte, at int, what string) error {
+func syntaxError(text []byte, at int, what string) error {
 	at = min(at, len(text))
 	line := 1 + bytes.Count(text[:at], []byte{'\n'})
 	return fmt.Errorf("%d:%d: %s", line, at-bytes.LastIndexByte(text[:at], '\n'), what)
 }
 
-var errText = errors.New("odd text of a document")
+var errMalformedText = errors.New("odd text of a document")
 
 // newDocument takes a text that is in lines already: what it says is its digest's to prove.
 func newDocument(text string) (*Document, error) {
-	if len(text) == 0 || len(text) > MostDocument || text[len(text)-1] != '\n' {
-		return nil, errText
+	if len(text) == 0 || len(text) > MaxDocumentBytes || text[len(text)-1] != '\n' {
+		return nil, errMalformedText
 	}
 	lines := strings.Count(text, "\n")
-	if lines > mostLines {
-		return nil, errText
+	if lines > maxDocumentLines {
+		return nil, errMalformedText
 	}
-	d := &Document{text: text, starts: make([]uint32, 1, lines+1), digest: digestOf(text)}
+	d := &Document{text: text, lineStarts: make([]uint32, 1, lines+1), digest: digestOf(text)}
 	for at := 0; at < len(text); {
 		at += strings.IndexByte(text[at:], '\n') + 1
-		d.starts = append(d.starts, uint32(at))
+		d.lineStarts = append(d.lineStarts, uint32(at))
 	}
 	return d, nil
 }
@@ -140,23 +140,23 @@
 }
 
 // nothing is version 0's.
-func nothing() *Document {
+func emptyDocument() *Document {
 	d, _ := newDocument("{}\n")
 	return d
 }
 
 func (d *Document) Text() []byte   { return []byte(d.text) }
 func (d *Document) Digest() Digest { return d.digest }
-func (d *Document) Lines() int     { return len(d.starts) - 1 }
+func (d *Document) LineCount() int { return len(d.lineStarts) - 1 }
 
 // start is enough of a digest to notice that two differ.
-func (d Digest) start() uint64 { return binary.BigEndian.Uint64(d[:]) }
+func (d Digest) prefix() uint64 { return binary.BigEndian.Uint64(d[:]) }
 
 // line is without its end.
-func (d *Document) line(k int) string { return d.text[d.starts[k] : d.starts[k+1]-1] }
+func (d *Document) line(k int) string { return d.text[d.lineStarts[k] : d.lineStarts[k+1]-1] }
 
 // lines copies some, so that they don't keep the whole text in memory.
-func (d *Document) lines(from, to int) (all []string) {
+func (d *Document) copyLines(from, to int) (all []string) {
 	for k := from; k < to; k++ {
 		all = append(all, strings.Clone(d.line(k)))
 	}
@@ -164,30 +164,30 @@
 }
 
 var (
-	errSplices = errors.New("odd splices")
-	errDigest  = errors.New("digest differs")
+	errInvalidSplices = errors.New("odd splices")
+	errDigestMismatch = errors.New("digest differs")
 )
 
 // Apply makes the document that the splices lead to; nil and an error where they don't fit, or lead elsewhere.
 func (d *Document) Apply(s []Splice, want Digest) (*Document, error) {
-	next, err := d.splice(s)
+	next, err := d.applySplices(s)
 	if err == nil && next.digest != want {
-		next, err = nil, errDigest
+		next, err = nil, errDigestMismatch
 	}
 	return next, err
 }
 
-func (d *Document) splice(all []Splice) (*Document, error) {
-	size, at, lines := len(d.text), uint64(0), uint64(d.Lines())
+func (d *Document) applySplices(all []Splice) (*Document, error) {
+	size, at, lines := len(d.text), uint64(0), uint64(d.LineCount())
 	for _, s := range all {
-		if s.At < at || s.At > lines || s.Delete > lines-s.At {
-			return nil, errSplices
+		if s.Line < at || s.Line > lines || s.Delete > lines-s.Line {
+			return nil, errInvalidSplices
 		}
-		at = s.At + s.Delete
-		size -= int(d.starts[at] - d.starts[s.At])
+		at = s.Line + s.Delete
+		size -= int(d.lineStarts[at] - d.lineStarts[s.Line])
 		for _, l := range s.Insert {
-			if size += len(l) + 1; size > MostDocument || strings.IndexByte(l, '\n') >= 0 {
-				return nil, errSplices
+			if size += len(l) + 1; size > MaxDocumentBytes || strings.IndexByte(l, '\n') >= 0 {
+				return nil, errInvalidSplices
 			}
 		}
 	}
@@ -195,39 +195,39 @@
 	b.Grow(size)
 	at = 0
 	for _, s := range all {
-		b.WriteString(d.text[d.starts[at]:d.starts[s.At]])
+		b.WriteString(d.text[d.lineStarts[at]:d.lineStarts[s.Line]])
 		for _, l := range s.Insert {
 			b.WriteString(l)
 			b.WriteByte('\n')
 		}
-		at = s.At + s.Delete
+		at = s.Line + s.Delete
 	}
-	b.WriteString(d.text[d.starts[at]:])
+	b.WriteString(d.text[d.lineStarts[at]:])
 	return newDocument(b.String())
 }
 
 // undo is what leads back from where fitting splices lead.
-func (d *Document) undo(all []Splice) (back []Splice) {
+func (d *Document) inverseSplices(all []Splice) (back []Splice) {
 	shift := uint64(0)
 	for _, s := range all {
-		back = append(back, Splice{At: s.At + shift, Delete: uint64(len(s.Insert)), Insert: d.lines(int(s.At), int(s.At+s.Delete))})
+		back = append(back, Splice{Line: s.Line + shift, Delete: uint64(len(s.Insert)), Insert: d.copyLines(int(s.Line), int(s.Line+s.Delete))})
 		shift += uint64(len(s.Insert)) - s.Delete // wraps where lines go, and At wraps it back
 	}
 	return back
 }
 
 // deepest bounds how often a stretch is parted again between lines that occur once in it: a text that goes on so is replaced instead.
-const deepest = 64
+const maxDiffDepth = 64
 
 // Diff tells what leads from one document to another: common ends are left out, what is between is matched by the lines that occur
 // once in both (patience diff).
 func Diff(from, to *Document) []Splice {
 	d := differ{from: from, to: to}
-	d.part(0, from.Lines(), 0, to.Lines(), 0)
-	if n := len(d.found); n > mostSplices { // nearly all is new
+	d.part(0, from.LineCount(), 0, to.LineCount(), 0)
+	if n := len(d.found); n > maxSplices { // nearly all is new
 		first, last := d.found[0], d.found[n-1]
-		end := last.At + last.Delete
-		d.found = []Splice{{At: first.At, Delete: end - first.At, Insert: to.lines(int(first.At), to.Lines()-from.Lines()+int(end))}}
+		end := last.Line + last.Delete
+		d.found = []Splice{{Line: first.Line, Delete: end - first.Line, Insert: to.copyLines(int(first.Line), to.LineCount()-from.LineCount()+int(end))}}
 	}
 	return d.found
 }
@@ -247,7 +247,7 @@
 	if a == aEnd && b == bEnd {
 		return
 	}
-	if a < aEnd && b < bEnd && depth < deepest {
+	if a < aEnd && b < bEnd && depth < maxDiffDepth {
 		if common := d.anchors(a, aEnd, b, bEnd); len(common) > 0 {
 			for _, c := range common {
 				d.part(a, c[0], b, c[1], depth+1)
@@ -257,7 +257,7 @@
 			return
 		}
 	}
-	d.found = append(d.found, Splice{At: uint64(a), Delete: uint64(aEnd - a), Insert: d.to.lines(b, bEnd)})
+	d.found = append(d.found, Splice{Line: uint64(a), Delete: uint64(aEnd - a), Insert: d.to.copyLines(b, bEnd)})
 }
 
 // anchors are the pairs of lines that occur once on each side, as many as ascend on both.
--- a/internal/controlplane/document_test.go
+++ b/internal/controlplane/document_test.go
@@ -31,7 +31,7 @@
 	} {
 		d := parse(t, text)
 		assert.Equal(t, want, string(d.Text()))
-		assert.Equal(t, strings.Count(want, "\n"), d.Lines())
+		assert.Equal(t, strings.Count(want, "\n"), d.LineCount())
 		assert.True(t, json.Valid(d.Text()))
 		assert.Equal(t, want, string(parse(t, want).Text()), "its own form")
 	}
@@ -78,17 +78,17 @@
 		got, err := from.Apply(s, to.Digest())
 		require.NoError(t, err)
 		assert.Equal(t, to.Text(), got.Text())
-		assert.Equal(t, to.starts, got.starts)
+		assert.Equal(t, to.lineStarts, got.lineStarts)
 		for k := 1; k < len(s); k++ {
-			assert.Greater(t, s[k].At, s[k-1].At+s[k-1].Delete, "apart")
+			assert.Greater(t, s[k].Line, s[k-1].Line+s[k-1].Delete, "apart")
 		}
-		back, err := to.Apply(from.undo(s), from.Digest())
+		back, err := to.Apply(from.inverseSplices(s), from.Digest())
 		require.NoError(t, err)
 		assert.Equal(t, from.Text(), back.Text())
 		if bytes.Equal(from.Text(), to.Text()) {
 			assert.Empty(t, s)
 		}
-		wire, err := toSplices(fromSplices(s))
+		wire, err := decodeSplices(encodeSplices(s))
 		require.NoError(t, err)
 		assert.Equal(t, s, wire)
 	})
@@ -98,15 +98,15 @@
 func TestApplyRefusesWhatIsOdd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := draw(t, "from"), draw(t, "to")
-		s := fromSplices(Diff(from, to))
+		s := encodeSplices(Diff(from, to))
 		for range rapid.IntRange(1, 3).Draw(t, "odd") {
 			s = append(s, wireSplice{})
 			w := &s[rapid.IntRange(0, len(s)-1).Draw(t, "which")]
-			w.At = rapid.OneOf(rapid.Uint64(), rapid.Uint64Range(0, 50)).Draw(t, "at")
+			w.Line = rapid.OneOf(rapid.Uint64(), rapid.Uint64Range(0, 50)).Draw(t, "at")
 			w.Delete = rapid.OneOf(rapid.Uint64(), rapid.Uint64Range(0, 50)).Draw(t, "delete")
 			w.Insert = rapid.SampledFrom([]string{"", "a", "\n", "a\nb\n"}).Draw(t, "insert")
 		}
-		all, err := toSplices(s)
+		all, err := decodeSplices(s)
 		if err != nil {
 			return
 		}
@@ -115,18 +115,18 @@
 		}
 	})
 	d := parse(t, `{"a":1}`)
-	_, err := d.Apply([]Splice{{At: 1, Insert: []string{"x\ny"}}}, d.Digest())
-	require.ErrorIs(t, err, errSplices, "a line with an end in it")
-	_, err = d.Apply([]Splice{{Insert: []string{strings.Repeat("x", MostDocument)}}}, d.Digest())
-	require.ErrorIs(t, err, errSplices, "too long")
-	_, err = d.Apply([]Splice{{At: 1, Delete: 1}}, d.Digest())
-	require.ErrorIs(t, err, errDigest)
+	_, err := d.Apply([]Splice{{Line: 1, Insert: []string{"x\ny"}}}, d.Digest())
+	require.ErrorIs(t, err, errInvalidSplices, "a line with an end in it")
+	_, err = d.Apply([]Splice{{Insert: []string{strings.Repeat("x", MaxDocumentBytes)}}}, d.Digest())
+	require.ErrorIs(t, err, errInvalidSplices, "too long")
+	_, err = d.Apply([]Splice{{Line: 1, Delete: 1}}, d.Digest())
+	require.ErrorIs(t, err, errDigestMismatch)
 }
 
 // Documents that have nothing in common in many places are replaced rather than taken apart.
 func TestDiffOfMuchIsOneSplice(t *testing.T) {
 	var a, b strings.Builder
-	for k := range 3 * mostSplices {
+	for k := range 3 * maxSplices {
 		fmt.Fprintf(&a, "%d\n", k)
 		if k%2 == 0 {
 			fmt.Fprintf(&b, "%d\n", k)
@@ -158,7 +158,7 @@
 	} {
 		to := parse(t, string(edited))
 		require.NotEqual(t, from.Digest(), to.Digest(), what)
-		c := Change{Version: 1300, ID: rand.Uint64(), Digest: to.Digest(), Splices: Diff(from, to), By: "operator@example", Reason: "more room, ticket 4711", At: float64(time.Now().UnixMilli())}
+		c := Change{Version: 1300, ID: rand.Uint64(), Digest: to.Digest(), Splices: Diff(from, to), By: "operator@example", Reason: "more room, ticket 4711", ProposedAtMs: float64(time.Now().UnixMilli())}
 		f := encodeChange(&c)
 		assert.Less(t, len(f), 300, what)
 		assert.NotEmpty(t, f, what)
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -12,86 +12,86 @@
 )
 
 const (
-	silentAfter  = 2500.0 // ms without a frame, after which another member is tried
-	dialWithin   = 1000.0
-	againFrom    = 200.0 // between two tries, growing to
-	againUpTo    = 2000.0
-	staleAfter   = 2000.0 // a server whose copy may be older is left for another,
-	restFrom     = 1000.0 // at most so often, growing as all of the region have been tried, to
-	restUpTo     = 30e3
-	homeEvery    = 30e3  // from a member of another region, one of the own is tried again, up to twice that,
-	homeUpTo     = 480e3 // and as that fails, more seldom: a try is some seconds without a member
-	mostBad      = 3     // wrong digests from one member, after which another is tried
-	askEvery     = 500.0 // between two asks to begin anew on one connection
-	statusAtMost = 250.0 // between two statuses, where more than the time has changed
+	heartbeatTimeout       = 2500.0 // ms without a frame, after which another member is tried
+	dialTimeout            = 1000.0
+	minBackoff             = 200.0 // between two tries, growing to
+	maxBackoff             = 2000.0
+	maxServerStaleness     = 2000.0 // a server whose copy may be older is left for another,
+	minStaleSearchInterval = 1000.0 // at most so often, growing as all of the region have been tried, to
+	maxStaleSearchInterval = 30e3
+	minLocalRetryInterval  = 30e3  // from a member of another region, one of the own is tried again, up to twice that,
+	maxLocalRetryInterval  = 480e3 // and as that fails, more seldom: a try is some seconds without a member
+	maxDigestMismatches    = 3     // wrong digests from one member, after which another is tried
+	minHelloInterval       = 500.0 // between two asks to begin anew on one connection
+	minStatusInterval      = 250.0 // between two statuses, where more than the time has changed
 )
 
 // Follower is a node's part, or that of a member without a vote: it holds one connection, to a member that it picks, and what it last
 // got, whatever becomes of that. A copy that it begins with is taken for what is held: its Take is not given again.
 type Follower struct {
-	t       FollowerConfig
-	chance  *rand.Rand
-	order   []int // of members: the own region's first, in the order of their scores
-	own     int   // so many are of the own region
-	at      int   // place in order
-	link    linkState
-	since   float64 // when the link got into its state
-	dialAt  float64 // when none is there
-	wait    float64
-	failed  int // tries since one was heard
-	heardAt float64
-	rest    float64 // until another is looked for, where the copy is old
-	tried   int     // so many were left
-	abroad  int     // members of other regions that were tried for a fresher copy
-	seeking bool    // one of them is: if it isn't had, or isn't fresh, back home
-	restAt  float64
-	home    float64 // until one of the own region is tried again
-	homeAt  float64
-
-	h       *History
-	in      *packed // the whole that is coming
-	bad     int
-	askedAt float64
-
-	inForce, refused uint64
-	why              string
-	toldAt           float64 // when the latest status went out
-	changed          bool    // something since
-	freshAt          float64
-	claim            heartbeat // what will be fresh once its head is held
-	claimed          bool
-	take             *Take
-	out              []FollowerOutput
+	config              FollowerConfig
+	rng                 *rand.Rand
+	memberOrder         []int // of members: the own region's first, in the order of their scores
+	localMembers        int   // so many are of the own region
+	current             int   // place in order
+	state               connectionState
+	stateSince          float64 // when the link got into its state
+	nextDialAt          float64 // when none is there
+	backoff             float64
+	failedDials         int // tries since one was heard
+	lastReceivedAt      float64
+	staleSearchInterval float64 // until another is looked for, where the copy is old
+	staleMembersTried   int     // so many were left
+	remoteAttempts      int     // members of other regions that were tried for a fresher copy
+	tryingRemote        bool    // one of them is: if it isn't had, or isn't fresh, back home
+	nextStaleSearchAt   float64
+	localRetryInterval  float64 // until one of the own region is tried again
+	nextLocalRetryAt    float64
+
+	history          *History
+	incoming         *packedDocument // the whole that is coming
+	digestMismatches int
+	lastHelloAt      float64
+
+	appliedVersion, rejectedVersion uint64
+	rejectReason                    string
+	lastStatusAt                    float64 // when the latest status went out
+	statusChanged                   bool    // something since
+	freshAsOf                       float64
+	pendingHeartbeat                heartbeat // what will be fresh once its head is held
+	hasPendingHeartbeat             bool
+	pendingUpdate                   *DocumentUpdate
+	outputs                         []FollowerOutput
 }
 
-type linkState int
+type connectionState int
 
 const (
-	idle linkState = iota
-	dialing
-	linked
+	connectionIdle connectionState = iota
+	connectionDialing
+	connectionUp
 )
 
 // NewFollower begins with a copy, or none.
-func NewFollower(t FollowerConfig, c Copy, now float64) *Follower {
+func NewFollower(t FollowerConfig, c VersionedDocument, now float64) *Follower {
 	most := 0
 	if t.Kind == KindMember {
-		most = cmp.Or(t.Kept, mostKept)
+		most = cmp.Or(t.RetainedChanges, defaultRetainedChanges)
 	}
-	f := &Follower{t: t, chance: rand.New(rand.NewPCG(t.Seed, xxhash.Sum64String(t.Name))), h: newHistory(0, nothing(), most),
-		wait: againFrom, rest: restFrom, home: homeEvery, freshAt: math.Inf(-1), askedAt: math.Inf(-1)}
-	if c.Version > 0 && c.Text != nil {
-		f.h.reset(c.Version, c.Text)
+	f := &Follower{config: t, rng: rand.New(rand.NewPCG(t.Seed, xxhash.Sum64String(t.Name))), history: newHistory(0, emptyDocument(), most),
+		backoff: minBackoff, staleSearchInterval: minStaleSearchInterval, localRetryInterval: minLocalRetryInterval, freshAsOf: math.Inf(-1), lastHelloAt: math.Inf(-1)}
+	if c.Version > 0 && c.Document != nil {
+		f.history.resetTo(c.Version, c.Document)
 	}
 	for k := range t.Members {
-		f.order = append(f.order, k)
+		f.memberOrder = append(f.memberOrder, k)
 		if t.Members[k].Region == t.Region {
-			f.own++
+			f.localMembers++
 		}
 	}
 	// Rendezvous hashing: the one of the highest score, so that each member has its share and the loss of one moves only its own.
 	score := func(k int) uint64 { return xxhash.Sum64String(t.Name + "\x00" + t.Members[k].Name) }
-	slices.SortFunc(f.order, func(a, b int) int {
+	slices.SortFunc(f.memberOrder, func(a, b int) int {
 		if home := t.Members[a].Region == t.Region; home != (t.Members[b].Region == t.Region) {
 			if home {
 				return -1
@@ -100,359 +100,359 @@
 		}
 		return cmp.Or(cmp.Compare(score(b), score(a)), cmp.Compare(a, b))
 	})
-	f.dialAt = now + f.chance.Float64()*againFrom
+	f.nextDialAt = now + f.rng.Float64()*minBackoff
 	return f
 }
 
-func (f *Follower) member() int { return f.order[f.at] }
+func (f *Follower) currentMember() int { return f.memberOrder[f.current] }
 
 // Tick lets time pass.
 func (f *Follower) Tick(now float64) {
-	if len(f.order) == 0 {
+	if len(f.memberOrder) == 0 {
 		return
 	}
-	switch f.link {
-	case idle:
-		if now >= f.dialAt {
-			f.link, f.since = dialing, now
-			f.out = append(f.out, FollowerOutput{Dial: true, Member: f.member()})
+	switch f.state {
+	case connectionIdle:
+		if now >= f.nextDialAt {
+			f.state, f.stateSince = connectionDialing, now
+			f.outputs = append(f.outputs, FollowerOutput{Dial: true, Member: f.currentMember()})
 		}
-	case dialing:
-		if now-f.since > dialWithin {
-			f.hangup(now)
+	case connectionDialing:
+		if now-f.stateSince > dialTimeout {
+			f.disconnectAndRetry(now)
 		}
-	case linked:
+	case connectionUp:
 		switch {
-		case now-f.heardAt > silentAfter:
-			f.hangup(now)
-		case f.at >= f.own && f.own > 0 && now >= f.homeAt:
-			f.home = min(2*f.home, homeUpTo)
-			f.leave(now, 0)
-		case now-f.toldAt >= statusEvery || f.changed && now-f.toldAt >= statusAtMost:
-			f.tell(now, frameStatus)
+		case now-f.lastReceivedAt > heartbeatTimeout:
+			f.disconnectAndRetry(now)
+		case f.current >= f.localMembers && f.localMembers > 0 && now >= f.nextLocalRetryAt:
+			f.localRetryInterval = min(2*f.localRetryInterval, maxLocalRetryInterval)
+			f.switchMember(now, 0)
+		case now-f.lastStatusAt >= statusInterval || f.statusChanged && now-f.lastStatusAt >= minStatusInterval:
+			f.sendStatus(now, frameStatus)
 		}
 	}
 }
 
 // hangup ends the link or the dial; the next member is tried.
-func (f *Follower) hangup(now float64) {
-	f.out = append(f.out, FollowerOutput{Hangup: true})
-	f.fail(now)
+func (f *Follower) disconnectAndRetry(now float64) {
+	f.outputs = append(f.outputs, FollowerOutput{Disconnect: true})
+	f.connectionFailed(now)
 }
 
 // leave goes to another member though this one answers.
-func (f *Follower) leave(now float64, to int) {
-	f.out = append(f.out, FollowerOutput{Hangup: true})
-	f.unlink(now)
-	f.at, f.dialAt = to, now
+func (f *Follower) switchMember(now float64, to int) {
+	f.outputs = append(f.outputs, FollowerOutput{Disconnect: true})
+	f.resetConnection(now)
+	f.current, f.nextDialAt = to, now
 }
 
-func (f *Follower) unlink(now float64) {
-	f.link, f.since, f.in, f.claimed = idle, now, nil, false
+func (f *Follower) resetConnection(now float64) {
+	f.state, f.stateSince, f.incoming, f.hasPendingHeartbeat = connectionIdle, now, nil, false
 }
 
-func (f *Follower) fail(now float64) {
-	f.unlink(now)
-	f.failed++
+func (f *Follower) connectionFailed(now float64) {
+	f.resetConnection(now)
+	f.failedDials++
 	switch {
-	case f.seeking:
-		f.at, f.seeking = 0, false
-	case f.at+1 == f.own && f.own < len(f.order): // none at home: each time the next one abroad, for the one before may be the one with the old copy
-		f.at = f.foreign()
+	case f.tryingRemote:
+		f.current, f.tryingRemote = 0, false
+	case f.current+1 == f.localMembers && f.localMembers < len(f.memberOrder): // none at home: each time the next one abroad, for the one before may be the one with the old copy
+		f.current = f.nextRemoteMember()
 	default:
-		f.at = (f.at + 1) % len(f.order)
+		f.current = (f.current + 1) % len(f.memberOrder)
 	}
 	// Tries are spread over the wait, so that all that lose a member together don't come to the next one together.
-	f.dialAt = now + f.chance.Float64()*f.wait
-	if f.failed%len(f.order) == 0 {
-		f.wait = min(2*f.wait, againUpTo)
+	f.nextDialAt = now + f.rng.Float64()*f.backoff
+	if f.failedDials%len(f.memberOrder) == 0 {
+		f.backoff = min(2*f.backoff, maxBackoff)
 	}
 }
 
 // Connected tells that a dial has come through: the member has proven who it is.
 func (f *Follower) Connected(now float64, member int) {
-	if f.link != dialing || member != f.member() {
+	if f.state != connectionDialing || member != f.currentMember() {
 		return
 	}
-	f.link, f.since, f.heardAt, f.bad = linked, now, now, 0
-	if f.at < f.own {
-		f.home = homeEvery
+	f.state, f.stateSince, f.lastReceivedAt, f.digestMismatches = connectionUp, now, now, 0
+	if f.current < f.localMembers {
+		f.localRetryInterval = minLocalRetryInterval
 	}
-	f.homeAt = now + f.home*(1+f.chance.Float64())
-	f.ask(now)
+	f.nextLocalRetryAt = now + f.localRetryInterval*(1+f.rng.Float64())
+	f.sendHello(now)
 }
 
 // Lost tells that the connection has ended, or the dial has failed.
-func (f *Follower) Lost(now float64) {
-	if f.link != idle {
-		f.fail(now)
+func (f *Follower) Disconnected(now float64) {
+	if f.state != connectionIdle {
+		f.connectionFailed(now)
 	}
 }
 
 // ask says what is held: the server begins anew from there.
-func (f *Follower) ask(now float64) {
-	f.in, f.askedAt, f.claimed = nil, now, false
-	f.tell(now, frameHello)
+func (f *Follower) sendHello(now float64) {
+	f.incoming, f.lastHelloAt, f.hasPendingHeartbeat = nil, now, false
+	f.sendStatus(now, frameHello)
 }
 
-func (f *Follower) tell(now float64, kind byte) {
-	version, doc := f.h.Head()
-	s := status{At: now, Held: version, InForce: f.inForce, Refused: f.refused, Why: f.why, Age: max(now-f.freshAt, 0)}
-	if f.in != nil {
-		s.Got = uint64(len(f.in.data))
+func (f *Follower) sendStatus(now float64, kind byte) {
+	version, doc := f.history.Head()
+	s := status{SentAt: now, StoredVersion: version, AppliedVersion: f.appliedVersion, RejectedVersion: f.rejectedVersion, RejectReason: f.rejectReason, StalenessMs: max(now-f.freshAsOf, 0)}
+	if f.incoming != nil {
+		s.SnapshotReceived = uint64(len(f.incoming.data))
 	}
 	if kind == frameHello {
-		s.Digest, s.Region, s.Kind = doc.digest[:], f.t.Region, f.t.Kind
-		s.Whole = f.bad > 0
+		s.Digest, s.Region, s.Kind = doc.digest[:], f.config.Region, f.config.Kind
+		s.NeedsSnapshot = f.digestMismatches > 0
 	}
-	f.out = append(f.out, FollowerOutput{Frame: frame(kind, &s)})
-	f.toldAt, f.changed = now, false
+	f.outputs = append(f.outputs, FollowerOutput{Frame: encodeFrame(kind, &s)})
+	f.lastStatusAt, f.statusChanged = now, false
 }
 
 // Heard tells that something came, be it a part of a frame: a long one on a slow link is no silence.
-func (f *Follower) Heard(now float64) {
-	if f.link == linked {
-		f.heardAt = now
+func (f *Follower) BytesReceived(now float64) {
+	if f.state == connectionUp {
+		f.lastReceivedAt = now
 	}
 }
 
 // Frame takes what the member says.
-func (f *Follower) Frame(now float64, data []byte) {
-	if f.link != linked {
+func (f *Follower) HandleFrame(now float64, data []byte) {
+	if f.state != connectionUp {
 		return
 	}
-	kind, body, err := kindOf(data)
+	kind, body, err := parseFrame(data)
 	if err != nil {
-		f.hangup(now)
+		f.disconnectAndRetry(now)
 		return
 	}
-	f.heardAt = now
+	f.lastReceivedAt = now
 	switch kind {
 	case frameChange:
-		err = f.change(now, body)
+		err = f.handleChange(now, body)
 	case frameHeartbeat:
-		err = f.heartbeat(now, body)
-	case frameBegin:
-		err = f.begin(now, body)
-	case frameChunk:
-		err = f.chunk(now, body)
+		err = f.handleHeartbeat(now, body)
+	case frameSnapshotBegin:
+		err = f.handleSnapshotBegin(now, body)
+	case frameSnapshotChunk:
+		err = f.handleSnapshotChunk(now, body)
 	default:
-		err = errFrame
+		err = errMalformedFrame
 	}
 	if err != nil {
-		f.hangup(now)
+		f.disconnectAndRetry(now)
 		return
 	}
-	f.freshen(now)
+	f.updateFreshness(now)
 }
 
-func (f *Follower) change(now float64, body []byte) error {
+func (f *Follower) handleChange(now float64, body []byte) error {
 	c, err := decodeChange(body)
 	if err != nil {
 		return err
 	}
-	version, doc := f.h.Head()
+	version, doc := f.history.Head()
 	switch {
-	case c.Version == version+1, f.t.InjectedBug == OutOfOrder:
+	case c.Version == version+1, f.config.InjectedBug == BugOutOfOrderChange:
 	case c.Version <= version:
 		return nil // it is known
 	default:
-		f.askAgain(now)
+		f.requestResync(now)
 		return nil
 	}
-	next, err := doc.splice(c.Splices)
-	if err == nil && next.digest != c.Digest && f.t.InjectedBug != DigestUnchecked && c.Version == version+1 {
-		err = errDigest
+	next, err := doc.applySplices(c.Splices)
+	if err == nil && next.digest != c.Digest && f.config.InjectedBug != BugDigestUnchecked && c.Version == version+1 {
+		err = errDigestMismatch
 	}
 	if err != nil {
-		return f.wrong(now)
+		return f.handleDigestMismatch(now)
 	}
-	f.in = nil
-	f.h.take(c, next)
-	f.changed = true
-	if f.take == nil {
-		f.take = &Take{Changes: []Change{}}
+	f.incoming = nil
+	f.history.appendChange(c, next)
+	f.statusChanged = true
+	if f.pendingUpdate == nil {
+		f.pendingUpdate = &DocumentUpdate{Changes: []Change{}}
 	}
-	if f.take.Changes != nil {
-		f.take.Changes = append(f.take.Changes, c)
+	if f.pendingUpdate.Changes != nil {
+		f.pendingUpdate.Changes = append(f.pendingUpdate.Changes, c)
 	}
-	f.take.Version, f.take.Text = c.Version, next
+	f.pendingUpdate.Version, f.pendingUpdate.Document = c.Version, next
 	return nil
 }
 
 // wrong drops what came, and asks for the whole; a member that says so again and again is left.
-func (f *Follower) wrong(now float64) error {
-	if f.bad++; f.bad > mostBad {
-		return errDigest
+func (f *Follower) handleDigestMismatch(now float64) error {
+	if f.digestMismatches++; f.digestMismatches > maxDigestMismatches {
+		return errDigestMismatch
 	}
-	f.ask(now)
+	f.sendHello(now)
 	return nil
 }
 
 // askAgain asks for what is lacking, after a gap that the link's order should not have.
-func (f *Follower) askAgain(now float64) {
-	if now-f.askedAt >= askEvery {
-		f.ask(now)
+func (f *Follower) requestResync(now float64) {
+	if now-f.lastHelloAt >= minHelloInterval {
+		f.sendHello(now)
 	}
 }
 
-func (f *Follower) begin(now float64, body []byte) error {
-	var b begin
-	if snapshot.Read(body, &b) != nil || len(b.Digest) != len(Digest{}) || b.Size == 0 || b.Size > MostDocument+mostWords || b.Text > MostDocument || b.Version == 0 {
-		return errFrame
+func (f *Follower) handleSnapshotBegin(now float64, body []byte) error {
+	var b snapshotBegin
+	if snapshot.Read(body, &b) != nil || len(b.Digest) != len(Digest{}) || b.Size == 0 || b.Size > MaxDocumentBytes+maxReasonBytes || b.TextBytes > MaxDocumentBytes || b.Version == 0 {
+		return errMalformedFrame
 	}
-	f.in = &packed{version: b.Version, digest: Digest(b.Digest), size: int(b.Size), text: int(b.Text)}
+	f.incoming = &packedDocument{version: b.Version, digest: Digest(b.Digest), size: int(b.Size), textBytes: int(b.TextBytes)}
 	return nil
 }
 
-func (f *Follower) chunk(now float64, body []byte) error {
-	var c chunk
+func (f *Follower) handleSnapshotChunk(now float64, body []byte) error {
+	var c snapshotChunk
 	if snapshot.Read(body, &c) != nil || len(c.Data) == 0 {
-		return errFrame
+		return errMalformedFrame
 	}
-	if f.in == nil || c.At != uint64(len(f.in.data)) || len(f.in.data)+len(c.Data) > f.in.size {
-		f.askAgain(now) // one before it was lost, or it is of a whole that is not wanted any more
+	if f.incoming == nil || c.Offset != uint64(len(f.incoming.data)) || len(f.incoming.data)+len(c.Data) > f.incoming.size {
+		f.requestResync(now) // one before it was lost, or it is of a whole that is not wanted any more
 		return nil
 	}
-	f.in.data = append(f.in.data, c.Data...)
-	if len(f.in.data) < f.in.size {
-		f.tell(now, frameStatus)
+	f.incoming.data = append(f.incoming.data, c.Data...)
+	if len(f.incoming.data) < f.incoming.size {
+		f.sendStatus(now, frameStatus)
 		return nil
 	}
-	in := f.in
-	f.tell(now, frameStatus)
-	f.in = nil
-	text, err := unpack(in.data, in.text)
+	in := f.incoming
+	f.sendStatus(now, frameStatus)
+	f.incoming = nil
+	text, err := decompress(in.data, in.textBytes)
 	if err != nil {
-		return f.wrong(now)
+		return f.handleDigestMismatch(now)
 	}
 	doc, err := newDocument(string(text))
-	if err != nil || doc.digest != in.digest && f.t.InjectedBug != DigestUnchecked {
-		return f.wrong(now)
+	if err != nil || doc.digest != in.digest && f.config.InjectedBug != BugDigestUnchecked {
+		return f.handleDigestMismatch(now)
 	}
-	f.bad = 0
-	if version, have := f.h.Head(); in.version < version || in.version == version && have.digest == doc.digest {
+	f.digestMismatches = 0
+	if version, have := f.history.Head(); in.version < version || in.version == version && have.digest == doc.digest {
 		return nil // versions only go on
 	}
-	f.h.reset(in.version, doc)
-	f.changed = true
-	f.take = &Take{Version: in.version, Text: doc}
+	f.history.resetTo(in.version, doc)
+	f.statusChanged = true
+	f.pendingUpdate = &DocumentUpdate{Version: in.version, Document: doc}
 	return nil
 }
 
-func (f *Follower) heartbeat(now float64, body []byte) error {
-	b, err := readHeartbeat(body)
+func (f *Follower) handleHeartbeat(now float64, body []byte) error {
+	b, err := decodeHeartbeat(body)
 	if err != nil {
 		return err
 	}
-	if f.failed > 0 || f.wait > againFrom {
-		f.failed, f.wait = 0, againFrom
+	if f.failedDials > 0 || f.backoff > minBackoff {
+		f.failedDials, f.backoff = 0, minBackoff
 	}
-	version, doc := f.h.Head()
+	version, doc := f.history.Head()
 	switch {
-	case b.Sent > version && b.Sent <= b.Head, f.in == nil && b.Whole > 0, f.in != nil && b.Whole > uint64(len(f.in.data)):
-		f.askAgain(now) // something of it was lost
-	case b.Head == version && b.Digest != doc.digest.start() && f.t.InjectedBug != DigestUnchecked:
-		if now-f.askedAt >= askEvery {
-			return f.wrong(now)
+	case b.SentVersion > version && b.SentVersion <= b.HeadVersion, f.incoming == nil && b.SnapshotSent > 0, f.incoming != nil && b.SnapshotSent > uint64(len(f.incoming.data)):
+		f.requestResync(now) // something of it was lost
+	case b.HeadVersion == version && b.HeadDigestPrefix != doc.digest.prefix() && f.config.InjectedBug != BugDigestUnchecked:
+		if now-f.lastHelloAt >= minHelloInterval {
+			return f.handleDigestMismatch(now)
 		}
 	default:
-		f.claim, f.claimed = b, true
+		f.pendingHeartbeat, f.hasPendingHeartbeat = b, true
 	}
-	if b.Age <= staleAfter {
-		f.rest, f.restAt, f.tried, f.seeking = restFrom, 0, 0, false
-	} else if f.restAt == 0 {
-		f.restAt = now // at once, the first time
+	if b.StalenessMs <= maxServerStaleness {
+		f.staleSearchInterval, f.nextStaleSearchAt, f.staleMembersTried, f.tryingRemote = minStaleSearchInterval, 0, 0, false
+	} else if f.nextStaleSearchAt == 0 {
+		f.nextStaleSearchAt = now // at once, the first time
 	}
-	if b.Age > staleAfter && now >= f.restAt && len(f.order) > 1 && f.t.InjectedBug != StayPut {
-		f.restAt = now + f.rest*(1+f.chance.Float64()/2)
-		if f.tried++; f.tried >= f.own {
-			f.rest = min(2*f.rest, restUpTo)
+	if b.StalenessMs > maxServerStaleness && now >= f.nextStaleSearchAt && len(f.memberOrder) > 1 && f.config.InjectedBug != BugStayWithStaleServer {
+		f.nextStaleSearchAt = now + f.staleSearchInterval*(1+f.rng.Float64()/2)
+		if f.staleMembersTried++; f.staleMembersTried >= f.localMembers {
+			f.staleSearchInterval = min(2*f.staleSearchInterval, maxStaleSearchInterval)
 		}
-		f.leave(now, f.fresher())
+		f.switchMember(now, f.nextFresherMember())
 	}
 	return nil
 }
 
 // fresher is where to look for a fresher copy: at all of the own region, then at one of another, each time at the next. A region that is
 // alone keeps to its own members so, but for a try now and then.
-func (f *Follower) fresher() int {
+func (f *Follower) nextFresherMember() int {
 	switch {
-	case f.at+1 < f.own || f.own == 0:
-		return (f.at + 1) % len(f.order)
-	case f.at >= f.own || f.own == len(f.order):
-		f.seeking = false
+	case f.current+1 < f.localMembers || f.localMembers == 0:
+		return (f.current + 1) % len(f.memberOrder)
+	case f.current >= f.localMembers || f.localMembers == len(f.memberOrder):
+		f.tryingRemote = false
 		return 0
 	}
-	f.seeking = true
-	return f.foreign()
+	f.tryingRemote = true
+	return f.nextRemoteMember()
 }
 
 // foreign is the next one of other regions' members.
-func (f *Follower) foreign() int {
-	f.abroad++
-	return f.own + (f.abroad-1)%(len(f.order)-f.own)
+func (f *Follower) nextRemoteMember() int {
+	f.remoteAttempts++
+	return f.localMembers + (f.remoteAttempts-1)%(len(f.memberOrder)-f.localMembers)
 }
 
 // freshen takes what a heartbeat has claimed, once all that it spoke of is held. The time is that at which the server had it, reckoned
 // from a status of this follower that the server had heard: however long the heartbeat was under way, the claim is never too much.
-func (f *Follower) freshen(now float64) {
-	if version, _ := f.h.Head(); f.claimed && version >= f.claim.Head {
-		at := f.claim.Echo + f.claim.Offset
-		if f.t.InjectedBug == ReceiptAge {
-			at = now - f.claim.Age
+func (f *Follower) updateFreshness(now float64) {
+	if version, _ := f.history.Head(); f.hasPendingHeartbeat && version >= f.pendingHeartbeat.HeadVersion {
+		at := f.pendingHeartbeat.StatusSentAt + f.pendingHeartbeat.FreshnessOffset
+		if f.config.InjectedBug == BugStalenessFromReceipt {
+			at = now - f.pendingHeartbeat.StalenessMs
 		}
-		f.freshAt = max(f.freshAt, min(at, now))
-		f.claimed = false
+		f.freshAsOf = max(f.freshAsOf, min(at, now))
+		f.hasPendingHeartbeat = false
 	}
 }
 
 // InForce tells that a version is in force.
-func (f *Follower) InForce(_ float64, version uint64) {
-	f.inForce, f.changed = version, true
-	if version >= f.refused {
-		f.refused, f.why = 0, ""
+func (f *Follower) VersionApplied(_ float64, version uint64) {
+	f.appliedVersion, f.statusChanged = version, true
+	if version >= f.rejectedVersion {
+		f.rejectedVersion, f.rejectReason = 0, ""
 	}
 }
 
 // Refused tells that a version can't be put in force, and why; what was in force stays.
-func (f *Follower) Refused(_ float64, version uint64, why string) {
-	if len(why) > mostWords {
-		why = why[:mostWords]
+func (f *Follower) VersionRejected(_ float64, version uint64, why string) {
+	if len(why) > maxReasonBytes {
+		why = why[:maxReasonBytes]
 	}
-	f.refused, f.why, f.changed = version, why, true
+	f.rejectedVersion, f.rejectReason, f.statusChanged = version, why, true
 }
 
 // Next is what is to be done next.
 func (f *Follower) Next() (FollowerOutput, bool) {
-	if len(f.out) > 0 {
-		o := f.out[0]
-		f.out[0] = FollowerOutput{}
-		if f.out = f.out[1:]; len(f.out) == 0 {
-			f.out = nil
+	if len(f.outputs) > 0 {
+		o := f.outputs[0]
+		f.outputs[0] = FollowerOutput{}
+		if f.outputs = f.outputs[1:]; len(f.outputs) == 0 {
+			f.outputs = nil
 		}
 		return o, true
 	}
-	if f.take != nil {
-		t := f.take
-		f.take = nil
-		return FollowerOutput{Take: t}, true
+	if f.pendingUpdate != nil {
+		t := f.pendingUpdate
+		f.pendingUpdate = nil
+		return FollowerOutput{Update: t}, true
 	}
 	return FollowerOutput{}, false
 }
 
 // State is how it stands.
 func (f *Follower) State(now float64) FollowerState {
-	version, doc := f.h.Head()
-	s := FollowerState{Held: version, InForce: f.inForce, Refused: f.refused, Why: f.why, Digest: doc.digest, Age: max(now-f.freshAt, 0)}
-	if f.link == linked {
-		s.Member = f.t.Members[f.member()].Name
+	version, doc := f.history.Head()
+	s := FollowerState{StoredVersion: version, AppliedVersion: f.appliedVersion, RejectedVersion: f.rejectedVersion, RejectReason: f.rejectReason, Digest: doc.digest, StalenessMs: max(now-f.freshAsOf, 0)}
+	if f.state == connectionUp {
+		s.Member = f.config.Members[f.currentMember()].Name
 	}
 	return s
 }
 
 // History is the copy, and with a member's the changes that it got: what its own Server serves. It goes on in place.
-func (f *Follower) History() *History { return f.h }
+func (f *Follower) History() *History { return f.history }
 
 // FreshAt is a time, by this process's clock, at which History had all that had been acknowledged; minus infinity where none is known.
-func (f *Follower) FreshAt() float64 { return f.freshAt }
+func (f *Follower) FreshAsOf() float64 { return f.freshAsOf }
--- a/internal/controlplane/member/call.go
+++ b/internal/controlplane/member/call.go
@@ -15,20 +15,20 @@
 )
 
 // take answers one operator's call.
-func (m *Member) take(p *transport.Pipe) error {
+func (m *Member) serveCall(p *transport.Pipe) error {
 	select {
-	case m.calls <- struct{}{}:
-		defer func() { <-m.calls }()
+	case m.callSlots <- struct{}{}:
+		defer func() { <-m.callSlots }()
 	default:
 		return errors.New("too many calls at once")
 	}
-	g, gathered := &client.Gathered{}, false
+	g, gathered := &client.MessageAssembler{}, false
 	var odd error
-	err := p.Run(controlplane.MostFrame, callSilence, func(data []byte) {
+	err := p.Run(controlplane.MaxFrameBytes, callIdleTimeout, func(data []byte) {
 		if gathered {
 			return
 		}
-		whole, err := g.Add(data)
+		whole, err := g.AddFrame(data)
 		if err != nil {
 			odd = err
 			p.Close()
@@ -36,15 +36,15 @@
 		}
 		if gathered = whole; whole {
 			m.wg.Go(func() { // the link's end is seen meanwhile
-				c := &client.Call{}
-				text, err := g.Read(c)
+				c := &client.CallRequest{}
+				text, err := g.Decode(c)
 				if err != nil {
-					m.sayOdd("a caller", err)
+					m.logRefused("a caller", err)
 					p.Close()
 					return
 				}
-				a, its := m.answer(c, text)
-				frames, err := client.Pieces(a, its)
+				a, its := m.handleCall(c, text)
+				frames, err := client.EncodeMessage(a, its)
 				if err != nil {
 					m.log.Error("answer can't be written", "error", err)
 					p.Close()
@@ -59,13 +59,13 @@
 	if odd != nil {
 		return odd
 	}
-	return unusual(err)
+	return ignoreExpectedClose(err)
 }
 
 // do runs on the actor and waits; false tells that the member ends.
-func (m *Member) do(f func()) bool {
+func (m *Member) runOnActor(f func()) bool {
 	done := make(chan struct{})
-	m.box.Put(func() { f(); close(done) })
+	m.mailbox.Put(func() { f(); close(done) })
 	select {
 	case <-done:
 		return true
@@ -74,81 +74,81 @@
 	}
 }
 
-func (m *Member) answer(c *client.Call, text []byte) (a *client.Answer, its []byte) {
-	a = &client.Answer{Code: controlplane.Invalid, Why: "the member ends"}
-	switch c.Op {
-	case client.OpStatus:
-		m.do(func() { a = &client.Answer{Code: controlplane.Done, Status: m.status()} })
-	case client.OpGet:
+func (m *Member) handleCall(c *client.CallRequest, text []byte) (a *client.CallResponse, its []byte) {
+	a = &client.CallResponse{Code: controlplane.CodeInvalid, Detail: "the member ends"}
+	switch c.Method {
+	case client.MethodStatus:
+		m.runOnActor(func() { a = &client.CallResponse{Code: controlplane.CodeDone, Status: m.status()} })
+	case client.MethodGet:
 		var doc *controlplane.Document
-		m.do(func() {
+		m.runOnActor(func() {
 			h := m.history()
 			head, _ := h.Head()
 			version, there := c.Version, true
 			if version == 0 {
 				version = head
 			}
-			if doc, there = h.At(version); !there || version == 0 {
-				doc, a = nil, &client.Answer{Code: controlplane.Invalid, Why: fmt.Sprintf("version %d is not kept", version), AgeMs: m.age()}
+			if doc, there = h.DocumentAt(version); !there || version == 0 {
+				doc, a = nil, &client.CallResponse{Code: controlplane.CodeInvalid, Detail: fmt.Sprintf("version %d is not kept", version), StalenessMs: m.stalenessMs()}
 				return
 			}
-			a = &client.Answer{Code: controlplane.Done, Version: version, AgeMs: m.age()}
+			a = &client.CallResponse{Code: controlplane.CodeDone, Version: version, StalenessMs: m.stalenessMs()}
 		})
 		if doc != nil {
 			its = doc.Text()
 		}
-	case client.OpLog:
-		m.do(func() {
-			a = &client.Answer{Code: controlplane.Done, AgeMs: m.age()}
-			for _, c := range m.history().Log(min(max(c.Most, 1), 4096)) {
-				a.Log = append(a.Log, client.Entry{Version: c.Version, ID: fmt.Sprintf("%016x", c.ID), Digest: fmt.Sprintf("%x", c.Digest),
-					By: c.By, Reason: c.Reason, At: c.At})
+	case client.MethodLog:
+		m.runOnActor(func() {
+			a = &client.CallResponse{Code: controlplane.CodeDone, StalenessMs: m.stalenessMs()}
+			for _, c := range m.history().RecentChanges(min(max(c.Limit, 1), 4096)) {
+				a.Log = append(a.Log, client.LogEntry{Version: c.Version, ID: fmt.Sprintf("%016x", c.ID), Digest: fmt.Sprintf("%x", c.Digest),
+					By: c.By, Reason: c.Reason, ProposedAtMs: c.ProposedAtMs})
 			}
 		})
-	case client.OpHead:
-		m.do(func() {
-			if a = m.notLeading(); a == nil {
+	case client.MethodHead:
+		m.runOnActor(func() {
+			if a = m.notLeaderResponse(); a == nil {
 				head, _ := m.history().Head()
-				a = &client.Answer{Code: controlplane.Done, Version: head}
+				a = &client.CallResponse{Code: controlplane.CodeDone, Version: head}
 			}
 		})
-	case client.OpApply:
-		return m.apply(c, text), nil
+	case client.MethodApply:
+		return m.handleApply(c, text), nil
 	default:
-		a = &client.Answer{Code: controlplane.Invalid, Why: fmt.Sprintf("unknown call %.20q", c.Op)}
+		a = &client.CallResponse{Code: controlplane.CodeInvalid, Detail: fmt.Sprintf("unknown call %.20q", c.Method)}
 	}
 	return a, its
 }
 
 // notLeading is the answer of a member that does not lead.
-func (m *Member) notLeading() *client.Answer {
+func (m *Member) notLeaderResponse() *client.CallResponse {
 	switch {
 	case m.voter == nil:
-		return &client.Answer{Code: controlplane.NotLeader}
-	case !m.voter.Leads():
-		return &client.Answer{Code: controlplane.NotLeader, Leader: m.names[m.voter.Leader()]}
+		return &client.CallResponse{Code: controlplane.CodeNotLeader}
+	case !m.voter.IsLeader():
+		return &client.CallResponse{Code: controlplane.CodeNotLeader, Leader: m.voterNames[m.voter.Leader()]}
 	}
 	return nil
 }
 
 // apply proposes a text once it is known that nodes can put it in force.
-func (m *Member) apply(c *client.Call, text []byte) (a *client.Answer) {
-	lost := &client.Answer{Code: controlplane.Lost, Why: "the member ends"}
-	if len(c.By) > mostWord || len(c.Reason) > mostWord {
-		return &client.Answer{Code: controlplane.Invalid, Why: fmt.Sprintf("by and reason: %d bytes at most", mostWord)}
+func (m *Member) handleApply(c *client.CallRequest, text []byte) (a *client.CallResponse) {
+	lost := &client.CallResponse{Code: controlplane.CodeLeadershipLost, Detail: "the member ends"}
+	if len(c.By) > maxAuthorBytes || len(c.Reason) > maxAuthorBytes {
+		return &client.CallResponse{Code: controlplane.CodeInvalid, Detail: fmt.Sprintf("by and reason: %d bytes at most", maxAuthorBytes)}
 	}
 	var version uint64
 	var head *controlplane.Document
-	if !m.do(func() {
-		if a = m.notLeading(); a != nil {
+	if !m.runOnActor(func() {
+		if a = m.notLeaderResponse(); a != nil {
 			return
 		}
-		if earlier, there := m.history().Find(c.ID); there { // this very change, whose answer was lost
-			a = &client.Answer{Code: controlplane.Done, Version: earlier}
+		if earlier, there := m.history().FindProposal(c.ID); there { // this very change, whose answer was lost
+			a = &client.CallResponse{Code: controlplane.CodeDone, Version: earlier}
 			return
 		}
 		if version, head = m.history().Head(); version != c.Base {
-			a = &client.Answer{Code: controlplane.Conflict, Version: version}
+			a = &client.CallResponse{Code: controlplane.CodeConflict, Version: version}
 		}
 	}) {
 		return lost
@@ -158,65 +158,65 @@
 	}
 	doc, err := controlplane.Parse(text)
 	if err == nil {
-		err = m.checks.check(doc, version, head)
+		err = m.validator.check(doc, version, head)
 	}
 	if err != nil {
-		return &client.Answer{Code: controlplane.Invalid, Why: err.Error()}
+		return &client.CallResponse{Code: controlplane.CodeInvalid, Detail: err.Error()}
 	}
 	told := make(chan controlplane.Result, 1)
-	m.box.Put(func() {
-		m.waits[c.ID] = told // of two calls with one ID the later hears
-		m.voter.Propose(m.clock.Now(), c.ID, controlplane.Proposal{Base: c.Base, Text: doc, By: c.By, Reason: c.Reason})
+	m.mailbox.Put(func() {
+		m.proposalReplies[c.ID] = told // of two calls with one ID the later hears
+		m.voter.Propose(m.clock.Now(), c.ID, controlplane.Proposal{Base: c.Base, Document: doc, By: c.By, Reason: c.Reason})
 	})
 	select {
 	case r := <-told:
-		return &client.Answer{Code: r.Code, Version: r.Version, Leader: m.names[r.Leader], Why: r.Why}
-	case <-time.After(proposeFor):
-		m.box.Put(func() {
-			if m.waits[c.ID] == told {
-				delete(m.waits, c.ID)
+		return &client.CallResponse{Code: r.Code, Version: r.Version, Leader: m.voterNames[r.Leader], Detail: r.Detail}
+	case <-time.After(proposalTimeout):
+		m.mailbox.Put(func() {
+			if m.proposalReplies[c.ID] == told {
+				delete(m.proposalReplies, c.ID)
 			}
 		})
-		return &client.Answer{Code: controlplane.Lost, Why: "no majority has answered in " + proposeFor.String()}
+		return &client.CallResponse{Code: controlplane.CodeLeadershipLost, Detail: "no majority has answered in " + proposalTimeout.String()}
 	case <-m.ctx.Done():
 		return lost
 	}
 }
 
-const mostWord = 1 << 10 // bytes of who and why
+const maxAuthorBytes = 1 << 10 // bytes of who and why
 
 func (m *Member) history() *controlplane.History {
 	if m.voter != nil {
 		return m.voter.History()
 	}
-	return m.follow.History()
+	return m.followerLink.History()
 }
 
 // age is how old what it has may be; nil is unknown.
-func (m *Member) age() *float64 {
+func (m *Member) stalenessMs() *float64 {
 	if m.voter != nil {
-		return client.Finite(m.clock.Now() - m.voter.FreshAt())
+		return client.FiniteOrNil(m.clock.Now() - m.voter.FreshAsOf())
 	}
-	return client.Finite(m.clock.Now() - m.follow.FreshAt())
+	return client.FiniteOrNil(m.clock.Now() - m.followerLink.FreshAsOf())
 }
 
 // status is the actor's.
 func (m *Member) status() *client.MemberStatus {
 	now := m.clock.Now()
 	head, doc := m.history().Head()
-	s := &client.MemberStatus{Name: m.self.Name, Region: m.self.Region, Voter: m.self.Voter, Build: m.o.Version, Leader: m.names[m.leader], Follows: m.follows,
-		Head: head, AgeMs: m.age(), Followers: []client.FollowerStatus{}, BytesIn: m.in, BytesOut: m.out}
+	s := &client.MemberStatus{Name: m.self.Name, Region: m.self.Region, Voter: m.self.Voter, Build: m.options.Version, Leader: m.voterNames[m.leader], Follows: m.followedMember,
+		Head: head, StalenessMs: m.stalenessMs(), Followers: []client.FollowerStatus{}, BytesIn: m.closedBytesIn, BytesOut: m.closedBytesOut}
 	if head > 0 {
 		s.Digest = fmt.Sprintf("%x", doc.Digest())
 	}
-	for _, c := range m.conns {
+	for _, c := range m.followers {
 		in, out, _, _ := c.pipe.Counts()
 		s.BytesIn += in
 		s.BytesOut += out
 	}
 	for _, l := range m.server.Leases(now) {
-		s.Followers = append(s.Followers, client.FollowerStatus{Name: l.Name, Region: l.Region, Kind: l.Kind, Held: l.Held, InForce: l.InForce,
-			Refused: l.Refused, Why: l.Why, BehindMs: l.Behind, AgeMs: client.Finite(l.Age), SeenMs: now - l.Seen})
+		s.Followers = append(s.Followers, client.FollowerStatus{Name: l.Name, Region: l.Region, Kind: l.Kind, StoredVersion: l.StoredVersion, AppliedVersion: l.AppliedVersion,
+			RejectedVersion: l.RejectedVersion, RejectReason: l.RejectReason, BehindMs: l.BehindMs, StalenessMs: client.FiniteOrNil(l.StalenessMs), LastSeenMs: now - l.LastSeenAt})
 	}
 	return s
 }
@@ -227,16 +227,16 @@
 	LogPath    = "/v1/control-plane/log"
 )
 
-type nothing struct{}
+type noControlSocket struct{}
 
-func (nothing) Close() error { return nil }
+func (noControlSocket) Close() error { return nil }
 
 // openControl serves the member's own word at a socket.
 func (m *Member) openControl() (io.Closer, error) {
-	if m.o.Control == "" {
-		return nothing{}, nil
+	if m.options.Control == "" {
+		return noControlSocket{}, nil
 	}
-	l, err := controlsocket.Listen(m.o.Control)
+	l, err := controlsocket.Listen(m.options.Control)
 	if err != nil {
 		return nil, err
 	}
@@ -244,19 +244,19 @@
 	say := func(op string) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			most, _ := strconv.Atoi(r.URL.Query().Get("n"))
-			a, _ := m.answer(&client.Call{Op: op, Most: max(most, 1)}, nil)
+			a, _ := m.handleCall(&client.CallRequest{Method: op, Limit: max(most, 1)}, nil)
 			switch {
 			case a.Status != nil:
 				controlsocket.Answer(w, http.StatusOK, a.Status)
-			case a.Code == controlplane.Done:
+			case a.Code == controlplane.CodeDone:
 				controlsocket.Answer(w, http.StatusOK, a.Log)
 			default:
-				controlsocket.Fail(w, http.StatusServiceUnavailable, a.Why)
+				controlsocket.Fail(w, http.StatusServiceUnavailable, a.Detail)
 			}
 		}
 	}
-	mux.HandleFunc("GET "+StatusPath, say(client.OpStatus))
-	mux.HandleFunc("GET "+LogPath, say(client.OpLog))
+	mux.HandleFunc("GET "+StatusPath, say(client.MethodStatus))
+	mux.HandleFunc("GET "+LogPath, say(client.MethodLog))
 	server := controlsocket.Server(mux)
 	m.wg.Go(func() { _ = server.Serve(controlsocket.Limited(l)) })
 	return server, nil
--- a/internal/controlplane/member/golden_test.go
+++ b/internal/controlplane/member/golden_test.go
@@ -13,7 +13,7 @@
 
 func appendEntries(n uint64) (all []*pb.Entry) {
 	for k := range n {
-		all = append(all, entry(controlplane.Bootstrap([]uint64{1, 2, 3}).Snapshot.GetMetadata().GetIndex()+1+k, 1))
+		all = append(all, testEntry(controlplane.Bootstrap([]uint64{1, 2, 3}).Snapshot.GetMetadata().GetIndex()+1+k, 1))
 	}
 	return all
 }
@@ -24,11 +24,11 @@
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "c1.db")
 	require.NoError(t, os.WriteFile(path, data, 0o600))
-	s, kept, err := openStore(path, "f/c1", nil)
+	s, kept, err := openVoterStore(path, "f/c1", nil)
 	require.NoError(t, err)
 	defer func() { require.NoError(t, s.close()) }()
 	want := controlplane.Bootstrap([]uint64{1, 2, 3})
-	require.Equal(t, want.Hard.String(), kept.Hard.String())
+	require.Equal(t, want.HardState.String(), kept.HardState.String())
 	require.Equal(t, want.Snapshot.String(), kept.Snapshot.String())
 	entries := appendEntries(5)
 	require.Len(t, kept.Entries, len(entries))
--- a/internal/controlplane/member/member.go
+++ b/internal/controlplane/member/member.go
@@ -29,20 +29,20 @@
 )
 
 const (
-	mostUnproven = 64
-	mostConns    = 4096
-	mostCalls    = 16 // at once
-	mostInHand   = 16 // frames of one link that the actor has yet to take
-	mostVoteMiB  = 64 // queued for one voter; more is lost, as raft lets it be
-	callSilence  = 30 * time.Second
-	oddEvery     = time.Second
-	againFrom    = 50 * time.Millisecond // between two tries to reach a voter, growing
-	againUpTo    = time.Second
-	acceptAgain  = 50 * time.Millisecond
-	voteSilence  = 3 * time.Second // without a word of the other end: after a long cut the kernel would send again only minutes later
-	voteWord     = time.Second
-	slowDisk     = time.Second     // nobody is told anything meanwhile: followers go to another member after 2.5 s
-	proposeFor   = 4 * time.Second // then the caller asks again, by the change's ID
+	maxUnauthenticated     = 64
+	maxFollowers           = 4096
+	maxCalls               = 16 // at once
+	maxQueuedFrames        = 16 // frames of one link that the actor has yet to take
+	maxVoterQueueMiB       = 64 // queued for one voter; more is lost, as raft lets it be
+	callIdleTimeout        = 30 * time.Second
+	refusedLogInterval     = time.Second
+	minRedialBackoff       = 50 * time.Millisecond // between two tries to reach a voter, growing
+	maxRedialBackoff       = time.Second
+	acceptRetryDelay       = 50 * time.Millisecond
+	voterIdleTimeout       = 3 * time.Second // without a word of the other end: after a long cut the kernel would send again only minutes later
+	voterKeepaliveInterval = time.Second
+	slowPersistThreshold   = time.Second     // nobody is told anything meanwhile: followers go to another member after 2.5 s
+	proposalTimeout        = 4 * time.Second // then the caller asks again, by the change's ID
 )
 
 // Options are how a member is run.
@@ -54,69 +54,69 @@
 
 // Member is one process. Its fields below box are the actor's.
 type Member struct {
-	plane  *client.Plane
-	self   client.Member
-	o      Options
-	clock  *clock.Clock
-	log    *slog.Logger
-	odd    rate.Sometimes
-	unsaid atomic.Int64
-	ctx    context.Context
-	end    context.CancelCauseFunc
-	wg     sync.WaitGroup
-	calls  chan struct{}
-	checks validator
-	box    *mailbox.Box[func()]
+	controlPlane    *client.ControlPlane
+	self            client.Member
+	options         Options
+	clock           *clock.Clock
+	log             *slog.Logger
+	refusedLog      rate.Sometimes
+	refusedSinceLog atomic.Int64
+	ctx             context.Context
+	cancel          context.CancelCauseFunc
+	wg              sync.WaitGroup
+	callSlots       chan struct{}
+	validator       validator
+	mailbox         *mailbox.Box[func()]
 
 	server *controlplane.Server
-	set    struct {
+	served struct {
 		version uint64
 		freshAt float64
 	} // that the server was told
-	conns   map[uint64]*conn
-	seq     uint64
-	in, out int64 // bytes of connections that have ended
-
-	voter   *controlplane.Voter // nil in a relay
-	store   *store
-	id      uint64
-	names   map[uint64]string // of voters
-	numbers map[string]uint64
-	votes   map[uint64]*voteLink
-	waits   map[uint64]chan<- controlplane.Result
-	leader  uint64
-
-	follow  *client.Following // nil in a voter
-	disk    *client.Disk
-	follows string
+	followers                     map[uint64]*followerConn
+	lastFollowerID                uint64
+	closedBytesIn, closedBytesOut int64 // bytes of connections that have ended
+
+	voter           *controlplane.Voter // nil in a relay
+	store           *voterStore
+	voterID         uint64
+	voterNames      map[uint64]string // of voters
+	voterIDs        map[string]uint64
+	voterLinks      map[uint64]*voterLink
+	proposalReplies map[uint64]chan<- controlplane.Result
+	leader          uint64
+
+	followerLink   *client.FollowerLink // nil in a voter
+	copyStore      *client.CopyStore
+	followedMember string
 }
 
 // conn is a link that something follows on.
-type conn struct {
+type followerConn struct {
 	pipe *transport.Pipe
 	name string
 }
 
 // voteLink is what goes to and comes from another voter, each on a connection of its own.
-type voteLink struct {
-	to client.Member
-	in *transport.Pipe
+type voterLink struct {
+	peer    client.Member
+	inbound *transport.Pipe
 
-	mu  sync.Mutex
-	out *transport.Pipe
+	mu       sync.Mutex
+	outbound *transport.Pipe
 }
 
 // Run runs a member until ctx ends.
-func Run(ctx context.Context, p *client.Plane, name string, o Options, log *slog.Logger) error {
-	self, err := p.Self(name)
+func Run(ctx context.Context, p *client.ControlPlane, name string, o Options, log *slog.Logger) error {
+	self, err := p.FindMember(name)
 	if err != nil {
 		return err
 	}
-	m := &Member{plane: p, self: self, o: o, clock: clock.New(), log: log, odd: rate.Sometimes{Interval: oddEvery},
-		calls: make(chan struct{}, mostCalls), box: mailbox.New[func()](), conns: map[uint64]*conn{}}
-	m.ctx, m.end = context.WithCancelCause(ctx)
-	defer m.end(nil)
-	if err := os.MkdirAll(p.Dir, 0o700); err != nil {
+	m := &Member{controlPlane: p, self: self, options: o, clock: clock.New(), log: log, refusedLog: rate.Sometimes{Interval: refusedLogInterval},
+		callSlots: make(chan struct{}, maxCalls), mailbox: mailbox.New[func()](), followers: map[uint64]*followerConn{}}
+	m.ctx, m.cancel = context.WithCancelCause(ctx)
+	defer m.cancel(nil)
+	if err := os.MkdirAll(p.StateDir, 0o700); err != nil {
 		return err
 	}
 	if self.Voter {
@@ -139,15 +139,15 @@
 	}
 	defer socket.Close()
 	m.server = controlplane.NewServer(controlplane.ServerConfig{Name: name, Region: self.Region, Seed: rand.Uint64()}, m.clock.Now())
-	m.set.freshAt = math.Inf(-1)
+	m.served.freshAt = math.Inf(-1)
 	log.Info("member of the control plane", "name", name, "region", self.Region, "voter", self.Voter, "address", l.Addr().String(), "version", o.Version)
 	m.wg.Go(m.run)
-	m.wg.Go(func() { m.listen(l) })
-	for id, v := range m.votes {
-		m.wg.Go(func() { m.reach(id, v) })
+	m.wg.Go(func() { m.acceptConnections(l) })
+	for id, v := range m.voterLinks {
+		m.wg.Go(func() { m.maintainVoterLink(id, v) })
 	}
-	if m.follow != nil {
-		m.wg.Go(func() { m.disk.Run(m.ctx) })
+	if m.followerLink != nil {
+		m.wg.Go(func() { m.copyStore.Run(m.ctx) })
 	}
 	<-m.ctx.Done()
 	_ = l.Close()
@@ -161,32 +161,32 @@
 }
 
 // number is a voter's: by its name alone, so that the file's order may change.
-func number(name string) uint64 { return max(xxhash.Sum64String(name), 1) }
+func voterID(name string) uint64 { return max(xxhash.Sum64String(name), 1) }
 
 func (m *Member) openVoter() error {
-	m.id, m.names, m.numbers, m.votes = number(m.self.Name), map[uint64]string{}, map[string]uint64{}, map[uint64]*voteLink{}
-	m.waits = map[uint64]chan<- controlplane.Result{}
+	m.voterID, m.voterNames, m.voterIDs, m.voterLinks = voterID(m.self.Name), map[uint64]string{}, map[string]uint64{}, map[uint64]*voterLink{}
+	m.proposalReplies = map[uint64]chan<- controlplane.Result{}
 	var ids []uint64
-	for _, v := range m.plane.Members {
+	for _, v := range m.controlPlane.Members {
 		if !v.Voter {
 			continue
 		}
-		id := number(v.Name)
+		id := voterID(v.Name)
 		ids = append(ids, id)
-		m.names[id], m.numbers[v.Name] = v.Name, id
-		if id != m.id {
-			m.votes[id] = &voteLink{to: v}
+		m.voterNames[id], m.voterIDs[v.Name] = v.Name, id
+		if id != m.voterID {
+			m.voterLinks[id] = &voterLink{peer: v}
 		}
 	}
-	var begin *controlplane.Stored
-	if m.o.Bootstrap {
+	var begin *controlplane.StoredState
+	if m.options.Bootstrap {
 		begin = controlplane.Bootstrap(ids)
 	}
-	s, kept, err := openStore(filepath.Join(m.plane.Dir, m.self.Name+".db"), m.plane.Fleet+"/"+m.self.Name, begin)
+	s, kept, err := openVoterStore(filepath.Join(m.controlPlane.StateDir, m.self.Name+".db"), m.controlPlane.Fleet+"/"+m.self.Name, begin)
 	if err != nil {
 		return err
 	}
-	v, err := controlplane.NewVoter(controlplane.VoterConfig{ID: m.id, Voters: ids, Seed: rand.Uint64()}, kept, m.clock.Now())
+	v, err := controlplane.NewVoter(controlplane.VoterConfig{ID: m.voterID, Voters: ids, Seed: rand.Uint64()}, kept, m.clock.Now())
 	if err != nil {
 		_ = s.close()
 		return err
@@ -196,30 +196,30 @@
 }
 
 func (m *Member) openRelay() error {
-	if m.o.Bootstrap {
+	if m.options.Bootstrap {
 		return fmt.Errorf("%s is no voter: nothing to bootstrap", m.self.Name)
 	}
-	disk, held, err := client.OpenDisk(filepath.Join(m.plane.Dir, m.self.Name+".copy"), m.plane.Fleet, m.log)
+	disk, held, err := client.OpenCopyStore(filepath.Join(m.controlPlane.StateDir, m.self.Name+".copy"), m.controlPlane.Fleet, m.log)
 	if err != nil {
 		return err
 	}
-	if !disk.Owned() {
-		return fmt.Errorf("%s: another process has its state in %s", m.self.Name, m.plane.Dir)
+	if !disk.HasLock() {
+		return fmt.Errorf("%s: another process has its state in %s", m.self.Name, m.controlPlane.StateDir)
 	}
 	var voters []client.Member
-	for _, v := range m.plane.Members {
+	for _, v := range m.controlPlane.Members {
 		if v.Voter {
 			voters = append(voters, v)
 		}
 	}
-	m.disk = disk
-	t := client.Config{Fleet: m.plane.Fleet, Name: m.self.Name, Region: m.self.Region, Members: voters, Keys: m.plane.Keys, Kind: controlplane.KindMember}
-	m.follow = client.NewFollowing(m.ctx, t, held, m.clock.Now, m.box.Put, m.wg.Go, func(t controlplane.Take) {
-		m.follow.InForce(m.clock.Now(), t.Version)
-		m.disk.Offer(controlplane.Copy{Version: t.Version, Text: t.Text})
-	}, m.sayOdd)
+	m.copyStore = disk
+	t := client.Config{Fleet: m.controlPlane.Fleet, Name: m.self.Name, Region: m.self.Region, Members: voters, Keys: m.controlPlane.Keys, Kind: controlplane.KindMember}
+	m.followerLink = client.NewFollowerLink(m.ctx, t, held, m.clock.Now, m.mailbox.Put, m.wg.Go, func(t controlplane.DocumentUpdate) {
+		m.followerLink.VersionApplied(m.clock.Now(), t.Version)
+		m.copyStore.QueueWrite(controlplane.VersionedDocument{Version: t.Version, Document: t.Document})
+	}, m.logRefused)
 	if held.Version > 0 {
-		m.follow.InForce(m.clock.Now(), held.Version)
+		m.followerLink.VersionApplied(m.clock.Now(), held.Version)
 	}
 	return nil
 }
@@ -228,35 +228,35 @@
 	if m.store != nil {
 		_ = m.store.close()
 	}
-	if m.disk != nil {
-		m.disk.Close()
+	if m.copyStore != nil {
+		m.copyStore.Close()
 	}
 }
 
 func (m *Member) run() {
-	tick := time.NewTicker(controlplane.TickMs * time.Millisecond)
+	tick := time.NewTicker(controlplane.TickIntervalMs * time.Millisecond)
 	defer tick.Stop()
 	defer func() {
-		for _, c := range m.conns {
+		for _, c := range m.followers {
 			c.pipe.Close()
 		}
-		for _, v := range m.votes {
-			if v.in != nil {
-				v.in.Close()
+		for _, v := range m.voterLinks {
+			if v.inbound != nil {
+				v.inbound.Close()
 			}
 		}
-		if m.follow != nil {
-			m.follow.Hangup()
+		if m.followerLink != nil {
+			m.followerLink.Disconnect()
 		}
 	}()
 	var notes []func()
 	for {
-		m.pull()
+		m.carryOutDecisions()
 		select {
 		case <-m.ctx.Done():
 			return
-		case <-m.box.Some():
-			notes = m.box.Take(notes)
+		case <-m.mailbox.Some():
+			notes = m.mailbox.Take(notes)
 			for _, note := range notes {
 				note()
 			}
@@ -266,85 +266,85 @@
 			if m.voter != nil {
 				m.voter.Tick(now)
 			} else {
-				m.follow.Tick(now)
+				m.followerLink.Tick(now)
 			}
 		}
 	}
 }
 
 // pull carries out what the core has decided, in its order.
-func (m *Member) pull() {
+func (m *Member) carryOutDecisions() {
 	freshAt := 0.0
 	var history *controlplane.History
 	if m.voter != nil {
-		if !m.pullVoter() {
+		if !m.carryOutVoterDecisions() {
 			return
 		}
-		history, freshAt = m.voter.History(), m.voter.FreshAt()
+		history, freshAt = m.voter.History(), m.voter.FreshAsOf()
 	} else {
-		m.follow.Pull()
-		history, freshAt = m.follow.History(), m.follow.FreshAt()
-		if member := m.follow.State(m.clock.Now()).Member; member != m.follows {
+		m.followerLink.CarryOutDecisions()
+		history, freshAt = m.followerLink.History(), m.followerLink.FreshAsOf()
+		if member := m.followerLink.State(m.clock.Now()).Member; member != m.followedMember {
 			if member == "" {
-				m.log.Warn("control plane lost", "member", m.follows)
+				m.log.Warn("control plane lost", "member", m.followedMember)
 			} else {
 				m.log.Info("control plane followed", "member", member)
 			}
-			m.follows = member
+			m.followedMember = member
 		}
 	}
-	if head, _ := history.Head(); head != m.set.version || freshAt != m.set.freshAt {
-		m.set.version, m.set.freshAt = head, freshAt
-		m.server.Set(m.clock.Now(), history, freshAt)
+	if head, _ := history.Head(); head != m.served.version || freshAt != m.served.freshAt {
+		m.served.version, m.served.freshAt = head, freshAt
+		m.server.SetHistory(m.clock.Now(), history, freshAt)
 	}
 	for {
 		o, more := m.server.Next()
 		if !more {
 			return
 		}
-		c := m.conns[o.Conn]
+		c := m.followers[o.Conn]
 		switch {
 		case c == nil:
-		case o.Hangup:
-			m.log.Info("follower cut off", "name", c.name, "why", o.Why)
+		case o.Disconnect:
+			m.log.Info("follower cut off", "name", c.name, "why", o.DisconnectReason)
 			c.pipe.Close()
-			delete(m.conns, o.Conn)
+			delete(m.followers, o.Conn)
 		default:
 			c.pipe.Send(o.Frame)
 		}
 	}
 }
 
-func (m *Member) pullVoter() (goesOn bool) {
+func (m *Member) carryOutVoterDecisions() (goesOn bool) {
 	for {
 		o, more := m.voter.Next()
 		switch {
 		case !more:
-			if fault := m.voter.Fault(); fault != "" {
-				m.end(fmt.Errorf("voter's store: %s", fault))
+			if fault := m.voter.StoreFault(); fault != "" {
+				m.cancel(fmt.Errorf("voter's store: %s", fault))
 				return false
 			}
 			if leader := m.voter.Leader(); leader != m.leader {
 				m.leader = leader
-				m.log.Info("leader", "name", m.names[leader])
+				m.log.Info("leader", "name", m.voterNames[leader])
 			}
 			return true
 		case o.Persist != nil:
 			begun := time.Now()
 			if err := m.store.persist(o.Persist); err != nil { // what a voter has said it must have
-				m.end(fmt.Errorf("voter's store: %w", err))
+				m.cancel(fmt.Errorf("voter's store: %w", err))
 				return false
 			}
-			if took := time.Since(begun); took > slowDisk {
+			if took := time.Since(begun); took > slowPersistThreshold {
 				m.log.Warn("voter's disk is slow", "took_ms", took.Milliseconds())
 			}
 		case o.Send != nil:
-			if v := m.votes[o.Send.To]; v != nil {
+			if v := m.voterLinks[o.Send.To]; v != nil {
 				v.send(o.Send.Data)
 			}
 		case o.Reply != nil:
-			if told := m.waits[o.Reply.ID]; told != nil {
-				delete(m.waits, o.Reply.ID)
+			if told := m.proposalReplies[o.Reply.ID]; told != nil {
+				delete(m.proposalReplies, o.Reply.ID)
 				told <- o.Reply.Result
 			}
 		case o.Committed != nil:
@@ -356,51 +356,51 @@
 	}
 }
 
-func (v *voteLink) send(data []byte) {
+func (v *voterLink) send(data []byte) {
 	v.mu.Lock()
-	p := v.out
+	p := v.outbound
 	v.mu.Unlock()
-	if p != nil && p.Waiting() < mostVoteMiB<<20 {
+	if p != nil && p.Waiting() < maxVoterQueueMiB<<20 {
 		p.Send(data)
 	}
 }
 
 // reach keeps a link to another voter.
-func (m *Member) reach(id uint64, v *voteLink) {
-	wait := againFrom
+func (m *Member) maintainVoterLink(id uint64, v *voterLink) {
+	wait := minRedialBackoff
 	for m.ctx.Err() == nil {
-		p, err := client.Open(m.ctx, m.plane.Fleet, m.plane.Keys, m.self.Name, v.to, client.ForVote)
+		p, err := client.OpenLink(m.ctx, m.controlPlane.Fleet, m.controlPlane.Keys, m.self.Name, v.peer, client.PurposeVote)
 		if err == nil {
-			wait = againFrom
+			wait = minRedialBackoff
 			v.mu.Lock()
-			v.out = p
+			v.outbound = p
 			v.mu.Unlock()
 			stop := context.AfterFunc(m.ctx, p.Close)
-			err = p.Run(0, voteSilence, func([]byte) {}, nil)
+			err = p.Run(0, voterIdleTimeout, func([]byte) {}, nil)
 			stop()
 			v.mu.Lock()
-			v.out = nil
+			v.outbound = nil
 			v.mu.Unlock()
-			m.log.Warn("voter lost", "name", v.to.Name, "error", err)
+			m.log.Warn("voter lost", "name", v.peer.Name, "error", err)
 		} else if errors.Is(err, transport.ErrKey) {
-			m.sayOdd(v.to.Name, err)
+			m.logRefused(v.peer.Name, err)
 		}
 		select {
 		case <-m.ctx.Done():
 		case <-time.After(wait/2 + rand.N(wait)):
 		}
-		wait = min(wait*2, againUpTo)
+		wait = min(wait*2, maxRedialBackoff)
 	}
 }
 
 // sayOdd logs now and then what links end by that should not be.
-func (m *Member) sayOdd(who string, err error) {
-	m.unsaid.Add(1)
-	m.odd.Do(func() { m.log.Warn("link refused", "who", who, "error", err, "since_last", m.unsaid.Swap(0)) })
+func (m *Member) logRefused(who string, err error) {
+	m.refusedSinceLog.Add(1)
+	m.refusedLog.Do(func() { m.log.Warn("link refused", "who", who, "error", err, "since_last", m.refusedSinceLog.Swap(0)) })
 }
 
-func (m *Member) listen(l net.Listener) {
-	unproven := make(chan struct{}, mostUnproven)
+func (m *Member) acceptConnections(l net.Listener) {
+	unproven := make(chan struct{}, maxUnauthenticated)
 	for {
 		select {
 		case unproven <- struct{}{}:
@@ -414,30 +414,30 @@
 			}
 			<-unproven
 			select {
-			case <-time.After(acceptAgain):
+			case <-time.After(acceptRetryDelay):
 			case <-m.ctx.Done():
 			}
 			continue
 		}
-		m.wg.Go(func() { m.hear(c, sync.OnceFunc(func() { <-unproven })) })
+		m.wg.Go(func() { m.serveConnection(c, sync.OnceFunc(func() { <-unproven })) })
 	}
 }
 
 // hear takes a link that another process opens, for what it says that it is for.
-func (m *Member) hear(c net.Conn, proved func()) {
+func (m *Member) serveConnection(c net.Conn, proved func()) {
 	defer proved()
 	defer c.Close()
 	stop := context.AfterFunc(m.ctx, func() { _ = c.Close() })
 	defer stop()
 	p := transport.NewPipe(c)
 	who := c.RemoteAddr().String()
-	from, _, err := transport.Take(c, p.Reader(), m.plane.Keys, client.Fleet(m.plane.Fleet), m.self.Name, m.life())
+	from, _, err := transport.Take(c, p.Reader(), m.controlPlane.Keys, client.HandshakeFleet(m.controlPlane.Fleet), m.self.Name, m.incarnation())
 	what := ""
 	if err == nil {
-		_ = c.SetReadDeadline(time.Now().Add(openWithin))
+		_ = c.SetReadDeadline(time.Now().Add(headerTimeout))
 		var data []byte
-		if data, err = transport.ReadFrame(p.Reader(), mostOpening); err == nil {
-			what, err = client.ReadOpening(data)
+		if data, err = transport.ReadFrame(p.Reader(), maxHeaderBytes); err == nil {
+			what, err = client.DecodeLinkHeader(data)
 		}
 		_ = c.SetReadDeadline(time.Time{})
 		who += " " + from
@@ -448,43 +448,43 @@
 	}
 	if err == nil {
 		switch what {
-		case client.ForFollow:
-			err = m.serve(p, from)
-		case client.ForVote:
-			err = m.vote(p, from)
-		case client.ForCall:
-			err = m.take(p)
+		case client.PurposeFollow:
+			err = m.serveFollower(p, from)
+		case client.PurposeVote:
+			err = m.serveVoter(p, from)
+		case client.PurposeCall:
+			err = m.serveCall(p)
 		default:
 			err = fmt.Errorf("a link for %.20q", what)
 		}
 	}
 	if err != nil && m.ctx.Err() == nil {
-		m.sayOdd(who, err)
+		m.logRefused(who, err)
 	}
 }
 
 const (
-	openWithin  = 2 * time.Second
-	mostOpening = 1 << 10
+	headerTimeout  = 2 * time.Second
+	maxHeaderBytes = 1 << 10
 )
 
 // life is what handshakes tell processes of one name apart by; nothing here asks for it.
-func (m *Member) life() uint64 { return max(uint64(m.clock.Now()), 1) }
+func (m *Member) incarnation() uint64 { return max(uint64(m.clock.Now()), 1) }
 
-var errMany = errors.New("too many links")
+var errTooManyFollowers = errors.New("too many links")
 
 // serve has a follower followed until its link ends; ends that can be are no error.
-func (m *Member) serve(p *transport.Pipe, name string) error {
+func (m *Member) serveFollower(p *transport.Pipe, name string) error {
 	told := make(chan uint64, 1)
-	m.box.Put(func() {
-		if len(m.conns) >= mostConns {
+	m.mailbox.Put(func() {
+		if len(m.followers) >= maxFollowers {
 			told <- 0
 			return
 		}
-		m.seq++
-		m.conns[m.seq] = &conn{p, name}
-		m.server.Join(m.clock.Now(), m.seq, name)
-		told <- m.seq
+		m.lastFollowerID++
+		m.followers[m.lastFollowerID] = &followerConn{p, name}
+		m.server.AddConnection(m.clock.Now(), m.lastFollowerID, name)
+		told <- m.lastFollowerID
 	})
 	var id uint64
 	select {
@@ -493,41 +493,41 @@
 		return nil
 	}
 	if id == 0 {
-		return errMany
+		return errTooManyFollowers
 	}
 	odd := make(chan error, 1)
-	room := make(chan struct{}, mostInHand)
-	err := p.Run(controlplane.MostFrame, controlplane.LeaseMs*time.Millisecond, func(data []byte) {
+	room := make(chan struct{}, maxQueuedFrames)
+	err := p.Run(controlplane.MaxFrameBytes, controlplane.LeaseDurationMs*time.Millisecond, func(data []byte) {
 		select {
 		case room <- struct{}{}:
 		case <-m.ctx.Done():
 			return
 		}
-		m.box.Put(func() {
+		m.mailbox.Put(func() {
 			<-room
-			if m.conns[id] == nil {
+			if m.followers[id] == nil {
 				return
 			}
-			if err := m.server.Frame(m.clock.Now(), id, data); err != nil {
-				delete(m.conns, id)
+			if err := m.server.HandleFrame(m.clock.Now(), id, data); err != nil {
+				delete(m.followers, id)
 				odd <- err // at most once: it is served no more
 				p.Close()
 			}
 		})
 	}, func(bytes int) {
-		m.box.Put(func() {
-			if m.conns[id] != nil {
-				m.server.Sent(m.clock.Now(), id, bytes)
+		m.mailbox.Put(func() {
+			if m.followers[id] != nil {
+				m.server.BytesWritten(m.clock.Now(), id, bytes)
 			}
 		})
 	})
-	m.box.Put(func() {
+	m.mailbox.Put(func() {
 		in, out, _, _ := p.Counts()
-		m.in += in
-		m.out += out
-		if m.conns[id] != nil {
-			delete(m.conns, id)
-			m.server.Leave(m.clock.Now(), id)
+		m.closedBytesIn += in
+		m.closedBytesOut += out
+		if m.followers[id] != nil {
+			delete(m.followers, id)
+			m.server.RemoveConnection(m.clock.Now(), id)
 		}
 	})
 	select {
@@ -535,11 +535,11 @@
 		return err
 	default:
 	}
-	return unusual(err)
+	return ignoreExpectedClose(err)
 }
 
 // unusual is an end that should not be: a frame too long, no end of a connection.
-func unusual(err error) error {
+func ignoreExpectedClose(err error) error {
 	var long *transport.LongError
 	if errors.As(err, &long) {
 		return err
@@ -548,22 +548,22 @@
 }
 
 // vote takes another voter's messages; a later link takes the place of one before.
-func (m *Member) vote(p *transport.Pipe, name string) error {
-	id := m.numbers[name]
-	v := m.votes[id]
+func (m *Member) serveVoter(p *transport.Pipe, name string) error {
+	id := m.voterIDs[name]
+	v := m.voterLinks[id]
 	if v == nil {
 		return fmt.Errorf("%.40q is no other voter", name)
 	}
-	m.box.Put(func() {
-		if v.in != nil {
-			v.in.Close()
+	m.mailbox.Put(func() {
+		if v.inbound != nil {
+			v.inbound.Close()
 		}
-		v.in = p
+		v.inbound = p
 	})
 	over := make(chan struct{})
 	defer close(over)
 	m.wg.Go(func() { // so that the caller knows the link to carry
-		tick := time.NewTicker(voteWord)
+		tick := time.NewTicker(voterKeepaliveInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -574,17 +574,17 @@
 			}
 		}
 	})
-	room := make(chan struct{}, mostInHand)
-	return unusual(p.Run(controlplane.MostFrame, 0, func(data []byte) {
+	room := make(chan struct{}, maxQueuedFrames)
+	return ignoreExpectedClose(p.Run(controlplane.MaxFrameBytes, 0, func(data []byte) {
 		select {
 		case room <- struct{}{}:
 		case <-m.ctx.Done():
 			return
 		}
-		m.box.Put(func() {
+		m.mailbox.Put(func() {
 			<-room
-			if v.in == p {
-				m.voter.Message(m.clock.Now(), id, data)
+			if v.inbound == p {
+				m.voter.HandleMessage(m.clock.Now(), id, data)
 			}
 		})
 	}, nil))
@@ -593,8 +593,8 @@
 // validator tells whether a text can be put in force by nodes that have the head. It keeps what it read last: the next head is mostly
 // the text that it has just allowed, and reading 140,000 tenants takes a second.
 type validator struct {
-	mu   sync.Mutex
-	read [2]struct {
+	mu    sync.Mutex
+	cache [2]struct {
 		digest controlplane.Digest
 		told   *config.Deployment
 	}
@@ -603,28 +603,28 @@
 func (v *validator) check(next *controlplane.Document, version uint64, head *controlplane.Document) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	told, err := v.settings(next)
+	told, err := v.parse(next)
 	if err != nil || version == 0 {
 		return err
 	}
-	old, err := v.settings(head)
+	old, err := v.parse(head)
 	if err != nil {
 		return nil // a head that no node can read is not to keep a better one out
 	}
 	return told.Follows(old)
 }
 
-func (v *validator) settings(d *controlplane.Document) (*config.Deployment, error) {
+func (v *validator) parse(d *controlplane.Document) (*config.Deployment, error) {
 	digest := d.Digest()
-	for k := range v.read {
-		if v.read[k].told != nil && v.read[k].digest == digest {
-			return v.read[k].told, nil
+	for k := range v.cache {
+		if v.cache[k].told != nil && v.cache[k].digest == digest {
+			return v.cache[k].told, nil
 		}
 	}
 	told, err := config.Shared(d.Text(), nil)
 	if err == nil {
-		v.read[1] = v.read[0]
-		v.read[0].digest, v.read[0].told = digest, told
+		v.cache[1] = v.cache[0]
+		v.cache[0].digest, v.cache[0].told = digest, told
 	}
 	return told, err
 }
--- a/internal/controlplane/member/member_test.go
+++ b/internal/controlplane/member/member_test.go
@@ -29,24 +29,24 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type lines struct {
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
-func entry(index, term uint64) *pb.Entry {
+func testEntry(index, term uint64) *pb.Entry {
 	return &pb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Type: pb.EntryNormal.Enum(), Data: fmt.Appendf(nil, "%d of %d", index, term)}
 }
 
@@ -58,7 +58,7 @@
 		defer os.RemoveAll(dir)
 		path := filepath.Join(dir, "c1.db")
 		want := controlplane.Bootstrap([]uint64{1, 2, 3})
-		s, got, err := openStore(path, "f/c1", want)
+		s, got, err := openVoterStore(path, "f/c1", want)
 		require.NoError(t, err)
 		term := uint64(1)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
@@ -72,35 +72,35 @@
 			case 0:
 				at := rapid.Uint64Range(first+1, last+1).Draw(t, "from")
 				for k := range rapid.Uint64Range(1, 5).Draw(t, "many") {
-					p.Entries = append(p.Entries, entry(at+k, term))
+					p.Entries = append(p.Entries, testEntry(at+k, term))
 				}
 				last = at + uint64(len(p.Entries)) - 1
 			case 1:
 				if last == first {
 					continue
 				}
-				p.Snapshot = &pb.Snapshot{Data: []byte("image"), Metadata: &pb.SnapshotMetadata{ConfState: want.Conf, Term: proto.Uint64(term),
+				p.Snapshot = &pb.Snapshot{Data: []byte("image"), Metadata: &pb.SnapshotMetadata{ConfState: want.ConfState, Term: proto.Uint64(term),
 					Index: proto.Uint64(rapid.Uint64Range(first+1, last).Draw(t, "image"))}}
 			case 2:
 				p.Restored = true
-				p.Snapshot = &pb.Snapshot{Data: []byte("theirs"), Metadata: &pb.SnapshotMetadata{ConfState: want.Conf, Term: proto.Uint64(term),
+				p.Snapshot = &pb.Snapshot{Data: []byte("theirs"), Metadata: &pb.SnapshotMetadata{ConfState: want.ConfState, Term: proto.Uint64(term),
 					Index: proto.Uint64(rapid.Uint64Range(first+1, last+9).Draw(t, "image"))}}
 				last = p.Snapshot.GetMetadata().GetIndex()
 			}
-			p.Hard = &pb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(2), Commit: proto.Uint64(first)}
+			p.HardState = &pb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(2), Commit: proto.Uint64(first)}
 			require.NoError(t, s.persist(p))
-			want.Keep(p)
+			want.ApplyPersist(p)
 			if rapid.Bool().Draw(t, "restart") {
 				require.NoError(t, s.close())
-				s, got, err = openStore(path, "f/c1", nil)
+				s, got, err = openVoterStore(path, "f/c1", nil)
 				require.NoError(t, err)
 			}
 		}
 		require.NoError(t, s.close())
-		s, got, err = openStore(path, "f/c1", nil)
+		s, got, err = openVoterStore(path, "f/c1", nil)
 		require.NoError(t, err)
 		require.NoError(t, s.close())
-		require.True(t, proto.Equal(want.Hard, got.Hard))
+		require.True(t, proto.Equal(want.HardState, got.HardState))
 		require.True(t, proto.Equal(want.Snapshot, got.Snapshot))
 		require.Len(t, got.Entries, len(want.Entries))
 		for k := range want.Entries {
@@ -114,34 +114,34 @@
 func TestStoreDamaged(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "c1.db")
-	_, _, err := openStore(path, "f/c1", nil)
+	_, _, err := openVoterStore(path, "f/c1", nil)
 	require.ErrorContains(t, err, "--bootstrap")
-	s, _, err := openStore(path, "f/c1", controlplane.Bootstrap([]uint64{1, 2, 3}))
+	s, _, err := openVoterStore(path, "f/c1", controlplane.Bootstrap([]uint64{1, 2, 3}))
 	require.NoError(t, err)
 	var all []*pb.Entry
 	for k := range uint64(40) {
-		all = append(all, entry(2+k, 2))
+		all = append(all, testEntry(2+k, 2))
 	}
-	require.NoError(t, s.persist(&controlplane.Persist{Hard: &pb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(9)}, Entries: all}))
-	_, _, err = openStore(path, "f/c1", nil)
+	require.NoError(t, s.persist(&controlplane.Persist{HardState: &pb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(9)}, Entries: all}))
+	_, _, err = openVoterStore(path, "f/c1", nil)
 	require.ErrorContains(t, err, "another process has it")
 	require.NoError(t, s.close())
-	_, _, err = openStore(path, "f/c2", nil)
+	_, _, err = openVoterStore(path, "f/c2", nil)
 	require.ErrorContains(t, err, "the store of f/c1, not of f/c2")
-	_, _, err = openStore(path, "f/c1", controlplane.Bootstrap([]uint64{1, 2, 3}))
+	_, _, err = openVoterStore(path, "f/c1", controlplane.Bootstrap([]uint64{1, 2, 3}))
 	require.ErrorContains(t, err, "there is a store already")
 	whole, err := os.ReadFile(path)
 	require.NoError(t, err)
-	want, err := readStore(path, "f/c1")
+	want, err := readVoterStore(path, "f/c1")
 	require.NoError(t, err)
 	odd := filepath.Join(dir, "odd.db")
 	same := func(what string, k int) {
-		got, err := readStore(odd, "f/c1")
+		got, err := readVoterStore(odd, "f/c1")
 		if err != nil {
 			require.NotContains(t, err.Error(), "\n")
 			return
 		}
-		require.True(t, proto.Equal(want.Hard, got.Hard) && proto.Equal(want.Snapshot, got.Snapshot) && len(want.Entries) == len(got.Entries), "%s %d", what, k)
+		require.True(t, proto.Equal(want.HardState, got.HardState) && proto.Equal(want.Snapshot, got.Snapshot) && len(want.Entries) == len(got.Entries), "%s %d", what, k)
 		for n := range want.Entries {
 			require.True(t, proto.Equal(want.Entries[n], got.Entries[n]), "%s %d", what, k)
 		}
@@ -158,14 +158,14 @@
 	}
 	db, err := bbolt.Open(path, 0o600, nil) // the last entry is lost, with all checksums right
 	require.NoError(t, err)
-	require.NoError(t, db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(entries).Delete([]byte(indexKey(41))) }))
+	require.NoError(t, db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(entriesBucket).Delete([]byte(entryKey(41))) }))
 	require.NoError(t, db.Close())
-	_, _, err = openStore(path, "f/c1", nil)
+	_, _, err = openVoterStore(path, "f/c1", nil)
 	require.ErrorContains(t, err, "entries end before 41")
 }
 
 // plane writes the file of a control plane of one voter and one relay, and reads it.
-func plane(t *testing.T) *client.Plane {
+func testControlPlane(t *testing.T) *client.ControlPlane {
 	dir := t.TempDir()
 	free := func() string {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.5:0", 64+os.Getpid()>>8&0x3f, os.Getpid()&0xff))
@@ -183,8 +183,8 @@
 }
 
 // begin runs a member until the test's end.
-func begin(t *testing.T, p *client.Plane, name string, o Options) *lines {
-	log, ended := &lines{}, make(chan error, 1)
+func startMember(t *testing.T, p *client.ControlPlane, name string, o Options) *logBuffer {
+	log, ended := &logBuffer{}, make(chan error, 1)
 	ctx, end := context.WithCancel(context.Background())
 	go func() { ended <- Run(ctx, p, name, o, slog.New(slog.NewTextHandler(log, nil))) }()
 	t.Cleanup(func() {
@@ -203,12 +203,12 @@
 // Garbage, a wrong key, a stranger, an unknown version, a frame too long, before and after the proof: the link ends, the lines are few,
 // and a follower beside them goes on.
 func TestOddCallersAreRefused(t *testing.T) {
-	p := plane(t)
-	log := begin(t, p, "c1", Options{Bootstrap: true, Control: filepath.Join(t.TempDir(), "s")})
-	begin(t, p, "c2", Options{})
+	p := testControlPlane(t)
+	log := startMember(t, p, "c1", Options{Bootstrap: true, Control: filepath.Join(t.TempDir(), "s")})
+	startMember(t, p, "c2", Options{})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	version, err := p.Apply(ctx, 0, []byte(settings), "test", "")
+	version, err := p.Apply(ctx, 0, []byte(testSettings), "test", "")
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), version)
 	to := p.Members[0]
@@ -230,7 +230,7 @@
 		ends(c)
 	}
 	c := dial()
-	_, err = transport.Call(c, [][]byte{bytes.Repeat([]byte{9}, 32)}, client.Fleet("f"), "n1", "c1", 1)
+	_, err = transport.Call(c, [][]byte{bytes.Repeat([]byte{9}, 32)}, client.HandshakeFleet("f"), "n1", "c1", 1)
 	require.ErrorIs(t, err, transport.ErrKey)
 	ends(c)
 	c = dial()
@@ -238,23 +238,23 @@
 	require.Error(t, err)
 	ends(c)
 	opening := func(version int, what string) []byte {
-		return snapshot.Append(nil, &client.Opening{Version: version, For: what})
+		return snapshot.Append(nil, &client.LinkHeader{Version: version, Purpose: what})
 	}
 	long := []byte("\xff\xff\xff\xff")
 	for what, frames := range map[string][][]byte{
 		"no opening":         {[]byte("garbage")},
-		"another version":    {opening(9, client.ForFollow)},
-		"for what":           {opening(client.Protocol, "else")},
-		"no voter":           {opening(client.Protocol, client.ForVote)},
-		"a follower's":       {opening(client.Protocol, client.ForFollow), []byte("garbage")},
-		"a follower's empty": {opening(client.Protocol, client.ForFollow), {}},
-		"a caller's":         {opening(client.Protocol, client.ForCall), {7, 7}},
-		"a caller's message": {opening(client.Protocol, client.ForCall), {0, 1, 2, 3}},
-		"a follower's long":  {opening(client.Protocol, client.ForFollow), long},
-		"a caller's long":    {opening(client.Protocol, client.ForCall), long},
+		"another version":    {opening(9, client.PurposeFollow)},
+		"for what":           {opening(client.ProtocolVersion, "else")},
+		"no voter":           {opening(client.ProtocolVersion, client.PurposeVote)},
+		"a follower's":       {opening(client.ProtocolVersion, client.PurposeFollow), []byte("garbage")},
+		"a follower's empty": {opening(client.ProtocolVersion, client.PurposeFollow), {}},
+		"a caller's":         {opening(client.ProtocolVersion, client.PurposeCall), {7, 7}},
+		"a caller's message": {opening(client.ProtocolVersion, client.PurposeCall), {0, 1, 2, 3}},
+		"a follower's long":  {opening(client.ProtocolVersion, client.PurposeFollow), long},
+		"a caller's long":    {opening(client.ProtocolVersion, client.PurposeCall), long},
 	} {
 		c := dial()
-		_, err := transport.Call(c, p.Keys, client.Fleet("f"), "n1", "c1", 1)
+		_, err := transport.Call(c, p.Keys, client.HandshakeFleet("f"), "n1", "c1", 1)
 		require.NoError(t, err, what)
 		for _, f := range frames {
 			if bytes.Equal(f, long) {
@@ -268,43 +268,43 @@
 	}
 	require.Less(t, strings.Count(log.String(), "link refused"), 8, log)
 	require.NotContains(t, log.String(), "panic")
-	r := client.Reported(p.Statuses(ctx))
-	require.Empty(t, r.Fault())
+	r := client.NewReport(p.MemberStatuses(ctx))
+	require.Empty(t, r.FirstProblem())
 	require.Eventually(t, func() bool {
-		r = client.Reported(p.Statuses(ctx))
+		r = client.NewReport(p.MemberStatuses(ctx))
 		return r.Members[0].Head == 1 && r.Members[1].Head == 1
 	}, 10*time.Second, 10*time.Millisecond, "the relay goes on")
 }
 
 // Connections that prove nothing take their places for a while, and no more: a caller comes through behind 200 of them.
 func TestSilentCallersKeepNobodyOut(t *testing.T) {
-	p := plane(t)
-	begin(t, p, "c1", Options{Bootstrap: true})
+	p := testControlPlane(t)
+	startMember(t, p, "c1", Options{Bootstrap: true})
 	for range 200 {
 		c, err := net.Dial("tcp", p.Members[0].Address)
 		require.NoError(t, err)
 		defer c.Close()
 	}
 	require.Eventually(t, func() bool {
-		a := p.Statuses(t.Context())
+		a := p.MemberStatuses(t.Context())
 		return a[0].Err == nil
 	}, 15*time.Second, 10*time.Millisecond)
 }
 
 // Bad starts end with one line each.
 func TestBadStarts(t *testing.T) {
-	p := plane(t)
+	p := testControlPlane(t)
 	run := func(name string, o Options) error { return Run(t.Context(), p, name, o, slog.New(slog.DiscardHandler)) }
 	require.ErrorContains(t, run("c9", Options{}), `none is called "c9"`)
 	require.ErrorContains(t, run("c1", Options{}), "no store: a voter's first start takes --bootstrap")
 	require.ErrorContains(t, run("c2", Options{Bootstrap: true}), "is no voter")
-	begin(t, p, "c1", Options{Bootstrap: true})
+	startMember(t, p, "c1", Options{Bootstrap: true})
 	require.ErrorContains(t, run("c1", Options{}), "another process has it")
-	begin(t, p, "c2", Options{})
+	startMember(t, p, "c2", Options{})
 	require.ErrorContains(t, run("c2", Options{}), "another process has its state")
 }
 
-const settings = `{"az":0,"balancers":1,"benefitBy":"request","bounds":{"cancel":true,"connIdle":15000,"connectTimeout":250,
+const testSettings = `{"az":0,"balancers":1,"benefitBy":"request","bounds":{"cancel":true,"connIdle":15000,"connectTimeout":250,
 "mostHeld":20000,"mostPushes":3,"retryAfter":true,"maxRetryAfter":2000,"secondCopies":true},"categories":[
 {"benefit":1,"idempotency":"pure","name":"check","overdueBenefit":0.2,"targetLatency":2500,"ttl":6000}],
 "kinds":["m"],"loadReport":{"fields":["mean_ms"],"via":"inline"},"registryMode":"subscribe","rules":{"askWithin":10000,
@@ -313,7 +313,7 @@
 // A text is held against the head, whichever texts were read between.
 func TestValidator(t *testing.T) {
 	doc := func(pairs ...string) *controlplane.Document {
-		d, err := controlplane.Parse([]byte(strings.NewReplacer(pairs...).Replace(settings)))
+		d, err := controlplane.Parse([]byte(strings.NewReplacer(pairs...).Replace(testSettings)))
 		require.NoError(t, err)
 		return d
 	}
--- a/internal/controlplane/member/store.go
+++ b/internal/controlplane/member/store.go
@@ -22,24 +22,24 @@
 )
 
 // schema is the version of what is kept; another one is refused.
-const schema = "1"
+const schemaVersion = "1"
 
 var (
-	bucket  = []byte("voter")   // by name
-	entries = []byte("entries") // by index, big end first
+	voterBucket   = []byte("voter")   // by name
+	entriesBucket = []byte("entries") // by index, big end first
 )
 
 // store is a voter's durable state, with one writer. Every value carries its checksum; the place of the last entry is kept too, so
 // that none can be missing at the end.
-type store struct {
-	db   *bbolt.DB
-	lock *os.File
-	last uint64
+type voterStore struct {
+	db        *bbolt.DB
+	lock      *os.File
+	lastIndex uint64
 }
 
 // openStore opens a voter's state, or begins it where begin is given. A voter that has lost what it voted for must not vote again:
 // whatever is missing or damaged is an error, and nothing is set aside.
-func openStore(path, owner string, begin *controlplane.Stored) (s *store, kept *controlplane.Stored, err error) {
+func openVoterStore(path, owner string, begin *controlplane.StoredState) (s *voterStore, kept *controlplane.StoredState, err error) {
 	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, nil, err
@@ -52,7 +52,7 @@
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return nil, nil, fmt.Errorf("%s: another process has it", path)
 	}
-	kept, err = readStore(path, owner)
+	kept, err = readVoterStore(path, owner)
 	switch {
 	case errors.Is(err, fs.ErrNotExist) && begin == nil:
 		return nil, nil, fmt.Errorf("%s: no store: a voter's first start takes --bootstrap, and one that has lost its store must not vote", path)
@@ -72,15 +72,15 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	s = &store{db: db, lock: lock}
-	if err := errors.Join(s.begin(owner, kept), os.Rename(fresh, path), syncDir(filepath.Dir(path))); err != nil {
+	s = &voterStore{db: db, lock: lock}
+	if err := errors.Join(s.initialize(owner, kept), os.Rename(fresh, path), syncDirectory(filepath.Dir(path))); err != nil {
 		_ = db.Close()
 		return nil, nil, err
 	}
 	return s, kept, nil
 }
 
-func syncDir(name string) error {
+func syncDirectory(name string) error {
 	d, err := os.Open(name)
 	if err != nil {
 		return err
@@ -89,32 +89,32 @@
 	return d.Sync()
 }
 
-func (s *store) close() error { return errors.Join(s.db.Close(), s.lock.Close()) }
+func (s *voterStore) close() error { return errors.Join(s.db.Close(), s.lock.Close()) }
 
-func (s *store) begin(owner string, kept *controlplane.Stored) error {
+func (s *voterStore) initialize(owner string, kept *controlplane.StoredState) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		b, err := tx.CreateBucket(bucket)
+		b, err := tx.CreateBucket(voterBucket)
 		if err != nil {
 			return err
 		}
-		if _, err := tx.CreateBucket(entries); err != nil {
+		if _, err := tx.CreateBucket(entriesBucket); err != nil {
 			return err
 		}
-		if err := errors.Join(b.Put([]byte("schema"), boltfile.Seal(schema)), b.Put([]byte("owner"), boltfile.Seal(owner)),
-			s.put(tx, kept.Hard, kept.Snapshot, kept.Entries)); err != nil {
+		if err := errors.Join(b.Put([]byte("schema"), boltfile.Seal(schemaVersion)), b.Put([]byte("owner"), boltfile.Seal(owner)),
+			s.putState(tx, kept.HardState, kept.Snapshot, kept.Entries)); err != nil {
 			return err
 		}
-		return s.putLast(b)
+		return s.putLastIndex(b)
 	})
 }
 
 // message is what of raft's is kept.
-type message interface {
+type raftMessage interface {
 	*pb.HardState | *pb.Snapshot | *pb.Entry
 	proto.Message
 }
 
-func put[M message](b *bbolt.Bucket, key string, m M) error {
+func putMessage[M raftMessage](b *bbolt.Bucket, key string, m M) error {
 	if m == nil {
 		return nil
 	}
@@ -125,58 +125,58 @@
 	return b.Put([]byte(key), boltfile.Seal(string(data)))
 }
 
-func indexKey(index uint64) string { return string(binary.BigEndian.AppendUint64(nil, index)) }
+func entryKey(index uint64) string { return string(binary.BigEndian.AppendUint64(nil, index)) }
 
-func (s *store) put(tx *bbolt.Tx, hard *pb.HardState, snapshot *pb.Snapshot, all []*pb.Entry) error {
-	b, e := tx.Bucket(bucket), tx.Bucket(entries)
-	if err := errors.Join(put(b, "hard", hard), put(b, "snapshot", snapshot)); err != nil {
+func (s *voterStore) putState(tx *bbolt.Tx, hard *pb.HardState, snapshot *pb.Snapshot, all []*pb.Entry) error {
+	b, e := tx.Bucket(voterBucket), tx.Bucket(entriesBucket)
+	if err := errors.Join(putMessage(b, "hard", hard), putMessage(b, "snapshot", snapshot)); err != nil {
 		return err
 	}
 	for _, entry := range all {
-		if err := put(e, indexKey(entry.GetIndex()), entry); err != nil {
+		if err := putMessage(e, entryKey(entry.GetIndex()), entry); err != nil {
 			return err
 		}
-		s.last = entry.GetIndex()
+		s.lastIndex = entry.GetIndex()
 	}
 	return nil
 }
 
-func (s *store) putLast(b *bbolt.Bucket) error {
-	return b.Put([]byte("last"), boltfile.Seal(strconv.FormatUint(s.last, 10)))
+func (s *voterStore) putLastIndex(b *bbolt.Bucket) error {
+	return b.Put([]byte("last"), boltfile.Seal(strconv.FormatUint(s.lastIndex, 10)))
 }
 
 // persist makes what a voter gives durable, as one.
-func (s *store) persist(p *controlplane.Persist) error {
+func (s *voterStore) persist(p *controlplane.Persist) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		e, last := tx.Bucket(entries), s.last
+		e, last := tx.Bucket(entriesBucket), s.lastIndex
 		if p.Snapshot != nil { // entries up to it go
 			upTo := p.Snapshot.GetMetadata().GetIndex()
 			if p.Restored {
 				upTo = last
 			}
-			if err := drop(e, 0, upTo); err != nil {
+			if err := deleteEntries(e, 0, upTo); err != nil {
 				return err
 			}
 			if p.Restored || upTo >= last {
-				s.last = 0
+				s.lastIndex = 0
 			}
 		}
 		if len(p.Entries) > 0 { // and those whose place is taken
-			if err := drop(e, p.Entries[0].GetIndex(), last); err != nil {
+			if err := deleteEntries(e, p.Entries[0].GetIndex(), last); err != nil {
 				return err
 			}
 		}
-		if err := s.put(tx, p.Hard, p.Snapshot, p.Entries); err != nil {
+		if err := s.putState(tx, p.HardState, p.Snapshot, p.Entries); err != nil {
 			return err
 		}
-		return s.putLast(tx.Bucket(bucket))
+		return s.putLastIndex(tx.Bucket(voterBucket))
 	})
 }
 
 // drop takes out the entries from one index to another.
-func drop(e *bbolt.Bucket, from, to uint64) error {
+func deleteEntries(e *bbolt.Bucket, from, to uint64) error {
 	c := e.Cursor()
-	for k, _ := c.Seek([]byte(indexKey(from))); k != nil && string(k) <= indexKey(to); k, _ = c.Seek([]byte(indexKey(from))) {
+	for k, _ := c.Seek([]byte(entryKey(from))); k != nil && string(k) <= entryKey(to); k, _ = c.Seek([]byte(entryKey(from))) {
 		if err := e.Delete(k); err != nil {
 			return err
 		}
@@ -185,7 +185,7 @@
 }
 
 // readStore reads a store whole, and trusts nothing in it that has no checksum.
-func readStore(path, owner string) (kept *controlplane.Stored, err error) {
+func readVoterStore(path, owner string) (kept *controlplane.StoredState, err error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
 	}
@@ -212,9 +212,9 @@
 		return nil, damaged("%v", err)
 	}
 	defer db.Close()
-	kept = &controlplane.Stored{}
+	kept = &controlplane.StoredState{}
 	err = db.View(func(tx *bbolt.Tx) error {
-		b, e := tx.Bucket(bucket), tx.Bucket(entries)
+		b, e := tx.Bucket(voterBucket), tx.Bucket(entriesBucket)
 		if b == nil || e == nil {
 			return damaged("no buckets")
 		}
@@ -227,8 +227,8 @@
 		}
 		if v, err := text("schema"); err != nil {
 			return err
-		} else if v != schema {
-			return fmt.Errorf("%s: schema %s, this build has %s", path, v, schema)
+		} else if v != schemaVersion {
+			return fmt.Errorf("%s: schema %s, this build has %s", path, v, schemaVersion)
 		}
 		if v, err := text("owner"); err != nil {
 			return err
@@ -243,8 +243,8 @@
 		if err != nil {
 			return damaged("last")
 		}
-		kept.Hard, kept.Snapshot = &pb.HardState{}, &pb.Snapshot{}
-		for key, m := range map[string]proto.Message{"hard": kept.Hard, "snapshot": kept.Snapshot} {
+		kept.HardState, kept.Snapshot = &pb.HardState{}, &pb.Snapshot{}
+		for key, m := range map[string]proto.Message{"hard": kept.HardState, "snapshot": kept.Snapshot} {
 			v, err := text(key)
 			if err != nil {
 				return err
@@ -253,7 +253,7 @@
 				return damaged("%s: %v", key, err)
 			}
 		}
-		kept.Conf = kept.Snapshot.GetMetadata().GetConfState()
+		kept.ConfState = kept.Snapshot.GetMetadata().GetConfState()
 		c, steps := e.Cursor(), 0
 		for k, v := c.First(); k != nil; k, v = c.Next() {
 			if steps++; steps > 10_000_000 { // pages that point at each other
@@ -268,7 +268,7 @@
 				return damaged("entry %x: %v", k, err)
 			}
 			n := len(kept.Entries)
-			if indexKey(entry.GetIndex()) != string(k) || n > 0 && entry.GetIndex() != kept.Entries[n-1].GetIndex()+1 {
+			if entryKey(entry.GetIndex()) != string(k) || n > 0 && entry.GetIndex() != kept.Entries[n-1].GetIndex()+1 {
 				return damaged("entry %d out of place", entry.GetIndex())
 			}
 			kept.Entries = append(kept.Entries, entry)
@@ -279,8 +279,8 @@
 			return damaged("entries end before %d", last)
 		case n > 0 && kept.Entries[0].GetIndex() > first+1:
 			return damaged("entries begin at %d, the snapshot ends at %d", kept.Entries[0].GetIndex(), first)
-		case kept.Hard.GetCommit() > max(last, first):
-			return damaged("%d are committed, %d there", kept.Hard.GetCommit(), max(last, first))
+		case kept.HardState.GetCommit() > max(last, first):
+			return damaged("%d are committed, %d there", kept.HardState.GetCommit(), max(last, first))
 		}
 		return nil
 	})
--- a/internal/controlplane/numbers_test.go
+++ b/internal/controlplane/numbers_test.go
@@ -9,7 +9,7 @@
 
 // Links hold these numbers.
 func TestWireNumbers(t *testing.T) {
-	text := fmt.Sprintln(protocol, imageForm, frameHello, frameStatus, frameChange, frameHeartbeat, frameBegin, frameChunk, int(Done), int(Conflict), int(NotLeader),
-		int(Lost), int(Invalid), int(Busy))
+	text := fmt.Sprintln(protocolVersion, historySnapshotFormat, frameHello, frameStatus, frameChange, frameHeartbeat, frameSnapshotBegin, frameSnapshotChunk, int(CodeDone), int(CodeConflict), int(CodeNotLeader),
+		int(CodeLeadershipLost), int(CodeInvalid), int(CodeBusy))
 	goldentest.Equal(t, "numbers.txt", []byte(text))
 }
--- a/internal/controlplane/rest_test.go
+++ b/internal/controlplane/rest_test.go
@@ -11,12 +11,12 @@
 func TestTwoOldCopiesInARow(t *testing.T) {
 	members := []Target{{"a", "east"}, {"b", "east"}, {"c", "east"}}
 	for seed := range uint64(20) {
-		f := NewFollower(FollowerConfig{Name: "n", Region: "east", Members: members, Seed: seed}, Copy{}, 0)
+		f := NewFollower(FollowerConfig{Name: "n", Region: "east", Members: members, Seed: seed}, VersionedDocument{}, 0)
 		var at []float64
-		for now := 0.0; now < 20e3 && len(at) < 3; now += TickMs {
+		for now := 0.0; now < 20e3 && len(at) < 3; now += TickIntervalMs {
 			f.Tick(now)
-			if f.link == linked && int(now/TickMs)%20 == 0 {
-				f.Frame(now, frame(frameHeartbeat, &heartbeat{Age: 3000, Echo: now, Offset: -3000, Digest: f.h.doc.digest.start()}))
+			if f.state == connectionUp && int(now/TickIntervalMs)%20 == 0 {
+				f.HandleFrame(now, encodeFrame(frameHeartbeat, &heartbeat{StalenessMs: 3000, StatusSentAt: now, FreshnessOffset: -3000, HeadDigestPrefix: f.history.headDocument.digest.prefix()}))
 			}
 			for o, ok := f.Next(); ok; o, ok = f.Next() {
 				if o.Dial {
