--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -9,69 +9,69 @@
 )
 
 const (
-	HeartbeatMs = 1000.0 // between two of a server's
-	LeaseMs     = 6000.0 // a follower that was not heard for so long is not told of any more
+	HeartbeatIntervalMs = 1000.0 // between two of a server's
+	LeaseDurationMs     = 6000.0 // a follower that was not heard for so long is not told of any more
 
-	statusEvery = 2000.0    // between two of a follower's
-	wholeRate   = 128.0     // bytes a ms of a whole, or of what was missed, to one follower: 128 KB/s
-	serverRate  = 2048.0    // and to all: 2 MB/s, a fifth of a slow network card
-	mostChunk   = 16 << 10  // a change waits behind one at most, to each
-	leastChunk  = 512       // over a link of 1 KB/s that is half a second, so that heartbeats are in time
-	mostOut     = 1 << 20   // bytes that a follower leaves unread before it is cut off
-	mostAhead   = 64 << 10  // of what was missed, unread
-	quickChunk  = 600.0     // ms: a chunk that was had so soon is followed by larger ones
-	slowChunk   = 1200.0    // and so late, by smaller ones
-	silentConn  = 10e3      // ms without a status, after which a connection is given up
-	mostLeases  = 16 << 10  // followers known: ten times the fleet
-	mostComes   = 4096      // versions whose time of arrival is known
-	wholeAgain  = 256 << 10 // bytes of changes since a packed whole, after which it is packed anew
+	statusInterval      = 2000.0    // between two of a follower's
+	followerRate        = 128.0     // bytes a ms of a whole, or of what was missed, to one follower: 128 KB/s
+	totalRate           = 2048.0    // and to all: 2 MB/s, a fifth of a slow network card
+	maxChunkBytes       = 16 << 10  // a change waits behind one at most, to each
+	minChunkBytes       = 512       // over a link of 1 KB/s that is half a second, so that heartbeats are in time
+	maxUnwrittenBytes   = 1 << 20   // bytes that a follower leaves unread before it is cut off
+	maxCatchUpBytes     = 64 << 10  // of what was missed, unread
+	fastChunkMs         = 600.0     // ms: a chunk that was had so soon is followed by larger ones
+	slowChunkMs         = 1200.0    // and so late, by smaller ones
+	statusTimeout       = 10e3      // ms without a status, after which a connection is given up
+	maxLeases           = 16 << 10  // followers known: ten times the fleet
+	maxArrivals         = 4096      // versions whose time of arrival is known
+	maxSnapshotLagBytes = 256 << 10 // bytes of changes since a packed whole, after which it is packed anew
 )
 
 // Server is what a member says to its followers: changes as they come, to each what it lacks, and how old all of it can be.
 type Server struct {
-	t       ServerConfig
-	chance  *rand.Rand
-	h       *History
-	version uint64
-	freshAt float64
-	conns   map[uint64]*conn
-	order   []*conn // as they came: chunks go round
-	turn    int
-	leases  map[string]*lease
-	credit  float64 // bytes for wholes, to all
-	ticked  float64
-	packed  *packed
-	comes   []float64 // when the latest versions came here, up to the head
-	out     []ServerOutput
+	config         ServerConfig
+	rng            *rand.Rand
+	history        *History
+	headVersion    uint64
+	freshAsOf      float64
+	conns          map[uint64]*followerConn
+	connOrder      []*followerConn // as they came: chunks go round
+	nextConn       int
+	leases         map[string]*lease
+	byteCredit     float64 // bytes for wholes, to all
+	lastTickAt     float64
+	cachedSnapshot *packedDocument
+	arrivals       []float64 // when the latest versions came here, up to the head
+	outputs        []ServerOutput
 }
 
-type conn struct {
-	id      uint64
-	name    string
-	heard   bool
-	region  string
-	kind    string
-	sent    uint64 // version up to which all was sent
-	live    bool   // it has been sent the head: changes go as they come
-	whole   *packed
-	at      int // bytes of it sent
-	got     int // and had
-	window  int
-	chunkAt float64 // when the oldest chunk not had was sent; 0 is none
-	credit  float64
-	out     int     // bytes not written yet
-	echo    float64 // its latest status, by its clock
-	heardAt float64 // and by this one
-	beatAt  float64
+type followerConn struct {
+	id               uint64
+	name             string
+	helloReceived    bool
+	region           string
+	kind             string
+	sentVersion      uint64 // version up to which all was sent
+	caughtUp         bool   // it has been sent the head: changes go as they come
+	snapshot         *packedDocument
+	snapshotSent     int // bytes of it sent
+	snapshotReceived int // and had
+	chunkWindow      int
+	chunkSentAt      float64 // when the oldest chunk not had was sent; 0 is none
+	byteCredit       float64
+	unwrittenBytes   int     // bytes not written yet
+	statusSentAt     float64 // its latest status, by its clock
+	statusReceivedAt float64 // and by this one
+	nextHeartbeatAt  float64
 }
 
 // packed is a document as it goes out whole.
-type packed struct {
-	version uint64
-	digest  Digest
-	text    int
-	size    int // of data, once all of it is there
-	data    []byte
+type packedDocument struct {
+	version   uint64
+	digest    Digest
+	textBytes int
+	size      int // of data, once all of it is there
+	data      []byte
 }
 
 type lease struct {
@@ -80,305 +80,305 @@
 }
 
 func NewServer(t ServerConfig, now float64) *Server {
-	return &Server{t: t, chance: rand.New(rand.NewPCG(t.Seed, 1)), h: newHistory(0, nothing(), 0), freshAt: math.Inf(-1),
-		conns: map[uint64]*conn{}, leases: map[string]*lease{}, ticked: now}
+	return &Server{config: t, rng: rand.New(rand.NewPCG(t.Seed, 1)), history: newHistory(0, emptyDocument(), 0), freshAsOf: math.Inf(-1),
+		conns: map[uint64]*followerConn{}, leases: map[string]*lease{}, lastTickAt: now}
 }
 
 // Set tells what is to be served, whenever the head or its freshness has changed. The history may go on in place.
-func (s *Server) Set(now float64, h *History, freshAt float64) {
-	s.freshAt = max(s.freshAt, freshAt)
+func (s *Server) SetHistory(now float64, h *History, freshAt float64) {
+	s.freshAsOf = max(s.freshAsOf, freshAt)
 	head, _ := h.Head()
-	if h == s.h && head == s.version {
+	if h == s.history && head == s.headVersion {
 		return
 	}
-	if h != s.h {
-		s.h, s.packed = h, nil
+	if h != s.history {
+		s.history, s.cachedSnapshot = h, nil
 	}
-	if head > mostComes {
-		s.version = max(s.version, head-mostComes)
+	if head > maxArrivals {
+		s.headVersion = max(s.headVersion, head-maxArrivals)
 	}
-	for ; s.version < head; s.version++ {
-		s.comes = append(s.comes, now)
+	for ; s.headVersion < head; s.headVersion++ {
+		s.arrivals = append(s.arrivals, now)
 	}
-	if n := len(s.comes) - mostComes; n > 0 {
-		s.comes = slices.Delete(s.comes, 0, n)
+	if n := len(s.arrivals) - maxArrivals; n > 0 {
+		s.arrivals = slices.Delete(s.arrivals, 0, n)
 	}
-	for _, c := range slices.Clone(s.order) { // one that reads too slowly is dropped
-		if c.live {
-			s.bring(now, c, true)
+	for _, c := range slices.Clone(s.connOrder) { // one that reads too slowly is dropped
+		if c.caughtUp {
+			s.sendMissingChanges(now, c, true)
 		}
 	}
 }
 
 // Join takes a new connection, whose other end has proven to be of this name. One from before of the same name ends.
-func (s *Server) Join(now float64, id uint64, name string) {
-	for _, c := range s.order {
+func (s *Server) AddConnection(now float64, id uint64, name string) {
+	for _, c := range s.connOrder {
 		if c.name == name {
-			s.hangup(c, "it has come again")
+			s.disconnect(c, "it has come again")
 			break
 		}
 	}
-	c := &conn{id: id, name: name, beatAt: now + s.chance.Float64()*HeartbeatMs, credit: mostChunk, heardAt: now}
+	c := &followerConn{id: id, name: name, nextHeartbeatAt: now + s.rng.Float64()*HeartbeatIntervalMs, byteCredit: maxChunkBytes, statusReceivedAt: now}
 	s.conns[id] = c
-	s.order = append(s.order, c)
+	s.connOrder = append(s.connOrder, c)
 }
 
-func (s *Server) Leave(_ float64, id uint64) {
+func (s *Server) RemoveConnection(_ float64, id uint64) {
 	if c := s.conns[id]; c != nil {
-		s.drop(c)
+		s.removeConn(c)
 	}
 }
 
-func (s *Server) drop(c *conn) {
+func (s *Server) removeConn(c *followerConn) {
 	delete(s.conns, c.id)
-	k := slices.Index(s.order, c)
-	s.order = slices.Delete(s.order, k, k+1)
-	if s.turn > k {
-		s.turn--
+	k := slices.Index(s.connOrder, c)
+	s.connOrder = slices.Delete(s.connOrder, k, k+1)
+	if s.nextConn > k {
+		s.nextConn--
 	}
 }
 
-func (s *Server) hangup(c *conn, why string) {
-	s.drop(c)
-	s.out = append(s.out, ServerOutput{Conn: c.id, Hangup: true, Why: why})
+func (s *Server) disconnect(c *followerConn, why string) {
+	s.removeConn(c)
+	s.outputs = append(s.outputs, ServerOutput{Conn: c.id, Disconnect: true, DisconnectReason: why})
 }
 
 // Sent tells that so many bytes of frames have been written.
-func (s *Server) Sent(now float64, id uint64, bytes int) {
+func (s *Server) BytesWritten(now float64, id uint64, bytes int) {
 	if c := s.conns[id]; c != nil {
-		c.out = max(c.out-bytes, 0)
+		c.unwrittenBytes = max(c.unwrittenBytes-bytes, 0)
 	}
 }
 
 // Frame takes what a follower says; an error ends its connection, which the server has forgotten by then.
-func (s *Server) Frame(now float64, id uint64, data []byte) error {
+func (s *Server) HandleFrame(now float64, id uint64, data []byte) error {
 	c := s.conns[id]
 	if c == nil {
 		return nil // it is being hung up
 	}
-	err := s.take(now, c, data)
+	err := s.handleStatus(now, c, data)
 	if err != nil {
-		s.drop(c)
+		s.removeConn(c)
 	}
 	return err
 }
 
-func (s *Server) take(now float64, c *conn, data []byte) error {
-	kind, body, err := kindOf(data)
+func (s *Server) handleStatus(now float64, c *followerConn, data []byte) error {
+	kind, body, err := parseFrame(data)
 	if err != nil {
 		return err
 	}
-	if kind != frameHello && kind != frameStatus || kind == frameStatus && !c.heard {
-		return fmt.Errorf("%w: kind %d", errFrame, kind)
+	if kind != frameHello && kind != frameStatus || kind == frameStatus && !c.helloReceived {
+		return fmt.Errorf("%w: kind %d", errMalformedFrame, kind)
 	}
-	st, err := readStatus(body)
+	st, err := decodeStatus(body)
 	if err != nil {
 		return err
 	}
 	if kind == frameHello {
-		if st.Kind != KindNode && st.Kind != KindMember || len(st.Region) > mostName || len(st.Digest) != len(Digest{}) {
-			return fmt.Errorf("%w: a hello of kind %.20q", errFrame, st.Kind)
+		if st.Kind != KindNode && st.Kind != KindMember || len(st.Region) > maxNameBytes || len(st.Digest) != len(Digest{}) {
+			return fmt.Errorf("%w: a hello of kind %.20q", errMalformedFrame, st.Kind)
 		}
 		c.region, c.kind = st.Region, st.Kind
-		c.heard, c.live, c.whole, c.at, c.got, c.chunkAt = true, false, nil, 0, 0, 0
-		c.sent = st.Held
-		if have, known := s.h.digestAt(st.Held); st.Whole || known && have != Digest(st.Digest) {
-			c.sent = math.MaxUint64 // nobody's: the whole goes
+		c.helloReceived, c.caughtUp, c.snapshot, c.snapshotSent, c.snapshotReceived, c.chunkSentAt = true, false, nil, 0, 0, 0
+		c.sentVersion = st.StoredVersion
+		if have, known := s.history.digestAt(st.StoredVersion); st.NeedsSnapshot || known && have != Digest(st.Digest) {
+			c.sentVersion = math.MaxUint64 // nobody's: the whole goes
 		}
-		c.beatAt = min(c.beatAt, now+s.chance.Float64()*HeartbeatMs/4) // how old it can be is known soon
+		c.nextHeartbeatAt = min(c.nextHeartbeatAt, now+s.rng.Float64()*HeartbeatIntervalMs/4) // how old it can be is known soon
 	}
-	c.echo, c.heardAt = st.At, now
+	c.statusSentAt, c.statusReceivedAt = st.SentAt, now
 	l := s.leases[c.name] // where it was silent for a while, there is none any more
 	if l == nil {
-		if len(s.leases) >= mostLeases {
-			return fmt.Errorf("more than %d followers", mostLeases)
+		if len(s.leases) >= maxLeases {
+			return fmt.Errorf("more than %d followers", maxLeases)
 		}
 		l = &lease{}
 		s.leases[c.name] = l
 	}
 	l.Name, l.Region, l.Kind = c.name, c.region, c.kind
-	l.Held, l.InForce, l.Refused, l.Why, l.Age, l.Seen, l.ageAt = st.Held, st.InForce, st.Refused, st.Why, st.Age, now, now
-	if c.whole != nil && int(min(st.Got, uint64(c.at))) > c.got {
-		switch took := now - c.chunkAt; {
-		case took <= quickChunk:
-			c.window = min(2*c.window, 2*mostChunk)
-		case took > slowChunk:
-			c.window = max(c.window/2, leastChunk)
+	l.StoredVersion, l.AppliedVersion, l.RejectedVersion, l.RejectReason, l.StalenessMs, l.LastSeenAt, l.ageAt = st.StoredVersion, st.AppliedVersion, st.RejectedVersion, st.RejectReason, st.StalenessMs, now, now
+	if c.snapshot != nil && int(min(st.SnapshotReceived, uint64(c.snapshotSent))) > c.snapshotReceived {
+		switch took := now - c.chunkSentAt; {
+		case took <= fastChunkMs:
+			c.chunkWindow = min(2*c.chunkWindow, 2*maxChunkBytes)
+		case took > slowChunkMs:
+			c.chunkWindow = max(c.chunkWindow/2, minChunkBytes)
 		}
-		c.got, c.chunkAt = int(st.Got), now
+		c.snapshotReceived, c.chunkSentAt = int(st.SnapshotReceived), now
 	}
-	s.bring(now, c, kind == frameHello)
+	s.sendMissingChanges(now, c, kind == frameHello)
 	return nil
 }
 
-func (s *Server) put(c *conn, frame []byte) {
-	c.out += len(frame)
-	s.out = append(s.out, ServerOutput{Conn: c.id, Frame: frame})
+func (s *Server) enqueueFrame(c *followerConn, frame []byte) {
+	c.unwrittenBytes += len(frame)
+	s.outputs = append(s.outputs, ServerOutput{Conn: c.id, Frame: frame})
 }
 
 // bring sends one follower what it lacks: all at once, where it had the head before this change, else as its rate allows.
-func (s *Server) bring(now float64, c *conn, live bool) {
-	head, doc := s.h.Head()
-	if !c.heard || c.whole != nil || head == 0 { // of nothing there is no whole
+func (s *Server) sendMissingChanges(now float64, c *followerConn, live bool) {
+	head, doc := s.history.Head()
+	if !c.helloReceived || c.snapshot != nil || head == 0 { // of nothing there is no whole
 		return
 	}
-	if c.sent >= head && c.sent != math.MaxUint64 {
-		c.live = c.sent == head || c.live
+	if c.sentVersion >= head && c.sentVersion != math.MaxUint64 {
+		c.caughtUp = c.sentVersion == head || c.caughtUp
 		return
 	}
-	oldest := s.h.oldest()
-	if c.sent < oldest || c.sent > head {
-		s.begin(c)
+	oldest := s.history.oldestVersion()
+	if c.sentVersion < oldest || c.sentVersion > head {
+		s.beginSnapshot(c)
 		return
 	}
-	missed := s.h.kept[c.sent-oldest:]
+	missed := s.history.changes[c.sentVersion-oldest:]
 	bytes := 0
 	for _, k := range missed {
 		if k.frame == nil { // too large to go as a change
-			s.begin(c)
+			s.beginSnapshot(c)
 			return
 		}
 		bytes += len(k.frame)
 	}
-	if bytes > max(mostAhead, len(doc.text)/8) { // about what the whole takes
-		s.begin(c)
+	if bytes > max(maxCatchUpBytes, len(doc.text)/8) { // about what the whole takes
+		s.beginSnapshot(c)
 		return
 	}
 	for _, k := range missed {
-		if !c.live || !live {
-			if c.credit <= 0 || s.credit <= 0 || c.out > mostAhead {
-				c.live = false
+		if !c.caughtUp || !live {
+			if c.byteCredit <= 0 || s.byteCredit <= 0 || c.unwrittenBytes > maxCatchUpBytes {
+				c.caughtUp = false
 				return
 			}
-			c.credit -= float64(len(k.frame))
-			s.credit -= float64(len(k.frame))
+			c.byteCredit -= float64(len(k.frame))
+			s.byteCredit -= float64(len(k.frame))
 		}
-		s.put(c, k.frame)
-		c.sent = k.change.Version
+		s.enqueueFrame(c, k.frame)
+		c.sentVersion = k.change.Version
 	}
-	c.live = true
-	if c.out > mostOut {
-		s.hangup(c, fmt.Sprintf("it has left %d bytes unread", c.out))
+	c.caughtUp = true
+	if c.unwrittenBytes > maxUnwrittenBytes {
+		s.disconnect(c, fmt.Sprintf("it has left %d bytes unread", c.unwrittenBytes))
 	}
 }
 
 // begin sends the whole from now on. One packed for others is good as long as the rest is kept and small.
-func (s *Server) begin(c *conn) {
-	head, doc := s.h.Head()
-	p := s.packed
-	fits := p != nil && p.version >= s.h.oldest() && p.version <= head
+func (s *Server) beginSnapshot(c *followerConn) {
+	head, doc := s.history.Head()
+	p := s.cachedSnapshot
+	fits := p != nil && p.version >= s.history.oldestVersion() && p.version <= head
 	if fits {
 		bytes := 0
-		for _, k := range s.h.kept[p.version-s.h.oldest():] {
+		for _, k := range s.history.changes[p.version-s.history.oldestVersion():] {
 			if bytes += len(k.frame); k.frame == nil {
-				bytes = wholeAgain + 1
+				bytes = maxSnapshotLagBytes + 1
 			}
 		}
-		fits = bytes <= min(wholeAgain, max(mostAhead, len(doc.text)/16))
+		fits = bytes <= min(maxSnapshotLagBytes, max(maxCatchUpBytes, len(doc.text)/16))
 	}
 	if !fits {
-		p = &packed{version: head, digest: doc.digest, text: len(doc.text), data: pack([]byte(doc.text))}
-		s.packed = p
+		p = &packedDocument{version: head, digest: doc.digest, textBytes: len(doc.text), data: compress([]byte(doc.text))}
+		s.cachedSnapshot = p
 	}
-	c.live, c.whole, c.at, c.got, c.window, c.chunkAt = false, p, 0, 0, 4*leastChunk, 0
-	s.put(c, frame(frameBegin, &begin{Version: p.version, Digest: p.digest[:], Size: uint64(len(p.data)), Text: uint64(p.text)}))
+	c.caughtUp, c.snapshot, c.snapshotSent, c.snapshotReceived, c.chunkWindow, c.chunkSentAt = false, p, 0, 0, 4*minChunkBytes, 0
+	s.enqueueFrame(c, encodeFrame(frameSnapshotBegin, &snapshotBegin{Version: p.version, Digest: p.digest[:], Size: uint64(len(p.data)), TextBytes: uint64(p.textBytes)}))
 }
 
 // Tick lets time pass: heartbeats, and what goes at a rate.
 func (s *Server) Tick(now float64) {
-	past := max(now-s.ticked, 0)
-	s.ticked = now
-	s.credit = min(s.credit+past*serverRate, 2*TickMs*serverRate)
-	for _, c := range slices.Clone(s.order) {
-		if now-c.heardAt > silentConn {
-			s.hangup(c, "it is silent")
+	past := max(now-s.lastTickAt, 0)
+	s.lastTickAt = now
+	s.byteCredit = min(s.byteCredit+past*totalRate, 2*TickIntervalMs*totalRate)
+	for _, c := range slices.Clone(s.connOrder) {
+		if now-c.statusReceivedAt > statusTimeout {
+			s.disconnect(c, "it is silent")
 			continue
 		}
-		c.credit = min(c.credit+past*wholeRate, 2*mostChunk)
-		if c.heard && now >= c.beatAt {
-			every := HeartbeatMs
+		c.byteCredit = min(c.byteCredit+past*followerRate, 2*maxChunkBytes)
+		if c.helloReceived && now >= c.nextHeartbeatAt {
+			every := HeartbeatIntervalMs
 			if c.kind == KindMember { // what it tells is older by that
 				every /= 2
 			}
-			c.beatAt = max(c.beatAt+every, now+every/2)
-			s.beat(now, c)
+			c.nextHeartbeatAt = max(c.nextHeartbeatAt+every, now+every/2)
+			s.sendHeartbeat(now, c)
 		}
 	}
-	for n, idle := len(s.order), 0; n > 0 && idle < n && s.credit > 0; {
-		if s.turn >= n {
-			s.turn = 0
+	for n, idle := len(s.connOrder), 0; n > 0 && idle < n && s.byteCredit > 0; {
+		if s.nextConn >= n {
+			s.nextConn = 0
 		}
-		c := s.order[s.turn]
-		s.turn++
-		if idle++; s.chunk(now, c) {
+		c := s.connOrder[s.nextConn]
+		s.nextConn++
+		if idle++; s.sendNextChunk(now, c) {
 			idle = 0
 		}
-		if n = len(s.order); n == 0 {
+		if n = len(s.connOrder); n == 0 {
 			break
 		}
 	}
 	for name, l := range s.leases {
-		if now-l.Seen > LeaseMs {
+		if now-l.LastSeenAt > LeaseDurationMs {
 			delete(s.leases, name)
 		}
 	}
 }
 
-func (s *Server) beat(now float64, c *conn) {
-	head, doc := s.h.Head()
-	b := heartbeat{Head: head, Digest: doc.digest.start(), Age: max(now-s.freshAt, 0), Echo: c.echo, Offset: s.freshAt - c.heardAt}
-	if c.whole != nil {
-		b.Whole = uint64(c.at)
+func (s *Server) sendHeartbeat(now float64, c *followerConn) {
+	head, doc := s.history.Head()
+	b := heartbeat{HeadVersion: head, HeadDigestPrefix: doc.digest.prefix(), StalenessMs: max(now-s.freshAsOf, 0), StatusSentAt: c.statusSentAt, FreshnessOffset: s.freshAsOf - c.statusReceivedAt}
+	if c.snapshot != nil {
+		b.SnapshotSent = uint64(c.snapshotSent)
 	} else {
-		b.Sent = c.sent
+		b.SentVersion = c.sentVersion
 	}
-	s.put(c, frame(frameHeartbeat, &b))
-	if c.out > mostOut {
-		s.hangup(c, fmt.Sprintf("it has left %d bytes unread", c.out))
+	s.enqueueFrame(c, encodeFrame(frameHeartbeat, &b))
+	if c.unwrittenBytes > maxUnwrittenBytes {
+		s.disconnect(c, fmt.Sprintf("it has left %d bytes unread", c.unwrittenBytes))
 	}
 }
 
 // chunk sends a follower the next of what goes at a rate, if it may.
-func (s *Server) chunk(now float64, c *conn) bool {
-	if c.whole == nil {
-		before := c.sent
-		if c.heard && !c.live {
-			s.bring(now, c, false)
+func (s *Server) sendNextChunk(now float64, c *followerConn) bool {
+	if c.snapshot == nil {
+		before := c.sentVersion
+		if c.helloReceived && !c.caughtUp {
+			s.sendMissingChanges(now, c, false)
 		}
-		return c.sent != before
+		return c.sentVersion != before
 	}
-	left := len(c.whole.data) - c.at
-	n := min(left, c.window-(c.at-c.got), mostChunk, max(c.window/2, leastChunk))
+	left := len(c.snapshot.data) - c.snapshotSent
+	n := min(left, c.chunkWindow-(c.snapshotSent-c.snapshotReceived), maxChunkBytes, max(c.chunkWindow/2, minChunkBytes))
 	if left == 0 {
-		if c.got == c.at { // it has all of it; what came since goes next
-			c.sent, c.whole = c.whole.version, nil
-			s.bring(now, c, false)
+		if c.snapshotReceived == c.snapshotSent { // it has all of it; what came since goes next
+			c.sentVersion, c.snapshot = c.snapshot.version, nil
+			s.sendMissingChanges(now, c, false)
 			return true
 		}
 		return false
 	}
-	if n <= 0 || n < min(left, leastChunk) || c.credit < float64(n) {
+	if n <= 0 || n < min(left, minChunkBytes) || c.byteCredit < float64(n) {
 		return false
 	}
-	if c.chunkAt == 0 || c.at == c.got {
-		c.chunkAt = now
+	if c.chunkSentAt == 0 || c.snapshotSent == c.snapshotReceived {
+		c.chunkSentAt = now
 	}
-	c.credit -= float64(n)
-	s.credit -= float64(n)
-	s.put(c, frame(frameChunk, &chunk{At: uint64(c.at), Data: c.whole.data[c.at : c.at+n]}))
-	c.at += n
+	c.byteCredit -= float64(n)
+	s.byteCredit -= float64(n)
+	s.enqueueFrame(c, encodeFrame(frameSnapshotChunk, &snapshotChunk{Offset: uint64(c.snapshotSent), Data: c.snapshot.data[c.snapshotSent : c.snapshotSent+n]}))
+	c.snapshotSent += n
 	return true
 }
 
 // Next is what is to be done next.
 func (s *Server) Next() (ServerOutput, bool) {
-	if len(s.out) == 0 {
+	if len(s.outputs) == 0 {
 		return ServerOutput{}, false
 	}
-	o := s.out[0]
-	s.out[0] = ServerOutput{}
-	if s.out = s.out[1:]; len(s.out) == 0 {
-		s.out = nil
+	o := s.outputs[0]
+	s.outputs[0] = ServerOutput{}
+	if s.outputs = s.outputs[1:]; len(s.outputs) == 0 {
+		s.outputs = nil
 	}
 	return o, true
 }
@@ -386,13 +386,13 @@
 // Leases are the followers heard of lately, by name.
 func (s *Server) Leases(now float64) (all []Lease) {
 	for _, l := range s.leases {
-		if now-l.Seen > LeaseMs {
+		if now-l.LastSeenAt > LeaseDurationMs {
 			continue
 		}
 		x := l.Lease
-		x.Age += now - l.ageAt
-		if x.InForce < s.version {
-			x.Behind = now - s.cameAt(x.InForce+1)
+		x.StalenessMs += now - l.ageAt
+		if x.AppliedVersion < s.headVersion {
+			x.BehindMs = now - s.arrivalOf(x.AppliedVersion+1)
 		}
 		all = append(all, x)
 	}
@@ -401,7 +401,7 @@
 }
 
 // cameAt is when a version came here; of one from long before, when the oldest known did.
-func (s *Server) cameAt(version uint64) float64 {
-	k := int(version) - int(s.version) + len(s.comes) - 1
-	return s.comes[max(k, 0)]
+func (s *Server) arrivalOf(version uint64) float64 {
+	k := int(version) - int(s.headVersion) + len(s.arrivals) - 1
+	return s.arrivals[max(k, 0)]
 }
--- a/internal/controlplane/voter_test.go
+++ b/internal/controlplane/voter_test.go
@@ -20,7 +20,7 @@
 	now     float64
 	terms   VoterConfig
 	all     map[uint64]*Voter
-	stores  map[uint64]*Stored
+	stores  map[uint64]*StoredState
 	cut     map[uint64]bool
 	replies map[uint64][]Result
 	pieces  int        // messages that came in several
@@ -28,7 +28,7 @@
 }
 
 func newVoters(t require.TestingT, n int, terms VoterConfig) *voters {
-	c := &voters{t: t, now: 1e6, terms: terms, all: map[uint64]*Voter{}, stores: map[uint64]*Stored{}, cut: map[uint64]bool{}, replies: map[uint64][]Result{}}
+	c := &voters{t: t, now: 1e6, terms: terms, all: map[uint64]*Voter{}, stores: map[uint64]*StoredState{}, cut: map[uint64]bool{}, replies: map[uint64][]Result{}}
 	for id := range n {
 		c.terms.Voters = append(c.terms.Voters, uint64(id+1))
 	}
@@ -60,19 +60,19 @@
 				more = true
 				switch {
 				case o.Persist != nil:
-					c.stores[id].Keep(o.Persist)
+					c.stores[id].ApplyPersist(o.Persist)
 					if id == 1 {
 						c.log = append(c.log, o.Persist)
 					}
 				case o.Reply != nil:
 					c.replies[o.Reply.ID] = append(c.replies[o.Reply.ID], o.Reply.Result)
 				case o.Send != nil:
-					require.LessOrEqual(c.t, len(o.Send.Data), MostFrame)
-					if o.Send.Data[0] == first {
+					require.LessOrEqual(c.t, len(o.Send.Data), MaxFrameBytes)
+					if o.Send.Data[0] == fragmentFirst {
 						c.pieces++
 					}
 					if to := c.all[o.Send.To]; to != nil && !c.cut[id] && !c.cut[o.Send.To] {
-						to.Message(c.now, id, o.Send.Data)
+						to.HandleMessage(c.now, id, o.Send.Data)
 					}
 				}
 			}
@@ -82,7 +82,7 @@
 
 func (c *voters) pass(ms float64) {
 	for end := c.now + ms; c.now < end; {
-		c.now += TickMs
+		c.now += TickIntervalMs
 		for _, id := range c.terms.Voters {
 			if v := c.all[id]; v != nil {
 				v.Tick(c.now)
@@ -96,18 +96,18 @@
 func (c *voters) leader() (uint64, *Voter) {
 	for range 200 {
 		for _, id := range c.terms.Voters {
-			if v := c.all[id]; v != nil && v.Leads() && v.began && !c.cut[id] {
+			if v := c.all[id]; v != nil && v.IsLeader() && v.leadershipReady && !c.cut[id] {
 				return id, v
 			}
 		}
-		c.pass(TickMs)
+		c.pass(TickIntervalMs)
 	}
 	require.FailNow(c.t, "nobody leads")
 	return 0, nil
 }
 
 func (c *voters) propose(v *Voter, id, base uint64, text string) Result {
-	v.Propose(c.now, id, Proposal{Base: base, Text: parse(c.t, text), By: "b", Reason: "r"})
+	v.Propose(c.now, id, Proposal{Base: base, Document: parse(c.t, text), By: "b", Reason: "r"})
 	c.pump()
 	if r := c.replies[id]; len(r) > 0 {
 		return r[len(r)-1]
@@ -120,34 +120,34 @@
 func TestProposals(t *testing.T) {
 	c := newVoters(t, 3, VoterConfig{Seed: 1})
 	id, l := c.leader()
-	require.Equal(t, Result{Code: Done, Version: 1}, c.propose(l, 11, 0, number(1)))
-	require.Equal(t, Result{Code: Conflict, Version: 1}, c.propose(l, 12, 0, number(2)), "the later of two")
-	require.Equal(t, Result{Code: Conflict, Version: 1}, c.propose(l, 13, 7, number(2)), "of a version that is not")
-	require.Equal(t, Result{Code: Done, Version: 2}, c.propose(l, 12, 1, number(2)), "tried again")
-	require.Equal(t, Result{Code: Done, Version: 1}, c.propose(l, 11, 0, number(1)), "asked again: the same answer, no second effect")
-	require.Equal(t, Invalid, c.propose(l, 0, 2, number(3)).Code)
+	require.Equal(t, Result{Code: CodeDone, Version: 1}, c.propose(l, 11, 0, number(1)))
+	require.Equal(t, Result{Code: CodeConflict, Version: 1}, c.propose(l, 12, 0, number(2)), "the later of two")
+	require.Equal(t, Result{Code: CodeConflict, Version: 1}, c.propose(l, 13, 7, number(2)), "of a version that is not")
+	require.Equal(t, Result{Code: CodeDone, Version: 2}, c.propose(l, 12, 1, number(2)), "tried again")
+	require.Equal(t, Result{Code: CodeDone, Version: 1}, c.propose(l, 11, 0, number(1)), "asked again: the same answer, no second effect")
+	require.Equal(t, CodeInvalid, c.propose(l, 0, 2, number(3)).Code)
 	version, doc := l.History().Head()
 	require.EqualValues(t, 2, version)
 	require.Equal(t, "{\n\"n\":2\n}\n", string(doc.Text()))
 	for _, other := range c.terms.Voters {
 		if other != id {
-			require.Equal(t, Result{Code: NotLeader, Leader: id}, c.propose(c.all[other], 14, 2, number(3)))
+			require.Equal(t, Result{Code: CodeNotLeader, Leader: id}, c.propose(c.all[other], 14, 2, number(3)))
 		}
 	}
 	// Two at once upon one version: the first of them it is.
-	l.Propose(c.now, 21, Proposal{Base: 2, Text: parse(t, number(21))})
-	l.Propose(c.now, 22, Proposal{Base: 2, Text: parse(t, number(22))})
+	l.Propose(c.now, 21, Proposal{Base: 2, Document: parse(t, number(21))})
+	l.Propose(c.now, 22, Proposal{Base: 2, Document: parse(t, number(22))})
 	c.pump()
-	require.Equal(t, []Result{{Code: Done, Version: 3}}, c.replies[21])
-	require.Equal(t, []Result{{Code: Conflict, Version: 3}}, c.replies[22])
-	log := l.History().Log(10)
+	require.Equal(t, []Result{{Code: CodeDone, Version: 3}}, c.replies[21])
+	require.Equal(t, []Result{{Code: CodeConflict, Version: 3}}, c.replies[22])
+	log := l.History().RecentChanges(10)
 	require.Len(t, log, 3)
-	require.Equal(t, Change{Version: 3, ID: 21, Digest: parse(t, number(21)).Digest(), At: log[0].At}, log[0])
+	require.Equal(t, Change{Version: 3, ID: 21, Digest: parse(t, number(21)).Digest(), ProposedAtMs: log[0].ProposedAtMs}, log[0])
 	c.pass(1000)
 	for _, v := range c.all {
 		head, _ := v.History().Head()
 		require.EqualValues(t, 3, head)
-		require.Less(t, c.now-v.FreshAt(), readEvery+TickMs, "as old as its latest question")
+		require.Less(t, c.now-v.FreshAsOf(), readIndexInterval+TickIntervalMs, "as old as its latest question")
 	}
 }
 
@@ -155,25 +155,25 @@
 func TestLostLeader(t *testing.T) {
 	c := newVoters(t, 3, VoterConfig{Seed: 2})
 	id, l := c.leader()
-	require.Equal(t, Done, c.propose(l, 1, 0, number(1)).Code)
+	require.Equal(t, CodeDone, c.propose(l, 1, 0, number(1)).Code)
 	c.pass(1000)
 	c.cut[id] = true
-	fresh := l.FreshAt()
-	l.Propose(c.now, 2, Proposal{Base: 1, Text: parse(t, number(2))})
+	fresh := l.FreshAsOf()
+	l.Propose(c.now, 2, Proposal{Base: 1, Document: parse(t, number(2))})
 	c.pump()
 	require.Empty(t, c.replies[2])
 	c.pass(5000)
-	require.Equal(t, []Result{{Code: Lost, Leader: 0}}, c.replies[2])
-	require.False(t, l.Leads())
-	require.LessOrEqual(t, l.FreshAt(), fresh+TickMs, "nothing is fresh without a majority")
+	require.Equal(t, []Result{{Code: CodeLeadershipLost, Leader: 0}}, c.replies[2])
+	require.False(t, l.IsLeader())
+	require.LessOrEqual(t, l.FreshAsOf(), fresh+TickIntervalMs, "nothing is fresh without a majority")
 	_, other := c.leader()
-	require.Equal(t, Result{Code: Done, Version: 2}, c.propose(other, 2, 1, number(2)))
-	require.Equal(t, Result{Code: Done, Version: 3}, c.propose(other, 3, 2, number(3)))
+	require.Equal(t, Result{Code: CodeDone, Version: 2}, c.propose(other, 2, 1, number(2)))
+	require.Equal(t, Result{Code: CodeDone, Version: 3}, c.propose(other, 3, 2, number(3)))
 	c.cut[id] = false
 	c.pass(3000)
 	head, _ := l.History().Head()
 	require.EqualValues(t, 3, head)
-	version, ok := l.History().Find(2)
+	version, ok := l.History().FindProposal(2)
 	require.True(t, ok)
 	require.EqualValues(t, 2, version)
 }
@@ -182,28 +182,28 @@
 	c := newVoters(t, 3, VoterConfig{Seed: 3})
 	id, l := c.leader()
 	c.cut[id] = true
-	for n := range mostWaiting + 2 {
-		l.Propose(c.now, uint64(n+1), Proposal{Text: parse(t, number(n))})
+	for n := range maxPendingProposals + 2 {
+		l.Propose(c.now, uint64(n+1), Proposal{Document: parse(t, number(n))})
 	}
 	c.pump()
-	require.Equal(t, Busy, c.replies[mostWaiting+1][0].Code)
+	require.Equal(t, CodeBusy, c.replies[maxPendingProposals+1][0].Code)
 	c.pass(5000)
-	for n := range mostWaiting {
-		require.Equal(t, []Result{{Code: Lost}}, c.replies[uint64(n+1)])
+	for n := range maxPendingProposals {
+		require.Equal(t, []Result{{Code: CodeLeadershipLost}}, c.replies[uint64(n+1)])
 	}
 }
 
 // A voter that was away for long gets an image, in pieces that fit a frame, and goes on from it after a start too.
 func TestImageInPieces(t *testing.T) {
-	c := newVoters(t, 3, VoterConfig{Seed: 4, Entries: 2000})
+	c := newVoters(t, 3, VoterConfig{Seed: 4, SnapshotThreshold: 2000})
 	id, l := c.leader()
 	away := id%3 + 1
 	c.cut[away] = true
 	text := `{"a":["` + strings.Join(noise(30_000), `","`) + `",`
-	for n := range entriesKept + 10 {
-		require.Equal(t, Done, c.propose(l, uint64(n+1), uint64(n), number(n)).Code)
+	for n := range retainedEntries + 10 {
+		require.Equal(t, CodeDone, c.propose(l, uint64(n+1), uint64(n), number(n)).Code)
 	}
-	require.Equal(t, Done, c.propose(l, 9999, entriesKept+10, text+`0]}`).Code)
+	require.Equal(t, CodeDone, c.propose(l, 9999, retainedEntries+10, text+`0]}`).Code)
 	c.cut[away] = false
 	c.pass(5000)
 	require.Positive(t, c.pieces)
@@ -212,7 +212,7 @@
 		v, theirs := c.all[away].History().Head()
 		require.Equal(t, version, v)
 		require.Equal(t, doc.Digest(), theirs.Digest())
-		old, ok := c.all[away].History().At(1)
+		old, ok := c.all[away].History().DocumentAt(1)
 		require.True(t, ok)
 		require.Equal(t, parse(t, number(0)).Digest(), old.Digest())
 		c.start(away)
@@ -222,7 +222,7 @@
 
 // Killed between any two writes, a voter goes on from what was written, and has all that it told of by then.
 func TestStartsFromAnyWrite(t *testing.T) {
-	c := newVoters(t, 3, VoterConfig{Seed: 5, Entries: 300})
+	c := newVoters(t, 3, VoterConfig{Seed: 5, SnapshotThreshold: 300})
 	for n := range 40 {
 		if n%13 == 12 {
 			c.cut = map[uint64]bool{uint64(n%3 + 1): true}
@@ -231,18 +231,18 @@
 			c.pass(3000)
 		}
 		_, l := c.leader()
-		require.Equal(t, Result{Code: Done, Version: uint64(n + 1)}, c.propose(l, uint64(n+1), uint64(n), number(n)))
+		require.Equal(t, Result{Code: CodeDone, Version: uint64(n + 1)}, c.propose(l, uint64(n+1), uint64(n), number(n)))
 	}
 	require.Greater(t, len(c.log), 40)
 	s, images := Bootstrap(c.terms.Voters), 0
 	terms := c.terms
 	terms.ID = 1
 	for k, p := range c.log {
-		s.Keep(p)
+		s.ApplyPersist(p)
 		if p.Snapshot != nil {
 			images++
 		}
-		stored := &Stored{Hard: proto.Clone(s.Hard).(*pb.HardState), Conf: s.Conf, Snapshot: s.Snapshot, Entries: slices.Clone(s.Entries)}
+		stored := &StoredState{HardState: proto.Clone(s.HardState).(*pb.HardState), ConfState: s.ConfState, Snapshot: s.Snapshot, Entries: slices.Clone(s.Entries)}
 		_, err := NewVoter(terms, stored, 0)
 		require.NoError(t, err, "after write %d", k)
 	}
@@ -257,17 +257,17 @@
 	}
 	terms := c.terms
 	terms.ID = 1
-	for want, damage := range map[string]func(s *Stored) *Stored{
-		"voter's store: no store":                                 func(*Stored) *Stored { return nil },
-		"voter's store: its voters are [1 2 3], the file's [1 2]": func(s *Stored) *Stored { terms.Voters = []uint64{1, 2}; return s },
-		"voter's store: odd image of a history": func(s *Stored) *Stored {
+	for want, damage := range map[string]func(s *StoredState) *StoredState{
+		"voter's store: no store":                                 func(*StoredState) *StoredState { return nil },
+		"voter's store: its voters are [1 2 3], the file's [1 2]": func(s *StoredState) *StoredState { terms.Voters = []uint64{1, 2}; return s },
+		"voter's store: odd image of a history": func(s *StoredState) *StoredState {
 			s.Snapshot = proto.Clone(s.Snapshot).(*pb.Snapshot)
 			s.Snapshot.Data = s.Snapshot.Data[:len(s.Snapshot.Data)/2]
 			return s
 		},
-		"voter's store: entry 4 of term 2 after 2 of term 2": func(s *Stored) *Stored { s.Entries = slices.Delete(s.Entries, 1, 2); return s },
-		"voter's store: committed 99 of term 2, its entries end at 7 of term 2": func(s *Stored) *Stored {
-			s.Hard = &pb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(99)}
+		"voter's store: entry 4 of term 2 after 2 of term 2": func(s *StoredState) *StoredState { s.Entries = slices.Delete(s.Entries, 1, 2); return s },
+		"voter's store: committed 99 of term 2, its entries end at 7 of term 2": func(s *StoredState) *StoredState {
+			s.HardState = &pb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(99)}
 			return s
 		},
 	} {
@@ -292,26 +292,26 @@
 	}
 	c.pass(1000)
 	back := id%3 + 1
-	require.Empty(t, c.all[back].Fault())
+	require.Empty(t, c.all[back].StoreFault())
 	c.stores[back] = old
 	c.start(back)
 	c.pass(1000)
-	require.Contains(t, c.all[back].Fault(), "it has lost what it had")
+	require.Contains(t, c.all[back].StoreFault(), "it has lost what it had")
 }
 
 func TestHistoryBounds(t *testing.T) {
-	h := newHistory(0, nothing(), 20)
+	h := newHistory(0, emptyDocument(), 20)
 	var texts []Digest
 	for n := range 50 {
 		grow(t, h, 30, uint64(n+1))
 		_, doc := h.Head()
 		texts = append(texts, doc.Digest())
 	}
-	require.Len(t, h.kept, 20)
-	require.Len(t, h.ids, 20)
+	require.Len(t, h.changes, 20)
+	require.Len(t, h.versionByProposal, 20)
 	for version := uint64(0); version <= 51; version++ {
-		doc, ok := h.At(version)
-		changes, since := h.Since(version)
+		doc, ok := h.DocumentAt(version)
+		changes, since := h.ChangesSince(version)
 		require.Equal(t, version >= 30 && version <= 50, ok, "%d", version)
 		require.Equal(t, ok, since)
 		if ok {
@@ -319,37 +319,37 @@
 			require.Len(t, changes, int(50-version))
 		}
 	}
-	again, err := readImage(h.image(), 20)
+	again, err := decodeHistorySnapshot(h.encodeSnapshot(), 20)
 	require.NoError(t, err)
 	require.Equal(t, h, again)
-	less, err := readImage(h.image(), 5)
+	less, err := decodeHistorySnapshot(h.encodeSnapshot(), 5)
 	require.NoError(t, err)
-	require.Len(t, less.kept, 5)
-	require.Len(t, h.Log(3), 3)
-	require.EqualValues(t, 50, h.Log(3)[0].Version)
+	require.Len(t, less.changes, 5)
+	require.Len(t, h.RecentChanges(3), 3)
+	require.EqualValues(t, 50, h.RecentChanges(3)[0].Version)
 	// By bytes too: what goes is the oldest.
-	big := newHistory(0, nothing(), mostKept)
+	big := newHistory(0, emptyDocument(), defaultRetainedChanges)
 	for n := range 30 {
 		_, doc := big.Head()
 		var b []byte
 		for range 1 << 20 {
 			b = append(b, byte('a'+n%26))
 		}
-		s := []Splice{{At: 0, Delete: uint64(doc.Lines()), Insert: []string{string(b)}}}
-		next, err := doc.splice(s)
+		s := []Splice{{Line: 0, Delete: uint64(doc.LineCount()), Insert: []string{string(b)}}}
+		next, err := doc.applySplices(s)
 		require.NoError(t, err)
-		big.take(Change{Version: uint64(n + 1), ID: uint64(n + 1), Digest: next.Digest(), Splices: s}, next)
+		big.appendChange(Change{Version: uint64(n + 1), ID: uint64(n + 1), Digest: next.Digest(), Splices: s}, next)
 	}
-	require.LessOrEqual(t, big.size, mostKeptBytes)
-	require.Greater(t, len(big.kept), 5)
+	require.LessOrEqual(t, big.retainedBytes, maxRetainedBytes)
+	require.Greater(t, len(big.changes), 5)
 }
 
 // Whatever is drawn for an image, it is read or refused.
 func TestImagesOfGarbage(t *testing.T) {
-	h := newHistory(0, nothing(), 20)
+	h := newHistory(0, emptyDocument(), 20)
 	grow(t, h, 30, 25)
-	good := h.image()
-	plain, err := unpack(good, mostImage)
+	good := h.encodeSnapshot()
+	plain, err := decompress(good, maxSnapshotBytes)
 	require.NoError(t, err)
 	rapid.Check(t, func(rt *rapid.T) {
 		data := slices.Clone(plain)
@@ -357,14 +357,14 @@
 			data[rapid.IntRange(0, len(data)-1).Draw(rt, "at")] ^= byte(rapid.IntRange(1, 255).Draw(rt, "bits"))
 		}
 		data = data[:rapid.IntRange(len(data)/2, len(data)).Draw(rt, "end")]
-		h, err := readImage(pack(data), 20)
+		h, err := decodeHistorySnapshot(compress(data), 20)
 		if err != nil {
 			return
 		}
-		for version := range h.version + 1 {
-			_, _ = h.At(version)
+		for version := range h.headVersion + 1 {
+			_, _ = h.DocumentAt(version)
 		}
-		_ = h.image()
+		_ = h.encodeSnapshot()
 	})
 }
 
@@ -380,7 +380,7 @@
 		small := rapid.OneOf(rapid.Uint64Range(0, 9), rapid.Uint64Range(math.MaxUint64-3, math.MaxUint64), rapid.Uint64())
 		for range rapid.IntRange(1, 10).Draw(rt, "messages") {
 			from := rapid.Uint64Range(0, 4).Draw(rt, "from")
-			m := &pb.Message{Type: pb.MessageType(rapid.Int32Range(-1, 25).Draw(rt, "type")).Enum(), To: proto.Uint64(v.t.ID), From: proto.Uint64(from),
+			m := &pb.Message{Type: pb.MessageType(rapid.Int32Range(-1, 25).Draw(rt, "type")).Enum(), To: proto.Uint64(v.config.ID), From: proto.Uint64(from),
 				Term: proto.Uint64(small.Draw(rt, "term")), LogTerm: proto.Uint64(small.Draw(rt, "logterm")), Index: proto.Uint64(small.Draw(rt, "index")),
 				Commit: proto.Uint64(small.Draw(rt, "commit")), Reject: proto.Bool(rapid.Bool().Draw(rt, "reject")), RejectHint: proto.Uint64(small.Draw(rt, "hint"))}
 			for range rapid.IntRange(0, 2).Draw(rt, "entries") {
@@ -391,14 +391,14 @@
 				m.Entries = append(m.Entries, e)
 			}
 			if rapid.Bool().Draw(rt, "snapshot") {
-				m.Snapshot = &pb.Snapshot{Data: rapid.SampledFrom([][]byte{nil, {0}, v.history.image()}).Draw(rt, "image"),
-					Metadata: &pb.SnapshotMetadata{ConfState: v.conf, Index: proto.Uint64(small.Draw(rt, "sindex")), Term: proto.Uint64(small.Draw(rt, "sterm"))}}
+				m.Snapshot = &pb.Snapshot{Data: rapid.SampledFrom([][]byte{nil, {0}, v.history.encodeSnapshot()}).Draw(rt, "image"),
+					Metadata: &pb.SnapshotMetadata{ConfState: v.confState, Index: proto.Uint64(small.Draw(rt, "sindex")), Term: proto.Uint64(small.Draw(rt, "sterm"))}}
 			}
 			data, err := proto.Marshal(m)
 			require.NoError(rt, err)
-			v.Message(c.now, from, append([]byte{first | last}, data...))
+			v.HandleMessage(c.now, from, append([]byte{fragmentFirst | fragmentLast}, data...))
 			c.pump()
-			c.pass(TickMs)
+			c.pass(TickIntervalMs)
 		}
 		c.pass(500)
 	})
@@ -407,8 +407,8 @@
 	asked := &pb.Message{Type: pb.MsgReadIndex.Enum(), From: proto.Uint64(id), To: proto.Uint64(id%3 + 1), Term: proto.Uint64(2), Entries: []*pb.Entry{{}}}
 	data, err := proto.Marshal(asked)
 	require.NoError(t, err)
-	c.all[id%3+1].Message(c.now, id, append([]byte{first | last}, data...)) // drawn once in a hundred runs: a question that bears a term
-	for _, data := range [][]byte{nil, {0}, {first}, {last}, {first, 1, 2}, {last, 3}, {first | last, 0xff}, make([]byte, MostFrame+1)} {
-		c.all[1].Message(c.now, 2, data)
+	c.all[id%3+1].HandleMessage(c.now, id, append([]byte{fragmentFirst | fragmentLast}, data...)) // drawn once in a hundred runs: a question that bears a term
+	for _, data := range [][]byte{nil, {0}, {fragmentFirst}, {fragmentLast}, {fragmentFirst, 1, 2}, {fragmentLast, 3}, {fragmentFirst | fragmentLast, 0xff}, make([]byte, MaxFrameBytes+1)} {
+		c.all[1].HandleMessage(c.now, 2, data)
 	}
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -87,7 +87,7 @@
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	h := &hollow{clock: clock.New(), alter: alter}
-	planes := map[string]*client.Plane{}
+	planes := map[string]*client.ControlPlane{}
 	for k, n := range w.Nodes {
 		p := planes[n.File]
 		if p == nil {
@@ -96,12 +96,12 @@
 			}
 			planes[n.File] = p
 		}
-		terms, err := p.Node(n.Name)
+		terms, err := p.NodeConfig(n.Name)
 		if err != nil {
 			return err
 		}
 		if !w.Copies {
-			terms.Copy = ""
+			terms.CopyFile = ""
 		}
 		c, err := client.New(terms, func(version uint64, text []byte) error {
 			if !wait(ctx, clock.Span(w.ReadMs)) {
@@ -178,7 +178,7 @@
 				controlsocket.Fail(w, http.StatusServiceUnavailable, err.Error())
 				return
 			}
-			t.Nodes = append(t.Nodes, hollowState{s.Held, s.InForce, s.Refused, s.Member, s.Counters})
+			t.Nodes = append(t.Nodes, hollowState{s.StoredVersion, s.AppliedVersion, s.RejectedVersion, s.Member, s.Counters})
 		}
 	}
 	controlsocket.Answer(w, http.StatusOK, t)
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -154,7 +154,7 @@
 }
 
 // finish judges.
-func (r *run) finish(a, b, c snap, log []client.Entry) {
+func (r *run) finish(a, b, c snap, log []client.LogEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x := &r.report
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -51,7 +51,7 @@
 	o      Options
 	clock  *clock.Clock
 	site   *site
-	plane  *client.Plane // as operators reach it
+	plane  *client.ControlPlane // as operators reach it
 	doc    *document
 	failed chan error
 	wg     sync.WaitGroup
@@ -478,7 +478,7 @@
 
 func (r *run) leader(ctx context.Context) string {
 	for range 10 {
-		for _, a := range r.plane.Statuses(ctx) {
+		for _, a := range r.plane.MemberStatuses(ctx) {
 			if a.Err == nil && a.Status.Leader == a.Member.Name {
 				return a.Member.Name
 			}
@@ -585,7 +585,7 @@
 			return context.Cause(ctx)
 		}
 	}
-	log, _, err := r.plane.Log(ctx, 1<<20)
+	log, _, err := r.plane.RecentChanges(ctx, 1<<20)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/simcontrolplane/faults.go
+++ b/internal/lab/simcontrolplane/faults.go
@@ -80,7 +80,7 @@
 	if f.A < 0 {
 		f.A = 0
 		for k, p := range s.procs[:s.t.Voters] {
-			if p.up && p.voter.Leads() {
+			if p.up && p.voter.IsLeader() {
 				f.A = k
 			}
 		}
@@ -95,7 +95,7 @@
 		}
 		s.kill(p)
 		if f.Kind == "lost" {
-			p.copy.Version, p.copy.Text = 0, nil
+			p.copy.Version, p.copy.Document = 0, nil
 		}
 		s.judge.bad(p.id, p.id, f.Until-f.At)
 		end(func() { s.start(p) })
--- a/internal/lab/simcontrolplane/judge.go
+++ b/internal/lab/simcontrolplane/judge.go
@@ -75,7 +75,7 @@
 // answered takes what a voter says at the moment that it says it.
 func (j *judge) answered(x *proposal, r controlplane.Result) {
 	switch r.Code {
-	case controlplane.Done:
+	case controlplane.CodeDone:
 		if x.version != 0 {
 			if x.version != r.Version {
 				j.broken("proposal %x acknowledged as %d and as %d", x.id, x.version, r.Version)
@@ -93,13 +93,13 @@
 		}
 		j.highest = append(j.highest, top)
 		j.s.Acknowledged++
-	case controlplane.Conflict:
+	case controlplane.CodeConflict:
 		j.s.Conflicts++
 		if x.refused = true; x.version != 0 {
 			j.broken("proposal %x acknowledged as %d, then refused", x.id, x.version)
 		}
-	case controlplane.Invalid:
-		j.broken("proposal %x invalid: %s", x.id, r.Why)
+	case controlplane.CodeInvalid:
+		j.broken("proposal %x invalid: %s", x.id, r.Detail)
 	}
 }
 
@@ -144,12 +144,12 @@
 	}
 }
 
-func (j *judge) inForce(p *proc, c controlplane.Copy) {
+func (j *judge) inForce(p *proc, c controlplane.VersionedDocument) {
 	if c.Version <= j.held[p.id] {
 		j.broken("%s puts version %d in force after %d", p.name, c.Version, j.held[p.id])
 	}
 	j.held[p.id] = c.Version
-	j.version(p, c.Version, c.Text)
+	j.version(p, c.Version, c.Document)
 	j.force[p.id] = append(j.force[p.id], forced{j.s.now, c.Version})
 	j.s.trace("%s has %d in force", p.name, c.Version)
 }
@@ -162,14 +162,14 @@
 		}
 		fresh, held := 0.0, uint64(0)
 		if p.voter != nil {
-			fresh = p.voter.FreshAt() - p.clock
+			fresh = p.voter.FreshAsOf() - p.clock
 			held, _ = p.voter.History().Head()
-			if why := p.voter.Fault(); why != "" {
+			if why := p.voter.StoreFault(); why != "" {
 				j.broken("%s: %s", p.name, why)
 			}
 		} else {
 			st := p.follower.State(j.s.at(p))
-			fresh, held = j.s.now-st.Age, st.Held
+			fresh, held = j.s.now-st.StalenessMs, st.StoredVersion
 		}
 		if n := sort.Search(len(j.acked), func(k int) bool { return j.acked[k].acked >= fresh-0.001 }); n > 0 && j.highest[n-1] > held {
 			j.broken("%s claims an age of %.0f ms with version %d, and %d was acknowledged %.0f ms ago", p.name, j.s.now-fresh, held,
@@ -352,7 +352,7 @@
 			continue
 		}
 		for _, l := range m.server.Leases(s.at(m)) {
-			if since := s.at(m) - l.Seen; ago[l.Name] == 0 || since < ago[l.Name] {
+			if since := s.at(m) - l.LastSeenAt; ago[l.Name] == 0 || since < ago[l.Name] {
 				latest[l.Name], ago[l.Name] = l, since
 			}
 		}
@@ -363,7 +363,7 @@
 		case !p.up:
 		case !known:
 			j.broken("no member knows of %s", p.name)
-		case l.InForce != head || l.Held != head || l.Behind != 0 || l.Region != p.region:
+		case l.AppliedVersion != head || l.StoredVersion != head || l.BehindMs != 0 || l.Region != p.region:
 			j.broken("%s has version %d in force, members say %+v", p.name, head, l)
 		}
 	}
--- a/internal/lab/simcontrolplane/operators.go
+++ b/internal/lab/simcontrolplane/operators.go
@@ -100,23 +100,23 @@
 			p.waits[x.id] = func(r controlplane.Result) {
 				s.trace("%s answers %x from %d: %v %d", p.name, x.id, x.base, r.Code, r.Version)
 				s.judge.answered(x, r)
-				if r.Code == controlplane.Done && s.acked != nil {
+				if r.Code == controlplane.CodeDone && s.acked != nil {
 					s.acked(p.id)
 				}
 				switch r.Code {
-				case controlplane.NotLeader, controlplane.Lost:
+				case controlplane.CodeNotLeader, controlplane.CodeLeadershipLost:
 					to := elsewhere()
 					if r.Leader > 0 {
 						to = int(r.Leader - 1)
 					}
 					next(to, 100+s.rng.Float64()*200)
-				case controlplane.Busy:
+				case controlplane.CodeBusy:
 					next(voter, 200)
 				default:
 					over = true
 				}
 			}
-			p.voter.Propose(s.at(p), x.id, controlplane.Proposal{Base: x.base, Text: text, By: "operator", Reason: "trial"})
+			p.voter.Propose(s.at(p), x.id, controlplane.Proposal{Base: x.base, Document: text, By: "operator", Reason: "trial"})
 		})
 	})
 }
--- a/internal/lab/simcontrolplane/simcontrolplane.go
+++ b/internal/lab/simcontrolplane/simcontrolplane.go
@@ -60,12 +60,12 @@
 	queue        []func() // what comes meanwhile
 
 	voter    *controlplane.Voter
-	store    *controlplane.Stored
+	store    *controlplane.StoredState
 	waits    map[uint64]func(controlplane.Result)
 	follower *controlplane.Follower
-	copy     controlplane.Copy // on disk
+	copy     controlplane.VersionedDocument // on disk
 	applies  bool
-	next     *controlplane.Take
+	next     *controlplane.DocumentUpdate
 	server   *controlplane.Server
 	dial     int // counts them
 	conn     *conn
@@ -186,12 +186,12 @@
 			p.store = controlplane.Bootstrap(voters)
 		}
 		var err error
-		p.voter, err = controlplane.NewVoter(controlplane.VoterConfig{ID: uint64(p.id + 1), Voters: voters, Seed: seed, Entries: 4000, Kept: s.t.Kept, InjectedBug: s.Flaw}, p.store, s.at(p))
+		p.voter, err = controlplane.NewVoter(controlplane.VoterConfig{ID: uint64(p.id + 1), Voters: voters, Seed: seed, SnapshotThreshold: 4000, RetainedChanges: s.t.Kept, InjectedBug: s.Flaw}, p.store, s.at(p))
 		if err != nil {
 			panic(err)
 		}
 	} else {
-		t := controlplane.FollowerConfig{Name: p.name, Region: p.region, Kind: controlplane.KindNode, Kept: s.t.Kept, Seed: seed, InjectedBug: s.Flaw}
+		t := controlplane.FollowerConfig{Name: p.name, Region: p.region, Kind: controlplane.KindNode, RetainedChanges: s.t.Kept, Seed: seed, InjectedBug: s.Flaw}
 		most := s.members()
 		if p.id < s.members() {
 			t.Kind, t.InjectedBug, most = controlplane.KindMember, controlplane.NoInjectedBug, s.t.Voters
@@ -203,7 +203,7 @@
 		s.judge.started(p)
 		if p.copy.Version > 0 && p.id >= s.members() {
 			s.judge.inForce(p, p.copy)
-			p.follower.InForce(s.at(p), p.copy.Version)
+			p.follower.VersionApplied(s.at(p), p.copy.Version)
 		}
 	}
 	if p.id < s.members() {
@@ -225,10 +225,10 @@
 					p.server.Tick(s.at(p))
 				}
 			})
-			s.after(controlplane.TickMs, tick)
+			s.after(controlplane.TickIntervalMs, tick)
 		}
 	}
-	s.after(s.rng.Float64()*controlplane.TickMs, tick)
+	s.after(s.rng.Float64()*controlplane.TickIntervalMs, tick)
 }
 
 // pump carries out what a process has to do, in order; a write stops all else until it is done.
@@ -244,7 +244,7 @@
 			if s.Unsynced {
 				s.after(3000, func() {
 					if p.up && p.life == life {
-						p.store.Keep(o.Persist)
+						p.store.ApplyPersist(o.Persist)
 					}
 				})
 				break
@@ -252,7 +252,7 @@
 			p.busy = true
 			s.after(0.2+s.rng.Float64()*s.rng.Float64()*20, func() {
 				if p.up && p.life == life {
-					p.store.Keep(o.Persist)
+					p.store.ApplyPersist(o.Persist)
 					p.busy = false
 					s.pump(p)
 					s.resume(p)
@@ -271,7 +271,7 @@
 		}
 	}
 	if p.voter != nil {
-		p.server.Set(s.at(p), p.voter.History(), p.voter.FreshAt())
+		p.server.SetHistory(s.at(p), p.voter.History(), p.voter.FreshAsOf())
 	}
 	for p.follower != nil {
 		o, more := p.follower.Next()
@@ -281,21 +281,21 @@
 		switch {
 		case o.Dial:
 			s.dialled(p, o.Member)
-		case o.Hangup:
+		case o.Disconnect:
 			p.dial++
 			s.hangup(p.conn, 0)
 			p.conn = nil
 		case o.Frame != nil:
 			s.carry(p.conn, 0, o.Frame)
-		case o.Take != nil:
-			s.take(p, o.Take)
+		case o.Update != nil:
+			s.take(p, o.Update)
 		}
 	}
 	if p.server == nil {
 		return
 	}
 	if p.follower != nil {
-		p.server.Set(s.at(p), p.follower.History(), p.follower.FreshAt())
+		p.server.SetHistory(s.at(p), p.follower.History(), p.follower.FreshAsOf())
 	}
 	version, doc := p.history().Head()
 	s.judge.holds(p, version, doc)
@@ -305,8 +305,8 @@
 			return
 		}
 		c := s.conn(o.Conn)
-		if o.Hangup {
-			s.trace("%s hangs up: %s", p.name, o.Why)
+		if o.Disconnect {
+			s.trace("%s hangs up: %s", p.name, o.DisconnectReason)
 			s.hangup(c, 1)
 		} else {
 			s.carry(c, 1, o.Frame)
@@ -322,12 +322,12 @@
 }
 
 // take puts a copy in force, newest only, and on disk.
-func (s *Plane) take(p *proc, t *controlplane.Take) {
+func (s *Plane) take(p *proc, t *controlplane.DocumentUpdate) {
 	if t.Changes == nil {
 		s.Wholes++
 	}
 	if p.id < s.members() { // a relay only keeps it
-		p.copy = controlplane.Copy{Version: t.Version, Text: t.Text}
+		p.copy = controlplane.VersionedDocument{Version: t.Version, Document: t.Document}
 		return
 	}
 	if p.applies {
@@ -338,9 +338,9 @@
 	life := p.life
 	s.after(1+s.rng.Float64()*30, func() {
 		s.in(p.id, life, func() {
-			p.copy = controlplane.Copy{Version: t.Version, Text: t.Text}
+			p.copy = controlplane.VersionedDocument{Version: t.Version, Document: t.Document}
 			s.judge.inForce(p, p.copy)
-			p.follower.InForce(s.at(p), t.Version)
+			p.follower.VersionApplied(s.at(p), t.Version)
 			p.applies = false
 			if next := p.next; next != nil {
 				p.next = nil
@@ -364,7 +364,7 @@
 }
 
 // message is one between voters: a cut link loses it.
-func (s *Plane) message(from *proc, m *controlplane.VoterSend) {
+func (s *Plane) message(from *proc, m *controlplane.VoterMessage) {
 	to := s.procs[m.To-1]
 	life, sender := to.life, from.life
 	if s.cut[from.id][to.id] > 0 || s.rng.Float64() < 0.001 {
@@ -376,7 +376,7 @@
 		if s.cut[from.id][to.id] > 0 || from.life != sender { // a link ends with its sender
 			return
 		}
-		s.in(to.id, life, func() { to.voter.Message(s.at(to), uint64(from.id+1), m.Data) })
+		s.in(to.id, life, func() { to.voter.HandleMessage(s.at(to), uint64(from.id+1), m.Data) })
 	})
 }
 
@@ -394,7 +394,7 @@
 				if s.cut[m.id][p.id] == 0 {
 					s.in(p.id, life, func() {
 						if current() {
-							p.follower.Lost(s.at(p))
+							p.follower.Disconnected(s.at(p))
 						}
 					})
 				}
@@ -405,7 +405,7 @@
 			s.ids++
 			c := &conn{id: s.ids, ends: [2]int{p.id, m.id}, lives: [2]int{life, m.life}, open: [2]bool{true, true}}
 			s.conns = append(s.conns, c)
-			m.server.Join(s.at(m), c.id, p.name)
+			m.server.AddConnection(s.at(m), c.id, p.name)
 			s.after(s.way(m.id, p.id, 100), func() {
 				if s.cut[m.id][p.id] > 0 {
 					return
@@ -462,7 +462,7 @@
 	}
 	s.in(p.id, c.lives[0], func() {
 		if p.conn == c {
-			p.follower.Heard(s.at(p))
+			p.follower.BytesReceived(s.at(p))
 		}
 	})
 }
@@ -527,11 +527,11 @@
 		s.in(p.id, c.lives[to], func() {
 			if c.open[to] {
 				if side == 0 {
-					if err := p.server.Frame(s.at(p), c.id, frame); err != nil {
+					if err := p.server.HandleFrame(s.at(p), c.id, frame); err != nil {
 						s.hangup(c, 1)
 					}
 				} else if p.conn == c {
-					p.follower.Frame(s.at(p), frame)
+					p.follower.HandleFrame(s.at(p), frame)
 				}
 			}
 			s.sent(c, side, size)
@@ -543,7 +543,7 @@
 func (s *Plane) sent(c *conn, side, size int) {
 	if side == 1 {
 		m := s.procs[c.ends[1]]
-		s.in(m.id, c.lives[1], func() { m.server.Sent(s.at(m), c.id, size) })
+		s.in(m.id, c.lives[1], func() { m.server.BytesWritten(s.at(m), c.id, size) })
 	}
 }
 
@@ -568,10 +568,10 @@
 	c.open[side] = false
 	p := s.procs[c.ends[side]]
 	if side == 1 {
-		p.server.Leave(s.at(p), c.id)
+		p.server.RemoveConnection(s.at(p), c.id)
 	} else if p.conn == c {
 		p.conn = nil
-		p.follower.Lost(s.at(p))
+		p.follower.Disconnected(s.at(p))
 	}
 	s.forget(c)
 }
--- a/internal/lab/simcontrolplane/simcontrolplane_test.go
+++ b/internal/lab/simcontrolplane/simcontrolplane_test.go
@@ -56,14 +56,14 @@
 		says   string
 		faults []Fault // else those of the seed
 	}{
-		"a difference applied out of order":        {flaw: controlplane.OutOfOrder, kind: Mangled},
-		"a digest not checked":                     {flaw: controlplane.DigestUnchecked, kind: Mangled},
-		"an acknowledgement before the majority":   {flaw: controlplane.AckEarly, kind: Harsh, says: "acknowledged"},
-		"a leader fresh by its own word":           {flaw: controlplane.StaleServe, kind: Harsh, says: "claims an age"},
-		"an age by receipt alone":                  {flaw: controlplane.ReceiptAge, kind: Harsh, says: "claims an age"},
-		"a change taken whatever it was made from": {flaw: controlplane.BaseUnchecked, kind: Mild},
+		"a difference applied out of order":        {flaw: controlplane.BugOutOfOrderChange, kind: Mangled},
+		"a digest not checked":                     {flaw: controlplane.BugDigestUnchecked, kind: Mangled},
+		"an acknowledgement before the majority":   {flaw: controlplane.BugReplyBeforeCommit, kind: Harsh, says: "acknowledged"},
+		"a leader fresh by its own word":           {flaw: controlplane.BugFreshWithoutQuorum, kind: Harsh, says: "claims an age"},
+		"an age by receipt alone":                  {flaw: controlplane.BugStalenessFromReceipt, kind: Harsh, says: "claims an age"},
+		"a change taken whatever it was made from": {flaw: controlplane.BugBaseUnchecked, kind: Mild},
 		"a write told as done before it is":        {kind: Harsh},
-		"a follower stays with a voter that is cut off": {flaw: controlplane.StayPut, kind: Mild, says: "could be reached",
+		"a follower stays with a voter that is cut off": {flaw: controlplane.BugStayWithStaleServer, kind: Mild, says: "could be reached",
 			faults: []Fault{{At: 6000, Until: 15e3, Kind: "deaf", A: 1}}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -44,15 +44,15 @@
 type Options struct {
 	Decide  node.NewDecider // makes its decision module
 	Version string
-	Control string        // path of its control socket; none is served where empty
-	Held    bool          // out of service until the control socket says otherwise
-	Token   string        // that the control socket answers with
-	Epoch   uint64        // the agent's count of its restarts
-	Capture *Capture      // where all that the module is told goes; nil is nowhere
-	TLS     *TLS          // nil is none
-	Edge    string        // file of admission; all clients are let in where empty
-	Peers   *Peers        // nil shares nothing
-	Plane   *client.Plane // the control plane that it follows; nil is none
+	Control string               // path of its control socket; none is served where empty
+	Held    bool                 // out of service until the control socket says otherwise
+	Token   string               // that the control socket answers with
+	Epoch   uint64               // the agent's count of its restarts
+	Capture *Capture             // where all that the module is told goes; nil is nowhere
+	TLS     *TLS                 // nil is none
+	Edge    string               // file of admission; all clients are let in where empty
+	Peers   *Peers               // nil shares nothing
+	Plane   *client.ControlPlane // the control plane that it follows; nil is none
 }
 
 // Hear has SIGHUP wait for Run, from before the configuration is read: one that nobody heard would end the process. One that
@@ -105,7 +105,7 @@
 		}
 		asks = settings.asks
 		defer settings.stop()
-		limit -= client.Descriptors
+		limit -= client.MaxDescriptors
 	}
 	budget := descriptors.New(limit, func() {
 		select {
--- a/internal/serve/shared.go
+++ b/internal/serve/shared.go
@@ -39,8 +39,8 @@
 }
 
 // openShared reads the last good copy: a node that has one starts with it, whatever its file says.
-func openShared(p *Config, plane *client.Plane, c *clock.Clock, log *slog.Logger) (*shared, error) {
-	t, err := plane.Node(p.name)
+func openShared(p *Config, plane *client.ControlPlane, c *clock.Clock, log *slog.Logger) (*shared, error) {
+	t, err := plane.NodeConfig(p.name)
 	if err != nil {
 		return nil, err
 	}
@@ -50,7 +50,7 @@
 	if s.client, err = client.New(t, s.apply, c, log); err != nil {
 		return nil, err
 	}
-	version, text, there := s.client.Copy()
+	version, text, there := s.client.StoredCopy()
 	if !there {
 		return s, nil
 	}
@@ -118,7 +118,7 @@
 	now := s.now.Load()
 	c := &controlsocket.ControlPlane{InForce: now.version, Held: now.version, Digest: now.digest}
 	if is, err := s.client.State(ctx); err == nil {
-		c.Held, c.Member, c.Refused, c.Why, c.AgeMs = is.Held, is.Member, is.Refused, is.Why, client.Finite(is.Age)
+		c.Held, c.Member, c.Refused, c.Why, c.AgeMs = is.StoredVersion, is.Member, is.RejectedVersion, is.RejectReason, client.FiniteOrNil(is.StalenessMs)
 		c.BytesIn, c.BytesOut, c.FramesIn, c.FramesOut, c.Dials = is.BytesIn, is.BytesOut, is.FramesIn, is.FramesOut, is.Dials
 	}
 	return c
