--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -311,7 +311,7 @@
 	if err != nil {
 		return w, err
 	}
-	w.Version, w.Sum, err = discovery.Sum(data)
+	w.Version, w.Sum, err = discovery.ReadDigest(data)
 	return w, err
 }
 
@@ -382,7 +382,7 @@
 		if err != nil || lock == nil {
 			return 0, errors.Join(err, errors.New("still held"))
 		}
-		defer lock.Close()
+		defer func() { _ = lock.Close() }()
 		for _, name := range []string{p.socket(), p.lock()} {
 			if err := os.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return 0, err
