--- a/internal/server/gone_kept_test.go
+++ b/internal/server/gone_kept_test.go
@@ -44,7 +44,7 @@
 		return w.Address()
 	}
 	for self := range 3 {
-		terms := peers.Config{Fleet: "f", Replicas: 3, Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, MaxLogBytes: 1 << 20, OutcomeTTL: 60e3, Self: self}
+		terms := peers.Config{Fleet: "f", Replicas: 3, Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, MaxLogBytes: 1 << 20, AnswerTTL: 60e3, Self: self}
 		for k, name := range []string{"a", "b", "c"} {
 			address := real[k]
 			if k != self && (k == 0 || self == 0) {
@@ -93,7 +93,7 @@
 	f, _, _ = fronted(t, 256, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3,
 		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, g.decide, list,
 		func(f *Server) {
-			f.node.Keep(keep)
+			f.node.LogRequests(keep)
 			f.LogRequests(RequestLogging{Peers: keep, Header: "Idempotency-Key", Categories: map[string]bool{"check": false}, Most: 1 << 10})
 		})
 	require.Eventually(t, func() bool { // a majority answers
