--- a/cmd/pearknot/ready_test.go
+++ b/cmd/pearknot/ready_test.go
@@ -90,7 +90,9 @@
 	r.start()
 	since := r.begun
 	if !known && !moods[m] {
-		require.Eventually(r.t, func() bool { return r.log.count(`msg="endpoint list poll failed"`) > 0 && r.log.count("msg=serving") > 0 },
+		require.Eventually(r.t, func() bool {
+			return r.log.count(`msg="endpoint list poll failed"`) > 0 && r.log.count("msg=serving") > 0
+		},
 			20*time.Second, time.Millisecond)
 		require.Equal(r.t, http.StatusServiceUnavailable, r.health())
 		if m == silent { // it returns while the next call is out, which is lost
