--- a/cmd/pearknot-lab/authority.go
+++ b/cmd/pearknot-lab/authority.go
@@ -73,11 +73,11 @@
 			for what, address := range map[string]string{"--listen": listen, "--http": http1, "--tls": alpn} {
 				host, _, err := net.SplitHostPort(address)
 				if err != nil || !net.ParseIP(host).IsLoopback() {
-					return cli.Usage(fmt.Errorf("%s %q is no loopback address with a port", what, address))
+					return cli.UsageError(fmt.Errorf("%s %q is no loopback address with a port", what, address))
 				}
 			}
 			if valid := life > 0 && window >= 0 && window < 1; !valid { // NaN is refused too
-				return cli.Usage(errors.New("--life or --window is none"))
+				return cli.UsageError(errors.New("--life or --window is none"))
 			}
 			a, err := acmestub.New(acmestub.Options{Life: life, Window: window, HTTP: func(string) string { return http1 }, TLS: func(string) string { return alpn }})
 			if err != nil {
@@ -86,7 +86,7 @@
 			if troubles != "" {
 				all, err := schedule(troubles, time.Now())
 				if err != nil {
-					return cli.Usage(err)
+					return cli.UsageError(err)
 				}
 				a.Put(all...)
 			}
--- a/cmd/pearknot-lab/capacity.go
+++ b/cmd/pearknot-lab/capacity.go
@@ -24,28 +24,28 @@
 Exit status: 3 where a limit is passed, 2 where the target can't be read, 1 where a row can't be measured.`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if update != "" && (quick || from != "" || out != "") {
-				return cli.Usage(errors.New("--update goes with neither --quick nor --from nor --out"))
+				return cli.UsageError(errors.New("--update goes with neither --quick nor --from nor --out"))
 			}
 			t, err := capacity.Read(target)
 			if err != nil {
-				return cli.Missing(err)
+				return cli.UsageIfNotExist(err)
 			}
 			var r, stood *capacity.Result
 			if update != "" { // before minutes of measuring
 				if stood, err = capacity.ReadResult(update); err != nil {
-					return cli.Usage(err)
+					return cli.UsageError(err)
 				}
 			}
 			if from != "" {
 				if r, err = capacity.ReadResult(from); err != nil {
-					return cli.Usage(err)
+					return cli.UsageError(err)
 				}
 			} else if r, err = p.capacity(c, only, quick); err != nil {
 				return err
 			}
 			if stood != nil {
 				if err := stood.Update(r); err != nil {
-					return cli.Usage(err)
+					return cli.UsageError(err)
 				}
 				r, out = stood, update
 			}
@@ -58,11 +58,11 @@
 			fmt.Fprint(c.OutOrStdout(), text)
 			if page != "" {
 				if err := rewrite(page, text); err != nil {
-					return cli.Usage(err)
+					return cli.UsageError(err)
 				}
 			}
 			if over := capacity.Ranked(capacity.Costs(r.Slopes, t)); len(over) > 0 {
-				return &cli.Error{Status: cli.No, Err: fmt.Errorf("%d costs pass their limits", len(over)), Silent: true}
+				return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d costs pass their limits", len(over)), Silent: true}
 			}
 			return nil
 		}}
@@ -94,7 +94,7 @@
 	begun := time.Now()
 	r, err := capacity.Measure(c.Context(), b, only)
 	if errors.Is(err, capacity.ErrUnknown) {
-		return nil, cli.Usage(err)
+		return nil, cli.UsageError(err)
 	}
 	own, child := capacity.Peak()
 	fmt.Fprintf(c.ErrOrStderr(), "%.0f s; most memory held: %.0f MB here, %.0f MB in a process of the program\n", time.Since(begun).Seconds(), own, child)
--- a/cmd/pearknot-lab/count.go
+++ b/cmd/pearknot-lab/count.go
@@ -20,7 +20,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			files, err := filepath.Glob(filepath.Join(args[0], "*.log"))
 			if err != nil || len(files) == 0 {
-				return cli.Usage(&os.PathError{Op: "count", Path: args[0], Err: os.ErrNotExist})
+				return cli.UsageError(&os.PathError{Op: "count", Path: args[0], Err: os.ErrNotExist})
 			}
 			count := logstats.New()
 			for _, file := range files {
--- a/cmd/pearknot-lab/demo.go
+++ b/cmd/pearknot-lab/demo.go
@@ -26,7 +26,7 @@
 - for a dead one, d for one that drains, ? for one whose machine is gone.`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if seconds < 5 || seconds > 3600 {
-				return cli.Usage(fmt.Errorf("--seconds %v is not 5 to 3600", seconds))
+				return cli.UsageError(fmt.Errorf("--seconds %v is not 5 to 3600", seconds))
 			}
 			e, err := experiment.Decode("demo.toml", demoFile)
 			if err != nil {
--- a/cmd/pearknot-lab/fleet.go
+++ b/cmd/pearknot-lab/fleet.go
@@ -31,7 +31,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			e, err := experiment.Read(file)
 			if err != nil {
-				return cli.Missing(err)
+				return cli.UsageIfNotExist(err)
 			}
 			e.Fleet.Nodes, e.Seconds, e.Seeds, e.Trouble = instances, seconds, e.Seeds[:1], nil
 			start, clean, err := p.command(c.Context(), "cda")
--- a/cmd/pearknot-lab/main.go
+++ b/cmd/pearknot-lab/main.go
@@ -35,7 +35,7 @@
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return cli.Usage(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return cli.UsageError(err) })
 	root.AddCommand(schedulesCommand(), demoCommand(), runCommand(), sweepCommand(), compareCommand(), searchCommand(), reportCommand(), fleetCommand(), instancesCommand(), nodeCommand(), authorityCommand(), countCommand(), capacityCommand(), scaleCommand(), hollowCommand())
 	return cli.Exit("pearknot-lab", root.ExecuteContext(ctx), errs)
 }
--- a/cmd/pearknot-lab/play.go
+++ b/cmd/pearknot-lab/play.go
@@ -71,17 +71,17 @@
 // apply puts the command line's wishes over the file's.
 func (p *plan) apply(e *experiment.Experiment) error {
 	if p.tls && (p.virtual || p.policy != "" && p.policy != "cda") {
-		return cli.Usage(errors.New("--tls is for real nodes"))
+		return cli.UsageError(errors.New("--tls is for real nodes"))
 	}
 	if p.devices < 0 || p.devices > 10_000 {
-		return cli.Usage(fmt.Errorf("--devices %d is not 0 to 10000", p.devices))
+		return cli.UsageError(fmt.Errorf("--devices %d is not 0 to 10000", p.devices))
 	}
 	if len(p.renew) > 0 && !p.tls {
-		return cli.Usage(errors.New("--renew goes with --tls"))
+		return cli.UsageError(errors.New("--renew goes with --tls"))
 	}
 	if p.policy != "" {
 		if !slices.Contains(experiment.Policies, p.policy) {
-			return cli.Usage(fmt.Errorf("--policy %q is none of %s", p.policy, strings.Join(experiment.Policies, ", ")))
+			return cli.UsageError(fmt.Errorf("--policy %q is none of %s", p.policy, strings.Join(experiment.Policies, ", ")))
 		}
 		e.Policy = p.policy
 	}
@@ -92,10 +92,10 @@
 		}
 	}
 	if p.capture != "" && (!p.virtual || len(e.Seeds) > 1 || e.Policy != "cda") {
-		return cli.Usage(fmt.Errorf("--capture needs --virtual, one seed and the module itself"))
+		return cli.UsageError(fmt.Errorf("--capture needs --virtual, one seed and the module itself"))
 	}
 	if p.events && (p.out == "" || len(e.Seeds) > 1) {
-		return cli.Usage(fmt.Errorf("--events writes one history: it needs --out and one seed"))
+		return cli.UsageError(fmt.Errorf("--events writes one history: it needs --out and one seed"))
 	}
 	return nil
 }
@@ -197,7 +197,7 @@
 	}
 	switch beside := filepath.Join(filepath.Dir(self), "pearknot"); {
 	case policy == "all-seeing":
-		return nil, clean, cli.Usage(fmt.Errorf("policy all-seeing: only with --virtual"))
+		return nil, clean, cli.UsageError(fmt.Errorf("policy all-seeing: only with --virtual"))
 	case policy != "cda":
 		return []string{self, "node", "--policy", policy}, clean, nil
 	case p.pearknot != "":
@@ -245,7 +245,7 @@
 		fmt.Fprintln(out, "   ", run.Rules.Text)
 	}
 	if !runner.Kept(r) {
-		return &cli.Error{Status: cli.No, Err: errBroken, Silent: true}
+		return &cli.Error{Status: cli.StatusCheckFailed, Err: errBroken, Silent: true}
 	}
 	return nil
 }
@@ -256,7 +256,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := experiment.Read(args[0])
 			if err != nil {
-				return cli.Missing(err)
+				return cli.UsageIfNotExist(err)
 			}
 			if err := p.apply(e); err != nil {
 				return err
@@ -279,22 +279,22 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			key, list, ok := strings.Cut(over, "=")
 			if !ok || key == "" || list == "" {
-				return cli.Usage(fmt.Errorf("--over %q is not KEY=a,b,c", over))
+				return cli.UsageError(fmt.Errorf("--over %q is not KEY=a,b,c", over))
 			}
 			data, err := os.ReadFile(args[0])
 			if err != nil {
-				return cli.Missing(err)
+				return cli.UsageIfNotExist(err)
 			}
 			broken := false
 			out := p.out
 			for _, value := range strings.Split(list, ",") {
 				text, err := replaced(data, key, value)
 				if err != nil {
-					return cli.Usage(fmt.Errorf("--over: %w", err))
+					return cli.UsageError(fmt.Errorf("--over: %w", err))
 				}
 				e, err := experiment.Decode(args[0], text)
 				if err != nil {
-					return cli.Usage(fmt.Errorf("with %s = %s: %w", key, value, err))
+					return cli.UsageError(fmt.Errorf("with %s = %s: %w", key, value, err))
 				}
 				if err := p.apply(e); err != nil {
 					return err
@@ -312,7 +312,7 @@
 				}
 			}
 			if broken {
-				return &cli.Error{Status: cli.No, Err: errBroken, Silent: true}
+				return &cli.Error{Status: cli.StatusCheckFailed, Err: errBroken, Silent: true}
 			}
 			return nil
 		}}
@@ -330,12 +330,12 @@
 			for i, dir := range args {
 				var err error
 				if r[i], err = report.Read(dir); err != nil {
-					return cli.Usage(err)
+					return cli.UsageError(err)
 				}
 			}
 			names, diffs, err := metrics.Compare(r[0], r[1])
 			if err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 			out := c.OutOrStdout()
 			fmt.Fprintf(out, "A: %s, %s, %s: service %s\nB: %s, %s, %s: service %s\n", r[0].Experiment, r[0].Policy, r[0].Host, r[0].Service,
@@ -357,7 +357,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := experiment.Read(args[0])
 			if err != nil {
-				return cli.Missing(err)
+				return cli.UsageIfNotExist(err)
 			}
 			if err := (&plan{policy: policy}).apply(e); err != nil {
 				return err
@@ -383,7 +383,7 @@
 			}
 			if f.Broken {
 				fmt.Fprintln(c.OutOrStdout(), "a rule was broken: run the file that --out writes")
-				return &cli.Error{Status: cli.No, Err: errBroken, Silent: true}
+				return &cli.Error{Status: cli.StatusCheckFailed, Err: errBroken, Silent: true}
 			}
 			return nil
 		}}
@@ -400,7 +400,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			r, err := report.Read(args[0])
 			if err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 			if err := report.Page(args[0], r); err != nil {
 				return err
@@ -418,10 +418,10 @@
 		log := slog.New(slog.NewTextHandler(c.ErrOrStderr(), nil))
 		p, err := serve.Read(file, log)
 		if err != nil {
-			return cli.Usage(err)
+			return cli.UsageError(err)
 		}
 		if _, err := baselines.New(name, &balancer.Config{}, 0, nil); err != nil {
-			return cli.Usage(err)
+			return cli.UsageError(err)
 		}
 		return serve.Run(c.Context(), again, p, serve.Options{Version: cli.Version(), Decide: func(t *balancer.Config, now float64) balancer.Decider {
 			d, _ := baselines.New(name, t, now, nil) // the name was tried above
--- a/cmd/pearknot-lab/scale.go
+++ b/cmd/pearknot-lab/scale.go
@@ -24,7 +24,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := scale.Read(args[0])
 			if err != nil {
-				return cli.Missing(err)
+				return cli.UsageIfNotExist(err)
 			}
 			start, clean, err := p.command(c.Context(), "cda")
 			if err != nil {
@@ -39,7 +39,7 @@
 			var big *scale.TooBigError
 			switch {
 			case errors.As(err, &big):
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			case err != nil:
 				return err
 			}
@@ -50,7 +50,7 @@
 			}
 			r.Print(c.OutOrStdout())
 			if len(r.Broken) > 0 {
-				return &cli.Error{Status: cli.No, Err: errBroken, Silent: true}
+				return &cli.Error{Status: cli.StatusCheckFailed, Err: errBroken, Silent: true}
 			}
 			return nil
 		}}
@@ -73,6 +73,6 @@
 // hollowCommand is a process of hollow nodes, as scale starts it.
 func hollowCommand() *cobra.Command {
 	return &cobra.Command{Use: "hollow FILE", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-		return cli.Missing(scale.Hollow(c.Context(), args[0], slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: slog.LevelWarn}))))
+		return cli.UsageIfNotExist(scale.Hollow(c.Context(), args[0], slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: slog.LevelWarn}))))
 	}}
 }
--- a/cmd/pearknot-lab/schedules.go
+++ b/cmd/pearknot-lab/schedules.go
@@ -22,7 +22,7 @@
 				return planeSchedules(c, from, seeds, voters)
 			}
 			if copies != 3 && copies != 5 || members < copies || members > 64 || seeds < 1 {
-				return cli.Usage(fmt.Errorf("%d seeds of %d members with %d copies: give one at least, 3 or 5 copies, and as many members or up to 64", seeds, members, copies))
+				return cli.UsageError(fmt.Errorf("%d seeds of %d members with %d copies: give one at least, 3 or 5 copies, and as many members or up to 64", seeds, members, copies))
 			}
 			sum, err := simcluster.Many(c.Context(), from, seeds, members, copies)
 			fmt.Fprintf(c.OutOrStdout(), "%d schedules, %d ops taken over, %d of %d logs served at the end, %d broken\n",
@@ -31,7 +31,7 @@
 				fmt.Fprintln(c.OutOrStdout(), b)
 			}
 			if err == nil && len(sum.Broken) > 0 {
-				return &cli.Error{Status: cli.No, Err: fmt.Errorf("%d of %d schedules break a promise", len(sum.Broken), sum.Schedules), Silent: true}
+				return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d of %d schedules break a promise", len(sum.Broken), sum.Schedules), Silent: true}
 			}
 			return err
 		}}
@@ -46,7 +46,7 @@
 
 func planeSchedules(c *cobra.Command, from, seeds uint64, voters int) error {
 	if voters != 3 && voters != 5 || seeds < 1 {
-		return cli.Usage(fmt.Errorf("%d seeds with %d voters: give one at least, and 3 or 5 voters", seeds, voters))
+		return cli.UsageError(fmt.Errorf("%d seeds with %d voters: give one at least, and 3 or 5 voters", seeds, voters))
 	}
 	sum, err := simcontrolplane.Many(c.Context(), from, seeds, simcontrolplane.Standard(voters))
 	fmt.Fprintln(c.OutOrStdout(), sum)
@@ -54,7 +54,7 @@
 		fmt.Fprintln(c.OutOrStdout(), b)
 	}
 	if err == nil && len(sum.Broken) > 0 {
-		return &cli.Error{Status: cli.No, Err: fmt.Errorf("%d of %d schedules break a promise", len(sum.Broken), sum.Schedules), Silent: true}
+		return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d of %d schedules break a promise", len(sum.Broken), sum.Schedules), Silent: true}
 	}
 	return err
 }
--- a/cmd/pearknot/agent.go
+++ b/cmd/pearknot/agent.go
@@ -18,10 +18,10 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			o, err := agent.ReadOptions(file)
 			if err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 			if o.Point, err = agent.KillAt(os.Getenv(agent.KillVariable)); err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 			log := slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: level}))
 			a, err := agent.New(o, log)
@@ -36,7 +36,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			o, err := agent.ReadOptions(file)
 			if err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 			fmt.Fprintf(c.OutOrStdout(), "state in %s, socket %s, node %s; %d at once, %d canaries\n", o.Dir, o.Socket,
 				strings.Join(o.Binary, " "), o.Rolling.AtOnce, o.Rolling.Canary)
--- a/cmd/pearknot/call.go
+++ b/cmd/pearknot/call.go
@@ -22,10 +22,10 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			line := strings.Join(args[1:], " ")
 			if _, err := admin.Parse([]byte(line)); err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 			if _, _, err := net.SplitHostPort(args[0]); err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 			ctx, cancel := context.WithTimeout(c.Context(), within)
 			defer cancel()
@@ -35,7 +35,7 @@
 			}
 			fmt.Fprintln(c.OutOrStdout(), answer)
 			if !yes {
-				return &cli.Error{Status: cli.No, Err: errors.New(answer), Silent: true}
+				return &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New(answer), Silent: true}
 			}
 			return nil
 		}}
--- a/cmd/pearknot/capture.go
+++ b/cmd/pearknot/capture.go
@@ -24,7 +24,7 @@
 func eachRecord(c *cobra.Command, path string, f func(capture.Record) error) error {
 	files, err := capture.Segments(path)
 	if err != nil {
-		return cli.Usage(err)
+		return cli.UsageError(err)
 	}
 	for _, file := range files {
 		err := capture.Read(file, f)
@@ -34,7 +34,7 @@
 		case errors.As(err, &cut):
 			fmt.Fprintln(c.ErrOrStderr(), cut)
 		case errors.As(err, &damaged):
-			return cli.Usage(damaged)
+			return cli.UsageError(damaged)
 		case err != nil:
 			return err
 		}
@@ -53,7 +53,7 @@
 Exit status: 0 all match, 2 the capture can't be read, 3 the first difference is printed, with its batch.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			if times < 1 {
-				return cli.Usage(fmt.Errorf("--times %d is below 1", times))
+				return cli.UsageError(fmt.Errorf("--times %d is below 1", times))
 			}
 			if against != "" {
 				return replayAgainst(c, against, args[0])
@@ -69,7 +69,7 @@
 					var d *capture.Difference
 					if errors.As(err, &d) {
 						fmt.Fprintln(c.OutOrStdout(), d)
-						return &cli.Error{Status: cli.No, Err: errors.New("decisions differ"), Silent: true}
+						return &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New("decisions differ"), Silent: true}
 					}
 					return err
 				}
@@ -77,7 +77,7 @@
 				fmt.Fprintf(c.OutOrStdout(), "%d decisions match in %d records, from %d starts and %d snapshots, %.1f s of time in %.2f s; %d records missing in %d gaps, of %d nothing is claimed\n",
 					x.Decisions, x.Records, x.Epochs, x.Restored, (x.To-x.From)/1e3, time.Since(begun).Seconds(), x.Missing, x.Gaps, x.Unclaimed)
 				if x.Decisions == 0 {
-					return &cli.Error{Status: cli.No, Err: errors.New("nothing could be claimed: no start stands in the capture")}
+					return &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New("nothing could be claimed: no start stands in the capture")}
 				}
 			}
 			return nil
@@ -106,7 +106,7 @@
 		return nil
 	})
 	if err == nil && !found {
-		err = cli.Usage(fmt.Errorf("--from %.3f: the first start or snapshot is at %.3f", from, first))
+		err = cli.UsageError(fmt.Errorf("--from %.3f: the first start or snapshot is at %.3f", from, first))
 	}
 	return skip, err
 }
@@ -121,7 +121,7 @@
 			text, named := strings.CutPrefix(args[1], "x")
 			number, err := strconv.ParseUint(text, map[bool]int{true: 16, false: 10}[named], 64)
 			if err != nil {
-				return cli.Usage(fmt.Errorf("op %q is neither a number nor x and a name", args[1]))
+				return cli.UsageError(fmt.Errorf("op %q is neither a number nor x and a name", args[1]))
 			}
 			if named {
 				ref := number
@@ -140,7 +140,7 @@
 				return err
 			}
 			if !e.Found() {
-				return &cli.Error{Status: cli.No, Err: fmt.Errorf("op %s is not in what can be played", args[1])}
+				return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("op %s is not in what can be played", args[1])}
 			}
 			return nil
 		}}
@@ -155,8 +155,8 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &exit) && exit.ExitCode() == cli.No:
-		return &cli.Error{Status: cli.No, Err: errors.New("decisions differ"), Silent: true}
+	case errors.As(err, &exit) && exit.ExitCode() == cli.StatusCheckFailed:
+		return &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New("decisions differ"), Silent: true}
 	}
 	return fmt.Errorf("%s replay: %w", program, err)
 }
@@ -167,7 +167,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			files, err := capture.Segments(args[0])
 			if err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 2, 8, 2, ' ', 0)
 			fmt.Fprintln(w, "segment\tbytes\trecords\tops\tstarts\tmissing\tfrom\tto\tends")
@@ -232,7 +232,7 @@
 				return err
 			}
 			if len(kept) == 0 {
-				return cli.Usage(fmt.Errorf("nothing from %.3f to %.3f", from, to))
+				return cli.UsageError(fmt.Errorf("nothing from %.3f to %.3f", from, to))
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d records\n", len(kept))
 			return capture.Write(out, kept)
@@ -255,7 +255,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			files, err := capture.Segments(args[0])
 			if err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 			bad, n := 0, 0
 			for _, file := range files {
@@ -266,7 +266,7 @@
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d segments, %d records whole, %d segments that are not\n", len(files), n, bad)
 			if bad > 0 {
-				return &cli.Error{Status: cli.No, Err: errors.New("not whole"), Silent: true}
+				return &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New("not whole"), Silent: true}
 			}
 			return nil
 		}})
--- a/cmd/pearknot/certs.go
+++ b/cmd/pearknot/certs.go
@@ -33,7 +33,7 @@
 			var s controlsocket.Status
 			err := controlsocket.NewClient(args[0], dialWithin).Call(c.Context(), "GET", controlsocket.StatusPath, nil, &s)
 			if err == nil && s.TLS == nil {
-				return cli.Usage(fmt.Errorf("%s: this node serves no TLS", args[0]))
+				return cli.UsageError(fmt.Errorf("%s: this node serves no TLS", args[0]))
 			}
 			if err != nil {
 				t, odd := serve.ReadTLS(args[0])
@@ -41,7 +41,7 @@
 					if isSocket(args[0]) {
 						return err
 					}
-					return cli.Usage(odd)
+					return cli.UsageError(odd)
 				}
 				t.Acme.Log = slog.New(slog.DiscardHandler)
 				return tellCertificates(c.OutOrStdout(), acme.Look(t.Acme))
@@ -60,7 +60,7 @@
 			err := controlsocket.NewClient(args[0], certsWithin).Call(c.Context(), "POST", path, controlsocket.Certificate{Name: args[1]}, nil)
 			var refused *controlsocket.Refused
 			if errors.As(err, &refused) {
-				return &cli.Error{Status: cli.No, Err: err}
+				return &cli.Error{Status: cli.StatusCheckFailed, Err: err}
 			}
 			if err == nil {
 				fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", args[1], done)
@@ -82,7 +82,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			t, err := serve.ReadTLS(args[0])
 			if err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 			if address == "" {
 				fmt.Fprintf(c.OutOrStdout(), "%s: TLS on %s, %d certificates, %d authorities, store %s\n", args[0], t.Listen, len(t.Acme.Names), len(t.Acme.Authorities), t.Acme.Dir)
@@ -132,7 +132,7 @@
 	if err := w.Flush(); err != nil || bad == 0 {
 		return err
 	}
-	return &cli.Error{Status: cli.No, Err: fmt.Errorf("%d of %d certificates want looking after", bad, len(all))}
+	return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d of %d certificates want looking after", bad, len(all))}
 }
 
 // checkServed makes a handshake for each name, as a client would.
@@ -163,7 +163,7 @@
 		}
 	}
 	if bad > 0 {
-		return &cli.Error{Status: cli.No, Err: fmt.Errorf("%d names are not served as they should", bad)}
+		return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d names are not served as they should", bad)}
 	}
 	return nil
 }
--- a/cmd/pearknot/clients.go
+++ b/cmd/pearknot/clients.go
@@ -21,7 +21,7 @@
 	c := &cobra.Command{Use: "clients SOCKET", Args: cobra.ExactArgs(1), Short: "Who holds connections of a node, and who was refused and why; 3 while the node chooses among them",
 		RunE: func(c *cobra.Command, args []string) error {
 			if every < 0 || most < 1 {
-				return cli.Usage(fmt.Errorf("--every %v or --most %d is none", every, most))
+				return cli.UsageError(fmt.Errorf("--every %v or --most %d is none", every, most))
 			}
 			client := controlsocket.NewClient(args[0], dialWithin)
 			for {
@@ -37,7 +37,7 @@
 				}
 				if every == 0 {
 					if told.Pressed {
-						return &cli.Error{Status: cli.No, Err: fmt.Errorf("%d of %d connections: the node chooses among its clients", told.Open, told.Limit), Silent: true}
+						return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d of %d connections: the node chooses among its clients", told.Open, told.Limit), Silent: true}
 					}
 					return nil
 				}
--- a/cmd/pearknot/controlplane.go
+++ b/cmd/pearknot/controlplane.go
@@ -52,7 +52,7 @@
 	p, err := client.ReadFile(file)
 	var odd *tomlfile.Error
 	if err != nil && !errors.As(err, &odd) {
-		return nil, cli.Usage(err)
+		return nil, cli.UsageError(err)
 	}
 	return p, err
 }
@@ -121,7 +121,7 @@
 	var conflict *client.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		return &cli.Error{Status: cli.No, Err: err}
+		return &cli.Error{Status: cli.StatusCheckFailed, Err: err}
 	case err != nil:
 		return err
 	case t.json:
@@ -137,7 +137,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 			if _, err := controlplane.Parse(text); err != nil {
 				return wrongSettings(args[0], err)
@@ -311,7 +311,7 @@
 			}
 			version, err := p.Rollback(ctx, to, base, w.by, w.reason)
 			if errors.Is(err, client.ErrVersionNotFound) {
-				err = cli.Usage(fmt.Errorf("version %d: %w", to, err))
+				err = cli.UsageError(fmt.Errorf("version %d: %w", to, err))
 			}
 			return t.done(c, version, err)
 		}})
@@ -340,7 +340,7 @@
 				}
 				if !watch {
 					if fault := r.FirstProblem(); fault != "" {
-						return &cli.Error{Status: cli.No, Err: errors.New(fault), Silent: true}
+						return &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New(fault), Silent: true}
 					}
 					return nil
 				}
--- a/cmd/pearknot/fleet.go
+++ b/cmd/pearknot/fleet.go
@@ -60,7 +60,7 @@
 	root.PersistentFlags().BoolVar(&t.json, "json", false, "JSON for programs")
 	root.PersistentPreRunE = func(*cobra.Command, []string) error {
 		if t.socket == "" {
-			return cli.Usage(errors.New("no agent: give --socket or set PEARKNOT_AGENT"))
+			return cli.UsageError(errors.New("no agent: give --socket or set PEARKNOT_AGENT"))
 		}
 		return nil
 	}
@@ -111,7 +111,7 @@
 	if errors.As(err, &refused) {
 		switch refused.Status {
 		case http.StatusConflict:
-			return &cli.Error{Status: cli.No, Err: err}
+			return &cli.Error{Status: cli.StatusCheckFailed, Err: err}
 		case agent.NothingToChange:
 			fmt.Fprintln(c.OutOrStdout(), "nothing to change")
 			return nil
@@ -135,7 +135,7 @@
 	}
 	done := out.Change.Status == fleet.Succeeded || w.What == "rollback" && out.Change.Status == fleet.RolledBack
 	if t.wait && !done {
-		return &cli.Error{Status: cli.Failed, Err: fmt.Errorf("change %d: %s: %s", out.Change.ID, out.Change.Status, out.Change.Failure)}
+		return &cli.Error{Status: cli.StatusFailed, Err: fmt.Errorf("change %d: %s: %s", out.Change.ID, out.Change.Status, out.Change.Failure)}
 	}
 	return nil
 }
@@ -189,7 +189,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			instances, configs, err := agent.ReadFleet(args[0])
 			if err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 			return t.write(c, agent.Write{What: "apply", Instances: instances, Configs: configs})
 		}})
@@ -200,7 +200,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			instances, configs, err := agent.ReadFleet(args[0])
 			if err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 			v, err := t.view(c.Context())
 			if err != nil {
@@ -245,7 +245,7 @@
 				return err
 			}
 			if len(all) > 0 {
-				return &cli.Error{Status: cli.No, Err: errors.New("differs"), Silent: true}
+				return &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New("differs"), Silent: true}
 			}
 			return nil
 		}}
@@ -303,7 +303,7 @@
 			}
 			for _, i := range v.Instances {
 				if i.Verdict != fleet.AsWanted {
-					return &cli.Error{Status: cli.No, Err: errors.New("not all as wanted"), Silent: true}
+					return &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New("not all as wanted"), Silent: true}
 				}
 			}
 			return nil
@@ -322,13 +322,13 @@
 		Args: cobra.MinimumNArgs(2), RunE: func(c *cobra.Command, args []string) error {
 			instances, configs, err := agent.ReadFleet(args[0])
 			if err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 			w := agent.Write{What: "reconfigure", Configs: map[string]string{}}
 			for _, name := range args[1:] {
 				k := slices.IndexFunc(instances, func(i fleet.Instance) bool { return i.Name == name })
 				if k < 0 {
-					return cli.Usage(fmt.Errorf("%s: no instance %s", args[0], name))
+					return cli.UsageError(fmt.Errorf("%s: no instance %s", args[0], name))
 				}
 				w.Instances = append(w.Instances, instances[k])
 				w.Configs[name] = configs[name]
--- a/cmd/pearknot/main.go
+++ b/cmd/pearknot/main.go
@@ -40,7 +40,7 @@
 operator's command came first.`
 	root.Args = nil // an unknown word is an unknown command, whatever follows it
 	root.SilenceUsage, root.SilenceErrors = true, true
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return cli.Usage(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return cli.UsageError(err) })
 	serveCommand, check := nodeCommand("serve", "serve"), nodeCommand("check", "check")
 	serveCommand.Short = "Serve clients in the foreground until SIGTERM"
 	check.Short = "Read the configuration, tell what it says, and end"
@@ -99,7 +99,7 @@
 			return err
 		case o.Edge != "":
 			if _, err := serve.ReadEdge(o.Edge); err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 		}
 		if what == "check" {
@@ -108,17 +108,17 @@
 		}
 		if captureFile != "" {
 			if o.Capture, err = serve.ReadCapture(captureFile); err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 		}
 		if tlsFile != "" {
 			if o.TLS, err = serve.ReadTLS(tlsFile); err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 		}
 		if peersFile != "" {
 			if o.Peers, err = serve.ReadPeers(peersFile); err != nil {
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			}
 		}
 		if planeFile != "" {
--- a/cmd/pearknot/peers.go
+++ b/cmd/pearknot/peers.go
@@ -36,7 +36,7 @@
 				if !watch {
 					for _, l := range told.Logs {
 						if !l.Complete {
-							return &cli.Error{Status: cli.No, Err: fmt.Errorf("the log of %s is not whole", l.Member), Silent: true}
+							return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("the log of %s is not whole", l.Member), Silent: true}
 						}
 					}
 					return nil
--- a/cmd/pearknot/peers_test.go
+++ b/cmd/pearknot/peers_test.go
@@ -43,7 +43,7 @@
 	ran    map[string]int // effects by key
 	begun  map[string]chan struct{}
 	held   map[string]chan struct{} // backends answer once it is closed
-	keys   *invariants.Keys
+	keys   *invariants.KeyAuditor
 	logs   []*lockedBuffer // of all lives
 	lives  int
 	acked  int
@@ -98,7 +98,7 @@
 
 func newCrewAt(t *testing.T, size, copies int, listen string) *crew {
 	c := &crew{listen: listen, t: t, copies: copies, dir: t.TempDir(), ran: map[string]int{}, begun: map[string]chan struct{}{}, held: map[string]chan struct{}{},
-		keys: invariants.NewKeys()}
+		keys: invariants.NewKeyAuditor()}
 	var targets []string
 	for k := range 3 {
 		b := httptest.NewServer(http.HandlerFunc(c.serve))
@@ -199,8 +199,8 @@
 	if r.Header.Get("X-Qos") == "check" {
 		effect = balancer.Idempotent
 	}
-	c.keys.Ran(ms(), key, effect)
-	c.keys.Taken(ms(), key, effect, ms()+9000)
+	c.keys.EffectRan(ms(), key, effect)
+	c.keys.RequestStored(ms(), key, effect, ms()+9000)
 	begun, held := c.begun[key], c.held[key]
 	c.mu.Unlock()
 	if begun != nil && n == 1 {
@@ -259,7 +259,7 @@
 	}
 	if answer.StatusCode == 200 || answer.StatusCode == 502 {
 		c.mu.Lock()
-		c.keys.Outcome(ms(), key, fmt.Sprintf("%d %s", answer.StatusCode, text))
+		c.keys.OutcomeReported(ms(), key, fmt.Sprintf("%d %s", answer.StatusCode, text))
 		if answer.StatusCode == 200 {
 			c.acked++
 		} else {
@@ -274,7 +274,7 @@
 func (c *crew) judge() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	broken := c.keys.Judge(ms(), 5000)
+	broken := c.keys.Violations(ms(), 5000)
 	assert.Empty(c.t, broken, "the auditor")
 }
 
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -15,10 +15,10 @@
 
 // Exit statuses.
 const (
-	Done   = 0
-	Failed = 1
-	Unread = 2 // the command line or an operator's file can't be read
-	No     = 3 // a check says no: a rule was broken, something differs, another's change came first
+	StatusOK          = 0
+	StatusFailed      = 1
+	StatusUsage       = 2 // the command line or an operator's file can't be read
+	StatusCheckFailed = 3 // a check says no: a rule was broken, something differs, another's change came first
 )
 
 // Error is an error with the exit status that it means; a silent one has been told already.
@@ -37,12 +37,12 @@
 	var odd *tomlfile.Error
 	switch {
 	case err == nil:
-		return Done
+		return StatusOK
 	case errors.As(err, &status) && status.Silent:
 		return status.Status
 	case errors.As(err, &odd):
 		fmt.Fprintln(errs, err) // begins with its place
-		return Unread
+		return StatusUsage
 	case errors.Is(err, context.Canceled):
 		err = errors.New("interrupted")
 	}
@@ -52,10 +52,10 @@
 	}
 	for _, start := range []string{"unknown command", "accepts ", "requires ", "required flag"} { // the library's own
 		if strings.HasPrefix(err.Error(), start) {
-			return Unread
+			return StatusUsage
 		}
 	}
-	return Failed
+	return StatusFailed
 }
 
 // Version is the build's.
@@ -67,12 +67,12 @@
 }
 
 // Usage is an error of the command line, or of a file that it names.
-func Usage(err error) error { return &Error{Status: Unread, Err: err} }
+func UsageError(err error) error { return &Error{Status: StatusUsage, Err: err} }
 
 // Missing is Usage for a file that isn't there, and any other error itself.
-func Missing(err error) error {
+func UsageIfNotExist(err error) error {
 	if errors.Is(err, os.ErrNotExist) {
-		return Usage(err)
+		return UsageError(err)
 	}
 	return err
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -18,7 +18,7 @@
 func (c *Clock) Now() float64 { return c.base + float64(time.Since(c.start).Nanoseconds())/1e6 }
 
 // At is a reading as a time that timers and sockets take.
-func (c *Clock) At(ms float64) time.Time { return c.start.Add(Span(ms - c.base)) }
+func (c *Clock) Time(ms float64) time.Time { return c.start.Add(Duration(ms - c.base)) }
 
 // Span turns milliseconds into a duration.
-func Span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func Duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -24,16 +24,16 @@
 	dir, err := os.MkdirTemp("", "pk")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	return Path(dir, "n1")
+	return SocketPath(dir, "n1")
 }
 
 // offer is a process that runs.
-func offer(t *testing.T, path string, alone chan<- bool) *Offer {
-	o, err := Open(path, Owner{Name: "n1", Log: slog.New(slog.DiscardHandler), Alone: func() { alone <- true },
+func offer(t *testing.T, path string, alone chan<- bool) *Listener {
+	o, err := Listen(path, Owner{Name: "n1", Log: slog.New(slog.DiscardHandler), OnSuccessorGone: func() { alone <- true },
 		State: func(context.Context) (*State, error) {
 			return &State{Known: []string{"s-1"}, Module: []byte{1, 2}}, nil
 		},
-		Do: func(_ context.Context, c Call) (string, error) {
+		HandleCall: func(_ context.Context, c Call) (string, error) {
 			if c.ID == "" {
 				return "", errors.New("no id")
 			}
@@ -50,9 +50,9 @@
 func TestLink(t *testing.T) {
 	path, alone := where(t), make(chan bool, 1)
 	o := offer(t, path, alone)
-	assert.Nil(t, o.Next())
+	assert.Nil(t, o.Successor())
 	used := make(chan int, 1)
-	l, s, err := Follow(t.Context(), path, "n1", newer, func(n int) { used <- n })
+	l, s, err := Connect(t.Context(), path, "n1", newer, func(n int) { used <- n })
 	require.NoError(t, err)
 	assert.Equal(t, &State{Known: []string{"s-1"}, Module: []byte{1, 2}}, s)
 	text, err := l.Call(t.Context(), Call{Verb: "cordon", ID: "s-1"})
@@ -60,42 +60,42 @@
 	assert.Equal(t, "older cordon s-1", text)
 	_, err = l.Call(t.Context(), Call{Verb: "cordon"})
 	assert.EqualError(t, err, "no id")
-	text, err = o.Next().Call(t.Context(), Call{Verb: "quiesce"})
+	text, err = o.Successor().Call(t.Context(), Call{Verb: "quiesce"})
 	require.NoError(t, err)
 	assert.Equal(t, "newer quiesce", text)
 	select {
-	case <-o.Next().Succeeded():
+	case <-o.Successor().PeerReady():
 		t.Fatal("it has not said that it serves")
 	default:
 	}
-	require.NoError(t, l.Ready())
-	require.NoError(t, l.Ready(), "said twice")
-	<-o.Next().Succeeded()
-	o.Next().Using(17)
+	require.NoError(t, l.SendReady())
+	require.NoError(t, l.SendReady(), "said twice")
+	<-o.Successor().PeerReady()
+	o.Successor().SendDescriptorLimit(17)
 	assert.Equal(t, 17, <-used)
 
 	// A third waits until the second is gone, and follows the first then.
 	third := make(chan error, 1)
 	go func() {
-		l, _, err := Follow(t.Context(), path, "n1", newer, nil)
+		l, _, err := Connect(t.Context(), path, "n1", newer, nil)
 		if err == nil {
 			l.Close()
-			<-l.Ended()
+			<-l.Done()
 		}
 		third <- err
 	}()
 	l.Close()
 	assert.True(t, <-alone)
-	<-l.Ended()
+	<-l.Done()
 	_, err = l.Call(t.Context(), Call{Verb: "resume"})
-	assert.ErrorIs(t, err, ErrAlone)
+	assert.ErrorIs(t, err, ErrNoPeer)
 	require.NoError(t, <-third)
 	assert.True(t, <-alone)
 
-	l, _, err = Follow(t.Context(), path, "n1", newer, nil)
+	l, _, err = Connect(t.Context(), path, "n1", newer, nil)
 	require.NoError(t, err)
 	o.Close() // ended in order: it is not alone, it is gone
-	<-l.Ended()
+	<-l.Done()
 	assert.Empty(t, alone)
 }
 
@@ -153,7 +153,7 @@
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 			defer cancel()
-			l, s, err := Follow(ctx, path, node, newer, nil)
+			l, s, err := Connect(ctx, path, node, newer, nil)
 			assert.Nil(t, l)
 			assert.Nil(t, s)
 			if c.why == "" {
@@ -162,12 +162,12 @@
 				assert.ErrorContains(t, err, c.why)
 			}
 			if name != "silent" && !strings.Contains(name, "another") { // it takes the place for itself
-				o, err := Open(path, Owner{Name: "n1", Log: slog.New(slog.DiscardHandler)})
+				o, err := Listen(path, Owner{Name: "n1", Log: slog.New(slog.DiscardHandler)})
 				require.NoError(t, err)
 				o.Close()
 			}
 		})
 	}
-	_, err := Open(filepath.Join(t.TempDir(), "none", "x"), Owner{})
+	_, err := Listen(filepath.Join(t.TempDir(), "none", "x"), Owner{})
 	assert.Error(t, err, "told, not a panic")
 }
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -20,7 +20,7 @@
 )
 
 // Path is where a node's process offers itself to the next.
-func Path(dir, name string) string { return filepath.Join(dir, "pearknot-"+name+".sock") }
+func SocketPath(dir, name string) string { return filepath.Join(dir, "pearknot-"+name+".sock") }
 
 // Do carries out a call made at the other process.
 type CallHandler func(ctx context.Context, c Call) (text string, err error)
@@ -44,16 +44,16 @@
 }
 
 // Ended is closed when the other process has gone, or the link to it.
-func (l *Link) Ended() <-chan struct{} { return l.ended }
+func (l *Link) Done() <-chan struct{} { return l.ended }
 
 // Succeeded is closed once the other, which follows, serves.
-func (l *Link) Succeeded() <-chan struct{} { return l.ready }
+func (l *Link) PeerReady() <-chan struct{} { return l.ready }
 
 // Ready tells the other that this process serves.
-func (l *Link) Ready() error { return l.wire.say(message{Kind: "ready"}) }
+func (l *Link) SendReady() error { return l.wire.say(message{Kind: "ready"}) }
 
 // Using tells the other how many descriptors this process may still have.
-func (l *Link) Using(descriptors int) {
+func (l *Link) SendDescriptorLimit(descriptors int) {
 	_ = l.wire.say(message{Kind: "using", N: uint64(max(descriptors, 0))}) // a link that broke is told by its end
 }
 
@@ -75,7 +75,7 @@
 	}()
 	if err := l.wire.say(message{Kind: "call", N: n, Call: &c}); err != nil {
 		l.Close()
-		return "", ErrAlone
+		return "", ErrNoPeer
 	}
 	select {
 	case m := <-answer:
@@ -84,14 +84,14 @@
 		}
 		return m.Text, nil
 	case <-l.ended:
-		return "", ErrAlone
+		return "", ErrNoPeer
 	case <-ctx.Done():
 		return "", fmt.Errorf("the node's other process does not answer: %w", ctx.Err())
 	}
 }
 
 // ErrAlone is that there is no other process.
-var ErrAlone = errors.New("no other process")
+var ErrNoPeer = errors.New("no other process")
 
 // run hears the other until it ends.
 func (l *Link) run() error {
@@ -137,7 +137,7 @@
 
 // Follow asks the process that runs, if one does, for its state. Both nil is that there is none: this one starts fresh.
 // What can't be understood is an error, and a fresh start as well.
-func Follow(ctx context.Context, path, name string, do CallHandler, using func(descriptors int)) (*Link, *State, error) {
+func Connect(ctx context.Context, path, name string, do CallHandler, using func(descriptors int)) (*Link, *State, error) {
 	ctx, cancel := context.WithTimeout(ctx, followFor)
 	defer cancel()
 	for {
@@ -190,15 +190,15 @@
 
 // Owner is the process that offers itself.
 type Owner struct {
-	Name  string
-	State func(ctx context.Context) (*State, error) // gives back first, then tells
-	Alone func()                                    // the next process has ended, and this one goes on
-	Do    CallHandler
-	Log   *slog.Logger
+	Name            string
+	State           func(ctx context.Context) (*State, error) // gives back first, then tells
+	OnSuccessorGone func()                                    // the next process has ended, and this one goes on
+	HandleCall      CallHandler
+	Log             *slog.Logger
 }
 
 // Offer stands at the path for the next process.
-type Offer struct {
+type Listener struct {
 	o        Owner
 	listener *net.UnixListener
 
@@ -209,7 +209,7 @@
 }
 
 // Open offers a process; what a killed one left at the path is replaced.
-func Open(path string, o Owner) (*Offer, error) {
+func Listen(path string, o Owner) (*Listener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
@@ -218,32 +218,32 @@
 		return nil, err
 	}
 	l.SetUnlinkOnClose(false) // the next process may have its own there by then
-	f := &Offer{o: o, listener: l}
+	f := &Listener{o: o, listener: l}
 	f.left.Add(1)
 	go f.run()
 	return f, nil
 }
 
 // Next is the process that follows, or nil.
-func (f *Offer) Next() *Link {
+func (f *Listener) Successor() *Link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.next
 }
 
 // Close ends the offer, and the link to the next process, which goes on alone.
-func (f *Offer) Close() {
+func (f *Listener) Close() {
 	f.mu.Lock()
 	f.closed = true
 	f.mu.Unlock()
 	_ = f.listener.Close()
-	if l := f.Next(); l != nil {
+	if l := f.Successor(); l != nil {
 		l.Close()
 	}
 	f.left.Wait()
 }
 
-func (f *Offer) run() {
+func (f *Listener) run() {
 	defer f.left.Done()
 	for {
 		c, err := f.listener.Accept()
@@ -266,7 +266,7 @@
 }
 
 // serve is one process's that follows, from its hello to its end.
-func (f *Offer) serve(w *wire) error {
+func (f *Listener) serve(w *wire) error {
 	_ = w.SetReadDeadline(time.Now().Add(helloWithin))
 	m, err := w.hear()
 	switch {
@@ -277,7 +277,7 @@
 		return fmt.Errorf("%s of version %d for node %q", m.Kind, m.Version, m.Name)
 	}
 	_ = w.SetReadDeadline(time.Time{})
-	l := newLink(w, f.o.Do, nil)
+	l := newLink(w, f.o.HandleCall, nil)
 	f.mu.Lock()
 	if f.next != nil {
 		f.mu.Unlock()
@@ -291,7 +291,7 @@
 		closed := f.closed
 		f.mu.Unlock()
 		if !closed {
-			f.o.Alone()
+			f.o.OnSuccessorGone()
 		}
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), helloWithin)
--- a/internal/invariants/events.go
+++ b/internal/invariants/events.go
@@ -49,15 +49,15 @@
 }
 
 // Final is a final answer.
-type Final uint8
+type Answer uint8
 
 const (
-	Served Final = iota
+	Served Answer = iota
 	Rejected
 	Failed
 )
 
-func (f Final) String() string { return [...]string{"acked", "nacked", "dead-lettered"}[f] }
+func (f Answer) String() string { return [...]string{"acked", "nacked", "dead-lettered"}[f] }
 
 // AnyPush stands for a push where the host can't tell which of an op's made the answer.
 const AnyAttempt = -1
@@ -66,7 +66,7 @@
 type Event struct {
 	At       float64
 	Kind     Kind
-	Final    Final
+	Answer   Answer
 	Outcome  balancer.Outcome
 	State    balancer.BackendState
 	Node     int
@@ -90,7 +90,7 @@
 	case RequestAccepted:
 		fmt.Fprintf(&b, " op %d node %d category %d until %.1f", e.Request, e.Node, e.Class, e.Deadline)
 	case RequestAnswered:
-		fmt.Fprintf(&b, " op %d node %d %s", e.Request, e.Node, e.Final)
+		fmt.Fprintf(&b, " op %d node %d %s", e.Request, e.Node, e.Answer)
 	case ClientGone:
 		fmt.Fprintf(&b, " op %d", e.Request)
 	case AttemptStarted:
@@ -113,12 +113,12 @@
 type Rule uint8
 
 const (
-	NoOpLost      Rule = 1
-	NoEffectTwice Rule = 2
-	DrainsKept    Rule = 3
-	ColdStarts    Rule = 4
-	OrderKept     Rule = 5
-	RampsKept     Rule = 6
+	NoRequestLost      Rule = 1
+	NoEffectTwice      Rule = 2
+	DrainRespected     Rule = 3
+	SlowStartPerNode   Rule = 4
+	KeyOrder           Rule = 5
+	SlowStartFleetwide Rule = 6
 )
 
 func (r Rule) String() string {
@@ -126,14 +126,14 @@
 }
 
 // Breach is one rule broken once, with the events that prove it, oldest first.
-type Breach struct {
+type Violation struct {
 	Rule     Rule
 	At       float64
 	What     string
 	Evidence []Event
 }
 
-func (b Breach) String() string {
+func (b Violation) String() string {
 	lines := []string{fmt.Sprintf("rule %d (%s) at %.1f ms: %s", b.Rule, b.Rule, b.At, b.What)}
 	for _, e := range b.Evidence {
 		lines = append(lines, "    "+e.String())
@@ -143,17 +143,17 @@
 
 // Terms are the figures of the rules.
 type Config struct {
-	Categories   []balancer.Class
-	MaxPushes    int  // 0 is no limit
-	SecondCopies bool // a push may go out while another of the op's is
-	DrainGrace   float64
-	ColdFrom     float64 // share of its capacity that a backend starts with
-	WarmWithin   float64
-	FallMultiple float64 // of what it can do at that moment
-	OverloadFor  float64
-	MeanWork     float64 // of an op, in which chance is reckoned; at 0 there is none
+	Classes        []balancer.Class
+	MaxAttempts    int  // 0 is no limit
+	AllowHedging   bool // a push may go out while another of the op's is
+	DrainGrace     float64
+	ColdCapacity   float64 // share of its capacity that a backend starts with
+	WarmUp         float64
+	OverloadFactor float64 // of what it can do at that moment
+	OverloadWindow float64
+	MeanWork       float64 // of an op, in which chance is reckoned; at 0 there is none
 	// SettleAfterDoubt is how long a key rests after a push that may still run; RemovalNotBinding, that only draining binds.
-	SettleAfterDoubt  float64
+	KeyCooldown       float64
 	RemovalNotBinding bool
-	Slack             float64 // for what the host sees late: 0 in virtual time
+	Tolerance         float64 // for what the host sees late: 0 in virtual time
 }
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -29,7 +29,7 @@
 	backends map[int]*backend
 	told     map[pair]Event   // of backends that drain or are gone: the news, as each node first had it
 	lines    map[lineOf]*line // of the keys of ops that keep order
-	breaches []Breach
+	breaches []Violation
 	counts   [7]int
 	taken    int
 }
@@ -101,7 +101,7 @@
 }
 
 // Feed takes an event. One that is older than the latest counts as it stands, but turns no clock back.
-func (a *Auditor) Feed(e Event) {
+func (a *Auditor) Record(e Event) {
 	a.advance(e.At)
 	switch e.Kind {
 	case RequestAccepted:
@@ -174,41 +174,41 @@
 }
 
 // Breaches are the first ones, whole.
-func (a *Auditor) Breaches() []Breach { return a.breaches }
+func (a *Auditor) Violations() []Violation { return a.breaches }
 
 // Count tells how often a rule was broken.
 func (a *Auditor) Count(r Rule) int { return a.counts[r] }
 
 // Kept tells that no rule was broken.
-func (a *Auditor) Kept() bool { return a.counts == [7]int{} }
+func (a *Auditor) AllKept() bool { return a.counts == [7]int{} }
 
 // Taken is the number of ops judged.
-func (a *Auditor) Taken() int { return a.taken }
+func (a *Auditor) RequestsJudged() int { return a.taken }
 
 // Open is the number of ops in memory.
-func (a *Auditor) Open() int { return len(a.ops) }
+func (a *Auditor) OpenRequests() int { return len(a.ops) }
 
 // Verdict is one line.
 func (a *Auditor) Verdict() string {
-	if a.Kept() {
+	if a.AllKept() {
 		return fmt.Sprintf("rules kept: %d ops judged", a.taken)
 	}
 	return fmt.Sprintf("rules broken: no op lost %d, no effect twice %d, drains kept %d, cold starts %d, order kept %d, ramps kept %d, of %d ops judged",
-		a.counts[NoOpLost], a.counts[NoEffectTwice], a.counts[DrainsKept], a.counts[ColdStarts], a.counts[OrderKept],
-		a.counts[RampsKept], a.taken)
+		a.counts[NoRequestLost], a.counts[NoEffectTwice], a.counts[DrainRespected], a.counts[SlowStartPerNode], a.counts[KeyOrder],
+		a.counts[SlowStartFleetwide], a.taken)
 }
 
 func (a *Auditor) breach(r Rule, evidence []Event, format string, args ...any) {
 	a.counts[r]++
 	if len(a.breaches) < mostKept {
-		a.breaches = append(a.breaches, Breach{Rule: r, At: a.now, What: fmt.Sprintf(format, args...),
+		a.breaches = append(a.breaches, Violation{Rule: r, At: a.now, What: fmt.Sprintf(format, args...),
 			Evidence: append([]Event{}, evidence...)})
 	}
 }
 
 func (a *Auditor) advance(now float64) {
 	a.now = math.Max(a.now, now)
-	for len(a.due) > 0 && a.due[0].giveUp+a.t.Slack < a.now {
+	for len(a.due) > 0 && a.due[0].giveUp+a.t.Tolerance < a.now {
 		a.expire(heap.Pop(&a.due).(*op))
 	}
 }
@@ -216,7 +216,7 @@
 // expire ends an op's time: it must have been answered by then, and is forgotten.
 func (a *Auditor) expire(o *op) {
 	if !o.closed {
-		a.breach(NoOpLost, o.events, "op %d has no final answer by its TTL's end at %.1f", o.id, o.giveUp)
+		a.breach(NoRequestLost, o.events, "op %d has no final answer by its TTL's end at %.1f", o.id, o.giveUp)
 	}
 	o.leave() // what is out of it can't be followed any more
 	if a.ops[o.id] == o {
@@ -226,11 +226,11 @@
 
 func (a *Auditor) take(e Event) {
 	if a.ops[e.Request] != nil {
-		a.breach(NoOpLost, append(a.ops[e.Request].events, e), "op %d taken twice", e.Request)
+		a.breach(NoRequestLost, append(a.ops[e.Request].events, e), "op %d taken twice", e.Request)
 		return
 	}
-	if e.Class < 0 || e.Class >= len(a.t.Categories) {
-		a.breach(NoOpLost, []Event{e}, "op %d of category %d, which the terms don't name", e.Request, e.Class)
+	if e.Class < 0 || e.Class >= len(a.t.Classes) {
+		a.breach(NoRequestLost, []Event{e}, "op %d of category %d, which the terms don't name", e.Request, e.Class)
 		return
 	}
 	if a.taken++; a.taken%1024 == 0 {
@@ -243,7 +243,7 @@
 	o := &op{id: e.Request, node: e.Node, category: e.Class, taken: e.At, quiet: e.At, giveUp: e.Deadline}
 	o.note(e)
 	a.ops[e.Request] = o
-	if a.t.Categories[e.Class].Ordered && e.Key != 0 {
+	if a.t.Classes[e.Class].Ordered && e.Key != 0 {
 		at := lineOf{e.Node, e.Key}
 		if a.lines[at] == nil {
 			a.lines[at] = &line{}
@@ -278,10 +278,10 @@
 	switch {
 	case o.line == nil:
 	case o.line.ops[0] != o:
-		a.breach(OrderKept, append(slices.Clone(o.line.ops[0].events), o.events...), "op %d pushed while op %d of its key, taken earlier, is not over",
+		a.breach(KeyOrder, append(slices.Clone(o.line.ops[0].events), o.events...), "op %d pushed while op %d of its key, taken earlier, is not over",
 			o.id, o.line.ops[0].id)
-	case len(o.pushes) == 0 && e.At < o.line.rest-a.t.Slack:
-		a.breach(OrderKept, o.events, "op %d pushed %.1f ms before the end of its key's rest", o.id, o.line.rest-e.At)
+	case len(o.pushes) == 0 && e.At < o.line.rest-a.t.Tolerance:
+		a.breach(KeyOrder, o.events, "op %d pushed %.1f ms before the end of its key's rest", o.id, o.line.rest-e.At)
 	}
 }
 
@@ -304,12 +304,12 @@
 func (a *Auditor) answer(e Event) {
 	o := a.ops[e.Request]
 	if o == nil {
-		a.breach(NoOpLost, []Event{e}, "op %d %s, though it is not open: answered before, never taken, or past its TTL", e.Request, e.Final)
+		a.breach(NoRequestLost, []Event{e}, "op %d %s, though it is not open: answered before, never taken, or past its TTL", e.Request, e.Answer)
 		return
 	}
 	o.note(e)
 	if o.answered {
-		a.breach(NoOpLost, o.events, "op %d has a second final answer", e.Request)
+		a.breach(NoRequestLost, o.events, "op %d has a second final answer", e.Request)
 		return
 	}
 	if o.left { // what crosses a client's leaving, or its node's end, is nobody's
@@ -317,16 +317,16 @@
 	}
 	o.closed, o.answered, o.finalAt = true, true, e.At
 	defer o.passOn()
-	if e.At > o.giveUp+a.t.Slack {
-		a.breach(NoOpLost, o.events, "op %d %s %.1f ms after its TTL's end", e.Request, e.Final, e.At-o.giveUp)
+	if e.At > o.giveUp+a.t.Tolerance {
+		a.breach(NoRequestLost, o.events, "op %d %s %.1f ms after its TTL's end", e.Request, e.Answer, e.At-o.giveUp)
 	}
-	if e.Final == Served {
+	if e.Answer == Served {
 		made := false
 		for _, p := range o.pushes {
 			made = made || !p.out && p.ending == balancer.OutcomeAnswered && (e.Attempt == AnyAttempt || e.Attempt == p.number)
 		}
 		if !made {
-			a.breach(NoOpLost, o.events, "op %d acked with an answer that no backend made", e.Request)
+			a.breach(NoRequestLost, o.events, "op %d acked with an answer that no backend made", e.Request)
 		}
 		return
 	}
@@ -334,12 +334,12 @@
 	for _, p := range o.pushes {
 		out = out || p.out
 	}
-	if !out && e.At-o.taken > satOnFrom*life && e.At-o.quiet > satOnFor*life+a.t.Slack {
-		a.breach(NoOpLost, o.events, "op %d %s %.1f ms after its last push ended: sat on until its TTL was near", e.Request,
-			e.Final, e.At-o.quiet)
+	if !out && e.At-o.taken > satOnFrom*life && e.At-o.quiet > satOnFor*life+a.t.Tolerance {
+		a.breach(NoRequestLost, o.events, "op %d %s %.1f ms after its last push ended: sat on until its TTL was near", e.Request,
+			e.Answer, e.At-o.quiet)
 	}
-	c := &a.t.Categories[o.category]
-	if e.Final == Rejected && o.firstMayHaveRun() != nil && (c.Idempotency == balancer.AtMostOnce ||
+	c := &a.t.Classes[o.category]
+	if e.Answer == Rejected && o.firstMayHaveRun() != nil && (c.Idempotency == balancer.AtMostOnce ||
 		c.Idempotency == balancer.IdempotentWithKey && c.DedupScope != balancer.DedupByAll) {
 		a.breach(NoEffectTwice, o.events, "op %d nacked after a push that may have run: its client would send it again", e.Request)
 	}
@@ -350,19 +350,19 @@
 	a.cold(e)
 	o := a.ops[e.Request]
 	if o == nil {
-		a.breach(NoOpLost, []Event{e}, "op %d pushed to backend %d, though it is not open: past its TTL, or never taken", e.Request, e.Backend)
+		a.breach(NoRequestLost, []Event{e}, "op %d pushed to backend %d, though it is not open: past its TTL, or never taken", e.Request, e.Backend)
 		return
 	}
 	o.note(e)
 	// A push that was sent a moment before the answer may be seen a moment after it: by others, on another machine.
-	if o.answered && e.At-o.finalAt >= a.t.Slack {
-		a.breach(NoOpLost, o.events, "op %d pushed to backend %d after its final answer", e.Request, e.Backend)
+	if o.answered && e.At-o.finalAt >= a.t.Tolerance {
+		a.breach(NoRequestLost, o.events, "op %d pushed to backend %d after its final answer", e.Request, e.Backend)
 	}
-	if e.At > o.giveUp+a.t.Slack {
-		a.breach(NoOpLost, o.events, "op %d pushed to backend %d after its TTL's end", e.Request, e.Backend)
+	if e.At > o.giveUp+a.t.Tolerance {
+		a.breach(NoRequestLost, o.events, "op %d pushed to backend %d after its TTL's end", e.Request, e.Backend)
 	}
-	if a.t.MaxPushes > 0 && len(o.pushes) >= a.t.MaxPushes {
-		a.breach(NoEffectTwice, o.events, "op %d pushed %d times, %d allowed", e.Request, len(o.pushes)+1, a.t.MaxPushes)
+	if a.t.MaxAttempts > 0 && len(o.pushes) >= a.t.MaxAttempts {
+		a.breach(NoEffectTwice, o.events, "op %d pushed %d times, %d allowed", e.Request, len(o.pushes)+1, a.t.MaxAttempts)
 	}
 	a.again(o, e)
 	a.inOrder(o, e)
@@ -378,12 +378,12 @@
 	if first == nil {
 		return
 	}
-	c := &a.t.Categories[o.category]
+	c := &a.t.Classes[o.category]
 	if c.Idempotency == balancer.AtMostOnce {
 		a.breach(NoEffectTwice, o.events, "at-most-once op %d pushed again, though push %d may have run", o.id, first.number)
 		return
 	}
-	if !a.t.SecondCopies {
+	if !a.t.AllowHedging {
 		for _, p := range o.pushes {
 			if p.out {
 				a.breach(NoEffectTwice, o.events, "op %d pushed while push %d is out, where no second copies are allowed", o.id, p.number)
@@ -396,7 +396,7 @@
 	}
 	was, is := a.backends[first.backend], a.backends[e.Backend]
 	switch {
-	case e.At-first.at >= c.DedupWindow+a.t.Slack:
+	case e.At-first.at >= c.DedupWindow+a.t.Tolerance:
 		a.breach(NoEffectTwice, o.events, "deduplicated op %d pushed again after %.1f ms, its mark is kept for %.1f", o.id, e.At-first.at, c.DedupWindow)
 	case c.DedupScope == balancer.DedupByAll:
 	case was == nil || is == nil:
@@ -417,7 +417,7 @@
 			p.out, p.ending = false, e.Outcome
 			o.quiet = e.At
 			if o.line != nil && (e.Outcome == balancer.OutcomeTimedOut || e.Outcome == balancer.OutcomeConnectionReset || e.Outcome == balancer.OutcomeCanceled) {
-				o.line.rest = math.Max(o.line.rest, e.At+a.t.SettleAfterDoubt)
+				o.line.rest = math.Max(o.line.rest, e.At+a.t.KeyCooldown)
 			}
 			o.passOn()
 			return
@@ -432,15 +432,15 @@
 		return
 	}
 	o.note(e)
-	if o.ran++; o.ran > 1 && a.t.Categories[o.category].Idempotency == balancer.AtMostOnce {
+	if o.ran++; o.ran > 1 && a.t.Classes[o.category].Idempotency == balancer.AtMostOnce {
 		a.breach(NoEffectTwice, o.events, "at-most-once op %d ran %d times", e.Request, o.ran)
 	}
 }
 
 func (a *Auditor) drained(e Event) {
 	news, told := a.told[pair{e.Node, e.Backend}]
-	if told && e.At > news.At+a.t.DrainGrace+a.t.Slack {
-		a.breach(DrainsKept, []Event{news, e}, "backend %d got a push from node %d %.1f ms after that node was told", e.Backend,
+	if told && e.At > news.At+a.t.DrainGrace+a.t.Tolerance {
+		a.breach(DrainRespected, []Event{news, e}, "backend %d got a push from node %d %.1f ms after that node was told", e.Backend,
 			e.Node, e.At-news.At)
 	}
 }
@@ -450,21 +450,21 @@
 func (a *Auditor) cold(e Event) {
 	b := a.backends[e.Backend]
 	if b == nil {
-		a.breach(DrainsKept, []Event{e}, "push to backend %d, which was never started or is retired", e.Backend)
+		a.breach(DrainRespected, []Event{e}, "push to backend %d, which was never started or is retired", e.Backend)
 		return
 	}
 	age := e.At - b.started
-	if b.started <= 0 || age >= a.t.WarmWithin {
+	if b.started <= 0 || age >= a.t.WarmUp {
 		b.spent, b.sent, b.toldBy = nil, nil, nil
 		return
 	}
-	warm := a.t.ColdFrom + (1-a.t.ColdFrom)*math.Max(age, 0)/a.t.WarmWithin
-	most := a.t.FallMultiple * warm * b.speed * a.t.OverloadFor
+	warm := a.t.ColdCapacity + (1-a.t.ColdCapacity)*math.Max(age, 0)/a.t.WarmUp
+	most := a.t.OverloadFactor * warm * b.speed * a.t.OverloadWindow
 	a.ramp(b, e, age, most)
 	if !b.toldBy[e.Node] {
 		return
 	}
-	for len(b.spent) > 0 && b.spent[0].At <= e.At-a.t.OverloadFor {
+	for len(b.spent) > 0 && b.spent[0].At <= e.At-a.t.OverloadWindow {
 		b.work -= b.spent[0].Work
 		b.spent = b.spent[1:]
 	}
@@ -476,15 +476,15 @@
 		for _, s := range b.spent {
 			nodes[s.Node] = true
 		}
-		a.breach(ColdStarts, b.spent[max(0, len(b.spent)-mostEvidence):],
+		a.breach(SlowStartPerNode, b.spent[max(0, len(b.spent)-mostEvidence):],
 			"backend %d, started %.1f ms ago, was sent %.1f ms of work in %.1f ms by %d nodes, and stands %.1f", e.Backend, age,
-			b.work, a.t.OverloadFor, len(nodes), most)
+			b.work, a.t.OverloadWindow, len(nodes), most)
 	}
 }
 
 // FallsAbove is the work in one window above which a cold backend falls, where the settings allow it some, for ops of a mean work:
 // N + 2 x root of N + 2 in such ops, N being what is allowed. What goes beyond N up to there is chance.
-func FallsAbove(allowed, mean float64) float64 {
+func OverloadThreshold(allowed, mean float64) float64 {
 	return allowed + 2*math.Sqrt(allowed*mean) + 2*mean
 }
 
@@ -495,7 +495,7 @@
 	if b.over {
 		return
 	}
-	for len(b.sent) > 0 && b.sent[0].At <= e.At-a.t.OverloadFor {
+	for len(b.sent) > 0 && b.sent[0].At <= e.At-a.t.OverloadWindow {
 		b.ofAll -= b.sent[0].Work
 		if b.sent[0].told {
 			b.ofTold -= b.sent[0].Work
@@ -510,7 +510,7 @@
 	if b.toldBy[e.Node] {
 		b.ofTold += e.Work
 	}
-	most := FallsAbove(allowed, a.t.MeanWork)
+	most := OverloadThreshold(allowed, a.t.MeanWork)
 	if b.ofAll <= most {
 		return
 	}
@@ -525,8 +525,8 @@
 			evidence = append(evidence, s.Event)
 		}
 	}
-	a.breach(RampsKept, evidence, "backend %d, started %.1f ms ago, fell: %.1f ms of work in %.1f ms by %d nodes, %.1f of it by those told of the "+
-		"start; it is allowed %.1f, and with chance %.1f", e.Backend, age, b.ofAll, a.t.OverloadFor, len(nodes), b.ofTold, allowed, most)
+	a.breach(SlowStartFleetwide, evidence, "backend %d, started %.1f ms ago, fell: %.1f ms of work in %.1f ms by %d nodes, %.1f of it by those told of the "+
+		"start; it is allowed %.1f, and with chance %.1f", e.Backend, age, b.ofAll, a.t.OverloadWindow, len(nodes), b.ofTold, allowed, most)
 }
 
 // dues orders ops by the end of their time.
--- a/internal/invariants/invariants_test.go
+++ b/internal/invariants/invariants_test.go
@@ -20,8 +20,8 @@
 )
 
 func terms() Config {
-	return Config{MaxPushes: 3, SecondCopies: true, DrainGrace: 500, ColdFrom: 0.25, WarmWithin: 8000, FallMultiple: 4,
-		OverloadFor: 2000, MeanWork: 20, Categories: []balancer.Class{
+	return Config{MaxAttempts: 3, AllowHedging: true, DrainGrace: 500, ColdCapacity: 0.25, WarmUp: 8000, OverloadFactor: 4,
+		OverloadWindow: 2000, MeanWork: 20, Classes: []balancer.Class{
 			{}, {Idempotency: balancer.AtMostOnce},
 			{Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupByZone, DedupWindow: 300},
 			{Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupByAll, DedupWindow: 300}}}
@@ -45,7 +45,7 @@
 func (h *host) at(after float64, e Event) *host {
 	h.now += after
 	e.At = h.now
-	h.Feed(e)
+	h.Record(e)
 	return h
 }
 
@@ -55,8 +55,8 @@
 
 // about takes an op of a category that keeps order, and answers whatever is left open.
 func (h *host) about(op, key uint64) *host {
-	h.t.Categories = append(h.t.Categories[:0:0], h.t.Categories...)
-	h.t.Categories[everywhere].Ordered, h.t.SettleAfterDoubt = true, 200
+	h.t.Classes = append(h.t.Classes[:0:0], h.t.Classes...)
+	h.t.Classes[everywhere].Ordered, h.t.KeyCooldown = true, 200
 	h.at(0, Event{Kind: RequestAccepted, Request: op, Class: everywhere, Key: key, Deadline: h.now + 1000})
 	h.open = append(h.open, op)
 	return h
@@ -70,8 +70,8 @@
 	return h.at(after, Event{Kind: AttemptEnded, Request: op, Attempt: number, Outcome: how})
 }
 
-func (h *host) final(after float64, op uint64, f Final) *host {
-	return h.at(after, Event{Kind: RequestAnswered, Request: op, Final: f, Attempt: AnyAttempt})
+func (h *host) final(after float64, op uint64, f Answer) *host {
+	return h.at(after, Event{Kind: RequestAnswered, Request: op, Answer: f, Attempt: AnyAttempt})
 }
 
 func (h *host) told(after float64, node, backend int, s balancer.BackendState) *host {
@@ -107,70 +107,70 @@
 		faulty func(*host)
 		sound  func(*host)
 	}{
-		{"answer late", NoOpLost,
+		{"answer late", NoRequestLost,
 			func(h *host) {
 				h.take(1, any0).push(0, 1, 0, 1).end(1001, 1, 0, balancer.OutcomeTimedOut).final(0, 1, Rejected)
 			},
 			func(h *host) {
 				h.take(1, any0).push(0, 1, 0, 1).end(999, 1, 0, balancer.OutcomeTimedOut).final(0, 1, Rejected)
 			}},
-		{"no answer", NoOpLost,
+		{"no answer", NoRequestLost,
 			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeAnswered) },
 			func(h *host) { h.take(1, any0).push(0, 1, 0, 1).at(5, Event{Kind: ClientGone, Request: 1}) }},
-		{"pushed out of turn", OrderKept,
+		{"pushed out of turn", KeyOrder,
 			func(h *host) { h.about(1, 7).about(2, 7).push(0, 2, 0, 1).at(5, Event{Kind: ClientGone, Request: 1}) },
 			func(h *host) { h.about(1, 7).about(2, 8).push(0, 2, 0, 1).at(5, Event{Kind: ClientGone, Request: 1}) }},
-		{"pushed while an answered op still has a push out", OrderKept,
+		{"pushed while an answered op still has a push out", KeyOrder,
 			func(h *host) { h.about(1, 7).push(0, 1, 0, 1).final(5, 1, Rejected).about(2, 7).push(0, 2, 0, 1) },
 			func(h *host) {
 				h.about(1, 7).push(0, 1, 0, 1).final(5, 1, Rejected).end(0, 1, 0, balancer.OutcomeFailed).about(2, 7).push(0, 2, 0, 1)
 			}},
-		{"pushed before the key has rested", OrderKept,
+		{"pushed before the key has rested", KeyOrder,
 			func(h *host) {
 				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeTimedOut).final(0, 1, Rejected).about(2, 7).push(199, 2, 0, 1)
 			},
 			func(h *host) {
 				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeTimedOut).final(0, 1, Rejected).about(2, 7).push(200, 2, 0, 1)
 			}},
-		{"the key's rest is for the ops after it", OrderKept,
+		{"the key's rest is for the ops after it", KeyOrder,
 			func(h *host) {
 				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeConnectionReset).final(0, 1, Rejected).about(2, 7).push(50, 2, 0, 1)
 			},
 			func(h *host) {
 				h.about(1, 7).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeConnectionReset).push(50, 1, 1, 2)
 			}},
-		{"node killed elsewhere", NoOpLost,
+		{"node killed elsewhere", NoRequestLost,
 			func(h *host) { h.take(1, any0).at(5, Event{Kind: NodeKilled, Node: 1}) },
 			func(h *host) { h.take(1, any0).at(5, Event{Kind: NodeKilled, Node: 0}) }},
-		{"two answers", NoOpLost,
+		{"two answers", NoRequestLost,
 			func(h *host) {
 				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeAnswered).final(0, 1, Served).final(3, 1, Rejected)
 			},
 			func(h *host) {
 				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeAnswered).final(0, 1, Served).take(2, any0).final(3, 2, Rejected)
 			}},
-		{"answer made up", NoOpLost,
+		{"answer made up", NoRequestLost,
 			func(h *host) {
 				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeFailed).final(0, 1, Served)
 			},
 			func(h *host) {
 				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeAnswered).final(0, 1, Served)
 			}},
-		{"sat on until near the TTL", NoOpLost,
+		{"sat on until near the TTL", NoRequestLost,
 			func(h *host) {
 				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeRejected).final(980, 1, Rejected)
 			},
 			func(h *host) {
 				h.take(1, any0).push(0, 1, 0, 1).end(975, 1, 0, balancer.OutcomeTimedOut).final(5, 1, Rejected)
 			}},
-		{"pushed after the answer", NoOpLost,
+		{"pushed after the answer", NoRequestLost,
 			func(h *host) {
 				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeFailed).final(0, 1, Rejected).push(1, 1, 1, 2)
 			},
 			func(h *host) {
 				h.take(1, any0).push(0, 1, 0, 1).end(5, 1, 0, balancer.OutcomeFailed).push(1, 1, 1, 2).final(1, 1, Rejected)
 			}},
-		{"pushed after the TTL", NoOpLost,
+		{"pushed after the TTL", NoRequestLost,
 			func(h *host) { h.take(1, any0).at(990, Event{Kind: ClientGone, Request: 1}).push(20, 1, 0, 1) },
 			func(h *host) { h.take(1, any0).at(90, Event{Kind: ClientGone, Request: 1}).push(1, 1, 0, 1) }},
 		{"at-most-once sent again after a reset", NoEffectTwice,
@@ -215,28 +215,28 @@
 			func(h *host) {
 				h.take(1, any0).push(0, 1, 0, 1).push(1, 1, 1, 2).push(1, 1, 2, 3).final(1, 1, Rejected)
 			}},
-		{"past the drain grace", DrainsKept,
+		{"past the drain grace", DrainRespected,
 			func(h *host) {
 				h.told(0, 0, 1, balancer.BackendDraining).take(1, any0).push(501, 1, 0, 1).final(0, 1, Failed)
 			},
 			func(h *host) {
 				h.told(0, 0, 1, balancer.BackendDraining).take(1, any0).push(499, 1, 0, 1).final(0, 1, Failed)
 			}},
-		{"told again is no new grace", DrainsKept,
+		{"told again is no new grace", DrainRespected,
 			func(h *host) {
 				h.told(0, 0, 1, balancer.BackendDraining).told(400, 0, 1, balancer.BackendRemoved).take(1, any0).push(200, 1, 0, 1).final(0, 1, Rejected)
 			},
 			func(h *host) {
 				h.told(0, 0, 1, balancer.BackendDraining).told(400, 0, 1, balancer.BackendReady).take(1, any0).push(200, 1, 0, 1).final(0, 1, Rejected)
 			}},
-		{"a restarted node is told anew", DrainsKept,
+		{"a restarted node is told anew", DrainRespected,
 			func(h *host) {
 				h.told(0, 0, 1, balancer.BackendRemoved).take(1, any0).push(600, 1, 0, 1).final(0, 1, Rejected)
 			},
 			func(h *host) {
 				h.told(0, 0, 1, balancer.BackendRemoved).at(1, Event{Kind: NodeKilled}).take(1, any0).push(600, 1, 0, 1).final(0, 1, Rejected)
 			}},
-		{"retired backend", DrainsKept,
+		{"retired backend", DrainRespected,
 			func(h *host) {
 				h.at(0, Event{Kind: BackendRetired, Backend: 1}).take(1, any0).push(0, 1, 0, 1).final(0, 1, Rejected)
 			},
@@ -244,9 +244,9 @@
 				h.at(0, Event{Kind: BackendRetired, Backend: 1}).take(1, any0).push(0, 1, 0, 2).final(0, 1, Rejected)
 			}},
 		// Cold, it stands 4 x 0.25 x 2000 = 2000 ms of work: a floor of one op of 30 ms for each node is no bound at all.
-		{"each node within a floor of one", ColdStarts,
+		{"each node within a floor of one", SlowStartPerNode,
 			func(h *host) { flood(h, 100, 30, true) }, func(h *host) { flood(h, 100, 15, true) }},
-		{"told of the start or not", ColdStarts,
+		{"told of the start or not", SlowStartPerNode,
 			func(h *host) { flood(h, 70, 30, true) }, func(h *host) { flood(h, 70, 30, false) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -254,14 +254,14 @@
 			c.faulty(h)
 			counts := h.done()
 			assert.Positive(t, counts[c.rule], "not caught")
-			require.NotEmpty(t, h.Breaches())
-			b := h.Breaches()[0]
+			require.NotEmpty(t, h.Violations())
+			b := h.Violations()[0]
 			assert.Equal(t, c.rule, b.Rule, b)
 			assert.NotEmpty(t, b.Evidence)
 			assert.Contains(t, h.Verdict(), "broken")
 			h = newHost(terms())
 			c.sound(h)
-			assert.Equal(t, [7]int{}, h.done(), h.Breaches())
+			assert.Equal(t, [7]int{}, h.done(), h.Violations())
 			assert.Contains(t, h.Verdict(), "kept")
 		})
 	}
@@ -271,12 +271,12 @@
 func TestEvidence(t *testing.T) {
 	h := newHost(terms())
 	h.take(7, once).push(0, 7, 0, 1).end(5, 7, 0, balancer.OutcomeConnectionReset).push(0, 7, 1, 2)
-	require.Len(t, h.Breaches(), 1)
+	require.Len(t, h.Violations(), 1)
 	assert.Equal(t, `rule 2 (no effect twice) at 10005.0 ms: at-most-once op 7 pushed again, though push 0 may have run
     10000.0 op taken op 7 node 0 category 1 until 11000.0
     10000.0 push begun op 7 push 0 node 0 backend 1 work 10.0
     10005.0 push ended op 7 push 0 reset
-    10005.0 push begun op 7 push 1 node 0 backend 2 work 10.0`, h.Breaches()[0].String())
+    10005.0 push begun op 7 push 1 node 0 backend 2 work 10.0`, h.Violations()[0].String())
 }
 
 // A day of ops leaves nothing in memory but those whose time goes on, and a host gone mad no more than the bounds.
@@ -284,16 +284,16 @@
 	h := newHost(terms())
 	for k := range uint64(300_000) {
 		h.take(k, int(k%4)).push(0.2, k, 0, int(k%4)).end(0.2, k, 0, balancer.OutcomeAnswered).final(0, k, Served)
-		require.LessOrEqual(t, h.Open(), 2600)
+		require.LessOrEqual(t, h.OpenRequests(), 2600)
 	}
 	assert.Equal(t, [7]int{}, h.done())
-	assert.Zero(t, h.Open())
+	assert.Zero(t, h.OpenRequests())
 	assert.Empty(t, h.due)
 	h.take(1, any0)
 	for k := range 10_000 {
 		h.push(0, 1, k, 1)
 	}
-	assert.Len(t, h.Breaches(), mostKept)
+	assert.Len(t, h.Violations(), mostKept)
 	assert.LessOrEqual(t, len(h.ops[1].events), mostEvidence)
 	assert.LessOrEqual(t, len(h.ops[1].pushes), mostEvidence+1)
 	assert.Equal(t, 10_000-3, h.Count(NoEffectTwice))
@@ -365,11 +365,11 @@
 			}
 		}
 		h.done()
-		if done > 0 && h.Kept() {
+		if done > 0 && h.AllKept() {
 			t.Fatalf("fault %q not caught", fault)
 		}
-		if done == 0 && !h.Kept() {
-			t.Fatalf("flagged without a fault: %v", h.Breaches())
+		if done == 0 && !h.AllKept() {
+			t.Fatalf("flagged without a fault: %v", h.Violations())
 		}
 	})
 }
@@ -378,12 +378,12 @@
 func TestOddEvents(t *testing.T) {
 	h := newHost(terms())
 	h.take(1, any0).take(1, any0)
-	h.Feed(Event{At: h.now, Kind: RequestAccepted, Request: 5, Class: 99})
-	h.Feed(Event{At: 1, Kind: AttemptEnded, Request: 77})
-	h.Feed(Event{At: 1, Kind: AttemptRan, Request: 77})
-	h.Feed(Event{At: 1, Kind: ClientGone, Request: 77})
-	h.Feed(Event{At: 1, Kind: 200})
-	assert.Equal(t, 2, h.Count(NoOpLost))
+	h.Record(Event{At: h.now, Kind: RequestAccepted, Request: 5, Class: 99})
+	h.Record(Event{At: 1, Kind: AttemptEnded, Request: 77})
+	h.Record(Event{At: 1, Kind: AttemptRan, Request: 77})
+	h.Record(Event{At: 1, Kind: ClientGone, Request: 77})
+	h.Record(Event{At: 1, Kind: 200})
+	assert.Equal(t, 2, h.Count(NoRequestLost))
 	assert.Equal(t, "1.0 kind 200", Event{At: 1, Kind: 200}.String())
 	for k := range NodeKilled + 1 {
 		assert.Contains(t, fmt.Sprint(Event{Kind: k}), k.String())
@@ -406,10 +406,10 @@
 		breach       int
 	}{{0, 0, 1}, {0, 1, 1}, {50, 0.2, 0}, {50, 49, 0}, {50, 51, 1}} {
 		told := terms()
-		told.Slack = c.slack
+		told.Tolerance = c.slack
 		h := newHost(told)
 		h.take(1, 0).push(0, 1, 0, 1).end(20, 1, 0, balancer.OutcomeAnswered).final(0, 1, Served).push(c.after, 1, 1, 2).end(10, 1, 1, balancer.OutcomeAnswered)
-		assert.Equal(t, c.breach, h.done()[NoOpLost], "%v", c)
+		assert.Equal(t, c.breach, h.done()[NoRequestLost], "%v", c)
 	}
 }
 
@@ -420,13 +420,13 @@
 		rule.RemovalNotBinding = !binding
 		h := newHost(rule)
 		h.told(0, 0, 1, balancer.BackendRemoved).take(1, any0).push(600, 1, 0, 1).end(5, 1, 0, balancer.OutcomeAnswered).final(0, 1, Served)
-		assert.Equal(t, want, h.done()[DrainsKept])
+		assert.Equal(t, want, h.done()[DrainRespected])
 	}
 	rule := terms()
 	rule.RemovalNotBinding = true
 	h := newHost(rule)
 	h.told(0, 0, 1, balancer.BackendDraining).told(100, 0, 1, balancer.BackendRemoved).take(1, any0).push(600, 1, 0, 1).end(5, 1, 0, balancer.OutcomeAnswered).final(0, 1, Served)
-	assert.Equal(t, 1, h.done()[DrainsKept])
+	assert.Equal(t, 1, h.done()[DrainRespected])
 }
 
 // ramped is a backend's cold start with what nodes send it: times count from the start.
@@ -521,9 +521,9 @@
 			r := newRamp(1).tell(nodes)
 			c.play(r)
 			name := fmt.Sprintf("%s, %d nodes", c.name, nodes)
-			assert.Equal(t, c.want, r.done()[RampsKept], name)
-			for _, b := range r.Breaches() {
-				if b.Rule == RampsKept {
+			assert.Equal(t, c.want, r.done()[SlowStartFleetwide], name)
+			for _, b := range r.Violations() {
+				if b.Rule == SlowStartFleetwide {
 					assert.NotEmpty(t, b.Evidence, name)
 					assert.Contains(t, b.String(), "rule 6 (ramps kept)", name)
 					assert.Contains(t, r.Verdict(), fmt.Sprintf("ramps kept %d", c.want), name)
@@ -575,7 +575,7 @@
 		if want != 0 {
 			r.send(at, 0, 30, 500) // it is down: this changes nothing
 		}
-		if got := r.done()[RampsKept]; got != max(want, 0) {
+		if got := r.done()[SlowStartFleetwide]; got != max(want, 0) {
 			t.Fatalf("%d breaches, %d by the whole history", got, want)
 		}
 	})
--- a/internal/invariants/keys_test.go
+++ b/internal/invariants/keys_test.go
@@ -11,25 +11,35 @@
 // Each verdict notices what it is for, and nothing else.
 func TestKeys(t *testing.T) {
 	for name, c := range map[string]struct {
-		play func(*Keys)
+		play func(*KeyAuditor)
 		rule Rule
 	}{
-		"one effect, one outcome, given twice": {func(k *Keys) {
-			k.Ran(1, "a", balancer.AtMostOnce)
-			k.Outcome(2, "a", "200 x")
-			k.Outcome(3, "a", "200 x")
+		"one effect, one outcome, given twice": {func(k *KeyAuditor) {
+			k.EffectRan(1, "a", balancer.AtMostOnce)
+			k.OutcomeReported(2, "a", "200 x")
+			k.OutcomeReported(3, "a", "200 x")
+		}, 0},
+		"an effect twice": {func(k *KeyAuditor) {
+			k.EffectRan(1, "a", balancer.AtMostOnce)
+			k.EffectRan(2, "a", balancer.AtMostOnce)
+		}, OneOutcome},
+		"twice, and may": {func(k *KeyAuditor) {
+			k.EffectRan(1, "a", balancer.Idempotent)
+			k.EffectRan(2, "a", balancer.Idempotent)
+		}, 0},
+		"two outcomes":    {func(k *KeyAuditor) { k.OutcomeReported(1, "a", "200 x"); k.OutcomeReported(2, "a", "502 ") }, OneOutcome},
+		"no final state":  {func(k *KeyAuditor) { k.RequestStored(1, "a", balancer.AtMostOnce, 100) }, OutcomeSurvives},
+		"none yet":        {func(k *KeyAuditor) { k.RequestStored(1, "a", balancer.AtMostOnce, 950) }, 0},
+		"over by its log": {func(k *KeyAuditor) { k.RequestStored(1, "a", balancer.AtMostOnce, 100); k.RequestClosed(2, "a") }, 0},
+		"nothing promised": {func(k *KeyAuditor) {
+			k.EffectRan(1, "a", balancer.AtMostOnce)
+			k.EffectRan(2, "a", balancer.AtMostOnce)
+			k.ExcludeKey("a")
 		}, 0},
-		"an effect twice":  {func(k *Keys) { k.Ran(1, "a", balancer.AtMostOnce); k.Ran(2, "a", balancer.AtMostOnce) }, Once},
-		"twice, and may":   {func(k *Keys) { k.Ran(1, "a", balancer.Idempotent); k.Ran(2, "a", balancer.Idempotent) }, 0},
-		"two outcomes":     {func(k *Keys) { k.Outcome(1, "a", "200 x"); k.Outcome(2, "a", "502 ") }, Once},
-		"no final state":   {func(k *Keys) { k.Taken(1, "a", balancer.AtMostOnce, 100) }, Survives},
-		"none yet":         {func(k *Keys) { k.Taken(1, "a", balancer.AtMostOnce, 950) }, 0},
-		"over by its log":  {func(k *Keys) { k.Taken(1, "a", balancer.AtMostOnce, 100); k.Ended(2, "a") }, 0},
-		"nothing promised": {func(k *Keys) { k.Ran(1, "a", balancer.AtMostOnce); k.Ran(2, "a", balancer.AtMostOnce); k.Void("a") }, 0},
 	} {
-		k := NewKeys()
+		k := NewKeyAuditor()
 		c.play(k)
-		broken := k.Judge(1000, 100)
+		broken := k.Violations(1000, 100)
 		if c.rule == 0 {
 			require.Empty(t, broken, name)
 			continue
--- a/internal/lab/backendmodel/backendmodel.go
+++ b/internal/lab/backendmodel/backendmodel.go
@@ -204,7 +204,7 @@
 	m.spent = append(m.spent, spent{now, work})
 	m.sum += work
 	allowed := m.kind.FallMultiple * m.warmth(now) * m.kind.Speed * float64(m.kind.Cores) * m.kind.OverloadFor
-	if m.sum > invariants.FallsAbove(allowed, m.kind.MeanWork) {
+	if m.sum > invariants.OverloadThreshold(allowed, m.kind.MeanWork) {
 		m.fallen = true
 	}
 	return m.fallen
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -426,10 +426,10 @@
 
 // Auditor judges the experiment; slack is what the host sees late, in ms.
 func (e *Experiment) Auditor(slack float64) *invariants.Auditor {
-	return invariants.New(invariants.Config{Categories: e.Categories(), MaxPushes: e.Rules.MaxPushes, SecondCopies: e.Rules.SecondCopies,
-		DrainGrace: e.Rules.DrainGraceMs, ColdFrom: e.Backend.ColdFrom, WarmWithin: e.Backend.WarmWithinMs,
-		FallMultiple: e.Backend.FallMultiple, OverloadFor: e.Backend.OverloadForMs, MeanWork: e.MeanWork(),
-		SettleAfterDoubt: e.Rules.SettleMs, RemovalNotBinding: e.Rules.RemovalNotBinding, Slack: slack})
+	return invariants.New(invariants.Config{Classes: e.Categories(), MaxAttempts: e.Rules.MaxPushes, AllowHedging: e.Rules.SecondCopies,
+		DrainGrace: e.Rules.DrainGraceMs, ColdCapacity: e.Backend.ColdFrom, WarmUp: e.Backend.WarmWithinMs,
+		OverloadFactor: e.Backend.FallMultiple, OverloadWindow: e.Backend.OverloadForMs, MeanWork: e.MeanWork(),
+		KeyCooldown: e.Rules.SettleMs, RemovalNotBinding: e.Rules.RemovalNotBinding, Tolerance: slack})
 }
 
 // MeanWork is that of an op, in ms of a standard core.
--- a/internal/lab/loopback/clients.go
+++ b/internal/lab/loopback/clients.go
@@ -121,7 +121,7 @@
 	return nil
 }
 
-var finals = map[int]invariants.Final{http.StatusOK: invariants.Served, http.StatusTooManyRequests: invariants.Rejected,
+var finals = map[int]invariants.Answer{http.StatusOK: invariants.Served, http.StatusTooManyRequests: invariants.Rejected,
 	http.StatusServiceUnavailable: invariants.Rejected}
 
 // try sends once and waits for the answer; left tells that the client went away by itself.
@@ -201,7 +201,7 @@
 	if !known {
 		f = invariants.Failed
 	}
-	e := invariants.Event{Kind: invariants.RequestAnswered, Node: n.number, Request: id, Final: f, Attempt: invariants.AnyAttempt}
+	e := invariants.Event{Kind: invariants.RequestAnswered, Node: n.number, Request: id, Answer: f, Attempt: invariants.AnyAttempt}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if f == invariants.Served && string(data) != answerTo(id) {
--- a/internal/lab/loopback/hub.go
+++ b/internal/lab/loopback/hub.go
@@ -58,7 +58,7 @@
 
 func (h *hub) unix(ms float64) float64 { return h.from() + ms }
 
-func (h *hub) time(ms float64) time.Time { return h.clock.At(h.from() + ms) }
+func (h *hub) time(ms float64) time.Time { return h.clock.Time(h.from() + ms) }
 
 // tell hands an event on, at the present.
 func (h *hub) tell(e invariants.Event) {
@@ -73,7 +73,7 @@
 	if h.watch != nil {
 		h.watch(e)
 	}
-	h.auditor.Feed(e)
+	h.auditor.Record(e)
 }
 
 // begun takes a push's first byte at a backend, and gives its number and work; not known is none of the lab's.
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -296,7 +296,7 @@
 		w.mu.Lock()
 		w.rec.Load(w.now(), busy)
 		w.live.Second, w.live.Nodes, w.live.Backends = int(w.now()/1e3), string(nodes), string(letters)
-		w.live.Breaches = len(w.auditor.Breaches())
+		w.live.Breaches = len(w.auditor.Violations())
 		w.live.Troubles = w.live.Troubles[:0]
 		for _, t := range w.e.Trouble {
 			if s := w.now() / 1e3; s >= t.At && s < t.At+t.For {
--- a/internal/lab/metrics/metrics.go
+++ b/internal/lab/metrics/metrics.go
@@ -243,7 +243,7 @@
 }
 
 // Final counts an answer of a node's own.
-func (r *Recorder) Final(now float64, f invariants.Final) {
+func (r *Recorder) Final(now float64, f invariants.Answer) {
 	switch f {
 	case invariants.Rejected:
 		r.run.Nacks++
@@ -314,11 +314,11 @@
 	if len(r.e.Clients.Ramp) > 2 {
 		run.Loop = r.loop()
 	}
-	run.Rules = Verdict{Kept: a.Kept(), Text: a.Verdict()}
+	run.Rules = Verdict{Kept: a.AllKept(), Text: a.Verdict()}
 	for k := range run.Rules.Counts {
 		run.Rules.Counts[k] = a.Count(invariants.Rule(k + 1))
 	}
-	for _, b := range a.Breaches()[:min(len(a.Breaches()), 10)] {
+	for _, b := range a.Violations()[:min(len(a.Violations()), 10)] {
 		run.Rules.Breaches = append(run.Rules.Breaches, b.String())
 	}
 	return *run
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -199,7 +199,7 @@
 			}
 		case Slow:
 			if from || w.kind == memberKind && to {
-				f.Rate, f.Delay = x.Rate, clock.Span(x.Delay)
+				f.Rate, f.Delay = x.Rate, clock.Duration(x.Delay)
 			}
 		case Lose:
 			f.Refuse = f.Refuse || w.kind != memberKind && from && to
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -104,7 +104,7 @@
 			terms.CopyFile = ""
 		}
 		c, err := client.New(terms, func(version uint64, text []byte) error {
-			if !wait(ctx, clock.Span(w.ReadMs)) {
+			if !wait(ctx, clock.Duration(w.ReadMs)) {
 				return ctx.Err()
 			}
 			h.note(k, version, text)
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -421,7 +421,7 @@
 func (r *run) changes(ctx context.Context) error {
 	begun := time.Now()
 	for k := range int(r.e.Seconds * r.e.Changes.PerSecond) {
-		if !wait(ctx, time.Until(begun.Add(clock.Span(float64(k)/r.e.Changes.PerSecond*1e3)))) {
+		if !wait(ctx, time.Until(begun.Add(clock.Duration(float64(k)/r.e.Changes.PerSecond*1e3)))) {
 			return context.Cause(ctx)
 		}
 		if time.Since(begun).Seconds() > r.e.Seconds { // commits took their time
@@ -460,7 +460,7 @@
 	slices.SortStableFunc(all, func(a, b switched) int { return cmp.Compare(a.at, b.at) })
 	now := slices.Clone(r.e.Faults) // with the leader's name in its place
 	for _, s := range all {
-		if !wait(ctx, time.Until(begun.Add(clock.Span(s.at*1e3)))) {
+		if !wait(ctx, time.Until(begun.Add(clock.Duration(s.at*1e3)))) {
 			return nil
 		}
 		x := &now[s.fault]
@@ -546,7 +546,7 @@
 	if err != nil {
 		return err
 	}
-	if !wait(ctx, clock.Span(r.e.Quiet*1e3)) {
+	if !wait(ctx, clock.Duration(r.e.Quiet*1e3)) {
 		return context.Cause(ctx)
 	}
 	b, err := r.snap(ctx)
--- a/internal/lab/simcluster/many.go
+++ b/internal/lab/simcluster/many.go
@@ -24,7 +24,7 @@
 type Broken struct {
 	Seed     uint64
 	Harsh    bool
-	Breaches []invariants.Breach
+	Breaches []invariants.Violation
 	Faults   []Fault
 }
 
--- a/internal/lab/simcluster/simcluster.go
+++ b/internal/lab/simcluster/simcluster.go
@@ -83,13 +83,13 @@
 	arrives [][]float64 // latest arrival, so that a link keeps its order
 	linked  [][]bool
 	copies  int
-	keys    *invariants.Keys
+	keys    *invariants.KeyAuditor
 	marks   map[string]float64
 }
 
 // New makes a fleet whose load, delays and backends follow from a seed.
 func New(seed uint64, members, copies int) *Fleet {
-	s := &Fleet{rng: rand.New(rand.NewPCG(seed, 17)), copies: copies, keys: invariants.NewKeys(), marks: map[string]float64{}, now: 1e6}
+	s := &Fleet{rng: rand.New(rand.NewPCG(seed, 17)), copies: copies, keys: invariants.NewKeyAuditor(), marks: map[string]float64{}, now: 1e6}
 	for range members {
 		s.procs = append(s.procs, &proc{})
 		s.down = append(s.down, make([]bool, members))
@@ -251,7 +251,7 @@
 }
 
 func (s *Fleet) given(key string, o requestlog.FinalAnswer) {
-	s.keys.Outcome(s.now, key, fmt.Sprint(o.Status, string(o.Body)))
+	s.keys.OutcomeReported(s.now, key, fmt.Sprint(o.Status, string(o.Body)))
 }
 
 func (s *Fleet) take(k int, c client) {
@@ -314,7 +314,7 @@
 			refused(requestlog.NoQuorum)
 		default:
 			if number == 0 {
-				s.keys.Taken(s.now, key, op.Idempotency, op.Deadline)
+				s.keys.RequestStored(s.now, key, op.Idempotency, op.Deadline)
 			}
 			if !s.Early {
 				// It may be frozen right between its look at the clock and the write; a mark that is forgotten meanwhile helps no more.
@@ -345,7 +345,7 @@
 		}
 		s.marks[key] = s.now
 	}
-	s.keys.Ran(s.now, key, op.Idempotency)
+	s.keys.EffectRan(s.now, key, op.Idempotency)
 	s.trace("%.0f effect of %s", s.now, key)
 }
 
@@ -523,7 +523,7 @@
 
 // Run plays faults over a load for so many ms, and tells what was broken. At the end each key is asked for at some process that
 // can answer; a log that nobody leads by then tells nothing, and Served counts it.
-func (s *Fleet) Run(faults []Fault, until float64) []invariants.Breach {
+func (s *Fleet) Run(faults []Fault, until float64) []invariants.Violation {
 	base, keys := s.now, 0
 	s.Up()
 	for _, f := range faults {
@@ -553,7 +553,7 @@
 		s.now = e.at
 		e.do()
 	}
-	return s.keys.Judge(s.now, grace)
+	return s.keys.Violations(s.now, grace)
 }
 
 // ask tells the judge whether a key's op is over.
@@ -566,7 +566,7 @@
 			p.ids++
 			p.waits[p.ids] = func(r requestlog.Reply) {
 				if r.Result != requestlog.KeyInFlight {
-					s.keys.Ended(s.now, key)
+					s.keys.RequestClosed(s.now, key)
 				}
 			}
 			p.house.Lookup(s.now, p.ids, key, 1, s.now+lastLook*0.8)
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -199,7 +199,7 @@
 	if h.o.Watch != nil {
 		h.o.Watch(e)
 	}
-	h.auditor.Feed(e)
+	h.auditor.Record(e)
 }
 
 // run handles events until the experiment's end, and then until no op is open.
@@ -508,13 +508,13 @@
 // outcomes are what the final answers mean to a client.
 var outcomes = [...]workload.Outcome{invariants.Served: workload.Acked, invariants.Rejected: workload.Nacked, invariants.Failed: workload.Lost}
 
-func (h *host) final(o *op, f invariants.Final, comeBack float64) {
+func (h *host) final(o *op, f invariants.Answer, comeBack float64) {
 	if o == nil || o.answered {
 		return
 	}
 	o.answered = true
 	h.rec.Final(h.now, f)
-	h.tell(invariants.Event{Kind: invariants.RequestAnswered, Node: o.node.number, Request: o.ID, Final: f, Attempt: invariants.AnyAttempt})
+	h.tell(invariants.Event{Kind: invariants.RequestAnswered, Node: o.node.number, Request: o.ID, Answer: f, Attempt: invariants.AnyAttempt})
 	h.at(h.now+h.e.Fleet.NearMs, func() { h.result(o.try, outcomes[f], comeBack) })
 	h.forget(o)
 }
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -103,11 +103,11 @@
 	e.Backend.FallMultiple = 1.2
 	r, err := Run(e, 1, Options{})
 	require.NoError(t, err)
-	assert.Positive(t, r.Rules.Counts[invariants.ColdStarts-1])
+	assert.Positive(t, r.Rules.Counts[invariants.SlowStartPerNode-1])
 	assert.Positive(t, r.Fallen)
-	assert.Zero(t, r.Rules.Counts[invariants.NoOpLost-1], r.Rules.Breaches)
+	assert.Zero(t, r.Rules.Counts[invariants.NoRequestLost-1], r.Rules.Breaches)
 	assert.Zero(t, r.Rules.Counts[invariants.NoEffectTwice-1], r.Rules.Breaches)
-	assert.Zero(t, r.Rules.Counts[invariants.DrainsKept-1], r.Rules.Breaches)
+	assert.Zero(t, r.Rules.Counts[invariants.DrainRespected-1], r.Rules.Breaches)
 }
 
 // On calm days the order of policies is as it must be, and nobody beats who sees all by more than chance.
@@ -250,7 +250,7 @@
 			e.Trouble[2].Factor = 1.92
 			r, err := Run(e, seed+1, Options{})
 			require.NoError(t, err)
-			assert.Zero(t, r.Rules.Counts[invariants.RampsKept-1], r.Rules.Breaches)
+			assert.Zero(t, r.Rules.Counts[invariants.SlowStartFleetwide-1], r.Rules.Breaches)
 			assert.Zero(t, r.Fallen)
 		})
 	}
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -34,7 +34,7 @@
 // that replaces it, so its results are dropped.
 func (n *Node) newCall(request *Request, attempt *balancer.Attempt, deadline float64) *upstream.Call {
 	decider := n.decider
-	call := upstream.NewCall(request.Message, n.clock.At(deadline), func(result upstream.Result) {
+	call := upstream.NewCall(request.Message, n.clock.Time(deadline), func(result upstream.Result) {
 		n.mailbox.Put(func() {
 			if n.decider == decider {
 				n.attemptEnded(request, attempt, result)
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -26,7 +26,7 @@
 		case balancer.DoPoll:
 			n.pollEndpoints()
 		case balancer.DoSetTimer:
-			n.timer.Reset(clock.Span(decision.Wait))
+			n.timer.Reset(clock.Duration(decision.Wait))
 		case balancer.DoLog:
 			n.log.Info(decision.Text)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -204,10 +204,10 @@
 				n.decider.DeadlineShortened(n.now, &request.Request)
 			}
 			for _, call := range request.calls {
-				call.ShortenDeadline(n.clock.At(deadline))
+				call.ShortenDeadline(n.clock.Time(deadline))
 			}
 		}
-		time.AfterFunc(clock.Span(deadline+drainGraceMs-n.now), func() { n.mailbox.Put(n.failOpenRequests) })
+		time.AfterFunc(clock.Duration(deadline+drainGraceMs-n.now), func() { n.mailbox.Put(n.failOpenRequests) })
 	})
 }
 
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -55,7 +55,7 @@
 // NewRequest makes a request that sends message; the caller sets the balancer's fields.
 func NewRequest(message *upstream.Message) *Request {
 	request := &Request{Message: message, answer: make(chan Answer, 1)}
-	request.Streamed = message.Streamed()
+	request.Streamed = message.IsStreamed()
 	return request
 }
 
--- a/internal/node/requestlogging.go
+++ b/internal/node/requestlogging.go
@@ -109,7 +109,7 @@
 			call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 			return
 		}
-		call.StartBefore = n.clock.At(n.latestStart(request, reply))
+		call.StartBefore = n.clock.Time(n.latestStart(request, reply))
 		n.sendAttempt(attempt, call)
 		return
 	case requestlog.KeyInFlight, requestlog.KeyAnswered, requestlog.KeyMismatch:
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -84,6 +84,6 @@
 		outcome = attempt.Outcome
 	}
 	request.AddEarlierAttempt(tried, attempt.StartedAt, outcome)
-	ended := upstream.NewCall(request.Message, n.clock.At(0), func(upstream.Result) {})
+	ended := upstream.NewCall(request.Message, n.clock.Time(0), func(upstream.Result) {})
 	request.calls = append(request.calls, ended) // keeps calls indexed by the attempt's number
 }
--- a/internal/serve/capture.go
+++ b/internal/serve/capture.go
@@ -118,6 +118,6 @@
 		}
 	}
 	c.Ring = capture.Ring{Dir: f.Dir, SegmentMB: f.SegmentMB, MostMB: f.MostMB, MostAge: time.Duration(f.MostHours * float64(time.Hour)),
-		Every: clock.Span(f.EveryMs), BlockKB: f.BlockKB, MailboxMB: f.MailboxMB, Sync: capture.Sync(f.Sync)}
+		Every: clock.Duration(f.EveryMs), BlockKB: f.BlockKB, MailboxMB: f.MailboxMB, Sync: capture.Sync(f.Sync)}
 	return c, nil
 }
--- a/internal/serve/pair.go
+++ b/internal/serve/pair.go
@@ -45,7 +45,7 @@
 
 	mu     sync.Mutex
 	before *hotrestart.Link // nil where there is none
-	offer  *hotrestart.Offer
+	offer  *hotrestart.Listener
 	closed bool
 }
 
@@ -55,7 +55,7 @@
 	if p.control == "" || dir == "" || strings.HasSuffix(p.listen, ":0") {
 		return ""
 	}
-	path := hotrestart.Path(dir, p.name+"-"+strings.NewReplacer(":", "_", "/", "_").Replace(p.listen))
+	path := hotrestart.SocketPath(dir, p.name+"-"+strings.NewReplacer(":", "_", "/", "_").Replace(p.listen))
 	if len(path) > 100 { // a socket's path is bounded
 		log.Warn("no next process will find this one: TMPDIR is too long", "path", path)
 		return ""
@@ -76,7 +76,7 @@
 	if p.path == "" {
 		return nil
 	}
-	link, s, err := hotrestart.Follow(ctx, p.path, p.place.name, p.do, func(used int) { p.budget.Limit(p.limit - used) })
+	link, s, err := hotrestart.Connect(ctx, p.path, p.place.name, p.do, func(used int) { p.budget.SetLimit(p.limit - used) })
 	if err != nil {
 		p.log.Warn("nothing taken over from the process before, this one starts fresh", "error", err)
 	}
@@ -86,7 +86,7 @@
 	p.mu.Lock()
 	p.before = link
 	p.mu.Unlock()
-	p.budget.Limit(p.limit - int(olderShare*float64(p.limit)) - admin.Descriptors) // the other has a second address, too
+	p.budget.SetLimit(p.limit - int(olderShare*float64(p.limit)) - admin.Descriptors) // the other has a second address, too
 	p.remember(2)
 	if !reflect.DeepEqual(s.Zones, p.place.names.Zones) || !reflect.DeepEqual(s.Kinds, p.place.names.Kinds) {
 		p.log.Warn("what the process before has learned is of other zones or kinds and not taken")
@@ -102,7 +102,7 @@
 		p.log.Warn("what the process before has learned is not taken, this one starts fresh", "error", err)
 	}
 	if s.Away != nil {
-		p.front.SendClientsAwaySince(true, time.Now().Add(-clock.Span(*s.Away)))
+		p.front.SendClientsAwaySince(true, time.Now().Add(-clock.Duration(*s.Away)))
 	}
 	p.log.Info("following the process before", "backends", len(s.Names), "taken_out", len(s.Banned), "away", s.Away != nil, "learned_bytes", len(s.Module))
 }
@@ -114,11 +114,11 @@
 		p.open()
 		return
 	}
-	if err := p.before.Ready(); err != nil {
+	if err := p.before.SendReady(); err != nil {
 		p.log.Warn("the process before can't be told", "error", err)
 	}
 	go func() {
-		<-p.before.Ended()
+		<-p.before.Done()
 		p.log.Info("the process before has ended")
 		p.mu.Lock()
 		p.before = nil
@@ -129,7 +129,7 @@
 }
 
 func (p *pair) alone() {
-	p.budget.Limit(p.limit)
+	p.budget.SetLimit(p.limit)
 	p.remember(1)
 	p.node.ProcessesChanged(1)
 }
@@ -143,8 +143,8 @@
 	if p.closed {
 		return
 	}
-	o, err := hotrestart.Open(p.path, hotrestart.Owner{Name: p.place.name, State: p.state, Do: p.do, Log: p.log,
-		Alone: func() {
+	o, err := hotrestart.Listen(p.path, hotrestart.Owner{Name: p.place.name, State: p.state, HandleCall: p.do, Log: p.log,
+		OnSuccessorGone: func() {
 			p.log.Info("the next process has ended, this one goes on")
 			p.alone()
 		}})
@@ -158,7 +158,7 @@
 // state gives back what the next process needs, then tells it what there is to know.
 func (p *pair) state(ctx context.Context) (*hotrestart.State, error) {
 	p.log.Info("another process follows this one")
-	p.budget.Limit(int(olderShare * float64(p.limit)))
+	p.budget.SetLimit(int(olderShare * float64(p.limit)))
 	p.remember(2)
 	p.node.ProcessesChanged(2)
 	l, err := p.node.LearnedState(ctx)
@@ -182,7 +182,7 @@
 	case p.before != nil:
 		return p.before
 	case p.offer != nil:
-		return p.offer.Next()
+		return p.offer.Successor()
 	}
 	return nil
 }
@@ -192,9 +192,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.offer != nil {
-		if next := p.offer.Next(); next != nil {
+		if next := p.offer.Successor(); next != nil {
 			select {
-			case <-next.Succeeded():
+			case <-next.PeerReady():
 				return next
 			default:
 			}
@@ -207,8 +207,8 @@
 func (p *pair) giveBack(ctx context.Context, to *hotrestart.Link) {
 	for {
 		used := p.budget.Used() + onTheWay
-		p.budget.Limit(used)
-		to.Using(used + admin.Descriptors)
+		p.budget.SetLimit(used)
+		to.SendDescriptorLimit(used + admin.Descriptors)
 		select {
 		case <-ctx.Done():
 			return
@@ -245,7 +245,7 @@
 		return text, err
 	}
 	there.Force = err == nil // a list is at one of them before it is at the other
-	if _, fault := other.Call(ctx, there); fault != nil && !errors.Is(fault, hotrestart.ErrAlone) {
+	if _, fault := other.Call(ctx, there); fault != nil && !errors.Is(fault, hotrestart.ErrNoPeer) {
 		return "", fault
 	} else if fault != nil || err == nil {
 		return text, err
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -142,8 +142,8 @@
 	var told atomic.Pointer[config.Deployment]
 	retime := func(d *config.Deployment) {
 		told.Store(d)
-		backends.ConnectTimeout.Set(clock.Span(d.ConnectTimeout))
-		backends.IdleTimeout.Set(clock.Span(idleShare * d.ConnectionIdle))
+		backends.ConnectTimeout.Set(clock.Duration(d.ConnectTimeout))
+		backends.IdleTimeout.Set(clock.Duration(idleShare * d.ConnectionIdle))
 	}
 	retime(p.told)
 	n := node.New(p.told, o.Decide, now, backends, watch.Poll, log)
@@ -270,21 +270,21 @@
 	if links != nil {
 		links.Shutdown()
 	}
-	last, cancel := context.WithTimeout(over, clock.Span(left+margin/3))
+	last, cancel := context.WithTimeout(over, clock.Duration(left+margin/3))
 	defer cancel()
 	var unanswered int64
 	next := both.succeeded()
 	if next == nil {
 		// By lastOps alone a node whose ops are all short would end before clients have heard of its end. A process that follows may
 		// be ready only now: closing the listener beside it would lose what the kernel has put in the queue here.
-		f.ServeOn(clock.Span(left-min(lastOps, longest)), func() bool {
+		f.ServeOn(clock.Duration(left-min(lastOps, longest)), func() bool {
 			next = both.succeeded()
 			return next != nil
 		})
 	}
 	if next != nil {
 		log.Info("handing over to the next process")
-		whole, cancel := context.WithTimeout(over, clock.Span(began+left+margin*2/3-now.Now())) // what streams has all the time there is
+		whole, cancel := context.WithTimeout(over, clock.Duration(began+left+margin*2/3-now.Now())) // what streams has all the time there is
 		defer cancel()
 		go both.giveBack(whole, next)
 		unanswered = f.DrainForHandoff(whole)
@@ -301,7 +301,7 @@
 func shed(ctx context.Context, budget *descriptors.Budget, pressed <-chan struct{}, backends, clients func()) {
 	for {
 		var again <-chan time.Time
-		if budget.Waiting() {
+		if budget.HasWaitingClient() {
 			again = time.After(shedEvery)
 		}
 		select {
@@ -310,7 +310,7 @@
 		case <-again:
 		case <-pressed:
 		}
-		if budget.Spare() {
+		if budget.ShouldCloseIdleBackends() {
 			backends()
 		}
 		clients()
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -25,7 +25,7 @@
 
 // Accept ends with net.ErrClosed also when drain finds the queue empty.
 func (l *listener) Accept() (net.Conn, error) {
-	if !l.budget.Client() {
+	if !l.budget.AcquireClient() {
 		return nil, net.ErrClosed
 	}
 	for {
@@ -34,7 +34,7 @@
 		}
 		tcp, err := l.AcceptTCP()
 		if err != nil {
-			l.budget.ClientBack()
+			l.budget.ReleaseClient()
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				return nil, net.ErrClosed
 			}
@@ -193,11 +193,11 @@
 		c.door.closed(c)
 	}
 	if c.Conn == net.Conn(c.tcp) {
-		defer c.budget.ClientBack()
+		defer c.budget.ReleaseClient()
 		return c.tcp.Close()
 	}
 	go func() { // the last record may wait for a client that reads nothing; whoever closes does not
-		defer c.budget.ClientBack()
+		defer c.budget.ReleaseClient()
 		_ = c.Conn.Close()
 	}()
 	return nil
--- a/internal/server/decode.go
+++ b/internal/server/decode.go
@@ -120,7 +120,7 @@
 	least := min(float64(ttl), longestTTL)
 	if len(body) > upstream.MaxBufferedBody {
 		slow.of = c
-		rest = &upstream.StreamedBody{Size: r.ContentLength, TTL: clock.Span(least - onTheWay), Reader: slow}
+		rest = &upstream.StreamedBody{Size: r.ContentLength, Timeout: clock.Duration(least - onTheWay), Reader: slow}
 		least += longestBody
 	}
 	now := f.clock.Now()
--- a/internal/server/kept.go
+++ b/internal/server/kept.go
@@ -63,7 +63,7 @@
 	f.latest.Store(time.Now().UnixMilli())
 	k := op.Logged
 	op.Deadline -= finalTime
-	ctx, cancel := context.WithDeadline(r.Context(), f.clock.At(op.Deadline))
+	ctx, cancel := context.WithDeadline(r.Context(), f.clock.Time(op.Deadline))
 	defer cancel()
 	taken, pause := false, lookAgain
 	for {
--- a/internal/server/leaving_test.go
+++ b/internal/server/leaving_test.go
@@ -257,15 +257,15 @@
 	f, budget := before(t, b.Addr().String(), 256)
 	require.Eventually(t, func() bool { return budget.Clients() == 2 }, 10*time.Second, time.Millisecond, "both listeners wait")
 	held := 0
-	for budget.Clients() < budget.ForClients() {
-		require.True(t, budget.Client())
+	for budget.Clients() < budget.MaxClients() {
+		require.True(t, budget.AcquireClient())
 		held++
 	}
 	first := connected(t, f, "") // has the place that the listener holds already
-	require.Eventually(t, budget.Waiting, 10*time.Second, time.Millisecond)
+	require.Eventually(t, budget.HasWaitingClient, 10*time.Second, time.Millisecond)
 	require.NoError(t, connected(t, f, opOf("left", 0)).Close())
 	for range held {
-		budget.ClientBack()
+		budget.ReleaseClient()
 	}
 	answer, err := health(first)
 	require.NoError(t, err)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -103,7 +103,7 @@
 // Admit has a core choose among clients by limits; it is called before the front listens. Told hears of each time at which
 // choosing begins or ends.
 func (f *Server) Admit(l admission.Limits, told func(pressed bool)) {
-	l.Conns = max(f.budget.ForClients()-headroom, 1)
+	l.Conns = max(f.budget.MaxClients()-headroom, 1)
 	f.door = &door{clock: f.clock, core: admission.New(l), clients: map[uint64]*client{}, told: told}
 }
 
@@ -452,7 +452,7 @@
 
 // head writes an answer's head; its body's size below 0 is not known.
 func (f *Server) head(w http.ResponseWriter, c *client, status int, size int64) {
-	if c.answering() || f.draining.Load() || f.away.closing.Load() || f.budget.Crowded() {
+	if c.answering() || f.draining.Load() || f.away.closing.Load() || f.budget.ShouldCloseClients() {
 		w.Header().Set("Connection", "close")
 	}
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeWithin))
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -36,7 +36,7 @@
 	near, err := l.Accept()
 	require.NoError(t, err)
 	budget := descriptors.New(64, func() {})
-	require.True(t, budget.Client())
+	require.True(t, budget.AcquireClient())
 	t.Cleanup(func() { _ = far.Close() })
 	return plain(near.(*net.TCPConn), budget), far
 }
--- a/internal/upstream/backend.go
+++ b/internal/upstream/backend.go
@@ -144,7 +144,7 @@
 
 func (p *Backend) dial(c *Call) {
 	ctx, cancel, wanted := c.dialContext(p.config.ConnectTimeout.Get())
-	if !wanted || !p.acceptsAttempts.Load() || !p.config.Budget.Peer() {
+	if !wanted || !p.acceptsAttempts.Load() || !p.config.Budget.TryAcquireBackend() {
 		cancel()
 		p.finishCall(c, nil, Result{Outcome: balancer.OutcomeNotSent}, connClosed)
 		return
@@ -167,7 +167,7 @@
 		p.runExchange(c, newConn(to, address))
 		return
 	}
-	p.config.Budget.PeerBack()
+	p.config.Budget.ReleaseBackend()
 	how := balancer.OutcomeConnectFailed
 	// Called off, or this machine's own want: neither tells anything of the backend.
 	if errors.Is(err, context.Canceled) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
@@ -236,5 +236,5 @@
 // drop is the one place where a connection closes and its descriptor is given back.
 func (p *Backend) closeConn(on *conn) {
 	_ = on.Close()
-	p.config.Budget.PeerBack()
+	p.config.Budget.ReleaseBackend()
 }
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -118,7 +118,7 @@
 	c.conn, c.started = conn, true
 	_ = conn.SetDeadline(c.deadline)
 	if c.Message.stream != nil {
-		left = c.Message.stream.TTL
+		left = c.Message.stream.Timeout
 	}
 	return left, true
 }
@@ -161,8 +161,8 @@
 		c.mu.Unlock()
 		return nil, net.ErrClosed
 	}
-	if now := time.Now(); now.Add(rest.TTL).Before(c.deadline) {
-		c.deadline = now.Add(rest.TTL)
+	if now := time.Now(); now.Add(rest.Timeout).Before(c.deadline) {
+		c.deadline = now.Add(rest.Timeout)
 	}
 	if c.OnBodySent != nil { // told before the last byte can have an answer
 		c.OnBodySent(c.deadline)
--- a/internal/upstream/message.go
+++ b/internal/upstream/message.go
@@ -40,13 +40,13 @@
 
 // Rest is what a client still sends of a long body.
 type StreamedBody struct {
-	Size   int64         // of the whole body; below 0 is in chunks
-	TTL    time.Duration // of the op, from its last byte on
-	Reader io.Reader     // ends with io.EOF only where the body is whole
+	Size    int64         // of the whole body; below 0 is in chunks
+	Timeout time.Duration // of the op, from its last byte on
+	Reader  io.Reader     // ends with io.EOF only where the body is whole
 }
 
 // Streamed tells whether the message's body is passed on as it comes; such a message can be sent once.
-func (m *Message) Streamed() bool { return m.stream != nil }
+func (m *Message) IsStreamed() bool { return m.stream != nil }
 
 // ofHop are headers that end at a node, and those that each message gets anew.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te",
--- a/internal/upstream/races_test.go
+++ b/internal/upstream/races_test.go
@@ -65,7 +65,7 @@
 	c := NewCall(NewMessage("GET", "/", "s", nil, nil, nil), time.Now().Add(10*time.Second), func(o Result) { ended <- o })
 	to, err := net.Dial("tcp", b.Addr().String())
 	require.NoError(t, err)
-	require.True(t, told.Budget.Peer())
+	require.True(t, told.Budget.TryAcquireBackend())
 	p.Update(other.Addr().String(), true)
 	p.mailbox.Put(func() {
 		p.activeCalls++
@@ -97,7 +97,7 @@
 	defer far.Close()
 	go func() { _, _ = io.Copy(io.Discard, far) }()
 	p, _ := newTestBackend(t, "127.0.0.1:1")
-	m := NewMessage("POST", "/", "s", http.Header{}, []byte("a"), &StreamedBody{Size: -1, TTL: 10 * time.Second, Reader: strings.NewReader("b")})
+	m := NewMessage("POST", "/", "s", http.Header{}, []byte("a"), &StreamedBody{Size: -1, Timeout: 10 * time.Second, Reader: strings.NewReader("b")})
 	c := NewCall(m, time.Now().Add(10*time.Second), nil)
 	ended := make(chan Result, 1)
 	go func() {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -200,7 +200,7 @@
 		assert.Empty(t, b.got, name)
 	}
 	p, terms := newTestBackend(t, b.Addr().String())
-	for terms.Budget.Peer() {
+	for terms.Budget.TryAcquireBackend() {
 	}
 	assert.Equal(t, balancer.OutcomeNotSent, (<-send(p, 10*time.Second)).Outcome, "no descriptor is no fault of the backend's")
 }
@@ -315,7 +315,7 @@
 			_ = b.Close()
 		}
 		m := NewMessage("POST", "/", "s", http.Header{"X-Trace-Id": {"7"}}, []byte(body[:1000]),
-			&StreamedBody{Size: c.size, TTL: 250 * time.Millisecond, Reader: c.from(body[1000:])})
+			&StreamedBody{Size: c.size, Timeout: 250 * time.Millisecond, Reader: c.from(body[1000:])})
 		out, sent := make(chan Result, 1), make(chan time.Time, 1)
 		call := NewCall(m, time.Now().Add(time.Minute), func(o Result) { out <- o })
 		call.OnBodySent = func(until time.Time) { sent <- until }
@@ -467,5 +467,5 @@
 	assert.Equal(t, balancer.OutcomeNotSent, (<-second).Outcome)
 	<-b.got
 	assert.Empty(t, b.got)
-	assert.True(t, told.Budget.Peer())
+	assert.True(t, told.Budget.TryAcquireBackend())
 }
