--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -51,7 +51,7 @@
 	o      Options
 	clock  *clock.Clock
 	site   *site
-	plane  *client.Plane // as operators reach it
+	plane  *client.ControlPlane // as operators reach it
 	doc    *document
 	failed chan error
 	wg     sync.WaitGroup
@@ -421,7 +421,7 @@
 func (r *run) changes(ctx context.Context) error {
 	begun := time.Now()
 	for k := range int(r.e.Seconds * r.e.Changes.PerSecond) {
-		if !wait(ctx, time.Until(begun.Add(clock.Span(float64(k)/r.e.Changes.PerSecond*1e3)))) {
+		if !wait(ctx, time.Until(begun.Add(clock.Duration(float64(k)/r.e.Changes.PerSecond*1e3)))) {
 			return context.Cause(ctx)
 		}
 		if time.Since(begun).Seconds() > r.e.Seconds { // commits took their time
@@ -460,7 +460,7 @@
 	slices.SortStableFunc(all, func(a, b switched) int { return cmp.Compare(a.at, b.at) })
 	now := slices.Clone(r.e.Faults) // with the leader's name in its place
 	for _, s := range all {
-		if !wait(ctx, time.Until(begun.Add(clock.Span(s.at*1e3)))) {
+		if !wait(ctx, time.Until(begun.Add(clock.Duration(s.at*1e3)))) {
 			return nil
 		}
 		x := &now[s.fault]
@@ -478,7 +478,7 @@
 
 func (r *run) leader(ctx context.Context) string {
 	for range 10 {
-		for _, a := range r.plane.Statuses(ctx) {
+		for _, a := range r.plane.MemberStatuses(ctx) {
 			if a.Err == nil && a.Status.Leader == a.Member.Name {
 				return a.Member.Name
 			}
@@ -546,7 +546,7 @@
 	if err != nil {
 		return err
 	}
-	if !wait(ctx, clock.Span(r.e.Quiet*1e3)) {
+	if !wait(ctx, clock.Duration(r.e.Quiet*1e3)) {
 		return context.Cause(ctx)
 	}
 	b, err := r.snap(ctx)
@@ -585,7 +585,7 @@
 			return context.Cause(ctx)
 		}
 	}
-	log, _, err := r.plane.Log(ctx, 1<<20)
+	log, _, err := r.plane.RecentChanges(ctx, 1<<20)
 	if err != nil {
 		return err
 	}
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -37,7 +37,7 @@
 
 // Accept returns net.ErrClosed also when the queue is empty after drain.
 func (l *listener) Accept() (net.Conn, error) {
-	if !l.budget.Client() {
+	if !l.budget.AcquireClient() {
 		return nil, net.ErrClosed
 	}
 	for {
@@ -46,7 +46,7 @@
 		}
 		tcp, err := l.AcceptTCP()
 		if err != nil {
-			l.budget.ClientBack()
+			l.budget.ReleaseClient()
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				return nil, net.ErrClosed
 			}
@@ -230,11 +230,11 @@
 		c.admitter.connClosed(c)
 	}
 	if c.Conn == net.Conn(c.tcp) {
-		defer c.budget.ClientBack()
+		defer c.budget.ReleaseClient()
 		return c.tcp.Close()
 	}
 	go func() { // TLS's last record may wait for a client that does not read
-		defer c.budget.ClientBack()
+		defer c.budget.ReleaseClient()
 		_ = c.Conn.Close()
 	}()
 	return nil
--- a/internal/server/decode.go
+++ b/internal/server/decode.go
@@ -67,7 +67,7 @@
 	if len(body) > upstream.MaxBufferedBody {
 		// The rest is passed on as it comes, and the request's time to live begins with its last byte.
 		rest.conn = conn
-		streamed = &upstream.StreamedBody{Size: r.ContentLength, TTL: clock.Span(header.ttlMs - defaultTransitMs), Reader: rest}
+		streamed = &upstream.StreamedBody{Size: r.ContentLength, Timeout: clock.Duration(header.ttlMs - defaultTransitMs), Reader: rest}
 		timeLeft += maxBodyMs
 	}
 	now := s.clock.Now()
--- a/internal/server/requestlogging.go
+++ b/internal/server/requestlogging.go
@@ -83,7 +83,7 @@
 	s.lastRequestAt.Store(time.Now().UnixMilli())
 	logged := request.Logged
 	request.Deadline -= answerRecordMs
-	ctx, cancel := context.WithDeadline(r.Context(), s.clock.At(request.Deadline))
+	ctx, cancel := context.WithDeadline(r.Context(), s.clock.Time(request.Deadline))
 	defer cancel()
 	submitted, pause := false, minLookupPause
 	for {
--- a/internal/server/response.go
+++ b/internal/server/response.go
@@ -84,7 +84,7 @@
 
 // writeHeader writes a response's header. The body's size is unknown where bodySize is below 0.
 func (s *Server) writeHeader(w http.ResponseWriter, conn *clientConn, status int, bodySize int64) {
-	if conn.beginResponse() || s.draining.Load() || s.quiesce.closing.Load() || s.budget.Crowded() {
+	if conn.beginResponse() || s.draining.Load() || s.quiesce.closing.Load() || s.budget.ShouldCloseClients() {
 		w.Header().Set("Connection", "close")
 	}
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
