--- a/cmd/pearknot-lab/play.go
+++ b/cmd/pearknot-lab/play.go
@@ -121,8 +121,8 @@
 	if p.virtual {
 		o := virtual.Options{Watch: watch}
 		if p.capture != "" {
-			w, e := capture.NewWriter(capture.Ring{Dir: p.capture, Node: "n0", SegmentMB: 16, MostMB: 1 << 10, Every: time.Second, BlockKB: 64,
-				MailboxMB: 1 << 10, Sync: capture.SyncSegment, Log: slog.Default(), Now: func() float64 { return float64(time.Now().UnixMilli()) }})
+			w, e := capture.NewWriter(capture.WriterConfig{Dir: p.capture, NodeName: "n0", SegmentMB: 16, MaxTotalMB: 1 << 10, FlushInterval: time.Second, BlockKB: 64,
+				MaxPendingMB: 1 << 10, Sync: capture.SyncSegment, Log: slog.Default(), Now: func() float64 { return float64(time.Now().UnixMilli()) }})
 			if e != nil {
 				return r, e
 			}
@@ -153,7 +153,7 @@
 		if node != 0 {
 			return d
 		}
-		r, err := capture.NewRecorder(d, now, capture.Start{Name: "n0", Epoch: uint64(life), Build: cli.Version(), Config: t}, capture.Options{Every: 10e3, Sink: w.Put})
+		r, err := capture.NewRecorder(d, now, capture.Start{Name: "n0", Epoch: uint64(life), Build: cli.Version(), Config: t}, capture.Options{SnapshotIntervalMs: 10e3, Sink: w.Put})
 		if err != nil {
 			panic(err) // plain values
 		}
--- a/cmd/pearknot/capture.go
+++ b/cmd/pearknot/capture.go
@@ -28,8 +28,8 @@
 	}
 	for _, file := range files {
 		err := capture.Read(file, f)
-		var cut *capture.Cut
-		var damaged *capture.Damaged
+		var cut *capture.TruncatedError
+		var damaged *capture.CorruptError
 		switch {
 		case errors.As(err, &cut):
 			fmt.Fprintln(c.ErrOrStderr(), cut)
@@ -66,16 +66,16 @@
 				p := &capture.Replayer{Skip: skip, Strict: true}
 				begun := time.Now()
 				if err := eachRecord(c, args[0], p.Feed); err != nil {
-					var d *capture.Difference
+					var d *capture.MismatchError
 					if errors.As(err, &d) {
 						fmt.Fprintln(c.OutOrStdout(), d)
 						return &cli.Error{Status: cli.No, Err: errors.New("decisions differ"), Silent: true}
 					}
 					return err
 				}
-				x := p.Claim
+				x := p.Result
 				fmt.Fprintf(c.OutOrStdout(), "%d decisions match in %d records, from %d starts and %d snapshots, %.1f s of time in %.2f s; %d records missing in %d gaps, of %d nothing is claimed\n",
-					x.Decisions, x.Records, x.Epochs, x.Restored, (x.To-x.From)/1e3, time.Since(begun).Seconds(), x.Missing, x.Gaps, x.Unclaimed)
+					x.Decisions, x.Records, x.Epochs, x.Restored, (x.To-x.From)/1e3, time.Since(begun).Seconds(), x.MissingRecords, x.Gaps, x.Unverified)
 				if x.Decisions == 0 {
 					return &cli.Error{Status: cli.No, Err: errors.New("nothing could be claimed: no start stands in the capture")}
 				}
@@ -135,7 +135,7 @@
 					return err
 				}
 			}
-			e := &capture.Explainer{Op: number, Out: c.OutOrStdout()}
+			e := &capture.Explainer{RequestNumber: number, Out: c.OutOrStdout()}
 			if err := eachRecord(c, args[0], e.Feed); err != nil {
 				return err
 			}
@@ -204,7 +204,7 @@
 		}})
 	root.AddCommand(&cobra.Command{Use: "cat FILE|DIR", Short: "The records, a line each; what came late is marked", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			var notes capture.Notes
+			var notes capture.LateNotes
 			return eachRecord(c, args[0], func(r capture.Record) error {
 				line := r.String()
 				if note := notes.Note(r); note != "" {
--- a/cmd/pearknot/capture_test.go
+++ b/cmd/pearknot/capture_test.go
@@ -16,6 +16,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"pearknot/balancer"
 	"pearknot/internal/capture"
 	"pearknot/internal/lab/program"
 )
@@ -82,9 +83,9 @@
 		status int
 		says   string
 	}{
-		{[]string{"capture", "ls", out}, 0, "records"}, {[]string{"capture", "cat", out}, 0, "arrived op 1"},
+		{[]string{"capture", "ls", out}, 0, "records"}, {[]string{"capture", "cat", out}, 0, "request arrived request 1"},
 		{[]string{"capture", "verify", out}, 0, "0 segments that are not"}, {[]string{"replay", "/nowhere"}, 2, "no such file"},
-		{[]string{"replay", dir}, 2, "no captures"}, {[]string{"replay", file}, 2, "no capture"}, {[]string{"replay", out, "--times", "0"}, 2, "below 1"},
+		{[]string{"replay", dir}, 2, "no captures"}, {[]string{"replay", file}, 2, "not a capture"}, {[]string{"replay", out, "--times", "0"}, 2, "below 1"},
 		{[]string{"serve", "--config", "x", "--capture", file}, 1, "no such file"},
 	} {
 		var stdout, stderr bytes.Buffer
@@ -134,8 +135,8 @@
 		return nil
 	}))
 	why := call(0, "explain", second, fmt.Sprint(last.Request))
-	assert.Contains(t, why, "decided: push op")
-	assert.Contains(t, why, ": open; answer in")
+	assert.Contains(t, why, "decided: attempt request")
+	assert.Regexp(t, ": "+balancer.Eligible.String()+`; [0-9.]+ ms expected \(`, why)
 	assert.Equal(t, why, call(0, "explain", second, fmt.Sprintf("x%x", last.ID)))
 	part := filepath.Join(dir, "part.pkcap")
 	call(0, "capture", "cut", second, "--from", fmt.Sprintf("%f", last.Now), "--out", part)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -42,7 +42,7 @@
 		return nil, fmt.Errorf("%s=%s is not INSTANCE:DIR", captureVariable, text)
 	}
 	// The simulator's time is not the wall's: the mailbox holds whatever it brings.
-	w, err := capture.NewWriter(capture.Ring{Dir: dir, Node: number, SegmentMB: 16, MostMB: 1 << 10, Every: time.Second, BlockKB: 64, MailboxMB: 1 << 10,
+	w, err := capture.NewWriter(capture.WriterConfig{Dir: dir, NodeName: number, SegmentMB: 16, MaxTotalMB: 1 << 10, FlushInterval: time.Second, BlockKB: 64, MaxPendingMB: 1 << 10,
 		Sync: capture.SyncSegment, Log: slog.New(slog.NewTextHandler(os.Stderr, nil)), Now: func() float64 { return float64(time.Now().UnixMilli()) }})
 	if err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 		if uint64(instance) != wanted {
 			return d
 		}
-		r, err := capture.NewRecorder(d, now, capture.Start{Name: number, Epoch: epoch, Config: t}, capture.Options{Every: 10e3, Sink: w.Put})
+		r, err := capture.NewRecorder(d, now, capture.Start{Name: number, Epoch: epoch, Config: t}, capture.Options{SnapshotIntervalMs: 10e3, Sink: w.Put})
 		if err != nil {
 			panic(err) // plain values
 		}
--- a/internal/capture/bench_test.go
+++ b/internal/capture/bench_test.go
@@ -10,7 +10,7 @@
 	"pearknot/internal/snapshot"
 )
 
-// A decision: an op comes, is placed, and its answer is heard, among so many backends; off, and with all of it captured,
+// A decision: a request comes, is placed, and its answer is heard, among so many backends; off, and with all of it captured,
 // counted and let go of.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []struct{ backends, nodes int }{{10, 3}, {30, 100}, {200, 1250}} {
@@ -19,10 +19,10 @@
 		b.Run(fmt.Sprintf("%d/off", size.backends), func(b *testing.B) { decide(b, balancer.New(t, 1), size.backends) })
 		b.Run(fmt.Sprintf("%d/on", size.backends), func(b *testing.B) {
 			bytes := 0
-			r, err := NewRecorder(balancer.New(t, 1), 1, Start{Name: "n", Config: t}, Options{Every: 10e3, Sink: func(b Batch) { bytes += len(b.Data) }})
+			r, err := NewRecorder(balancer.New(t, 1), 1, Start{Name: "n", Config: t}, Options{SnapshotIntervalMs: 10e3, Sink: func(b Batch) { bytes += len(b.Data) }})
 			require.NoError(b, err)
 			decide(b, r, size.backends)
-			b.ReportMetric(float64(bytes)/float64(b.N), "bytes/op-unpacked")
+			b.ReportMetric(float64(bytes)/float64(b.N), "bytes/request-unpacked")
 		})
 	}
 }
@@ -38,8 +38,8 @@
 	now := 1.0
 	for range b.N {
 		now += 5
-		op := &balancer.Request{Deadline: now + 2000, CostHint: 30, HasCostHint: true}
-		n.RequestArrived(now, op)
+		request := &balancer.Request{Deadline: now + 2000, CostHint: 30, HasCostHint: true}
+		n.RequestArrived(now, request)
 		var p *balancer.Attempt
 		for d, more := n.Next(); more; d, more = n.Next() {
 			if d.Kind == balancer.DoAttempt {
@@ -53,7 +53,7 @@
 	}
 }
 
-// A snapshot: of a node that has had two thousand ops, and has one that is open for each backend.
+// A snapshot: of a node that has had two thousand requests, and has one that is open for each backend.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, size := range []struct{ backends, nodes int }{{10, 3}, {30, 100}, {200, 1250}} {
 		t := &balancer.Config{Seed: 1, Nodes: size.nodes, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, SlowStartShare: 0.3, SlowStartWindow: 8000,
@@ -72,15 +72,15 @@
 		now := 1.0
 		for k := range 2000 + size.backends {
 			now++
-			op := &balancer.Request{Deadline: now + 2000, CostHint: 30, HasCostHint: true}
-			n.RequestArrived(now, op)
+			request := &balancer.Request{Deadline: now + 2000, CostHint: 30, HasCostHint: true}
+			n.RequestArrived(now, request)
 			for d, more := n.Next(); more; d, more = n.Next() {
 				if d.Kind == balancer.DoAttempt && k < 2000 {
 					n.AttemptEnded(now, d.Attempt, balancer.OutcomeAnswered, 3, true)
 				}
 			}
-			if k >= 2000 && !op.IsDone() {
-				open = append(open, op)
+			if k >= 2000 && !request.IsDone() {
+				open = append(open, request)
 			}
 		}
 		take := func() []byte {
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -32,11 +32,11 @@
 	e, err := experiment.Read("../../experiments/" + name + ".toml")
 	require.NoError(t, err)
 	e.Seconds = seconds
-	run, err := virtual.Run(e, 1, virtual.Options{Wrap: func(n, life int, d balancer.Decider, terms *balancer.Config, now float64) balancer.Decider {
+	run, err := virtual.Run(e, 1, virtual.Options{Wrap: func(n, life int, d balancer.Decider, config *balancer.Config, now float64) balancer.Decider {
 		if n != node {
 			return d
 		}
-		r, err := NewRecorder(d, now, Start{Name: fmt.Sprint("n", n), Epoch: uint64(life), Build: "test", Config: terms}, o)
+		r, err := NewRecorder(d, now, Start{Name: fmt.Sprint("n", n), Epoch: uint64(life), Build: "test", Config: config}, o)
 		require.NoError(t, err)
 		return r
 	}})
@@ -46,7 +46,7 @@
 
 // captured is a capture in memory, as records.
 func captured(t testing.TB, name string, seconds float64, node int) (all []Record) {
-	played(t, name, seconds, node, Options{Every: 3000, Sink: func(b Batch) {
+	played(t, name, seconds, node, Options{SnapshotIntervalMs: 3000, Sink: func(b Batch) {
 		all = append(all, unframed(b.Data)...)
 	}})
 	return all
@@ -57,30 +57,30 @@
 	data = bytes.Clone(data) // a sink may not keep it
 	for len(data) > 0 {
 		size := int(binary.LittleEndian.Uint32(data))
-		r, err := Decode(data[recordHead : recordHead+size])
+		r, err := Decode(data[recordHeaderSize : recordHeaderSize+size])
 		if err != nil {
 			panic(err)
 		}
 		all = append(all, r)
-		data = data[recordHead+size:]
+		data = data[recordHeaderSize+size:]
 	}
 	return all
 }
 
-func replay(all []Record) (Claim, error) {
+func replay(all []Record) (Result, error) {
 	p := &Replayer{Strict: true}
 	for _, r := range all {
 		if err := p.Feed(r); err != nil {
-			return p.Claim, err
+			return p.Result, err
 		}
 	}
-	return p.Claim, nil
+	return p.Result, nil
 }
 
 // incidents are those of docs/incidents that the lab's model can express, and the experiment that has their trouble.
 var incidents = map[string]string{"cold-fleet": "cold-rush", "cold-slow-machine": "crash-and-hang", "crowded-zone": "cut-in-a-burst",
 	"lost-zone": "zone-cut", "many-nodes": "metastable", "overdriven": "burst", "releases": "roll-in-a-shrink", "silent-list": "list-down",
-	"no-ops-no-list": "nodes", "one-category": "costly"}
+	"no-requests-no-list": "nodes", "one-category": "costly"}
 
 // What the module was told, played again, has it decide the same, bit for bit, a hundred times, whatever the processors.
 func TestReplayMatches(t *testing.T) {
@@ -95,7 +95,7 @@
 			require.NoError(t, err, incident)
 			require.Greater(t, claim.Decisions, 30, incident)
 			require.Equal(t, len(all), claim.Records)
-			require.Zero(t, claim.Gaps+claim.Unclaimed)
+			require.Zero(t, claim.Gaps+claim.Unverified)
 		}
 	}
 }
@@ -106,11 +106,11 @@
 		e, err := experiment.Read("../../experiments/roll-in-a-shrink.toml")
 		require.NoError(t, err)
 		e.Seconds = 15
-		run, err := virtual.Run(e, 3, virtual.Options{Wrap: func(_, _ int, d balancer.Decider, terms *balancer.Config, now float64) balancer.Decider {
+		run, err := virtual.Run(e, 3, virtual.Options{Wrap: func(_, _ int, d balancer.Decider, config *balancer.Config, now float64) balancer.Decider {
 			if o == nil {
 				return d
 			}
-			r, err := NewRecorder(d, now, Start{Config: terms}, *o)
+			r, err := NewRecorder(d, now, Start{Config: config}, *o)
 			require.NoError(t, err)
 			return r
 		}})
@@ -120,15 +120,15 @@
 		return string(data)
 	}
 	hold := make(chan struct{})
-	w, _ := ring(t, func(r *Ring) {
-		r.MailboxMB, r.BlockKB = 0.05, 1
+	w, _ := ring(t, func(r *WriterConfig) {
+		r.MaxPendingMB, r.BlockKB = 0.05, 1
 		r.create = func(name string) (segment, error) {
 			f, err := os.Create(name)
 			return &disk{hold: hold, file: f}, err
 		}
 	})
 	plain := play(nil)
-	assert.Equal(t, plain, play(&Options{Every: 500, Sink: w.Put}), "a disk that stands still")
+	assert.Equal(t, plain, play(&Options{SnapshotIntervalMs: 500, Sink: w.Put}), "a disk that stands still")
 	assert.Positive(t, w.Dropped())
 	close(hold)
 	w.Close()
@@ -137,17 +137,17 @@
 
 // Names used again and a clock that steps are as they came.
 func TestOddHosts(t *testing.T) {
-	terms := &balancer.Config{Seed: 2, Nodes: 1, MaxAttempts: 2, AllowHedging: true, OverloadWindow: 100, Classes: []balancer.Class{{LatencyObjective: 100, PriorityWeight: 1}}}
+	config := &balancer.Config{Seed: 2, Nodes: 1, MaxAttempts: 2, AllowHedging: true, OverloadWindow: 100, Classes: []balancer.Class{{LatencyObjective: 100, PriorityWeight: 1}}}
 	var records []Record
-	r, err := NewRecorder(balancer.New(terms, 1000), 1000, Start{Config: terms}, Options{Every: 10, Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
+	r, err := NewRecorder(balancer.New(config, 1000), 1000, Start{Config: config}, Options{SnapshotIntervalMs: 10, Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
 	require.NoError(t, err)
-	drain := func() (pushes []*balancer.Attempt) {
+	drain := func() (attempts []*balancer.Attempt) {
 		for d, more := r.Next(); more; d, more = r.Next() {
 			if d.Kind == balancer.DoAttempt {
-				pushes = append(pushes, d.Attempt)
+				attempts = append(attempts, d.Attempt)
 			}
 		}
-		return pushes
+		return attempts
 	}
 	b := &balancer.Backend{ID: 4}
 	r.EndpointsChanged(1000, []balancer.Endpoint{{Backend: b, State: balancer.BackendReady, Weight: 1}}, true, false)
@@ -163,13 +163,13 @@
 	assert.Greater(t, claim.Decisions, 5)
 }
 
-// An op taken over from another node comes with its pushes so far, to backends that this node's list may not have: played again it
+// An request taken over from another node comes with its attempts so far, to backends that this node's list may not have: played again it
 // goes where it went, and explain names it.
 func TestTakenOver(t *testing.T) {
-	terms := &balancer.Config{Seed: 2, Nodes: 1, MaxAttempts: 3, AllowHedging: true, OverloadWindow: 100, Classes: []balancer.Class{
+	config := &balancer.Config{Seed: 2, Nodes: 1, MaxAttempts: 3, AllowHedging: true, OverloadWindow: 100, Classes: []balancer.Class{
 		{Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupByZone, DedupWindow: 500, LatencyObjective: 1000, PriorityWeight: 1}}}
 	var records []Record
-	r, err := NewRecorder(balancer.New(terms, 1000), 1000, Start{Config: terms}, Options{Every: 10, Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
+	r, err := NewRecorder(balancer.New(config, 1000), 1000, Start{Config: config}, Options{SnapshotIntervalMs: 10, Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
 	require.NoError(t, err)
 	var pushed []*balancer.Attempt
 	drain := func() {
@@ -182,9 +182,9 @@
 	near, far := &balancer.Backend{ID: 4}, &balancer.Backend{ID: 5}
 	r.EndpointsChanged(1000, []balancer.Endpoint{{Backend: near, State: balancer.BackendReady, Weight: 1}, {Backend: far, State: balancer.BackendReady, Weight: 1, Zone: 1}}, true, false)
 	drain()
-	op := &balancer.Request{ID: 7, Deadline: 3000}
-	op.AddEarlierAttempt(&balancer.Backend{ID: 99, Zone: 1}, 900, balancer.OutcomeTimedOut)
-	r.RequestArrived(1100, op)
+	request := &balancer.Request{ID: 7, Deadline: 3000}
+	request.AddEarlierAttempt(&balancer.Backend{ID: 99, Zone: 1}, 900, balancer.OutcomeTimedOut)
+	r.RequestArrived(1100, request)
 	drain()
 	require.Len(t, pushed, 1)
 	require.Equal(t, far, pushed[0].Backend, "only its zone drops repeats")
@@ -195,11 +195,11 @@
 	require.NoError(t, err)
 	require.Positive(t, claim.Decisions)
 	var said bytes.Buffer
-	e := &Explainer{Op: 1, Out: &said}
+	e := &Explainer{RequestNumber: 1, Out: &said}
 	for _, x := range records {
 		require.NoError(t, e.Feed(x))
 	}
-	require.Contains(t, said.String(), "taken over from another node: op 1, its push at 900.000, timed out as far as is known, to backend 63")
+	require.Contains(t, said.String(), "taken over from another node: request 1, its attempt at 900.000, timed out as far as is known, to backend 63")
 }
 
 // A node that restarts within a capture is another epoch of the same name.
@@ -224,17 +224,17 @@
 		wrong := append([]Record{}, all...)
 		wrong[k].Value = math.Nextafter(wrong[k].Value, 1e9) // the last bit
 		_, err := replay(wrong)
-		var d *Difference
+		var d *MismatchError
 		require.ErrorAs(t, err, &d, "record %d of %d: %v", k, len(all), r)
-		assert.Equal(t, k+1, d.At)
+		assert.Equal(t, k+1, d.RecordNumber)
 		assert.Contains(t, d.Error(), "captured")
 		found++
 	}
 	assert.Positive(t, found)
-	// Other terms are another module: it can't pass for the one captured.
-	p := &Replayer{New: func(terms *balancer.Config, now float64) balancer.Decider {
-		terms.Seed ^= 0xff00 // the lowest bit is not the chance's
-		return balancer.New(terms, now)
+	// Other configuration are another module: it can't pass for the one captured.
+	p := &Replayer{New: func(config *balancer.Config, now float64) balancer.Decider {
+		config.Seed ^= 0xff00 // the lowest bit is not the chance's
+		return balancer.New(config, now)
 	}}
 	var err error
 	for _, r := range all {
@@ -242,7 +242,7 @@
 			break
 		}
 	}
-	var d *Difference
+	var d *MismatchError
 	assert.ErrorAs(t, err, &d)
 }
 
@@ -261,18 +261,18 @@
 		e.Backend.CrowdQueue = 3
 		p := &Replayer{Strict: true}
 		var start Start
-		_, err = virtual.Run(e, rapid.Uint64().Draw(t, "seed"), virtual.Options{Wrap: func(n, life int, d balancer.Decider, terms *balancer.Config, now float64) balancer.Decider {
+		_, err = virtual.Run(e, rapid.Uint64().Draw(t, "seed"), virtual.Options{Wrap: func(n, life int, d balancer.Decider, config *balancer.Config, now float64) balancer.Decider {
 			if n != 1 {
 				return d
 			}
-			start = Start{Name: "n1", Config: terms}
-			r, err := NewRecorder(d, now, start, Options{Every: 500, Sink: func(b Batch) {
+			start = Start{Name: "n1", Config: config}
+			r, err := NewRecorder(d, now, start, Options{SnapshotIntervalMs: 500, Sink: func(b Batch) {
 				for _, x := range unframed(b.Data) {
 					if err := p.Feed(x); err != nil {
 						t.Fatal(err)
 					}
 					if x.Kind == BatchEnd {
-						if err := p.Renew(start); err != nil {
+						if err := p.RestoreFromOwnState(start); err != nil {
 							t.Fatal(err)
 						}
 					}
@@ -283,28 +283,28 @@
 			}
 			return r
 		}})
-		if err != nil || p.Claim.Decisions == 0 {
-			t.Fatal(err, p.Claim)
+		if err != nil || p.Result.Decisions == 0 {
+			t.Fatal(err, p.Result)
 		}
 	})
 }
 
 // The ring in memory keeps within its size, and what is written out begins where a replay may.
 func TestMemory(t *testing.T) {
-	m := NewMemory(300_000)
-	played(t, "hung", 30, 0, Options{Every: 2000, Sink: m.Put})
-	held, dropped := m.Held()
+	m := NewMemoryRing(300_000)
+	played(t, "hung", 30, 0, Options{SnapshotIntervalMs: 2000, Sink: m.Put})
+	held, dropped := m.Size()
 	assert.LessOrEqual(t, held, 300_000)
 	assert.Positive(t, dropped)
 	name := filepath.Join(t.TempDir(), "dump"+suffix)
-	require.NoError(t, m.Dump(name))
+	require.NoError(t, m.WriteTo(name))
 	all, err := read(t, name)
 	require.NoError(t, err)
 	claim, err := replay(all)
 	require.NoError(t, err)
 	assert.Equal(t, 1, claim.Restored)
 	assert.Greater(t, claim.Decisions, 200)
-	assert.Less(t, claim.Unclaimed, 50, "what stood before the snapshot in its batch")
+	assert.Less(t, claim.Unverified, 50, "what stood before the snapshot in its batch")
 }
 
 // A replay may begin at any snapshot, and a ring that has lost its start can be played from the first it has.
@@ -319,12 +319,12 @@
 		for _, r := range all {
 			require.NoError(t, p.Feed(r))
 		}
-		assert.Equal(t, 1, p.Claim.Restored)
+		assert.Equal(t, 1, p.Result.Restored)
 		begun++
 	}
 	assert.Greater(t, begun, 4)
-	w, r := ring(t, func(r *Ring) { r.MostMB = 0.15 })
-	played(t, "hung", 30, 0, Options{Every: 1000, Sink: w.Put})
+	w, r := ring(t, func(r *WriterConfig) { r.MaxTotalMB = 0.15 })
+	played(t, "hung", 30, 0, Options{SnapshotIntervalMs: 1000, Sink: w.Put})
 	w.Close()
 	left, err := read(t, r.Dir)
 	require.NoError(t, err)
@@ -339,7 +339,7 @@
 func TestRedact(t *testing.T) {
 	refs := func(secret string) (all []uint64) {
 		var records []Record
-		played(t, "hung", 5, 0, Options{Every: 50, Secret: []byte(secret), Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
+		played(t, "hung", 5, 0, Options{SnapshotIntervalMs: 50, HashKey: []byte(secret), Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
 		claim := &Replayer{Strict: true} // names in the snapshots are hashed as well
 		for _, r := range records {
 			require.NoError(t, claim.Feed(r))
@@ -357,24 +357,24 @@
 		assert.NotEqual(t, plain[i], a[i])
 		assert.NotEqual(t, a[i], b[i])
 	}
-	r := &Recorder{o: Options{Secret: []byte("x")}}
-	assert.Zero(t, r.hashed(0), "none stays none")
-	assert.NotEqual(t, uint64(5), r.hashed(5))
+	r := &Recorder{options: Options{HashKey: []byte("x")}}
+	assert.Zero(t, r.hashID(0), "none stays none")
+	assert.NotEqual(t, uint64(5), r.hashID(5))
 }
 
-// Why an op went where it went: every backend that the module looked at, with its reason, before the decision.
+// Why a request went where it went: every backend that the module looked at, with its reason, before the decision.
 func TestExplain(t *testing.T) {
 	all := captured(t, "cold-rush", 25, 0)
 	reasons := map[string]int{}
-	for _, op := range []uint64{5, 200, 400, 500, 600, 700, 800} {
+	for _, request := range []uint64{5, 200, 400, 500, 600, 700, 800} {
 		var out bytes.Buffer
-		e := &Explainer{Op: op, Out: &out}
+		e := &Explainer{RequestNumber: request, Out: &out}
 		for _, r := range all {
 			require.NoError(t, e.Feed(r), "listening changes nothing")
 		}
 		require.True(t, e.Found())
 		text := out.String()
-		arrived, decided := bytes.Index(out.Bytes(), []byte("arrived op")), bytes.Index(out.Bytes(), []byte("decided: "))
+		arrived, decided := bytes.Index(out.Bytes(), []byte("arrived request")), bytes.Index(out.Bytes(), []byte("decided: "))
 		looked := bytes.Index(out.Bytes(), []byte("    "))
 		assert.True(t, arrived >= 0 && arrived < looked && looked < decided, text)
 		if !bytes.Contains(out.Bytes(), []byte(balancer.ReasonPoisonRequest.String())) { // no backend was looked at
@@ -393,7 +393,7 @@
 		}
 	}
 	assert.Positive(t, passed, reasons)
-	e := &Explainer{Op: 1 << 40, Out: io.Discard}
+	e := &Explainer{RequestNumber: 1 << 40, Out: io.Discard}
 	for _, r := range all {
 		require.NoError(t, e.Feed(r))
 	}
@@ -402,27 +402,27 @@
 
 // What came late stands where it came, and is marked.
 func TestNotes(t *testing.T) {
-	push := func(op, backend uint64, at float64) Record {
-		return Record{Kind: Decided, Decision: balancer.DoAttempt, Now: at, Request: op, Backend: backend}
+	attempt := func(request, backend uint64, at float64) Record {
+		return Record{Kind: Decided, Decision: balancer.DoAttempt, Now: at, Request: request, Backend: backend}
 	}
-	end := func(op uint64, at float64, flags uint64) Record {
-		return Record{Kind: AttemptEnded, Outcome: balancer.OutcomeAnswered, Now: at, Request: op, Flags: flags}
+	end := func(request uint64, at float64, flags uint64) Record {
+		return Record{Kind: AttemptEnded, Outcome: balancer.OutcomeAnswered, Now: at, Request: request, Flags: flags}
 	}
-	var n Notes
+	var n LateNotes
 	for _, c := range []struct {
 		r    Record
 		want string
 	}{
 		{Record{Kind: EndpointsChanged, Endpoints: []Endpoint{{Backend: 1, Started: 50}}}, ""},
-		{Record{Kind: EndpointsChanged, Endpoints: []Endpoint{{Backend: 1, Started: 40}}}, "older than what is held of backend 1"},
-		{push(1, 1, 10), ""}, {push(2, 1, 20), ""}, {end(2, 30, flagFinished), ""},
-		{end(1, 31, flagFinished), "overtaken: an answer to what was sent later came before"},
-		{push(3, 1, 40), ""}, {Record{Kind: Decided, Decision: balancer.DoReject, Request: 3, Now: 41}, ""}, {end(3, 45, 0), "after the op's final answer"},
+		{Record{Kind: EndpointsChanged, Endpoints: []Endpoint{{Backend: 1, Started: 40}}}, "older than what is known of backend 1"},
+		{attempt(1, 1, 10), ""}, {attempt(2, 1, 20), ""}, {end(2, 30, flagFinished), ""},
+		{end(1, 31, flagFinished), "overtaken by an answer to a later attempt"},
+		{attempt(3, 1, 40), ""}, {Record{Kind: Decided, Decision: balancer.DoReject, Request: 3, Now: 41}, ""}, {end(3, 45, 0), "after the request's final answer"},
 	} {
 		assert.Equal(t, c.want, n.Note(c.r), c.r)
 	}
-	assert.Empty(t, n.over)
-	assert.Empty(t, n.out)
+	assert.Empty(t, n.answered)
+	assert.Empty(t, n.inFlight)
 }
 
 // After a gap nothing is claimed until the next start.
@@ -434,13 +434,13 @@
 	cut = append(cut, all[150:]...)
 	claim, err := replay(cut)
 	require.NoError(t, err)
-	assert.Equal(t, uint64(50), claim.Missing)
+	assert.Equal(t, uint64(50), claim.MissingRecords)
 	assert.Less(t, claim.Decisions, whole.Decisions)
 	assert.Equal(t, len(cut), claim.Records)
 }
 
-func ring(t *testing.T, change func(*Ring)) (*Writer, Ring) {
-	r := Ring{Dir: t.TempDir(), Node: "n/1", SegmentMB: 0.05, MostMB: 100, Every: 5 * time.Millisecond, BlockKB: 8, MailboxMB: 64, Sync: SyncSegment,
+func ring(t *testing.T, change func(*WriterConfig)) (*Writer, WriterConfig) {
+	r := WriterConfig{Dir: t.TempDir(), NodeName: "n/1", SegmentMB: 0.05, MaxTotalMB: 100, FlushInterval: 5 * time.Millisecond, BlockKB: 8, MaxPendingMB: 64, Sync: SyncSegment,
 		Log: slog.New(slog.DiscardHandler), Now: func() float64 { return float64(time.Now().UnixMilli()) }}
 	if change != nil {
 		change(&r)
@@ -481,7 +481,7 @@
 
 // Beyond its size the ring drops the oldest; what is left says nothing until a start stands in it.
 func TestRingIsBounded(t *testing.T) {
-	w, r := ring(t, func(r *Ring) { r.MostMB = 0.15 })
+	w, r := ring(t, func(r *WriterConfig) { r.MaxTotalMB = 0.15 })
 	played(t, "hung", 30, 0, Options{Sink: w.Put})
 	w.Close()
 	files, err := Segments(r.Dir)
@@ -497,12 +497,12 @@
 	require.NoError(t, err)
 	claim, err := replay(all)
 	require.NoError(t, err)
-	assert.Equal(t, claim.Records, claim.Unclaimed, "its start is gone")
+	assert.Equal(t, claim.Records, claim.Unverified, "its start is gone")
 }
 
 // Cut at every byte, a segment is read up to its last whole record, and what was read replays.
 func TestCutAtEveryByte(t *testing.T) {
-	w, r := ring(t, func(r *Ring) { r.SegmentMB, r.BlockKB = 100, 4 })
+	w, r := ring(t, func(r *WriterConfig) { r.SegmentMB, r.BlockKB = 100, 4 })
 	played(t, "hung", 2, 0, Options{Sink: w.Put})
 	w.Close()
 	files, err := Segments(r.Dir)
@@ -514,7 +514,7 @@
 	for at := range len(data) + 1 { // the whole at last: on a busy machine all may stand in one block
 		var all []Record
 		err := ReadFrom("x", bytes.NewReader(data[:at]), func(r Record) error { all = append(all, r); return nil })
-		var cut *Cut
+		var cut *TruncatedError
 		if err != nil {
 			require.ErrorAs(t, err, &cut, "at %d", at)
 		}
@@ -579,8 +579,8 @@
 func TestDiskFull(t *testing.T) {
 	var mu sync.Mutex
 	full := false
-	w, r := ring(t, func(r *Ring) {
-		r.SegmentMB, r.BlockKB, r.Every = 100, 1, time.Millisecond
+	w, r := ring(t, func(r *WriterConfig) {
+		r.SegmentMB, r.BlockKB, r.FlushInterval = 100, 1, time.Millisecond
 		r.create = func(name string) (segment, error) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -603,7 +603,7 @@
 	put(1000)
 	require.Eventually(t, func() bool { return w.Dropped() > 0 }, 5*time.Second, time.Millisecond)
 	set(false)
-	<-time.After(retryAfter + 100*time.Millisecond)
+	<-time.After(diskRetryDelay + 100*time.Millisecond)
 	put(10)
 	w.Close()
 	files, err := Segments(r.Dir)
@@ -620,8 +620,8 @@
 // A writer that stands still holds nobody up: its mailbox is bounded, and what does not fit is counted.
 func TestSlowDisk(t *testing.T) {
 	hold := make(chan struct{})
-	w, r := ring(t, func(r *Ring) {
-		r.MailboxMB, r.BlockKB, r.SegmentMB = 0.01, 1, 100
+	w, r := ring(t, func(r *WriterConfig) {
+		r.MaxPendingMB, r.BlockKB, r.SegmentMB = 0.01, 1, 100
 		r.create = func(name string) (segment, error) {
 			f, err := os.Create(name)
 			return &disk{hold: hold, file: f}, err
@@ -644,8 +644,8 @@
 
 func TestRecordsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := Record{Kind: Kind(rapid.IntRange(1, 15).Draw(t, "kind")), Now: rapid.Float64Range(0, 1e13).Draw(t, "now"), Request: rapid.Uint64().Draw(t, "op"),
-			ID: rapid.Uint64().Draw(t, "ref"), Attempt: rapid.IntRange(0, 200).Draw(t, "push"), Value: rapid.Float64().Draw(t, "value"),
+		r := Record{Kind: Kind(rapid.IntRange(1, 15).Draw(t, "kind")), Now: rapid.Float64Range(0, 1e13).Draw(t, "now"), Request: rapid.Uint64().Draw(t, "request"),
+			ID: rapid.Uint64().Draw(t, "ref"), Attempt: rapid.IntRange(0, 200).Draw(t, "attempt"), Value: rapid.Float64().Draw(t, "value"),
 			CostHint: rapid.Float64().Draw(t, "hint"), Deadline: rapid.Float64().Draw(t, "give up"), Flags: rapid.Uint64().Draw(t, "flags"),
 			Class: rapid.IntRange(0, 300).Draw(t, "category")}
 		for range rapid.IntRange(0, 3).Draw(t, "lines") {
@@ -679,7 +679,7 @@
 }
 
 func TestOddFiles(t *testing.T) {
-	for text, want := range map[string]string{"": "no whole header", "nonsense and more": "no capture", magic + "\x63": "version 99, this program reads 2"} {
+	for text, want := range map[string]string{"": "incomplete header", "nonsense and more": "not a capture", magic + "\x63": "version 99, this program reads 2"} {
 		err := ReadFrom("f", bytes.NewReader([]byte(text)), func(Record) error { return nil })
 		assert.ErrorContains(t, err, want)
 	}
@@ -703,12 +703,12 @@
 	assert.Equal(t, balancer.LoadReport{ServiceTime: 31.5, InFlight: balancer.NotReported, Queued: balancer.NotReported, Throughput: balancer.NotReported}, got.Load)
 }
 
-// A ban, a second process and new terms are replayed as they came, also for an op that came under the earlier terms.
+// A ban, a second process and new configuration are replayed as they came, also for a request that came under the earlier configuration.
 func TestOperatorsReplayed(t *testing.T) {
-	terms := func(effect balancer.Idempotency) *balancer.Config {
+	configuration := func(effect balancer.Idempotency) *balancer.Config {
 		return &balancer.Config{Seed: 2, Nodes: 1, MaxAttempts: 2, OverloadWindow: 100, Classes: []balancer.Class{{Idempotency: effect, LatencyObjective: 100, PriorityWeight: 1}}}
 	}
-	first, second := terms(balancer.Idempotent), terms(balancer.AtMostOnce)
+	first, second := configuration(balancer.Idempotent), configuration(balancer.AtMostOnce)
 	var records []Record
 	r, err := NewRecorder(balancer.New(first, 1000), 1000, Start{Config: first}, Options{Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
 	require.NoError(t, err)
--- a/internal/capture/explain.go
+++ b/internal/capture/explain.go
@@ -7,158 +7,160 @@
 	"pearknot/balancer"
 )
 
-// Explainer tells why one op went where it went: as the module itself looks at its backends, by its own reasons. It is a
-// replay that listens.
+// Explainer is a replay that prints why one request went where it went: each backend that the balancer considered for it,
+// with the balancer's own reason and estimates.
 type Explainer struct {
 	Replayer
-	Op  uint64 // its number in the capture
-	Out io.Writer
+	RequestNumber uint64 // of the request, in the capture
+	Out           io.Writer
 
-	told     float64            // when the list was last told
-	reported map[uint64]float64 // when a backend last reported, by its number
-	looked   []string           // what the module has looked at since its latest decision
-	seen     bool
+	listReceivedAt float64            // when the endpoint list last arrived
+	reportedAt     map[uint64]float64 // by number of the backend
+	considered     []string           // lines for what was considered since the latest decision
+	found          bool
 }
 
-// Feed takes the next record.
+// Feed takes the next record, see Replayer.Feed.
 func (e *Explainer) Feed(x Record) error {
-	if e.reported == nil {
-		e.reported = map[uint64]float64{}
+	if e.reportedAt == nil {
+		e.reportedAt = map[uint64]float64{}
 	}
 	switch x.Kind {
 	case EndpointsChanged:
 		if x.Flags&flagCached == 0 {
-			e.told = x.Now
+			e.listReceivedAt = x.Now
 		}
 	case LoadReported:
-		e.reported[x.Backend] = x.Now
+		e.reportedAt[x.Backend] = x.Now
 	}
-	mine := x.Request == e.Op && x.Kind != Snapshot
+	mine := x.Request == e.RequestNumber && x.Kind != Snapshot
 	if mine && x.Kind != Decided {
 		fmt.Fprintln(e.Out, x)
 	}
-	e.looked = e.looked[:0]
+	e.considered = e.considered[:0]
 	if err := e.Replayer.Feed(x); err != nil {
 		return err
 	}
-	if n, ok := e.node.(*balancer.Balancer); ok && n.OnConsidered == nil {
-		n.OnConsidered = func(op *balancer.Request, b *balancer.Backend, r balancer.Reason) { e.asked(n, op, b, r) }
+	if n, ok := e.decider.(*balancer.Balancer); ok && n.OnConsidered == nil {
+		n.OnConsidered = func(request *balancer.Request, b *balancer.Backend, r balancer.Reason) {
+			e.recordConsidered(n, request, b, r)
+		}
 	}
-	// What the module looked at in this step belongs to the decisions that follow, of this op or of others.
-	for _, line := range e.looked {
+	// What was considered in this step belongs to the decisions that follow, of this request or others.
+	for _, line := range e.considered {
 		fmt.Fprintln(e.Out, line)
 	}
 	if mine && x.Kind == Decided {
-		e.seen = true
-		fmt.Fprintf(e.Out, "%.3f decided: %s\n", x.Now, decision(x))
+		e.found = true
+		fmt.Fprintf(e.Out, "%.3f decided: %s\n", x.Now, describeDecision(x))
 	}
 	return nil
 }
 
-// asked is told by the module of one backend that it looked at.
-func (e *Explainer) asked(n *balancer.Balancer, op *balancer.Request, b *balancer.Backend, r balancer.Reason) {
-	if e.numbers[op] != e.Op {
+// recordConsidered receives each backend that the balancer considered.
+func (e *Explainer) recordConsidered(n *balancer.Balancer, request *balancer.Request, b *balancer.Backend, r balancer.Reason) {
+	if e.requestNumbers[request] != e.RequestNumber {
 		return
 	}
 	if b == nil {
-		text := "    waits: no backend may have it now"
+		text := "    queued: no backend is eligible now"
 		if r == balancer.ReasonPoisonRequest {
-			text = "    not looked for: " + r.String()
+			text = "    no backend looked for: " + r.String()
 		}
-		e.looked = append(e.looked, text)
+		e.considered = append(e.considered, text)
 		return
 	}
-	x, number := n.Belief(op, b), e.refs[b]
-	line := fmt.Sprintf("    backend %d (%x): %s; answer in %.1f ms foreseen (%.1f alone), %d of %.1f pushes out, distrust %.2f, warmth %.2f, turn in %.2f",
+	x, number := n.Belief(request, b), e.backendNumbers[b]
+	line := fmt.Sprintf("    backend %d (%x): %s; %.1f ms expected (%.1f when idle), %d of %.1f attempts in flight, suspicion %.2f, slow start %.2f, rotation %.2f",
 		number, b.ID, r, x.Predict, x.Alone, x.Out, x.Most, x.Distrust, x.Warmth, x.Pass)
 	if !x.Near {
 		line += ", another zone"
 	}
 	if x.Heard >= 0 {
-		line += fmt.Sprintf(", answered what was sent %.0f ms ago", x.Heard)
+		line += fmt.Sprintf(", last answered an attempt sent %.0f ms ago", x.Heard)
 	} else {
-		line += ", never heard of"
+		line += ", never answered"
 	}
-	if at, ok := e.reported[number]; ok {
+	if at, ok := e.reportedAt[number]; ok {
 		line += fmt.Sprintf(", reported %.0f ms ago", e.now()-at)
 	}
-	if e.told > 0 {
-		line += fmt.Sprintf(", list told %.0f ms ago", e.now()-e.told)
+	if e.listReceivedAt > 0 {
+		line += fmt.Sprintf(", endpoint list %.0f ms old", e.now()-e.listReceivedAt)
 	}
-	e.looked = append(e.looked, line)
+	e.considered = append(e.considered, line)
 }
 
-func (e *Explainer) now() float64 { return e.Claim.To }
+func (e *Explainer) now() float64 { return e.Result.To }
 
-// Found tells whether the op was among what was played.
-func (e *Explainer) Found() bool { return e.seen }
+// Found reports whether a decision about the request was replayed.
+func (e *Explainer) Found() bool { return e.found }
 
-// Notes marks, in a capture's order, what came late: a list older than the one held, an answer that later ones had
-// overtaken, an ending after the op's final answer.
-type Notes struct {
-	started map[uint64]float64    // of backends, by the newest list
-	over    map[uint64]bool       // ops with their final answer and something out
-	out     map[uint64]int        // pushes out, of an op
-	sent    map[[2]uint64]float64 // pushes: when, and to which backend
-	target  map[[2]uint64]uint64
-	heard   map[uint64]float64 // of backends: when the latest answered push was sent
+// LateNotes marks what arrived late, in the order of a capture: an endpoint list older than the one in use, an answer that
+// answers to later attempts had overtaken, the end of an attempt after its request's final answer.
+type LateNotes struct {
+	newestStart    map[uint64]float64    // start time of each backend, by the newest list
+	answered       map[uint64]bool       // requests with a final answer and an attempt in flight
+	inFlight       map[uint64]int        // attempts in flight, by request
+	sentAt         map[[2]uint64]float64 // by request and attempt: when it was sent
+	sentTo         map[[2]uint64]uint64
+	newestAnswered map[uint64]float64 // by backend: when the newest attempt was sent that it has answered
 }
 
-// Note gives what is to be said of a record, or nothing.
-func (n *Notes) Note(x Record) string {
-	if n.started == nil || x.Kind == Begin {
-		*n = Notes{map[uint64]float64{}, map[uint64]bool{}, map[uint64]int{}, map[[2]uint64]float64{}, map[[2]uint64]uint64{},
+// Note returns a remark on the next record, or nothing.
+func (n *LateNotes) Note(x Record) string {
+	if n.newestStart == nil || x.Kind == Begin {
+		*n = LateNotes{map[uint64]float64{}, map[uint64]bool{}, map[uint64]int{}, map[[2]uint64]float64{}, map[[2]uint64]uint64{},
 			map[uint64]float64{}}
 	}
-	push := [2]uint64{x.Request, uint64(x.Attempt)}
+	attempt := [2]uint64{x.Request, uint64(x.Attempt)}
 	switch x.Kind {
 	case EndpointsChanged:
 		for _, l := range x.Endpoints {
-			if l.Started < n.started[l.Backend] {
-				return fmt.Sprintf("older than what is held of backend %d", l.Backend)
+			if l.Started < n.newestStart[l.Backend] {
+				return fmt.Sprintf("older than what is known of backend %d", l.Backend)
 			}
-			n.started[l.Backend] = l.Started
+			n.newestStart[l.Backend] = l.Started
 		}
 	case Decided:
 		switch x.Decision {
 		case balancer.DoAttempt:
-			n.sent[push], n.target[push] = x.Now, x.Backend
-			n.out[x.Request]++
+			n.sentAt[attempt], n.sentTo[attempt] = x.Now, x.Backend
+			n.inFlight[x.Request]++
 		case balancer.DoReject, balancer.DoFail:
-			n.close(x.Request)
+			n.requestAnswered(x.Request)
 		}
 	case AttemptEnded:
-		at, b := n.sent[push], n.target[push]
-		delete(n.sent, push)
-		delete(n.target, push)
-		defer n.end(x.Request)
-		late := n.heard[b] > at
+		at, b := n.sentAt[attempt], n.sentTo[attempt]
+		delete(n.sentAt, attempt)
+		delete(n.sentTo, attempt)
+		defer n.attemptEnded(x.Request)
+		late := n.newestAnswered[b] > at
 		if x.Outcome == balancer.OutcomeAnswered {
-			n.heard[b] = max(n.heard[b], at)
+			n.newestAnswered[b] = max(n.newestAnswered[b], at)
 		}
 		switch {
-		case n.over[x.Request]:
-			return "after the op's final answer"
+		case n.answered[x.Request]:
+			return "after the request's final answer"
 		case late && x.Outcome == balancer.OutcomeAnswered:
-			return "overtaken: an answer to what was sent later came before"
+			return "overtaken by an answer to a later attempt"
 		}
 		if x.Flags&flagFinished != 0 {
-			n.over[x.Request] = true
+			n.answered[x.Request] = true
 		}
 	}
 	return ""
 }
 
-// close and end keep account only of ops of which something more will come.
-func (n *Notes) close(op uint64) {
-	if n.out[op] > 0 {
-		n.over[op] = true
+// requestAnswered and attemptEnded keep only requests of which more records will come.
+func (n *LateNotes) requestAnswered(request uint64) {
+	if n.inFlight[request] > 0 {
+		n.answered[request] = true
 	}
 }
 
-func (n *Notes) end(op uint64) {
-	if n.out[op]--; n.out[op] <= 0 {
-		delete(n.out, op)
-		delete(n.over, op)
+func (n *LateNotes) attemptEnded(request uint64) {
+	if n.inFlight[request]--; n.inFlight[request] <= 0 {
+		delete(n.inFlight, request)
+		delete(n.answered, request)
 	}
 }
--- a/internal/capture/file.go
+++ b/internal/capture/file.go
@@ -17,98 +17,100 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// A segment: magic, version, then blocks. A block: its length and a checksum, 12 bytes, then zstd; what it unpacks to is
-// records, each with its length and checksum, 8 bytes: half of xxhash is enough beside the block's whole one, and checksums
-// are most of what can't be packed. A block that was cut short gives its whole records all the same.
+// The layout of a segment file: magic, version, then blocks. A block has a header of 12 bytes (length, xxhash of the
+// compressed bytes), then zstd data. Decompressed, that is a row of records, each with a header of 8 bytes (length, half of
+// an xxhash: enough beside the block's full one, and checksums are most of what does not compress). All complete records
+// of a truncated block can be read.
 const (
-	magic      = "pkcapture"
-	version    = 2
-	suffix     = ".pkcap"
-	blockHead  = 12
-	recordHead = 8
-	mostRecord = 4 << 20 // a whole list of some ten thousand backends
-	mostBlock  = 8 << 20 // packed
+	magic            = "pkcapture"
+	version          = 2
+	suffix           = ".pkcap"
+	blockHeaderSize  = 12
+	recordHeaderSize = 8
+	maxRecordBytes   = 4 << 20 // bytes: a complete endpoint list of some ten thousand backends
+	maxBlockBytes    = 8 << 20 // bytes, compressed
 )
 
-var emptyHead [recordHead]byte
+var emptyRecordHeader [recordHeaderSize]byte
 
-// frame fills the head before a record in with its length and checksum.
-func frame(b []byte) {
-	record := b[recordHead:]
+// fillRecordHeader writes the length and checksum of the record that follows the header in b.
+func fillRecordHeader(b []byte) {
+	record := b[recordHeaderSize:]
 	binary.LittleEndian.PutUint32(b, uint32(len(record)))
 	binary.LittleEndian.PutUint32(b[4:], uint32(xxhash.Sum64(record)))
 }
 
-// header begins a segment.
-var header = append([]byte(magic), version)
+// segmentHeader is the first bytes of every segment.
+var segmentHeader = append([]byte(magic), version)
 
-// newZip packs blocks within little memory, and without the coding that is its dearer half and gains 7 % here.
-func newZip() (*zstd.Encoder, error) {
+// newEncoder returns a compressor for blocks that needs little memory. Entropy coding is off: it is half of the cost and
+// gains 7% on captures.
+func newEncoder() (*zstd.Encoder, error) {
 	return zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(256<<10),
 		zstd.WithLowerEncoderMem(true), zstd.WithNoEntropyCompression(true))
 }
 
-// appendBlock puts framed records as a block.
+// appendBlock appends framed records as one compressed block.
 func appendBlock(b []byte, zip *zstd.Encoder, records []byte) []byte {
 	from := len(b)
-	b = zip.EncodeAll(records, append(b, make([]byte, blockHead)...))
-	body := b[from+blockHead:]
+	b = zip.EncodeAll(records, append(b, make([]byte, blockHeaderSize)...))
+	body := b[from+blockHeaderSize:]
 	binary.LittleEndian.PutUint32(b[from:], uint32(len(body)))
 	binary.LittleEndian.PutUint64(b[from+4:], xxhash.Sum64(body))
 	return b
 }
 
-// Write writes framed records as one segment, whole or not at all.
+// Write writes framed records as one segment file, atomically.
 func Write(name string, records [][]byte) error {
-	zip, err := newZip()
+	zip, err := newEncoder()
 	if err != nil {
 		return err
 	}
 	defer func() { _ = zip.Close() }()
-	out := bytes.Clone(header)
+	out := bytes.Clone(segmentHeader)
 	var block []byte
 	for i, r := range records {
 		block = append(block, r...)
-		if len(block) >= wholeBlock || i == len(records)-1 {
+		if len(block) >= targetBlockBytes || i == len(records)-1 {
 			out, block = appendBlock(out, zip, block), block[:0]
 		}
 	}
 	return renameio.WriteFile(name, out, 0o600)
 }
 
-const wholeBlock = 64 << 10 // bytes
+const targetBlockBytes = 64 << 10 // bytes before compression: enough for a good ratio, little to lose with a truncated block
 
-// Frame is a record as Write wants it.
+// Frame encodes a record with its header, as Write takes it.
 func Frame(r Record) []byte {
-	b := r.Append(append([]byte(nil), emptyHead[:]...))
-	frame(b)
+	b := r.Append(append([]byte(nil), emptyRecordHeader[:]...))
+	fillRecordHeader(b)
 	return b
 }
 
-// Cut tells that a segment ends in the middle of something: what is whole before it was read.
-type Cut struct {
-	File string
-	Byte int64 // of the packed file, where the block begins in which it ends
-	What string
+// TruncatedError reports a segment that ends in the middle of a block or header. All complete records before it were read.
+type TruncatedError struct {
+	File   string
+	Offset int64 // in the compressed file, of the block that is incomplete
+	Reason string
 }
 
-func (c *Cut) Error() string {
-	return fmt.Sprintf("%s: cut short at byte %d: %s", c.File, c.Byte, c.What)
+func (c *TruncatedError) Error() string {
+	return fmt.Sprintf("%s: truncated at byte %d: %s", c.File, c.Offset, c.Reason)
 }
 
-// Damaged tells that a segment's bytes are not what was written.
-type Damaged struct {
+// CorruptError reports a segment whose bytes are not what was written.
+type CorruptError struct {
 	File   string
 	Record int
-	Byte   int64
-	What   string
+	Offset int64
+	Reason string
 }
 
-func (d *Damaged) Error() string {
-	return fmt.Sprintf("%s: record %d in the block at byte %d: %s", d.File, d.Record, d.Byte, d.What)
+func (d *CorruptError) Error() string {
+	return fmt.Sprintf("%s: record %d in the block at byte %d: %s", d.File, d.Record, d.Offset, d.Reason)
 }
 
-// Segments are the files of a capture, oldest first: of a directory all, of a file that one.
+// Segments lists the segment files of a capture, oldest first: all in a directory, or the one file that path names.
 func Segments(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -124,12 +126,12 @@
 	if len(files) == 0 {
 		return nil, fmt.Errorf("%s: no captures (*%s)", path, suffix)
 	}
-	slices.Sort(files) // their names begin with the time, to a fixed width
+	slices.Sort(files) // names begin with the time in a fixed width, see Name
 	return files, nil
 }
 
-// Read hands on a segment's records in order, until one says stop by an error or the segment ends. Its own errors are a
-// *Cut or a *Damaged, after all that is whole was handed on.
+// Read calls f with each record of a segment file in order, until f returns an error, which Read returns, or the segment
+// ends. Its own errors are a *TruncatedError or a *CorruptError, after all complete records were handed on.
 func Read(name string, f func(Record) error) error {
 	file, err := os.Open(name)
 	if err != nil {
@@ -139,15 +141,15 @@
 	return ReadFrom(name, file, f)
 }
 
-// ReadFrom reads a segment from anywhere.
+// ReadFrom is Read for a segment from any reader; name stands in errors.
 func ReadFrom(name string, from io.Reader, f func(Record) error) error {
 	in := bufio.NewReaderSize(from, 64<<10)
-	head := make([]byte, len(header))
+	head := make([]byte, len(segmentHeader))
 	if n, err := io.ReadFull(in, head); err != nil {
-		return &Cut{name, int64(n), "no whole header"}
+		return &TruncatedError{name, int64(n), "incomplete header"}
 	}
 	if string(head[:len(magic)]) != magic {
-		return &Damaged{name, 0, 0, "no capture"}
+		return &CorruptError{name, 0, 0, "not a capture"}
 	}
 	if head[len(magic)] != version {
 		return fmt.Errorf("%s: version %d, this program reads %d", name, head[len(magic)], version)
@@ -159,97 +161,97 @@
 	defer unzip.Close()
 	at, number := int64(len(head)), 0
 	for {
-		var frame [blockHead]byte
+		var frame [blockHeaderSize]byte
 		n, err := io.ReadFull(in, frame[:])
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return &Cut{name, at + int64(n), "no whole head of a block"}
+			return &TruncatedError{name, at + int64(n), "incomplete block header"}
 		}
 		size := binary.LittleEndian.Uint32(frame[:])
-		if size > mostBlock {
-			return &Damaged{name, number, at, fmt.Sprintf("a block of %d bytes", size)}
+		if size > maxBlockBytes {
+			return &CorruptError{name, number, at, fmt.Sprintf("a block of %d bytes", size)}
 		}
-		packed := &counted{io.LimitReader(in, int64(size)), xxhash.New(), 0}
+		packed := &checksumReader{io.LimitReader(in, int64(size)), xxhash.New(), 0}
 		if err := unzip.Reset(packed); err != nil {
-			return &Damaged{name, number, at, err.Error()}
+			return &CorruptError{name, number, at, err.Error()}
 		}
-		number, err = records(name, at, number, bufio.NewReaderSize(unzip, 16<<10), f)
+		number, err = readRecords(name, at, number, bufio.NewReaderSize(unzip, 16<<10), f)
 		_, rest := io.Copy(io.Discard, packed)
 		short := packed.n < int64(size)
-		var stop *stopped
+		var stop *callbackError
 		switch {
 		case errors.As(err, &stop):
 			return stop.err
 		case short && rest == nil:
-			return &Cut{name, at, "a block of which the end is missing"}
+			return &TruncatedError{name, at, "incomplete block"}
 		case err != nil:
 			return err
 		case packed.sum.Sum64() != binary.LittleEndian.Uint64(frame[4:]):
-			return &Damaged{name, number, at, "block's checksum"}
+			return &CorruptError{name, number, at, "wrong block checksum"}
 		}
-		at += blockHead + int64(size)
+		at += blockHeaderSize + int64(size)
 	}
 }
 
-// counted follows what is read of a block.
-type counted struct {
+// checksumReader counts and checksums what is read of a block.
+type checksumReader struct {
 	io.Reader
 	sum *xxhash.Digest
 	n   int64
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *checksumReader) Read(b []byte) (int, error) {
 	n, err := c.Reader.Read(b)
 	_, _ = c.sum.Write(b[:n])
 	c.n += int64(n)
 	return n, err
 }
 
-// stopped is the word of whoever takes the records.
-type stopped struct{ err error }
+// callbackError wraps an error that the caller's function returned, to tell it from the reader's own.
+type callbackError struct{ err error }
 
-func (s *stopped) Error() string { return s.err.Error() }
+func (s *callbackError) Error() string { return s.err.Error() }
 
-// records reads those of one block.
-func records(name string, at int64, number int, in *bufio.Reader, f func(Record) error) (int, error) {
+// readRecords reads the records of one block.
+func readRecords(name string, at int64, number int, in *bufio.Reader, f func(Record) error) (int, error) {
 	var buf []byte
 	for {
-		var head [recordHead]byte
-		if _, err := io.ReadFull(in, head[:]); err == io.EOF {
+		var head [recordHeaderSize]byte
+		if _, err := io.ReadFull(in, head[:]); errors.Is(err, io.EOF) {
 			return number, nil
 		} else if err != nil {
-			return number, &Damaged{name, number, at, "head: " + err.Error()}
+			return number, &CorruptError{name, number, at, "head: " + err.Error()}
 		}
 		size := binary.LittleEndian.Uint32(head[:])
-		if size > mostRecord {
-			return number, &Damaged{name, number, at, fmt.Sprintf("a record of %d bytes", size)}
+		if size > maxRecordBytes {
+			return number, &CorruptError{name, number, at, fmt.Sprintf("a record of %d bytes", size)}
 		}
-		// Grows with what really comes: a false length allocates next to nothing.
+		// The buffer grows with the data that arrives, so a wrong length in a damaged file allocates next to nothing.
 		buf = buf[:0]
 		for len(buf) < int(size) {
 			from := len(buf)
 			buf = append(buf, make([]byte, min(int(size)-from, 16<<10))...)
 			if _, err := io.ReadFull(in, buf[from:]); err != nil {
-				return number, &Damaged{name, number, at, "record: " + err.Error()}
+				return number, &CorruptError{name, number, at, "record: " + err.Error()}
 			}
 		}
 		if uint32(xxhash.Sum64(buf)) != binary.LittleEndian.Uint32(head[4:]) {
-			return number, &Damaged{name, number, at, "record's checksum"}
+			return number, &CorruptError{name, number, at, "wrong record checksum"}
 		}
 		r, err := Decode(buf)
 		if err != nil {
-			return number, &Damaged{name, number, at, err.Error()}
+			return number, &CorruptError{name, number, at, err.Error()}
 		}
 		number++
 		if err := f(r); err != nil {
-			return number, &stopped{err}
+			return number, &callbackError{err}
 		}
 	}
 }
 
-// Name is a segment's file name: by time and count, so that names sort as they were written.
+// Name returns a segment's file name. It begins with time and count, so that names sort in the order of writing.
 func Name(node string, unixMs float64, count int) string {
 	clean := strings.Map(func(r rune) rune {
 		if r == '/' || r < ' ' {
--- a/internal/capture/memory.go
+++ b/internal/capture/memory.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// Memory is a ring in memory, for where no disk lasts: the latest batches within a size, from one in which a replay may
-// begin. It is written out when somebody asks.
-type Memory struct {
-	most int // bytes
+// MemoryRing keeps the latest batches in memory, within a size, for machines without a lasting disk. The oldest batch
+// that it keeps holds a snapshot, so that a replay may begin there. It is written to a file on request.
+type MemoryRing struct {
+	maxBytes int // bytes
 
 	mu      sync.Mutex
 	batches []Batch
@@ -16,21 +16,21 @@
 	dropped uint64 // records
 }
 
-// NewMemory makes a ring of so many bytes.
-func NewMemory(most int) *Memory { return &Memory{most: most} }
+// NewMemoryRing makes a ring of maxBytes bytes of records.
+func NewMemoryRing(most int) *MemoryRing { return &MemoryRing{maxBytes: most} }
 
-// Put takes a batch; the oldest go, up to one in which a replay may begin.
-func (m *Memory) Put(b Batch) {
+// Put adds a batch. Beyond the size the oldest batches are dropped, up to the next one that holds a snapshot.
+func (m *MemoryRing) Put(b Batch) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	b.Data = bytes.Clone(b.Data)
 	m.batches = append(m.batches, b)
 	m.bytes += len(b.Data)
-	if m.bytes <= m.most {
+	if m.bytes <= m.maxBytes {
 		return
 	}
 	k := 0
-	for k < len(m.batches) && (m.bytes > m.most || !m.batches[k].Restart) {
+	for k < len(m.batches) && (m.bytes > m.maxBytes || !m.batches[k].Restart) {
 		m.bytes -= len(m.batches[k].Data)
 		m.dropped += uint64(m.batches[k].Records)
 		k++
@@ -38,20 +38,20 @@
 	m.batches = append([]Batch(nil), m.batches[k:]...)
 }
 
-// Held is what the ring has now: bytes, and the records that are gone.
-func (m *Memory) Held() (bytes int, dropped uint64) {
+// Size returns the bytes in the ring, and how many records were dropped from it.
+func (m *MemoryRing) Size() (bytes int, dropped uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.bytes, m.dropped
 }
 
-// Dump writes the ring as a segment.
-func (m *Memory) Dump(name string) error {
+// WriteTo writes the ring's content as a segment file of that name.
+func (m *MemoryRing) WriteTo(name string) error {
 	m.mu.Lock()
 	held := m.batches[:len(m.batches):len(m.batches)]
 	m.mu.Unlock()
 	records := make([][]byte, 0, len(held))
-	for _, b := range held { // written once, never changed
+	for _, b := range held { // their data never changes after Put
 		records = append(records, b.Data)
 	}
 	return Write(name, records)
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -1,7 +1,6 @@
-// Package capture keeps everything that a decision module was told, in its order and batch, and every decision that was
-// pulled, so that a replay takes exactly the same ones. A capture is a row of segments; a segment is a header and blocks
-// of records. Records are in the protobuf wire format, each with its checksum; what a reader does not know in one it
-// skips.
+// Package capture records every input of the balancer, in order and by batch, and every decision, so that a replay takes
+// exactly the same decisions. A capture is a sequence of segment files; a segment is a header and compressed blocks of
+// records. Records are in the protobuf wire format, each with a checksum; a reader skips fields that it does not know.
 package capture
 
 import (
@@ -16,11 +15,12 @@
 	"pearknot/internal/snapshot"
 )
 
-// Kind of a record.
+// Kind says what a record is about. The numbers are stored: they never change their meaning.
 type Kind uint8
 
+// The kinds of a record. All but Decided, BatchEnd, Gap and Snapshot are inputs of a balancer.Decider.
 const (
-	// Begin: a module's start: the clock, and in Data its terms, name, epoch and build as JSON.
+	// Begin is a decider's start: the clock, and in Data a Start as JSON.
 	Begin Kind = iota + 1
 	EndpointsChanged
 	PollFailed
@@ -30,55 +30,57 @@
 	AttemptEnded
 	LoadReported
 	TimerFired
-	DeadlineShortened // an op's give-up time was moved, as a node does that is about to end
-	Decided           // a decision
-	BatchEnd          // there was none left: the batch's end
-	Gap               // records are missing here: Count of them
-	Snapshot          // the module's state at a batch's end, from which a replay may begin
-	BackendForgotten  // the host let go of a backend
-	ProcessesChanged  // of how many processes the node is made up: Count
-	RequestBodySent   // a streamed push's last byte went out; Value is when its op's client gives up
-	ConfigChanged     // new terms, in Data as of Begin; Ops has each category's former place, from 1 on, 0 where it had none
-	EarlierAttempt    // ahead of Arrived: a push that another node had begun of an op taken over from it; its backend is in Lines
+	DeadlineShortened // a request's deadline was moved, as a node does that shuts down
+	Decided           // a decision that the host took
+	BatchEnd          // no decision was left: the batch is over
+	Gap               // Count records are missing here
+	Snapshot          // the decider's state at a batch's end, from which a replay may begin
+	BackendForgotten  // the host released a backend
+	ProcessesChanged  // the node consists of Count processes
+	RequestBodySent   // the last byte of a streamed request was sent; Value is its deadline
+	ConfigChanged     // a new configuration, in Data as of Begin; Requests has each class's former index plus 1, 0 for a new class
+	EarlierAttempt    // before RequestArrived: an attempt that another node began for a request taken over from it; its backend is in Endpoints
 )
 
-var kinds = [...]string{"", "begin", "listed", "list failed", "arrived", "left", "begun", "ended", "reported", "due", "shortened", "pulled",
-	"idle", "gap", "snapshot", "dropped", "split", "sent", "retuned", "taken over from"}
+var kindNames = [...]string{"", "begin", "endpoints changed", "poll failed", "request arrived", "client gone", "response started", "attempt ended",
+	"load reported", "timer fired", "deadline shortened", "decided", "batch end", "gap", "snapshot", "backend forgotten", "processes changed",
+	"request body sent", "config changed", "earlier attempt"}
 
 func (k Kind) String() string {
-	if int(k) < len(kinds) && k > 0 {
-		return kinds[k]
+	if int(k) < len(kindNames) && k > 0 {
+		return kindNames[k]
 	}
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Record is one thing told or pulled. Ops and backends go by the numbers that the capture gave them.
+// Record is one input or decision. Requests and backends have the numbers that the capture gave them. Times are in ms on
+// the node's clock.
 type Record struct {
 	Kind      Kind
 	Now       float64
-	Request   uint64 // counts arrivals from 1
-	ID        uint64 // the host's name of an op or backend
+	Request   uint64 // number of the request, counted from 1 in order of arrival
+	ID        uint64 // the host's ID of the request or backend
 	Attempt   int
-	Backend   uint64 // counts first listings from 1
+	Backend   uint64 // number of the backend, counted from 1 in order of its first listing
 	Decision  balancer.DecisionKind
 	Outcome   balancer.Outcome
-	Value     float64 // elapsed, service, wait, give-up time
+	Value     float64 // elapsed time, wait or deadline, by Kind
 	Flags     uint64
 	Class     int
 	Tenant    int
 	CostHint  float64
 	Deadline  float64
-	Key       uint64 // what an op is about, as it is: decisions follow from it
+	Key       uint64 // affinity and ordering key, not hashed: decisions follow from it
 	Count     uint64
 	Endpoints []Endpoint
-	Data      []byte   // of Begin and Snapshot, a Start as JSON; a log line of Pulled
-	State     []byte   // of Snapshot, as internal/snapshot has it
-	Requests  []uint64 // of Snapshot: the numbers of its ops and backends, in their order there
-	Backends  []uint64
-	Load      balancer.LoadReport // of Reported
+	Data      []byte              // a Start as JSON for Begin, Snapshot and ConfigChanged; the log line for Decided
+	State     []byte              // for Snapshot, as internal/snapshot encodes it
+	Requests  []uint64            // for Snapshot: the numbers of its requests, in the order of State
+	Backends  []uint64            // for Snapshot: the numbers of its backends, in the order of State
+	Load      balancer.LoadReport // for LoadReported
 }
 
-// Line is one of a list's.
+// Endpoint is one entry of an endpoint list.
 type Endpoint struct {
 	Backend  uint64
 	ID       uint64
@@ -91,44 +93,44 @@
 	Cordoned bool
 }
 
-// Flags of records.
+// Bits of Record.Flags.
 const (
 	flagFull uint64 = 1 << iota
 	flagCached
-	flagHint
-	flagRepeat
+	flagCostHint
+	flagClientRetry
 	flagFinished
 	flagStreamed
-	flagEarlier // the op came under the terms before those in force
+	flagPreviousConfig // the request arrived under the configuration before the one in force
 )
 
-// Fields in the wire format.
+// Field numbers in the wire format: never reused.
 const (
 	fieldKind = iota + 1
 	fieldNow
-	fieldOp
-	fieldRef
-	fieldPush
+	fieldRequest
+	fieldID
+	fieldAttempt
 	fieldBackend
 	fieldDecision
-	fieldEnding
+	fieldOutcome
 	fieldValue
 	fieldFlags
-	fieldCategory
+	fieldClass
 	fieldTenant
 	fieldKey
-	fieldHint
-	fieldGiveUp
+	fieldCostHint
+	fieldDeadline
 	fieldCount
-	fieldLine
+	fieldEndpoint
 	fieldData
 	fieldState
-	fieldOps
+	fieldRequests
 	fieldBackends
 	fieldLoad
 )
 
-// Append encodes a record. What is zero is left out.
+// Append appends the encoded record to b. Zero values are left out.
 func (r *Record) Append(b []byte) []byte {
 	number := func(field protowire.Number, x uint64) {
 		if x != 0 {
@@ -142,27 +144,27 @@
 	}
 	number(fieldKind, uint64(r.Kind))
 	float(fieldNow, r.Now)
-	number(fieldOp, r.Request)
-	number(fieldRef, r.ID)
-	number(fieldPush, uint64(r.Attempt))
+	number(fieldRequest, r.Request)
+	number(fieldID, r.ID)
+	number(fieldAttempt, uint64(r.Attempt))
 	number(fieldBackend, r.Backend)
 	number(fieldDecision, uint64(r.Decision))
-	number(fieldEnding, uint64(r.Outcome))
+	number(fieldOutcome, uint64(r.Outcome))
 	float(fieldValue, r.Value)
 	number(fieldFlags, r.Flags)
-	number(fieldCategory, uint64(r.Class))
+	number(fieldClass, uint64(r.Class))
 	number(fieldTenant, uint64(r.Tenant))
 	number(fieldKey, r.Key)
-	float(fieldHint, r.CostHint)
-	float(fieldGiveUp, r.Deadline)
+	float(fieldCostHint, r.CostHint)
+	float(fieldDeadline, r.Deadline)
 	number(fieldCount, r.Count)
 	for _, l := range r.Endpoints {
-		b = protowire.AppendBytes(protowire.AppendTag(b, fieldLine, protowire.BytesType), l.append(nil))
+		b = protowire.AppendBytes(protowire.AppendTag(b, fieldEndpoint, protowire.BytesType), l.append(nil))
 	}
 	for _, x := range []struct {
 		field protowire.Number
 		data  []byte
-	}{{fieldData, r.Data}, {fieldState, r.State}, {fieldOps, packed(r.Requests)}, {fieldBackends, packed(r.Backends)}, {fieldLoad, r.load()}} {
+	}{{fieldData, r.Data}, {fieldState, r.State}, {fieldRequests, packNumbers(r.Requests)}, {fieldBackends, packNumbers(r.Backends)}, {fieldLoad, r.encodeLoad()}} {
 		if len(x.data) > 0 {
 			b = protowire.AppendBytes(protowire.AppendTag(b, x.field, protowire.BytesType), x.data)
 		}
@@ -170,8 +172,8 @@
 	return b
 }
 
-// load gives a report's values; what is not told is below 0, and differs from an idle backend's zeros.
-func (r *Record) load() (b []byte) {
+// encodeLoad encodes the values of a load report. A value that was not reported is below 0, unlike an idle backend's 0.
+func (r *Record) encodeLoad() (b []byte) {
 	if r.Kind == LoadReported {
 		for _, x := range []float64{r.Load.ServiceTime, r.Load.InFlight, r.Load.Queued, r.Load.Throughput} {
 			b = protowire.AppendFixed64(b, math.Float64bits(x))
@@ -180,33 +182,33 @@
 	return b
 }
 
-func unpackLoad(b []byte) (load balancer.LoadReport, err error) {
+func decodeLoad(b []byte) (load balancer.LoadReport, err error) {
 	load = balancer.EmptyLoadReport()
 	for _, x := range []*float64{&load.ServiceTime, &load.InFlight, &load.Queued, &load.Throughput} {
 		bits, size := protowire.ConsumeFixed64(b)
-		if len(b) == 0 && x == &load.Throughput { // earlier builds told none
+		if len(b) == 0 && x == &load.Throughput { // earlier builds did not store it
 			break
 		}
 		if size < 0 {
-			return load, errOdd
+			return load, errInvalidRecord
 		}
 		*x, b = math.Float64frombits(bits), b[size:]
 	}
 	return load, nil
 }
 
-func packed(numbers []uint64) (b []byte) {
+func packNumbers(numbers []uint64) (b []byte) {
 	for _, x := range numbers {
 		b = protowire.AppendVarint(b, x)
 	}
 	return b
 }
 
-func unpacked(b []byte) (numbers []uint64, err error) {
+func unpackNumbers(b []byte) (numbers []uint64, err error) {
 	for len(b) > 0 {
 		x, size := protowire.ConsumeVarint(b)
 		if size < 0 {
-			return nil, errOdd
+			return nil, errInvalidRecord
 		}
 		numbers, b = append(numbers, x), b[size:]
 	}
@@ -230,94 +232,94 @@
 	return b
 }
 
-var errOdd = errors.New("odd record")
+var errInvalidRecord = errors.New("odd record")
 
-// fields walks a message.
-func fields(b []byte, f func(n protowire.Number, x uint64, bytes []byte) error) error {
-	return snapshot.Walk(b, errOdd, func(n protowire.Number, _ protowire.Type, x uint64, body []byte) error { return f(n, x, body) })
+// walkFields calls f for each field of an encoded message.
+func walkFields(b []byte, f func(n protowire.Number, x uint64, bytes []byte) error) error {
+	return snapshot.Walk(b, errInvalidRecord, func(n protowire.Number, _ protowire.Type, x uint64, body []byte) error { return f(n, x, body) })
 }
 
-// mostNumber bounds what is used as a place in a list.
-const mostNumber = 1 << 20
+// maxIndex bounds decoded values that are used as an index, so that a damaged record allocates little.
+const maxIndex = 1 << 20
 
-// Decode reads a record.
+// Decode decodes a record.
 func Decode(b []byte) (r Record, err error) {
 	loaded := false
 	small := func(x uint64) int {
-		if x > mostNumber {
-			err = errOdd
+		if x > maxIndex {
+			err = errInvalidRecord
 			return 0
 		}
 		return int(x)
 	}
-	walk := fields(b, func(n protowire.Number, x uint64, data []byte) error {
+	walk := walkFields(b, func(n protowire.Number, x uint64, data []byte) error {
 		switch n {
 		case fieldKind:
 			r.Kind = Kind(min(x, math.MaxUint8))
 		case fieldNow:
 			r.Now = math.Float64frombits(x)
-		case fieldOp:
+		case fieldRequest:
 			r.Request = x
-		case fieldRef:
+		case fieldID:
 			r.ID = x
-		case fieldPush:
+		case fieldAttempt:
 			r.Attempt = small(x)
 		case fieldBackend:
 			r.Backend = x
 		case fieldDecision:
 			r.Decision = balancer.DecisionKind(min(x, math.MaxUint8))
-		case fieldEnding:
+		case fieldOutcome:
 			r.Outcome = balancer.Outcome(min(x, math.MaxUint8))
 		case fieldValue:
 			r.Value = math.Float64frombits(x)
 		case fieldFlags:
 			r.Flags = x
-		case fieldCategory:
+		case fieldClass:
 			r.Class = small(x)
 		case fieldTenant:
 			r.Tenant = small(x)
 		case fieldKey:
 			r.Key = x
-		case fieldHint:
+		case fieldCostHint:
 			r.CostHint = math.Float64frombits(x)
-		case fieldGiveUp:
+		case fieldDeadline:
 			r.Deadline = math.Float64frombits(x)
 		case fieldCount:
 			r.Count = x
-		case fieldLine:
-			l, odd := decodeLine(data)
+		case fieldEndpoint:
+			l, odd := decodeEndpoint(data)
 			if odd != nil {
 				return odd
 			}
 			r.Endpoints = append(r.Endpoints, l)
 		case fieldLoad:
 			loaded = true
-			r.Load, err = unpackLoad(data)
+			r.Load, err = decodeLoad(data)
 		case fieldData:
 			r.Data = append([]byte{}, data...)
 		case fieldState:
 			r.State = append([]byte{}, data...)
-		case fieldOps:
-			r.Requests, err = unpacked(data)
+		case fieldRequests:
+			r.Requests, err = unpackNumbers(data)
 		case fieldBackends:
-			r.Backends, err = unpacked(data)
+			r.Backends, err = unpackNumbers(data)
 		}
 		return err
 	})
-	if r.Kind == LoadReported && !loaded { // earlier builds told a service time alone
+	if r.Kind == LoadReported && !loaded { // earlier builds stored the service time alone, in Value
 		r.Load = balancer.EmptyLoadReport()
 		r.Load.ServiceTime = r.Value
 	}
 	if walk == nil && (r.Kind == 0 || math.IsNaN(r.Now)) {
-		walk = errOdd
+		walk = errInvalidRecord
 	}
 	return r, walk
 }
 
-func decodeLine(b []byte) (l Endpoint, err error) {
-	walk := fields(b, func(n protowire.Number, x uint64, _ []byte) error {
-		if n >= 3 && n <= 6 && x > mostNumber {
-			return errOdd
+func decodeEndpoint(b []byte) (l Endpoint, err error) {
+	walk := walkFields(b, func(n protowire.Number, x uint64, _ []byte) error {
+		if n >= 3 && n <= 6 && x > maxIndex {
+			return errInvalidRecord
 		}
 		switch n {
 		case 1:
@@ -326,7 +328,7 @@
 			l.ID = x
 		case 3:
 			if x > uint64(balancer.BackendReady) {
-				return errOdd
+				return errInvalidRecord
 			}
 			l.State = balancer.BackendState(x)
 		case 4:
@@ -347,75 +349,75 @@
 	return l, walk
 }
 
-// Start is what a Begin record holds.
+// Start describes the process whose decider a Begin record starts.
 type Start struct {
-	Name   string           `json:"name"`  // of the node: epochs of one name belong together
-	Epoch  uint64           `json:"epoch"` // its process
+	Name   string           `json:"name"`  // of the node; its processes share the name
+	Epoch  uint64           `json:"epoch"` // tells the processes of one node apart
 	Build  string           `json:"build"`
 	Config *balancer.Config `json:"terms"`
 }
 
-func (r Record) start() (s Start, err error) {
+func (r Record) startInfo() (s Start, err error) {
 	if err := json.Unmarshal(r.Data, &s); err != nil {
 		return s, fmt.Errorf("begin: %w", err)
 	}
 	if s.Config == nil {
-		return s, errors.New("begin: no terms")
+		return s, errors.New("begin: no configuration")
 	}
 	return s, nil
 }
 
-// String is a record in one line.
+// String returns the record in one line.
 func (r Record) String() string {
 	text := fmt.Sprintf("%.3f %s", r.Now, r.Kind)
 	switch r.Kind {
 	case Begin:
-		if s, err := r.start(); err == nil {
-			text += fmt.Sprintf(" %s epoch %d, seed %x, %d nodes, %d categories", s.Name, s.Epoch, s.Config.Seed, s.Config.Nodes, len(s.Config.Classes))
+		if s, err := r.startInfo(); err == nil {
+			text += fmt.Sprintf(" %s epoch %d, seed %x, %d nodes, %d classes", s.Name, s.Epoch, s.Config.Seed, s.Config.Nodes, len(s.Config.Classes))
 		}
 	case EndpointsChanged:
-		text += fmt.Sprintf(" %d lines, whole %t, held %t", len(r.Endpoints), r.Flags&flagFull != 0, r.Flags&flagCached != 0)
+		text += fmt.Sprintf(" %d endpoints, complete %t, cached %t", len(r.Endpoints), r.Flags&flagFull != 0, r.Flags&flagCached != 0)
 	case RequestArrived:
-		text += fmt.Sprintf(" op %d (%x) category %d hint %g until %.3f", r.Request, r.ID, r.Class, r.CostHint, r.Deadline)
+		text += fmt.Sprintf(" request %d (%x) class %d cost hint %g deadline %.3f", r.Request, r.ID, r.Class, r.CostHint, r.Deadline)
 	case EarlierAttempt:
-		text += fmt.Sprintf(" another node: op %d, its push at %.3f, %s as far as is known", r.Request, r.Value, r.Outcome)
+		text += fmt.Sprintf(" request %d, attempt of another node at %.3f, last known as %s", r.Request, r.Value, r.Outcome)
 		if len(r.Endpoints) > 0 {
 			text += fmt.Sprintf(", to backend %x", r.Endpoints[0].ID)
 		}
 	case ClientGone, DeadlineShortened:
-		text += fmt.Sprintf(" op %d", r.Request)
+		text += fmt.Sprintf(" request %d", r.Request)
 	case ResponseStarted:
-		text += fmt.Sprintf(" op %d push %d", r.Request, r.Attempt)
+		text += fmt.Sprintf(" request %d attempt %d", r.Request, r.Attempt)
 	case AttemptEnded:
-		text += fmt.Sprintf(" op %d push %d %s after %.3f ms, finished %t", r.Request, r.Attempt, r.Outcome, r.Value, r.Flags&flagFinished != 0)
+		text += fmt.Sprintf(" request %d attempt %d %s after %.3f ms, finished %t", r.Request, r.Attempt, r.Outcome, r.Value, r.Flags&flagFinished != 0)
 	case Snapshot:
-		text += fmt.Sprintf(" of %d bytes, %d ops, %d backends", len(r.State), len(r.Requests), len(r.Backends))
+		text += fmt.Sprintf(" of %d bytes, %d requests, %d backends", len(r.State), len(r.Requests), len(r.Backends))
 	case BackendForgotten:
 		text += fmt.Sprintf(" backend %d", r.Backend)
 	case LoadReported:
-		text += fmt.Sprintf(" backend %d, service %.3f, held %g, waiting %g", r.Backend, r.Load.ServiceTime, r.Load.InFlight, r.Load.Queued)
+		text += fmt.Sprintf(" backend %d, service time %.3f, in flight %g, queued %g", r.Backend, r.Load.ServiceTime, r.Load.InFlight, r.Load.Queued)
 	case Decided:
-		text += " " + decision(r)
+		text += " " + describeDecision(r)
 	case Gap:
 		text += fmt.Sprintf(" %d records missing", r.Count)
 	}
 	return text
 }
 
-var decisions = [...]string{"push", "nack", "dead letter", "revoke", "watch", "timer", "log"}
+var decisionNames = [...]string{"attempt", "reject", "fail", "cancel", "poll", "timer", "log"}
 
-func decision(r Record) string {
+func describeDecision(r Record) string {
 	name := "decision"
-	if int(r.Decision) < len(decisions) {
-		name = decisions[r.Decision]
+	if int(r.Decision) < len(decisionNames) {
+		name = decisionNames[r.Decision]
 	}
 	switch r.Decision {
 	case balancer.DoAttempt:
-		return fmt.Sprintf("%s op %d to backend %d (push %d), wait %g", name, r.Request, r.Backend, r.Attempt, r.Value)
+		return fmt.Sprintf("%s request %d to backend %d (attempt %d), timeout %g", name, r.Request, r.Backend, r.Attempt, r.Value)
 	case balancer.DoReject, balancer.DoFail:
-		return fmt.Sprintf("%s op %d, come back in %g", name, r.Request, r.Value)
+		return fmt.Sprintf("%s request %d, retry after %g", name, r.Request, r.Value)
 	case balancer.DoCancel:
-		return fmt.Sprintf("%s op %d push %d", name, r.Request, r.Attempt)
+		return fmt.Sprintf("%s request %d attempt %d", name, r.Request, r.Attempt)
 	case balancer.DoSetTimer:
 		return fmt.Sprintf("%s in %g", name, r.Value)
 	case balancer.DoLog:
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -12,79 +12,80 @@
 	"pearknot/internal/snapshot"
 )
 
-// Batch is what the host's batch brought, framed.
+// Batch is the encoded records of one batch: the inputs that the host passed on together, and the decisions
+// that followed.
 type Batch struct {
 	Records int
-	Data    []byte
-	Restart bool // a replay may begin in it
+	Data    []byte // framed records
+	Restart bool   // it holds a snapshot, so a replay may begin in it
 }
 
-// Options are how a module is captured.
+// Options configure a Recorder.
 type Options struct {
-	Every  float64     // between snapshots, in ms; 0 is none after the first
-	Secret []byte      // with which names of ops are hashed; none are where empty. All nodes of a fleet need the same
-	Sink   func(Batch) // must not block, nor keep the bytes
+	SnapshotIntervalMs float64     // time between snapshots; 0 takes none after the first
+	HashKey            []byte      // key that request IDs are hashed with; empty stores them as they are. All nodes of a fleet need the same key
+	Sink               func(Batch) // receives each batch; must neither block nor keep the bytes
 }
 
-// Recorder stands between a host and its module: it passes everything on, and tells a sink of it. A batch's records go
-// to the sink together, when the host finds no decision left.
+// Recorder is a balancer.Decider that passes every input on to another decider, every decision back to the host,
+// and a record of each to a sink. A batch's records go to the sink together, once the host finds no decision left.
 type Recorder struct {
-	inner    balancer.Decider
-	o        Options
-	begun    Start
-	start    []byte  // the same as JSON
-	next     float64 // when a snapshot is due
-	restart  bool    // the batch has one
-	now      float64
-	ops      map[*balancer.Request]uint64
-	backends map[*balancer.Backend]uint64
-	lastOp   uint64
-	lastB    uint64
-	batch    []byte
-	count    int
+	inner        balancer.Decider
+	options      Options
+	startInfo    Start
+	startJSON    []byte  // startInfo as JSON
+	nextSnapshot float64 // when the next snapshot is due
+	hasSnapshot  bool    // the current batch has a snapshot
+	now          float64
+	requests     map[*balancer.Request]uint64
+	backends     map[*balancer.Backend]uint64
+	lastRequest  uint64
+	lastBackend  uint64
+	batch        []byte
+	batchRecords int
 }
 
-// NewRecorder begins a capture of a module that has just been made at now.
+// NewRecorder begins a capture of a decider that was created at now.
 func NewRecorder(inner balancer.Decider, now float64, s Start, o Options) (*Recorder, error) {
 	data, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
-	r := &Recorder{inner: inner, o: o, begun: s, start: data, ops: map[*balancer.Request]uint64{}, backends: map[*balancer.Backend]uint64{}}
-	r.put(&Record{Kind: Begin, Now: now, Data: data})
-	r.snapshot() // what the terms have learned under a module before it is not in them
+	r := &Recorder{inner: inner, options: o, startInfo: s, startJSON: data, requests: map[*balancer.Request]uint64{}, backends: map[*balancer.Backend]uint64{}}
+	r.record(&Record{Kind: Begin, Now: now, Data: data})
+	r.recordSnapshot() // what an earlier decider learned is in the state, not in the configuration
 	return r, nil
 }
 
-// snapshot puts the module's state, where it has one to give.
-func (r *Recorder) snapshot() {
+// recordSnapshot records the decider's state, if it has one to give.
+func (r *Recorder) recordSnapshot() {
 	module, ok := r.inner.(interface {
-		Snapshot(ops []*balancer.Request, backends []*balancer.Backend) (*balancer.Snapshot, error)
+		Snapshot(requests []*balancer.Request, backends []*balancer.Backend) (*balancer.Snapshot, error)
 	})
 	if !ok {
 		return
 	}
-	ops, backends := ordered(r.ops), ordered(r.backends)
-	s, err := module.Snapshot(ops, backends)
-	if err != nil { // of a batch that goes on: the next will do
+	requests, backends := inNumberOrder(r.requests), inNumberOrder(r.backends)
+	s, err := module.Snapshot(requests, backends)
+	if err != nil { // in the middle of a batch: the next interval will do
 		return
 	}
-	for i := range s.Requests { // the module itself goes on with the true names
-		s.Requests[i].ID = r.hashed(s.Requests[i].ID)
+	for i := range s.Requests { // the decider itself goes on with the original IDs
+		s.Requests[i].ID = r.hashID(s.Requests[i].ID)
 	}
-	x := Record{Kind: Snapshot, Now: r.now, Data: r.start, State: snapshot.Encode(s)}
-	for _, op := range ops {
-		x.Requests = append(x.Requests, r.ops[op])
+	x := Record{Kind: Snapshot, Now: r.now, Data: r.startJSON, State: snapshot.Encode(s)}
+	for _, request := range requests {
+		x.Requests = append(x.Requests, r.requests[request])
 	}
 	for _, b := range backends {
 		x.Backends = append(x.Backends, r.backends[b])
 	}
-	r.put(&x)
-	r.next, r.restart = r.now+r.o.Every, true
+	r.record(&x)
+	r.nextSnapshot, r.hasSnapshot = r.now+r.options.SnapshotIntervalMs, true
 }
 
-// ordered are the things of a map by their numbers.
-func ordered[T comparable](numbers map[T]uint64) []T {
+// inNumberOrder returns the keys of a map in the order of their numbers.
+func inNumberOrder[T comparable](numbers map[T]uint64) []T {
 	return slices.SortedFunc(maps.Keys(numbers), func(a, b T) int {
 		if numbers[a] < numbers[b] {
 			return -1
@@ -93,43 +94,44 @@
 	})
 }
 
-// hashed stands for a name where they are secret.
-func (r *Recorder) hashed(x uint64) uint64 {
-	if len(r.o.Secret) == 0 || x == 0 {
+// hashID returns what stands for a request's ID where IDs are confidential. It is never 0, which means no ID.
+func (r *Recorder) hashID(x uint64) uint64 {
+	if len(r.options.HashKey) == 0 || x == 0 {
 		return x
 	}
 	h := xxhash.New()
-	_, _ = h.Write(r.o.Secret)
+	_, _ = h.Write(r.options.HashKey)
 	_, _ = h.Write(binary.LittleEndian.AppendUint64(nil, x))
 	return max(h.Sum64(), 1)
 }
 
-func (r *Recorder) put(x *Record) {
+func (r *Recorder) record(x *Record) {
 	r.now = x.Now
 	from := len(r.batch)
-	r.batch = x.Append(append(r.batch, emptyHead[:]...))
-	frame(r.batch[from:])
-	r.count++
+	r.batch = x.Append(append(r.batch, emptyRecordHeader[:]...))
+	fillRecordHeader(r.batch[from:])
+	r.batchRecords++
 }
 
 func (r *Recorder) flush() {
-	if r.count > 0 {
-		r.o.Sink(Batch{r.count, r.batch, r.restart})
-		r.batch, r.count, r.restart = r.batch[:0], 0, false
+	if r.batchRecords > 0 {
+		r.options.Sink(Batch{r.batchRecords, r.batch, r.hasSnapshot})
+		r.batch, r.batchRecords, r.hasSnapshot = r.batch[:0], 0, false
 	}
 }
 
-// backend numbers a backend at its first naming.
-func (r *Recorder) backend(b *balancer.Backend) uint64 {
+// numberOf numbers a backend when it is first named.
+func (r *Recorder) numberOf(b *balancer.Backend) uint64 {
 	n, known := r.backends[b]
 	if !known {
-		r.lastB++
-		n = r.lastB
+		r.lastBackend++
+		n = r.lastBackend
 		r.backends[b] = n
 	}
 	return n
 }
 
+// EndpointsChanged implements balancer.Decider.
 func (r *Recorder) EndpointsChanged(now float64, lines []balancer.Endpoint, full, cached bool) {
 	x := Record{Kind: EndpointsChanged, Now: now}
 	if full {
@@ -139,142 +141,154 @@
 		x.Flags |= flagCached
 	}
 	for _, l := range lines {
-		x.Endpoints = append(x.Endpoints, Endpoint{Backend: r.backend(l.Backend), ID: l.Backend.ID, State: l.State, Zone: l.Zone, Cell: l.Cell, Kind: l.Kind,
+		x.Endpoints = append(x.Endpoints, Endpoint{Backend: r.numberOf(l.Backend), ID: l.Backend.ID, State: l.State, Zone: l.Zone, Cell: l.Cell, Kind: l.Kind,
 			Weight: l.Weight, Started: l.Started, Cordoned: l.Cordoned})
 	}
-	r.put(&x)
+	r.record(&x)
 	r.inner.EndpointsChanged(now, lines, full, cached)
 }
 
+// PollFailed implements balancer.Decider.
 func (r *Recorder) PollFailed(now float64) {
-	r.put(&Record{Kind: PollFailed, Now: now})
+	r.record(&Record{Kind: PollFailed, Now: now})
 	r.inner.PollFailed(now)
 }
 
-func (r *Recorder) RequestArrived(now float64, op *balancer.Request) {
-	r.lastOp++
-	r.ops[op] = r.lastOp
-	for _, p := range op.Attempts { // of another node
+// RequestArrived implements balancer.Decider. Attempts that another node began before it are recorded first.
+func (r *Recorder) RequestArrived(now float64, request *balancer.Request) {
+	r.lastRequest++
+	r.requests[request] = r.lastRequest
+	for _, p := range request.Attempts { // begun by another node
 		b := p.Backend
-		r.put(&Record{Kind: EarlierAttempt, Now: now, Request: r.lastOp, Value: p.SentAt, Outcome: p.Outcome(),
-			Endpoints: []Endpoint{{Backend: r.backend(b), ID: b.ID, Zone: b.Zone, Cell: b.Cell}}})
+		r.record(&Record{Kind: EarlierAttempt, Now: now, Request: r.lastRequest, Value: p.SentAt, Outcome: p.Outcome(),
+			Endpoints: []Endpoint{{Backend: r.numberOf(b), ID: b.ID, Zone: b.Zone, Cell: b.Cell}}})
 	}
-	x := Record{Kind: RequestArrived, Now: now, Request: r.lastOp, ID: r.hashed(op.ID), Class: op.Class, Tenant: op.Tenant, CostHint: op.CostHint,
-		Deadline: op.Deadline, Key: op.Key}
-	if op.HasCostHint {
-		x.Flags |= flagHint
+	x := Record{Kind: RequestArrived, Now: now, Request: r.lastRequest, ID: r.hashID(request.ID), Class: request.Class, Tenant: request.Tenant, CostHint: request.CostHint,
+		Deadline: request.Deadline, Key: request.Key}
+	if request.HasCostHint {
+		x.Flags |= flagCostHint
 	}
-	if op.IsClientRetry {
-		x.Flags |= flagRepeat
+	if request.IsClientRetry {
+		x.Flags |= flagClientRetry
 	}
-	if op.Streamed {
+	if request.Streamed {
 		x.Flags |= flagStreamed
 	}
-	if op.Config != nil && op.Config != r.begun.Config {
-		x.Flags |= flagEarlier
+	if request.Config != nil && request.Config != r.startInfo.Config {
+		x.Flags |= flagPreviousConfig
 	}
-	r.put(&x)
-	r.inner.RequestArrived(now, op)
+	r.record(&x)
+	r.inner.RequestArrived(now, request)
 }
 
-func (r *Recorder) ClientGone(now float64, op *balancer.Request) {
-	r.put(&Record{Kind: ClientGone, Now: now, Request: r.ops[op]})
-	r.inner.ClientGone(now, op)
-	r.forget(op)
+// ClientGone implements balancer.Decider.
+func (r *Recorder) ClientGone(now float64, request *balancer.Request) {
+	r.record(&Record{Kind: ClientGone, Now: now, Request: r.requests[request]})
+	r.inner.ClientGone(now, request)
+	r.forgetIfDone(request)
 }
 
-// Shortened keeps the time to which the host has moved an op's end.
-func (r *Recorder) DeadlineShortened(now float64, op *balancer.Request) {
-	r.put(&Record{Kind: DeadlineShortened, Now: now, Request: r.ops[op], Value: op.Deadline})
-	r.inner.DeadlineShortened(now, op)
+// DeadlineShortened implements balancer.Decider; the record has the request's new deadline.
+func (r *Recorder) DeadlineShortened(now float64, request *balancer.Request) {
+	r.record(&Record{Kind: DeadlineShortened, Now: now, Request: r.requests[request], Value: request.Deadline})
+	r.inner.DeadlineShortened(now, request)
 }
 
+// ResponseStarted implements balancer.Decider.
 func (r *Recorder) ResponseStarted(now float64, p *balancer.Attempt) {
-	r.put(&Record{Kind: ResponseStarted, Now: now, Request: r.ops[p.Request], Attempt: p.Number})
+	r.record(&Record{Kind: ResponseStarted, Now: now, Request: r.requests[p.Request], Attempt: p.Number})
 	r.inner.ResponseStarted(now, p)
 }
 
+// RequestBodySent implements balancer.Decider; the record has the request's deadline at that moment.
 func (r *Recorder) RequestBodySent(now float64, p *balancer.Attempt) {
-	r.put(&Record{Kind: RequestBodySent, Now: now, Request: r.ops[p.Request], Attempt: p.Number, Value: p.Request.Deadline})
+	r.record(&Record{Kind: RequestBodySent, Now: now, Request: r.requests[p.Request], Attempt: p.Number, Value: p.Request.Deadline})
 	r.inner.RequestBodySent(now, p)
 }
 
+// AttemptEnded implements balancer.Decider.
 func (r *Recorder) AttemptEnded(now float64, p *balancer.Attempt, how balancer.Outcome, elapsed float64, finished bool) {
-	x := Record{Kind: AttemptEnded, Now: now, Request: r.ops[p.Request], Attempt: p.Number, Outcome: how, Value: elapsed}
+	x := Record{Kind: AttemptEnded, Now: now, Request: r.requests[p.Request], Attempt: p.Number, Outcome: how, Value: elapsed}
 	if finished {
 		x.Flags |= flagFinished
 	}
-	r.put(&x)
+	r.record(&x)
 	r.inner.AttemptEnded(now, p, how, elapsed, finished)
-	r.forget(p.Request)
+	r.forgetIfDone(p.Request)
 }
 
+// LoadReported implements balancer.Decider.
 func (r *Recorder) LoadReported(now float64, b *balancer.Backend, load balancer.LoadReport) {
-	r.put(&Record{Kind: LoadReported, Now: now, Backend: r.backends[b], Load: load})
+	r.record(&Record{Kind: LoadReported, Now: now, Backend: r.backends[b], Load: load})
 	r.inner.LoadReported(now, b, load)
 }
 
+// ProcessesChanged implements balancer.Decider.
 func (r *Recorder) ProcessesChanged(now float64, of int) {
-	r.put(&Record{Kind: ProcessesChanged, Now: now, Count: uint64(of)})
+	r.record(&Record{Kind: ProcessesChanged, Now: now, Count: uint64(of)})
 	r.inner.ProcessesChanged(now, of)
 }
 
+// ConfigChanged implements balancer.Decider.
 func (r *Recorder) ConfigChanged(now float64, t *balancer.Config, from []int) {
-	s := r.begun
+	s := r.startInfo
 	s.Config = t
-	if data, err := json.Marshal(s); err == nil { // terms of numbers, as the first were
-		r.start, r.begun = data, s
+	if data, err := json.Marshal(s); err == nil { // fails for no configuration that the first one did not fail for
+		r.startJSON, r.startInfo = data, s
 	}
-	x := Record{Kind: ConfigChanged, Now: now, Data: r.start}
+	x := Record{Kind: ConfigChanged, Now: now, Data: r.startJSON}
 	for _, k := range from {
 		x.Requests = append(x.Requests, uint64(k+1))
 	}
-	r.put(&x)
+	r.record(&x)
 	r.inner.ConfigChanged(now, t, from)
 }
 
+// TimerFired implements balancer.Decider.
 func (r *Recorder) TimerFired(now float64) {
-	r.put(&Record{Kind: TimerFired, Now: now})
+	r.record(&Record{Kind: TimerFired, Now: now})
 	r.inner.TimerFired(now)
 }
 
+// Next implements balancer.Decider. When no decision is left it hands the batch to the sink.
 func (r *Recorder) Next() (balancer.Decision, bool) {
 	d, more := r.inner.Next()
 	if !more {
-		r.put(&Record{Kind: BatchEnd, Now: r.now})
-		if r.o.Every > 0 && r.now >= r.next {
-			r.snapshot()
+		r.record(&Record{Kind: BatchEnd, Now: r.now})
+		if r.options.SnapshotIntervalMs > 0 && r.now >= r.nextSnapshot {
+			r.recordSnapshot()
 		}
 		r.flush()
 		return d, more
 	}
-	x := pulled(d, func(op *balancer.Request) uint64 { return r.ops[op] }, func(b *balancer.Backend) uint64 { return r.backends[b] })
+	x := decisionRecord(d, func(request *balancer.Request) uint64 { return r.requests[request] }, func(b *balancer.Backend) uint64 { return r.backends[b] })
 	x.Now = r.now
-	r.put(&x)
+	r.record(&x)
 	if d.Kind == balancer.DoReject || d.Kind == balancer.DoFail {
-		r.forget(d.Request)
+		r.forgetIfDone(d.Request)
 	}
 	return d, more
 }
 
-// Dropped tells that the host has let go of a backend: should it come back, it is a new one to the module as well.
-func (r *Recorder) Dropped(b *balancer.Backend) {
-	r.put(&Record{Kind: BackendForgotten, Now: r.now, Backend: r.backends[b]})
+// BackendForgotten records that the host has released a backend. Should the backend return, it is a new one to the
+// decider as well.
+func (r *Recorder) BackendForgotten(b *balancer.Backend) {
+	r.record(&Record{Kind: BackendForgotten, Now: r.now, Backend: r.backends[b]})
 	delete(r.backends, b)
 }
 
-// forget lets go of an op that is over; what of it comes later is not told to the module either.
-func (r *Recorder) forget(op *balancer.Request) {
-	if op.IsDone() {
-		delete(r.ops, op)
+// forgetIfDone releases a request that has ended: nothing that happens to it later reaches the decider either.
+func (r *Recorder) forgetIfDone(request *balancer.Request) {
+	if request.IsDone() {
+		delete(r.requests, request)
 	}
 }
 
-// pulled is a decision as a record.
-func pulled(d balancer.Decision, op func(*balancer.Request) uint64, backend func(*balancer.Backend) uint64) Record {
+// decisionRecord encodes a decision as a record, with the numbers that the capture gave to requests and backends.
+func decisionRecord(d balancer.Decision, request func(*balancer.Request) uint64, backend func(*balancer.Backend) uint64) Record {
 	x := Record{Kind: Decided, Decision: d.Kind, Value: d.Wait, Data: []byte(d.Text)}
 	if d.Request != nil {
-		x.Request = op(d.Request)
+		x.Request = request(d.Request)
 	}
 	if d.Attempt != nil {
 		x.Attempt, x.Backend = d.Attempt.Number, backend(d.Attempt.Backend)
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -10,162 +10,163 @@
 	"pearknot/internal/snapshot"
 )
 
-// Difference is the first place at which a replay did not do as the capture says.
-type Difference struct {
-	At       int // number of the record
-	Now      float64
-	Captured string
-	Replayed string
-	Batch    []Record // the inputs of that batch
+// MismatchError is the first place at which a replay decided otherwise than the capture says.
+type MismatchError struct {
+	RecordNumber int // counts from 1
+	Now          float64
+	Captured     string
+	Replayed     string
+	Inputs       []Record // of the batch that it stands in
 }
 
-func (d *Difference) Error() string {
-	text := fmt.Sprintf("record %d at %.3f: captured %s, replayed %s", d.At, d.Now, d.Captured, d.Replayed)
-	for _, r := range d.Batch {
+func (d *MismatchError) Error() string {
+	text := fmt.Sprintf("record %d at %.3f: captured %s, replayed %s", d.RecordNumber, d.Now, d.Captured, d.Replayed)
+	for _, r := range d.Inputs {
 		text += "\n    " + r.String()
 	}
 	return text
 }
 
-// Claim is what a replay found.
-type Claim struct {
-	Records   int
-	Decisions int // that match, bit for bit
-	Epochs    int // starts that were played
-	Restored  int // snapshots from which it began
-	Gaps      int
-	Missing   uint64 // records in them
-	Unclaimed int    // records after a gap, of which nothing can be said until the next start
-	From, To  float64
+// Result sums up what a replay has verified.
+type Result struct {
+	Records        int
+	Decisions      int // that matched, bit for bit
+	Epochs         int // processes whose start was replayed
+	Restored       int // snapshots that the replay was restored from
+	Gaps           int
+	MissingRecords uint64 // records in the gaps
+	Unverified     int    // records after a gap: the state is unknown until the next start or snapshot
+	From, To       float64
 }
 
-// Replayer plays records to a module of its own.
+// Replayer passes the recorded inputs to a decider of its own and compares its decisions with the recorded ones.
 type Replayer struct {
-	New func(t *balancer.Config, now float64) balancer.Decider // the module, where nil
+	New func(t *balancer.Config, now float64) balancer.Decider // creates the decider; nil means balancer.New
 
-	Skip   int  // records before which nothing is played
-	Strict bool // the module's state is held against each snapshot too
+	Skip   int  // number of records to skip at the beginning
+	Strict bool // compare the decider's state with each snapshot too
 
-	Claim    Claim
-	node     balancer.Decider
-	ops      map[uint64]*balancer.Request
-	numbers  map[*balancer.Request]uint64
-	backends map[uint64]*balancer.Backend
-	refs     map[*balancer.Backend]uint64
-	terms    *balancer.Config // in force, and those before
-	before   *balancer.Config
-	taken    []Record // pushes of the next op that another node had begun
-	batch    []Record
-	lost     bool // after a gap
+	Result          Result
+	decider         balancer.Decider
+	requests        map[uint64]*balancer.Request
+	requestNumbers  map[*balancer.Request]uint64
+	backends        map[uint64]*balancer.Backend
+	backendNumbers  map[*balancer.Backend]uint64
+	config          *balancer.Config // in force
+	previousConfig  *balancer.Config
+	earlierAttempts []Record // of the next request, begun by another node
+	inputs          []Record
+	afterGap        bool // the state is unknown since a gap
 }
 
-// Feed takes the next record. Its error is a *Difference, or tells that the capture itself makes no sense.
+// Feed takes the next record. The error is a *MismatchError, or says what is inconsistent in the capture itself.
 func (r *Replayer) Feed(x Record) error {
-	r.Claim.Records++
-	if r.Claim.From == 0 {
-		r.Claim.From = x.Now
+	r.Result.Records++
+	if r.Result.From == 0 {
+		r.Result.From = x.Now
 	}
-	r.Claim.To = math.Max(r.Claim.To, x.Now)
+	r.Result.To = math.Max(r.Result.To, x.Now)
 	switch {
 	case x.Kind == Gap:
-		r.Claim.Gaps++
-		r.Claim.Missing += x.Count
-		r.lost = true
+		r.Result.Gaps++
+		r.Result.MissingRecords += x.Count
+		r.afterGap = true
 		return nil
-	case r.Claim.Records <= r.Skip:
+	case r.Result.Records <= r.Skip:
 		return nil
 	case x.Kind == Begin:
-		return r.begin(x)
+		return r.startEpoch(x)
 	case x.Kind == Snapshot:
-		return r.snapshot(x)
-	case r.lost || r.node == nil:
-		r.Claim.Unclaimed++
+		return r.checkSnapshot(x)
+	case r.afterGap || r.decider == nil:
+		r.Result.Unverified++
 		return nil
 	}
 	if x.Kind != Decided && x.Kind != BatchEnd {
-		r.batch = append(r.batch, x)
-		return r.input(x)
+		r.inputs = append(r.inputs, x)
+		return r.applyInput(x)
 	}
-	d, more := r.node.Next()
+	d, more := r.decider.Next()
 	if x.Kind == BatchEnd {
 		if more {
-			return r.differs(x, "no decision left", decision(r.pulled(d)))
+			return r.mismatch(x, "no decision left", describeDecision(r.decisionRecord(d)))
 		}
-		r.batch = r.batch[:0]
+		r.inputs = r.inputs[:0]
 		return nil
 	}
 	if !more {
-		return r.differs(x, decision(x), "no decision left")
+		return r.mismatch(x, describeDecision(x), "no decision left")
 	}
-	got := r.pulled(d)
+	got := r.decisionRecord(d)
 	got.Now = x.Now
 	if !bytes.Equal(got.Append(nil), x.Append(nil)) {
-		return r.differs(x, decision(x), decision(got))
+		return r.mismatch(x, describeDecision(x), describeDecision(got))
 	}
-	r.Claim.Decisions++
-	r.forget(d.Request)
+	r.Result.Decisions++
+	r.forgetIfDone(d.Request)
 	return nil
 }
 
-func (r *Replayer) forget(op *balancer.Request) {
-	if op != nil && op.IsDone() {
-		delete(r.ops, r.numbers[op])
-		delete(r.numbers, op)
+func (r *Replayer) forgetIfDone(request *balancer.Request) {
+	if request != nil && request.IsDone() {
+		delete(r.requests, r.requestNumbers[request])
+		delete(r.requestNumbers, request)
 	}
 }
 
-func (r *Replayer) pulled(d balancer.Decision) Record {
-	return pulled(d, func(op *balancer.Request) uint64 { return r.numbers[op] }, func(b *balancer.Backend) uint64 { return r.refs[b] })
+func (r *Replayer) decisionRecord(d balancer.Decision) Record {
+	return decisionRecord(d, func(request *balancer.Request) uint64 { return r.requestNumbers[request] }, func(b *balancer.Backend) uint64 { return r.backendNumbers[b] })
 }
 
-func (r *Replayer) differs(x Record, captured, replayed string) *Difference {
-	return &Difference{At: r.Claim.Records, Now: x.Now, Captured: captured, Replayed: replayed, Batch: append([]Record{}, r.batch...)}
+func (r *Replayer) mismatch(x Record, captured, replayed string) *MismatchError {
+	return &MismatchError{RecordNumber: r.Result.Records, Now: x.Now, Captured: captured, Replayed: replayed, Inputs: append([]Record{}, r.inputs...)}
 }
 
-func (r *Replayer) begin(x Record) error {
-	s, err := x.start()
+func (r *Replayer) startEpoch(x Record) error {
+	s, err := x.startInfo()
 	if err != nil {
-		return fmt.Errorf("record %d: %w", r.Claim.Records, err)
+		return fmt.Errorf("record %d: %w", r.Result.Records, err)
 	}
 	if r.New != nil {
-		r.node = r.New(s.Config, x.Now)
+		r.decider = r.New(s.Config, x.Now)
 	} else {
-		r.node = balancer.New(s.Config, x.Now)
+		r.decider = balancer.New(s.Config, x.Now)
 	}
-	r.clear()
-	r.terms, r.before = s.Config, nil
-	r.Claim.Epochs++
+	r.reset()
+	r.config, r.previousConfig = s.Config, nil
+	r.Result.Epochs++
 	return nil
 }
 
-func (r *Replayer) clear() {
-	r.lost, r.batch = false, nil
-	r.ops, r.numbers = map[uint64]*balancer.Request{}, map[*balancer.Request]uint64{}
-	r.backends, r.refs = map[uint64]*balancer.Backend{}, map[*balancer.Backend]uint64{}
+func (r *Replayer) reset() {
+	r.afterGap, r.inputs = false, nil
+	r.requests, r.requestNumbers = map[uint64]*balancer.Request{}, map[*balancer.Request]uint64{}
+	r.backends, r.backendNumbers = map[uint64]*balancer.Backend{}, map[*balancer.Backend]uint64{}
 }
 
-// snapshot begins where nothing is played, and else holds the state against what was captured.
-func (r *Replayer) snapshot(x Record) error {
-	if r.node == nil || r.lost {
+// checkSnapshot restores the decider where its state is unknown. Elsewhere, if Strict, it compares its state with the
+// recorded one.
+func (r *Replayer) checkSnapshot(x Record) error {
+	if r.decider == nil || r.afterGap {
 		return r.restore(x)
 	}
 	if !r.Strict {
 		return nil
 	}
-	data, err := r.state()
+	data, err := r.encodedState()
 	if err == nil && data != nil && !bytes.Equal(data, x.State) {
-		return r.differs(x, fmt.Sprintf("a state of %d bytes", len(x.State)), fmt.Sprintf("another, of %d bytes", len(data)))
+		return r.mismatch(x, fmt.Sprintf("a state of %d bytes", len(x.State)), fmt.Sprintf("another, of %d bytes", len(data)))
 	}
 	return err
 }
 
-// state is the module's own, as a snapshot has it; nil where it has none to give.
-func (r *Replayer) state() ([]byte, error) {
-	module, ok := r.node.(*balancer.Balancer)
+// encodedState returns the decider's encoded state, or nil if it cannot give one.
+func (r *Replayer) encodedState() ([]byte, error) {
+	module, ok := r.decider.(*balancer.Balancer)
 	if !ok {
 		return nil, nil
 	}
-	s, err := module.Snapshot(ordered(r.numbers), ordered(r.refs))
+	s, err := module.Snapshot(inNumberOrder(r.requestNumbers), inNumberOrder(r.backendNumbers))
 	if err != nil {
 		return nil, err
 	}
@@ -173,8 +174,8 @@
 }
 
 func (r *Replayer) restore(x Record) error {
-	fail := func(err error) error { return fmt.Errorf("record %d at %.3f: %w", r.Claim.Records, x.Now, err) }
-	s, err := x.start()
+	fail := func(err error) error { return fmt.Errorf("record %d at %.3f: %w", r.Result.Records, x.Now, err) }
+	s, err := x.startInfo()
 	if err != nil {
 		return fail(err)
 	}
@@ -182,28 +183,29 @@
 	if err != nil {
 		return fail(err)
 	}
-	n, ops, backends, err := balancer.Restore(s.Config, state)
+	n, requests, backends, err := balancer.Restore(s.Config, state)
 	if err != nil {
 		return fail(err)
 	}
-	if len(ops) != len(x.Requests) || len(backends) != len(x.Backends) {
-		return fail(errOdd)
+	if len(requests) != len(x.Requests) || len(backends) != len(x.Backends) {
+		return fail(errInvalidRecord)
 	}
-	r.clear()
-	r.node, r.terms, r.before = n, s.Config, nil
-	for i, op := range ops {
-		r.ops[x.Requests[i]], r.numbers[op] = op, x.Requests[i]
+	r.reset()
+	r.decider, r.config, r.previousConfig = n, s.Config, nil
+	for i, request := range requests {
+		r.requests[x.Requests[i]], r.requestNumbers[request] = request, x.Requests[i]
 	}
 	for i, b := range backends {
-		r.backends[x.Backends[i]], r.refs[b] = b, x.Backends[i]
+		r.backends[x.Backends[i]], r.backendNumbers[b] = b, x.Backends[i]
 	}
-	r.Claim.Restored++
+	r.Result.Restored++
 	return nil
 }
 
-// Renew puts the module's state through a snapshot, so that what follows is decided by one restored from it.
-func (r *Replayer) Renew(s Start) error {
-	data, err := r.state()
+// RestoreFromOwnState replaces the decider by one restored from its own snapshot, so that tests see whether both decide
+// alike from there on.
+func (r *Replayer) RestoreFromOwnState(s Start) error {
+	data, err := r.encodedState()
 	if err != nil {
 		return err
 	}
@@ -212,112 +214,146 @@
 		return err
 	}
 	x := Record{Kind: Snapshot, Data: text, State: data}
-	for _, op := range ordered(r.numbers) {
-		x.Requests = append(x.Requests, r.numbers[op])
+	for _, request := range inNumberOrder(r.requestNumbers) {
+		x.Requests = append(x.Requests, r.requestNumbers[request])
 	}
-	for _, b := range ordered(r.refs) {
-		x.Backends = append(x.Backends, r.refs[b])
+	for _, b := range inNumberOrder(r.backendNumbers) {
+		x.Backends = append(x.Backends, r.backendNumbers[b])
 	}
 	return r.restore(x)
 }
 
-// input tells the module what it was told then.
-func (r *Replayer) input(x Record) error {
-	op := r.ops[x.Request]
-	var push *balancer.Attempt
-	switch x.Kind {
-	case ClientGone, DeadlineShortened, ResponseStarted, RequestBodySent, AttemptEnded:
-		if op == nil {
-			return fmt.Errorf("record %d at %.3f: op %d never came", r.Claim.Records, x.Now, x.Request)
-		}
-		if x.Kind == ResponseStarted || x.Kind == RequestBodySent || x.Kind == AttemptEnded {
-			if x.Attempt >= len(op.Attempts) {
-				return r.differs(x, fmt.Sprintf("op %d has push %d", x.Request, x.Attempt), fmt.Sprintf("it has %d pushes", len(op.Attempts)))
-			}
-			push = op.Attempts[x.Attempt]
-		}
+// applyInput passes a recorded input to the decider.
+func (r *Replayer) applyInput(x Record) error {
+	request, attempt, err := r.subjects(x)
+	if err != nil {
+		return err
 	}
 	switch x.Kind {
 	case EndpointsChanged:
-		lines := make([]balancer.Endpoint, 0, len(x.Endpoints))
-		for _, l := range x.Endpoints {
-			b := r.backends[l.Backend]
-			if b == nil {
-				b = &balancer.Backend{ID: l.ID}
-				r.backends[l.Backend], r.refs[b] = b, l.Backend
-			}
-			lines = append(lines, balancer.Endpoint{Backend: b, State: l.State, Zone: l.Zone, Cell: l.Cell, Kind: l.Kind, Weight: l.Weight,
-				Started: l.Started, Cordoned: l.Cordoned})
-		}
-		r.node.EndpointsChanged(x.Now, lines, x.Flags&flagFull != 0, x.Flags&flagCached != 0)
+		r.decider.EndpointsChanged(x.Now, r.endpoints(x), x.Flags&flagFull != 0, x.Flags&flagCached != 0)
 	case PollFailed:
-		r.node.PollFailed(x.Now)
+		r.decider.PollFailed(x.Now)
 	case EarlierAttempt:
 		if len(x.Endpoints) != 1 {
-			return fmt.Errorf("record %d at %.3f: a push taken over without its backend", r.Claim.Records, x.Now)
+			return r.errorf(x, "an attempt of another node without its backend")
 		}
-		r.taken = append(r.taken, x)
+		r.earlierAttempts = append(r.earlierAttempts, x)
 	case RequestArrived:
-		op = &balancer.Request{ID: x.ID, Class: x.Class, Tenant: x.Tenant, CostHint: x.CostHint, HasCostHint: x.Flags&flagHint != 0,
-			IsClientRetry: x.Flags&flagRepeat != 0, Streamed: x.Flags&flagStreamed != 0, Deadline: x.Deadline, Key: x.Key}
-		if op.Config = r.terms; x.Flags&flagEarlier != 0 && r.before != nil {
-			op.Config = r.before
-		}
-		if op.Class >= len(op.Config.Classes) {
-			return fmt.Errorf("record %d at %.3f: category %d of %d", r.Claim.Records, x.Now, op.Class, len(op.Config.Classes))
+		if request, err = r.arrivedRequest(x); err != nil {
+			return err
 		}
-		for _, t := range r.taken {
-			l := t.Endpoints[0]
-			b := r.backends[l.Backend]
-			if b == nil {
-				b = &balancer.Backend{ID: l.ID, Zone: l.Zone, Cell: l.Cell}
-				r.backends[l.Backend], r.refs[b] = b, l.Backend
-			}
-			op.AddEarlierAttempt(b, t.Value, t.Outcome)
-		}
-		r.taken = r.taken[:0]
-		r.ops[x.Request], r.numbers[op] = op, x.Request
-		r.node.RequestArrived(x.Now, op)
+		r.decider.RequestArrived(x.Now, request)
 	case ClientGone:
-		r.node.ClientGone(x.Now, op)
+		r.decider.ClientGone(x.Now, request)
 	case DeadlineShortened:
-		op.Deadline = x.Value
-		r.node.DeadlineShortened(x.Now, op)
+		request.Deadline = x.Value
+		r.decider.DeadlineShortened(x.Now, request)
 	case ResponseStarted:
-		r.node.ResponseStarted(x.Now, push)
+		r.decider.ResponseStarted(x.Now, attempt)
 	case RequestBodySent:
-		op.Deadline = x.Value
-		r.node.RequestBodySent(x.Now, push)
+		request.Deadline = x.Value
+		r.decider.RequestBodySent(x.Now, attempt)
 	case AttemptEnded:
-		r.node.AttemptEnded(x.Now, push, x.Outcome, x.Value, x.Flags&flagFinished != 0)
+		r.decider.AttemptEnded(x.Now, attempt, x.Outcome, x.Value, x.Flags&flagFinished != 0)
 	case LoadReported:
-		b := r.backends[x.Backend]
-		if b == nil {
-			return fmt.Errorf("record %d at %.3f: backend %d was never listed", r.Claim.Records, x.Now, x.Backend)
+		backend := r.backends[x.Backend]
+		if backend == nil {
+			return r.errorf(x, "backend %d was never listed", x.Backend)
 		}
-		r.node.LoadReported(x.Now, b, x.Load)
+		r.decider.LoadReported(x.Now, backend, x.Load)
 	case ConfigChanged:
-		s, err := x.start()
-		if err != nil {
-			return fmt.Errorf("record %d at %.3f: %w", r.Claim.Records, x.Now, err)
-		}
-		from := make([]int, 0, len(x.Requests))
-		for _, k := range x.Requests {
-			from = append(from, int(min(k, mostNumber))-1)
-		}
-		r.before, r.terms = r.terms, s.Config
-		r.node.ConfigChanged(x.Now, s.Config, from)
+		return r.changeConfig(x)
 	case ProcessesChanged:
-		r.node.ProcessesChanged(x.Now, int(min(x.Count, mostNumber)))
+		r.decider.ProcessesChanged(x.Now, int(min(x.Count, maxIndex)))
 	case TimerFired:
-		r.node.TimerFired(x.Now)
+		r.decider.TimerFired(x.Now)
 	case BackendForgotten:
-		delete(r.refs, r.backends[x.Backend])
+		delete(r.backendNumbers, r.backends[x.Backend])
 		delete(r.backends, x.Backend)
-	default: // of a later build: what it told the module is not known here
-		r.Claim.Gaps++
-		r.lost = true
+	default: // a kind of a later build: the decider's state is unknown from here on
+		r.Result.Gaps++
+		r.afterGap = true
+	}
+	r.forgetIfDone(request)
+	return nil
+}
+
+func (r *Replayer) errorf(x Record, format string, args ...any) error {
+	return fmt.Errorf("record %d at %.3f: %s", r.Result.Records, x.Now, fmt.Sprintf(format, args...))
+}
+
+// subjects returns the request that a record is about, and its attempt, for the kinds that must have them.
+func (r *Replayer) subjects(x Record) (*balancer.Request, *balancer.Attempt, error) {
+	request := r.requests[x.Request]
+	switch x.Kind {
+	case ClientGone, DeadlineShortened, ResponseStarted, RequestBodySent, AttemptEnded:
+	default:
+		return request, nil, nil
+	}
+	if request == nil {
+		return nil, nil, r.errorf(x, "request %d never arrived", x.Request)
+	}
+	if x.Kind == ClientGone || x.Kind == DeadlineShortened {
+		return request, nil, nil
+	}
+	if x.Attempt >= len(request.Attempts) {
+		return nil, nil, r.mismatch(x, fmt.Sprintf("request %d has attempt %d", x.Request, x.Attempt), fmt.Sprintf("it has %d attempts", len(request.Attempts)))
+	}
+	return request, request.Attempts[x.Attempt], nil
+}
+
+// endpoints returns the endpoints of a record, with the backends that their numbers stand for.
+func (r *Replayer) endpoints(x Record) []balancer.Endpoint {
+	all := make([]balancer.Endpoint, 0, len(x.Endpoints))
+	for _, e := range x.Endpoints {
+		backend := r.backends[e.Backend]
+		if backend == nil {
+			backend = &balancer.Backend{ID: e.ID}
+			r.backends[e.Backend], r.backendNumbers[backend] = backend, e.Backend
+		}
+		all = append(all, balancer.Endpoint{Backend: backend, State: e.State, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, Weight: e.Weight,
+			Started: e.Started, Cordoned: e.Cordoned})
+	}
+	return all
+}
+
+// arrivedRequest makes the request of a RequestArrived record, with the attempts of other nodes that precede it.
+func (r *Replayer) arrivedRequest(x Record) (*balancer.Request, error) {
+	request := &balancer.Request{ID: x.ID, Class: x.Class, Tenant: x.Tenant, CostHint: x.CostHint, HasCostHint: x.Flags&flagCostHint != 0,
+		IsClientRetry: x.Flags&flagClientRetry != 0, Streamed: x.Flags&flagStreamed != 0, Deadline: x.Deadline, Key: x.Key}
+	request.Config = r.config
+	if x.Flags&flagPreviousConfig != 0 && r.previousConfig != nil {
+		request.Config = r.previousConfig
+	}
+	if request.Class >= len(request.Config.Classes) {
+		return nil, r.errorf(x, "class %d of %d", request.Class, len(request.Config.Classes))
+	}
+	for _, earlier := range r.earlierAttempts {
+		e := earlier.Endpoints[0]
+		backend := r.backends[e.Backend]
+		if backend == nil {
+			backend = &balancer.Backend{ID: e.ID, Zone: e.Zone, Cell: e.Cell}
+			r.backends[e.Backend], r.backendNumbers[backend] = backend, e.Backend
+		}
+		request.AddEarlierAttempt(backend, earlier.Value, earlier.Outcome)
+	}
+	r.earlierAttempts = r.earlierAttempts[:0]
+	r.requests[x.Request], r.requestNumbers[request] = request, x.Request
+	return request, nil
+}
+
+// changeConfig replays a new configuration; the record's Requests has each class's former index plus 1, or 0.
+func (r *Replayer) changeConfig(x Record) error {
+	s, err := x.startInfo()
+	if err != nil {
+		return fmt.Errorf("record %d at %.3f: %w", r.Result.Records, x.Now, err)
+	}
+	formerIndex := make([]int, 0, len(x.Requests))
+	for _, k := range x.Requests {
+		formerIndex = append(formerIndex, int(min(k, maxIndex))-1)
 	}
-	r.forget(op)
+	r.previousConfig, r.config = r.config, s.Config
+	r.decider.ConfigChanged(x.Now, s.Config, formerIndex)
 	return nil
 }
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -12,73 +12,75 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Sync says when what is written is made durable.
+// Sync says when written data is made durable.
 type Sync string
 
-// When a segment is forced to the disk.
+// The values of Sync.
 const (
-	SyncNever   Sync = "never"   // the system's own time
-	SyncSegment Sync = "segment" // when a segment is done
-	SyncBlock   Sync = "block"   // with each block
+	SyncNever   Sync = "never"   // left to the operating system
+	SyncSegment Sync = "segment" // when a segment is complete
+	SyncBlock   Sync = "block"   // after each block
 )
 
-// Ring is where a capture goes on disk: segments within a size and an age.
-type Ring struct {
-	Dir       string
-	Node      string // its name
-	SegmentMB float64
-	MostMB    float64
-	MostAge   time.Duration
-	Every     time.Duration // a block is written at the latest
-	BlockKB   int
-	MailboxMB float64 // that may wait for the disk; beyond it a gap is written
-	Sync      Sync
-	Log       *slog.Logger
-	Now       func() float64 // Unix ms
-
-	// create opens a segment; a test's own, else a file.
+// WriterConfig configures a Writer: where segments are stored, and the size and age beyond which the oldest are removed.
+type WriterConfig struct {
+	Dir           string
+	NodeName      string // its name
+	SegmentMB     float64
+	MaxTotalMB    float64
+	MaxAge        time.Duration
+	FlushInterval time.Duration // longest time until a block is written
+	BlockKB       int
+	MaxPendingMB  float64 // records waiting for the disk; what exceeds it is dropped and recorded as a gap
+	Sync          Sync
+	Log           *slog.Logger
+	Now           func() float64 // Unix ms
+
+	// create opens a segment. A test may replace it; nil creates a file.
 	create func(name string) (segment, error)
 }
 
+// segment is the part of *os.File that the writer uses.
 type segment interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// Writer is the actor that writes a ring. Whoever puts never waits for it: what does not fit its mailbox is dropped,
-// counted, and stands in the capture as a gap of that size.
+// Writer writes batches to segment files on a goroutine of its own. Put never waits for the disk: what does not fit the
+// pending bytes is dropped, counted, and recorded as a gap of that many records.
 type Writer struct {
-	r       Ring
-	mu      sync.Mutex
-	waiting []byte // framed records
-	records uint64 // of them
-	dropped uint64 // since the last that was taken
-	total   uint64
-	some    chan struct{} // there is enough for a block
-	closing chan struct{}
-	closed  chan struct{}
-
-	zip      *zstd.Encoder
-	packed   []byte
-	out      segment
-	written  int64
-	count    int
-	block    []byte
-	inBlock  uint64    // records
-	failedAt time.Time // zero while the disk takes all
-	lost     uint64    // records that it did not take, since it last did
+	config         WriterConfig
+	mu             sync.Mutex
+	pending        []byte // framed records
+	pendingRecords uint64 // of them
+	dropped        uint64 // records, since the last batch that was accepted
+	totalDropped   uint64
+	blockReady     chan struct{} // signals that a full block is pending
+	closing        chan struct{}
+	closed         chan struct{}
+
+	encoder      *zstd.Encoder
+	compressed   []byte
+	segment      segment
+	segmentBytes int64
+	segments     int
+	block        []byte
+	blockRecords uint64    // records
+	failedAt     time.Time // zero while the disk takes all
+	unwritten    uint64    // records that it did not take, since it last did
 }
 
-// retryAfter is how long after a fault of the disk the next segment is begun.
-const retryAfter = time.Second
+// diskRetryDelay is the time between a disk error and the next attempt to begin a segment: a full disk is rarely
+// emptied faster, and each attempt costs a system call in a node that serves.
+const diskRetryDelay = time.Second
 
-// NewWriter starts the actor.
-func NewWriter(r Ring) (*Writer, error) {
+// NewWriter creates the directory and starts the writing goroutine; Close ends it.
+func NewWriter(r WriterConfig) (*Writer, error) {
 	if err := os.MkdirAll(r.Dir, 0o700); err != nil {
 		return nil, err
 	}
-	zip, err := newZip()
+	zip, err := newEncoder()
 	if err != nil {
 		return nil, err
 	}
@@ -87,154 +89,158 @@
 			return os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 		}
 	}
-	w := &Writer{r: r, some: make(chan struct{}, 1), closing: make(chan struct{}), closed: make(chan struct{}), zip: zip}
+	w := &Writer{config: r, blockReady: make(chan struct{}, 1), closing: make(chan struct{}), closed: make(chan struct{}), encoder: zip}
 	go w.run()
 	return w, nil
 }
 
-// Put hands a batch on, and never blocks. The actor is woken when there is enough for a block, not for each.
+// Put queues a batch and never blocks. The writing goroutine is woken once a full block is pending, not for each batch.
 func (w *Writer) Put(b Batch) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.waiting)+len(b.Data) > int(w.r.MailboxMB*(1<<20)) {
+	if len(w.pending)+len(b.Data) > int(w.config.MaxPendingMB*(1<<20)) {
 		w.dropped += uint64(b.Records)
-		w.total += uint64(b.Records)
+		w.totalDropped += uint64(b.Records)
 		return
 	}
-	w.waiting = w.gap(w.waiting, &w.dropped)
-	w.waiting = append(w.waiting, b.Data...)
-	w.records += uint64(b.Records)
-	if len(w.waiting) >= w.r.BlockKB<<10 {
+	w.pending = w.appendGap(w.pending, &w.dropped)
+	w.pending = append(w.pending, b.Data...)
+	w.pendingRecords += uint64(b.Records)
+	if len(w.pending) >= w.config.BlockKB<<10 {
 		select {
-		case w.some <- struct{}{}:
+		case w.blockReady <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// gap puts so many records down as missing, where there are any.
-func (w *Writer) gap(b []byte, missing *uint64) []byte {
+// appendGap appends a gap record for the missing records, if there are any, and resets the count.
+func (w *Writer) appendGap(b []byte, missing *uint64) []byte {
 	if *missing > 0 {
-		b = append(b, Frame(Record{Kind: Gap, Now: w.r.Now(), Count: *missing})...)
+		b = append(b, Frame(Record{Kind: Gap, Now: w.config.Now(), Count: *missing})...)
 		*missing = 0
 	}
 	return b
 }
 
-// Dropped is the number of records that no mailbox or disk took.
+// Dropped returns the number of records that were lost, because too much was pending or the disk failed.
 func (w *Writer) Dropped() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.total
+	return w.totalDropped
 }
 
-// Close writes what waits and ends the actor.
+// Close writes what is pending and ends the goroutine.
 func (w *Writer) Close() {
 	close(w.closing)
 	<-w.closed
 }
 
+// run is the writing goroutine. It owns the fields below closed.
 func (w *Writer) run() {
 	defer close(w.closed)
-	defer func() { _ = w.zip.Close() }()
-	tick := time.NewTicker(max(w.r.Every, time.Millisecond))
+	defer func() { _ = w.encoder.Close() }()
+	tick := time.NewTicker(max(w.config.FlushInterval, time.Millisecond))
 	defer tick.Stop()
 	for ending := false; !ending; {
 		select {
-		case <-w.some:
+		case <-w.blockReady:
 		case <-tick.C:
 		case <-w.closing:
 			ending = true
 		}
 		w.mu.Lock()
 		if ending {
-			w.waiting = w.gap(w.waiting, &w.dropped)
+			w.pending = w.appendGap(w.pending, &w.dropped)
 		}
-		w.block, w.waiting = w.waiting, w.block[:0]
-		w.inBlock, w.records = w.records, 0
+		w.block, w.pending = w.pending, w.block[:0]
+		w.blockRecords, w.pendingRecords = w.pendingRecords, 0
 		w.mu.Unlock()
-		w.flush()
+		w.flushBlock()
 	}
-	w.end()
+	w.closeSegment()
 }
 
-// flush writes a block. What the disk does not take is a gap before the next block that it does.
-func (w *Writer) flush() {
+// flushBlock writes the current block. Records that the disk does not accept are counted, and recorded as a gap before
+// the next block that it does accept.
+func (w *Writer) flushBlock() {
 	if len(w.block) == 0 {
 		return
 	}
-	if w.failedAt.IsZero() || time.Since(w.failedAt) >= retryAfter {
-		missing := w.lost
+	if w.failedAt.IsZero() || time.Since(w.failedAt) >= diskRetryDelay {
+		missing := w.unwritten
 		block := w.block
 		if missing > 0 {
 			left := missing
-			block = append(w.gap(nil, &left), w.block...)
+			block = append(w.appendGap(nil, &left), w.block...)
 		}
-		err := w.write(block)
+		err := w.writeBlock(block)
 		if err == nil {
 			if missing > 0 {
-				w.r.Log.Info("capture goes on", "records_missing", missing)
+				w.config.Log.Info("capture resumed", "records_missing", missing)
 			}
-			w.failedAt, w.lost = time.Time{}, 0
+			w.failedAt, w.unwritten = time.Time{}, 0
 			return
 		}
 		if w.failedAt.IsZero() {
-			w.r.Log.Error("capture can't be written, the node goes on without", "error", err)
+			w.config.Log.Error("capture write failed, serving without capture", "error", err)
 		}
 		w.failedAt = time.Now()
-		if w.out != nil {
-			_ = w.out.Close() // it may end in the middle of a block: the next one is a segment's first
-			w.out = nil
+		if w.segment != nil {
+			_ = w.segment.Close() // it may end in the middle of a block, so the next block begins a new segment
+			w.segment = nil
 		}
 	}
-	w.lost += w.inBlock
+	w.unwritten += w.blockRecords
 	w.mu.Lock()
-	w.total += w.inBlock
+	w.totalDropped += w.blockRecords
 	w.mu.Unlock()
 }
 
-func (w *Writer) write(block []byte) error {
-	if w.out != nil && float64(w.written) >= w.r.SegmentMB*(1<<20) {
-		w.end()
+// writeBlock compresses a block and appends it to the current segment, beginning a new segment when the current one is full.
+func (w *Writer) writeBlock(block []byte) error {
+	if w.segment != nil && float64(w.segmentBytes) >= w.config.SegmentMB*(1<<20) {
+		w.closeSegment()
 	}
-	if w.out == nil {
-		w.count++
-		out, err := w.r.create(filepath.Join(w.r.Dir, Name(w.r.Node, w.r.Now(), w.count)))
+	if w.segment == nil {
+		w.segments++
+		out, err := w.config.create(filepath.Join(w.config.Dir, Name(w.config.NodeName, w.config.Now(), w.segments)))
 		if err != nil {
 			return err
 		}
-		w.out, w.written = out, 0
-		if _, err := out.Write(header); err != nil {
+		w.segment, w.segmentBytes = out, 0
+		if _, err := out.Write(segmentHeader); err != nil {
 			return err
 		}
-		w.trim()
+		w.removeOldSegments()
 	}
-	w.packed = appendBlock(w.packed[:0], w.zip, block)
-	n, err := w.out.Write(w.packed)
-	w.written += int64(n)
-	if err == nil && w.r.Sync == SyncBlock {
-		err = w.out.Sync()
+	w.compressed = appendBlock(w.compressed[:0], w.encoder, block)
+	n, err := w.segment.Write(w.compressed)
+	w.segmentBytes += int64(n)
+	if err == nil && w.config.Sync == SyncBlock {
+		err = w.segment.Sync()
 	}
 	return err
 }
 
-func (w *Writer) end() {
-	if w.out == nil {
+// closeSegment completes the current segment, if there is one.
+func (w *Writer) closeSegment() {
+	if w.segment == nil {
 		return
 	}
 	var err error
-	if w.r.Sync != SyncNever {
-		err = w.out.Sync()
+	if w.config.Sync != SyncNever {
+		err = w.segment.Sync()
 	}
-	if err = errors.Join(err, w.out.Close()); err != nil {
-		w.r.Log.Error("capture's segment not closed", "error", err)
+	if err = errors.Join(err, w.segment.Close()); err != nil {
+		w.config.Log.Error("capture segment close failed", "error", err)
 	}
-	w.out = nil
+	w.segment = nil
 }
 
-// trim drops the oldest segments beyond the ring's size and age.
-func (w *Writer) trim() {
-	files, err := Segments(w.r.Dir)
+// removeOldSegments removes the oldest segments beyond the configured total size and age. The newest always stays.
+func (w *Writer) removeOldSegments() {
+	files, err := Segments(w.config.Dir)
 	if err != nil {
 		return
 	}
@@ -245,10 +251,10 @@
 			continue
 		}
 		sum += float64(info.Size()) / (1 << 20)
-		old := w.r.MostAge > 0 && time.UnixMilli(int64(w.r.Now())).Sub(info.ModTime()) > w.r.MostAge
-		if k < len(files)-1 && (old || sum+w.r.SegmentMB > w.r.MostMB) {
+		old := w.config.MaxAge > 0 && time.UnixMilli(int64(w.config.Now())).Sub(info.ModTime()) > w.config.MaxAge
+		if k < len(files)-1 && (old || sum+w.config.SegmentMB > w.config.MaxTotalMB) {
 			if err := os.Remove(files[k]); err != nil {
-				w.r.Log.Warn("capture's old segment not removed", "file", files[k], "error", err)
+				w.config.Log.Warn("old capture segment not removed", "file", files[k], "error", err)
 			}
 		}
 	}
--- a/internal/lab/capacity/rig_module.go
+++ b/internal/lab/capacity/rig_module.go
@@ -241,12 +241,12 @@
 				}
 				defer func() { _ = os.RemoveAll(dir) }()
 				now := clock.New()
-				w, err := capture.NewWriter(capture.Ring{Dir: dir, Node: "n", SegmentMB: 64, MostMB: 512, MostAge: time.Hour, Every: time.Second,
-					BlockKB: 256, MailboxMB: 256, Sync: capture.SyncNever, Log: quiet, Now: now.Now})
+				w, err := capture.NewWriter(capture.WriterConfig{Dir: dir, NodeName: "n", SegmentMB: 64, MaxTotalMB: 512, MaxAge: time.Hour, FlushInterval: time.Second,
+					BlockKB: 256, MaxPendingMB: 256, Sync: capture.SyncNever, Log: quiet, Now: now.Now})
 				if err != nil {
 					return nil, err
 				}
-				r, err := capture.NewRecorder(balancer.New(t, 1), 1, capture.Start{Name: "n", Config: t}, capture.Options{Every: 10e3, Sink: w.Put})
+				r, err := capture.NewRecorder(balancer.New(t, 1), 1, capture.Start{Name: "n", Config: t}, capture.Options{SnapshotIntervalMs: 10e3, Sink: w.Put})
 				if err != nil {
 					w.Close()
 					return nil, err
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -18,7 +18,7 @@
 
 // dropObserver is a decider that must hear when the node forgets a backend: a capture records it.
 type dropObserver interface {
-	Dropped(b *balancer.Backend)
+	BackendForgotten(b *balancer.Backend)
 }
 
 // EndpointsChanged takes a new endpoint list, or changes to the one that the node has.
@@ -111,7 +111,7 @@
 		delete(n.backends, name)
 		delete(n.backendOf, b.Backend)
 		if observer, ok := n.decider.(dropObserver); ok {
-			observer.Dropped(b.Backend)
+			observer.BackendForgotten(b.Backend)
 		}
 	}
 }
--- a/internal/serve/capture.go
+++ b/internal/serve/capture.go
@@ -16,7 +16,7 @@
 
 // Capture is what an operator's file says of a capture.
 type Capture struct {
-	Ring     capture.Ring
+	Ring     capture.WriterConfig
 	MemoryMB float64 // a ring in memory in place of the one on disk, written into the ring's directory when asked for
 	Every    float64 // between snapshots, in ms
 	Secret   []byte
@@ -26,17 +26,17 @@
 // ring in memory out, and is nil where there is none.
 func captured(p *Config, o *Options, now *clock.Clock, log *slog.Logger) (end func(), dump func() (string, error), err error) {
 	ring := o.Capture.Ring
-	ring.Node, ring.Log, ring.Now = p.name, log, now.Now
+	ring.NodeName, ring.Log, ring.Now = p.name, log, now.Now
 	var sink func(capture.Batch)
 	if o.Capture.MemoryMB > 0 {
-		m := capture.NewMemory(int(o.Capture.MemoryMB * (1 << 20)))
+		m := capture.NewMemoryRing(int(o.Capture.MemoryMB * (1 << 20)))
 		var dumps atomic.Int64
 		dump = func() (string, error) {
 			if err := os.MkdirAll(ring.Dir, 0o700); err != nil {
 				return "", err
 			}
 			name := filepath.Join(ring.Dir, capture.Name(p.name, now.Now(), int(dumps.Add(1))))
-			return name, m.Dump(name)
+			return name, m.WriteTo(name)
 		}
 		sink, end = m.Put, func() {}
 	} else {
@@ -54,7 +54,7 @@
 	o.Decide = func(t *balancer.Config, at float64) balancer.Decider {
 		d := inner(t, at)
 		r, err := capture.NewRecorder(d, at, capture.Start{Name: p.name, Epoch: epoch, Build: o.Version, Config: t},
-			capture.Options{Every: o.Capture.Every, Secret: o.Capture.Secret, Sink: sink})
+			capture.Options{SnapshotIntervalMs: o.Capture.Every, HashKey: o.Capture.Secret, Sink: sink})
 		if err != nil {
 			log.Error("no capture", "error", err)
 			return d
@@ -117,7 +117,7 @@
 			return nil, at.Errorf("redact_key_file", "%s: %d bytes are too few for a key, 16 at least", f.Redact, len(c.Secret))
 		}
 	}
-	c.Ring = capture.Ring{Dir: f.Dir, SegmentMB: f.SegmentMB, MostMB: f.MostMB, MostAge: time.Duration(f.MostHours * float64(time.Hour)),
-		Every: clock.Span(f.EveryMs), BlockKB: f.BlockKB, MailboxMB: f.MailboxMB, Sync: capture.Sync(f.Sync)}
+	c.Ring = capture.WriterConfig{Dir: f.Dir, SegmentMB: f.SegmentMB, MaxTotalMB: f.MostMB, MaxAge: time.Duration(f.MostHours * float64(time.Hour)),
+		FlushInterval: clock.Span(f.EveryMs), BlockKB: f.BlockKB, MaxPendingMB: f.MailboxMB, Sync: capture.Sync(f.Sync)}
 	return c, nil
 }
