--- a/internal/serve/capture.go
+++ b/internal/serve/capture.go
@@ -118,6 +118,6 @@
 		}
 	}
 	c.Ring = capture.WriterConfig{Dir: f.Dir, SegmentMB: f.SegmentMB, MaxTotalMB: f.MostMB, MaxAge: time.Duration(f.MostHours * float64(time.Hour)),
-		FlushInterval: clock.Span(f.EveryMs), BlockKB: f.BlockKB, MaxPendingMB: f.MailboxMB, Sync: capture.Sync(f.Sync)}
+		FlushInterval: clock.Duration(f.EveryMs), BlockKB: f.BlockKB, MaxPendingMB: f.MailboxMB, Sync: capture.Sync(f.Sync)}
 	return c, nil
 }
