--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -176,8 +176,8 @@
 			return nil
 		case err := <-failed:
 			return err
-		case <-a.box.Some():
-			for _, f := range a.box.Take(nil) {
+		case <-a.box.Ready():
+			for _, f := range a.box.TakeAll(nil) {
 				f()
 			}
 		case <-a.wake.C:
--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -77,8 +77,8 @@
 				select {
 				case <-a.done:
 					return
-				case <-a.box.Some():
-					for _, f := range a.box.Take(nil) {
+				case <-a.box.Ready():
+					for _, f := range a.box.TakeAll(nil) {
 						f()
 						over()
 					}
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -127,8 +127,8 @@
 		select {
 		case <-c.ctx.Done():
 			return
-		case <-c.mailbox.Some():
-			notes = c.mailbox.Take(notes)
+		case <-c.mailbox.Ready():
+			notes = c.mailbox.TakeAll(notes)
 			for _, note := range notes {
 				note()
 			}
--- a/internal/controlplane/client/link.go
+++ b/internal/controlplane/client/link.go
@@ -47,14 +47,14 @@
 const dialTimeout = time.Second
 
 // Open dials a member, proves the key and says what the link is for.
-func OpenLink(ctx context.Context, fleet string, keys [][]byte, from string, to Member, what string) (*transport.Pipe, error) {
+func OpenLink(ctx context.Context, fleet string, keys [][]byte, from string, to Member, what string) (*transport.FrameConn, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	c, err := d.DialContext(ctx, "tcp", to.Address)
 	if err != nil {
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	_, err = transport.Call(c, keys, HandshakeFleet(fleet), from, to.Name, max(rand.Uint64(), 1))
+	_, err = transport.ClientHandshake(c, keys, HandshakeFleet(fleet), from, to.Name, max(rand.Uint64(), 1))
 	if err == nil {
 		err = transport.WriteFrame(c, snapshot.Append(nil, &LinkHeader{ProtocolVersion, what}))
 	}
@@ -62,7 +62,7 @@
 		_ = c.Close()
 		return nil, errors.Join(err, ctx.Err())
 	}
-	return transport.NewPipe(c), nil
+	return transport.NewFrameConn(c), nil
 }
 
 // Following is a follower with its connection. It belongs to an actor: whatever comes from elsewhere is put into that one's box,
@@ -79,7 +79,7 @@
 
 	generation uint64 // counts connections and dials
 	cancel     context.CancelFunc
-	pipe       *transport.Pipe
+	pipe       *transport.FrameConn
 	Counters
 }
 
@@ -128,11 +128,11 @@
 	return c
 }
 
-func (c *Counters) add(p *transport.Pipe) {
+func (c *Counters) add(p *transport.FrameConn) {
 	if p == nil {
 		return
 	}
-	in, out, framesIn, framesOut := p.Counts()
+	in, out, framesIn, framesOut := p.Traffic()
 	c.BytesIn += in
 	c.BytesOut += out
 	c.FramesIn += framesIn
@@ -163,7 +163,7 @@
 		defer cancel()
 		p, err := OpenLink(ctx, f.config.Fleet, f.config.Keys, f.config.Name, to, PurposeFollow)
 		if err != nil {
-			if errors.Is(err, transport.ErrKey) {
+			if errors.Is(err, transport.ErrWrongKey) {
 				f.onRefused(to.Name, err)
 			}
 			f.connectionLost(life)
@@ -179,7 +179,7 @@
 			f.pipe = p
 			f.Connected(f.now(), k)
 		})
-		p.Heard(func() {
+		p.OnProgress(func() {
 			f.post(func() {
 				if f.generation == life {
 					f.BytesReceived(f.now())
--- a/internal/controlplane/member/call.go
+++ b/internal/controlplane/member/call.go
@@ -15,7 +15,7 @@
 )
 
 // take answers one operator's call.
-func (m *Member) serveCall(p *transport.Pipe) error {
+func (m *Member) serveCall(p *transport.FrameConn) error {
 	select {
 	case m.callSlots <- struct{}{}:
 		defer func() { <-m.callSlots }()
@@ -210,7 +210,7 @@
 		s.Digest = fmt.Sprintf("%x", doc.Digest())
 	}
 	for _, c := range m.followers {
-		in, out, _, _ := c.pipe.Counts()
+		in, out, _, _ := c.pipe.Traffic()
 		s.BytesIn += in
 		s.BytesOut += out
 	}
--- a/internal/controlplane/member/member.go
+++ b/internal/controlplane/member/member.go
@@ -93,17 +93,17 @@
 
 // conn is a link that something follows on.
 type followerConn struct {
-	pipe *transport.Pipe
+	pipe *transport.FrameConn
 	name string
 }
 
 // voteLink is what goes to and comes from another voter, each on a connection of its own.
 type voterLink struct {
 	peer    client.Member
-	inbound *transport.Pipe
+	inbound *transport.FrameConn
 
 	mu       sync.Mutex
-	outbound *transport.Pipe
+	outbound *transport.FrameConn
 }
 
 // Run runs a member until ctx ends.
@@ -255,8 +255,8 @@
 		select {
 		case <-m.ctx.Done():
 			return
-		case <-m.mailbox.Some():
-			notes = m.mailbox.Take(notes)
+		case <-m.mailbox.Ready():
+			notes = m.mailbox.TakeAll(notes)
 			for _, note := range notes {
 				note()
 			}
@@ -360,7 +360,7 @@
 	v.mu.Lock()
 	p := v.outbound
 	v.mu.Unlock()
-	if p != nil && p.Waiting() < maxVoterQueueMiB<<20 {
+	if p != nil && p.QueuedBytes() < maxVoterQueueMiB<<20 {
 		p.Send(data)
 	}
 }
@@ -382,7 +382,7 @@
 			v.outbound = nil
 			v.mu.Unlock()
 			m.log.Warn("voter lost", "name", v.peer.Name, "error", err)
-		} else if errors.Is(err, transport.ErrKey) {
+		} else if errors.Is(err, transport.ErrWrongKey) {
 			m.logRefused(v.peer.Name, err)
 		}
 		select {
@@ -429,9 +429,9 @@
 	defer c.Close()
 	stop := context.AfterFunc(m.ctx, func() { _ = c.Close() })
 	defer stop()
-	p := transport.NewPipe(c)
+	p := transport.NewFrameConn(c)
 	who := c.RemoteAddr().String()
-	from, _, err := transport.Take(c, p.Reader(), m.controlPlane.Keys, client.HandshakeFleet(m.controlPlane.Fleet), m.self.Name, m.incarnation())
+	from, _, err := transport.ServerHandshake(c, p.Reader(), m.controlPlane.Keys, client.HandshakeFleet(m.controlPlane.Fleet), m.self.Name, m.incarnation())
 	what := ""
 	if err == nil {
 		_ = c.SetReadDeadline(time.Now().Add(headerTimeout))
@@ -474,7 +474,7 @@
 var errTooManyFollowers = errors.New("too many links")
 
 // serve has a follower followed until its link ends; ends that can be are no error.
-func (m *Member) serveFollower(p *transport.Pipe, name string) error {
+func (m *Member) serveFollower(p *transport.FrameConn, name string) error {
 	told := make(chan uint64, 1)
 	m.mailbox.Put(func() {
 		if len(m.followers) >= maxFollowers {
@@ -522,7 +522,7 @@
 		})
 	})
 	m.mailbox.Put(func() {
-		in, out, _, _ := p.Counts()
+		in, out, _, _ := p.Traffic()
 		m.closedBytesIn += in
 		m.closedBytesOut += out
 		if m.followers[id] != nil {
@@ -540,7 +540,7 @@
 
 // unusual is an end that should not be: a frame too long, no end of a connection.
 func ignoreExpectedClose(err error) error {
-	var long *transport.LongError
+	var long *transport.FrameTooLongError
 	if errors.As(err, &long) {
 		return err
 	}
@@ -548,7 +548,7 @@
 }
 
 // vote takes another voter's messages; a later link takes the place of one before.
-func (m *Member) serveVoter(p *transport.Pipe, name string) error {
+func (m *Member) serveVoter(p *transport.FrameConn, name string) error {
 	id := m.voterIDs[name]
 	v := m.voterLinks[id]
 	if v == nil {
--- a/internal/controlplane/member/member_test.go
+++ b/internal/controlplane/member/member_test.go
@@ -230,11 +230,11 @@
 		ends(c)
 	}
 	c := dial()
-	_, err = transport.Call(c, [][]byte{bytes.Repeat([]byte{9}, 32)}, client.HandshakeFleet("f"), "n1", "c1", 1)
-	require.ErrorIs(t, err, transport.ErrKey)
+	_, err = transport.ClientHandshake(c, [][]byte{bytes.Repeat([]byte{9}, 32)}, client.HandshakeFleet("f"), "n1", "c1", 1)
+	require.ErrorIs(t, err, transport.ErrWrongKey)
 	ends(c)
 	c = dial()
-	_, err = transport.Call(c, p.Keys, "f", "n1", "c1", 1) // as a peer of that name would
+	_, err = transport.ClientHandshake(c, p.Keys, "f", "n1", "c1", 1) // as a peer of that name would
 	require.Error(t, err)
 	ends(c)
 	opening := func(version int, what string) []byte {
@@ -254,7 +254,7 @@
 		"a caller's long":    {opening(client.ProtocolVersion, client.PurposeCall), long},
 	} {
 		c := dial()
-		_, err := transport.Call(c, p.Keys, client.HandshakeFleet("f"), "n1", "c1", 1)
+		_, err := transport.ClientHandshake(c, p.Keys, client.HandshakeFleet("f"), "n1", "c1", 1)
 		require.NoError(t, err, what)
 		for _, f := range frames {
 			if bytes.Equal(f, long) {
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,6 +1,9 @@
-// Package mailbox is how actors are told things: putting never blocks, so that no two of them can wait for
-// each other. What lies in a box is bounded by what its senders hold: ops on open connections, their pushes,
-// one call for the list.
+// Package mailbox holds the queue of messages of an actor, which is a goroutine that alone uses its fields and learns of
+// everything else by messages.
+//
+// Putting a message never blocks, so no two actors can wait for each other. A mailbox has no bound of its own: its length is
+// bounded by what its senders have in flight, such as requests on open connections, their attempts and one poll of the
+// endpoint list.
 package mailbox
 
 import (
@@ -8,53 +11,57 @@
 	"sync"
 )
 
-// Box holds what was put and not yet taken, in order.
+// Box holds the messages that were put and not yet taken, in order. All its methods may be called from any goroutine.
 type Box[T any] struct {
-	mu    sync.Mutex
-	items []T
-	some  chan struct{}
+	mu       sync.Mutex
+	messages []T
+	ready    chan struct{} // holds one token while there may be messages
 }
 
-func New[T any]() *Box[T] { return &Box[T]{some: make(chan struct{}, 1)} }
+// New returns an empty mailbox.
+func New[T any]() *Box[T] { return &Box[T]{ready: make(chan struct{}, 1)} }
 
-func (b *Box[T]) Put(item T) {
+// Put adds a message behind all others.
+func (b *Box[T]) Put(message T) {
 	b.mu.Lock()
-	b.items = append(b.items, item)
+	b.messages = append(b.messages, message)
 	b.mu.Unlock()
-	b.tell()
+	b.signal()
 }
 
-// PutFirst puts in front of what lies there: for what an operator asks, who waits for the answer.
-func (b *Box[T]) PutFirst(item T) {
+// PutFirst adds a message before all others. It is meant for calls of operators, who wait for the answer.
+func (b *Box[T]) PutFirst(message T) {
 	b.mu.Lock()
-	b.items = slices.Insert(b.items, 0, item)
+	b.messages = slices.Insert(b.messages, 0, message)
 	b.mu.Unlock()
-	b.tell()
+	b.signal()
 }
 
-func (b *Box[T]) tell() {
+func (b *Box[T]) signal() {
 	select {
-	case b.some <- struct{}{}:
-	default:
+	case b.ready <- struct{}{}:
+	default: // signalled already
 	}
 }
 
-// Some is readable when there may be something to take.
-func (b *Box[T]) Some() <-chan struct{} { return b.some }
+// Ready returns a channel that can be received from when there may be messages. A receiver has to call TakeAll after it, as
+// one signal may stand for many messages.
+func (b *Box[T]) Ready() <-chan struct{} { return b.ready }
 
-// Take empties the box; spare, used up before, becomes its next store.
-func (b *Box[T]) Take(spare []T) []T {
+// TakeAll empties the mailbox and returns its messages. The slice spare, whose messages have been handled, is cleared and
+// becomes the mailbox's next buffer.
+func (b *Box[T]) TakeAll(spare []T) []T {
 	clear(spare)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	items := b.items
-	b.items = spare[:0]
-	return items
+	messages := b.messages
+	b.messages = spare[:0]
+	return messages
 }
 
-// Len is how much lies there.
+// Len returns the number of messages.
 func (b *Box[T]) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.items)
+	return len(b.messages)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -238,8 +238,8 @@
 		select {
 		case <-n.done:
 			return
-		case <-n.mailbox.Some():
-			messages = n.mailbox.Take(messages)
+		case <-n.mailbox.Ready():
+			messages = n.mailbox.TakeAll(messages)
 		case <-n.timer.C:
 			messages = append(messages[:0], func() { n.decider.TimerFired(n.now) })
 		}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -178,8 +178,8 @@
 				p.dropOut(k)
 			}
 			return
-		case <-p.box.Some():
-			notes = p.box.Take(notes)
+		case <-p.box.Ready():
+			notes = p.box.TakeAll(notes)
 			for _, note := range notes {
 				note()
 			}
@@ -291,12 +291,12 @@
 		c, err := d.DialContext(p.ctx, "tcp", to.Address)
 		if err == nil {
 			var life uint64
-			if life, err = transport.Call(c, p.t.Keys, p.t.Fleet, p.t.Members[p.t.Self].Name, to.Name, p.life); err == nil {
+			if life, err = transport.ClientHandshake(c, p.t.Keys, p.t.Fleet, p.t.Members[p.t.Self].Name, to.Name, p.life); err == nil {
 				wait = againFrom
 				p.carry(k, c, life)
 			} else {
 				_ = c.Close()
-				if p.ctx.Err() == nil && err == transport.ErrKey {
+				if p.ctx.Err() == nil && err == transport.ErrWrongKey {
 					p.sayOdd(to.Name, err)
 				}
 			}
@@ -398,7 +398,7 @@
 	stop := context.AfterFunc(p.ctx, func() { _ = c.Close() })
 	defer stop()
 	r := bufio.NewReaderSize(c, 64<<10)
-	name, life, err := transport.Take(c, r, p.t.Keys, p.t.Fleet, p.t.Members[p.t.Self].Name, p.life)
+	name, life, err := transport.ServerHandshake(c, r, p.t.Keys, p.t.Fleet, p.t.Members[p.t.Self].Name, p.life)
 	from := -1
 	for k, m := range p.t.Members {
 		if m.Name == name && k != p.t.Self {
--- /dev/null
+++ b/internal/peers/transport/handshake.go
@@ -0,0 +1,165 @@
+package transport
+
+import (
+	"bufio"
+	"crypto/hmac"
+	"crypto/rand"
+	"crypto/sha256"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"time"
+
+	"pearknot/internal/snapshot"
+)
+
+// The handshake:
+//
+//  1. the client sends its Hello;
+//  2. the server sends its own Hello and a MAC over both;
+//  3. the client checks that MAC, and sends a MAC of its own over both.
+//
+// A MAC is keyed with a key of the fleet and covers the side that sent it and the nonces of both, so that neither a MAC of an
+// earlier connection nor the other side's can be used in its place.
+
+// version is the version of the handshake. What travels on the connection afterwards has its own.
+const version = 1
+
+const (
+	// maxHelloBytes bounds what an unproven process makes this one read.
+	maxHelloBytes = 1 << 10
+	// handshakeTimeout bounds the handshake, so that an unproven process holds no descriptor for longer.
+	handshakeTimeout = 2 * time.Second
+	nonceBytes       = 16
+)
+
+// The sides in a MAC, as all builds write them.
+const (
+	serverSide = "taken"
+	clientSide = "calls"
+)
+
+// ErrWrongKey is a MAC by a key that this process does not accept.
+var ErrWrongKey = errors.New("wrong key")
+
+// errMalformedHello is a Hello without a nonce or an incarnation.
+var errMalformedHello = errors.New("malformed hello")
+
+// Hello is what either side says first. It is encoded by the order of its fields.
+type Hello struct {
+	Version     int
+	Fleet       string
+	From, To    string // names of processes
+	Incarnation uint64 // of the sender
+	Nonce       []byte
+}
+
+// proof is the server's message, encoded by the order of its fields.
+type proof struct {
+	Hello Hello
+	MAC   []byte
+}
+
+// NewHello returns a Hello for one connection, with a fresh nonce.
+func NewHello(fleet, from, to string, incarnation uint64) Hello {
+	hello := Hello{Version: version, Fleet: fleet, From: from, To: to, Incarnation: incarnation, Nonce: make([]byte, nonceBytes)}
+	_, _ = rand.Read(hello.Nonce) // never fails
+	return hello
+}
+
+// check reports what is wrong with a Hello that came from a process to another. An empty from accepts any name.
+func (h *Hello) check(fleet, from, to string) error {
+	switch {
+	case h.Version != version:
+		return fmt.Errorf("handshake of version %d, this build has %d", h.Version, version)
+	case h.Fleet != fleet:
+		return fmt.Errorf("fleet %.40q is not %.40q", h.Fleet, fleet)
+	case from != "" && h.From != from || h.To != to:
+		return fmt.Errorf("hello from %.40q to %.40q, wanted from %.40q to %.40q", h.From, h.To, from, to)
+	case len(h.Nonce) != nonceBytes || h.Incarnation == 0:
+		return errMalformedHello
+	}
+	return nil
+}
+
+// computeMAC returns the MAC of one side over the client's and the server's Hello.
+func computeMAC(key []byte, side string, client, server *Hello) []byte {
+	mac := hmac.New(sha256.New, key)
+	_, _ = io.WriteString(mac, side)
+	for _, hello := range []*Hello{client, server} {
+		encoded := snapshot.Append(nil, hello)
+		_ = binary.Write(mac, binary.BigEndian, uint32(len(encoded)))
+		_, _ = mac.Write(encoded)
+	}
+	return mac.Sum(nil)
+}
+
+// isAuthentic reports whether a MAC was made with one of the keys.
+func isAuthentic(keys [][]byte, side string, client, server *Hello, mac []byte) bool {
+	for _, key := range keys {
+		if hmac.Equal(mac, computeMAC(key, side, client, server)) {
+			return true
+		}
+	}
+	return false
+}
+
+// ClientHandshake opens a connection to a process by its name, and returns the process's incarnation. The first key is used
+// to prove, each of them is accepted. The error is ErrWrongKey if the server's key is none of them.
+func ClientHandshake(conn net.Conn, keys [][]byte, fleet, from, to string, incarnation uint64) (serverIncarnation uint64, err error) {
+	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
+	defer func() { _ = conn.SetDeadline(time.Time{}) }()
+	client := NewHello(fleet, from, to, incarnation)
+	if err := WriteFrame(conn, snapshot.Append(nil, &client)); err != nil {
+		return 0, err
+	}
+	data, err := ReadFrame(conn, maxHelloBytes)
+	if err != nil {
+		return 0, err
+	}
+	var server proof
+	if err := snapshot.Read(data, &server); err != nil {
+		return 0, err
+	}
+	if err := server.Hello.check(fleet, to, from); err != nil {
+		return 0, err
+	}
+	if !isAuthentic(keys, serverSide, &client, &server.Hello, server.MAC) {
+		return 0, ErrWrongKey
+	}
+	return server.Hello.Incarnation, WriteFrame(conn, computeMAC(keys[0], clientSide, &client, &server.Hello))
+}
+
+// ServerHandshake answers the handshake of a connection that another process opened, and returns that process's name and
+// incarnation. It reads through r, which may have read further than the handshake. Any name is accepted: a holder of the
+// key may give itself any. The error is ErrWrongKey if the client's key is none of the keys.
+func ServerHandshake(conn net.Conn, r *bufio.Reader, keys [][]byte, fleet, self string, incarnation uint64) (from string, clientIncarnation uint64, err error) {
+	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
+	defer func() { _ = conn.SetDeadline(time.Time{}) }()
+	data, err := ReadFrame(r, maxHelloBytes)
+	if err != nil {
+		return "", 0, err
+	}
+	var client Hello
+	if err := snapshot.Read(data, &client); err != nil {
+		return "", 0, err
+	}
+	if err := client.check(fleet, "", self); err != nil {
+		return "", 0, err
+	}
+	server := NewHello(fleet, self, client.From, incarnation)
+	answer := proof{Hello: server, MAC: computeMAC(keys[0], serverSide, &client, &server)}
+	if err := WriteFrame(conn, snapshot.Append(nil, &answer)); err != nil {
+		return "", 0, err
+	}
+	mac, err := ReadFrame(r, maxHelloBytes)
+	if err != nil {
+		return "", 0, err
+	}
+	if !isAuthentic(keys, clientSide, &client, &server, mac) {
+		return "", 0, ErrWrongKey
+	}
+	return client.From, client.Incarnation, nil
+}
--- a/internal/peers/transport/keys.go
+++ b/internal/peers/transport/keys.go
@@ -8,28 +8,36 @@
 	"strings"
 )
 
-// ReadKeys reads keys of 32 bytes in hexadecimal, a line each: the first proves, all are taken, so that a key is changed
-// by adding the new one everywhere, putting it first everywhere, and taking the old one out.
+// keyBytes is the size of a key of a fleet.
+const keyBytes = 32
+
+// ReadKeys reads a file of keys, one a line in hexadecimal; empty lines and those that begin with # are skipped. The file
+// must be readable by its owner alone.
+//
+// The first key is used to prove, each of them is accepted. So a key is changed without a gap by adding the new one on all
+// machines, putting it first on all machines, and removing the old one.
 func ReadKeys(name string) (keys [][]byte, err error) {
-	f, err := os.Open(name)
+	file, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	if info, err := f.Stat(); err != nil {
+	defer func() { _ = file.Close() }() // only read from
+	info, err := file.Stat()
+	if err != nil {
 		return nil, err
-	} else if info.Mode().Perm()&0o077 != 0 {
+	}
+	if info.Mode().Perm()&0o077 != 0 {
 		return nil, fmt.Errorf("%s may be read by others: mode %v, not 0600", name, info.Mode().Perm())
 	}
-	lines := bufio.NewScanner(f)
-	for n := 1; lines.Scan(); n++ {
+	lines := bufio.NewScanner(file)
+	for number := 1; lines.Scan(); number++ {
 		text := strings.TrimSpace(lines.Text())
 		if text == "" || strings.HasPrefix(text, "#") {
 			continue
 		}
 		key, err := hex.DecodeString(text)
-		if err != nil || len(key) != 32 {
-			return nil, fmt.Errorf("%s:%d: no 32 bytes in hexadecimal", name, n)
+		if err != nil || len(key) != keyBytes {
+			return nil, fmt.Errorf("%s:%d: no %d bytes in hexadecimal", name, number, keyBytes)
 		}
 		keys = append(keys, key)
 	}
--- a/internal/peers/transport/transport_test.go
+++ b/internal/peers/transport/transport_test.go
@@ -17,137 +17,163 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// two are the ends of a connection.
-func two(t *testing.T) (a, b net.Conn) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+var testKey = bytes.Repeat([]byte{1}, 32)
+
+// connPair returns both ends of a TCP connection.
+func connPair(t *testing.T) (a, b net.Conn) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
-	a, err = net.Dial("tcp", l.Addr().String())
+	defer listener.Close()
+	a, err = net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
-	b, err = l.Accept()
+	b, err = listener.Accept()
 	require.NoError(t, err)
 	t.Cleanup(func() { _, _ = a.Close(), b.Close() })
 	return a, b
 }
 
-var key = bytes.Repeat([]byte{1}, 32)
-
-// Any name that proves the key is told to the taker: whether it may call is the taker's to say. What follows the proof at once is not
-// lost in the handshake's reading.
-func TestTakerDecides(t *testing.T) {
-	a, b := two(t)
-	called := make(chan error, 1)
+// A process that has the key connects under a name that nobody expects. The handshake hands the name to the accepting side,
+// which decides. The client's first frame comes right behind the handshake and must not be lost in its read buffer.
+func TestServerDecidesByName(t *testing.T) {
+	clientConn, serverConn := connPair(t)
+	clientDone := make(chan error, 1)
 	go func() {
-		_, err := Call(a, [][]byte{key}, "f", "nobody's name", "c1", 7)
-		called <- errors.Join(err, WriteFrame(a, []byte("first")))
+		_, err := ClientHandshake(clientConn, [][]byte{testKey}, "f", "nobody's name", "c1", 7)
+		clientDone <- errors.Join(err, WriteFrame(clientConn, []byte("first")))
 	}()
-	p := NewPipe(b)
-	from, life, err := Take(b, p.Reader(), [][]byte{key}, "f", "c1", 9)
+	server := NewFrameConn(serverConn)
+	from, incarnation, err := ServerHandshake(serverConn, server.Reader(), [][]byte{testKey}, "f", "c1", 9)
 	require.NoError(t, err)
 	require.Equal(t, "nobody's name", from)
-	require.Equal(t, uint64(7), life)
-	require.NoError(t, <-called)
-	took := make(chan string, 1)
-	go func() { _ = p.Run(100, 0, func(data []byte) { took <- string(data) }, nil) }()
-	require.Equal(t, "first", <-took)
-	p.Close()
+	require.Equal(t, uint64(7), incarnation)
+	require.NoError(t, <-clientDone)
+	received := make(chan string, 1)
+	go func() { _ = server.Run(100, 0, func(frame []byte) { received <- string(frame) }, nil) }()
+	require.Equal(t, "first", <-received)
+	server.Close()
+}
+
+// runningPair is two connected FrameConns, the first of which runs.
+type runningPair struct {
+	first, second *FrameConn
+	received      chan []byte // by the first
+	sent          chan int    // by the first
+	ended         chan error  // results of Run
 }
 
-// Frames go both ways; what has left the queue is told; a frame too long, a silence and a close end it, each by its own error.
-func TestPipe(t *testing.T) {
-	begin := func(most uint32, silent time.Duration) (p, q *Pipe, got chan []byte, sent chan int, ended chan error) {
-		a, b := two(t)
-		p, q = NewPipe(a), NewPipe(b)
-		got, sent, ended = make(chan []byte, 100), make(chan int, 100), make(chan error, 2)
-		go func() { ended <- p.Run(most, silent, func(data []byte) { got <- data }, func(n int) { sent <- n }) }()
-		return p, q, got, sent, ended
+func startPair(t *testing.T, maxFrameBytes uint32, idleTimeout time.Duration) *runningPair {
+	t.Helper()
+	a, b := connPair(t)
+	pair := &runningPair{
+		first:    NewFrameConn(a),
+		second:   NewFrameConn(b),
+		received: make(chan []byte, 100),
+		sent:     make(chan int, 100),
+		ended:    make(chan error, 2),
 	}
-	p, q, got, sent, ended := begin(100, 0)
-	others := make(chan []byte, 100)
-	go func() { ended <- q.Run(100, 0, func(data []byte) { others <- data }, nil) }()
-	p.Send([]byte("one"))
-	q.Send([]byte("three"))
-	q.Send(nil)
-	require.Equal(t, "one", string(<-others))
-	require.Equal(t, "three", string(<-got))
-	require.Empty(t, <-got)
-	require.Equal(t, 3, <-sent)
-	require.Zero(t, p.Waiting())
-	in, out, framesIn, framesOut := p.Counts()
-	require.Equal(t, []int64{13, 7, 2, 1}, []int64{in, out, framesIn, framesOut})
-	q.Send(make([]byte, 101))
-	var long *LongError
+	go func() {
+		pair.ended <- pair.first.Run(maxFrameBytes, idleTimeout,
+			func(frame []byte) { pair.received <- frame }, func(bytes int) { pair.sent <- bytes })
+	}()
+	return pair
+}
+
+// Frames go both ways, also empty ones, and are counted; the sender learns what has left its queue. A frame that is too
+// long, a silence and a Close end the connection, each with its own error.
+func TestFrameConn(t *testing.T) {
+	pair := startPair(t, 100, 0)
+	receivedBySecond := make(chan []byte, 100)
+	go func() {
+		pair.ended <- pair.second.Run(100, 0, func(frame []byte) { receivedBySecond <- frame }, nil)
+	}()
+	pair.first.Send([]byte("one"))
+	pair.second.Send([]byte("three"))
+	pair.second.Send(nil)
+	require.Equal(t, "one", string(<-receivedBySecond))
+	require.Equal(t, "three", string(<-pair.received))
+	require.Empty(t, <-pair.received)
+	require.Equal(t, 3, <-pair.sent)
+	require.Zero(t, pair.first.QueuedBytes())
+	bytesIn, bytesOut, framesIn, framesOut := pair.first.Traffic()
+	require.Equal(t, []int64{13, 7, 2, 1}, []int64{bytesIn, bytesOut, framesIn, framesOut})
+
+	pair.second.Send(make([]byte, 101))
+	var tooLong *FrameTooLongError
 	for range 2 {
-		if err := <-ended; !errors.As(err, &long) {
-			require.Error(t, err) // the other end's
+		if err := <-pair.ended; !errors.As(err, &tooLong) {
+			require.Error(t, err) // of the side whose connection was closed
 		}
 	}
-	require.Equal(t, uint32(101), long.Size)
+	require.Equal(t, uint32(101), tooLong.Size)
 
-	p, _, _, _, ended = begin(100, 50*time.Millisecond)
-	err := <-ended
-	var late net.Error
-	require.True(t, errors.As(err, &late) && late.Timeout(), "%v", err)
+	silent := startPair(t, 100, 50*time.Millisecond)
+	err := <-silent.ended
+	var netErr net.Error
+	require.True(t, errors.As(err, &netErr) && netErr.Timeout(), "%v", err)
 
-	p, _, _, _, ended = begin(100, 0)
-	p.Close()
-	require.ErrorIs(t, <-ended, ErrClosed)
-	p.Close()
+	closed := startPair(t, 100, 0)
+	closed.first.Close()
+	require.ErrorIs(t, <-closed.ended, ErrClosed)
+	closed.first.Close()
 }
 
-// A frame that comes slowly is no silence, and is heard of before it is whole.
-func TestAFrameInParts(t *testing.T) {
-	a, b := two(t)
-	p := NewPipe(b)
-	heard, got := make(chan bool, 100), make(chan []byte, 1)
-	p.Heard(func() { heard <- true })
-	go func() { _ = p.Run(1000, 10*time.Second, func(data []byte) { got <- data }, nil) }()
-	var whole bytes.Buffer
-	require.NoError(t, WriteFrame(&whole, bytes.Repeat([]byte("x"), 500)))
-	_, err := a.Write(whole.Next(200))
+// A long frame comes slowly, as over a link of little bandwidth. It is not silence: the receiver learns of the progress
+// before the frame is complete.
+func TestSlowFrameIsProgress(t *testing.T) {
+	a, b := connPair(t)
+	receiver := NewFrameConn(b)
+	progress, received := make(chan bool, 100), make(chan []byte, 1)
+	receiver.OnProgress(func() { progress <- true })
+	go func() { _ = receiver.Run(1000, 10*time.Second, func(frame []byte) { received <- frame }, nil) }()
+	var encoded bytes.Buffer
+	require.NoError(t, WriteFrame(&encoded, bytes.Repeat([]byte("x"), 500)))
+	_, err := a.Write(encoded.Next(200))
 	require.NoError(t, err)
-	<-heard
-	require.Empty(t, got)
-	_, err = io.Copy(a, &whole)
+	<-progress
+	require.Empty(t, received)
+	_, err = io.Copy(a, &encoded)
 	require.NoError(t, err)
-	require.Len(t, <-got, 500)
-	p.Close()
+	require.Len(t, <-received, 500)
+	receiver.Close()
 }
 
-// One that reads nothing keeps nobody waiting who sends, and Close ends a write that hangs.
-func TestAReaderThatReadsNothing(t *testing.T) {
-	a, _ := two(t)
-	p, ended := NewPipe(a), make(chan error, 1)
-	go func() { ended <- p.Run(100, 0, func([]byte) {}, nil) }()
+// The other side reads nothing, as a frozen process does. Whoever sends is not blocked, and Close ends a write that hangs.
+func TestPeerThatReadsNothing(t *testing.T) {
+	a, _ := connPair(t)
+	conn, ended := NewFrameConn(a), make(chan error, 1)
+	go func() { ended <- conn.Run(100, 0, func([]byte) {}, nil) }()
 	for range 100 {
-		p.Send(make([]byte, 256<<10))
+		conn.Send(make([]byte, 256<<10))
 	}
-	require.Greater(t, p.Waiting(), int64(1<<20))
-	p.Close()
+	require.Greater(t, conn.QueuedBytes(), int64(1<<20))
+	conn.Close()
 	select {
-	case <-ended:
+	case err := <-ended:
+		require.ErrorIs(t, err, ErrClosed)
 	case <-time.After(5 * time.Second):
-		t.Fatal("it goes on")
+		t.Fatal("Run did not return after Close")
 	}
 }
 
+// A file of keys is read in its order, and refused where a key is malformed, where there is none, and where others may read it.
 func TestKeys(t *testing.T) {
-	file := filepath.Join(t.TempDir(), "k")
+	name := filepath.Join(t.TempDir(), "k")
 	write := func(text string, mode os.FileMode) {
-		require.NoError(t, os.WriteFile(file, []byte(text), mode))
-		require.NoError(t, os.Chmod(file, mode))
+		require.NoError(t, os.WriteFile(name, []byte(text), mode))
+		require.NoError(t, os.Chmod(name, mode))
 	}
-	one, other := strings.Repeat("0a", 32), strings.Repeat("0b", 32)
-	write("# the new one first\n"+one+"\n\n"+other+"\n", 0o600)
-	keys, err := ReadKeys(file)
+	first, second := strings.Repeat("0a", 32), strings.Repeat("0b", 32)
+	write("# the new one first\n"+first+"\n\n"+second+"\n", 0o600)
+	keys, err := ReadKeys(name)
 	require.NoError(t, err)
 	require.Equal(t, [][]byte{bytes.Repeat([]byte{10}, 32), bytes.Repeat([]byte{11}, 32)}, keys)
-	for want, text := range map[string]string{"k:2: no 32 bytes": one + "\nabc\n", "no key": "# none\n"} {
+	for want, text := range map[string]string{"k:2: no 32 bytes": first + "\nabc\n", "no key": "# none\n"} {
 		write(text, 0o600)
-		_, err = ReadKeys(file)
+		_, err = ReadKeys(name)
 		require.ErrorContains(t, err, want)
 	}
-	write(one, 0o640)
-	_, err = ReadKeys(file)
+	write(first, 0o640)
+	_, err = ReadKeys(name)
 	require.ErrorContains(t, err, "may be read by others")
 }
--- a/internal/upstream/backend.go
+++ b/internal/upstream/backend.go
@@ -96,8 +96,8 @@
 	var notes []func()
 	for !p.closing || p.activeCalls > 0 {
 		select {
-		case <-p.mailbox.Some():
-			notes = p.mailbox.Take(notes)
+		case <-p.mailbox.Ready():
+			notes = p.mailbox.TakeAll(notes)
 			for _, note := range notes {
 				note()
 			}
