--- a/internal/controlsocket/status.go
+++ b/internal/controlsocket/status.go
@@ -85,12 +85,12 @@
 
 // TLS is what a node serves beside plain connections.
 type TLS struct {
-	Listen       string            `json:"listen"`
-	Dir          string            `json:"dir"`    // the store
-	Orders       bool              `json:"orders"` // this instance does, for all on the store
-	OrderedBy    int               `json:"ordered_by,omitempty"`
+	Listen       string                `json:"listen"`
+	Dir          string                `json:"dir"`    // the store
+	Orders       bool                  `json:"orders"` // this instance does, for all on the store
+	OrderedBy    int                   `json:"ordered_by,omitempty"`
 	Handshakes   server.HandshakeStats `json:"handshakes"`
-	Certificates []acme.Status     `json:"certificates"`
+	Certificates []acme.Status         `json:"certificates"`
 }
 
 // Worst is the certificate that ends first, with those that are missing before all.
