--- a/internal/server/client_gone_logged_test.go
+++ b/internal/server/client_gone_logged_test.go
@@ -21,145 +21,150 @@
 )
 
 // unused is an address for a member of a fleet, on a loopback address of its own.
-func unused(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.0.0.3:0")
+func unusedAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.3:0")
 	require.NoError(t, err)
-	defer l.Close()
-	return l.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
-// keepers are three processes' links, all of the first one's through relays that may be slow.
-func keepers(t *testing.T) (first *peers.Peers, slow func(time.Duration)) {
+// startRequestLog starts the request log of three nodes and returns the first one's. Its links pass through proxies that delayPeers
+// makes slow.
+func startRequestLog(t *testing.T) (first *peers.Peers, delayPeers func(time.Duration)) {
+	t.Helper()
 	log := slog.New(slog.DiscardHandler)
-	var real []string
+	var addresses []string
 	for range 3 {
-		real = append(real, unused(t))
+		addresses = append(addresses, unusedAddress(t))
 	}
-	var relays []*faultproxy.Wire
-	relay := func(to string) string {
-		w, err := faultproxy.Open(to)
+	var proxies []*faultproxy.Wire
+	startProxy := func(to string) string {
+		proxy, err := faultproxy.Open(to)
 		require.NoError(t, err)
-		t.Cleanup(w.Close)
-		relays = append(relays, w)
-		return w.Address()
+		t.Cleanup(proxy.Close)
+		proxies = append(proxies, proxy)
+		return proxy.Address()
 	}
 	for self := range 3 {
-		terms := peers.Config{Fleet: "f", Replicas: 3, Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, MaxLogBytes: 1 << 20, AnswerTTL: 60e3, Self: self}
-		for k, name := range []string{"a", "b", "c"} {
-			address := real[k]
-			if k != self && (k == 0 || self == 0) {
-				address = relay(address)
+		options := peers.Config{Fleet: "f", Replicas: 3, Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, MaxLogBytes: 1 << 20, AnswerTTL: 60e3, Self: self}
+		for i, name := range []string{"a", "b", "c"} {
+			address := addresses[i]
+			if i != self && (i == 0 || self == 0) {
+				address = startProxy(address)
 			}
-			terms.Members = append(terms.Members, peers.Member{Name: name, Address: address})
+			options.Members = append(options.Members, peers.Member{Name: name, Address: address})
 		}
-		p := peers.New(terms, clock.New(), func(requestlog.Entry) {}, log)
-		p.Start()
-		t.Cleanup(p.Stop)
+		links := peers.New(options, clock.New(), func(requestlog.Entry) {}, log)
+		links.Start()
+		t.Cleanup(links.Stop)
 		if self == 0 {
-			first = p
+			first = links
 		}
 	}
 	return first, func(delay time.Duration) {
-		for _, w := range relays {
-			w.Set(faultproxy.Fault{Delay: delay})
+		for _, proxy := range proxies {
+			proxy.Set(faultproxy.Fault{Delay: delay})
 		}
 	}
 }
 
-// The same with a request that other processes keep, whose retry or hedge waits for its record in the replicated log: what had
-// begun goes on, as whoever comes with its key wants its outcome, but nothing further begins, nor a retry of that retry. A first
-// attempt has TestAKeptOpWhoseClientLeavesBeforeItsRecord.
-func TestNothingBeginsForAKeptRequestWhoseClientHasGone(t *testing.T) {
-	for kind, name := range map[int]string{retry: "retry", hedge: "hedge"} {
-		for _, w := range ways {
-			t.Run(name+", "+w.name, func(t *testing.T) {
+// The client of a logged request leaves while a retry or hedge waits for its record in the request log. The attempt that has begun
+// goes on, as whoever asks with the key wants its outcome, but no further one may begin, nor a retry of that retry. For a first
+// attempt see cmd/pearknot/peers_test.go.
+func TestNoAttemptBeginsForLoggedRequestWhoseClientHasGone(t *testing.T) {
+	for kind, name := range map[int]string{retryAttempt: "retry", hedgeAttempt: "hedge"} {
+		for _, how := range departures {
+			t.Run(name+", "+how.name, func(t *testing.T) {
 				t.Parallel()
-				for met, try := false, 0; !met; try++ { // on a busy machine the first attempt's own record may take until a hedge is due
-					require.Less(t, try, 9)
-					t.Run(fmt.Sprint(try), func(t *testing.T) { met = leftBeforeRecord(t, kind, w) || t.Failed() })
+				for done, round := false, 0; !done; round++ { // on a busy machine the first attempt's own record may take until a hedge is due
+					require.Less(t, round, 9)
+					t.Run(fmt.Sprint(round), func(t *testing.T) { done = goneBeforeRecord(t, kind, how) || t.Failed() })
 				}
 			})
 		}
 	}
 }
 
-// kept is a front whose requests two other processes keep as well, before three backends.
-func kept(t *testing.T, a *attempts, g *gate) (f *Server, slow func(time.Duration)) {
-	keep, slow := keepers(t)
-	list := &discovery.List{Complete: true}
-	for k := range 3 {
-		list.Endpoints = append(list.Endpoints, member(k, a.backend()))
+// startLoggingServer starts a server whose requests are logged with two other nodes, before three backends.
+func startLoggingServer(t *testing.T, backends *attemptRecorder, pausing *pausingDecider) (srv *Server, delayPeers func(time.Duration)) {
+	t.Helper()
+	links, delayPeers := startRequestLog(t)
+	endpoints := &discovery.List{Complete: true}
+	for i := range 3 {
+		endpoints.Endpoints = append(endpoints.Endpoints, testEndpoint(i, backends.startBackend()))
 	}
-	f, _, _ = fronted(t, 256, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3,
-		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, g.decide, list,
-		func(f *Server) {
-			f.node.LogRequests(keep)
-			f.LogRequests(RequestLogging{Peers: keep, KeyHeader: "Idempotency-Key", Classes: map[string]bool{"check": false}, MaxAnswerBytes: 1 << 10})
+	srv, _, _ = startServer(t, 256, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3,
+		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, pausing.decide, endpoints,
+		func(srv *Server) {
+			srv.node.LogRequests(links)
+			srv.LogRequests(RequestLogging{Peers: links, KeyHeader: "Idempotency-Key", Classes: map[string]bool{"check": false}, MaxAnswerBytes: 1 << 10})
 		})
-	require.Eventually(t, func() bool { // a majority answers
-		told := make(chan requestlog.Result, 1)
-		now := f.clock.Now()
-		keep.Lookup("x", 1, now+1000, func(r requestlog.Reply) { told <- r.Result })
-		return <-told == requestlog.KeyUnused
+	require.Eventually(t, func() bool { // a majority of the log answers
+		results := make(chan requestlog.Result, 1)
+		now := srv.clock.Now()
+		links.Lookup("x", 1, now+1000, func(reply requestlog.Reply) { results <- reply.Result })
+		return <-results == requestlog.KeyUnused
 	}, 30*time.Second, 10*time.Millisecond)
-	return f, slow
+	return srv, delayPeers
 }
 
-// keyed is a request with a key.
-func keyed(said string) string {
-	return strings.Replace(said, "X-Qos", "Idempotency-Key: k\r\nX-Qos", 1)
+// withKey adds a key to a request.
+func withKey(text string) string {
+	return strings.Replace(text, "X-Qos", "Idempotency-Key: k\r\nX-Qos", 1)
 }
 
-// leftBeforeRecord tells whether it met its moment.
-func leftBeforeRecord(t *testing.T, kind int, w way) bool {
-	a := newAttempts(t, 1)
-	g := newGate(1)
-	g.wanted = a.some
-	f, slow := kept(t, a, g)
-	said := sized("a", map[int]int{retry: 2000, hedge: 300}[kind])
-	leave := w.begin(t, f, keyed(said))
-	<-a.began
-	if kind == retry {
-		a.answer <- fails
+// goneBeforeRecord reports whether the attempt came at the moment that the test is about.
+func goneBeforeRecord(t *testing.T, kind int, how departure) bool {
+	t.Helper()
+	backends := newAttemptRecorder(t, 1)
+	pausing := newPausingDecider(1)
+	pausing.isExpected = backends.hasAny
+	srv, delayPeers := startLoggingServer(t, backends, pausing)
+	text := requestWithCostHint("a", map[int]int{retryAttempt: 2000, hedgeAttempt: 300}[kind])
+	leave := how.begin(t, srv, withKey(text))
+	<-backends.began
+	if kind == retryAttempt {
+		backends.responses <- serverErrorResponse
 	}
-	<-g.decided
-	if a.void = g.wentBy; a.void {
+	<-pausing.decided
+	if backends.ignored = pausing.missed; backends.ignored {
 		leave()
-		seen(t, f)
-		a.answer <- fails
-		a.answer <- fails
-		over(t, f, 0)
+		waitUntilClientsGone(t, srv)
+		backends.responses <- serverErrorResponse
+		backends.responses <- serverErrorResponse
+		waitForOpenRequests(t, srv, 0)
 		return false
 	}
-	slow(250 * time.Millisecond) // its record takes 0.5 s
-	close(g.let)
-	close(g.on)
-	_, err := f.node.Status(t.Context())
+	delayPeers(250 * time.Millisecond) // the attempt's record takes 0.5 s
+	close(pausing.release)
+	close(pausing.resume)
+	_, err := srv.node.Status(t.Context())
 	require.NoError(t, err)
 	leave()
-	seen(t, f)
-	slow(0)
-	if kind == hedge {
-		a.answer <- fails
+	waitUntilClientsGone(t, srv)
+	delayPeers(0)
+	if kind == hedgeAttempt {
+		backends.responses <- serverErrorResponse
 	}
-	over(t, f, 0)
+	waitForOpenRequests(t, srv, 0)
 	return true
 }
 
-// A client leaves, a line behind its request, while the other processes are asked for its key: that was looked at only with their
-// answer, 1.5 s later at the most, and the request taken first where that was Free, or Alone and it may go on so.
-func TestAClientThatLeavesDuringALookIsSeen(t *testing.T) {
-	a := newAttempts(t, 0)
-	f, slow := kept(t, a, newGate(-1))
-	slow(700 * time.Millisecond)
-	c := connected(t, f, keyed(sized("a", 1)))
-	require.Eventually(t, func() bool { return f.openRequests.Load() == 1 }, 10*time.Second, time.Millisecond)
-	_, err := io.WriteString(c, "\r\n") // net/http reads it and looks no further
+// A client leaves, with a line behind its request, while the request log looks its key up. Once that was noticed only with the log's
+// reply, up to 1.5 s later, and the request was submitted first where the key was unused or the class proceeds without quorum.
+func TestClientThatLeavesDuringLookupIsNoticed(t *testing.T) {
+	backends := newAttemptRecorder(t, 0)
+	srv, delayPeers := startLoggingServer(t, backends, newPausingDecider(-1))
+	delayPeers(700 * time.Millisecond)
+	conn := connectAndSend(t, srv, withKey(requestWithCostHint("a", 1)))
+	require.Eventually(t, func() bool { return srv.openRequests.Load() == 1 }, 10*time.Second, time.Millisecond)
+	_, err := io.WriteString(conn, "\r\n") // net/http reads it and does not look for the client's end any more
 	require.NoError(t, err)
-	begun := time.Now()
-	end(c)
-	seen(t, f)
-	require.Less(t, time.Since(begun), time.Second, "an answer takes 1.4 s")
-	slow(0)
-	over(t, f, 0)
+	start := time.Now()
+	closeConn(conn)
+	waitUntilClientsGone(t, srv)
+	require.Less(t, time.Since(start), time.Second, "a reply takes 1.4 s")
+	delayPeers(0)
+	waitForOpenRequests(t, srv, 0)
 }
--- a/internal/server/client_gone_test.go
+++ b/internal/server/client_gone_test.go
@@ -22,36 +22,38 @@
 	"pearknot/internal/discovery"
 )
 
-// A client that closes or cancels has gone: nothing may begin for it 0.1 s later, first attempt, retry or hedge. A busy machine may
-// take longer than that to hear of the close at all, so the moment is held instead: what would send stands still, the client leaves,
-// the front has taken that in, and only then does it go on. Then not one attempt may begin, however soon; how soon the front
-// hears is lookEvery's to bound where net/http does not watch.
+// A client that closes its connection or cancels has gone, and 0.1 s later no attempt may begin for it: no first attempt, retry or
+// hedge. A busy machine may take longer than that to notice the close at all. The tests therefore stop whatever would send at the
+// moment in question, let the client leave, wait until the server has noticed, and go on. From then on not one attempt may begin.
+// How soon the server notices is bounded by disconnectCheckInterval where net/http does not look.
 //
-// A cancel is the end of a connection here, since one carries one request at a time and TLS offers no protocol but HTTP/1.1: an
-// HTTP client's own cancel, the end of the sending alone, or TLS's own end with the connection left open.
-
-// attempts is what began at stand-in backends: the first byte of each counts, whole or not.
-type attempts struct {
-	t       *testing.T
-	began   chan bool
-	answer  chan string // to one attempt
-	reading sync.WaitGroup
-
-	mu    sync.Mutex
-	n     int
-	conns int
-	void  bool // another moment than the one meant: nothing to judge
+// A cancel is the end of a connection here, since a connection carries one request at a time and TLS offers no protocol but
+// HTTP/1.1. It may be an HTTP client's own cancel, the end of its sending alone, or TLS's end with the TCP connection left open.
+
+// attemptRecorder runs backends and records the attempts that begin there: the first byte of each counts.
+type attemptRecorder struct {
+	t         *testing.T
+	began     chan bool
+	responses chan string // to one attempt
+	reading   sync.WaitGroup
+
+	mu      sync.Mutex
+	count   int
+	conns   int
+	ignored bool // the attempts came at another moment than the test is about: nothing is asserted
 }
 
-func (a *attempts) some() bool {
+func (a *attemptRecorder) hasAny() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.n > 0
+	return a.count > 0
 }
 
-// newAttempts judges last, once the node has ended: what was written to a backend has been read by then.
-func newAttempts(t *testing.T, want int) *attempts {
-	a := &attempts{t: t, began: make(chan bool, 64), answer: make(chan string, 1)}
+// newAttemptRecorder makes a recorder that expects want attempts. It asserts last, once the node has stopped: all that was written
+// to a backend has been read by then.
+func newAttemptRecorder(t *testing.T, want int) *attemptRecorder {
+	t.Helper()
+	a := &attemptRecorder{t: t, began: make(chan bool, 64), responses: make(chan string, 1)}
 	t.Cleanup(func() {
 		read := make(chan bool)
 		go func() {
@@ -61,184 +63,198 @@
 		select {
 		case <-read:
 		case <-time.After(10 * time.Second):
-			t.Error("an attempt is still out")
+			t.Error("an attempt is still in flight")
 		}
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		if !a.void {
-			assert.Equal(t, want, a.n, "attempts in all")
-			assert.Equal(t, want, a.conns, "nor does a connection come up for another")
+		if !a.ignored {
+			assert.Equal(t, want, a.count, "attempts in all")
+			assert.Equal(t, want, a.conns, "nor is a connection opened for another")
 		}
 	})
 	return a
 }
 
-// backend stands in for one. It reads each connection, which brings one attempt, to its end.
-func (a *attempts) backend() (address string) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// startBackend starts a backend. It reads each connection, which carries one attempt, to its end.
+func (a *attemptRecorder) startBackend() (address string) {
+	a.t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(a.t, err)
-	last := net.IPv4(127, 0, 0, 2) // whose connection comes behind all others
+	lastClient := net.IPv4(127, 0, 0, 2) // whose connection comes behind all others
 	a.reading.Go(func() {
-		defer l.Close()
-		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
-			if c.RemoteAddr().(*net.TCPAddr).IP.Equal(last) {
-				_ = c.Close()
+		defer listener.Close()
+		for conn, err := listener.Accept(); err == nil; conn, err = listener.Accept() {
+			if conn.RemoteAddr().(*net.TCPAddr).IP.Equal(lastClient) {
+				_ = conn.Close()
 				return
 			}
 			a.mu.Lock()
 			a.conns++
 			a.mu.Unlock()
-			a.reading.Go(func() { a.read(c) })
+			a.reading.Go(func() { a.serveConn(conn) })
 		}
 	})
 	a.t.Cleanup(func() {
-		c, err := (&net.Dialer{LocalAddr: &net.TCPAddr{IP: last}}).Dial("tcp", l.Addr().String())
+		conn, err := (&net.Dialer{LocalAddr: &net.TCPAddr{IP: lastClient}}).Dial("tcp", listener.Addr().String())
 		if assert.NoError(a.t, err) {
-			_ = c.Close()
+			_ = conn.Close()
 		}
 	})
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-func (a *attempts) read(c net.Conn) {
-	defer c.Close()
-	if _, err := c.Read(make([]byte, 1)); err != nil {
+func (a *attemptRecorder) serveConn(conn net.Conn) {
+	defer conn.Close()
+	if _, err := conn.Read(make([]byte, 1)); err != nil {
 		return
 	}
 	a.mu.Lock()
-	a.n++
+	a.count++
 	a.mu.Unlock()
 	a.began <- true
 	ended := make(chan bool)
 	go func() {
 		defer close(ended)
-		_, _ = io.Copy(io.Discard, c)
+		_, _ = io.Copy(io.Discard, conn)
 	}()
 	select {
-	case text := <-a.answer:
-		_, _ = io.WriteString(c, text)
+	case response := <-a.responses:
+		_, _ = io.WriteString(conn, response)
 		<-ended
 	case <-ended:
 	}
 }
 
-// unreachable is a backend no connection to which comes up until it is let; connecting tells whether one is on its way.
-func (a *attempts) unreachable() (address string, connecting func() bool, let, arrived func()) {
+// startUnreachableBackend starts a backend to which no connection opens until allowConnection. isConnecting reports whether one is
+// being opened, and awaitArrival waits for it and what is written to it.
+func (a *attemptRecorder) startUnreachableBackend() (address string, isConnecting func() bool, allowConnection, awaitArrival func()) {
+	a.t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
 	require.NoError(a.t, err)
 	require.NoError(a.t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	require.NoError(a.t, unix.Listen(fd, 0))
-	at, err := unix.Getsockname(fd)
+	name, err := unix.Getsockname(fd)
 	require.NoError(a.t, err)
-	port := at.(*unix.SockaddrInet4).Port
+	port := name.(*unix.SockaddrInet4).Port
 	address = fmt.Sprintf("127.0.0.1:%d", port)
-	full, err := net.Dial("tcp", address) // the only place in its queue
+	filler, err := net.Dial("tcp", address) // has the only place in the listener's queue
 	require.NoError(a.t, err)
-	var taken []int
-	take := func() bool {
-		c, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK)
+	var accepted []int
+	accept := func() bool {
+		conn, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK)
 		if err == nil {
-			taken = append(taken, c)
+			accepted = append(accepted, conn)
 		}
 		return err == nil
 	}
-	a.t.Cleanup(func() { // the node has ended: whatever it wrote here lies here
-		for take() {
+	a.t.Cleanup(func() { // the node has stopped: all that it wrote has arrived
+		for accept() {
 		}
-		for _, c := range taken {
-			if n, _ := unix.Read(c, make([]byte, 1)); n > 0 {
-				a.n++
+		for _, conn := range accepted {
+			if n, _ := unix.Read(conn, make([]byte, 1)); n > 0 {
+				a.count++
 			}
-			_ = unix.Close(c)
+			_ = unix.Close(conn)
 		}
-		_ = full.Close()
+		_ = filler.Close()
 		_ = unix.Close(fd)
 	})
-	connecting = func() bool {
+	isConnecting = func() bool {
 		table, err := os.ReadFile("/proc/self/net/tcp")
 		require.NoError(a.t, err)
 		return strings.Contains(string(table), fmt.Sprintf(" 0100007F:%04X 02 ", port)) // SYN_SENT
 	}
-	let = func() { require.Eventually(a.t, take, 10*time.Second, time.Millisecond) }
-	arrived = func() { // and what begins there has
-		require.Eventually(a.t, take, 20*time.Second, time.Millisecond)
-		_, _ = unix.Poll([]unix.PollFd{{Fd: int32(taken[1]), Events: unix.POLLIN}}, 100)
+	allowConnection = func() { require.Eventually(a.t, accept, 10*time.Second, time.Millisecond) }
+	awaitArrival = func() {
+		require.Eventually(a.t, accept, 20*time.Second, time.Millisecond)
+		_, _ = unix.Poll([]unix.PollFd{{Fd: int32(accepted[1]), Events: unix.POLLIN}}, 100)
 	}
-	return address, connecting, let, arrived
+	return address, isConnecting, allowConnection, awaitArrival
 }
 
-// gate is a module that stands still before one push is handed on and behind it, as one with very many backends and decisions to
-// make does: the node's actor hears of nothing meanwhile.
-type gate struct {
+// pausingDecider is a balancer that stops before it gives out one attempt and again behind it, as one with very many backends and
+// decisions to make may. The node's actor hears of nothing meanwhile.
+type pausingDecider struct {
 	balancer.Decider
-	number  int // of the push among its request's; -1 is none
-	decided chan bool
-	let     chan bool   // hand it on
-	on      chan bool   // go on behind it
-	at      int         // 1 behind it, 2 far behind
-	wanted  func() bool // whether it is the moment that is meant, or goes by; nil is always
-	wentBy  bool
+	number     int // of the attempt at which it stops; -1 is none
+	decided    chan bool
+	release    chan bool // gives the attempt out
+	resume     chan bool // goes on behind the attempt
+	stage      pauseStage
+	isExpected func() bool // whether the attempt comes at the moment that the test is about; nil is always
+	missed     bool        // it did not: nothing was stopped
 }
 
-func newGate(number int) *gate {
-	return &gate{number: number, decided: make(chan bool), let: make(chan bool), on: make(chan bool)}
+// pauseStage is how far a pausingDecider is.
+type pauseStage int
+
+const (
+	beforeAttempt pauseStage = iota
+	behindAttempt
+	resumed
+)
+
+func newPausingDecider(number int) *pausingDecider {
+	return &pausingDecider{number: number, decided: make(chan bool), release: make(chan bool), resume: make(chan bool)}
 }
 
-func (g *gate) decide(t *balancer.Config, now float64) balancer.Decider {
-	g.Decider = balancer.New(t, now)
-	return g
+func (p *pausingDecider) decide(options *balancer.Config, now float64) balancer.Decider {
+	p.Decider = balancer.New(options, now)
+	return p
 }
 
-func (g *gate) Next() (balancer.Decision, bool) {
-	if g.at == 1 {
-		g.at = 2
-		<-g.on
+func (p *pausingDecider) Next() (balancer.Decision, bool) {
+	if p.stage == behindAttempt {
+		p.stage = resumed
+		<-p.resume
 	}
-	d, more := g.Decider.Next()
-	if more && g.at == 0 && d.Kind == balancer.DoAttempt && d.Attempt.Number == g.number {
-		g.wentBy = g.wanted != nil && !g.wanted()
-		close(g.decided)
-		if g.at = 2; !g.wentBy {
-			g.at = 1
-			<-g.let
+	decision, more := p.Decider.Next()
+	if more && p.stage == beforeAttempt && decision.Kind == balancer.DoAttempt && decision.Attempt.Number == p.number {
+		p.missed = p.isExpected != nil && !p.isExpected()
+		close(p.decided)
+		p.stage = resumed
+		if !p.missed {
+			p.stage = behindAttempt
+			<-p.release
 		}
 	}
-	return d, more
+	return decision, more
 }
 
-// way is how a client leaves that has sent a request.
-type way struct {
+// departure is a way in which a client leaves. begin connects and sends a request, leave leaves.
+type departure struct {
 	name  string
-	begin func(t *testing.T, f *Server, said string) (leave func())
+	begin func(t *testing.T, srv *Server, text string) (leave func())
 }
 
-func plainly(end func(net.Conn)) func(*testing.T, *Server, string) func() {
-	return func(t *testing.T, f *Server, said string) func() {
-		c := connected(t, f, said)
-		return func() { end(c) }
+// plainDeparture is one of a client over plain HTTP.
+func plainDeparture(leave func(net.Conn)) func(*testing.T, *Server, string) func() {
+	return func(t *testing.T, srv *Server, text string) func() {
+		conn := connectAndSend(t, srv, text)
+		return func() { leave(conn) }
 	}
 }
 
-var ways = []way{
-	{"FIN", plainly(end)},
-	{"RST", plainly(reset)},
-	{"end of its sending", plainly(func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() })},
-	{"TLS's own end alone", func(t *testing.T, f *Server, said string) func() {
-		c, err := dial(f, &tls.Config{})
+var departures = []departure{
+	{"FIN", plainDeparture(closeConn)},
+	{"RST", plainDeparture(closeWithReset)},
+	{"end of its sending", plainDeparture(func(conn net.Conn) { _ = conn.(*net.TCPConn).CloseWrite() })},
+	{"TLS's own end alone", func(t *testing.T, srv *Server, text string) func() {
+		conn, err := dialTLS(srv, &tls.Config{})
 		require.NoError(t, err)
-		t.Cleanup(func() { _ = c.Close() })
-		_, err = io.WriteString(c, said)
+		t.Cleanup(func() { _ = conn.Close() })
+		_, err = io.WriteString(conn, text)
 		require.NoError(t, err)
-		return func() { _ = c.CloseWrite() }
+		return func() { _ = conn.CloseWrite() }
 	}},
-	{"an HTTP client's cancel", func(t *testing.T, f *Server, said string) func() {
-		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(said)))
+	{"an HTTP client's cancel", func(t *testing.T, srv *Server, text string) func() {
+		request, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		require.NoError(t, err)
-		r.RequestURI, r.URL.Scheme, r.URL.Host = "", "http", f.Address()
+		request.RequestURI, request.URL.Scheme, request.URL.Host = "", "http", srv.Address()
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error)
 		go func() {
-			_, err := (&http.Transport{}).RoundTrip(r.WithContext(ctx))
+			_, err := (&http.Transport{}).RoundTrip(request.WithContext(ctx))
 			ended <- err
 		}()
 		return func() {
@@ -248,176 +264,187 @@
 	}},
 }
 
-// long is a way with a body that is passed on as it comes, so that net/http does not watch for the client.
-func long(w way) way {
-	begin := w.begin
-	w.begin = func(t *testing.T, f *Server, said string) func() {
-		return begin(t, f, strings.Replace(said, "Content-Length: 0\r\n\r\n", "Content-Length: 70000\r\n\r\n"+strings.Repeat("x", 70_000), 1))
+// withLongBody is a departure with a body that is streamed, so that net/http does not look for the client's end.
+func withLongBody(how departure) departure {
+	begin := how.begin
+	how.begin = func(t *testing.T, srv *Server, text string) func() {
+		return begin(t, srv, strings.Replace(text, "Content-Length: 0\r\n\r\n", "Content-Length: 70000\r\n\r\n"+strings.Repeat("x", 70_000), 1))
 	}
-	w.name += " behind a long body"
-	return w
+	how.name += " behind a long body"
+	return how
 }
 
 const (
-	first = iota
-	retry
-	hedge
+	firstAttempt = iota
+	retryAttempt
+	hedgeAttempt
 )
 
-const fails = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+const serverErrorResponse = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
-func TestNothingBeginsForAClientThatHasGone(t *testing.T) {
+func TestNoAttemptBeginsForClientThatHasGone(t *testing.T) {
 	type moment struct {
 		name string
-		play func(*testing.T, int, way)
+		play func(*testing.T, int, departure)
 	}
-	for _, m := range []moment{{"waits in the module", leftWaiting}, {"lies in the actor's mailbox", leftInMailbox},
-		{"dials", leftDialling}, {"dials, its end in the mailbox", leftDiallingUnheard}} {
+	const queued, dialing = "queued", "dialing"
+	for _, when := range []moment{{queued, goneWhileQueued}, {"in the actor's mailbox", goneWhileInMailbox},
+		{dialing, goneDuringDial}, {"dialing, the end in the mailbox", goneDuringDialUnnoticed}} {
 		for kind, name := range []string{"first", "retry", "hedge"} {
-			all := ways
-			if kind == first {
-				all = append(all[:len(all):len(all)], long(ways[0]), long(ways[1]))
+			ways := departures
+			if kind == firstAttempt {
+				ways = append(ways[:len(ways):len(ways)], withLongBody(departures[0]), withLongBody(departures[1]))
 			}
-			for _, w := range all {
-				if kind == first && (m.name == "waits in the module" || m.name == "dials") && (w.name == "FIN" || w.name == "RST" || strings.Contains(w.name, "long")) {
-					continue // TestAnOpWhoseClientHasLeftIsNotSentOn, TestAnOpWhoseClientLeavesDuringADial
+			for _, how := range ways {
+				if kind == firstAttempt && (when.name == queued || when.name == dialing) && (how.name == "FIN" || how.name == "RST" || strings.Contains(how.name, "long")) {
+					continue // TestRequestWhoseClientHasGoneIsNotSent, TestRequestWhoseClientLeavesDuringDialIsNotSent
 				}
-				t.Run(fmt.Sprintf("%s %s, %s", name, m.name, w.name), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s %s, %s", name, when.name, how.name), func(t *testing.T) {
 					t.Parallel()
-					m.play(t, kind, w)
+					when.play(t, kind, how)
 				})
 			}
 		}
 	}
 }
 
-// gone is a front whose node has so many backends, each of which takes what comes; terms are of what may be sent again.
-func gone(t *testing.T, g *gate, addresses ...string) *Server {
-	list := &discovery.List{Complete: true}
-	for k, address := range addresses {
-		list.Endpoints = append(list.Endpoints, member(k, address))
+// startServerWithBackends starts a server of a node with the backends at addresses and a class that may be retried and hedged.
+func startServerWithBackends(t *testing.T, pausing *pausingDecider, addresses ...string) *Server {
+	t.Helper()
+	endpoints := &discovery.List{Complete: true}
+	for i, address := range addresses {
+		endpoints.Endpoints = append(endpoints.Endpoints, testEndpoint(i, address))
 	}
-	f, _, _ := fronted(t, 256, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3,
-		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, g.decide, list)
-	return f
+	srv, _, _ := startServer(t, 256, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3,
+		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, pausing.decide, endpoints)
+	return srv
 }
 
-func member(k int, address string) discovery.Endpoint {
-	return discovery.Endpoint{Name: fmt.Sprint("s", k), Address: address, State: balancer.BackendReady, Weight: 1}
+func testEndpoint(number int, address string) discovery.Endpoint {
+	return discovery.Endpoint{Name: fmt.Sprint("s", number), Address: address, State: balancer.BackendReady, Weight: 1}
 }
 
-// over waits until the front has seen so many requests off, and the node each of their attempts.
-func over(t *testing.T, f *Server, left int) {
+// waitForOpenRequests waits until the server and the node have want open requests.
+func waitForOpenRequests(t *testing.T, srv *Server, want int) {
+	t.Helper()
 	require.Eventually(t, func() bool {
-		l, err := f.node.Status(t.Context())
-		return f.openRequests.Load() == int64(left) && err == nil && l.OpenRequests == left
+		status, err := srv.node.Status(t.Context())
+		return srv.openRequests.Load() == int64(want) && err == nil && status.OpenRequests == want
 	}, 10*time.Second, time.Millisecond)
 }
 
-// seen waits until the front has seen all clients leave.
-func seen(t *testing.T, f *Server) {
-	require.Eventually(t, func() bool { return f.openRequests.Load() == 0 }, 10*time.Second, time.Millisecond)
+// waitUntilClientsGone waits until the server has noticed all clients' departure.
+func waitUntilClientsGone(t *testing.T, srv *Server) {
+	t.Helper()
+	require.Eventually(t, func() bool { return srv.openRequests.Load() == 0 }, 10*time.Second, time.Millisecond)
 }
 
-// sized is a request whose hedge is due about so many times four ms after its first attempt.
-func sized(id string, ms int) string {
-	return strings.Replace(opOf(id, 0), "X-Size-Hint: 100", fmt.Sprintf("X-Size-Hint: %d000", ms), 1)
+// requestWithCostHint is a request whose hedge is due about 4 * ms after its first attempt.
+func requestWithCostHint(id string, ms int) string {
+	return strings.Replace(requestText(id, 0), "X-Size-Hint: 100", fmt.Sprintf("X-Size-Hint: %d000", ms), 1)
 }
 
-// leftWaiting: nothing is decided on yet. A first attempt waits for room, a retry for the attempt before it, a hedge for its time.
-func leftWaiting(t *testing.T, kind int, w way) {
-	most := map[int]int{first: 4, retry: 1, hedge: 1}[kind]
-	a := newAttempts(t, most)
-	g := newGate(-1)
-	if kind == first { // of a backend of which nothing is known a node has four out
-		f := gone(t, g, a.backend())
-		var fill []net.Conn
-		for k := range most {
-			fill = append(fill, connected(t, f, sized(fmt.Sprint("fill ", k), 1000)))
-			<-a.began
+// goneWhileQueued: the client leaves before the balancer has decided on the attempt. A first attempt waits for capacity, a retry for
+// the attempt before it, a hedge for its time.
+func goneWhileQueued(t *testing.T, kind int, how departure) {
+	t.Helper()
+	attempts := map[int]int{firstAttempt: 4, retryAttempt: 1, hedgeAttempt: 1}[kind]
+	backends := newAttemptRecorder(t, attempts)
+	pausing := newPausingDecider(-1)
+	if kind == firstAttempt { // a node has four requests in flight at a backend of which it knows nothing
+		srv := startServerWithBackends(t, pausing, backends.startBackend())
+		var inFlight []net.Conn
+		for i := range attempts {
+			inFlight = append(inFlight, connectAndSend(t, srv, requestWithCostHint(fmt.Sprint("fill ", i), 1000)))
+			<-backends.began
 		}
-		leave := w.begin(t, f, sized("a", 1000))
-		require.Eventually(t, func() bool { return f.openRequests.Load() == int64(most+1) }, 10*time.Second, time.Millisecond)
+		leave := how.begin(t, srv, requestWithCostHint("a", 1000))
+		require.Eventually(t, func() bool { return srv.openRequests.Load() == int64(attempts+1) }, 10*time.Second, time.Millisecond)
 		leave()
-		over(t, f, most)
-		a.answer <- fails // makes room
-		over(t, f, most-1)
-		for _, c := range fill {
-			end(c)
+		waitForOpenRequests(t, srv, attempts)
+		backends.responses <- serverErrorResponse // frees capacity
+		waitForOpenRequests(t, srv, attempts-1)
+		for _, conn := range inFlight {
+			closeConn(conn)
 		}
-		over(t, f, 0)
+		waitForOpenRequests(t, srv, 0)
 		return
 	}
-	f := gone(t, g, a.backend(), a.backend(), a.backend())
-	leave := w.begin(t, f, sized("a", 2000))
-	<-a.began
+	srv := startServerWithBackends(t, pausing, backends.startBackend(), backends.startBackend(), backends.startBackend())
+	leave := how.begin(t, srv, requestWithCostHint("a", 2000))
+	<-backends.began
 	leave()
-	seen(t, f)
-	if kind == retry {
-		a.answer <- fails
+	waitUntilClientsGone(t, srv)
+	if kind == retryAttempt {
+		backends.responses <- serverErrorResponse
 	}
-	over(t, f, 0)
+	waitForOpenRequests(t, srv, 0)
 }
 
-// leftInMailbox: an attempt is decided on and not begun, and its client's end lies in the mailbox of an actor that stands still.
-func leftInMailbox(t *testing.T, kind int, w way) {
-	a := newAttempts(t, map[int]int{first: 0, retry: 1, hedge: 1}[kind])
-	g := newGate(map[int]int{first: 0, retry: 1, hedge: 1}[kind])
-	f := gone(t, g, a.backend(), a.backend(), a.backend())
-	leave := w.begin(t, f, sized("a", map[int]int{first: 1, retry: 2000, hedge: 1}[kind]))
-	if kind != first {
-		<-a.began
+// goneWhileInMailbox: the balancer has decided on the attempt, which has not begun, and the client's departure is in the mailbox of
+// an actor that has stopped.
+func goneWhileInMailbox(t *testing.T, kind int, how departure) {
+	t.Helper()
+	backends := newAttemptRecorder(t, map[int]int{firstAttempt: 0, retryAttempt: 1, hedgeAttempt: 1}[kind])
+	pausing := newPausingDecider(map[int]int{firstAttempt: 0, retryAttempt: 1, hedgeAttempt: 1}[kind])
+	srv := startServerWithBackends(t, pausing, backends.startBackend(), backends.startBackend(), backends.startBackend())
+	leave := how.begin(t, srv, requestWithCostHint("a", map[int]int{firstAttempt: 1, retryAttempt: 2000, hedgeAttempt: 1}[kind]))
+	if kind != firstAttempt {
+		<-backends.began
 	}
-	if kind == retry {
-		a.answer <- fails
+	if kind == retryAttempt {
+		backends.responses <- serverErrorResponse
 	}
-	<-g.decided
+	<-pausing.decided
 	leave()
-	seen(t, f)
-	close(g.let)
-	select { // what begins does so at once; that nothing does has no end to wait for
-	case <-a.began:
+	waitUntilClientsGone(t, srv)
+	close(pausing.release)
+	select { // an attempt would begin at once; that none does has no event to wait for
+	case <-backends.began:
 	case <-time.After(100 * time.Millisecond):
 	}
-	close(g.on)
-	over(t, f, 0)
+	close(pausing.resume)
+	waitForOpenRequests(t, srv, 0)
 }
 
-// leftDialling: an attempt's connection does not come up until its client has gone, which the node's actor has heard of by then.
-func leftDialling(t *testing.T, kind int, w way) { leftDuringDial(t, kind, w, newGate(-1)) }
+// goneDuringDial: the attempt's connection does not open until the client has gone and the node's actor has heard of that.
+func goneDuringDial(t *testing.T, kind int, how departure) {
+	goneDuringDialOf(t, kind, how, newPausingDecider(-1))
+}
 
-// leftDiallingUnheard: nor has it heard of that by then.
-func leftDiallingUnheard(t *testing.T, kind int, w way) {
-	leftDuringDial(t, kind, w, newGate(map[int]int{first: 0, retry: 1, hedge: 1}[kind]))
+// goneDuringDialUnnoticed: the same, and the node's actor has not heard of it.
+func goneDuringDialUnnoticed(t *testing.T, kind int, how departure) {
+	goneDuringDialOf(t, kind, how, newPausingDecider(map[int]int{firstAttempt: 0, retryAttempt: 1, hedgeAttempt: 1}[kind]))
 }
 
-func leftDuringDial(t *testing.T, kind int, w way, g *gate) {
-	a := newAttempts(t, map[int]int{first: 0, retry: 1, hedge: 1}[kind])
-	address, connecting, let, arrived := a.unreachable()
-	close(g.let)
-	var f *Server
+func goneDuringDialOf(t *testing.T, kind int, how departure, pausing *pausingDecider) {
+	t.Helper()
+	backends := newAttemptRecorder(t, map[int]int{firstAttempt: 0, retryAttempt: 1, hedgeAttempt: 1}[kind])
+	address, isConnecting, allowConnection, awaitArrival := backends.startUnreachableBackend()
+	close(pausing.release)
+	var srv *Server
 	var leave func()
-	if kind == first {
-		f = gone(t, g, address)
-		leave = w.begin(t, f, sized("a", 1))
+	if kind == firstAttempt {
+		srv = startServerWithBackends(t, pausing, address)
+		leave = how.begin(t, srv, requestWithCostHint("a", 1))
 	} else {
-		f = gone(t, g, a.backend())
-		leave = w.begin(t, f, sized("a", map[int]int{retry: 2000, hedge: 100}[kind]))
-		<-a.began
-		f.node.EndpointsChanged(&discovery.List{Version: 1, Endpoints: []discovery.Endpoint{member(9, address)}})
-		if kind == retry {
-			_, err := f.node.Status(t.Context()) // the list is taken
+		srv = startServerWithBackends(t, pausing, backends.startBackend())
+		leave = how.begin(t, srv, requestWithCostHint("a", map[int]int{retryAttempt: 2000, hedgeAttempt: 100}[kind]))
+		<-backends.began
+		srv.node.EndpointsChanged(&discovery.List{Version: 1, Endpoints: []discovery.Endpoint{testEndpoint(9, address)}})
+		if kind == retryAttempt {
+			_, err := srv.node.Status(t.Context()) // the endpoint list is applied
 			require.NoError(t, err)
-			a.answer <- fails
+			backends.responses <- serverErrorResponse
 		}
 	}
-	require.Eventually(t, connecting, 20*time.Second, time.Millisecond)
+	require.Eventually(t, isConnecting, 20*time.Second, time.Millisecond)
 	leave()
-	seen(t, f)
-	let()
-	if g.number >= 0 {
-		arrived()
-		close(g.on)
+	waitUntilClientsGone(t, srv)
+	allowConnection()
+	if pausing.number >= 0 {
+		awaitArrival()
+		close(pausing.resume)
 	}
-	over(t, f, 0)
+	waitForOpenRequests(t, srv, 0)
 }
--- a/internal/server/disconnect_test.go
+++ b/internal/server/disconnect_test.go
@@ -28,53 +28,55 @@
 	"pearknot/internal/node"
 )
 
-// busy is a backend that answers nothing until it is let.
-type busy struct {
+// slowBackend is a backend that responds to each request only when release is received from or closed.
+type slowBackend struct {
 	net.Listener
-	let chan struct{}
+	release chan struct{}
 
 	mu  sync.Mutex
-	ids []string // of the ops that came whole
+	ids []string // of the requests that came completely
 }
 
-func newBusy(t *testing.T) *busy {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func startSlowBackend(t *testing.T) *slowBackend {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	b := &busy{Listener: l, let: make(chan struct{})}
-	t.Cleanup(func() { _ = l.Close() })
+	b := &slowBackend{Listener: listener, release: make(chan struct{})}
+	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go b.serve(c)
+			go b.serve(conn)
 		}
 	}()
 	return b
 }
 
-func (b *busy) serve(c net.Conn) {
-	defer c.Close()
-	for r := bufio.NewReader(c); ; {
-		m, err := http.ReadRequest(r)
+func (b *slowBackend) serve(conn net.Conn) {
+	defer conn.Close()
+	for reader := bufio.NewReader(conn); ; {
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, m.Body); err != nil {
+		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
 		b.mu.Lock()
-		b.ids = append(b.ids, m.Header.Get(idHeader))
+		b.ids = append(b.ids, request.Header.Get(idHeader))
 		b.mu.Unlock()
-		<-b.let
-		if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"); err != nil {
+		<-b.release
+		if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"); err != nil {
 			return
 		}
 	}
 }
 
-func (b *busy) got() []string {
+// requestIDs are the sorted ids of the requests that came completely.
+func (b *slowBackend) requestIDs() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	ids := slices.Clone(b.ids)
@@ -82,160 +84,167 @@
 	return ids
 }
 
-// before is a front, plain and with TLS, of a node whose one backend is at address. Ops wait for it as long as need be.
-func before(t *testing.T, address string, limit int) (*Server, *descriptors.Budget) {
-	f, budget, _ := fronted(t, limit, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 1, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3, OverloadMultiple: 3,
+// startServerBefore starts a server of a node whose one backend is at address.
+func startServerBefore(t *testing.T, address string, limit int) (*Server, *descriptors.Budget) {
+	t.Helper()
+	srv, budget, _ := startServer(t, limit, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 1, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3, OverloadMultiple: 3,
 		OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1}}},
 		node.NewBalancer, &discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{Name: "s", Address: address, State: balancer.BackendReady, Weight: 1}}})
-	return f, budget
+	return srv, budget
 }
 
-// connected is a client's connection that has said something.
-func connected(t *testing.T, f *Server, said string) net.Conn {
-	c, err := net.Dial("tcp", f.Address())
+// connectAndSend connects to srv and sends text.
+func connectAndSend(t *testing.T, srv *Server, text string) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", srv.Address())
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = c.Close() })
-	_, err = io.WriteString(c, said)
+	t.Cleanup(func() { _ = conn.Close() })
+	_, err = io.WriteString(conn, text)
 	require.NoError(t, err)
-	return c
+	return conn
 }
 
-// occupied has a backend hold as many ops as a node of its own has out where nothing is known of it: what comes next waits.
-func occupied(t *testing.T, f *Server, b *busy) (first []net.Conn) {
-	for k := range 4 {
-		first = append(first, connected(t, f, opOf(fmt.Sprintf("first %d", k), 0)))
+// occupyBackend sends as many requests as the node has in flight at a backend of which it knows nothing; further ones are
+// queued. It returns their connections.
+func occupyBackend(t *testing.T, srv *Server, backend *slowBackend) (conns []net.Conn) {
+	t.Helper()
+	for i := range 4 {
+		conns = append(conns, connectAndSend(t, srv, requestText(fmt.Sprintf("first %d", i), 0)))
 	}
-	require.Eventually(t, func() bool { return len(b.got()) == 4 }, 10*time.Second, time.Millisecond)
-	return first
+	require.Eventually(t, func() bool { return len(backend.requestIDs()) == 4 }, 10*time.Second, time.Millisecond)
+	return conns
 }
 
-// served reads an answer that has to be 200.
-func served(t *testing.T, r *bufio.Reader) {
-	answer, err := http.ReadResponse(r, nil)
+// requireServed reads a response, which has to be 200 and keep the connection.
+func requireServed(t *testing.T, reader *bufio.Reader) {
+	t.Helper()
+	response, err := http.ReadResponse(reader, nil)
 	require.NoError(t, err)
-	_, _ = io.Copy(io.Discard, answer.Body)
-	assert.Equal(t, http.StatusOK, answer.StatusCode)
-	assert.False(t, answer.Close)
+	_, _ = io.Copy(io.Discard, response.Body)
+	assert.Equal(t, http.StatusOK, response.StatusCode)
+	assert.False(t, response.Close)
 }
 
-func opOf(id string, size int) string {
+// requestText is a request's header, for a body of size bytes.
+func requestText(id string, size int) string {
 	return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: %s\r\nX-Qos: check\r\nX-Expires-In-Ms: 50000\r\nX-Size-Hint: 100\r\nContent-Length: %d\r\n\r\n", id, size)
 }
 
-// Clients leave in every way while their ops wait: not one of these goes out afterwards. Those with bytes behind their op, or a
-// body not read yet, were not seen to leave, since net/http no longer looks or does not look yet.
-func TestAnOpWhoseClientHasLeftIsNotSentOn(t *testing.T) {
-	const each = 24
-	ways := map[string]struct {
+// Clients disconnect in every way while their requests are queued. Not one of the requests may be sent afterwards. Clients with
+// bytes behind their request, or with an unread body, once went unnoticed, since net/http does not look for their end.
+func TestRequestWhoseClientHasGoneIsNotSent(t *testing.T) {
+	const clientsEach = 24
+	departures := map[string]struct {
 		body, behind int // bytes
-		says         string
-		secure       bool
-		leave        func(c net.Conn)
+		behindText   string
+		overTLS      bool
+		leave        func(conn net.Conn)
 	}{
-		"plainly":                       {leave: end},
-		"by a reset":                    {leave: reset},
-		"with an op behind":             {says: "GET / HTTP/1.1\r\n\r\n", leave: end},
-		"with a line behind":            {says: "\r\n", leave: end},
-		"with a reset behind a line":    {says: "\r\n\r\n", leave: reset},
-		"with much behind":              {behind: 400_000, leave: end},
-		"with a long body":              {body: 70_000, leave: end}, // what is unread of it has room here, so that its end comes
-		"with a long body, by a reset":  {body: 70_000, leave: reset},
-		"over TLS":                      {secure: true, leave: end},
-		"over TLS, with a byte behind":  {secure: true, says: "x", leave: end},
-		"over TLS, without its own end": {secure: true, says: "x", leave: func(c net.Conn) { _ = c.(*tls.Conn).NetConn().Close() }},
+		"close":                     {leave: closeConn},
+		"reset":                     {leave: closeWithReset},
+		"a request behind":          {behindText: "GET / HTTP/1.1\r\n\r\n", leave: closeConn},
+		"a line behind":             {behindText: "\r\n", leave: closeConn},
+		"reset behind a line":       {behindText: "\r\n\r\n", leave: closeWithReset},
+		"much behind":               {behind: 400_000, leave: closeConn},
+		"a long body":               {body: 70_000, leave: closeConn}, // its unread part fits into the socket's buffer, so that the end comes
+		"a long body, reset":        {body: 70_000, leave: closeWithReset},
+		"over TLS":                  {overTLS: true, leave: closeConn},
+		"over TLS, a byte behind":   {overTLS: true, behindText: "x", leave: closeConn},
+		"over TLS, TCP close alone": {overTLS: true, behindText: "x", leave: func(c net.Conn) { _ = c.(*tls.Conn).NetConn().Close() }},
 	}
-	b := newBusy(t)
-	f, budget := before(t, b.Addr().String(), 1500)
-	first := occupied(t, f, b)
-	var all []net.Conn
+	backend := startSlowBackend(t)
+	srv, budget := startServerBefore(t, backend.Addr().String(), 1500)
+	first := occupyBackend(t, srv, backend)
+	var conns []net.Conn
 	var leave []func(net.Conn)
-	for name, w := range ways {
-		for k := range each {
-			said := opOf(fmt.Sprintf("left %s %d", name, k), w.body) + strings.Repeat("x", w.body)
-			var c net.Conn
-			if w.secure {
+	for name, how := range departures {
+		for i := range clientsEach {
+			text := requestText(fmt.Sprintf("left %s %d", name, i), how.body) + strings.Repeat("x", how.body)
+			var conn net.Conn
+			if how.overTLS {
 				var err error
-				c, err = dial(f, &tls.Config{})
+				conn, err = dialTLS(srv, &tls.Config{})
 				require.NoError(t, err)
-				_, err = io.WriteString(c, said)
+				_, err = io.WriteString(conn, text)
 				require.NoError(t, err)
 			} else {
-				c = connected(t, f, said)
+				conn = connectAndSend(t, srv, text)
 			}
-			all, leave = append(all, c), append(leave, w.leave)
-			require.Eventually(t, func() bool { return f.openRequests.Load() == int64(4+len(all)) }, 10*time.Second, time.Millisecond, name)
-			if says := w.says + strings.Repeat("x", w.behind); says != "" {
-				go func() { _, _ = io.WriteString(c, says) }()
+			conns, leave = append(conns, conn), append(leave, how.leave)
+			require.Eventually(t, func() bool { return srv.openRequests.Load() == int64(4+len(conns)) }, 10*time.Second, time.Millisecond, name)
+			if behind := how.behindText + strings.Repeat("x", how.behind); behind != "" {
+				go func() { _, _ = io.WriteString(conn, behind) }()
 			}
 		}
 	}
-	var gone sync.WaitGroup
-	for k, c := range all {
-		gone.Go(func() { leave[k](c) })
+	var leaving sync.WaitGroup
+	for i, conn := range conns {
+		leaving.Go(func() { leave[i](conn) })
 	}
-	gone.Wait()
-	require.Eventually(t, func() bool { return f.openRequests.Load() == 4 }, 10*time.Second, time.Millisecond, "each is seen")
-	close(b.let)
-	for _, c := range append(first, connected(t, f, opOf("last", 0))) { // what waits would go before it
-		served(t, bufio.NewReader(c))
-		_ = c.Close()
+	leaving.Wait()
+	require.Eventually(t, func() bool { return srv.openRequests.Load() == 4 }, 10*time.Second, time.Millisecond, "each departure is noticed")
+	close(backend.release)
+	for _, conn := range append(first, connectAndSend(t, srv, requestText("last", 0))) { // queued requests would go before it
+		requireServed(t, bufio.NewReader(conn))
+		_ = conn.Close()
 	}
-	assert.Equal(t, []string{"first 0", "first 1", "first 2", "first 3", "last"}, b.got())
-	require.Eventually(t, func() bool { return budget.Clients() == 2 }, 10*time.Second, time.Millisecond, "each descriptor is given back")
-	assert.LessOrEqual(t, disconnectCheckInterval, 50*time.Millisecond, "nothing may begin 0.1 s after an end: half of that is for looking")
+	assert.Equal(t, []string{"first 0", "first 1", "first 2", "first 3", "last"}, backend.requestIDs())
+	require.Eventually(t, func() bool { return budget.Clients() == 2 }, 10*time.Second, time.Millisecond, "each descriptor is returned")
+	assert.LessOrEqual(t, disconnectCheckInterval, 50*time.Millisecond, "no attempt may begin 0.1 s after a disconnect: half of that is for noticing it")
 }
 
-// A client sends a long body and leaves, and what lies unread of it, here and with the client, keeps the end of its connection from
-// coming: it is known to have left only once the body is passed on. The last of it is not, so that the backend begins nothing.
-func TestALongBodyWhoseClientHasLeftIsNotPassedOnWhole(t *testing.T) {
+// A client sends a long body and disconnects. Unread bytes, here and at the client, keep the end of its connection from coming, so
+// the disconnect is noticed only while the body is streamed. The backend must not get the body's end, so that it runs nothing.
+func TestLongBodyWhoseClientHasGoneIsNotCompleted(t *testing.T) {
 	for _, form := range []string{"Content-Length: 300000\r\n\r\n" + strings.Repeat("x", 300_000),
 		"Transfer-Encoding: chunked\r\n\r\n493e0\r\n" + strings.Repeat("x", 300_000) + "\r\n0\r\n\r\n"} {
-		b := newBusy(t)
-		f, _ := before(t, b.Addr().String(), 256)
-		first := occupied(t, f, b)
-		head, _, _ := strings.Cut(opOf("left", 0), "Content-Length")
-		c := connected(t, f, head+form)
-		require.Eventually(t, func() bool { return f.openRequests.Load() == 5 }, 10*time.Second, time.Millisecond)
-		require.NoError(t, c.Close())
-		close(b.let)
-		for _, c := range first {
-			served(t, bufio.NewReader(c))
+		backend := startSlowBackend(t)
+		srv, _ := startServerBefore(t, backend.Addr().String(), 256)
+		first := occupyBackend(t, srv, backend)
+		head, _, _ := strings.Cut(requestText("left", 0), "Content-Length")
+		conn := connectAndSend(t, srv, head+form)
+		require.Eventually(t, func() bool { return srv.openRequests.Load() == 5 }, 10*time.Second, time.Millisecond)
+		require.NoError(t, conn.Close())
+		close(backend.release)
+		for _, conn := range first {
+			requireServed(t, bufio.NewReader(conn))
 		}
-		require.Eventually(t, func() bool { return f.openRequests.Load() == 0 }, 10*time.Second, time.Millisecond)
-		assert.Equal(t, []string{"first 0", "first 1", "first 2", "first 3"}, b.got())
+		require.Eventually(t, func() bool { return srv.openRequests.Load() == 0 }, 10*time.Second, time.Millisecond)
+		assert.Equal(t, []string{"first 0", "first 1", "first 2", "first 3"}, backend.requestIDs())
 	}
 }
 
-func end(c net.Conn) { _ = c.Close() }
+func closeConn(conn net.Conn) { _ = conn.Close() }
 
-func reset(c net.Conn) {
-	_ = c.(*net.TCPConn).SetLinger(0)
-	_ = c.Close()
+func closeWithReset(conn net.Conn) {
+	_ = conn.(*net.TCPConn).SetLinger(0)
+	_ = conn.Close()
 }
 
-// The same while the connection to the backend does not come up: when it does at last, nothing is written to it.
-func TestAnOpWhoseClientLeavesDuringADialIsNotSent(t *testing.T) {
+// Clients disconnect while the connection to the backend is still being opened. When it opens at last, nothing may be written to
+// it.
+func TestRequestWhoseClientLeavesDuringDialIsNotSent(t *testing.T) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	defer unix.Close(fd)
 	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	require.NoError(t, unix.Listen(fd, 0))
-	at, err := unix.Getsockname(fd)
+	name, err := unix.Getsockname(fd)
 	require.NoError(t, err)
-	address := fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
-	full, err := net.Dial("tcp", address) // the only place in its queue
+	address := fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port)
+	filler, err := net.Dial("tcp", address) // has the only place in the listener's queue
 	require.NoError(t, err)
-	defer full.Close()
-	f, _ := before(t, address, 256)
-	for _, leave := range []func(net.Conn){end, reset} {
-		c := connected(t, f, opOf("a", 0))
-		require.Eventually(t, func() bool { return f.openRequests.Load() == 1 }, 10*time.Second, time.Millisecond)
-		leave(c)
-		require.Eventually(t, func() bool { return f.openRequests.Load() == 0 }, 10*time.Second, time.Millisecond)
+	defer filler.Close()
+	srv, _ := startServerBefore(t, address, 256)
+	for _, leave := range []func(net.Conn){closeConn, closeWithReset} {
+		conn := connectAndSend(t, srv, requestText("a", 0))
+		require.Eventually(t, func() bool { return srv.openRequests.Load() == 1 }, 10*time.Second, time.Millisecond)
+		leave(conn)
+		require.Eventually(t, func() bool { return srv.openRequests.Load() == 0 }, 10*time.Second, time.Millisecond)
 	}
-	taken, _, err := unix.Accept(fd) // there is room for others now
+	accepted, _, err := unix.Accept(fd) // the filler, which makes room for others
 	require.NoError(t, err)
-	_ = unix.Close(taken)
+	_ = unix.Close(accepted)
 	require.NoError(t, unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &unix.Timeval{Sec: 1, Usec: 500_000}))
 	for {
 		late, _, err := unix.Accept(fd)
@@ -244,115 +253,116 @@
 		}
 		var one [1]byte
 		n, _ := unix.Read(late, one[:])
-		assert.LessOrEqual(t, n, 0, "no byte of an op")
+		assert.LessOrEqual(t, n, 0, "no byte of a request")
 		_ = unix.Close(late)
 	}
 }
 
-// An op lies in the listener's queue, for want of a descriptor, for longer than its client waits: it is not sent at all. It
-// once was, at the moment at which it was read.
-func TestAnOpWhoseClientLeftInTheQueueIsNotSent(t *testing.T) {
-	b := newBusy(t)
-	close(b.let)
-	f, budget := before(t, b.Addr().String(), 256)
+// A connection waits in the listener's queue for a descriptor, for longer than its client waits. Its request must not be sent; once
+// it was, at the moment when it was read.
+func TestRequestWhoseClientLeftInListenerQueueIsNotSent(t *testing.T) {
+	backend := startSlowBackend(t)
+	close(backend.release)
+	srv, budget := startServerBefore(t, backend.Addr().String(), 256)
 	require.Eventually(t, func() bool { return budget.Clients() == 2 }, 10*time.Second, time.Millisecond, "both listeners wait")
-	held := 0
+	acquired := 0
 	for budget.Clients() < budget.MaxClients() {
 		require.True(t, budget.AcquireClient())
-		held++
+		acquired++
 	}
-	first := connected(t, f, "") // has the place that the listener holds already
+	first := connectAndSend(t, srv, "") // gets the descriptor that the listener has acquired already
 	require.Eventually(t, budget.HasWaitingClient, 10*time.Second, time.Millisecond)
-	require.NoError(t, connected(t, f, opOf("left", 0)).Close())
-	for range held {
+	require.NoError(t, connectAndSend(t, srv, requestText("left", 0)).Close())
+	for range acquired {
 		budget.ReleaseClient()
 	}
-	answer, err := health(first)
+	health, err := checkHealth(first)
 	require.NoError(t, err)
-	assert.Equal(t, "HTTP/1.1 200", answer)
-	served(t, bufio.NewReader(connected(t, f, opOf("last", 0))))
+	assert.Equal(t, "HTTP/1.1 200", health)
+	requireServed(t, bufio.NewReader(connectAndSend(t, srv, requestText("last", 0))))
 	require.Eventually(t, func() bool { return budget.Clients() == 4 }, 10*time.Second, time.Millisecond)
-	assert.Equal(t, []string{"last"}, b.got())
+	assert.Equal(t, []string{"last"}, backend.requestIDs())
 }
 
-// A line behind an op, as some clients end a body, costs nobody the connection; nor does a long body, the watch for whose client
-// ends with the answer while net/http reads on: it took that end for the client's, and dead-lettered each further op.
+// A line behind a request, with which some clients end a body, must not cost the connection, nor must a long body. The watch for
+// the client of a long body ends with the response while net/http reads on; once net/http took that for a disconnect, and each
+// further request of the connection failed.
 func TestWatchedClientsKeepTheirConnections(t *testing.T) {
-	b := newBusy(t)
-	f, _ := before(t, b.Addr().String(), 256)
-	c := connected(t, f, "")
-	r := bufio.NewReader(c)
-	for k, op := range []struct {
+	backend := startSlowBackend(t)
+	srv, _ := startServerBefore(t, backend.Addr().String(), 256)
+	conn := connectAndSend(t, srv, "")
+	reader := bufio.NewReader(conn)
+	for i, request := range []struct {
 		size   int
 		behind string
 	}{{3, "\r\n"}, {3, "\r\n"}, {150_000, ""}, {0, ""}, {150_000, "\r\n"}, {3, ""}} {
-		_, err := io.WriteString(c, opOf(fmt.Sprint(k), op.size)+strings.Repeat("x", op.size))
+		_, err := io.WriteString(conn, requestText(fmt.Sprint(i), request.size)+strings.Repeat("x", request.size))
 		require.NoError(t, err)
-		require.Eventually(t, func() bool { return len(b.got()) == k+1 }, 10*time.Second, time.Millisecond)
-		_, err = io.WriteString(c, op.behind)
+		require.Eventually(t, func() bool { return len(backend.requestIDs()) == i+1 }, 10*time.Second, time.Millisecond)
+		_, err = io.WriteString(conn, request.behind)
 		require.NoError(t, err)
-		b.let <- struct{}{}
-		served(t, r)
+		backend.release <- struct{}{}
+		requireServed(t, reader)
 	}
 }
 
-// A connection is let go between an op's last byte and the moment it is taken. No answer may go out, and net/http would make
-// one of its own, 200, for a handler that returns: over TLS, or before the door closes the connection, it got out.
-func TestAnOpNotTakenIsNotAnswered(t *testing.T) {
-	c, _ := pair(t)
-	f := &Server{log: slog.New(slog.DiscardHandler), clock: clock.New(), budget: c.budget, openIDs: map[string]struct{}{},
+// A connection is evicted between a request's last byte and the moment it is taken. No response may go out. net/http writes a 200
+// for a handler that returns, and once that got out over TLS, or before the admitter closed the connection.
+func TestRequestNotTakenIsNotAnswered(t *testing.T) {
+	conn, _ := connPair(t)
+	srv := &Server{log: slog.New(slog.DiscardHandler), clock: clock.New(), budget: conn.budget, openIDs: map[string]struct{}{},
 		admitter: &connectionAdmitter{core: admission.New(admission.Defaults(16))}}
-	f.deployment.Store(&config.Deployment{Classes: []string{"check"}})
-	for name, let := range map[string]func(){
-		"let go by the door":   func() { c.admissionID, c.admitter = 7, f.admitter }, // which does not know it any more
-		"closed in the moment": func() { c.admissionID, c.closed = 0, true },
+	srv.deployment.Store(&config.Deployment{Classes: []string{"check"}})
+	for name, evict := range map[string]func(){
+		"evicted": func() { conn.admissionID, conn.admitter = 7, srv.admitter }, // which does not know it any more
+		"closed":  func() { conn.admissionID, conn.closed = 0, true },
 	} {
-		let()
+		evict()
 		r := httptest.NewRequest("GET", "/api", nil)
 		r.Header = http.Header{"X-Trace-Id": {"a"}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"480"}}
-		w := httptest.NewRecorder()
-		assert.PanicsWithValue(t, http.ErrAbortHandler, func() { f.ServeHTTP(w, r.WithContext(withConn(r.Context(), c))) }, name)
-		assert.Empty(t, f.openIDs, name)
+		recorder := httptest.NewRecorder()
+		assert.PanicsWithValue(t, http.ErrAbortHandler, func() { srv.ServeHTTP(recorder, r.WithContext(withConn(r.Context(), conn))) }, name)
+		assert.Empty(t, srv.openIDs, name)
 	}
 }
 
-// What lies unread on a connection may be an op: it is not closed as idle.
-func TestShedLeavesWhatIsUnread(t *testing.T) {
-	c, far := pair(t)
-	f := &Server{idleConns: map[net.Conn]time.Time{c: {}}}
+// Unread data on an idle connection may be a request: the connection must not be closed.
+func TestCloseIdleKeepsUnreadData(t *testing.T) {
+	conn, far := connPair(t)
+	srv := &Server{idleConns: map[net.Conn]time.Time{conn: {}}}
 	_, err := io.WriteString(far, "G")
 	require.NoError(t, err)
-	require.Eventually(t, c.hasUnreadData, 10*time.Second, time.Millisecond)
-	f.closeIdle(0, true)
-	assert.Len(t, f.idleConns, 1)
-	_, err = c.Read(make([]byte, 9))
+	require.Eventually(t, conn.hasUnreadData, 10*time.Second, time.Millisecond)
+	srv.closeIdle(0, true)
+	assert.Len(t, srv.idleConns, 1)
+	_, err = conn.Read(make([]byte, 9))
 	require.NoError(t, err)
-	f.closeIdle(0, false)
-	assert.Len(t, f.idleConns, 1, "within an op")
-	f.closeIdle(0, true)
-	assert.Empty(t, f.idleConns)
+	srv.closeIdle(0, false)
+	assert.Len(t, srv.idleConns, 1, "within a request")
+	srv.closeIdle(0, true)
+	assert.Empty(t, srv.idleConns)
 }
 
-type timed struct {
+// deadlineCounter counts the read deadlines that a handler sets.
+type deadlineCounter struct {
 	*httptest.ResponseRecorder
-	limits int
+	deadlines int
 }
 
-func (t *timed) SetReadDeadline(time.Time) error {
-	t.limits++
+func (d *deadlineCounter) SetReadDeadline(time.Time) error {
+	d.deadlines++
 	return nil
 }
 
-// A node that stood still for seconds between two lines must not take its own limit on bodies for a client that left, where
-// there is no body.
-func TestNoLimitWithoutABody(t *testing.T) {
-	f := &Server{clock: clock.New()}
-	f.deployment.Store(&config.Deployment{Classes: []string{"check"}})
-	c, _ := pair(t)
+// A node that stood still for seconds must not take its own deadline for a body for a client's disconnect, where there is no body.
+func TestNoReadDeadlineWithoutBody(t *testing.T) {
+	srv := &Server{clock: clock.New()}
+	srv.deployment.Store(&config.Deployment{Classes: []string{"check"}})
+	conn, _ := connPair(t)
 	r := httptest.NewRequest("GET", "/api", http.NoBody)
 	r.Header = http.Header{"X-Trace-Id": {"a"}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"480"}}
-	w := &timed{ResponseRecorder: httptest.NewRecorder()}
-	_, bad := f.decode(w, r, c)
-	assert.Nil(t, bad)
-	assert.Zero(t, w.limits)
+	recorder := &deadlineCounter{ResponseRecorder: httptest.NewRecorder()}
+	_, malformed := srv.decode(recorder, r, conn)
+	assert.Nil(t, malformed)
+	assert.Zero(t, recorder.deadlines)
 }
