--- a/cmd/pearknot/controlplane_test.go
+++ b/cmd/pearknot/controlplane_test.go
@@ -133,7 +133,7 @@
 
 // run runs a process until the test's end, or until it is ended.
 func (p *plane) run(name, ready string, args ...string) *planeProcess {
-	x := &planeProcess{cmd: exec.Command(nodeProgram, args...), ended: make(chan struct{}), log: &lockedBuffer{}}
+	x := &planeProcess{cmd: exec.Command(nextProgram(), args...), ended: make(chan struct{}), log: &lockedBuffer{}}
 	stderr, err := x.cmd.StderrPipe()
 	require.NoError(p.t, err)
 	require.NoError(p.t, x.cmd.Start())
--- a/cmd/pearknot/pearknot_test.go
+++ b/cmd/pearknot/pearknot_test.go
@@ -17,6 +17,7 @@
 	"strconv"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -29,6 +30,20 @@
 
 var nodeProgram string
 
+// otherBuild names a program of another build. Where it is set, tests of processes that speak with each other, or that
+// follow one another, start every second of them with it.
+var otherBuild = os.Getenv("PEARKNOT_OTHER_BUILD")
+
+var startedPrograms atomic.Int64
+
+// nextProgram returns the program for the next process of a test with several.
+func nextProgram() string {
+	if otherBuild != "" && startedPrograms.Add(1)%2 == 1 {
+		return otherBuild
+	}
+	return nodeProgram
+}
+
 // TestMain builds the program that the tests start.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "pearknot")
@@ -86,7 +101,12 @@
 
 // launch starts a node and gives the address that it serves, and the rest of what it says.
 func launch(t testing.TB, args ...string) (process *exec.Cmd, address string, stderr io.Reader) {
-	process = exec.Command(nodeProgram, args...)
+	return launchProgram(t, nodeProgram, args...)
+}
+
+// launchProgram is launch with another program.
+func launchProgram(t testing.TB, name string, args ...string) (process *exec.Cmd, address string, stderr io.Reader) {
+	process = exec.Command(name, args...)
 	stderr, err := process.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, process.Start())
--- a/cmd/pearknot/peers_test.go
+++ b/cmd/pearknot/peers_test.go
@@ -153,7 +153,7 @@
 "limits":{"cores":1,"memory_mb":192,"sockets":512},"known":{"rev":41,"all":true,"targets":[%s]},"settings":%s}`, k, listen, c.discovery, k, c.list, crewSettings), 0o600))
 	c.lives++
 	n := &crewNode{control: filepath.Join(c.dir, fmt.Sprintf("n%d-%d.sock", k, c.lives)), log: &lockedBuffer{}, ended: make(chan struct{})}
-	process, address, stderr := launch(c.t, "serve", "-config", config, "--peers", file, "--control", n.control)
+	process, address, stderr := launchProgram(c.t, nextProgram(), "serve", "-config", config, "--peers", file, "--control", n.control)
 	n.cmd, n.address = process, address
 	go func() {
 		_, _ = io.Copy(n.log, stderr)
--- a/cmd/pearknot/upgrade_test.go
+++ b/cmd/pearknot/upgrade_test.go
@@ -92,7 +92,7 @@
 
 // launch starts a process; until it serves where that is awaited.
 func (r *rig) launch(serves bool) *one {
-	o := &one{Cmd: exec.Command(nodeProgram, "serve", "-config", r.file), ended: make(chan struct{})}
+	o := &one{Cmd: exec.Command(nextProgram(), "serve", "-config", r.file), ended: make(chan struct{})}
 	o.Env = append(os.Environ(), "TMPDIR="+r.dir)
 	stderr, err := o.StderrPipe()
 	require.NoError(r.t, err)
