--- a/internal/lab/logstats/logstats.go
+++ b/internal/lab/logstats/logstats.go
@@ -83,10 +83,10 @@
 		return x
 	}
 	switch line["msg"] {
-	case "dial":
+	case "dialing backend":
 		why := "none open"
 		switch {
-		case number("resting") > 0:
+		case number("recently_used") > 0:
 			why = "all rest"
 		case number("calls") > 1:
 			why = "all busy"
--- a/internal/lab/logstats/logstats_test.go
+++ b/internal/lab/logstats/logstats_test.go
@@ -9,9 +9,9 @@
 )
 
 const lines = `time=x level=INFO msg=serving name=n0
-0.1 time=x level=DEBUG msg=dial backend=s-1 resting=0 calls=1
-time=x level=DEBUG msg=dial backend=s-1 resting=1 calls=1
-time=x level=DEBUG msg=dial backend=s-1 resting=0 calls=2
+0.1 time=x level=DEBUG msg="dialing backend" backend=s-1 recently_used=0 calls=1
+time=x level=DEBUG msg="dialing backend" backend=s-1 recently_used=1 calls=1
+time=x level=DEBUG msg="dialing backend" backend=s-1 recently_used=0 calls=2
 time=x level=DEBUG msg="attempt ended" request=1 cost_hint=10 attempt=0 backend=a kind=0 after_ms=10 at_ms=1010 outcome=answered
 time=x level=DEBUG msg="attempt ended" request=2 cost_hint=10 attempt=0 backend=a kind=0 after_ms=30 at_ms=1070 outcome=answered
 time=x level=DEBUG msg="attempt ended" request=3 cost_hint=10 attempt=0 backend=b kind=0 after_ms=10 at_ms=1080 outcome=answered
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -11,41 +11,44 @@
 	"pearknot/balancer"
 )
 
-// Outcome is how a call ended.
+// Result says how a call ended.
 type Result struct {
 	Outcome        balancer.Outcome
-	SinceFirstByte time.Duration       // how long before its end the answer's first byte came, where there is one
-	Reply          *Reply              // where the backend answered at all
-	Report         balancer.LoadReport // that came with the reply; without one it is not to be read
+	SinceFirstByte time.Duration       // from the response's first byte until the call's end; 0 if there was no response
+	Reply          *Reply              // the response, nil if the backend sent none
+	Report         balancer.LoadReport // the load report that came with Reply; meaningless without one
 }
 
-// Call is one push on its way. The node may call it off or shorten its time from outside; whether its first byte
-// may still go out is decided in one place, begin.
+// Call is one attempt on its way to a backend. Its methods may be called from any goroutine while the backend works on it:
+// they cancel it, shorten its deadline, or keep it from starting. Whether its first byte may still be sent is decided in
+// one place, start, under the call's lock.
+//
+// The exported fields must be set before Backend.Send.
 type Call struct {
 	Message     *Message
 	OnDone      func(Result)    // called once; must not block
-	StartBefore time.Time       // it begins no later than this; zero is no bound. Set before it is sent
-	OnBodySent  func(time.Time) // takes when a streamed op's time is over, once its last byte has come; must not block
-	ClientGone  *atomic.Bool    // whether its op's client has; known here at once, however long the node's actor takes. nil is never
+	StartBefore time.Time       // it does not start at or after this time; zero means no limit
+	OnBodySent  func(time.Time) // called with the deadline once a streamed body is complete; must not block
+	ClientGone  *atomic.Bool    // set as soon as the request's client has disconnected; nil if that can't happen
 
 	mu             sync.Mutex
 	deadline       time.Time
 	canceled       bool
 	started        bool
-	startPrevented bool               // what it has begun is all that it ever begins
-	conn           net.Conn           // while it is out there
-	cancelDial     context.CancelFunc // of the connection that is to come up
+	startPrevented bool               // it must not start, also not once more on another connection
+	conn           net.Conn           // that carries it, nil before and after
+	cancelDial     context.CancelFunc // of the connection that is being dialed
 
-	retriedOnFresh bool // on a fresh connection after a write that failed; the peer's
+	retriedOnFresh bool // it was sent again on a fresh connection after a failed write; the backend's actor's own
 }
 
-// NewCall makes a call that ends at until.
-func NewCall(m *Message, until time.Time, done func(Result)) *Call {
-	return &Call{Message: m, OnDone: done, deadline: until}
+// NewCall returns a call that times out at the deadline.
+func NewCall(m *Message, deadline time.Time, onDone func(Result)) *Call {
+	return &Call{Message: m, OnDone: onDone, deadline: deadline}
 }
 
-// Withhold keeps it from beginning, also once more after a write that is breaking just now; what is out already goes on.
-// An op's final answer comes after this.
+// PreventStart keeps the call from starting, also from starting again after a write that is failing just now. A call that
+// has started goes on. It is called before the request's final answer is given, so that nothing is sent after that.
 func (c *Call) PreventStart() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +58,7 @@
 	}
 }
 
-// Forestall calls it off unless it has begun, and tells which.
+// CancelIfNotStarted cancels the call unless it has started, and reports whether it did.
 func (c *Call) CancelIfNotStarted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +68,7 @@
 	return !c.started
 }
 
-// Revoke calls it off: what has not begun never does, what is out is no longer waited for.
+// Cancel ends the call: it does not start any more, and a response is no longer waited for.
 func (c *Call) Cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,105 +81,134 @@
 		c.cancelDial()
 	}
 	if c.conn != nil {
-		_ = c.conn.SetDeadline(time.Unix(1, 0))
+		_ = c.conn.SetDeadline(time.Unix(1, 0)) // pending reads and writes fail at once
 	}
 }
 
-// Shorten ends its time sooner.
-func (c *Call) ShortenDeadline(until time.Time) {
+// ShortenDeadline brings the deadline forward. A later deadline has no effect.
+func (c *Call) ShortenDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if until.Before(c.deadline) {
-		c.deadline = until
-		if c.conn != nil && !c.canceled {
-			_ = c.conn.SetDeadline(until)
-		}
+	if !deadline.Before(c.deadline) {
+		return
+	}
+	c.deadline = deadline
+	if c.conn != nil && !c.canceled {
+		_ = c.conn.SetDeadline(deadline)
 	}
 }
 
-// dialling tells within which time a connection must come up, if one is still wanted.
-func (c *Call) dialContext(most time.Duration) (context.Context, context.CancelFunc, bool) {
+// dialContext returns the context for dialing a connection, which ends after the timeout or at the call's deadline, and
+// whether a connection is wanted at all. The caller must call cancel in either case.
+func (c *Call) dialContext(timeout time.Duration) (ctx context.Context, cancel context.CancelFunc, wanted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	until := time.Now().Add(most)
-	if c.deadline.Before(until) {
-		until = c.deadline
+	deadline := time.Now().Add(timeout)
+	if c.deadline.Before(deadline) {
+		deadline = c.deadline
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), until)
+	ctx, cancel = context.WithDeadline(context.Background(), deadline)
 	c.cancelDial = cancel
 	return ctx, cancel, !c.canceled && !c.startPrevented
 }
 
-// begin is passed right before the first byte: the op must live and have time. It tells how much.
-func (c *Call) start(conn net.Conn) (left time.Duration, ok bool) {
+// start is called right before the first byte is written. ok reports whether the call may be sent, and timeout the time
+// that the backend is told it has; for a streamed body that begins with its last byte.
+func (c *Call) start(conn net.Conn) (timeout time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	left = time.Until(c.deadline)
-	if c.canceled || c.startPrevented || left <= 0 || c.ClientGone != nil && c.ClientGone.Load() || !c.StartBefore.IsZero() && !time.Now().Before(c.StartBefore) {
+	timeout = time.Until(c.deadline)
+	if timeout <= 0 || !c.mayStart() {
 		return 0, false
 	}
 	c.conn, c.started = conn, true
 	_ = conn.SetDeadline(c.deadline)
-	if c.Message.stream != nil {
-		left = c.Message.stream.Timeout
+	if c.Message.IsStreamed() {
+		timeout = c.Message.stream.Timeout
 	}
-	return left, true
+	return timeout, true
+}
+
+// mayStart must be called with the lock held.
+func (c *Call) mayStart() bool {
+	clientGone := c.ClientGone != nil && c.ClientGone.Load()
+	tooLate := !c.StartBefore.IsZero() && !time.Now().Before(c.StartBefore)
+	return !c.canceled && !c.startPrevented && !clientGone && !tooLate
 }
 
-// pass sends what still comes of the op's body, and has its time begin with the last byte. Which side broke it is told
-// apart: read is the client's fault, or the end of its patience.
-func (c *Call) sendBody(on net.Conn) (read, write error) {
-	rest, buffer := c.Message.stream, make([]byte, streamBufferSize)
+// sendBody copies the rest of a streamed body from the client to the backend. The two sides' errors are told apart: an
+// error of reading is the client's fault, or means that it took too long.
+func (c *Call) sendBody(conn net.Conn) (readErr, writeErr error) {
+	body := c.Message.stream.Reader
+	buffer := make([]byte, streamBufferSize)
 	for {
-		n, err := rest.Reader.Read(buffer)
+		n, err := body.Read(buffer)
 		if n > 0 {
-			part := net.Buffers{buffer[:n]}
-			if rest.Size < 0 {
-				part = chunkBuffers(buffer[:n])
-			}
-			c.mu.Lock()
-			off := c.canceled
-			if !off {
-				_ = on.SetWriteDeadline(time.Now().Add(stallTimeout))
-			}
-			c.mu.Unlock()
-			if off {
-				return nil, net.ErrClosed
-			}
-			if _, err := part.WriteTo(on); err != nil {
-				return nil, err
+			if writeErr := c.sendBodyPart(conn, buffer[:n]); writeErr != nil {
+				return nil, writeErr
 			}
 		}
-		switch err {
-		case nil:
-			continue
-		case io.EOF:
-		default:
+		if err == io.EOF {
+			return nil, c.finishBody(conn)
+		}
+		if err != nil {
 			return err, nil
 		}
-		break
+	}
+}
+
+// sendBodyPart writes a part of a streamed body. The backend has stallTimeout to read it.
+func (c *Call) sendBodyPart(conn net.Conn, part []byte) error {
+	buffers := net.Buffers{part}
+	if c.Message.stream.isChunked() {
+		buffers = chunkBuffers(part)
 	}
 	c.mu.Lock()
 	if c.canceled {
 		c.mu.Unlock()
-		return nil, net.ErrClosed
+		return net.ErrClosed
 	}
-	if now := time.Now(); now.Add(rest.Timeout).Before(c.deadline) {
-		c.deadline = now.Add(rest.Timeout)
+	_ = conn.SetWriteDeadline(time.Now().Add(stallTimeout))
+	c.mu.Unlock()
+	_, err := buffers.WriteTo(conn)
+	return err
+}
+
+// finishBody ends a streamed body: the request's timeout begins, and a chunked body gets its last chunk.
+func (c *Call) finishBody(conn net.Conn) error {
+	if !c.beginResponseTimeout(conn) {
+		return net.ErrClosed
 	}
-	if c.OnBodySent != nil { // told before the last byte can have an answer
-		c.OnBodySent(c.deadline)
+	// The lock is not held here: a backend that reads no more lets this write wait, and whoever cancels the call, the
+	// node's actor, must not wait for it.
+	if !c.Message.stream.isChunked() {
+		return nil
 	}
-	_ = on.SetDeadline(c.deadline)
-	c.mu.Unlock() // whoever calls it off, the node's actor, must not wait for a backend that takes no more
-	if rest.Size < 0 {
-		_, write = io.WriteString(on, "0\r\n\r\n")
+	_, err := io.WriteString(conn, "0\r\n\r\n")
+	return err
+}
+
+// beginResponseTimeout sets the deadline for the response of a request whose body is complete. It reports false if the call
+// has been cancelled.
+func (c *Call) beginResponseTimeout(conn net.Conn) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.canceled {
+		return false
+	}
+	deadline := time.Now().Add(c.Message.stream.Timeout)
+	if deadline.Before(c.deadline) {
+		c.deadline = deadline
 	}
-	return nil, write
+	if c.OnBodySent != nil { // before the last byte, and so before there can be a response
+		c.OnBodySent(c.deadline)
+	}
+	_ = conn.SetDeadline(c.deadline)
+	return true
 }
 
-// end lets go of the connection and tells whether the call had been called off.
-func (c *Call) release() bool {
+// release detaches the call from its connection and reports whether it was cancelled.
+func (c *Call) release() (wasCanceled bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.conn = nil
--- /dev/null
+++ b/internal/upstream/config.go
@@ -0,0 +1,30 @@
+package upstream
+
+import (
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"pearknot/balancer"
+	"pearknot/internal/descriptors"
+)
+
+// AtomicDuration is a duration that may be changed while others read it.
+type AtomicDuration struct{ nanoseconds atomic.Int64 }
+
+// Get returns the duration.
+func (d *AtomicDuration) Get() time.Duration { return time.Duration(d.nanoseconds.Load()) }
+
+// Set changes the duration.
+func (d *AtomicDuration) Set(value time.Duration) { d.nanoseconds.Store(int64(value)) }
+
+// Config holds what all backends of a node have in common.
+type Config struct {
+	ConnectTimeout AtomicDuration      // for establishing a connection
+	IdleTimeout    AtomicDuration      // how long an idle connection is kept
+	Budget         *descriptors.Budget // counts each connection's descriptor
+	Log            *slog.Logger
+
+	// SetReportValue puts a value of a load report, under the name that the deployment gives it, into its field.
+	SetReportValue func(report *balancer.LoadReport, name string, value float64)
+}
--- /dev/null
+++ b/internal/upstream/exchange.go
@@ -0,0 +1,111 @@
+package upstream
+
+import (
+	"errors"
+	"io"
+	"os"
+	"time"
+
+	"pearknot/balancer"
+)
+
+// exchange writes a call's request and reads the response. It has the connection to itself and does not close it.
+func (b *Backend) exchange(call *Call, on *conn) (Result, connState) {
+	if !b.acceptsAttempts.Load() { // a drain came while the connection was established
+		return Result{Outcome: balancer.OutcomeNotSent}, connReusable
+	}
+	timeout, ok := call.start(on)
+	if !ok {
+		return Result{Outcome: balancer.OutcomeNotSent}, connReusable
+	}
+	if result, state := b.writeMessage(call, on, timeout); state != connReusable {
+		return result, state
+	}
+	firstByteAt := on.reader.waitFirstByte()
+	response, rest, reusable, err := ReadReply(on.reader, call.Message.isHead, MaxBody, MaxBufferedBody)
+	wasCanceled := call.release()
+	if err != nil {
+		return b.readFailed(on, err, wasCanceled), connClosed
+	}
+
+	report := b.loadReport(response)
+	state := connClosed
+	switch {
+	case response.Stream != nil:
+		b.attachStream(response, on, rest, reusable)
+		state = connStreaming
+	case reusable:
+		state = connReusable
+	}
+	return Result{Outcome: response.outcome(), SinceFirstByte: time.Since(firstByteAt), Reply: response, Report: report}, state
+}
+
+// writeMessage writes the call's request, and the body that is still to come from the client. The state is connReusable if
+// all of it was written.
+func (b *Backend) writeMessage(call *Call, on *conn, timeout time.Duration) (Result, connState) {
+	message := call.Message.buffers(float64(timeout.Microseconds()) / 1e3)
+	written, err := message.WriteTo(on.Conn)
+	if err == nil && call.Message.IsStreamed() {
+		var readErr error
+		readErr, err = call.sendBody(on)
+		if readErr != nil { // the client's fault: the request was never complete, and the backend is not to blame
+			call.release()
+			b.config.Log.Debug("client request body read failed", "backend", b.name, "error", readErr)
+			return Result{Outcome: balancer.OutcomeNotSent}, connClosed
+		}
+	}
+	if err != nil {
+		return b.writeFailed(call, written, err)
+	}
+	return Result{}, connReusable
+}
+
+// writeFailed returns the result of a call whose request could not be written. A write reports an error only if bytes are
+// left, so the request never arrived complete and can't have run.
+func (b *Backend) writeFailed(call *Call, written int64, err error) (Result, connState) {
+	wasCanceled := call.release()
+	b.config.Log.Debug("backend request write failed", "backend", b.name, "written", written, "error", err)
+	switch {
+	case wasCanceled: // this node did it: that says nothing about the backend
+		return Result{Outcome: balancer.OutcomeNotSent}, connClosed
+	case !call.Message.IsStreamed():
+		return Result{Outcome: balancer.OutcomeConnectFailed}, connWriteFailed
+	}
+	// What was sent of a streamed body is gone, so the request can't be written again.
+	return Result{Outcome: balancer.OutcomeConnectFailed}, connClosed
+}
+
+// readFailed returns the result of a call whose response could not be read.
+func (b *Backend) readFailed(on *conn, err error, wasCanceled bool) Result {
+	switch {
+	case wasCanceled:
+		return Result{Outcome: balancer.OutcomeCanceled}
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return Result{Outcome: balancer.OutcomeTimedOut}
+	}
+	b.config.Log.Debug("backend response read failed", "backend", b.name, "error", err, "reused", on.reused,
+		"idle_ms", on.idleBefore.Milliseconds())
+	return Result{Outcome: balancer.OutcomeConnectionReset}
+}
+
+// loadReport reads the response's load report and removes its header, which is meant for this node and not the client.
+func (b *Backend) loadReport(response *Reply) balancer.LoadReport {
+	report, invalid := response.parseLoadReport(b.config.SetReportValue)
+	if invalid != "" {
+		b.invalidReportLog.Do(func() {
+			b.config.Log.Warn("load report invalid, ignored", "backend", b.name, "report", invalid)
+		})
+	}
+	response.Header.Del(loadReportHeader)
+	return report
+}
+
+// attachStream has the response's stream read the rest of the body from the connection. The deadline of the call ends
+// with the first bytes; from here on each read has a timeout of its own.
+func (b *Backend) attachStream(response *Reply, on *conn, rest io.Reader, reusable bool) {
+	stream := response.Stream
+	stream.body, stream.conn, stream.reusable = rest, on, reusable
+	stream.remaining = MaxBody - int64(len(response.Body))
+	stream.giveBack = func(reusable bool) { b.mailbox.Put(func() { b.takeBackConn(on, reusable) }) }
+	_ = on.SetDeadline(time.Time{})
+}
--- a/internal/upstream/idle_breakage.go
+++ b/internal/upstream/idle_breakage.go
@@ -5,50 +5,69 @@
 	"time"
 )
 
-// wear is what a backend's connections were seen to stand between two messages. Some break on the next message after
-// far less than the time that the deployment tells, with no sign before: what lies between forgets them, or the
-// backend does. An op that may not run twice is lost to that.
+// Some connections break when they are used again after far less idle time than the deployment's idle timeout, and give
+// no sign of it before: a device between the machines forgets them, or the backend does. A request that must not run
+// twice is lost by that. Each backend therefore learns after which idle times its connections break, and does not reuse
+// them after so long.
+
+const (
+	// maxBreakShare is the share of reused connections that may break. It is well above what breaks anyway at a backend
+	// with other faults.
+	maxBreakShare = 0.2
+
+	// minBreaks is how many breaks are needed to blame the idle time: a single one may be chance.
+	minBreaks = 2
+
+	// breakageHalfLife is after how long counts are halved, so that longer idle times are tried again.
+	breakageHalfLife = 20 * time.Second
+
+	// minSuspectIdle is the least idle time that is blamed: a round trip between zones. A connection that breaks after
+	// less would have broken in use.
+	minSuspectIdle = 32 * time.Millisecond
+
+	// idleRangeCount is the number of ranges: the last one begins at 1024 ms.
+	idleRangeCount = 12
+)
+
+// idleBreakage counts how a backend's connections fared when they were reused, by the time that they had been idle. The
+// ranges of that time begin at each power of two, in milliseconds.
 type idleBreakage struct {
-	ranges    [12]idleRange // by the time idle, from each power of two in ms on
+	ranges    [idleRangeCount]idleRange
 	decayedAt time.Time
 }
 
+// idleRange holds decaying counts.
 type idleRange struct{ uses, breaks float64 }
 
-const (
-	maxBreakShare    = 0.2              // of the uses that break: well above what backends in trouble break anyway
-	minBreaks        = 2                // breaks that may be chance
-	breakageHalfLife = 20 * time.Second // by half, so that longer times are tried again
-	minSuspectIdle   = 32 * time.Millisecond
-)
-
 func idleRangeIndex(idle time.Duration) int {
-	return min(bits.Len64(uint64(max(idle.Milliseconds(), 0))), len(idleBreakage{}.ranges)-1)
+	milliseconds := uint64(max(idle.Milliseconds(), 0))
+	return min(bits.Len64(milliseconds), idleRangeCount-1)
 }
 
-// used takes how a connection fared that had been idle for so long.
-func (w *idleBreakage) record(idle time.Duration, broke bool) {
-	if time.Since(w.decayedAt) > breakageHalfLife {
-		w.decayedAt = time.Now()
-		for k := range w.ranges {
-			w.ranges[k].uses /= 2
-			w.ranges[k].breaks /= 2
+// record counts a connection that was reused after that idle time.
+func (b *idleBreakage) record(idle time.Duration, broke bool) {
+	if time.Since(b.decayedAt) > breakageHalfLife {
+		b.decayedAt = time.Now()
+		for k := range b.ranges {
+			b.ranges[k].uses /= 2
+			b.ranges[k].breaks /= 2
 		}
 	}
-	s := &w.ranges[idleRangeIndex(idle)]
-	s.uses++
+	counts := &b.ranges[idleRangeIndex(idle)]
+	counts.uses++
 	if broke {
-		s.breaks++
+		counts.breaks++
 	}
 }
 
-// worn tells whether a connection that has been idle for so long would rather break: one idle for as long or less did.
-func (w *idleBreakage) isLikelyBroken(idle time.Duration) bool {
-	if idle < minSuspectIdle { // a way there and back between zones: what breaks then breaks at any time
+// isLikelyBroken reports whether a connection that has been idle for that time would probably break: those that had been
+// idle as long or less did.
+func (b *idleBreakage) isLikelyBroken(idle time.Duration) bool {
+	if idle < minSuspectIdle {
 		return false
 	}
-	for _, s := range w.ranges[idleRangeIndex(minSuspectIdle) : idleRangeIndex(idle)+1] {
-		if s.breaks >= minBreaks && s.breaks > maxBreakShare*s.uses {
+	for _, counts := range b.ranges[idleRangeIndex(minSuspectIdle) : idleRangeIndex(idle)+1] {
+		if counts.breaks >= minBreaks && counts.breaks > maxBreakShare*counts.uses {
 			return true
 		}
 	}
--- /dev/null
+++ b/internal/upstream/pool.go
@@ -0,0 +1,121 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"net"
+	"slices"
+	"syscall"
+	"time"
+
+	"pearknot/balancer"
+)
+
+// minIdle is how long a connection must be idle before it is used again. A backend that closes the connection after a
+// response, or sends bytes that don't belong to it, does so at once, but between machines that arrives a little later. On
+// a connection that was reused before, a request would be lost to the close, or get those bytes as its response.
+const minIdle = 10 * time.Millisecond
+
+// assignConn sends the call on the most recently used idle connection of those that have been idle for minIdle, and dials
+// one if there is none. If a connection will have been idle for minIdle soon, the call waits for that instead: a new one
+// would take as long, and cost the backend work and a place.
+func (b *Backend) assignConn(call *Call) {
+	tooRecent, wait := 0, minIdle
+	for k := len(b.idle) - 1; k >= 0; k-- {
+		on := b.idle[k]
+		idle := time.Since(on.idleSince)
+		if idle < minIdle {
+			tooRecent++
+			wait = min(wait, minIdle-idle)
+			continue
+		}
+		b.idle = slices.Delete(b.idle, k, k+1)
+		if idle < b.config.IdleTimeout.Get() && !b.breakage.isLikelyBroken(idle) && on.isUsable() {
+			on.idleBefore = idle
+			b.runExchange(call, on)
+			return
+		}
+		b.closeConn(on)
+	}
+	if tooRecent > b.waitingForIdle { // each call that waits has a connection to itself
+		b.waitForIdle(call, wait)
+		return
+	}
+	b.config.Log.Debug("dialing backend", "backend", b.name, "recently_used", tooRecent, "calls", b.activeCalls)
+	b.dial(call)
+}
+
+// waitForIdle assigns a connection to the call after a while.
+func (b *Backend) waitForIdle(call *Call, wait time.Duration) {
+	b.waitingForIdle++
+	time.AfterFunc(wait, func() {
+		b.mailbox.Put(func() {
+			b.waitingForIdle--
+			b.assignConn(call)
+		})
+	})
+}
+
+// dial establishes a connection for the call, unless the call or the backend doesn't want one any more, or there is no
+// descriptor for it.
+func (b *Backend) dial(call *Call) {
+	ctx, cancel, wanted := call.dialContext(b.config.ConnectTimeout.Get())
+	if !wanted || !b.acceptsAttempts.Load() || !b.config.Budget.TryAcquireBackend() {
+		cancel()
+		b.finishCall(call, nil, Result{Outcome: balancer.OutcomeNotSent}, connClosed)
+		return
+	}
+	address := b.address
+	go func() {
+		var dialer net.Dialer
+		netConn, err := dialer.DialContext(ctx, "tcp", address)
+		cancel()
+		b.mailbox.Put(func() { b.dialFinished(call, address, netConn, err) })
+	}()
+}
+
+// dialOutcome returns the outcome of a call whose connection was not established. A call that was cancelled and a lack of
+// descriptors, ports or memory of this machine say nothing about the backend, and must not count against it.
+func dialOutcome(err error) balancer.Outcome {
+	for _, local := range []error{context.Canceled, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS} {
+		if errors.Is(err, local) {
+			return balancer.OutcomeNotSent
+		}
+	}
+	return balancer.OutcomeConnectFailed
+}
+
+// takeBackConn takes the connection of a call that has ended, nil if it had none. It becomes idle if it is reusable and
+// the backend, at that address, still accepts attempts, and is closed otherwise.
+func (b *Backend) takeBackConn(on *conn, reusable bool) {
+	b.activeCalls--
+	if on == nil {
+		return
+	}
+	if !reusable || !b.acceptsAttempts.Load() || on.address != b.address {
+		b.closeConn(on)
+		return
+	}
+	on.reused, on.idleSince = true, time.Now()
+	if len(b.idle) == 0 {
+		b.idleTimer.Reset(b.config.IdleTimeout.Get())
+	}
+	b.idle = append(b.idle, on)
+}
+
+// closeIdleLongerThan closes the connections that have been idle for at least that time.
+func (b *Backend) closeIdleLongerThan(idle time.Duration) {
+	for len(b.idle) > 0 && time.Since(b.idle[0].idleSince) >= idle {
+		b.closeConn(b.idle[0])
+		b.idle = b.idle[1:]
+	}
+	if len(b.idle) > 0 {
+		b.idleTimer.Reset(b.config.IdleTimeout.Get() - time.Since(b.idle[0].idleSince))
+	}
+}
+
+// closeConn closes a connection and gives its descriptor back. No other place closes one.
+func (b *Backend) closeConn(on *conn) {
+	_ = on.Close()
+	b.config.Budget.ReleaseBackend()
+}
--- a/internal/upstream/races_test.go
+++ b/internal/upstream/races_test.go
@@ -15,99 +15,99 @@
 	"pearknot/balancer"
 )
 
-// breaking is a connection on which writing fails with nothing written, right after something else has happened.
+// failingWriteConn is a connection on which writes fail with nothing written, right after beforeWrite was called.
 type failingWriteConn struct {
 	net.Conn
-	first func()
+	beforeWrite func()
 }
 
-func (b *failingWriteConn) Write([]byte) (int, error) {
-	b.first()
+func (c *failingWriteConn) Write([]byte) (int, error) {
+	c.beforeWrite()
 	return 0, net.ErrClosed
 }
 
-// An op gets its final answer, or its client leaves, just as the write of its push breaks on a connection that the backend
-// has closed: the push is not sent on a fresh connection then. It once was, since Withhold left alone what had begun.
+// A request gets its final answer, or its client disconnects, just as the write of its attempt fails on a connection that
+// the backend has closed. The attempt must not be sent again on a fresh connection. It once was, because PreventStart had
+// no effect on a call that had started.
 func TestNoRetryForAFinishedRequest(t *testing.T) {
-	for name, f := range map[string]func(*Call){"answered, or left": (*Call).PreventStart, "called off": (*Call).Cancel} {
-		b := newStubBackend(t, okHead+"\r\nhi", okHead+"\r\nhi")
-		p, _ := newTestBackend(t, b.Addr().String())
-		require.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome, name)
-		<-b.got
-		ageIdleConns(p)
+	for name, finish := range map[string]func(*Call){"answered, or client gone": (*Call).PreventStart, "cancelled": (*Call).Cancel} {
+		stub := newStubBackend(t, okHead+"\r\nhi", okHead+"\r\nhi")
+		backend, _ := newTestBackend(t, stub.Addr().String())
+		require.Equal(t, balancer.OutcomeAnswered, (<-send(backend, 10*time.Second)).Outcome, name)
+		<-stub.requests
+		ageIdleConns(backend)
 		var call atomic.Pointer[Call]
-		p.mailbox.Put(func() { p.idle[0].Conn = &failingWriteConn{p.idle[0].Conn, func() { f(call.Load()) }} })
-		out := <-send(p, 10*time.Second, func(c *Call) { call.Store(c) })
-		assert.Equal(t, balancer.OutcomeNotSent, out.Outcome, name)
-		assert.Empty(t, b.got, name)
-		assert.Len(t, b.conns, 1, "%s: nor is one dialled", name)
+		backend.mailbox.Put(func() { backend.idle[0].Conn = &failingWriteConn{backend.idle[0].Conn, func() { finish(call.Load()) }} })
+		result := <-send(backend, 10*time.Second, func(c *Call) { call.Store(c) })
+		assert.Equal(t, balancer.OutcomeNotSent, result.Outcome, name)
+		assert.Empty(t, stub.requests, name)
+		assert.Len(t, stub.conns, 1, "%s: no connection is dialed either", name)
 	}
 }
 
-// A push called off in the middle of its write on a connection of its own tells nothing of the backend. It counted as a
-// backend that takes no connections, which is shunned for it.
+// A call is cancelled in the middle of its write on a fresh connection. That says nothing about the backend. It once counted
+// as a failed connection, for which a backend is ejected.
 func TestCancelDuringWriteIsNotTheBackendsFault(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	p, _ := newTestBackend(t, "127.0.0.1:1")
-	var c *Call
-	c = NewCall(NewMessage("GET", "/", "s", nil, nil, nil), time.Now().Add(10*time.Second), nil)
-	out, _ := p.exchange(c, newConn(&failingWriteConn{near, func() { c.Cancel() }}, "127.0.0.1:1"))
-	assert.Equal(t, balancer.OutcomeNotSent, out.Outcome)
+	backend, _ := newTestBackend(t, "127.0.0.1:1")
+	call := NewCall(NewMessage("GET", "/", "s", nil, nil, nil), time.Now().Add(10*time.Second), nil)
+	result, _ := backend.exchange(call, newConn(&failingWriteConn{near, func() { call.Cancel() }}, "127.0.0.1:1"))
+	assert.Equal(t, balancer.OutcomeNotSent, result.Outcome)
 }
 
-// The list gives a backend another address while a connection to the old one comes up: nothing is sent there. Whoever listens
-// at the old one by then is another process.
+// The endpoint list gives a backend another address while a connection to the old one is being established. Nothing may be
+// sent there, since another process may listen at the old address by then.
 func TestAddressChangesDuringDial(t *testing.T) {
-	b, other := newStubBackend(t, okHead+"\r\nhi"), newStubBackend(t, okHead+"\r\nhi")
-	p, told := newTestBackend(t, b.Addr().String())
-	ended := make(chan Result, 1)
-	c := NewCall(NewMessage("GET", "/", "s", nil, nil, nil), time.Now().Add(10*time.Second), func(o Result) { ended <- o })
-	to, err := net.Dial("tcp", b.Addr().String())
+	oldStub, newStub := newStubBackend(t, okHead+"\r\nhi"), newStubBackend(t, okHead+"\r\nhi")
+	backend, common := newTestBackend(t, oldStub.Addr().String())
+	results := make(chan Result, 1)
+	call := NewCall(NewMessage("GET", "/", "s", nil, nil, nil), time.Now().Add(10*time.Second), func(r Result) { results <- r })
+	netConn, err := net.Dial("tcp", oldStub.Addr().String())
 	require.NoError(t, err)
-	require.True(t, told.Budget.TryAcquireBackend())
-	p.Update(other.Addr().String(), true)
-	p.mailbox.Put(func() {
-		p.activeCalls++
-		p.dialFinished(c, b.Addr().String(), to, nil)
+	require.True(t, common.Budget.TryAcquireBackend())
+	backend.Update(newStub.Addr().String(), true)
+	backend.mailbox.Put(func() {
+		backend.activeCalls++
+		backend.dialFinished(call, oldStub.Addr().String(), netConn, nil)
 	})
-	assert.Equal(t, balancer.OutcomeNotSent, (<-ended).Outcome)
-	assert.Empty(t, b.got)
-	assert.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome)
-	assert.Len(t, other.got, 1)
+	assert.Equal(t, balancer.OutcomeNotSent, (<-results).Outcome)
+	assert.Empty(t, oldStub.requests)
+	assert.Equal(t, balancer.OutcomeAnswered, (<-send(backend, 10*time.Second)).Outcome)
+	assert.Len(t, newStub.requests, 1)
 }
 
-// ending is a connection whose peer takes no more just as a streamed op's last bytes go out, until its call is called off.
+// lastChunkConn is a connection that calls beforeLastChunk before the last chunk of a streamed body is written.
 type lastChunkConn struct {
 	net.Conn
-	last func()
+	beforeLastChunk func()
 }
 
-func (e *lastChunkConn) Write(b []byte) (int, error) {
+func (c *lastChunkConn) Write(b []byte) (int, error) {
 	if string(b) == "0\r\n\r\n" {
-		e.last()
+		c.beforeLastChunk()
 	}
-	return e.Conn.Write(b)
+	return c.Conn.Write(b)
 }
 
-// A streamed op is called off while its last bytes wait for a backend that takes no more. Whoever called it off, the node's
-// actor, waited for them too, and all ops of the node with it.
+// A streamed request is cancelled while its last bytes wait for a backend that reads no more. Cancel must not wait for
+// them: the node's actor calls it, and every request of the node once waited with it.
 func TestCancelDoesNotWaitForAWrite(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	go func() { _, _ = io.Copy(io.Discard, far) }()
-	p, _ := newTestBackend(t, "127.0.0.1:1")
-	m := NewMessage("POST", "/", "s", http.Header{}, []byte("a"), &StreamedBody{Size: -1, Timeout: 10 * time.Second, Reader: strings.NewReader("b")})
-	c := NewCall(m, time.Now().Add(10*time.Second), nil)
-	ended := make(chan Result, 1)
+	backend, _ := newTestBackend(t, "127.0.0.1:1")
+	message := NewMessage("POST", "/", "s", http.Header{}, []byte("a"), &StreamedBody{Size: -1, Timeout: 10 * time.Second, Reader: strings.NewReader("b")})
+	call := NewCall(message, time.Now().Add(10*time.Second), nil)
+	results := make(chan Result, 1)
 	go func() {
-		out, _ := p.exchange(c, newConn(&lastChunkConn{near, c.Cancel}, "127.0.0.1:1"))
-		ended <- out
+		result, _ := backend.exchange(call, newConn(&lastChunkConn{near, call.Cancel}, "127.0.0.1:1"))
+		results <- result
 	}()
 	select {
-	case out := <-ended:
-		assert.Equal(t, balancer.OutcomeNotSent, out.Outcome)
+	case result := <-results:
+		assert.Equal(t, balancer.OutcomeNotSent, result.Outcome)
 	case <-time.After(5 * time.Second):
-		t.Fatal("the one waits for the other")
+		t.Fatal("Cancel and the write wait for each other")
 	}
 }
--- /dev/null
+++ b/internal/upstream/request.go
@@ -0,0 +1,123 @@
+package upstream
+
+import (
+	"fmt"
+	"io"
+	"math"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"pearknot/internal/snapshot"
+)
+
+// Limits on the bodies of requests and responses, in bytes.
+const (
+	MaxBufferedBody = 64 << 10 // a body up to this size is read completely before it is passed on
+	MaxBody         = 32 << 20 // a longer body, up to this size, is passed on as it comes
+)
+
+// Headers between a node and a backend.
+const (
+	ExpiresHeader    = "X-Expires-In-Ms"       // the time that a request has left, in milliseconds
+	neverRanHeader   = "X-Never-Ran"           // "1" in a rejection proves that the request did not run
+	loadReportHeader = "Endpoint-Load-Metrics" // a backend's load report
+)
+
+// Message is a request as its backends get it. It is encoded once, but for the time that the request has left.
+type Message struct {
+	head   []byte
+	body   []byte
+	isHead bool          // a HEAD request: its response has no body
+	stream *StreamedBody // the rest of a body that is passed on as it comes; nil if body is complete
+}
+
+// StreamedBody is what a client still has to send of a long request body.
+type StreamedBody struct {
+	Size    int64         // of the complete body in bytes; negative for one in chunks, whose size is unknown
+	Timeout time.Duration // of the request, from the last byte of its body
+	Reader  io.Reader     // ends with io.EOF only if the body is complete
+}
+
+func (s *StreamedBody) isChunked() bool { return s.Size < 0 }
+
+// IsStreamed reports whether the body is passed on as it comes. Such a message can be sent only once.
+func (m *Message) IsStreamed() bool { return m.stream != nil }
+
+// hopByHopHeaders are the headers that concern a single connection, and those that each message gets anew.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te",
+	"Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length", ExpiresHeader}
+
+// RemoveHopByHop removes the headers that a proxy must not pass on.
+func RemoveHopByHop(header http.Header) {
+	for _, list := range header["Connection"] {
+		for name := range strings.SplitSeq(list, ",") {
+			header.Del(strings.TrimSpace(name))
+		}
+	}
+	for _, name := range hopByHopHeaders {
+		header.Del(name)
+	}
+}
+
+// NewMessage returns the message of a request. target is the path and query as the client wrote them; stream is nil if
+// body is complete. NewMessage takes header over and removes the hop-by-hop ones from it.
+func NewMessage(method, target, host string, header http.Header, body []byte, stream *StreamedBody) *Message {
+	RemoveHopByHop(header)
+	var head strings.Builder
+	head.WriteString(method + " " + target + " HTTP/1.1\r\nHost: " + host + "\r\n")
+	_ = header.Write(&head) // a strings.Builder never fails
+	mayHaveBody := method != http.MethodGet && method != http.MethodHead
+	switch {
+	case stream != nil && stream.isChunked():
+		head.WriteString("Transfer-Encoding: chunked\r\n")
+	case stream != nil:
+		head.WriteString("Content-Length: " + strconv.FormatInt(stream.Size, 10) + "\r\n")
+	case len(body) > 0 || mayHaveBody:
+		head.WriteString("Content-Length: " + strconv.Itoa(len(body)) + "\r\n")
+	}
+	return &Message{head: []byte(head.String()), body: body, isHead: method == http.MethodHead, stream: stream}
+}
+
+// storedMessage is the form in which members of a request log store a message. It is encoded by the order of its fields,
+// which must not change.
+type storedMessage struct {
+	Head, Body []byte
+	IsHead     bool
+}
+
+// Encode returns a message, which must not be streamed, in its stored form.
+func (m *Message) Encode() []byte {
+	return snapshot.Append(nil, &storedMessage{m.head, m.body, m.isHead})
+}
+
+// DecodeMessage reads the stored form of a message. It returns nil if data is not one.
+func DecodeMessage(data []byte) *Message {
+	stored := &storedMessage{}
+	if snapshot.Read(data, stored) != nil || len(stored.Head) == 0 {
+		return nil
+	}
+	return &Message{head: stored.Head, body: stored.Body, isHead: stored.IsHead}
+}
+
+// buffers returns the message for a single write. The backend is told that the request has that many milliseconds left,
+// rounded down, and at least one.
+func (m *Message) buffers(timeoutMs float64) net.Buffers {
+	const expiresLineSize = 40
+	head := make([]byte, 0, len(m.head)+expiresLineSize)
+	head = append(head, m.head...)
+	head = append(head, ExpiresHeader+": "...)
+	head = strconv.AppendInt(head, int64(math.Max(math.Floor(timeoutMs), 1)), 10)
+	head = append(head, "\r\n\r\n"...)
+	if m.stream != nil && m.stream.isChunked() {
+		return append(net.Buffers{head}, chunkBuffers(m.body)...)
+	}
+	return net.Buffers{head, m.body}
+}
+
+// chunkBuffers returns a part of a body as one chunk.
+func chunkBuffers(part []byte) net.Buffers {
+	return net.Buffers{fmt.Appendf(nil, "%x\r\n", len(part)), part, []byte("\r\n")}
+}
--- /dev/null
+++ b/internal/upstream/response.go
@@ -0,0 +1,177 @@
+package upstream
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"pearknot/balancer"
+)
+
+const (
+	// maxHeaderBytes bounds the head of a response together with the informational ones before it.
+	maxHeaderBytes = 16 << 10
+
+	// responseBufferSize holds the head of most responses.
+	responseBufferSize = 2 << 10
+)
+
+// errResponseTooLong means that a connection delivered more than a response may have.
+var errResponseTooLong = errors.New("response exceeds its limit")
+
+// Reply is a backend's response: complete, or its head with the beginning of its body.
+type Reply struct {
+	Status int
+	Header http.Header
+	Body   []byte
+	Stream *Stream // the rest of the body; nil if Body is complete
+}
+
+// Release closes the response's stream, if it has one. Whoever has the response last must call it. r may be nil.
+func (r *Reply) Release() {
+	if r != nil && r.Stream != nil {
+		r.Stream.Close()
+	}
+}
+
+// Reader reads responses from a connection. It takes a limited number of bytes for each, so that a backend that never
+// stops sending fills no memory.
+type Reader struct {
+	source    io.Reader
+	remaining int64 // bytes that the current response may still take from the source
+	*bufio.Reader
+}
+
+// NewReader returns a reader of the responses that come from the source.
+func NewReader(source io.Reader) *Reader {
+	r := &Reader{source: source}
+	r.Reader = bufio.NewReaderSize(limitedSource{r}, responseBufferSize)
+	return r
+}
+
+// waitFirstByte waits for a response's first byte, or for the error that the next read will return, and returns the time
+// at which it came.
+func (r *Reader) waitFirstByte() time.Time {
+	r.remaining = maxHeaderBytes
+	_, _ = r.Peek(1)
+	return time.Now()
+}
+
+// limitedSource is the source of a Reader's buffer, which ends at the limit of the current response.
+type limitedSource struct{ reader *Reader }
+
+// Read implements io.Reader.
+func (l limitedSource) Read(p []byte) (int, error) {
+	r := l.reader
+	if r.remaining <= 0 {
+		return 0, errResponseTooLong
+	}
+	n, err := r.source.Read(p[:min(int64(len(p)), r.remaining)])
+	r.remaining -= int64(n)
+	return n, err
+}
+
+// ReadReply reads one response, without a body if it answers a HEAD request.
+//
+// A body of up to maxBuffered bytes is read completely. Of a longer one, or one whose size is not known, only the
+// beginning is read: the reply has a Stream then, and rest reads the remaining body. A body over maxBody bytes is an
+// error. So is one that ends before the end that it announced.
+//
+// reusable reports whether the connection can carry another request, once the body has been read.
+func ReadReply(r *Reader, isHead bool, maxBody, maxBuffered int64) (reply *Reply, rest io.Reader, reusable bool, err error) {
+	response, err := readFinalHead(r, isHead)
+	if err != nil {
+		return nil, nil, false, err
+	}
+	size := response.ContentLength
+	if !isHead && size > maxBody {
+		return nil, nil, false, fmt.Errorf("body of %d bytes", size)
+	}
+	r.remaining = maxBody + 1 // one more tells a body that is too long from one that just fits
+	if len(response.TransferEncoding) > 0 {
+		r.remaining = 2*maxBody + maxHeaderBytes // the lines between chunks take room, too
+	}
+
+	firstPart := maxBuffered + 1
+	canStream := maxBuffered < maxBody
+	mayBeLong := size > maxBuffered || size < 0
+	if canStream && mayBeLong {
+		firstPart = streamThreshold
+	}
+	body, err := io.ReadAll(io.LimitReader(response.Body, firstPart))
+	if err != nil {
+		return nil, nil, false, err
+	}
+	reusable = !response.Close && response.StatusCode != http.StatusSwitchingProtocols
+	reply = &Reply{Status: response.StatusCode, Header: response.Header, Body: body}
+	isComplete := int64(len(body)) < firstPart
+	if isComplete {
+		return reply, nil, reusable && r.Buffered() == 0, nil
+	}
+	if firstPart > maxBody {
+		return nil, nil, false, fmt.Errorf("body of more than %d bytes", maxBody)
+	}
+	reply.Stream = &Stream{Size: size}
+	return reply, response.Body, reusable, nil
+}
+
+// readFinalHead reads the head of a response and skips the informational ones before it.
+func readFinalHead(r *Reader, isHead bool) (*http.Response, error) {
+	request := &http.Request{Method: http.MethodGet}
+	if isHead {
+		request.Method = http.MethodHead
+	}
+	r.remaining = maxHeaderBytes
+	for {
+		response, err := http.ReadResponse(r.Reader, request)
+		if err != nil {
+			return nil, err
+		}
+		isInformational := response.StatusCode < http.StatusOK && response.StatusCode != http.StatusSwitchingProtocols
+		if !isInformational {
+			return response, nil
+		}
+	}
+}
+
+// outcome returns what the response says of its attempt. A rejection counts as one that never ran only if it proves that.
+func (r *Reply) outcome() balancer.Outcome {
+	switch r.Status {
+	case http.StatusOK:
+		return balancer.OutcomeAnswered
+	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
+		if r.Header.Get(neverRanHeader) == "1" {
+			return balancer.OutcomeRejected
+		}
+	}
+	return balancer.OutcomeFailed
+}
+
+// parseLoadReport reads the load report, "TEXT name=value, name=value ...". Each value is passed to set. If the report is
+// invalid, its text is returned and the report is empty.
+func (r *Reply) parseLoadReport(set func(report *balancer.LoadReport, name string, value float64)) (report balancer.LoadReport, invalid string) {
+	report = balancer.EmptyLoadReport()
+	text := r.Header.Get(loadReportHeader)
+	if text == "" {
+		return report, ""
+	}
+	format, pairs, _ := strings.Cut(text, " ")
+	if format != "TEXT" {
+		return report, text
+	}
+	for pair := range strings.SplitSeq(pairs, ",") {
+		name, number, ok := strings.Cut(strings.TrimSpace(pair), "=")
+		value, err := strconv.ParseFloat(number, 64)
+		if !ok || err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
+			return balancer.EmptyLoadReport(), text
+		}
+		set(&report, name, value)
+	}
+	return report, ""
+}
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -8,39 +8,44 @@
 )
 
 const (
-	// stall is how long a side may give or take nothing of what streams. Backends and clients are seen to pause for
-	// seconds; what has stopped for good must not hold a descriptor for long.
+	// stallTimeout is how long a side of a streamed body may send or take nothing. Backends and clients pause for seconds
+	// now and then; one that has stopped for good must not keep a descriptor for long.
 	stallTimeout = 10 * time.Second
-	// early is how much of a long answer must have come before it is passed on, or of one whose size is not told: some
-	// backends send 64 KiB in a second, and one whose length was spoilt shows by falling silent before, and can still be
-	// had from another backend.
-	streamThreshold  = 4 << 10
-	streamBufferSize = 16 << 10 // bytes that a stream holds at a time
+
+	// streamThreshold is how many bytes of a long response must have arrived before it is passed on. A response whose
+	// length was corrupted on the way shows by falling silent before that, and the request can still be answered by another
+	// backend. A higher threshold would delay whole responses: some backends send 64 KiB in a second.
+	streamThreshold = 4 << 10
+
+	// streamBufferSize is how many bytes of a stream are buffered at a time.
+	streamBufferSize = 16 << 10
 )
 
-// Stream is the rest of an answer that is passed on as it comes. Whoever reads it closes it, which gives its connection
-// back.
+// errBodyTooLong means that a streamed response has more bytes than MaxBody.
+var errBodyTooLong = errors.New("body exceeds its limit")
+
+// Stream is the rest of a response body that is passed on as it comes. Its reader must close it, which gives the
+// connection back. Read and Close may be called from different goroutines.
 type Stream struct {
-	Size int64 // of the whole body; below 0 is not told
+	Size int64 // of the complete body in bytes; negative if the backend did not say
 
 	body      io.Reader
 	conn      *conn
-	remaining int64 // bytes that are left of the bound
-	reusable  bool  // the connection may go on once all is read
-	giveBack  func(keep bool)
+	remaining int64 // bytes that the body may still have
+	reusable  bool  // the connection can carry another request once the body has been read
+	giveBack  func(reusable bool)
 
 	mu       sync.Mutex
-	complete bool
+	complete bool // the body has been read to its end; guarded by mu
 	once     sync.Once
 }
 
-var errBodyTooLong = errors.New("more than a body may have")
-
-// Read gives what has come; io.EOF is that the answer is whole.
-func (s *Stream) Read(b []byte) (int, error) {
+// Read implements io.Reader. The backend has stallTimeout for each read. io.EOF means that the body is complete.
+func (s *Stream) Read(p []byte) (int, error) {
 	_ = s.conn.SetReadDeadline(time.Now().Add(stallTimeout))
-	n, err := s.body.Read(b[:min(len(b), streamBufferSize)])
-	if s.remaining -= int64(n); s.remaining < 0 {
+	n, err := s.body.Read(p[:min(len(p), streamBufferSize)])
+	s.remaining -= int64(n)
+	if s.remaining < 0 {
 		return 0, errBodyTooLong
 	}
 	if err == io.EOF {
@@ -51,15 +56,15 @@
 	return n, err
 }
 
-// Close gives the connection back: to be used again where the answer was read to its end.
+// Close gives the connection back, to be reused if the response has been read to its end. Further calls have no effect.
 func (s *Stream) Close() {
 	s.once.Do(func() {
 		s.mu.Lock()
-		keep := s.complete && s.reusable && s.conn.reader.Buffered() == 0
+		reusable := s.complete && s.reusable && s.conn.reader.Buffered() == 0
 		s.mu.Unlock()
-		if keep {
+		if reusable {
 			_ = s.conn.SetDeadline(time.Time{})
 		}
-		s.giveBack(keep)
+		s.giveBack(reusable)
 	})
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -22,82 +22,84 @@
 	"pearknot/internal/descriptors"
 )
 
-// backend answers each message by the next of its scripts; a script says what goes out and whether the connection
-// ends. What arrives is told on got.
+// stubBackend answers each request with the next of its scripts. A script is the text of the response; the suffix "END"
+// closes the connection after it.
 type stubBackend struct {
 	net.Listener
-	got   chan *http.Request
-	conns chan net.Conn
+	requests chan *http.Request // that were received
+	conns    chan net.Conn      // that were accepted
 }
 
 func newStubBackend(t *testing.T, scripts ...string) *stubBackend {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() })
-	b := &stubBackend{l, make(chan *http.Request, 9), make(chan net.Conn, 9)}
-	next := make(chan string, len(scripts))
+	t.Cleanup(func() { _ = listener.Close() })
+	stub := &stubBackend{listener, make(chan *http.Request, 9), make(chan net.Conn, 9)}
+	nextScript := make(chan string, len(scripts))
 	for _, s := range scripts {
-		next <- s
+		nextScript <- s
 	}
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			b.conns <- c
+			stub.conns <- c
 			go func() {
-				r := bufio.NewReader(c)
+				reader := bufio.NewReader(c)
 				for {
-					message, err := http.ReadRequest(r)
+					request, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
-					body, _ := io.ReadAll(message.Body)
-					message.Body = io.NopCloser(bytes.NewReader(body))
-					b.got <- message
-					script := <-next
-					out, ends := strings.CutSuffix(script, "END")
-					_, _ = c.Write([]byte(out))
-					if ends {
+					body, _ := io.ReadAll(request.Body)
+					request.Body = io.NopCloser(bytes.NewReader(body))
+					stub.requests <- request
+					script := <-nextScript
+					response, closes := strings.CutSuffix(script, "END")
+					_, _ = c.Write([]byte(response))
+					if closes {
 						_ = c.Close()
 					}
 				}
 			}()
 		}
 	}()
-	return b
+	return stub
 }
 
 func newTestBackend(t *testing.T, address string) (*Backend, *Config) {
-	told := &Config{SetReportValue: config.SetReportValue,
+	t.Helper()
+	common := &Config{SetReportValue: config.SetReportValue,
 		Budget: descriptors.New(64, func() {}), Log: slog.New(slog.DiscardHandler)}
-	told.ConnectTimeout.Set(time.Second)
-	told.IdleTimeout.Set(time.Minute)
-	p := NewBackend("s", told)
-	p.Update(address, true)
-	t.Cleanup(p.Close)
-	return p, told
+	common.ConnectTimeout.Set(time.Second)
+	common.IdleTimeout.Set(time.Minute)
+	backend := NewBackend("s", common)
+	backend.Update(address, true)
+	t.Cleanup(backend.Close)
+	return backend, common
 }
 
-// send starts a call with so much time; the channel brings its outcome.
-func send(p *Backend, within time.Duration, each ...func(*Call)) chan Result {
-	out := make(chan Result, 1)
-	m := NewMessage("POST", "/api?x=%20y", "service", http.Header{"X-Trace-Id": {"7"}, "Connection": {"X-Hop"},
+// send sends a call that times out after the timeout, and returns a channel for its result.
+func send(backend *Backend, timeout time.Duration, configure ...func(*Call)) chan Result {
+	results := make(chan Result, 1)
+	message := NewMessage("POST", "/api?x=%20y", "service", http.Header{"X-Trace-Id": {"7"}, "Connection": {"X-Hop"},
 		"X-Hop": {"1"}, "X-Expires-In-Ms": {"9999"}}, []byte("body"), nil)
-	c := NewCall(m, time.Now().Add(within), func(o Result) { out <- o })
-	for _, f := range each {
-		f(c)
+	call := NewCall(message, time.Now().Add(timeout), func(r Result) { results <- r })
+	for _, apply := range configure {
+		apply(call)
 	}
-	p.Send(c)
-	return out
+	backend.Send(call)
+	return results
 }
 
-// rested lets time pass for idle connections.
-func ageIdleConns(p *Backend) {
+// ageIdleConns makes the idle connections minIdle older, so that they may be used again.
+func ageIdleConns(backend *Backend) {
 	done := make(chan bool)
-	p.mailbox.Put(func() {
-		for _, on := range p.idle {
+	backend.mailbox.Put(func() {
+		for _, on := range backend.idle {
 			on.idleSince = on.idleSince.Add(-minIdle)
 		}
 		close(done)
@@ -107,31 +109,33 @@
 
 const okHead = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
 
+// A backend answers well, badly, partly or not at all. Each response has the outcome that says what is known of the
+// attempt, and none is passed on unless it is complete.
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		script string
 		want   balancer.Outcome
 	}{
-		"answered":                {okHead + "\r\nhi", balancer.OutcomeAnswered},
-		"answered after a hint":   {"HTTP/1.1 103 Early Hints\r\n\r\n" + okHead + "\r\nhi", balancer.OutcomeAnswered},
+		"complete":                {okHead + "\r\nhi", balancer.OutcomeAnswered},
+		"after an early hint":     {"HTTP/1.1 103 Early Hints\r\n\r\n" + okHead + "\r\nhi", balancer.OutcomeAnswered},
 		"error":                   {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", balancer.OutcomeFailed},
 		"never ran":               {"HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.OutcomeRejected},
-		"over already":            {"HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.OutcomeRejected},
+		"deadline exceeded":       {"HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.OutcomeRejected},
 		"no proof":                {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", balancer.OutcomeFailed},
 		"no proof by that status": {"HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.OutcomeFailed},
-		"nothing but an end":      {"END", balancer.OutcomeConnectionReset},
+		"closed with no response": {"END", balancer.OutcomeConnectionReset},
 		"half a head":             {"HTTP/1.1 200END", balancer.OutcomeConnectionReset},
 		"half a body":             {okHead + "\r\nhEND", balancer.OutcomeConnectionReset},
 		"no HTTP":                 {"hello\r\n\r\n", balancer.OutcomeConnectionReset},
 		"too long":                {"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + strings.Repeat("x", 70000), balancer.OutcomeConnectionReset},
 		"endless":                 {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 70000), balancer.OutcomeConnectionReset},
-		"a head without end":      {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 40000), balancer.OutcomeConnectionReset},
-		"many lines":              {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", 9000), balancer.OutcomeConnectionReset},
-		"hints without end":       {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2000), balancer.OutcomeConnectionReset},
-		"chunk without an end":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;" + strings.Repeat("x", 90000), balancer.OutcomeConnectionReset},
+		"endless header":          {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 40000), balancer.OutcomeConnectionReset},
+		"too many headers":        {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", 9000), balancer.OutcomeConnectionReset},
+		"endless hints":           {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2000), balancer.OutcomeConnectionReset},
+		"endless chunk header":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;" + strings.Repeat("x", 90000), balancer.OutcomeConnectionReset},
 		"chunks":                  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balancer.OutcomeAnswered},
 		"cut off before its end":  {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nhiEND", balancer.OutcomeConnectionReset},
-		"ends by close, unsaid":   {"HTTP/1.1 200 OK\r\n\r\nhiEND", balancer.OutcomeAnswered},
+		"ends by silent close":    {"HTTP/1.1 200 OK\r\n\r\nhiEND", balancer.OutcomeAnswered},
 		"ends by close":           {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhiEND", balancer.OutcomeAnswered},
 		"ends by close, 1.0":      {"HTTP/1.0 200 OK\r\n\r\nhiEND", balancer.OutcomeAnswered},
 		"chunks of all forms":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n1;a=b\r\nh\r\n01\r\ni\r\n0;c\r\nX-Sum: 1\r\n\r\n", balancer.OutcomeAnswered},
@@ -139,160 +143,167 @@
 		"silence":                 {"", balancer.OutcomeTimedOut},
 		"half a body and silence": {okHead + "\r\nh", balancer.OutcomeTimedOut},
 	} {
-		b := newStubBackend(t, c.script)
-		p, _ := newTestBackend(t, b.Addr().String())
-		within := 10 * time.Second
+		stub := newStubBackend(t, c.script)
+		backend, _ := newTestBackend(t, stub.Addr().String())
+		timeout := 10 * time.Second
 		if c.want == balancer.OutcomeTimedOut {
-			within = 100 * time.Millisecond
+			timeout = 100 * time.Millisecond
 		}
-		out := <-send(p, within)
-		assert.Equal(t, c.want, out.Outcome, name)
-		assert.Equal(t, c.want == balancer.OutcomeAnswered, out.Reply != nil && string(out.Reply.Body) == "hi", name)
+		result := <-send(backend, timeout)
+		assert.Equal(t, c.want, result.Outcome, name)
+		assert.Equal(t, c.want == balancer.OutcomeAnswered, result.Reply != nil && string(result.Reply.Body) == "hi", name)
 	}
 }
 
+// A request and its response pass with their hop-by-hop headers removed, and the load report is read and removed. An
+// invalid load report costs no response.
 func TestMessage(t *testing.T) {
-	b := newStubBackend(t, okHead+"Endpoint-Load-Metrics: TEXT mean_ms=31.5, concurrent=2\r\n\r\nhi",
+	stub := newStubBackend(t, okHead+"Endpoint-Load-Metrics: TEXT mean_ms=31.5, concurrent=2\r\n\r\nhi",
 		okHead+"Endpoint-Load-Metrics: TEXT mean_ms=much\r\n\r\nhi")
-	p, _ := newTestBackend(t, b.Addr().String())
-	out := <-send(p, time.Minute)
-	assert.Equal(t, balancer.LoadReport{ServiceTime: 31.5, InFlight: 2, Queued: balancer.NotReported, Throughput: balancer.NotReported}, out.Report)
-	assert.Empty(t, out.Reply.Header["Endpoint-Load-Metrics"])
-	m := <-b.got
+	backend, _ := newTestBackend(t, stub.Addr().String())
+	result := <-send(backend, time.Minute)
+	assert.Equal(t, balancer.LoadReport{ServiceTime: 31.5, InFlight: 2, Queued: balancer.NotReported, Throughput: balancer.NotReported}, result.Report)
+	assert.Empty(t, result.Reply.Header["Endpoint-Load-Metrics"])
+	request := <-stub.requests
 	assert.Equal(t, []any{"POST", "/api?x=%20y", "service", "7", int64(4)},
-		[]any{m.Method, m.RequestURI, m.Host, m.Header.Get("X-Trace-Id"), m.ContentLength})
-	assert.Empty(t, m.Header.Get("X-Hop"), "headers of a hop end there")
-	assert.Len(t, m.Header[ExpiresHeader], 1)
-	assert.Regexp(t, `^(59\d\d\d|60000)$`, m.Header.Get(ExpiresHeader))
-	ageIdleConns(p)
-	out = <-send(p, time.Minute)
-	assert.Equal(t, balancer.OutcomeAnswered, out.Outcome, "an odd report costs no answer")
-	assert.False(t, out.Report.HasValues())
-	assert.Len(t, b.conns, 1, "one connection for one after the other")
+		[]any{request.Method, request.RequestURI, request.Host, request.Header.Get("X-Trace-Id"), request.ContentLength})
+	assert.Empty(t, request.Header.Get("X-Hop"), "hop-by-hop headers are not passed on")
+	assert.Len(t, request.Header[ExpiresHeader], 1)
+	assert.Regexp(t, `^(59\d\d\d|60000)$`, request.Header.Get(ExpiresHeader))
+	ageIdleConns(backend)
+	result = <-send(backend, time.Minute)
+	assert.Equal(t, balancer.OutcomeAnswered, result.Outcome, "an invalid report costs no response")
+	assert.False(t, result.Report.HasValues())
+	assert.Len(t, stub.conns, 1, "the connection is reused")
 }
 
-// What never went out whole can't have run, and ends so: an at-most-once op may go elsewhere then.
+// An attempt ends before its request was sent completely. Its outcome says that it can't have run, so that even an
+// at-most-once request may be sent to another backend.
 func TestNeverSent(t *testing.T) {
 	refusing := newStubBackend(t)
 	_ = refusing.Close()
-	b := newStubBackend(t, okHead+"\r\nhi")
+	stub := newStubBackend(t, okHead+"\r\nhi")
 	for name, c := range map[string]struct {
-		address string
-		within  time.Duration
-		tell    func(*Backend)
-		each    func(*Call)
-		want    balancer.Outcome
+		address   string
+		timeout   time.Duration
+		prepare   func(*Backend)
+		configure func(*Call)
+		want      balancer.Outcome
 	}{
-		"refused":           {refusing.Addr().String(), time.Second, nil, nil, balancer.OutcomeConnectFailed},
-		"called off before": {b.Addr().String(), time.Second, nil, (*Call).Cancel, balancer.OutcomeNotSent},
-		"out of time":       {b.Addr().String(), -time.Second, nil, nil, balancer.OutcomeConnectFailed},
-		"draining":          {b.Addr().String(), time.Second, func(p *Backend) { p.Update(b.Addr().String(), false) }, nil, balancer.OutcomeNotSent},
+		"connection refused":    {refusing.Addr().String(), time.Second, nil, nil, balancer.OutcomeConnectFailed},
+		"cancelled before Send": {stub.Addr().String(), time.Second, nil, (*Call).Cancel, balancer.OutcomeNotSent},
+		"deadline exceeded":     {stub.Addr().String(), -time.Second, nil, nil, balancer.OutcomeConnectFailed},
+		"draining":              {stub.Addr().String(), time.Second, func(b *Backend) { b.Update(stub.Addr().String(), false) }, nil, balancer.OutcomeNotSent},
 	} {
-		p, _ := newTestBackend(t, c.address)
-		if c.tell != nil {
-			c.tell(p)
+		backend, _ := newTestBackend(t, c.address)
+		if c.prepare != nil {
+			c.prepare(backend)
 		}
-		var each []func(*Call)
-		if c.each != nil {
-			each = append(each, c.each)
+		var configure []func(*Call)
+		if c.configure != nil {
+			configure = append(configure, c.configure)
 		}
-		assert.Equal(t, c.want, (<-send(p, c.within, each...)).Outcome, name)
-		assert.Empty(t, b.got, name)
+		assert.Equal(t, c.want, (<-send(backend, c.timeout, configure...)).Outcome, name)
+		assert.Empty(t, stub.requests, name)
 	}
-	p, terms := newTestBackend(t, b.Addr().String())
-	for terms.Budget.TryAcquireBackend() {
+	backend, common := newTestBackend(t, stub.Addr().String())
+	for common.Budget.TryAcquireBackend() {
 	}
-	assert.Equal(t, balancer.OutcomeNotSent, (<-send(p, 10*time.Second)).Outcome, "no descriptor is no fault of the backend's")
+	assert.Equal(t, balancer.OutcomeNotSent, (<-send(backend, 10*time.Second)).Outcome, "a lack of descriptors is not the backend's fault")
 }
 
-// The list may tell of a drain, or the op may end, while its connection comes up.
+// The endpoint list announces a drain, or the request ends, while its connection is being established. Nothing is written.
 func TestCheckedAgainBeforeTheFirstByte(t *testing.T) {
-	for name, turn := range map[string]func(*Backend, *Call){
-		"draining":   func(p *Backend, _ *Call) { p.acceptsAttempts.Store(false) },
-		"called off": func(_ *Backend, c *Call) { c.Cancel() },
-		"answered":   func(_ *Backend, c *Call) { c.PreventStart() },
-		"too late":   func(_ *Backend, c *Call) { c.ShortenDeadline(time.Now()) },
+	for name, change := range map[string]func(*Backend, *Call){
+		"draining":  func(backend *Backend, _ *Call) { backend.acceptsAttempts.Store(false) },
+		"cancelled": func(_ *Backend, call *Call) { call.Cancel() },
+		"answered":  func(_ *Backend, call *Call) { call.PreventStart() },
+		"timed out": func(_ *Backend, call *Call) { call.ShortenDeadline(time.Now()) },
 	} {
 		near, far := net.Pipe()
-		p, _ := newTestBackend(t, "127.0.0.1:1")
-		c := NewCall(NewMessage("GET", "/", "s", http.Header{}, nil, nil), time.Now().Add(time.Second), nil)
-		turn(p, c)
+		backend, _ := newTestBackend(t, "127.0.0.1:1")
+		call := NewCall(NewMessage("GET", "/", "s", http.Header{}, nil, nil), time.Now().Add(time.Second), nil)
+		change(backend, call)
 		read := make(chan int)
 		go func() {
 			n, _ := far.Read(make([]byte, 1))
 			read <- n
 		}()
-		out, fate := p.exchange(c, newConn(near, "127.0.0.1:1"))
-		assert.Equal(t, balancer.OutcomeNotSent, out.Outcome, name)
-		assert.Equal(t, connReusable, fate, name)
+		result, state := backend.exchange(call, newConn(near, "127.0.0.1:1"))
+		assert.Equal(t, balancer.OutcomeNotSent, result.Outcome, name)
+		assert.Equal(t, connReusable, state, name)
 		_ = near.Close()
 		assert.Zero(t, <-read, name)
 	}
 }
 
+// A call that waits for its response is cancelled, or its deadline is brought forward. It ends at once, and its connection
+// is closed, which is how the backend learns of it.
 func TestCancelAndShortenDeadline(t *testing.T) {
-	b := newStubBackend(t, "", "")
-	p, _ := newTestBackend(t, b.Addr().String())
-	for want, f := range map[balancer.Outcome]func(*Call){
+	stub := newStubBackend(t, "", "")
+	backend, _ := newTestBackend(t, stub.Addr().String())
+	for want, end := range map[balancer.Outcome]func(*Call){
 		balancer.OutcomeCanceled: (*Call).Cancel,
 		balancer.OutcomeTimedOut: func(c *Call) { c.ShortenDeadline(time.Now().Add(10 * time.Millisecond)) },
 	} {
 		var call *Call
-		out := send(p, time.Minute, func(c *Call) { call = c })
-		<-b.got
-		f(call)
-		assert.Equal(t, want, (<-out).Outcome)
-		_, err := (<-b.conns).Read(make([]byte, 1))
-		assert.Error(t, err, "given up by closing the connection")
+		results := send(backend, time.Minute, func(c *Call) { call = c })
+		<-stub.requests
+		end(call)
+		assert.Equal(t, want, (<-results).Outcome)
+		_, err := (<-stub.conns).Read(make([]byte, 1))
+		assert.Error(t, err, "the connection is closed")
 	}
 }
 
-// A long answer is the client's with its first bytes, and is read no faster than it is wanted; its connection comes back
-// with its last.
+// A long response is passed on from its first bytes, is read no faster than its reader takes it, also beyond the request's
+// deadline, and its connection is reused after its last byte. One that breaks off is an error, and one that nobody reads
+// to its end gives its descriptor back.
 func TestStreamedResponses(t *testing.T) {
 	body := strings.Repeat("0123456789", 300_000)
 	length := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	chunks := fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 	for name, c := range map[string]struct {
-		sent string
-		size int64
-		kept bool
+		sent   string
+		size   int64
+		reused bool
 	}{
 		"a length":      {length, int64(len(body)), true},
 		"chunks":        {chunks, -1, true},
 		"ends by close": {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body + "END", -1, false},
 	} {
-		b := newStubBackend(t, c.sent, okHead+"\r\nhi")
-		p, _ := newTestBackend(t, b.Addr().String())
-		out := <-send(p, 300*time.Millisecond)
-		require.Equal(t, balancer.OutcomeAnswered, out.Outcome, name)
-		assert.Equal(t, c.size, out.Reply.Stream.Size, name)
-		assert.Equal(t, streamThreshold, len(out.Reply.Body), name)
-		<-time.After(350 * time.Millisecond) // the op's time is over, and its client still reads
-		rest, err := io.ReadAll(out.Reply.Stream)
+		stub := newStubBackend(t, c.sent, okHead+"\r\nhi")
+		backend, _ := newTestBackend(t, stub.Addr().String())
+		result := <-send(backend, 300*time.Millisecond)
+		require.Equal(t, balancer.OutcomeAnswered, result.Outcome, name)
+		assert.Equal(t, c.size, result.Reply.Stream.Size, name)
+		assert.Equal(t, streamThreshold, len(result.Reply.Body), name)
+		<-time.After(350 * time.Millisecond) // the deadline has passed, and the client still reads
+		rest, err := io.ReadAll(result.Reply.Stream)
 		require.NoError(t, err, name)
-		assert.Equal(t, len(body), len(out.Reply.Body)+len(rest), name)
+		assert.Equal(t, len(body), len(result.Reply.Body)+len(rest), name)
 		assert.Equal(t, body[len(body)-len(rest):], string(rest), name)
-		out.Reply.Release()
-		out.Reply.Release() // once
-		ageIdleConns(p)
-		require.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome, name)
-		assert.Equal(t, c.kept, len(b.conns) == 1, "%s: the connection again", name)
+		result.Reply.Release()
+		result.Reply.Release() // has no effect
+		ageIdleConns(backend)
+		require.Equal(t, balancer.OutcomeAnswered, (<-send(backend, 10*time.Second)).Outcome, name)
+		assert.Equal(t, c.reused, len(stub.conns) == 1, "%s: whether the connection is reused", name)
 	}
 
-	// What breaks off is told as such, and what nobody wants any more is let go of, with its descriptor.
-	b := newStubBackend(t, length[:200_000]+"END", length)
-	p, told := newTestBackend(t, b.Addr().String())
-	out := <-send(p, 10*time.Second)
-	_, err := io.ReadAll(out.Reply.Stream)
+	// The first response breaks off, the second is released unread.
+	stub := newStubBackend(t, length[:200_000]+"END", length)
+	backend, common := newTestBackend(t, stub.Addr().String())
+	result := <-send(backend, 10*time.Second)
+	_, err := io.ReadAll(result.Reply.Stream)
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
-	out.Reply.Release()
-	out = <-send(p, 10*time.Second)
-	out.Reply.Release()
-	require.Eventually(t, func() bool { return told.Budget.Used() == descriptors.New(64, nil).Used() }, 10*time.Second, time.Millisecond)
+	result.Reply.Release()
+	result = <-send(backend, 10*time.Second)
+	result.Reply.Release()
+	require.Eventually(t, func() bool { return common.Budget.Used() == descriptors.New(64, nil).Used() }, 10*time.Second, time.Millisecond)
 }
 
-// A body that is too large to hold goes out as it comes, once, and the op's time begins with its last byte.
+// A body that is too large to buffer is sent once, as it comes from the client, and the request's timeout begins with its
+// last byte. If the client fails to send it, the backend is not to blame.
 func TestStreamedBodies(t *testing.T) {
 	body := strings.Repeat("0123456789", 30_000)
 	for name, c := range map[string]struct {
@@ -307,42 +318,42 @@
 			return io.MultiReader(strings.NewReader(rest[:9]), iotest.ErrReader(io.ErrUnexpectedEOF))
 		}, balancer.OutcomeNotSent},
 		"too slow":     {int64(len(body)), func(string) io.Reader { return iotest.ErrReader(os.ErrDeadlineExceeded) }, balancer.OutcomeNotSent},
-		"gone at once": {int64(len(body)), func(string) io.Reader { return iotest.ErrReader(io.EOF) }, balancer.OutcomeConnectFailed},
+		"backend gone": {int64(len(body)), func(string) io.Reader { return iotest.ErrReader(io.EOF) }, balancer.OutcomeConnectFailed},
 	} {
-		b := newStubBackend(t, okHead+"\r\nhi")
-		p, _ := newTestBackend(t, b.Addr().String())
-		if name == "gone at once" { // the backend, that is
-			_ = b.Close()
+		stub := newStubBackend(t, okHead+"\r\nhi")
+		backend, _ := newTestBackend(t, stub.Addr().String())
+		if name == "backend gone" {
+			_ = stub.Close()
 		}
-		m := NewMessage("POST", "/", "s", http.Header{"X-Trace-Id": {"7"}}, []byte(body[:1000]),
+		message := NewMessage("POST", "/", "s", http.Header{"X-Trace-Id": {"7"}}, []byte(body[:1000]),
 			&StreamedBody{Size: c.size, Timeout: 250 * time.Millisecond, Reader: c.from(body[1000:])})
-		out, sent := make(chan Result, 1), make(chan time.Time, 1)
-		call := NewCall(m, time.Now().Add(time.Minute), func(o Result) { out <- o })
-		call.OnBodySent = func(until time.Time) { sent <- until }
-		begun := time.Now()
-		p.Send(call)
-		o := <-out
-		assert.Equal(t, c.want, o.Outcome, name)
+		results, deadlines := make(chan Result, 1), make(chan time.Time, 1)
+		call := NewCall(message, time.Now().Add(time.Minute), func(result Result) { results <- result })
+		call.OnBodySent = func(deadline time.Time) { deadlines <- deadline }
+		started := time.Now()
+		backend.Send(call)
+		result := <-results
+		assert.Equal(t, c.want, result.Outcome, name)
 		if c.want != balancer.OutcomeAnswered {
-			assert.Empty(t, sent, name)
-			assert.True(t, o.Outcome.NeverRan(), name)
+			assert.Empty(t, deadlines, name)
+			assert.True(t, result.Outcome.NeverRan(), name)
 			continue
 		}
-		got := <-b.got
-		assert.Equal(t, "250", got.Header.Get(ExpiresHeader), name)
-		assert.Equal(t, c.size, got.ContentLength, name)
-		whole, err := io.ReadAll(got.Body)
+		request := <-stub.requests
+		assert.Equal(t, "250", request.Header.Get(ExpiresHeader), name)
+		assert.Equal(t, c.size, request.ContentLength, name)
+		received, err := io.ReadAll(request.Body)
 		require.NoError(t, err, name)
-		assert.True(t, body == string(whole), name)
-		until := <-sent
-		assert.Greater(t, until, begun, name)
+		assert.True(t, body == string(received), name)
+		deadline := <-deadlines
+		assert.Greater(t, deadline, started, name)
 		if name == "slow" {
-			assert.Greater(t, until.Sub(begun), 400*time.Millisecond)
+			assert.Greater(t, deadline.Sub(started), 400*time.Millisecond)
 		}
 	}
 }
 
-// slowly gives half of what there is, and the rest after a while.
+// slowReader returns half of the remaining bytes at a time, and pauses before each of the last reads.
 type slowReader struct{ *strings.Reader }
 
 func (s *slowReader) Read(b []byte) (int, error) {
@@ -352,120 +363,125 @@
 	return s.Reader.Read(b[:max(1, min(len(b), s.Len()/2))])
 }
 
-// What comes behind an answer, at once or a way between machines later, is never taken for the next op's answer.
+// A backend sends further bytes after a response, at once or a network delay later. They must never be taken for the next
+// request's response.
 func TestBytesAfterAResponse(t *testing.T) {
-	const copy = okHead + "\r\nho"
+	const secondResponse = okHead + "\r\nho"
 	for name, c := range map[string]struct {
-		behind string // at once
-		turn   func(p *Backend, first net.Conn)
+		extra string // sent with the response
+		act   func(backend *Backend, first net.Conn)
 	}{
-		"at once": {copy, func(p *Backend, _ net.Conn) { ageIdleConns(p) }},
-		"late": {"", func(p *Backend, first net.Conn) {
-			_, err := first.Write([]byte(copy))
+		"at once": {secondResponse, func(backend *Backend, _ net.Conn) { ageIdleConns(backend) }},
+		"late": {"", func(backend *Backend, first net.Conn) {
+			_, err := first.Write([]byte(secondResponse))
 			require.NoError(t, err)
-			ageIdleConns(p)
+			ageIdleConns(backend)
 		}},
-		"while the next op waits for the connection to rest": {"", func(p *Backend, first net.Conn) {
-			p.mailbox.Put(func() { p.idle[0].idleSince = time.Now().Add(50 * time.Millisecond) })
-			_, err := first.Write([]byte(copy))
+		"while the next request waits for the connection": {"", func(backend *Backend, first net.Conn) {
+			backend.mailbox.Put(func() { backend.idle[0].idleSince = time.Now().Add(50 * time.Millisecond) })
+			_, err := first.Write([]byte(secondResponse))
 			require.NoError(t, err)
 		}},
 	} {
-		b := newStubBackend(t, okHead+"\r\nhi"+c.behind, okHead+"\r\nhi")
-		p, _ := newTestBackend(t, b.Addr().String())
-		require.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome, name)
-		c.turn(p, <-b.conns)
-		out := <-send(p, 10*time.Second)
-		require.Equal(t, balancer.OutcomeAnswered, out.Outcome, name)
-		assert.Equal(t, "hi", string(out.Reply.Body), name)
-		assert.Len(t, b.conns, 1, "%s: on a connection of its own", name)
+		stub := newStubBackend(t, okHead+"\r\nhi"+c.extra, okHead+"\r\nhi")
+		backend, _ := newTestBackend(t, stub.Addr().String())
+		require.Equal(t, balancer.OutcomeAnswered, (<-send(backend, 10*time.Second)).Outcome, name)
+		c.act(backend, <-stub.conns)
+		result := <-send(backend, 10*time.Second)
+		require.Equal(t, balancer.OutcomeAnswered, result.Outcome, name)
+		assert.Equal(t, "hi", string(result.Reply.Body), name)
+		assert.Len(t, stub.conns, 1, "%s: the next request has a connection of its own", name)
 	}
 }
 
-// Connections that break on the next message after a while are not used again after so long, until that is forgotten.
+// A backend's connections break when they are reused after some idle time. After a few breaks, connections are no longer
+// reused after so long, until the counts have decayed or other connections do well.
 func TestConnectionsThatBreakAfterIdling(t *testing.T) {
-	var w idleBreakage
+	var breakage idleBreakage
 	for range 2 * minBreaks {
-		w.record(150*time.Millisecond, true)
+		breakage.record(150*time.Millisecond, true)
 	}
-	for idle, worn := range map[time.Duration]bool{20: false, 100: false, 130: true, 300: true, 20_000: true} {
-		assert.Equal(t, worn, w.isLikelyBroken(idle*time.Millisecond), idle)
+	for idle, broken := range map[time.Duration]bool{20: false, 100: false, 130: true, 300: true, 20_000: true} {
+		assert.Equal(t, broken, breakage.isLikelyBroken(idle*time.Millisecond), idle)
 	}
-	for range 100 { // no more than at any other time
-		w.record(150*time.Millisecond, false)
+	for range 100 { // the share of breaks is no longer unusual
+		breakage.record(150*time.Millisecond, false)
 	}
-	assert.False(t, w.isLikelyBroken(150*time.Millisecond))
+	assert.False(t, breakage.isLikelyBroken(150*time.Millisecond))
 
-	// The second of two messages on one connection breaks, twice; then each gets a connection of its own.
+	// Twice, the second request on a connection meets a reset. From then on each request has a connection of its own.
 	const hi = okHead + "\r\nhi"
-	b := newStubBackend(t, hi, "END", hi, "END", hi, hi)
-	p, _ := newTestBackend(t, b.Addr().String())
+	stub := newStubBackend(t, hi, "END", hi, "END", hi, hi)
+	backend, _ := newTestBackend(t, stub.Addr().String())
 	for k, want := range []balancer.Outcome{balancer.OutcomeAnswered, balancer.OutcomeConnectionReset, balancer.OutcomeAnswered, balancer.OutcomeConnectionReset,
 		balancer.OutcomeAnswered, balancer.OutcomeAnswered} {
-		assert.Equal(t, want, (<-send(p, 10*time.Second)).Outcome, k)
-		p.mailbox.Put(func() {
-			for _, on := range p.idle {
+		assert.Equal(t, want, (<-send(backend, 10*time.Second)).Outcome, k)
+		backend.mailbox.Put(func() {
+			for _, on := range backend.idle {
 				on.idleSince = on.idleSince.Add(-200 * time.Millisecond)
 			}
 		})
 	}
-	assert.Len(t, b.conns, 4)
+	assert.Len(t, stub.conns, 4)
 }
 
-// A message written to a connection that the backend has closed ends as a reset that may have run.
+// The backend closes a connection while it is idle. A request written to it would end as a reset, which may have run.
+// Therefore an idle connection is checked before it is used, and a write that fails all the same is repeated on a fresh one.
 func TestClosedWhileIdle(t *testing.T) {
-	b := newStubBackend(t, okHead+"\r\nhi", okHead+"\r\nhi", okHead+"\r\nhi")
-	p, terms := newTestBackend(t, b.Addr().String())
-	require.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome)
-	idle := <-b.conns
+	stub := newStubBackend(t, okHead+"\r\nhi", okHead+"\r\nhi", okHead+"\r\nhi")
+	backend, common := newTestBackend(t, stub.Addr().String())
+	require.Equal(t, balancer.OutcomeAnswered, (<-send(backend, 10*time.Second)).Outcome)
+	idle := <-stub.conns
 	_ = idle.Close()
-	on := make(chan bool)
+	observed := make(chan bool)
 	require.Eventually(t, func() bool {
-		p.mailbox.Put(func() { on <- p.idle[0].isUsable() })
-		return !<-on
+		backend.mailbox.Put(func() { observed <- backend.idle[0].isUsable() })
+		return !<-observed
 	}, 10*time.Second, time.Millisecond)
-	ageIdleConns(p)
-	assert.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome)
-	<-b.conns // a fresh one
+	ageIdleConns(backend)
+	assert.Equal(t, balancer.OutcomeAnswered, (<-send(backend, 10*time.Second)).Outcome)
+	<-stub.conns // a fresh one
 
-	// One that breaks at the first byte, unseen before: nothing has run, so once more on a fresh one.
-	p.mailbox.Put(func() { _ = p.idle[0].Conn.(*net.TCPConn).CloseWrite() })
-	ageIdleConns(p)
-	assert.Equal(t, balancer.OutcomeAnswered, (<-send(p, 10*time.Second)).Outcome)
-	<-b.conns
+	// The write fails though the check found nothing wrong: nothing has run, so it is repeated on a fresh connection.
+	backend.mailbox.Put(func() { _ = backend.idle[0].Conn.(*net.TCPConn).CloseWrite() })
+	ageIdleConns(backend)
+	assert.Equal(t, balancer.OutcomeAnswered, (<-send(backend, 10*time.Second)).Outcome)
+	<-stub.conns
 
-	// What stands idle for too long is closed here, before the backend would.
-	terms.IdleTimeout.Set(0)
-	p.CloseIdle()
-	p.mailbox.Put(func() { on <- len(p.idle) == 0 })
-	assert.True(t, <-on)
+	// A connection is closed at the idle timeout, before the backend would close it.
+	common.IdleTimeout.Set(0)
+	backend.CloseIdle()
+	backend.mailbox.Put(func() { observed <- len(backend.idle) == 0 })
+	assert.True(t, <-observed)
 }
 
-// An op that comes right after an answer waits for its connection to have rested: a new one for each such op cost a backend
-// of many nodes a handshake and a place. One that finds no further connection at rest dials at once.
+// A request comes right after a response. It waits until the connection may be reused: a new connection for each such
+// request cost a backend of many nodes a handshake and a place. A second request, for which there is no other connection,
+// dials at once.
 func TestWaitsForARecentlyUsedConnection(t *testing.T) {
-	b := newStubBackend(t, okHead+"\r\nhi", okHead+"\r\nhi", okHead+"\r\nhi")
-	p, _ := newTestBackend(t, b.Addr().String())
-	require.Equal(t, balancer.OutcomeAnswered, (<-send(p, time.Second)).Outcome)
+	stub := newStubBackend(t, okHead+"\r\nhi", okHead+"\r\nhi", okHead+"\r\nhi")
+	backend, _ := newTestBackend(t, stub.Addr().String())
+	require.Equal(t, balancer.OutcomeAnswered, (<-send(backend, time.Second)).Outcome)
 	answered := time.Now()
-	second, third := send(p, time.Second), send(p, time.Second)
+	second, third := send(backend, time.Second), send(backend, time.Second)
 	require.Equal(t, balancer.OutcomeAnswered, (<-second).Outcome)
 	assert.GreaterOrEqual(t, time.Since(answered)+time.Millisecond, minIdle)
 	require.Equal(t, balancer.OutcomeAnswered, (<-third).Outcome)
-	assert.Len(t, b.conns, 2)
+	assert.Len(t, stub.conns, 2)
 }
 
-// What is over or called off while it waits for a connection never goes out.
+// A request is cancelled, times out, or its backend drains while it waits for a connection. It is never sent, and its
+// descriptor is given back.
 func TestCancelWhileWaitingForAConnection(t *testing.T) {
-	b := newStubBackend(t, okHead+"\r\nhi")
-	p, told := newTestBackend(t, b.Addr().String())
-	require.Equal(t, balancer.OutcomeAnswered, (<-send(p, time.Second)).Outcome)
-	assert.Equal(t, balancer.OutcomeNotSent, (<-send(p, time.Second, (*Call).Cancel)).Outcome)
-	assert.Equal(t, balancer.OutcomeNotSent, (<-send(p, time.Millisecond)).Outcome)
-	second := send(p, time.Second)
-	p.Update(b.Addr().String(), false)
+	stub := newStubBackend(t, okHead+"\r\nhi")
+	backend, common := newTestBackend(t, stub.Addr().String())
+	require.Equal(t, balancer.OutcomeAnswered, (<-send(backend, time.Second)).Outcome)
+	assert.Equal(t, balancer.OutcomeNotSent, (<-send(backend, time.Second, (*Call).Cancel)).Outcome)
+	assert.Equal(t, balancer.OutcomeNotSent, (<-send(backend, time.Millisecond)).Outcome)
+	second := send(backend, time.Second)
+	backend.Update(stub.Addr().String(), false)
 	assert.Equal(t, balancer.OutcomeNotSent, (<-second).Outcome)
-	<-b.got
-	assert.Empty(t, b.got)
-	assert.True(t, told.Budget.TryAcquireBackend())
+	<-stub.requests
+	assert.Empty(t, stub.requests)
+	assert.True(t, common.Budget.TryAcquireBackend())
 }
