--- /dev/null
+++ b/internal/controlplane/compress.go
@@ -0,0 +1,58 @@
+package controlplane
+
+import "github.com/klauspost/compress/zstd"
+
+// minCompressedBytes is the size below which data is sent as it is: a zstd frame would save little or nothing.
+const minCompressedBytes = 1 << 10
+
+// The first byte of what compress returns.
+const (
+	encodingPlain = 0
+	encodingZstd  = 1
+)
+
+// compress returns the data with a leading byte that tells its encoding, compressed if that makes it smaller.
+func compress(data []byte) []byte {
+	if len(data) >= minCompressedBytes {
+		encoder, err := zstd.NewWriter(nil,
+			zstd.WithEncoderConcurrency(1),
+			zstd.WithLowerEncoderMem(true),
+			zstd.WithAllLitEntropyCompression(true))
+		if err == nil {
+			if small := encoder.EncodeAll(data, []byte{encodingZstd}); len(small) < len(data) {
+				return small
+			}
+		}
+	}
+	return append([]byte{encodingPlain}, data...)
+}
+
+// decompress reverses compress. Data from another process may claim any size: a claim beyond limit bytes is refused before memory is
+// taken for it, and so is a frame that claims none.
+func decompress(data []byte, limit int) ([]byte, error) {
+	switch {
+	case len(data) == 0:
+		return nil, errMalformedFrame
+	case data[0] == encodingPlain && len(data)-1 <= limit:
+		return data[1:], nil
+	case data[0] != encodingZstd:
+		return nil, errMalformedFrame
+	}
+	var header zstd.Header
+	if header.Decode(data[1:]) != nil || !header.HasFCS || header.FrameContentSize > uint64(limit) {
+		return nil, errMalformedFrame
+	}
+	decoder, err := zstd.NewReader(nil,
+		zstd.WithDecoderConcurrency(1),
+		zstd.WithDecoderMaxMemory(uint64(limit)),
+		zstd.WithDecoderLowmem(true))
+	if err != nil {
+		return nil, errMalformedFrame
+	}
+	defer decoder.Close()
+	out, err := decoder.DecodeAll(data[1:], nil)
+	if err != nil || len(out) > limit {
+		return nil, errMalformedFrame
+	}
+	return out, nil
+}
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -1,131 +1,144 @@
-// Package controlplane is the core of the control plane: one versioned history of the settings, agreed on by few voters, told on by
-// relays, followed by nodes. No I/O, no goroutines: time comes in as ms, what is to be done is pulled, chance is seeded.
+// Package controlplane is the core of the control plane. It holds one versioned history of the fleet's configuration, which a few
+// voters agree on by raft (Voter), which members without a vote relay (Follower and Server together) and which nodes follow
+// (Follower).
 //
-// A change is a difference between two documents with the digest of what it must come to. A follower applies it only to the version
-// right before, and only if the digest is right; else it asks for what it lacks. How old a view can be is known without synchronised
-// clocks: a follower's status bears its own time, the server's heartbeat gives that back with how long before or after it, by the
-// server's clock, the server was known to have all. What came late thus counts from when it was asked for, not from its receipt.
+// The package does no I/O and starts no goroutines. Time comes in as a float64 in ms on the caller's monotonic clock, random numbers
+// come from a seed, and decisions are pulled by Next. An adapter carries them out: the packages client and member over sockets, the
+// lab in virtual time.
+//
+// A Change is a difference between two documents, with the digest of the result. A follower applies it only to the version right
+// before it and only if the result has that digest; otherwise it asks for what it lacks.
+//
+// # Staleness
+//
+// The staleness of a copy is bounded without synchronised clocks. A follower's status carries the follower's own time. The server's
+// heartbeat returns that time, with the offset between the moment that the server received the status and the moment at which the
+// server's copy was known to be complete, both by the server's clock. The follower adds the two. A heartbeat that was delayed on the
+// way therefore proves freshness as of the moment that the status was sent, never as of its own receipt.
 package controlplane
 
 import (
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Flaw names a part left out on purpose, so that a test can show that its absence is noticed.
+// InjectedBug names a safety check that a test leaves out, to show that its absence is noticed.
 type InjectedBug int
 
+// The injected bugs.
 const (
 	NoInjectedBug           InjectedBug = iota
-	BugOutOfOrderChange                 // a follower applies whatever change comes, whichever version it holds; one out of turn unchecked
+	BugOutOfOrderChange                 // a follower applies a change to whatever version it has
 	BugDigestUnchecked                  // a follower doesn't compare digests
-	BugReplyBeforeCommit                // a leader answers once it has the proposal itself
-	BugFreshWithoutQuorum               // a voter that leads takes itself for fresh without asking the others
-	BugStalenessFromReceipt             // a follower counts an age from a heartbeat's receipt
-	BugStayWithStaleServer              // a follower stays with a server however old that one's copy is
-	BugBaseUnchecked                    // the state machine takes a change to whatever version it has
+	BugReplyBeforeCommit                // a leader answers a proposal before a majority has stored it
+	BugFreshWithoutQuorum               // a leader takes its history for current without asking the other voters
+	BugStalenessFromReceipt             // a follower counts staleness from the receipt of a heartbeat
+	BugStayWithStaleServer              // a follower stays with a server however stale that server's copy is
+	BugBaseUnchecked                    // the state machine applies a change to a version that it was not made from
 )
 
 // Digest is the SHA-256 of a document's text.
 type Digest [32]byte
 
-// Splice replaces lines: At counts lines of the document before the change; splices ascend and don't overlap.
+// Splice replaces lines of a document. The splices of a change ascend and don't overlap.
 type Splice struct {
-	Line, Delete uint64
-	Insert       []string // without their line ends
+	Line   uint64   // number of lines before the splice, in the document before the change
+	Delete uint64   // lines to remove
+	Insert []string // lines to put in their place, without line ends
 }
 
 // Change leads from one version to the next.
 type Change struct {
 	Version      uint64
-	ID           uint64 // the proposal's, drawn by whoever proposed it: by it a client that lost its answer finds it in the log
-	Digest       Digest // of the result
+	ID           uint64 // drawn by the proposer, who finds the change in the history by it when the reply was lost
+	Digest       Digest // of the resulting document
 	Splices      []Splice
 	By, Reason   string
-	ProposedAtMs float64 // Unix ms by the leader's clock: shown, never reckoned with
+	ProposedAtMs float64 // Unix ms by the leader's clock: for display only, no decision depends on it
 }
 
-// VoterTerms are a voter's own.
+// VoterConfig configures a Voter.
 type VoterConfig struct {
 	ID                uint64
-	Voters            []uint64
-	Seed              uint64
-	SnapshotThreshold int // bytes of entries between two images; 0 is the usual, 1 MB or a quarter of the text
-	RetainedChanges   int // changes kept, the same for all voters; 0 is the usual, 4,096
+	Voters            []uint64 // IDs of all voters, this one's among them
+	Seed              uint64   // of the election timeouts
+	SnapshotThreshold int      // bytes of log entries between two snapshots; 0 is the default, 1 MB or a quarter of the document
+	RetainedChanges   int      // the same for all voters; 0 is the default, 4,096
 	InjectedBug       InjectedBug
 }
 
-// Stored is what a voter's store holds. Keep does to it what a store must do at a Persist.
+// StoredState is the content of a voter's durable store.
 type StoredState struct {
 	HardState *pb.HardState
-	ConfState *pb.ConfState // also in the snapshot
+	ConfState *pb.ConfState // that of the snapshot
 	Snapshot  *pb.Snapshot
-	Entries   []*pb.Entry // ascending without gaps, right after the snapshot's index or from before it
+	Entries   []*pb.Entry // ascending without gaps; the first is at most one past the snapshot's index
 }
 
-// Persist is to be durable as a whole before anything that Next gives after it. A snapshot takes the place of the one before, and
-// entries up to its index go (all of them where it is Restored, from another voter). Entries take the place of all stored ones from
-// their first index on.
+// Persist is a write that must be durable as a whole before any later output of Next is carried out. A snapshot replaces the earlier
+// one and removes the entries up to its index, or all entries if it is Restored. Entries replace all stored ones from their first
+// index on.
 type Persist struct {
 	HardState *pb.HardState
 	Snapshot  *pb.Snapshot
-	Restored  bool
+	Restored  bool // the snapshot is another voter's
 	Entries   []*pb.Entry
 }
 
 // Proposal is an operator's change: the whole document as it shall be.
 type Proposal struct {
-	Base       uint64 // the version that it was made from
+	Base       uint64 // version that it was made from
 	Document   *Document
 	By, Reason string
 }
 
-// Code is what became of a proposal.
+// Code is the outcome of a proposal. Its numbers are sent over links.
 type Code int
 
+// The outcomes of a proposal.
 const (
-	CodeDone           Code = iota + 1 // in the history, on a majority's disks
-	CodeConflict                       // the head is another than its base: Version
-	CodeNotLeader                      // not taken: Leader leads, or nobody known (0)
-	CodeLeadershipLost                 // the leader went: it may or may not come into force; the log will tell by its ID
-	CodeInvalid                        // can't be: Why
-	CodeBusy                           // not taken: too many proposals in hand
+	CodeDone           Code = iota + 1 // committed: in the history, and stored by a majority
+	CodeConflict                       // the head, Result.Version, is not the proposal's base
+	CodeNotLeader                      // not taken: Result.Leader leads, or is 0 if no leader is known
+	CodeLeadershipLost                 // the leader lost its term: the change may be committed or not, its ID in the history tells
+	CodeInvalid                        // can't be applied: Result.Detail says why
+	CodeBusy                           // not taken: too many proposals are pending
 )
 
+// String returns the text by which logs and command lines show the code.
 func (c Code) String() string {
 	return [...]string{"", "done", "conflict", "not the leader", "lost", "invalid", "busy"}[c]
 }
 
-// Result answers a proposal. Version is the one that it made with Done (its earlier one, where the ID is in the log), the head's
-// with Conflict.
+// Result answers a proposal.
 type Result struct {
 	Code    Code
-	Version uint64
+	Version uint64 // the version made, with CodeDone, also if an earlier proposal of this ID made it; the head, with CodeConflict
 	Leader  uint64
 	Detail  string
 }
 
-// VoterSend is a message for another voter; messages to one voter are to stay in order, any may be lost.
+// VoterMessage is a message for another voter. Messages to one voter have to stay in order; any of them may be lost.
 type VoterMessage struct {
 	To   uint64
-	Data []byte // at most MostFrame
+	Data []byte // at most MaxFrameBytes
 }
 
-// Reply answers a Propose, by its ID.
+// Reply answers Propose.
 type Reply struct {
-	ID     uint64
+	ID     uint64 // the proposal's
 	Result Result
 }
 
-// VoterOutput is one of these.
+// VoterOutput has exactly one of its fields set.
 type VoterOutput struct {
 	Persist   *Persist
 	Send      *VoterMessage
 	Reply     *Reply
-	Committed *Change // now in History
-	Restored  bool    // History is another voter's, whole
+	Committed *Change // was appended to History
+	Restored  bool    // History was replaced by another voter's
 }
 
-// Copy is a version of the document; version 0 is none.
+// VersionedDocument is one version of the document. Version 0 is none.
 type VersionedDocument struct {
 	Version  uint64
 	Document *Document
@@ -136,64 +149,64 @@
 
 // The kinds of followers.
 const (
-	KindNode   = "node"
-	KindMember = "member"
+	KindNode   = "node"   // keeps the newest version only
+	KindMember = "member" // a relay, which keeps changes for its own followers
 )
 
-// ServerTerms are a server's own.
+// ServerConfig configures a Server.
 type ServerConfig struct {
-	Name, Region string
-	Seed         uint64
+	Seed uint64 // of the heartbeats' phases
 }
 
-// ServerOutput is a frame for a connection, or its end.
+// ServerOutput is a frame for a connection, or the connection's end.
 type ServerOutput struct {
 	Conn             uint64
-	Frame            []byte // at most MostFrame; nil with Hangup
+	Frame            []byte // at most MaxFrameBytes; nil with Disconnect
 	Disconnect       bool
 	DisconnectReason string
 }
 
-// Lease is what a server knows of one follower that it has heard of within LeaseMs.
+// Lease is what a server knows of a follower whose last status is at most LeaseDurationMs old.
 type Lease struct {
 	Name, Region, Kind                             string
 	StoredVersion, AppliedVersion, RejectedVersion uint64
-	RejectReason                                   string  // why it refused
-	BehindMs                                       float64 // ms since the head that it hasn't in force came here; 0 is up to date
-	StalenessMs                                    float64 // ms: how old its copy may be, by its own word
-	LastSeenAt                                     float64 // when it was last heard
+	RejectReason                                   string
+	BehindMs                                       float64 // since the first version that it hasn't applied arrived here; 0 is up to date
+	StalenessMs                                    float64 // upper bound of its copy's staleness, by its own account
+	LastSeenAt                                     float64 // ms, by the server's clock
 }
 
-// FollowerTerms are a follower's own.
+// FollowerConfig configures a Follower.
 type FollowerConfig struct {
 	Name, Region, Kind string
 	Members            []Target
-	RetainedChanges    int // changes that a member keeps; 0 is the usual, 4,096. A node keeps none
+	RetainedChanges    int // of a follower of KindMember; 0 is the default, 4,096. A node retains none
 	Seed               uint64
 	InjectedBug        InjectedBug
 }
 
-// Take is the newest copy held, to be put in force and kept on disk. What is in force is said by InForce, or Refused.
+// DocumentUpdate is the newest version that a follower has stored. The adapter applies it and keeps it on disk, then calls
+// VersionApplied or VersionRejected.
 type DocumentUpdate struct {
 	Version  uint64
 	Document *Document
-	Changes  []Change // that led there from the Take before; nil where it came whole
+	Changes  []Change // since the update before; nil if the document came as a snapshot
 }
 
-// FollowerOutput is one of these.
+// FollowerOutput is one decision of a Follower.
 type FollowerOutput struct {
-	Dial       bool // a connection to Members[Member], that ends in Connected or Lost
+	Dial       bool // open a connection to Members[Member], then call Connected or Disconnected
 	Member     int
-	Disconnect bool // the connection, or the dial, is given up: no Lost follows
+	Disconnect bool // close the connection or stop the dial; no call of Disconnected follows
 	Frame      []byte
 	Update     *DocumentUpdate
 }
 
-// FollowerState is how a follower stands.
+// FollowerState is a follower's state, for display.
 type FollowerState struct {
 	StoredVersion, AppliedVersion, RejectedVersion uint64
 	RejectReason                                   string
 	Digest                                         Digest
-	StalenessMs                                    float64 // ms: it has all that was acknowledged before; infinite before the first contact
-	Member                                         string  // that it follows, or ""
+	StalenessMs                                    float64 // every change acknowledged longer ago is stored; infinite before the first contact
+	Member                                         string  // that it is connected to, or empty
 }
--- a/internal/controlplane/document.go
+++ b/internal/controlplane/document.go
@@ -7,51 +7,72 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"slices"
 	"strings"
 	"unicode/utf8"
 )
 
-const (
-	MaxDocumentBytes = 32 << 20 // bytes of a document's text: six times what 140,000 tenants take
-	maxDocumentLines = 2 << 20
+// MaxDocumentBytes bounds a document's text: six times what a configuration of 140,000 tenants takes.
+const MaxDocumentBytes = 32 << 20
+
+// maxDocumentLines bounds the line index, which takes 4 bytes a line.
+const maxDocumentLines = 2 << 20
+
+// The texts of these errors reach operators by Result.Detail, also those of other builds: they don't change.
+var (
+	errMalformedText  = errors.New("odd text of a document")
+	errInvalidSplices = errors.New("odd splices")
+	errDigestMismatch = errors.New("digest differs")
 )
 
-// Document is the canonical text of a JSON object: no blanks, a line for each member at depth 1 and each element at depth 2, order and
-// the values' own text kept. A tenant is a line. It never changes.
+// Document is the canonical text of a JSON object: without blanks, with a line for each member at depth 1 and each element at depth
+// 2, the order and the spelling of values as they were given. A tenant is a line, so that a change of one tenant is a splice of one
+// line. A Document is immutable.
 type Document struct {
 	text       string
-	lineStarts []uint32 // of the lines, and the text's end
+	lineStarts []uint32 // offset of each line, and at the end the text's length
 	digest     Digest
 }
 
-// Parse makes the canonical form of a JSON object. An error begins with line:column.
+// Parse returns the canonical form of a JSON object. The error's text begins with line:column.
 func Parse(text []byte) (*Document, error) {
 	if len(text) > MaxDocumentBytes {
 		return nil, fmt.Errorf("1:1: %d bytes, %d at most", len(text), MaxDocumentBytes)
 	}
-	if at := invalidUTF8Offset(text); at >= 0 {
-		return nil, syntaxError(text, at, "not UTF-8")
+	if err := checkObject(text); err != nil {
+		return nil, err
+	}
+	return newDocument(canonicalText(text))
+}
+
+// checkObject returns an error with line:column unless the text is one JSON object in UTF-8.
+func checkObject(text []byte) error {
+	if offset := invalidUTF8Offset(text); offset >= 0 {
+		return syntaxError(text, offset, "not UTF-8")
 	}
 	if !json.Valid(text) {
-		var s *json.SyntaxError
-		if err := json.Unmarshal(text, new(json.RawMessage)); errors.As(err, &s) {
-			return nil, syntaxError(text, max(int(s.Offset)-1, 0), s.Error())
+		var syntax *json.SyntaxError
+		if err := json.Unmarshal(text, new(json.RawMessage)); errors.As(err, &syntax) {
+			return syntaxError(text, max(int(syntax.Offset)-1, 0), syntax.Error())
 		}
-		return nil, syntaxError(text, 0, "not JSON")
+		return syntaxError(text, 0, "not JSON")
 	}
-	if at := len(text) - len(bytes.TrimLeft(text, " \t\r\n")); text[at] != '{' {
-		return nil, syntaxError(text, at, "not an object")
+	if offset := len(text) - len(bytes.TrimLeft(text, " \t\r\n")); text[offset] != '{' {
+		return syntaxError(text, offset, "not an object")
 	}
+	return nil
+}
+
+// canonicalText lays out a valid JSON object in lines.
+func canonicalText(text []byte) string {
 	out := make([]byte, 0, len(text)+64)
 	depth, quoted := 0, false
-	for k := 0; k < len(text); k++ {
-		c := text[k]
+	for i := 0; i < len(text); i++ {
+		c := text[i]
 		if quoted {
 			out = append(out, c)
 			if c == '\\' {
-				k++
-				out = append(out, text[k])
+				i++
+				out = append(out, text[i])
 			}
 			quoted = c != '"'
 			continue
@@ -68,7 +89,7 @@
 			}
 		case '}', ']':
 			if depth--; depth < 2 {
-				if out[len(out)-1] == '\n' { // nothing in it
+				if out[len(out)-1] == '\n' { // an empty object or array stays on one line
 					out = out[:len(out)-1]
 				} else {
 					out = append(out, '\n')
@@ -84,33 +105,33 @@
 			out = append(out, c)
 		}
 	}
-	return newDocument(string(append(out, '\n')))
+	return string(append(out, '\n'))
 }
 
-// oddUTF8 tells where a text stops being UTF-8; -1 is nowhere.
+// invalidUTF8Offset returns the offset of the first byte that is not UTF-8, or -1.
 func invalidUTF8Offset(text []byte) int {
 	if utf8.Valid(text) {
 		return -1
 	}
-	at := 0
+	offset := 0
 	for {
-		r, size := utf8.DecodeRune(text[at:])
+		r, size := utf8.DecodeRune(text[offset:])
 		if r == utf8.RuneError && size <= 1 {
-			return at
+			return offset
 		}
-		at += size
+		offset += size
 	}
 }
 
-func syntaxError(text []byte, at int, what string) error {
-	at = min(at, len(text))
-	line := 1 + bytes.Count(text[:at], []byte{'\n'})
-	return fmt.Errorf("%d:%d: %s", line, at-bytes.LastIndexByte(text[:at], '\n'), what)
+func syntaxError(text []byte, offset int, message string) error {
+	offset = min(offset, len(text))
+	line := 1 + bytes.Count(text[:offset], []byte{'\n'})
+	column := offset - bytes.LastIndexByte(text[:offset], '\n')
+	return fmt.Errorf("%d:%d: %s", line, column, message)
 }
 
-var errMalformedText = errors.New("odd text of a document")
-
-// newDocument takes a text that is in lines already: what it says is its digest's to prove.
+// newDocument indexes a text that is laid out in lines already. It doesn't check that the text is JSON: a text from another process
+// is proven by its digest.
 func newDocument(text string) (*Document, error) {
 	if len(text) == 0 || len(text) > MaxDocumentBytes || text[len(text)-1] != '\n' {
 		return nil, errMalformedText
@@ -120,187 +141,122 @@
 		return nil, errMalformedText
 	}
 	d := &Document{text: text, lineStarts: make([]uint32, 1, lines+1), digest: digestOf(text)}
-	for at := 0; at < len(text); {
-		at += strings.IndexByte(text[at:], '\n') + 1
-		d.lineStarts = append(d.lineStarts, uint32(at))
+	for offset := 0; offset < len(text); {
+		offset += strings.IndexByte(text[offset:], '\n') + 1
+		d.lineStarts = append(d.lineStarts, uint32(offset))
 	}
 	return d, nil
 }
 
-// digestOf hashes a text piece by piece: copied whole it would cost more than the hash.
+// digestOf hashes a text in blocks of 32 KiB, because a copy of the whole string to bytes would cost more than the hash.
 func digestOf(text string) (d Digest) {
-	h, piece := sha256.New(), make([]byte, min(len(text), 32<<10))
+	const blockBytes = 32 << 10
+	hash, block := sha256.New(), make([]byte, min(len(text), blockBytes))
 	for text != "" {
-		n := copy(piece, text)
-		h.Write(piece[:n])
+		n := copy(block, text)
+		hash.Write(block[:n])
 		text = text[n:]
 	}
-	h.Sum(d[:0])
+	hash.Sum(d[:0])
 	return d
 }
 
-// nothing is version 0's.
+// emptyDocument is the document of version 0.
 func emptyDocument() *Document {
 	d, _ := newDocument("{}\n")
 	return d
 }
 
-func (d *Document) Text() []byte   { return []byte(d.text) }
+// zeroLineDocument has no lines at all. It is no valid document, but the base from which one is assembled line by line.
+func zeroLineDocument() *Document { return &Document{lineStarts: []uint32{0}} }
+
+// Text returns a copy of the canonical text.
+func (d *Document) Text() []byte { return []byte(d.text) }
+
+// Digest returns the SHA-256 of the canonical text.
 func (d *Document) Digest() Digest { return d.digest }
+
+// LineCount returns the number of lines.
 func (d *Document) LineCount() int { return len(d.lineStarts) - 1 }
 
-// start is enough of a digest to notice that two differ.
+// prefix is enough of a digest to notice that two documents differ.
 func (d Digest) prefix() uint64 { return binary.BigEndian.Uint64(d[:]) }
 
-// line is without its end.
-func (d *Document) line(k int) string { return d.text[d.lineStarts[k] : d.lineStarts[k+1]-1] }
+// line returns a line without its end. It shares the document's memory.
+func (d *Document) line(i int) string { return d.text[d.lineStarts[i] : d.lineStarts[i+1]-1] }
 
-// lines copies some, so that they don't keep the whole text in memory.
-func (d *Document) copyLines(from, to int) (all []string) {
-	for k := from; k < to; k++ {
-		all = append(all, strings.Clone(d.line(k)))
+// copyLines copies the lines from..to, so that whoever keeps a few of them doesn't keep the whole text in memory.
+func (d *Document) copyLines(from, to int) []string {
+	var lines []string
+	for i := from; i < to; i++ {
+		lines = append(lines, strings.Clone(d.line(i)))
 	}
-	return all
+	return lines
 }
 
-var (
-	errInvalidSplices = errors.New("odd splices")
-	errDigestMismatch = errors.New("digest differs")
-)
-
-// Apply makes the document that the splices lead to; nil and an error where they don't fit, or lead elsewhere.
-func (d *Document) Apply(s []Splice, want Digest) (*Document, error) {
-	next, err := d.applySplices(s)
-	if err == nil && next.digest != want {
-		next, err = nil, errDigestMismatch
+// Apply returns the document that the splices lead to. It is an error if they don't fit this document or if the result has another
+// digest than want.
+func (d *Document) Apply(splices []Splice, want Digest) (*Document, error) {
+	next, err := d.applySplices(splices)
+	if err != nil {
+		return nil, err
 	}
-	return next, err
-}
-
-func (d *Document) applySplices(all []Splice) (*Document, error) {
-	size, at, lines := len(d.text), uint64(0), uint64(d.LineCount())
-	for _, s := range all {
-		if s.Line < at || s.Line > lines || s.Delete > lines-s.Line {
-			return nil, errInvalidSplices
-		}
-		at = s.Line + s.Delete
-		size -= int(d.lineStarts[at] - d.lineStarts[s.Line])
-		for _, l := range s.Insert {
-			if size += len(l) + 1; size > MaxDocumentBytes || strings.IndexByte(l, '\n') >= 0 {
-				return nil, errInvalidSplices
-			}
-		}
-	}
-	var b strings.Builder
-	b.Grow(size)
-	at = 0
-	for _, s := range all {
-		b.WriteString(d.text[d.lineStarts[at]:d.lineStarts[s.Line]])
-		for _, l := range s.Insert {
-			b.WriteString(l)
-			b.WriteByte('\n')
-		}
-		at = s.Line + s.Delete
+	if next.digest != want {
+		return nil, errDigestMismatch
 	}
-	b.WriteString(d.text[d.lineStarts[at]:])
-	return newDocument(b.String())
+	return next, nil
 }
 
-// undo is what leads back from where fitting splices lead.
-func (d *Document) inverseSplices(all []Splice) (back []Splice) {
-	shift := uint64(0)
-	for _, s := range all {
-		back = append(back, Splice{Line: s.Line + shift, Delete: uint64(len(s.Insert)), Insert: d.copyLines(int(s.Line), int(s.Line+s.Delete))})
-		shift += uint64(len(s.Insert)) - s.Delete // wraps where lines go, and At wraps it back
+func (d *Document) applySplices(splices []Splice) (*Document, error) {
+	size, err := d.sizeAfter(splices)
+	if err != nil {
+		return nil, err
 	}
-	return back
-}
-
-// deepest bounds how often a stretch is parted again between lines that occur once in it: a text that goes on so is replaced instead.
-const maxDiffDepth = 64
-
-// Diff tells what leads from one document to another: common ends are left out, what is between is matched by the lines that occur
-// once in both (patience diff).
-func Diff(from, to *Document) []Splice {
-	d := differ{from: from, to: to}
-	d.part(0, from.LineCount(), 0, to.LineCount(), 0)
-	if n := len(d.found); n > maxSplices { // nearly all is new
-		first, last := d.found[0], d.found[n-1]
-		end := last.Line + last.Delete
-		d.found = []Splice{{Line: first.Line, Delete: end - first.Line, Insert: to.copyLines(int(first.Line), to.LineCount()-from.LineCount()+int(end))}}
+	var text strings.Builder
+	text.Grow(size)
+	end := uint64(0) // first line not yet copied
+	for _, s := range splices {
+		text.WriteString(d.text[d.lineStarts[end]:d.lineStarts[s.Line]])
+		for _, line := range s.Insert {
+			text.WriteString(line)
+			text.WriteByte('\n')
+		}
+		end = s.Line + s.Delete
 	}
-	return d.found
-}
-
-type differ struct {
-	from, to *Document
-	found    []Splice
+	text.WriteString(d.text[d.lineStarts[end]:])
+	return newDocument(text.String())
 }
 
-func (d *differ) part(a, aEnd, b, bEnd, depth int) {
-	for a < aEnd && b < bEnd && d.from.line(a) == d.to.line(b) {
-		a, b = a+1, b+1
-	}
-	for a < aEnd && b < bEnd && d.from.line(aEnd-1) == d.to.line(bEnd-1) {
-		aEnd, bEnd = aEnd-1, bEnd-1
-	}
-	if a == aEnd && b == bEnd {
-		return
-	}
-	if a < aEnd && b < bEnd && depth < maxDiffDepth {
-		if common := d.anchors(a, aEnd, b, bEnd); len(common) > 0 {
-			for _, c := range common {
-				d.part(a, c[0], b, c[1], depth+1)
-				a, b = c[0]+1, c[1]+1
+// sizeAfter returns the number of bytes that the document has after the splices. It is an error if they overlap, reach beyond the
+// document, or put in a line with a line end or more than a document may have.
+func (d *Document) sizeAfter(splices []Splice) (int, error) {
+	size, end, lines := len(d.text), uint64(0), uint64(d.LineCount())
+	for _, s := range splices {
+		if s.Line < end || s.Line > lines || s.Delete > lines-s.Line {
+			return 0, errInvalidSplices
+		}
+		end = s.Line + s.Delete
+		size -= int(d.lineStarts[end] - d.lineStarts[s.Line])
+		for _, line := range s.Insert {
+			if size += len(line) + 1; size > MaxDocumentBytes || strings.IndexByte(line, '\n') >= 0 {
+				return 0, errInvalidSplices
 			}
-			d.part(a, aEnd, b, bEnd, depth+1)
-			return
 		}
 	}
-	d.found = append(d.found, Splice{Line: uint64(a), Delete: uint64(aEnd - a), Insert: d.to.copyLines(b, bEnd)})
+	return size, nil
 }
 
-// anchors are the pairs of lines that occur once on each side, as many as ascend on both.
-func (d *differ) anchors(a, aEnd, b, bEnd int) (common [][2]int) {
-	type seen struct{ inFrom, inTo, countFrom, countTo int }
-	by := make(map[string]seen, aEnd-a)
-	for k := a; k < aEnd; k++ {
-		s := by[d.from.line(k)]
-		s.inFrom, s.countFrom = k, s.countFrom+1
-		by[d.from.line(k)] = s
-	}
-	for k := b; k < bEnd; k++ {
-		if s, ok := by[d.to.line(k)]; ok {
-			s.inTo, s.countTo = k, s.countTo+1
-			by[d.to.line(k)] = s
-		}
-	}
-	var pairs [][2]int
-	for k := a; k < aEnd; k++ {
-		if s := by[d.from.line(k)]; s.countFrom == 1 && s.countTo == 1 {
-			pairs = append(pairs, [2]int{k, s.inTo})
-		}
-	}
-	// The longest ascending run: tops[n] ends the one of n+1 pairs whose end is lowest.
-	var tops []int
-	before := make([]int, len(pairs))
-	for k, p := range pairs {
-		n, _ := slices.BinarySearchFunc(tops, p[1], func(top, at int) int { return pairs[top][1] - at })
-		before[k] = -1
-		if n > 0 {
-			before[k] = tops[n-1]
-		}
-		if n == len(tops) {
-			tops = append(tops, k)
-		} else {
-			tops[n] = k
-		}
-	}
-	if len(tops) > 0 {
-		for k := tops[len(tops)-1]; k >= 0; k = before[k] {
-			common = append(common, pairs[k])
-		}
-		slices.Reverse(common)
+// inverseSplices returns what leads back to this document from where the splices lead. They have to fit.
+func (d *Document) inverseSplices(splices []Splice) []Splice {
+	var inverse []Splice
+	shift := uint64(0) // lines inserted less lines deleted so far; it wraps below 0, and the addition wraps it back
+	for _, s := range splices {
+		inverse = append(inverse, Splice{
+			Line:   s.Line + shift,
+			Delete: uint64(len(s.Insert)),
+			Insert: d.copyLines(int(s.Line), int(s.Line+s.Delete)),
+		})
+		shift += uint64(len(s.Insert)) - s.Delete
 	}
-	return common
+	return inverse
 }
--- a/internal/controlplane/follow_test.go
+++ b/internal/controlplane/follow_test.go
@@ -62,7 +62,7 @@
 }
 
 func newPair(t *testing.T, followers int) *pair {
-	p := &pair{t: t, now: 1e6, s: NewServer(ServerConfig{Name: "m", Region: "r", Seed: 1}, 1e6), h: newHistory(0, emptyDocument(), defaultRetainedChanges), fresh: true}
+	p := &pair{t: t, now: 1e6, s: NewServer(ServerConfig{Seed: 1}, 1e6), h: newHistory(0, emptyDocument(), defaultRetainedChanges), fresh: true}
 	for k := range followers {
 		p.add(FollowerConfig{Name: fmt.Sprintf("n%d", k), Region: "r", Kind: KindNode, Members: []Target{{"m", "r"}}, Seed: uint64(k)}, VersionedDocument{})
 	}
--- /dev/null
+++ b/internal/controlplane/follower_connection.go
@@ -0,0 +1,112 @@
+package controlplane
+
+// The connection of a follower goes through three states:
+//
+//	idle --nextDialAt--> dialing --Connected--> up
+//
+// From the latter two it goes back to idle when it fails (another member follows, after a backoff) or when the follower leaves the
+// member for a better one (which is dialed at once).
+
+const (
+	// heartbeatTimeout is how long in ms a member may send nothing before another is tried: two lost heartbeats and some delay.
+	heartbeatTimeout = 2500.0
+	// dialTimeout bounds a dial, in ms.
+	dialTimeout = 1000.0
+	// minBackoff and maxBackoff bound the time in ms over which the next dial is spread. It doubles each time all members have failed.
+	minBackoff = 200.0
+	maxBackoff = 2000.0
+)
+
+type connectionState int
+
+const (
+	connectionIdle connectionState = iota
+	connectionDialing
+	connectionUp
+)
+
+// Connected tells that a dial has succeeded: the member has proven its identity.
+func (f *Follower) Connected(now float64, member int) {
+	if f.state != connectionDialing || member != f.currentMember() {
+		return
+	}
+	f.state, f.stateSince, f.lastReceivedAt = connectionUp, now, now
+	f.digestMismatches = 0
+	f.scheduleLocalRetry(now)
+	f.sendHello(now)
+}
+
+// Disconnected tells that the connection has ended or that the dial has failed.
+func (f *Follower) Disconnected(now float64) {
+	if f.state != connectionIdle {
+		f.connectionFailed(now)
+	}
+}
+
+// BytesReceived tells that a part of a frame has arrived: a long frame on a slow link is no silence.
+func (f *Follower) BytesReceived(now float64) {
+	if f.state == connectionUp {
+		f.lastReceivedAt = now
+	}
+}
+
+// disconnectAndRetry closes the connection or stops the dial; the next member is tried.
+func (f *Follower) disconnectAndRetry(now float64) {
+	f.outputs = append(f.outputs, FollowerOutput{Disconnect: true})
+	f.connectionFailed(now)
+}
+
+// switchMember leaves a member that works for another one, given by its index in memberOrder.
+func (f *Follower) switchMember(now float64, index int) {
+	f.outputs = append(f.outputs, FollowerOutput{Disconnect: true})
+	f.resetConnection(now)
+	f.current, f.nextDialAt = index, now
+}
+
+func (f *Follower) resetConnection(now float64) {
+	f.state, f.stateSince = connectionIdle, now
+	f.incoming, f.hasPendingHeartbeat = nil, false
+}
+
+func (f *Follower) connectionFailed(now float64) {
+	f.resetConnection(now)
+	f.failedDials++
+	f.selectAfterFailure()
+	// All followers of a member lose it at the same time. Each dials at a random time within the backoff, so that they don't reach the
+	// next member all at once.
+	f.nextDialAt = now + f.rng.Float64()*f.backoff
+	if f.failedDials%len(f.memberOrder) == 0 {
+		f.backoff = min(2*f.backoff, maxBackoff)
+	}
+}
+
+func (f *Follower) resetBackoff() { f.failedDials, f.backoff = 0, minBackoff }
+
+// sendHello reports what is stored. The server begins anew from there.
+func (f *Follower) sendHello(now float64) {
+	f.incoming, f.hasPendingHeartbeat = nil, false
+	f.lastHelloAt = now
+	f.sendStatus(now, frameHello)
+}
+
+// sendStatus sends a status, as a frame of kind frameStatus or frameHello.
+func (f *Follower) sendStatus(now float64, kind byte) {
+	version, doc := f.history.Head()
+	s := status{
+		SentAt:          now,
+		StoredVersion:   version,
+		AppliedVersion:  f.appliedVersion,
+		RejectedVersion: f.rejectedVersion,
+		RejectReason:    f.rejectReason,
+		StalenessMs:     f.staleness(now),
+	}
+	if f.incoming != nil {
+		s.SnapshotReceived = uint64(len(f.incoming.data))
+	}
+	if kind == frameHello {
+		s.Digest, s.Region, s.Kind = doc.digest[:], f.config.Region, f.config.Kind
+		s.NeedsSnapshot = f.digestMismatches > 0
+	}
+	f.outputs = append(f.outputs, FollowerOutput{Frame: encodeFrame(kind, &s)})
+	f.lastStatusAt, f.statusChanged = now, false
+}
--- a/internal/controlplane/history.go
+++ b/internal/controlplane/history.go
@@ -9,52 +9,66 @@
 )
 
 const (
-	defaultRetainedChanges = 4096     // changes: three days of 1,300
-	maxRetainedBytes       = 16 << 20 // and what undoes them
+	// defaultRetainedChanges is three days of 1,300 changes a day: how long a relay may be away and still catch up by changes.
+	defaultRetainedChanges = 4096
+	// maxRetainedBytes bounds the memory of the retained changes and their inverses, however large each of them is.
+	maxRetainedBytes = 16 << 20
 )
 
-// History is the replicated state: the head, the changes that led there, as many as are kept, and what undoes them.
+var errMalformedSnapshot = errors.New("malformed history snapshot")
+
+// History is the replicated state: the head document, and the latest changes that led to it with their inverses.
 type History struct {
 	headVersion       uint64
 	headDocument      *Document
 	changes           []retainedChange // oldest first, without gaps, up to the head
 	retainedBytes     int
-	versionByProposal map[uint64]uint64 // versions by proposal
-	maxChanges        int               // changes kept
+	versionByProposal map[uint64]uint64 // of the retained changes, by Change.ID
+	maxChanges        int
 }
 
 type retainedChange struct {
 	change      Change
 	inverse     []Splice
-	frame       []byte // for followers; nil where it is too large for one
+	frame       []byte // for followers; nil if the change is too large for a frame
 	memoryBytes int
 }
 
-func newHistory(version uint64, doc *Document, most int) *History {
-	return &History{headVersion: version, headDocument: doc, versionByProposal: map[uint64]uint64{}, maxChanges: most}
+func newHistory(version uint64, doc *Document, maxChanges int) *History {
+	return &History{headVersion: version, headDocument: doc, versionByProposal: map[uint64]uint64{}, maxChanges: maxChanges}
 }
 
-// Head is the newest version; before the first change it is 0, with an empty object.
+// Head returns the newest version and its document. Before the first change that is version 0 and an empty object.
 func (h *History) Head() (version uint64, doc *Document) { return h.headVersion, h.headDocument }
 
-// oldest is the version that the kept changes begin from.
+// oldestVersion is the version before the first retained change: the oldest one that DocumentAt can restore.
 func (h *History) oldestVersion() uint64 { return h.headVersion - uint64(len(h.changes)) }
 
-// At makes an earlier version's document again, if all that led from there is kept.
+// covers reports whether all changes from a version to the head are retained.
+func (h *History) covers(version uint64) bool {
+	return version >= h.oldestVersion() && version <= h.headVersion
+}
+
+// changesSince returns the retained changes after a version that the history covers.
+func (h *History) changesSince(version uint64) []retainedChange {
+	return h.changes[version-h.oldestVersion():]
+}
+
+// DocumentAt restores an earlier version's document, by undoing the later changes. It returns false if they are not all retained.
 func (h *History) DocumentAt(version uint64) (*Document, bool) {
-	if version > h.headVersion || version < h.oldestVersion() {
+	if !h.covers(version) {
 		return nil, false
 	}
 	if version == h.headVersion {
 		return h.headDocument, true
 	}
 	lines := make([]string, 0, h.headDocument.LineCount())
-	for k := range h.headDocument.LineCount() {
-		lines = append(lines, h.headDocument.line(k))
+	for i := range h.headDocument.LineCount() {
+		lines = append(lines, h.headDocument.line(i))
 	}
-	for n := len(h.changes) - 1; n >= int(version-h.oldestVersion()); n-- {
-		for _, s := range slices.Backward(h.changes[n].inverse) { // from the end, so that places still fit
-			if most := uint64(len(lines)); s.Line > most || s.Delete > most-s.Line {
+	for _, retained := range slices.Backward(h.changesSince(version)) {
+		for _, s := range slices.Backward(retained.inverse) { // from the end, so that the line numbers of the others still fit
+			if count := uint64(len(lines)); s.Line > count || s.Delete > count-s.Line {
 				return nil, false
 			}
 			lines = slices.Replace(lines, int(s.Line), int(s.Line+s.Delete), s.Insert...)
@@ -70,10 +84,7 @@
 	return doc, true
 }
 
-// nothingLike has no lines at all: what At begins from.
-func zeroLineDocument() *Document { return &Document{lineStarts: []uint32{0}} }
-
-// digestAt is a version's, where the change that made it is kept.
+// digestAt returns a version's digest, if it is the head or the change that made it is retained.
 func (h *History) digestAt(version uint64) (Digest, bool) {
 	switch {
 	case version == h.headVersion:
@@ -84,116 +95,126 @@
 	return h.changes[version-h.oldestVersion()-1].change.Digest, true
 }
 
-// Since is what leads from a version to the head; false where not all of it is kept.
+// ChangesSince returns the changes from a version to the head. It returns false if they are not all retained.
 func (h *History) ChangesSince(version uint64) ([]Change, bool) {
-	if version > h.headVersion || version < h.oldestVersion() {
+	if !h.covers(version) {
 		return nil, false
 	}
-	var all []Change
-	for _, k := range h.changes[version-h.oldestVersion():] {
-		all = append(all, k.change)
+	var changes []Change
+	for _, retained := range h.changesSince(version) {
+		changes = append(changes, retained.change)
 	}
-	return all, true
+	return changes, true
 }
 
-// Log is the latest changes, newest first, without what they change.
-func (h *History) RecentChanges(most int) (all []Change) {
-	for _, k := range slices.Backward(h.changes) {
-		if len(all) == most {
+// RecentChanges returns the latest changes, at most limit, newest first and without their splices.
+func (h *History) RecentChanges(limit int) []Change {
+	var changes []Change
+	for _, retained := range slices.Backward(h.changes) {
+		if len(changes) == limit {
 			break
 		}
-		c := k.change
-		c.Splices = nil
-		all = append(all, c)
+		change := retained.change
+		change.Splices = nil
+		changes = append(changes, change)
 	}
-	return all
+	return changes
 }
 
-// Find tells which version a proposal has made, among the changes kept.
+// FindProposal returns the version that a proposal has made, if its change is retained.
 func (h *History) FindProposal(id uint64) (version uint64, ok bool) {
 	version, ok = h.versionByProposal[id]
 	return version, ok
 }
 
-// take goes on by a change that has been applied to the head already.
+// appendChange makes next the head. The change has been applied to the head before.
 func (h *History) appendChange(c Change, next *Document) {
 	if h.maxChanges > 0 {
-		k := retainedChange{change: c, inverse: h.headDocument.inverseSplices(c.Splices), frame: encodeChange(&c)}
-		k.memoryBytes = k.memorySize()
-		h.retain(k)
+		h.retain(c, h.headDocument.inverseSplices(c.Splices))
 	}
 	h.headVersion, h.headDocument = c.Version, next
 }
 
-// bytes is about what it takes in memory.
-func (k *retainedChange) memorySize() int {
-	n := 200 + len(k.frame) + len(k.change.By) + len(k.change.Reason)
-	for _, all := range [][]Splice{k.change.Splices, k.inverse} {
-		for _, s := range all {
-			n += 48
-			for _, l := range s.Insert {
-				n += 16 + len(l)
-			}
-		}
+// retain keeps a change, and drops the oldest ones beyond the limits of number and memory.
+func (h *History) retain(c Change, inverse []Splice) {
+	retained := retainedChange{change: c, inverse: inverse, frame: encodeChange(&c)}
+	retained.memoryBytes = retained.memorySize()
+	h.changes = append(h.changes, retained)
+	h.retainedBytes += retained.memoryBytes
+	h.versionByProposal[c.ID] = c.Version
+	for len(h.changes) > h.maxChanges || h.retainedBytes > maxRetainedBytes && len(h.changes) > 1 {
+		h.dropOldest()
 	}
-	return n
 }
 
-func (h *History) retain(k retainedChange) {
-	h.changes = append(h.changes, k)
-	h.retainedBytes += k.memoryBytes
-	h.versionByProposal[k.change.ID] = k.change.Version
-	for len(h.changes) > h.maxChanges || h.retainedBytes > maxRetainedBytes && len(h.changes) > 1 {
-		old := h.changes[0]
-		h.retainedBytes -= old.memoryBytes
-		if h.versionByProposal[old.change.ID] == old.change.Version {
-			delete(h.versionByProposal, old.change.ID)
+func (h *History) dropOldest() {
+	oldest := h.changes[0]
+	h.retainedBytes -= oldest.memoryBytes
+	if h.versionByProposal[oldest.change.ID] == oldest.change.Version {
+		delete(h.versionByProposal, oldest.change.ID)
+	}
+	h.changes[0] = retainedChange{} // the backing array lives on until append reallocates it: free the content now
+	h.changes = h.changes[1:]
+}
+
+// memorySize estimates the change's memory, in bytes.
+func (r *retainedChange) memorySize() int {
+	const (
+		changeOverhead = 200
+		spliceOverhead = 48
+		lineOverhead   = 16 // a string header
+	)
+	size := changeOverhead + len(r.frame) + len(r.change.By) + len(r.change.Reason)
+	for _, splices := range [][]Splice{r.change.Splices, r.inverse} {
+		for _, s := range splices {
+			size += spliceOverhead
+			for _, line := range s.Insert {
+				size += lineOverhead + len(line)
+			}
 		}
-		h.changes[0] = retainedChange{} // lets go of it before the list is made anew
-		h.changes = h.changes[1:]
 	}
+	return size
 }
 
-// reset goes to a version that came whole.
+// resetTo replaces the history by a version that came as a snapshot.
 func (h *History) resetTo(version uint64, doc *Document) {
-	h.headVersion, h.headDocument, h.changes, h.retainedBytes = version, doc, nil, 0
+	h.headVersion, h.headDocument = version, doc
+	h.changes, h.retainedBytes = nil, 0
 	clear(h.versionByProposal)
 }
 
+// encodeSnapshot returns the history in the form of a voter's raft snapshot.
 func (h *History) encodeSnapshot() []byte {
-	m := historySnapshot{FormatVersion: historySnapshotFormat, Version: h.headVersion, Text: h.headDocument.text}
-	for _, k := range h.changes {
-		m.Changes = append(m.Changes, snapshotChange{newWireChange(&k.change), encodeSplices(k.inverse)})
+	s := historySnapshot{FormatVersion: historySnapshotFormat, Version: h.headVersion, Text: h.headDocument.text}
+	for _, retained := range h.changes {
+		s.Changes = append(s.Changes, snapshotChange{newWireChange(&retained.change), encodeSplices(retained.inverse)})
 	}
-	return compress(snapshot.Append(nil, &m))
+	return compress(snapshot.Append(nil, &s))
 }
 
-var errMalformedSnapshot = errors.New("odd image of a history")
-
-// readImage makes a history of its image.
-func decodeHistorySnapshot(data []byte, most int) (*History, error) {
+// decodeHistorySnapshot returns the history of a snapshot. maxChanges 0 is the default.
+func decodeHistorySnapshot(data []byte, maxChanges int) (*History, error) {
 	data, err := decompress(data, maxSnapshotBytes)
 	if err != nil {
 		return nil, errMalformedSnapshot
 	}
-	var m historySnapshot
-	if snapshot.Read(data, &m) != nil || m.FormatVersion != historySnapshotFormat || uint64(len(m.Changes)) > m.Version {
+	var s historySnapshot
+	if snapshot.Read(data, &s) != nil || s.FormatVersion != historySnapshotFormat || uint64(len(s.Changes)) > s.Version {
 		return nil, errMalformedSnapshot
 	}
-	doc, err := newDocument(m.Text)
+	doc, err := newDocument(s.Text)
 	if err != nil {
 		return nil, errMalformedSnapshot
 	}
-	h := newHistory(m.Version, doc, cmp.Or(most, defaultRetainedChanges))
-	for n := range m.Changes {
-		c, err := m.Changes[n].Change.decode()
-		undo, odd := decodeSplices(m.Changes[n].Inverse)
-		if err != nil || odd != nil || c.Version != m.Version-uint64(len(m.Changes)-n)+1 {
+	h := newHistory(s.Version, doc, cmp.Or(maxChanges, defaultRetainedChanges))
+	for i := range s.Changes {
+		change, changeErr := s.Changes[i].Change.decode()
+		inverse, inverseErr := decodeSplices(s.Changes[i].Inverse)
+		wantVersion := s.Version - uint64(len(s.Changes)-i) + 1
+		if changeErr != nil || inverseErr != nil || change.Version != wantVersion {
 			return nil, errMalformedSnapshot
 		}
-		k := retainedChange{change: c, inverse: undo, frame: encodeChange(&c)}
-		k.memoryBytes = k.memorySize()
-		h.retain(k)
+		h.retain(change, inverse)
 	}
 	if n := len(h.changes); n > 0 && h.changes[n-1].change.Digest != doc.digest {
 		return nil, errMalformedSnapshot
--- a/internal/controlplane/member/member.go
+++ b/internal/controlplane/member/member.go
@@ -138,7 +138,7 @@
 		return err
 	}
 	defer socket.Close()
-	m.server = controlplane.NewServer(controlplane.ServerConfig{Name: name, Region: self.Region, Seed: rand.Uint64()}, m.clock.Now())
+	m.server = controlplane.NewServer(controlplane.ServerConfig{Seed: rand.Uint64()}, m.clock.Now())
 	m.served.freshAt = math.Inf(-1)
 	log.Info("member of the control plane", "name", name, "region", self.Region, "voter", self.Voter, "address", l.Addr().String(), "version", o.Version)
 	m.wg.Go(m.run)
--- /dev/null
+++ b/internal/controlplane/server_catchup.go
@@ -0,0 +1,191 @@
+package controlplane
+
+// How a follower catches up with the head.
+//
+// A follower that has the head gets each change at once. One that misses changes gets them, or a snapshot of the document if they are
+// no longer retained or larger than a snapshot, at a limited rate: a region whose followers all come back at once must not delay the
+// changes and heartbeats of the others. The chunks of a snapshot are paced by the follower's statuses besides, so that on a slow link
+// no more is under way than the link carries between two heartbeats.
+
+const (
+	// followerRate limits what one follower gets while it catches up, in bytes per ms: 128 KB/s.
+	followerRate = 128.0
+	// totalRate limits what all of them get together, in bytes per ms: 2 MB/s, a fifth of a slow network card.
+	totalRate = 2048.0
+	// maxChunkBytes bounds a chunk: a change to the same follower waits behind one at most.
+	maxChunkBytes = 16 << 10
+	// minChunkBytes takes half a second on a link of 1 KB/s, so that heartbeats are in time even there.
+	minChunkBytes = 512
+	// maxCatchUpBytes is how much of the missed changes may wait to be written to one follower.
+	maxCatchUpBytes = 64 << 10
+	// A chunk that was received within fastChunkMs doubles the window, one that took longer than slowChunkMs halves it.
+	fastChunkMs = 600.0
+	slowChunkMs = 1200.0
+	// maxSnapshotLagBytes is how many bytes of changes a cached snapshot may be behind the head before it is made anew.
+	maxSnapshotLagBytes = 256 << 10
+)
+
+// packedDocument is a compressed document on its way as a snapshot.
+type packedDocument struct {
+	version   uint64
+	digest    Digest
+	textBytes int
+	size      int    // bytes of data, once it is complete
+	data      []byte // at a follower: what has arrived
+}
+
+// sendMissingChanges sends a follower the changes that it lacks, or begins a snapshot. With atOnce, for a change that was just
+// committed, a follower that has all the earlier ones gets it without regard to the rate.
+func (s *Server) sendMissingChanges(c *followerConn, atOnce bool) {
+	head, _ := s.history.Head()
+	if !c.helloReceived || c.snapshot != nil || head == 0 { // version 0 has no snapshot
+		return
+	}
+	if c.sentVersion >= head && c.sentVersion != noVersion {
+		c.caughtUp = c.sentVersion == head || c.caughtUp
+		return
+	}
+	if !s.history.covers(c.sentVersion) {
+		s.beginSnapshot(c)
+		return
+	}
+	missing := s.history.changesSince(c.sentVersion)
+	bytes, sendable := frameBytes(missing)
+	if !sendable || bytes > max(maxCatchUpBytes, s.snapshotBytesEstimate()) {
+		s.beginSnapshot(c)
+		return
+	}
+	for _, m := range missing {
+		if !c.caughtUp || !atOnce {
+			if c.byteCredit <= 0 || s.byteCredit <= 0 || c.unwrittenBytes > maxCatchUpBytes {
+				c.caughtUp = false
+				return
+			}
+			s.spendCredit(c, len(m.frame))
+		}
+		s.enqueueFrame(c, m.frame)
+		c.sentVersion = m.change.Version
+	}
+	c.caughtUp = true
+	s.disconnectSlowReader(c)
+}
+
+// frameBytes returns the size of the changes' frames; false if one of the changes is too large for a frame.
+func frameBytes(changes []retainedChange) (bytes int, sendable bool) {
+	for _, retained := range changes {
+		if retained.frame == nil {
+			return 0, false
+		}
+		bytes += len(retained.frame)
+	}
+	return bytes, true
+}
+
+// snapshotBytesEstimate is about what the document takes when it is compressed.
+func (s *Server) snapshotBytesEstimate() int { return len(s.history.headDocument.text) / 8 }
+
+func (s *Server) spendCredit(c *followerConn, bytes int) {
+	c.byteCredit -= float64(bytes)
+	s.byteCredit -= float64(bytes)
+}
+
+// beginSnapshot sends a follower the document from now on. All followers that need one at about the same time share it: to compress
+// 140,000 tenants takes long.
+func (s *Server) beginSnapshot(c *followerConn) {
+	if !s.isCachedSnapshotUsable() {
+		head, doc := s.history.Head()
+		s.cachedSnapshot = &packedDocument{
+			version:   head,
+			digest:    doc.digest,
+			textBytes: len(doc.text),
+			data:      compress([]byte(doc.text)),
+		}
+	}
+	p := s.cachedSnapshot
+	c.caughtUp, c.snapshot = false, p
+	c.snapshotSent, c.snapshotReceived, c.chunkSentAt = 0, 0, 0
+	c.chunkWindow = 4 * minChunkBytes
+	s.enqueueFrame(c, encodeFrame(frameSnapshotBegin, &snapshotBegin{
+		Version:   p.version,
+		Digest:    p.digest[:],
+		Size:      uint64(len(p.data)),
+		TextBytes: uint64(p.textBytes),
+	}))
+}
+
+// isCachedSnapshotUsable reports whether the changes since the cached snapshot are retained and few enough to be sent after it.
+func (s *Server) isCachedSnapshotUsable() bool {
+	p := s.cachedSnapshot
+	if p == nil || !s.history.covers(p.version) {
+		return false
+	}
+	bytes, sendable := frameBytes(s.history.changesSince(p.version))
+	maxLag := min(maxSnapshotLagBytes, max(maxCatchUpBytes, len(s.history.headDocument.text)/16))
+	return sendable && bytes <= maxLag
+}
+
+// sendPaced gives the connections turns to send what they have at a limited rate, until none has anything or the credit is spent.
+func (s *Server) sendPaced(now float64) {
+	withoutSending := 0 // connections in a row
+	for withoutSending < len(s.connOrder) && s.byteCredit > 0 {
+		if s.nextConn >= len(s.connOrder) {
+			s.nextConn = 0
+		}
+		c := s.connOrder[s.nextConn]
+		s.nextConn++
+		withoutSending++
+		if s.sendNextChunk(now, c) {
+			withoutSending = 0
+		}
+	}
+}
+
+// sendNextChunk sends a follower the next part of what it misses, if the rates allow, and reports whether anything was sent.
+func (s *Server) sendNextChunk(now float64, c *followerConn) bool {
+	if c.snapshot == nil {
+		before := c.sentVersion
+		if c.helloReceived && !c.caughtUp {
+			s.sendMissingChanges(c, false)
+		}
+		return c.sentVersion != before
+	}
+	left := len(c.snapshot.data) - c.snapshotSent
+	if left == 0 {
+		if c.snapshotReceived != c.snapshotSent {
+			return false
+		}
+		// The follower has the snapshot. The changes since are next.
+		c.sentVersion, c.snapshot = c.snapshot.version, nil
+		s.sendMissingChanges(c, false)
+		return true
+	}
+	underWay := c.snapshotSent - c.snapshotReceived
+	size := min(left, c.chunkWindow-underWay, maxChunkBytes, max(c.chunkWindow/2, minChunkBytes))
+	if size <= 0 || size < min(left, minChunkBytes) || c.byteCredit < float64(size) {
+		return false
+	}
+	if c.chunkSentAt == 0 || underWay == 0 {
+		c.chunkSentAt = now
+	}
+	s.spendCredit(c, size)
+	s.enqueueFrame(c, encodeFrame(frameSnapshotChunk, &snapshotChunk{
+		Offset: uint64(c.snapshotSent),
+		Data:   c.snapshot.data[c.snapshotSent : c.snapshotSent+size],
+	}))
+	c.snapshotSent += size
+	return true
+}
+
+// recordSnapshotProgress takes over from a status how much of the snapshot has arrived, and adapts the window to how long that took.
+func (c *followerConn) recordSnapshotProgress(now float64, st *status) {
+	if c.snapshot == nil || int(min(st.SnapshotReceived, uint64(c.snapshotSent))) <= c.snapshotReceived {
+		return
+	}
+	switch took := now - c.chunkSentAt; {
+	case took <= fastChunkMs:
+		c.chunkWindow = min(2*c.chunkWindow, 2*maxChunkBytes)
+	case took > slowChunkMs:
+		c.chunkWindow = max(c.chunkWindow/2, minChunkBytes)
+	}
+	c.snapshotReceived, c.chunkSentAt = int(st.SnapshotReceived), now
+}
--- /dev/null
+++ b/internal/controlplane/server_leases.go
@@ -0,0 +1,89 @@
+package controlplane
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+)
+
+const (
+	// LeaseDurationMs is how long a follower is reported after its last status: two that are lost, and some delay.
+	LeaseDurationMs = 6000.0
+
+	// maxLeases bounds the followers known: ten times the fleet.
+	maxLeases = 16 << 10
+	// maxArrivals bounds the versions whose time of arrival is known: as many as changes are retained.
+	maxArrivals = 4096
+)
+
+// renewLease takes over what a follower has reported. A lease that has expired on a connection that is still up is granted again, and
+// therefore filled in completely each time.
+func (s *Server) renewLease(now float64, c *followerConn, st *status) error {
+	lease := s.leases[c.name]
+	if lease == nil {
+		if len(s.leases) >= maxLeases {
+			return fmt.Errorf("more than %d followers", maxLeases)
+		}
+		lease = &Lease{}
+		s.leases[c.name] = lease
+	}
+	*lease = Lease{
+		Name:            c.name,
+		Region:          c.region,
+		Kind:            c.kind,
+		StoredVersion:   st.StoredVersion,
+		AppliedVersion:  st.AppliedVersion,
+		RejectedVersion: st.RejectedVersion,
+		RejectReason:    st.RejectReason,
+		StalenessMs:     st.StalenessMs,
+		LastSeenAt:      now,
+	}
+	return nil
+}
+
+func (l *Lease) isExpired(now float64) bool { return now-l.LastSeenAt > LeaseDurationMs }
+
+func (s *Server) expireLeases(now float64) {
+	for name, lease := range s.leases {
+		if lease.isExpired(now) {
+			delete(s.leases, name)
+		}
+	}
+}
+
+// Leases returns the followers that were heard of within LeaseDurationMs, by name.
+func (s *Server) Leases(now float64) []Lease {
+	var leases []Lease
+	for _, lease := range s.leases {
+		if lease.isExpired(now) {
+			continue
+		}
+		l := *lease
+		l.StalenessMs += now - l.LastSeenAt
+		if l.AppliedVersion < s.headVersion {
+			l.BehindMs = now - s.arrivalOf(l.AppliedVersion+1)
+		}
+		leases = append(leases, l)
+	}
+	slices.SortFunc(leases, func(a, b Lease) int { return cmp.Compare(a.Name, b.Name) })
+	return leases
+}
+
+// recordArrivals notes the time for each version since the last call, up to the new head.
+func (s *Server) recordArrivals(now float64, head uint64) {
+	if head > maxArrivals {
+		s.headVersion = max(s.headVersion, head-maxArrivals)
+	}
+	for ; s.headVersion < head; s.headVersion++ {
+		s.arrivals = append(s.arrivals, now)
+	}
+	if excess := len(s.arrivals) - maxArrivals; excess > 0 {
+		s.arrivals = slices.Delete(s.arrivals, 0, excess)
+	}
+}
+
+// arrivalOf returns when a version arrived here. For one that is too old, it is the time of the oldest that is known.
+func (s *Server) arrivalOf(version uint64) float64 {
+	i := int(version) - int(s.headVersion) + len(s.arrivals) - 1
+	return s.arrivals[max(i, 0)]
+}
--- a/internal/controlplane/voter_test.go
+++ b/internal/controlplane/voter_test.go
@@ -260,7 +260,7 @@
 	for want, damage := range map[string]func(s *StoredState) *StoredState{
 		"voter's store: no store":                                 func(*StoredState) *StoredState { return nil },
 		"voter's store: its voters are [1 2 3], the file's [1 2]": func(s *StoredState) *StoredState { terms.Voters = []uint64{1, 2}; return s },
-		"voter's store: odd image of a history": func(s *StoredState) *StoredState {
+		"voter's store: malformed history snapshot": func(s *StoredState) *StoredState {
 			s.Snapshot = proto.Clone(s.Snapshot).(*pb.Snapshot)
 			s.Snapshot.Data = s.Snapshot.Data[:len(s.Snapshot.Data)/2]
 			return s
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -6,78 +6,90 @@
 	"math"
 	"strings"
 
-	"github.com/klauspost/compress/zstd"
-
 	"pearknot/internal/snapshot"
 )
 
-// MostFrame bounds the bytes of a frame, either way.
+// MaxFrameBytes bounds a frame, in either direction.
 const MaxFrameBytes = 320 << 10
 
+// Limits of what a frame, a raft log entry or a raft snapshot may contain. Whatever comes from another process is held against them
+// before memory is taken for it.
 const (
-	protocolVersion    = 1       // version of what follows
-	maxChangeBytes     = 1 << 20 // bytes of a change that goes as a change; a larger one makes followers ask for the whole
-	minCompressedBytes = 1 << 10 // what is smaller goes as it is
-	maxSnapshotBytes   = 96 << 20
-	maxReasonBytes     = 512 // bytes of a reason, and the like
-	maxNameBytes       = 64
-	maxSplices         = 64 << 10
-	maxProposalBytes   = MaxDocumentBytes + 1<<20
+	maxChangeBytes   = 1 << 20  // of a change before compression; followers get a larger one as a snapshot
+	maxSnapshotBytes = 96 << 20 // of a history snapshot before compression: a document, the changes and their inverses
+	maxProposalBytes = MaxDocumentBytes + 1<<20
+	maxReasonBytes   = 512 // of an author, a reason, an explanation
+	maxNameBytes     = 64  // of a region
+	maxSplices       = 64 << 10
 )
 
-var errMalformedFrame = errors.New("odd frame")
+// protocolVersion is the version of the frames.
+const protocolVersion = 1
+
+// historySnapshotFormat is the version of historySnapshot.
+const historySnapshotFormat = 1
+
+var errMalformedFrame = errors.New("malformed frame")
 
-// What a frame is.
+// The kinds of frames: the second byte of each, after the protocol version.
 const (
-	frameHello         = iota + 1 // follower: what it holds; the server begins anew from there
-	frameStatus                   // follower
-	frameChange                   // server
-	frameHeartbeat                // server
-	frameSnapshotBegin            // server: a whole comes, in chunks
-	frameSnapshotChunk            // server
+	frameHello         = iota + 1 // from a follower: status, asks the server to begin anew from StoredVersion
+	frameStatus                   // from a follower: status
+	frameChange                   // from a server: compressed wireChange
+	frameHeartbeat                // from a server: heartbeat
+	frameSnapshotBegin            // from a server: snapshotBegin, the document follows in chunks
+	frameSnapshotChunk            // from a server: snapshotChunk
 )
 
-// status is what a follower says, first and then again.
-type status struct {
-	SentAt                                         float64 // by its own clock, given back in heartbeats
-	StoredVersion, AppliedVersion, RejectedVersion uint64
-	RejectReason                                   string
-	StalenessMs                                    float64
-	SnapshotReceived                               uint64 // bytes of the whole that is coming
-	Digest                                         []byte // hello only, as what follows
-	Region, Kind                                   string
-	NeedsSnapshot                                  bool // what it holds is no good to go on from
-}
+// The structs below are encoded by the order and the types of their fields, not by their names (package snapshot). Fields may be
+// renamed, and new ones added at the end; never reorder or remove one, or change its type.
 
-// heartbeat is what a server says each second, once it has heard a status.
+// status is what a follower reports: in its hello, then each statusInterval.
+type status struct {
+	SentAt           float64 // by the follower's clock; heartbeats return it
+	StoredVersion    uint64
+	AppliedVersion   uint64
+	RejectedVersion  uint64
+	RejectReason     string
+	StalenessMs      float64
+	SnapshotReceived uint64 // bytes of the snapshot that is under way
+	Digest           []byte // of StoredVersion; this and the fields below are set in a hello only
+	Region, Kind     string
+	NeedsSnapshot    bool // what is stored can't be continued from: a digest differed
+}
+
+// heartbeat is what a server sends each HeartbeatIntervalMs, once it has received a status.
 type heartbeat struct {
 	HeadVersion      uint64
-	StalenessMs      float64 // of what the server has, when it said so
-	StatusSentAt     float64 // the latest status's At
-	FreshnessOffset  float64 // when the server had all that was acknowledged, less when it heard that status, by its clock
-	SentVersion      uint64  // the version up to which this follower was sent all; 0 while a whole is under way
-	SnapshotSent     uint64  // bytes of it sent
-	HeadDigestPrefix uint64  // the head's, its beginning
+	StalenessMs      float64 // of the server's copy, at the time of sending
+	StatusSentAt     float64 // SentAt of the latest status
+	FreshnessOffset  float64 // ms from the receipt of that status to when the server's copy was known to be complete; by the server's clock
+	SentVersion      uint64  // all changes up to it were sent on this connection; 0 while a snapshot is under way
+	SnapshotSent     uint64  // bytes of the snapshot sent
+	HeadDigestPrefix uint64
 }
 
+// snapshotBegin announces a document that follows in chunks.
 type snapshotBegin struct {
 	Version   uint64
 	Digest    []byte
-	Size      uint64 // packed
+	Size      uint64 // bytes, compressed
 	TextBytes uint64
 }
 
+// snapshotChunk is a part of a compressed document.
 type snapshotChunk struct {
 	Offset uint64
 	Data   []byte
 }
 
-// wireSplice has the lines that it puts in as one text, each with its end.
+// wireSplice is a Splice, with the inserted lines as one text in which each has its line end.
 type wireSplice struct {
 	Line, Delete uint64
 	Insert       string
 }
 
+// wireChange is a Change.
 type wireChange struct {
 	Version      uint64
 	ID           uint64
@@ -87,15 +99,15 @@
 	ProposedAtMs float64
 }
 
-// entry is a proposal as the voters' log has it; its change's Version is 0.
+// logEntry is a proposal in the raft log. The change's Version is 0: it is known once the entry is applied.
 type logEntry struct {
 	Base   uint64
 	Change wireChange
 }
 
-// image is a history as a voter's snapshot has it.
+// historySnapshot is a History in a raft snapshot.
 type historySnapshot struct {
-	FormatVersion uint64 // of this image
+	FormatVersion uint64
 	Version       uint64
 	Text          string
 	Changes       []snapshotChange
@@ -106,11 +118,11 @@
 	Inverse []wireSplice
 }
 
-const historySnapshotFormat = 1
-
-func encodeFrame(kind byte, v any) []byte { return snapshot.Append([]byte{protocolVersion, kind}, v) }
+func encodeFrame(kind byte, message any) []byte {
+	return snapshot.Append([]byte{protocolVersion, kind}, message)
+}
 
-// kindOf parts a frame.
+// parseFrame splits a frame into its kind and its body.
 func parseFrame(data []byte) (kind byte, body []byte, err error) {
 	if len(data) < 2 || len(data) > MaxFrameBytes {
 		return 0, nil, errMalformedFrame
@@ -121,129 +133,116 @@
 	return data[1], data[2:], nil
 }
 
-// readStatus reads a hello's or a status's body.
-func decodeStatus(body []byte) (s status, err error) {
-	if err := snapshot.Read(body, &s); err != nil {
+// decodeStatus decodes the body of a hello or a status.
+func decodeStatus(body []byte) (status, error) {
+	var s status
+	if snapshot.Read(body, &s) != nil {
 		return s, errMalformedFrame
 	}
-	if math.IsNaN(s.SentAt) || math.IsInf(s.SentAt, 0) || math.IsNaN(s.StalenessMs) || s.StalenessMs < 0 || len(s.RejectReason) > maxReasonBytes {
+	if !isFinite(s.SentAt) || math.IsNaN(s.StalenessMs) || s.StalenessMs < 0 || len(s.RejectReason) > maxReasonBytes {
 		return s, errMalformedFrame
 	}
 	return s, nil
 }
 
-func decodeHeartbeat(body []byte) (b heartbeat, err error) {
-	if snapshot.Read(body, &b) != nil || math.IsNaN(b.StalenessMs) || b.StalenessMs < 0 || math.IsNaN(b.StatusSentAt) || math.IsInf(b.StatusSentAt, 0) ||
-		math.IsNaN(b.FreshnessOffset) || math.IsInf(b.FreshnessOffset, 1) {
-		return b, errMalformedFrame
+func decodeHeartbeat(body []byte) (heartbeat, error) {
+	var h heartbeat
+	if snapshot.Read(body, &h) != nil {
+		return h, errMalformedFrame
+	}
+	// The offset is minus infinity, and the staleness infinite, if the server doesn't know how old its copy is.
+	if math.IsNaN(h.StalenessMs) || h.StalenessMs < 0 || !isFinite(h.StatusSentAt) ||
+		math.IsNaN(h.FreshnessOffset) || math.IsInf(h.FreshnessOffset, 1) {
+		return h, errMalformedFrame
 	}
-	return b, nil
+	return h, nil
 }
 
-func decodeSplices(all []wireSplice) ([]Splice, error) {
-	if len(all) > maxSplices {
+func isFinite(x float64) bool { return !math.IsNaN(x) && !math.IsInf(x, 0) }
+
+func decodeSplices(encoded []wireSplice) ([]Splice, error) {
+	if len(encoded) > maxSplices {
 		return nil, errInvalidSplices
 	}
-	var out []Splice
-	for _, w := range all {
+	var splices []Splice
+	for _, w := range encoded {
 		s := Splice{Line: w.Line, Delete: w.Delete}
 		if w.Insert != "" {
-			text, whole := strings.CutSuffix(w.Insert, "\n")
-			if !whole {
+			text, terminated := strings.CutSuffix(w.Insert, "\n")
+			if !terminated {
 				return nil, errInvalidSplices
 			}
 			s.Insert = strings.Split(text, "\n")
 		}
-		out = append(out, s)
+		splices = append(splices, s)
 	}
-	return out, nil
+	return splices, nil
 }
 
-func encodeSplices(all []Splice) (out []wireSplice) {
-	for _, s := range all {
-		var b strings.Builder
-		for _, l := range s.Insert {
-			b.WriteString(l)
-			b.WriteByte('\n')
+func encodeSplices(splices []Splice) []wireSplice {
+	var encoded []wireSplice
+	for _, s := range splices {
+		var text strings.Builder
+		for _, line := range s.Insert {
+			text.WriteString(line)
+			text.WriteByte('\n')
 		}
-		out = append(out, wireSplice{s.Line, s.Delete, b.String()})
+		encoded = append(encoded, wireSplice{s.Line, s.Delete, text.String()})
 	}
-	return out
+	return encoded
 }
 
 func newWireChange(c *Change) wireChange {
-	return wireChange{c.Version, c.ID, c.Digest[:], encodeSplices(c.Splices), c.By, c.Reason, c.ProposedAtMs}
-}
-
-func (w *wireChange) decode() (c Change, err error) {
-	if len(w.Digest) != len(c.Digest) || len(w.By) > maxReasonBytes || len(w.Reason) > maxReasonBytes || math.IsNaN(w.ProposedAtMs) || math.IsInf(w.ProposedAtMs, 0) {
-		return c, errMalformedFrame
-	}
-	c = Change{Version: w.Version, ID: w.ID, Digest: Digest(w.Digest), By: w.By, Reason: w.Reason, ProposedAtMs: w.ProposedAtMs}
-	c.Splices, err = decodeSplices(w.Splices)
-	return c, err
-}
-
-// encodeChange is a change as a frame; nil where it is too large for one.
+	return wireChange{
+		Version:      c.Version,
+		ID:           c.ID,
+		Digest:       c.Digest[:],
+		Splices:      encodeSplices(c.Splices),
+		By:           c.By,
+		Reason:       c.Reason,
+		ProposedAtMs: c.ProposedAtMs,
+	}
+}
+
+func (w *wireChange) decode() (Change, error) {
+	if len(w.Digest) != len(Digest{}) || len(w.By) > maxReasonBytes || len(w.Reason) > maxReasonBytes || !isFinite(w.ProposedAtMs) {
+		return Change{}, errMalformedFrame
+	}
+	splices, err := decodeSplices(w.Splices)
+	return Change{
+		Version:      w.Version,
+		ID:           w.ID,
+		Digest:       Digest(w.Digest),
+		Splices:      splices,
+		By:           w.By,
+		Reason:       w.Reason,
+		ProposedAtMs: w.ProposedAtMs,
+	}, err
+}
+
+// encodeChange returns a change as a frame, or nil if it is too large for one.
 func encodeChange(c *Change) []byte {
 	w := newWireChange(c)
 	body := snapshot.Append(nil, &w)
 	if len(body) > maxChangeBytes {
 		return nil
 	}
-	f := append([]byte{protocolVersion, frameChange}, compress(body)...)
-	if len(f) > MaxFrameBytes {
+	frame := append([]byte{protocolVersion, frameChange}, compress(body)...)
+	if len(frame) > MaxFrameBytes {
 		return nil
 	}
-	return f
+	return frame
 }
 
-func decodeChange(body []byte) (c Change, err error) {
-	if body, err = decompress(body, maxChangeBytes); err != nil {
-		return c, err
+// decodeChange decodes the body of a change's frame.
+func decodeChange(body []byte) (Change, error) {
+	body, err := decompress(body, maxChangeBytes)
+	if err != nil {
+		return Change{}, err
 	}
 	var w wireChange
 	if snapshot.Read(body, &w) != nil {
-		return c, errMalformedFrame
+		return Change{}, errMalformedFrame
 	}
 	return w.decode()
 }
-
-// pack makes a text smaller, where that is worth it: a byte tells which.
-func compress(data []byte) []byte {
-	if len(data) >= minCompressedBytes {
-		z, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithAllLitEntropyCompression(true))
-		if err == nil {
-			if small := z.EncodeAll(data, []byte{1}); len(small) < len(data) {
-				return small
-			}
-		}
-	}
-	return append([]byte{0}, data...)
-}
-
-// unpack gives back what was packed; what says that it is larger than most is refused before it gets any room.
-func decompress(data []byte, most int) ([]byte, error) {
-	switch {
-	case len(data) == 0:
-		return nil, errMalformedFrame
-	case data[0] == 0 && len(data)-1 <= most:
-		return data[1:], nil
-	case data[0] != 1:
-		return nil, errMalformedFrame
-	}
-	var head zstd.Header
-	if head.Decode(data[1:]) != nil || !head.HasFCS || head.FrameContentSize > uint64(most) {
-		return nil, errMalformedFrame
-	}
-	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(most)), zstd.WithDecoderLowmem(true))
-	if err != nil {
-		return nil, errMalformedFrame
-	}
-	defer z.Close()
-	out, err := z.DecodeAll(data[1:], nil)
-	if err != nil || len(out) > most {
-		return nil, errMalformedFrame
-	}
-	return out, nil
-}
--- a/internal/lab/simcontrolplane/simcontrolplane.go
+++ b/internal/lab/simcontrolplane/simcontrolplane.go
@@ -207,7 +207,7 @@
 		}
 	}
 	if p.id < s.members() {
-		p.server = controlplane.NewServer(controlplane.ServerConfig{Name: p.name, Region: p.region, Seed: seed}, s.at(p))
+		p.server = controlplane.NewServer(controlplane.ServerConfig{Seed: seed}, s.at(p))
 	}
 	s.pump(p)
 	life := p.life
