--- a/internal/controlplane/document.go
+++ b/internal/controlplane/document.go
@@ -185,7 +185,7 @@
 // line returns a line without its end. It shares the document's memory.
 func (d *Document) line(i int) string { return d.text[d.lineStarts[i] : d.lineStarts[i+1]-1] }
 
-// copyLines copies the lines from..to, so that whoever keeps a few of them doesn't keep the whole text in memory.
+// copyLines copies the lines from..to, so that a retained change doesn't retain the memory of the document's text.
 func (d *Document) copyLines(from, to int) []string {
 	var lines []string
 	for i := from; i < to; i++ {
--- a/internal/controlplane/document_test.go
+++ b/internal/controlplane/document_test.go
@@ -14,12 +14,13 @@
 	"pgregory.net/rapid"
 )
 
-func parse(t require.TestingT, text string) *Document {
+func mustParse(t require.TestingT, text string) *Document {
 	d, err := Parse([]byte(text))
 	require.NoError(t, err)
 	return d
 }
 
+// Texts come to one canonical form, and errors tell the line and column.
 func TestParse(t *testing.T) {
 	for text, want := range map[string]string{
 		`{}`:                                "{}\n",
@@ -29,11 +30,11 @@
 		`{"t":[{"n":"x","w":[1, 2]},{"n":"y"}],"k":{"p":1.50,"q":null}}`: "{\n\"t\":[\n{\"n\":\"x\",\"w\":[1,2]},\n{\"n\":\"y\"}\n],\n\"k\":{\n\"p\":1.50,\n\"q\":null\n}\n}\n",
 		`{"a":"{ \"x\" : [1, 2] }\\","b":" "}`:                           "{\n\"a\":\"{ \\\"x\\\" : [1, 2] }\\\\\",\n\"b\":\" \"\n}\n",
 	} {
-		d := parse(t, text)
+		d := mustParse(t, text)
 		assert.Equal(t, want, string(d.Text()))
 		assert.Equal(t, strings.Count(want, "\n"), d.LineCount())
 		assert.True(t, json.Valid(d.Text()))
-		assert.Equal(t, want, string(parse(t, want).Text()), "its own form")
+		assert.Equal(t, want, string(mustParse(t, want).Text()), "the canonical form is its own canonical form")
 	}
 	for text, want := range map[string]string{
 		``:                      "1:1: unexpected end of JSON input",
@@ -49,8 +50,8 @@
 	}
 }
 
-// settings are as an operator's: what they are of isn't the core's to know.
-func settings(tenants int) []byte {
+// tenantConfiguration is shaped like an operator's configuration. The core doesn't know what is in it.
+func tenantConfiguration(tenants int) []byte {
 	var b bytes.Buffer
 	b.WriteString(`{"deadline":1500,"classes":[{"name":"a","floor":0.5},{"name":"b"}],"tenants":[`)
 	for k := range tenants {
@@ -63,24 +64,25 @@
 	return b.Bytes()
 }
 
-// text draws documents that have something in common: few different lines, some of them often.
-func draw(t *rapid.T, label string) *Document {
+// drawDocument draws documents of few different lines, so that two of them have something in common.
+func drawDocument(t *rapid.T, label string) *Document {
 	lines := rapid.SliceOfN(rapid.SampledFrom([]string{"", "a", "b", "c", "d", "e,", "f,", "g,", "h,", "i,", "j,", "k", "[", "]"}), 1, 40).Draw(t, label)
 	d, err := newDocument(strings.Join(lines, "\n") + "\n")
 	require.NoError(t, err)
 	return d
 }
 
+// The splices of a difference lead to the other document, their inverse leads back, and both survive their wire form.
 func TestDiffApplyUndo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from, to := draw(t, "from"), draw(t, "to")
+		from, to := drawDocument(t, "from"), drawDocument(t, "to")
 		s := Diff(from, to)
 		got, err := from.Apply(s, to.Digest())
 		require.NoError(t, err)
 		assert.Equal(t, to.Text(), got.Text())
 		assert.Equal(t, to.lineStarts, got.lineStarts)
 		for k := 1; k < len(s); k++ {
-			assert.Greater(t, s[k].Line, s[k-1].Line+s[k-1].Delete, "apart")
+			assert.Greater(t, s[k].Line, s[k-1].Line+s[k-1].Delete, "splices don't touch")
 		}
 		back, err := to.Apply(from.inverseSplices(s), from.Digest())
 		require.NoError(t, err)
@@ -94,12 +96,12 @@
 	})
 }
 
-// Whatever is changed about splices, what comes of them is refused or the right text.
-func TestApplyRefusesWhatIsOdd(t *testing.T) {
+// Splices are altered at random. They are refused, or lead to the right text all the same.
+func TestApplyRejectsInvalidSplices(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from, to := draw(t, "from"), draw(t, "to")
+		from, to := drawDocument(t, "from"), drawDocument(t, "to")
 		s := encodeSplices(Diff(from, to))
-		for range rapid.IntRange(1, 3).Draw(t, "odd") {
+		for range rapid.IntRange(1, 3).Draw(t, "alterations") {
 			s = append(s, wireSplice{})
 			w := &s[rapid.IntRange(0, len(s)-1).Draw(t, "which")]
 			w.Line = rapid.OneOf(rapid.Uint64(), rapid.Uint64Range(0, 50)).Draw(t, "at")
@@ -114,17 +116,17 @@
 			assert.Equal(t, to.Text(), got.Text())
 		}
 	})
-	d := parse(t, `{"a":1}`)
+	d := mustParse(t, `{"a":1}`)
 	_, err := d.Apply([]Splice{{Line: 1, Insert: []string{"x\ny"}}}, d.Digest())
-	require.ErrorIs(t, err, errInvalidSplices, "a line with an end in it")
+	require.ErrorIs(t, err, errInvalidSplices, "a line that contains a line end")
 	_, err = d.Apply([]Splice{{Insert: []string{strings.Repeat("x", MaxDocumentBytes)}}}, d.Digest())
 	require.ErrorIs(t, err, errInvalidSplices, "too long")
 	_, err = d.Apply([]Splice{{Line: 1, Delete: 1}}, d.Digest())
 	require.ErrorIs(t, err, errDigestMismatch)
 }
 
-// Documents that have nothing in common in many places are replaced rather than taken apart.
-func TestDiffOfMuchIsOneSplice(t *testing.T) {
+// Two documents differ in more places than a change may have splices. They are replaced by one splice.
+func TestDiffOfManyDifferencesIsOneSplice(t *testing.T) {
 	var a, b strings.Builder
 	for k := range 3 * maxSplices {
 		fmt.Fprintf(&a, "%d\n", k)
@@ -146,8 +148,8 @@
 
 // A tenant changed among 140,000 is a frame of under 300 bytes, whatever the size of the rest.
 func TestChangeOfOneTenantIsSmall(t *testing.T) {
-	text := settings(140_000)
-	from := parse(t, string(text))
+	text := tenantConfiguration(140_000)
+	from := mustParse(t, string(text))
 	for what, edited := range map[string][]byte{
 		"changed": bytes.Replace(text, []byte(`{"name":"tenant-070000","share":63}`), []byte(`{"name":"tenant-070000","share":64}`), 1),
 		"added":   bytes.Replace(text, []byte(`{"name":"tenant-070000"`), []byte(`{"name":"tenant-new","share":1},{"name":"tenant-070000"`), 1),
@@ -156,7 +158,7 @@
 		"both ends": bytes.Replace(bytes.Replace(text, []byte(`"deadline":1500`), []byte(`"deadline":1600`), 1),
 			[]byte(`{"name":"tenant-139999"`), []byte(`{"name":"tenant-x"`), 1),
 	} {
-		to := parse(t, string(edited))
+		to := mustParse(t, string(edited))
 		require.NotEqual(t, from.Digest(), to.Digest(), what)
 		c := Change{Version: 1300, ID: rand.Uint64(), Digest: to.Digest(), Splices: Diff(from, to), By: "operator@example", Reason: "more room, ticket 4711", ProposedAtMs: float64(time.Now().UnixMilli())}
 		f := encodeChange(&c)
@@ -173,9 +175,9 @@
 
 func BenchmarkApplyOneTenant(b *testing.B) {
 	for _, tenants := range []int{1_000, 10_000, 140_000} {
-		text := settings(tenants)
-		from := parse(b, string(text))
-		to := parse(b, strings.Replace(string(text), `"share":63}`, `"share":64}`, 1))
+		text := tenantConfiguration(tenants)
+		from := mustParse(b, string(text))
+		to := mustParse(b, strings.Replace(string(text), `"share":63}`, `"share":64}`, 1))
 		s, want := Diff(from, to), to.Digest()
 		b.Run(fmt.Sprintf("apply/tenants=%d", tenants), func(b *testing.B) {
 			for b.Loop() {
--- a/internal/controlplane/stored_state.go
+++ b/internal/controlplane/stored_state.go
@@ -33,8 +33,8 @@
 	}
 	if len(p.Entries) > 0 {
 		firstIndex := p.Entries[0].GetIndex()
-		earlier := slices.DeleteFunc(slices.Clone(s.Entries), func(e *pb.Entry) bool { return e.GetIndex() >= firstIndex })
-		s.Entries = append(earlier, p.Entries...)
+		s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e *pb.Entry) bool { return e.GetIndex() >= firstIndex })
+		s.Entries = append(s.Entries, p.Entries...)
 	}
 	if p.HardState != nil {
 		s.HardState = p.HardState
--- a/internal/controlplane/voter_messages.go
+++ b/internal/controlplane/voter_messages.go
@@ -82,8 +82,8 @@
 	} else if len(v.partialMessages[from]) == 0 {
 		return nil, false // its beginning was lost
 	}
-	message = append(v.partialMessages[from], fragment...)
-	v.partialMessages[from] = message
+	v.partialMessages[from] = append(v.partialMessages[from], fragment...)
+	message = v.partialMessages[from]
 	if len(message) > maxMessageBytes {
 		delete(v.partialMessages, from)
 		return nil, false
--- a/internal/controlplane/numbers_test.go
+++ b/internal/controlplane/wire_numbers_test.go
@@ -7,7 +7,7 @@
 	"pearknot/internal/goldentest"
 )
 
-// Links hold these numbers.
+// Frames between builds contain these numbers.
 func TestWireNumbers(t *testing.T) {
 	text := fmt.Sprintln(protocolVersion, historySnapshotFormat, frameHello, frameStatus, frameChange, frameHeartbeat, frameSnapshotBegin, frameSnapshotChunk, int(CodeDone), int(CodeConflict), int(CodeNotLeader),
 		int(CodeLeadershipLost), int(CodeInvalid), int(CodeBusy))
