--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -35,7 +35,7 @@
 	Replicas    int
 	Keys        [][]byte // the first proves, all are taken
 	MaxLogBytes int      // bytes that one log may hold
-	OutcomeTTL  float64  // ms that an outcome is kept
+	AnswerTTL   float64  // ms that an outcome is kept
 }
 
 const (
@@ -105,7 +105,7 @@
 	life := uint64(c.Now())
 	p := &Peers{t: t, life: life, clock: c, log: log, inherit: inherit, bound: make(chan struct{}), odd: rate.Sometimes{Interval: oddEvery}, box: mailbox.New[func()](),
 		waits: map[uint64]func(requestlog.Reply){}, members: make([]member, len(t.Members)),
-		house: requestlog.New(requestlog.Config{Members: names, Self: t.Self, Incarnation: life, Replicas: t.Replicas, Seed: rand.Uint64(), MaxLogBytes: t.MaxLogBytes, OutcomeTTL: t.OutcomeTTL}, c.Now())}
+		house: requestlog.New(requestlog.Config{Members: names, Self: t.Self, Incarnation: life, Replicas: t.Replicas, Seed: rand.Uint64(), MaxLogBytes: t.MaxLogBytes, AnswerTTL: t.AnswerTTL}, c.Now())}
 	p.ctx, p.end = context.WithCancel(context.Background())
 	return p
 }
@@ -151,7 +151,7 @@
 	told := make(chan requestlog.StateDigest, 1)
 	p.box.Put(func() {
 		x := p.house.StateDigest()
-		x.TookOver = p.took
+		x.Takeovers = p.took
 		told <- x
 	})
 	select {
@@ -178,8 +178,8 @@
 				p.dropOut(k)
 			}
 			return
-		case <-p.box.Some():
-			notes = p.box.Take(notes)
+		case <-p.box.Ready():
+			notes = p.box.TakeAll(notes)
 			for _, note := range notes {
 				note()
 			}
@@ -206,8 +206,8 @@
 		case o.TakenOver != nil:
 			p.took++
 			p.inherit(*o.TakenOver)
-		case o.Log != "":
-			p.log.Info(o.Log)
+		case o.Event != nil:
+			p.log.LogAttrs(p.ctx, slog.LevelInfo, o.Event.Message, o.Event.Attrs()...)
 		}
 	}
 }
@@ -291,12 +291,12 @@
 		c, err := d.DialContext(p.ctx, "tcp", to.Address)
 		if err == nil {
 			var life uint64
-			if life, err = transport.Call(c, p.t.Keys, p.t.Fleet, p.t.Members[p.t.Self].Name, to.Name, p.life); err == nil {
+			if life, err = transport.ClientHandshake(c, p.t.Keys, p.t.Fleet, p.t.Members[p.t.Self].Name, to.Name, p.life); err == nil {
 				wait = againFrom
 				p.carry(k, c, life)
 			} else {
 				_ = c.Close()
-				if p.ctx.Err() == nil && err == transport.ErrKey {
+				if p.ctx.Err() == nil && err == transport.ErrWrongKey {
 					p.sayOdd(to.Name, err)
 				}
 			}
@@ -398,7 +398,7 @@
 	stop := context.AfterFunc(p.ctx, func() { _ = c.Close() })
 	defer stop()
 	r := bufio.NewReaderSize(c, 64<<10)
-	name, life, err := transport.Take(c, r, p.t.Keys, p.t.Fleet, p.t.Members[p.t.Self].Name, p.life)
+	name, life, err := transport.ServerHandshake(c, r, p.t.Keys, p.t.Fleet, p.t.Members[p.t.Self].Name, p.life)
 	from := -1
 	for k, m := range p.t.Members {
 		if m.Name == name && k != p.t.Self {
--- a/internal/serve/peers.go
+++ b/internal/serve/peers.go
@@ -73,7 +73,7 @@
 		}
 	}
 	p := &Peers{at: at, header: f.Header, most: int(f.AnswersKB * 1024), categories: map[string]bool{},
-		terms: peers.Config{Fleet: f.Fleet, Replicas: f.Copies, OutcomeTTL: f.KeepS * 1e3, MaxLogBytes: int(f.MemoryMB * (1 << 20) / float64(f.Copies) / requestlog.MemoryFactor), Self: -1}}
+		terms: peers.Config{Fleet: f.Fleet, Replicas: f.Copies, AnswerTTL: f.KeepS * 1e3, MaxLogBytes: int(f.MemoryMB * (1 << 20) / float64(f.Copies) / requestlog.MemoryFactor), Self: -1}}
 	seen := map[string]bool{}
 	for k, m := range f.Member {
 		key := fmt.Sprintf("member.%d.", k)
@@ -122,5 +122,5 @@
 }
 
 func (o *Peers) keep(links *peers.Peers) server.RequestLogging {
-	return server.RequestLogging{Peers: links, Header: o.header, Categories: o.categories, Most: o.most}
+	return server.RequestLogging{Peers: links, KeyHeader: o.header, Classes: o.categories, MaxAnswerBytes: o.most}
 }
