--- a/internal/upstream/backend.go
+++ b/internal/upstream/backend.go
@@ -84,8 +84,8 @@
 	var messages []func()
 	for !b.closing || b.activeCalls > 0 {
 		select {
-		case <-b.mailbox.Some():
-			messages = b.mailbox.Take(messages)
+		case <-b.mailbox.Ready():
+			messages = b.mailbox.TakeAll(messages)
 			for _, handle := range messages {
 				handle()
 			}
