--- a/cmd/pearknot/clients.go
+++ b/cmd/pearknot/clients.go
@@ -70,7 +70,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "address\tknown\tconnections\twithout an op\tgood\todd\t")
 	for _, r := range told.Addresses[:min(most, len(told.Addresses))] {
-		fmt.Fprintf(w, "%s\t%v\t%d\t%d\t%.1f\t%.1f\t\n", r.Address, r.Known, r.Conns, r.Unproven, r.Good, r.Odd)
+		fmt.Fprintf(w, "%s\t%v\t%d\t%d\t%.1f\t%.1f\t\n", r.Address, r.Known, r.Connections, r.Unproven, r.Answered, r.Misbehavior)
 	}
 	return w.Flush()
 }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,426 +1,356 @@
-// Package admission decides which clients' connections a node takes, and which it lets go first when descriptors run short.
-// It does no I/O and holds no clock: events come in with their time in ms, verdicts are pulled; the same events give the same
-// verdicts. What became of a connection counts, not its address alone: many members behind one shared address are many.
+// Package admission decides which clients' connections a node takes, and which it evicts first when file descriptors
+// run short. Rule: a client whose requests are answered is preferred to one that has shown nothing yet, and that one
+// to a client that misbehaves. What becomes of connections counts, not the address alone, since many clients may
+// share one address.
+//
+// The package does no I/O and has no clock: events come in with their time in ms of any clock that does not go back,
+// and the same events give the same verdicts.
 package admission
 
 import (
-	"math"
 	"net/netip"
 	"slices"
+	"strings"
 )
 
-// Limits are a node's.
+// Limits are a node's limits. Times are in ms.
 type Limits struct {
-	Conns      int            // descriptors that clients may hold
-	Reserve    float64        // share of them that only known clients get
-	PressedAt  float64        // share of them from which on connections are chosen among
-	CalmAt     float64        // and below which they no longer are
-	Unproven   int            // connections without an answered op that one address may hold when pressed, beside one for each proven
-	Penalty    float64        // odd ops and barren connections, faded, that one address may have beyond its good ops
-	FadeHalf   float64        // in which the count of what was odd halves
-	KnownAfter float64        // good ops, faded, from which on an address is known
-	KnownHalf  float64        // in which the count of good ops halves
-	Grace      float64        // a connection that says nothing keeps its place so long
-	IdleFor    float64        // and one between two ops so long
-	Addresses  int            // known addresses that are remembered without a connection
-	Friends    []netip.Prefix // the operator's list: known whatever they did
+	MaxConnections      int            // of all clients
+	ReservedShare       float64        // of MaxConnections, for known clients alone
+	PressureStart       float64        // share of MaxConnections from which connections are limited by address
+	PressureEnd         float64        // and below which they no longer are
+	MaxUnproven         int            // connections without an answered request of one address under pressure; each one with an answered request allows another
+	MaxMisbehavior      float64        // misbehavior that one address may have beyond its answered requests
+	MisbehaviorHalfLife float64        // in which the count of misbehavior halves
+	KnownAfter          float64        // answered requests, decayed, from which an address is known
+	KnownHalfLife       float64        // in which the count of answered requests halves
+	SilentGrace         float64        // how long a connection without an answered request can't be evicted
+	IdleGrace           float64        // how long a connection can't be evicted after an answered request
+	MaxRemembered       int            // known addresses that are remembered without a connection
+	TrustedNetworks     []netip.Prefix // addresses that are known whatever they do
 }
 
-// Defaults are those of a node with so many descriptors for clients.
-func Defaults(conns int) Limits {
-	return Limits{Conns: conns, Reserve: 0.25, PressedAt: 0.75, CalmAt: 0.6, Unproven: 16, Penalty: 32, FadeHalf: 10e3, KnownAfter: 3, KnownHalf: 600e3,
-		Grace: 100, IdleFor: 2000, Addresses: 4096}
+// DefaultLimits are the limits of a node with maxConnections descriptors for clients.
+func DefaultLimits(maxConnections int) Limits {
+	return Limits{
+		MaxConnections:      maxConnections,
+		ReservedShare:       0.25,
+		PressureStart:       0.75,
+		PressureEnd:         0.6,
+		MaxUnproven:         16,
+		MaxMisbehavior:      32,
+		MisbehaviorHalfLife: 10e3,
+		KnownAfter:          3,
+		KnownHalfLife:       600e3,
+		SilentGrace:         100,
+		IdleGrace:           2000,
+		MaxRemembered:       4096,
+	}
 }
 
-// Reason is why a connection is refused or let go.
+// Reason is why a connection is refused or evicted. Operators' tools show the texts.
 type Reason string
 
+// The reasons. Misbehaving, OverShare and Full refuse a connection, Silent and Idle evict one.
 const (
-	Admitted  Reason = ""
-	Penalised Reason = "too much that was odd came from there"
-	Share     Reason = "too many from there without an op"
-	Full      Reason = "full"
-	Silent    Reason = "silent while others wait"
-	Idle      Reason = "idle while others wait"
+	Admitted    Reason = ""
+	Misbehaving Reason = "too much that was odd came from there"
+	OverShare   Reason = "too many from there without an op"
+	Full        Reason = "full"
+	Silent      Reason = "silent while others wait"
+	Idle        Reason = "idle while others wait"
 )
 
-// Verdict on a connection: where Why is Admitted it is taken, and those named are let go for it.
+// Verdict is the decision on a new connection.
 type Verdict struct {
-	Why   Reason
-	LetGo []Loss
+	Reason    Reason     // Admitted, or why the connection is refused
+	Evictions []Eviction // connections to close for it
 }
 
-// Loss is a connection that is to be closed.
-type Loss struct {
-	ID  uint64
-	Why Reason
+// Eviction is a connection to close.
+type Eviction struct {
+	ID     uint64
+	Reason Reason
 }
 
-// Core decides. It is not for use by several at once.
-type Core struct {
-	l        Limits
-	conns    map[uint64]*conn
-	order    []*conn // by their coming; what is gone is swept out now and then
-	gone     int     // of those
-	parties  map[netip.Prefix]*party
-	resting  []*party // known ones without a connection, a ring of at most Addresses
-	hand     int
-	many     *sketch
-	standing [vouched + 1]int // connections by it
-	pressed  bool
-	Refused  map[Reason]uint64
-	Let      map[Reason]uint64
+// Controller decides on a node's connections. It is not safe for concurrent use.
+type Controller struct {
+	Refused map[Reason]uint64 // connections since the start
+	Evicted map[Reason]uint64 // connections since the start
+
+	limits          Limits
+	conns           map[uint64]*connection
+	order           []*connection // by arrival; some are closed already
+	closedInOrder   int           // of order
+	countByStanding [standingKnown + 1]int
+	underPressure   bool
+
+	sources      map[netip.Prefix]*source // with a connection, or remembered
+	remembered   []*source                // a ring of at most MaxRemembered
+	nextReplaced int                      // where in the ring the next replacement is looked for
+	forgotten    *countMinSketch          // misbehavior of sources that are not in sources
 }
 
-// standing is what a connection was taken as.
+// standing is what a connection was admitted as. A higher one is evicted later.
 type standing int
 
 const (
-	stranger standing = iota
-	extra             // of a known client that has its part of the reserve
-	vouched           // of a known client
+	standingUnknown   standing = iota // of an unknown source
+	standingOverShare                 // of a known source that has its part of the reserve already
+	standingKnown                     // of a known source; counts to the reserve
 )
 
-// conn is one connection.
-type conn struct {
-	id     uint64
-	party  *party
-	since  float64 // it came, or its latest op was answered
-	proven bool    // an op was answered on it
-	inHand bool
-	as     standing
-	odd    int  // malformed ops
-	looked bool // at the health
-	closed bool
-}
-
-// party is an address, or the /64 that is one customer's in IPv6 (RFC 6177).
-type party struct {
-	key      netip.Prefix
-	conns    int
-	unproven int
-	vouched  int // taken as those of a known client
-	good     fader
-	bad      fader
-	resting  bool
-}
-
-// fader is a count that halves with time.
-type fader struct{ sum, at float64 }
-
-func (f *fader) get(now, half float64) float64 { return f.sum * math.Exp2(-math.Max(now-f.at, 0)/half) }
-
-func (f *fader) add(now, half, x float64) { f.sum, f.at = f.get(now, half)+x, math.Max(now, f.at) }
-
-// New makes a core.
-func New(l Limits) *Core {
-	return &Core{l: l, conns: map[uint64]*conn{}, parties: map[netip.Prefix]*party{}, many: newSketch(), Refused: map[Reason]uint64{}, Let: map[Reason]uint64{}}
+// connection is a client's connection.
+type connection struct {
+	id            uint64
+	source        *source
+	since         float64 // when it arrived, or its latest request was answered
+	hasAnswered   bool    // a request was answered on it
+	hasRequest    bool    // a request is in flight
+	standing      standing
+	malformed     int // malformed requests
+	healthChecked bool
+	closed        bool
 }
 
-// Party is who is behind an address.
-func Party(a netip.Addr) netip.Prefix {
-	a = a.Unmap()
-	bits := 32
-	if a.Is6() {
-		bits = 64
+// New makes a controller.
+func New(limits Limits) *Controller {
+	return &Controller{
+		Refused:   map[Reason]uint64{},
+		Evicted:   map[Reason]uint64{},
+		limits:    limits,
+		conns:     map[uint64]*connection{},
+		sources:   map[netip.Prefix]*source{},
+		forgotten: newCountMinSketch(),
 	}
-	p, _ := a.WithZone("").Prefix(bits) // the bits are the address's own
-	return p
-}
-
-func (c *Core) friend(p netip.Prefix) bool {
-	return slices.ContainsFunc(c.l.Friends, func(f netip.Prefix) bool { return f.Contains(p.Addr()) })
-}
-
-// Known tells whether an address is one: its ops were answered lately, or the operator says so.
-func (c *Core) Known(now float64, a netip.Addr) bool {
-	key := Party(a)
-	p := c.parties[key]
-	return p != nil && p.good.get(now, c.l.KnownHalf) >= c.l.KnownAfter || c.friend(key)
 }
 
-// Limit is how many connections there may be.
-func (c *Core) Limit() int { return c.l.Conns }
+// MaxConnections is how many connections there may be.
+func (c *Controller) MaxConnections() int { return c.limits.MaxConnections }
 
-// Relimit takes new limits up. Nobody is dropped by it: what is over them now goes as it ends, or as others come.
-func (c *Core) Relimit(l Limits) {
-	l.Conns = c.l.Conns
-	c.l = l
-	c.press()
+// SetLimits puts other limits in force, except MaxConnections. No connection is closed by it: what is over the new
+// limits goes as it ends, or as others come.
+func (c *Controller) SetLimits(limits Limits) {
+	limits.MaxConnections = c.limits.MaxConnections
+	c.limits = limits
+	c.updatePressure()
 }
 
-// Open is the number of connections.
-func (c *Core) Open() int { return len(c.conns) }
+// OpenConnections is the number of connections.
+func (c *Controller) OpenConnections() int { return len(c.conns) }
 
-// Pressed tells whether connections are chosen among.
-func (c *Core) Pressed() bool { return c.pressed }
+// UnderPressure reports whether connections are limited by address.
+func (c *Controller) UnderPressure() bool { return c.underPressure }
 
-// press enters and leaves that state, at two marks, so that it does not flap.
-func (c *Core) press() {
-	share := float64(len(c.conns)) / float64(c.l.Conns)
+// updatePressure enters and leaves pressure at two different marks, so that it does not flap.
+func (c *Controller) updatePressure() {
+	share := float64(len(c.conns)) / float64(c.limits.MaxConnections)
 	switch {
-	case share >= c.l.PressedAt:
-		c.pressed = true
-	case share < c.l.CalmAt:
-		c.pressed = false
+	case share >= c.limits.PressureStart:
+		c.underPressure = true
+	case share < c.limits.PressureEnd:
+		c.underPressure = false
 	}
 }
 
-// Connect takes a new connection, by an id of the caller's that is never used twice, or refuses it.
-func (c *Core) Connect(now float64, id uint64, from netip.Addr) Verdict {
-	key := Party(from)
-	p, known := c.parties[key], c.Known(now, from)
-	as := stranger
-	switch {
-	case known && (p == nil || float64(p.vouched) < c.l.Reserve*float64(c.l.Conns)/2):
-		as = vouched
-	case known: // whoever has become known to flood gets no more than half the reserve by it
-		as = extra
-	}
-	v := Verdict{Why: c.admit(now, key, p, known)}
-	if v.Why == Admitted {
-		if lost, needed := c.victim(now, p, as); lost != nil {
-			v.LetGo = append(v.LetGo, *lost)
-		} else if needed {
-			v.Why = Full
+// Connect decides on a new connection. The caller gives it an id that is never used twice.
+func (c *Controller) Connect(now float64, id uint64, from netip.Addr) Verdict {
+	prefix := SourceOf(from)
+	src := c.sources[prefix]
+	isKnown := c.IsKnown(now, from)
+	granted := c.standingFor(src, isKnown)
+	verdict := Verdict{Reason: c.judgeSource(now, prefix, src)}
+	if verdict.Reason == Admitted {
+		eviction, isFull := c.makeRoom(now, src, granted)
+		if eviction != nil {
+			verdict.Evictions = append(verdict.Evictions, *eviction)
+		} else if isFull {
+			verdict.Reason = Full
 		}
 	}
-	if v.Why != Admitted {
-		c.Refused[v.Why]++
-		return v
-	}
-	for _, l := range v.LetGo {
-		c.Let[l.Why]++
-		c.end(now, c.conns[l.ID], false)
+	if verdict.Reason != Admitted {
+		c.Refused[verdict.Reason]++
+		return verdict
 	}
-	if p = c.parties[key]; p == nil { // it may have been let go with its last connection
-		p = &party{key: key, bad: fader{c.many.get(now, c.l.FadeHalf, key), now}}
-		c.parties[key] = p
+	for _, eviction := range verdict.Evictions {
+		c.Evicted[eviction.Reason]++
+		c.remove(now, c.conns[eviction.ID], false)
 	}
-	p.conns++
-	p.unproven++
-	x := &conn{id: id, party: p, since: now, as: as}
-	c.conns[id] = x
-	c.order = append(c.order, x)
-	if as == vouched {
-		p.vouched++
+	c.add(now, id, prefix, granted)
+	return verdict
+}
+
+// standingFor is what a new connection is admitted as. A source that has become known in order to flood gets no more
+// than half the reserve by that.
+func (c *Controller) standingFor(src *source, isKnown bool) standing {
+	maxTrusted := c.limits.ReservedShare * float64(c.limits.MaxConnections) / 2
+	switch {
+	case !isKnown:
+		return standingUnknown
+	case src == nil || float64(src.trustedConns) < maxTrusted:
+		return standingKnown
+	default:
+		return standingOverShare
 	}
-	c.standing[as]++
-	c.press()
-	return v
 }
 
-// admit is what an address alone says.
-func (c *Core) admit(now float64, key netip.Prefix, p *party, known bool) Reason {
-	if c.friend(key) {
+// judgeSource is what a new connection's source alone says.
+func (c *Controller) judgeSource(now float64, prefix netip.Prefix, src *source) Reason {
+	if c.isTrusted(prefix) {
 		return Admitted
 	}
-	good, bad, unproven, proven := 0.0, 0.0, 0, 0
-	if p != nil {
-		good, bad, unproven, proven = p.good.get(now, c.l.KnownHalf), p.bad.get(now, c.l.FadeHalf), p.unproven, p.conns-p.unproven
+	var answered, misbehavior float64
+	var unproven, proven int
+	if src != nil {
+		answered = src.answered.get(now, c.limits.KnownHalfLife)
+		misbehavior = src.misbehavior.get(now, c.limits.MisbehaviorHalfLife)
+		unproven, proven = src.unproven, src.conns-src.unproven
 	} else {
-		bad = c.many.get(now, c.l.FadeHalf, key)
+		misbehavior = c.forgotten.get(now, c.limits.MisbehaviorHalfLife, prefix)
 	}
-	// A shared address is many members': where ops are answered, those who are odd get a few places at a time, which the
-	// others leave as soon as they have theirs answered.
-	if bad > c.l.Penalty+good && (good < c.l.KnownAfter || unproven >= c.l.Unproven/4) {
-		return Penalised
+	// A shared address has many clients. Where requests of it are answered, misbehavior leaves it a few connections at
+	// a time, which well-behaved clients free again as soon as their requests are answered.
+	if misbehavior > c.limits.MaxMisbehavior+answered &&
+		(answered < c.limits.KnownAfter || unproven >= c.limits.MaxUnproven/4) {
+		return Misbehaving
 	}
-	if c.pressed && unproven >= c.l.Unproven+proven {
-		return Share
+	if c.underPressure && unproven >= c.limits.MaxUnproven+proven {
+		return OverShare
 	}
 	return Admitted
 }
 
-// victim finds whom a newcomer displaces; needed tells that there is no room without.
-func (c *Core) victim(now float64, p *party, as standing) (lost *Loss, needed bool) {
-	kept := [vouched + 1]float64{c.l.Reserve, c.l.Reserve / 2, 0}[as] * float64(c.l.Conns) // that is not for such
-	others := len(c.conns) - c.standing[vouched]
-	if len(c.conns) < c.l.Conns && (as == vouched || others < c.l.Conns-int(kept)) {
-		return nil, false
-	}
-	own := 0
-	if p != nil {
-		own = p.unproven
-	}
-	var best *conn
-	var bestRank [3]float64
-	for _, x := range c.order {
-		if x.closed || x.inHand || x.as == vouched && as != vouched {
-			continue
-		}
-		quiet := now - x.since
-		var rank [3]float64 // the least standing first: silent before idle, strangers before known, whoever has most there
-		switch {
-		case !x.proven && (quiet >= c.l.Grace || x.odd > 0 || x.party.unproven > own+1 || x.as == stranger && as == vouched):
-			rank = [3]float64{2, float64(x.party.unproven), quiet}
-		case x.proven && quiet >= c.l.IdleFor:
-			rank = [3]float64{1, float64(x.party.conns), quiet}
-		default:
-			continue
-		}
-		rank[0] -= float64(x.as) / 4
-		if best == nil || slices.Compare(rank[:], bestRank[:]) > 0 {
-			best, bestRank = x, rank
-		}
-	}
-	if best == nil {
-		return nil, true
-	}
-	why := Silent
-	if best.proven {
-		why = Idle
-	}
-	return &Loss{best.id, why}, true
+// add adds an admitted connection.
+func (c *Controller) add(now float64, id uint64, prefix netip.Prefix, granted standing) {
+	src := c.sources[prefix]
+	if src == nil { // never seen, or forgotten with its last connection, which may just have been evicted
+		misbehavior := c.forgotten.get(now, c.limits.MisbehaviorHalfLife, prefix)
+		src = &source{prefix: prefix, misbehavior: decayingCounter{misbehavior, now}}
+		c.sources[prefix] = src
+	}
+	src.conns++
+	src.unproven++
+	if granted == standingKnown {
+		src.trustedConns++
+	}
+	added := &connection{id: id, source: src, since: now, standing: granted}
+	c.conns[id] = added
+	c.order = append(c.order, added)
+	c.countByStanding[granted]++
+	c.updatePressure()
 }
 
-// Began tells that an op came whole on a connection; false is that the connection was let go meanwhile: no op is taken on
-// it any more.
-func (c *Core) Began(id uint64) bool {
-	x := c.conns[id]
-	if x != nil {
-		x.inHand = true
+// RequestBegan notes that a complete request has come on a connection. It reports false where the connection has been
+// evicted meanwhile: the request must not be taken.
+func (c *Controller) RequestBegan(id uint64) bool {
+	conn := c.conns[id]
+	if conn == nil {
+		return false
 	}
-	return x != nil
+	conn.hasRequest = true
+	return true
 }
 
-// Answered tells that it has its final answer. Whoever has one has shown what he is here for.
-func (c *Core) Answered(now float64, id uint64) {
-	x := c.conns[id]
-	if x == nil {
+// RequestAnswered notes that a connection's request has its response. Its client has shown what it is here for.
+func (c *Controller) RequestAnswered(now float64, id uint64) {
+	conn := c.conns[id]
+	if conn == nil {
 		return
 	}
-	x.inHand, x.since = false, now
-	if !x.proven {
-		x.proven = true
-		x.party.unproven--
+	conn.hasRequest, conn.since = false, now
+	if !conn.hasAnswered {
+		conn.hasAnswered = true
+		conn.source.unproven--
 	}
-	x.party.good.add(now, c.l.KnownHalf, 1)
+	conn.source.answered.add(now, c.limits.KnownHalfLife, 1)
 }
 
-// Looked tells that a connection was for looking at the node's health: it proves nothing, and its end is not held against
-// anybody.
-func (c *Core) Looked(_ float64, id uint64) {
-	if x := c.conns[id]; x != nil {
-		x.looked = true
+// HealthChecked notes that a connection was for a health check. That shows nothing, but its end is no misbehavior.
+func (c *Controller) HealthChecked(_ float64, id uint64) {
+	if conn := c.conns[id]; conn != nil {
+		conn.healthChecked = true
 	}
 }
 
-// Odd tells of a malformed op, or of a handshake that came to nothing.
-func (c *Core) Odd(now float64, id uint64) {
-	x := c.conns[id]
-	if x == nil {
+// RequestMalformed notes a malformed request, which counts as misbehavior.
+func (c *Controller) RequestMalformed(now float64, id uint64) {
+	conn := c.conns[id]
+	if conn == nil {
 		return
 	}
-	x.inHand = false
-	x.odd++
-	x.party.bad.add(now, c.l.FadeHalf, 1)
-}
-
-// Closed tells of the end of a connection, whoever ended it.
-func (c *Core) Closed(now float64, id uint64) {
-	if x := c.conns[id]; x != nil {
-		c.end(now, x, true)
-	}
+	conn.hasRequest = false
+	conn.malformed++
+	conn.source.misbehavior.add(now, c.limits.MisbehaviorHalfLife, 1)
 }
 
-// end lets a connection go; barren ones, of their own doing, count against their address.
-func (c *Core) end(now float64, x *conn, own bool) {
-	p := x.party
-	if !x.proven {
-		p.unproven--
-		if own && x.odd == 0 && !x.looked {
-			p.bad.add(now, c.l.FadeHalf, 1)
-		}
-	}
-	p.conns--
-	if x.as == vouched {
-		p.vouched--
+// Closed notes the end of a connection, whoever ended it.
+func (c *Controller) Closed(now float64, id uint64) {
+	if conn := c.conns[id]; conn != nil {
+		c.remove(now, conn, true)
 	}
-	c.standing[x.as]--
-	x.closed = true
-	delete(c.conns, x.id)
-	if c.gone++; c.gone > 64 && c.gone > len(c.order)/2 {
-		c.order = slices.DeleteFunc(c.order, func(x *conn) bool { return x.closed })
-		c.gone = 0
-	}
-	if p.conns == 0 {
-		c.rest(now, p)
-	}
-	c.press()
 }
 
-// leastGood keeps an address in mind with a single op answered, which has faded a little by the time its connection ends:
-// else whoever comes with a connection for each op would never be known.
-const leastGood = 0.5
+// compactAfter is how many closed connections order may have before it is compacted.
+const compactAfter = 64
 
-// rest remembers an address without a connection: one that is good in a place of a ring, any other in the sketch.
-func (c *Core) rest(now float64, p *party) {
-	if p.good.get(now, c.l.KnownHalf) < leastGood {
-		c.forget(now, p)
-		return
-	}
-	if p.resting {
-		return
-	}
-	p.resting = true
-	if len(c.resting) < c.l.Addresses {
-		c.resting = append(c.resting, p)
-		return
-	}
-	// The least good of the next few goes: a known client is not pushed out by a crowd that came once.
-	least, at := math.Inf(1), 0
-	for k := range min(8, len(c.resting)) {
-		i := (c.hand + k) % len(c.resting)
-		if g := c.resting[i].good.get(now, c.l.KnownHalf); g < least {
-			least, at = g, i
+// remove removes a connection. One that ends by itself and was of no use counts as misbehavior.
+func (c *Controller) remove(now float64, removed *connection, byItself bool) {
+	src := removed.source
+	if !removed.hasAnswered {
+		src.unproven--
+		if byItself && removed.malformed == 0 && !removed.healthChecked {
+			src.misbehavior.add(now, c.limits.MisbehaviorHalfLife, 1)
 		}
 	}
-	c.hand = (c.hand + 8) % len(c.resting)
-	if least > p.good.get(now, c.l.KnownHalf) {
-		p.resting = false
-		c.forget(now, p)
-		return
+	src.conns--
+	if removed.standing == standingKnown {
+		src.trustedConns--
 	}
-	out := c.resting[at]
-	out.resting = false
-	c.resting[at] = p
-	if out.conns == 0 {
-		c.forget(now, out)
+	c.countByStanding[removed.standing]--
+	removed.closed = true
+	delete(c.conns, removed.id)
+	c.closedInOrder++
+	if c.closedInOrder > compactAfter && c.closedInOrder > len(c.order)/2 {
+		c.order = slices.DeleteFunc(c.order, func(other *connection) bool { return other.closed })
+		c.closedInOrder = 0
 	}
+	if src.conns == 0 {
+		c.remember(now, src)
+	}
+	c.updatePressure()
 }
 
-// forget leaves of an address what was odd, in the sketch.
-func (c *Core) forget(now float64, p *party) {
-	delete(c.parties, p.key)
-	c.many.put(now, c.l.FadeHalf, p.key, p.bad.get(now, c.l.FadeHalf))
-}
-
-// Row is what is told of one address.
-type Row struct {
-	Address  string  `json:"address"`
-	Known    bool    `json:"known"`
-	Conns    int     `json:"connections"`
-	Unproven int     `json:"unproven"` // of those, without an answered op
-	Good     float64 `json:"good"`     // faded
-	Odd      float64 `json:"odd"`      // faded
+// AddressStats is what operators see of one address.
+type AddressStats struct {
+	Address     string  `json:"address"`
+	Known       bool    `json:"known"`
+	Connections int     `json:"connections"`
+	Unproven    int     `json:"unproven"` // connections without an answered request
+	Answered    float64 `json:"good"`     // requests, decayed
+	Misbehavior float64 `json:"odd"`      // decayed
 }
 
-// Table tells of the addresses with connections, those with most first, so many at most.
-func (c *Core) Table(now float64, most int) (rows []Row) {
-	for key, p := range c.parties {
-		if p.conns > 0 {
-			rows = append(rows, Row{key.Addr().String(), c.Known(now, key.Addr()), p.conns, p.unproven, p.good.get(now, c.l.KnownHalf), p.bad.get(now, c.l.FadeHalf)})
-		}
-	}
-	slices.SortFunc(rows, func(a, b Row) int {
-		if a.Conns != b.Conns {
-			return b.Conns - a.Conns
+// Addresses are the addresses with connections, those with most first, at most limit of them.
+func (c *Controller) Addresses(now float64, limit int) []AddressStats {
+	var stats []AddressStats
+	for prefix, src := range c.sources {
+		if src.conns == 0 {
+			continue
 		}
-		if a.Address < b.Address {
-			return -1
+		stats = append(stats, AddressStats{
+			Address:     prefix.Addr().String(),
+			Known:       c.IsKnown(now, prefix.Addr()),
+			Connections: src.conns,
+			Unproven:    src.unproven,
+			Answered:    src.answered.get(now, c.limits.KnownHalfLife),
+			Misbehavior: src.misbehavior.get(now, c.limits.MisbehaviorHalfLife),
+		})
+	}
+	slices.SortFunc(stats, func(a, b AddressStats) int {
+		if a.Connections != b.Connections {
+			return b.Connections - a.Connections
 		}
-		return 1
+		return strings.Compare(a.Address, b.Address)
 	})
-	return rows[:min(most, len(rows))]
+	return stats[:min(limit, len(stats))]
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -9,114 +9,124 @@
 	"pgregory.net/rapid"
 )
 
-func address(k int) netip.Addr {
-	return netip.AddrFrom4([4]byte{10, byte(k >> 16), byte(k >> 8), byte(k)})
+// address is an IPv4 address, a different one for each number.
+func address(number int) netip.Addr {
+	return netip.AddrFrom4([4]byte{10, byte(number >> 16), byte(number >> 8), byte(number)})
 }
 
-// sight is a host that does what the core says.
-type sight struct {
-	c    *Core
-	now  float64
-	next uint64
-	open map[uint64]netip.Addr
+// fakeHost has connections as the controller says.
+type fakeHost struct {
+	controller *Controller
+	now        float64
+	lastID     uint64
+	open       map[uint64]netip.Addr
 }
 
-func newSight(l Limits) *sight { return &sight{c: New(l), now: 1, open: map[uint64]netip.Addr{}} }
+func newFakeHost(limits Limits) *fakeHost {
+	return &fakeHost{controller: New(limits), now: 1, open: map[uint64]netip.Addr{}}
+}
 
-// connect gives the connection's id, or the reason why there is none.
-func (s *sight) connect(a netip.Addr) (uint64, Reason) {
-	s.next++
-	v := s.c.Connect(s.now, s.next, a)
-	for _, l := range v.LetGo {
-		delete(s.open, l.ID)
+// connect returns the connection's id, or the reason why it was refused.
+func (h *fakeHost) connect(from netip.Addr) (uint64, Reason) {
+	h.lastID++
+	verdict := h.controller.Connect(h.now, h.lastID, from)
+	for _, eviction := range verdict.Evictions {
+		delete(h.open, eviction.ID)
 	}
-	if v.Why != Admitted {
-		return 0, v.Why
+	if verdict.Reason != Admitted {
+		return 0, verdict.Reason
 	}
-	s.open[s.next] = a
-	return s.next, Admitted
+	h.open[h.lastID] = from
+	return h.lastID, Admitted
 }
 
-// op is one that is answered.
-func (s *sight) op(id uint64) { s.c.Began(id); s.c.Answered(s.now, id) }
+// serveRequest serves a request on a connection.
+func (h *fakeHost) serveRequest(id uint64) {
+	h.controller.RequestBegan(id)
+	h.controller.RequestAnswered(h.now, id)
+}
 
-func (s *sight) close(id uint64) { s.c.Closed(s.now, id); delete(s.open, id) }
+func (h *fakeHost) close(id uint64) {
+	h.controller.Closed(h.now, id)
+	delete(h.open, id)
+}
 
-// known makes an address one.
-func (s *sight) known(a netip.Addr) {
-	id, why := s.connect(a)
-	if why != Admitted {
-		panic(why)
+// makeKnown makes an address known.
+func (h *fakeHost) makeKnown(from netip.Addr) {
+	id, reason := h.connect(from)
+	if reason != Admitted {
+		panic(reason)
 	}
 	for range 5 {
-		s.op(id)
+		h.serveRequest(id)
 	}
-	s.close(id)
+	h.close(id)
 }
 
-// Whoever floods, a known client gets in at once, and so does a new one, in the place of one of the flood's.
+// Clients flood the node with connections. A known client is admitted at once, and so is a new one, in the place of one of the
+// flood's.
 func TestFloods(t *testing.T) {
-	for name, flood := range map[string]func(k int) netip.Addr{
+	for name, flood := range map[string]func(i int) netip.Addr{
 		"one address":    func(int) netip.Addr { return address(9) },
-		"200 addresses":  func(k int) netip.Addr { return address(1000 + k%200) },
-		"never the same": func(k int) netip.Addr { return address(100000 + k) },
-		"one IPv6 prefix": func(k int) netip.Addr {
-			return netip.AddrFrom16([16]byte{0x20, 1, 0xd, 0xb8, 12: byte(k >> 8), 13: byte(k)})
+		"200 addresses":  func(i int) netip.Addr { return address(1000 + i%200) },
+		"never the same": func(i int) netip.Addr { return address(100000 + i) },
+		"one IPv6 prefix": func(i int) netip.Addr {
+			return netip.AddrFrom16([16]byte{0x20, 1, 0xd, 0xb8, 12: byte(i >> 8), 13: byte(i)})
 		},
 	} {
-		s := newSight(Defaults(200))
-		s.known(address(1))
+		host := newFakeHost(DefaultLimits(200))
+		host.makeKnown(address(1))
 		refused := 0
-		for k := range 20000 { // 1,000 a second
-			s.now++
-			if _, why := s.connect(flood(k)); why != Admitted {
+		for i := range 20000 { // 1,000 a second
+			host.now++
+			if _, reason := host.connect(flood(i)); reason != Admitted {
 				refused++
 			}
-			require.LessOrEqual(t, len(s.open), 200, name)
-			if k%20 == 10 {
-				for _, a := range []netip.Addr{address(1), address(2 + k%50)} {
-					id, why := s.connect(a)
-					require.Equal(t, Admitted, why, "%s: %d: %v", name, k, a)
-					s.op(id)
-					s.close(id)
+			require.LessOrEqual(t, len(host.open), 200, name)
+			if i%20 == 10 {
+				for _, a := range []netip.Addr{address(1), address(2 + i%50)} {
+					id, reason := host.connect(a)
+					require.Equal(t, Admitted, reason, "%s: %d: %v", name, i, a)
+					host.serveRequest(id)
+					host.close(id)
 				}
 			}
 		}
 		if name == "one address" || name == "one IPv6 prefix" {
 			assert.Greater(t, refused, 10000, name)
 		}
-		s.now += 120e3
-		for id := range s.open {
-			s.close(id)
+		host.now += 120e3
+		for id := range host.open {
+			host.close(id)
 		}
-		assert.False(t, s.c.Pressed(), name)
-		assert.Zero(t, s.c.Open(), name)
+		assert.False(t, host.controller.UnderPressure(), name)
+		assert.Zero(t, host.controller.OpenConnections(), name)
 	}
 }
 
-// Many members behind one shared address are many: as long as they do what they are here for, they get in as those with
-// addresses of their own do; one among them that floods has its own connections let go.
+// Many clients share one address. As long as they are well-behaved they are admitted as clients with addresses of their own are,
+// also while one among them misbehaves.
 func TestSharedAddress(t *testing.T) {
-	s := newSight(Defaults(192))
+	host := newFakeHost(DefaultLimits(192))
 	shared := address(7)
-	in := map[bool]int{}
-	asked := map[bool]int{}
+	admitted := map[bool]int{} // connections, by whether the address is shared
+	attempted := map[bool]int{}
 	for round := range 2000 {
-		s.now += 10
-		for k := range 4 {
-			a, isShared := shared, k < 3
+		host.now += 10
+		for i := range 4 {
+			a, isShared := shared, i < 3
 			if !isShared {
 				a = address(100 + round%50)
 			}
-			asked[isShared]++
-			if id, why := s.connect(a); why == Admitted {
-				in[isShared]++
-				s.op(id)
-				defer func() { s.close(id) }()
-				if len(s.open) > 150 { // a member leaves
-					for old := range s.open {
+			attempted[isShared]++
+			if id, reason := host.connect(a); reason == Admitted {
+				admitted[isShared]++
+				host.serveRequest(id)
+				defer func() { host.close(id) }()
+				if len(host.open) > 150 { // a client leaves
+					for old := range host.open {
 						if old < id-100 {
-							s.close(old)
+							host.close(old)
 							break
 						}
 					}
@@ -124,228 +134,229 @@
 			}
 		}
 		if round > 1000 { // and one of them misbehaves
-			if id, why := s.connect(shared); why == Admitted {
-				s.c.Odd(s.now, id)
-				s.close(id)
+			if id, reason := host.connect(shared); reason == Admitted {
+				host.controller.RequestMalformed(host.now, id)
+				host.close(id)
 			}
 		}
 	}
-	served := func(is bool) float64 { return float64(in[is]) / float64(asked[is]) }
-	assert.InDelta(t, served(true), served(false), 0.03, "%v", s.c.Refused)
-	assert.Greater(t, served(true), 0.97)
+	admittedShare := func(isShared bool) float64 { return float64(admitted[isShared]) / float64(attempted[isShared]) }
+	assert.InDelta(t, admittedShare(true), admittedShare(false), 0.03, "%v", host.controller.Refused)
+	assert.Greater(t, admittedShare(true), 0.97)
 }
 
-// A known client need not wait until a stranger's connection is old enough to be let go; a stranger does.
-func TestKnownBeforeStrangers(t *testing.T) {
-	s := newSight(Defaults(8))
-	for k := range 4 {
-		s.known(address(k))
+// A known client need not wait until an unknown one's connection is old enough to be evicted; an unknown client does.
+func TestKnownClientsBeforeUnknown(t *testing.T) {
+	host := newFakeHost(DefaultLimits(8))
+	for i := range 4 {
+		host.makeKnown(address(i))
 	}
-	for k := range 8 {
-		_, why := s.connect(address(10 + k))
-		require.Equal(t, k < 6, why == Admitted, "two of eight are kept for known ones")
+	for i := range 8 {
+		_, reason := host.connect(address(10 + i))
+		require.Equal(t, i < 6, reason == Admitted, "two of eight are reserved for known clients")
 	}
-	for k := range 4 { // the two, and those of two strangers
-		_, why := s.connect(address(k))
-		require.Equal(t, Admitted, why)
+	for i := range 4 { // the two reserved ones, and those of two unknown clients
+		_, reason := host.connect(address(i))
+		require.Equal(t, Admitted, reason)
 	}
-	_, why := s.connect(address(100))
-	assert.Equal(t, Full, why)
+	_, reason := host.connect(address(100))
+	assert.Equal(t, Full, reason)
 }
 
-// On a connection that was let go no op is taken any more, whichever of the two came first by a hair.
-func TestNothingTakenOnceLetGo(t *testing.T) {
-	s := newSight(Defaults(8))
-	first, _ := s.connect(address(10))
-	for k := range 5 {
-		_, why := s.connect(address(11 + k))
-		require.Equal(t, Admitted, why)
+// A request completes on a connection that was evicted at the same moment. It must not be taken.
+func TestNoRequestOnEvictedConnection(t *testing.T) {
+	host := newFakeHost(DefaultLimits(8))
+	first, _ := host.connect(address(10))
+	for i := range 5 {
+		_, reason := host.connect(address(11 + i))
+		require.Equal(t, Admitted, reason)
 	}
-	require.True(t, s.c.Began(first))
-	s.c.Answered(s.now, first)
-	s.now += 3000
-	for k := range 6 { // each displaces one that has been quiet
-		_, why := s.connect(address(20 + k))
-		require.Equal(t, Admitted, why)
+	require.True(t, host.controller.RequestBegan(first))
+	host.controller.RequestAnswered(host.now, first)
+	host.now += 3000
+	for i := range 6 { // each evicts one that has been quiet
+		_, reason := host.connect(address(20 + i))
+		require.Equal(t, Admitted, reason)
 	}
-	assert.False(t, s.c.Began(first))
+	assert.False(t, host.controller.RequestBegan(first))
 }
 
-// Whoever has a connection for each op becomes known as well.
-func TestKnownByConnections(t *testing.T) {
-	s := newSight(Defaults(200))
+// A client with a connection for each request becomes known as well.
+func TestKnownWithConnectionPerRequest(t *testing.T) {
+	host := newFakeHost(DefaultLimits(200))
 	for range 4 {
-		s.now += 1000
-		id, why := s.connect(address(1))
-		require.Equal(t, Admitted, why)
-		s.op(id)
-		s.now += 5
-		s.close(id)
+		host.now += 1000
+		id, reason := host.connect(address(1))
+		require.Equal(t, Admitted, reason)
+		host.serveRequest(id)
+		host.now += 5
+		host.close(id)
 	}
-	assert.True(t, s.c.Known(s.now, address(1)))
-	assert.False(t, s.c.Known(s.now+3600e3, address(1)), "it fades")
+	assert.True(t, host.controller.IsKnown(host.now, address(1)))
+	assert.False(t, host.controller.IsKnown(host.now+3600e3, address(1)), "the count decays")
 }
 
-// Whoever behaves well to become known, and then floods, gets no more by it than half the reserve; strangers still get in.
-func TestKnownThatFloods(t *testing.T) {
-	s := newSight(Defaults(200))
-	s.known(address(1))
+// A client behaves well until it is known, and then floods. It gets no more than half the reserve by that, and unknown clients are
+// still admitted.
+func TestKnownClientThatFloods(t *testing.T) {
+	host := newFakeHost(DefaultLimits(200))
+	host.makeKnown(address(1))
 	for range 3000 {
-		s.now += 0.5
-		if id, why := s.connect(address(1)); why == Admitted {
-			s.op(id)
+		host.now += 0.5
+		if id, reason := host.connect(address(1)); reason == Admitted {
+			host.serveRequest(id)
 		}
 	}
-	assert.LessOrEqual(t, s.c.parties[Party(address(1))].vouched, 25)
-	got := 0
-	for k := range 100 {
-		s.now += 30
-		if id, why := s.connect(address(1000 + k)); why == Admitted {
-			s.op(id)
-			s.close(id)
-			got++
+	assert.LessOrEqual(t, host.controller.sources[SourceOf(address(1))].trustedConns, 25)
+	admitted := 0
+	for i := range 100 {
+		host.now += 30
+		if id, reason := host.connect(address(1000 + i)); reason == Admitted {
+			host.serveRequest(id)
+			host.close(id)
+			admitted++
 		}
 	}
-	assert.Greater(t, got, 60, "once what is idle may be let go, 2 s on, all get in")
+	assert.Greater(t, admitted, 60, "once idle connections may be evicted, 2 s later, all are admitted")
 }
 
-// Ten million addresses leave the memory where it was.
-func TestBounded(t *testing.T) {
-	l := Defaults(128)
-	l.Addresses = 512
-	s := newSight(l)
-	n := 10_000_000
+// Ten million addresses come; the memory that they take is bounded.
+func TestMemoryIsBounded(t *testing.T) {
+	limits := DefaultLimits(128)
+	limits.MaxRemembered = 512
+	host := newFakeHost(limits)
+	connections := 10_000_000
 	if testing.Short() {
-		n /= 10
+		connections /= 10
 	}
-	for k := range n {
-		s.now += 0.1
-		id, why := s.connect(address(k))
-		if why != Admitted {
+	for i := range connections {
+		host.now += 0.1
+		id, reason := host.connect(address(i))
+		if reason != Admitted {
 			continue
 		}
-		if k%3 == 0 {
-			s.op(id)
+		if i%3 == 0 {
+			host.serveRequest(id)
 		}
-		if k%5 == 0 {
-			s.c.Odd(s.now, id)
+		if i%5 == 0 {
+			host.controller.RequestMalformed(host.now, id)
 		}
-		if len(s.open) > 100 {
-			s.close(id)
+		if len(host.open) > 100 {
+			host.close(id)
 		}
 	}
-	assert.LessOrEqual(t, len(s.c.parties), 128+512)
-	assert.LessOrEqual(t, len(s.c.resting), 512)
-	assert.LessOrEqual(t, len(s.c.order), 2*128+65)
+	assert.LessOrEqual(t, len(host.controller.sources), 128+512)
+	assert.LessOrEqual(t, len(host.controller.remembered), 512)
+	assert.LessOrEqual(t, len(host.controller.order), 2*128+65)
 }
 
-// The sketch never tells too little, fades, and keeps its scale.
-func TestSketch(t *testing.T) {
-	s := newSketch()
+// The sketch's counts are never too low, they decay, and they survive a change of scale.
+func TestCountMinSketch(t *testing.T) {
+	sketch := newCountMinSketch()
 	now := 0.0
-	for k := range 2000 {
-		s.put(now, 100, Party(address(k)), float64(k%40))
+	for i := range 2000 {
+		sketch.raise(now, 100, SourceOf(address(i)), float64(i%40))
 	}
-	for k := range 2000 {
-		require.GreaterOrEqual(t, s.get(now, 100, Party(address(k))), float64(k%40))
+	for i := range 2000 {
+		require.GreaterOrEqual(t, sketch.get(now, 100, SourceOf(address(i))), float64(i%40))
 	}
-	assert.InDelta(t, s.get(now, 100, Party(address(39)))/2, s.get(100, 100, Party(address(39))), 0.01)
-	assert.InDelta(t, 0, s.get(1e6, 100, Party(address(39))), 1e-6)
-	s.put(1e6, 100, Party(address(5)), 7)
-	assert.InDelta(t, 7, s.get(1e6, 100, Party(address(5))), 1e-3)
+	assert.InDelta(t, sketch.get(now, 100, SourceOf(address(39)))/2, sketch.get(100, 100, SourceOf(address(39))), 0.01)
+	assert.InDelta(t, 0, sketch.get(1e6, 100, SourceOf(address(39))), 1e-6)
+	sketch.raise(1e6, 100, SourceOf(address(5)), 7)
+	assert.InDelta(t, 7, sketch.get(1e6, 100, SourceOf(address(5))), 1e-3)
 }
 
-// Whatever happens in whatever order: what is counted is what there is, nothing with an op in hand is let go, the limit
-// holds, the same events give the same verdicts, and a well-behaved client that comes back gets in within a second as long
-// as not all of the room is held by ops.
-func TestAnyOrder(t *testing.T) {
+// Whatever happens in whatever order: the counts match the connections, no connection with a request in flight is evicted, the
+// limit holds, the same events give the same verdicts, and a well-behaved client that comes back is admitted within 3 s as long as
+// connections without a request are left for it.
+func TestInvariantsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Defaults(rapid.IntRange(8, 40).Draw(t, "conns"))
-		l.Addresses = rapid.IntRange(1, 8).Draw(t, "addresses")
-		s, twin := newSight(l), New(l)
-		inHand := map[uint64]bool{}
+		limits := DefaultLimits(rapid.IntRange(8, 40).Draw(t, "conns"))
+		limits.MaxRemembered = rapid.IntRange(1, 8).Draw(t, "addresses")
+		host, twin := newFakeHost(limits), New(limits)
+		hasRequest := map[uint64]bool{}
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
-			s.now += rapid.SampledFrom([]float64{0, 1, 50, 300, 2500}).Draw(t, "passes")
-			ids := make([]uint64, 0, len(s.open))
-			for id := uint64(1); id <= s.next; id++ {
-				if _, there := s.open[id]; there {
+			host.now += rapid.SampledFrom([]float64{0, 1, 50, 300, 2500}).Draw(t, "passes")
+			ids := make([]uint64, 0, len(host.open))
+			for id := uint64(1); id <= host.lastID; id++ {
+				if _, there := host.open[id]; there {
 					ids = append(ids, id)
 				}
 			}
-			what := rapid.IntRange(0, 4).Draw(t, "what")
-			if what == 0 || len(ids) == 0 {
-				a := address(rapid.IntRange(0, 12).Draw(t, "address"))
-				s.next++
-				v, w := s.c.Connect(s.now, s.next, a), twin.Connect(s.now, s.next, a)
-				require.Equal(t, v, w)
-				for _, lost := range v.LetGo {
-					require.False(t, inHand[lost.ID])
-					delete(s.open, lost.ID)
+			event := rapid.IntRange(0, 4).Draw(t, "what")
+			if event == 0 || len(ids) == 0 {
+				from := address(rapid.IntRange(0, 12).Draw(t, "address"))
+				host.lastID++
+				verdict, twinVerdict := host.controller.Connect(host.now, host.lastID, from), twin.Connect(host.now, host.lastID, from)
+				require.Equal(t, verdict, twinVerdict)
+				for _, lost := range verdict.Evictions {
+					require.False(t, hasRequest[lost.ID])
+					delete(host.open, lost.ID)
 				}
-				if v.Why == Admitted {
-					s.open[s.next] = a
+				if verdict.Reason == Admitted {
+					host.open[host.lastID] = from
 				}
 			} else {
 				id := rapid.SampledFrom(ids).Draw(t, "id")
-				for _, c := range []*Core{s.c, twin} {
-					switch what {
+				for _, controller := range []*Controller{host.controller, twin} {
+					switch event {
 					case 1:
-						c.Began(id)
+						controller.RequestBegan(id)
 					case 2:
-						c.Answered(s.now, id)
+						controller.RequestAnswered(host.now, id)
 					case 3:
-						c.Odd(s.now, id)
+						controller.RequestMalformed(host.now, id)
 					case 4:
-						c.Closed(s.now, id)
+						controller.Closed(host.now, id)
 					}
 				}
-				inHand[id] = what == 1
-				if what == 4 {
-					delete(s.open, id)
+				hasRequest[id] = event == 1
+				if event == 4 {
+					delete(host.open, id)
 				}
 			}
-			require.Equal(t, len(s.open), s.c.Open())
-			require.LessOrEqual(t, s.c.Open(), l.Conns)
+			require.Equal(t, len(host.open), host.controller.OpenConnections())
+			require.LessOrEqual(t, host.controller.OpenConnections(), limits.MaxConnections)
 			conns, unproven, reserved := 0, 0, 0
-			for _, p := range s.c.parties {
-				require.GreaterOrEqual(t, p.unproven, 0)
-				require.GreaterOrEqual(t, p.vouched, 0)
-				conns, unproven, reserved = conns+p.conns, unproven+p.unproven, reserved+p.vouched
+			for _, source := range host.controller.sources {
+				require.GreaterOrEqual(t, source.unproven, 0)
+				require.GreaterOrEqual(t, source.trustedConns, 0)
+				conns, unproven, reserved = conns+source.conns, unproven+source.unproven, reserved+source.trustedConns
 			}
-			require.Equal(t, conns, s.c.Open())
-			require.Equal(t, conns, s.c.standing[stranger]+s.c.standing[extra]+s.c.standing[vouched])
+			require.Equal(t, conns, host.controller.OpenConnections())
+			require.Equal(t, conns, host.controller.countByStanding[standingUnknown]+host.controller.countByStanding[standingOverShare]+host.controller.countByStanding[standingKnown])
 			require.LessOrEqual(t, unproven, conns)
-			require.Equal(t, reserved, s.c.standing[vouched])
-			require.LessOrEqual(t, len(s.c.parties), l.Conns+l.Addresses)
+			require.Equal(t, reserved, host.controller.countByStanding[standingKnown])
+			require.LessOrEqual(t, len(host.controller.sources), limits.MaxConnections+limits.MaxRemembered)
 		}
 		busy := 0
-		for id := range s.open {
-			if inHand[id] {
+		for id := range host.open {
+			if hasRequest[id] {
 				busy++
 			}
 		}
-		if busy < l.Conns-int(l.Reserve*float64(l.Conns)) {
-			good := address(1 << 20)
-			why := Full
-			for k := 0; k < 30 && why != Admitted; k++ {
-				s.now += 100
-				_, why = s.connect(good)
+		if busy < limits.MaxConnections-int(limits.ReservedShare*float64(limits.MaxConnections)) {
+			wellBehaved := address(1 << 20)
+			reason := Full
+			for i := 0; i < 30 && reason != Admitted; i++ {
+				host.now += 100
+				_, reason = host.connect(wellBehaved)
 			}
-			require.Equal(t, Admitted, why)
+			require.Equal(t, Admitted, reason)
 		}
 	})
 }
 
-// BenchmarkConnect is a connection that comes and is taken or refused, in a flood of strangers.
+// BenchmarkConnect measures the decision on one connection in a flood of unknown clients.
 func BenchmarkConnect(b *testing.B) {
-	for name, flood := range map[string]func(k int) netip.Addr{"one": func(int) netip.Addr { return address(9) }, "many": address} {
+	for name, flood := range map[string]func(i int) netip.Addr{"one": func(int) netip.Addr { return address(9) }, "many": address} {
 		b.Run(name, func(b *testing.B) {
-			s := newSight(Defaults(192))
-			k := 0
+			host := newFakeHost(DefaultLimits(192))
+			i := 0
 			for b.Loop() {
-				k++
-				s.now += 0.1
-				_, _ = s.connect(flood(k))
+				i++
+				host.now += 0.1
+				_, _ = host.connect(flood(i))
 			}
 		})
 	}
--- a/internal/admission/sketch.go
+++ b/internal/admission/sketch.go
@@ -7,58 +7,68 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A sketch counts for any number of addresses in bounded memory (count-min, Cormode and Muthukrishnan 2005): it may tell
-// too much, by what shares all four places, never too little. Counts fade: they are kept as of one moment, and all are
-// brought down when the scale grows large.
 const (
-	sketchRows = 4
-	sketchCols = 4096
-	scaleMost  = 1e12
+	sketchRows    = 4
+	sketchColumns = 4096
+
+	// maxSketchScale is the scale from which all cells are brought down, so that float32 holds them.
+	maxSketchScale = 1e12
 )
 
-type sketch struct {
-	cells [sketchRows][sketchCols]float32
-	at    float64 // of scale 1
+// countMinSketch keeps decaying counts for any number of sources in bounded memory (Cormode and Muthukrishnan, "An
+// improved data stream summary: the count-min sketch", 2005). A count may be too high, by what shares all its cells,
+// and is never too low.
+//
+// All counts decay alike, so the cells are kept as of one moment and the scale grows instead: a count of x now is stored
+// as x times the scale.
+type countMinSketch struct {
+	cells    [sketchRows][sketchColumns]float32
+	scaledAt float64 // ms; when the scale was 1
 }
 
-func newSketch() *sketch { return &sketch{} }
+func newCountMinSketch() *countMinSketch { return &countMinSketch{} }
 
-func (s *sketch) places(key netip.Prefix) (at [sketchRows]int) {
-	b := key.Addr().As16()
-	h := xxhash.Sum64(b[:])
-	for k := range at { // one hash, two halves (Kirsch and Mitzenmacher 2006)
-		at[k] = int((uint32(h) + uint32(k)*uint32(h>>32|1)) % sketchCols)
+// columns are a source's cells, one a row. One hash gives all of them (Kirsch and Mitzenmacher, "Less hashing, same
+// performance", 2006).
+func (s *countMinSketch) columns(prefix netip.Prefix) (columns [sketchRows]int) {
+	address := prefix.Addr().As16()
+	hash := xxhash.Sum64(address[:])
+	first, second := uint32(hash), uint32(hash>>32|1)
+	for row := range columns {
+		columns[row] = int((first + uint32(row)*second) % sketchColumns)
 	}
-	return at
+	return columns
 }
 
-func (s *sketch) scale(now, half float64) float64 {
-	x := math.Exp2(math.Max(now-s.at, 0) / half)
-	if x < scaleMost {
-		return x
+// scale is the scale of now, after it has brought all cells down where it had grown too large.
+func (s *countMinSketch) scale(now, halfLife float64) float64 {
+	scale := math.Exp2(math.Max(now-s.scaledAt, 0) / halfLife)
+	if scale < maxSketchScale {
+		return scale
 	}
-	for k := range s.cells {
-		for i := range s.cells[k] {
-			s.cells[k][i] = float32(float64(s.cells[k][i]) / x)
+	for row := range s.cells {
+		for column := range s.cells[row] {
+			s.cells[row][column] = float32(float64(s.cells[row][column]) / scale)
 		}
 	}
-	s.at = now
+	s.scaledAt = now
 	return 1
 }
 
-func (s *sketch) get(now, half float64, key netip.Prefix) float64 {
-	least := math.Inf(1)
-	scale := s.scale(now, half)
-	for k, i := range s.places(key) {
-		least = math.Min(least, float64(s.cells[k][i])/scale)
+// get is a source's count.
+func (s *countMinSketch) get(now, halfLife float64, prefix netip.Prefix) float64 {
+	scale := s.scale(now, halfLife)
+	count := math.Inf(1)
+	for row, column := range s.columns(prefix) {
+		count = math.Min(count, float64(s.cells[row][column])/scale)
 	}
-	return least
+	return count
 }
 
-// put sees that an address counts at least so much: whoever forgets it gives its whole count, not what was added.
-func (s *sketch) put(now, half float64, key netip.Prefix, count float64) {
-	x := float32(count * s.scale(now, half))
-	for k, i := range s.places(key) {
-		s.cells[k][i] = max(s.cells[k][i], x)
+// raise sets a source's count to at least count. Callers pass a source's whole count, not what was added to it.
+func (s *countMinSketch) raise(now, halfLife float64, prefix netip.Prefix, count float64) {
+	scaled := float32(count * s.scale(now, halfLife))
+	for row, column := range s.columns(prefix) {
+		s.cells[row][column] = max(s.cells[row][column], scaled)
 	}
 }
--- a/internal/serve/edge.go
+++ b/internal/serve/edge.go
@@ -25,9 +25,9 @@
 
 // ReadEdge reads the operator's file of admission; how many descriptors clients have is the node's to say.
 func ReadEdge(name string) (*admission.Limits, error) {
-	l := admission.Defaults(0)
-	f := edgeFile{Reserve: l.Reserve, PressedAt: l.PressedAt, CalmAt: l.CalmAt, Unproven: l.Unproven, Penalty: l.Penalty, FadeHalfS: l.FadeHalf / 1e3,
-		KnownAfter: l.KnownAfter, KnownHalfS: l.KnownHalf / 1e3, GraceMs: l.Grace, IdleMs: l.IdleFor, Addresses: l.Addresses}
+	l := admission.DefaultLimits(0)
+	f := edgeFile{Reserve: l.ReservedShare, PressedAt: l.PressureStart, CalmAt: l.PressureEnd, Unproven: l.MaxUnproven, Penalty: l.MaxMisbehavior, FadeHalfS: l.MisbehaviorHalfLife / 1e3,
+		KnownAfter: l.KnownAfter, KnownHalfS: l.KnownHalfLife / 1e3, GraceMs: l.SilentGrace, IdleMs: l.IdleGrace, Addresses: l.MaxRemembered}
 	at, err := tomlfile.Read(name, &f)
 	if err != nil {
 		return nil, err
@@ -43,14 +43,14 @@
 			return nil, at.Errorf(x.key, "%v is not %v to %v", x.value, x.from, x.most)
 		}
 	}
-	l = admission.Limits{Reserve: f.Reserve, PressedAt: f.PressedAt, CalmAt: f.CalmAt, Unproven: f.Unproven, Penalty: f.Penalty, FadeHalf: f.FadeHalfS * 1e3,
-		KnownAfter: f.KnownAfter, KnownHalf: f.KnownHalfS * 1e3, Grace: f.GraceMs, IdleFor: f.IdleMs, Addresses: f.Addresses}
+	l = admission.Limits{ReservedShare: f.Reserve, PressureStart: f.PressedAt, PressureEnd: f.CalmAt, MaxUnproven: f.Unproven, MaxMisbehavior: f.Penalty, MisbehaviorHalfLife: f.FadeHalfS * 1e3,
+		KnownAfter: f.KnownAfter, KnownHalfLife: f.KnownHalfS * 1e3, SilentGrace: f.GraceMs, IdleGrace: f.IdleMs, MaxRemembered: f.Addresses}
 	for _, text := range f.Known {
 		p, err := netip.ParsePrefix(text)
 		if err != nil {
 			return nil, at.Errorf("known", "%q is no network, such as 10.0.0.0/8", text)
 		}
-		l.Friends = append(l.Friends, p.Masked())
+		l.TrustedNetworks = append(l.TrustedNetworks, p.Masked())
 	}
 	return &l, nil
 }
--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -22,7 +22,7 @@
 	onPressure func(underPressure bool) // of each change
 
 	mu            sync.Mutex
-	core          *admission.Core
+	controller    *admission.Controller
 	lastID        uint64
 	conns         map[uint64]*clientConn
 	underPressure bool
@@ -30,12 +30,12 @@
 
 // ClientStats says who is connected, and what was refused since the start.
 type ClientStats struct {
-	Open          int               `json:"open"`
-	Limit         int               `json:"limit"`
-	UnderPressure bool              `json:"pressed"`
-	Refused       map[string]uint64 `json:"refused"`   // connections, by reason
-	Evicted       map[string]uint64 `json:"let_go"`    // connections, by reason
-	Addresses     []admission.Row   `json:"addresses"` // those with most connections first
+	Open          int                      `json:"open"`
+	Limit         int                      `json:"limit"`
+	UnderPressure bool                     `json:"pressed"`
+	Refused       map[string]uint64        `json:"refused"`   // connections, by reason
+	Evicted       map[string]uint64        `json:"let_go"`    // connections, by reason
+	Addresses     []admission.AddressStats `json:"addresses"` // those with most connections first
 }
 
 // admit takes a new connection or refuses it, and closes those that the core evicts for it.
@@ -48,21 +48,21 @@
 	for _, other := range evicted {
 		_ = other.Close() // it has no request, and requestBegan refuses it one from now on
 	}
-	return verdict.Why == admission.Admitted
+	return verdict.Reason == admission.Admitted
 }
 
 func (a *connectionAdmitter) decide(conn *clientConn, address netip.Addr) (verdict admission.Verdict, evicted []*clientConn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.lastID++
-	verdict = a.core.Connect(a.clock.Now(), a.lastID, address)
-	for _, loss := range verdict.LetGo {
+	verdict = a.controller.Connect(a.clock.Now(), a.lastID, address)
+	for _, loss := range verdict.Evictions {
 		if other := a.conns[loss.ID]; other != nil {
 			evicted = append(evicted, other)
 		}
 		delete(a.conns, loss.ID)
 	}
-	if verdict.Why == admission.Admitted {
+	if verdict.Reason == admission.Admitted {
 		conn.admissionID = a.lastID
 		a.conns[a.lastID] = conn
 	}
@@ -72,7 +72,7 @@
 
 // notifyPressure calls onPressure where connections have become scarce or suffice again. The lock is held.
 func (a *connectionAdmitter) notifyPressure() {
-	if underPressure := a.core.Pressed(); underPressure != a.underPressure {
+	if underPressure := a.controller.UnderPressure(); underPressure != a.underPressure {
 		a.underPressure = underPressure
 		a.onPressure(underPressure)
 	}
@@ -83,14 +83,14 @@
 func (a *connectionAdmitter) requestBegan(conn *clientConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.core.Began(conn.admissionID)
+	return a.controller.RequestBegan(conn.admissionID)
 }
 
 // connClosed notes that a connection has closed.
 func (a *connectionAdmitter) connClosed(conn *clientConn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.core.Closed(a.clock.Now(), conn.admissionID)
+	a.controller.Closed(a.clock.Now(), conn.admissionID)
 	delete(a.conns, conn.admissionID)
 	a.notifyPressure()
 }
@@ -98,7 +98,7 @@
 func (a *connectionAdmitter) setLimits(limits admission.Limits) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.core.Relimit(limits)
+	a.controller.SetLimits(limits)
 	a.notifyPressure()
 }
 
@@ -106,12 +106,12 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return ClientStats{
-		Open:          a.core.Open(),
-		Limit:         a.core.Limit(),
-		UnderPressure: a.core.Pressed(),
-		Refused:       countsByText(a.core.Refused),
-		Evicted:       countsByText(a.core.Let),
-		Addresses:     a.core.Table(a.clock.Now(), maxStatsAddresses),
+		Open:          a.controller.OpenConnections(),
+		Limit:         a.controller.MaxConnections(),
+		UnderPressure: a.controller.UnderPressure(),
+		Refused:       countsByText(a.controller.Refused),
+		Evicted:       countsByText(a.controller.Evicted),
+		Addresses:     a.controller.Addresses(a.clock.Now(), maxStatsAddresses),
 	}
 }
 
@@ -124,11 +124,11 @@
 }
 
 // reportToAdmission reports what became of a request on the connection, where connections are limited.
-func (c *clientConn) reportToAdmission(report func(core *admission.Core, now float64, id uint64)) {
+func (c *clientConn) reportToAdmission(report func(core *admission.Controller, now float64, id uint64)) {
 	if c.admissionID == 0 {
 		return
 	}
 	c.admitter.mu.Lock()
 	defer c.admitter.mu.Unlock()
-	report(c.admitter.core, c.admitter.clock.Now(), c.admissionID)
+	report(c.admitter.controller, c.admitter.clock.Now(), c.admissionID)
 }
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -21,8 +21,8 @@
 	var mu sync.Mutex
 	var changes []bool
 	srv, budget, _ := startTLSServer(t, 96, func(srv *Server) {
-		limits := admission.Defaults(0)
-		limits.Grace = 1
+		limits := admission.DefaultLimits(0)
+		limits.SilentGrace = 1
 		srv.EnableAdmission(limits, func(pressed bool) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -54,8 +54,8 @@
 			}
 		})
 		if i%30 == 0 {
-			limits := admission.Defaults(0)
-			limits.Unproven = 4 + i
+			limits := admission.DefaultLimits(0)
+			limits.MaxUnproven = 4 + i
 			srv.SetAdmissionLimits(limits)
 			assert.LessOrEqual(t, srv.ClientStats().Open, srv.ClientStats().Limit)
 		}
@@ -72,7 +72,7 @@
 
 // A connection may be evicted while a request is coming in. The client sees it close, and nothing of the request is taken.
 func TestConnectionEvictedWithinRequest(t *testing.T) {
-	srv, _, _ := startTLSServer(t, 96, func(srv *Server) { srv.EnableAdmission(admission.Defaults(0), func(bool) {}) })
+	srv, _, _ := startTLSServer(t, 96, func(srv *Server) { srv.EnableAdmission(admission.DefaultLimits(0), func(bool) {}) })
 	client, err := net.Dial("tcp", srv.Address())
 	require.NoError(t, err)
 	defer client.Close()
--- a/internal/server/disconnect_test.go
+++ b/internal/server/disconnect_test.go
@@ -311,7 +311,7 @@
 func TestRequestNotTakenIsNotAnswered(t *testing.T) {
 	conn, _ := connPair(t)
 	srv := &Server{log: slog.New(slog.DiscardHandler), clock: clock.New(), budget: conn.budget, openIDs: map[string]struct{}{},
-		admitter: &connectionAdmitter{core: admission.New(admission.Defaults(16))}}
+		admitter: &connectionAdmitter{controller: admission.New(admission.DefaultLimits(16))}}
 	srv.deployment.Store(&config.Deployment{Classes: []string{"check"}})
 	for name, evict := range map[string]func(){
 		"evicted": func() { conn.admissionID, conn.admitter = 7, srv.admitter }, // which does not know it any more
--- a/internal/server/handler.go
+++ b/internal/server/handler.go
@@ -20,7 +20,7 @@
 	var request *node.Request
 	defer func() { s.recoverHandler(recover(), w, conn, request) }()
 	if r.URL.Path == healthPath {
-		conn.reportToAdmission((*admission.Core).Looked)
+		conn.reportToAdmission((*admission.Controller).HealthChecked)
 		s.serveHealth(w, conn)
 		return
 	}
@@ -31,7 +31,7 @@
 	}
 	if refusal != nil {
 		s.logMalformed(refusal.reason)
-		conn.reportToAdmission((*admission.Core).Odd)
+		conn.reportToAdmission((*admission.Controller).RequestMalformed)
 		s.writeResponse(w, conn, refusal.status, []byte(refusal.reason+"\n"))
 		return
 	}
@@ -42,7 +42,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	defer conn.releaseFromRequest()
-	defer conn.reportToAdmission((*admission.Core).Answered)
+	defer conn.reportToAdmission((*admission.Controller).RequestAnswered)
 	if conn.hasDisconnected() { // the connection may have waited for a descriptor for longer than its client did
 		s.writeAnswer(w, conn, node.Answer{Status: node.Failed})
 		return
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -104,10 +104,10 @@
 // EnableAdmission limits clients' connections from the start on. It is called before Listen. onPressure hears of each
 // time at which connections become scarce (true) or suffice again (false); it must not block.
 func (s *Server) EnableAdmission(limits admission.Limits, onPressure func(underPressure bool)) {
-	limits.Conns = max(s.budget.MaxClients()-refusalReserve, 1)
+	limits.MaxConnections = max(s.budget.MaxClients()-refusalReserve, 1)
 	s.admitter = &connectionAdmitter{
 		clock:      s.clock,
-		core:       admission.New(limits),
+		controller: admission.New(limits),
 		conns:      map[uint64]*clientConn{},
 		onPressure: onPressure,
 	}
