--- /dev/null
+++ b/internal/invariants/effects.go
@@ -0,0 +1,86 @@
+package invariants
+
+import "pearknot/balancer"
+
+// The rule NoEffectTwice: a request whose effect must not happen twice is not sent again after an attempt that may have
+// run, except where an idempotency key makes backends drop the repetition: within the deduplication window, and to a
+// backend that shares the first one's record of keys. It is not rejected after such an attempt either, because its client
+// would send it again. No request has more attempts than allowed.
+
+// checkAttemptCount judges the number of attempts, of which one starts now.
+func (a *Auditor) checkAttemptCount(r *request) {
+	if a.config.MaxAttempts > 0 && len(r.attempts) >= a.config.MaxAttempts {
+		a.violation(NoEffectTwice, r.events, "op %d pushed %d times, %d allowed", r.id, len(r.attempts)+1, a.config.MaxAttempts)
+	}
+}
+
+// checkRetry judges an attempt that starts now by what the earlier ones may have done.
+func (a *Auditor) checkRetry(r *request, e Event) {
+	first := r.firstThatMayHaveRun()
+	if first == nil {
+		return
+	}
+	class := &a.config.Classes[r.class]
+	if class.Idempotency == balancer.AtMostOnce {
+		a.violation(NoEffectTwice, r.events, "at-most-once op %d pushed again, though push %d may have run", r.id, first.number)
+		return
+	}
+	if !a.config.AllowHedging {
+		for _, t := range r.attempts {
+			if t.inFlight {
+				a.violation(NoEffectTwice, r.events, "op %d pushed while push %d is out, where no second copies are allowed", r.id, t.number)
+				return
+			}
+		}
+	}
+	if class.Idempotency == balancer.IdempotentWithKey {
+		a.checkDedup(r, class, first, e)
+	}
+}
+
+// checkDedup judges a retry that relies on backends to recognize the request's idempotency key.
+func (a *Auditor) checkDedup(r *request, class *balancer.Class, first *attempt, e Event) {
+	sinceFirst := e.At - first.started
+	if sinceFirst >= class.DedupWindow+a.config.Tolerance {
+		a.violation(NoEffectTwice, r.events, "deduplicated op %d pushed again after %.1f ms, its mark is kept for %.1f", r.id, sinceFirst, class.DedupWindow)
+		return
+	}
+	if class.DedupScope == balancer.DedupByAll {
+		return
+	}
+	from, to := a.backends[first.backend], a.backends[e.Backend]
+	if from == nil || to == nil {
+		a.violation(NoEffectTwice, r.events, "deduplicated op %d pushed again to a backend of an unknown group", r.id)
+		return
+	}
+	otherZone := class.DedupScope == balancer.DedupByZone && from.zone != to.zone
+	otherCell := class.DedupScope == balancer.DedupByCell && from.cell != to.cell
+	if otherZone || otherCell {
+		a.violation(NoEffectTwice, r.events, "deduplicated op %d pushed again outside its group", r.id)
+	}
+}
+
+// checkRejectable judges a rejection, after which the client sends the request again.
+func (a *Auditor) checkRejectable(r *request) {
+	if r.firstThatMayHaveRun() == nil {
+		return
+	}
+	class := &a.config.Classes[r.class]
+	recognized := class.Idempotency == balancer.IdempotentWithKey && class.DedupScope == balancer.DedupByAll
+	if class.Idempotency != balancer.Idempotent && !recognized {
+		a.violation(NoEffectTwice, r.events, "op %d nacked after a push that may have run: its client would send it again", r.id)
+	}
+}
+
+// attemptRan counts what really happened: the effect itself, whatever proofs the node had.
+func (a *Auditor) attemptRan(e Event) {
+	r := a.requests[e.Request]
+	if r == nil {
+		return
+	}
+	r.addEvent(e)
+	r.runs++
+	if r.runs > 1 && a.config.Classes[r.class].Idempotency == balancer.AtMostOnce {
+		a.violation(NoEffectTwice, r.events, "at-most-once op %d ran %d times", e.Request, r.runs)
+	}
+}
