--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -51,8 +51,8 @@
 		"client gave up":                   {0, func(d *desk, _ *Request) { d.now += 4000; d.node.now = d.now }, false},
 		"client left":                      {0, func(d *desk, op *Request) { d.node.ClientGone(d.now, op) }, false},
 		"stream begun":                     {0, func(d *desk, op *Request) { d.node.ResponseStarted(d.now, op.Attempts[0]) }, false},
-		"second copy not allowed":          {0, func(d *desk, _ *Request) { d.node.t.AllowHedging = false }, false},
-		"pushes spent":                     {0, func(d *desk, _ *Request) { d.node.t.MaxAttempts = 1 }, false},
+		"second copy not allowed":          {0, func(d *desk, _ *Request) { d.node.config.AllowHedging = false }, false},
+		"pushes spent":                     {0, func(d *desk, _ *Request) { d.node.config.MaxAttempts = 1 }, false},
 		"at-most-once, out":                {1, func(*desk, *Request) {}, false},
 		"at-most-once, quick error":        {1, func(d *desk, op *Request) { d.end(op.Attempts[0], OutcomeFailed) }, false},
 		"at-most-once, never ran":          {1, func(d *desk, op *Request) { d.end(op.Attempts[0], OutcomeRejected) }, true},
@@ -64,7 +64,7 @@
 		"just started, budget left":        {0, func(d *desk, _ *Request) { d.list(BackendReady, d.now, d.backends[1]) }, true},
 		"just started, budget spent":       {0, spendBudget, false},
 		"budget spent, window over":        {0, func(d *desk, op *Request) { spendBudget(d, op); d.node.now += 2001 }, true},
-		"budget spent before it restarted": {0, func(d *desk, op *Request) { d.backends[1].recent.add(d.now, 2000, 1e4); spendBudget(d, op) }, false},
+		"budget spent before it restarted": {0, func(d *desk, op *Request) { d.backends[1].recentWork.add(d.now, 2000, 1e4); spendBudget(d, op) }, false},
 	} {
 		d := sit(t, plain(), 2)
 		op := d.arrive("a", c.category, 10)
@@ -74,9 +74,9 @@
 			d.backends[0], d.backends[1] = d.backends[1], d.backends[0]
 		}
 		c.before(d, op)
-		assert.Equal(t, c.want, d.node.gate(op, d.backends[1]) == Eligible, name)
+		assert.Equal(t, c.want, d.node.checkRules(op, d.backends[1]) == Eligible, name)
 		if !c.want {
-			assert.False(t, d.node.send(op, d.backends[1]), name)
+			assert.False(t, d.node.sendAttempt(op, d.backends[1]), name)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 func spendBudget(d *desk, _ *Request) {
 	d.list(BackendReady, d.now, d.backends[1])
 	for range 1000 {
-		d.node.send(&Request{Config: d.node.t, Deadline: d.now + 4000, cat: &d.node.t.Classes[0], work: 10}, d.backends[1])
+		d.node.sendAttempt(&Request{Config: d.node.config, Deadline: d.now + 4000, class: &d.node.config.Classes[0], work: 10}, d.backends[1])
 	}
 }
 
@@ -99,8 +99,8 @@
 		type at struct{ when, work float64 }
 		var sent []at
 		for range 5000 {
-			op := &Request{Config: terms, Deadline: d.now + 4000, cat: &terms.Classes[0], work: 10}
-			if d.node.send(op, b) {
+			op := &Request{Config: terms, Deadline: d.now + 4000, class: &terms.Classes[0], work: 10}
+			if d.node.sendAttempt(op, b) {
 				sent = append(sent, at{d.now, op.work})
 				d.pull()
 				d.end(op.Attempts[0], OutcomeAnswered)
@@ -136,7 +136,7 @@
 		for k := range c.hints {
 			d.node.cutoff.add(float64(k + 1))
 		}
-		assert.Equal(t, c.long, d.arrive("a", 0, c.hint).long, name)
+		assert.Equal(t, c.long, d.arrive("a", 0, c.hint).isLong, name)
 	}
 }
 
@@ -160,7 +160,7 @@
 		for _, b := range d.backends {
 			assert.InDelta(t, 100, count[b], 90, name) // turns go by waits, which odd hints make up
 		}
-		assert.Empty(t, d.node.held, name)
+		assert.Empty(t, d.node.queuedRequests, name)
 	}
 }
 
@@ -225,7 +225,7 @@
 func TestShortsHeldAndNacked(t *testing.T) {
 	d := sit(t, plain(), 1)
 	var out []*Attempt
-	for !d.node.full(d.backends[0]) {
+	for !d.node.isAtCapacity(d.backends[0]) {
 		out = append(out, d.busy(d.backends[0]))
 	}
 	d.arrive("a", 0, 10)
@@ -252,7 +252,7 @@
 		"rejections are load": {func(d *desk, b *Backend) { d.fail(1, OutcomeRejected, b) }, false},
 		"fades":               {func(d *desk, b *Backend) { d.fail(2, OutcomeFailed, b); d.after(20e3) }, false},
 		"a lost zone, half the fleet": {func(d *desk, _ *Backend) {
-			d.node.extra = -100 // no further pushes, which would stay unanswered here
+			d.node.retryTokens = -100 // no further pushes, which would stay unanswered here
 			d.fail(3, OutcomeConnectFailed, d.backends[:2]...)
 			d.after(200)
 		}, true},
@@ -262,7 +262,7 @@
 		b := d.backends[0]
 		c.trouble(d, b)
 		d.pull()
-		assert.Equal(t, c.shunned, d.node.distrust(b) >= shunAt, name)
+		assert.Equal(t, c.shunned, d.node.suspicionOf(b) >= ejectionThreshold, name)
 		if c.shunned {
 			require.NotEmpty(t, d.texts, name)
 			assert.Contains(t, d.texts[0], "shunned", name)
@@ -284,7 +284,7 @@
 		terms.Seed = uint64(seed)
 		d := sit(t, terms, 3)
 		d.seen()
-		d.node.suspect(d.backends[0], shunAt/2) // by one error; TestDistrust has where it comes from
+		d.node.addSuspicion(d.backends[0], ejectionThreshold/2) // by one error; TestDistrust has where it comes from
 		op := d.arrive("a", 0, 200)
 		require.Equal(t, "push:a", d.pull())
 		assert.NotEqual(t, d.backends[0], op.Attempts[0].Backend)
@@ -301,7 +301,7 @@
 		d := sit(t, plain(), 2)
 		op := d.arrive("a", c.category, 10)
 		d.pull()
-		d.node.extra = c.extra
+		d.node.retryTokens = c.extra
 		assert.Equal(t, c.want, d.after(400).pull(), "%+v", c)
 		if c.want != "" {
 			assert.NotEqual(t, op.Attempts[0].Backend, op.Attempts[1].Backend)
@@ -320,7 +320,7 @@
 		d := sit(t, plain(), 1)
 		d.seen()
 		b := d.backends[0]
-		b.most = 2
+		b.maxInFlight = 2
 		op := d.arrive("lost", 1, 10)
 		require.Equal(t, "push:lost", d.pull(), name)
 		d.after(answered).pull()
@@ -328,13 +328,13 @@
 			d.end(d.busy(b), OutcomeAnswered)
 		}
 		d.after(500).pull()
-		assert.Equal(t, answered == 0, len(b.out) == 1, name)
-		before := b.distrust.get(d.now, distrustHalf)
+		assert.Equal(t, answered == 0, len(b.inFlight) == 1, name)
+		before := b.suspicion.get(d.now, suspicionHalfLife)
 		assert.Equal(t, answered == 1, before == 0, name)
 		d.end(op.Attempts[0], OutcomeTimedOut)
-		assert.Equal(t, answered == 0, b.distrust.get(d.now, distrustHalf) > before, name)
-		assert.Empty(t, b.out, name)
-		assert.Zero(t, b.workOut, name)
+		assert.Equal(t, answered == 0, b.suspicion.get(d.now, suspicionHalfLife) > before, name)
+		assert.Empty(t, b.inFlight, name)
+		assert.Zero(t, b.workInFlight, name)
 	}
 }
 
@@ -343,8 +343,8 @@
 	d := sit(t, plain(), 2)
 	d.seen()
 	d.fail(1, OutcomeRejected, d.backends[0])
-	assert.True(t, d.node.full(d.backends[0]))
-	assert.False(t, d.after(d.backends[0].restUntil-d.now).node.full(d.backends[0]))
+	assert.True(t, d.node.isAtCapacity(d.backends[0]))
+	assert.False(t, d.after(d.backends[0].pausedUntil-d.now).node.isAtCapacity(d.backends[0]))
 }
 
 func TestZones(t *testing.T) {
@@ -394,7 +394,7 @@
 			d.node.PollFailed(d.now)
 		}
 	}
-	assert.InDelta(t, 120e3/askAgain, asked, 15)
+	assert.InDelta(t, 120e3/maxPollBackoff, asked, 15)
 	d.node.EndpointsChanged(d.now, nil, false, false)
 	assert.Empty(t, d.after(20e3).pull())
 }
@@ -446,10 +446,10 @@
 	require.Len(t, d.node.backends, 2, "one has a push out")
 	require.False(t, d.backends[0].IsTracked())
 	d.end(p, OutcomeAnswered)
-	d.after(d.node.t.OverloadWindow - 1).pull()
+	d.after(d.node.config.OverloadWindow - 1).pull()
 	require.True(t, d.backends[1].IsTracked())
 	d.after(1)
-	d.node.sweep()
+	d.node.reviewBackends()
 	require.Equal(t, d.backends[2:], d.node.backends)
 	d.list(BackendReady, 0, d.backends[0])
 	require.Len(t, d.node.backends, 2)
@@ -495,8 +495,8 @@
 		}
 		for i, want := range c.want {
 			if op := last[i]; op != nil {
-				assert.Equal(t, want, op.excess > 0.3, "%s, tenant %d: %v", name, i, op.excess)
-				assert.Equal(t, want, d.node.patienceOf(op) < 0.8*op.cat.patience*d.node.leftToTarget(op), name)
+				assert.Equal(t, want, op.overQuota > 0.3, "%s, tenant %d: %v", name, i, op.overQuota)
+				assert.Equal(t, want, d.node.patienceOf(op) < 0.8*op.class.patienceShare*d.node.timeToObjective(op), name)
 			}
 		}
 	}
@@ -513,7 +513,7 @@
 			trace += d.pull()
 			for _, p := range op.Attempts {
 				trace += fmt.Sprint(p.Backend.ID)
-				if p.out {
+				if p.inFlight {
 					d.after(float64(k%7)).end(p, []Outcome{OutcomeAnswered, OutcomeFailed, OutcomeRejected, OutcomeTimedOut}[k*k%4])
 				}
 			}
@@ -529,10 +529,10 @@
 	for _, nodes := range []int{2, 12} {
 		d := sit(t, plain(), 2)
 		d.seen()
-		d.node.t.Nodes, d.backends[0].best, d.backends[0].most = nodes, 1, 1.1
+		d.node.config.Nodes, d.backends[0].bestPace, d.backends[0].maxInFlight = nodes, 1, 1.1
 		p := d.busy(d.backends[0])
 		d.after(300).end(p, OutcomeAnswered)
-		assert.Equal(t, nodes == 12, d.node.full(d.backends[0]), "%d nodes", nodes)
+		assert.Equal(t, nodes == 12, d.node.isAtCapacity(d.backends[0]), "%d nodes", nodes)
 		d.after(300).end(d.busy(d.backends[0]), OutcomeAnswered)
 	}
 }
@@ -554,18 +554,18 @@
 func TestCrowdedZoneIsForeseen(t *testing.T) {
 	d := sit(t, plain(), 3)
 	fresh := d.backends[2]
-	quiet := d.node.predict(fresh, &Request{cat: &d.node.t.Classes[0], work: 10})
+	quiet := d.node.predictAnswerTime(fresh, &Request{class: &d.node.config.Classes[0], work: 10})
 	for range 10 {
 		d.end(d.busy(d.backends[0]), OutcomeRejected)
 		d.after(200).pull()
 	}
-	op := &Request{Config: d.node.t, cat: &d.node.t.Classes[0], work: 10, Deadline: d.now + 4000, ArrivedAt: d.now}
-	assert.Greater(t, d.node.predict(fresh, op), quiet+300)
-	assert.Greater(t, d.node.holdTime(op, false), 300.0)
+	op := &Request{Config: d.node.config, class: &d.node.config.Classes[0], work: 10, Deadline: d.now + 4000, ArrivedAt: d.now}
+	assert.Greater(t, d.node.predictAnswerTime(fresh, op), quiet+300)
+	assert.Greater(t, d.node.queueTime(op, false), 300.0)
 	d.after(60e3)
-	assert.InDelta(t, quiet, d.node.predict(fresh, op), 50, "and is forgotten")
-	d.node.crowd.add(fresh, d.now, 1000)
-	assert.InDelta(t, 100, d.node.wait(1), 2, "a zone never tried counts half as crowded as all")
+	assert.InDelta(t, quiet, d.node.predictAnswerTime(fresh, op), 50, "and is forgotten")
+	d.node.waitsByZone.add(fresh, d.now, 1000)
+	assert.InDelta(t, 100, d.node.zoneWait(1), 2, "a zone never tried counts half as crowded as all")
 }
 
 // All nodes cross at once in a burst: where they are many each uses a share of the far backends, others after a while.
@@ -574,18 +574,18 @@
 		nodes int
 		zone  int
 		share float64
-	}{{1, 0, 1}, {1, 1, 1}, {300, 0, 1}, {300, 1, leastFar}} {
+	}{{1, 0, 1}, {1, 1, 1}, {300, 0, 1}, {300, 1, minCrossZoneShare}} {
 		terms := plain()
 		terms.Nodes, terms.CrossZoneCost, terms.Zone = c.nodes, 0.2, c.zone
 		d := sit(t, terms, 50)
 		opened, used := 0.0, map[*Backend]bool{}
 		for range 40 {
 			for _, b := range d.backends {
-				if !d.node.full(b) {
+				if !d.node.isAtCapacity(b) {
 					opened, used[b] = opened+1, true
 				}
 			}
-			d.after(slot).pull()
+			d.after(subsetPeriod).pull()
 		}
 		assert.InDelta(t, 50*c.share, opened/40, 4, "%+v", c)
 		assert.Greater(t, len(used), 47, "%+v", c)
@@ -601,9 +601,9 @@
 		d.seen()
 		d.backends[0].Kind = kind
 		d.list(BackendReady, d.now, d.backends[0])
-		*d.node.paces.kinds.of(0), *d.node.paces.kinds.of(1) = pace{1e5, 1e5}, pace{3e5, 1e5}
-		*d.node.warm.of(0) = took{took: 1, speed: 2}
-		for d.node.coldRoom(d.backends[0], spent+10) {
+		*d.node.paces.byKind.at(0), *d.node.paces.byKind.at(1) = paceEstimate{1e5, 1e5}, paceEstimate{3e5, 1e5}
+		*d.node.usageByZone.at(0) = zoneUsage{work: 1, speed: 2}
+		for d.node.hasSlowStartBudget(d.backends[0], spent+10) {
 			spent += 10
 		}
 		return spent
@@ -626,12 +626,12 @@
 func TestTurnsFollowTheKindsSpeed(t *testing.T) {
 	d := sit(t, plain(), 2)
 	fast, slow := d.backends[0], d.backends[1]
-	slow.Kind, slow.pass, fast.pass = 1, 0, 1
+	slow.Kind, slow.rotationPass, fast.rotationPass = 1, 0, 1
 	d.node.LoadReported(d.now, &Backend{Kind: 1}, LoadReport{ServiceTime: 3e4, InFlight: NotReported})
 	d.node.LoadReported(d.now, &Backend{}, LoadReport{ServiceTime: 1e4, InFlight: NotReported})
-	assert.Greater(t, d.node.size(fast), 1.5*d.node.size(slow))
+	assert.Greater(t, d.node.rotationShare(fast), 1.5*d.node.rotationShare(slow))
 	for hint, want := range map[float64]*Backend{1: slow, 200: fast} {
-		assert.Equal(t, want, d.node.rotate(d.arrive("a", 1, hint)), "hint %v", hint)
+		assert.Equal(t, want, d.node.selectByRotation(d.arrive("a", 1, hint)), "hint %v", hint)
 	}
 }
 
@@ -640,7 +640,7 @@
 	d := sit(t, plain(), 1)
 	d.arrive("a", 1, 10)
 	d.pull()
-	d.after(d.node.armed - 4e-4 - d.now)
+	d.after(d.node.armedFor - 4e-4 - d.now)
 	x, _ := d.node.Next()
 	assert.Equal(t, DoSetTimer, x.Kind)
 }
@@ -649,7 +649,7 @@
 // reports none they come back.
 func TestTurnsGoByReportedQueues(t *testing.T) {
 	d := sit(t, plain(), 2)
-	d.node.work = mean{50, 50}
+	d.node.meanWork = runningMean{50, 50}
 	most := func() (first int) {
 		for range 20 {
 			op := d.arrive("a", 1, 50)
@@ -683,18 +683,18 @@
 	for range 40 {
 		d.after(100).pull()
 	}
-	require.True(t, op.Attempts[0].overdue)
+	require.True(t, op.Attempts[0].isOverdue)
 	d.end(op.Attempts[0], OutcomeTimedOut)
 	require.Equal(t, "dead:a", d.pull())
-	assert.Equal(t, 1.0, d.node.crowd.all.count, "the time-out adds nothing")
+	assert.Equal(t, 1.0, d.node.waitsByZone.all.count, "the time-out adds nothing")
 	late := d.arrive("b", 1, 10)
 	d.pull()
-	before := d.node.crowd.all
+	before := d.node.waitsByZone.all
 	p := late.Attempts[0]
-	p.overdue = true // so that the answer alone is looked at
+	p.isOverdue = true // so that the answer alone is looked at
 	d.after(3500).end(p, OutcomeAnswered)
-	left := fade(before.at, d.now, recentHalf)
-	assert.InDelta(t, before.sum*left+1000, d.node.crowd.all.sum, 1e-6, "a wait counts for the target at most")
+	left := decayFactor(before.at, d.now, waitHalfLife)
+	assert.InDelta(t, before.sum*left+1000, d.node.waitsByZone.all.sum, 1e-6, "a wait counts for the target at most")
 }
 
 // A category of less benefit and a longer target must not wait on, in the way of one that earns more.
@@ -720,14 +720,14 @@
 		}
 		d.pull()
 		for _, b := range d.backends {
-			out += len(b.out)
+			out += len(b.inFlight)
 		}
 		return out
 	}
 	answer := func() {
 		for _, b := range d.backends {
-			for len(b.out) > 0 {
-				d.end(b.out[0], OutcomeAnswered)
+			for len(b.inFlight) > 0 {
+				d.end(b.inFlight[0], OutcomeAnswered)
 			}
 		}
 		d.pull()
@@ -735,7 +735,7 @@
 	assert.Equal(t, 2, burst(), "all nodes may start at once, and none has heard of a queue")
 	d.after(900).pull()
 	answer()
-	require.LessOrEqual(t, d.node.window, 3.0)
+	require.LessOrEqual(t, d.node.inFlightLimit, 3.0)
 	d.after(5e3).pull()
 	answer()
 	d.after(100).pull()
@@ -765,7 +765,7 @@
 		op := d.arrive("a", c.category, 10)
 		d.pull()
 		silent := op.Attempts[0].Backend
-		d.node.suspect(silent, 1)
+		d.node.addSuspicion(silent, 1)
 		if c.others {
 			d.after(10).arrive("b", 1, 10)
 			d.pull()
@@ -792,11 +792,11 @@
 func TestLateOpsBearLess(t *testing.T) {
 	d := sit(t, plain(), 1)
 	for range 20 {
-		d.node.crowd.add(d.backends[0], d.now, 300)
+		d.node.waitsByZone.add(d.backends[0], d.now, 300)
 	}
 	for work, want := range map[float64]bool{500: false, 900: false, 1800: true} {
 		op := d.arrive("a", 1, work)
-		assert.Equal(t, want, d.node.hopeless(d.backends[0], op, 350), "work of %v", work)
+		assert.Equal(t, want, d.node.isTooSlow(d.backends[0], op, 350), "work of %v", work)
 	}
 }
 
@@ -807,11 +807,11 @@
 	d.seen()
 	op := d.arrive("a", 1, 100)
 	require.Equal(t, "push:a", d.pull())
-	require.True(t, op.long)
+	require.True(t, op.isLong)
 	d.after(100).end(op.Attempts[0], OutcomeAnswered)
 	for range 20 {
 		for _, b := range d.backends {
-			d.node.crowd.add(b, d.now, 3000)
+			d.node.waitsByZone.add(b, d.now, 3000)
 		}
 	}
 	d.arrive("b", 1, 100)
@@ -827,7 +827,7 @@
 	require.Equal(t, "push:small", d.pull())
 	d.after(80).end(small.Attempts[0], OutcomeAnswered)
 	d.pull()
-	require.Less(t, d.node.drain(d.backends[0]), 0.8)
+	require.Less(t, d.node.drainRate(d.backends[0]), 0.8)
 	d.arrive("long", 1, 700)
 	assert.Equal(t, "push:long", d.pull())
 }
@@ -837,7 +837,7 @@
 func TestOneErrorKeepsAtMostOnceOpsAway(t *testing.T) {
 	for category, want := range []bool{true, false} {
 		d := sit(t, plain(), 2)
-		d.node.suspect(d.backends[0], 1)
+		d.node.addSuspicion(d.backends[0], 1)
 		met := false
 		for k := range 12 {
 			op := d.arrive(fmt.Sprint(k), category, 10)
@@ -856,12 +856,12 @@
 func TestPushesThatNeverRanCostNoBudget(t *testing.T) {
 	for how, want := range map[Outcome]string{OutcomeConnectFailed: "push:a", OutcomeRejected: "push:a", OutcomeFailed: "nack:a"} {
 		d := sit(t, plain(), 3)
-		d.node.extra = 0
+		d.node.retryTokens = 0
 		op := d.arrive("a", 0, 10)
 		require.Equal(t, "push:a", d.pull())
 		d.end(op.Attempts[0], how)
 		assert.Equal(t, want, d.pull(), how)
-		assert.InDelta(t, 0.1, d.node.extra, 1e-9, "the op's own earning is kept: %v", how)
+		assert.InDelta(t, 0.1, d.node.retryTokens, 1e-9, "the op's own earning is kept: %v", how)
 	}
 }
 
@@ -878,16 +878,16 @@
 	pa, pb := d.busy(a), d.busy(b)
 	d.now += 20
 	d.node.now = d.now
-	d.node.waited(pa, 600)
-	d.node.waited(pb, 0)
+	d.node.recordWait(pa, 600)
+	d.node.recordWait(pb, 0)
 	op := d.arrive("a", 0, 10)
-	assert.Greater(t, d.node.slowFor(a, op), d.node.slowFor(b, op))
+	assert.Greater(t, d.node.timeSteps(a, op), d.node.timeSteps(b, op))
 	d.now += 3000
 	op = d.arrive("b", 0, 10)
-	assert.Less(t, d.node.slowFor(a, op), d.node.slowFor(b, op))
-	before := b.met
-	d.node.waited(&Attempt{Request: op, Backend: b, SentAt: before.at - 1}, 400)
-	assert.Equal(t, before, b.met, "one sent earlier tells nothing new")
+	assert.Less(t, d.node.timeSteps(a, op), d.node.timeSteps(b, op))
+	before := b.lastWait
+	d.node.recordWait(&Attempt{Request: op, Backend: b, SentAt: before.at - 1}, 400)
+	assert.Equal(t, before, b.lastWait, "one sent earlier tells nothing new")
 }
 
 // A zone that comes back cold: of 80 nodes each one's part of a backend's budget is less than an op, and none sent any.
@@ -896,7 +896,7 @@
 func TestLotsKeepTheColdBudgetTogether(t *testing.T) {
 	const nodes, up, backends, span = 80, 90, 12, 2000.0
 	for seed := range uint64(4) {
-		rng := newMWC(seed*0x9e3779b97f4a7c15 + 1)
+		rng := newMultiplyWithCarry(seed*0x9e3779b97f4a7c15 + 1)
 		sent, when := make([][]float64, backends), make([][]float64, backends)
 		var desks []*Balancer
 		var cold [][]*Backend
@@ -905,18 +905,18 @@
 			terms.Nodes, terms.Seed, terms.OverloadMultiple, terms.OverloadWindow = nodes, (seed*up+k)*0xbf58476d1ce4e5b9+7, 4, span
 			d := sit(t, terms, backends)
 			d.list(BackendReady, d.now, d.backends...)
-			d.node.work = mean{25, 50}
-			*d.node.paces.kinds.of(0) = pace{2e5, 1e5} // half a standard core
+			d.node.meanWork = runningMean{25, 50}
+			*d.node.paces.byKind.at(0) = paceEstimate{2e5, 1e5} // half a standard core
 			desks, cold = append(desks, d.node), append(cold, d.backends)
 		}
 		for now := 1000.0; now < 7000; now += 5 {
 			for k, n := range desks {
-				if n.now = now; rng.unit() > 0.2 { // 40 ops a second
+				if n.now = now; rng.nextUnit() > 0.2 { // 40 ops a second
 					continue
 				}
-				work, at := 25*math.Exp(1.2*math.Sqrt(-2*math.Log(1-rng.unit()))*math.Cos(2*math.Pi*rng.unit())-0.72), rng.below(backends)
-				if b := cold[k][at]; n.coldRoom(b, work) {
-					b.recent.add(now, span, work)
+				work, at := 25*math.Exp(1.2*math.Sqrt(-2*math.Log(1-rng.nextUnit()))*math.Cos(2*math.Pi*rng.nextUnit())-0.72), rng.nextBelow(backends)
+				if b := cold[k][at]; n.hasSlowStartBudget(b, work) {
+					b.recentWork.add(now, span, work)
 					sent[at], when[at] = append(sent[at], work), append(when[at], now)
 				}
 			}
@@ -952,10 +952,10 @@
 		d.seen()
 		d.backends[1].Zone = 1
 		d.list(BackendReady, 0, d.backends...)
-		d.backends[0].met, d.backends[1].met = met{wait, d.now}, met{0, d.now}
+		d.backends[0].lastWait, d.backends[1].lastWait = latestWait{wait, d.now}, latestWait{0, d.now}
 		op := d.arrive("a", 0, 200)
 		require.Equal(t, "push:a", d.pull())
-		require.True(t, op.long)
+		require.True(t, op.isLong)
 		assert.Equal(t, near, op.Attempts[0].Backend == d.backends[0], "a wait of %v", wait)
 	}
 }
@@ -968,10 +968,10 @@
 	line := func(state BackendState, started float64, out bool) {
 		d.node.EndpointsChanged(d.now, []Endpoint{{Backend: a, State: state, Weight: 1, Started: started, Cordoned: out}}, false, true)
 	}
-	d.node.suspect(a, 5)
+	d.node.addSuspicion(a, 5)
 	d.pull()
-	a.restUntil, a.most = d.now+1e6, 0.1
-	require.GreaterOrEqual(t, d.node.distrust(a), shunAt)
+	a.pausedUntil, a.maxInFlight = d.now+1e6, 0.1
+	require.GreaterOrEqual(t, d.node.suspicionOf(a), ejectionThreshold)
 	line(BackendReady, 0, true)
 	for _, listed := range []BackendState{BackendReady, BackendDraining, BackendRemoved, BackendReady} {
 		line(listed, 0, true)
@@ -979,15 +979,15 @@
 		op := d.arrive("a", 0, 10)
 		require.Equal(t, "push:a", d.pull())
 		assert.Same(t, b, op.Attempts[0].Backend)
-		assert.Equal(t, ReasonNotReady, d.node.gate(op, a))
+		assert.Equal(t, ReasonNotReady, d.node.checkRules(op, a))
 		d.end(op.Attempts[0], OutcomeAnswered)
 		d.after(10).pull()
 	}
 	line(BackendDraining, 0, false) // the list's own word still holds
 	assert.Equal(t, BackendDraining, a.State)
 	line(BackendReady, 0, false)
-	assert.Equal(t, d.node.t.SlowStartShare, d.node.warmth(a), "nothing tells of its restart but that it was out")
-	assert.Zero(t, a.distrust.get(d.now, distrustHalf))
+	assert.Equal(t, d.node.config.SlowStartShare, d.node.slowStartFactor(a), "nothing tells of its restart but that it was out")
+	assert.Zero(t, a.suspicion.get(d.now, suspicionHalfLife))
 	used := 0
 	for k := range 100 {
 		op := d.arrive(fmt.Sprint("c", k), 0, 10)
@@ -999,9 +999,9 @@
 		d.pull()
 	}
 	assert.Positive(t, used)
-	assert.LessOrEqual(t, a.recent.within(d.now, 2000), 3*0.3*2000.0, "within its budget")
+	assert.LessOrEqual(t, a.recentWork.sumWithin(d.now, 2000), 3*0.3*2000.0, "within its budget")
 	d.after(10e3)
-	assert.Equal(t, 1.0, d.node.warmth(a))
+	assert.Equal(t, 1.0, d.node.slowStartFactor(a))
 
 	// Where the list tells of the restart, before or after it is put back, its warming up counts from that.
 	for _, before := range []bool{true, false} {
@@ -1013,10 +1013,10 @@
 		}
 		line(BackendReady, map[bool]float64{true: restart}[before], false)
 		if !before {
-			assert.Equal(t, d.node.t.SlowStartShare, d.node.warmth(a))
+			assert.Equal(t, d.node.config.SlowStartShare, d.node.slowStartFactor(a))
 			line(BackendReady, restart, false)
 		}
-		assert.InDelta(t, 0.25+0.75*0.3, d.node.warmth(a), 1e-9)
+		assert.InDelta(t, 0.25+0.75*0.3, d.node.slowStartFactor(a), 1e-9)
 		d.after(10e3)
 	}
 }
@@ -1028,16 +1028,16 @@
 	d.seen()
 	safe, once := d.arrive("safe", 0, 10), d.arrive("once", 1, 20)
 	d.pull()
-	d.node.t.Classes[0].work = mean{40, 9}
-	d.node.suspect(d.backends[2], 1)
+	d.node.config.Classes[0].meanWork = runningMean{40, 9}
+	d.node.addSuspicion(d.backends[2], 1)
 	later := plain() // the two change places, with one push each
 	later.Classes[0], later.Classes[1] = later.Classes[1], later.Classes[0]
 	later.MaxAttempts, later.AllowHedging = 1, false
 	d.node.ConfigChanged(d.now, later, []int{1, 0, 2, -1})
-	assert.Equal(t, mean{40, 9}, d.node.t.Classes[1].work, "learned of a category, by its former place")
-	assert.Equal(t, mean{}, d.node.t.Classes[3].work)
-	assert.Positive(t, d.node.distrust(d.backends[2]))
-	assert.Positive(t, later.Classes[0].patience)
+	assert.Equal(t, runningMean{40, 9}, d.node.config.Classes[1].meanWork, "learned of a category, by its former place")
+	assert.Equal(t, runningMean{}, d.node.config.Classes[3].meanWork)
+	assert.Positive(t, d.node.suspicionOf(d.backends[2]))
+	assert.Positive(t, later.Classes[0].patienceShare)
 	d.end(safe.Attempts[0], OutcomeFailed)
 	assert.Equal(t, "push:safe", d.pull(), "redeliverable still, within three pushes")
 	d.end(once.Attempts[0], OutcomeConnectionReset)
@@ -1075,8 +1075,8 @@
 		}
 		d.list(BackendReady, d.now, d.backends...)
 		sent := 0.0
-		for d.node.coldRoom(d.backends[0], 10) {
-			d.backends[0].recent.add(d.now, 2000, 10)
+		for d.node.hasSlowStartBudget(d.backends[0], 10) {
+			d.backends[0].recentWork.add(d.now, 2000, 10)
 			sent += 10
 		}
 		return sent
@@ -1088,9 +1088,9 @@
 	d := sit(t, plain(), 1)
 	d.node.ProcessesChanged(d.now, 2)
 	d.node.ProcessesChanged(d.now, 1)
-	assert.Equal(t, 2.0, d.node.processes())
-	d.after(d.node.t.OverloadWindow)
-	assert.Equal(t, 1.0, d.node.processes())
+	assert.Equal(t, 2.0, d.node.activeProcesses())
+	d.after(d.node.config.OverloadWindow)
+	assert.Equal(t, 1.0, d.node.activeProcesses())
 }
 
 // A snapshot that another process goes on from holds what was learned, and nothing that the first still has out.
@@ -1099,20 +1099,20 @@
 	d.seen()
 	d.arrive("a", 0, 10)
 	d.pull()
-	d.node.suspect(d.backends[0], 3)
+	d.node.addSuspicion(d.backends[0], 3)
 	d.pull()
 	s, err := d.node.HandoffSnapshot(d.backends)
 	require.NoError(t, err)
 	n, ops, backends, err := Restore(plain(), s)
 	require.NoError(t, err)
 	assert.Empty(t, ops)
-	assert.Zero(t, n.abroad)
+	assert.Zero(t, n.inFlightTotal)
 	assert.Len(t, n.cutoff.ring, 101)
-	assert.Equal(t, d.node.distrust(d.backends[0]), n.distrust(backends[0]))
+	assert.Equal(t, d.node.suspicionOf(d.backends[0]), n.suspicionOf(backends[0]))
 	for k, b := range backends {
-		assert.Empty(t, b.out)
-		assert.Zero(t, b.workOut)
-		assert.Equal(t, d.backends[k].recent.within(d.now, 2000), b.recent.within(d.now, 2000), "what was spent counts for both")
+		assert.Empty(t, b.inFlight)
+		assert.Zero(t, b.workInFlight)
+		assert.Equal(t, d.backends[k].recentWork.sumWithin(d.now, 2000), b.recentWork.sumWithin(d.now, 2000), "what was spent counts for both")
 	}
 	n.RequestArrived(d.now, &Request{CostHint: 10, HasCostHint: true, Deadline: d.now + 4000})
 	x, more := n.Next()
@@ -1131,27 +1131,27 @@
 		require.Equal(t, "push:a", d.pull())
 		assert.Empty(t, d.after(5000).pull(), "no copy")
 		b := op.Attempts[0].Backend
-		assert.Zero(t, d.node.distrust(b))
-		assert.Empty(t, b.out, "nor is anybody else kept from the backend")
-		assert.Zero(t, d.node.abroad)
+		assert.Zero(t, d.node.suspicionOf(b))
+		assert.Empty(t, b.inFlight, "nor is anybody else kept from the backend")
+		assert.Zero(t, d.node.inFlightTotal)
 		if how == OutcomeConnectFailed { // before its last byte
 			d.end(op.Attempts[0], how)
 			assert.Equal(t, want, d.pull(), how)
-			assert.Zero(t, d.node.abroad)
+			assert.Zero(t, d.node.inFlightTotal)
 			continue
 		}
 		op.Deadline = d.now + 2000
 		d.node.RequestBodySent(d.now, op.Attempts[0])
-		assert.Equal(t, 1, d.node.abroad)
+		assert.Equal(t, 1, d.node.inFlightTotal)
 		assert.Empty(t, d.after(10).pull())
-		assert.Zero(t, d.node.distrust(b))
+		assert.Zero(t, d.node.suspicionOf(b))
 		if how == OutcomeConnectionReset {
 			assert.Empty(t, d.after(1000).pull(), "overdue, and no copy of it could be made")
-			assert.Positive(t, d.node.distrust(b))
+			assert.Positive(t, d.node.suspicionOf(b))
 		}
 		d.end(op.Attempts[0], how)
 		assert.Equal(t, want, d.pull(), how)
-		assert.Zero(t, d.node.abroad)
+		assert.Zero(t, d.node.inFlightTotal)
 	}
 	d := sit(t, plain(), 2)
 	op := &Request{Class: 1, CostHint: 10, HasCostHint: true, Deadline: d.now + 60e3, Streamed: true}
@@ -1174,16 +1174,16 @@
 	}
 	d.list(BackendReady, 0, d.backends...)
 	d.seen()
-	d.node.value = mean{50, 50}
+	d.node.meanPriority = runningMean{50, 50}
 	d.list(BackendDraining, 0, d.backends[0])
 	var out []*Attempt
 	for _, b := range d.backends[1:] {
-		b.most = 1
+		b.maxInFlight = 1
 		out = append(out, d.busy(b), d.busy(b))
 	}
 	worth := d.arrive("worth", 0, 60)
 	assert.Empty(t, d.pull(), "held: both are full, and will not be for long")
-	assert.Equal(t, held, worth.stage)
+	assert.Equal(t, stageQueued, worth.stage)
 	d.arrive("dear", 0, 1)
 	assert.Equal(t, "nack:dear", d.pull())
 	d.after(5)
@@ -1194,9 +1194,9 @@
 
 	// Its own zone is back, with one backend that answers next to nothing: what may cross does not wait for that one.
 	d.list(BackendReady, 0, d.backends[0])
-	d.node.held = append(d.node.held, worth)
-	d.backends[0].flow = flow{done: 1, busy: 1e6, at: d.now}
-	may, mayNot := d.node.holdTime(worth, true), d.node.holdTime(worth, false)
+	d.node.queuedRequests = append(d.node.queuedRequests, worth)
+	d.backends[0].drain = drainEstimate{done: 1, busyTime: 1e6, at: d.now}
+	may, mayNot := d.node.queueTime(worth, true), d.node.queueTime(worth, false)
 	assert.Less(t, 5*may, mayNot)
 }
 
@@ -1208,7 +1208,7 @@
 	terms.Nodes = 500
 	least := func(every float64) float64 { // one answer in so many ms, for ten seconds
 		d := sit(t, terms, 20)
-		d.node.rng = newMWC(1)
+		d.node.random = newMultiplyWithCarry(1)
 		for k := 0; float64(k)*every < 10e3; k++ {
 			p := d.busy(d.backends[k%20])
 			d.after(every).end(p, OutcomeAnswered)
@@ -1218,10 +1218,10 @@
 		require.NoError(t, err)
 		n, _, _, err := Restore(plain(), s)
 		require.NoError(t, err)
-		require.Equal(t, d.node.borne(), n.borne())
-		had := d.node.leastWindow()
-		d.node.now += rateHalf
-		require.InDelta(t, max(2, had/2), d.node.leastWindow(), 0.01, "half of it once nothing is answered for the rate's half-life")
+		require.Equal(t, d.node.affordableInFlight(), n.affordableInFlight())
+		had := d.node.minInFlightLimit()
+		d.node.now += rateHalfLife
+		require.InDelta(t, max(2, had/2), d.node.minInFlightLimit(), 0.01, "half of it once nothing is answered for the rate's half-life")
 		return had
 	}
 	// Each answer of 10 ms of work may take 0.4 of 1,000 ms beside it: by Little's law 410 ms a push at the rate.
--- a/balancer/connect_test.go
+++ b/balancer/connect_test.go
@@ -15,7 +15,7 @@
 
 func (d *desk) own() (own []*Backend) {
 	for _, b := range d.backends {
-		if b.own {
+		if b.inSubset {
 			own = append(own, b)
 		}
 	}
@@ -32,19 +32,19 @@
 				continue
 			}
 			d := sit(t, scarce(number, 300), 200)
-			require.Len(t, d.own(), ownNear)
+			require.Len(t, d.own(), subsetSizeOwnZone)
 			for _, b := range d.own() {
 				at[b.ID]++
 			}
 		}
-		mean := 300.0 / float64(zones) * ownNear / 200
+		mean := 300.0 / float64(zones) * subsetSizeOwnZone / 200
 		for ref := range uint64(200) {
 			assert.InDelta(t, mean, at[ref], 0.5*mean+1, "backend %d", ref)
 		}
 	}
 	d := sit(t, plain(), 200)
 	assert.Empty(t, d.own(), "without a price all are open")
-	assert.True(t, d.node.open(d.backends[0]))
+	assert.True(t, d.node.mayUse(d.backends[0]))
 }
 
 // A backend that refuses connections is replaced by the next on the ring for as long as it does, is asked again later and
@@ -55,12 +55,12 @@
 	for k, b := range own[:2] {
 		for range k + 1 {
 			d.node.AttemptEnded(d.now, d.busy(b), OutcomeConnectFailed, 0, true)
-			b.restUntil = 0
+			b.pausedUntil = 0
 		}
-		b.restUntil = d.now + 1e3
+		b.pausedUntil = d.now + 1e3
 	}
-	d.after(sweepEvery + 1).pull()
-	require.Len(t, d.own(), ownNear+2)
+	d.after(reviewInterval + 1).pull()
+	require.Len(t, d.own(), subsetSizeOwnZone+2)
 	for range 20 {
 		op := d.arrive("op", 1, 10)
 		require.Equal(t, "push:op", d.pull())
@@ -70,9 +70,9 @@
 		d.pull()
 	}
 	for _, b := range own[:2] {
-		b.restUntil, b.refused, b.distrust = 0, 0, fader{}
+		b.pausedUntil, b.refusals, b.suspicion = 0, 0, decayingCounter{}
 	}
-	d.node.sweep()
+	d.node.reviewBackends()
 	require.ElementsMatch(t, own, d.own())
 }
 
@@ -83,7 +83,7 @@
 	for range 20 {
 		op := d.arrive("long", 0, 200)
 		require.Equal(t, "push:long", d.pull())
-		require.True(t, op.Attempts[0].Backend.own)
+		require.True(t, op.Attempts[0].Backend.inSubset)
 		d.after(150).end(op.Attempts[0], OutcomeAnswered)
 		d.pull()
 	}
@@ -95,7 +95,7 @@
 	d.seen()
 	d.node.LoadReported(d.now, d.backends[0], LoadReport{ServiceTime: 50, InFlight: 9, Queued: NotReported, Throughput: 20})
 	d.node.LoadReported(d.now, d.backends[1], LoadReport{ServiceTime: 50, InFlight: 1, Queued: NotReported, Throughput: 20})
-	assert.Greater(t, d.backends[0].lately(d.now, 0), 100.0)
-	assert.Zero(t, d.backends[1].lately(d.now, 0))
-	assert.Zero(t, d.node.wait(0), "a guess of one says nothing of the others")
+	assert.Greater(t, d.backends[0].expectedWait(d.now, 0), 100.0)
+	assert.Zero(t, d.backends[1].expectedWait(d.now, 0))
+	assert.Zero(t, d.node.zoneWait(0), "a guess of one says nothing of the others")
 }
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -29,7 +29,7 @@
 func (r Reason) String() string { return reasons[r] }
 
 // tell passes a reason on, to whoever explains too.
-func (n *Balancer) tell(op *Request, b *Backend, r Reason) Reason {
+func (n *Balancer) recordReason(op *Request, b *Backend, r Reason) Reason {
 	if n.OnConsidered != nil {
 		n.OnConsidered(op, b, r)
 	}
@@ -53,12 +53,12 @@
 // Belief is what is believed at this moment.
 func (n *Balancer) Belief(op *Request, b *Backend) Belief {
 	heard := -1.0
-	if b.heard > 0 {
-		heard = n.now - b.heard
+	if b.lastAnsweredSentAt > 0 {
+		heard = n.now - b.lastAnsweredSentAt
 	}
-	return Belief{Near: n.isNear(b), Predict: n.predict(b, op), Alone: op.work * n.paceOf(b), Out: len(b.out), Most: b.most,
-		Distrust: n.distrust(b), Warmth: n.warmth(b), Size: n.size(b), Heard: heard, Pass: b.pass - n.round}
+	return Belief{Near: n.isNear(b), Predict: n.predictAnswerTime(b, op), Alone: op.work * n.paceOf(b), Out: len(b.inFlight), Most: b.maxInFlight,
+		Distrust: n.suspicionOf(b), Warmth: n.slowStartFactor(b), Size: n.rotationShare(b), Heard: heard, Pass: b.rotationPass - n.round}
 }
 
 // Long tells whether the op counts as long, and what work is expected of it.
-func (o *Request) IsLong() (long bool, work float64) { return o.long, o.work }
+func (o *Request) IsLong() (long bool, work float64) { return o.isLong, o.work }
--- a/balancer/fall_test.go
+++ b/balancer/fall_test.go
@@ -32,7 +32,7 @@
 	require.Equal(t, "push:first", d.pull())
 	d.end(d.ops["once"].Attempts[0], OutcomeAnswered)
 	d.end(d.ops["first"].Attempts[0], OutcomeAnswered)
-	d.after(fallenFor).pull()
+	d.after(poisonWindow).pull()
 	d.repeat("later", 0)
 	require.Equal(t, "push:later", d.pull(), "no longer than the evidence lasts")
 }
@@ -54,9 +54,9 @@
 	d.end(d.ops["again"].Attempts[0], OutcomeConnectionReset)
 	require.Equal(t, "push:again", d.pull(), "sent on")
 	require.Equal(t, other, d.ops["again"].Attempts[1].Backend)
-	before := d.node.distrust(other)
+	before := d.node.suspicionOf(other)
 	d.end(d.ops["again"].Attempts[1], OutcomeConnectionReset)
-	require.Equal(t, before, d.node.distrust(other), "and blamed on the connection: a few backends reset a tenth each and stay")
+	require.Equal(t, before, d.node.suspicionOf(other), "and blamed on the connection: a few backends reset a tenth each and stay")
 }
 
 // A key's ops meet at one backend, the same at all nodes, while it serves and has room.
@@ -101,10 +101,10 @@
 	d := sit(t, plain(), 3)
 	op := d.arrive("a", 1, 10)
 	d.pull()
-	require.Equal(t, 1, d.node.abroad)
+	require.Equal(t, 1, d.node.inFlightTotal)
 	d.after(400).end(op.Attempts[0], OutcomeTimedOut)
 	d.pull()
-	require.Equal(t, 1, d.node.abroad)
+	require.Equal(t, 1, d.node.inFlightTotal)
 	s, err := d.node.Snapshot(nil, d.backends)
 	require.NoError(t, err)
 	n, _, _, err := Restore(plain(), s)
@@ -113,11 +113,11 @@
 		node.TimerFired(d.now + 399)
 		for _, more := node.Next(); more; _, more = node.Next() {
 		}
-		assert.Equal(t, 1, node.abroad)
+		assert.Equal(t, 1, node.inFlightTotal)
 		node.TimerFired(d.now + 401)
 		for _, more := node.Next(); more; _, more = node.Next() {
 		}
-		assert.Zero(t, node.abroad)
+		assert.Zero(t, node.inFlightTotal)
 	}
 }
 
@@ -126,7 +126,7 @@
 	d := sit(t, plain(), 2)
 	d.seen()
 	for range 40 {
-		d.node.crowd.add(d.backends[0], d.now, 150)
+		d.node.waitsByZone.add(d.backends[0], d.now, 150)
 	}
 	d.arrive("first", 0, 10)
 	d.repeat("again", 0)
@@ -144,12 +144,12 @@
 	early, broken := d.busy(d.backends[0]), d.busy(d.backends[0])
 	d.after(10).end(broken, OutcomeConnectionReset)
 	d.pull()
-	require.True(t, d.node.fell())
+	require.True(t, d.node.suspectsPoisonRequest())
 	d.after(3000).end(early, OutcomeAnswered)
-	require.False(t, d.node.fell())
+	require.False(t, d.node.suspectsPoisonRequest())
 	later := sit(t, plain(), 1)
 	later.end(later.busy(later.backends[0]), OutcomeConnectionReset)
 	again := later.busy(later.backends[0])
 	later.after(3000).end(again, OutcomeAnswered)
-	require.True(t, later.node.fell(), "it may have been started again")
+	require.True(t, later.node.suspectsPoisonRequest(), "it may have been started again")
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -64,11 +64,11 @@
 	for k := range 100 {
 		d.node.cutoff.add(float64(k + 1))
 	}
-	d.node.work = mean{50, 50}
+	d.node.meanWork = runningMean{50, 50}
 }
 
 func (d *desk) end(p *Attempt, how Outcome) {
-	require.True(d.t, p.out)
+	require.True(d.t, p.inFlight)
 	d.node.AttemptEnded(d.now, p, how, d.now-p.SentAt, how == OutcomeAnswered)
 }
 
@@ -122,8 +122,8 @@
 // busy puts a short of its own on a backend.
 func (d *desk) busy(b *Backend) *Attempt {
 	op := &Request{Class: 0, CostHint: 10, HasCostHint: true, Deadline: d.now + 4000, ArrivedAt: d.now}
-	op.cat, op.work, op.Config = &d.node.t.Classes[0], 10, d.node.t
-	require.True(d.t, d.node.send(op, b))
+	op.class, op.work, op.Config = &d.node.config.Classes[0], 10, d.node.config
+	require.True(d.t, d.node.sendAttempt(op, b))
 	d.pull()
 	return op.Attempts[0]
 }
--- a/balancer/list_test.go
+++ b/balancer/list_test.go
@@ -39,10 +39,10 @@
 		d.list(BackendDraining, 0, d.backends[0]) // drained and then gone stays out
 		empty(d)
 		require.Len(t, d.served(), 9, name)
-		learned := d.backends[3].flow
+		learned := d.backends[3].drain
 		d.list(BackendReady, 0, d.backends[1:]...) // its return is no restart of all
-		require.Equal(t, learned, d.backends[3].flow, name)
-		require.Equal(t, 1.0, d.node.warmth(d.backends[3]), name)
+		require.Equal(t, learned, d.backends[3].drain, name)
+		require.Equal(t, 1.0, d.node.slowStartFactor(d.backends[3]), name)
 
 		bound := sit(t, plain(), 10)
 		empty(bound)
@@ -69,7 +69,7 @@
 	on := d.served()
 	require.GreaterOrEqual(t, len(on), 5)
 	require.False(t, on[d.backends[0]] || on[d.backends[1]])
-	d.after(goneFor)
+	d.after(removedRetention)
 	require.Empty(t, d.served())
 	require.Empty(t, d.node.backends)
 }
--- a/balancer/order_test.go
+++ b/balancer/order_test.go
@@ -74,7 +74,7 @@
 	require.Empty(t, d.pull())
 	require.Equal(t, "push:c", d.after(settle+1).pull())
 	d.end(c.Attempts[0], OutcomeAnswered)
-	require.Empty(t, d.node.lines, "a key without ops that rests no more is let go")
+	require.Empty(t, d.node.keyQueues, "a key without ops that rests no more is let go")
 }
 
 // One that has its turn may go again without a rest; one whose turn does not come in time is nacked then, and a third, for
@@ -95,11 +95,11 @@
 	}
 	require.Equal(t, "push:heavy nack:behind", d.pull())
 	now := d.now
-	for d.now < now+495 && d.node.lines[7].ops[0] == a && len(d.node.lines[7].ops) > 1 {
+	for d.now < now+495 && d.node.keyQueues[7].requests[0] == a && len(d.node.keyQueues[7].requests) > 1 {
 		d.after(5)
 		require.NotContains(t, d.pull(), "push:b")
 	}
-	require.Len(t, d.node.lines[7].ops, 1, "nacked when it could no longer be in time")
+	require.Len(t, d.node.keyQueues[7].requests, 1, "nacked when it could no longer be in time")
 	require.Greater(t, d.now, now+300)
 }
 
@@ -151,11 +151,11 @@
 		}
 		end := func(o *Request, how Outcome) {
 			for _, p := range o.Attempts {
-				if p.out {
+				if p.inFlight {
 					if keeps(o) && (how == OutcomeTimedOut || how == OutcomeConnectionReset || how == OutcomeCanceled) {
 						rests[o.Key] = now + settle
 					}
-					n.AttemptEnded(now, p, how, now-p.SentAt, how == OutcomeAnswered || o.stage == ended)
+					n.AttemptEnded(now, p, how, now-p.SentAt, how == OutcomeAnswered || o.stage == stageEnded)
 					return
 				}
 			}
@@ -199,8 +199,8 @@
 		now += settle + 1
 		n.TimerFired(now)
 		pull()
-		if len(n.lines) > 0 {
-			r.Fatalf("%d keys are held for good", len(n.lines))
+		if len(n.keyQueues) > 0 {
+			r.Fatalf("%d keys are held for good", len(n.keyQueues))
 		}
 	})
 }
@@ -227,5 +227,5 @@
 	require.Contains(t, next.after(settle-29).pull(), "push:nine")
 	require.Contains(t, next.after(11).pull(), "push:five")
 	next.after(settle).pull()
-	require.Empty(t, next.node.lines[7])
+	require.Empty(t, next.node.keyQueues[7])
 }
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -8,67 +8,67 @@
 
 // What waits for a decision, is held, falls due or is to be told: kept here, decided in balance.go.
 
-func (n *Balancer) want(op *Request) {
-	if !op.queued && op.stage != ended {
-		op.queued = true
-		n.waiting = append(n.waiting, op)
+func (n *Balancer) schedule(op *Request) {
+	if !op.isPending && op.stage != stageEnded {
+		op.isPending = true
+		n.pending = append(n.pending, op)
 	}
 }
 
-func (n *Balancer) at(d due) {
+func (n *Balancer) setTimer(d timer) {
 	n.seq++
 	d.seq = n.seq
-	heap.Push(&n.due, d)
+	heap.Push(&n.timerEntries, d)
 }
 
 // line is the ops of one key that are not over, in the order in which the node took them, and until when the key rests.
-type line struct {
+type keyQueue struct {
 	key  uint64
-	ops  []*Request
-	rest float64
+	requests  []*Request
+	cooldownUntil float64
 }
 
 // queue puts an op behind the others of its key.
 func (n *Balancer) queue(op *Request) {
-	l := n.lines[op.Key]
+	l := n.keyQueues[op.Key]
 	if l == nil {
-		l = &line{key: op.Key}
-		n.lines[op.Key] = l
+		l = &keyQueue{key: op.Key}
+		n.keyQueues[op.Key] = l
 	}
-	l.ops, op.line = append(l.ops, op), l
+	l.requests, op.keyQueue = append(l.requests, op), l
 }
 
 // unqueue takes an op that is over, with nothing out, from its key's line; the next one's turn may have come.
 func (n *Balancer) unqueue(op *Request) {
-	l := op.line
+	l := op.keyQueue
 	if l == nil || !op.IsDone() {
 		return
 	}
-	first := l.ops[0] == op
-	l.ops, op.line = slices.DeleteFunc(l.ops, func(o *Request) bool { return o == op }), nil
+	first := l.requests[0] == op
+	l.requests, op.keyQueue = slices.DeleteFunc(l.requests, func(o *Request) bool { return o == op }), nil
 	switch {
-	case first && l.rest > n.now:
-		n.at(due{at: l.rest, line: l})
+	case first && l.cooldownUntil > n.now:
+		n.setTimer(timer{at: l.cooldownUntil, keyQueue: l})
 	case first:
-		n.turn(l)
+		n.wakeKeyQueue(l)
 	}
 }
 
 // turn calls up a key's first op, and lets go of a key that has none and rests no more: the table holds no more keys than
 // ops are open and rests run.
-func (n *Balancer) turn(l *line) {
+func (n *Balancer) wakeKeyQueue(l *keyQueue) {
 	switch {
-	case len(l.ops) > 0:
-		n.want(l.ops[0])
-	case l.rest <= n.now && n.lines[l.key] == l:
-		delete(n.lines, l.key)
+	case len(l.requests) > 0:
+		n.schedule(l.requests[0])
+	case l.cooldownUntil <= n.now && n.keyQueues[l.key] == l:
+		delete(n.keyQueues, l.key)
 	}
 }
 
 func (n *Balancer) log(format string, args ...any) {
-	n.out = append(n.out, Decision{Kind: DoLog, Text: fmt.Sprintf(format, args...)})
+	n.decisions = append(n.decisions, Decision{Kind: DoLog, Text: fmt.Sprintf(format, args...)})
 }
 
 func (n *Balancer) unhold(op *Request) {
-	n.held = slices.DeleteFunc(n.held, func(o *Request) bool { return o == op })
+	n.queuedRequests = slices.DeleteFunc(n.queuedRequests, func(o *Request) bool { return o == op })
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -119,7 +119,7 @@
 // may name again, in an order of its own.
 func (n *Balancer) Snapshot(ops []*Request, backends []*Backend) (*Snapshot, error) {
 	for _, o := range ops {
-		if o.Config != n.t && o.Config != nil { // its category has no place among those of now
+		if o.Config != n.config && o.Config != nil { // its category has no place among those of now
 			return nil, errors.New("snapshot with an op under earlier terms")
 		}
 	}
@@ -142,7 +142,7 @@
 }
 
 func (n *Balancer) snapshot(ops []*Request, backends []*Backend, whole bool) (*Snapshot, error) {
-	if len(n.waiting) > 0 || len(n.out) > 0 {
+	if len(n.pending) > 0 || len(n.decisions) > 0 {
 		return nil, errors.New("snapshot in the middle of a batch")
 	}
 	opAt, backendAt := make(map[*Request]int, len(ops)), make(map[*Backend]int, len(backends))
@@ -152,36 +152,36 @@
 	for i, b := range backends {
 		backendAt[b] = i
 	}
-	s := &Snapshot{Now: n.now, Armed: n.armed, SweepAt: n.sweepAt, Round: n.round, Extra: n.extra, Doubt: n.doubt, Weight: n.weight, AskAt: n.askAt, Window: n.window, Heard: n.heard,
-		Tracked: n.tracked, Stirred: n.stirred, Idle: n.idle, Failures: n.failures, Of: n.of, Whole: n.whole, Doubted: n.doubted, FellAt: n.fellAt, AloneAt: n.aloneAt, Answers: [2]float64{n.answers.sum, n.answers.at},
-		Rates: [2]float64{n.t.rates.sum, n.t.rates.at}, Seq: n.seq, Chance: [2]uint64{n.rng.x, n.rng.carry},
+	s := &Snapshot{Now: n.now, Armed: n.armedFor, SweepAt: n.sweepAt, Round: n.round, Extra: n.retryTokens, Doubt: n.commonSuspicion, Weight: n.meanWeight, AskAt: n.askAt, Window: n.inFlightLimit, Heard: n.heard,
+		Tracked: n.tracked, Stirred: n.stirred, Idle: n.hasFreedCapacity, Failures: n.failures, Of: n.processCount, Whole: n.processesSplitUntil, Doubted: n.isListDoubted, FellAt: n.lastResetAt, AloneAt: n.answeredAfterResetAt, Answers: [2]float64{n.answeredTime.sum, n.answeredTime.at},
+		Rates: [2]float64{n.config.tenantRate.sum, n.config.tenantRate.at}, Seq: n.seq, Chance: [2]uint64{n.random.x, n.random.carry},
 		Hints: slices.Clone(n.cutoff.ring), HintNext: n.cutoff.next, Stretch: snapQuantile(n.stretch),
-		Value: MeanSnapshot{n.value.value, n.value.seen}, Work: MeanSnapshot{n.work.value, n.work.seen},
-		Service: MeanSnapshot{n.service.value, n.service.seen}, PaceAll: [2]float64{n.paces.all.time, n.paces.all.work},
-		CrowdAll: [3]float64{n.crowd.all.sum, n.crowd.all.count, n.crowd.all.at}}
-	for _, p := range n.paces.kinds {
+		Value: MeanSnapshot{n.meanPriority.value, n.meanPriority.seen}, Work: MeanSnapshot{n.meanWork.value, n.meanWork.seen},
+		Service: MeanSnapshot{n.meanServiceTime.value, n.meanServiceTime.seen}, PaceAll: [2]float64{n.paces.all.time, n.paces.all.work},
+		CrowdAll: [3]float64{n.waitsByZone.all.sum, n.waitsByZone.all.count, n.waitsByZone.all.at}}
+	for _, p := range n.paces.byKind {
 		s.PaceKinds = append(s.PaceKinds, [2]float64{p.time, p.work})
 	}
-	for _, r := range n.crowd.zones {
+	for _, r := range n.waitsByZone.byZone {
 		s.CrowdZones = append(s.CrowdZones, [3]float64{r.sum, r.count, r.at})
 	}
-	for _, w := range n.warm {
-		s.Warm = append(s.Warm, [2]float64{w.took, w.speed})
+	for _, w := range n.usageByZone {
+		s.Warm = append(s.Warm, [2]float64{w.work, w.speed})
 	}
-	for _, c := range n.t.Classes {
-		s.Classes = append(s.Classes, MeanSnapshot{c.work.value, c.work.seen})
+	for _, c := range n.config.Classes {
+		s.Classes = append(s.Classes, MeanSnapshot{c.meanWork.value, c.meanWork.seen})
 	}
-	for _, t := range n.t.Tenants {
+	for _, t := range n.config.Tenants {
 		s.Tenants = append(s.Tenants, [2]float64{t.rate.sum, t.rate.at})
 	}
 	for _, b := range backends {
-		x := BackendSnapshot{ID: b.ID, Zone: b.Zone, Cell: b.Cell, Kind: b.Kind, State: b.State, Weight: b.Weight, Started: b.Started, Tracked: b.known,
-			Longs: b.longs, WorkOut: b.workOut, Heard: b.heard, Lingers: b.lingers, Best: b.best, Most: b.most, Rest: b.restUntil, Pass: b.pass,
-			Pace: [2]float64{b.pace.time, b.pace.work}, Tail: snapQuantile(b.tail), Flow: [3]float64{b.flow.done, b.flow.busy, b.flow.at},
-			Distrust: [2]float64{b.distrust.sum, b.distrust.at}, SpentAt: slices.Clone(b.recent.at), Spent: slices.Clone(b.recent.amount),
-			Waits: [3]float64{b.waits.sum, b.waits.count, b.waits.at}, Cores: b.cores,
-			Met: [2]float64{b.met.wait, b.met.at}, Cordoned: b.banned, Back: b.back, OutAt: b.outAt, GoneAt: b.goneAt, Drained: b.drained, Joined: b.joined, Own: b.own, Refused: b.refused, BrokeAt: b.brokeAt}
-		for _, p := range b.out {
+		x := BackendSnapshot{ID: b.ID, Zone: b.Zone, Cell: b.Cell, Kind: b.Kind, State: b.State, Weight: b.Weight, Started: b.Started, Tracked: b.tracked,
+			Longs: b.longInFlight, WorkOut: b.workInFlight, Heard: b.lastAnsweredSentAt, Lingers: b.busyUntil, Best: b.bestPace, Most: b.maxInFlight, Rest: b.pausedUntil, Pass: b.rotationPass,
+			Pace: [2]float64{b.pace.time, b.pace.work}, Tail: snapQuantile(b.answerRatio), Flow: [3]float64{b.drain.done, b.drain.busyTime, b.drain.at},
+			Distrust: [2]float64{b.suspicion.sum, b.suspicion.at}, SpentAt: slices.Clone(b.recentWork.at), Spent: slices.Clone(b.recentWork.amount),
+			Waits: [3]float64{b.waits.sum, b.waits.count, b.waits.at}, Cores: b.maxCoresSeen,
+			Met: [2]float64{b.lastWait.wait, b.lastWait.at}, Cordoned: b.isCordoned, Back: b.uncordonedAt, OutAt: b.cordonedAt, GoneAt: b.removedAt, Drained: b.wasDrained, Joined: b.isConnected, Own: b.inSubset, Refused: b.refusals, BrokeAt: b.lastResetAt}
+		for _, p := range b.inFlight {
 			if !whole {
 				break
 			}
@@ -202,22 +202,22 @@
 	}
 	for _, o := range ops {
 		x := RequestSnapshot{ID: o.ID, Class: o.Class, Tenant: o.Tenant, CostHint: o.CostHint, ArrivedAt: o.ArrivedAt, Deadline: o.Deadline, Work: o.work,
-			Estimate: o.estimate, HasCostHint: o.HasCostHint, IsClientRetry: o.IsClientRetry, Long: o.long, Excess: o.excess, Streamed: o.Streamed, Stage: int(o.stage), Key: o.Key}
+			Estimate: o.estimate, HasCostHint: o.HasCostHint, IsClientRetry: o.IsClientRetry, Long: o.isLong, Excess: o.overQuota, Streamed: o.Streamed, Stage: int(o.stage), Key: o.Key}
 		for _, p := range o.Attempts {
 			at, named := backendAt[p.Backend]
 			if !named {
 				return nil, fmt.Errorf("snapshot: op %d was pushed to backend %x, which the host did not name", o.ID, p.Backend.ID)
 			}
-			x.Attempts = append(x.Attempts, AttemptSnapshot{Backend: at, SentAt: p.SentAt, Expect: p.expect, InFlight: p.out, Canceled: p.revoked, Overdue: p.overdue,
-				Alone: p.alone, Outcome: p.outcome, Begun: p.begun})
+			x.Attempts = append(x.Attempts, AttemptSnapshot{Backend: at, SentAt: p.SentAt, Expect: p.expectedTime, InFlight: p.inFlight, Canceled: p.canceled, Overdue: p.isOverdue,
+				Alone: p.wasAlone, Outcome: p.outcome, Begun: p.hasStarted})
 		}
 		s.Requests = append(s.Requests, x)
 	}
-	lineAt := map[*line]int{}
-	for _, key := range slices.Sorted(maps.Keys(n.lines)) {
-		l := n.lines[key]
-		x := KeyQueueSnapshot{Key: key, Rest: l.rest}
-		for _, o := range l.ops {
+	lineAt := map[*keyQueue]int{}
+	for _, key := range slices.Sorted(maps.Keys(n.keyQueues)) {
+		l := n.keyQueues[key]
+		x := KeyQueueSnapshot{Key: key, Rest: l.cooldownUntil}
+		for _, o := range l.requests {
 			if !whole {
 				break
 			}
@@ -227,7 +227,7 @@
 			}
 			x.Requests = append(x.Requests, at)
 		}
-		if whole || l.rest > n.now {
+		if whole || l.cooldownUntil > n.now {
 			s.KeyQueues = append(s.KeyQueues, x)
 			lineAt[l] = len(s.KeyQueues)
 		}
@@ -238,23 +238,23 @@
 		}
 		return s, nil
 	}
-	for _, o := range n.held {
+	for _, o := range n.queuedRequests {
 		at, named := opAt[o]
 		if !named {
 			return nil, fmt.Errorf("snapshot: held op %d was not named by the host", o.ID)
 		}
 		s.Queued = append(s.Queued, at)
 	}
-	for _, d := range n.due {
-		x := TimerSnapshot{At: d.at, Seq: d.seq, Request: -1, Attempt: -1, Line: lineAt[d.line], Lingers: d.lingers}
+	for _, d := range n.timerEntries {
+		x := TimerSnapshot{At: d.at, Seq: d.seq, Request: -1, Attempt: -1, Line: lineAt[d.keyQueue], Lingers: d.isWorkAbandoned}
 		switch {
-		case d.op != nil && !d.op.IsDone():
-			if at, named := opAt[d.op]; named {
+		case d.request != nil && !d.request.IsDone():
+			if at, named := opAt[d.request]; named {
 				x.Request = at
 			}
-		case d.push != nil && !d.push.Request.IsDone():
-			if at, named := opAt[d.push.Request]; named {
-				x.Request, x.Attempt = at, d.push.Number
+		case d.attempt != nil && !d.attempt.Request.IsDone():
+			if at, named := opAt[d.attempt.Request]; named {
+				x.Request, x.Attempt = at, d.attempt.Number
 			}
 		}
 		s.Timers = append(s.Timers, x)
@@ -262,96 +262,96 @@
 	return s, nil
 }
 
-func snapQuantile(q quantile) QuantileSnapshot { return QuantileSnapshot{q.value, q.seen} }
+func snapQuantile(q quantileEstimate) QuantileSnapshot { return QuantileSnapshot{q.value, q.seen} }
 
 // Restore makes a node that goes on where a snapshot was taken, with the ops and backends in the snapshot's order. The
 // terms are those of the node then. A snapshot that can't be one of such a node's is an error.
 func Restore(t *Config, s *Snapshot) (n *Balancer, ops []*Request, backends []*Backend, err error) {
-	if len(s.Classes) != len(t.Classes) || len(s.Tenants) != len(t.Tenants) || len(s.Hints) > windowSize ||
-		s.HintNext < 0 || s.HintNext >= windowSize {
+	if len(s.Classes) != len(t.Classes) || len(s.Tenants) != len(t.Tenants) || len(s.Hints) > hintWindowSize ||
+		s.HintNext < 0 || s.HintNext >= hintWindowSize {
 		return nil, nil, nil, errors.New("snapshot of other terms")
 	}
 	n = New(t, s.Now)
-	n.armed, n.sweepAt, n.round, n.extra, n.doubt, n.weight, n.askAt = s.Armed, s.SweepAt, s.Round, s.Extra, s.Doubt, s.Weight, s.AskAt
-	n.window, n.heard, n.of, n.whole, n.doubted = s.Window, s.Heard, s.Of, s.Whole, s.Doubted
-	n.fellAt, n.aloneAt = s.FellAt, s.AloneAt
-	n.answers = fader{s.Answers[0], s.Answers[1]}
-	n.tracked, n.stirred, n.idle, n.failures, n.seq = s.Tracked, s.Stirred, s.Idle, s.Failures, s.Seq
+	n.armedFor, n.sweepAt, n.round, n.retryTokens, n.commonSuspicion, n.meanWeight, n.askAt = s.Armed, s.SweepAt, s.Round, s.Extra, s.Doubt, s.Weight, s.AskAt
+	n.inFlightLimit, n.heard, n.processCount, n.processesSplitUntil, n.isListDoubted = s.Window, s.Heard, s.Of, s.Whole, s.Doubted
+	n.lastResetAt, n.answeredAfterResetAt = s.FellAt, s.AloneAt
+	n.answeredTime = decayingCounter{s.Answers[0], s.Answers[1]}
+	n.tracked, n.stirred, n.hasFreedCapacity, n.failures, n.seq = s.Tracked, s.Stirred, s.Idle, s.Failures, s.Seq
 	if s.Chance != [2]uint64{} {
-		n.rng = mwc{s.Chance[0], s.Chance[1]}
+		n.random = multiplyWithCarry{s.Chance[0], s.Chance[1]}
 	}
-	n.cutoff = window{ring: slices.Clone(s.Hints), sorted: slices.Clone(s.Hints), next: s.HintNext}
+	n.cutoff = hintWindow{ring: slices.Clone(s.Hints), sorted: slices.Clone(s.Hints), next: s.HintNext}
 	sort.Float64s(n.cutoff.sorted)
-	n.stretch = quantile{s.Stretch.Value, s.Stretch.Seen}
-	n.value, n.work, n.service = mean{s.Value.Value, s.Value.Seen}, mean{s.Work.Value, s.Work.Seen}, mean{s.Service.Value, s.Service.Seen}
-	n.paces.all = pace{s.PaceAll[0], s.PaceAll[1]}
+	n.stretch = quantileEstimate{s.Stretch.Value, s.Stretch.Seen}
+	n.meanPriority, n.meanWork, n.meanServiceTime = runningMean{s.Value.Value, s.Value.Seen}, runningMean{s.Work.Value, s.Work.Seen}, runningMean{s.Service.Value, s.Service.Seen}
+	n.paces.all = paceEstimate{s.PaceAll[0], s.PaceAll[1]}
 	for _, p := range s.PaceKinds {
-		n.paces.kinds = append(n.paces.kinds, pace{p[0], p[1]})
+		n.paces.byKind = append(n.paces.byKind, paceEstimate{p[0], p[1]})
 	}
-	n.crowd.all = recent{s.CrowdAll[0], s.CrowdAll[1], s.CrowdAll[2]}
+	n.waitsByZone.all = decayingMean{s.CrowdAll[0], s.CrowdAll[1], s.CrowdAll[2]}
 	for _, r := range s.CrowdZones {
-		n.crowd.zones = append(n.crowd.zones, recent{r[0], r[1], r[2]})
+		n.waitsByZone.byZone = append(n.waitsByZone.byZone, decayingMean{r[0], r[1], r[2]})
 	}
 	for _, w := range s.Warm {
-		n.warm = append(n.warm, took{w[0], w[1]})
+		n.usageByZone = append(n.usageByZone, zoneUsage{w[0], w[1]})
 	}
 	for i, c := range s.Classes {
-		t.Classes[i].work = mean{c.Value, c.Seen}
+		t.Classes[i].meanWork = runningMean{c.Value, c.Seen}
 	}
 	for i, r := range s.Tenants {
-		t.Tenants[i].rate = fader{r[0], r[1]}
+		t.Tenants[i].rate = decayingCounter{r[0], r[1]}
 	}
-	t.rates = fader{s.Rates[0], s.Rates[1]}
+	t.tenantRate = decayingCounter{s.Rates[0], s.Rates[1]}
 	if s.Rates == [2]float64{} { // of a build that kept no sum
 		for i := range t.Tenants {
-			if x := t.Tenants[i].rate.get(s.Now, rateHalf); x > 0 {
-				t.rates.set(s.Now, t.rates.sum+x)
+			if x := t.Tenants[i].rate.get(s.Now, rateHalfLife); x > 0 {
+				t.tenantRate.set(s.Now, t.tenantRate.sum+x)
 			}
 		}
 	}
 	for _, x := range s.Backends {
-		if len(x.SpentAt) != len(x.Spent) || len(x.Out)%2 != 0 || x.Zone < 0 || x.Kind < 0 || x.Zone > mostPlaces || x.Kind > mostPlaces {
+		if len(x.SpentAt) != len(x.Spent) || len(x.Out)%2 != 0 || x.Zone < 0 || x.Kind < 0 || x.Zone > maxZoneOrKind || x.Kind > maxZoneOrKind {
 			return nil, nil, nil, errors.New("snapshot of an odd backend")
 		}
 		backends = append(backends, &Backend{ID: x.ID, Zone: x.Zone, Cell: x.Cell, Kind: x.Kind, State: x.State, Weight: x.Weight, Started: x.Started,
-			known: x.Tracked, longs: x.Longs, workOut: x.WorkOut, heard: x.Heard, lingers: x.Lingers, best: x.Best, most: x.Most, restUntil: x.Rest,
-			pass: x.Pass, pace: pace{x.Pace[0], x.Pace[1]}, tail: quantile{x.Tail.Value, x.Tail.Seen}, flow: flow{x.Flow[0], x.Flow[1], x.Flow[2]},
-			distrust: fader{x.Distrust[0], x.Distrust[1]}, recent: spend{slices.Clone(x.SpentAt), slices.Clone(x.Spent)},
-			waits: recent{x.Waits[0], x.Waits[1], x.Waits[2]}, cores: x.Cores,
-			met: met{x.Met[0], x.Met[1]}, banned: x.Cordoned, back: x.Back, outAt: x.OutAt, goneAt: x.GoneAt, drained: x.Drained, joined: x.Joined, own: x.Own, refused: x.Refused,
-			brokeAt: x.BrokeAt})
+			tracked: x.Tracked, longInFlight: x.Longs, workInFlight: x.WorkOut, lastAnsweredSentAt: x.Heard, busyUntil: x.Lingers, bestPace: x.Best, maxInFlight: x.Most, pausedUntil: x.Rest,
+			rotationPass: x.Pass, pace: paceEstimate{x.Pace[0], x.Pace[1]}, answerRatio: quantileEstimate{x.Tail.Value, x.Tail.Seen}, drain: drainEstimate{x.Flow[0], x.Flow[1], x.Flow[2]},
+			suspicion: decayingCounter{x.Distrust[0], x.Distrust[1]}, recentWork: slidingSum{slices.Clone(x.SpentAt), slices.Clone(x.Spent)},
+			waits: decayingMean{x.Waits[0], x.Waits[1], x.Waits[2]}, maxCoresSeen: x.Cores,
+			lastWait: latestWait{x.Met[0], x.Met[1]}, isCordoned: x.Cordoned, uncordonedAt: x.Back, cordonedAt: x.OutAt, removedAt: x.GoneAt, wasDrained: x.Drained, isConnected: x.Joined, inSubset: x.Own, refusals: x.Refused,
+			lastResetAt: x.BrokeAt})
 	}
 	for _, x := range s.Requests {
-		if x.Class < 0 || x.Class >= len(t.Classes) || x.Stage < 0 || x.Stage > int(ended) {
+		if x.Class < 0 || x.Class >= len(t.Classes) || x.Stage < 0 || x.Stage > int(stageEnded) {
 			return nil, nil, nil, errors.New("snapshot of an odd op")
 		}
 		o := &Request{Config: t, ID: x.ID, Class: x.Class, Tenant: x.Tenant, CostHint: x.CostHint, HasCostHint: x.HasCostHint, IsClientRetry: x.IsClientRetry, ArrivedAt: x.ArrivedAt,
-			Deadline: x.Deadline, Key: x.Key, cat: &t.Classes[x.Class], work: x.Work, long: x.Long, estimate: x.Estimate, excess: x.Excess, Streamed: x.Streamed, stage: stage(x.Stage)}
+			Deadline: x.Deadline, Key: x.Key, class: &t.Classes[x.Class], work: x.Work, isLong: x.Long, estimate: x.Estimate, overQuota: x.Excess, Streamed: x.Streamed, stage: requestStage(x.Stage)}
 		for k, p := range x.Attempts {
 			if p.Backend < 0 || p.Backend >= len(backends) {
 				return nil, nil, nil, errors.New("snapshot of a push to nowhere")
 			}
-			o.Attempts = append(o.Attempts, &Attempt{Request: o, Backend: backends[p.Backend], Number: k, SentAt: p.SentAt, expect: p.Expect, out: p.InFlight,
-				revoked: p.Canceled, overdue: p.Overdue, alone: p.Alone, outcome: p.Outcome, begun: p.Begun})
+			o.Attempts = append(o.Attempts, &Attempt{Request: o, Backend: backends[p.Backend], Number: k, SentAt: p.SentAt, expectedTime: p.Expect, inFlight: p.InFlight,
+				canceled: p.Canceled, isOverdue: p.Overdue, wasAlone: p.Alone, outcome: p.Outcome, hasStarted: p.Begun})
 		}
 		ops = append(ops, o)
 	}
 	for _, o := range ops {
 		for _, p := range o.Attempts {
-			n.abroad += p.counted()
+			n.inFlightTotal += p.counted()
 		}
 	}
-	var lines []*line
+	var lines []*keyQueue
 	for _, x := range s.KeyQueues {
-		l := &line{key: x.Key, rest: x.Rest}
+		l := &keyQueue{key: x.Key, cooldownUntil: x.Rest}
 		for _, at := range x.Requests {
-			if at < 0 || at >= len(ops) || ops[at].line != nil {
+			if at < 0 || at >= len(ops) || ops[at].keyQueue != nil {
 				return nil, nil, nil, errors.New("snapshot of an odd line")
 			}
-			l.ops, ops[at].line = append(l.ops, ops[at]), l
+			l.requests, ops[at].keyQueue = append(l.requests, ops[at]), l
 		}
 		lines = append(lines, l)
-		n.lines[x.Key] = l
+		n.keyQueues[x.Key] = l
 	}
 	push := func(op, number int) (*Attempt, error) {
 		if op < 0 || op >= len(ops) || number < 0 || number >= len(ops[op].Attempts) {
@@ -365,7 +365,7 @@
 			if err != nil {
 				return nil, nil, nil, err
 			}
-			backends[i].out = append(backends[i].out, p)
+			backends[i].inFlight = append(backends[i].inFlight, p)
 		}
 	}
 	for _, at := range s.Order {
@@ -378,30 +378,30 @@
 		if at < 0 || at >= len(ops) {
 			return nil, nil, nil, errors.New("snapshot names an op that it has not")
 		}
-		n.held = append(n.held, ops[at])
+		n.queuedRequests = append(n.queuedRequests, ops[at])
 	}
 	for _, x := range s.Timers {
-		d := due{at: x.At, seq: x.Seq, lingers: x.Lingers}
+		d := timer{at: x.At, seq: x.Seq, isWorkAbandoned: x.Lingers}
 		if x.Lingers {
-			n.abroad++
+			n.inFlightTotal++
 		}
 		switch {
 		case math.IsNaN(x.At) || x.Request >= len(ops) || x.Line < 0 || x.Line > len(lines):
 			return nil, nil, nil, errors.New("snapshot of an odd due time")
 		case x.Line > 0:
-			d.line = lines[x.Line-1]
+			d.keyQueue = lines[x.Line-1]
 		case x.Request >= 0 && x.Attempt >= 0:
-			if d.push, err = push(x.Request, x.Attempt); err != nil {
+			if d.attempt, err = push(x.Request, x.Attempt); err != nil {
 				return nil, nil, nil, err
 			}
 		case x.Request >= 0:
-			d.op = ops[x.Request]
+			d.request = ops[x.Request]
 		}
-		n.due = append(n.due, d)
+		n.timerEntries = append(n.timerEntries, d)
 	}
-	heap.Init(&n.due) // rests that another process told of come by their keys
+	heap.Init(&n.timerEntries) // rests that another process told of come by their keys
 	return n, ops, backends, nil
 }
 
 // mostPlaces bounds zones and kinds, by which lists are kept.
-const mostPlaces = 1 << 16
+const maxZoneOrKind = 1 << 16
--- a/balancer/tenants_test.go
+++ b/balancer/tenants_test.go
@@ -11,16 +11,16 @@
 
 // walked is what excess would have by adding up all tenants anew for an op just taken.
 func (n *Balancer) walked(op *Request) (excess, rates float64) {
-	w, quotas := n.t.Tenants[op.Tenant], 0.0
-	for _, o := range n.t.Tenants {
-		rates, quotas = rates+o.rate.get(n.now, rateHalf), quotas+o.Quota
+	w, quotas := n.config.Tenants[op.Tenant], 0.0
+	for _, o := range n.config.Tenants {
+		rates, quotas = rates+o.rate.get(n.now, rateHalfLife), quotas+o.Quota
 	}
 	if w.Quota == 0 {
 		return 0, rates
 	}
-	own, all := w.rate.sum+mixPrior*w.Quota/quotas, rates+mixPrior
+	own, all := w.rate.sum+quotaMixPrior*w.Quota/quotas, rates+quotaMixPrior
 	odds := own * (quotas - w.Quota) / math.Max((all-own)*w.Quota, 1e-9)
-	odds = math.Min(odds, w.rate.sum*1e3*math.Ln2/rateHalf*float64(n.t.Nodes)/w.Quota)
+	odds = math.Min(odds, w.rate.sum*1e3*math.Ln2/rateHalfLife*float64(n.config.Nodes)/w.Quota)
 	return math.Max(0, 1-1/odds), rates
 }
 
@@ -52,13 +52,13 @@
 		op := &Request{Tenant: tenant, CostHint: 10, HasCostHint: true, Deadline: d.now + 4000}
 		n.RequestArrived(d.now, op)
 		excess, rates := n.walked(op)
-		require.GreaterOrEqual(t, n.t.rates.sum, rates-1e-9)
-		require.LessOrEqual(t, n.t.rates.sum, rates+1e-3*tenants)
-		require.InDelta(t, excess, op.excess, 1e-3)
+		require.GreaterOrEqual(t, n.config.tenantRate.sum, rates-1e-9)
+		require.LessOrEqual(t, n.config.tenantRate.sum, rates+1e-3*tenants)
+		require.InDelta(t, excess, op.overQuota, 1e-3)
 		if excess > 0.3 {
 			beyond++
 		}
-		most = math.Max(most, math.Abs(excess-op.excess))
+		most = math.Max(most, math.Abs(excess-op.overQuota))
 		n.ClientGone(d.now, op)
 		for _, more := n.Next(); more; _, more = n.Next() {
 		}
@@ -80,7 +80,7 @@
 		again, _, _, err := Restore(terms(), s)
 		require.NoError(t, err)
 		if with {
-			assert.Equal(t, d.node.t.rates, again.t.rates)
+			assert.Equal(t, d.node.config.tenantRate, again.config.tenantRate)
 		}
 		d.now = now
 		come(again)
@@ -88,5 +88,5 @@
 
 	d.node.ConfigChanged(d.now, terms(), []int{0, 1, 2, 3})
 	come(d.node)
-	assert.Equal(t, 1.0, d.node.t.rates.sum)
+	assert.Equal(t, 1.0, d.node.config.tenantRate.sum)
 }
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -33,15 +33,15 @@
 	LateWeight       float64     `json:"LateBenefit"` // share of the benefit left after the target latency
 	Ordered          bool        `json:"KeepOrder"`   // its ops with one key run one at a time, as this node took them
 
-	work     mean    // of the hints
-	patience float64 // share of an op's time left that it may wait behind others
+	meanWork     runningMean    // of the hints
+	patienceShare float64 // share of an op's time left that it may wait behind others
 }
 
 // Tenant is one customer with its share of the service over all nodes.
 type Tenant struct {
 	Quota float64 `json:"Quota"` // ops a second; 0 means no limit
 
-	rate fader
+	rate decayingCounter
 }
 
 // Terms are what a deployment tells a node at its start.
@@ -74,8 +74,8 @@
 	KeyAffinity       bool    `json:"WarmKeys"`          // a backend that met a key lately has less work with it
 	ConnectionCost    float64 `json:"ConnectionPrice"`   // of open connections; above 0 backends take few of them
 
-	rates fader   // of all tenants together
-	quota float64 // theirs, once added up
+	tenantRate decayingCounter   // of all tenants together
+	quotaSum float64 // theirs, once added up
 }
 
 // State is what the list says of a backend.
@@ -97,52 +97,52 @@
 	Weight  float64
 	Started float64 // clock time of its latest start; 0 is long ago
 
-	out       []*Attempt // pushes not yet ended, oldest first, without those overdue and overtaken
-	longs     int        // of those, the long ones
-	workOut   float64    // their work
-	heard     float64    // when the latest push was sent that has been answered
-	lingers   float64    // until then, work given up on may still run here
-	pace      pace
-	best      float64 // the lowest pace seen
-	tail      quantile
-	flow      flow    // how fast pushes are answered
-	waits     recent  // how long pushes waited behind others there
-	met       met     // the latest of them
-	cores     float64 // the most ops at work at once that it has reported
-	most      float64 // how many pushes it may have out
-	restUntil float64
-	distrust  fader
-	pass      float64 // its place in the rotation
-	recent    spend   // work sent in the last window, for the time when it may be cold
-	known     bool    // the node has it among its backends
-	brokeAt   float64 // when a push there last ended in a reset
-	joined    bool    // a connection there has lately served
-	own       bool    // it is in the part of the fleet that the node connects to
-	refused   float64 // connects refused in a row
-	goneAt    float64 // when the list first said so
-	drained   bool    // it was told to drain, and has not been ready since
-	banned    bool    // taken out by hand
-	outAt     float64 // when last
-	back      float64 // when it was put back, where nothing else tells of its restart
+	inFlight       []*Attempt // pushes not yet ended, oldest first, without those overdue and overtaken
+	longInFlight     int        // of those, the long ones
+	workInFlight   float64    // their work
+	lastAnsweredSentAt     float64    // when the latest push was sent that has been answered
+	busyUntil   float64    // until then, work given up on may still run here
+	pace      paceEstimate
+	bestPace      float64 // the lowest pace seen
+	answerRatio      quantileEstimate
+	drain      drainEstimate    // how fast pushes are answered
+	waits     decayingMean  // how long pushes waited behind others there
+	lastWait       latestWait     // the latest of them
+	maxCoresSeen     float64 // the most ops at work at once that it has reported
+	maxInFlight      float64 // how many pushes it may have out
+	pausedUntil float64
+	suspicion  decayingCounter
+	rotationPass      float64 // its place in the rotation
+	recentWork    slidingSum   // work sent in the last window, for the time when it may be cold
+	tracked     bool    // the node has it among its backends
+	lastResetAt   float64 // when a push there last ended in a reset
+	isConnected    bool    // a connection there has lately served
+	inSubset       bool    // it is in the part of the fleet that the node connects to
+	refusals   float64 // connects refused in a row
+	removedAt    float64 // when the list first said so
+	wasDrained   bool    // it was told to drain, and has not been ready since
+	isCordoned    bool    // taken out by hand
+	cordonedAt     float64 // when last
+	uncordonedAt      float64 // when it was put back, where nothing else tells of its restart
 }
 
 // take and drop keep count of what is out there; one dropped before it ends is not counted twice.
 func (b *Backend) take(now float64, p *Attempt) {
-	b.flow.tally(now, len(b.out) > 0)
-	b.out = append(b.out, p)
-	b.workOut += p.Request.work
-	if p.Request.long {
-		b.longs++
+	b.drain.tally(now, len(b.inFlight) > 0)
+	b.inFlight = append(b.inFlight, p)
+	b.workInFlight += p.Request.work
+	if p.Request.isLong {
+		b.longInFlight++
 	}
 }
 
 func (b *Backend) drop(now float64, p *Attempt) {
-	b.flow.tally(now, len(b.out) > 0)
-	if k := slices.Index(b.out, p); k >= 0 {
-		b.out = slices.Delete(b.out, k, k+1)
-		b.workOut -= p.Request.work
-		if p.Request.long {
-			b.longs--
+	b.drain.tally(now, len(b.inFlight) > 0)
+	if k := slices.Index(b.inFlight, p); k >= 0 {
+		b.inFlight = slices.Delete(b.inFlight, k, k+1)
+		b.workInFlight -= p.Request.work
+		if p.Request.isLong {
+			b.longInFlight--
 		}
 	}
 }
@@ -150,42 +150,42 @@
 // hear takes an answer. What is overdue by then and was sent before it does not occupy the backend: a connection fell
 // silent, or an answer stopped short, and it would keep room, drain and longs from the others until it timed out.
 func (b *Backend) hear(now float64, p *Attempt) {
-	b.heard = max(b.heard, p.SentAt)
-	for _, o := range slices.Clone(b.out) {
-		if o.overdue && o.overtaken() {
+	b.lastAnsweredSentAt = max(b.lastAnsweredSentAt, p.SentAt)
+	for _, o := range slices.Clone(b.inFlight) {
+		if o.isOverdue && o.isOvertaken() {
 			b.drop(now, o)
 		}
 	}
 }
 
 // leave takes the word that a backend is gone, by its line or by its missing.
-func (b *Backend) leave(now float64) {
+func (b *Backend) markRemoved(now float64) {
 	if b.State != BackendRemoved {
-		b.State, b.goneAt = BackendRemoved, now
+		b.State, b.removedAt = BackendRemoved, now
 	}
 }
 
 // past lets go of a backend that is gone for good: each decision would look at all there ever were. Until its cold
 // budget's window has passed, what it was sent counts, should it come back.
-func (b *Backend) past(now float64, t *Config) bool {
-	b.known = b.State != BackendRemoved || len(b.out) > 0 || b.recent.within(now, t.OverloadWindow) > 0 || now-b.goneAt < t.rememberFor()
-	return !b.known
+func (b *Backend) forgetIfGone(now float64, t *Config) bool {
+	b.tracked = b.State != BackendRemoved || len(b.inFlight) > 0 || b.recentWork.sumWithin(now, t.OverloadWindow) > 0 || now-b.removedAt < t.retentionAfterRemoval()
+	return !b.tracked
 }
 
 // goneFor is how long a backend that has gone is remembered where the list may be wrong, in ms: a list that is wrong for
 // longer is repaired by people, and what comes and goes meanwhile does not add up.
-const goneFor = 60e3
+const removedRetention = 60e3
 
 // rememberFor is how long a backend is remembered that went without a drain.
-func (t *Config) rememberFor() float64 {
+func (t *Config) retentionAfterRemoval() float64 {
 	if t.RemovalIsHint {
-		return goneFor
+		return removedRetention
 	}
 	return 0
 }
 
 // Known tells whether the node keeps the backend; of one that is gone for good the host may let go too.
-func (b *Backend) IsTracked() bool { return b.known }
+func (b *Backend) IsTracked() bool { return b.tracked }
 
 // Ending is how a push ended.
 type Outcome uint8
@@ -230,15 +230,15 @@
 	Config        *Config // that it came under; the node's present ones where nil
 	Streamed      bool    // it comes and goes on in pieces and is held nowhere: it can be pushed once
 
-	cat       *Class
+	class       *Class
 	work      float64
-	long      bool
+	isLong      bool
 	estimate  float64 // its order among held ops
-	excess    float64 // how likely it is beyond its tenant's share
-	stage     stage
-	home      *Backend // where its key is, if anywhere
-	queued    bool
-	line      *line // of its key, where its category keeps order, until it is over
+	overQuota    float64 // how likely it is beyond its tenant's share
+	stage     requestStage
+	affinity      *Backend // where its key is, if anywhere
+	isPending    bool
+	keyQueue      *keyQueue // of its key, where its category keeps order, until it is over
 	calledOff bool  // a look at where it could go once its push has ended
 }
 
@@ -248,11 +248,11 @@
 }
 
 // Over tells whether the op has ended and nothing of it is out, so that the host may forget it.
-func (o *Request) IsDone() bool { return o.stage == ended && o.out() == 0 }
+func (o *Request) IsDone() bool { return o.stage == stageEnded && o.inFlightCount() == 0 }
 
-func (o *Request) out() (n int) {
+func (o *Request) inFlightCount() (n int) {
 	for _, p := range o.Attempts {
-		if p.out {
+		if p.inFlight {
 			n++
 		}
 	}
@@ -260,7 +260,7 @@
 }
 
 // most is how many pushes it may have in all.
-func (o *Request) most() int {
+func (o *Request) maxAttempts() int {
 	if o.Streamed {
 		return min(o.Config.MaxAttempts, 1)
 	}
@@ -268,9 +268,9 @@
 }
 
 // target is when an answer stops earning all.
-func (o *Request) target() float64 { return min(o.Deadline, o.ArrivedAt+o.cat.LatencyObjective) }
+func (o *Request) objectiveTime() float64 { return min(o.Deadline, o.ArrivedAt+o.class.LatencyObjective) }
 
-func (o *Request) tried(b *Backend) bool {
+func (o *Request) hasTried(b *Backend) bool {
 	for _, p := range o.Attempts {
 		if p.Backend == b {
 			return true
@@ -282,21 +282,21 @@
 // MayHaveRun gives the first push that is not known never to have run.
 func (o *Request) UncertainAttempt() *Attempt {
 	for _, p := range o.Attempts {
-		if p.out || !p.outcome.NeverRan() {
+		if p.inFlight || !p.outcome.NeverRan() {
 			return p
 		}
 	}
 	return nil
 }
 
-type stage uint8
+type requestStage uint8
 
 const (
-	fresh stage = iota
-	held
-	pushed
-	streaming
-	ended
+	stageNew requestStage = iota
+	stageQueued
+	stageInFlight
+	stageStreaming
+	stageEnded
 )
 
 // Push is one send of an op to a backend.
@@ -306,25 +306,25 @@
 	Number  int
 	SentAt  float64
 
-	expect  float64 // predicted answer time
-	out     bool
-	begun   bool // it counts at its backend
-	revoked bool
-	overdue bool
-	alone   bool // sent with next to nothing else of this node's out there
+	expectedTime  float64 // predicted answer time
+	inFlight     bool
+	hasStarted   bool // it counts at its backend
+	canceled bool
+	isOverdue bool
+	wasAlone   bool // sent with next to nothing else of this node's out there
 	outcome Outcome
 }
 
 // counted is 1 while it counts at its backend and in the node's window.
 func (p *Attempt) counted() int {
-	if p.out && p.begun {
+	if p.inFlight && p.hasStarted {
 		return 1
 	}
 	return 0
 }
 
 // overtaken tells that its backend has answered a push sent later: what is wrong is not the backend's.
-func (p *Attempt) overtaken() bool { return p.Backend.heard > p.SentAt }
+func (p *Attempt) isOvertaken() bool { return p.Backend.lastAnsweredSentAt > p.SentAt }
 
 // Decider is what a host asks: a Node, or what stands round one or in its place.
 type Decider interface {
@@ -369,7 +369,7 @@
 func (p *Attempt) Outcome() Outcome { return p.outcome }
 
 // Out tells whether the push has not ended yet.
-func (p *Attempt) InFlight() bool { return p.out }
+func (p *Attempt) InFlight() bool { return p.inFlight }
 
 // Untold is below what any value of a load report can be.
 const NotReported = -1
