--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -160,7 +160,7 @@
 		for _, b := range d.backends {
 			assert.InDelta(t, 100, count[b], 90, name) // turns go by waits, which odd hints make up
 		}
-		assert.Empty(t, d.node.queuedRequests, name)
+		assert.Empty(t, d.node.queue.requests, name)
 	}
 }
 
@@ -252,7 +252,7 @@
 		"rejections are load": {func(d *desk, b *Backend) { d.fail(1, OutcomeRejected, b) }, false},
 		"fades":               {func(d *desk, b *Backend) { d.fail(2, OutcomeFailed, b); d.after(20e3) }, false},
 		"a lost zone, half the fleet": {func(d *desk, _ *Backend) {
-			d.node.retryTokens = -100 // no further pushes, which would stay unanswered here
+			d.node.retries.tokens = -100 // no further pushes, which would stay unanswered here
 			d.fail(3, OutcomeConnectFailed, d.backends[:2]...)
 			d.after(200)
 		}, true},
@@ -264,8 +264,9 @@
 		d.pull()
 		assert.Equal(t, c.shunned, d.node.suspicionOf(b) >= ejectionThreshold, name)
 		if c.shunned {
-			require.NotEmpty(t, d.texts, name)
-			assert.Contains(t, d.texts[0], "shunned", name)
+			require.NotEmpty(t, d.events, name)
+			assert.Equal(t, EventBackendEjected, d.events[0].Kind, name)
+			assert.Equal(t, b.ID, d.events[0].Backend, name)
 		}
 		for k := range 8 {
 			op := d.arrive(fmt.Sprint(k), 0, 10)
@@ -301,7 +302,7 @@
 		d := sit(t, plain(), 2)
 		op := d.arrive("a", c.category, 10)
 		d.pull()
-		d.node.retryTokens = c.extra
+		d.node.retries.tokens = c.extra
 		assert.Equal(t, c.want, d.after(400).pull(), "%+v", c)
 		if c.want != "" {
 			assert.NotEqual(t, op.Attempts[0].Backend, op.Attempts[1].Backend)
@@ -564,7 +565,7 @@
 	assert.Greater(t, d.node.queueTime(op, false), 300.0)
 	d.after(60e3)
 	assert.InDelta(t, quiet, d.node.predictAnswerTime(fresh, op), 50, "and is forgotten")
-	d.node.waitsByZone.add(fresh, d.now, 1000)
+	d.node.estimates.waits.add(fresh, d.now, 1000)
 	assert.InDelta(t, 100, d.node.zoneWait(1), 2, "a zone never tried counts half as crowded as all")
 }
 
@@ -601,8 +602,8 @@
 		d.seen()
 		d.backends[0].Kind = kind
 		d.list(BackendReady, d.now, d.backends[0])
-		*d.node.paces.byKind.at(0), *d.node.paces.byKind.at(1) = paceEstimate{1e5, 1e5}, paceEstimate{3e5, 1e5}
-		*d.node.usageByZone.at(0) = zoneUsage{work: 1, speed: 2}
+		*d.node.estimates.paces.byKind.at(0), *d.node.estimates.paces.byKind.at(1) = paceEstimate{1e5, 1e5}, paceEstimate{3e5, 1e5}
+		*d.node.slowStart.usageByZone.at(0) = zoneUsage{work: 1, speed: 2}
 		for d.node.hasSlowStartBudget(d.backends[0], spent+10) {
 			spent += 10
 		}
@@ -640,7 +641,7 @@
 	d := sit(t, plain(), 1)
 	d.arrive("a", 1, 10)
 	d.pull()
-	d.after(d.node.armedFor - 4e-4 - d.now)
+	d.after(d.node.timers.armedFor - 4e-4 - d.now)
 	x, _ := d.node.Next()
 	assert.Equal(t, DoSetTimer, x.Kind)
 }
@@ -649,7 +650,7 @@
 // reports none they come back.
 func TestTurnsGoByReportedQueues(t *testing.T) {
 	d := sit(t, plain(), 2)
-	d.node.meanWork = runningMean{50, 50}
+	d.node.estimates.work = runningMean{50, 50}
 	most := func() (first int) {
 		for range 20 {
 			op := d.arrive("a", 1, 50)
@@ -686,15 +687,15 @@
 	require.True(t, op.Attempts[0].isOverdue)
 	d.end(op.Attempts[0], OutcomeTimedOut)
 	require.Equal(t, "dead:a", d.pull())
-	assert.Equal(t, 1.0, d.node.waitsByZone.all.count, "the time-out adds nothing")
+	assert.Equal(t, 1.0, d.node.estimates.waits.all.count, "the time-out adds nothing")
 	late := d.arrive("b", 1, 10)
 	d.pull()
-	before := d.node.waitsByZone.all
+	before := d.node.estimates.waits.all
 	p := late.Attempts[0]
 	p.isOverdue = true // so that the answer alone is looked at
 	d.after(3500).end(p, OutcomeAnswered)
 	left := decayFactor(before.at, d.now, waitHalfLife)
-	assert.InDelta(t, before.sum*left+1000, d.node.waitsByZone.all.sum, 1e-6, "a wait counts for the target at most")
+	assert.InDelta(t, before.sum*left+1000, d.node.estimates.waits.all.sum, 1e-6, "a wait counts for the target at most")
 }
 
 // A category of less benefit and a longer target must not wait on, in the way of one that earns more.
@@ -735,7 +736,7 @@
 	assert.Equal(t, 2, burst(), "all nodes may start at once, and none has heard of a queue")
 	d.after(900).pull()
 	answer()
-	require.LessOrEqual(t, d.node.inFlightLimit, 3.0)
+	require.LessOrEqual(t, d.node.concurrency.limit, 3.0)
 	d.after(5e3).pull()
 	answer()
 	d.after(100).pull()
@@ -792,7 +793,7 @@
 func TestLateOpsBearLess(t *testing.T) {
 	d := sit(t, plain(), 1)
 	for range 20 {
-		d.node.waitsByZone.add(d.backends[0], d.now, 300)
+		d.node.estimates.waits.add(d.backends[0], d.now, 300)
 	}
 	for work, want := range map[float64]bool{500: false, 900: false, 1800: true} {
 		op := d.arrive("a", 1, work)
@@ -811,7 +812,7 @@
 	d.after(100).end(op.Attempts[0], OutcomeAnswered)
 	for range 20 {
 		for _, b := range d.backends {
-			d.node.waitsByZone.add(b, d.now, 3000)
+			d.node.estimates.waits.add(b, d.now, 3000)
 		}
 	}
 	d.arrive("b", 1, 100)
@@ -856,12 +857,12 @@
 func TestPushesThatNeverRanCostNoBudget(t *testing.T) {
 	for how, want := range map[Outcome]string{OutcomeConnectFailed: "push:a", OutcomeRejected: "push:a", OutcomeFailed: "nack:a"} {
 		d := sit(t, plain(), 3)
-		d.node.retryTokens = 0
+		d.node.retries.tokens = 0
 		op := d.arrive("a", 0, 10)
 		require.Equal(t, "push:a", d.pull())
 		d.end(op.Attempts[0], how)
 		assert.Equal(t, want, d.pull(), how)
-		assert.InDelta(t, 0.1, d.node.retryTokens, 1e-9, "the op's own earning is kept: %v", how)
+		assert.InDelta(t, 0.1, d.node.retries.tokens, 1e-9, "the op's own earning is kept: %v", how)
 	}
 }
 
@@ -905,8 +906,8 @@
 			terms.Nodes, terms.Seed, terms.OverloadMultiple, terms.OverloadWindow = nodes, (seed*up+k)*0xbf58476d1ce4e5b9+7, 4, span
 			d := sit(t, terms, backends)
 			d.list(BackendReady, d.now, d.backends...)
-			d.node.meanWork = runningMean{25, 50}
-			*d.node.paces.byKind.at(0) = paceEstimate{2e5, 1e5} // half a standard core
+			d.node.estimates.work = runningMean{25, 50}
+			*d.node.estimates.paces.byKind.at(0) = paceEstimate{2e5, 1e5} // half a standard core
 			desks, cold = append(desks, d.node), append(cold, d.backends)
 		}
 		for now := 1000.0; now < 7000; now += 5 {
@@ -1063,7 +1064,7 @@
 	assert.Equal(t, "dead:late", d.pull())
 	d.node.RequestArrived(d.now, &Request{Class: 2, Deadline: d.now + 4000, Config: safe.Config})
 	_, err := d.node.Snapshot([]*Request{{Config: safe.Config}}, nil)
-	assert.ErrorContains(t, err, "earlier terms")
+	require.ErrorIs(t, err, ErrEarlierConfig)
 }
 
 // Two processes of a node keep its cold budget together, and for a window after one of them has gone.
@@ -1106,7 +1107,7 @@
 	n, ops, backends, err := Restore(plain(), s)
 	require.NoError(t, err)
 	assert.Empty(t, ops)
-	assert.Zero(t, n.inFlightTotal)
+	assert.Zero(t, n.concurrency.inFlight)
 	assert.Len(t, n.cutoff.ring, 101)
 	assert.Equal(t, d.node.suspicionOf(d.backends[0]), n.suspicionOf(backends[0]))
 	for k, b := range backends {
@@ -1133,16 +1134,16 @@
 		b := op.Attempts[0].Backend
 		assert.Zero(t, d.node.suspicionOf(b))
 		assert.Empty(t, b.inFlight, "nor is anybody else kept from the backend")
-		assert.Zero(t, d.node.inFlightTotal)
+		assert.Zero(t, d.node.concurrency.inFlight)
 		if how == OutcomeConnectFailed { // before its last byte
 			d.end(op.Attempts[0], how)
 			assert.Equal(t, want, d.pull(), how)
-			assert.Zero(t, d.node.inFlightTotal)
+			assert.Zero(t, d.node.concurrency.inFlight)
 			continue
 		}
 		op.Deadline = d.now + 2000
 		d.node.RequestBodySent(d.now, op.Attempts[0])
-		assert.Equal(t, 1, d.node.inFlightTotal)
+		assert.Equal(t, 1, d.node.concurrency.inFlight)
 		assert.Empty(t, d.after(10).pull())
 		assert.Zero(t, d.node.suspicionOf(b))
 		if how == OutcomeConnectionReset {
@@ -1151,7 +1152,7 @@
 		}
 		d.end(op.Attempts[0], how)
 		assert.Equal(t, want, d.pull(), how)
-		assert.Zero(t, d.node.inFlightTotal)
+		assert.Zero(t, d.node.concurrency.inFlight)
 	}
 	d := sit(t, plain(), 2)
 	op := &Request{Class: 1, CostHint: 10, HasCostHint: true, Deadline: d.now + 60e3, Streamed: true}
@@ -1174,7 +1175,7 @@
 	}
 	d.list(BackendReady, 0, d.backends...)
 	d.seen()
-	d.node.meanPriority = runningMean{50, 50}
+	d.node.estimates.priority = runningMean{50, 50}
 	d.list(BackendDraining, 0, d.backends[0])
 	var out []*Attempt
 	for _, b := range d.backends[1:] {
@@ -1194,7 +1195,7 @@
 
 	// Its own zone is back, with one backend that answers next to nothing: what may cross does not wait for that one.
 	d.list(BackendReady, 0, d.backends[0])
-	d.node.queuedRequests = append(d.node.queuedRequests, worth)
+	d.node.queue.requests = append(d.node.queue.requests, worth)
 	d.backends[0].drain = drainEstimate{done: 1, busyTime: 1e6, at: d.now}
 	may, mayNot := d.node.queueTime(worth, true), d.node.queueTime(worth, false)
 	assert.Less(t, 5*may, mayNot)
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -1,64 +1,75 @@
 package balancer
 
-// Reason is why a backend was passed over for an op.
+// Explanations tell why a backend was passed over for a request, and what the balancer believed of it at that moment.
+// Decisions do not depend on them; `pearknot explain` sets OnConsidered on a replayed balancer.
+
+// Reason is why a backend was passed over for a request.
 type Reason uint8
 
 const (
 	Eligible              Reason = iota // it was not
-	ReasonAlreadyTried                  // the op has been pushed there
-	ReasonEjected                       // distrusted, against its fellows
-	ReasonAtCapacity                    // it has all the pushes that this node sends there at once, rests, or is not in the node's share
-	ReasonBusy                          // a long wants one with none of this node's work
-	ReasonWarmingUp                     // a long wants a warm one
-	ReasonCrossZoneCost                 // the way there costs more than the op earns
-	ReasonTooSlow                       // the answer would come too late, or the wait be longer than ops of its benefit may
-	ReasonRequestDone                   // rule 1: the op is over, its time is, or its pushes are spent
-	ReasonNoHedging                     // no second copies here, and a push is out
-	ReasonMayHaveRun                    // rule 2: an earlier push may have run, and the category does not allow another there
+	ReasonAlreadyTried                  // the request was sent there before
+	ReasonEjected                       // suspected, against its fellows
+	ReasonAtCapacity                    // it has all that this node sends there at once, is paused, or is not used by this node
+	ReasonBusy                          // a long request needs one with none of this node's work
+	ReasonWarmingUp                     // a long request needs one that has warmed up
+	ReasonCrossZoneCost                 // crossing zones costs more than the request is worth
+	ReasonTooSlow                       // the answer would come too late, or the wait be longer than the class's patience
+	ReasonRequestDone                   // rule 1: the request is over, its deadline has passed, or its attempts are used up
+	ReasonNoHedging                     // hedging is not allowed, and an attempt is in flight
+	ReasonMayHaveRun                    // rule 2: an earlier attempt may have run, and the class does not allow another there
 	ReasonNotReady                      // rule 3: it drains or is gone
-	ReasonSlowStartBudget               // rule 4: this node's part of its cold budget is spent
-	ReasonOutOfOrder                    // rule 5: an earlier op of its key is not over, or the key rests
-	ReasonPoisonRequest                 // of no backend: a client's repeat, after a backend fell under a push
-	ReasonQueued                        // of no backend: the op waits for one
+	ReasonSlowStartBudget               // rule 4: this node's share of what it bears while it warms up is used up
+	ReasonOutOfOrder                    // rule 5: an earlier request of its key is not over, or the key's cooldown runs
+	ReasonPoisonRequest                 // of no backend: a client's retry, after a backend crashed under an attempt
+	ReasonQueued                        // of no backend: the request is queued
 )
 
-var reasons = [...]string{"open", "tried before", "shunned", "full", "busy", "cold", "too dear a way", "hopeless", "op over (rule 1)",
+// reasonNames are the texts of reasons in the output of `pearknot explain`, which keeps the words of earlier builds.
+var reasonNames = [...]string{"open", "tried before", "shunned", "full", "busy", "cold", "too dear a way", "hopeless", "op over (rule 1)",
 	"one copy", "may have run (rule 2)", "not ready (rule 3)", "cold budget (rule 4)",
 	"out of turn (rule 5)", "a repeat, and a backend fell", "held"}
 
-func (r Reason) String() string { return reasons[r] }
+func (r Reason) String() string { return reasonNames[r] }
 
-// tell passes a reason on, to whoever explains too.
-func (n *Balancer) recordReason(op *Request, b *Backend, r Reason) Reason {
-	if n.OnConsidered != nil {
-		n.OnConsidered(op, b, r)
+// recordReason gives the reason back, and to OnConsidered where it is set.
+func (lb *Balancer) recordReason(request *Request, backend *Backend, reason Reason) Reason {
+	if lb.OnConsidered != nil {
+		lb.OnConsidered(request, backend, reason)
 	}
-	return r
+	return reason
 }
 
-// Belief is what the node believes of a backend for an op. Times are in ms.
+// Belief is what the balancer believes of a backend for a request. Times are in ms.
 type Belief struct {
-	Near     bool    // a crossing costs nothing
+	Near     bool    // using it costs no crossing of zones
 	Predict  float64 // the answer time expected
-	Alone    float64 // and without anything else there
-	Out      int     // this node's pushes there
+	Alone    float64 // and with nothing else there
+	Out      int     // this node's attempts in flight there
 	Most     float64 // that it sends there at once
-	Distrust float64 // shunned from 2 on
+	Distrust float64 // suspicion; ejected from 2 on
 	Warmth   float64 // share of its capacity that it is sure to have
 	Size     float64 // its share of the rotation
-	Heard    float64 // how long ago the latest push was sent that has been answered; below 0 none was
+	Heard    float64 // how long ago the latest attempt was sent that has been answered; below 0 none was
 	Pass     float64 // its place in the rotation: the lowest goes first
 }
 
 // Belief is what is believed at this moment.
-func (n *Balancer) Belief(op *Request, b *Backend) Belief {
+func (lb *Balancer) Belief(request *Request, backend *Backend) Belief {
 	heard := -1.0
-	if b.lastAnsweredSentAt > 0 {
-		heard = n.now - b.lastAnsweredSentAt
+	if backend.lastAnsweredSentAt > 0 {
+		heard = lb.now - backend.lastAnsweredSentAt
+	}
+	return Belief{
+		Near:     lb.isNear(backend),
+		Predict:  lb.predictAnswerTime(backend, request),
+		Alone:    request.work * lb.paceOf(backend),
+		Out:      len(backend.inFlight),
+		Most:     backend.maxInFlight,
+		Distrust: lb.suspicionOf(backend),
+		Warmth:   lb.slowStartFactor(backend),
+		Size:     lb.rotationShare(backend),
+		Heard:    heard,
+		Pass:     backend.rotationPass - lb.rotation.position,
 	}
-	return Belief{Near: n.isNear(b), Predict: n.predictAnswerTime(b, op), Alone: op.work * n.paceOf(b), Out: len(b.inFlight), Most: b.maxInFlight,
-		Distrust: n.suspicionOf(b), Warmth: n.slowStartFactor(b), Size: n.rotationShare(b), Heard: heard, Pass: b.rotationPass - n.round}
 }
-
-// Long tells whether the op counts as long, and what work is expected of it.
-func (o *Request) IsLong() (long bool, work float64) { return o.isLong, o.work }
--- a/balancer/fall_test.go
+++ b/balancer/fall_test.go
@@ -101,10 +101,10 @@
 	d := sit(t, plain(), 3)
 	op := d.arrive("a", 1, 10)
 	d.pull()
-	require.Equal(t, 1, d.node.inFlightTotal)
+	require.Equal(t, 1, d.node.concurrency.inFlight)
 	d.after(400).end(op.Attempts[0], OutcomeTimedOut)
 	d.pull()
-	require.Equal(t, 1, d.node.inFlightTotal)
+	require.Equal(t, 1, d.node.concurrency.inFlight)
 	s, err := d.node.Snapshot(nil, d.backends)
 	require.NoError(t, err)
 	n, _, _, err := Restore(plain(), s)
@@ -113,11 +113,11 @@
 		node.TimerFired(d.now + 399)
 		for _, more := node.Next(); more; _, more = node.Next() {
 		}
-		assert.Equal(t, 1, node.inFlightTotal)
+		assert.Equal(t, 1, node.concurrency.inFlight)
 		node.TimerFired(d.now + 401)
 		for _, more := node.Next(); more; _, more = node.Next() {
 		}
-		assert.Zero(t, node.inFlightTotal)
+		assert.Zero(t, node.concurrency.inFlight)
 	}
 }
 
@@ -126,7 +126,7 @@
 	d := sit(t, plain(), 2)
 	d.seen()
 	for range 40 {
-		d.node.waitsByZone.add(d.backends[0], d.now, 150)
+		d.node.estimates.waits.add(d.backends[0], d.now, 150)
 	}
 	d.arrive("first", 0, 10)
 	d.repeat("again", 0)
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -15,7 +15,7 @@
 	now      float64
 	backends []*Backend
 	ops      map[string]*Request
-	texts    []string // log lines pulled so far
+	events   []Event // to be logged, pulled so far
 }
 
 // plain is a deployment with a category of each kind: 0 redeliverable, 1 at-most-once, 2 deduplicated in a zone,
@@ -64,7 +64,7 @@
 	for k := range 100 {
 		d.node.cutoff.add(float64(k + 1))
 	}
-	d.node.meanWork = runningMean{50, 50}
+	d.node.estimates.work = runningMean{50, 50}
 }
 
 func (d *desk) end(p *Attempt, how Outcome) {
@@ -105,7 +105,7 @@
 		case DoPoll:
 			words = append(words, "watch")
 		case DoLog:
-			d.texts = append(d.texts, x.Text)
+			d.events = append(d.events, x.Event)
 		}
 	}
 }
--- a/cmd/pearknot-lab/ramp_test.go
+++ b/cmd/pearknot-lab/ramp_test.go
@@ -19,13 +19,13 @@
 // and 30 nodes in virtual time and with 30 processes on sockets; the right one keeps it on the same days.
 func TestNodesWithoutTheirShareAreCaught(t *testing.T) {
 	dir := t.TempDir()
-	source, err := filepath.Abs("../../balancer/balancer.go")
+	source, err := filepath.Abs("../../balancer/slowstart.go")
 	require.NoError(t, err)
 	data, err := os.ReadFile(source)
 	require.NoError(t, err)
-	const share, whole = "part := coldSafety * n.part(whole) / n.processes()", "part := coldSafety * whole / n.processes()"
+	const share, whole = "share := slowStartSafety * lb.perNodeShare(budget) / lb.activeProcesses()", "share := slowStartSafety * budget / lb.activeProcesses()"
 	require.Equal(t, 1, strings.Count(string(data), share))
-	mutant, overlay := filepath.Join(dir, "balancer.go"), filepath.Join(dir, "overlay.json")
+	mutant, overlay := filepath.Join(dir, "slowstart.go"), filepath.Join(dir, "overlay.json")
 	require.NoError(t, os.WriteFile(mutant, []byte(strings.Replace(string(data), share, whole, 1)), 0o600))
 	replace, err := json.Marshal(map[string]any{"Replace": map[string]string{source: mutant}})
 	require.NoError(t, err)
--- a/cmd/pearknot/capture_test.go
+++ b/cmd/pearknot/capture_test.go
@@ -158,24 +158,26 @@
 	var out, errs bytes.Buffer
 	require.Equal(t, 0, run([]string{"replay", captures}, &out, &errs), out.String()+errs.String())
 	require.Equal(t, 0, run([]string{"replay", captures, "--against", nodeProgram}, &out, &errs), errs.String())
-	source, err := filepath.Abs("../../balancer/balancer.go")
-	require.NoError(t, err)
-	data, err := os.ReadFile(source)
-	require.NoError(t, err)
-	for k, flip := range [][2]string{
-		{"best == nil || r > rank", "best == nil || r < rank"}, {"slow < turnSlow", "slow > turnSlow"}, {"if patience < n.left(p.Request) {", "if patience > n.left(p.Request) {"},
-		{"op.long = op.CostHint > n.cutoff", "op.long = op.CostHint < n.cutoff"},
+	for k, flip := range []struct{ file, right, wrong string }{
+		{"selection.go", "candidates == nil || rank > bestRank", "candidates == nil || rank < bestRank"},
+		{"selection.go", "steps < nextSteps", "steps > nextSteps"},
+		{"attempt.go", "if patience < lb.timeLeft(attempt.Request) {", "if patience > lb.timeLeft(attempt.Request) {"},
+		{"request.go", "request.isLong = request.CostHint > lb.cutoff", "request.isLong = request.CostHint < lb.cutoff"},
 	} {
-		require.Equal(t, 1, strings.Count(string(data), flip[0]), flip[0])
+		source, err := filepath.Abs(filepath.Join("../../balancer", flip.file))
+		require.NoError(t, err)
+		data, err := os.ReadFile(source)
+		require.NoError(t, err)
+		require.Equal(t, 1, strings.Count(string(data), flip.right), flip.right)
 		mutant := filepath.Join(dir, fmt.Sprint(k, ".go"))
-		require.NoError(t, os.WriteFile(mutant, []byte(strings.Replace(string(data), flip[0], flip[1], 1)), 0o600))
+		require.NoError(t, os.WriteFile(mutant, []byte(strings.Replace(string(data), flip.right, flip.wrong, 1)), 0o600))
 		overlay, err := json.Marshal(map[string]any{"Replace": map[string]string{source: mutant}})
 		require.NoError(t, err)
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "overlay.json"), overlay, 0o600))
 		build, err := program.Build(t.Context(), t.TempDir(), "-overlay", filepath.Join(dir, "overlay.json"))
 		require.NoError(t, err)
 		var out, errs bytes.Buffer
-		assert.Equal(t, 3, run([]string{"replay", captures, "--against", build}, &out, &errs), flip[1])
-		assert.Contains(t, out.String(), "captured", flip[1])
+		assert.Equal(t, 3, run([]string{"replay", captures, "--against", build}, &out, &errs), flip.wrong)
+		assert.Contains(t, out.String(), "captured", flip.wrong)
 	}
 }
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -272,7 +272,7 @@
 
 // pulled is a decision as a record.
 func pulled(d balancer.Decision, op func(*balancer.Request) uint64, backend func(*balancer.Backend) uint64) Record {
-	x := Record{Kind: Decided, Decision: d.Kind, Value: d.Wait, Data: []byte(d.Text)}
+	x := Record{Kind: Decided, Decision: d.Kind, Value: d.Wait, Data: []byte(storedEvent(d.Event))}
 	if d.Request != nil {
 		x.Request = op(d.Request)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -394,11 +394,21 @@
 		case balancer.DoSetTimer:
 			n.timer.Reset(clock.Span(d.Wait))
 		case balancer.DoLog:
-			n.log.Info(d.Text)
+			n.logEvent(d.Event)
 		}
 	}
 }
 
+// logEvent logs what the balancer found worth a line.
+func (n *Node) logEvent(e balancer.Event) {
+	switch e.Kind {
+	case balancer.EventBackendEjected:
+		n.log.Info("backend ejected", "ref", fmt.Sprintf("%x", e.Backend), "in_flight", e.Count)
+	case balancer.EventPollFailed:
+		n.log.Info("endpoint list poll failed", "failures_in_a_row", e.Count)
+	}
+}
+
 func (n *Node) push(d balancer.Decision) {
 	op, p := n.ops[d.Request.ID], d.Attempt
 	until := op.Deadline
--- a/internal/simprotocol/simprotocol.go
+++ b/internal/simprotocol/simprotocol.go
@@ -394,7 +394,7 @@
 			h.f64(d.Wait)
 			h.u64(0)
 		case balancer.DoLog:
-			h.text(record, i, d.Text)
+			h.text(record, i, d.Event.String())
 		}
 	}
 }
