--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -80,6 +80,7 @@
 
 // retryAfter is in how many ms a rejected client is to come back.
 func (lb *Balancer) retryAfter(request *Request) float64 {
-	wait := math.Min(request.class.LatencyObjective, lb.queueTime(request, false)) * (minRetryAfterShare + retryAfterSpread*lb.random.nextUnit())
+	wait := math.Min(request.class.LatencyObjective, lb.queueTime(request, false))
+	wait *= minRetryAfterShare + retryAfterSpread*lb.random.nextUnit()
 	return math.Min(request.Config.MaxRetryAfter, wait)
 }
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -12,6 +12,7 @@
 // Outcome is how an attempt ended.
 type Outcome uint8
 
+// The outcomes. Their numbers are stored.
 const (
 	OutcomeAnswered        Outcome = iota // a whole answer came
 	OutcomeFailed                         // an answer came that is none, or not by the protocol
@@ -84,7 +85,8 @@
 //  5. in order, where the class keeps order.
 func (lb *Balancer) checkRules(request *Request, backend *Backend) Reason {
 	switch {
-	case request.stage == stageEnded || request.stage == stageStreaming || request.Deadline <= lb.now || len(request.Attempts) >= request.maxAttempts():
+	case request.stage == stageEnded || request.stage == stageStreaming ||
+		request.Deadline <= lb.now || len(request.Attempts) >= request.maxAttempts():
 		return ReasonRequestDone
 	case !lb.isUsable(backend): // from the moment that the list says so: there is no grace period
 		return ReasonNotReady
@@ -148,7 +150,8 @@
 func (lb *Balancer) startAttempt(attempt *Attempt) {
 	attempt.hasStarted, lb.concurrency.inFlight = true, lb.concurrency.inFlight+1
 	attempt.Backend.addInFlight(lb.now, attempt)
-	patience := overdueBase + attempt.expectedTime*math.Min(math.Max(lb.retries.overrun.valueOr(unknownOverrun), minOverrun), maxOverrun)
+	overrun := math.Min(math.Max(lb.retries.overrun.valueOr(unknownOverrun), minOverrun), maxOverrun)
+	patience := overdueBase + attempt.expectedTime*overrun
 	if patience < lb.timeLeft(attempt.Request) {
 		lb.setTimer(timer{at: lb.now + patience, attempt: attempt})
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -36,6 +36,7 @@
 // DecisionKind is what a decision asks the host to do.
 type DecisionKind uint8
 
+// The kinds of decision. Their numbers are stored.
 const (
 	DoAttempt  DecisionKind = iota // send the request to the attempt's backend
 	DoReject                       // answer the client that it may safely send the request again
@@ -58,6 +59,7 @@
 // EventKind is what happened that is worth a log line.
 type EventKind uint8
 
+// The kinds of event.
 const (
 	EventBackendEjected EventKind = iota + 1 // Backend; Count is its attempts in flight
 	EventPollFailed                          // Count is the failures in a row
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -25,11 +25,11 @@
 type DedupScope uint8
 
 const (
-	// DedupByAll: all backends share one record of the keys.
+	// DedupByAll means that all backends share one record of the keys.
 	DedupByAll DedupScope = iota
-	// DedupByZone: the backends of one zone share one.
+	// DedupByZone means that the backends of one zone share one.
 	DedupByZone
-	// DedupByCell: the backends of one cell share one.
+	// DedupByCell means that the backends of one cell share one.
 	DedupByCell
 )
 
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -131,7 +131,8 @@
 // capacity must not meet a storm of retries.
 func (lb *Balancer) PollFailed(now float64) {
 	lb.now, lb.endpoints.isWatched = now, false
-	backoff := min(firstPollBackoff*math.Exp2(float64(lb.endpoints.pollFailures)), lb.config.PollInterval/pollBackoffDivisor, maxPollBackoff)
+	backoff := firstPollBackoff * math.Exp2(float64(lb.endpoints.pollFailures))
+	backoff = min(backoff, lb.config.PollInterval/pollBackoffDivisor, maxPollBackoff)
 	lb.endpoints.pollAt = now + backoff*(0.5+lb.random.nextUnit())
 	lb.endpoints.pollFailures++
 	lb.logEvent(Event{Kind: EventPollFailed, Count: lb.endpoints.pollFailures})
@@ -163,6 +164,8 @@
 
 // isUsable tells whether a backend may be sent requests: ready, or removed by a list that is doubted.
 func (lb *Balancer) isUsable(backend *Backend) bool {
-	return backend.State == BackendReady ||
-		backend.State == BackendRemoved && lb.endpoints.isDoubted && !backend.wasDrained && lb.now-backend.removedAt < lb.config.retentionAfterRemoval()
+	if backend.State != BackendRemoved {
+		return backend.State == BackendReady
+	}
+	return lb.endpoints.isDoubted && !backend.wasDrained && lb.now-backend.removedAt < lb.config.retentionAfterRemoval()
 }
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -6,6 +6,7 @@
 // Reason is why a backend was passed over for a request.
 type Reason uint8
 
+// The reasons, in no order.
 const (
 	Eligible              Reason = iota // it was not
 	ReasonAlreadyTried                  // the request was sent there before
@@ -42,16 +43,16 @@
 
 // Belief is what the balancer believes of a backend for a request. Times are in ms.
 type Belief struct {
-	Near     bool    // using it costs no crossing of zones
-	Predict  float64 // the answer time expected
-	Alone    float64 // and with nothing else there
-	Out      int     // this node's attempts in flight there
-	Most     float64 // that it sends there at once
-	Distrust float64 // suspicion; ejected from 2 on
-	Warmth   float64 // share of its capacity that it is sure to have
-	Size     float64 // its share of the rotation
-	Heard    float64 // how long ago the latest attempt was sent that has been answered; below 0 none was
-	Pass     float64 // its place in the rotation: the lowest goes first
+	IsNear          bool    // using it costs no crossing of zones
+	AnswerTime      float64 // the answer time expected
+	Alone           float64 // and with nothing else there
+	InFlight        int     // this node's attempts in flight there
+	MaxInFlight     float64 // that it sends there at once
+	Suspicion       float64 // suspicion; ejected from 2 on
+	SlowStartFactor float64 // share of its capacity that it is sure to have
+	RotationShare   float64 // its share of the rotation
+	AnsweredAgo     float64 // how long ago the latest attempt was sent that has been answered; below 0 none was
+	RotationPass    float64 // its place in the rotation: the lowest goes first
 }
 
 // Belief is what is believed at this moment.
@@ -61,15 +62,15 @@
 		heard = lb.now - backend.lastAnsweredSentAt
 	}
 	return Belief{
-		Near:     lb.isNear(backend),
-		Predict:  lb.predictAnswerTime(backend, request),
-		Alone:    request.work * lb.paceOf(backend),
-		Out:      len(backend.inFlight),
-		Most:     backend.maxInFlight,
-		Distrust: lb.suspicionOf(backend),
-		Warmth:   lb.slowStartFactor(backend),
-		Size:     lb.rotationShare(backend),
-		Heard:    heard,
-		Pass:     backend.rotationPass - lb.rotation.position,
+		IsNear:          lb.isNear(backend),
+		AnswerTime:      lb.predictAnswerTime(backend, request),
+		Alone:           request.work * lb.paceOf(backend),
+		InFlight:        len(backend.inFlight),
+		MaxInFlight:     backend.maxInFlight,
+		Suspicion:       lb.suspicionOf(backend),
+		SlowStartFactor: lb.slowStartFactor(backend),
+		RotationShare:   lb.rotationShare(backend),
+		AnsweredAgo:     heard,
+		RotationPass:    backend.rotationPass - lb.rotation.position,
 	}
 }
--- a/balancer/ordering.go
+++ b/balancer/ordering.go
@@ -59,13 +59,18 @@
 // startCooldown keeps a key from its next request, since the attempt that just ended may still run. The clock's
 // resolution is added, so that a timer that fires early does not shorten it.
 func (lb *Balancer) startCooldown(request *Request) {
-	request.keyQueue.cooldownUntil = math.Max(request.keyQueue.cooldownUntil, lb.now+request.Config.UncertainCooldown+clockResolution)
+	queue := request.keyQueue
+	queue.cooldownUntil = math.Max(queue.cooldownUntil, lb.now+request.Config.UncertainCooldown+clockResolution)
 }
 
 // isKeysTurn tells whether no earlier request of the key is open or in flight and, before the request's own first
 // attempt, the key's cooldown is over.
 func (lb *Balancer) isKeysTurn(request *Request) bool {
-	return request.keyQueue == nil || request.keyQueue.requests[0] == request && (len(request.Attempts) > 0 || lb.now >= request.keyQueue.cooldownUntil)
+	queue := request.keyQueue
+	if queue == nil {
+		return true
+	}
+	return queue.requests[0] == request && (len(request.Attempts) > 0 || lb.now >= queue.cooldownUntil)
 }
 
 // awaitKeysTurn keeps a request until those before it of the same key are over. It ends the request at once where they are
--- /dev/null
+++ b/balancer/restore.go
@@ -0,0 +1,281 @@
+package balancer
+
+import (
+	"container/heap"
+	"errors"
+	"math"
+	"slices"
+	"sort"
+)
+
+// Restoring makes a balancer of a snapshot, part by part. Snapshots come from files and from other processes: every index in
+// one is checked before it is used, and what a balancer can't have is an error.
+
+// maxZoneOrKind bounds the numbers of zones and kinds of machine in a snapshot, by which tables grow.
+const maxZoneOrKind = 1 << 16
+
+// Restore makes a balancer that goes on where a snapshot was taken, with the requests and backends in the snapshot's order.
+// The configuration is that of then. A snapshot that can't be of such a balancer is an error.
+func Restore(config *Config, s *Snapshot) (*Balancer, []*Request, []*Backend, error) {
+	if len(s.Classes) != len(config.Classes) || len(s.Tenants) != len(config.Tenants) || len(s.Hints) > hintWindowSize ||
+		s.HintNext < 0 || s.HintNext >= hintWindowSize {
+		return nil, nil, nil, errors.New("snapshot of another configuration")
+	}
+	r := &snapshotReader{lb: New(config, s.Now), snapshot: s}
+	r.readRules()
+	r.readEstimates()
+	r.readTenants()
+	for _, part := range []func() error{r.readBackends, r.readRequests, r.readKeyQueues, r.readInFlight, r.readOrder, r.readTimers} {
+		if err := part(); err != nil {
+			return nil, nil, nil, err
+		}
+	}
+	return r.lb, r.requests, r.backends, nil
+}
+
+// snapshotReader restores a balancer part by part.
+type snapshotReader struct {
+	lb        *Balancer
+	snapshot  *Snapshot
+	requests  []*Request
+	backends  []*Backend
+	keyQueues []*keyQueue
+}
+
+func (r *snapshotReader) readRules() {
+	lb, s := r.lb, r.snapshot
+	lb.timers.armedFor, lb.timers.seq = s.ArmedFor, s.Seq
+	lb.review = reviewSchedule{at: s.ReviewAt, hasNews: s.HasNews}
+	lb.rotation = rotationState{position: s.RotationPosition, meanWeight: s.MeanWeight}
+	lb.retries = retryState{tokens: s.RetryTokens, overrun: quantileEstimate{s.Overrun.Value, s.Overrun.Seen}, latestAnsweredSentAt: s.LatestAnsweredSentAt}
+	lb.ejection = ejectionState{commonSuspicion: s.CommonSuspicion, lastResetAt: s.LastResetAt, answeredAfterResetAt: s.AnsweredAfterResetAt}
+	lb.endpoints = endpointState{isDoubted: s.IsListDoubted, isWatched: s.IsWatched, pollAt: s.PollAt, pollFailures: s.PollFailures}
+	lb.concurrency.limit, lb.concurrency.answeredTime = s.InFlightLimit, decayingCounter{s.AnsweredTime[0], s.AnsweredTime[1]}
+	lb.slowStart.processes, lb.slowStart.splitUntil = s.Processes, s.SplitUntil
+	lb.queue.hasFreedCapacity = s.HasFreedCapacity
+	if s.Random != [2]uint64{} {
+		lb.random = multiplyWithCarry{s.Random[0], s.Random[1]}
+	}
+}
+
+func (r *snapshotReader) readEstimates() {
+	lb, s := r.lb, r.snapshot
+	lb.cutoff = hintWindow{ring: slices.Clone(s.Hints), sorted: slices.Clone(s.Hints), next: s.HintNext}
+	sort.Float64s(lb.cutoff.sorted)
+	lb.estimates.priority = runningMean{s.Priority.Value, s.Priority.Seen}
+	lb.estimates.work = runningMean{s.Work.Value, s.Work.Seen}
+	lb.estimates.serviceTime = runningMean{s.ServiceTime.Value, s.ServiceTime.Seen}
+	lb.estimates.paces.all = paceEstimate{s.PaceAll[0], s.PaceAll[1]}
+	for _, pace := range s.PaceKinds {
+		lb.estimates.paces.byKind = append(lb.estimates.paces.byKind, paceEstimate{pace[0], pace[1]})
+	}
+	lb.estimates.waits.all = decayingMean{s.WaitsAll[0], s.WaitsAll[1], s.WaitsAll[2]}
+	for _, wait := range s.WaitsByZone {
+		lb.estimates.waits.byZone = append(lb.estimates.waits.byZone, decayingMean{wait[0], wait[1], wait[2]})
+	}
+	for _, usage := range s.UsageByZone {
+		lb.slowStart.usageByZone = append(lb.slowStart.usageByZone, zoneUsage{usage[0], usage[1]})
+	}
+	for i, class := range s.Classes {
+		lb.config.Classes[i].meanWork = runningMean{class.Value, class.Seen}
+	}
+}
+
+// readTenants restores the tenants' rates. A snapshot of a build that stored no sum of them has zeros there.
+func (r *snapshotReader) readTenants() {
+	config, s := r.lb.config, r.snapshot
+	for i, rate := range s.Tenants {
+		config.Tenants[i].rate = decayingCounter{rate[0], rate[1]}
+	}
+	config.tenantRate = decayingCounter{s.TenantRate[0], s.TenantRate[1]}
+	if s.TenantRate != [2]float64{} {
+		return
+	}
+	for i := range config.Tenants {
+		if x := config.Tenants[i].rate.get(s.Now, rateHalfLife); x > 0 {
+			config.tenantRate.set(s.Now, config.tenantRate.sum+x)
+		}
+	}
+}
+
+func (r *snapshotReader) readBackends() error {
+	for _, x := range r.snapshot.Backends {
+		if len(x.RecentWorkAt) != len(x.RecentWork) || len(x.InFlight)%2 != 0 || x.Zone < 0 || x.Kind < 0 || x.Zone > maxZoneOrKind || x.Kind > maxZoneOrKind {
+			return errors.New("snapshot with an invalid backend")
+		}
+		r.backends = append(r.backends, x.restore())
+	}
+	return nil
+}
+
+// restore makes a backend without its attempts.
+func (x BackendSnapshot) restore() *Backend {
+	return &Backend{
+		ID:                 x.ID,
+		Zone:               x.Zone,
+		Cell:               x.Cell,
+		Kind:               x.Kind,
+		State:              x.State,
+		Weight:             x.Weight,
+		Started:            x.Started,
+		tracked:            x.Tracked,
+		longInFlight:       x.LongInFlight,
+		workInFlight:       x.WorkInFlight,
+		lastAnsweredSentAt: x.LastAnsweredSentAt,
+		busyUntil:          x.BusyUntil,
+		bestPace:           x.BestPace,
+		maxInFlight:        x.MaxInFlight,
+		pausedUntil:        x.PausedUntil,
+		rotationPass:       x.RotationPass,
+		pace:               paceEstimate{x.Pace[0], x.Pace[1]},
+		answerRatio:        quantileEstimate{x.AnswerRatio.Value, x.AnswerRatio.Seen},
+		drain:              drainEstimate{x.Drain[0], x.Drain[1], x.Drain[2]},
+		suspicion:          decayingCounter{x.Suspicion[0], x.Suspicion[1]},
+		recentWork:         slidingSum{slices.Clone(x.RecentWorkAt), slices.Clone(x.RecentWork)},
+		waits:              decayingMean{x.Waits[0], x.Waits[1], x.Waits[2]},
+		maxCoresSeen:       x.MaxCoresSeen,
+		lastWait:           latestWait{x.LastWait[0], x.LastWait[1]},
+		isCordoned:         x.Cordoned,
+		uncordonedAt:       x.UncordonedAt,
+		cordonedAt:         x.CordonedAt,
+		removedAt:          x.RemovedAt,
+		wasDrained:         x.WasDrained,
+		isConnected:        x.IsConnected,
+		inSubset:           x.InSubset,
+		refusals:           x.Refusals,
+		lastResetAt:        x.LastResetAt,
+	}
+}
+
+func (r *snapshotReader) readRequests() error {
+	config := r.lb.config
+	for _, x := range r.snapshot.Requests {
+		if x.Class < 0 || x.Class >= len(config.Classes) || x.Stage < 0 || x.Stage > int(stageEnded) {
+			return errors.New("snapshot with an invalid request")
+		}
+		request := x.restore(config)
+		for number, attempt := range x.Attempts {
+			if attempt.Backend < 0 || attempt.Backend >= len(r.backends) {
+				return errors.New("snapshot with an attempt at an unknown backend")
+			}
+			request.Attempts = append(request.Attempts, &Attempt{
+				Request:      request,
+				Backend:      r.backends[attempt.Backend],
+				Number:       number,
+				SentAt:       attempt.SentAt,
+				expectedTime: attempt.ExpectedTime,
+				inFlight:     attempt.InFlight,
+				canceled:     attempt.Canceled,
+				isOverdue:    attempt.IsOverdue,
+				wasAlone:     attempt.WasAlone,
+				outcome:      attempt.Outcome,
+				hasStarted:   attempt.HasStarted,
+			})
+		}
+		for _, attempt := range request.Attempts {
+			r.lb.concurrency.inFlight += attempt.countedInFlight()
+		}
+		r.requests = append(r.requests, request)
+	}
+	return nil
+}
+
+// restore makes a request without its attempts.
+func (x RequestSnapshot) restore(config *Config) *Request {
+	return &Request{
+		ID:            x.ID,
+		Class:         x.Class,
+		Tenant:        x.Tenant,
+		CostHint:      x.CostHint,
+		HasCostHint:   x.HasCostHint,
+		IsClientRetry: x.IsClientRetry,
+		Key:           x.Key,
+		ArrivedAt:     x.ArrivedAt,
+		Deadline:      x.Deadline,
+		Config:        config,
+		Streamed:      x.Streamed,
+		class:         &config.Classes[x.Class],
+		work:          x.Work,
+		isLong:        x.IsLong,
+		estimate:      x.Estimate,
+		overQuota:     x.OverQuota,
+		stage:         requestStage(x.Stage),
+	}
+}
+
+func (r *snapshotReader) readKeyQueues() error {
+	for _, x := range r.snapshot.KeyQueues {
+		queue := &keyQueue{key: x.Key, cooldownUntil: x.CooldownUntil}
+		for _, at := range x.Requests {
+			if at < 0 || at >= len(r.requests) || r.requests[at].keyQueue != nil {
+				return errors.New("snapshot with an invalid queue of a key")
+			}
+			queue.requests, r.requests[at].keyQueue = append(queue.requests, r.requests[at]), queue
+		}
+		r.keyQueues = append(r.keyQueues, queue)
+		r.lb.keyQueues[x.Key] = queue
+	}
+	return nil
+}
+
+// attempt is the attempt of a request and a number in the snapshot.
+func (r *snapshotReader) attempt(request, number int) (*Attempt, error) {
+	if request < 0 || request >= len(r.requests) || number < 0 || number >= len(r.requests[request].Attempts) {
+		return nil, errors.New("snapshot refers to an unknown attempt")
+	}
+	return r.requests[request].Attempts[number], nil
+}
+
+func (r *snapshotReader) readInFlight() error {
+	for i, x := range r.snapshot.Backends {
+		for k := 0; k < len(x.InFlight); k += 2 {
+			attempt, err := r.attempt(x.InFlight[k], x.InFlight[k+1])
+			if err != nil {
+				return err
+			}
+			r.backends[i].inFlight = append(r.backends[i].inFlight, attempt)
+		}
+	}
+	return nil
+}
+
+// readOrder restores the order of the balancer's backends and of its queue.
+func (r *snapshotReader) readOrder() error {
+	for _, at := range r.snapshot.Order {
+		if at < 0 || at >= len(r.backends) {
+			return errors.New("snapshot refers to an unknown backend")
+		}
+		r.lb.backends = append(r.lb.backends, r.backends[at])
+	}
+	for _, at := range r.snapshot.Queued {
+		if at < 0 || at >= len(r.requests) {
+			return errors.New("snapshot refers to an unknown request")
+		}
+		r.lb.queue.requests = append(r.lb.queue.requests, r.requests[at])
+	}
+	return nil
+}
+
+func (r *snapshotReader) readTimers() (err error) {
+	for _, x := range r.snapshot.Timers {
+		t := timer{at: x.At, seq: x.Seq, isWorkAbandoned: x.IsWorkAbandoned}
+		if x.IsWorkAbandoned {
+			r.lb.concurrency.inFlight++
+		}
+		switch {
+		case math.IsNaN(x.At) || x.Request >= len(r.requests) || x.KeyQueue < 0 || x.KeyQueue > len(r.keyQueues):
+			return errors.New("snapshot with an invalid timer")
+		case x.KeyQueue > 0:
+			t.keyQueue = r.keyQueues[x.KeyQueue-1]
+		case x.Request >= 0 && x.Attempt >= 0:
+			if t.attempt, err = r.attempt(x.Request, x.Attempt); err != nil {
+				return err
+			}
+		case x.Request >= 0:
+			t.request = r.requests[x.Request]
+		}
+		r.lb.timers.entries = append(r.lb.timers.entries, t)
+	}
+	heap.Init(&r.lb.timers.entries) // cooldowns that another process told of come in the order of their keys
+	return nil
+}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -45,7 +45,8 @@
 	if request.UncertainAttempt() == nil {
 		cost = 0
 	}
-	isPoison := lb.suspectsPoisonRequest() && slices.ContainsFunc(request.Attempts, func(a *Attempt) bool { return a.outcome == OutcomeConnectionReset })
+	wasReset := func(a *Attempt) bool { return a.outcome == OutcomeConnectionReset }
+	isPoison := lb.suspectsPoisonRequest() && slices.ContainsFunc(request.Attempts, wasReset)
 	if !isPoison && lb.timeLeft(request) > 0 && lb.retries.tokens >= cost {
 		backend := lb.selectByRotation(request)
 		if backend != nil && lb.predictAnswerTime(backend, request) < lb.timeLeft(request) && lb.sendAttempt(request, backend) {
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -170,7 +170,8 @@
 // rotationShare is a backend's share of the rotation: its weight and speed against the mean, less while it warms up or is
 // suspected.
 func (lb *Balancer) rotationShare(backend *Backend) float64 {
-	return math.Max(backend.Weight/lb.rotation.meanWeight*lb.slowStartFactor(backend)/(1+lb.suspicionOf(backend))*lb.paceOf(nil)/lb.paceOf(backend), minRotationShare)
+	capacity := backend.Weight / lb.rotation.meanWeight * lb.slowStartFactor(backend) / (1 + lb.suspicionOf(backend))
+	return math.Max(capacity*lb.paceOf(nil)/lb.paceOf(backend), minRotationShare)
 }
 
 // reviewMeanWeight sets the mean weight of the usable backends.
@@ -260,7 +261,8 @@
 	if request.affinity != nil && request.affinity != backend {
 		penalty += affinityPenaltySteps
 	}
-	return int(math.Min(penalty+timeStepsInAll*(request.work*lb.paceOf(backend)+backend.expectedWait(lb.now, lb.zoneWait(backend.Zone)))/lb.timeToObjective(request), timeStepsInAll))
+	expected := request.work*lb.paceOf(backend) + backend.expectedWait(lb.now, lb.zoneWait(backend.Zone))
+	return int(math.Min(penalty+timeStepsInAll*expected/lb.timeToObjective(request), timeStepsInAll))
 }
 
 // isNear tells whether using a backend costs no crossing of zones.
@@ -297,7 +299,11 @@
 	if lb.config.ConnectionCost > 0 {
 		return backend.inSubset
 	}
-	return lb.isNear(backend) || lb.slotDraw(backend, subsetPeriod) <= max(minCrossZoneShare, lb.perNodeShare(initialInFlight), backend.maxInFlight-1)
+	if lb.isNear(backend) {
+		return true
+	}
+	used := max(minCrossZoneShare, lb.perNodeShare(initialInFlight), backend.maxInFlight-1)
+	return lb.slotDraw(backend, subsetPeriod) <= used
 }
 
 // chooseSubset picks the backends that this node connects to, where connections cost. By the node's index on a ring that is
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -59,7 +59,8 @@
 	}
 	known := pacePriorRequests * math.Max(lb.estimates.work.value, 1)
 	window := lb.config.OverloadMultiple * factor * lb.config.OverloadWindow
-	budget := window / math.Max(lb.estimates.paces.byKind.at(backend.Kind).blend(unknownSlowness*lb.rotation.meanWeight/backend.Weight, known), 1)
+	kindPace := lb.estimates.paces.byKind.at(backend.Kind).blend(unknownSlowness*lb.rotation.meanWeight/backend.Weight, known)
+	budget := window / math.Max(kindPace, 1)
 	share := slowStartSafety * lb.perNodeShare(budget) / lb.activeProcesses()
 	if usage := lb.slowStart.usageByZone.at(backend.Zone); usage.speed > 0 { // a slow machine bears less than a fast one takes
 		share = math.Max(share, slowStartSafety*window*usage.work/usage.speed*backend.Weight/lb.paceOf(backend)/lb.activeProcesses())
--- a/balancer/tenants_test.go
+++ b/balancer/tenants_test.go
@@ -75,7 +75,7 @@
 	now := d.now
 	for _, with := range []bool{true, false} {
 		if !with {
-			s.Rates = [2]float64{}
+			s.TenantRate = [2]float64{}
 		}
 		again, _, _, err := Restore(terms(), s)
 		require.NoError(t, err)
--- a/internal/capture/explain.go
+++ b/internal/capture/explain.go
@@ -70,12 +70,12 @@
 	}
 	x, number := n.Belief(op, b), e.refs[b]
 	line := fmt.Sprintf("    backend %d (%x): %s; answer in %.1f ms foreseen (%.1f alone), %d of %.1f pushes out, distrust %.2f, warmth %.2f, turn in %.2f",
-		number, b.ID, r, x.Predict, x.Alone, x.Out, x.Most, x.Distrust, x.Warmth, x.Pass)
-	if !x.Near {
+		number, b.ID, r, x.AnswerTime, x.Alone, x.InFlight, x.MaxInFlight, x.Suspicion, x.SlowStartFactor, x.RotationPass)
+	if !x.IsNear {
 		line += ", another zone"
 	}
-	if x.Heard >= 0 {
-		line += fmt.Sprintf(", answered what was sent %.0f ms ago", x.Heard)
+	if x.AnsweredAgo >= 0 {
+		line += fmt.Sprintf(", answered what was sent %.0f ms ago", x.AnsweredAgo)
 	} else {
 		line += ", never heard of"
 	}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -12,9 +12,9 @@
 )
 
 func sample() *balancer.Snapshot {
-	return &balancer.Snapshot{Now: 5, Armed: math.Inf(1), Tracked: true, Failures: -3, Seq: 1 << 60, Chance: [2]uint64{1, math.MaxUint64},
+	return &balancer.Snapshot{Now: 5, ArmedFor: math.Inf(1), IsWatched: true, PollFailures: -3, Seq: 1 << 60, Random: [2]uint64{1, math.MaxUint64},
 		Hints: []float64{1, 0, math.Copysign(0, -1)}, PaceKinds: [][2]float64{{0, 0}, {1, 2}}, Classes: []balancer.MeanSnapshot{{}, {Value: 1, Seen: 2}},
-		Backends: []balancer.BackendSnapshot{{ID: 9, State: balancer.BackendReady, Out: []int{0, 1, 2, -1}, Distrust: [2]float64{0, 7}}, {}},
+		Backends: []balancer.BackendSnapshot{{ID: 9, State: balancer.BackendReady, InFlight: []int{0, 1, 2, -1}, Suspicion: [2]float64{0, 7}}, {}},
 		Requests: []balancer.RequestSnapshot{{ID: 1, Attempts: []balancer.AttemptSnapshot{{Backend: 1, Outcome: balancer.OutcomeConnectionReset, InFlight: true}}}}, Timers: []balancer.TimerSnapshot{{Request: -1, Attempt: -1}}}
 }
 
