--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -6,7 +6,7 @@
 // Reason is why a backend was passed over for a request.
 type Reason uint8
 
-// The reasons, in no order.
+// The reasons.
 const (
 	Eligible              Reason = iota // it was not
 	ReasonAlreadyTried                  // the request was sent there before
@@ -26,10 +26,25 @@
 	ReasonQueued                        // of no backend: the request is queued
 )
 
-// reasonNames are the texts of reasons in the output of `pearknot explain`, which keeps the words of earlier builds.
-var reasonNames = [...]string{"open", "tried before", "shunned", "full", "busy", "cold", "too dear a way", "hopeless", "op over (rule 1)",
-	"one copy", "may have run (rule 2)", "not ready (rule 3)", "cold budget (rule 4)",
-	"out of turn (rule 5)", "a repeat, and a backend fell", "held"}
+// reasonNames are the reasons' texts in the output of `pearknot explain`. They are not stored.
+var reasonNames = [...]string{
+	Eligible:              "eligible",
+	ReasonAlreadyTried:    "already tried",
+	ReasonEjected:         "ejected",
+	ReasonAtCapacity:      "at capacity",
+	ReasonBusy:            "busy",
+	ReasonWarmingUp:       "warming up",
+	ReasonCrossZoneCost:   "crossing zones costs too much",
+	ReasonTooSlow:         "too slow",
+	ReasonRequestDone:     "request over (rule 1)",
+	ReasonNoHedging:       "hedging not allowed",
+	ReasonMayHaveRun:      "may have run (rule 2)",
+	ReasonNotReady:        "not ready (rule 3)",
+	ReasonSlowStartBudget: "slow start budget used up (rule 4)",
+	ReasonOutOfOrder:      "out of order (rule 5)",
+	ReasonPoisonRequest:   "client retry after a backend crashed",
+	ReasonQueued:          "queued",
+}
 
 func (r Reason) String() string { return reasonNames[r] }
 
--- a/cmd/pearknot-lab/main.go
+++ b/cmd/pearknot-lab/main.go
@@ -17,8 +17,9 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
+	status := run(ctx, os.Args[1:], os.Stdout, os.Stderr)
+	stop()
+	os.Exit(status)
 }
 
 // run gives the exit status.
@@ -34,7 +35,7 @@
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return cli.Usage(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return cli.UsageError(err) })
 	root.AddCommand(schedulesCommand(), demoCommand(), runCommand(), sweepCommand(), compareCommand(), searchCommand(), reportCommand(), fleetCommand(), instancesCommand(), nodeCommand(), authorityCommand(), countCommand(), capacityCommand(), scaleCommand(), hollowCommand())
 	return cli.Exit("pearknot-lab", root.ExecuteContext(ctx), errs)
 }
--- a/cmd/pearknot-lab/scale.go
+++ b/cmd/pearknot-lab/scale.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"io"
 	"log/slog"
 	"os"
 
@@ -25,7 +24,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := scale.Read(args[0])
 			if err != nil {
-				return cli.Missing(err)
+				return cli.UsageIfNotExist(err)
 			}
 			start, clean, err := p.command(c.Context(), "cda")
 			if err != nil {
@@ -40,22 +39,18 @@
 			var big *scale.TooBigError
 			switch {
 			case errors.As(err, &big):
-				return cli.Usage(err)
+				return cli.UsageError(err)
 			case err != nil:
 				return err
 			}
-			w := c.OutOrStdout()
 			if out != "" {
-				f, err := os.Create(out)
-				if err != nil {
+				if err := writeResult(out, r); err != nil {
 					return err
 				}
-				defer f.Close()
-				w = io.MultiWriter(w, f)
 			}
-			r.Print(w)
+			r.Print(c.OutOrStdout())
 			if len(r.Broken) > 0 {
-				return &cli.Error{Status: cli.No, Err: errBroken, Silent: true}
+				return &cli.Error{Status: cli.StatusCheckFailed, Err: errBroken, Silent: true}
 			}
 			return nil
 		}}
@@ -66,9 +61,18 @@
 	return c
 }
 
+func writeResult(name string, r *scale.Report) error {
+	f, err := os.Create(name)
+	if err != nil {
+		return err
+	}
+	r.Print(f)
+	return f.Close()
+}
+
 // hollowCommand is a process of hollow nodes, as scale starts it.
 func hollowCommand() *cobra.Command {
 	return &cobra.Command{Use: "hollow FILE", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-		return cli.Missing(scale.Hollow(c.Context(), args[0], slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: slog.LevelWarn}))))
+		return cli.UsageIfNotExist(scale.Hollow(c.Context(), args[0], slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: slog.LevelWarn}))))
 	}}
 }
--- /dev/null
+++ b/internal/discovery/endpoint.go
@@ -0,0 +1,73 @@
+// Package discovery follows the endpoint list of a discovery service: it decodes the list's JSON and keeps a watch on it
+// by long polls.
+package discovery
+
+import "pearknot/balancer"
+
+// Endpoint is one entry of the endpoint list: a backend as the discovery service describes it.
+//
+// Endpoints are part of the state that a hot restart passes on. The tags hold the names of that form.
+type Endpoint struct {
+	Name    string                `json:"Name"`    // identifies the backend, the same at every node
+	Address string                `json:"Address"` // host:port
+	State   balancer.BackendState `json:"State"`
+	Zone    int                   `json:"Zone"`    // index into DeploymentNames.Zones
+	Cell    int                   `json:"Cell"`    // group of backends that share hardware
+	Kind    int                   `json:"Kind"`    // index into DeploymentNames.Kinds
+	Weight  float64               `json:"Weight"`  // relative capacity; 1 if the list gives none
+	Started float64               `json:"Started"` // Unix time in milliseconds; 0 means long ago
+	Invalid Fields                `json:"Odd"`     // the fields above that could not be read
+}
+
+// Fields is a set of fields of an Endpoint, its name excluded.
+type Fields uint8
+
+const (
+	invalidAddress Fields = 1 << iota
+	invalidState
+	invalidZone
+	invalidCell
+	invalidKind
+	invalidWeight
+	invalidStarted
+)
+
+// MergeInto returns the endpoint as an update of the known endpoint: each invalid field keeps the known value, and no
+// field of the result is invalid.
+//
+// If the endpoint is complete, callers use it as it is. If it is not, it may take the backend further out of use, since a
+// drain or a removal counts whatever else is wrong with the entry. It never brings the backend back into use, because
+// that would mean trusting an entry that is partly unreadable.
+func (e Endpoint) MergeInto(known Endpoint) Endpoint {
+	if e.Invalid&invalidAddress != 0 {
+		e.Address = known.Address
+	}
+	if e.Invalid&invalidState != 0 || e.State > known.State {
+		e.State = known.State
+	}
+	if e.Invalid&invalidZone != 0 {
+		e.Zone = known.Zone
+	}
+	if e.Invalid&invalidCell != 0 {
+		e.Cell = known.Cell
+	}
+	if e.Invalid&invalidKind != 0 {
+		e.Kind = known.Kind
+	}
+	if e.Invalid&invalidWeight != 0 {
+		e.Weight = known.Weight
+	}
+	if e.Invalid&invalidStarted != 0 {
+		e.Started = known.Started
+	}
+	e.Invalid = 0
+	return e
+}
+
+// List is one answer of the discovery service: either the complete endpoint list or the entries that changed since an
+// earlier version.
+type List struct {
+	Version   uint64     `json:"Version"`
+	Complete  bool       `json:"Whole"`
+	Endpoints []Endpoint `json:"Members"`
+}
--- a/internal/lab/backendmodel/backendmodel.go
+++ b/internal/lab/backendmodel/backendmodel.go
@@ -33,6 +33,7 @@
 // Verdict is what becomes of a push that comes.
 type Verdict uint8
 
+// Verdicts on an attempt that reaches the backend.
 const (
 	Taken     Verdict = iota
 	Rejected          // never ran: its queue is full, or it drains
@@ -203,7 +204,7 @@
 	m.spent = append(m.spent, spent{now, work})
 	m.sum += work
 	allowed := m.kind.FallMultiple * m.warmth(now) * m.kind.Speed * float64(m.kind.Cores) * m.kind.OverloadFor
-	if m.sum > invariants.FallsAbove(allowed, m.kind.MeanWork) {
+	if m.sum > invariants.OverloadThreshold(allowed, m.kind.MeanWork) {
 		m.fallen = true
 	}
 	return m.fallen
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -93,7 +93,7 @@
 		if w.dir, err = os.MkdirTemp("", "pearknot-lab"); err != nil {
 			return run, err
 		}
-		defer os.RemoveAll(w.dir)
+		defer func() { _ = os.RemoveAll(w.dir) }()
 	} else if err = os.MkdirAll(w.dir, 0o755); err != nil {
 		return run, err
 	}
@@ -296,7 +296,7 @@
 		w.mu.Lock()
 		w.rec.Load(w.now(), busy)
 		w.live.Second, w.live.Nodes, w.live.Backends = int(w.now()/1e3), string(nodes), string(letters)
-		w.live.Breaches = len(w.auditor.Breaches())
+		w.live.Breaches = len(w.auditor.Violations())
 		w.live.Troubles = w.live.Troubles[:0]
 		for _, t := range w.e.Trouble {
 			if s := w.now() / 1e3; s >= t.At && s < t.At+t.For {
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -189,16 +189,17 @@
 				f = dropped(f, faultproxy.BothWays)
 			}
 		case CutIn, CutOut:
-			switch out := x.Kind == CutOut; {
-			case from == to:
-			case from == out: // what is called from within goes out to the target
+			if from == to {
+				continue
+			}
+			if from == (x.Kind == CutOut) { // what is called from within goes out to the target
 				f = dropped(f, faultproxy.ToTarget)
-			default:
+			} else {
 				f = dropped(f, faultproxy.FromTarget)
 			}
 		case Slow:
 			if from || w.kind == memberKind && to {
-				f.Rate, f.Delay = x.Rate, clock.Span(x.Delay)
+				f.Rate, f.Delay = x.Rate, clock.Duration(x.Delay)
 			}
 		case Lose:
 			f.Refuse = f.Refuse || w.kind != memberKind && from && to
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -44,15 +44,15 @@
 type Options struct {
 	Decide  node.NewDecider // makes its decision module
 	Version string
-	Control string        // path of its control socket; none is served where empty
-	Held    bool          // out of service until the control socket says otherwise
-	Token   string        // that the control socket answers with
-	Epoch   uint64        // the agent's count of its restarts
-	Capture *Capture      // where all that the module is told goes; nil is nowhere
-	TLS     *TLS          // nil is none
-	Edge    string        // file of admission; all clients are let in where empty
-	Peers   *Peers        // nil shares nothing
-	Plane   *client.Plane // the control plane that it follows; nil is none
+	Control string               // path of its control socket; none is served where empty
+	Held    bool                 // out of service until the control socket says otherwise
+	Token   string               // that the control socket answers with
+	Epoch   uint64               // the agent's count of its restarts
+	Capture *Capture             // where all that the module is told goes; nil is nowhere
+	TLS     *TLS                 // nil is none
+	Edge    string               // file of admission; all clients are let in where empty
+	Peers   *Peers               // nil shares nothing
+	Plane   *client.ControlPlane // the control plane that it follows; nil is none
 }
 
 // Hear has SIGHUP wait for Run, from before the configuration is read: one that nobody heard would end the process. One that
@@ -105,7 +105,7 @@
 		}
 		asks = settings.asks
 		defer settings.stop()
-		limit -= client.Descriptors
+		limit -= client.MaxDescriptors
 	}
 	budget := descriptors.New(limit, func() {
 		select {
@@ -125,9 +125,9 @@
 		second = c.Address()
 	}
 	defer both.close()
-	watch := &discovery.Watch{Address: p.discovery, Names: p.names, Own: !p.told.Balancer.PollEndpoints, Log: log}
+	watch := &discovery.Watch{Address: p.discovery, Deployment: p.names, LocalSource: !p.told.Balancer.PollEndpoints, Log: log}
 	if p.known != nil {
-		watch.Version, watch.Held = p.known.Version, true
+		watch.Version, watch.HasList = p.known.Version, true
 	}
 	var dump func() (string, error)
 	if o.Capture != nil {
@@ -142,8 +142,8 @@
 	var told atomic.Pointer[config.Deployment]
 	retime := func(d *config.Deployment) {
 		told.Store(d)
-		backends.ConnectTimeout.Set(clock.Span(d.ConnectTimeout))
-		backends.IdleFor.Set(clock.Span(idleShare * d.ConnectionIdle))
+		backends.ConnectTimeout.Set(clock.Duration(d.ConnectTimeout))
+		backends.IdleTimeout.Set(clock.Duration(idleShare * d.ConnectionIdle))
 	}
 	retime(p.told)
 	n := node.New(p.told, o.Decide, now, backends, watch.Poll, log)
@@ -154,7 +154,7 @@
 		if err != nil {
 			return err
 		}
-		f.Admit(*limits, func(pressed bool) {
+		f.EnableAdmission(*limits, func(pressed bool) {
 			if pressed {
 				log.Warn("descriptors run short: clients are chosen among")
 			} else {
@@ -166,17 +166,17 @@
 	var links *peers.Peers
 	if o.Peers != nil {
 		links = peers.New(o.Peers.terms, now, n.TakeOver, log)
-		n.Keep(links)
+		n.LogRequests(links)
 		f.LogRequests(o.Peers.keep(links))
 	}
 	if before := both.follow(ctx); before != nil {
 		both.learn(before)
 		if before.List.Endpoints != nil {
 			p.known = &before.List
-			watch.Version, watch.Held = before.List.Version, true
+			watch.Version, watch.HasList = before.List.Version, true
 		}
 	}
-	f.Withhold(o.Held)
+	f.SetOutOfService(o.Held)
 	over, end := context.WithCancel(context.Background())
 	defer end()
 	var certificates *acme.Instance
@@ -212,7 +212,7 @@
 		}
 		defer c.Close()
 	}
-	go shed(over, budget, pressed, n.Shed, f.Shed)
+	go shed(over, budget, pressed, n.CloseIdleConnections, f.CloseIdleConnections)
 	log.Info("serving", "name", p.name, "address", f.Address(), "control", second, "version", o.Version)
 	failed := make(chan error, 1)
 	go func() { failed <- f.Serve() }()
@@ -243,7 +243,7 @@
 					if limits, err := ReadEdge(o.Edge); err != nil {
 						log.Error("new limits of clients not taken, the old ones hold", "error", err)
 					} else {
-						f.SetLimits(*limits)
+						f.SetAdmissionLimits(*limits)
 					}
 				}
 			case <-dumps:
@@ -270,21 +270,21 @@
 	if links != nil {
 		links.Shutdown()
 	}
-	last, cancel := context.WithTimeout(over, clock.Span(left+margin/3))
+	last, cancel := context.WithTimeout(over, clock.Duration(left+margin/3))
 	defer cancel()
 	var unanswered int64
 	next := both.succeeded()
 	if next == nil {
 		// By lastOps alone a node whose ops are all short would end before clients have heard of its end. A process that follows may
 		// be ready only now: closing the listener beside it would lose what the kernel has put in the queue here.
-		f.ServeOn(clock.Span(left-min(lastOps, longest)), func() bool {
+		f.ServeUntilQuiet(clock.Duration(left-min(lastOps, longest)), func() bool {
 			next = both.succeeded()
 			return next != nil
 		})
 	}
 	if next != nil {
 		log.Info("handing over to the next process")
-		whole, cancel := context.WithTimeout(over, clock.Span(began+left+margin*2/3-now.Now())) // what streams has all the time there is
+		whole, cancel := context.WithTimeout(over, clock.Duration(began+left+margin*2/3-now.Now())) // what streams has all the time there is
 		defer cancel()
 		go both.giveBack(whole, next)
 		unanswered = f.DrainForHandoff(whole)
@@ -301,7 +301,7 @@
 func shed(ctx context.Context, budget *descriptors.Budget, pressed <-chan struct{}, backends, clients func()) {
 	for {
 		var again <-chan time.Time
-		if budget.Waiting() {
+		if budget.HasWaitingClient() {
 			again = time.After(shedEvery)
 		}
 		select {
@@ -310,7 +310,7 @@
 		case <-again:
 		case <-pressed:
 		}
-		if budget.Spare() {
+		if budget.ShouldCloseIdleBackends() {
 			backends()
 		}
 		clients()
