--- /dev/null
+++ b/internal/peers/link.go
@@ -0,0 +1,135 @@
+package peers
+
+import (
+	"net"
+	"sync/atomic"
+
+	"pearknot/internal/requestlog"
+)
+
+// maxQueuedFrames bounds the frames that are queued to one member.
+const maxQueuedFrames = 4096
+
+// link is the two connections to one member, as the actor knows them. The member counts as connected while both are up, and
+// belong to one incarnation: only then can each process be sure that the other hears what it is told.
+//
+// Each connection is closed by itself. When closing one closed the other too, two processes that reconnected at the same
+// time kept closing each other's new connections, and stayed apart for long.
+type link struct {
+	outbound           *outboundConn // nil is none
+	inbound            net.Conn      // nil is none
+	inboundIncarnation uint64
+}
+
+func (l *link) isConnected() bool {
+	return l.outbound != nil && l.inbound != nil && l.outbound.incarnation == l.inboundIncarnation
+}
+
+// outboundConn is a connection that this process has opened, and the queue of the frames to be sent on it.
+type outboundConn struct {
+	conn        net.Conn
+	incarnation uint64 // of the other process
+	frames      chan []byte
+	queuedBytes atomic.Int64
+}
+
+func newOutboundConn(conn net.Conn, incarnation uint64) *outboundConn {
+	return &outboundConn{conn: conn, incarnation: incarnation, frames: make(chan []byte, maxQueuedFrames)}
+}
+
+// setOutbound takes a new outbound connection in the place of the one before.
+func (p *Peers) setOutbound(member int, outbound *outboundConn) {
+	p.closeOutbound(member)
+	p.links[member].outbound = outbound
+	p.connectIfComplete(member)
+}
+
+// setInbound takes a new inbound connection in the place of the one before.
+func (p *Peers) setInbound(member int, inbound net.Conn, incarnation uint64) {
+	p.closeInbound(member)
+	p.links[member].inbound, p.links[member].inboundIncarnation = inbound, incarnation
+	p.connectIfComplete(member)
+}
+
+func (p *Peers) connectIfComplete(member int) {
+	link := &p.links[member]
+	if !link.isConnected() {
+		return
+	}
+	p.member.PeerConnected(p.clock.Now(), member, requestlog.NewIncarnation(member, link.inboundIncarnation))
+	p.log.Info("peer connected", "peer", p.config.Members[member].Name)
+}
+
+// sendFrame queues a frame to a member. A member that takes no frames for long, frozen or behind a slow network, loses its
+// connection, so that the queue is bounded; raft sends it anew what it lacks once it is connected again.
+func (p *Peers) sendFrame(member int, frame []byte) {
+	outbound := p.links[member].outbound
+	if outbound == nil {
+		return
+	}
+	if outbound.queuedBytes.Add(int64(len(frame))) > p.config.maxQueuedBytes() {
+		p.closeOutbound(member)
+		return
+	}
+	select {
+	case outbound.frames <- frame:
+	default:
+		p.closeOutbound(member)
+	}
+}
+
+// outboundEnded closes an outbound connection that has failed, unless another has already taken its place.
+func (p *Peers) outboundEnded(member int, outbound *outboundConn) {
+	if p.links[member].outbound == outbound {
+		p.closeOutbound(member)
+	}
+}
+
+// inboundEnded closes an inbound connection that has failed, unless another has already taken its place.
+func (p *Peers) inboundEnded(member int, inbound net.Conn) {
+	if p.links[member].inbound == inbound {
+		p.closeInbound(member)
+	}
+}
+
+func (p *Peers) closeOutbound(member int) {
+	link := &p.links[member]
+	if link.outbound == nil {
+		return
+	}
+	_ = link.outbound.conn.Close()
+	close(link.outbound.frames)
+	link.outbound = nil
+	p.disconnected(member, link.inbound != nil)
+}
+
+func (p *Peers) closeInbound(member int) {
+	link := &p.links[member]
+	if link.inbound == nil {
+		return
+	}
+	_ = link.inbound.Close()
+	link.inbound = nil
+	p.disconnected(member, link.outbound != nil)
+}
+
+// disconnected tells that a connection to a member was closed. It is logged for the first one of the two.
+func (p *Peers) disconnected(member int, isFirst bool) {
+	p.member.PeerDisconnected(p.clock.Now(), member)
+	if isFirst {
+		p.log.Warn("peer disconnected", "peer", p.config.Members[member].Name)
+	}
+}
+
+// receiveFrame takes a frame that came on an inbound connection. It is dropped unless the link is up in both directions: a
+// link with one connection counts as down at both ends, so nothing that comes on it may be acted on.
+func (p *Peers) receiveFrame(member int, inbound net.Conn, frame []byte) {
+	if link := &p.links[member]; link.inbound != inbound || link.outbound == nil {
+		return
+	}
+	if err := p.member.Receive(p.clock.Now(), member, frame); err != nil {
+		p.logRejection(p.config.Members[member].Name, err)
+		p.closeInbound(member)
+		p.closeOutbound(member)
+	}
+}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,14 +1,14 @@
-// Package peers links the processes of a fleet whose operators let them share: an actor owns the estate's house, and two
-// connections to each member carry frames, one each way. Without a peers file none of it runs.
+// Package peers connects the processes of a fleet that take over each other's requests. Peers is an actor that owns this
+// process's requestlog.Member, carries out what it decides, and keeps two connections to each other process: one that this
+// process opens, on which it sends frames, and one that the other opens, on which it receives.
+//
+// Nothing of it runs unless the operator gives a file of peers.
 package peers
 
 import (
-	"bufio"
 	"context"
-	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"net"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -17,429 +17,226 @@
 
 	"pearknot/internal/clock"
 	"pearknot/internal/mailbox"
-	"pearknot/internal/peers/transport"
 	"pearknot/internal/requestlog"
 )
 
 // Member is one process of the fleet.
 type Member struct {
 	Name    string
-	Address string
+	Address string // host and port
 }
 
-// Terms are what the operator says.
+// Config is what the operator says of the fleet.
 type Config struct {
 	Fleet       string
-	Members     []Member
-	Self        int
-	Replicas    int
-	Keys        [][]byte // the first proves, all are taken
-	MaxLogBytes int      // bytes that one log may hold
-	AnswerTTL   float64  // ms that an outcome is kept
+	Members     []Member // the same in the same order at all members
+	Self        int      // this process's index among them
+	Replicas    int      // of each request log
+	Keys        [][]byte // the first is used to prove, each is accepted
+	MaxLogBytes int      // that the ledger of one request log may hold
+	AnswerTTL   float64  // ms that an answer is kept
 }
 
-const (
-	mostQueued = 4096    // frames to one member
-	beside     = 4 << 20 // bytes of a frame, or of a queue, beside an image of a ledger
-	oddEvery   = time.Second
-	bindEvery  = 50 * time.Millisecond // while a process before this one still has the address
+// frameReserveBytes is what a frame, or a queue of frames, may take beside the snapshot of a ledger.
+const frameReserveBytes = 4 << 20
 
-	dialWithin   = time.Second
-	writeWithin  = time.Second
-	silentWithin = requestlog.PeerTimeoutMs * time.Millisecond // a beat comes ten times as often
-	againFrom    = 50 * time.Millisecond                       // between two tries to connect, growing
-	againUpTo    = time.Second
-)
+// maxFrameBytes returns the size of the largest frame, which holds the snapshot of a full ledger.
+func (c *Config) maxFrameBytes() int { return c.MaxLogBytes + c.MaxLogBytes/4 + frameReserveBytes }
 
-// mostFrame is the size of the largest frame: an image of a ledger that is full. Of two of them one may be queued behind the other.
-func (t *Config) mostFrame() int { return t.MaxLogBytes + t.MaxLogBytes/4 + beside }
+// maxQueuedBytes returns how many bytes of frames to one member may be queued: two of the largest, as one snapshot may be
+// queued behind another.
+func (c *Config) maxQueuedBytes() int64 { return 2 * int64(c.maxFrameBytes()) }
 
-// Descriptors is what links take at most of the node's limit: two a member, a listener, and some that prove nothing.
-func (t *Config) Descriptors() int { return 2*len(t.Members) + 1 + mostUnproven }
+// Descriptors returns how many file descriptors the links take at most: two for each member, a listener, and the connections
+// whose handshake is under way.
+func (c *Config) Descriptors() int { return 2*len(c.Members) + 1 + maxHandshakes }
 
-const mostUnproven = 8
+// rejectionLogInterval is how often rejected connections are logged at most: whoever has a wrong key tries again and again.
+const rejectionLogInterval = time.Second
 
-// Peers is this process's part of the fleet. Its fields below box are the actor's.
+// Peers is this process's part of the fleet. Lookup, Append, State and Shutdown may be called from any goroutine.
 type Peers struct {
-	t       Config
-	life    uint64
-	clock   *clock.Clock
-	log     *slog.Logger
-	inherit func(requestlog.Entry)
-	odd     rate.Sometimes
-	unsaid  atomic.Int64
-	ctx     context.Context
-	end     context.CancelFunc
-	wg      sync.WaitGroup
-	bound   chan struct{} // closed once this process has the address
-	box     *mailbox.Box[func()]
-
-	house   *requestlog.Member
-	waits   map[uint64]func(requestlog.Reply)
-	seq     uint64
-	members []member
-	took    uint64
-}
-
-// member is what the actor knows of one.
-type member struct {
-	out   *outgoing // nil is none
-	in    net.Conn
-	inPid uint64 // the life that calls here
-}
-
-// outgoing is a link's sending half.
-type outgoing struct {
-	conn   net.Conn
-	life   uint64
-	frames chan []byte
-	bytes  atomic.Int64
-}
-
-// New makes one; inherit takes what this process has taken over, and must not block.
-func New(t Config, c *clock.Clock, inherit func(requestlog.Entry), log *slog.Logger) *Peers {
-	names := make([]string, len(t.Members))
-	for k, m := range t.Members {
-		names[k] = m.Name
-	}
-	life := uint64(c.Now())
-	p := &Peers{t: t, life: life, clock: c, log: log, inherit: inherit, bound: make(chan struct{}), odd: rate.Sometimes{Interval: oddEvery}, box: mailbox.New[func()](),
-		waits: map[uint64]func(requestlog.Reply){}, members: make([]member, len(t.Members)),
-		house: requestlog.New(requestlog.Config{Members: names, Self: t.Self, Incarnation: life, Replicas: t.Replicas, Seed: rand.Uint64(), MaxLogBytes: t.MaxLogBytes, AnswerTTL: t.AnswerTTL}, c.Now())}
-	p.ctx, p.end = context.WithCancel(context.Background())
-	return p
-}
-
-// Start listens and calls the others until Stop. An address that a process before this one still has is waited for.
+	config      Config
+	incarnation uint64
+	clock       *clock.Clock
+	log         *slog.Logger
+	takeOver    func(requestlog.Entry)
+	mailbox     *mailbox.Box[func()]
+	listening   chan struct{} // closed once this process has its address
+	cancel      context.CancelFunc
+	wg          sync.WaitGroup
+
+	rejectionLog       rate.Sometimes
+	unloggedRejections atomic.Int64
+
+	// The actor's own.
+	member    *requestlog.Member
+	callbacks map[uint64]func(requestlog.Reply) // of calls without a reply, by ID
+	lastID    uint64
+	links     []link // by member; the one of this process is not used
+	takeovers uint64
+}
+
+// New returns a Peers that Start starts. takeOver is called with each request that this process has taken over; it must not
+// block.
+func New(config Config, c *clock.Clock, takeOver func(requestlog.Entry), log *slog.Logger) *Peers {
+	names := make([]string, len(config.Members))
+	for i, member := range config.Members {
+		names[i] = member.Name
+	}
+	incarnation := uint64(c.Now())
+	return &Peers{
+		config:       config,
+		incarnation:  incarnation,
+		clock:        c,
+		log:          log,
+		takeOver:     takeOver,
+		mailbox:      mailbox.New[func()](),
+		listening:    make(chan struct{}),
+		rejectionLog: rate.Sometimes{Interval: rejectionLogInterval},
+		member: requestlog.New(requestlog.Config{
+			Members:     names,
+			Self:        config.Self,
+			Incarnation: incarnation,
+			Replicas:    config.Replicas,
+			Seed:        rand.Uint64(),
+			MaxLogBytes: config.MaxLogBytes,
+			AnswerTTL:   config.AnswerTTL,
+		}, c.Now()),
+		callbacks: map[uint64]func(requestlog.Reply){},
+		links:     make([]link, len(config.Members)),
+	}
+}
+
+// Start listens for the other members and connects to them, until Stop.
 func (p *Peers) Start() {
-	p.wg.Add(2)
-	go p.run()
-	go p.listen()
-	for k := range p.t.Members {
-		if k != p.t.Self {
-			p.wg.Add(1)
-			go p.dial(k)
+	ctx, cancel := context.WithCancel(context.Background())
+	p.cancel = cancel
+	p.wg.Go(func() { p.run(ctx) })
+	p.wg.Go(func() { p.listen(ctx) })
+	for member := range p.config.Members {
+		if member != p.config.Self {
+			p.wg.Go(func() { p.keepConnected(ctx, member) })
 		}
 	}
 }
 
-// Leave passes on what this process leads; Stop ends all.
-func (p *Peers) Shutdown() { p.box.Put(func() { p.house.Shutdown(p.clock.Now()) }) }
+// Shutdown begins a graceful shutdown: the request logs that this process leads get other leaders where they can.
+func (p *Peers) Shutdown() {
+	p.mailbox.Put(func() { p.member.Shutdown(p.clock.Now()) })
+}
 
+// Stop ends all links and waits for all goroutines. Calls without a reply get NoQuorum. It is called after Start; calling it
+// twice does nothing.
 func (p *Peers) Stop() {
-	p.end()
+	p.cancel()
 	p.wg.Wait()
 }
 
-// Look asks what is known of a key, and Write has a record written; told is called once, and must not block.
-func (p *Peers) Lookup(key string, print uint64, until float64, told func(requestlog.Reply)) {
-	p.box.Put(func() { p.house.Lookup(p.clock.Now(), p.await(told), key, print, until) })
+// Lookup asks what is known of a key, until a deadline in ms of the clock. The callback is called once with the result, by the
+// actor, and must not block.
+func (p *Peers) Lookup(key string, fingerprint uint64, deadline float64, callback func(requestlog.Reply)) {
+	p.mailbox.Put(func() {
+		p.member.Lookup(p.clock.Now(), p.registerCallback(callback), key, fingerprint, deadline)
+	})
 }
 
-func (p *Peers) Append(r requestlog.Record, until float64, told func(requestlog.Reply)) {
-	p.box.Put(func() { p.house.Append(p.clock.Now(), p.await(told), r, until) })
+// Append appends a record to the log of its key, until a deadline in ms of the clock. The callback is called once with the
+// result, by the actor, and must not block.
+func (p *Peers) Append(record requestlog.Record, deadline float64, callback func(requestlog.Reply)) {
+	p.mailbox.Put(func() {
+		p.member.Append(p.clock.Now(), p.registerCallback(callback), record, deadline)
+	})
 }
 
-func (p *Peers) await(told func(requestlog.Reply)) uint64 {
-	p.seq++
-	p.waits[p.seq] = told
-	return p.seq
+func (p *Peers) registerCallback(callback func(requestlog.Reply)) (id uint64) {
+	p.lastID++
+	p.callbacks[p.lastID] = callback
+	return p.lastID
 }
 
-// State tells of the logs, for whoever looks; it waits for the actor.
-func (p *Peers) State(ctx context.Context) (s requestlog.StateDigest, err error) {
-	told := make(chan requestlog.StateDigest, 1)
-	p.box.Put(func() {
-		x := p.house.StateDigest()
-		x.Takeovers = p.took
-		told <- x
+// State returns this process's view of the request logs. It waits for the actor.
+func (p *Peers) State(ctx context.Context) (requestlog.StateDigest, error) {
+	answer := make(chan requestlog.StateDigest, 1)
+	p.mailbox.Put(func() {
+		state := p.member.StateDigest()
+		state.Takeovers = p.takeovers
+		answer <- state
 	})
 	select {
-	case s = <-told:
-		return s, nil
+	case state := <-answer:
+		return state, nil
 	case <-ctx.Done():
-		return s, ctx.Err()
+		return requestlog.StateDigest{}, ctx.Err()
 	}
 }
 
-func (p *Peers) run() {
-	defer p.wg.Done()
-	tick := time.NewTicker(requestlog.TickMs * time.Millisecond)
-	defer tick.Stop()
-	var notes []func()
+// run is the actor.
+func (p *Peers) run(ctx context.Context) {
+	ticker := time.NewTicker(requestlog.TickMs * time.Millisecond)
+	defer ticker.Stop()
+	var messages []func()
 	for {
 		select {
-		case <-p.ctx.Done():
-			for _, told := range p.waits {
-				told(requestlog.Reply{Result: requestlog.NoQuorum})
-			}
-			for k := range p.members {
-				p.dropIn(k)
-				p.dropOut(k)
-			}
+		case <-ctx.Done():
+			p.closeAll()
 			return
-		case <-p.box.Ready():
-			notes = p.box.TakeAll(notes)
-			for _, note := range notes {
-				note()
+		case <-p.mailbox.Ready():
+			messages = p.mailbox.TakeAll(messages)
+			for _, message := range messages {
+				message()
 			}
-		case <-tick.C:
-			p.house.Tick(p.clock.Now())
+		case <-ticker.C:
+			p.member.Tick(p.clock.Now())
 		}
-		p.pull()
-	}
-}
-
-func (p *Peers) pull() {
-	for {
-		o, more := p.house.Next()
-		switch {
-		case !more:
-			return
-		case o.Frame != nil:
-			p.send(o.To, o.Frame)
-		case o.Reply != nil:
-			if told := p.waits[o.Reply.ID]; told != nil {
-				delete(p.waits, o.Reply.ID)
-				told(*o.Reply)
-			}
-		case o.TakenOver != nil:
-			p.took++
-			p.inherit(*o.TakenOver)
-		case o.Event != nil:
-			p.log.LogAttrs(p.ctx, slog.LevelInfo, o.Event.Message, o.Event.Attrs()...)
-		}
-	}
-}
-
-// send queues a frame; a member that takes none for long loses its link, and hears all anew on the next.
-func (p *Peers) send(to int, frame []byte) {
-	o := p.members[to].out
-	if o == nil {
-		return
-	}
-	if o.bytes.Add(int64(len(frame))) > int64(2*p.t.mostFrame()) {
-		p.broke(to, o)
-		return
-	}
-	select {
-	case o.frames <- frame:
-	default:
-		p.broke(to, o)
-	}
-}
-
-// link counts a member as linked when frames can go both ways, between two lives that know each other.
-func (p *Peers) link(k int) {
-	m := &p.members[k]
-	if m.out != nil && m.in != nil && m.out.life == m.inPid {
-		p.house.PeerConnected(p.clock.Now(), k, requestlog.NewIncarnation(k, m.inPid))
-		p.log.Info("peer linked", "peer", p.t.Members[k].Name)
-	}
-}
-
-func (p *Peers) broke(k int, o *outgoing) {
-	if p.members[k].out == o {
-		p.dropOut(k)
-	}
-}
-
-// Each half ends by itself: ends that took the other half with them met on their way, and kept two processes apart for long.
-// A link with one half is none to the house, at either end: who loses its outgoing half is no longer heard.
-func (p *Peers) dropOut(k int) {
-	if m := &p.members[k]; m.out != nil {
-		_ = m.out.conn.Close()
-		close(m.out.frames)
-		m.out = nil
-		p.unlinked(k, m.in != nil)
+		p.carryOutDecisions(ctx)
 	}
 }
 
-func (p *Peers) dropIn(k int) {
-	if m := &p.members[k]; m.in != nil {
-		_ = m.in.Close()
-		m.in = nil
-		p.unlinked(k, m.out != nil)
+func (p *Peers) closeAll() {
+	for _, callback := range p.callbacks {
+		callback(requestlog.Reply{Result: requestlog.NoQuorum})
 	}
-}
-
-func (p *Peers) unlinked(k int, was bool) {
-	p.house.PeerDisconnected(p.clock.Now(), k)
-	if was {
-		p.log.Warn("peer lost", "peer", p.t.Members[k].Name)
+	for member := range p.links {
+		p.closeInbound(member)
+		p.closeOutbound(member)
 	}
 }
 
-// sayOdd logs now and then what links end by that should not be.
-func (p *Peers) sayOdd(who string, err error) {
-	p.unsaid.Add(1)
-	p.odd.Do(func() { p.log.Warn("peer refused", "who", who, "error", err, "since_last", p.unsaid.Swap(0)) })
-}
-
-// dial keeps a link to a member.
-func (p *Peers) dial(k int) {
-	defer p.wg.Done()
-	select { // a process before this one speaks for the member as long as it has the address
-	case <-p.bound:
-	case <-p.ctx.Done():
-		return
-	}
-	to := p.t.Members[k]
-	wait := againFrom
-	for p.ctx.Err() == nil {
-		d := net.Dialer{Timeout: dialWithin}
-		c, err := d.DialContext(p.ctx, "tcp", to.Address)
-		if err == nil {
-			var life uint64
-			if life, err = transport.ClientHandshake(c, p.t.Keys, p.t.Fleet, p.t.Members[p.t.Self].Name, to.Name, p.life); err == nil {
-				wait = againFrom
-				p.carry(k, c, life)
-			} else {
-				_ = c.Close()
-				if p.ctx.Err() == nil && err == transport.ErrWrongKey {
-					p.sayOdd(to.Name, err)
-				}
-			}
-		}
-		select {
-		case <-p.ctx.Done():
-		case <-time.After(wait/2 + rand.N(wait)):
-		}
-		wait = min(wait*2, againUpTo)
-	}
-}
-
-// carry writes a link's frames until it breaks.
-func (p *Peers) carry(k int, c net.Conn, life uint64) {
-	o := &outgoing{conn: c, life: life, frames: make(chan []byte, mostQueued)}
-	p.box.Put(func() {
-		if p.ctx.Err() != nil {
-			_ = c.Close()
-			close(o.frames)
-			return
-		}
-		p.dropOut(k)
-		p.members[k].out = o
-		p.link(k)
-	})
-	p.wg.Add(1)
-	go func() { // nothing comes on it but its end
-		defer p.wg.Done()
-		var one [1]byte
-		_, _ = c.Read(one[:])
-		p.box.Put(func() { p.broke(k, o) })
-		_ = c.Close()
-	}()
-	w := bufio.NewWriterSize(c, 64<<10)
-	defer c.Close()
+// carryOutDecisions pulls what the member has decided until there is nothing left.
+func (p *Peers) carryOutDecisions(ctx context.Context) {
 	for {
-		var frame []byte
-		var more bool
-		select {
-		case frame, more = <-o.frames:
-		case <-p.ctx.Done(): // the actor may have ended before it heard of this link, and closes no queue any more
-		}
-		if !more {
+		output, ok := p.member.Next()
+		if !ok {
 			return
 		}
-		_ = c.SetWriteDeadline(time.Now().Add(writeWithin))
-		err := transport.WriteFrame(w, frame)
-		o.bytes.Add(-int64(len(frame)))
-		if err == nil && len(o.frames) == 0 {
-			err = w.Flush()
-		}
-		if err != nil {
-			_ = c.Close() // its reader tells
+		switch {
+		case output.Frame != nil:
+			p.sendFrame(output.To, output.Frame)
+		case output.Reply != nil:
+			p.reply(*output.Reply)
+		case output.TakenOver != nil:
+			p.takeovers++
+			p.takeOver(*output.TakenOver)
+		case output.Event != nil:
+			p.log.LogAttrs(ctx, slog.LevelInfo, output.Event.Message, output.Event.Attrs()...)
 		}
 	}
 }
 
-func (p *Peers) listen() {
-	defer p.wg.Done()
-	address := p.t.Members[p.t.Self].Address
-	l, err := net.Listen("tcp", address)
-	for said := false; err != nil; l, err = net.Listen("tcp", address) {
-		if !said {
-			p.log.Warn("address of peers not free yet", "error", err)
-			said = true
-		}
-		select {
-		case <-p.ctx.Done():
-			return
-		case <-time.After(bindEvery):
-		}
-	}
-	close(p.bound)
-	stop := context.AfterFunc(p.ctx, func() { _ = l.Close() })
-	defer stop()
-	unproven := make(chan struct{}, mostUnproven)
-	for {
-		unproven <- struct{}{}
-		c, err := l.Accept()
-		if err != nil {
-			if p.ctx.Err() != nil {
-				return
-			}
-			<-unproven
-			time.Sleep(bindEvery)
-			continue
-		}
-		p.wg.Add(1)
-		go p.hear(c, func() { <-unproven })
+func (p *Peers) reply(reply requestlog.Reply) {
+	callback := p.callbacks[reply.ID]
+	if callback == nil {
+		return
 	}
+	delete(p.callbacks, reply.ID)
+	callback(reply)
 }
 
-// hear takes a link that another process opens, and its frames.
-func (p *Peers) hear(c net.Conn, proved func()) {
-	defer p.wg.Done()
-	defer c.Close()
-	once := sync.OnceFunc(proved)
-	defer once()
-	stop := context.AfterFunc(p.ctx, func() { _ = c.Close() })
-	defer stop()
-	r := bufio.NewReaderSize(c, 64<<10)
-	name, life, err := transport.ServerHandshake(c, r, p.t.Keys, p.t.Fleet, p.t.Members[p.t.Self].Name, p.life)
-	from := -1
-	for k, m := range p.t.Members {
-		if m.Name == name && k != p.t.Self {
-			from = k
-		}
-	}
-	if err == nil && from < 0 {
-		err = fmt.Errorf("%.40q is no member", name)
-	}
-	if err != nil {
-		if p.ctx.Err() == nil {
-			p.sayOdd(c.RemoteAddr().String(), err)
-		}
-		return
-	}
-	once()
-	p.box.Put(func() {
-		p.dropIn(from)
-		p.members[from].in, p.members[from].inPid = c, life
-		p.link(from)
+// logRejection logs a connection that was rejected, or closed for what came on it.
+func (p *Peers) logRejection(remote string, err error) {
+	p.unloggedRejections.Add(1)
+	p.rejectionLog.Do(func() {
+		p.log.Warn("peer connection rejected", "remote", remote, "error", err, "since_last", p.unloggedRejections.Swap(0))
 	})
-	for {
-		_ = c.SetReadDeadline(time.Now().Add(silentWithin))
-		data, err := transport.ReadFrame(r, uint32(p.t.mostFrame()))
-		if err != nil {
-			p.box.Put(func() {
-				if p.members[from].in == c {
-					p.dropIn(from)
-				}
-			})
-			return
-		}
-		p.box.Put(func() {
-			if p.members[from].in != c || p.members[from].out == nil {
-				return // of a link that is not whole
-			}
-			if err := p.house.Receive(p.clock.Now(), from, data); err != nil {
-				p.sayOdd(name, err)
-				p.dropIn(from)
-				p.dropOut(from)
-			}
-		})
-	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"fmt"
 	"io"
 	"log/slog"
@@ -15,235 +16,286 @@
 	"go.uber.org/goleak"
 
 	"pearknot/internal/clock"
+	"pearknot/internal/peers/transport"
 	"pearknot/internal/requestlog"
 	"pearknot/internal/snapshot"
 )
 
-type lines struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+var testKey, otherKey = bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)
+
+// logBuffer holds log lines that several goroutines write.
+type logBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(data []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(p)
+	return l.buffer.Write(data)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.String()
+	return l.buffer.String()
 }
 
-func free(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// rejections counts the logged lines of rejected connections.
+func (l *logBuffer) rejections() int { return strings.Count(l.String(), "peer connection rejected") }
+
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
-	return l.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
-var key, other = bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)
-
-// three starts a fleet, the third member by terms of its own.
-func three(t *testing.T, spoil func(*Config), change ...func(*Config)) (all []*Peers, logs []*lines) {
-	terms := Config{Fleet: "f", Replicas: 3, Keys: [][]byte{key}, MaxLogBytes: 1 << 20, AnswerTTL: 60e3}
-	for _, f := range change {
-		f(&terms)
-	}
+// threeMembers returns the configuration of a fleet of a, b and c.
+func threeMembers(t *testing.T) Config {
+	t.Helper()
+	config := Config{Fleet: "f", Replicas: 3, Keys: [][]byte{testKey}, MaxLogBytes: 1 << 20, AnswerTTL: 60e3}
 	for _, name := range []string{"a", "b", "c"} {
-		terms.Members = append(terms.Members, Member{name, free(t)})
+		config.Members = append(config.Members, Member{name, freeAddress(t)})
 	}
-	for k := range terms.Members {
-		mine, log := terms, &lines{}
-		mine.Self = k
-		if k == 2 {
-			spoil(&mine)
+	return config
+}
+
+// startFleet starts the three members of a fleet. changeLast changes the configuration of the last one; nil is no change.
+func startFleet(t *testing.T, config Config, changeLast func(*Config)) (fleet []*Peers, logs []*logBuffer) {
+	t.Helper()
+	for self := range config.Members {
+		own, log := config, &logBuffer{}
+		own.Self = self
+		if self == 2 && changeLast != nil {
+			changeLast(&own)
 		}
-		p := New(mine, clock.New(), func(requestlog.Entry) {}, slog.New(slog.NewTextHandler(log, nil)))
-		p.Start()
-		t.Cleanup(p.Stop)
-		all, logs = append(all, p), append(logs, log)
+		fleet = append(fleet, startMember(t, own, slog.New(slog.NewTextHandler(log, nil))))
+		logs = append(logs, log)
 	}
-	return all, logs
+	return fleet, logs
 }
 
-func linked(t *testing.T, p *Peers) (n int) {
-	s, err := p.State(t.Context())
+func startMember(t *testing.T, config Config, log *slog.Logger) *Peers {
+	t.Helper()
+	p := New(config, clock.New(), func(requestlog.Entry) {}, log)
+	p.Start()
+	t.Cleanup(p.Stop)
+	return p
+}
+
+func state(t *testing.T, p *Peers) requestlog.StateDigest {
+	t.Helper()
+	digest, err := p.State(t.Context())
 	require.NoError(t, err)
-	for _, o := range s.Peers {
-		if o.Connected {
-			n++
+	return digest
+}
+
+// connectedPeers returns with how many others a member is connected.
+func connectedPeers(t *testing.T, p *Peers) (count int) {
+	t.Helper()
+	for _, peer := range state(t, p).Peers {
+		if peer.Connected {
+			count++
+		}
+	}
+	return count
+}
+
+// allLogsComplete reports whether a member knows of each log that as many live members as configured hold replicas.
+func allLogsComplete(t *testing.T, p *Peers) bool {
+	t.Helper()
+	for _, log := range state(t, p).Logs {
+		if !log.Complete {
+			return false
 		}
 	}
-	return n
+	return true
+}
+
+func appendRecord(p *Peers, record requestlog.Record, timeoutMs float64) requestlog.Result {
+	replies := make(chan requestlog.Reply, 1)
+	p.Append(record, p.clock.Now()+timeoutMs, func(reply requestlog.Reply) { replies <- reply })
+	return (<-replies).Result
 }
 
-// A record is written at whatever process is asked, and read at all others.
-func TestThree(t *testing.T) {
+// A record is appended at one member. The others know the request then: they can't start it again nor answer it, and its
+// answer, once there is one, is read at any member.
+func TestRecordsAreKnownToAllMembers(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	all, _ := three(t, func(*Config) {})
-	write := func(p *Peers, r requestlog.Record) requestlog.Result {
-		told := make(chan requestlog.Reply, 1)
-		p.Append(r, p.clock.Now()+300, func(r requestlog.Reply) { told <- r })
-		return (<-told).Result
-	}
-	op := requestlog.Request{Fingerprint: 7, Deadline: all[0].clock.Now() + 60e3}
-	require.Eventually(t, func() bool {
-		return write(all[0], requestlog.Record{Kind: requestlog.AttemptStarted, Key: "k", Request: op}) == requestlog.Committed
-	},
+	fleet, _ := startFleet(t, threeMembers(t), nil)
+	request := requestlog.Request{Fingerprint: 7, Deadline: fleet[0].clock.Now() + 60e3}
+	started := requestlog.Record{Kind: requestlog.AttemptStarted, Key: "k", Request: request}
+	answered := func(body []byte) requestlog.Record {
+		return requestlog.Record{Kind: requestlog.RequestAnswered, Key: "k",
+			Answer: requestlog.FinalAnswer{Status: requestlog.Served, Body: body}}
+	}
+	require.Eventually(t, func() bool { return appendRecord(fleet[0], started, 300) == requestlog.Committed },
 		10*time.Second, 10*time.Millisecond)
-	require.Equal(t, requestlog.KeyInFlight, write(all[1], requestlog.Record{Kind: requestlog.AttemptStarted, Key: "k", Request: op}))
-	require.Equal(t, requestlog.NotOwner, write(all[1], requestlog.Record{Kind: requestlog.RequestAnswered, Key: "k", Answer: requestlog.FinalAnswer{Status: requestlog.Served}}))
-	long := bytes.Repeat([]byte("x"), 200<<10)
-	require.Equal(t, requestlog.Committed, write(all[0], requestlog.Record{Kind: requestlog.RequestAnswered, Key: "k", Answer: requestlog.FinalAnswer{Status: requestlog.Served, Body: long}}))
-	told := make(chan requestlog.Reply, 1)
-	all[2].Lookup("k", 7, all[2].clock.Now()+3000, func(r requestlog.Reply) { told <- r })
-	r := <-told
-	require.Equal(t, requestlog.KeyAnswered, r.Result)
-	require.Equal(t, long, r.Answer.Body)
-	for _, p := range all {
+	require.Equal(t, requestlog.KeyInFlight, appendRecord(fleet[1], started, 300))
+	require.Equal(t, requestlog.NotOwner, appendRecord(fleet[1], answered(nil), 300))
+	longBody := bytes.Repeat([]byte("x"), 200<<10)
+	require.Equal(t, requestlog.Committed, appendRecord(fleet[0], answered(longBody), 300))
+
+	replies := make(chan requestlog.Reply, 1)
+	fleet[2].Lookup("k", 7, fleet[2].clock.Now()+3000, func(reply requestlog.Reply) { replies <- reply })
+	reply := <-replies
+	require.Equal(t, requestlog.KeyAnswered, reply.Result)
+	require.Equal(t, longBody, reply.Answer.Body)
+	for _, p := range fleet {
 		p.Stop()
 	}
 }
 
-// Whoever does not prove the key, is of another fleet or of another version is refused, with few lines; the rest goes on.
-func TestStrangersAreRefused(t *testing.T) {
-	for what, spoil := range map[string]func(*Config){
-		"wrong key":    func(t *Config) { t.Keys = [][]byte{other} },
-		"is not":       func(t *Config) { t.Fleet = "g" },
-		"is no member": func(t *Config) { t.Members = append([]Member(nil), t.Members...); t.Members[2].Name = "x" },
+// The third member has a wrong key, belongs to another fleet, or goes by a name that the others do not know. The others
+// reject it, with few log lines, and stay connected with each other.
+func TestStrangersAreRejected(t *testing.T) {
+	for message, changeLast := range map[string]func(*Config){
+		"wrong key": func(c *Config) { c.Keys = [][]byte{otherKey} },
+		"is not":    func(c *Config) { c.Fleet = "g" },
+		"is no member": func(c *Config) {
+			c.Members = append([]Member(nil), c.Members...)
+			c.Members[2].Name = "x"
+		},
 	} {
-		t.Run(what, func(t *testing.T) {
-			all, logs := three(t, spoil)
+		t.Run(message, func(t *testing.T) {
+			fleet, logs := startFleet(t, threeMembers(t), changeLast)
 			require.Eventually(t, func() bool {
-				return linked(t, all[0]) == 1 && linked(t, all[1]) == 1 && strings.Contains(logs[0].String()+logs[1].String()+logs[2].String(), what)
-			},
-				10*time.Second, 10*time.Millisecond)
-			require.Zero(t, linked(t, all[2]))
-			require.Less(t, strings.Count(logs[0].String(), "peer refused"), 15)
+				isLogged := strings.Contains(logs[0].String()+logs[1].String()+logs[2].String(), message)
+				return isLogged && connectedPeers(t, fleet[0]) == 1 && connectedPeers(t, fleet[1]) == 1
+			}, 10*time.Second, 10*time.Millisecond)
+			require.Zero(t, connectedPeers(t, fleet[2]))
+			require.Less(t, logs[0].rejections(), 15)
 		})
 	}
-	// A key is changed without a gap: both are taken while the first proves.
-	all, _ := three(t, func(t *Config) { t.Keys = [][]byte{key, other} })
-	require.Eventually(t, func() bool { return linked(t, all[2]) == 2 }, 10*time.Second, 10*time.Millisecond)
-}
-
-// Garbage, frames too long and versions unknown end their connection, whether before or after the proof; nothing panics.
-func TestGarbage(t *testing.T) {
-	all, logs := three(t, func(*Config) {})
-	require.Eventually(t, func() bool { return linked(t, all[0]) == 2 }, 10*time.Second, 10*time.Millisecond)
-	address := all[0].t.Members[0].Address
-	ends := func(c net.Conn) {
-		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
-		_, err := io.Copy(io.Discard, c)
-		require.True(t, err == nil || !strings.Contains(err.Error(), "timeout"), "%v", err)
-		_ = c.Close()
-	}
-	old := newHello("f", "b", "a", 1)
-	old.Version = 9
-	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x05hello", "\xff\xff\xff\xff", "\x00\x00\x00\x00",
-		"\x00\x00\x00" + string(rune(len(snapshot.Append(nil, &old)))) + string(snapshot.Append(nil, &old))} {
-		c, err := net.Dial("tcp", address)
+	// A key is changed without a gap: both keys are accepted, whichever is used to prove.
+	fleet, _ := startFleet(t, threeMembers(t), func(c *Config) { c.Keys = [][]byte{testKey, otherKey} })
+	require.Eventually(t, func() bool { return connectedPeers(t, fleet[2]) == 2 }, 10*time.Second, 10*time.Millisecond)
+}
+
+// Garbage, frames that are too long and unknown versions come before the handshake, and after it from a process that has the
+// key and another member's name. Each ends its own connection, and the real member connects again.
+func TestGarbageEndsItsConnection(t *testing.T) {
+	fleet, logs := startFleet(t, threeMembers(t), nil)
+	require.Eventually(t, func() bool { return connectedPeers(t, fleet[0]) == 2 }, 10*time.Second, 10*time.Millisecond)
+	address := fleet[0].config.Members[0].Address
+
+	unknownVersion := transport.NewHello("f", "b", "a", 1)
+	unknownVersion.Version = 9
+	hello := snapshot.Append(nil, &unknownVersion)
+	for _, text := range []string{
+		"GET / HTTP/1.1\r\n\r\n",
+		"\x00\x00\x00\x05hello",
+		"\xff\xff\xff\xff",
+		"\x00\x00\x00\x00",
+		"\x00\x00\x00" + string(rune(len(hello))) + string(hello),
+	} {
+		conn, err := net.Dial("tcp", address)
 		require.NoError(t, err)
-		_, _ = io.WriteString(c, text)
-		_ = c.(*net.TCPConn).CloseWrite()
-		ends(c)
+		_, _ = io.WriteString(conn, text)
+		_ = conn.(*net.TCPConn).CloseWrite()
+		requireClosedByPeer(t, conn)
 	}
-	version := func(v int) []byte { return snapshot.Append(nil, &requestlog.Frame{Version: v, Kind: 1}) }
-	for _, frame := range [][]byte{[]byte("garbage"), version(2), version(1), bytes.Repeat([]byte{0xff}, 1000)} {
-		c, err := net.Dial("tcp", address)
+
+	frameOfVersion := func(version int) []byte {
+		return snapshot.Append(nil, &requestlog.Frame{Version: version, Kind: 1})
+	}
+	for _, frame := range [][]byte{[]byte("garbage"), frameOfVersion(2), frameOfVersion(1), bytes.Repeat([]byte{0xff}, 1000)} {
+		conn, err := net.Dial("tcp", address)
 		require.NoError(t, err)
-		_, err = call(c, [][]byte{key}, "f", "b", "a", all[1].life)
+		_, err = transport.ClientHandshake(conn, [][]byte{testKey}, "f", "b", "a", fleet[1].incarnation)
 		require.NoError(t, err)
-		require.NoError(t, writeFrame(c, frame))
-		ends(c)
+		require.NoError(t, transport.WriteFrame(conn, frame))
+		requireClosedByPeer(t, conn)
 	}
-	require.Eventually(t, func() bool { return linked(t, all[0]) == 2 }, 10*time.Second, 10*time.Millisecond, "the real one comes back")
-	require.Less(t, strings.Count(logs[0].String(), "peer refused"), 15)
+	require.Eventually(t, func() bool { return connectedPeers(t, fleet[0]) == 2 }, 10*time.Second, 10*time.Millisecond,
+		"the real member connects again")
+	require.Less(t, logs[0].rejections(), 15)
 	require.NotContains(t, logs[0].String(), "panic")
 }
 
-// A link that comes up while its process is told to end must not keep it: the actor that would end its queue may be gone by
-// then, and a node hung until it was killed.
-func TestALinkThatComesUpAtTheEndEnds(t *testing.T) {
+// requireClosedByPeer requires that the other side closes a connection within 5 s.
+func requireClosedByPeer(t *testing.T, conn net.Conn) {
+	t.Helper()
+	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	_, err := io.Copy(io.Discard, conn)
+	require.True(t, err == nil || !strings.Contains(err.Error(), "timeout"), "%v", err)
+	_ = conn.Close()
+}
+
+// A connection comes up while its process is told to stop. The actor that would close its queue may be gone by then, and a
+// node hung in Stop until it was killed. The connection has to end nevertheless.
+func TestConnectionThatComesUpDuringStopEnds(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	terms := Config{Fleet: "f", Replicas: 3, Keys: [][]byte{key}, Members: []Member{{"a", free(t)}, {"b", free(t)}, {"c", free(t)}}}
-	p := New(terms, clock.New(), func(requestlog.Entry) {}, slog.New(slog.DiscardHandler))
-	p.end() // the actor has gone, or never came
+	p := New(threeMembers(t), clock.New(), func(requestlog.Entry) {}, slog.New(slog.DiscardHandler))
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel() // the actor has ended, or was never started
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		p.carry(1, ours, 7)
+		p.runOutbound(ctx, 1, ours, 7)
 		p.wg.Wait()
 	}()
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Fatal("it goes on")
+		t.Fatal("the connection did not end")
 	}
 }
 
-// Records as large as they may be: what a process keeps of its logs stays within what it was told, and a member that comes back
-// is given ledgers that are full. Records once piled up by count alone, and an image larger than a frame ended each link that it went on.
-func TestFullLedgersFitWhatTheyMay(t *testing.T) {
+// Ledgers are filled to their limit with records as large as they may be. The memory of a replica stays within its bound, and
+// a member that was restarted gets all three full ledgers. Records once piled up as only their number was bounded, and a
+// snapshot longer than the longest frame ended each connection that it was sent on.
+func TestFullLedgersStayWithinTheirMemory(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	const most = 6 << 20
-	all, _ := three(t, func(t *Config) {}, func(t *Config) { t.MaxLogBytes = most })
-	write := func(r requestlog.Record) requestlog.Result {
-		told := make(chan requestlog.Reply, 1)
-		all[0].Append(r, all[0].clock.Now()+3000, func(r requestlog.Reply) { told <- r })
-		return (<-told).Result
-	}
-	require.Eventually(t, func() bool { return whole(t, all[0]) }, 10*time.Second, 10*time.Millisecond)
-	message, full := bytes.Repeat([]byte("x"), 60<<10), 0
-	for k := range 700 { // what comes and goes leaves nothing behind
-		key := fmt.Sprint("gone ", k)
-		require.Equal(t, requestlog.Committed, write(requestlog.Record{Kind: requestlog.AttemptStarted, Key: key, Request: requestlog.Request{Deadline: all[0].clock.Now() + 600e3, EncodedMessage: message}}))
-		require.Equal(t, requestlog.Committed, write(requestlog.Record{Kind: requestlog.RequestAnswered, Key: key, Answer: requestlog.FinalAnswer{Status: requestlog.Rejected}}))
-	}
-	for k := 0; k < 2000 && full < 50; k++ {
-		switch code := write(requestlog.Record{Kind: requestlog.AttemptStarted, Key: fmt.Sprint(k), Request: requestlog.Request{Deadline: all[0].clock.Now() + 600e3, EncodedMessage: message}}); code {
+	const (
+		maxLogBytes = 6 << 20
+		timeoutMs   = 3000
+	)
+	config := threeMembers(t)
+	config.MaxLogBytes = maxLogBytes
+	fleet, _ := startFleet(t, config, nil)
+	require.Eventually(t, func() bool { return allLogsComplete(t, fleet[0]) }, 10*time.Second, 10*time.Millisecond)
+	request := requestlog.Request{Deadline: fleet[0].clock.Now() + 600e3, EncodedMessage: bytes.Repeat([]byte("x"), 60<<10)}
+	started := func(key string) requestlog.Record {
+		return requestlog.Record{Kind: requestlog.AttemptStarted, Key: key, Request: request}
+	}
+
+	// Requests that are started and rejected leave nothing behind.
+	for i := range 700 {
+		key := fmt.Sprint("rejected ", i)
+		rejected := requestlog.Record{Kind: requestlog.RequestAnswered, Key: key,
+			Answer: requestlog.FinalAnswer{Status: requestlog.Rejected}}
+		require.Equal(t, requestlog.Committed, appendRecord(fleet[0], started(key), timeoutMs))
+		require.Equal(t, requestlog.Committed, appendRecord(fleet[0], rejected, timeoutMs))
+	}
+
+	// One log after the other becomes full.
+	refused := 0
+	for i := 0; i < 2000 && refused < 50; i++ {
+		switch result := appendRecord(fleet[0], started(fmt.Sprint(i)), timeoutMs); result {
 		case requestlog.Committed:
-		case requestlog.LogFull: // one log after the other
-			full++
+		case requestlog.LogFull:
+			refused++
 		default:
-			require.Fail(t, code.String())
+			require.Fail(t, result.String())
 		}
 	}
-	require.Equal(t, 50, full)
-	s, err := all[0].State(t.Context())
-	require.NoError(t, err)
-	for _, l := range s.Logs {
-		require.LessOrEqual(t, l.Bytes, most)
-		require.LessOrEqual(t, l.MemoryBytes, int(requestlog.MemoryFactor*most), "ledger, its image and records since")
-		require.Greater(t, l.Bytes, most*8/10)
-	}
-	all[2].Stop()
-	again := restart(t, all[2])
-	require.Eventually(t, func() bool { return whole(t, again) && whole(t, all[0]) }, 20*time.Second, 50*time.Millisecond, "it is given all three ledgers, full")
-	for _, p := range append(all, again) {
-		p.Stop()
+	require.Equal(t, 50, refused)
+	for _, log := range state(t, fleet[0]).Logs {
+		require.LessOrEqual(t, log.Bytes, maxLogBytes)
+		require.LessOrEqual(t, log.MemoryBytes, int(requestlog.MemoryFactor*maxLogBytes), "ledger, snapshot and records since")
+		require.Greater(t, log.Bytes, maxLogBytes*8/10)
 	}
-}
 
-func whole(t *testing.T, p *Peers) bool {
-	s, err := p.State(t.Context())
-	require.NoError(t, err)
-	for _, l := range s.Logs {
-		if !l.Complete {
-			return false
-		}
+	fleet[2].Stop()
+	restarted := startMember(t, fleet[2].config, fleet[2].log)
+	require.Eventually(t, func() bool { return allLogsComplete(t, restarted) && allLogsComplete(t, fleet[0]) },
+		20*time.Second, 50*time.Millisecond, "the restarted member gets all three full ledgers")
+	for _, p := range append(fleet, restarted) {
+		p.Stop()
 	}
-	return true
-}
-
-// restart starts a member's next life.
-func restart(t *testing.T, old *Peers) *Peers {
-	p := New(old.t, clock.New(), func(requestlog.Entry) {}, old.log)
-	p.Start()
-	t.Cleanup(p.Stop)
-	return p
 }
