--- /dev/null
+++ b/internal/server/client_gone_logged_test.go
@@ -0,0 +1,170 @@
+package server
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"pearknot/balancer"
+	"pearknot/internal/clock"
+	"pearknot/internal/discovery"
+	"pearknot/internal/lab/faultproxy"
+	"pearknot/internal/peers"
+	"pearknot/internal/requestlog"
+)
+
+// unused is an address for a member of a fleet, on a loopback address of its own.
+func unusedAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.3:0")
+	require.NoError(t, err)
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+// startRequestLog starts the request log of three nodes and returns the first one's. Its links pass through proxies that delayPeers
+// makes slow.
+func startRequestLog(t *testing.T) (first *peers.Peers, delayPeers func(time.Duration)) {
+	t.Helper()
+	log := slog.New(slog.DiscardHandler)
+	var addresses []string
+	for range 3 {
+		addresses = append(addresses, unusedAddress(t))
+	}
+	var proxies []*faultproxy.Wire
+	startProxy := func(to string) string {
+		proxy, err := faultproxy.Open(to)
+		require.NoError(t, err)
+		t.Cleanup(proxy.Close)
+		proxies = append(proxies, proxy)
+		return proxy.Address()
+	}
+	for self := range 3 {
+		options := peers.Config{Fleet: "f", Replicas: 3, Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, MaxLogBytes: 1 << 20, AnswerTTL: 60e3, Self: self}
+		for i, name := range []string{"a", "b", "c"} {
+			address := addresses[i]
+			if i != self && (i == 0 || self == 0) {
+				address = startProxy(address)
+			}
+			options.Members = append(options.Members, peers.Member{Name: name, Address: address})
+		}
+		links := peers.New(options, clock.New(), func(requestlog.Entry) {}, log)
+		links.Start()
+		t.Cleanup(links.Stop)
+		if self == 0 {
+			first = links
+		}
+	}
+	return first, func(delay time.Duration) {
+		for _, proxy := range proxies {
+			proxy.Set(faultproxy.Fault{Delay: delay})
+		}
+	}
+}
+
+// The client of a logged request leaves while a retry or hedge waits for its record in the request log. The attempt that has begun
+// goes on, as whoever asks with the key wants its outcome, but no further one may begin, nor a retry of that retry. For a first
+// attempt see cmd/pearknot/peers_test.go.
+func TestNoAttemptBeginsForLoggedRequestWhoseClientHasGone(t *testing.T) {
+	for kind, name := range map[int]string{retryAttempt: "retry", hedgeAttempt: "hedge"} {
+		for _, how := range departures {
+			t.Run(name+", "+how.name, func(t *testing.T) {
+				t.Parallel()
+				for done, round := false, 0; !done; round++ { // on a busy machine the first attempt's own record may take until a hedge is due
+					require.Less(t, round, 9)
+					t.Run(fmt.Sprint(round), func(t *testing.T) { done = goneBeforeRecord(t, kind, how) || t.Failed() })
+				}
+			})
+		}
+	}
+}
+
+// startLoggingServer starts a server whose requests are logged with two other nodes, before three backends.
+func startLoggingServer(t *testing.T, backends *attemptRecorder, pausing *pausingDecider) (srv *Server, delayPeers func(time.Duration)) {
+	t.Helper()
+	links, delayPeers := startRequestLog(t)
+	endpoints := &discovery.List{Complete: true}
+	for i := range 3 {
+		endpoints.Endpoints = append(endpoints.Endpoints, testEndpoint(i, backends.startBackend()))
+	}
+	srv, _, _ = startServer(t, 256, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3,
+		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, pausing.decide, endpoints,
+		func(srv *Server) {
+			srv.node.LogRequests(links)
+			srv.LogRequests(RequestLogging{Peers: links, KeyHeader: "Idempotency-Key", Classes: map[string]bool{"check": false}, MaxAnswerBytes: 1 << 10})
+		})
+	require.Eventually(t, func() bool { // a majority of the log answers
+		results := make(chan requestlog.Result, 1)
+		now := srv.clock.Now()
+		links.Lookup("x", 1, now+1000, func(reply requestlog.Reply) { results <- reply.Result })
+		return <-results == requestlog.KeyUnused
+	}, 30*time.Second, 10*time.Millisecond)
+	return srv, delayPeers
+}
+
+// withKey adds a key to a request.
+func withKey(text string) string {
+	return strings.Replace(text, "X-Qos", "Idempotency-Key: k\r\nX-Qos", 1)
+}
+
+// goneBeforeRecord reports whether the attempt came at the moment that the test is about.
+func goneBeforeRecord(t *testing.T, kind int, how departure) bool {
+	t.Helper()
+	backends := newAttemptRecorder(t, 1)
+	pausing := newPausingDecider(1)
+	pausing.isExpected = backends.hasAny
+	srv, delayPeers := startLoggingServer(t, backends, pausing)
+	text := requestWithCostHint("a", map[int]int{retryAttempt: 2000, hedgeAttempt: 300}[kind])
+	leave := how.begin(t, srv, withKey(text))
+	<-backends.began
+	if kind == retryAttempt {
+		backends.responses <- serverErrorResponse
+	}
+	<-pausing.decided
+	if backends.ignored = pausing.missed; backends.ignored {
+		leave()
+		waitUntilClientsGone(t, srv)
+		backends.responses <- serverErrorResponse
+		backends.responses <- serverErrorResponse
+		waitForOpenRequests(t, srv, 0)
+		return false
+	}
+	delayPeers(250 * time.Millisecond) // the attempt's record takes 0.5 s
+	close(pausing.release)
+	close(pausing.resume)
+	_, err := srv.node.Status(t.Context())
+	require.NoError(t, err)
+	leave()
+	waitUntilClientsGone(t, srv)
+	delayPeers(0)
+	if kind == hedgeAttempt {
+		backends.responses <- serverErrorResponse
+	}
+	waitForOpenRequests(t, srv, 0)
+	return true
+}
+
+// A client leaves, with a line behind its request, while the request log looks its key up. Once that was noticed only with the log's
+// reply, up to 1.5 s later, and the request was submitted first where the key was unused or the class proceeds without quorum.
+func TestClientThatLeavesDuringLookupIsNoticed(t *testing.T) {
+	backends := newAttemptRecorder(t, 0)
+	srv, delayPeers := startLoggingServer(t, backends, newPausingDecider(-1))
+	delayPeers(700 * time.Millisecond)
+	conn := connectAndSend(t, srv, withKey(requestWithCostHint("a", 1)))
+	require.Eventually(t, func() bool { return srv.openRequests.Load() == 1 }, 10*time.Second, time.Millisecond)
+	_, err := io.WriteString(conn, "\r\n") // net/http reads it and does not look for the client's end any more
+	require.NoError(t, err)
+	start := time.Now()
+	closeConn(conn)
+	waitUntilClientsGone(t, srv)
+	require.Less(t, time.Since(start), time.Second, "a reply takes 1.4 s")
+	delayPeers(0)
+	waitForOpenRequests(t, srv, 0)
+}
