--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -1,407 +1,418 @@
 package balancer
 
 import (
-	"container/heap"
 	"errors"
 	"fmt"
 	"maps"
 	"math"
 	"slices"
-	"sort"
 )
 
-// Snapshot is all that a node knows at a batch's end, as plain values: one restored from it goes on with the same
-// decisions. What the terms say is not in it, nor what follows from them. Backends and ops go by their places in the
-// lists that the host gave.
+// A snapshot is all that a balancer knows between two batches of inputs, as plain values: one restored from it makes the
+// same decisions from then on. What the configuration says is not in it, nor what follows from that. Requests and
+// backends go by their index in the lists that the host gave; -1 is none where that is said.
+//
+// Snapshots are stored, and sent from one process to the next, by the ORDER of their fields (see internal/snapshot): a field
+// may be renamed, and a new one is added at a struct's end; none may move, change its type or go.
+
+// ErrMidBatch is the error of a snapshot that is taken while decisions are due.
+var ErrMidBatch = errors.New("snapshot in the middle of a batch")
+
+// ErrEarlierConfig is the error of a snapshot with a request that came under an earlier configuration: its class has no
+// index in the present one.
+var ErrEarlierConfig = errors.New("snapshot with a request under an earlier configuration")
+
+// Snapshot is the state of a balancer.
 type Snapshot struct {
-	Now, Armed, SweepAt, Round, Extra, Doubt, Weight, AskAt, Window, Heard float64
-	Tracked, Stirred, Idle                                                 bool
-	Failures                                                               int
-	Seq                                                                    uint64
-	Chance                                                                 [2]uint64
-	Hints                                                                  []float64 // the cutoff's window
-	HintNext                                                               int
-	Stretch                                                                QuantileSnapshot
-	Value, Work, Service                                                   MeanSnapshot
-	PaceAll                                                                [2]float64
-	PaceKinds                                                              [][2]float64
-	CrowdAll                                                               [3]float64
-	CrowdZones                                                             [][3]float64
-	Warm                                                                   [][2]float64
-	Classes                                                                []MeanSnapshot // works
-	Tenants                                                                [][2]float64   // rates
-	Backends                                                               []BackendSnapshot
-	Order                                                                  []int // the node's backends among them
-	Requests                                                               []RequestSnapshot
-	Queued                                                                 []int
-	Timers                                                                 []TimerSnapshot
-	Of                                                                     int
-	Whole                                                                  float64
-	KeyQueues                                                              []KeyQueueSnapshot
-	Doubted                                                                bool
-	FellAt, AloneAt                                                        float64
-	Answers                                                                [2]float64
-	Rates                                                                  [2]float64 // of all tenants together
+	Now, ArmedFor, ReviewAt, RotationPosition, RetryTokens, CommonSuspicion, MeanWeight, PollAt, InFlightLimit, LatestAnsweredSentAt float64
+	IsWatched, HasNews, HasFreedCapacity                                                                                             bool
+	PollFailures                                                                                                                     int
+	Seq                                                                                                                              uint64
+	Random                                                                                                                           [2]uint64
+	Hints                                                                                                                            []float64 // the window of the cutoff
+	HintNext                                                                                                                         int
+	Overrun                                                                                                                          QuantileSnapshot
+	Priority, Work, ServiceTime                                                                                                      MeanSnapshot
+	PaceAll                                                                                                                          [2]float64
+	PaceKinds                                                                                                                        [][2]float64
+	WaitsAll                                                                                                                         [3]float64
+	WaitsByZone                                                                                                                      [][3]float64
+	UsageByZone                                                                                                                      [][2]float64
+	Classes                                                                                                                          []MeanSnapshot // mean work
+	Tenants                                                                                                                          [][2]float64   // request rates
+	Backends                                                                                                                         []BackendSnapshot
+	Order                                                                                                                            []int // the balancer's backends among them
+	Requests                                                                                                                         []RequestSnapshot
+	Queued                                                                                                                           []int
+	Timers                                                                                                                           []TimerSnapshot
+	Processes                                                                                                                        int
+	SplitUntil                                                                                                                       float64
+	KeyQueues                                                                                                                        []KeyQueueSnapshot
+	IsListDoubted                                                                                                                    bool
+	LastResetAt, AnsweredAfterResetAt                                                                                                float64
+	AnsweredTime                                                                                                                     [2]float64
+	TenantRate                                                                                                                       [2]float64 // of all tenants together
 }
 
-// SnapQuantile, SnapMean and the others below are parts of a Snapshot.
+// QuantileSnapshot is the state of an estimate of a quantile.
 type QuantileSnapshot struct {
 	Value float64
 	Seen  int
 }
 
+// MeanSnapshot is the state of a running mean.
 type MeanSnapshot struct{ Value, Seen float64 }
 
+// BackendSnapshot is the state of a backend.
 type BackendSnapshot struct {
-	ID                                              uint64
-	Zone, Cell, Kind                                int
-	State                                           BackendState
-	Weight, Started                                 float64
-	Tracked                                         bool
-	Longs                                           int
-	WorkOut, Heard, Lingers, Best, Most, Rest, Pass float64
-	Pace                                            [2]float64
-	Tail                                            QuantileSnapshot
-	Flow                                            [3]float64
-	Distrust                                        [2]float64
-	SpentAt, Spent                                  []float64
-	Out                                             []int // pushes, as op and number in turn
-	Waits                                           [3]float64
-	Cores                                           float64
-	Met                                             [2]float64
-	Cordoned                                        bool
-	Back, OutAt                                     float64
-	GoneAt                                          float64
-	Drained, Joined, Own                            bool
-	Refused, BrokeAt                                float64
+	ID                                                                                            uint64
+	Zone, Cell, Kind                                                                              int
+	State                                                                                         BackendState
+	Weight, Started                                                                               float64
+	Tracked                                                                                       bool
+	LongInFlight                                                                                  int
+	WorkInFlight, LastAnsweredSentAt, BusyUntil, BestPace, MaxInFlight, PausedUntil, RotationPass float64
+	Pace                                                                                          [2]float64
+	AnswerRatio                                                                                   QuantileSnapshot
+	Drain                                                                                         [3]float64
+	Suspicion                                                                                     [2]float64
+	RecentWorkAt, RecentWork                                                                      []float64
+	InFlight                                                                                      []int // attempts, as request and number in turn
+	Waits                                                                                         [3]float64
+	MaxCoresSeen                                                                                  float64
+	LastWait                                                                                      [2]float64
+	Cordoned                                                                                      bool
+	UncordonedAt, CordonedAt                                                                      float64
+	RemovedAt                                                                                     float64
+	WasDrained, IsConnected, InSubset                                                             bool
+	Refusals, LastResetAt                                                                         float64
 }
 
+// RequestSnapshot is the state of a request that is not over.
 type RequestSnapshot struct {
 	ID                                  uint64
 	Class, Tenant                       int
 	CostHint, ArrivedAt, Deadline, Work float64
 	Estimate                            float64
-	HasCostHint, IsClientRetry, Long    bool
+	HasCostHint, IsClientRetry, IsLong  bool
 	Stage                               int
 	Attempts                            []AttemptSnapshot
-	Excess                              float64
+	OverQuota                           float64
 	Streamed                            bool
 	Key                                 uint64
 }
 
+// AttemptSnapshot is the state of one of its attempts.
 type AttemptSnapshot struct {
-	Backend                            int
-	SentAt, Expect                     float64
-	InFlight, Canceled, Overdue, Alone bool
-	Outcome                            Outcome
-	Begun                              bool
+	Backend                                 int
+	SentAt, ExpectedTime                    float64
+	InFlight, Canceled, IsOverdue, WasAlone bool
+	Outcome                                 Outcome
+	HasStarted                              bool
 }
 
-// SnapDue is something that falls due: of an op, of one of its pushes, or of neither, where what it was for is over.
+// TimerSnapshot is a timer: of a request, of one of its attempts, of a key, or of none where what it was for is over.
 type TimerSnapshot struct {
-	At      float64
-	Seq     uint64
-	Request int // -1 is none
-	Attempt int // -1 is none
-	Line    int // from 1, 0 is none
+	At       float64
+	Seq      uint64
+	Request  int // -1 is none
+	Attempt  int // -1 is none
+	KeyQueue int // from 1, 0 is none
 
-	Lingers bool
+	IsWorkAbandoned bool
 }
 
-// SnapLine is a key's ops that are not over, in their order, and until when the key rests.
+// KeyQueueSnapshot is the requests with one key that are not over, in their order, and the end of its cooldown.
 type KeyQueueSnapshot struct {
-	Key      uint64
-	Rest     float64
-	Requests []int
+	Key           uint64
+	CooldownUntil float64
+	Requests      []int
 }
 
-// Snapshot takes the node's state at a batch's end. The host names all ops that are not over, and all backends that it
-// may name again, in an order of its own.
-func (n *Balancer) Snapshot(ops []*Request, backends []*Backend) (*Snapshot, error) {
-	for _, o := range ops {
-		if o.Config != n.t && o.Config != nil { // its category has no place among those of now
-			return nil, errors.New("snapshot with an op under earlier terms")
+// Snapshot takes the balancer's state between two batches. The host names all requests that are not over, and all backends
+// that it may name again, in an order of its own.
+func (lb *Balancer) Snapshot(requests []*Request, backends []*Backend) (*Snapshot, error) {
+	for _, request := range requests {
+		if request.Config != lb.config && request.Config != nil {
+			return nil, ErrEarlierConfig
 		}
 	}
-	return n.snapshot(ops, backends, true)
-}
-
-// Carried is what another process may go on with: all that was learned and spent. What is out, held or due stays with the
-// process that has it, and so does its chance; the list is asked for anew.
-func (n *Balancer) HandoffSnapshot(backends []*Backend) (*Snapshot, error) {
-	s, err := n.snapshot(nil, backends, false)
+	w := newSnapshotWriter(lb, requests, backends)
+	if err := w.writeLearned(backends, true); err != nil {
+		return nil, err
+	}
+	if err := w.writeRequests(requests); err != nil {
+		return nil, err
+	}
+	keyQueueAt, err := w.writeKeyQueues(true)
 	if err != nil {
 		return nil, err
 	}
-	s.Idle, s.Stirred, s.Chance = false, true, [2]uint64{}
-	s.Armed, s.SweepAt, s.AskAt, s.Tracked, s.Failures = math.Inf(1), s.Now, s.Now, false, 0
-	for i := range s.Backends {
-		s.Backends[i].WorkOut, s.Backends[i].Longs = 0, 0
+	if err := w.writeQueue(); err != nil {
+		return nil, err
 	}
-	return s, nil
+	w.writeTimers(keyQueueAt)
+	return w.snapshot, nil
 }
 
-func (n *Balancer) snapshot(ops []*Request, backends []*Backend, whole bool) (*Snapshot, error) {
-	if len(n.waiting) > 0 || len(n.out) > 0 {
-		return nil, errors.New("snapshot in the middle of a batch")
-	}
-	opAt, backendAt := make(map[*Request]int, len(ops)), make(map[*Backend]int, len(backends))
-	for i, o := range ops {
-		opAt[o] = i
-	}
-	for i, b := range backends {
-		backendAt[b] = i
-	}
-	s := &Snapshot{Now: n.now, Armed: n.armed, SweepAt: n.sweepAt, Round: n.round, Extra: n.extra, Doubt: n.doubt, Weight: n.weight, AskAt: n.askAt, Window: n.window, Heard: n.heard,
-		Tracked: n.tracked, Stirred: n.stirred, Idle: n.idle, Failures: n.failures, Of: n.of, Whole: n.whole, Doubted: n.doubted, FellAt: n.fellAt, AloneAt: n.aloneAt, Answers: [2]float64{n.answers.sum, n.answers.at},
-		Rates: [2]float64{n.t.rates.sum, n.t.rates.at}, Seq: n.seq, Chance: [2]uint64{n.rng.x, n.rng.carry},
-		Hints: slices.Clone(n.cutoff.ring), HintNext: n.cutoff.next, Stretch: snapQuantile(n.stretch),
-		Value: MeanSnapshot{n.value.value, n.value.seen}, Work: MeanSnapshot{n.work.value, n.work.seen},
-		Service: MeanSnapshot{n.service.value, n.service.seen}, PaceAll: [2]float64{n.paces.all.time, n.paces.all.work},
-		CrowdAll: [3]float64{n.crowd.all.sum, n.crowd.all.count, n.crowd.all.at}}
-	for _, p := range n.paces.kinds {
-		s.PaceKinds = append(s.PaceKinds, [2]float64{p.time, p.work})
-	}
-	for _, r := range n.crowd.zones {
-		s.CrowdZones = append(s.CrowdZones, [3]float64{r.sum, r.count, r.at})
-	}
-	for _, w := range n.warm {
-		s.Warm = append(s.Warm, [2]float64{w.took, w.speed})
+// HandoffSnapshot is what another process may go on with: all that was learned and spent. What is in flight, queued or
+// timed stays with the process that has it, and so does its random generator; the endpoint list is polled anew. Cooldowns of
+// keys go over: what may still run there is out of the other process's sight.
+func (lb *Balancer) HandoffSnapshot(backends []*Backend) (*Snapshot, error) {
+	w := newSnapshotWriter(lb, nil, backends)
+	if err := w.writeLearned(backends, false); err != nil {
+		return nil, err
 	}
-	for _, c := range n.t.Classes {
-		s.Classes = append(s.Classes, MeanSnapshot{c.work.value, c.work.seen})
+	if _, err := w.writeKeyQueues(false); err != nil {
+		return nil, err
 	}
-	for _, t := range n.t.Tenants {
-		s.Tenants = append(s.Tenants, [2]float64{t.rate.sum, t.rate.at})
+	s := w.snapshot
+	for i, queue := range s.KeyQueues {
+		s.Timers = append(s.Timers, TimerSnapshot{At: queue.CooldownUntil, Request: -1, Attempt: -1, KeyQueue: i + 1})
 	}
-	for _, b := range backends {
-		x := BackendSnapshot{ID: b.ID, Zone: b.Zone, Cell: b.Cell, Kind: b.Kind, State: b.State, Weight: b.Weight, Started: b.Started, Tracked: b.known,
-			Longs: b.longs, WorkOut: b.workOut, Heard: b.heard, Lingers: b.lingers, Best: b.best, Most: b.most, Rest: b.restUntil, Pass: b.pass,
-			Pace: [2]float64{b.pace.time, b.pace.work}, Tail: snapQuantile(b.tail), Flow: [3]float64{b.flow.done, b.flow.busy, b.flow.at},
-			Distrust: [2]float64{b.distrust.sum, b.distrust.at}, SpentAt: slices.Clone(b.recent.at), Spent: slices.Clone(b.recent.amount),
-			Waits: [3]float64{b.waits.sum, b.waits.count, b.waits.at}, Cores: b.cores,
-			Met: [2]float64{b.met.wait, b.met.at}, Cordoned: b.banned, Back: b.back, OutAt: b.outAt, GoneAt: b.goneAt, Drained: b.drained, Joined: b.joined, Own: b.own, Refused: b.refused, BrokeAt: b.brokeAt}
-		for _, p := range b.out {
-			if !whole {
-				break
-			}
-			at, named := opAt[p.Request]
-			if !named {
-				return nil, fmt.Errorf("snapshot: backend %x has a push of op %d, which the host did not name", b.ID, p.Request.ID)
-			}
-			x.Out = append(x.Out, at, p.Number)
-		}
-		s.Backends = append(s.Backends, x)
+	s.HasFreedCapacity, s.HasNews, s.Random = false, true, [2]uint64{}
+	s.ArmedFor, s.ReviewAt, s.PollAt, s.IsWatched, s.PollFailures = math.Inf(1), s.Now, s.Now, false, 0
+	for i := range s.Backends {
+		s.Backends[i].WorkInFlight, s.Backends[i].LongInFlight = 0, 0
 	}
-	for _, b := range n.backends {
-		at, named := backendAt[b]
-		if !named {
-			return nil, fmt.Errorf("snapshot: backend %x was not named by the host", b.ID)
-		}
-		s.Order = append(s.Order, at)
+	return s, nil
+}
+
+// snapshotWriter fills a snapshot part by part.
+type snapshotWriter struct {
+	lb        *Balancer
+	snapshot  *Snapshot
+	requestAt map[*Request]int
+	backendAt map[*Backend]int
+}
+
+func newSnapshotWriter(lb *Balancer, requests []*Request, backends []*Backend) *snapshotWriter {
+	w := &snapshotWriter{lb: lb, requestAt: make(map[*Request]int, len(requests)), backendAt: make(map[*Backend]int, len(backends))}
+	for i, request := range requests {
+		w.requestAt[request] = i
 	}
-	for _, o := range ops {
-		x := RequestSnapshot{ID: o.ID, Class: o.Class, Tenant: o.Tenant, CostHint: o.CostHint, ArrivedAt: o.ArrivedAt, Deadline: o.Deadline, Work: o.work,
-			Estimate: o.estimate, HasCostHint: o.HasCostHint, IsClientRetry: o.IsClientRetry, Long: o.long, Excess: o.excess, Streamed: o.Streamed, Stage: int(o.stage), Key: o.Key}
-		for _, p := range o.Attempts {
-			at, named := backendAt[p.Backend]
-			if !named {
-				return nil, fmt.Errorf("snapshot: op %d was pushed to backend %x, which the host did not name", o.ID, p.Backend.ID)
-			}
-			x.Attempts = append(x.Attempts, AttemptSnapshot{Backend: at, SentAt: p.SentAt, Expect: p.expect, InFlight: p.out, Canceled: p.revoked, Overdue: p.overdue,
-				Alone: p.alone, Outcome: p.outcome, Begun: p.begun})
-		}
-		s.Requests = append(s.Requests, x)
+	for i, backend := range backends {
+		w.backendAt[backend] = i
 	}
-	lineAt := map[*line]int{}
-	for _, key := range slices.Sorted(maps.Keys(n.lines)) {
-		l := n.lines[key]
-		x := KeyQueueSnapshot{Key: key, Rest: l.rest}
-		for _, o := range l.ops {
-			if !whole {
-				break
-			}
-			at, named := opAt[o]
-			if !named {
-				return nil, fmt.Errorf("snapshot: op %d in the line of its key was not named by the host", o.ID)
+	return w
+}
+
+// writeLearned writes all that does not belong to single requests.
+func (w *snapshotWriter) writeLearned(backends []*Backend, withInFlight bool) error {
+	lb := w.lb
+	if len(lb.pending) > 0 || len(lb.decisions) > 0 {
+		return ErrMidBatch
+	}
+	w.snapshot = lb.snapshotRules()
+	lb.snapshotEstimates(w.snapshot)
+	for _, backend := range backends {
+		x := backend.snapshot()
+		if withInFlight {
+			for _, attempt := range backend.inFlight {
+				at, named := w.requestAt[attempt.Request]
+				if !named {
+					return fmt.Errorf("snapshot: backend %x has an attempt of request %d, which the host did not name", backend.ID, attempt.Request.ID)
+				}
+				x.InFlight = append(x.InFlight, at, attempt.Number)
 			}
-			x.Requests = append(x.Requests, at)
-		}
-		if whole || l.rest > n.now {
-			s.KeyQueues = append(s.KeyQueues, x)
-			lineAt[l] = len(s.KeyQueues)
 		}
+		w.snapshot.Backends = append(w.snapshot.Backends, x)
 	}
-	if !whole { // rests go over: what may still run there is out of the other process's sight
-		for i, l := range s.KeyQueues {
-			s.Timers = append(s.Timers, TimerSnapshot{At: l.Rest, Request: -1, Attempt: -1, Line: i + 1})
-		}
-		return s, nil
-	}
-	for _, o := range n.held {
-		at, named := opAt[o]
+	for _, backend := range lb.backends {
+		at, named := w.backendAt[backend]
 		if !named {
-			return nil, fmt.Errorf("snapshot: held op %d was not named by the host", o.ID)
-		}
-		s.Queued = append(s.Queued, at)
-	}
-	for _, d := range n.due {
-		x := TimerSnapshot{At: d.at, Seq: d.seq, Request: -1, Attempt: -1, Line: lineAt[d.line], Lingers: d.lingers}
-		switch {
-		case d.op != nil && !d.op.IsDone():
-			if at, named := opAt[d.op]; named {
-				x.Request = at
-			}
-		case d.push != nil && !d.push.Request.IsDone():
-			if at, named := opAt[d.push.Request]; named {
-				x.Request, x.Attempt = at, d.push.Number
-			}
+			return fmt.Errorf("snapshot: backend %x was not named by the host", backend.ID)
 		}
-		s.Timers = append(s.Timers, x)
+		w.snapshot.Order = append(w.snapshot.Order, at)
 	}
-	return s, nil
+	return nil
 }
 
-func snapQuantile(q quantile) QuantileSnapshot { return QuantileSnapshot{q.value, q.seen} }
-
-// Restore makes a node that goes on where a snapshot was taken, with the ops and backends in the snapshot's order. The
-// terms are those of the node then. A snapshot that can't be one of such a node's is an error.
-func Restore(t *Config, s *Snapshot) (n *Balancer, ops []*Request, backends []*Backend, err error) {
-	if len(s.Classes) != len(t.Classes) || len(s.Tenants) != len(t.Tenants) || len(s.Hints) > windowSize ||
-		s.HintNext < 0 || s.HintNext >= windowSize {
-		return nil, nil, nil, errors.New("snapshot of other terms")
-	}
-	n = New(t, s.Now)
-	n.armed, n.sweepAt, n.round, n.extra, n.doubt, n.weight, n.askAt = s.Armed, s.SweepAt, s.Round, s.Extra, s.Doubt, s.Weight, s.AskAt
-	n.window, n.heard, n.of, n.whole, n.doubted = s.Window, s.Heard, s.Of, s.Whole, s.Doubted
-	n.fellAt, n.aloneAt = s.FellAt, s.AloneAt
-	n.answers = fader{s.Answers[0], s.Answers[1]}
-	n.tracked, n.stirred, n.idle, n.failures, n.seq = s.Tracked, s.Stirred, s.Idle, s.Failures, s.Seq
-	if s.Chance != [2]uint64{} {
-		n.rng = mwc{s.Chance[0], s.Chance[1]}
-	}
-	n.cutoff = window{ring: slices.Clone(s.Hints), sorted: slices.Clone(s.Hints), next: s.HintNext}
-	sort.Float64s(n.cutoff.sorted)
-	n.stretch = quantile{s.Stretch.Value, s.Stretch.Seen}
-	n.value, n.work, n.service = mean{s.Value.Value, s.Value.Seen}, mean{s.Work.Value, s.Work.Seen}, mean{s.Service.Value, s.Service.Seen}
-	n.paces.all = pace{s.PaceAll[0], s.PaceAll[1]}
-	for _, p := range s.PaceKinds {
-		n.paces.kinds = append(n.paces.kinds, pace{p[0], p[1]})
-	}
-	n.crowd.all = recent{s.CrowdAll[0], s.CrowdAll[1], s.CrowdAll[2]}
-	for _, r := range s.CrowdZones {
-		n.crowd.zones = append(n.crowd.zones, recent{r[0], r[1], r[2]})
-	}
-	for _, w := range s.Warm {
-		n.warm = append(n.warm, took{w[0], w[1]})
+// snapshotRules is the state of the rules.
+func (lb *Balancer) snapshotRules() *Snapshot {
+	return &Snapshot{
+		Now:                  lb.now,
+		ArmedFor:             lb.timers.armedFor,
+		ReviewAt:             lb.review.at,
+		RotationPosition:     lb.rotation.position,
+		RetryTokens:          lb.retries.tokens,
+		CommonSuspicion:      lb.ejection.commonSuspicion,
+		MeanWeight:           lb.rotation.meanWeight,
+		PollAt:               lb.endpoints.pollAt,
+		InFlightLimit:        lb.concurrency.limit,
+		LatestAnsweredSentAt: lb.retries.latestAnsweredSentAt,
+		IsWatched:            lb.endpoints.isWatched,
+		HasNews:              lb.review.hasNews,
+		HasFreedCapacity:     lb.queue.hasFreedCapacity,
+		PollFailures:         lb.endpoints.pollFailures,
+		Processes:            lb.slowStart.processes,
+		SplitUntil:           lb.slowStart.splitUntil,
+		IsListDoubted:        lb.endpoints.isDoubted,
+		LastResetAt:          lb.ejection.lastResetAt,
+		AnsweredAfterResetAt: lb.ejection.answeredAfterResetAt,
+		AnsweredTime:         [2]float64{lb.concurrency.answeredTime.sum, lb.concurrency.answeredTime.at},
+		Seq:                  lb.timers.seq,
+		Random:               [2]uint64{lb.random.x, lb.random.carry},
 	}
-	for i, c := range s.Classes {
-		t.Classes[i].work = mean{c.Value, c.Seen}
-	}
-	for i, r := range s.Tenants {
-		t.Tenants[i].rate = fader{r[0], r[1]}
-	}
-	t.rates = fader{s.Rates[0], s.Rates[1]}
-	if s.Rates == [2]float64{} { // of a build that kept no sum
-		for i := range t.Tenants {
-			if x := t.Tenants[i].rate.get(s.Now, rateHalf); x > 0 {
-				t.rates.set(s.Now, t.rates.sum+x)
-			}
-		}
-	}
-	for _, x := range s.Backends {
-		if len(x.SpentAt) != len(x.Spent) || len(x.Out)%2 != 0 || x.Zone < 0 || x.Kind < 0 || x.Zone > mostPlaces || x.Kind > mostPlaces {
-			return nil, nil, nil, errors.New("snapshot of an odd backend")
-		}
-		backends = append(backends, &Backend{ID: x.ID, Zone: x.Zone, Cell: x.Cell, Kind: x.Kind, State: x.State, Weight: x.Weight, Started: x.Started,
-			known: x.Tracked, longs: x.Longs, workOut: x.WorkOut, heard: x.Heard, lingers: x.Lingers, best: x.Best, most: x.Most, restUntil: x.Rest,
-			pass: x.Pass, pace: pace{x.Pace[0], x.Pace[1]}, tail: quantile{x.Tail.Value, x.Tail.Seen}, flow: flow{x.Flow[0], x.Flow[1], x.Flow[2]},
-			distrust: fader{x.Distrust[0], x.Distrust[1]}, recent: spend{slices.Clone(x.SpentAt), slices.Clone(x.Spent)},
-			waits: recent{x.Waits[0], x.Waits[1], x.Waits[2]}, cores: x.Cores,
-			met: met{x.Met[0], x.Met[1]}, banned: x.Cordoned, back: x.Back, outAt: x.OutAt, goneAt: x.GoneAt, drained: x.Drained, joined: x.Joined, own: x.Own, refused: x.Refused,
-			brokeAt: x.BrokeAt})
+}
+
+// snapshotEstimates adds what was learned of requests, zones and kinds of machine.
+func (lb *Balancer) snapshotEstimates(s *Snapshot) {
+	known := &lb.estimates
+	s.TenantRate = [2]float64{lb.config.tenantRate.sum, lb.config.tenantRate.at}
+	s.Hints, s.HintNext = slices.Clone(lb.cutoff.ring), lb.cutoff.next
+	s.Overrun = QuantileSnapshot{lb.retries.overrun.value, lb.retries.overrun.seen}
+	s.Priority = MeanSnapshot{known.priority.value, known.priority.seen}
+	s.Work = MeanSnapshot{known.work.value, known.work.seen}
+	s.ServiceTime = MeanSnapshot{known.serviceTime.value, known.serviceTime.seen}
+	s.PaceAll = [2]float64{known.paces.all.time, known.paces.all.work}
+	s.WaitsAll = [3]float64{known.waits.all.sum, known.waits.all.count, known.waits.all.at}
+	for _, pace := range known.paces.byKind {
+		s.PaceKinds = append(s.PaceKinds, [2]float64{pace.time, pace.work})
+	}
+	for _, wait := range known.waits.byZone {
+		s.WaitsByZone = append(s.WaitsByZone, [3]float64{wait.sum, wait.count, wait.at})
+	}
+	for _, usage := range lb.slowStart.usageByZone {
+		s.UsageByZone = append(s.UsageByZone, [2]float64{usage.work, usage.speed})
+	}
+	for _, class := range lb.config.Classes {
+		s.Classes = append(s.Classes, MeanSnapshot{class.meanWork.value, class.meanWork.seen})
+	}
+	for _, tenant := range lb.config.Tenants {
+		s.Tenants = append(s.Tenants, [2]float64{tenant.rate.sum, tenant.rate.at})
 	}
-	for _, x := range s.Requests {
-		if x.Class < 0 || x.Class >= len(t.Classes) || x.Stage < 0 || x.Stage > int(ended) {
-			return nil, nil, nil, errors.New("snapshot of an odd op")
-		}
-		o := &Request{Config: t, ID: x.ID, Class: x.Class, Tenant: x.Tenant, CostHint: x.CostHint, HasCostHint: x.HasCostHint, IsClientRetry: x.IsClientRetry, ArrivedAt: x.ArrivedAt,
-			Deadline: x.Deadline, Key: x.Key, cat: &t.Classes[x.Class], work: x.Work, long: x.Long, estimate: x.Estimate, excess: x.Excess, Streamed: x.Streamed, stage: stage(x.Stage)}
-		for k, p := range x.Attempts {
-			if p.Backend < 0 || p.Backend >= len(backends) {
-				return nil, nil, nil, errors.New("snapshot of a push to nowhere")
-			}
-			o.Attempts = append(o.Attempts, &Attempt{Request: o, Backend: backends[p.Backend], Number: k, SentAt: p.SentAt, expect: p.Expect, out: p.InFlight,
-				revoked: p.Canceled, overdue: p.Overdue, alone: p.Alone, outcome: p.Outcome, begun: p.Begun})
-		}
-		ops = append(ops, o)
+}
+
+// snapshot is the backend's state without its attempts.
+func (b *Backend) snapshot() BackendSnapshot {
+	return BackendSnapshot{
+		ID:                 b.ID,
+		Zone:               b.Zone,
+		Cell:               b.Cell,
+		Kind:               b.Kind,
+		State:              b.State,
+		Weight:             b.Weight,
+		Started:            b.Started,
+		Tracked:            b.tracked,
+		LongInFlight:       b.longInFlight,
+		WorkInFlight:       b.workInFlight,
+		LastAnsweredSentAt: b.lastAnsweredSentAt,
+		BusyUntil:          b.busyUntil,
+		BestPace:           b.bestPace,
+		MaxInFlight:        b.maxInFlight,
+		PausedUntil:        b.pausedUntil,
+		RotationPass:       b.rotationPass,
+		Pace:               [2]float64{b.pace.time, b.pace.work},
+		AnswerRatio:        QuantileSnapshot{b.answerRatio.value, b.answerRatio.seen},
+		Drain:              [3]float64{b.drain.done, b.drain.busyTime, b.drain.at},
+		Suspicion:          [2]float64{b.suspicion.sum, b.suspicion.at},
+		RecentWorkAt:       slices.Clone(b.recentWork.at),
+		RecentWork:         slices.Clone(b.recentWork.amount),
+		Waits:              [3]float64{b.waits.sum, b.waits.count, b.waits.at},
+		MaxCoresSeen:       b.maxCoresSeen,
+		LastWait:           [2]float64{b.lastWait.wait, b.lastWait.at},
+		Cordoned:           b.isCordoned,
+		UncordonedAt:       b.uncordonedAt,
+		CordonedAt:         b.cordonedAt,
+		RemovedAt:          b.removedAt,
+		WasDrained:         b.wasDrained,
+		IsConnected:        b.isConnected,
+		InSubset:           b.inSubset,
+		Refusals:           b.refusals,
+		LastResetAt:        b.lastResetAt,
 	}
-	for _, o := range ops {
-		for _, p := range o.Attempts {
-			n.abroad += p.counted()
+}
+
+func (w *snapshotWriter) writeRequests(requests []*Request) error {
+	for _, r := range requests {
+		x := RequestSnapshot{
+			ID:            r.ID,
+			Class:         r.Class,
+			Tenant:        r.Tenant,
+			CostHint:      r.CostHint,
+			ArrivedAt:     r.ArrivedAt,
+			Deadline:      r.Deadline,
+			Work:          r.work,
+			Estimate:      r.estimate,
+			HasCostHint:   r.HasCostHint,
+			IsClientRetry: r.IsClientRetry,
+			IsLong:        r.isLong,
+			OverQuota:     r.overQuota,
+			Streamed:      r.Streamed,
+			Stage:         int(r.stage),
+			Key:           r.Key,
 		}
-	}
-	var lines []*line
-	for _, x := range s.KeyQueues {
-		l := &line{key: x.Key, rest: x.Rest}
-		for _, at := range x.Requests {
-			if at < 0 || at >= len(ops) || ops[at].line != nil {
-				return nil, nil, nil, errors.New("snapshot of an odd line")
+		for _, a := range r.Attempts {
+			at, named := w.backendAt[a.Backend]
+			if !named {
+				return fmt.Errorf("snapshot: request %d was sent to backend %x, which the host did not name", r.ID, a.Backend.ID)
 			}
-			l.ops, ops[at].line = append(l.ops, ops[at]), l
-		}
-		lines = append(lines, l)
-		n.lines[x.Key] = l
-	}
-	push := func(op, number int) (*Attempt, error) {
-		if op < 0 || op >= len(ops) || number < 0 || number >= len(ops[op].Attempts) {
-			return nil, errors.New("snapshot names a push that it has not")
+			x.Attempts = append(x.Attempts, AttemptSnapshot{
+				Backend:      at,
+				SentAt:       a.SentAt,
+				ExpectedTime: a.expectedTime,
+				InFlight:     a.inFlight,
+				Canceled:     a.canceled,
+				IsOverdue:    a.isOverdue,
+				WasAlone:     a.wasAlone,
+				Outcome:      a.outcome,
+				HasStarted:   a.hasStarted,
+			})
 		}
-		return ops[op].Attempts[number], nil
+		w.snapshot.Requests = append(w.snapshot.Requests, x)
 	}
-	for i, x := range s.Backends {
-		for k := 0; k < len(x.Out); k += 2 {
-			p, err := push(x.Out[k], x.Out[k+1])
-			if err != nil {
-				return nil, nil, nil, err
+	return nil
+}
+
+// writeKeyQueues writes the keys in the order of their values, and gives their numbers from 1 on. Without requests, only
+// those keys count whose cooldown runs.
+func (w *snapshotWriter) writeKeyQueues(withRequests bool) (map[*keyQueue]int, error) {
+	keyQueueAt := map[*keyQueue]int{}
+	for _, key := range slices.Sorted(maps.Keys(w.lb.keyQueues)) {
+		queue := w.lb.keyQueues[key]
+		x := KeyQueueSnapshot{Key: key, CooldownUntil: queue.cooldownUntil}
+		if withRequests {
+			for _, request := range queue.requests {
+				at, named := w.requestAt[request]
+				if !named {
+					return nil, fmt.Errorf("snapshot: request %d in the queue of its key was not named by the host", request.ID)
+				}
+				x.Requests = append(x.Requests, at)
 			}
-			backends[i].out = append(backends[i].out, p)
 		}
-	}
-	for _, at := range s.Order {
-		if at < 0 || at >= len(backends) {
-			return nil, nil, nil, errors.New("snapshot names a backend that it has not")
+		if withRequests || queue.cooldownUntil > w.lb.now {
+			w.snapshot.KeyQueues = append(w.snapshot.KeyQueues, x)
+			keyQueueAt[queue] = len(w.snapshot.KeyQueues)
 		}
-		n.backends = append(n.backends, backends[at])
 	}
-	for _, at := range s.Queued {
-		if at < 0 || at >= len(ops) {
-			return nil, nil, nil, errors.New("snapshot names an op that it has not")
+	return keyQueueAt, nil
+}
+
+func (w *snapshotWriter) writeQueue() error {
+	for _, request := range w.lb.queue.requests {
+		at, named := w.requestAt[request]
+		if !named {
+			return fmt.Errorf("snapshot: queued request %d was not named by the host", request.ID)
 		}
-		n.held = append(n.held, ops[at])
+		w.snapshot.Queued = append(w.snapshot.Queued, at)
 	}
-	for _, x := range s.Timers {
-		d := due{at: x.At, seq: x.Seq, lingers: x.Lingers}
-		if x.Lingers {
-			n.abroad++
-		}
+	return nil
+}
+
+func (w *snapshotWriter) writeTimers(keyQueueAt map[*keyQueue]int) {
+	for _, t := range w.lb.timers.entries {
+		x := TimerSnapshot{At: t.at, Seq: t.seq, Request: -1, Attempt: -1, KeyQueue: keyQueueAt[t.keyQueue], IsWorkAbandoned: t.isWorkAbandoned}
 		switch {
-		case math.IsNaN(x.At) || x.Request >= len(ops) || x.Line < 0 || x.Line > len(lines):
-			return nil, nil, nil, errors.New("snapshot of an odd due time")
-		case x.Line > 0:
-			d.line = lines[x.Line-1]
-		case x.Request >= 0 && x.Attempt >= 0:
-			if d.push, err = push(x.Request, x.Attempt); err != nil {
-				return nil, nil, nil, err
+		case t.request != nil && !t.request.IsDone():
+			if at, named := w.requestAt[t.request]; named {
+				x.Request = at
+			}
+		case t.attempt != nil && !t.attempt.Request.IsDone():
+			if at, named := w.requestAt[t.attempt.Request]; named {
+				x.Request, x.Attempt = at, t.attempt.Number
 			}
-		case x.Request >= 0:
-			d.op = ops[x.Request]
 		}
-		n.due = append(n.due, d)
+		w.snapshot.Timers = append(w.snapshot.Timers, x)
 	}
-	heap.Init(&n.due) // rests that another process told of come by their keys
-	return n, ops, backends, nil
 }
-
-// mostPlaces bounds zones and kinds, by which lists are kept.
-const mostPlaces = 1 << 16
--- a/internal/capture/explain.go
+++ b/internal/capture/explain.go
@@ -72,12 +72,12 @@
 	}
 	x, number := n.Belief(request, b), e.backendNumbers[b]
 	line := fmt.Sprintf("    backend %d (%x): %s; %.1f ms expected (%.1f when idle), %d of %.1f attempts in flight, suspicion %.2f, slow start %.2f, rotation %.2f",
-		number, b.ID, r, x.Predict, x.Alone, x.Out, x.Most, x.Distrust, x.Warmth, x.Pass)
-	if !x.Near {
+		number, b.ID, r, x.AnswerTime, x.Alone, x.InFlight, x.MaxInFlight, x.Suspicion, x.SlowStartFactor, x.RotationPass)
+	if !x.IsNear {
 		line += ", another zone"
 	}
-	if x.Heard >= 0 {
-		line += fmt.Sprintf(", last answered an attempt sent %.0f ms ago", x.Heard)
+	if x.AnsweredAgo >= 0 {
+		line += fmt.Sprintf(", last answered an attempt sent %.0f ms ago", x.AnsweredAgo)
 	} else {
 		line += ", never answered"
 	}
