--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -286,7 +286,7 @@
 
 // decisionRecord encodes a decision as a record, with the numbers that the capture gave to requests and backends.
 func decisionRecord(d balancer.Decision, request func(*balancer.Request) uint64, backend func(*balancer.Backend) uint64) Record {
-	x := Record{Kind: Decided, Decision: d.Kind, Value: d.Wait, Data: []byte(d.Text)}
+	x := Record{Kind: Decided, Decision: d.Kind, Value: d.Wait, Data: []byte(storedEvent(d.Event))}
 	if d.Request != nil {
 		x.Request = request(d.Request)
 	}
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -1,6 +1,8 @@
 package node
 
 import (
+	"fmt"
+
 	"pearknot/balancer"
 	"pearknot/internal/clock"
 )
@@ -28,11 +30,21 @@
 		case balancer.DoSetTimer:
 			n.timer.Reset(clock.Duration(decision.Wait))
 		case balancer.DoLog:
-			n.log.Info(decision.Text)
+			n.logEvent(decision.Event)
 		}
 	}
 }
 
+// logEvent logs an event of the balancer.
+func (n *Node) logEvent(event balancer.Event) {
+	switch event.Kind {
+	case balancer.EventBackendEjected:
+		n.log.Info("backend ejected", "id", fmt.Sprintf("%x", event.Backend), "in_flight", event.Count)
+	case balancer.EventPollFailed:
+		n.log.Info("endpoint list poll backing off", "consecutive_failures", event.Count)
+	}
+}
+
 // finishUnserved ends a request that no backend serves.
 func (n *Node) finishUnserved(decided *balancer.Request, answer Answer) {
 	if request := n.requests[decided.ID]; request != nil {
