--- a/cmd/pearknot-lab/instances.go
+++ b/cmd/pearknot-lab/instances.go
@@ -55,7 +55,7 @@
 		return nil, errors.Join(err, lock.Close())
 	}
 	token := fmt.Sprintf("stand-in-%d", k)
-	held, err := json.Marshal(serve.Holder{PID: os.Getpid(), Token: token})
+	held, err := json.Marshal(serve.LockHolder{PID: os.Getpid(), Token: token})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/pearknot-lab/play.go
+++ b/cmd/pearknot-lab/play.go
@@ -414,16 +414,16 @@
 func nodeCommand() *cobra.Command {
 	name, file := "", ""
 	c := &cobra.Command{Use: "node", Hidden: true, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-		again := serve.Hear()
+		again := serve.NotifyReload()
 		log := slog.New(slog.NewTextHandler(c.ErrOrStderr(), nil))
-		p, err := serve.Read(file, log)
+		p, err := serve.ReadConfig(file, log)
 		if err != nil {
 			return cli.UsageError(err)
 		}
 		if _, err := baselines.New(name, &balancer.Config{}, 0, nil); err != nil {
 			return cli.UsageError(err)
 		}
-		return serve.Run(c.Context(), again, p, serve.Options{Version: cli.Version(), Decide: func(t *balancer.Config, now float64) balancer.Decider {
+		return serve.Run(c.Context(), again, p, serve.Options{Version: cli.Version(), NewDecider: func(t *balancer.Config, now float64) balancer.Decider {
 			d, _ := baselines.New(name, t, now, nil) // the name was tried above
 			return d
 		}}, log)
--- a/cmd/pearknot/certs.go
+++ b/cmd/pearknot/certs.go
@@ -43,8 +43,8 @@
 					}
 					return cli.UsageError(odd)
 				}
-				t.Acme.Log = slog.New(slog.DiscardHandler)
-				return tellCertificates(c.OutOrStdout(), acme.Look(t.Acme))
+				t.ACME.Log = slog.New(slog.DiscardHandler)
+				return tellCertificates(c.OutOrStdout(), acme.Look(t.ACME))
 			}
 			by := "this instance"
 			if !s.TLS.Orders {
@@ -85,7 +85,7 @@
 				return cli.UsageError(err)
 			}
 			if address == "" {
-				fmt.Fprintf(c.OutOrStdout(), "%s: TLS on %s, %d certificates, %d authorities, store %s\n", args[0], t.Listen, len(t.Acme.Names), len(t.Acme.Authorities), t.Acme.Dir)
+				fmt.Fprintf(c.OutOrStdout(), "%s: TLS on %s, %d certificates, %d authorities, store %s\n", args[0], t.Address, len(t.ACME.Names), len(t.ACME.Authorities), t.ACME.Dir)
 				return nil
 			}
 			return checkServed(c.OutOrStdout(), address, t, time.Now())
@@ -138,11 +138,11 @@
 // checkServed makes a handshake for each name, as a client would.
 func checkServed(out io.Writer, address string, t *serve.TLS, now time.Time) error {
 	bad := 0
-	for _, names := range t.Acme.Names {
+	for _, names := range t.ACME.Names {
 		for _, name := range names {
 			var c *tls.Conn
 			var err error
-			for _, a := range t.Acme.Authorities { // whichever has issued it
+			for _, a := range t.ACME.Authorities { // whichever has issued it
 				c, err = tls.DialWithDialer(&net.Dialer{Timeout: dialWithin}, "tcp", address, &tls.Config{ServerName: name, RootCAs: a.Roots, MinVersion: tls.VersionTLS12})
 				if err == nil {
 					break
--- a/cmd/pearknot/main.go
+++ b/cmd/pearknot/main.go
@@ -79,7 +79,7 @@
 	c := &cobra.Command{Use: use, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		var again chan os.Signal
 		if what == "serve" { // first of all
-			again = serve.Hear()
+			again = serve.NotifyReload()
 		}
 		sink := c.ErrOrStderr()
 		if logFile != "" {
@@ -89,16 +89,16 @@
 		}
 		log := slog.New(slog.NewTextHandler(sink, &slog.HandlerOptions{Level: level}))
 		if what == "serve" {
-			if err := serve.NoteLock(); err != nil {
+			if err := serve.WriteLockHolder(); err != nil {
 				return err
 			}
 		}
-		p, err := serve.Read(file, log)
+		p, err := serve.ReadConfig(file, log)
 		switch {
 		case err != nil:
 			return err
-		case o.Edge != "":
-			if _, err := serve.ReadEdge(o.Edge); err != nil {
+		case o.AdmissionFile != "":
+			if _, err := serve.ReadAdmission(o.AdmissionFile); err != nil {
 				return cli.UsageError(err)
 			}
 		}
@@ -122,11 +122,11 @@
 			}
 		}
 		if planeFile != "" {
-			if o.Plane, err = readPlane(planeFile); err != nil {
+			if o.ControlPlane, err = readPlane(planeFile); err != nil {
 				return err
 			}
 		}
-		o.Decide, o.Version, o.Token = node.NewBalancer, cli.Version(), os.Getenv(serve.TokenVariable)
+		o.NewDecider, o.Version, o.Token = node.NewBalancer, cli.Version(), os.Getenv(serve.TokenVariable)
 		if e := os.Getenv(serve.EpochVariable); e != "" {
 			if o.Epoch, err = strconv.ParseUint(e, 10, 64); err != nil {
 				return fmt.Errorf("%s: %w", serve.EpochVariable, err)
@@ -135,15 +135,15 @@
 		return serve.Run(c.Context(), again, p, o, log)
 	}}
 	c.Flags().StringVar(&file, "config", os.Getenv("ROUTER_CONFIG"), "configuration file (default $ROUTER_CONFIG)")
-	c.Flags().StringVar(&o.Edge, "edge", "", "file of who gets in when descriptors run short, such as deploy/edge.toml")
+	c.Flags().StringVar(&o.AdmissionFile, "edge", "", "file of who gets in when descriptors run short, such as deploy/edge.toml")
 	c.Flags().TextVar(&level, "log", slog.LevelInfo, "least level of log lines: debug, info, warn, error")
 	if what == "serve" {
-		c.Flags().StringVar(&o.Control, "control", "", "path of a control socket")
+		c.Flags().StringVar(&o.ControlSocket, "control", "", "path of a control socket")
 		c.Flags().StringVar(&captureFile, "capture", "", "file of a capture, such as deploy/capture.toml")
 		c.Flags().StringVar(&tlsFile, "tls", "", "file of a TLS listener and its certificates, such as deploy/tls.toml")
 		c.Flags().StringVar(&peersFile, "peers", "", "file of the processes that keep each other's ops, such as deploy/peers.toml")
 		c.Flags().StringVar(&planeFile, "control-plane", "", "file of the control plane whose settings it follows, such as deploy/control-plane.toml")
-		c.Flags().BoolVar(&o.Held, "held", false, "stay out of service until the control socket says otherwise")
+		c.Flags().BoolVar(&o.OutOfService, "held", false, "stay out of service until the control socket says otherwise")
 		c.Flags().StringVar(&logFile, "log-file", "", "log to a file, rotated, and not to standard error")
 	}
 	return c
--- a/cmd/pearknot/upgrade_test.go
+++ b/cmd/pearknot/upgrade_test.go
@@ -190,7 +190,7 @@
 	out := r.backends[1].Load()
 	for range 3 {
 		next := r.launch(true)
-		assert.Contains(t, next.log(), "taken_out=1")
+		assert.Contains(t, next.log(), "cordoned=1")
 		r.settled(100)
 		r.end(now)
 		r.settled(100)
@@ -222,9 +222,9 @@
 
 	// A new one that is killed before its yes: the old one has noticed nothing.
 	early := r.launch(false)
-	require.Eventually(t, func() bool { return strings.Contains(older.log(), "follows this one") }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(older.log(), "successor process connected") }, 10*time.Second, time.Millisecond)
 	require.NoError(t, early.Process.Kill())
-	require.Eventually(t, func() bool { return strings.Contains(older.log(), "this one goes on") }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(older.log(), "this one continues") }, 10*time.Second, time.Millisecond)
 	r.settled(50)
 
 	// One that was killed after it: what the kernel had queued there is gone with it, and clients that had connections.
@@ -232,7 +232,7 @@
 	r.settled(50)
 	require.NoError(t, late.Process.Kill())
 	<-late.ended
-	require.Eventually(t, func() bool { return strings.Count(older.log(), "this one goes on") == 2 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Count(older.log(), "this one continues") == 2 }, 10*time.Second, time.Millisecond)
 	r.settled(50)
 	stop()
 	r.mu.Lock()
@@ -245,7 +245,7 @@
 	stop()
 	require.NoError(t, older.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, older.Process.Kill())
-	require.Eventually(t, func() bool { return strings.Contains(newer.log(), "the process before has ended") }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(newer.log(), "predecessor process ended") }, 10*time.Second, time.Millisecond)
 	stop = r.load(4)
 	r.settled(50)
 	last := r.launch(true)
@@ -253,7 +253,7 @@
 	r.settled(50)
 	stop()
 	assert.Empty(t, r.faults)
-	assert.Contains(t, last.log(), "following the process before")
+	assert.Contains(t, last.log(), "state taken over from the predecessor process")
 }
 
 // Calls at either process hold for the node, and a new one takes over a node whose clients are sent away as it is.
@@ -343,14 +343,14 @@
 	held.Store(&gate)
 	stop := r.load(8)
 	next := r.launch(false)
-	require.Eventually(t, func() bool { return strings.Contains(next.log(), "following the process before") }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(next.log(), "state taken over from the predecessor process") }, 10*time.Second, time.Millisecond)
 	require.NoError(t, older.Process.Signal(syscall.SIGTERM))
 	require.Eventually(t, func() bool { return strings.Contains(older.log(), "msg=draining") }, 10*time.Second, time.Millisecond)
 	close(gate)
 	<-older.ended
 	r.settled(50)
 	stop()
-	assert.Contains(t, older.log(), "handing over to the next process")
+	assert.Contains(t, older.log(), "handing off to the successor process")
 	assert.Contains(t, older.log(), "ended unanswered=0")
 	assert.Empty(t, r.faults)
 	for id, times := range r.pushes {
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -15,7 +15,7 @@
 // The agent's answers are read by scripts and other builds, its state by the build that comes after it.
 func TestForms(t *testing.T) {
 	for file, v := range map[string]any{"view.json": &View{}, "write.json": &Write{}, "written.json": &Written{}, "state.json": &fleet.State{},
-		"holder.json": &serve.Holder{}} {
+		"holder.json": &serve.LockHolder{}} {
 		t.Run(file, func(t *testing.T) { goldentest.JSON(t, file, v) })
 	}
 }
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -55,7 +55,7 @@
 }
 
 // holder is what stands in a lock, by whoever holds it.
-func (p place) holder() (h serve.Holder, err error) {
+func (p place) holder() (h serve.LockHolder, err error) {
 	data, err := os.ReadFile(p.lock())
 	if err != nil {
 		return h, err
@@ -101,7 +101,7 @@
 	}
 	point("executed")
 	go func() { ended(c.Wait()) }()
-	if data, err := json.Marshal(serve.Holder{PID: c.Process.Pid, Token: token}); err == nil {
+	if data, err := json.Marshal(serve.LockHolder{PID: c.Process.Pid, Token: token}); err == nil {
 		_, _ = lock.WriteAt(data, 0) // as the process itself does: one of the two comes first
 	}
 	point("noted")
@@ -141,7 +141,7 @@
 }
 
 // prove holds what stands in a lock against the token, and sees that the lock is held.
-func (p place) prove(h serve.Holder, token string) error {
+func (p place) prove(h serve.LockHolder, token string) error {
 	if token == "" || h.Token != token || h.PID <= 1 {
 		return fmt.Errorf("%s: holder is not the one that was started", p.lock())
 	}
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -89,7 +89,7 @@
 	if err := json.Unmarshal(data, &c); err != nil {
 		return 1
 	}
-	if err := serve.NoteLock(); err != nil {
+	if err := serve.WriteLockHolder(); err != nil {
 		return 1
 	}
 	term := make(chan os.Signal, 1)
--- a/internal/lab/capacity/rig_serve.go
+++ b/internal/lab/capacity/rig_serve.go
@@ -280,7 +280,7 @@
 		lines := bufio.NewScanner(stderr)
 		for lines.Scan() {
 			last = lines.Text()
-			if strings.Contains(last, `msg="new configuration"`) {
+			if strings.Contains(last, `msg="configuration reloaded"`) {
 				select {
 				case x.again <- struct{}{}:
 				default:
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -238,8 +238,8 @@
 	for k := range 3 {
 		log, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf("n%d.log", k)))
 		require.NoError(t, err)
-		assert.GreaterOrEqual(t, strings.Count(string(log), "following the process before"), 2)
-		assert.Equal(t, strings.Count(string(log), "following the process before"), strings.Count(string(log), "ended unanswered=0")-1, "and the last")
+		assert.GreaterOrEqual(t, strings.Count(string(log), "state taken over from the predecessor process"), 2)
+		assert.Equal(t, strings.Count(string(log), "state taken over from the predecessor process"), strings.Count(string(log), "ended unanswered=0")-1, "and the last")
 	}
 	assert.Empty(t, left(t, dir))
 }
--- a/internal/serve/capture.go
+++ b/internal/serve/capture.go
@@ -14,56 +14,84 @@
 	"pearknot/internal/tomlfile"
 )
 
+const (
+	// minRedactionKey is the least size of a key that hashes what is redacted, in bytes.
+	minRedactionKey = 16
+
+	maxCaptureMemoryMB = 4096
+)
+
 // Capture is what an operator's file says of a capture.
 type Capture struct {
-	Ring     capture.WriterConfig
-	MemoryMB float64 // a ring in memory in place of the one on disk, written into the ring's directory when asked for
-	Every    float64 // between snapshots, in ms
-	Secret   []byte
+	Ring             capture.WriterConfig
+	MemoryMB         float64 // of a ring in memory, dumped into Ring's directory on request; 0 writes to disk as it goes
+	SnapshotInterval float64 // ms
+	RedactionKey     []byte  // nil redacts nothing
 }
 
-// captured puts a recorder round each module that the node makes. End is called when the node has ended; dump writes a
-// ring in memory out, and is nil where there is none.
-func captured(p *Config, o *Options, now *clock.Clock, log *slog.Logger) (end func(), dump func() (string, error), err error) {
-	ring := o.Capture.Ring
-	ring.NodeName, ring.Log, ring.Now = p.name, log, now.Now
-	var sink func(capture.Batch)
-	if o.Capture.MemoryMB > 0 {
-		m := capture.NewMemoryRing(int(o.Capture.MemoryMB * (1 << 20)))
-		var dumps atomic.Int64
-		dump = func() (string, error) {
-			if err := os.MkdirAll(ring.Dir, 0o700); err != nil {
-				return "", err
-			}
-			name := filepath.Join(ring.Dir, capture.Name(p.name, now.Now(), int(dumps.Add(1))))
-			return name, m.WriteTo(name)
-		}
-		sink, end = m.Put, func() {}
-	} else {
-		w, err := capture.NewWriter(ring)
-		if err != nil {
-			return nil, nil, fmt.Errorf("capture: %w", err)
-		}
-		sink = w.Put
-		end = func() {
-			w.Close()
-			log.Info("capture ended", "records_dropped", w.Dropped())
+// captureSession is a node's capture.
+type captureSession struct {
+	nodeName string
+	ring     capture.WriterConfig
+	sink     func(capture.Batch)
+	close    func()                 // called when the node has ended
+	dump     func() (string, error) // writes a ring in memory into a file, and returns its name; nil where there is none
+}
+
+// openCapture opens the capture's ring, on disk or in memory.
+func openCapture(options *Capture, nodeName string, nodeClock *clock.Clock, log *slog.Logger) (*captureSession, error) {
+	ring := options.Ring
+	ring.NodeName, ring.Log, ring.Now = nodeName, log, nodeClock.Now
+	session := &captureSession{nodeName: nodeName, ring: ring}
+	if options.MemoryMB > 0 {
+		session.useMemory(options.MemoryMB)
+		return session, nil
+	}
+	writer, err := capture.NewWriter(ring)
+	if err != nil {
+		return nil, fmt.Errorf("capture: %w", err)
+	}
+	session.sink = writer.Put
+	session.close = func() {
+		writer.Close()
+		log.Info("capture ended", "records_dropped", writer.Dropped())
+	}
+	return session, nil
+}
+
+func (s *captureSession) useMemory(sizeMB float64) {
+	memory := capture.NewMemoryRing(int(sizeMB * (1 << 20)))
+	s.sink = memory.Put
+	s.close = func() {}
+	var dumps atomic.Int64
+	s.dump = func() (string, error) {
+		if err := os.MkdirAll(s.ring.Dir, 0o700); err != nil {
+			return "", err
 		}
+		name := filepath.Join(s.ring.Dir, capture.Name(s.nodeName, s.ring.Now(), int(dumps.Add(1))))
+		return name, memory.WriteTo(name)
 	}
-	inner, epoch := o.Decide, uint64(now.Now()) // a process begins where the one before can't have been
-	o.Decide = func(t *balancer.Config, at float64) balancer.Decider {
-		d := inner(t, at)
-		r, err := capture.NewRecorder(d, at, capture.Start{Name: p.name, Epoch: epoch, Build: o.Version, Config: t},
-			capture.Options{SnapshotIntervalMs: o.Capture.Every, HashKey: o.Capture.Secret, Sink: sink})
+}
+
+// recordDecider puts a recorder round each balancer that the node makes.
+func (s *captureSession) recordDecider(options *Options) {
+	newDecider, captureOptions := options.NewDecider, options.Capture
+	epoch := uint64(s.ring.Now()) // in ms, so that a process begins above all epochs of the one before it
+	options.NewDecider = func(config *balancer.Config, now float64) balancer.Decider {
+		decider := newDecider(config, now)
+		start := capture.Start{Name: s.nodeName, Epoch: epoch, Build: options.Version, Config: config}
+		recorder, err := capture.NewRecorder(decider, now, start, capture.Options{
+			SnapshotIntervalMs: captureOptions.SnapshotInterval,
+			HashKey:            captureOptions.RedactionKey,
+			Sink:               s.sink,
+		})
 		if err != nil {
-			log.Error("no capture", "error", err)
-			return d
+			s.ring.Log.Error("capture not started", "error", err)
+			return decider
 		}
 		epoch++
-		return r
+		return recorder
 	}
-	log.Info("capturing", "dir", ring.Dir, "memory_mb", o.Capture.MemoryMB)
-	return end, dump, nil
 }
 
 // captureFile is deploy/capture.toml.
@@ -81,43 +109,78 @@
 	Redact    string  `toml:"redact_key_file"`
 }
 
-// ReadCapture reads the operator's file of a capture.
+// ReadCapture reads the operator's file of a capture, and the key that it names.
 func ReadCapture(name string) (*Capture, error) {
-	f := captureFile{SegmentMB: 16, MostMB: 256, MostHours: 48, EveryMs: 1000, BlockKB: 64, MailboxMB: 4, EveryS: 10, Sync: string(capture.SyncSegment)}
-	at, err := tomlfile.Read(name, &f)
+	content := captureFile{SegmentMB: 16, MostMB: 256, MostHours: 48, EveryMs: 1000, BlockKB: 64, MailboxMB: 4, EveryS: 10,
+		Sync: string(capture.SyncSegment)}
+	file, err := tomlfile.Read(name, &content)
 	if err != nil {
 		return nil, err
 	}
-	for _, x := range []struct {
-		key         string
-		value, most float64
-	}{{"segment_mb", f.SegmentMB, 1 << 20}, {"most_mb", f.MostMB, 1 << 30}, {"most_hours", f.MostHours, 1e6}, {"every_ms", f.EveryMs, 1e6},
-		{"block_kb", float64(f.BlockKB), 4096}, {"mailbox_mb", f.MailboxMB, 1024}, {"snapshot_s", f.EveryS, 86400}} {
-		if !(x.value > 0 && x.value <= x.most) {
-			return nil, at.Errorf(x.key, "%v is not above 0, to %v", x.value, x.most)
+	if err := content.validate(file); err != nil {
+		return nil, err
+	}
+	redactionKey, err := readRedactionKey(file, content.Redact)
+	if err != nil {
+		return nil, err
+	}
+	return &Capture{
+		MemoryMB:         content.MemoryMB,
+		SnapshotInterval: content.EveryS * 1e3,
+		RedactionKey:     redactionKey,
+		Ring: capture.WriterConfig{
+			Dir:           content.Dir,
+			SegmentMB:     content.SegmentMB,
+			MaxTotalMB:    content.MostMB,
+			MaxAge:        time.Duration(content.MostHours * float64(time.Hour)),
+			FlushInterval: clock.Duration(content.EveryMs),
+			BlockKB:       content.BlockKB,
+			MaxPendingMB:  content.MailboxMB,
+			Sync:          capture.Sync(content.Sync),
+		},
+	}, nil
+}
+
+func (f *captureFile) validate(file *tomlfile.File) error {
+	for _, limit := range []struct {
+		key        string
+		value, max float64
+	}{
+		{"segment_mb", f.SegmentMB, 1 << 20},
+		{"most_mb", f.MostMB, 1 << 30},
+		{"most_hours", f.MostHours, 1e6},
+		{"every_ms", f.EveryMs, 1e6},
+		{"block_kb", float64(f.BlockKB), 4096},
+		{"mailbox_mb", f.MailboxMB, 1024},
+		{"snapshot_s", f.EveryS, 86400},
+	} {
+		if !(limit.value > 0 && limit.value <= limit.max) {
+			return file.Errorf(limit.key, "%v is not above 0, to %v", limit.value, limit.max)
 		}
 	}
-	switch s := capture.Sync(f.Sync); {
+	switch sync := capture.Sync(f.Sync); {
 	case f.Dir == "":
-		return nil, at.Errorf("dir", "none given")
+		return file.Errorf("dir", "none given")
 	case f.MostMB < 2*f.SegmentMB:
-		return nil, at.Errorf("most_mb", "%v is less than two segments", f.MostMB)
-	case s != capture.SyncNever && s != capture.SyncSegment && s != capture.SyncBlock:
-		return nil, at.Errorf("sync", "%q is none of never, segment, block", f.Sync)
+		return file.Errorf("most_mb", "%v is less than two segments", f.MostMB)
+	case sync != capture.SyncNever && sync != capture.SyncSegment && sync != capture.SyncBlock:
+		return file.Errorf("sync", "%q is none of never, segment, block", f.Sync)
+	case f.MemoryMB < 0 || f.MemoryMB > maxCaptureMemoryMB:
+		return file.Errorf("memory_mb", "%v is not 0 to 4096", f.MemoryMB)
 	}
-	if f.MemoryMB < 0 || f.MemoryMB > 4096 {
-		return nil, at.Errorf("memory_mb", "%v is not 0 to 4096", f.MemoryMB)
+	return nil
+}
+
+func readRedactionKey(file *tomlfile.File, name string) ([]byte, error) {
+	if name == "" {
+		return nil, nil
 	}
-	c := &Capture{MemoryMB: f.MemoryMB, Every: f.EveryS * 1e3}
-	if f.Redact != "" {
-		if c.Secret, err = os.ReadFile(f.Redact); err != nil {
-			return nil, at.Errorf("redact_key_file", "%v", err)
-		}
-		if len(c.Secret) < 16 {
-			return nil, at.Errorf("redact_key_file", "%s: %d bytes are too few for a key, 16 at least", f.Redact, len(c.Secret))
-		}
+	key, err := os.ReadFile(name)
+	if err != nil {
+		return nil, file.Errorf("redact_key_file", "%v", err)
+	}
+	if len(key) < minRedactionKey {
+		return nil, file.Errorf("redact_key_file", "%s: %d bytes are too few for a key, 16 at least", name, len(key))
 	}
-	c.Ring = capture.WriterConfig{Dir: f.Dir, SegmentMB: f.SegmentMB, MaxTotalMB: f.MostMB, MaxAge: time.Duration(f.MostHours * float64(time.Hour)),
-		FlushInterval: clock.Duration(f.EveryMs), BlockKB: f.BlockKB, MaxPendingMB: f.MailboxMB, Sync: capture.Sync(f.Sync)}
-	return c, nil
+	return key, nil
 }
--- /dev/null
+++ b/internal/serve/certificates.go
@@ -0,0 +1,117 @@
+package serve
+
+import (
+	"cmp"
+	"context"
+	"crypto/tls"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"pearknot/internal/acme"
+	"pearknot/internal/controlsocket"
+	"pearknot/internal/server"
+)
+
+const (
+	// tlsDescriptors are the descriptors, neither clients' nor backends', of a node that serves TLS: its listener, the
+	// challenges' listener and callers, the calls to the authority, and the store.
+	tlsDescriptors = 14
+
+	// challengeTimeout is for reading and for answering a challenge.
+	challengeTimeout = 5 * time.Second
+
+	// challengeRetryDelay is the wait until a challenge address that was taken is tried again.
+	challengeRetryDelay = time.Second
+
+	challengeMaxHeaderBytes = 8 << 10
+)
+
+// openTLS opens the TLS listener and the certificate store, and keeps the certificates valid until ctx is done. wait
+// then waits until the store is released.
+func (p *process) openTLS(ctx context.Context) (wait func(), err error) {
+	options := p.options.TLS
+	acmeOptions := options.ACME
+	acmeOptions.Limits.Instance, acmeOptions.Log = p.config.name, p.log
+	var certificates *acme.Instance // set before the listener is served
+	err = p.server.ListenTLS(server.TLSConfig{
+		Address:          cmp.Or(p.config.tlsAddress, options.Address),
+		ReusePort:        p.config.adminAddress != "",
+		AnswerChallenges: acmeOptions.TLS,
+		GetCertificate: func(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
+			return certificates.Certificate(hello)
+		},
+	}, p.config.maxDescriptors)
+	if err != nil {
+		return nil, err
+	}
+	if certificates, err = acme.Open(acmeOptions, p.server.SetSessionTicketKeys); err != nil {
+		return nil, fmt.Errorf("certificates: %w", err)
+	}
+	p.certificates = certificates
+	var running sync.WaitGroup
+	running.Go(func() { certificates.Run(ctx) })
+	if options.ChallengeAddress != "" {
+		running.Go(func() { serveChallenges(ctx, options.ChallengeAddress, certificates, p.log) })
+	}
+	orders, orderedBy := certificates.Orders()
+	p.log.Info("serving TLS", "address", p.server.TLSAddress(), "certificates", len(acmeOptions.Names), "orders", orders, "ordered_by", orderedBy)
+	return running.Wait, nil
+}
+
+// serveChallenges answers http-01 until ctx is done. Of the instances on a machine one has the address at a time; the
+// others wait for it.
+func serveChallenges(ctx context.Context, address string, certificates *acme.Instance, log *slog.Logger) {
+	var loggedErr string
+	for ctx.Err() == nil {
+		listener, err := net.Listen("tcp", address)
+		if err != nil {
+			if loggedErr != err.Error() {
+				log.Warn("challenges not served here", "error", err)
+			}
+			loggedErr = err.Error()
+			select {
+			case <-ctx.Done():
+			case <-time.After(challengeRetryDelay):
+			}
+			continue
+		}
+		loggedErr = ""
+		serveChallengesOn(ctx, listener, certificates, log)
+	}
+}
+
+// serveChallengesOn answers http-01 on a listener until ctx is done or the listener fails.
+func serveChallengesOn(ctx context.Context, listener net.Listener, certificates *acme.Instance, log *slog.Logger) {
+	httpServer := &http.Server{
+		Handler:        challengeHandler(certificates),
+		ReadTimeout:    challengeTimeout,
+		WriteTimeout:   challengeTimeout,
+		MaxHeaderBytes: challengeMaxHeaderBytes,
+		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+	}
+	httpServer.SetKeepAlivesEnabled(false)
+	log.Info("serving challenges", "address", listener.Addr().String())
+	stop := context.AfterFunc(ctx, func() { _ = httpServer.Close() })
+	defer stop()
+	if err := httpServer.Serve(controlsocket.Limited(listener)); ctx.Err() == nil {
+		log.Error("challenges no longer served", "error", err)
+	}
+}
+
+// challengeHandler answers http-01 (RFC 8555, 8.3), and nothing else.
+func challengeHandler(certificates *acme.Instance) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		answer, ok := certificates.Challenge(r.URL.Path)
+		if !ok {
+			http.NotFound(w, r)
+			return
+		}
+		w.Header().Set("Content-Type", "application/octet-stream")
+		_, _ = io.WriteString(w, answer)
+	})
+}
--- /dev/null
+++ b/internal/serve/controlsocket.go
@@ -0,0 +1,113 @@
+package serve
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"os"
+	"runtime/metrics"
+	"time"
+
+	"pearknot/internal/controlsocket"
+	"pearknot/internal/requestlog"
+	"pearknot/internal/server"
+)
+
+// statusTimeout is how long the node's and the peers' actors may take to answer.
+const statusTimeout = time.Second
+
+// openControlSocket serves the node's control socket until it is closed.
+func (p *process) openControlSocket(startedAt float64) (io.Closer, error) {
+	listener, err := controlsocket.Listen(p.options.ControlSocket)
+	if err != nil {
+		return nil, err
+	}
+	status := func(ctx context.Context) (controlsocket.Status, error) { return p.status(ctx, startedAt) }
+	var certificates controlsocket.Certificates
+	if p.certificates != nil {
+		certificates = p.certificates
+	}
+	var clients func() server.ClientStats
+	if p.options.AdmissionFile != "" {
+		clients = p.server.ClientStats
+	}
+	var peersState func(context.Context) (requestlog.StateDigest, error)
+	if p.peers != nil {
+		peersState = func(ctx context.Context) (requestlog.StateDigest, error) {
+			ctx, cancel := context.WithTimeout(ctx, statusTimeout)
+			defer cancel()
+			return p.peers.State(ctx)
+		}
+	}
+	handler := controlsocket.Node(status, p.setService, p.dumpCapture, certificates, clients, peersState)
+	httpServer := controlsocket.Server(handler)
+	go func() {
+		if err := httpServer.Serve(controlsocket.Limited(listener)); !errors.Is(err, http.ErrServerClosed) {
+			p.log.Error("control socket ended", "error", err)
+		}
+	}()
+	return httpServer, nil
+}
+
+// status is the node's state for the control socket.
+func (p *process) status(ctx context.Context, startedAt float64) (controlsocket.Status, error) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
+	defer cancel()
+	nodeStatus, err := p.node.Status(ctx)
+	if err != nil {
+		return controlsocket.Status{}, err
+	}
+	inService, shuttingDown := p.server.ServiceState()
+	current := p.config.current.Load()
+	status := controlsocket.Status{
+		Token:     p.options.Token,
+		PID:       os.Getpid(),
+		Name:      p.config.name,
+		Listen:    p.server.Address(),
+		Version:   p.options.Version,
+		Started:   startedAt,
+		Config:    p.config.file,
+		Digest:    current.digest,
+		Epoch:     p.options.Epoch,
+		List:      current.discoveryAddress,
+		ListAt:    nodeStatus.Version,
+		ListSum:   nodeStatus.Digest,
+		Backends:  nodeStatus.Backends,
+		Ready:     nodeStatus.HasEndpoints,
+		InService: inService,
+		Ending:    shuttingDown,
+		Open:      int64(nodeStatus.OpenRequests),
+		MemoryMB:  memoryMB(),
+	}
+	if p.certificates != nil {
+		status.TLS = &controlsocket.TLS{
+			Listen:       p.server.TLSAddress(),
+			Dir:          p.options.TLS.ACME.Dir,
+			Handshakes:   p.server.HandshakeStats(),
+			Certificates: p.certificates.Status(),
+		}
+		status.TLS.Orders, status.TLS.OrderedBy = p.certificates.Orders()
+	}
+	if p.settings != nil {
+		status.ControlPlane = p.settings.status(ctx)
+	}
+	return status, nil
+}
+
+// setService takes the node out of service or back, as the control socket says.
+func (p *process) setService(service controlsocket.Service) error {
+	if _, shuttingDown := p.server.ServiceState(); shuttingDown {
+		return errShuttingDown
+	}
+	p.server.SetOutOfService(!service.In)
+	p.log.Info("service", "in", service.In, "why", service.Why)
+	return nil
+}
+
+// memoryMB is the memory that the runtime has of the system, in MB.
+func memoryMB() float64 {
+	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
+	metrics.Read(samples)
+	return float64(samples[0].Value.Uint64()-samples[1].Value.Uint64()) / (1 << 20)
+}
--- /dev/null
+++ b/internal/serve/process.go
@@ -0,0 +1,357 @@
+package serve
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"pearknot/internal/acme"
+	"pearknot/internal/admin"
+	"pearknot/internal/clock"
+	"pearknot/internal/config"
+	"pearknot/internal/controlplane/client"
+	"pearknot/internal/descriptors"
+	"pearknot/internal/discovery"
+	"pearknot/internal/node"
+	"pearknot/internal/peers"
+	"pearknot/internal/server"
+	"pearknot/internal/upstream"
+)
+
+const (
+	// idleConnectionShare is the share of a backend's own time-out after which the node closes an idle connection to
+	// it, so that the backend does not close it as a request is sent.
+	idleConnectionShare = 0.8
+
+	// scarceCheckInterval is the time between two rounds of closing idle connections while clients wait for a
+	// descriptor.
+	scarceCheckInterval = 100 * time.Millisecond
+)
+
+// process is a node's process: its parts, in the order in which they are opened. Parts that the options leave out are
+// nil.
+type process struct {
+	config  *Config
+	options Options
+	log     *slog.Logger
+	clock   *clock.Clock
+
+	reload  <-chan os.Signal // SIGHUP
+	dumps   chan os.Signal   // SIGUSR1
+	scarce  chan struct{}    // signals that descriptors have run short
+	closers []func()
+
+	settings       *controlPlaneSettings
+	budget         *descriptors.Budget
+	restart        *restartCoordinator
+	adminAddress   string
+	dumpCapture    func() (string, error)
+	upstreamConfig *upstream.Config
+	deployment     atomic.Pointer[config.Deployment] // in force
+	watch          *discovery.Watch
+	node           *node.Node
+	server         *server.Server
+	peers          *peers.Peers
+	certificates   *acme.Instance
+}
+
+// onClose has a part closed when the process ends.
+func (p *process) onClose(closePart func()) { p.closers = append(p.closers, closePart) }
+
+// close closes all parts, the one opened last first.
+func (p *process) close() {
+	for i := len(p.closers) - 1; i >= 0; i-- {
+		p.closers[i]()
+	}
+}
+
+// openBudget opens the budget of file descriptors and what takes its own part of them before it.
+func (p *process) openBudget() error {
+	limit := p.config.maxDescriptors
+	if p.options.TLS != nil {
+		limit -= tlsDescriptors
+	}
+	if p.config.adminAddress != "" {
+		limit -= admin.Descriptors
+	}
+	if p.options.Peers != nil {
+		if err := p.options.Peers.bind(p.config); err != nil {
+			return err
+		}
+		limit -= p.options.Peers.config.Descriptors()
+	}
+	if p.options.ControlPlane != nil {
+		settings, err := openControlPlaneSettings(p.config, p.options.ControlPlane, p.clock, p.log)
+		if err != nil {
+			return err
+		}
+		p.settings = settings
+		p.onClose(settings.stop)
+		limit -= client.MaxDescriptors
+	}
+	p.budget = descriptors.New(limit, func() {
+		select {
+		case p.scarce <- struct{}{}:
+		default:
+		}
+	})
+	p.restart = &restartCoordinator{
+		config:         p.config,
+		socketPath:     restartSocketPath(p.config, p.log),
+		maxDescriptors: limit,
+		budget:         p.budget,
+		clock:          p.clock,
+		log:            p.log,
+	}
+	p.restart.setMemoryLimit(1)
+	return nil
+}
+
+// openAdmin opens the operators' address.
+func (p *process) openAdmin() error {
+	if p.config.adminAddress != "" {
+		adminServer, err := admin.Open(p.config.adminAddress, p.restart.handleAdminCall, p.log)
+		if err != nil {
+			return fmt.Errorf("second address: %w", err)
+		}
+		p.onClose(func() { _ = adminServer.Close() })
+		p.adminAddress = adminServer.Address()
+	}
+	p.onClose(p.restart.close)
+	return nil
+}
+
+// openCapture opens the capture, before the node makes its balancer.
+func (p *process) openCapture() error {
+	options := p.options.Capture
+	if options == nil {
+		return nil
+	}
+	session, err := openCapture(options, p.config.name, p.clock, p.log)
+	if err != nil {
+		return err
+	}
+	p.onClose(session.close)
+	p.dumpCapture = session.dump
+	session.recordDecider(&p.options)
+	p.log.Info("capturing", "dir", options.Ring.Dir, "memory_mb", options.MemoryMB)
+	return nil
+}
+
+// makeNode makes the node, the server and the links to peers; nothing of them runs yet.
+func (p *process) makeNode() error {
+	p.watch = &discovery.Watch{
+		Address:     p.config.discoveryAddress,
+		Deployment:  p.config.deploymentNames,
+		LocalSource: !p.config.deployment.Balancer.PollEndpoints,
+		Log:         p.log,
+	}
+	if cached := p.config.cachedEndpoints; cached != nil {
+		p.watch.Version, p.watch.HasList = cached.Version, true
+	}
+	p.upstreamConfig = &upstream.Config{SetReportValue: config.SetReportValue, Budget: p.budget, Log: p.log}
+	p.useDeployment(p.config.deployment)
+	p.node = node.New(p.config.deployment, p.options.NewDecider, p.clock, p.upstreamConfig, p.watch.Poll, p.log)
+	p.watch.OnList, p.watch.OnFailure = p.node.EndpointsChanged, p.node.PollFailed
+	p.server = server.New(p.node, p.config.deployment, p.clock, p.budget, p.log)
+	if err := p.enableAdmission(); err != nil {
+		return err
+	}
+	p.restart.node, p.restart.server = p.node, p.server
+	if p.options.Peers != nil {
+		p.peers = peers.New(p.options.Peers.config, p.clock, p.node.TakeOver, p.log)
+		p.node.LogRequests(p.peers)
+		p.server.LogRequests(p.options.Peers.requestLogging(p.peers))
+	}
+	return nil
+}
+
+// useDeployment puts a deployment's time-outs of connections to backends in force.
+func (p *process) useDeployment(deployment *config.Deployment) {
+	p.deployment.Store(deployment)
+	p.upstreamConfig.ConnectTimeout.Set(clock.Duration(deployment.ConnectTimeout))
+	p.upstreamConfig.IdleTimeout.Set(clock.Duration(idleConnectionShare * deployment.ConnectionIdle))
+}
+
+func (p *process) enableAdmission() error {
+	if p.options.AdmissionFile == "" {
+		return nil
+	}
+	limits, err := ReadAdmission(p.options.AdmissionFile)
+	if err != nil {
+		return err
+	}
+	p.server.EnableAdmission(*limits, func(underPressure bool) {
+		if underPressure {
+			p.log.Warn("descriptors run short, connections are limited by address")
+		} else {
+			p.log.Info("descriptors suffice again")
+		}
+	})
+	return nil
+}
+
+// connectPredecessor takes over the state of the process before this one, if one runs.
+func (p *process) connectPredecessor(ctx context.Context) {
+	if state := p.restart.connect(ctx); state != nil {
+		p.restart.restore(state)
+		if state.List.Endpoints != nil {
+			p.config.cachedEndpoints = &state.List
+			p.watch.Version, p.watch.HasList = state.List.Version, true
+		}
+	}
+	p.server.SetOutOfService(p.options.OutOfService)
+}
+
+// serveTLS opens TLS where it is to be served. endLifetime ends lifetime, by which the certificates are kept.
+func (p *process) serveTLS(lifetime context.Context, endLifetime func()) error {
+	if p.options.TLS == nil {
+		return nil
+	}
+	wait, err := p.openTLS(lifetime)
+	if err != nil {
+		return err
+	}
+	p.onClose(func() {
+		endLifetime()
+		wait()
+	})
+	return nil
+}
+
+// startNode starts the watch and the node. Beside a predecessor, which serves on until then, it waits until the node can
+// serve; isReady is false where ctx is done before.
+func (p *process) startNode(ctx, lifetime context.Context) (isReady bool) {
+	p.watch.Start(lifetime)
+	p.node.Start(p.config.cachedEndpoints)
+	if !p.restart.hasPredecessor() {
+		return true
+	}
+	p.node.ProcessesChanged(2)
+	select {
+	case <-p.node.Ready():
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// listen starts the links to peers and opens the clients' address and the control socket.
+func (p *process) listen() error {
+	if p.peers != nil {
+		p.peers.Start()
+		p.onClose(p.peers.Stop)
+	}
+	reusePort := p.config.adminAddress != "" // a successor may listen there as well
+	if err := p.server.Listen(p.config.address, reusePort); err != nil {
+		return err
+	}
+	if p.options.ControlSocket == "" {
+		return nil
+	}
+	controlSocket, err := p.openControlSocket(p.clock.Now())
+	if err != nil {
+		return err
+	}
+	p.onClose(func() { _ = controlSocket.Close() })
+	return nil
+}
+
+// beginServing serves clients. The channel gets the server's end.
+func (p *process) beginServing(lifetime context.Context) <-chan error {
+	go p.freeDescriptors(lifetime)
+	p.log.Info("serving", "name", p.config.name, "address", p.server.Address(), "control", p.adminAddress, "version", p.options.Version)
+	ended := make(chan error, 1)
+	go func() { ended <- p.server.Serve() }()
+	p.restart.beginServing()
+	if p.settings != nil {
+		p.settings.client.Start()
+	}
+	return ended
+}
+
+// freeDescriptors closes idle connections whenever descriptors run short, and goes on while clients wait for one.
+func (p *process) freeDescriptors(ctx context.Context) {
+	for {
+		var again <-chan time.Time
+		if p.budget.HasWaitingClient() {
+			again = time.After(scarceCheckInterval)
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-again:
+		case <-p.scarce:
+		}
+		if p.budget.ShouldCloseIdleBackends() {
+			p.node.CloseIdleConnections()
+		}
+		p.server.CloseIdleConnections()
+	}
+}
+
+// handleEvents puts other settings in force and dumps captures, as signals and the control plane say, until the process
+// is closed. It goes on while the node drains: an endpoint list from an address that is no longer configured must not
+// count even then.
+func (p *process) handleEvents(lifetime context.Context, endLifetime func()) {
+	var updates <-chan settingsUpdate
+	if p.settings != nil {
+		updates = p.settings.updates
+	}
+	reconfigure := func(deployment *config.Deployment) error { return p.reconfigure(lifetime, deployment) }
+	var running sync.WaitGroup
+	running.Go(func() {
+		for {
+			select {
+			case <-lifetime.Done():
+				return
+			case update := <-updates:
+				update.result <- p.settings.put(update, reconfigure)
+			case <-p.reload:
+				p.config.reload(p.watch.SetAddress, reconfigure, p.log)
+				p.reloadAdmission()
+			case <-p.dumps:
+				go p.logDump() // the disk may be slow
+			}
+		}
+	})
+	p.onClose(func() {
+		endLifetime()
+		running.Wait()
+	})
+}
+
+// reconfigure puts a deployment in force.
+func (p *process) reconfigure(ctx context.Context, deployment *config.Deployment) error {
+	if err := p.node.Reconfigure(ctx, deployment); err != nil {
+		return err
+	}
+	p.server.Reconfigure(deployment)
+	p.useDeployment(deployment)
+	return nil
+}
+
+func (p *process) reloadAdmission() {
+	if p.options.AdmissionFile == "" {
+		return
+	}
+	limits, err := ReadAdmission(p.options.AdmissionFile)
+	if err != nil {
+		p.log.Error("admission limits not reloaded, the previous ones stay in force", "error", err)
+		return
+	}
+	p.server.SetAdmissionLimits(*limits)
+}
+
+func (p *process) logDump() {
+	name, err := p.dumpCapture()
+	if err != nil {
+		p.log.Error("capture not written out", "error", err)
+		return
+	}
+	p.log.Info("capture written out", "file", name)
+}
--- /dev/null
+++ b/internal/serve/reload.go
@@ -0,0 +1,89 @@
+package serve
+
+import (
+	"fmt"
+	"log/slog"
+	"os"
+	"os/signal"
+	"slices"
+	"strings"
+	"syscall"
+
+	"pearknot/internal/config"
+)
+
+// NotifyReload has SIGHUP wait for Run. It is called before the configuration is read: a SIGHUP that nobody waits for
+// ends the process. One that waits stands for all that come meanwhile.
+func NotifyReload() chan os.Signal {
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	return reload
+}
+
+// removableKeys are the keys that a configuration may come without, though the one before had them.
+var removableKeys = []string{"known", "tls", "tls_listen", "edge"}
+
+// reload reads the configuration's file again and puts it in force, completely or not at all: its deployment by
+// reconfigure, and discovery's address by setDiscoveryAddress. Other addresses and limits need a restart. Once the
+// control plane has put settings in force, those of the file are only checked.
+func (c *Config) reload(setDiscoveryAddress func(address string), reconfigure func(*config.Deployment) error, log *slog.Logger) {
+	next, err := c.readNext(log)
+	ownsSettings := c.controlPlaneVersion == 0
+	if err == nil && ownsSettings {
+		err = c.applyNext(next, reconfigure)
+	}
+	if err != nil {
+		log.Error("configuration not reloaded, the previous one stays in force", "error", err)
+		return
+	}
+	c.keys = next.keys
+	if ownsSettings {
+		c.deployment = next.deployment
+	} else {
+		log.Info("settings of the file ignored, the control plane's are in force", "version", c.controlPlaneVersion)
+	}
+	if c.needsRestart(next) {
+		log.Warn("configuration changed in settings that need a restart")
+	}
+	if next.discoveryAddress != c.discoveryAddress { // an unchanged watch goes on
+		defer setDiscoveryAddress(next.discoveryAddress)
+	}
+	c.discoveryAddress = next.discoveryAddress
+	c.current.Store(next.current.Load())
+	log.Info("configuration reloaded", "discovery", c.discoveryAddress, "classes", strings.Join(c.deployment.Classes, " "))
+}
+
+// readNext reads the file again. A key that was there before must not be missing: the file may be half written.
+func (c *Config) readNext(log *slog.Logger) (*Config, error) {
+	next, err := ReadConfig(c.file, log)
+	if err != nil {
+		return nil, err
+	}
+	for _, key := range slices.Sorted(slices.Values(c.keys)) {
+		if !slices.Contains(next.keys, key) && !slices.Contains(removableKeys, key) {
+			return nil, fmt.Errorf("%s: %s is missing", c.file, key)
+		}
+	}
+	return next, nil
+}
+
+// applyNext puts the next configuration's deployment in force.
+func (c *Config) applyNext(next *Config, reconfigure func(*config.Deployment) error) error {
+	if err := next.deployment.Follows(c.deployment); err != nil {
+		return fmt.Errorf("%s: %w", c.file, err)
+	}
+	return reconfigure(next.deployment)
+}
+
+// needsRestart reports whether the next configuration differs in what only a start puts in force.
+func (c *Config) needsRestart(next *Config) bool {
+	return next.name != c.name ||
+		next.address != c.address ||
+		next.maxDescriptors != c.maxDescriptors ||
+		next.memoryBytes != c.memoryBytes ||
+		next.cores != c.cores ||
+		next.tlsFile != c.tlsFile ||
+		next.tlsAddress != c.tlsAddress ||
+		next.admissionFile != c.admissionFile ||
+		next.adminAddress != c.adminAddress
+}
