--- a/cmd/pearknot-lab/instances.go
+++ b/cmd/pearknot-lab/instances.go
@@ -67,13 +67,13 @@
 		return nil, errors.Join(err, lock.Close())
 	}
 	var out atomic.Bool
-	s := controlsocket.Server(controlsocket.Node(func(context.Context) (controlsocket.Status, error) {
+	s := controlsocket.NewServer(controlsocket.NewNodeHandler(controlsocket.NodeCalls{Status: func(context.Context) (controlsocket.Status, error) {
 		return controlsocket.Status{Token: token, PID: os.Getpid(), Name: name, Listen: fmt.Sprintf("127.0.0.1:%d", 10000+k), Digest: agent.Digest(name),
-			List: "127.0.0.1:1", Ready: true, InService: !out.Load()}, nil
-	}, func(s controlsocket.Service) error {
-		out.Store(!s.In)
+			ListAddress: "127.0.0.1:1", Ready: true, InService: !out.Load()}, nil
+	}, SetService: func(s controlsocket.Service) error {
+		out.Store(!s.InService)
 		return nil
-	}, nil, nil, nil, nil))
+	}}))
 	go func() {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			fmt.Fprintln(os.Stderr, name, err)
--- a/cmd/pearknot/capture.go
+++ b/cmd/pearknot/capture.go
@@ -243,11 +243,11 @@
 	_ = cut.MarkFlagRequired("out")
 	dump := &cobra.Command{Use: "dump SOCKET", Short: "Have a node write out the capture that it holds in memory, by its control socket", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			var w controlsocket.Written
+			var w controlsocket.CaptureFile
 			if err := controlsocket.NewClient(args[0], dumpWithin).Call(c.Context(), http.MethodPost, controlsocket.CapturePath, nil, &w); err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), w.File)
+			fmt.Fprintln(c.OutOrStdout(), w.Name)
 			return nil
 		}}
 	root.AddCommand(cut, dump)
--- a/cmd/pearknot/certs.go
+++ b/cmd/pearknot/certs.go
@@ -58,7 +58,7 @@
 	tell := func(use, path, short string, done string) *cobra.Command {
 		return &cobra.Command{Use: use + " SOCKET NAME", Args: cobra.ExactArgs(2), Short: short, RunE: func(c *cobra.Command, args []string) error {
 			err := controlsocket.NewClient(args[0], certsWithin).Call(c.Context(), "POST", path, controlsocket.Certificate{Name: args[1]}, nil)
-			var refused *controlsocket.Refused
+			var refused *controlsocket.ResponseError
 			if errors.As(err, &refused) {
 				return &cli.Error{Status: cli.StatusCheckFailed, Err: err}
 			}
--- a/cmd/pearknot/controlplane.go
+++ b/cmd/pearknot/controlplane.go
@@ -416,13 +416,13 @@
 			if t.json {
 				return json.NewEncoder(c.OutOrStdout()).Encode(p)
 			}
-			follows := p.Member
+			follows := p.FollowedMember
 			if follows == "" {
 				follows = "nobody"
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: version %d in force, digest %.12s, age %s, follows %s\n", s.Name, p.InForce, p.Digest, seconds(p.AgeMs), follows)
-			if p.Refused > p.InForce {
-				fmt.Fprintf(c.OutOrStdout(), "version %d refused: %s\n", p.Refused, p.Why)
+			fmt.Fprintf(c.OutOrStdout(), "%s: version %d in force, digest %.12s, age %s, follows %s\n", s.Name, p.ActiveVersion, p.Digest, seconds(p.AgeMs), follows)
+			if p.RejectedVersion > p.ActiveVersion {
+				fmt.Fprintf(c.OutOrStdout(), "version %d refused: %s\n", p.RejectedVersion, p.RejectReason)
 			}
 			return nil
 		}}
--- a/cmd/pearknot/controlplane_test.go
+++ b/cmd/pearknot/controlplane_test.go
@@ -258,7 +258,7 @@
 	for _, n := range nodes {
 		p.within(time.Until(from.Add(inForceWithin)), fmt.Sprintf("version %d at %s", version, n), func() bool {
 			s, err := p.holds(n)
-			return err == nil && s.InForce == version && s.Digest == digest(text)
+			return err == nil && s.ActiveVersion == version && s.Digest == digest(text)
 		})
 		p.t.Logf("seen there %v after the acknowledgement", time.Since(from).Round(time.Millisecond))
 	}
@@ -270,7 +270,7 @@
 	p.within(10*time.Second, node+" follows a member", func() bool {
 		var err error
 		s, err = p.holds(node)
-		return err == nil && slices.Contains(members, s.Member)
+		return err == nil && slices.Contains(members, s.FollowedMember)
 	})
 	return s
 }
@@ -467,12 +467,12 @@
 	p.everywhere(version, at, "n1", "n2")
 	// Its relay goes, and a change is made before it has another.
 	was := p.follows("n1", "c4", "c5") // of its region
-	p.kill(was.Member)
+	p.kill(was.FollowedMember)
 	lost := time.Now()
 	version, at = p.apply(tenants(6000, 4002))
 	p.within(time.Until(lost.Add(movedWithin)), "n1 follows another", func() bool {
 		s, err := p.holds("n1")
-		return err == nil && s.Member != "" && s.Member != was.Member
+		return err == nil && s.FollowedMember != "" && s.FollowedMember != was.FollowedMember
 	})
 	p.everywhere(version, at, "n1", "n2")
 	now, err := p.holds("n1")
@@ -524,7 +524,7 @@
 	p.everywhere(next, at, "n2")
 	p.within(10*time.Second, "n1 knows how old its settings may be", func() bool {
 		s, err := p.holds("n1")
-		return err == nil && s.InForce == version && s.AgeMs != nil && *s.AgeMs > 3000
+		return err == nil && s.ActiveVersion == version && s.AgeMs != nil && *s.AgeMs > 3000
 	})
 	status, out, _ := p.command("status")
 	require.Equal(t, 3, status, out)
@@ -546,7 +546,7 @@
 	})
 	s, err := p.holds("n2")
 	require.NoError(t, err)
-	require.Equal(t, []uint64{0, 1, 1}, []uint64{s.InForce, s.Held, s.Refused})
+	require.Equal(t, []uint64{0, 1, 1}, []uint64{s.ActiveVersion, s.LatestVersion, s.RejectedVersion})
 	// It tries each: the next one fits.
 	ctx := t.Context()
 	_, err = p.operators.Apply(ctx, 1, []byte(strings.Replace(tenants(5, 4001), `"kinds":["m"]`, `"kinds":["m","large"]`, 1)), "test", "")
@@ -570,7 +570,7 @@
 	p.node("n1", "east", settings)
 	s, err := p.holds("n1")
 	require.NoError(t, err)
-	require.Equal(t, version, s.InForce)
+	require.Equal(t, version, s.ActiveVersion)
 	require.Nil(t, s.AgeMs, "nobody has told it how old that is")
 	p.signal("n1", syscall.SIGHUP)
 	p.within(5*time.Second, "SIGHUP heard", func() bool {
@@ -578,7 +578,7 @@
 	})
 	s, err = p.holds("n1")
 	require.NoError(t, err)
-	require.Equal(t, version, s.InForce)
+	require.Equal(t, version, s.ActiveVersion)
 	p.kill("n1")
 	whole, err := os.ReadFile(file)
 	require.NoError(t, err)
@@ -586,7 +586,7 @@
 	p.node("n1", "east", settings)
 	s, err = p.holds("n1")
 	require.NoError(t, err)
-	require.Zero(t, s.InForce)
+	require.Zero(t, s.ActiveVersion)
 	require.Equal(t, 1, strings.Count(p.processes["n1"].log.String(), "copy of the settings damaged, set aside"))
 	aside, err := filepath.Glob(file + ".damaged-*")
 	require.NoError(t, err)
@@ -642,7 +642,7 @@
 	p.node("n3", "east", settings)
 	p.within(20*time.Second, "n3 has the whole", func() bool {
 		s, err := p.holds("n3")
-		return err == nil && s.InForce == version
+		return err == nil && s.ActiveVersion == version
 	})
 	s, err := p.holds("n3")
 	require.NoError(t, err)
@@ -659,7 +659,7 @@
 	p.node("n2", "west", settings)
 	version, at := p.apply(tenants(20, 4000))
 	p.everywhere(version, at, "n1", "n2")
-	p.signal(p.follows("n1", "c4", "c5").Member, syscall.SIGSTOP)
+	p.signal(p.follows("n1", "c4", "c5").FollowedMember, syscall.SIGSTOP)
 	version, at = p.apply(tenants(20, 4001))
 	p.everywhere(version, at, "n1", "n2")
 	p.signal("n1", syscall.SIGSTOP)
--- a/cmd/pearknot/fleet.go
+++ b/cmd/pearknot/fleet.go
@@ -107,7 +107,7 @@
 	w.Options.NoRevert = w.Options.NoRevert || t.options.NoRevert
 	var out agent.Written
 	err = t.client().Call(ctx, http.MethodPost, agent.WritePath, w, &out)
-	var refused *controlsocket.Refused
+	var refused *controlsocket.ResponseError
 	if errors.As(err, &refused) {
 		switch refused.Status {
 		case http.StatusConflict:
--- a/cmd/pearknot/peers_test.go
+++ b/cmd/pearknot/peers_test.go
@@ -464,7 +464,7 @@
 	open := func() int64 {
 		var s controlsocket.Status
 		require.NoError(t, looks.Call(t.Context(), "GET", controlsocket.StatusPath, nil, &s))
-		return s.Open
+		return s.OpenRequests
 	}
 	end := func(c net.Conn) { _ = c.Close() }
 	reset := func(c net.Conn) {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -134,7 +134,7 @@
 		}
 		a.fleet.Adopt(a.now(), p.name, s.Token, s.PID, s.Digest, s.Epoch)
 		i := set[p.name]
-		i.Name, i.Listen, i.Digest, i.List, i.Wanted, i.Epoch = p.name, s.Listen, s.Digest, s.List, fleet.Running, s.Epoch
+		i.Name, i.Listen, i.Digest, i.List, i.Wanted, i.Epoch = p.name, s.Listen, s.Digest, s.ListAddress, fleet.Running, s.Epoch
 		if was, had := set[p.name]; had { // as it was declared, not as the kernel worded it
 			i.Listen = was.Listen
 		}
@@ -154,7 +154,7 @@
 	if err != nil {
 		return err
 	}
-	server := controlsocket.Server(a.api())
+	server := controlsocket.NewServer(a.api())
 	failed := make(chan error, 1)
 	go func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
@@ -376,7 +376,7 @@
 		return 0, p.signal(a.fleet.Records[x.Name].Token, syscall.SIGKILL)
 	case fleet.Admit, fleet.Withhold:
 		return 0, controlsocket.NewClient(p.socket(), a.o.CallWithin).Call(ctx, "POST", controlsocket.ServicePath,
-			controlsocket.Service{In: x.Step == fleet.Admit, Why: x.Why}, nil)
+			controlsocket.Service{InService: x.Step == fleet.Admit, Reason: x.Why}, nil)
 	case fleet.Forget:
 		lock, err := p.take()
 		if err != nil || lock == nil {
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -109,18 +109,18 @@
 		var v View
 		var next chan struct{}
 		if err := a.do(r.Context(), func() { v, next = a.view(), a.changed }); err != nil {
-			controlsocket.Fail(w, http.StatusServiceUnavailable, err.Error())
+			controlsocket.WriteError(w, http.StatusServiceUnavailable, err.Error())
 			return
 		}
 		if !watching || v.Seq > since || ctx.Err() != nil {
-			controlsocket.Answer(w, http.StatusOK, v)
+			controlsocket.WriteJSON(w, http.StatusOK, v)
 			return
 		}
 		select {
 		case <-next:
 		case <-ctx.Done():
 		case <-a.done:
-			controlsocket.Fail(w, http.StatusServiceUnavailable, "the agent ends")
+			controlsocket.WriteError(w, http.StatusServiceUnavailable, "the agent ends")
 			return
 		}
 	}
@@ -128,30 +128,30 @@
 
 func (a *Agent) postWrite(w http.ResponseWriter, r *http.Request) {
 	var x Write
-	if err := controlsocket.Decode(r, &x); err != nil {
-		controlsocket.Fail(w, http.StatusBadRequest, err.Error())
+	if err := controlsocket.DecodeBody(r, &x); err != nil {
+		controlsocket.WriteError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	author := author(controlsocket.Who(r.Context()))
+	author := author(controlsocket.CallerOf(r.Context()))
 	var out Written
 	var err error
 	if e := a.do(r.Context(), func() { out, err = a.write(x, author) }); e != nil {
-		controlsocket.Fail(w, http.StatusServiceUnavailable, e.Error())
+		controlsocket.WriteError(w, http.StatusServiceUnavailable, e.Error())
 		return
 	}
 	var conflict *fleet.Conflict
 	var busy *fleet.Busy
 	switch {
 	case err == nil:
-		controlsocket.Answer(w, http.StatusOK, out)
+		controlsocket.WriteJSON(w, http.StatusOK, out)
 	case errors.As(err, &conflict), errors.As(err, &busy):
-		controlsocket.Fail(w, http.StatusConflict, err.Error())
+		controlsocket.WriteError(w, http.StatusConflict, err.Error())
 	case errors.Is(err, fleet.ErrNothing):
-		controlsocket.Fail(w, NothingToChange, err.Error())
+		controlsocket.WriteError(w, NothingToChange, err.Error())
 	case errors.Is(err, errUnwritten):
-		controlsocket.Fail(w, http.StatusInsufficientStorage, err.Error())
+		controlsocket.WriteError(w, http.StatusInsufficientStorage, err.Error())
 	default:
-		controlsocket.Fail(w, http.StatusUnprocessableEntity, err.Error())
+		controlsocket.WriteError(w, http.StatusUnprocessableEntity, err.Error())
 	}
 }
 
@@ -294,12 +294,12 @@
 			h.Kept = append(h.Kept, g.Number)
 		}
 	}); err != nil {
-		controlsocket.Fail(w, http.StatusServiceUnavailable, err.Error())
+		controlsocket.WriteError(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
 	slices.Reverse(h.Changes)
 	h.Changes = h.Changes[:min(most, len(h.Changes))]
-	controlsocket.Answer(w, http.StatusOK, h)
+	controlsocket.WriteJSON(w, http.StatusOK, h)
 }
 
 // Logs are an instance's last lines.
@@ -316,11 +316,11 @@
 	}
 	known := false
 	if err := a.do(r.Context(), func() { known = slices.Contains(a.fleet.Names(), name) }); err != nil {
-		controlsocket.Fail(w, http.StatusServiceUnavailable, err.Error())
+		controlsocket.WriteError(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
 	if !known {
-		controlsocket.Fail(w, http.StatusNotFound, fmt.Sprintf("instance %s is not known", name))
+		controlsocket.WriteError(w, http.StatusNotFound, fmt.Sprintf("instance %s is not known", name))
 		return
 	}
 	p := place{a.o.Dir, name}
@@ -329,5 +329,5 @@
 		l.Lines = nil
 	}
 	l.Out, _ = tail(p.standing(), lines)
-	controlsocket.Answer(w, http.StatusOK, l)
+	controlsocket.WriteJSON(w, http.StatusOK, l)
 }
--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -87,7 +87,7 @@
 		}()
 		l, err := controlsocket.Listen(a.o.Socket)
 		require.NoError(t, err)
-		server := controlsocket.Server(a.api())
+		server := controlsocket.NewServer(a.api())
 		go func() { _ = server.Serve(l) }()
 		require.NoError(t, mkdirs(dir))
 
@@ -109,7 +109,7 @@
 						err := c.Call(t.Context(), http.MethodPost, WritePath, Write{What: "apply", Reason: in.value, Revision: in.revision,
 							Instances: []fleet.Instance{{Name: "n", Listen: "127.0.0.1:1", Wanted: fleet.Stopped}},
 							Configs:   map[string]string{"n": in.value}}, &done)
-						var refused *controlsocket.Refused
+						var refused *controlsocket.ResponseError
 						switch {
 						case err == nil:
 							out = answer{taken: true, revision: done.Revision}
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -181,17 +181,17 @@
 	if s.Token != r.Token {
 		return fleet.Seen{Phase: fleet.Alien, At: now(), Pid: s.PID, Why: fmt.Sprintf("process %d answers with another token", s.PID)}
 	}
-	seen := fleet.Seen{Phase: fleet.Starting, At: now(), Pid: s.PID, Digest: s.Digest, Epoch: s.Epoch, List: s.List,
-		ListAt: s.ListAt, ListSum: s.ListSum, InService: s.InService, Open: s.Open, MemoryMB: s.MemoryMB, Settings: s.ControlPlane.String(), Proven: true}
+	seen := fleet.Seen{Phase: fleet.Starting, At: now(), Pid: s.PID, Digest: s.Digest, Epoch: s.Epoch, List: s.ListAddress,
+		ListAt: s.ListVersion, ListSum: s.ListDigest, InService: s.InService, Open: s.OpenRequests, MemoryMB: s.MemoryMB, Settings: s.ControlPlane.String(), Proven: true}
 	if s.TLS != nil {
-		worst := s.TLS.Worst()
+		worst := s.TLS.FirstToExpire()
 		seen.CertStage = string(worst.Stage)
 		if !worst.NotAfter.IsZero() {
 			seen.CertEnds = float64(worst.NotAfter.UnixMilli())
 		}
 	}
 	switch {
-	case s.Ending || r.TermAt > 0:
+	case s.Draining || r.TermAt > 0:
 		seen.Phase = fleet.Ending
 	case s.Ready:
 		seen.Phase = fleet.Ready
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -114,17 +114,17 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	s := controlsocket.Server(controlsocket.Node(func(context.Context) (controlsocket.Status, error) {
+	s := controlsocket.NewServer(controlsocket.NewNodeHandler(controlsocket.NodeCalls{Status: func(context.Context) (controlsocket.Status, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		return controlsocket.Status{Token: os.Getenv(serve.TokenVariable), PID: os.Getpid(), Name: c.Name, Listen: c.Listen, Digest: Digest(string(data)),
-			Epoch: epoch, List: list, Ready: c.Behaviour != "never ready", InService: in}, nil
-	}, func(s controlsocket.Service) error {
+			Epoch: epoch, ListAddress: list, Ready: c.Behaviour != "never ready", InService: in}, nil
+	}, SetService: func(s controlsocket.Service) error {
 		mu.Lock()
 		defer mu.Unlock()
-		in = s.In
+		in = s.InService
 		return nil
-	}, nil, nil, nil, nil))
+	}}))
 	go func() { _ = s.Serve(l) }()
 	if c.Behaviour == "dies" {
 		time.AfterFunc(300*time.Millisecond, func() { os.Exit(9) })
@@ -363,7 +363,7 @@
 "coldFrom":0.3,"drainGrace":500,"fallMultiple":4,"overloadFor":2000,"warmWithin":9000},"tenants":[],"zones":["a"]}`
 
 func refusedStatus(err error) int {
-	var r *controlsocket.Refused
+	var r *controlsocket.ResponseError
 	if errors.As(err, &r) {
 		return r.Status
 	}
--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -154,7 +154,7 @@
 			}
 		}
 		for k, v := range changed {
-			if err := b.Put([]byte(k), boltfile.Seal(v)); err != nil {
+			if err := b.Put([]byte(k), boltfile.EncodeValue(v)); err != nil {
 				return err
 			}
 		}
@@ -172,7 +172,7 @@
 	if err != nil {
 		return err
 	}
-	if err := renameio.WriteFile(filepath.Join(s.dir, snapshotFile), boltfile.Seal(string(data)), 0o600); err != nil {
+	if err := renameio.WriteFile(filepath.Join(s.dir, snapshotFile), boltfile.EncodeValue(string(data)), 0o600); err != nil {
 		return err
 	}
 	s.fresh = false
@@ -193,7 +193,7 @@
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
 	}
-	if err := boltfile.Heads(path); err != nil {
+	if err := boltfile.CheckMetaPages(path); err != nil {
 		return nil, err
 	}
 	// A file that was cut short is mapped beyond its end, and one with flipped bytes may send the reader anywhere.
@@ -230,7 +230,7 @@
 				sum = append([]byte{}, v...)
 				return nil
 			}
-			value, err := boltfile.Unseal(v)
+			value, err := boltfile.DecodeValue(v)
 			kept[string(k)] = value
 			return err
 		})
@@ -256,7 +256,7 @@
 	if err != nil {
 		return nil, err
 	}
-	text, err := boltfile.Unseal(data)
+	text, err := boltfile.DecodeValue(data)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -1,5 +1,5 @@
-// Package boltfile is what the files of bbolt have in common, whoever writes them: values with checksums, and heads of which
-// both must be whole.
+// Package boltfile detects damage in bbolt files, whichever program writes them: values carry a checksum, and both of the
+// file's meta pages must be intact.
 package boltfile
 
 import (
@@ -12,43 +12,61 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrDamaged is a file that can't be trusted.
+// ErrDamaged is a file or a value that can't be trusted.
 var ErrDamaged = errors.New("damaged")
 
-// Seal puts a value behind its checksum.
-func Seal(v string) []byte {
-	return append(binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(v)), xxhash.Sum64String(v)), v...)
+// checksumBytes is the size of the checksum before a value.
+const checksumBytes = 8
+
+// EncodeValue returns a value with its checksum before it, as it is stored.
+func EncodeValue(value string) []byte {
+	encoded := make([]byte, 0, checksumBytes+len(value))
+	encoded = binary.BigEndian.AppendUint64(encoded, xxhash.Sum64String(value))
+	return append(encoded, value...)
 }
 
-func Unseal(data []byte) (string, error) {
-	if len(data) < 8 {
+// DecodeValue returns the value of what EncodeValue has returned, or ErrDamaged if its checksum is wrong.
+func DecodeValue(encoded []byte) (string, error) {
+	if len(encoded) < checksumBytes {
 		return "", ErrDamaged
 	}
-	v := string(data[8:])
-	if binary.BigEndian.Uint64(data) != xxhash.Sum64String(v) {
+	value := string(encoded[checksumBytes:])
+	if binary.BigEndian.Uint64(encoded) != xxhash.Sum64String(value) {
 		return "", ErrDamaged
 	}
-	return v, nil
+	return value, nil
 }
 
-// Heads sees that both of the file's heads are whole. The library goes on with the older one where the newer is not, and
-// so with a state from before the last step, which whoever wrote that step has told of already: here that is a damage.
-func Heads(path string) error {
-	f, err := os.Open(path)
+// The layout of a meta page, of which a bbolt file begins with two: a page header, and the meta data whose last bytes are
+// their checksum.
+const (
+	metaPages       = 2
+	pageHeaderBytes = 16
+	metaBytes       = 64
+	metaSumAt       = metaBytes - 8
+)
+
+// CheckMetaPages returns an error that wraps ErrDamaged unless both meta pages of a file are intact.
+//
+// Each transaction writes one of the two in turn. Where the newer one is damaged, bbolt goes on with the older one, and so with
+// the state before the last transaction. Whoever wrote that has already acknowledged it, so here such a file counts as
+// damaged.
+func CheckMetaPages(path string) error {
+	file, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	const head, size = 16, 64 // of a page, and of what stands there, its checksum last
-	for page := range 2 {
-		b := make([]byte, head+size)
-		if _, err := f.ReadAt(b, int64(page*os.Getpagesize())); err != nil {
-			return fmt.Errorf("%s: %w: head %d: %v", path, ErrDamaged, page, err)
+	defer func() { _ = file.Close() }() // only read from
+	for page := range metaPages {
+		var data [pageHeaderBytes + metaBytes]byte
+		if _, err := file.ReadAt(data[:], int64(page*os.Getpagesize())); err != nil {
+			return fmt.Errorf("%s: %w: meta page %d: %w", path, ErrDamaged, page, err)
 		}
-		h := fnv.New64a()
-		_, _ = h.Write(b[head : head+size-8])
-		if binary.LittleEndian.Uint64(b[head+size-8:]) != h.Sum64() {
-			return fmt.Errorf("%s: %w: head %d", path, ErrDamaged, page)
+		meta := data[pageHeaderBytes:]
+		hash := fnv.New64a()
+		_, _ = hash.Write(meta[:metaSumAt])
+		if binary.LittleEndian.Uint64(meta[metaSumAt:]) != hash.Sum64() {
+			return fmt.Errorf("%s: %w: meta page %d", path, ErrDamaged, page)
 		}
 	}
 	return nil
--- a/internal/controlplane/member/call.go
+++ b/internal/controlplane/member/call.go
@@ -247,17 +247,17 @@
 			a, _ := m.handleCall(&client.CallRequest{Method: op, Limit: max(most, 1)}, nil)
 			switch {
 			case a.Status != nil:
-				controlsocket.Answer(w, http.StatusOK, a.Status)
+				controlsocket.WriteJSON(w, http.StatusOK, a.Status)
 			case a.Code == controlplane.CodeDone:
-				controlsocket.Answer(w, http.StatusOK, a.Log)
+				controlsocket.WriteJSON(w, http.StatusOK, a.Log)
 			default:
-				controlsocket.Fail(w, http.StatusServiceUnavailable, a.Detail)
+				controlsocket.WriteError(w, http.StatusServiceUnavailable, a.Detail)
 			}
 		}
 	}
 	mux.HandleFunc("GET "+StatusPath, say(client.MethodStatus))
 	mux.HandleFunc("GET "+LogPath, say(client.MethodLog))
-	server := controlsocket.Server(mux)
-	m.wg.Go(func() { _ = server.Serve(controlsocket.Limited(l)) })
+	server := controlsocket.NewServer(mux)
+	m.wg.Go(func() { _ = server.Serve(controlsocket.LimitConnections(l)) })
 	return server, nil
 }
--- a/internal/controlplane/member/store.go
+++ b/internal/controlplane/member/store.go
@@ -100,7 +100,7 @@
 		if _, err := tx.CreateBucket(entriesBucket); err != nil {
 			return err
 		}
-		if err := errors.Join(b.Put([]byte("schema"), boltfile.Seal(schemaVersion)), b.Put([]byte("owner"), boltfile.Seal(owner)),
+		if err := errors.Join(b.Put([]byte("schema"), boltfile.EncodeValue(schemaVersion)), b.Put([]byte("owner"), boltfile.EncodeValue(owner)),
 			s.putState(tx, kept.HardState, kept.Snapshot, kept.Entries)); err != nil {
 			return err
 		}
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	return b.Put([]byte(key), boltfile.Seal(string(data)))
+	return b.Put([]byte(key), boltfile.EncodeValue(string(data)))
 }
 
 func entryKey(index uint64) string { return string(binary.BigEndian.AppendUint64(nil, index)) }
@@ -142,7 +142,7 @@
 }
 
 func (s *voterStore) putLastIndex(b *bbolt.Bucket) error {
-	return b.Put([]byte("last"), boltfile.Seal(strconv.FormatUint(s.lastIndex, 10)))
+	return b.Put([]byte("last"), boltfile.EncodeValue(strconv.FormatUint(s.lastIndex, 10)))
 }
 
 // persist makes what a voter gives durable, as one.
@@ -189,7 +189,7 @@
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
 	}
-	if err := boltfile.Heads(path); err != nil {
+	if err := boltfile.CheckMetaPages(path); err != nil {
 		return nil, err
 	}
 	damaged := func(format string, args ...any) error {
@@ -219,7 +219,7 @@
 			return damaged("no buckets")
 		}
 		text := func(key string) (string, error) {
-			v, err := boltfile.Unseal(b.Get([]byte(key)))
+			v, err := boltfile.DecodeValue(b.Get([]byte(key)))
 			if err != nil {
 				return "", damaged("%s", key)
 			}
@@ -259,7 +259,7 @@
 			if steps++; steps > 10_000_000 { // pages that point at each other
 				return damaged("pages in a ring")
 			}
-			data, err := boltfile.Unseal(v)
+			data, err := boltfile.DecodeValue(v)
 			if err != nil {
 				return damaged("entry %x", k)
 			}
--- a/internal/controlsocket/controlsocket_test.go
+++ b/internal/controlsocket/controlsocket_test.go
@@ -16,88 +16,102 @@
 	"go.uber.org/goleak"
 )
 
-func serve(t *testing.T, h http.Handler) string {
-	path := filepath.Join(t.TempDir(), "s")
-	l, err := Listen(path)
+// startServer serves a control socket and returns its path.
+func startServer(t *testing.T, handler http.Handler) (path string) {
+	t.Helper()
+	path = filepath.Join(t.TempDir(), "s")
+	listener, err := Listen(path)
 	require.NoError(t, err)
-	s := Server(h)
-	go func() { _ = s.Serve(Limited(l)) }()
-	t.Cleanup(func() { _ = s.Close() })
+	server := NewServer(handler)
+	go func() { _ = server.Serve(LimitConnections(listener)) }()
+	t.Cleanup(func() { _ = server.Close() })
 	return path
 }
 
-// A node's socket: its word, and its service; the caller is known through the bound on connections too.
-func TestNode(t *testing.T) {
+// A node tells its status and is taken out of service. It knows its caller although its connections are limited, answers what
+// it can't do with a status that the caller can tell apart, and its socket is its user's alone.
+func TestNodeCalls(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) }) // after the server is closed
-	var told Service
-	refuse := errors.New("")
-	path := serve(t, Node(func(ctx context.Context) (Status, error) {
-		assert.Equal(t, uint32(os.Getuid()), Who(ctx).UID)
-		assert.Equal(t, int32(os.Getpid()), Who(ctx).PID)
-		return Status{Token: "x", Open: 3}, nil
-	}, func(s Service) error {
-		told = s
-		if s.Why == "refuse" {
-			return refuse
-		}
-		return nil
-	}, nil, nil, nil, nil))
-	c := NewClient(path, time.Second)
-	var s Status
-	require.NoError(t, c.Call(t.Context(), "GET", StatusPath, nil, &s))
-	assert.Equal(t, Status{Token: "x", Open: 3}, s)
-	require.NoError(t, c.Call(t.Context(), "POST", ServicePath, Service{In: true, Why: "y"}, nil))
-	assert.Equal(t, Service{In: true, Why: "y"}, told)
-	for _, bad := range []struct {
+	var lastService Service
+	path := startServer(t, NewNodeHandler(NodeCalls{
+		Status: func(ctx context.Context) (Status, error) {
+			assert.Equal(t, Caller{PID: int32(os.Getpid()), UID: uint32(os.Getuid())}, CallerOf(ctx))
+			return Status{Token: "x", OpenRequests: 3}, nil
+		},
+		SetService: func(service Service) error {
+			lastService = service
+			if service.Reason == "refuse" {
+				return errors.New("")
+			}
+			return nil
+		},
+	}))
+	client := NewClient(path, time.Second)
+	var status Status
+	require.NoError(t, client.Call(t.Context(), "GET", StatusPath, nil, &status))
+	assert.Equal(t, Status{Token: "x", OpenRequests: 3}, status)
+	require.NoError(t, client.Call(t.Context(), "POST", ServicePath, Service{InService: true, Reason: "y"}, nil))
+	assert.Equal(t, Service{InService: true, Reason: "y"}, lastService)
+	for name, c := range map[string]struct {
 		method, path string
 		body         any
-		status       int
-	}{{"POST", ServicePath, map[string]int{"on": 1}, 400}, {"POST", CapturePath, nil, 404}, {"GET", "/", nil, 404}, {"POST", ServicePath, Service{Why: "refuse"}, 409}} {
-		err := c.Call(t.Context(), bad.method, bad.path, bad.body, nil)
-		var refused *Refused
-		require.ErrorAs(t, err, &refused)
-		assert.Equal(t, bad.status, refused.Status)
+		wantStatus   int
+	}{
+		"unknown field":       {"POST", ServicePath, map[string]int{"on": 1}, 400},
+		"no capture":          {"POST", CapturePath, nil, 404},
+		"unknown path":        {"GET", "/", nil, 404},
+		"refused by the node": {"POST", ServicePath, Service{Reason: "refuse"}, 409},
+		"no TLS":              {"POST", RenewPath, Certificate{Name: "n"}, 404},
+		"no peers":            {"GET", PeersPath, nil, 404},
+		"clients not tracked": {"GET", ClientsPath, nil, 404},
+	} {
+		err := client.Call(t.Context(), c.method, c.path, c.body, nil)
+		var responseErr *ResponseError
+		require.ErrorAs(t, err, &responseErr, name)
+		assert.Equal(t, c.wantStatus, responseErr.Status, name)
 	}
 	info, err := os.Stat(path)
 	require.NoError(t, err)
 	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm())
 }
 
-// What a killed process left is replaced; what another listens on is not.
+// A killed process leaves its socket behind, and the next one replaces it. A socket that a process listens on is not replaced.
 func TestListen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	l, err := Listen(path)
+	listener, err := Listen(path)
 	require.NoError(t, err)
 	_, err = Listen(path)
 	assert.ErrorContains(t, err, "another process listens there")
-	l.(*net.UnixListener).SetUnlinkOnClose(false)
-	require.NoError(t, l.Close())
-	l, err = Listen(path)
+	listener.(*net.UnixListener).SetUnlinkOnClose(false)
+	require.NoError(t, listener.Close())
+	listener, err = Listen(path)
 	require.NoError(t, err)
-	require.NoError(t, l.Close())
+	require.NoError(t, listener.Close())
 }
 
-// Callers beyond the bound wait, and all are served.
-func TestLimited(t *testing.T) {
+// More callers come than the socket takes connections. The others wait, and all are served.
+func TestLimitConnections(t *testing.T) {
 	var mu sync.Mutex
-	now, most := 0, 0
-	path := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	open, maxOpen := 0, 0
+	path := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		mu.Lock()
-		now++
-		most = max(most, now)
+		open++
+		maxOpen = max(maxOpen, open)
 		mu.Unlock()
 		<-time.After(10 * time.Millisecond)
 		mu.Lock()
-		now--
+		open--
 		mu.Unlock()
-		Answer(w, 200, 1)
+		WriteJSON(w, 200, 1)
 	}))
 	var wg sync.WaitGroup
-	for range 5 * mostCallers {
-		wg.Go(func() { assert.NoError(t, NewClient(path, 5*time.Second).Call(t.Context(), "GET", "/", nil, nil)) })
+	for range 5 * maxConnections {
+		wg.Go(func() {
+			assert.NoError(t, NewClient(path, 5*time.Second).Call(t.Context(), "GET", "/", nil, nil))
+		})
 	}
 	wg.Wait()
-	assert.LessOrEqual(t, most, mostCallers)
+	assert.LessOrEqual(t, maxOpen, maxConnections)
 }
 
 func TestControlPlaneInATable(t *testing.T) {
@@ -105,8 +119,8 @@
 	for want, c := range map[string]*ControlPlane{
 		"":                                    nil,
 		"0 , age unknown, no member":          {},
-		"7 abcdefab, 2 s old, by c4":          {InForce: 7, Held: 7, Digest: "abcdefabcd", AgeMs: &age, Member: "c4"},
-		"7 ab, 2 s old, no member, refuses 9": {InForce: 7, Held: 9, Digest: "ab", AgeMs: &age, Refused: 9},
+		"7 abcdefab, 2 s old, by c4":          {ActiveVersion: 7, LatestVersion: 7, Digest: "abcdefabcd", AgeMs: &age, FollowedMember: "c4"},
+		"7 ab, 2 s old, no member, refuses 9": {ActiveVersion: 7, LatestVersion: 9, Digest: "ab", AgeMs: &age, RejectedVersion: 9},
 	} {
 		assert.Equal(t, want, c.String())
 	}
--- /dev/null
+++ b/internal/controlsocket/listener.go
@@ -0,0 +1,72 @@
+// Package controlsocket is the one socket by which a running process is looked at and controlled: HTTP over a Unix socket of
+// mode 0600, whose callers the kernel identifies (SO_PEERCRED). Nodes, the agent and the members of the control plane each
+// serve one; command lines and the agent call them.
+package controlsocket
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"net"
+	"os"
+	"sync"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// maxConnections bounds the connections of a control socket at a time: a node has few descriptors to spare.
+const maxConnections = 8
+
+// Listen opens a control socket at a path. A socket that a killed process has left there is replaced; if a process still
+// listens on it, it returns an error.
+func Listen(path string) (net.Listener, error) {
+	if conn, err := net.DialTimeout("unix", path, time.Second); err == nil {
+		_ = conn.Close()
+		return nil, fmt.Errorf("control socket %s: another process listens there", path)
+	}
+	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return nil, fmt.Errorf("control socket: %w", err)
+	}
+	// The socket gets its mode as it is made: with a chmod afterwards, anybody could connect before it.
+	previous := unix.Umask(0o177)
+	listener, err := net.Listen("unix", path)
+	unix.Umask(previous)
+	if err != nil {
+		return nil, fmt.Errorf("control socket: %w", err)
+	}
+	return listener, nil
+}
+
+// LimitConnections bounds a listener's open connections. Further ones wait in the listener's queue.
+func LimitConnections(listener net.Listener) net.Listener {
+	return &limitedListener{listener, make(chan struct{}, maxConnections)}
+}
+
+type limitedListener struct {
+	net.Listener
+	open chan struct{} // holds a token for each open connection
+}
+
+// Accept waits for one of the open connections to close if there are too many.
+func (l *limitedListener) Accept() (net.Conn, error) {
+	l.open <- struct{}{}
+	conn, err := l.Listener.Accept()
+	if err != nil {
+		<-l.open
+		return nil, err
+	}
+	return &limitedConn{Conn: conn, open: l.open}, nil
+}
+
+// limitedConn gives its token back when it is closed for the first time.
+type limitedConn struct {
+	net.Conn
+	once sync.Once
+	open chan struct{}
+}
+
+func (c *limitedConn) Close() error {
+	c.once.Do(func() { <-c.open })
+	return c.Conn.Close()
+}
--- /dev/null
+++ b/internal/controlsocket/server.go
@@ -0,0 +1,120 @@
+package controlsocket
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	maxBodyBytes   = 8 << 20 // of a request
+	maxHeaderBytes = 8 << 10
+	// requestTimeout is how long a caller may take to send its request, so that a stuck one does not keep its connection.
+	requestTimeout = 10 * time.Second
+)
+
+// Caller is the process at the other end of a connection, as the kernel says.
+type Caller struct {
+	PID int32
+	UID uint32
+}
+
+// callerKey is the key of the Caller in a request's context.
+type callerKey struct{}
+
+// CallerOf returns the caller of the request whose context it is.
+func CallerOf(ctx context.Context) Caller {
+	caller, _ := ctx.Value(callerKey{}).(Caller)
+	return caller
+}
+
+// NewServer returns a server for a control socket. Callers of other users than this process's and root get 403.
+func NewServer(handler http.Handler) *http.Server {
+	ownUID := uint32(os.Getuid())
+	return &http.Server{
+		ReadHeaderTimeout: requestTimeout,
+		ReadTimeout:       requestTimeout,
+		IdleTimeout:       requestTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnContext:       withCaller,
+		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			caller, isKnown := r.Context().Value(callerKey{}).(Caller)
+			if !isKnown || caller.UID != ownUID && caller.UID != 0 {
+				WriteError(w, http.StatusForbidden, "not yours to call")
+				return
+			}
+			r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
+			handler.ServeHTTP(w, r)
+		}),
+	}
+}
+
+// withCaller adds the caller to the context of a connection's requests. If the kernel does not tell, none is added.
+func withCaller(ctx context.Context, conn net.Conn) context.Context {
+	caller, err := peerCredentials(conn)
+	if err != nil {
+		return ctx
+	}
+	return context.WithValue(ctx, callerKey{}, caller)
+}
+
+func peerCredentials(conn net.Conn) (Caller, error) {
+	if limited, ok := conn.(*limitedConn); ok {
+		conn = limited.Conn
+	}
+	unixConn, ok := conn.(*net.UnixConn)
+	if !ok {
+		return Caller{}, fmt.Errorf("no Unix socket: %T", conn)
+	}
+	raw, err := unixConn.SyscallConn()
+	if err != nil {
+		return Caller{}, err
+	}
+	var credentials *unix.Ucred
+	var sockoptErr error
+	controlErr := raw.Control(func(fd uintptr) {
+		credentials, sockoptErr = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED)
+	})
+	if err := errors.Join(controlErr, sockoptErr); err != nil {
+		return Caller{}, err
+	}
+	return Caller{PID: credentials.Pid, UID: credentials.Uid}, nil
+}
+
+// WriteJSON answers a request with a value as JSON.
+func WriteJSON(w http.ResponseWriter, status int, value any) {
+	data, err := json.Marshal(value)
+	if err != nil {
+		status, data = http.StatusInternalServerError, []byte(`{"error":"answer can't be written"}`)
+	}
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(status)
+	_, _ = w.Write(append(data, '\n'))
+}
+
+// WriteError answers a request with an error, which Client returns as a *ResponseError.
+func WriteError(w http.ResponseWriter, status int, message string) {
+	WriteJSON(w, status, errorResponse{message})
+}
+
+// errorResponse is the body of an answer with an error.
+type errorResponse struct {
+	Error string `json:"error"`
+}
+
+// DecodeBody reads a request's body as JSON into a value. Unknown fields are an error.
+func DecodeBody(r *http.Request, into any) error {
+	decoder := json.NewDecoder(r.Body)
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		return fmt.Errorf("body: %w", err)
+	}
+	return nil
+}
--- a/internal/controlsocket/status.go
+++ b/internal/controlsocket/status.go
@@ -1,61 +1,49 @@
 package controlsocket
 
 import (
-	"context"
 	"fmt"
-	"net/http"
 
 	"pearknot/internal/acme"
-	"pearknot/internal/requestlog"
 	"pearknot/internal/server"
 )
 
-// Paths of a node's socket.
-const (
-	StatusPath  = "/v1/status"
-	ServicePath = "/v1/service"
-	CapturePath = "/v1/capture"
-	ClientsPath = "/v1/clients"
-	PeersPath   = "/v1/peers"
-	RenewPath   = "/v1/certs/renew"
-	RevokePath  = "/v1/certs/revoke"
-	KeyPath     = "/v1/certs/account-key"
-)
+// The JSON of these structures is read by agents, command lines and scripts of other builds: tags and the order of the fields
+// stay, and the tags keep earlier words.
 
-// Status is a node's own word about itself.
+// Status is a node's account of itself.
 type Status struct {
-	Token     string  `json:"token"` // that it was started with: proves that it is the one
-	PID       int     `json:"pid"`
-	Name      string  `json:"name"`
-	Listen    string  `json:"listen"`
-	Version   string  `json:"version"`
-	Started   float64 `json:"started"` // Unix ms
-	Config    string  `json:"config"`  // file
-	Digest    string  `json:"digest"`  // SHA-256 of the configuration as it was read
-	Epoch     uint64  `json:"epoch"`
-	List      string  `json:"list"` // where it asks for the list
-	ListAt    uint64  `json:"list_version"`
-	ListSum   string  `json:"list_digest"`
-	Backends  int     `json:"backends"`
-	Ready     bool    `json:"ready"` // it holds a list
-	InService bool    `json:"in_service"`
-	Ending    bool    `json:"ending"`
-	Open      int64   `json:"open_ops"`
-	MemoryMB  float64 `json:"memory_mb"` // that the runtime has of the system
-	TLS       *TLS    `json:"tls,omitempty"`
+	Token       string  `json:"token"` // that it was started with; proves to the agent which process it speaks with
+	PID         int     `json:"pid"`
+	Name        string  `json:"name"`
+	Listen      string  `json:"listen"` // address for clients
+	Version     string  `json:"version"`
+	StartedAt   float64 `json:"started"` // Unix time in ms
+	Config      string  `json:"config"`  // file name
+	Digest      string  `json:"digest"`  // SHA-256 of the configuration as it was read
+	Epoch       uint64  `json:"epoch"`
+	ListAddress string  `json:"list"` // where the node polls its endpoint list
+	ListVersion uint64  `json:"list_version"`
+	ListDigest  string  `json:"list_digest"`
+	Backends    int     `json:"backends"`
+	Ready       bool    `json:"ready"` // it has an endpoint list
+	InService   bool    `json:"in_service"`
+	Draining    bool    `json:"ending"`
 
+	OpenRequests int64         `json:"open_ops"`
+	MemoryMB     float64       `json:"memory_mb"` // that the Go runtime has from the system
+	TLS          *TLS          `json:"tls,omitempty"`
 	ControlPlane *ControlPlane `json:"control_plane,omitempty"`
 }
 
-// ControlPlane is what a node that follows one has of it.
+// ControlPlane is what a node has of the control plane that it follows.
 type ControlPlane struct {
-	InForce uint64   `json:"in_force"` // version; 0 is the file's settings
-	Held    uint64   `json:"held"`
-	Digest  string   `json:"digest,omitempty"` // SHA-256 of the text in force
-	AgeMs   *float64 `json:"age_ms,omitempty"` // it has all that was acknowledged so long ago; none before the first contact
-	Member  string   `json:"member,omitempty"` // that it follows
-	Refused uint64   `json:"refused,omitempty"`
-	Why     string   `json:"why,omitempty"`
+	ActiveVersion   uint64   `json:"in_force"`         // of the configuration; 0 is the file's
+	LatestVersion   uint64   `json:"held"`             // that the node has received
+	Digest          string   `json:"digest,omitempty"` // SHA-256 of the active configuration's text
+	AgeMs           *float64 `json:"age_ms,omitempty"` // the node has all that was committed this long ago; nil before first contact
+	FollowedMember  string   `json:"member,omitempty"`
+	RejectedVersion uint64   `json:"refused,omitempty"` // the latest one that could not be applied
+	RejectReason    string   `json:"why,omitempty"`
 
 	BytesIn   int64 `json:"bytes_in"`
 	BytesOut  int64 `json:"bytes_out"`
@@ -64,7 +52,7 @@
 	Dials     int64 `json:"dials"`
 }
 
-// String is what there is to say in a table's field; of none it is empty.
+// String returns a text for a table's field. That of nil is empty.
 func (c *ControlPlane) String() string {
 	if c == nil {
 		return ""
@@ -73,136 +61,50 @@
 	if c.AgeMs != nil {
 		age = fmt.Sprintf("%.0f s old", *c.AgeMs/1e3)
 	}
-	if c.Member != "" {
-		member = "by " + c.Member
+	if c.FollowedMember != "" {
+		member = "by " + c.FollowedMember
 	}
-	s := fmt.Sprintf("%d %.8s, %s, %s", c.InForce, c.Digest, age, member)
-	if c.Refused > c.InForce {
-		s += fmt.Sprintf(", refuses %d", c.Refused)
+	text := fmt.Sprintf("%d %.8s, %s, %s", c.ActiveVersion, c.Digest, age, member)
+	if c.RejectedVersion > c.ActiveVersion {
+		text += fmt.Sprintf(", refuses %d", c.RejectedVersion)
 	}
-	return s
+	return text
 }
 
 // TLS is what a node serves beside plain connections.
 type TLS struct {
-	Listen       string                `json:"listen"`
-	Dir          string                `json:"dir"`    // the store
-	Orders       bool                  `json:"orders"` // this instance does, for all on the store
+	Listen       string                `json:"listen"` // address for clients
+	Dir          string                `json:"dir"`    // of the certificate store
+	Orders       bool                  `json:"orders"` // this process orders certificates, for all that share the store
 	OrderedBy    int                   `json:"ordered_by,omitempty"`
 	Handshakes   server.HandshakeStats `json:"handshakes"`
 	Certificates []acme.Status         `json:"certificates"`
 }
 
-// Worst is the certificate that ends first, with those that are missing before all.
-func (t *TLS) Worst() (w acme.Status) {
-	for k, c := range t.Certificates {
-		if k == 0 || c.NotAfter.Before(w.NotAfter) {
-			w = c
+// FirstToExpire returns the certificate that expires first. One that is missing comes before all.
+func (t *TLS) FirstToExpire() acme.Status {
+	var first acme.Status
+	for i, certificate := range t.Certificates {
+		if i == 0 || certificate.NotAfter.Before(first.NotAfter) {
+			first = certificate
 		}
 	}
-	return w
+	return first
 }
 
-// Certificate names one.
+// Certificate names what a call about certificates is about.
 type Certificate struct {
 	Name      string `json:"name,omitempty"`
-	Authority int    `json:"authority,omitempty"` // of an account's key
-}
-
-// Certificates are what a node's keeper of them can be told.
-type Certificates interface {
-	Renew(ctx context.Context, name string) error
-	Revoke(ctx context.Context, name string) error
-	Rollover(ctx context.Context, authority int) error
+	Authority int    `json:"authority,omitempty"` // of a change of the account's key
 }
 
-// Service tells a node whether its health says that it may be sent clients.
+// Service tells a node whether its health check should say that it may be sent clients.
 type Service struct {
-	In  bool   `json:"in"`
-	Why string `json:"why"`
+	InService bool   `json:"in"`
+	Reason    string `json:"why"`
 }
 
-// Written is where a node has put what it was asked to write.
-type Written struct {
-	File string `json:"file"`
-}
-
-// Node serves a node's socket. Dump writes its capture out; nil is a node without one to write, without certificates, or
-// that takes all clients, or shares nothing.
-func Node(status func(context.Context) (Status, error), service func(Service) error, dump func() (string, error), certs Certificates,
-	clients func() server.ClientStats, peers func(context.Context) (requestlog.StateDigest, error)) http.Handler {
-	m := http.NewServeMux()
-	m.HandleFunc("GET "+PeersPath, func(w http.ResponseWriter, r *http.Request) {
-		if peers == nil {
-			Fail(w, http.StatusNotFound, "this node shares nothing: it was started without --peers")
-			return
-		}
-		if told, err := peers(r.Context()); err != nil {
-			Fail(w, http.StatusServiceUnavailable, err.Error())
-		} else {
-			Answer(w, http.StatusOK, told)
-		}
-	})
-	m.HandleFunc("GET "+ClientsPath, func(w http.ResponseWriter, _ *http.Request) {
-		if clients == nil {
-			Fail(w, http.StatusNotFound, "this node takes all clients: it was started without --edge")
-			return
-		}
-		Answer(w, http.StatusOK, clients())
-	})
-	for path, f := range map[string]func(context.Context, Certificate) error{
-		RenewPath:  func(ctx context.Context, c Certificate) error { return certs.Renew(ctx, c.Name) },
-		RevokePath: func(ctx context.Context, c Certificate) error { return certs.Revoke(ctx, c.Name) },
-		KeyPath:    func(ctx context.Context, c Certificate) error { return certs.Rollover(ctx, c.Authority) },
-	} {
-		m.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-			if certs == nil {
-				Fail(w, http.StatusNotFound, "this node serves no TLS")
-				return
-			}
-			var c Certificate
-			if err := Decode(r, &c); err != nil {
-				Fail(w, http.StatusBadRequest, err.Error())
-				return
-			}
-			if err := f(r.Context(), c); err != nil {
-				Fail(w, http.StatusConflict, err.Error())
-				return
-			}
-			Answer(w, http.StatusOK, struct{}{})
-		})
-	}
-	m.HandleFunc("POST "+CapturePath, func(w http.ResponseWriter, _ *http.Request) {
-		if dump == nil {
-			Fail(w, http.StatusNotFound, "this node holds no capture in memory")
-			return
-		}
-		file, err := dump()
-		if err != nil {
-			Fail(w, http.StatusInsufficientStorage, err.Error())
-			return
-		}
-		Answer(w, http.StatusOK, Written{file})
-	})
-	m.HandleFunc("GET "+StatusPath, func(w http.ResponseWriter, r *http.Request) {
-		s, err := status(r.Context())
-		if err != nil {
-			Fail(w, http.StatusServiceUnavailable, err.Error())
-			return
-		}
-		Answer(w, http.StatusOK, s)
-	})
-	m.HandleFunc("POST "+ServicePath, func(w http.ResponseWriter, r *http.Request) {
-		var s Service
-		if err := Decode(r, &s); err != nil {
-			Fail(w, http.StatusBadRequest, err.Error())
-			return
-		}
-		if err := service(s); err != nil {
-			Fail(w, http.StatusConflict, err.Error())
-			return
-		}
-		Answer(w, http.StatusOK, struct{}{})
-	})
-	return m
+// CaptureFile is where a node has written its capture.
+type CaptureFile struct {
+	Name string `json:"file"`
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -119,9 +119,9 @@
 	if err != nil {
 		return err
 	}
-	s := controlsocket.Server(h)
+	s := controlsocket.NewServer(h)
 	ended := make(chan error, 1)
-	go func() { ended <- s.Serve(controlsocket.Limited(l)) }()
+	go func() { ended <- s.Serve(controlsocket.LimitConnections(l)) }()
 	for _, c := range h.clients {
 		c.Start()
 	}
@@ -159,7 +159,7 @@
 func (h *hollow) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.Atoi(r.URL.Query().Get("since"))
 	if r.URL.Path != hollowPath || err != nil || since < 0 {
-		controlsocket.Fail(w, http.StatusNotFound, "ask "+hollowPath+"?since=N")
+		controlsocket.WriteError(w, http.StatusNotFound, "ask "+hollowPath+"?since=N")
 		return
 	}
 	t := told{LateMs: h.late.ms()}
@@ -175,11 +175,11 @@
 		for _, c := range h.clients {
 			s, err := c.State(r.Context())
 			if err != nil {
-				controlsocket.Fail(w, http.StatusServiceUnavailable, err.Error())
+				controlsocket.WriteError(w, http.StatusServiceUnavailable, err.Error())
 				return
 			}
 			t.Nodes = append(t.Nodes, hollowState{s.StoredVersion, s.AppliedVersion, s.RejectedVersion, s.Member, s.Counters})
 		}
 	}
-	controlsocket.Answer(w, http.StatusOK, t)
+	controlsocket.WriteJSON(w, http.StatusOK, t)
 }
--- a/internal/lab/scale/real.go
+++ b/internal/lab/scale/real.go
@@ -24,5 +24,5 @@
 		return standing{}, errors.New("it follows no control plane")
 	}
 	c := s.ControlPlane
-	return standing{c.InForce, c.Digest, links{c.BytesIn + c.BytesOut, c.FramesIn + c.FramesOut}}, nil
+	return standing{c.ActiveVersion, c.Digest, links{c.BytesIn + c.BytesOut, c.FramesIn + c.FramesOut}}, nil
 }
--- a/internal/serve/control.go
+++ b/internal/serve/control.go
@@ -37,9 +37,9 @@
 		}
 		in, ending := f.ServiceState()
 		now := p.now.Load()
-		s := controlsocket.Status{Token: o.Token, PID: os.Getpid(), Name: p.name, Listen: f.Address(), Version: o.Version, Started: started,
-			Config: p.file, Digest: now.digest, Epoch: o.Epoch, List: now.discovery, ListAt: look.Version, ListSum: look.Digest,
-			Backends: look.Backends, Ready: look.HasEndpoints, InService: in, Ending: ending, Open: int64(look.OpenRequests), MemoryMB: memory()}
+		s := controlsocket.Status{Token: o.Token, PID: os.Getpid(), Name: p.name, Listen: f.Address(), Version: o.Version, StartedAt: started,
+			Config: p.file, Digest: now.digest, Epoch: o.Epoch, ListAddress: now.discovery, ListVersion: look.Version, ListDigest: look.Digest,
+			Backends: look.Backends, Ready: look.HasEndpoints, InService: in, Draining: ending, OpenRequests: int64(look.OpenRequests), MemoryMB: memory()}
 		if certificates != nil {
 			s.TLS = &controlsocket.TLS{Listen: f.TLSAddress(), Dir: o.TLS.Acme.Dir, Handshakes: f.HandshakeStats(), Certificates: certificates.Status()}
 			s.TLS.Orders, s.TLS.OrderedBy = certificates.Orders()
@@ -53,11 +53,11 @@
 		if _, ending := f.ServiceState(); ending {
 			return errors.New("the node is about to end")
 		}
-		f.SetOutOfService(!s.In)
-		log.Info("service", "in", s.In, "why", s.Why)
+		f.SetOutOfService(!s.InService)
+		log.Info("service", "in", s.InService, "why", s.Reason)
 		return nil
 	}
-	var keeper controlsocket.Certificates
+	var keeper controlsocket.CertificateCalls
 	if certificates != nil {
 		keeper = certificates
 	}
@@ -73,9 +73,16 @@
 			return links.State(ctx)
 		}
 	}
-	server := controlsocket.Server(controlsocket.Node(status, service, dump, keeper, clients, peers))
+	server := controlsocket.NewServer(controlsocket.NewNodeHandler(controlsocket.NodeCalls{
+		Status:       status,
+		SetService:   service,
+		DumpCapture:  dump,
+		Certificates: keeper,
+		Clients:      clients,
+		Peers:        peers,
+	}))
 	go func() {
-		if err := server.Serve(controlsocket.Limited(l)); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(controlsocket.LimitConnections(l)); !errors.Is(err, http.ErrServerClosed) {
 			log.Error("control socket ended", "error", err)
 		}
 	}()
--- a/internal/serve/shared.go
+++ b/internal/serve/shared.go
@@ -116,9 +116,9 @@
 // state is for whoever looks at the node.
 func (s *shared) state(ctx context.Context) *controlsocket.ControlPlane {
 	now := s.now.Load()
-	c := &controlsocket.ControlPlane{InForce: now.version, Held: now.version, Digest: now.digest}
+	c := &controlsocket.ControlPlane{ActiveVersion: now.version, LatestVersion: now.version, Digest: now.digest}
 	if is, err := s.client.State(ctx); err == nil {
-		c.Held, c.Member, c.Refused, c.Why, c.AgeMs = is.StoredVersion, is.Member, is.RejectedVersion, is.RejectReason, client.FiniteOrNil(is.StalenessMs)
+		c.LatestVersion, c.FollowedMember, c.RejectedVersion, c.RejectReason, c.AgeMs = is.StoredVersion, is.Member, is.RejectedVersion, is.RejectReason, client.FiniteOrNil(is.StalenessMs)
 		c.BytesIn, c.BytesOut, c.FramesIn, c.FramesOut, c.Dials = is.BytesIn, is.BytesOut, is.FramesIn, is.FramesOut, is.Dials
 	}
 	return c
--- a/internal/serve/tls.go
+++ b/internal/serve/tls.go
@@ -217,7 +217,7 @@
 		log.Info("serving challenges", "address", l.Addr().String())
 		told = ""
 		stop := context.AfterFunc(ctx, func() { _ = s.Close() })
-		if err := s.Serve(controlsocket.Limited(l)); ctx.Err() == nil {
+		if err := s.Serve(controlsocket.LimitConnections(l)); ctx.Err() == nil {
 			log.Error("challenges no longer served", "error", err)
 		}
 		stop()
