--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -6,5 +6,5 @@
 	"pearknot/internal/goldentest"
 )
 
-// Two builds meet on a link when one takes over from the other: what the earlier one wrote must still be read.
+// Two builds meet on a link when one takes over from the other, so each must read the other's messages.
 func TestMessageForm(t *testing.T) { goldentest.JSON(t, "message.json", &message{}) }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -8,7 +8,6 @@
 	"net"
 	"os"
 	"path/filepath"
-	"strings"
 	"testing"
 	"time"
 
@@ -19,90 +18,93 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// where is a path short enough for a socket.
-func where(t *testing.T) string {
+// socketPath returns a path that is short enough for a socket, which t.TempDir may not be.
+func socketPath(t *testing.T) string {
+	t.Helper()
 	dir, err := os.MkdirTemp("", "pk")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
 	return SocketPath(dir, "n1")
 }
 
-// offer is a process that runs.
-func offer(t *testing.T, path string, alone chan<- bool) *Listener {
-	o, err := Listen(path, Owner{Name: "n1", Log: slog.New(slog.DiscardHandler), OnSuccessorGone: func() { alone <- true },
-		State: func(context.Context) (*State, error) {
-			return &State{Known: []string{"s-1"}, Module: []byte{1, 2}}, nil
+// listen starts the listener of a running process. It sends to successorGone when its successor has ended.
+func listen(t *testing.T, path string, successorGone chan<- bool) *Listener {
+	t.Helper()
+	listener, err := Listen(path, Predecessor{Name: "n1", Log: slog.New(slog.DiscardHandler), OnSuccessorGone: func() { successorGone <- true },
+		CollectState: func(context.Context) (*State, error) {
+			return &State{KnownNames: []string{"s-1"}, BalancerSnapshot: []byte{1, 2}}, nil
 		},
 		HandleCall: func(_ context.Context, c Call) (string, error) {
 			if c.ID == "" {
 				return "", errors.New("no id")
 			}
-			return "older " + c.Verb + " " + c.ID, nil
+			return "predecessor " + c.Verb + " " + c.ID, nil
 		}})
 	require.NoError(t, err)
-	t.Cleanup(o.Close)
-	return o
+	t.Cleanup(listener.Close)
+	return listener
 }
 
-func newer(_ context.Context, c Call) (string, error) { return "newer " + c.Verb, nil }
+func handleAtSuccessor(_ context.Context, c Call) (string, error) { return "successor " + c.Verb, nil }
 
-// Two processes of a node: state, calls both ways, descriptors given back, and each hears that the other has ended.
+// A process takes over from a running one: it gets its state, both pass calls on, the predecessor gives descriptors back, and
+// each notices that the other has ended.
 func TestLink(t *testing.T) {
-	path, alone := where(t), make(chan bool, 1)
-	o := offer(t, path, alone)
-	assert.Nil(t, o.Successor())
+	path, successorGone := socketPath(t), make(chan bool, 1)
+	listener := listen(t, path, successorGone)
+	assert.Nil(t, listener.Successor())
 	used := make(chan int, 1)
-	l, s, err := Connect(t.Context(), path, "n1", newer, func(n int) { used <- n })
+	link, state, err := Connect(t.Context(), path, "n1", handleAtSuccessor, func(n int) { used <- n })
 	require.NoError(t, err)
-	assert.Equal(t, &State{Known: []string{"s-1"}, Module: []byte{1, 2}}, s)
-	text, err := l.Call(t.Context(), Call{Verb: "cordon", ID: "s-1"})
+	assert.Equal(t, &State{KnownNames: []string{"s-1"}, BalancerSnapshot: []byte{1, 2}}, state)
+	text, err := link.Call(t.Context(), Call{Verb: "cordon", ID: "s-1"})
 	require.NoError(t, err)
-	assert.Equal(t, "older cordon s-1", text)
-	_, err = l.Call(t.Context(), Call{Verb: "cordon"})
+	assert.Equal(t, "predecessor cordon s-1", text)
+	_, err = link.Call(t.Context(), Call{Verb: "cordon"})
 	assert.EqualError(t, err, "no id")
-	text, err = o.Successor().Call(t.Context(), Call{Verb: "quiesce"})
+	text, err = listener.Successor().Call(t.Context(), Call{Verb: "quiesce"})
 	require.NoError(t, err)
-	assert.Equal(t, "newer quiesce", text)
+	assert.Equal(t, "successor quiesce", text)
 	select {
-	case <-o.Successor().PeerReady():
-		t.Fatal("it has not said that it serves")
+	case <-listener.Successor().PeerReady():
+		t.Fatal("ready before SendReady")
 	default:
 	}
-	require.NoError(t, l.SendReady())
-	require.NoError(t, l.SendReady(), "said twice")
-	<-o.Successor().PeerReady()
-	o.Successor().SendDescriptorLimit(17)
+	require.NoError(t, link.SendReady())
+	require.NoError(t, link.SendReady(), "a second time has no effect")
+	<-listener.Successor().PeerReady()
+	listener.Successor().SendDescriptorLimit(17)
 	assert.Equal(t, 17, <-used)
 
-	// A third waits until the second is gone, and follows the first then.
+	// A third process waits until the second is gone, and connects to the first then.
 	third := make(chan error, 1)
 	go func() {
-		l, _, err := Connect(t.Context(), path, "n1", newer, nil)
+		link, _, err := Connect(t.Context(), path, "n1", handleAtSuccessor, nil)
 		if err == nil {
-			l.Close()
-			<-l.Done()
+			link.Close()
+			<-link.Done()
 		}
 		third <- err
 	}()
-	l.Close()
-	assert.True(t, <-alone)
-	<-l.Done()
-	_, err = l.Call(t.Context(), Call{Verb: "resume"})
+	link.Close()
+	assert.True(t, <-successorGone)
+	<-link.Done()
+	_, err = link.Call(t.Context(), Call{Verb: "resume"})
 	assert.ErrorIs(t, err, ErrNoPeer)
 	require.NoError(t, <-third)
-	assert.True(t, <-alone)
+	assert.True(t, <-successorGone)
 
-	l, _, err = Connect(t.Context(), path, "n1", newer, nil)
+	link, _, err = Connect(t.Context(), path, "n1", handleAtSuccessor, nil)
 	require.NoError(t, err)
-	o.Close() // ended in order: it is not alone, it is gone
-	<-l.Done()
-	assert.Empty(t, alone)
+	listener.Close() // the predecessor has ended: it does not go on alone
+	<-link.Done()
+	assert.Empty(t, successorGone)
 }
 
-// What stands at the path may be anything: nobody, a file, somebody else, one that says nothing or odd things. The new
-// process starts fresh, and says why where somebody was there.
-func TestNothingToFollow(t *testing.T) {
-	speak := func(what string) func(t *testing.T, path string) {
+// The socket's path may have anything: nothing, a file, another node's process, one that is silent or sends something
+// malformed. The new process starts fresh, with an error if somebody was there, and can listen at the path itself.
+func TestNoUsablePredecessor(t *testing.T) {
+	listenAndSend := func(what string) func(t *testing.T, path string) {
 		return func(t *testing.T, path string) {
 			l, err := net.Listen("unix", path)
 			require.NoError(t, err)
@@ -126,48 +128,49 @@
 	}
 	frame := func(body string) string { return "\x00\x00\x00" + string(rune(len(body))) + body }
 	for name, c := range map[string]struct {
-		stands func(t *testing.T, path string)
-		why    string
+		prepare func(t *testing.T, path string)
+		want    string // in the error; empty for none
 	}{
 		"nobody": {func(*testing.T, string) {}, ""},
-		"a killed one": {func(t *testing.T, path string) {
+		"a killed process": {func(t *testing.T, path string) {
 			l, _ := net.ListenUnix("unix", &net.UnixAddr{Name: path})
 			l.SetUnlinkOnClose(false)
 			_ = l.Close()
 		}, ""},
-		"a file":            {func(t *testing.T, path string) { require.NoError(t, os.WriteFile(path, []byte("x"), 0o600)) }, ""},
-		"another node's":    {func(t *testing.T, path string) { offer(t, path, nil).o.Name = "n1" }, "speaks version"},
-		"silent":            {speak(""), "i/o timeout"},
-		"cut off":           {speak("\x00\x00\x01\x00{"), "EOF"},
-		"endless":           {speak("\xff\xff\xff\xff"), "message of 4294967295 bytes"},
-		"no text":           {speak(frame("hello")), "invalid character"},
-		"of another build":  {speak(frame(`{"Kind":"state","Version":9,"State":{}}`)), "speaks version 9"},
-		"state without one": {speak(frame(`{"Kind":"state","Version":1}`)), "speaks version"},
-		"nothing meant":     {speak(frame(`{}`)), "no kind"},
+		"a file":          {func(t *testing.T, path string) { require.NoError(t, os.WriteFile(path, []byte("x"), 0o600)) }, ""},
+		"another node's":  {func(t *testing.T, path string) { listen(t, path, nil).predecessor.Name = "n1" }, "speaks version"},
+		"silent":          {listenAndSend(""), "i/o timeout"},
+		"cut off":         {listenAndSend("\x00\x00\x01\x00{"), "EOF"},
+		"too long":        {listenAndSend("\xff\xff\xff\xff"), "message of 4294967295 bytes"},
+		"malformed":       {listenAndSend(frame("hello")), "invalid character"},
+		"another version": {listenAndSend(frame(`{"Kind":"state","Version":9,"State":{}}`)), "speaks version 9"},
+		"no state":        {listenAndSend(frame(`{"Kind":"state","Version":1}`)), "speaks version"},
+		"no kind":         {listenAndSend(frame(`{}`)), "no kind"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			path, node := where(t), "n1"
-			c.stands(t, path)
+			path, node := socketPath(t), "n1"
+			c.prepare(t, path)
 			if name == "another node's" {
 				node = "n2"
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 			defer cancel()
-			l, s, err := Connect(ctx, path, node, newer, nil)
-			assert.Nil(t, l)
-			assert.Nil(t, s)
-			if c.why == "" {
+			link, state, err := Connect(ctx, path, node, handleAtSuccessor, nil)
+			assert.Nil(t, link)
+			assert.Nil(t, state)
+			if c.want == "" {
 				assert.NoError(t, err)
 			} else {
-				assert.ErrorContains(t, err, c.why)
+				assert.ErrorContains(t, err, c.want)
 			}
-			if name != "silent" && !strings.Contains(name, "another") { // it takes the place for itself
-				o, err := Listen(path, Owner{Name: "n1", Log: slog.New(slog.DiscardHandler)})
+			isOccupied := name == "silent" || name == "another node's" || name == "another version"
+			if !isOccupied {
+				listener, err := Listen(path, Predecessor{Name: "n1", Log: slog.New(slog.DiscardHandler)})
 				require.NoError(t, err)
-				o.Close()
+				listener.Close()
 			}
 		})
 	}
-	_, err := Listen(filepath.Join(t.TempDir(), "none", "x"), Owner{})
-	assert.Error(t, err, "told, not a panic")
+	_, err := Listen(filepath.Join(t.TempDir(), "none", "x"), Predecessor{})
+	assert.Error(t, err, "the directory does not exist")
 }
--- a/internal/serve/pair.go
+++ b/internal/serve/pair.go
@@ -90,21 +90,21 @@
 	p.remember(2)
 	if !reflect.DeepEqual(s.Zones, p.place.names.Zones) || !reflect.DeepEqual(s.Kinds, p.place.names.Kinds) {
 		p.log.Warn("what the process before has learned is of other zones or kinds and not taken")
-		return &hotrestart.State{Known: s.Known, Banned: s.Banned, Away: s.Away}
+		return &hotrestart.State{KnownNames: s.KnownNames, CordonedNames: s.CordonedNames, QuiescedMs: s.QuiescedMs}
 	}
 	return s
 }
 
 // learn has the node begin with what was taken over; from then on both are one node.
 func (p *pair) learn(s *hotrestart.State) {
-	err := p.node.Restore(&node.LearnedState{BackendNames: s.Names, BalancerSnapshot: s.Module, KnownNames: s.Known, CordonedNames: s.Banned})
+	err := p.node.Restore(&node.LearnedState{BackendNames: s.BackendNames, BalancerSnapshot: s.BalancerSnapshot, KnownNames: s.KnownNames, CordonedNames: s.CordonedNames})
 	if err != nil {
 		p.log.Warn("what the process before has learned is not taken, this one starts fresh", "error", err)
 	}
-	if s.Away != nil {
-		p.front.SetQuiescedSince(true, time.Now().Add(-clock.Duration(*s.Away)))
+	if s.QuiescedMs != nil {
+		p.front.SetQuiescedSince(true, time.Now().Add(-clock.Duration(*s.QuiescedMs)))
 	}
-	p.log.Info("following the process before", "backends", len(s.Names), "taken_out", len(s.Banned), "away", s.Away != nil, "learned_bytes", len(s.Module))
+	p.log.Info("following the process before", "backends", len(s.BackendNames), "taken_out", len(s.CordonedNames), "away", s.QuiescedMs != nil, "learned_bytes", len(s.BalancerSnapshot))
 }
 
 // begin tells that this process serves, and offers it to the next once it is alone.
@@ -143,7 +143,7 @@
 	if p.closed {
 		return
 	}
-	o, err := hotrestart.Listen(p.path, hotrestart.Owner{Name: p.place.name, State: p.state, HandleCall: p.do, Log: p.log,
+	o, err := hotrestart.Listen(p.path, hotrestart.Predecessor{Name: p.place.name, CollectState: p.state, HandleCall: p.do, Log: p.log,
 		OnSuccessorGone: func() {
 			p.log.Info("the next process has ended, this one goes on")
 			p.alone()
@@ -165,11 +165,11 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &hotrestart.State{Zones: p.place.names.Zones, Kinds: p.place.names.Kinds, List: l.Endpoints, Names: l.BackendNames, Module: l.BalancerSnapshot,
-		Known: l.KnownNames, Banned: l.CordonedNames}
+	s := &hotrestart.State{Zones: p.place.names.Zones, Kinds: p.place.names.Kinds, List: l.Endpoints, BackendNames: l.BackendNames, BalancerSnapshot: l.BalancerSnapshot,
+		KnownNames: l.KnownNames, CordonedNames: l.CordonedNames}
 	if passed, away := p.front.QuiescedFor(); away {
 		ms := float64(passed.Microseconds()) / 1e3
-		s.Away = &ms
+		s.QuiescedMs = &ms
 	}
 	return s, nil
 }
