--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -1,96 +1,110 @@
-// Package descriptors is the owner of a node's descriptors: every socket is counted here, once when it is taken and
-// once when it is given back.
+// Package descriptors keeps a node within its limit of file descriptors: each socket is counted here when it is opened and
+// when it is closed.
 package descriptors
 
 import "sync"
 
-// reserve are descriptors that are no client's and no backend's: standard streams, poller, listener, the call for
-// the list and the one that follows it, and what the runtime opens for a moment.
-const reservedDescriptors = 24
+const (
+	// reservedDescriptors are neither clients' nor backends': standard streams, the poller, the listener, the connection to
+	// the discovery service and the one that replaces it, and what the runtime opens for a moment.
+	reservedDescriptors = 24
 
-// Budget shares the descriptors between clients and backends.
+	// minLimit is the least number of descriptors for clients and backends, so that a node with a tiny limit still works.
+	minLimit = 8
+)
+
+// Budget shares descriptors between clients and backends. Its methods may be called from any goroutine.
 type Budget struct {
+	onShortage func()
+
 	mu             sync.Mutex
-	available      *sync.Cond
-	limit          int // for both
+	available      *sync.Cond // signalled when a descriptor is given back
+	limit          int        // for clients and backends together
 	clients        int
 	backends       int
-	clientWaiting  bool // a client, for a socket
-	backendRefused bool // a backend, a socket, since Spare last told
+	clientWaiting  bool // a client waits for a descriptor
+	backendRefused bool // a backend was refused one since the last ShouldCloseIdleBackends
 	closed         bool
-	onShortage     func()
 }
 
-// New takes the limit on descriptors; pressure is called where a socket is wanted and none is left, and must not
-// block.
-func New(limit int, pressure func()) *Budget {
-	b := &Budget{limit: max(limit-reservedDescriptors, 8), onShortage: pressure}
+// New returns the budget of a process that may have limit descriptors. onShortage is called whenever a descriptor is wanted
+// and none is left; it must not block and must not call the budget.
+func New(limit int, onShortage func()) *Budget {
+	b := &Budget{limit: forSockets(limit), onShortage: onShortage}
 	b.available = sync.NewCond(&b.mu)
 	return b
 }
 
-// Limit moves the limit on descriptors; what is over it is given back as it closes.
+// forSockets returns how many of the process's descriptors are for clients and backends.
+func forSockets(limit int) int { return max(limit-reservedDescriptors, minLimit) }
+
+// SetLimit changes the number of descriptors that the process may have. Descriptors beyond it are given back as their
+// connections close.
 func (b *Budget) SetLimit(limit int) {
 	b.mu.Lock()
-	b.limit = max(limit-reservedDescriptors, 8)
-	over := b.clients+b.backends > b.limit
+	b.limit = forSockets(limit)
+	isExceeded := b.inUse() > b.limit
 	b.mu.Unlock()
-	if over {
+	if isExceeded {
 		b.onShortage()
 	}
 	b.available.Broadcast()
 }
 
-// Used is how many descriptors there may be besides those that any limit allows.
+// inUse must be called with the lock held.
+func (b *Budget) inUse() int { return b.clients + b.backends }
+
+// maxClients leaves a quarter to the backends: each client's request needs a connection there, but few do at the same
+// moment. It must be called with the lock held.
+func (b *Budget) maxClients() int { return b.limit * 3 / 4 }
+
+// Used returns how many descriptors the process may have open, with the reserved ones.
 func (b *Budget) Used() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.clients + b.backends + reservedDescriptors
+	return b.inUse() + reservedDescriptors
 }
 
-// mostClients leaves a quarter to the backends: each client's op needs one there, but few at the same moment.
-func (b *Budget) maxClients() int { return b.limit * 3 / 4 }
+// MaxClients returns how many descriptors clients may have.
+func (b *Budget) MaxClients() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.maxClients()
+}
+
+// Clients returns how many descriptors clients have.
+func (b *Budget) Clients() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.clients
+}
 
-// Client waits for a client's socket; false tells that the budget was closed. What waits does so in the
-// listener's queue and is taken as soon as another client's connection closes.
+// AcquireClient waits for a client's descriptor. It returns false if the budget was closed. Meanwhile the client waits in
+// the listener's queue, and is accepted as soon as another client's connection closes.
 func (b *Budget) AcquireClient() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for !b.closed && (b.clients >= b.maxClients() || b.clients+b.backends >= b.limit) {
+	for !b.closed && (b.clients >= b.maxClients() || b.inUse() >= b.limit) {
 		b.clientWaiting = true
 		b.onShortage()
 		b.available.Wait()
 	}
 	b.clientWaiting = false
-	if !b.closed {
-		b.clients++
+	if b.closed {
+		return false
 	}
-	return !b.closed
-}
-
-// Waiting tells whether a client waits for a socket.
-func (b *Budget) HasWaitingClient() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.clientWaiting
+	b.clients++
+	return true
 }
 
-// Spare tells whether backends' idle sockets are to be given back. Where clients wait that have all of their share, none of
-// these would come to them, and each op would have to connect anew.
-func (b *Budget) ShouldCloseIdleBackends() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	all := b.clients + b.backends
-	spare := b.backendRefused || all > b.limit || b.clientWaiting && all == b.limit && b.clients < b.maxClients()
-	b.backendRefused = false
-	return spare
-}
+// ReleaseClient gives a client's descriptor back.
+func (b *Budget) ReleaseClient() { b.release(&b.clients) }
 
-// Peer takes a backend's socket, if one is left.
+// TryAcquireBackend takes a descriptor for a connection to a backend. It returns false if none is left.
 func (b *Budget) TryAcquireBackend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.clients+b.backends >= b.limit {
+	if b.inUse() >= b.limit {
 		b.backendRefused = true
 		b.onShortage()
 		return false
@@ -99,40 +113,48 @@
 	return true
 }
 
-// ClientBack gives a client's socket back.
-func (b *Budget) ReleaseClient() { b.release(&b.clients) }
-
-// PeerBack gives a backend's socket back.
+// ReleaseBackend gives a backend's descriptor back.
 func (b *Budget) ReleaseBackend() { b.release(&b.backends) }
 
-func (b *Budget) release(n *int) {
+func (b *Budget) release(count *int) {
 	b.mu.Lock()
-	*n--
+	*count--
 	b.mu.Unlock()
 	b.available.Signal()
 }
 
-// Crowded tells whether clients are to be asked to close their connections.
+// HasWaitingClient reports whether a client waits for a descriptor.
+func (b *Budget) HasWaitingClient() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.clientWaiting
+}
+
+// ShouldCloseIdleBackends reports whether idle connections to backends are to be closed, for a backend that was refused a
+// descriptor, for a lower limit, or for a waiting client. If clients have all of their share, closing would not help the one
+// that waits, and each request would have to connect anew.
+func (b *Budget) ShouldCloseIdleBackends() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	isExceeded := b.inUse() > b.limit
+	wouldHelpClient := b.clientWaiting && b.inUse() == b.limit && b.clients < b.maxClients()
+	shouldClose := b.backendRefused || isExceeded || wouldHelpClient
+	b.backendRefused = false
+	return shouldClose
+}
+
+// ShouldCloseClients reports whether clients are to be asked to close their connections: they have more than three
+// quarters of their share.
 func (b *Budget) ShouldCloseClients() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.clients > b.maxClients()*3/4
 }
 
-// Close ends all waiting for a client's socket.
+// Close ends all waiting for a client's descriptor.
 func (b *Budget) Close() {
 	b.mu.Lock()
 	b.closed = true
 	b.mu.Unlock()
 	b.available.Broadcast()
 }
-
-// ForClients is how many sockets clients may have.
-func (b *Budget) MaxClients() int { return b.maxClients() }
-
-// Clients is how many sockets clients have.
-func (b *Budget) Clients() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.clients
-}
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -7,38 +7,40 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// Clients and backends share a budget of 16 descriptors, of which clients may have 12. Backends are refused one at the limit,
+// clients wait until one is given back or the budget is closed.
 func TestShares(t *testing.T) {
-	pressed := 0
-	b := New(reservedDescriptors+16, func() { pressed++ })
+	shortages := 0
+	b := New(reservedDescriptors+16, func() { shortages++ })
 	for range 9 {
 		assert.True(t, b.AcquireClient())
 	}
 	assert.False(t, b.ShouldCloseClients())
 	assert.True(t, b.AcquireClient())
-	assert.True(t, b.ShouldCloseClients(), "beyond three quarters of the clients' part")
+	assert.True(t, b.ShouldCloseClients(), "more than three quarters of the clients' share")
 	for range 6 {
 		assert.True(t, b.TryAcquireBackend())
 	}
-	assert.Equal(t, 0, pressed)
-	assert.False(t, b.TryAcquireBackend(), "none left")
-	assert.Equal(t, 1, pressed)
+	assert.Equal(t, 0, shortages)
+	assert.False(t, b.TryAcquireBackend(), "the limit is reached")
+	assert.Equal(t, 1, shortages)
 
-	// A client waits for whatever socket comes back first, and for the end at last.
-	got := make(chan bool)
-	go func() { got <- b.AcquireClient() }()
+	// A client waits for the next descriptor that is given back, and another one until the budget is closed.
+	acquired := make(chan bool)
+	go func() { acquired <- b.AcquireClient() }()
 	b.ReleaseBackend()
-	assert.True(t, <-got)
-	go func() { got <- b.AcquireClient() }()
+	assert.True(t, <-acquired)
+	go func() { acquired <- b.AcquireClient() }()
 	b.Close()
-	assert.False(t, <-got)
+	assert.False(t, <-acquired)
 }
 
-// Backends give idle sockets back where that helps whoever wants one, and only there.
+// Idle connections to backends are closed where that helps whoever needs a descriptor, and only there.
 func TestShouldCloseIdleBackends(t *testing.T) {
 	b := New(reservedDescriptors+16, func() {})
-	got := make(chan bool)
-	wait := func() {
-		go func() { got <- b.AcquireClient() }()
+	acquired := make(chan bool)
+	waitForDescriptor := func() {
+		go func() { acquired <- b.AcquireClient() }()
 		for !b.HasWaitingClient() {
 			runtime.Gosched()
 		}
@@ -49,27 +51,27 @@
 	for range 4 {
 		assert.True(t, b.TryAcquireBackend())
 	}
-	wait()
-	assert.False(t, b.ShouldCloseIdleBackends(), "clients have their share: what is given back would not come to them")
+	waitForDescriptor()
+	assert.False(t, b.ShouldCloseIdleBackends(), "clients have their share: a descriptor that is given back would not go to them")
 	b.ReleaseClient()
-	assert.True(t, <-got)
-	assert.False(t, b.ShouldCloseIdleBackends(), "all is taken, and nobody waits")
+	assert.True(t, <-acquired)
+	assert.False(t, b.ShouldCloseIdleBackends(), "all descriptors are in use, and nobody waits")
 	assert.False(t, b.TryAcquireBackend())
-	assert.True(t, b.ShouldCloseIdleBackends(), "a backend was refused one")
-	assert.False(t, b.ShouldCloseIdleBackends(), "which has been told")
+	assert.True(t, b.ShouldCloseIdleBackends(), "a backend was refused a descriptor")
+	assert.False(t, b.ShouldCloseIdleBackends(), "which was reported before")
 
 	b.ReleaseClient()
 	assert.True(t, b.TryAcquireBackend())
-	wait()
+	waitForDescriptor()
 	assert.True(t, b.ShouldCloseIdleBackends(), "a client waits for part of its share")
 	b.ReleaseBackend()
-	assert.True(t, <-got)
+	assert.True(t, <-acquired)
 	assert.False(t, b.ShouldCloseIdleBackends())
 	b.clientWaiting = true
 	b.ReleaseClient()
-	assert.False(t, b.ShouldCloseIdleBackends(), "one has come back, and the client that waits for it only has to wake")
+	assert.False(t, b.ShouldCloseIdleBackends(), "one was given back, and the waiting client only has to wake up")
 	b.clientWaiting = false
 	assert.True(t, b.AcquireClient())
 	b.SetLimit(reservedDescriptors + 14)
-	assert.True(t, b.ShouldCloseIdleBackends(), "over a limit that has moved")
+	assert.True(t, b.ShouldCloseIdleBackends(), "above a lower limit")
 }
