--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is what the project's command lines have in common: exit statuses, errors that mean one, the version.
+// Package cli has what the project's command lines share: exit statuses, errors that mean one, and the version.
 package cli
 
 import (
@@ -18,61 +18,78 @@
 	StatusOK          = 0
 	StatusFailed      = 1
 	StatusUsage       = 2 // the command line or an operator's file can't be read
-	StatusCheckFailed = 3 // a check says no: a rule was broken, something differs, another's change came first
+	StatusCheckFailed = 3 // a check says no: a rule was broken, something differs, another change came first
 )
 
-// Error is an error with the exit status that it means; a silent one has been told already.
+// Error is an error with the exit status that it means.
 type Error struct {
 	Status int
 	Err    error
-	Silent bool
+	Silent bool // the command has printed what went wrong
 }
 
+// Error implements error.
 func (e *Error) Error() string { return e.Err.Error() }
+
+// Unwrap returns the error without its status.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Exit tells an error in one line and gives its exit status.
-func Exit(program string, err error, errs io.Writer) int {
-	var status *Error
-	var odd *tomlfile.Error
-	switch {
-	case err == nil:
+// UsageError returns err as an error of the command line, or of a file that it names.
+func UsageError(err error) error { return &Error{Status: StatusUsage, Err: err} }
+
+// UsageIfNotExist returns a UsageError if err says that a file does not exist, and err itself otherwise.
+func UsageIfNotExist(err error) error {
+	if errors.Is(err, os.ErrNotExist) {
+		return UsageError(err)
+	}
+	return err
+}
+
+// usagePrefixes begin the errors that cobra returns for a wrong command line. It has no types for them.
+var usagePrefixes = []string{"unknown command", "accepts ", "requires ", "required flag"}
+
+// Exit prints an error in one line and returns its exit status. err may be nil.
+func Exit(program string, err error, stderr io.Writer) int {
+	if err == nil {
 		return StatusOK
-	case errors.As(err, &status) && status.Silent:
-		return status.Status
-	case errors.As(err, &odd):
-		fmt.Fprintln(errs, err) // begins with its place
+	}
+	var withStatus *Error
+	hasStatus := errors.As(err, &withStatus)
+	if hasStatus && withStatus.Silent {
+		return withStatus.Status
+	}
+	var fileError *tomlfile.Error
+	if errors.As(err, &fileError) {
+		fmt.Fprintln(stderr, err) // begins with file:line:column, for editors, so without the program's name
 		return StatusUsage
-	case errors.Is(err, context.Canceled):
+	}
+	if errors.Is(err, context.Canceled) {
 		err = errors.New("interrupted")
 	}
-	fmt.Fprintf(errs, "%s: %s\n", program, strings.SplitN(err.Error(), "\n", 2)[0])
-	if status != nil {
-		return status.Status
+	firstLine, _, _ := strings.Cut(err.Error(), "\n")
+	fmt.Fprintf(stderr, "%s: %s\n", program, firstLine)
+	switch {
+	case hasStatus:
+		return withStatus.Status
+	case isCommandLineError(err):
+		return StatusUsage
 	}
-	for _, start := range []string{"unknown command", "accepts ", "requires ", "required flag"} { // the library's own
-		if strings.HasPrefix(err.Error(), start) {
-			return StatusUsage
+	return StatusFailed
+}
+
+func isCommandLineError(err error) bool {
+	for _, prefix := range usagePrefixes {
+		if strings.HasPrefix(err.Error(), prefix) {
+			return true
 		}
 	}
-	return StatusFailed
+	return false
 }
 
-// Version is the build's.
+// Version returns the build's version.
 func Version() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		return info.Main.Version
 	}
 	return "unknown"
 }
-
-// Usage is an error of the command line, or of a file that it names.
-func UsageError(err error) error { return &Error{Status: StatusUsage, Err: err} }
-
-// Missing is Usage for a file that isn't there, and any other error itself.
-func UsageIfNotExist(err error) error {
-	if errors.Is(err, os.ErrNotExist) {
-		return UsageError(err)
-	}
-	return err
-}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,24 +1,25 @@
-// Package clock is a node's one reading of time: Unix milliseconds that only advance.
+// Package clock is the one source of time of a node: Unix time in milliseconds that never goes back.
 package clock
 
 import "time"
 
-// Clock goes on from the wall clock's reading at its start and follows none of its later steps.
+// Clock reads the wall clock once, at its start, and follows none of its later steps. It is safe for concurrent use.
 type Clock struct {
-	start time.Time
-	base  float64
+	start   time.Time // with the monotonic reading that Now goes by
+	startMs float64
 }
 
+// New returns a clock that starts now.
 func New() *Clock {
 	now := time.Now()
-	return &Clock{start: now, base: float64(now.UnixMicro()) / 1e3}
+	return &Clock{start: now, startMs: float64(now.UnixMicro()) / 1e3}
 }
 
-// Now is the present in Unix milliseconds, with fractions.
-func (c *Clock) Now() float64 { return c.base + float64(time.Since(c.start).Nanoseconds())/1e6 }
+// Now returns the time in Unix milliseconds, with fractions.
+func (c *Clock) Now() float64 { return c.startMs + float64(time.Since(c.start).Nanoseconds())/1e6 }
 
-// At is a reading as a time that timers and sockets take.
-func (c *Clock) Time(ms float64) time.Time { return c.start.Add(Duration(ms - c.base)) }
+// Time returns a reading of the clock as a time for timers and deadlines.
+func (c *Clock) Time(ms float64) time.Time { return c.start.Add(Duration(ms - c.startMs)) }
 
-// Span turns milliseconds into a duration.
+// Duration returns milliseconds as a duration.
 func Duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,6 @@
-// Package tomlfile reads the operators' TOML files. Whatever is wrong is one line, file:line:column: what, whether the
-// reader finds it (an unknown key, a text for a number) or the one who asked for the file (a zone that isn't there).
+// Package tomlfile reads the operators' TOML files. Whatever is wrong with one is reported in a single line,
+// file:line:column: what, whether the reader finds it (an unknown key, a text instead of a number) or its caller (a zone
+// that does not exist).
 package tomlfile
 
 import (
@@ -14,26 +15,32 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// File is a file that was read, with the place of each of its keys.
+// File is a file that was read. It knows where each of its keys stands.
 type File struct {
-	Name   string
-	places map[string]place
+	Name      string
+	positions map[string]position // by the key's path, see keyPositions
 }
 
-type place struct{ line, column int }
+// position counts from 1.
+type position struct{ line, column int }
 
-// Error is what is wrong, and where.
+// start is the position of what stands nowhere.
+var start = position{1, 1}
+
+// Error says what is wrong with a file, and where.
 type Error struct {
 	File         string
 	Line, Column int
 	What         string
 }
 
+// Error returns file:line:column: what.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.What)
 }
 
-// Read reads a file into a value; a key that the value has no field for is an error.
+// Read reads a file into a struct. A key that the struct has no field for is an Error, as is any other mistake in the file.
+// If the file can't be opened, the error is that of os.ReadFile.
 func Read(name string, into any) (*File, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -42,74 +49,93 @@
 	return Decode(name, data, into)
 }
 
-// Decode reads text as if it were a file of that name.
+// Decode is Read for data that came from elsewhere. Errors name it as a file of that name.
 func Decode(name string, data []byte, into any) (*File, error) {
-	d := toml.NewDecoder(bytes.NewReader(data))
-	d.DisallowUnknownFields()
-	err := d.Decode(into)
-	var missing *toml.StrictMissingError
-	var odd *toml.DecodeError
-	switch {
-	case errors.As(err, &missing) && len(missing.Errors) > 0:
-		line, column := missing.Errors[0].Position()
-		return nil, &Error{name, line, column, "unknown key " + strings.Join(missing.Errors[0].Key(), ".")}
-	case errors.As(err, &odd):
-		line, column := odd.Position()
-		what := strings.TrimPrefix(odd.Error(), "toml: ")
-		if key := strings.Join(odd.Key(), "."); key != "" {
+	decoder := toml.NewDecoder(bytes.NewReader(data))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		return nil, newError(name, err)
+	}
+	return &File{Name: name, positions: keyPositions(data)}, nil
+}
+
+// newError converts an error of the TOML library.
+func newError(name string, err error) *Error {
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
+		first := unknownKeys.Errors[0]
+		line, column := first.Position()
+		return &Error{name, line, column, "unknown key " + strings.Join(first.Key(), ".")}
+	}
+	var malformed *toml.DecodeError
+	if errors.As(err, &malformed) {
+		line, column := malformed.Position()
+		what := strings.TrimPrefix(malformed.Error(), "toml: ")
+		if key := strings.Join(malformed.Key(), "."); key != "" {
 			what = key + ": " + what
 		}
-		return nil, &Error{name, line, column, what}
-	case err != nil:
-		return nil, &Error{name, 1, 1, strings.TrimPrefix(err.Error(), "toml: ")}
+		return &Error{name, line, column, what}
 	}
-	return &File{name, places(data)}, nil
+	return &Error{name, start.line, start.column, strings.TrimPrefix(err.Error(), "toml: ")}
 }
 
-// places walks the text once more for where its keys stand; a list of tables counts from 0: trouble.2.zone.
-func places(data []byte) map[string]place {
-	found, counts, under := map[string]place{}, map[string]int{}, ""
-	p := &unstable.Parser{}
-	p.Reset(data)
-	for p.NextExpression() {
-		e := p.Expression()
-		var keys []string
-		var at place
-		for k := e.Key(); k.Next(); {
-			if n := k.Node(); len(keys) == 0 {
-				s := p.Shape(n.Raw).Start
-				at = place{s.Line, s.Column}
-			}
-			keys = append(keys, string(k.Node().Data))
-		}
-		path := strings.Join(keys, ".")
-		switch e.Kind {
+// keyPositions parses the text once more for the positions of its keys, which the library does not pass on. A key's path
+// joins the names of its tables with dots; the elements of an array of tables count from 0, as in fault.2.zone.
+func keyPositions(data []byte) map[string]position {
+	found, elements, table := map[string]position{}, map[string]int{}, ""
+	parser := &unstable.Parser{}
+	parser.Reset(data)
+	for parser.NextExpression() {
+		expression := parser.Expression()
+		path, at := keyOf(parser, expression)
+		switch expression.Kind {
 		case unstable.Table:
-			under = path + "."
+			table = path + "."
 			found[path] = at
 		case unstable.ArrayTable:
-			numbered := path + "." + strconv.Itoa(counts[path])
-			counts[path]++
-			under = numbered + "."
-			found[numbered] = at
+			element := path + "." + strconv.Itoa(elements[path])
+			elements[path]++
+			table = element + "."
+			found[element] = at
 		case unstable.KeyValue:
-			found[under+path] = at
+			found[table+path] = at
 		}
 	}
 	return found
 }
 
-// Errorf is an error at a key; of a key that isn't there, at the nearest table that should have it.
+// keyOf returns an expression's key, its parts joined by dots, and the position of the first part.
+func keyOf(parser *unstable.Parser, expression *unstable.Node) (key string, at position) {
+	var parts []string
+	for iterator := expression.Key(); iterator.Next(); {
+		node := iterator.Node()
+		if len(parts) == 0 {
+			first := parser.Shape(node.Raw).Start
+			at = position{first.Line, first.Column}
+		}
+		parts = append(parts, string(node.Data))
+	}
+	return strings.Join(parts, "."), at
+}
+
+// Errorf returns an Error at a key. If the file lacks the key, the position is that of the innermost table that should
+// have it.
 func (f *File) Errorf(key, format string, args ...any) error {
 	what := key + ": " + fmt.Sprintf(format, args...)
-	for path := key; ; {
-		if at, ok := f.places[path]; ok {
-			return &Error{f.Name, at.line, at.column, what}
+	at := f.find(key)
+	return &Error{f.Name, at.line, at.column, what}
+}
+
+// find returns the position of a key or of the innermost table around it.
+func (f *File) find(path string) position {
+	for {
+		if at, ok := f.positions[path]; ok {
+			return at
 		}
-		cut := strings.LastIndexByte(path, '.')
-		if cut < 0 {
-			return &Error{f.Name, 1, 1, what}
+		dot := strings.LastIndexByte(path, '.')
+		if dot < 0 {
+			return start
 		}
-		path = path[:cut]
+		path = path[:dot]
 	}
 }
