--- a/cmd/pearknot/controlplane_test.go
+++ b/cmd/pearknot/controlplane_test.go
@@ -170,7 +170,7 @@
 	if bootstrap {
 		args = append(args, "--bootstrap")
 	}
-	return p.run(name, "member of the control plane", args...)
+	return p.run(name, "control plane member started", args...)
 }
 
 var servingAt = regexp.MustCompile(`msg=serving .*address=(\S+)`)
@@ -552,7 +552,7 @@
 	_, err = p.operators.Apply(ctx, 1, []byte(strings.Replace(tenants(5, 4001), `"kinds":["m"]`, `"kinds":["m","large"]`, 1)), "test", "")
 	var invalid *client.InvalidError
 	require.ErrorAs(t, err, &invalid, "other kinds need a start, of every node")
-	require.Contains(t, p.processes["n2"].log.String(), "version of the settings refused")
+	require.Contains(t, p.processes["n2"].log.String(), "configuration version rejected")
 }
 
 // No member lives: a node starts from its last good copy, whatever its file says, and a SIGHUP doesn't undo it; a damaged copy is set
@@ -587,7 +587,7 @@
 	s, err = p.holds("n1")
 	require.NoError(t, err)
 	require.Zero(t, s.InForce)
-	require.Equal(t, 1, strings.Count(p.processes["n1"].log.String(), "copy of the settings damaged, set aside"))
+	require.Equal(t, 1, strings.Count(p.processes["n1"].log.String(), "stored configuration copy damaged, set aside"))
 	aside, err := filepath.Glob(file + ".damaged-*")
 	require.NoError(t, err)
 	require.Len(t, aside, 1)
--- a/internal/controlplane/client/call.go
+++ b/internal/controlplane/client/call.go
@@ -7,306 +7,172 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
-	"sync"
 	"time"
 
 	"pearknot/internal/controlplane"
 )
 
 const (
-	callTimeout         = 5 * time.Second // a call of one member, a change's commit among them
-	statusTimeout       = 2 * time.Second
-	retryInterval       = 200 * time.Millisecond
-	hedgeDelay          = 250 * time.Millisecond
-	maxFreshStalenessMs = 2000.0 // ms; an answer that is older is compared with others'
-	operatorName        = "operator"
+	// callTimeout bounds a call of one member, a change's commit included.
+	callTimeout = 5 * time.Second
+	// statusTimeout bounds a call that needs no commit.
+	statusTimeout = 2 * time.Second
+	// retryInterval is the time between two calls of voters that say that they don't lead.
+	retryInterval = 200 * time.Millisecond
+	// failureRetryInterval follows a call without an answer. It is shorter, because that call has taken time itself.
+	failureRetryInterval = retryInterval / 4
+	// redirectDelay follows the answer that another voter leads, which is called next.
+	redirectDelay = retryInterval / 20
+	// operatorName is the caller's name in the handshake.
+	operatorName = "operator"
 )
 
-// ConflictError is a change made from another version than the head.
+// ConflictError is a change that was not made from the head.
 type ConflictError struct{ Base, Head uint64 }
 
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("made from version %d, and the head is %d: another change came first", e.Base, e.Head)
 }
 
-// InvalidError is a text that no node could put in force.
+// InvalidError is a configuration that nodes can't apply.
 type InvalidError struct{ Detail string }
 
 func (e *InvalidError) Error() string { return e.Detail }
 
-// ErrAbsent is a version that nobody who answered has.
+// ErrVersionNotFound is a version that none of the members that answered has.
 var ErrVersionNotFound = errors.New("no such version is kept")
 
-// ask makes one call of one member.
-func (p *ControlPlane) callMember(ctx context.Context, m Member, within time.Duration, c *CallRequest, text []byte) (a *CallResponse, its []byte, err error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// callMember makes one call of one member.
+func (p *ControlPlane) callMember(
+	ctx context.Context, member Member, timeout time.Duration, request *CallRequest, text []byte,
+) (response *CallResponse, responseText []byte, err error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	frames, err := EncodeMessage(c, text)
+	frames, err := EncodeMessage(request, text)
 	if err != nil {
 		return nil, nil, err
 	}
-	pipe, err := OpenLink(ctx, p.Fleet, p.Keys, operatorName, m, PurposeCall)
+	conn, err := OpenLink(ctx, p.Fleet, p.Keys, operatorName, member, PurposeCall)
 	if err != nil {
-		return nil, nil, fmt.Errorf("%s: %w", m.Name, err)
+		return nil, nil, fmt.Errorf("%s: %w", member.Name, err)
 	}
-	stop := context.AfterFunc(ctx, pipe.Close)
+	stop := context.AfterFunc(ctx, conn.Close)
 	defer stop()
-	for _, f := range frames {
-		pipe.Send(f)
-	}
-	var g MessageAssembler
-	err = pipe.Run(controlplane.MaxFrameBytes, 0, func(data []byte) {
-		if whole, e := g.AddFrame(data); e != nil || whole {
-			if e == nil {
-				a = &CallResponse{}
-				if its, e = g.Decode(a); e != nil {
-					a = nil
-				}
+	for _, frame := range frames {
+		conn.Send(frame)
+	}
+	var assembler MessageAssembler
+	err = conn.Run(controlplane.MaxFrameBytes, 0, func(frame []byte) {
+		isLast, frameErr := assembler.AddFrame(frame)
+		if frameErr == nil && !isLast {
+			return
+		}
+		if frameErr == nil {
+			decoded := &CallResponse{}
+			if responseText, frameErr = assembler.Decode(decoded); frameErr == nil {
+				response = decoded
 			}
-			pipe.Close()
 		}
+		conn.Close()
 	}, nil)
-	if a == nil {
-		return nil, nil, fmt.Errorf("%s: no answer: %w", m.Name, cmp.Or(ctx.Err(), err))
-	}
-	return a, its, nil
-}
-
-func (p *ControlPlane) voters() (all []Member) {
-	for _, m := range p.Members {
-		if m.Voter {
-			all = append(all, m)
-		}
+	if response == nil {
+		return nil, nil, fmt.Errorf("%s: no answer: %w", member.Name, cmp.Or(ctx.Err(), err))
 	}
-	return all
+	return response, responseText, nil
 }
 
-// atLeader calls until the leader has answered, or ctx ends. A call whose answer was lost is made again: a change by its ID comes
-// into force once.
-func (p *ControlPlane) callLeader(ctx context.Context, c *CallRequest, text []byte) (*CallResponse, []byte, error) {
-	voters := p.voters()
-	next, failed := p.findLeader(ctx, voters), errors.New("no voter leads")
-	unsure := false
+// callLeader calls voters until the leader has answered or ctx ends. A call whose answer was lost is made again, which is safe for a
+// change too: by its ID it takes effect once.
+func (p *ControlPlane) callLeader(ctx context.Context, request *CallRequest, text []byte) (*CallResponse, error) {
+	voters := p.Voters()
+	next := p.findLeader(ctx, voters)
+	mayHaveTakenEffect := false
 	for {
-		m := voters[next%len(voters)]
+		voter := voters[next%len(voters)]
 		next++
-		a, its, err := p.callMember(ctx, m, callTimeout, c, text)
-		wait := retryInterval
+		response, _, err := p.callMember(ctx, voter, callTimeout, request, text)
+		if err == nil && isLeaderResponse(response) {
+			p.lastLeader.Store(&voter.Name)
+			return response, nil
+		}
+		p.lastLeader.Store(nil)
+		delay := retryInterval
 		switch {
 		case err != nil:
-			failed, unsure = err, unsure || c.Method == MethodApply
-			wait = retryInterval / 4
-		case a.Code == controlplane.CodeNotLeader:
-			if k := slices.IndexFunc(voters, func(v Member) bool { return v.Name == a.Leader }); k >= 0 && a.Leader != m.Name {
-				next, wait = k, retryInterval/20
+			mayHaveTakenEffect = mayHaveTakenEffect || request.Method == MethodApply
+			delay = failureRetryInterval
+		case response.Code == controlplane.CodeLeadershipLost:
+			mayHaveTakenEffect = true
+		case response.Code == controlplane.CodeNotLeader:
+			if i := indexOf(voters, response.Leader); i >= 0 && response.Leader != voter.Name {
+				next, delay = i, redirectDelay
 			}
-			failed = fmt.Errorf("%s does not lead, and knows of leader %q", m.Name, a.Leader)
-		case a.Code == controlplane.CodeLeadershipLost:
-			failed, unsure = fmt.Errorf("%s lost the lead", m.Name), true
-		case a.Code == controlplane.CodeBusy:
-			failed = fmt.Errorf("%s has too many changes in hand", m.Name)
-		default:
-			p.lastLeader.Store(&m.Name)
-			return a, its, nil
 		}
-		p.lastLeader.Store(nil)
+		failure := cmp.Or(err, responseError(voter, response))
 		select {
-		case <-time.After(wait):
+		case <-time.After(delay):
 		case <-ctx.Done():
-			if unsure {
-				return nil, nil, fmt.Errorf("change %016x may have come into force or may still: see the log: %w", c.ID, failed)
+			if mayHaveTakenEffect {
+				return nil, fmt.Errorf("change %016x may have come into force or may still: see the log: %w", request.ID, failure)
 			}
-			return nil, nil, failed
+			return nil, failure
 		}
 	}
 }
 
-// likely is the place of the voter that leads: the one that did, or the first of all that says so. One that is frozen keeps nobody
-// waiting who can ask another.
-func (p *ControlPlane) findLeader(ctx context.Context, voters []Member) int {
-	if last := p.lastLeader.Load(); last != nil {
-		return max(slices.IndexFunc(voters, func(v Member) bool { return v.Name == *last }), 0)
+// isLeaderResponse reports whether a response settles a call of the leader.
+func isLeaderResponse(response *CallResponse) bool {
+	switch response.Code {
+	case controlplane.CodeNotLeader, controlplane.CodeLeadershipLost, controlplane.CodeBusy:
+		return false
 	}
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	answers := make(chan int, len(voters))
-	for k, m := range voters {
-		go func() {
-			a, _, err := p.callMember(ctx, m, statusTimeout, &CallRequest{Method: MethodHead}, nil)
-			if err != nil || a.Code != controlplane.CodeDone {
-				k = -1
-			}
-			answers <- k
-		}()
-	}
-	for range voters {
-		if k := <-answers; k >= 0 {
-			return k
-		}
-	}
-	return rand.IntN(len(voters))
+	return true
 }
 
-// Head asks the leader for the head's version.
-func (p *ControlPlane) HeadVersion(ctx context.Context) (uint64, error) {
-	a, _, err := p.callLeader(ctx, &CallRequest{Method: MethodHead}, nil)
-	if err != nil {
-		return 0, err
+// responseError says why a response doesn't settle a call of the leader.
+func responseError(voter Member, response *CallResponse) error {
+	if response == nil {
+		return nil
 	}
-	return a.Version, nil
-}
-
-// Apply makes the next version, from base; it is on a majority's disks when this returns.
-func (p *ControlPlane) Apply(ctx context.Context, base uint64, text []byte, by, reason string) (uint64, error) {
-	c := &CallRequest{Method: MethodApply, Base: base, ID: max(rand.Uint64(), 1), By: by, Reason: reason}
-	a, _, err := p.callLeader(ctx, c, text)
-	if err != nil {
-		return 0, err
+	switch response.Code {
+	case controlplane.CodeNotLeader:
+		return fmt.Errorf("%s does not lead, and knows of leader %q", voter.Name, response.Leader)
+	case controlplane.CodeLeadershipLost:
+		return fmt.Errorf("%s lost the lead", voter.Name)
+	case controlplane.CodeBusy:
+		return fmt.Errorf("%s has too many changes in hand", voter.Name)
 	}
-	switch a.Code {
-	case controlplane.CodeDone:
-		return a.Version, nil
-	case controlplane.CodeConflict:
-		return 0, &ConflictError{base, a.Version}
-	}
-	return 0, &InvalidError{a.Detail}
+	return nil
 }
 
-// freshest asks until it has what was there when it began: a version that was asked for by its number, or an answer that is as
-// fresh. Where no majority confirms one it takes the freshest, after a while; members that are no voters are asked where none answers.
-func (p *ControlPlane) callFreshest(ctx context.Context, c *CallRequest) (best *CallResponse, text []byte, err error) {
-	begun := time.Now()
-	enough := func(a *CallResponse) bool {
-		return a.Code == controlplane.CodeDone && c.Version > 0 || stalenessMs(a) <= float64(time.Since(begun).Microseconds())/1e3
-	}
-	for {
-		best, text, err = p.callUntilFresh(ctx, c, enough)
-		if best != nil && (enough(best) || best.Code == controlplane.CodeDone && time.Since(begun) > statusTimeout) {
-			break
-		}
-		select {
-		case <-time.After(retryInterval / 4):
-			continue
-		case <-ctx.Done():
-		}
-		break
-	}
-	switch {
-	case best == nil:
-		return nil, nil, err
-	case best.Code != controlplane.CodeDone:
-		return nil, nil, ErrVersionNotFound
-	}
-	return best, text, nil
+func indexOf(members []Member, name string) int {
+	return slices.IndexFunc(members, func(m Member) bool { return m.Name == name })
 }
 
-// once asks each once, until one is enough. Who takes long has the next one asked beside it.
-func (p *ControlPlane) callUntilFresh(ctx context.Context, c *CallRequest, enough func(*CallResponse) bool) (best *CallResponse, text []byte, err error) {
-	order := p.voters()
-	rand.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
-	voters := len(order)
-	for _, m := range p.Members {
-		if !m.Voter {
-			order = append(order, m)
-		}
+// findLeader returns the index of the voter that probably leads: the one that last did, or the first that says that it does. All are
+// asked at once, so that a frozen one delays nothing. Without an answer it is a random one.
+func (p *ControlPlane) findLeader(ctx context.Context, voters []Member) int {
+	if last := p.lastLeader.Load(); last != nil {
+		return max(indexOf(voters, *last), 0)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	type told struct {
-		a    *CallResponse
-		text []byte
-		err  error
+	const notLeader = -1
+	answers := make(chan int, len(voters))
+	for i, voter := range voters {
+		go func() {
+			response, _, err := p.callMember(ctx, voter, statusTimeout, &CallRequest{Method: MethodHead}, nil)
+			if err != nil || response.Code != controlplane.CodeDone {
+				answers <- notLeader
+				return
+			}
+			answers <- i
+		}()
 	}
-	answers := make(chan told, len(order))
-	asked, open := 0, 0
-	for {
-		if asked < voters || asked < len(order) && best == nil {
-			m := order[asked]
-			asked, open = asked+1, open+1
-			go func() {
-				a, text, err := p.callMember(ctx, m, statusTimeout, c, nil)
-				answers <- told{a, text, err}
-			}()
-		} else if open == 0 {
-			return best, text, err
-		}
-		var x told
-		select {
-		case x = <-answers:
-			open--
-		case <-time.After(hedgeDelay):
-			continue
-		}
-		switch {
-		case x.err != nil:
-			err = x.err
-			continue
-		case best == nil, best.Code != controlplane.CodeDone && x.a.Code == controlplane.CodeDone, stalenessMs(x.a) < stalenessMs(best) && x.a.Code == best.Code:
-			best, text = x.a, x.text
-		}
-		if enough(best) {
-			return best, text, nil
+	for range voters {
+		if i := <-answers; i != notLeader {
+			return i
 		}
 	}
-}
-
-func stalenessMs(a *CallResponse) float64 {
-	if a.StalenessMs == nil {
-		return 1e18
-	}
-	return *a.StalenessMs
-}
-
-// Get gives a version's text, the head's where version is 0, and how old the answer may be (ms; nil is unknown).
-func (p *ControlPlane) GetVersion(ctx context.Context, version uint64) (uint64, []byte, *float64, error) {
-	a, text, err := p.callFreshest(ctx, &CallRequest{Method: MethodGet, Version: version})
-	if err != nil {
-		return 0, nil, nil, err
-	}
-	return a.Version, text, a.StalenessMs, nil
-}
-
-// Log gives the last changes, newest first.
-func (p *ControlPlane) RecentChanges(ctx context.Context, most int) ([]LogEntry, *float64, error) {
-	a, _, err := p.callFreshest(ctx, &CallRequest{Method: MethodLog, Limit: most})
-	if err != nil {
-		return nil, nil, err
-	}
-	return a.Log, a.StalenessMs, nil
-}
-
-// Rollback makes a next version with an earlier one's text.
-func (p *ControlPlane) Rollback(ctx context.Context, to, base uint64, by, reason string) (uint64, error) {
-	_, text, _, err := p.GetVersion(ctx, to)
-	if err != nil {
-		return 0, err
-	}
-	return p.Apply(ctx, base, text, by, reason)
-}
-
-// Asked is what a member answered, or why it did not.
-type StatusResult struct {
-	Member Member
-	Status *MemberStatus
-	Err    error
-}
-
-// Statuses asks all members at once.
-func (p *ControlPlane) MemberStatuses(ctx context.Context) []StatusResult {
-	all := make([]StatusResult, len(p.Members))
-	var wg sync.WaitGroup
-	for k, m := range p.Members {
-		wg.Go(func() {
-			a, _, err := p.callMember(ctx, m, statusTimeout, &CallRequest{Method: MethodStatus}, nil)
-			if err == nil && a.Status == nil {
-				err = fmt.Errorf("%s: no status: %s", m.Name, a.Detail)
-			}
-			all[k] = StatusResult{Member: m, Err: err}
-			if err == nil {
-				all[k].Status = a.Status
-			}
-		})
-	}
-	wg.Wait()
-	return all
+	return rand.IntN(len(voters))
 }
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -15,66 +15,80 @@
 	"pearknot/internal/mailbox"
 )
 
-// Descriptors is what a node's link takes at most of its limit: the connection, the next one's dial while that one ends, the lock,
-// the copy as it is written.
+// MaxDescriptors is how many file descriptors a node's link takes: the connection, the dial of the next one while that one ends, the
+// lock, and the copy while it is written.
 const MaxDescriptors = 4
 
-const refusedLogInterval = time.Second
+// rejectedLogInterval is the least time between two log lines about members that don't prove the key.
+const rejectedLogInterval = time.Second
 
-// Terms are a follower's own.
+// errStopped is what State returns once the client has stopped.
+var errStopped = errors.New("it has ended")
+
+// Config configures a follower of the control plane.
 type Config struct {
 	Fleet, Name, Region string
 	Members             []Member
-	Keys                [][]byte // the first proves, all are taken
-	CopyFile            string   // file of the last good version; empty keeps none
-	Kind                string
+	Keys                [][]byte // the first is proven to members, all are accepted
+	CopyFile            string   // where the last applied version is kept; empty keeps none
+	Kind                string   // controlplane.KindNode by default
 }
 
-// State is how a client stands.
+// State is a client's state, for display.
 type State struct {
 	controlplane.FollowerState
 	Counters
 }
 
-// Client follows the control plane for one node. Its actor owns the follower and the link; what is to be put in force is given to
-// another goroutine, the newest only and one at a time, and what is in force to one that keeps it on disk.
+// Client follows the control plane for a node. Its actor, the goroutine of runActor, owns the follower link. Another goroutine applies
+// versions, one at a time and the newest only; a third writes the applied one to disk.
 type Client struct {
-	clock           *clock.Clock
-	log             *slog.Logger
-	apply           func(uint64, []byte) error
-	copyStore       *CopyStore // nil keeps none
-	initial         controlplane.VersionedDocument
-	refusedLog      rate.Sometimes
-	refusedSinceLog atomic.Int64
-	ctx             context.Context
-	cancel          context.CancelFunc
-	wg              sync.WaitGroup
-	mailbox         *mailbox.Box[func()]
-	link            *FollowerLink
-	nextToApply     chan controlplane.VersionedDocument // holds one at most
+	clock                 *clock.Clock
+	log                   *slog.Logger
+	apply                 func(version uint64, text []byte) error
+	copyStore             *CopyStore // nil if no copy is kept
+	initial               controlplane.VersionedDocument
+	rejectedLog           rate.Sometimes
+	rejectedSinceLastLine atomic.Int64
+	ctx                   context.Context // from New to Stop
+	cancel                context.CancelFunc
+	goroutines            sync.WaitGroup
+	mailbox               *mailbox.Box[func()]
+	link                  *FollowerLink                       // the actor's own
+	nextToApply           chan controlplane.VersionedDocument // holds one at most
 }
 
-// New makes one, and reads the copy; apply puts a version in force, whole, or tells why not.
-func New(t Config, apply func(version uint64, text []byte) error, c *clock.Clock, log *slog.Logger) (*Client, error) {
-	x := &Client{clock: c, log: log, apply: apply, refusedLog: rate.Sometimes{Interval: refusedLogInterval}, mailbox: mailbox.New[func()](),
-		nextToApply: make(chan controlplane.VersionedDocument, 1)}
-	if t.CopyFile != "" {
+// New returns a client, and reads the stored copy. apply applies a version completely, or not at all with an error that says why.
+func New(config Config, apply func(version uint64, text []byte) error, clock *clock.Clock, log *slog.Logger) (*Client, error) {
+	c := &Client{
+		clock:       clock,
+		log:         log,
+		apply:       apply,
+		rejectedLog: rate.Sometimes{Interval: rejectedLogInterval},
+		mailbox:     mailbox.New[func()](),
+		nextToApply: make(chan controlplane.VersionedDocument, 1),
+	}
+	if config.CopyFile != "" {
 		var err error
-		if x.copyStore, x.initial, err = OpenCopyStore(t.CopyFile, t.Fleet, log); err != nil {
+		if c.copyStore, c.initial, err = OpenCopyStore(config.CopyFile, config.Fleet, log); err != nil {
 			return nil, err
 		}
 	}
-	if t.Kind == "" {
-		t.Kind = controlplane.KindNode
+	if config.Kind == "" {
+		config.Kind = controlplane.KindNode
 	}
-	x.ctx, x.cancel = context.WithCancel(context.Background())
-	x.link = NewFollowerLink(x.ctx, t, x.initial, c.Now, x.mailbox.Put, x.wg.Go, func(t controlplane.DocumentUpdate) {
-		x.queueForApply(controlplane.VersionedDocument{Version: t.Version, Document: t.Document})
-	}, x.logRefused)
-	return x, nil
+	c.ctx, c.cancel = context.WithCancel(context.Background())
+	c.link = NewFollowerLink(c.ctx, config, c.initial, FollowerLinkHost{
+		Now:        clock.Now,
+		Post:       c.mailbox.Put,
+		Go:         c.goroutines.Go,
+		OnUpdate:   c.onUpdate,
+		OnRejected: c.logRejected,
+	})
+	return c, nil
 }
 
-// Copy is what was on disk.
+// StoredCopy returns the version that was on disk at New; false if there was none.
 func (c *Client) StoredCopy() (version uint64, text []byte, ok bool) {
 	if c.initial.Version == 0 {
 		return 0, nil, false
@@ -82,72 +96,84 @@
 	return c.initial.Version, c.initial.Document.Text(), true
 }
 
-// Start follows until Stop. What was on disk is applied first, as any other version.
+// Start follows the control plane until Stop. The stored copy is applied first, as any other version.
 func (c *Client) Start() {
 	if c.initial.Version > 0 {
 		c.queueForApply(c.initial)
 	}
-	c.wg.Go(c.run)
-	c.wg.Go(c.applyVersions)
+	c.goroutines.Go(c.runActor)
+	c.goroutines.Go(c.applyVersions)
 	if c.copyStore != nil {
-		c.wg.Go(func() { c.copyStore.Run(c.ctx) })
+		c.goroutines.Go(func() { c.copyStore.Run(c.ctx) })
 	}
 }
 
-// Stop ends the link. An apply that is under way ends first.
+// Stop closes the link and waits for all goroutines, and so for an apply that is under way.
 func (c *Client) Stop() {
 	c.cancel()
-	c.wg.Wait()
+	c.goroutines.Wait()
 	if c.copyStore != nil {
 		c.copyStore.Close()
 	}
 }
 
-// State tells how it stands; it waits for the actor.
+// State returns the client's state. It waits for the actor, which is an error after Stop or once ctx ends.
 func (c *Client) State(ctx context.Context) (State, error) {
-	told := make(chan State, 1)
-	c.mailbox.PutFirst(func() { told <- State{c.link.State(c.clock.Now()), c.link.TotalCounters()} })
+	states := make(chan State, 1)
+	c.mailbox.PutFirst(func() {
+		states <- State{c.link.State(c.clock.Now()), c.link.TotalCounters()}
+	})
 	select {
-	case s := <-told:
-		return s, nil
+	case state := <-states:
+		return state, nil
 	case <-c.ctx.Done():
-		return State{}, errors.New("it has ended")
+		return State{}, errStopped
 	case <-ctx.Done():
 		return State{}, ctx.Err()
 	}
 }
 
-func (c *Client) run() {
-	tick := time.NewTicker(controlplane.TickIntervalMs * time.Millisecond)
-	defer tick.Stop()
+func (c *Client) runActor() {
+	ticker := time.NewTicker(controlplane.TickIntervalMs * time.Millisecond)
+	defer ticker.Stop()
 	defer func() { c.link.Disconnect() }()
-	var notes []func()
-	member := ""
+	var messages []func()
+	followedMember := ""
 	for {
 		select {
 		case <-c.ctx.Done():
 			return
 		case <-c.mailbox.Ready():
-			notes = c.mailbox.TakeAll(notes)
-			for _, note := range notes {
-				note()
+			messages = c.mailbox.TakeAll(messages)
+			for _, run := range messages {
+				run()
 			}
-		case <-tick.C:
+		case <-ticker.C:
 			c.link.Tick(c.clock.Now())
 		}
 		c.link.CarryOutDecisions()
-		if now := c.link.State(c.clock.Now()).Member; now != member {
-			if now == "" {
-				c.log.Warn("control plane lost", "member", member)
-			} else {
-				c.log.Info("control plane followed", "member", now)
-			}
-			member = now
-		}
+		member := c.link.State(c.clock.Now()).Member
+		LogMemberChange(c.log, followedMember, member)
+		followedMember = member
+	}
+}
+
+// LogMemberChange logs that a follower is connected to another member than before; empty is none.
+func LogMemberChange(log *slog.Logger, before, now string) {
+	switch now {
+	case before:
+	case "":
+		log.Warn("control plane connection lost", "member", before)
+	default:
+		log.Info("control plane connection established", "member", now)
 	}
 }
 
-// offer takes the place of what waits to be put in force: the actor's alone.
+func (c *Client) onUpdate(update controlplane.DocumentUpdate) {
+	c.queueForApply(controlplane.VersionedDocument{Version: update.Version, Document: update.Document})
+}
+
+// queueForApply has a version applied, in the place of one that waits for it. Only the actor calls it once it runs.
 func (c *Client) queueForApply(next controlplane.VersionedDocument) {
 	select {
 	case <-c.nextToApply:
@@ -156,34 +182,41 @@
 	c.nextToApply <- next
 }
 
-// put has versions put in force, off the actor: reading the settings may take long.
+// applyVersions applies the queued versions until the client stops. It doesn't run on the actor, because parsing a configuration may
+// take a second, in which no heartbeat would be answered.
 func (c *Client) applyVersions() {
 	for {
-		var next controlplane.VersionedDocument
 		select {
 		case <-c.ctx.Done():
 			return
-		case next = <-c.nextToApply:
-		}
-		if err := c.apply(next.Version, next.Document.Text()); err != nil {
-			if c.ctx.Err() != nil || errors.Is(err, context.Canceled) { // that is no word on the version
-				return
+		case next := <-c.nextToApply:
+			err := c.apply(next.Version, next.Document.Text())
+			if err != nil && (c.ctx.Err() != nil || errors.Is(err, context.Canceled)) {
+				return // the node stops: that says nothing about the version
 			}
-			c.log.Error("version of the settings refused, the one before holds", "version", next.Version, "error", err)
-			c.mailbox.Put(func() { c.link.VersionRejected(c.clock.Now(), next.Version, err.Error()) })
-			continue
-		}
-		c.mailbox.Put(func() { c.link.VersionApplied(c.clock.Now(), next.Version) })
-		if c.copyStore != nil {
-			c.copyStore.QueueWrite(next)
+			c.reportApplied(next, err)
 		}
 	}
 }
 
-// sayOdd logs now and then what a link ends by that should not be.
-func (c *Client) logRefused(who string, err error) {
-	c.refusedSinceLog.Add(1)
-	c.refusedLog.Do(func() {
-		c.log.Warn("member refused", "member", who, "error", err, "since_last", c.refusedSinceLog.Swap(0))
+// reportApplied tells the follower, and the copy store, what became of a version.
+func (c *Client) reportApplied(applied controlplane.VersionedDocument, err error) {
+	if err != nil {
+		c.log.Error("configuration version rejected, previous version stays applied", "version", applied.Version, "error", err)
+		c.mailbox.Put(func() { c.link.VersionRejected(c.clock.Now(), applied.Version, err.Error()) })
+		return
+	}
+	c.mailbox.Put(func() { c.link.VersionApplied(c.clock.Now(), applied.Version) })
+	if c.copyStore != nil {
+		c.copyStore.QueueWrite(applied)
+	}
+}
+
+// logRejected logs a member that does not prove the key, at most one a rejectedLogInterval, with how many there were since the last
+// line.
+func (c *Client) logRejected(member string, err error) {
+	c.rejectedSinceLastLine.Add(1)
+	c.rejectedLog.Do(func() {
+		c.log.Warn("control plane member rejected", "member", member, "error", err, "since_last", c.rejectedSinceLastLine.Swap(0))
 	})
 }
--- /dev/null
+++ b/internal/controlplane/client/copystore.go
@@ -0,0 +1,195 @@
+package client
+
+import (
+	"bytes"
+	"context"
+	"crypto/sha256"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"io/fs"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strconv"
+	"time"
+
+	"github.com/google/renameio/v2"
+	"golang.org/x/sys/unix"
+
+	"pearknot/internal/controlplane"
+)
+
+// copyFormat is the form of the file: a line with the format, the checksum of all that follows, the version and the fleet; then the
+// document's text.
+const copyFormat = "pearknot-copy-1"
+
+// errLocked is a copy that another process writes, such as the one that this process replaces.
+var errLocked = errors.New("another process keeps it")
+
+// CopyStore is the file in which a process keeps the last version that it has applied. One process writes; others may read.
+type CopyStore struct {
+	file, fleet   string
+	lock          *os.File // nil until this process has it
+	storedVersion uint64
+	nextToWrite   chan controlplane.VersionedDocument // holds one at most
+	log           *slog.Logger
+}
+
+// OpenCopyStore opens the file and returns the version in it, or version 0. A damaged copy, or one of another fleet, is set aside with
+// a line in the log.
+func OpenCopyStore(file, fleet string, log *slog.Logger) (*CopyStore, controlplane.VersionedDocument, error) {
+	s := &CopyStore{file: file, fleet: fleet, nextToWrite: make(chan controlplane.VersionedDocument, 1), log: log}
+	stored, err := s.open()
+	if err != nil {
+		s.Close()
+		return nil, controlplane.VersionedDocument{}, err
+	}
+	s.storedVersion = stored.Version
+	return s, stored, nil
+}
+
+func (s *CopyStore) open() (controlplane.VersionedDocument, error) {
+	var none controlplane.VersionedDocument
+	if err := os.MkdirAll(filepath.Dir(s.file), 0o700); err != nil {
+		return none, err
+	}
+	if err := s.acquireLock(); err != nil && !errors.Is(err, errLocked) {
+		return none, err
+	}
+	data, err := os.ReadFile(s.file)
+	if errors.Is(err, fs.ErrNotExist) {
+		return none, nil
+	}
+	if err != nil {
+		return none, err
+	}
+	stored, err := decodeCopy(data, s.fleet)
+	if err != nil {
+		return none, s.setAside(err)
+	}
+	return stored, nil
+}
+
+// setAside renames a damaged copy, so that it can be looked at and doesn't stand in the way of the next one.
+func (s *CopyStore) setAside(damage error) error {
+	aside := fmt.Sprintf("%s.damaged-%d", s.file, time.Now().UnixNano())
+	if err := os.Rename(s.file, aside); err != nil {
+		return err
+	}
+	s.log.Error("stored configuration copy damaged, set aside", "file", s.file, "error", damage, "as", aside)
+	return nil
+}
+
+// acquireLock takes the lock, unless this process has it. The error wraps errLocked if another process does.
+func (s *CopyStore) acquireLock() error {
+	if s.lock != nil {
+		return nil
+	}
+	lock, err := os.OpenFile(s.file+".lock", os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return err
+	}
+	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
+		_ = lock.Close()
+		return fmt.Errorf("%s: %w", s.file, errLocked)
+	}
+	s.lock = lock
+	return nil
+}
+
+// HasLock reports whether this process is the one that writes.
+func (s *CopyStore) HasLock() bool { return s.lock != nil }
+
+// Write writes a version, as a whole or not at all. It is durable when Write returns.
+func (s *CopyStore) Write(version uint64, text []byte) error {
+	if err := s.acquireLock(); err != nil {
+		return err
+	}
+	return renameio.WriteFile(s.file, encodeCopy(version, s.fleet, text), 0o600)
+}
+
+// QueueWrite has Run write a version, in the place of one that waits to be written. It doesn't block, so that a slow disk delays
+// nothing else. Only one goroutine may call it.
+func (s *CopyStore) QueueWrite(next controlplane.VersionedDocument) {
+	select {
+	case <-s.nextToWrite:
+	default:
+	}
+	s.nextToWrite <- next
+}
+
+// Run writes the queued versions until ctx ends, and then the one that still waits.
+func (s *CopyStore) Run(ctx context.Context) {
+	var lockedLogged bool // another process's lock is logged once, not with every version
+	for {
+		select {
+		case next := <-s.nextToWrite:
+			lockedLogged = s.writeQueued(next, lockedLogged)
+			continue
+		case <-ctx.Done():
+		}
+		select {
+		case next := <-s.nextToWrite:
+			s.writeQueued(next, lockedLogged)
+		default:
+		}
+		return
+	}
+}
+
+// writeQueued writes a version unless it is stored, and returns whether the log has a line that another process has the lock.
+func (s *CopyStore) writeQueued(next controlplane.VersionedDocument, lockedLogged bool) bool {
+	if next.Version == s.storedVersion {
+		return lockedLogged
+	}
+	err := s.Write(next.Version, next.Document.Text())
+	if err == nil {
+		s.storedVersion = next.Version
+		return false
+	}
+	isLocked := errors.Is(err, errLocked)
+	if !isLocked || !lockedLogged {
+		s.log.Warn("write of stored configuration copy failed", "version", next.Version, "error", err)
+	}
+	return isLocked
+}
+
+// Close lets another process write.
+func (s *CopyStore) Close() {
+	if s.lock != nil {
+		_ = s.lock.Close()
+	}
+}
+
+func encodeCopy(version uint64, fleet string, text []byte) []byte {
+	content := fmt.Appendf(nil, "%d %s\n%s", version, strconv.Quote(fleet), text)
+	checksum := sha256.Sum256(content)
+	return fmt.Appendf(nil, "%s %x %s", copyFormat, checksum, content)
+}
+
+func decodeCopy(data []byte, fleet string) (controlplane.VersionedDocument, error) {
+	var none controlplane.VersionedDocument
+	format, rest, _ := bytes.Cut(data, []byte(" "))
+	if string(format) != copyFormat {
+		return none, fmt.Errorf("no copy: begins with %.20q", format)
+	}
+	wantChecksum, content, _ := bytes.Cut(rest, []byte(" "))
+	if checksum := sha256.Sum256(content); hex.EncodeToString(checksum[:]) != string(wantChecksum) {
+		return none, errors.New("checksum is wrong")
+	}
+	line, text, _ := bytes.Cut(content, []byte("\n"))
+	number, quotedFleet, _ := bytes.Cut(line, []byte(" "))
+	version, err := strconv.ParseUint(string(number), 10, 64)
+	if err != nil || version == 0 {
+		return none, fmt.Errorf("version %.20q", number)
+	}
+	if storedFleet, err := strconv.Unquote(string(quotedFleet)); err != nil || storedFleet != fleet {
+		return none, fmt.Errorf("of fleet %.80s, not %q", quotedFleet, fleet)
+	}
+	doc, err := controlplane.Parse(text)
+	if err != nil {
+		return none, err
+	}
+	return controlplane.VersionedDocument{Version: version, Document: doc}, nil
+}
--- a/internal/controlplane/client/file.go
+++ b/internal/controlplane/client/file.go
@@ -1,12 +1,12 @@
-// Package client is the control plane as those who use it see it: its file, a node's link to it with the copy on disk, and the
-// operators' calls.
+// Package client is the control plane as its users see it: the file that describes it, a node's link to it with the stored copy, and
+// the calls of operators.
 package client
 
 import (
 	"fmt"
 	"net"
 	"path/filepath"
-	"slices"
+	"strings"
 	"sync/atomic"
 
 	"pearknot/internal/controlplane"
@@ -15,7 +15,8 @@
 )
 
 const (
-	maxMembers   = 21
+	maxMembers   = 21 // the machines that a fleet sets aside for control
+	maxVoters    = 5  // outlive the loss of two; each further one makes every commit wait for one more disk
 	maxNameBytes = 64
 )
 
@@ -25,18 +26,18 @@
 	Voter                 bool
 }
 
-// Plane is what the file says, the same for members, nodes and operators but for the region.
+// ControlPlane is a control plane as its file describes it. The file is the same for members, nodes and operators, but for the region.
 type ControlPlane struct {
 	Fleet      string
-	Region     string // of a node that reads it
+	Region     string // of a node that reads the file
 	Members    []Member
-	Keys       [][]byte // the first proves, all are taken
-	StateDir   string   // for state
+	Keys       [][]byte // the first is proven to members, all are accepted
+	StateDir   string
 	source     *tomlfile.File
-	lastLeader atomic.Pointer[string] // the voter that led when it was last asked
+	lastLeader atomic.Pointer[string] // the voter that answered the latest call of the leader; nil is unknown
 }
 
-// planeFile is deploy/control-plane.toml.
+// controlPlaneFile is the form of deploy/control-plane.toml.
 type controlPlaneFile struct {
 	Fleet    string        `toml:"fleet"`
 	KeyFile  string        `toml:"key_file"`
@@ -52,62 +53,83 @@
 	Voter   bool   `toml:"voter"`
 }
 
-// ReadFile reads the file, and the keys that it names. Paths in it count from where it lies.
+// ReadFile reads a control plane's file, and the keys that it names. Paths in it are relative to its directory. An error tells the
+// file, line and column.
 func ReadFile(name string) (*ControlPlane, error) {
-	f := controlPlaneFile{StateDir: "control-plane"}
-	at, err := tomlfile.Read(name, &f)
+	file := controlPlaneFile{StateDir: "control-plane"}
+	source, err := tomlfile.Read(name, &file)
 	if err != nil {
 		return nil, err
 	}
 	switch {
-	case f.Fleet == "" || len(f.Fleet) > maxNameBytes:
-		return nil, at.Errorf("fleet", "a name of up to %d bytes is wanted", maxNameBytes)
-	case f.StateDir == "":
-		return nil, at.Errorf("state_dir", "a directory is wanted")
-	case len(f.Members) > maxMembers:
-		return nil, at.Errorf("member", "%d members, %d at most", len(f.Members), maxMembers)
+	case file.Fleet == "" || len(file.Fleet) > maxNameBytes:
+		return nil, source.Errorf("fleet", "a name of up to %d bytes is wanted", maxNameBytes)
+	case file.StateDir == "":
+		return nil, source.Errorf("state_dir", "a directory is wanted")
+	case len(file.Members) > maxMembers:
+		return nil, source.Errorf("member", "%d members, %d at most", len(file.Members), maxMembers)
 	}
-	p := &ControlPlane{Fleet: f.Fleet, Region: f.Region, StateDir: resolvePath(name, f.StateDir), source: at}
-	names, addresses, voters, known := map[string]bool{}, map[string]bool{}, 0, false
-	for k, m := range f.Members {
-		key := fmt.Sprintf("member.%d.", k)
+	if err := checkMembers(source, &file); err != nil {
+		return nil, err
+	}
+	p := &ControlPlane{Fleet: file.Fleet, Region: file.Region, StateDir: resolvePath(name, file.StateDir), source: source}
+	for _, member := range file.Members {
+		p.Members = append(p.Members, Member(member))
+	}
+	if p.Keys, err = transport.ReadKeys(resolvePath(name, file.KeyFile)); err != nil {
+		return nil, source.Errorf("key_file", "%v", err)
+	}
+	return p, nil
+}
+
+// checkMembers checks each member, then what they have to be together.
+func checkMembers(source *tomlfile.File, file *controlPlaneFile) error {
+	names, addresses := map[string]bool{}, map[string]bool{}
+	voters, hasLocalMember := 0, false
+	for i, member := range file.Members {
+		key := fmt.Sprintf("member.%d.", i)
 		switch {
-		case !isFileName(m.Name) || names[m.Name]:
-			return nil, at.Errorf(key+"name", "%q is no name of letters, digits, dots and dashes, or another's", m.Name)
-		case m.Region == "" || len(m.Region) > maxNameBytes:
-			return nil, at.Errorf(key+"region", "a name of up to %d bytes is wanted", maxNameBytes)
-		case addresses[m.Address]:
-			return nil, at.Errorf(key+"address", "%q is another's", m.Address)
+		case !isFileName(member.Name) || names[member.Name]:
+			return source.Errorf(key+"name", "%q is no name of letters, digits, dots and dashes, or another's", member.Name)
+		case member.Region == "" || len(member.Region) > maxNameBytes:
+			return source.Errorf(key+"region", "a name of up to %d bytes is wanted", maxNameBytes)
+		case addresses[member.Address]:
+			return source.Errorf(key+"address", "%q is another's", member.Address)
 		}
-		if _, port, err := net.SplitHostPort(m.Address); err != nil {
-			return nil, at.Errorf(key+"address", "%v", err)
-		} else if port == "" || port == "0" {
-			return nil, at.Errorf(key+"address", "%q has no port", m.Address)
+		if err := checkAddress(source, key+"address", member.Address); err != nil {
+			return err
 		}
-		names[m.Name], addresses[m.Address] = true, true
-		known = known || m.Region == f.Region
-		if m.Voter {
-			if voters++; voters > 5 {
-				return nil, at.Errorf(key+"voter", "%d voters, 5 at most", voters)
+		names[member.Name], addresses[member.Address] = true, true
+		hasLocalMember = hasLocalMember || member.Region == file.Region
+		if member.Voter {
+			if voters++; voters > maxVoters {
+				return source.Errorf(key+"voter", "%d voters, %d at most", voters, maxVoters)
 			}
 		}
-		p.Members = append(p.Members, Member(m))
 	}
 	switch {
 	case voters == 0:
-		return nil, at.Errorf("member", "none is a voter")
+		return source.Errorf("member", "none is a voter")
 	case voters%2 == 0:
-		return nil, at.Errorf("member", "%d voters: an even number outlives no more losses than one less", voters)
-	case !known:
-		return nil, at.Errorf("region", "%q has no member", f.Region)
+		return source.Errorf("member", "%d voters: an even number outlives no more losses than one less", voters)
+	case !hasLocalMember:
+		return source.Errorf("region", "%q has no member", file.Region)
+	}
+	return nil
+}
+
+func checkAddress(source *tomlfile.File, key, address string) error {
+	_, port, err := net.SplitHostPort(address)
+	if err != nil {
+		return source.Errorf(key, "%v", err)
 	}
-	if p.Keys, err = transport.ReadKeys(resolvePath(name, f.KeyFile)); err != nil {
-		return nil, at.Errorf("key_file", "%v", err)
+	if port == "" || port == "0" {
+		return source.Errorf(key, "%q has no port", address)
 	}
-	return p, nil
+	return nil
 }
 
-// beside is a path as a file names it.
+// resolvePath returns a path that a file names, relative to the file's directory.
 func resolvePath(file, path string) string {
 	if filepath.IsAbs(path) {
 		return path
@@ -115,29 +137,58 @@
 	return filepath.Join(filepath.Dir(file), path)
 }
 
-// plain is a name that a file may have.
+// isFileName reports whether a name may be a part of a file's name: it can't lead to another directory.
 func isFileName(name string) bool {
-	for _, r := range name {
-		if !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' || r == '.') {
-			return false
-		}
+	if name == "" || len(name) > maxNameBytes || name == "." || name == ".." {
+		return false
+	}
+	return strings.IndexFunc(name, func(r rune) bool { return !isFileNameRune(r) }) < 0
+}
+
+func isFileNameRune(r rune) bool {
+	switch {
+	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
+		return true
 	}
-	return name != "" && len(name) <= maxNameBytes && name != "." && name != ".."
+	return r == '-' || r == '_' || r == '.'
 }
 
-// Self finds a member by its name.
+// FindMember returns the member of a name.
 func (p *ControlPlane) FindMember(name string) (Member, error) {
-	if k := slices.IndexFunc(p.Members, func(m Member) bool { return m.Name == name }); k >= 0 {
-		return p.Members[k], nil
+	if i := indexOf(p.Members, name); i >= 0 {
+		return p.Members[i], nil
 	}
 	return Member{}, p.source.Errorf("member", "none is called %q", name)
 }
 
-// Node gives a node's terms, with its copy in the file's directory.
+// Voters returns the members with a vote, in the order of the file.
+func (p *ControlPlane) Voters() []Member { return p.membersWhere(true) }
+
+// relays returns the members without a vote, in the order of the file.
+func (p *ControlPlane) relays() []Member { return p.membersWhere(false) }
+
+func (p *ControlPlane) membersWhere(voter bool) []Member {
+	var members []Member
+	for _, member := range p.Members {
+		if member.Voter == voter {
+			members = append(members, member)
+		}
+	}
+	return members
+}
+
+// NodeConfig returns the configuration of a node's client, which keeps its copy in the state directory.
 func (p *ControlPlane) NodeConfig(name string) (Config, error) {
 	if !isFileName(name) {
 		return Config{}, p.source.Errorf("state_dir", "a node called %q can't have a file there: letters, digits, dots and dashes", name)
 	}
-	return Config{Fleet: p.Fleet, Name: name, Region: p.Region, Members: p.Members, Keys: p.Keys, CopyFile: filepath.Join(p.StateDir, name+".copy"),
-		Kind: controlplane.KindNode}, nil
+	return Config{
+		Fleet:    p.Fleet,
+		Name:     name,
+		Region:   p.Region,
+		Members:  p.Members,
+		Keys:     p.Keys,
+		CopyFile: filepath.Join(p.StateDir, name+".copy"),
+		Kind:     controlplane.KindNode,
+	}, nil
 }
--- a/internal/controlplane/client/report.go
+++ b/internal/controlplane/client/report.go
@@ -8,32 +8,38 @@
 	"pearknot/internal/controlplane"
 )
 
-// BehindFor is how long (ms) a node may be behind before a status says no: the bound that the control plane states.
-const MaxBehindMs = 6000.0
+const (
+	// MaxBehindMs is how long a node may be behind the head before a status check fails: the bound that the control plane promises.
+	MaxBehindMs = 6000.0
 
-// Report is the control plane as all its members' words show it together.
+	// maxLeaderStalenessMs is the staleness below which a member is believed that it leads. A leader that was deposed and doesn't know
+	// it yet is staler.
+	maxLeaderStalenessMs = 2000.0
+)
+
+// Report is the state of the control plane, from all members' statuses. Its tags are what --json prints.
 type Report struct {
 	Version uint64         `json:"version"`
 	Digest  string         `json:"digest,omitempty"`
 	Leader  string         `json:"leader,omitempty"`
 	Members []ReportMember `json:"members"`
 	Regions []ReportRegion `json:"regions"`
-	Behind  []ReportNode   `json:"behind"` // nodes that don't have the version in force
+	Behind  []ReportNode   `json:"behind"` // nodes that have not applied Version, the one that is behind for longest first
 }
 
-// ReportMember is a member; without an answer its state is unknown.
+// ReportMember is a member.
 type ReportMember struct {
 	Name              string   `json:"name"`
 	Region            string   `json:"region"`
 	Voter             bool     `json:"voter"`
-	UnreachableReason string   `json:"unknown,omitempty"` // why it did not answer
+	UnreachableReason string   `json:"unknown,omitempty"` // why it has not answered; the fields below are then unknown
 	Head              uint64   `json:"head"`
 	StalenessMs       *float64 `json:"age_ms,omitempty"`
 	Follows           string   `json:"follows,omitempty"`
 	Nodes             int      `json:"nodes"`
 }
 
-// ReportRegion is a region's nodes.
+// ReportRegion is the nodes of a region.
 type ReportRegion struct {
 	Region        string  `json:"region"`
 	Nodes         int     `json:"nodes"`
@@ -41,62 +47,28 @@
 	WorstBehindMs float64 `json:"worst_ms"`
 }
 
-// ReportNode is a node.
+// ReportNode is a node, with the member that it follows.
 type ReportNode struct {
 	FollowerStatus
 	Member string `json:"member"`
 }
 
-// Reported puts the members' answers together: of a node that several know of, the latest word counts.
-func NewReport(all []StatusResult) *Report {
+// NewReport puts the members' statuses together. Of a node that several members know, the latest status counts.
+func NewReport(results []StatusResult) *Report {
 	r := &Report{Members: []ReportMember{}, Regions: []ReportRegion{}, Behind: []ReportNode{}}
 	nodes := map[string]ReportNode{}
-	for _, a := range all {
-		m := ReportMember{Name: a.Member.Name, Region: a.Member.Region, Voter: a.Member.Voter}
-		if a.Err != nil {
-			m.UnreachableReason = a.Err.Error()
-			r.Members = append(r.Members, m)
-			continue
-		}
-		s := a.Status
-		m.Head, m.StalenessMs, m.Follows = s.Head, s.StalenessMs, s.Follows
-		if s.Head >= r.Version {
-			r.Version, r.Digest = s.Head, s.Digest
-		}
-		if s.Leader == s.Name { // by its own word; one that was deposed and doesn't know yet is not fresh
-			if r.Leader == "" || s.StalenessMs != nil && *s.StalenessMs < maxFreshStalenessMs {
-				r.Leader = s.Leader
-			}
-		}
-		for _, f := range s.Followers {
-			if f.Kind != controlplane.KindNode {
-				continue
-			}
-			m.Nodes++
-			if old, known := nodes[f.Name]; !known || f.LastSeenMs < old.LastSeenMs {
-				nodes[f.Name] = ReportNode{f, s.Name}
-			}
-		}
-		r.Members = append(r.Members, m)
+	for i := range results {
+		r.addMember(&results[i], nodes)
 	}
 	regions := map[string]*ReportRegion{}
 	for _, name := range slices.Sorted(maps.Keys(nodes)) {
-		n := nodes[name]
-		g := regions[n.Region]
-		if g == nil {
-			g = &ReportRegion{Region: n.Region}
-			regions[n.Region] = g
-		}
-		g.Nodes++
-		if n.AppliedVersion >= r.Version {
-			continue
+		node := nodes[name]
+		region := regions[node.Region]
+		if region == nil {
+			region = &ReportRegion{Region: node.Region}
+			regions[node.Region] = region
 		}
-		if k := slices.IndexFunc(r.Members, func(m ReportMember) bool { return m.Name == n.Member }); r.Members[k].Head < r.Version && r.Members[k].StalenessMs != nil {
-			n.BehindMs = max(n.BehindMs, *r.Members[k].StalenessMs) // its member doesn't have the version either
-		}
-		g.Behind++
-		g.WorstBehindMs = max(g.WorstBehindMs, n.BehindMs)
-		r.Behind = append(r.Behind, n)
+		r.addNode(region, node)
 	}
 	slices.SortStableFunc(r.Behind, func(a, b ReportNode) int { return cmp.Compare(b.BehindMs, a.BehindMs) })
 	for _, name := range slices.Sorted(maps.Keys(regions)) {
@@ -105,19 +77,67 @@
 	return r
 }
 
-// Fault tells the first thing for which a check says no; empty is none.
+// addMember adds a member to the report, and its nodes to nodes.
+func (r *Report) addMember(result *StatusResult, nodes map[string]ReportNode) {
+	member := ReportMember{Name: result.Member.Name, Region: result.Member.Region, Voter: result.Member.Voter}
+	if result.Err != nil {
+		member.UnreachableReason = result.Err.Error()
+		r.Members = append(r.Members, member)
+		return
+	}
+	status := result.Status
+	member.Head, member.StalenessMs, member.Follows = status.Head, status.StalenessMs, status.Follows
+	if status.Head >= r.Version {
+		r.Version, r.Digest = status.Head, status.Digest
+	}
+	if status.Leader == status.Name { // a member knows best whether it leads itself
+		isFresh := status.StalenessMs != nil && *status.StalenessMs < maxLeaderStalenessMs
+		if r.Leader == "" || isFresh {
+			r.Leader = status.Leader
+		}
+	}
+	for _, follower := range status.Followers {
+		if follower.Kind != controlplane.KindNode {
+			continue
+		}
+		member.Nodes++
+		if known, ok := nodes[follower.Name]; !ok || follower.LastSeenMs < known.LastSeenMs {
+			nodes[follower.Name] = ReportNode{FollowerStatus: follower, Member: status.Name}
+		}
+	}
+	r.Members = append(r.Members, member)
+}
+
+// addNode counts a node in its region, and adds it to Behind if it is behind. All members have been added before.
+func (r *Report) addNode(region *ReportRegion, node ReportNode) {
+	region.Nodes++
+	if node.AppliedVersion >= r.Version {
+		return
+	}
+	i := slices.IndexFunc(r.Members, func(m ReportMember) bool { return m.Name == node.Member })
+	if member := r.Members[i]; member.Head < r.Version && member.StalenessMs != nil {
+		// The node's member lacks the version too. It knows only of the versions before, so the node is behind for as long as the
+		// member may be.
+		node.BehindMs = max(node.BehindMs, *member.StalenessMs)
+	}
+	region.Behind++
+	region.WorstBehindMs = max(region.WorstBehindMs, node.BehindMs)
+	r.Behind = append(r.Behind, node)
+}
+
+// FirstProblem returns the first reason for which a status check fails, or an empty string.
 func (r *Report) FirstProblem() string {
-	for _, m := range r.Members {
-		if m.UnreachableReason != "" {
-			return "member " + m.Name + " does not answer"
+	for _, member := range r.Members {
+		if member.UnreachableReason != "" {
+			return "member " + member.Name + " does not answer"
 		}
 	}
-	for _, n := range r.Behind {
+	for _, node := range r.Behind {
 		switch {
-		case n.RejectedVersion > n.AppliedVersion:
-			return "node " + n.Name + " refuses: " + n.RejectReason
-		case n.BehindMs > MaxBehindMs:
-			return "node " + n.Name + " is behind"
+		case node.RejectedVersion > node.AppliedVersion:
+			return "node " + node.Name + " refuses: " + node.RejectReason
+		case node.BehindMs > MaxBehindMs:
+			return "node " + node.Name + " is behind"
 		}
 	}
 	return ""
--- a/internal/controlplane/member/golden_test.go
+++ b/internal/controlplane/member/golden_test.go
@@ -24,15 +24,15 @@
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "c1.db")
 	require.NoError(t, os.WriteFile(path, data, 0o600))
-	s, kept, err := openVoterStore(path, "f/c1", nil)
+	s, state, err := openVoterStore(path, "f/c1", nil)
 	require.NoError(t, err)
 	defer func() { require.NoError(t, s.close()) }()
 	want := controlplane.Bootstrap([]uint64{1, 2, 3})
-	require.Equal(t, want.HardState.String(), kept.HardState.String())
-	require.Equal(t, want.Snapshot.String(), kept.Snapshot.String())
+	require.Equal(t, want.HardState.String(), state.HardState.String())
+	require.Equal(t, want.Snapshot.String(), state.Snapshot.String())
 	entries := appendEntries(5)
-	require.Len(t, kept.Entries, len(entries))
+	require.Len(t, state.Entries, len(entries))
 	for k, e := range entries {
-		require.Equal(t, e.String(), kept.Entries[k].String())
+		require.Equal(t, e.String(), state.Entries[k].String())
 	}
 }
--- a/internal/controlplane/member/member_test.go
+++ b/internal/controlplane/member/member_test.go
@@ -50,15 +50,15 @@
 	return &pb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Type: pb.EntryNormal.Enum(), Data: fmt.Appendf(nil, "%d of %d", index, term)}
 }
 
-// Whatever is persisted in whichever order is there at the next start, as the core's own model has it.
-func TestStoreKeeps(t *testing.T) {
+// Writes of all kinds in random order are stored as StoredState.ApplyPersist, the core's model of a store, has them, over restarts too.
+func TestStoreMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "store")
 		require.NoError(t, err)
 		defer os.RemoveAll(dir)
 		path := filepath.Join(dir, "c1.db")
 		want := controlplane.Bootstrap([]uint64{1, 2, 3})
-		s, got, err := openVoterStore(path, "f/c1", want)
+		s, _, err := openVoterStore(path, "f/c1", want)
 		require.NoError(t, err)
 		term := uint64(1)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
@@ -74,7 +74,6 @@
 				for k := range rapid.Uint64Range(1, 5).Draw(t, "many") {
 					p.Entries = append(p.Entries, testEntry(at+k, term))
 				}
-				last = at + uint64(len(p.Entries)) - 1
 			case 1:
 				if last == first {
 					continue
@@ -85,19 +84,18 @@
 				p.Restored = true
 				p.Snapshot = &pb.Snapshot{Data: []byte("theirs"), Metadata: &pb.SnapshotMetadata{ConfState: want.ConfState, Term: proto.Uint64(term),
 					Index: proto.Uint64(rapid.Uint64Range(first+1, last+9).Draw(t, "image"))}}
-				last = p.Snapshot.GetMetadata().GetIndex()
 			}
 			p.HardState = &pb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(2), Commit: proto.Uint64(first)}
 			require.NoError(t, s.persist(p))
 			want.ApplyPersist(p)
 			if rapid.Bool().Draw(t, "restart") {
 				require.NoError(t, s.close())
-				s, got, err = openVoterStore(path, "f/c1", nil)
+				s, _, err = openVoterStore(path, "f/c1", nil)
 				require.NoError(t, err)
 			}
 		}
 		require.NoError(t, s.close())
-		s, got, err = openVoterStore(path, "f/c1", nil)
+		s, got, err := openVoterStore(path, "f/c1", nil)
 		require.NoError(t, err)
 		require.NoError(t, s.close())
 		require.True(t, proto.Equal(want.HardState, got.HardState))
@@ -109,20 +107,20 @@
 	})
 }
 
-// A store that is cut short anywhere, or has a byte flipped where something is kept, is refused in one line; nothing panics and
-// nothing is set aside. So are one that isn't there, another's, another schema's, and a second bootstrap.
-func TestStoreDamaged(t *testing.T) {
+// A store is cut short anywhere, or any of its bytes is flipped. It is refused in one line, or has all its content; nothing panics and
+// nothing is set aside. A store that is missing, of another voter, locked, or there at a bootstrap is refused too.
+func TestDamagedStoreIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "c1.db")
 	_, _, err := openVoterStore(path, "f/c1", nil)
 	require.ErrorContains(t, err, "--bootstrap")
 	s, _, err := openVoterStore(path, "f/c1", controlplane.Bootstrap([]uint64{1, 2, 3}))
 	require.NoError(t, err)
-	var all []*pb.Entry
+	var storedEntries []*pb.Entry
 	for k := range uint64(40) {
-		all = append(all, testEntry(2+k, 2))
+		storedEntries = append(storedEntries, testEntry(2+k, 2))
 	}
-	require.NoError(t, s.persist(&controlplane.Persist{HardState: &pb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(9)}, Entries: all}))
+	require.NoError(t, s.persist(&controlplane.Persist{HardState: &pb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(9)}, Entries: storedEntries}))
 	_, _, err = openVoterStore(path, "f/c1", nil)
 	require.ErrorContains(t, err, "another process has it")
 	require.NoError(t, s.close())
@@ -130,13 +128,13 @@
 	require.ErrorContains(t, err, "the store of f/c1, not of f/c2")
 	_, _, err = openVoterStore(path, "f/c1", controlplane.Bootstrap([]uint64{1, 2, 3}))
 	require.ErrorContains(t, err, "there is a store already")
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	require.NoError(t, err)
 	want, err := readVoterStore(path, "f/c1")
 	require.NoError(t, err)
-	odd := filepath.Join(dir, "odd.db")
-	same := func(what string, k int) {
-		got, err := readVoterStore(odd, "f/c1")
+	damagedPath := filepath.Join(dir, "odd.db")
+	requireRefusedOrEqual := func(what string, k int) {
+		got, err := readVoterStore(damagedPath, "f/c1")
 		if err != nil {
 			require.NotContains(t, err.Error(), "\n")
 			return
@@ -146,15 +144,15 @@
 			require.True(t, proto.Equal(want.Entries[n], got.Entries[n]), "%s %d", what, k)
 		}
 	}
-	for k := 0; k < len(whole); k += 97 {
-		require.NoError(t, os.WriteFile(odd, whole[:k], 0o600))
-		same("cut at", k)
+	for k := 0; k < len(intact); k += 97 {
+		require.NoError(t, os.WriteFile(damagedPath, intact[:k], 0o600))
+		requireRefusedOrEqual("cut at", k)
 	}
-	for k := 0; k < len(whole); k += 13 {
-		flipped := bytes.Clone(whole)
+	for k := 0; k < len(intact); k += 13 {
+		flipped := bytes.Clone(intact)
 		flipped[k] ^= 0x04
-		require.NoError(t, os.WriteFile(odd, flipped, 0o600))
-		same("byte", k)
+		require.NoError(t, os.WriteFile(damagedPath, flipped, 0o600))
+		requireRefusedOrEqual("byte", k)
 	}
 	db, err := bbolt.Open(path, 0o600, nil) // the last entry is lost, with all checksums right
 	require.NoError(t, err)
@@ -164,7 +162,7 @@
 	require.ErrorContains(t, err, "entries end before 41")
 }
 
-// plane writes the file of a control plane of one voter and one relay, and reads it.
+// testControlPlane writes the file of a control plane of one voter, c1, and one relay, c2, and reads it.
 func testControlPlane(t *testing.T) *client.ControlPlane {
 	dir := t.TempDir()
 	free := func() string {
@@ -182,7 +180,7 @@
 	return p
 }
 
-// begin runs a member until the test's end.
+// startMember runs a member until the test's end, and returns its log.
 func startMember(t *testing.T, p *client.ControlPlane, name string, o Options) *logBuffer {
 	log, ended := &logBuffer{}, make(chan error, 1)
 	ctx, end := context.WithCancel(context.Background())
@@ -193,16 +191,16 @@
 		case err := <-ended:
 			require.NoError(t, err)
 		case <-time.After(10 * time.Second):
-			t.Error("it goes on")
+			t.Error("the member doesn't stop")
 		}
 	})
-	require.Eventually(t, func() bool { return strings.Contains(log.String(), "member of the control plane") }, 10*time.Second, time.Millisecond, log)
+	require.Eventually(t, func() bool { return strings.Contains(log.String(), "control plane member started") }, 10*time.Second, time.Millisecond, log)
 	return log
 }
 
-// Garbage, a wrong key, a stranger, an unknown version, a frame too long, before and after the proof: the link ends, the lines are few,
-// and a follower beside them goes on.
-func TestOddCallersAreRefused(t *testing.T) {
+// Strangers connect and send garbage, a wrong key, an unknown version or a frame that is too long, before and after the handshake. Each
+// connection ends, the log gets few lines, and a follower beside them goes on.
+func TestMalformedConnectionsAreRejected(t *testing.T) {
 	p := testControlPlane(t)
 	log := startMember(t, p, "c1", Options{Bootstrap: true, Control: filepath.Join(t.TempDir(), "s")})
 	startMember(t, p, "c2", Options{})
@@ -266,18 +264,19 @@
 		}
 		ends(c)
 	}
-	require.Less(t, strings.Count(log.String(), "link refused"), 8, log)
+	require.Less(t, strings.Count(log.String(), "connection rejected"), 8, log)
 	require.NotContains(t, log.String(), "panic")
 	r := client.NewReport(p.MemberStatuses(ctx))
 	require.Empty(t, r.FirstProblem())
 	require.Eventually(t, func() bool {
 		r = client.NewReport(p.MemberStatuses(ctx))
 		return r.Members[0].Head == 1 && r.Members[1].Head == 1
-	}, 10*time.Second, 10*time.Millisecond, "the relay goes on")
+	}, 10*time.Second, 10*time.Millisecond, "the relay still follows")
 }
 
-// Connections that prove nothing take their places for a while, and no more: a caller comes through behind 200 of them.
-func TestSilentCallersKeepNobodyOut(t *testing.T) {
+// 200 connections are opened that send nothing. They occupy the places of connections without a handshake until its timeout, and an
+// operator's call behind them is answered.
+func TestSilentConnectionsDontBlockCalls(t *testing.T) {
 	p := testControlPlane(t)
 	startMember(t, p, "c1", Options{Bootstrap: true})
 	for range 200 {
@@ -291,8 +290,8 @@
 	}, 15*time.Second, 10*time.Millisecond)
 }
 
-// Bad starts end with one line each.
-func TestBadStarts(t *testing.T) {
+// Starts with the wrong options, without a store or beside another process each fail with one line.
+func TestInvalidStarts(t *testing.T) {
 	p := testControlPlane(t)
 	run := func(name string, o Options) error { return Run(t.Context(), p, name, o, slog.New(slog.DiscardHandler)) }
 	require.ErrorContains(t, run("c9", Options{}), `none is called "c9"`)
@@ -310,7 +309,7 @@
 "kinds":["m"],"loadReport":{"fields":["mean_ms"],"via":"inline"},"registryMode":"subscribe","rules":{"askWithin":10000,
 "coldFrom":0.3,"drainGrace":500,"fallMultiple":4,"overloadFor":2000,"warmWithin":9000},"tenants":[],"zones":["a"]}`
 
-// A text is held against the head, whichever texts were read between.
+// A configuration is compared with the head, whichever others were parsed in between.
 func TestValidator(t *testing.T) {
 	doc := func(pairs ...string) *controlplane.Document {
 		d, err := controlplane.Parse([]byte(strings.NewReplacer(pairs...).Replace(testSettings)))
@@ -324,8 +323,8 @@
 		require.NoError(t, v.check(b, 1, a))
 		require.ErrorContains(t, v.check(zones, 2, b), "setting zones is [a b]")
 		require.ErrorContains(t, v.check(bad, 2, b), "categories.0.ttl is -1")
-		require.NoError(t, v.check(zones, 0, a), "a first one may have any")
+		require.NoError(t, v.check(zones, 0, a), "the first version may have any zones")
 		require.ErrorContains(t, v.check(a, 3, zones), "setting zones is [a]")
-		require.NoError(t, v.check(a, 3, bad), "a head that nobody can read")
+		require.NoError(t, v.check(a, 3, bad), "a head that no node can read")
 	}
 }
--- a/internal/controlplane/member/store.go
+++ b/internal/controlplane/member/store.go
@@ -7,12 +7,10 @@
 	"io/fs"
 	"os"
 	"path/filepath"
-	"runtime/debug"
 	"strconv"
 	"time"
 
 	"go.etcd.io/bbolt"
-	berrors "go.etcd.io/bbolt/errors"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"golang.org/x/sys/unix"
 	"google.golang.org/protobuf/proto"
@@ -21,26 +19,38 @@
 	"pearknot/internal/controlplane"
 )
 
-// schema is the version of what is kept; another one is refused.
+// schemaVersion is the version of the store's form. A store of another version is refused.
 const schemaVersion = "1"
 
+// openTimeout bounds the wait for bbolt's own lock on a file.
+const openTimeout = time.Second
+
+// The buckets and keys of the store. They are on disk: the names don't change.
 var (
-	voterBucket   = []byte("voter")   // by name
-	entriesBucket = []byte("entries") // by index, big end first
+	voterBucket   = []byte("voter")
+	entriesBucket = []byte("entries") // keys: see entryKey
+)
+
+const (
+	schemaKey    = "schema"
+	ownerKey     = "owner"
+	hardStateKey = "hard"
+	snapshotKey  = "snapshot"
+	lastIndexKey = "last"
 )
 
-// store is a voter's durable state, with one writer. Every value carries its checksum; the place of the last entry is kept too, so
-// that none can be missing at the end.
+// voterStore is a voter's durable state. It has one writer. Every value carries a checksum, and the index of the last entry is stored
+// too, so that a missing entry at the end is noticed.
 type voterStore struct {
 	db        *bbolt.DB
 	lock      *os.File
-	lastIndex uint64
+	lastIndex uint64 // of the last entry; 0 is none
 }
 
-// openStore opens a voter's state, or begins it where begin is given. A voter that has lost what it voted for must not vote again:
-// whatever is missing or damaged is an error, and nothing is set aside.
-func openVoterStore(path, owner string, begin *controlplane.StoredState) (s *voterStore, kept *controlplane.StoredState, err error) {
-	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
+// openVoterStore opens a voter's store, or begins it with the initial state if one is given. A voter that has lost what it voted for
+// must not vote again, because it may have voted otherwise: whatever is missing or damaged is an error, and nothing is set aside.
+func openVoterStore(path, owner string, initial *controlplane.StoredState) (s *voterStore, state *controlplane.StoredState, err error) {
+	lock, err := lockStore(path)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -49,243 +59,170 @@
 			_ = lock.Close()
 		}
 	}()
-	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		return nil, nil, fmt.Errorf("%s: another process has it", path)
-	}
-	kept, err = readVoterStore(path, owner)
+	state, err = readVoterStore(path, owner)
 	switch {
-	case errors.Is(err, fs.ErrNotExist) && begin == nil:
+	case errors.Is(err, fs.ErrNotExist) && initial == nil:
 		return nil, nil, fmt.Errorf("%s: no store: a voter's first start takes --bootstrap, and one that has lost its store must not vote", path)
 	case errors.Is(err, fs.ErrNotExist):
-		kept = begin
+		state = initial
 	case err != nil:
 		return nil, nil, err
-	case begin != nil:
+	case initial != nil:
 		return nil, nil, fmt.Errorf("%s: there is a store already: --bootstrap is for a voter's first start", path)
 	}
-	// What was read goes into a fresh file: a damage in a place that reading does not touch ends here.
+	s, err = rewriteStore(path, owner, state, lock)
+	if err != nil {
+		return nil, nil, err
+	}
+	return s, state, nil
+}
+
+func lockStore(path string) (*os.File, error) {
+	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
+		_ = lock.Close()
+		return nil, fmt.Errorf("%s: another process has it", path)
+	}
+	return lock, nil
+}
+
+// rewriteStore writes the state that was read to a fresh file, which replaces the earlier one. Damage in a part of the file that the
+// read didn't touch ends here, rather than at a later write.
+func rewriteStore(path, owner string, state *controlplane.StoredState, lock *os.File) (*voterStore, error) {
 	fresh := path + ".new"
 	if err := os.Remove(fresh); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return nil, nil, err
+		return nil, err
 	}
-	db, err := bbolt.Open(fresh, 0o600, &bbolt.Options{Timeout: time.Second})
+	db, err := bbolt.Open(fresh, 0o600, &bbolt.Options{Timeout: openTimeout})
 	if err != nil {
-		return nil, nil, err
+		return nil, err
 	}
-	s = &voterStore{db: db, lock: lock}
-	if err := errors.Join(s.initialize(owner, kept), os.Rename(fresh, path), syncDirectory(filepath.Dir(path))); err != nil {
+	s := &voterStore{db: db, lock: lock}
+	if err := errors.Join(s.initialize(owner, state), os.Rename(fresh, path), syncDirectory(filepath.Dir(path))); err != nil {
 		_ = db.Close()
-		return nil, nil, err
+		return nil, err
 	}
-	return s, kept, nil
+	return s, nil
 }
 
+// syncDirectory makes a rename in the directory durable.
 func syncDirectory(name string) error {
-	d, err := os.Open(name)
+	directory, err := os.Open(name)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	return d.Sync()
+	return errors.Join(directory.Sync(), directory.Close())
 }
 
 func (s *voterStore) close() error { return errors.Join(s.db.Close(), s.lock.Close()) }
 
-func (s *voterStore) initialize(owner string, kept *controlplane.StoredState) error {
+func (s *voterStore) initialize(owner string, state *controlplane.StoredState) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		b, err := tx.CreateBucket(voterBucket)
+		voter, err := tx.CreateBucket(voterBucket)
 		if err != nil {
 			return err
 		}
 		if _, err := tx.CreateBucket(entriesBucket); err != nil {
 			return err
 		}
-		if err := errors.Join(b.Put([]byte("schema"), boltfile.Seal(schemaVersion)), b.Put([]byte("owner"), boltfile.Seal(owner)),
-			s.putState(tx, kept.HardState, kept.Snapshot, kept.Entries)); err != nil {
+		err = errors.Join(
+			voter.Put([]byte(schemaKey), boltfile.Seal(schemaVersion)),
+			voter.Put([]byte(ownerKey), boltfile.Seal(owner)),
+			s.putState(tx, state.HardState, state.Snapshot, state.Entries))
+		if err != nil {
 			return err
 		}
-		return s.putLastIndex(b)
+		return s.putLastIndex(voter)
 	})
 }
 
-// message is what of raft's is kept.
-type raftMessage interface {
-	*pb.HardState | *pb.Snapshot | *pb.Entry
-	proto.Message
+// persist makes a voter's write durable, as a whole.
+func (s *voterStore) persist(p *controlplane.Persist) error {
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		if err := s.deleteReplaced(tx.Bucket(entriesBucket), p); err != nil {
+			return err
+		}
+		if err := s.putState(tx, p.HardState, p.Snapshot, p.Entries); err != nil {
+			return err
+		}
+		return s.putLastIndex(tx.Bucket(voterBucket))
+	})
 }
 
-func putMessage[M raftMessage](b *bbolt.Bucket, key string, m M) error {
-	if m == nil {
-		return nil
+// deleteReplaced deletes the entries that a snapshot or other entries replace.
+func (s *voterStore) deleteReplaced(entries *bbolt.Bucket, p *controlplane.Persist) error {
+	lastIndex := s.lastIndex
+	if p.Snapshot != nil {
+		end := p.Snapshot.GetMetadata().GetIndex()
+		if p.Restored {
+			end = lastIndex
+		}
+		if err := deleteEntries(entries, 0, end); err != nil {
+			return err
+		}
+		if end >= lastIndex {
+			s.lastIndex = 0
+		}
 	}
-	data, err := proto.Marshal(m)
-	if err != nil {
-		return err
+	if len(p.Entries) == 0 {
+		return nil
 	}
-	return b.Put([]byte(key), boltfile.Seal(string(data)))
+	return deleteEntries(entries, p.Entries[0].GetIndex(), lastIndex)
 }
 
-func entryKey(index uint64) string { return string(binary.BigEndian.AppendUint64(nil, index)) }
-
-func (s *voterStore) putState(tx *bbolt.Tx, hard *pb.HardState, snapshot *pb.Snapshot, all []*pb.Entry) error {
-	b, e := tx.Bucket(voterBucket), tx.Bucket(entriesBucket)
-	if err := errors.Join(putMessage(b, "hard", hard), putMessage(b, "snapshot", snapshot)); err != nil {
-		return err
+// deleteEntries deletes the entries from first to last, both included.
+func deleteEntries(entries *bbolt.Bucket, first, last uint64) error {
+	cursor := entries.Cursor()
+	seek := func() []byte {
+		key, _ := cursor.Seek([]byte(entryKey(first)))
+		return key
 	}
-	for _, entry := range all {
-		if err := putMessage(e, entryKey(entry.GetIndex()), entry); err != nil {
+	for key := seek(); key != nil && string(key) <= entryKey(last); key = seek() { // a deletion moves the cursor
+		if err := entries.Delete(key); err != nil {
 			return err
 		}
-		s.lastIndex = entry.GetIndex()
 	}
 	return nil
 }
 
-func (s *voterStore) putLastIndex(b *bbolt.Bucket) error {
-	return b.Put([]byte("last"), boltfile.Seal(strconv.FormatUint(s.lastIndex, 10)))
+// raftMessage is what is stored of raft.
+type raftMessage interface {
+	*pb.HardState | *pb.Snapshot | *pb.Entry
+	proto.Message
 }
 
-// persist makes what a voter gives durable, as one.
-func (s *voterStore) persist(p *controlplane.Persist) error {
-	return s.db.Update(func(tx *bbolt.Tx) error {
-		e, last := tx.Bucket(entriesBucket), s.lastIndex
-		if p.Snapshot != nil { // entries up to it go
-			upTo := p.Snapshot.GetMetadata().GetIndex()
-			if p.Restored {
-				upTo = last
-			}
-			if err := deleteEntries(e, 0, upTo); err != nil {
-				return err
-			}
-			if p.Restored || upTo >= last {
-				s.lastIndex = 0
-			}
-		}
-		if len(p.Entries) > 0 { // and those whose place is taken
-			if err := deleteEntries(e, p.Entries[0].GetIndex(), last); err != nil {
-				return err
-			}
-		}
-		if err := s.putState(tx, p.HardState, p.Snapshot, p.Entries); err != nil {
-			return err
-		}
-		return s.putLastIndex(tx.Bucket(voterBucket))
-	})
+// putMessage stores a message, unless it is nil.
+func putMessage[M raftMessage](bucket *bbolt.Bucket, key string, message M) error {
+	if message == nil {
+		return nil
+	}
+	data, err := proto.Marshal(message)
+	if err != nil {
+		return err
+	}
+	return bucket.Put([]byte(key), boltfile.Seal(string(data)))
 }
 
-// drop takes out the entries from one index to another.
-func deleteEntries(e *bbolt.Bucket, from, to uint64) error {
-	c := e.Cursor()
-	for k, _ := c.Seek([]byte(entryKey(from))); k != nil && string(k) <= entryKey(to); k, _ = c.Seek([]byte(entryKey(from))) {
-		if err := e.Delete(k); err != nil {
+// entryKey is the key of an entry: its index, big-endian, so that entries are in order.
+func entryKey(index uint64) string { return string(binary.BigEndian.AppendUint64(nil, index)) }
+
+func (s *voterStore) putState(tx *bbolt.Tx, hard *pb.HardState, snapshot *pb.Snapshot, entries []*pb.Entry) error {
+	voter, entryBucket := tx.Bucket(voterBucket), tx.Bucket(entriesBucket)
+	if err := errors.Join(putMessage(voter, hardStateKey, hard), putMessage(voter, snapshotKey, snapshot)); err != nil {
+		return err
+	}
+	for _, entry := range entries {
+		if err := putMessage(entryBucket, entryKey(entry.GetIndex()), entry); err != nil {
 			return err
 		}
+		s.lastIndex = entry.GetIndex()
 	}
 	return nil
 }
 
-// readStore reads a store whole, and trusts nothing in it that has no checksum.
-func readVoterStore(path, owner string) (kept *controlplane.StoredState, err error) {
-	if _, err := os.Stat(path); err != nil {
-		return nil, err
-	}
-	if err := boltfile.Heads(path); err != nil {
-		return nil, err
-	}
-	damaged := func(format string, args ...any) error {
-		return fmt.Errorf("%s: %w: %s", path, boltfile.ErrDamaged, fmt.Sprintf(format, args...))
-	}
-	// A file that was cut short is mapped beyond its end, and one with flipped bytes may send the reader anywhere.
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer func() {
-		if fault := recover(); fault != nil {
-			kept, err = nil, damaged("%v", fault)
-		}
-	}()
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
-	switch {
-	case errors.Is(err, berrors.ErrTimeout):
-		return nil, fmt.Errorf("%s: another process has it", path)
-	case errors.Is(err, os.ErrPermission):
-		return nil, err
-	case err != nil:
-		return nil, damaged("%v", err)
-	}
-	defer db.Close()
-	kept = &controlplane.StoredState{}
-	err = db.View(func(tx *bbolt.Tx) error {
-		b, e := tx.Bucket(voterBucket), tx.Bucket(entriesBucket)
-		if b == nil || e == nil {
-			return damaged("no buckets")
-		}
-		text := func(key string) (string, error) {
-			v, err := boltfile.Unseal(b.Get([]byte(key)))
-			if err != nil {
-				return "", damaged("%s", key)
-			}
-			return v, nil
-		}
-		if v, err := text("schema"); err != nil {
-			return err
-		} else if v != schemaVersion {
-			return fmt.Errorf("%s: schema %s, this build has %s", path, v, schemaVersion)
-		}
-		if v, err := text("owner"); err != nil {
-			return err
-		} else if v != owner {
-			return fmt.Errorf("%s: the store of %s, not of %s", path, v, owner)
-		}
-		count, err := text("last")
-		if err != nil {
-			return err
-		}
-		last, err := strconv.ParseUint(count, 10, 64)
-		if err != nil {
-			return damaged("last")
-		}
-		kept.HardState, kept.Snapshot = &pb.HardState{}, &pb.Snapshot{}
-		for key, m := range map[string]proto.Message{"hard": kept.HardState, "snapshot": kept.Snapshot} {
-			v, err := text(key)
-			if err != nil {
-				return err
-			}
-			if err := proto.Unmarshal([]byte(v), m); err != nil {
-				return damaged("%s: %v", key, err)
-			}
-		}
-		kept.ConfState = kept.Snapshot.GetMetadata().GetConfState()
-		c, steps := e.Cursor(), 0
-		for k, v := c.First(); k != nil; k, v = c.Next() {
-			if steps++; steps > 10_000_000 { // pages that point at each other
-				return damaged("pages in a ring")
-			}
-			data, err := boltfile.Unseal(v)
-			if err != nil {
-				return damaged("entry %x", k)
-			}
-			entry := &pb.Entry{}
-			if err := proto.Unmarshal([]byte(data), entry); err != nil {
-				return damaged("entry %x: %v", k, err)
-			}
-			n := len(kept.Entries)
-			if entryKey(entry.GetIndex()) != string(k) || n > 0 && entry.GetIndex() != kept.Entries[n-1].GetIndex()+1 {
-				return damaged("entry %d out of place", entry.GetIndex())
-			}
-			kept.Entries = append(kept.Entries, entry)
-		}
-		first := kept.Snapshot.GetMetadata().GetIndex()
-		switch n := len(kept.Entries); {
-		case n == 0 && last != 0, n > 0 && kept.Entries[n-1].GetIndex() != last:
-			return damaged("entries end before %d", last)
-		case n > 0 && kept.Entries[0].GetIndex() > first+1:
-			return damaged("entries begin at %d, the snapshot ends at %d", kept.Entries[0].GetIndex(), first)
-		case kept.HardState.GetCommit() > max(last, first):
-			return damaged("%d are committed, %d there", kept.HardState.GetCommit(), max(last, first))
-		}
-		return nil
-	})
-	if err != nil {
-		return nil, err
-	}
-	return kept, nil
+func (s *voterStore) putLastIndex(voter *bbolt.Bucket) error {
+	return voter.Put([]byte(lastIndexKey), boltfile.Seal(strconv.FormatUint(s.lastIndex, 10)))
 }
