--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-// An op comes from one tenant of so many, is placed among 200 backends, and its answer is heard; 64 a second.
+// A request comes from one tenant of so many, is placed among 200 backends, and its answer is taken; 64 a second.
 func BenchmarkTenants(b *testing.B) {
 	for _, tenants := range []int{10, 1000, 10_000, 140_000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
-			t := plain()
+			t := testConfig()
 			t.OverQuotaWeight = 0.3
 			for range tenants {
 				t.Tenants = append(t.Tenants, Tenant{Quota: 1})
 			}
 			n, now := New(t, 1000), 1000.0
-			var lines []Endpoint
+			var endpoints []Endpoint
 			for k := range 200 {
-				lines = append(lines, Endpoint{Backend: &Backend{ID: uint64(k)}, State: BackendReady, Weight: 1})
+				endpoints = append(endpoints, Endpoint{Backend: &Backend{ID: uint64(k)}, State: BackendReady, Weight: 1})
 			}
-			n.EndpointsChanged(now, lines, true, false)
+			n.EndpointsChanged(now, endpoints, true, false)
 			for k := 0; b.Loop(); k++ {
 				now += 1000. / 64
 				n.RequestArrived(now, &Request{Tenant: k * 7919 % tenants, CostHint: 10, HasCostHint: true, Deadline: now + 2000})
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -8,19 +8,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// desk is a node with a few backends a test can talk to.
-type desk struct {
+// harness is a balancer with a few backends that a test can talk to.
+type harness struct {
 	t        *testing.T
-	node     *Balancer
+	balancer *Balancer
 	now      float64
 	backends []*Backend
-	ops      map[string]*Request
-	events   []Event // to be logged, pulled so far
+	requests map[string]*Request
+	events   []Event // to be logged, so far
 }
 
-// plain is a deployment with a category of each kind: 0 redeliverable, 1 at-most-once, 2 deduplicated in a zone,
-// 3 deduplicated everywhere.
-func plain() *Config {
+// testConfig is a deployment with a class of each kind: 0 idempotent, 1 at most once, 2 idempotent with a key in a zone,
+// 3 idempotent with a key everywhere.
+func testConfig() *Config {
 	t := &Config{Seed: 7, Nodes: 1, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, SendRetryAfter: true, MaxRetryAfter: 2000,
 		PollInterval: 10e3, SlowStartShare: 0.25, SlowStartWindow: 10e3, OverloadMultiple: 3, OverloadWindow: 2000}
 	for _, c := range []Class{{Idempotency: Idempotent}, {Idempotency: AtMostOnce},
@@ -31,99 +31,105 @@
 	return t
 }
 
-// sit starts a node at 1000 ms with as many ready, warm backends.
-func sit(t *testing.T, terms *Config, backends int) *desk {
-	d := &desk{t: t, now: 1000, ops: map[string]*Request{}}
-	d.node = New(terms, d.now)
+// newHarness starts a balancer at 1000 ms with so many ready backends that have warmed up.
+func newHarness(t *testing.T, config *Config, backends int) *harness {
+	h := &harness{t: t, now: 1000, requests: map[string]*Request{}}
+	h.balancer = New(config, h.now)
 	for k := range backends {
-		d.backends = append(d.backends, &Backend{ID: uint64(k)})
+		h.backends = append(h.backends, &Backend{ID: uint64(k)})
 	}
-	d.list(BackendReady, 0, d.backends...)
-	d.pull()
-	return d
+	h.setState(BackendReady, 0, h.backends...)
+	h.decisions()
+	return h
 }
 
-func (d *desk) list(state BackendState, started float64, backends ...*Backend) {
-	var lines []Endpoint
+// setState has the endpoint list tell the state and start time of backends.
+func (h *harness) setState(state BackendState, started float64, backends ...*Backend) {
+	var endpoints []Endpoint
 	for _, b := range backends {
-		lines = append(lines, Endpoint{Backend: b, State: state, Zone: b.Zone, Cell: b.Cell, Kind: b.Kind,
+		endpoints = append(endpoints, Endpoint{Backend: b, State: state, Zone: b.Zone, Cell: b.Cell, Kind: b.Kind,
 			Weight: 1, Started: started})
 	}
-	d.node.EndpointsChanged(d.now, lines, false, false)
+	h.balancer.EndpointsChanged(h.now, endpoints, false, false)
 }
 
-func (d *desk) arrive(name string, category int, hint float64) *Request {
-	op := &Request{Class: category, CostHint: hint, HasCostHint: hint != 0, Deadline: d.now + 4000}
-	d.ops[name] = op
-	d.node.RequestArrived(d.now, op)
-	return op
+// requestArrives has a request arrive; a hint of 0 is none.
+func (h *harness) requestArrives(name string, class int, hint float64) *Request {
+	request := &Request{Class: class, CostHint: hint, HasCostHint: hint != 0, Deadline: h.now + 4000}
+	h.requests[name] = request
+	h.balancer.RequestArrived(h.now, request)
+	return request
 }
 
-// seen makes the node know hints from 1 to 100, so that the cutoff is 96.
-func (d *desk) seen() {
+// learnHints makes the balancer know hints from 1 to 100, so that the cutoff is 96.
+func (h *harness) learnHints() {
 	for k := range 100 {
-		d.node.cutoff.add(float64(k + 1))
+		h.balancer.cutoff.add(float64(k + 1))
 	}
-	d.node.estimates.work = runningMean{50, 50}
+	h.balancer.estimates.work = runningMean{50, 50}
 }
 
-func (d *desk) end(p *Attempt, how Outcome) {
-	require.True(d.t, p.inFlight)
-	d.node.AttemptEnded(d.now, p, how, d.now-p.SentAt, how == OutcomeAnswered)
+// endAttempt ends an attempt in flight, at the present time.
+func (h *harness) endAttempt(p *Attempt, how Outcome) {
+	require.True(h.t, p.inFlight)
+	h.balancer.AttemptEnded(h.now, p, how, h.now-p.SentAt, how == OutcomeAnswered)
 }
 
-func (d *desk) fail(times int, how Outcome, backends ...*Backend) {
+// failAttempts ends so many attempts at each of the backends.
+func (h *harness) failAttempts(times int, how Outcome, backends ...*Backend) {
 	for k := range times * len(backends) {
-		d.end(d.busy(backends[k/times]), how)
+		h.endAttempt(h.sendShort(backends[k/times]), how)
 	}
 }
 
-func (d *desk) after(ms float64) *desk {
-	d.now += ms
-	d.node.TimerFired(d.now)
-	return d
+// advance moves the clock and fires the timer.
+func (h *harness) advance(ms float64) *harness {
+	h.now += ms
+	h.balancer.TimerFired(h.now)
+	return h
 }
 
-// pull takes all decisions there are and writes them as words, timers left out.
-func (d *desk) pull() string {
+// decisions takes all decisions there are and writes them as words, timers left out.
+func (h *harness) decisions() string {
 	var words []string
 	for n := 0; ; n++ {
-		require.Less(d.t, n, 10000, "decisions without end")
-		x, more := d.node.Next()
+		require.Less(h.t, n, 10000, "endless decisions")
+		x, more := h.balancer.Next()
 		if !more {
 			return strings.Join(words, " ")
 		}
 		switch x.Kind {
 		case DoAttempt:
-			words = append(words, fmt.Sprintf("push:%s", d.name(x.Request)))
+			words = append(words, fmt.Sprintf("attempt:%s", h.nameOf(x.Request)))
 		case DoReject:
-			words = append(words, "nack:"+d.name(x.Request))
+			words = append(words, "reject:"+h.nameOf(x.Request))
 		case DoFail:
-			words = append(words, "dead:"+d.name(x.Request))
+			words = append(words, "fail:"+h.nameOf(x.Request))
 		case DoCancel:
-			words = append(words, "revoke:"+d.name(x.Request))
+			words = append(words, "cancel:"+h.nameOf(x.Request))
 		case DoPoll:
-			words = append(words, "watch")
+			words = append(words, "poll")
 		case DoLog:
-			d.events = append(d.events, x.Event)
+			h.events = append(h.events, x.Event)
 		}
 	}
 }
 
-func (d *desk) name(op *Request) string {
-	for name, o := range d.ops {
-		if o == op {
+// nameOf is the name that a test gave to a request.
+func (h *harness) nameOf(request *Request) string {
+	for name, o := range h.requests {
+		if o == request {
 			return name
 		}
 	}
 	return "?"
 }
 
-// busy puts a short of its own on a backend.
-func (d *desk) busy(b *Backend) *Attempt {
-	op := &Request{Class: 0, CostHint: 10, HasCostHint: true, Deadline: d.now + 4000, ArrivedAt: d.now}
-	op.class, op.work, op.Config = &d.node.config.Classes[0], 10, d.node.config
-	require.True(d.t, d.node.sendAttempt(op, b))
-	d.pull()
-	return op.Attempts[0]
+// sendShort sends a short request of its own to a backend.
+func (h *harness) sendShort(b *Backend) *Attempt {
+	request := &Request{Class: 0, CostHint: 10, HasCostHint: true, Deadline: h.now + 4000, ArrivedAt: h.now}
+	request.class, request.work, request.Config = &h.balancer.config.Classes[0], 10, h.balancer.config
+	require.True(h.t, h.balancer.sendAttempt(request, b))
+	h.decisions()
+	return request.Attempts[0]
 }
