--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -226,9 +226,9 @@
 
 // drawList draws a list and returns it with its encoded form.
 func (m *watchModel) drawList() (*List, string) {
-	list := &List{Version: rapid.Uint64Range(0, 9).Draw(m.T, "version"), Complete: rapid.Bool().Draw(m.T, "whole")}
+	list := &List{Version: rapid.Uint64Range(0, 9).Draw(m.T, "version"), Complete: rapid.Bool().Draw(m.T, "complete")}
 	targets := []any{}
-	for range rapid.IntRange(0, 2).Draw(m.T, "members") {
+	for range rapid.IntRange(0, 2).Draw(m.T, "endpoints") {
 		endpoint, err := testNames.endpoint([]byte(validEntry))
 		require.NoError(m, err)
 		list.Endpoints = append(list.Endpoints, endpoint)
@@ -310,7 +310,7 @@
 			}),
 			"reset": whilePolling(func() {
 				_, body := m.drawList()
-				_, _ = fmt.Fprintf(m.pending.conn, "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n%s", body[:rapid.IntRange(0, len(body)).Draw(m.T, "come")])
+				_, _ = fmt.Fprintf(m.pending.conn, "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n%s", body[:rapid.IntRange(0, len(body)).Draw(m.T, "received")])
 				m.pending.resetConn()
 				m.connectionFailed(false, false)
 			}),
@@ -323,7 +323,7 @@
 				silentPoll, conn := m.pending, m.clientConn
 				_, body := m.drawList()
 				part := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-				part = part[:rapid.IntRange(0, len(part)-1).Draw(m.T, "come")]
+				part = part[:rapid.IntRange(0, len(part)-1).Draw(m.T, "received")]
 				_, _ = fmt.Fprint(silentPoll.conn, part)
 				conn.expire()
 				m.connectionFailed(true, false)
--- a/internal/invariants/invariants_test.go
+++ b/internal/invariants/invariants_test.go
@@ -342,12 +342,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newEventSource(testConfig())
 		drained := map[int]bool{}
-		requests := rapid.IntRange(1, 12).Draw(t, "ops")
-		faulty := rapid.IntRange(0, requests-1).Draw(t, "spoilt")
-		fault := rapid.SampledFrom([]string{"", "twice", "never", "after", "again", "nack"}).Draw(t, "fault")
+		requests := rapid.IntRange(1, 12).Draw(t, "requests")
+		faulty := rapid.IntRange(0, requests-1).Draw(t, "faulty")
+		fault := rapid.SampledFrom([]string{"", "twice", "never", "after", "again", "reject"}).Draw(t, "fault")
 		faults := 0
 		for k := range requests {
-			id, class := uint64(k), rapid.IntRange(0, 3).Draw(t, "category")
+			id, class := uint64(k), rapid.IntRange(0, 3).Draw(t, "class")
 			if rapid.Bool().Draw(t, "drain") {
 				backend := rapid.IntRange(1, 3).Draw(t, "which")
 				drained[backend] = true
@@ -362,7 +362,7 @@
 					break
 				}
 				s.start(1, id, number, backend)
-				outcome := balancer.Outcome(rapid.IntRange(0, 7).Draw(t, "how"))
+				outcome := balancer.Outcome(rapid.IntRange(0, 7).Draw(t, "outcome"))
 				s.endAttempt(rapid.Float64Range(0, 80).Draw(t, "ms"), id, number, outcome)
 				if outcome == balancer.OutcomeAnswered {
 					answered = true
@@ -381,7 +381,7 @@
 				s.start(0, id, 9, 0).answer(0, id, Served)
 				faults++
 				continue
-			case isFaulty && fault == "nack" && mayHaveRun && (class == atMostOnce || class == keyedByZone):
+			case isFaulty && fault == "reject" && mayHaveRun && (class == atMostOnce || class == keyedByZone):
 				s.answer(0, id, Rejected)
 				faults++
 				continue
--- a/internal/invariants/slowstart_test.go
+++ b/internal/invariants/slowstart_test.go
@@ -140,11 +140,11 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		speed := rapid.SampledFrom([]float64{0.002, 0.05, 1}).Draw(t, "speed")
-		notified := rapid.IntRange(0, 30).Draw(t, "told")
+		notified := rapid.IntRange(0, 30).Draw(t, "notified")
 		s := newSlowStartSource(speed).notifyNodes(notified)
 		var history []sentAttempt
 		at, want := 0.0, 0
-		for range rapid.IntRange(0, 120).Draw(t, "pushes") {
+		for range rapid.IntRange(0, 120).Draw(t, "attempts") {
 			at += rapid.SampledFrom([]float64{0, 0, 1, 50, 400, 2000}).Draw(t, "after")
 			node, work := rapid.IntRange(0, 29).Draw(t, "node"), float64(rapid.IntRange(1, 60).Draw(t, "work"))
 			s.sendWork(at, node, 1, 1, work)
