--- a/cmd/pearknot-lab/fleet.go
+++ b/cmd/pearknot-lab/fleet.go
@@ -101,7 +101,7 @@
 				return err
 			}
 			since = v.Seq
-			if v.Change == nil || !v.Change.Status.Over() {
+			if v.Change == nil || !v.Change.Status.IsFinal() {
 				continue
 			}
 			if v.Change.Status != fleet.Succeeded {
@@ -112,7 +112,7 @@
 		return errors.New("not converged in three minutes")
 	}
 	defer func() {
-		if e := write(agent.Write{What: "stop", Options: &fleet.Options{AtOnce: 1 << 20}}); e == nil {
+		if e := write(agent.Write{Command: "stop", Options: &fleet.Options{MaxUnavailable: 1 << 20}}); e == nil {
 			err = errors.Join(err, converged())
 		}
 		end()
@@ -126,7 +126,7 @@
 			return r, 0, errors.New("the agent does not come up")
 		}
 	}
-	w := agent.Write{What: "apply", Configs: map[string]string{}, Options: &fleet.Options{AtOnce: 1 << 20}}
+	w := agent.Write{Command: "apply", Configs: map[string]string{}, Options: &fleet.Options{MaxUnavailable: 1 << 20}}
 	changed := make(chan error, 1)
 	opts := loopback.Options{
 		External: func(nodes []loopback.External) error {
@@ -135,7 +135,7 @@
 				if err != nil {
 					return err
 				}
-				w.Instances = append(w.Instances, fleet.Instance{Name: n.Name, Listen: listen, List: list, Wanted: fleet.Running})
+				w.Instances = append(w.Instances, fleet.Instance{Name: n.Name, Listen: listen, Discovery: list, Desired: fleet.Running})
 				w.Configs[n.Name] = text
 			}
 			begun := time.Now()
@@ -159,7 +159,7 @@
 				for name, text := range w.Configs { // another seed, and else the same
 					next.Configs[name] = strings.Replace(text, `"seed": "`, `"seed": "a`, 1)
 				}
-				next.Options = &fleet.Options{AtOnce: atOnce, Canary: 1, HealthMs: 300}
+				next.Options = &fleet.Options{MaxUnavailable: atOnce, Canary: 1, HealthMs: 300}
 				begun := time.Now()
 				err := write(next)
 				if err == nil {
--- a/cmd/pearknot/agent.go
+++ b/cmd/pearknot/agent.go
@@ -20,7 +20,7 @@
 			if err != nil {
 				return cli.UsageError(err)
 			}
-			if o.Point, err = agent.KillAt(os.Getenv(agent.KillVariable)); err != nil {
+			if o.OnPoint, err = agent.KillAt(os.Getenv(agent.KillVariable)); err != nil {
 				return cli.UsageError(err)
 			}
 			log := slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: level}))
@@ -39,7 +39,7 @@
 				return cli.UsageError(err)
 			}
 			fmt.Fprintf(c.OutOrStdout(), "state in %s, socket %s, node %s; %d at once, %d canaries\n", o.Dir, o.Socket,
-				strings.Join(o.Binary, " "), o.Rolling.AtOnce, o.Rolling.Canary)
+				strings.Join(o.Binary, " "), o.Rolling.MaxUnavailable, o.Rolling.Canary)
 			return nil
 		}})
 	return c
--- a/cmd/pearknot/fleet.go
+++ b/cmd/pearknot/fleet.go
@@ -76,10 +76,10 @@
 	f.BoolVar(&t.wait, "wait", false, "wait for the end of the change")
 	f.DurationVar(&t.within, "within", 10*time.Minute, "wait no longer")
 	f.BoolVar(&t.dryRun, "dry-run", false, "only tell what would be touched")
-	f.IntVar(&t.options.AtOnce, "at-once", 0, "instances out of service at a time (default: the agent's)")
+	f.IntVar(&t.options.MaxUnavailable, "at-once", 0, "instances out of service at a time (default: the agent's)")
 	f.IntVar(&t.options.Canary, "canary", -1, "instances that go first (default: the agent's)")
 	f.Float64Var(&t.options.HealthMs, "health-ms", -1, "time that one must stay well (default: the agent's)")
-	f.BoolVar(&t.options.NoRevert, "no-revert", false, "stop on failure and leave it there")
+	f.BoolVar(&t.options.NoRollback, "no-revert", false, "stop on failure and leave it there")
 	_ = c.MarkFlagRequired("reason")
 	return c
 }
@@ -95,8 +95,8 @@
 	if t.revision >= 0 {
 		w.Revision = uint64(t.revision)
 	}
-	if t.options.AtOnce > 0 { // what is not given stays as the agent has it
-		w.Options.AtOnce = t.options.AtOnce
+	if t.options.MaxUnavailable > 0 { // what is not given stays as the agent has it
+		w.Options.MaxUnavailable = t.options.MaxUnavailable
 	}
 	if t.options.Canary >= 0 {
 		w.Options.Canary = t.options.Canary
@@ -104,7 +104,7 @@
 	if t.options.HealthMs >= 0 {
 		w.Options.HealthMs = t.options.HealthMs
 	}
-	w.Options.NoRevert = w.Options.NoRevert || t.options.NoRevert
+	w.Options.NoRollback = w.Options.NoRollback || t.options.NoRollback
 	var out agent.Written
 	err = t.client().Call(ctx, http.MethodPost, agent.WritePath, w, &out)
 	var refused *controlsocket.Refused
@@ -122,7 +122,7 @@
 	}
 	if t.dryRun {
 		return t.show(c, out, func(w io.Writer) {
-			fmt.Fprintf(w, "would touch %d instances: %s\n", len(out.Differs), strings.Join(out.Differs, " "))
+			fmt.Fprintf(w, "would touch %d instances: %s\n", len(out.Instances), strings.Join(out.Instances, " "))
 		})
 	}
 	if t.wait {
@@ -133,7 +133,7 @@
 	if err := t.show(c, out, func(w io.Writer) { line(w, out.Change) }); err != nil {
 		return err
 	}
-	done := out.Change.Status == fleet.Succeeded || w.What == "rollback" && out.Change.Status == fleet.RolledBack
+	done := out.Change.Status == fleet.Succeeded || w.Command == "rollback" && out.Change.Status == fleet.RolledBack
 	if t.wait && !done {
 		return &cli.Error{Status: cli.StatusFailed, Err: fmt.Errorf("change %d: %s: %s", out.Change.ID, out.Change.Status, out.Change.Failure)}
 	}
@@ -158,7 +158,7 @@
 			}
 			since = 0
 			continue
-		case v.Change != nil && v.Change.ID == id && v.Change.Status.Over():
+		case v.Change != nil && v.Change.ID == id && v.Change.Status.IsFinal():
 			return *v.Change, nil
 		case v.Change != nil && v.Change.ID > id:
 			return fleet.Change{}, fmt.Errorf("change %d was followed by another: see history", id)
@@ -180,8 +180,8 @@
 }
 
 func line(w io.Writer, c fleet.Change) {
-	fmt.Fprintf(w, "change %d\t%s\t%s\tby %s\t%s\tgeneration %d to %d\t%d of %d instances\t%s\n", c.ID, c.Status, c.What, c.Author, c.Reason,
-		c.From, c.To, len(c.Done), len(c.Order), c.Failure)
+	fmt.Fprintf(w, "change %d\t%s\t%s\tby %s\t%s\tgeneration %d to %d\t%d of %d instances\t%s\n", c.ID, c.Status, c.Command, c.Author, c.Reason,
+		c.From, c.To, len(c.Healthy), len(c.Order), c.Failure)
 }
 
 func (t *tool) apply() *cobra.Command {
@@ -191,7 +191,7 @@
 			if err != nil {
 				return cli.UsageError(err)
 			}
-			return t.write(c, agent.Write{What: "apply", Instances: instances, Configs: configs})
+			return t.write(c, agent.Write{Command: "apply", Instances: instances, Configs: configs})
 		}})
 }
 
@@ -225,9 +225,9 @@
 					all = append(all, difference{i.Name, "new", "", i.Listen})
 					continue
 				}
-				for _, x := range []struct{ what, was, now string }{{"listen", was.Listen, i.Listen}, {"list", was.List, i.List},
+				for _, x := range []struct{ what, was, now string }{{"listen", was.Listen, i.Listen}, {"list", was.Discovery, i.Discovery},
 					{"configuration", was.Digest[:min(12, len(was.Digest))], agent.Digest(configs[i.Name])[:12]},
-					{"state", string(was.Wanted), string(i.Wanted)}} {
+					{"state", string(was.Desired), string(i.Desired)}} {
 					if x.was != x.now {
 						all = append(all, difference{i.Name, x.what, x.was, x.now})
 					}
@@ -254,41 +254,41 @@
 // table is the fleet for people: what is declared, what was seen, and when.
 func table(w io.Writer, v agent.View) {
 	fmt.Fprintf(w, "revision %d, generation %d\n", v.Revision, v.Generation)
-	if v.Broken != "" {
-		fmt.Fprintf(w, "the state can't be written, nothing is changed until it can: %s\n", v.Broken)
+	if v.WriteError != "" {
+		fmt.Fprintf(w, "the state can't be written, nothing is changed until it can: %s\n", v.WriteError)
 	}
-	if c := v.Change; c != nil && !c.Status.Over() {
+	if c := v.Change; c != nil && !c.Status.IsFinal() {
 		line(w, *c)
 	}
 	fmt.Fprintln(w, "instance\twanted\tverdict\tseen\tago\tlisten\tconfiguration\tpid\tops\tMB\tcertificate\tsettings\twhy")
 	for _, i := range v.Instances {
 		wanted, listen := "none", ""
 		if i.Declared != nil {
-			wanted, listen = string(i.Declared.Wanted), i.Declared.Listen
+			wanted, listen = string(i.Declared.Desired), i.Declared.Listen
 		}
 		ago := "never"
-		if i.Seen.At > 0 {
-			ago = fmt.Sprintf("%.1f s", max(0, (v.Now-i.Seen.At)/1e3))
+		if i.Observation.ObservedAt > 0 {
+			ago = fmt.Sprintf("%.1f s", max(0, (v.Now-i.Observation.ObservedAt)/1e3))
 		}
-		phase := string(i.Seen.Phase)
-		if i.Seen.InService {
+		phase := string(i.Observation.Phase)
+		if i.Observation.InService {
 			phase = "in service"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%.0f\t%s\t%s\t%s\n", i.Name, wanted, i.Verdict, phase, ago, listen,
-			i.Seen.Digest[:min(8, len(i.Seen.Digest))], i.Seen.Pid, i.Seen.Open, i.Seen.MemoryMB, certificate(i.Seen, v.Now), cmp.Or(i.Seen.Settings, "-"), i.Why)
+			i.Observation.Digest[:min(8, len(i.Observation.Digest))], i.Observation.PID, i.Observation.OpenRequests, i.Observation.MemoryMB, certificate(i.Observation, v.Now), cmp.Or(i.Observation.Settings, "-"), i.Reason)
 	}
 }
 
 // certificate tells how long an instance's first certificate to end has left.
-func certificate(s fleet.Seen, now float64) string {
+func certificate(s fleet.Observation, now float64) string {
 	const day = 24 * 3600e3
 	switch {
 	case s.CertStage == "":
 		return "-"
-	case s.CertEnds == 0:
+	case s.CertExpiry == 0:
 		return s.CertStage
 	}
-	return fmt.Sprintf("%s, %.1f d", s.CertStage, (s.CertEnds-now)/day)
+	return fmt.Sprintf("%s, %.1f d", s.CertStage, (s.CertExpiry-now)/day)
 }
 
 func (t *tool) status() *cobra.Command {
@@ -302,7 +302,7 @@
 				return err
 			}
 			for _, i := range v.Instances {
-				if i.Verdict != fleet.AsWanted {
+				if i.Verdict != fleet.VerdictAsDeclared {
 					return &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New("not all as wanted"), Silent: true}
 				}
 			}
@@ -313,7 +313,7 @@
 func (t *tool) words(what string) *cobra.Command {
 	return t.writing(&cobra.Command{Use: what + " [NAME ...]", Short: strings.ToUpper(what[:1]) + what[1:] + " instances, all where none is named",
 		RunE: func(c *cobra.Command, args []string) error {
-			return t.write(c, agent.Write{What: what, Names: args})
+			return t.write(c, agent.Write{Command: what, Names: args})
 		}})
 }
 
@@ -324,7 +324,7 @@
 			if err != nil {
 				return cli.UsageError(err)
 			}
-			w := agent.Write{What: "reconfigure", Configs: map[string]string{}}
+			w := agent.Write{Command: "reconfigure", Configs: map[string]string{}}
 			for _, name := range args[1:] {
 				k := slices.IndexFunc(instances, func(i fleet.Instance) bool { return i.Name == name })
 				if k < 0 {
@@ -341,7 +341,7 @@
 	to := uint64(0)
 	c := t.writing(&cobra.Command{Use: "rollback [--to GENERATION]", Short: "Turn the change that is on its way, or go back to a generation",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			return t.write(c, agent.Write{What: "rollback", To: to})
+			return t.write(c, agent.Write{Command: "rollback", To: to})
 		}})
 	c.Flags().Uint64Var(&to, "to", 0, "a generation that is kept: see history")
 	return c
@@ -356,9 +356,9 @@
 				return err
 			}
 			return t.show(c, h, func(w io.Writer) {
-				fmt.Fprintf(w, "revision %d, generations kept %v\n", h.Revision, h.Kept)
+				fmt.Fprintf(w, "revision %d, generations kept %v\n", h.Revision, h.Generations)
 				for _, x := range h.Changes {
-					fmt.Fprintf(w, "%s\t", time.UnixMilli(int64(x.At)).UTC().Format(time.RFC3339))
+					fmt.Fprintf(w, "%s\t", time.UnixMilli(int64(x.StartedAt)).UTC().Format(time.RFC3339))
 					line(w, x)
 				}
 			})
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -31,7 +31,7 @@
 	all := names(20)
 	base := r.realNodes(all)
 	w := base
-	w.Options = &fleet.Options{AtOnce: 20}
+	w.Options = &fleet.Options{MaxUnavailable: 20}
 	_, err := r.write(w)
 	require.NoError(t, err)
 	r.until(20*time.Second, "twenty run", settled)
@@ -69,7 +69,7 @@
 			for _, name := range all[:10] {
 				w.Configs[name] = strings.Replace(w.Configs[name], `"mark":"0"`, `"mark":"`+mark+`"`, 1)
 			}
-			w.Options = &fleet.Options{AtOnce: 5}
+			w.Options = &fleet.Options{MaxUnavailable: 5}
 			_, err := r.write(w)
 			if point == "proposed" || point == "planned" {
 				require.Error(t, err, "killed before it could answer")
@@ -83,12 +83,12 @@
 			require.Len(t, v.Instances, 20)
 			if point != "proposed" { // what was planned is done
 				for _, i := range v.Instances[:10] {
-					require.Equal(t, Digest(w.Configs[i.Name]), i.Seen.Digest)
+					require.Equal(t, Digest(w.Configs[i.Name]), i.Observation.Digest)
 				}
 			}
 			for _, i := range v.Instances {
-				require.Equal(t, i.Declared.Digest, i.Seen.Digest)
-				require.Equal(t, []int{i.Seen.Pid}, r.pids(i.Name))
+				require.Equal(t, i.Declared.Digest, i.Observation.Digest)
+				require.Equal(t, []int{i.Observation.PID}, r.pids(i.Name))
 			}
 			if point == "proposed" || point == "planned" || point == "snapshot" {
 				break
@@ -124,7 +124,7 @@
 				}
 				return ""
 			}, "b")
-			w.Options = &fleet.Options{AtOnce: 1, Canary: 1, HealthMs: 600} // dies lives for half of that
+			w.Options = &fleet.Options{MaxUnavailable: 1, Canary: 1, HealthMs: 600} // dies lives for half of that
 			_, err = r.write(w)
 			require.NoError(t, err)
 			v := r.until(20*time.Second, "gone back", func(v View) bool { return v.Change.Status == fleet.RolledBack && settled(v) })
@@ -145,15 +145,17 @@
 	l, err := net.Listen("tcp", w.Instances[0].Listen)
 	require.NoError(t, err)
 	defer l.Close()
-	w.Options = &fleet.Options{AtOnce: 2, NoRevert: true}
+	w.Options = &fleet.Options{MaxUnavailable: 2, NoRollback: true}
 	_, err = r.write(w)
 	require.NoError(t, err)
-	v := r.until(20*time.Second, "told", func(v View) bool { return v.Change.Status == fleet.Stuck && v.Instances[1].Verdict == fleet.AsWanted })
+	v := r.until(20*time.Second, "told", func(v View) bool {
+		return v.Change.Status == fleet.Stuck && v.Instances[1].Verdict == fleet.VerdictAsDeclared
+	})
 	assert.Contains(t, v.Change.Failure, "address already in use")
-	v = r.until(20*time.Second, "halted", func(v View) bool { return v.Instances[0].Verdict == fleet.CrashLoop })
-	assert.Equal(t, 5, v.Instances[0].Tries)
+	v = r.until(20*time.Second, "halted", func(v View) bool { return v.Instances[0].Verdict == fleet.VerdictCrashLoop })
+	assert.Equal(t, 5, v.Instances[0].RecentFailures)
 	require.NoError(t, l.Close())
-	_, err = r.write(Write{What: "restart", Names: names(1)})
+	_, err = r.write(Write{Command: "restart", Names: names(1)})
 	require.NoError(t, err)
 	r.until(10*time.Second, "runs once the port is free", settled)
 }
@@ -166,7 +168,7 @@
 	require.NoError(t, err)
 	r.until(10*time.Second, "runs", settled)
 	begun := time.Now()
-	_, err = r.write(Write{What: "stop", Names: names(1)})
+	_, err = r.write(Write{Command: "stop", Names: names(1)})
 	require.NoError(t, err)
 	r.until(10*time.Second, "stopped", settled)
 	assert.Greater(t, time.Since(begun), 3*time.Second)
@@ -179,7 +181,7 @@
 	r, v := running(t, 4, "")
 	pids := map[string]int{}
 	for _, i := range v.Instances {
-		pids[i.Name] = i.Seen.Pid
+		pids[i.Name] = i.Observation.PID
 	}
 	require.NoError(t, r.agent.Process.Kill())
 	require.Error(t, <-r.ended, "killed")
@@ -188,10 +190,10 @@
 	v = r.until(10*time.Second, "four run again", func(v View) bool { return settled(v) && len(v.Instances) == 4 })
 	for _, i := range v.Instances {
 		if i.Name == "n01" {
-			assert.NotEqual(t, pids[i.Name], i.Seen.Pid)
-			assert.Equal(t, 1, i.Tries)
+			assert.NotEqual(t, pids[i.Name], i.Observation.PID)
+			assert.Equal(t, 1, i.RecentFailures)
 		} else {
-			assert.Equal(t, pids[i.Name], i.Seen.Pid, "adopted, not started anew")
+			assert.Equal(t, pids[i.Name], i.Observation.PID, "adopted, not started anew")
 		}
 	}
 }
@@ -200,19 +202,19 @@
 func TestReusedID(t *testing.T) {
 	r, v := running(t, 1, "")
 	r.stop()
-	require.NoError(t, syscall.Kill(v.Instances[0].Seen.Pid, syscall.SIGKILL))
+	require.NoError(t, syscall.Kill(v.Instances[0].Observation.PID, syscall.SIGKILL))
 	other := exec.Command("sleep", "60")
 	require.NoError(t, other.Start())
 	defer func() { _ = other.Process.Kill(); _ = other.Wait() }()
-	p := place{r.dir, "n00"}
-	data, err := os.ReadFile(p.lock())
+	p := instanceFiles{r.dir, "n00"}
+	data, err := os.ReadFile(p.lockFile())
 	require.NoError(t, err)
-	text := strings.Replace(string(data), fmt.Sprint(v.Instances[0].Seen.Pid), fmt.Sprint(other.Process.Pid), 1)
-	require.NoError(t, os.WriteFile(p.lock(), []byte(text), 0o600))
-	h, err := p.holder()
+	text := strings.Replace(string(data), fmt.Sprint(v.Instances[0].Observation.PID), fmt.Sprint(other.Process.Pid), 1)
+	require.NoError(t, os.WriteFile(p.lockFile(), []byte(text), 0o600))
+	h, err := p.lockHolder()
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		lock, err := p.take()
+		lock, err := p.tryLock()
 		if lock != nil {
 			_ = lock.Close()
 		}
@@ -220,7 +222,7 @@
 	}, 5*time.Second, time.Millisecond)
 	assert.ErrorContains(t, p.signal(h.Token, syscall.SIGKILL), "another program's")
 	r.start("")
-	_, err = r.write(Write{What: "stop"})
+	_, err = r.write(Write{Command: "stop"})
 	require.NoError(t, err)
 	r.until(10*time.Second, "stopped", settled)
 	assert.NoError(t, other.Process.Signal(syscall.Signal(0)), "it lives")
@@ -229,14 +231,14 @@
 // A frozen instance is unknown, never its last good state; nothing is started beside it, and it can be stopped.
 func TestFrozen(t *testing.T) {
 	r, v := running(t, 2, "call_within_ms = 100\n")
-	pid := v.Instances[0].Seen.Pid
+	pid := v.Instances[0].Observation.PID
 	require.NoError(t, syscall.Kill(pid, syscall.SIGSTOP))
-	v = r.until(10*time.Second, "unknown", func(v View) bool { return v.Instances[0].Verdict == fleet.NotKnown })
-	assert.Contains(t, v.Instances[0].Why, "does not answer")
-	assert.False(t, v.Instances[0].Seen.InService)
-	assert.Equal(t, fleet.AsWanted, v.Instances[1].Verdict)
+	v = r.until(10*time.Second, "unknown", func(v View) bool { return v.Instances[0].Verdict == fleet.VerdictUnknown })
+	assert.Contains(t, v.Instances[0].Reason, "does not answer")
+	assert.False(t, v.Instances[0].Observation.InService)
+	assert.Equal(t, fleet.VerdictAsDeclared, v.Instances[1].Verdict)
 	assert.Equal(t, []int{pid}, r.pids("n00"))
-	_, err := r.write(Write{What: "stop", Names: []string{"n00"}})
+	_, err := r.write(Write{Command: "stop", Names: []string{"n00"}})
 	require.NoError(t, err)
 	r.until(10*time.Second, "stopped", settled)
 	assert.Empty(t, r.pids("n00"))
@@ -255,11 +257,11 @@
 	require.NoError(t, s.save(state))
 	require.NoError(t, s.close())
 	r.start("")
-	v := r.until(10*time.Second, "alien", func(v View) bool { return v.Instances[0].Verdict == fleet.CantProve })
-	assert.Contains(t, v.Instances[0].Why, "another token")
-	_, err = r.write(Write{What: "stop"})
+	v := r.until(10*time.Second, "alien", func(v View) bool { return v.Instances[0].Verdict == fleet.VerdictForeign })
+	assert.Contains(t, v.Instances[0].Reason, "another token")
+	_, err = r.write(Write{Command: "stop"})
 	require.NoError(t, err)
-	r.until(5*time.Second, "told", func(v View) bool { return v.Change.Status.Over() })
+	r.until(5*time.Second, "told", func(v View) bool { return v.Change.Status.IsFinal() })
 	assert.Equal(t, []int{pid}, r.pids("n00"))
 }
 
@@ -268,7 +270,7 @@
 	r, v := running(t, 3, "")
 	var pids []int
 	for _, i := range v.Instances {
-		pids = append(pids, i.Seen.Pid)
+		pids = append(pids, i.Observation.PID)
 	}
 	r.until(5*time.Second, "snapshot", func(View) bool { _, err := os.Stat(filepath.Join(r.dir, snapshotFile)); return err == nil })
 	r.stop()
@@ -293,7 +295,7 @@
 		v := r.until(10*time.Second, name, func(v View) bool { return settled(v) && len(v.Instances) == 3 })
 		var now []int
 		for _, i := range v.Instances {
-			now = append(now, i.Seen.Pid)
+			now = append(now, i.Observation.PID)
 		}
 		assert.Equal(t, pids, now, name)
 		r.stop()
@@ -336,17 +338,17 @@
 	dir := t.TempDir()
 	s, state, _, err := openStore(dir, discard)
 	require.NoError(t, err)
-	f := fleet.New(state, fleet.Defaults())
-	a := &Agent{clock: clock.New(), store: s, fleet: f, log: discard, o: Options{Dir: dir, Point: func(string) {}}}
+	f := fleet.New(state, fleet.DefaultTiming())
+	a := &Agent{clock: clock.New(), store: s, fleet: f, log: discard, options: Options{Dir: dir, OnPoint: func(string) {}}}
 	require.True(t, a.save())
 	require.NoError(t, s.close()) // whatever is written now fails
-	before := f.Copy()
+	before := f.CopyState()
 	assert.False(t, a.save() && f.Revision == 99)
-	f.Begin(1, fleet.Action{Step: fleet.Start, Name: "x"}, "t")
-	a.take(t.Context(), []fleet.Action{{Step: fleet.Start, Name: "y"}})
-	assert.Error(t, a.broken)
+	f.StepStarted(1, fleet.Action{Step: fleet.StepStart, Name: "x"}, "t")
+	a.carryOut(t.Context(), []fleet.Action{{Step: fleet.StepStart, Name: "y"}})
+	assert.Error(t, a.writeError)
 	assert.NotContains(t, f.Records, "y", "nothing is begun that could not be written down")
-	f.Restore(before)
+	f.RestoreState(before)
 	assert.Empty(t, f.Records)
 }
 
@@ -359,7 +361,7 @@
 	require.NoError(t, r.client.Call(t.Context(), http.MethodGet, fmt.Sprintf("%s?since=%d&wait_ms=400", FleetPath, v.Seq), nil, &same))
 	assert.Equal(t, v.Seq, same.Seq)
 	assert.GreaterOrEqual(t, time.Since(begun), 400*time.Millisecond)
-	go func() { _ = syscall.Kill(v.Instances[0].Seen.Pid, syscall.SIGKILL) }()
+	go func() { _ = syscall.Kill(v.Instances[0].Observation.PID, syscall.SIGKILL) }()
 	require.NoError(t, r.client.Call(t.Context(), http.MethodGet, fmt.Sprintf("%s?since=%d&wait_ms=10000", FleetPath, v.Seq), nil, &same))
 	assert.Greater(t, same.Seq, v.Seq)
 	r.until(10*time.Second, "started again", settled)
@@ -371,18 +373,18 @@
 	r, v := running(t, 3, "")
 	limit := unix.Rlimit{Cur: 1, Max: unix.RLIM_INFINITY} // bytes in a file: every write beyond fails
 	require.NoError(t, unix.Prlimit(r.agent.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil))
-	_, err := r.write(Write{What: "restart"})
+	_, err := r.write(Write{Command: "restart"})
 	assert.Equal(t, http.StatusInsufficientStorage, refusedStatus(err), "%v", err)
-	full := r.until(5*time.Second, "told", func(v View) bool { return v.Broken != "" })
+	full := r.until(5*time.Second, "told", func(v View) bool { return v.WriteError != "" })
 	for k, i := range full.Instances {
-		assert.Equal(t, []int{v.Instances[k].Seen.Pid}, r.pids(i.Name))
+		assert.Equal(t, []int{v.Instances[k].Observation.PID}, r.pids(i.Name))
 	}
 	assert.Equal(t, v.Revision, full.Revision)
 	limit.Cur = unix.RLIM_INFINITY
 	require.NoError(t, unix.Prlimit(r.agent.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil))
-	_, err = r.write(Write{What: "restart"})
+	_, err = r.write(Write{Command: "restart"})
 	require.NoError(t, err)
-	r.until(10*time.Second, "restarted", func(v View) bool { return settled(v) && v.Broken == "" })
+	r.until(10*time.Second, "restarted", func(v View) bool { return settled(v) && v.WriteError == "" })
 }
 
 // A real node whose list is another than the one that the agent reads at the same source and version is out of service,
@@ -398,47 +400,49 @@
 	require.NoError(t, err)
 	r.until(10*time.Second, "in service: both have the same list", settled)
 	r.other.Store(true)
-	v := r.until(10*time.Second, "wrong list", func(v View) bool { return v.Instances[0].Verdict == fleet.WrongList && !v.Instances[0].Seen.InService })
-	assert.Regexp(t, `declared [0-9a-f]{12}, holds [0-9a-f]{12} at version 41 of 127`, v.Instances[0].Why)
+	v := r.until(10*time.Second, "wrong list", func(v View) bool {
+		return v.Instances[0].Verdict == fleet.VerdictWrongList && !v.Instances[0].Observation.InService
+	})
+	assert.Regexp(t, `declared [0-9a-f]{12}, holds [0-9a-f]{12} at version 41 of 127`, v.Instances[0].Reason)
 	r.other.Store(false)
 	r.until(10*time.Second, "back in service once the lists agree", settled)
 }
 
 func TestStopAndHistory(t *testing.T) {
 	r, _ := running(t, 2, "")
-	for _, w := range []Write{{What: "stop", Names: []string{"n01"}}, {What: "start"}, {What: "restart", Names: []string{"n00"}}, {What: "rollback", To: 1}} {
+	for _, w := range []Write{{Command: "stop", Names: []string{"n01"}}, {Command: "start"}, {Command: "restart", Names: []string{"n00"}}, {Command: "rollback", To: 1}} {
 		_, err := r.write(w)
-		require.NoError(t, err, w.What)
-		r.until(10*time.Second, w.What, settled)
+		require.NoError(t, err, w.Command)
+		r.until(10*time.Second, w.Command, settled)
 	}
 	var h History
 	require.NoError(t, r.client.Call(t.Context(), http.MethodGet, HistoryPath, nil, &h))
 	var what []string
 	for _, c := range h.Changes {
-		what = append(what, c.What)
+		what = append(what, c.Command)
 		assert.NotEmpty(t, c.Author)
 		assert.Equal(t, "test", c.Reason)
 	}
 	assert.Equal(t, []string{"rollback to generation 1", "restart", "start", "stop", "apply"}, what)
-	assert.True(t, slices.Contains(h.Kept, 1))
+	assert.True(t, slices.Contains(h.Generations, 1))
 	for _, c := range []struct {
 		w      Write
 		status int
 		says   string
 	}{
-		{Write{What: "dance"}, 422, "unknown command"}, {Write{What: "stop", Names: []string{"x"}}, 422, "not declared"},
-		{Write{What: "rollback", To: 77}, 422, "not kept"}, {Write{What: "start"}, 412, "nothing to change"},
-		{Write{What: "rollback"}, 422, "no change is on its way"}, {Write{What: "stop", Revision: 1}, 409, "made from revision 1"},
+		{Write{Command: "dance"}, 422, "unknown command"}, {Write{Command: "stop", Names: []string{"x"}}, 422, "not declared"},
+		{Write{Command: "rollback", To: 77}, 422, "not kept"}, {Write{Command: "start"}, 412, "nothing to change"},
+		{Write{Command: "rollback"}, 422, "no change is on its way"}, {Write{Command: "stop", Revision: 1}, 409, "made from revision 1"},
 	} {
 		_, err := r.write(c.w)
-		assert.Equal(t, c.status, refusedStatus(err), c.w.What)
+		assert.Equal(t, c.status, refusedStatus(err), c.w.Command)
 		assert.ErrorContains(t, err, c.says)
 	}
 	dry := declared(names(1), normal, "z")
 	dry.DryRun = true
 	out, err := r.write(dry)
 	require.NoError(t, err)
-	assert.Equal(t, []string{"n00", "n01"}, out.Differs)
+	assert.Equal(t, []string{"n00", "n01"}, out.Instances)
 	v, err := r.view()
 	require.NoError(t, err)
 	assert.Equal(t, h.Revision, v.Revision, "nothing was changed")
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -22,47 +22,48 @@
 	LogsPath    = "/v1/logs"
 )
 
-// View is the fleet as the agent knows it: what is declared, what was seen, and when.
+// View is the fleet as the agent knows it: what is declared, what was observed, and when. Its JSON keeps the names of earlier
+// versions.
 type View struct {
 	Revision   uint64         `json:"revision"`
 	Generation uint64         `json:"generation"`
 	Now        float64        `json:"now"` // the agent's clock, Unix ms
 	Change     *fleet.Change  `json:"change,omitempty"`
 	Instances  []InstanceView `json:"instances"`
-	Broken     string         `json:"broken,omitempty"` // why the state can't be written
-	Seq        uint64         `json:"seq"`              // for watching
-	Rolling    fleet.Options  `json:"rolling"`          // how a change goes where the command does not say
+	WriteError string         `json:"broken,omitempty"` // why the state can't be stored; empty if it can
+	Seq        uint64         `json:"seq"`              // grows whenever the view changes
+	Rolling    fleet.Options  `json:"rolling"`          // the options of a change that gives none
 }
 
-// InstanceView is one instance's.
+// InstanceView is one instance in a View.
 type InstanceView struct {
-	Name     string          `json:"name"`
-	Declared *fleet.Instance `json:"declared,omitempty"`
-	Seen     fleet.Seen      `json:"seen"`
-	Verdict  fleet.Verdict   `json:"verdict"`
-	Why      string          `json:"why,omitempty"`
-	Tries    int             `json:"recent_failures,omitempty"`
-	Fault    string          `json:"latest_fault,omitempty"`
+	Name           string                `json:"name"`
+	Declared       *fleet.Instance       `json:"declared,omitempty"`
+	Observation    fleet.Observation     `json:"seen"`
+	Verdict        fleet.InstanceVerdict `json:"verdict"`
+	Reason         string                `json:"why,omitempty"`
+	RecentFailures int                   `json:"recent_failures,omitempty"`
+	LastFailure    string                `json:"latest_fault,omitempty"`
 }
 
-// Write is any change that an operator asks for.
+// Write is a change that an operator asks for.
 type Write struct {
-	Revision  uint64            `json:"revision"` // that it was made from
-	What      string            `json:"what"`     // apply, start, stop, restart, reconfigure, rollback
+	Revision  uint64            `json:"revision"` // that the change is based on
+	Command   string            `json:"what"`     // apply, start, stop, restart, reconfigure, rollback
 	Reason    string            `json:"reason"`
 	Instances []fleet.Instance  `json:"instances,omitempty"` // apply: all that is declared; reconfigure: those that change
 	Configs   map[string]string `json:"configs,omitempty"`   // texts, by name of the instance
 	Names     []string          `json:"names,omitempty"`     // start, stop, restart; none is all
-	To        uint64            `json:"to,omitempty"`        // rollback: a generation; 0 turns the change that is on its way
+	To        uint64            `json:"to,omitempty"`        // rollback: a generation; 0 rolls back the change in progress
 	Options   *fleet.Options    `json:"options,omitempty"`
 	DryRun    bool              `json:"dry_run,omitempty"`
 }
 
-// Written is what became of it.
+// Written answers a Write.
 type Written struct {
-	Revision uint64       `json:"revision"`
-	Change   fleet.Change `json:"change"`
-	Differs  []string     `json:"differs"` // the instances that it touches
+	Revision  uint64       `json:"revision"`
+	Change    fleet.Change `json:"change"`
+	Instances []string     `json:"differs"` // the instances that it changes
 }
 
 func (a *Agent) api() http.Handler {
@@ -74,22 +75,22 @@
 	return m
 }
 
-// view is the actor's.
+// view returns the current view. It is called on the actor's goroutine.
 func (a *Agent) view() View {
 	now := a.now()
 	g := a.fleet.Current()
-	v := View{Revision: a.fleet.Revision, Generation: g.Number, Now: now, Seq: a.seq, Rolling: a.o.Rolling}
+	v := View{Revision: a.fleet.Revision, Generation: g.Number, Now: now, Seq: a.viewVersion, Rolling: a.options.Rolling}
 	if c := a.fleet.Latest(); c != nil {
-		copied := c.Clone() // what is answered is written while the actor goes on
+		copied := c.Clone() // the actor goes on changing it while the answer is encoded
 		v.Change = &copied
 	}
-	if a.broken != nil {
-		v.Broken = a.broken.Error()
+	if a.writeError != nil {
+		v.WriteError = a.writeError.Error()
 	}
 	for _, name := range a.fleet.Names() {
-		verdict, why := a.fleet.Judge(now, name)
+		verdict, why := a.fleet.Verdict(now, name)
 		r := a.fleet.Records[name]
-		i := InstanceView{Name: name, Seen: a.fleet.Look(now, name), Verdict: verdict, Why: why, Tries: len(r.Tries), Fault: r.Fault}
+		i := InstanceView{Name: name, Observation: a.fleet.Observation(now, name), Verdict: verdict, Reason: why, RecentFailures: len(r.Failures), LastFailure: r.LastFailure}
 		if d, ok := g.Set[name]; ok {
 			i.Declared = &d
 		}
@@ -98,7 +99,7 @@
 	return v
 }
 
-// getFleet gives the view; with since it waits until there is something newer, or wait_ms have passed.
+// getFleet answers with the view. With the parameter since it waits until the view is newer, for at most wait_ms.
 func (a *Agent) getFleet(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	watching := err == nil
@@ -108,7 +109,7 @@
 	for {
 		var v View
 		var next chan struct{}
-		if err := a.do(r.Context(), func() { v, next = a.view(), a.changed }); err != nil {
+		if err := a.onActor(r.Context(), func() { v, next = a.view(), a.changed }); err != nil {
 			controlsocket.Fail(w, http.StatusServiceUnavailable, err.Error())
 			return
 		}
@@ -135,20 +136,20 @@
 	author := author(controlsocket.Who(r.Context()))
 	var out Written
 	var err error
-	if e := a.do(r.Context(), func() { out, err = a.write(x, author) }); e != nil {
+	if e := a.onActor(r.Context(), func() { out, err = a.applyWrite(x, author) }); e != nil {
 		controlsocket.Fail(w, http.StatusServiceUnavailable, e.Error())
 		return
 	}
-	var conflict *fleet.Conflict
-	var busy *fleet.Busy
+	var conflict *fleet.ConflictError
+	var busy *fleet.BusyError
 	switch {
 	case err == nil:
 		controlsocket.Answer(w, http.StatusOK, out)
 	case errors.As(err, &conflict), errors.As(err, &busy):
 		controlsocket.Fail(w, http.StatusConflict, err.Error())
-	case errors.Is(err, fleet.ErrNothing):
+	case errors.Is(err, fleet.ErrNoChange):
 		controlsocket.Fail(w, NothingToChange, err.Error())
-	case errors.Is(err, errUnwritten):
+	case errors.Is(err, errStateNotWritten):
 		controlsocket.Fail(w, http.StatusInsufficientStorage, err.Error())
 	default:
 		controlsocket.Fail(w, http.StatusUnprocessableEntity, err.Error())
@@ -158,9 +159,9 @@
 // NothingToChange is the status of a write that would change nothing.
 const NothingToChange = http.StatusPreconditionFailed
 
-var errUnwritten = errors.New("state can't be written")
+var errStateNotWritten = errors.New("state can't be written")
 
-// author is the caller's name, where the system knows it.
+// author returns the caller's user name, or its uid if the system knows no name.
 func author(c controlsocket.Caller) string {
 	id := strconv.FormatUint(uint64(c.UID), 10)
 	if u, err := user.LookupId(id); err == nil {
@@ -169,73 +170,73 @@
 	return "uid " + id
 }
 
-// write takes an operator's change: the plan is durable before it is answered, and before its first step.
-func (a *Agent) write(x Write, author string) (Written, error) {
+// applyWrite takes an operator's change. The change is durable before it is answered and before its first step.
+func (a *Agent) applyWrite(x Write, author string) (Written, error) {
 	if x.Reason == "" {
 		return Written{}, errors.New("give a reason")
 	}
-	options := a.o.Rolling
+	options := a.options.Rolling
 	if x.Options != nil {
 		options = *x.Options
 	}
-	before := a.fleet.Copy()
-	set, err := a.declare(x)
+	before := a.fleet.CopyState()
+	set, err := a.declaredSet(x)
 	if err != nil {
 		return Written{}, err
 	}
 	var c fleet.Change
-	if x.What == "rollback" && x.To == 0 {
-		c, err = a.fleet.Revert(a.now(), x.Revision, author, x.Reason)
+	if x.Command == "rollback" && x.To == 0 {
+		c, err = a.fleet.RollBack(a.now(), x.Revision, author, x.Reason)
 	} else {
-		what := x.What
-		if x.What == "rollback" {
+		what := x.Command
+		if x.Command == "rollback" {
 			what = fmt.Sprintf("rollback to generation %d", x.To)
 		}
-		c, err = a.fleet.Propose(a.now(), x.Revision, set, fleet.Change{Author: author, Reason: x.Reason, What: what, Options: options})
+		c, err = a.fleet.Propose(a.now(), x.Revision, set, fleet.Change{Author: author, Reason: x.Reason, Command: what, Options: options})
 	}
 	if err != nil {
 		return Written{}, err
 	}
-	out := Written{Revision: a.fleet.Revision, Change: c, Differs: slices.Clone(c.Order)}
+	out := Written{Revision: a.fleet.Revision, Change: c, Instances: slices.Clone(c.Order)}
 	if x.DryRun {
-		a.fleet.Restore(before)
+		a.fleet.RestoreState(before)
 		return out, nil
 	}
-	a.o.Point("proposed")
+	a.options.OnPoint("proposed")
 	if !a.save() {
-		a.fleet.Restore(before)
-		return Written{}, fmt.Errorf("%w: %w", errUnwritten, a.broken)
+		a.fleet.RestoreState(before)
+		return Written{}, fmt.Errorf("%w: %w", errStateNotWritten, a.writeError)
 	}
-	a.o.Point("planned")
-	a.log.Info("change", "id", c.ID, "what", c.What, "author", author, "reason", x.Reason, "instances", len(c.Order))
-	a.sweep()
-	a.soon()
+	a.options.OnPoint("planned")
+	a.log.Info("change", "id", c.ID, "what", c.Command, "author", author, "reason", x.Reason, "instances", len(c.Order))
+	a.removeUnusedConfigs()
+	a.scheduleRound()
 	return out, nil
 }
 
-// declare makes the set that a write asks for.
-func (a *Agent) declare(x Write) (fleet.Set, error) {
+// declaredSet returns the set of instances that a write asks for.
+func (a *Agent) declaredSet(x Write) (fleet.Set, error) {
 	set := a.fleet.Current().Set.Clone()
-	switch x.What {
+	switch x.Command {
 	case "apply", "reconfigure":
-		if x.What == "apply" {
+		if x.Command == "apply" {
 			set = fleet.Set{}
 		}
 		for _, i := range x.Instances {
 			was, had := a.fleet.Current().Set[i.Name]
-			if x.What == "reconfigure" && !had {
+			if x.Command == "reconfigure" && !had {
 				return nil, fmt.Errorf("instance %s is not declared", i.Name)
 			}
-			if _, twice := set[i.Name]; twice && x.What == "apply" {
+			if _, twice := set[i.Name]; twice && x.Command == "apply" {
 				return nil, fmt.Errorf("instance %s declared twice", i.Name)
 			}
 			text, ok := x.Configs[i.Name]
 			if !ok {
 				return nil, fmt.Errorf("instance %s: no text of its configuration", i.Name)
 			}
-			digest, err := a.keep(text)
+			digest, err := a.storeConfig(text)
 			if err != nil {
-				return nil, fmt.Errorf("%w: %w", errUnwritten, err)
+				return nil, fmt.Errorf("%w: %w", errStateNotWritten, err)
 			}
 			i.Digest, i.Epoch = digest, was.Epoch
 			set[i.Name] = i
@@ -250,14 +251,14 @@
 			if !ok {
 				return nil, fmt.Errorf("instance %s is not declared", name)
 			}
-			switch x.What {
+			switch x.Command {
 			case "stop":
-				i.Wanted = fleet.Stopped
+				i.Desired = fleet.Stopped
 			case "restart":
 				i.Epoch++
 				fallthrough
 			default:
-				i.Wanted = fleet.Running
+				i.Desired = fleet.Running
 			}
 			set[name] = i
 		}
@@ -270,16 +271,16 @@
 			set = g.Set.Clone()
 		}
 	default:
-		return nil, fmt.Errorf("unknown command %q", x.What)
+		return nil, fmt.Errorf("unknown command %q", x.Command)
 	}
 	return set, nil
 }
 
-// History is what was changed, the latest first.
+// History lists the changes, the latest first.
 type History struct {
-	Revision uint64         `json:"revision"`
-	Changes  []fleet.Change `json:"changes"`
-	Kept     []uint64       `json:"generations_kept"`
+	Revision    uint64         `json:"revision"`
+	Changes     []fleet.Change `json:"changes"`
+	Generations []uint64       `json:"generations_kept"`
 }
 
 func (a *Agent) getHistory(w http.ResponseWriter, r *http.Request) {
@@ -288,10 +289,10 @@
 		most = 20
 	}
 	var h History
-	if err := a.do(r.Context(), func() {
-		h.Revision, h.Changes = a.fleet.Revision, a.fleet.Copy().Changes
+	if err := a.onActor(r.Context(), func() {
+		h.Revision, h.Changes = a.fleet.Revision, a.fleet.CopyState().Changes
 		for _, g := range a.fleet.Generations {
-			h.Kept = append(h.Kept, g.Number)
+			h.Generations = append(h.Generations, g.Number)
 		}
 	}); err != nil {
 		controlsocket.Fail(w, http.StatusServiceUnavailable, err.Error())
@@ -302,10 +303,10 @@
 	controlsocket.Answer(w, http.StatusOK, h)
 }
 
-// Logs are an instance's last lines.
+// Logs are the last lines of an instance's log.
 type Logs struct {
 	Lines []string `json:"lines"`
-	Out   []string `json:"standard_output,omitempty"` // what came outside of its log
+	Out   []string `json:"standard_output,omitempty"` // what it wrote to its standard output and error
 }
 
 func (a *Agent) getLogs(w http.ResponseWriter, r *http.Request) {
@@ -315,7 +316,7 @@
 		lines = 50
 	}
 	known := false
-	if err := a.do(r.Context(), func() { known = slices.Contains(a.fleet.Names(), name) }); err != nil {
+	if err := a.onActor(r.Context(), func() { known = slices.Contains(a.fleet.Names(), name) }); err != nil {
 		controlsocket.Fail(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
@@ -323,11 +324,11 @@
 		controlsocket.Fail(w, http.StatusNotFound, fmt.Sprintf("instance %s is not known", name))
 		return
 	}
-	p := place{a.o.Dir, name}
+	p := instanceFiles{a.options.Dir, name}
 	var l Logs
-	if l.Lines, err = tail(p.log(), lines); err != nil {
+	if l.Lines, err = tail(p.logFile(), lines); err != nil {
 		l.Lines = nil
 	}
-	l.Out, _ = tail(p.standing(), lines)
+	l.Out, _ = tail(p.outputFile(), lines)
 	controlsocket.Answer(w, http.StatusOK, l)
 }
--- a/internal/agent/file.go
+++ b/internal/agent/file.go
@@ -40,7 +40,7 @@
 	} `toml:"timing"`
 }
 
-// ReadOptions reads the agent's file; paths in it are seen from where it lies.
+// ReadOptions reads the agent's file. Relative paths in it are relative to its directory.
 func ReadOptions(name string) (Options, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -49,15 +49,15 @@
 	return DecodeOptions(name, data)
 }
 
-// DecodeOptions reads text as if it were a file of that name.
+// DecodeOptions is ReadOptions for a text; name stands in errors and is the base of relative paths.
 func DecodeOptions(name string, data []byte) (o Options, err error) {
-	d := fleet.Defaults()
+	d := fleet.DefaultTiming()
 	f := agentFile{Socket: "agent.sock", Binary: []string{"pearknot"}}
 	f.Rolling.AtOnce, f.Rolling.Canary, f.Rolling.HealthMs = 1, 1, 1000
 	t := &f.Timing
 	t.EveryMs, t.CalmMs, t.CallWithinMs, t.WitnessMs = 100, 1000, 1000, 5000
-	t.StartWithinMs, t.EndWithinMs, t.BackoffMs, t.BackoffMostMs = d.StartWithin, d.EndWithin, d.BackoffMs, d.BackoffMost
-	t.LoopCount, t.LoopWithinMs = d.LoopCount, d.LoopWithin
+	t.StartWithinMs, t.EndWithinMs, t.BackoffMs, t.BackoffMostMs = d.StartTimeout, d.ShutdownTimeout, d.BaseBackoffMs, d.MaxBackoffMs
+	t.LoopCount, t.LoopWithinMs = d.CrashLoopCount, d.CrashLoopWindow
 	at, err := tomlfile.Decode(name, data, &f)
 	if err != nil {
 		return o, err
@@ -94,11 +94,11 @@
 		}
 	}
 	span := func(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
-	o = Options{Dir: abs(f.Dir), Socket: f.Socket, Binary: f.Binary, Witness: f.Witness, Every: span(t.EveryMs), Calm: span(t.CalmMs),
-		CallWithin: span(t.CallWithinMs), WitnessEvery: span(t.WitnessMs),
-		Rolling: fleet.Options{AtOnce: f.Rolling.AtOnce, Canary: f.Rolling.Canary, HealthMs: f.Rolling.HealthMs, NoRevert: f.Rolling.NoRevert},
-		Timing: fleet.Timing{StartWithin: t.StartWithinMs, EndWithin: t.EndWithinMs, BackoffMs: t.BackoffMs, BackoffMost: t.BackoffMostMs,
-			LoopCount: t.LoopCount, LoopWithin: t.LoopWithinMs, SeenWithin: max(5e3, 3*t.CalmMs+2*t.CallWithinMs)}}
+	o = Options{Dir: abs(f.Dir), Socket: f.Socket, Binary: f.Binary, CheckLists: f.Witness, BusyInterval: span(t.EveryMs), IdleInterval: span(t.CalmMs),
+		CallTimeout: span(t.CallWithinMs), ListCheckInterval: span(t.WitnessMs),
+		Rolling: fleet.Options{MaxUnavailable: f.Rolling.AtOnce, Canary: f.Rolling.Canary, HealthMs: f.Rolling.HealthMs, NoRollback: f.Rolling.NoRevert},
+		Timing: fleet.Timing{StartTimeout: t.StartWithinMs, ShutdownTimeout: t.EndWithinMs, BaseBackoffMs: t.BackoffMs, MaxBackoffMs: t.BackoffMostMs,
+			CrashLoopCount: t.LoopCount, CrashLoopWindow: t.LoopWithinMs, ObservationTTL: max(5e3, 3*t.CalmMs+2*t.CallWithinMs)}}
 	if !filepath.IsAbs(o.Socket) {
 		o.Socket = filepath.Join(o.Dir, o.Socket)
 	}
@@ -111,7 +111,7 @@
 	return o, nil
 }
 
-// fleetFile is an operator's fleet.toml.
+// fleetFile is deploy/fleet.toml.
 type fleetFile struct {
 	Instance []struct {
 		Name     string  `toml:"name"`
@@ -128,8 +128,8 @@
 	} `toml:"instance"`
 }
 
-// ReadFleet reads what an operator declares: the instances, and the text of the configuration that each is to run: its
-// file, with what is said here in the place of what stands there.
+// ReadFleet reads the file in which an operator declares instances. It returns them, and for each the text of its
+// configuration: its configuration file with the values from here in place of those there.
 func ReadFleet(name string) (instances []fleet.Instance, configs map[string]string, err error) {
 	var f fleetFile
 	at, err := tomlfile.Read(name, &f)
@@ -193,14 +193,14 @@
 		if err != nil {
 			return nil, nil, at.Errorf(key+"config", "%s: %v", path, err)
 		}
-		instances = append(instances, fleet.Instance{Name: i.Name, Listen: listen, Config: path, List: list, Wanted: fleet.Wanted(i.State)})
+		instances = append(instances, fleet.Instance{Name: i.Name, Listen: listen, Config: path, Discovery: list, Desired: fleet.DesiredState(i.State)})
 		configs[i.Name] = text
 	}
 	return instances, configs, nil
 }
 
-// Configure puts values in the place of those in a configuration, and tells where the node listens and asks for its
-// list. An empty value changes nothing.
+// Configure replaces values in a configuration and returns its text, with the addresses that the node listens at and polls its
+// endpoint list from. Empty values replace nothing.
 func Configure(data []byte, values, limits map[string]any) (text, listen, list string, err error) {
 	var c map[string]any
 	d := json.NewDecoder(bytes.NewReader(data))
--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -60,13 +60,13 @@
 		dir := t.TempDir()
 		s, state, _, err := openStore(dir, discard)
 		require.NoError(t, err)
-		a := &Agent{o: Options{Dir: dir, Socket: dir + "/s", Point: func(string) {}, Every: time.Hour, Calm: time.Hour}, clock: clock.New(), log: discard,
-			box: mailbox.New[func()](), done: make(chan struct{}), changed: make(chan struct{}), wake: time.NewTimer(time.Hour), store: s,
-			fleet: fleet.New(state, fleet.Defaults())}
+		a := &Agent{options: Options{Dir: dir, Socket: dir + "/s", OnPoint: func(string) {}, BusyInterval: time.Hour, IdleInterval: time.Hour}, clock: clock.New(), log: discard,
+			mailbox: mailbox.New[func()](), done: make(chan struct{}), changed: make(chan struct{}), nextRound: time.NewTimer(time.Hour), store: s,
+			fleet: fleet.New(state, fleet.DefaultTiming())}
 		// A stopped fleet: a change over it is over with the next look, so that writes follow each other.
 		over := func() {
 			for _, name := range a.fleet.Names() {
-				a.fleet.See(name, fleet.Seen{Phase: fleet.Down, At: a.now()})
+				a.fleet.Observe(name, fleet.Observation{Phase: fleet.PhaseDown, ObservedAt: a.now()})
 			}
 			a.fleet.Plan(a.now())
 		}
@@ -77,19 +77,19 @@
 				select {
 				case <-a.done:
 					return
-				case <-a.box.Ready():
-					for _, f := range a.box.TakeAll(nil) {
+				case <-a.mailbox.Ready():
+					for _, f := range a.mailbox.TakeAll(nil) {
 						f()
 						over()
 					}
 				}
 			}
 		}()
-		l, err := controlsocket.Listen(a.o.Socket)
+		l, err := controlsocket.Listen(a.options.Socket)
 		require.NoError(t, err)
 		server := controlsocket.Server(a.api())
 		go func() { _ = server.Serve(l) }()
-		require.NoError(t, mkdirs(dir))
+		require.NoError(t, makeDirectories(dir))
 
 		var mu sync.Mutex
 		var history []porcupine.Operation
@@ -98,7 +98,7 @@
 		for operator := range 4 {
 			wg.Go(func() {
 				rng := rand.New(rand.NewPCG(uint64(round), uint64(operator)))
-				c := controlsocket.NewClient(a.o.Socket, 10*time.Second)
+				c := controlsocket.NewClient(a.options.Socket, 10*time.Second)
 				seen := uint64(0)
 				for k := range 6 {
 					in := call{write: rng.IntN(3) > 0, revision: seen, value: fmt.Sprintf("%d-%d", operator, k)}
@@ -106,8 +106,8 @@
 					var out answer
 					if in.write {
 						var done Written
-						err := c.Call(t.Context(), http.MethodPost, WritePath, Write{What: "apply", Reason: in.value, Revision: in.revision,
-							Instances: []fleet.Instance{{Name: "n", Listen: "127.0.0.1:1", Wanted: fleet.Stopped}},
+						err := c.Call(t.Context(), http.MethodPost, WritePath, Write{Command: "apply", Reason: in.value, Revision: in.revision,
+							Instances: []fleet.Instance{{Name: "n", Listen: "127.0.0.1:1", Desired: fleet.Stopped}},
 							Configs:   map[string]string{"n": in.value}}, &done)
 						var refused *controlsocket.Refused
 						switch {
--- a/internal/agent/points.go
+++ b/internal/agent/points.go
@@ -9,14 +9,14 @@
 	"syscall"
 )
 
-// KillVariable has the agent killed at a named point, for trying how it comes back: NAME:N is the Nth time that it
-// passes there.
+// KillVariable makes the agent kill itself at a named point, so that tests see how the next one recovers: NAME:N is the Nth
+// time that it passes there.
 const KillVariable = "PEARKNOT_AGENT_KILL_AT"
 
-// Points are the named points of a change, in the order of one.
+// Points are the names of the points, in the order of a change.
 var Points = []string{"proposed", "planned", "begun", "locked", "executed", "noted", "start", "terminate", "admit", "ended", "snapshot"}
 
-// KillAt makes the function to be called at the points; of an empty text, none.
+// KillAt returns the function that Options.OnPoint calls for a value of KillVariable, or nil for an empty one.
 func KillAt(text string) (func(string), error) {
 	if text == "" {
 		return nil, nil
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -38,7 +38,7 @@
 	case len(os.Args) > 2 && os.Args[1] == "agent":
 		o, err := ReadOptions(os.Args[2])
 		if err == nil {
-			o.Point, err = KillAt(os.Getenv(KillVariable))
+			o.OnPoint, err = KillAt(os.Getenv(KillVariable))
 		}
 		signal.Ignore(syscall.SIGXFSZ) // a file's bound is to be an error of the write, as a full disk is
 		var a *Agent
@@ -249,11 +249,11 @@
 }
 
 func settled(v View) bool {
-	if v.Change != nil && !v.Change.Status.Over() {
+	if v.Change != nil && !v.Change.Status.IsFinal() {
 		return false
 	}
 	for _, i := range v.Instances {
-		if i.Verdict != fleet.AsWanted {
+		if i.Verdict != fleet.VerdictAsDeclared {
 			return false
 		}
 	}
@@ -296,11 +296,11 @@
 
 // declared makes instances with a behaviour each.
 func declared(names []string, behaviour func(string) string, mark string) Write {
-	w := Write{What: "apply", Configs: map[string]string{}}
+	w := Write{Command: "apply", Configs: map[string]string{}}
 	for k, name := range names {
-		i := fleet.Instance{Name: name, Listen: fmt.Sprintf("127.0.0.1:%d", 1000+k), List: "127.0.0.1:1", Wanted: fleet.Running}
+		i := fleet.Instance{Name: name, Listen: fmt.Sprintf("127.0.0.1:%d", 1000+k), Discovery: "127.0.0.1:1", Desired: fleet.Running}
 		w.Instances = append(w.Instances, i)
-		w.Configs[name] = fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"behaviour":%q,"mark":%q}`, name, i.Listen, i.List, behaviour(name), mark)
+		w.Configs[name] = fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"behaviour":%q,"mark":%q}`, name, i.Listen, i.Discovery, behaviour(name), mark)
 	}
 	return w
 }
@@ -342,16 +342,16 @@
 		fmt.Fprintf(w, `{"rev":41,"all":true,"targets":[{"uid":%q,"endpoint":"127.0.0.1:1","az":"a","model":"m","pod_group":0,"state":"up","capacity_hint":1,"boot_ms":0}]}`, uid)
 	}))
 	t.Cleanup(s.Close)
-	w := Write{What: "apply", Configs: map[string]string{}}
+	w := Write{Command: "apply", Configs: map[string]string{}}
 	for k, name := range names {
 		// An address that no outgoing connection is given, so that the port stays free between two lives.
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 100+os.Getpid()%100, os.Getpid()/100%250, k+1))
 		require.NoError(t, err)
 		require.NoError(t, l.Close())
-		i := fleet.Instance{Name: name, Listen: l.Addr().String(), List: s.Listener.Addr().String(), Wanted: fleet.Running}
+		i := fleet.Instance{Name: name, Listen: l.Addr().String(), Discovery: s.Listener.Addr().String(), Desired: fleet.Running}
 		w.Instances = append(w.Instances, i)
 		w.Configs[name] = fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"mark":"0","seed":"8c1f","limits":{"cores":1,"memory_mb":64,"sockets":128},"settings":%s}`,
-			name, i.Listen, i.List, settings)
+			name, i.Listen, i.Discovery, settings)
 	}
 	return w
 }
--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -23,7 +23,7 @@
 	"pearknot/internal/fleet"
 )
 
-// schema is the version of what is kept; another one is refused.
+// schema is the version of the stored form; another one is refused.
 const schema = 1
 
 const (
@@ -33,41 +33,41 @@
 
 var bucket = []byte("state")
 
-// store is the agent's durable state, with one writer. Every value carries its checksum, and one key the checksum of
-// all, so that whatever was cut short or flipped is found when it is read.
+// store is the agent's durable state, with one writer. Every value has a checksum, and one key holds the checksum of all, so
+// that truncated or altered data is found when it is read.
 type store struct {
-	dir   string
-	db    *bbolt.DB
-	held  map[string]string // as it is on disk
-	fresh bool              // there is something that no snapshot has
-	log   *slog.Logger
+	dir               string
+	db                *bbolt.DB
+	onDisk            map[string]string // keys and values as stored
+	newerThanSnapshot bool              // the database has what the snapshot file has not
+	log               *slog.Logger
 }
 
 var errDamaged = boltfile.ErrDamaged
 
-// errBusy is a state that another agent has.
-var errBusy = errors.New("another agent has it")
+// errLocked means that another agent has the state open.
+var errLocked = errors.New("another agent has it")
 
-// errSchema is a state of another version of the agent: nothing is set aside for that.
+// errSchema means that another version of the agent wrote the state. The file is left as it is.
 var errSchema = errors.New("another schema")
 
-// openStore opens the state of a directory. A damaged file is set aside and the latest snapshot taken in its place;
-// recovered tells that this was so, and that what runs is to be believed over what was read.
+// openStore opens the state of a directory. A corrupt file is moved aside and replaced by the latest snapshot; recovered
+// reports that, and that what is observed to run takes precedence over what was read.
 func openStore(dir string, log *slog.Logger) (s *store, state fleet.State, recovered bool, err error) {
-	s = &store{dir: dir, held: map[string]string{}, log: log}
+	s = &store{dir: dir, onDisk: map[string]string{}, log: log}
 	path := filepath.Join(dir, stateFile)
 	kept, err := readState(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		kept = nil
-		if _, e := os.Stat(filepath.Join(dir, snapshotFile)); e == nil { // the state is gone, its snapshot not
+		if _, e := os.Stat(filepath.Join(dir, snapshotFile)); e == nil { // the state is missing, but not its snapshot
 			recovered = true
 		}
-	case errors.Is(err, errSchema), errors.Is(err, errBusy), errors.Is(err, os.ErrPermission):
+	case errors.Is(err, errSchema), errors.Is(err, errLocked), errors.Is(err, os.ErrPermission):
 		return nil, state, false, err
 	case err != nil:
 		aside := fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())
-		log.Error("state file damaged, set aside", "error", err, "as", aside)
+		log.Error("state file corrupt, moved aside", "error", err, "as", aside)
 		if err := os.Rename(path, aside); err != nil {
 			return nil, state, false, err
 		}
@@ -75,21 +75,21 @@
 	}
 	if recovered {
 		if kept, err = readSnapshot(filepath.Join(dir, snapshotFile)); err != nil {
-			log.Error("no snapshot can be read: the state is rebuilt from what runs", "error", err)
+			log.Error("state snapshot unreadable, rebuilding state from running instances", "error", err)
 			kept = nil
 		}
 	}
-	if state, err = decode(kept); err != nil { // whole by its checksums, and yet not readable: not ours to guess
+	if state, err = decode(kept); err != nil { // its checksums are right, so an operator has to look
 		return nil, state, false, fmt.Errorf("%s: %w", path, err)
 	}
-	// What was read goes into a fresh file: a damage in a place that reading does not touch ends here.
-	if err := s.begin(path, kept); err != nil {
+	// The content is written to a new file, so that damage in a place that reading does not touch ends here.
+	if err := s.createDatabase(path, kept); err != nil {
 		return nil, state, false, err
 	}
 	return s, state, recovered, nil
 }
 
-func (s *store) begin(path string, kept map[string]string) error {
+func (s *store) createDatabase(path string, kept map[string]string) error {
 	fresh := path + ".new"
 	if err := os.Remove(fresh); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -108,7 +108,7 @@
 
 func (s *store) close() error { return s.db.Close() }
 
-// save writes what differs from what is on disk, in one transaction that is durable when it returns.
+// save writes what has changed, in one transaction that is durable when save returns.
 func (s *store) save(state fleet.State) error {
 	now, err := encode(state)
 	if err != nil {
@@ -117,11 +117,11 @@
 	var gone []string
 	changed := map[string]string{}
 	for key, value := range now {
-		if s.held[key] != value {
+		if s.onDisk[key] != value {
 			changed[key] = value
 		}
 	}
-	for key := range s.held {
+	for key := range s.onDisk {
 		if _, there := now[key]; !there {
 			gone = append(gone, key)
 		}
@@ -133,8 +133,8 @@
 }
 
 func (s *store) write(changed map[string]string, gone []string) error {
-	next := make(map[string]string, len(s.held)+len(changed))
-	for k, v := range s.held {
+	next := make(map[string]string, len(s.onDisk)+len(changed))
+	for k, v := range s.onDisk {
 		next[k] = v
 	}
 	for k, v := range changed {
@@ -158,29 +158,29 @@
 				return err
 			}
 		}
-		return b.Put([]byte("sum"), total(next))
+		return b.Put([]byte("sum"), checksumOfAll(next))
 	})
 	if err == nil {
-		s.held, s.fresh = next, true
+		s.onDisk, s.newerThanSnapshot = next, true
 	}
 	return err
 }
 
-// snapshot writes all of it to a file of its own.
+// snapshot writes the whole state to the snapshot file.
 func (s *store) snapshot() error {
-	data, err := json.Marshal(s.held)
+	data, err := json.Marshal(s.onDisk)
 	if err != nil {
 		return err
 	}
 	if err := renameio.WriteFile(filepath.Join(s.dir, snapshotFile), boltfile.Seal(string(data)), 0o600); err != nil {
 		return err
 	}
-	s.fresh = false
+	s.newerThanSnapshot = false
 	return nil
 }
 
-// total is a checksum over all keys and values, whatever their order.
-func total(all map[string]string) []byte {
+// checksumOfAll returns a checksum over all keys and values that does not depend on their order.
+func checksumOfAll(all map[string]string) []byte {
 	sum := uint64(len(all))
 	for k, v := range all {
 		sum += xxhash.Sum64String(k + "\x00" + v)
@@ -188,7 +188,7 @@
 	return binary.BigEndian.AppendUint64(nil, sum)
 }
 
-// readState reads a state file whole, and trusts nothing in it that has no checksum.
+// readState reads a state file and verifies every checksum.
 func readState(path string) (kept map[string]string, err error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
@@ -196,7 +196,8 @@
 	if err := boltfile.Heads(path); err != nil {
 		return nil, err
 	}
-	// A file that was cut short is mapped beyond its end, and one with flipped bytes may send the reader anywhere.
+	// bbolt maps the file: one that was truncated is mapped beyond its end, and altered pages may point anywhere. Either shows as a
+	// fault of the memory or a panic in bbolt.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -207,7 +208,7 @@
 	if err != nil {
 		switch {
 		case errors.Is(err, berrors.ErrTimeout):
-			return nil, fmt.Errorf("%s: %w", path, errBusy)
+			return nil, fmt.Errorf("%s: %w", path, errLocked)
 		case errors.Is(err, os.ErrPermission):
 			return nil, err
 		}
@@ -223,7 +224,7 @@
 			return errDamaged
 		}
 		return b.ForEach(func(k, v []byte) error {
-			if steps++; steps > 1_000_000 { // pages that point at each other
+			if steps++; steps > 1_000_000 { // altered pages that form a cycle
 				return errDamaged
 			}
 			if string(k) == "sum" {
@@ -235,16 +236,16 @@
 			return err
 		})
 	})
-	if err == nil && string(sum) != string(total(kept)) {
+	if err == nil && string(sum) != string(checksumOfAll(kept)) {
 		err = errDamaged
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return kept, version(kept, path)
+	return kept, checkSchema(kept, path)
 }
 
-func version(kept map[string]string, path string) error {
+func checkSchema(kept map[string]string, path string) error {
 	if v := kept["schema"]; v != "" && v != fmt.Sprint(schema) {
 		return fmt.Errorf("%s: %w: version %s, this agent has %d", path, errSchema, v, schema)
 	}
@@ -264,10 +265,10 @@
 	if err := json.Unmarshal([]byte(text), &kept); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return kept, version(kept, path)
+	return kept, checkSchema(kept, path)
 }
 
-// encode puts a state into keys, so that a step writes a record and not the whole.
+// encode maps a state to keys and values, one for each record, so that a step writes its record alone.
 func encode(s fleet.State) (map[string]string, error) {
 	all := map[string]string{"schema": fmt.Sprint(schema), "revision": fmt.Sprint(s.Revision)}
 	put := func(key string, v any) error {
--- a/internal/agent/store_test.go
+++ b/internal/agent/store_test.go
@@ -18,17 +18,17 @@
 var discard = slog.New(slog.DiscardHandler)
 
 func sample() fleet.State {
-	f := fleet.New(fleet.State{}, fleet.Defaults())
+	f := fleet.New(fleet.State{}, fleet.DefaultTiming())
 	set := fleet.Set{}
 	for k := range 5 {
 		n := fmt.Sprintf("n%d", k)
-		set[n] = fleet.Instance{Name: n, Listen: fmt.Sprintf("127.0.0.1:%d", k+1), Digest: "d", Wanted: fleet.Running}
+		set[n] = fleet.Instance{Name: n, Listen: fmt.Sprintf("127.0.0.1:%d", k+1), Digest: "d", Desired: fleet.Running}
 	}
-	if _, err := f.Propose(1, 0, set, fleet.Change{Author: "a", Reason: "r", What: "apply", Options: fleet.Options{AtOnce: 3}}); err != nil {
+	if _, err := f.Propose(1, 0, set, fleet.Change{Author: "a", Reason: "r", Command: "apply", Options: fleet.Options{MaxUnavailable: 3}}); err != nil {
 		panic(err)
 	}
 	for n := range set {
-		f.Begin(2, fleet.Action{Step: fleet.Start, Name: n, Instance: set[n]}, "t"+n)
+		f.StepStarted(2, fleet.Action{Step: fleet.StepStart, Name: n, Instance: set[n]}, "t"+n)
 	}
 	return f.State
 }
@@ -103,7 +103,7 @@
 	s, _, _, err := openStore(dir, discard)
 	require.NoError(t, err)
 	_, _, _, err = openStore(dir, discard)
-	assert.ErrorIs(t, err, errBusy)
+	assert.ErrorIs(t, err, errLocked)
 	require.NoError(t, s.save(sample()), "the first goes on")
 	require.NoError(t, s.close())
 }
--- /dev/null
+++ b/internal/fleet/errors.go
@@ -0,0 +1,43 @@
+package fleet
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// ConflictError refuses a write that was based on another revision than the current one: somebody else has written since.
+type ConflictError struct {
+	Based, Current uint64
+	Since          []Change // what changed in between
+}
+
+// Error lists the changes since the revision that the write was based on.
+func (c *ConflictError) Error() string {
+	var by []string
+	for _, x := range c.Since {
+		by = append(by, fmt.Sprintf("change %d by %s (%s: %s)", x.ID, x.Author, x.Command, x.Reason))
+	}
+	return fmt.Sprintf("made from revision %d, the fleet is at %d: %s", c.Based, c.Current, strings.Join(by, ", "))
+}
+
+// BusyError refuses a write while a change is in progress.
+type BusyError struct{ Change Change }
+
+// Error says how far the change is.
+func (b *BusyError) Error() string {
+	return fmt.Sprintf("change %d by %s is %s, %d of %d instances done: wait, or roll it back", b.Change.ID, b.Change.Author,
+		b.Change.Status, len(b.Change.Healthy), len(b.Change.Order))
+}
+
+// ErrNoChange refuses a write that would change nothing.
+var ErrNoChange = errors.New("nothing to change")
+
+func (f *Fleet) conflict(revision uint64) *ConflictError {
+	c := &ConflictError{Based: revision, Current: f.Revision}
+	if missed := int(f.Revision) - int(revision); missed > 0 {
+		c.Since = slices.Clone(f.Changes[max(0, len(f.Changes)-missed):])
+	}
+	return c
+}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 )
 
 func instance(name, digest string) Instance {
-	return Instance{Name: name, Listen: "127.0.0.1:" + name[1:], Digest: digest, List: "list:1", Wanted: Running}
+	return Instance{Name: name, Listen: "127.0.0.1:" + name[1:], Digest: digest, Discovery: "list:1", Desired: Running}
 }
 
 func set(n int, digest string) Set {
@@ -54,7 +54,7 @@
 
 func newWorld(t *rapid.T) *world {
 	w := &world{t: t, now: 1e6, procs: map[string]*process{}, bad: map[string]bool{}, dies: map[string]bool{}, blind: map[string]bool{}}
-	w.f = New(State{}, Defaults())
+	w.f = New(State{}, DefaultTiming())
 	w.save()
 	return w
 }
@@ -72,7 +72,7 @@
 	if err := json.Unmarshal(w.disk, &s); err != nil {
 		panic(err)
 	}
-	w.f = New(s, Defaults())
+	w.f = New(s, DefaultTiming())
 }
 
 func (w *world) look() {
@@ -87,23 +87,23 @@
 		p, r := w.procs[n], w.f.Records[n]
 		switch {
 		case w.blind[n]:
-			w.f.See(n, Seen{Phase: Unknown, At: w.now, Why: "blind"})
+			w.f.Observe(n, Observation{Phase: PhaseUnknown, ObservedAt: w.now, Reason: "blind"})
 		case p == nil:
 			if r.StartedAt > 0 {
-				w.f.Gone(w.now, n, "ended by itself")
+				w.f.InstanceExited(w.now, n, "ended by itself")
 			}
-			w.f.See(n, Seen{Phase: Down, At: w.now})
+			w.f.Observe(n, Observation{Phase: PhaseDown, ObservedAt: w.now})
 		case p.token != r.Token:
-			w.f.See(n, Seen{Phase: Alien, At: w.now, Why: "token"})
+			w.f.Observe(n, Observation{Phase: PhaseForeign, ObservedAt: w.now, Reason: "token"})
 		default:
-			s := Seen{Phase: Starting, At: w.now, Digest: p.digest, Epoch: p.epoch, List: p.list, InService: p.in}
+			s := Observation{Phase: PhaseStarting, ObservedAt: w.now, Digest: p.digest, Epoch: p.epoch, Discovery: p.list, InService: p.in}
 			if p.ready {
-				s.Phase = Ready
+				s.Phase = PhaseReady
 			}
 			if p.term {
-				s.Phase = Ending
+				s.Phase = PhaseShuttingDown
 			}
-			w.f.See(n, s)
+			w.f.Observe(n, s)
 		}
 	}
 }
@@ -112,42 +112,42 @@
 func (w *world) step(a Action, cut int) bool {
 	w.serial++
 	token := fmt.Sprint("t", w.serial)
-	w.f.Begin(w.now, a, token)
+	w.f.StepStarted(w.now, a, token)
 	w.save()
 	if cut == 0 {
 		return false
 	}
 	p := w.procs[a.Name]
 	switch a.Step {
-	case Start:
+	case StepStart:
 		if p != nil {
 			w.t.Fatalf("%s started while it runs", a.Name)
 		}
-		w.procs[a.Name] = &process{token: token, digest: a.Instance.Digest, epoch: a.Instance.Epoch, list: a.Instance.List, since: w.now}
+		w.procs[a.Name] = &process{token: token, digest: a.Instance.Digest, epoch: a.Instance.Epoch, list: a.Instance.Discovery, since: w.now}
 		if w.wrong != "" {
 			w.procs[a.Name].list = w.wrong
 		}
-	case Terminate:
+	case StepTerminate:
 		if p != nil {
 			p.term = true
 			if !w.stubborn {
 				delete(w.procs, a.Name)
 			}
 		}
-	case Kill:
+	case StepKill:
 		if !p.term {
 			w.t.Fatalf("%s killed before it was told to end", a.Name)
 		}
 		delete(w.procs, a.Name)
-	case Admit:
+	case StepAdmit:
 		p.in = true
-	case Withhold:
+	case StepWithdraw:
 		p.in = false
 	}
 	if cut == 1 {
 		return false
 	}
-	w.f.End(w.now, a, 1, nil)
+	w.f.StepEnded(w.now, a, 1, nil)
 	if cut == 2 {
 		return false
 	}
@@ -185,7 +185,7 @@
 }
 
 func (w *world) propose(to Set, o Options) error {
-	_, err := w.f.Propose(w.now, w.f.Revision, to, Change{Author: "a", Reason: "r", What: "apply", Options: o})
+	_, err := w.f.Propose(w.now, w.f.Revision, to, Change{Author: "a", Reason: "r", Command: "apply", Options: o})
 	if err == nil {
 		w.save()
 	}
@@ -197,10 +197,10 @@
 	g := w.f.Current()
 	for name, i := range g.Set {
 		p := w.procs[name]
-		if i.Wanted == Running && (p == nil || p.digest != i.Digest || p.epoch != i.Epoch || !p.in) {
+		if i.Desired == Running && (p == nil || p.digest != i.Digest || p.epoch != i.Epoch || !p.in) {
 			return fmt.Sprintf("%s is %+v, generation %d wants %+v", name, p, g.Number, i)
 		}
-		if i.Wanted == Stopped && p != nil {
+		if i.Desired == Stopped && p != nil {
 			return name + " runs"
 		}
 	}
@@ -222,13 +222,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		n := rapid.IntRange(1, 12).Draw(t, "n")
-		require.NoError(t, w.propose(set(n, "a"), Options{AtOnce: n}))
+		require.NoError(t, w.propose(set(n, "a"), Options{MaxUnavailable: n}))
 		w.run(20)
 		require.Empty(t, w.settled())
 		require.Equal(t, Succeeded, w.f.Latest().Status)
 		most := rapid.IntRange(1, 4).Draw(t, "at once")
 		canary := rapid.IntRange(0, 3).Draw(t, "canary")
-		require.NoError(t, w.propose(set(n, "b"), Options{AtOnce: most, Canary: canary, HealthMs: 400}))
+		require.NoError(t, w.propose(set(n, "b"), Options{MaxUnavailable: most, Canary: canary, HealthMs: 400}))
 		for range 400 {
 			w.turn(-1)
 			out, changed := 0, 0
@@ -242,10 +242,10 @@
 			if out > most {
 				t.Fatalf("%d out of service, %d allowed", out, most)
 			}
-			if c := min(canary, n); c > 0 && len(w.f.Latest().Done) < c && out+changed > c {
+			if c := min(canary, n); c > 0 && len(w.f.Latest().Healthy) < c && out+changed > c {
 				t.Fatal("others before the canaries were well")
 			}
-			if w.f.Latest().Status.Over() {
+			if w.f.Latest().Status.IsFinal() {
 				break
 			}
 		}
@@ -261,10 +261,10 @@
 	} {
 		rapid.Check(t, func(t *rapid.T) {
 			w := newWorld(t)
-			require.NoError(t, w.propose(set(6, "a"), Options{AtOnce: 6}))
+			require.NoError(t, w.propose(set(6, "a"), Options{MaxUnavailable: 6}))
 			w.run(20)
 			spoil(w)
-			require.NoError(t, w.propose(set(8, "b"), Options{AtOnce: 2, Canary: 1}))
+			require.NoError(t, w.propose(set(8, "b"), Options{MaxUnavailable: 2, Canary: 1}))
 			w.run(300)
 			c := w.f.Latest()
 			require.Equal(t, RolledBack, c.Status, name)
@@ -280,20 +280,20 @@
 func TestRollBackKeepsItsPace(t *testing.T) {
 	for _, most := range []int{1, 2} {
 		w := newWorld(nil)
-		require.NoError(t, w.propose(set(8, "a"), Options{AtOnce: 8}))
+		require.NoError(t, w.propose(set(8, "a"), Options{MaxUnavailable: 8}))
 		w.run(20)
-		require.NoError(t, w.propose(set(8, "b"), Options{AtOnce: most}))
-		for len(w.f.Latest().Done) < 6 {
+		require.NoError(t, w.propose(set(8, "b"), Options{MaxUnavailable: most}))
+		for len(w.f.Latest().Healthy) < 6 {
 			w.turn(-1)
 		}
 		w.dies["c"] = true
 		for _, name := range w.f.Latest().Order { // one of those that were well dies, and does so again
-			if w.f.Latest().Done[name] {
+			if w.f.Latest().Healthy[name] {
 				w.procs[name].digest, w.procs[name].since = "c", 0
 				break
 			}
 		}
-		for k := 0; !w.f.Latest().Status.Over() && k < 500; k++ {
+		for k := 0; !w.f.Latest().Status.IsFinal() && k < 500; k++ {
 			w.turn(-1)
 			out := 0
 			for name := range w.f.Current().Set {
@@ -312,17 +312,17 @@
 // A change that stops on failure leaves what it has not reached as it is, and the next one begins from what stands.
 func TestStopOnFailure(t *testing.T) {
 	w := newWorld(nil)
-	require.NoError(t, w.propose(set(6, "a"), Options{AtOnce: 6}))
+	require.NoError(t, w.propose(set(6, "a"), Options{MaxUnavailable: 6}))
 	w.run(20)
 	w.bad["b"] = true
-	require.NoError(t, w.propose(set(6, "b"), Options{AtOnce: 1, NoRevert: true}))
+	require.NoError(t, w.propose(set(6, "b"), Options{MaxUnavailable: 1, NoRollback: true}))
 	w.run(300)
 	require.Equal(t, Stuck, w.f.Latest().Status)
 	for name, p := range w.procs {
 		require.Equal(t, map[bool]string{true: "b", false: "a"}[name == "n000"], p.digest, name)
 	}
 	delete(w.bad, "b")
-	require.NoError(t, w.propose(set(6, "b"), Options{AtOnce: 2}))
+	require.NoError(t, w.propose(set(6, "b"), Options{MaxUnavailable: 2}))
 	w.run(100)
 	require.Equal(t, Succeeded, w.f.Latest().Status)
 	require.Empty(t, w.settled())
@@ -331,32 +331,32 @@
 // A start that fails is counted once.
 func TestStartThatFails(t *testing.T) {
 	w := newWorld(nil)
-	require.NoError(t, w.propose(set(1, "a"), Options{NoRevert: true}))
+	require.NoError(t, w.propose(set(1, "a"), Options{NoRollback: true}))
 	w.look()
 	a := w.f.Plan(w.now)[0]
-	w.f.Begin(w.now, a, "t")
-	w.f.End(w.now, a, 0, errors.New("no such file"))
+	w.f.StepStarted(w.now, a, "t")
+	w.f.StepEnded(w.now, a, 0, errors.New("no such file"))
 	w.look()
-	require.Len(t, w.f.Records["n000"].Tries, 1)
-	require.Equal(t, "no such file", w.f.Records["n000"].Fault)
+	require.Len(t, w.f.Records["n000"].Failures, 1)
+	require.Equal(t, "no such file", w.f.Records["n000"].LastFailure)
 }
 
 func TestRevertByHand(t *testing.T) {
 	w := newWorld(nil)
-	require.NoError(t, w.propose(set(4, "a"), Options{AtOnce: 4}))
+	require.NoError(t, w.propose(set(4, "a"), Options{MaxUnavailable: 4}))
 	_, err := w.f.Propose(w.now, w.f.Revision, set(4, "b"), Change{})
-	var busy *Busy
+	var busy *BusyError
 	require.ErrorAs(t, err, &busy)
 	w.run(20)
-	require.NoError(t, w.propose(set(4, "b"), Options{AtOnce: 1, HealthMs: 1e6}))
+	require.NoError(t, w.propose(set(4, "b"), Options{MaxUnavailable: 1, HealthMs: 1e6}))
 	w.run(10)
-	_, err = w.f.Revert(w.now, w.f.Revision, "me", "no")
+	_, err = w.f.RollBack(w.now, w.f.Revision, "me", "no")
 	require.NoError(t, err)
 	w.run(40)
 	assert.Equal(t, RolledBack, w.f.Latest().Status)
 	assert.Contains(t, w.f.Latest().Failure, "rolled back by me: no")
 	assert.Empty(t, w.settled())
-	_, err = w.f.Revert(w.now, w.f.Revision, "me", "no")
+	_, err = w.f.RollBack(w.now, w.f.Revision, "me", "no")
 	assert.Error(t, err)
 }
 
@@ -373,18 +373,18 @@
 				to := set(rapid.IntRange(0, 6).Draw(t, "n"), rapid.SampledFrom(digests).Draw(t, "digest"))
 				for _, name := range to.Names() {
 					if i := to[name]; rapid.IntRange(0, 4).Draw(t, "stop") == 0 {
-						i.Wanted = Stopped
+						i.Desired = Stopped
 						to[name] = i
 					}
 				}
-				err := w.propose(to, Options{AtOnce: rapid.IntRange(1, 3).Draw(t, "at once")})
-				var busy *Busy
-				if err != nil && !errors.As(err, &busy) && !errors.Is(err, ErrNothing) {
+				err := w.propose(to, Options{MaxUnavailable: rapid.IntRange(1, 3).Draw(t, "at once")})
+				var busy *BusyError
+				if err != nil && !errors.As(err, &busy) && !errors.Is(err, ErrNoChange) {
 					t.Fatal(err)
 				}
 			},
 			"revert": func(*rapid.T) {
-				if _, err := w.f.Revert(w.now, w.f.Revision, "x", "y"); err == nil {
+				if _, err := w.f.RollBack(w.now, w.f.Revision, "x", "y"); err == nil {
 					w.save()
 				}
 			},
@@ -402,15 +402,15 @@
 		clear(w.bad)
 		for range 2000 {
 			w.turn(-1)
-			if c := w.f.Latest(); (c == nil || c.Status.Over()) && w.settled() == "" {
+			if c := w.f.Latest(); (c == nil || c.Status.IsFinal()) && w.settled() == "" {
 				return
 			}
 		}
 		halted := false
 		for _, r := range w.f.Records {
-			halted = halted || r.Halted
+			halted = halted || r.CrashLooping
 		}
-		if c := w.f.Latest(); c != nil && (!c.Status.Over() || !halted && c.Status != Stuck) {
+		if c := w.f.Latest(); c != nil && (!c.Status.IsFinal() || !halted && c.Status != Stuck) {
 			t.Fatalf("not settled: %s; change %+v; records %+v", w.settled(), *c, w.f.Records)
 		}
 	})
@@ -418,14 +418,14 @@
 
 // Of conflicting writes made from one revision exactly one is taken, and the other told by whom.
 func TestConflict(t *testing.T) {
-	f := New(State{}, Defaults())
-	_, err := f.Propose(1, 0, set(2, "a"), Change{Author: "ann", Reason: "first", What: "apply"})
+	f := New(State{}, DefaultTiming())
+	_, err := f.Propose(1, 0, set(2, "a"), Change{Author: "ann", Reason: "first", Command: "apply"})
 	require.NoError(t, err)
 	_, err = f.Propose(1, 0, set(2, "b"), Change{Author: "bob"})
-	var c *Conflict
+	var c *ConflictError
 	require.ErrorAs(t, err, &c)
 	assert.Equal(t, "made from revision 0, the fleet is at 1: change 1 by ann (apply: first)", err.Error())
-	_, err = f.Revert(1, 0, "bob", "")
+	_, err = f.RollBack(1, 0, "bob", "")
 	require.ErrorAs(t, err, &c)
 }
 
@@ -435,46 +435,46 @@
 	other.Listen = two["n000"].Listen
 	two["n001"] = other
 	for want, s := range map[string]Set{
-		"listens on": two, "no name for a file": {"../x": Instance{Name: "../x", Wanted: Running}},
-		"wanted is": {"x": Instance{Name: "x", Wanted: "maybe"}},
+		"listens on": two, "no name for a file": {"../x": Instance{Name: "../x", Desired: Running}},
+		"wanted is": {"x": Instance{Name: "x", Desired: "maybe"}},
 	} {
-		_, err := New(State{}, Defaults()).Propose(0, 0, s, Change{})
+		_, err := New(State{}, DefaultTiming()).Propose(0, 0, s, Change{})
 		assert.ErrorContains(t, err, want)
 	}
-	_, err := New(State{}, Defaults()).Propose(0, 0, Set{}, Change{})
-	assert.ErrorIs(t, err, ErrNothing)
+	_, err := New(State{}, DefaultTiming()).Propose(0, 0, Set{}, Change{})
+	assert.ErrorIs(t, err, ErrNoChange)
 }
 
 // What is seen is judged honestly: unknown is a value, both digests are shown, and a wrong list is kept out of service.
 func TestJudge(t *testing.T) {
-	base := Seen{Phase: Ready, Digest: "a", List: "list:1", ListAt: 7, ListSum: "good", InService: true}
-	with := func(f func(*Seen)) Seen { s := base; f(&s); return s }
+	base := Observation{Phase: PhaseReady, Digest: "a", Discovery: "list:1", ListVersion: 7, ListDigest: "good", InService: true}
+	with := func(f func(*Observation)) Observation { s := base; f(&s); return s }
 	for name, c := range map[string]struct {
-		seen Seen
-		want Verdict
+		seen Observation
+		want InstanceVerdict
 		why  string
 		step Step
 	}{
-		"as wanted":                 {base, AsWanted, "", ""},
-		"unknown":                   {Seen{Phase: Unknown, Why: "no answer"}, NotKnown, "no answer", ""},
-		"alien":                     {Seen{Phase: Alien, Why: "token"}, CantProve, "token", ""},
-		"down":                      {Seen{Phase: Down}, OnTheWay, "", Start},
-		"wrong source":              {with(func(s *Seen) { s.List = "list:2" }), WrongList, "declared list:1 (good), asks list:2 (good)", Withhold},
-		"wrong content":             {with(func(s *Seen) { s.ListSum = "bad" }), WrongList, "declared good, holds bad at version 7 of list:1", Withhold},
-		"another version":           {with(func(s *Seen) { s.ListSum, s.ListAt = "bad", 6 }), AsWanted, "", ""},
-		"wrong, out":                {with(func(s *Seen) { s.List, s.InService = "list:2", false }), WrongList, "asks list:2", ""},
-		"out of service":            {with(func(s *Seen) { s.InService = false }), OnTheWay, "out of service", Admit},
-		"configuration":             {with(func(s *Seen) { s.Digest = "z" }), WrongFile, "declared a, runs z", Withhold},
-		"configuration, out":        {with(func(s *Seen) { s.Digest, s.InService = "z", false }), WrongFile, "declared a, runs z", ""},
-		"starting":                  {Seen{Phase: Starting}, OnTheWay, "starting", ""},
-		"ended while it was wanted": {Seen{Phase: Ending}, OnTheWay, "ending", ""},
+		"as wanted":                 {base, VerdictAsDeclared, "", ""},
+		"unknown":                   {Observation{Phase: PhaseUnknown, Reason: "no answer"}, VerdictUnknown, "no answer", ""},
+		"alien":                     {Observation{Phase: PhaseForeign, Reason: "token"}, VerdictForeign, "token", ""},
+		"down":                      {Observation{Phase: PhaseDown}, VerdictInProgress, "", StepStart},
+		"wrong source":              {with(func(s *Observation) { s.Discovery = "list:2" }), VerdictWrongList, "declared list:1 (good), asks list:2 (good)", StepWithdraw},
+		"wrong content":             {with(func(s *Observation) { s.ListDigest = "bad" }), VerdictWrongList, "declared good, holds bad at version 7 of list:1", StepWithdraw},
+		"another version":           {with(func(s *Observation) { s.ListDigest, s.ListVersion = "bad", 6 }), VerdictAsDeclared, "", ""},
+		"wrong, out":                {with(func(s *Observation) { s.Discovery, s.InService = "list:2", false }), VerdictWrongList, "asks list:2", ""},
+		"out of service":            {with(func(s *Observation) { s.InService = false }), VerdictInProgress, "out of service", StepAdmit},
+		"configuration":             {with(func(s *Observation) { s.Digest = "z" }), VerdictWrongConfig, "declared a, runs z", StepWithdraw},
+		"configuration, out":        {with(func(s *Observation) { s.Digest, s.InService = "z", false }), VerdictWrongConfig, "declared a, runs z", ""},
+		"starting":                  {Observation{Phase: PhaseStarting}, VerdictInProgress, "starting", ""},
+		"ended while it was wanted": {Observation{Phase: PhaseShuttingDown}, VerdictInProgress, "ending", ""},
 	} {
 		f := New(State{Generations: []Generation{{1, Set{"n1": instance("n1", "a")}}},
-			Records: map[string]Record{"n1": {Name: "n1", Digest: "a", StartedAt: 1000}}}, Defaults())
-		f.Attest("list:1", Witness{Version: 7, Sum: "good"})
-		c.seen.At = 1000
-		f.See("n1", c.seen)
-		v, why := f.Judge(1000, "n1")
+			Records: map[string]Record{"n1": {Name: "n1", Digest: "a", StartedAt: 1000}}}, DefaultTiming())
+		f.SourceRead("list:1", SourceDigest{Version: 7, Digest: "good"})
+		c.seen.ObservedAt = 1000
+		f.Observe("n1", c.seen)
+		v, why := f.Verdict(1000, "n1")
 		assert.Equal(t, c.want, v, name)
 		assert.Contains(t, why, c.why, name)
 		actions := f.Plan(1000)
@@ -483,8 +483,8 @@
 		} else if assert.Len(t, actions, 1, name) {
 			assert.Equal(t, c.step, actions[0].Step, name)
 		}
-		v, why = f.Judge(1000+Defaults().SeenWithin+1, "n1")
-		assert.Equal(t, NotKnown, v, "never the last good value")
+		v, why = f.Verdict(1000+DefaultTiming().ObservationTTL+1, "n1")
+		assert.Equal(t, VerdictUnknown, v, "never the last good value")
 		assert.NotEmpty(t, why)
 	}
 }
@@ -493,7 +493,7 @@
 func TestCrashLoop(t *testing.T) {
 	w := newWorld(nil)
 	w.dies["a"] = true
-	require.NoError(t, w.propose(set(3, "a"), Options{AtOnce: 3, NoRevert: true}))
+	require.NoError(t, w.propose(set(3, "a"), Options{MaxUnavailable: 3, NoRollback: true}))
 	starts := map[string][]float64{}
 	for range 600 {
 		w.now += 200
@@ -504,7 +504,7 @@
 		}
 		w.look()
 		for _, a := range w.f.Plan(w.now) {
-			if a.Step == Start {
+			if a.Step == StepStart {
 				starts[a.Name] = append(starts[a.Name], w.now)
 			}
 			w.step(a, -1)
@@ -512,15 +512,15 @@
 	}
 	assert.Equal(t, Stuck, w.f.Latest().Status)
 	for n, at := range starts {
-		require.Len(t, at, Defaults().LoopCount, n)
+		require.Len(t, at, DefaultTiming().CrashLoopCount, n)
 		assert.Greater(t, at[4]-at[3], at[1]-at[0])
-		v, why := w.f.Judge(w.now, n)
-		assert.Equal(t, CrashLoop, v)
+		v, why := w.f.Verdict(w.now, n)
+		assert.Equal(t, VerdictCrashLoop, v)
 		assert.Contains(t, why, "ended by itself")
 	}
 	assert.NotEqual(t, starts["n000"], starts["n001"])
 	delete(w.dies, "a")
-	require.NoError(t, w.propose(w.f.Current().Set, Options{AtOnce: 3}), "the operator's word gives another chance")
+	require.NoError(t, w.propose(w.f.Current().Set, Options{MaxUnavailable: 3}), "the operator's word gives another chance")
 	w.run(30)
 	assert.Empty(t, w.settled())
 }
@@ -540,19 +540,19 @@
 		w.turn(-1)
 		require.Less(t, w.now, 1.1e6)
 	}
-	assert.GreaterOrEqual(t, w.now-told, Defaults().EndWithin)
+	assert.GreaterOrEqual(t, w.now-told, DefaultTiming().ShutdownTimeout)
 }
 
 func many(n int) (*Fleet, float64) {
-	f := New(State{}, Defaults())
+	f := New(State{}, DefaultTiming())
 	now := 1000.0
 	s := Set{}
 	for k := range n {
-		i := Instance{Name: fmt.Sprintf("n%05d", k), Listen: fmt.Sprintf("127.0.0.1:%d", k), Digest: "a", List: "l", Wanted: Running}
+		i := Instance{Name: fmt.Sprintf("n%05d", k), Listen: fmt.Sprintf("127.0.0.1:%d", k), Digest: "a", Discovery: "l", Desired: Running}
 		s[i.Name] = i
-		f.See(i.Name, Seen{Phase: Ready, At: now, Digest: "a", List: "l", InService: true})
+		f.Observe(i.Name, Observation{Phase: PhaseReady, ObservedAt: now, Digest: "a", Discovery: "l", InService: true})
 	}
-	if _, err := f.Propose(now, 0, s, Change{Options: Options{AtOnce: n}}); err != nil {
+	if _, err := f.Propose(now, 0, s, Change{Options: Options{MaxUnavailable: n}}); err != nil {
 		panic(err)
 	}
 	f.Plan(now)
@@ -561,7 +561,7 @@
 		i.Digest = "b"
 		to[name] = i
 	}
-	if _, err := f.Propose(now, f.Revision, to, Change{Options: Options{AtOnce: n / 2}}); err != nil {
+	if _, err := f.Propose(now, f.Revision, to, Change{Options: Options{MaxUnavailable: n / 2}}); err != nil {
 		panic(err)
 	}
 	return f, now
--- a/internal/fleet/types.go
+++ b/internal/fleet/types.go
@@ -1,7 +1,11 @@
-// Package fleet decides what is to be done about many instances of the program on one host: declared ones and what was
-// seen of them come in, the next steps come out. It does no I/O, starts nothing and holds no clock: times are ms of the
-// caller's, and whatever it must not forget is in its State, which the caller writes down before and after each step.
-// A crash between any two of those is healed by looking again: steps follow from what is seen, not from what was meant.
+// Package fleet decides what is to be done about the instances of the program on one host. The declared instances and what
+// was observed of them come in, the next steps come out; changes are rolled out a few instances at a time, and rolled back
+// when one fails. The package has no I/O and no clock: times are ms that the caller passes in.
+//
+// What must survive a crash of the agent is in State, which the caller stores before and after each step. A crash between
+// the two is safe, because steps follow from what is observed, not from what was intended: the next agent observes again.
+//
+// JSON names and enumerated strings are stored and part of the agent's API, so some keep words of earlier versions.
 package fleet
 
 import (
@@ -9,186 +13,186 @@
 	"slices"
 )
 
-// Wanted is whether an instance is to run.
-type Wanted string
+// DesiredState is whether an instance is to run.
+type DesiredState string
 
-// Whether an instance is to run.
+// The desired states.
 const (
-	Running Wanted = "running"
-	Stopped Wanted = "stopped"
+	Running DesiredState = "running"
+	Stopped DesiredState = "stopped"
 )
 
-// Instance is one as declared.
+// Instance is a declared instance.
 type Instance struct {
-	Name   string `json:"name"`
-	Listen string `json:"listen"`
-	Config string `json:"config"` // file; the instance gets a copy of what it was at the declaration
-	Digest string `json:"digest"` // of that copy
-	List   string `json:"list"`   // where the list is asked for
-	Wanted Wanted `json:"wanted"`
-	Epoch  uint64 `json:"epoch"` // counts restarts asked for
+	Name      string       `json:"name"`
+	Listen    string       `json:"listen"`
+	Config    string       `json:"config"` // the operator's file; the instance runs a copy of what it was when declared
+	Digest    string       `json:"digest"` // of that copy
+	Discovery string       `json:"list"`   // address of the endpoint list's source
+	Desired   DesiredState `json:"wanted"`
+	Epoch     uint64       `json:"epoch"` // number of restarts that operators have asked for
 }
 
-// Set is all that is declared, by name.
+// Set is a set of declared instances, by name.
 type Set map[string]Instance
 
-// Names are in order.
+// Names returns the names, sorted.
 func (s Set) Names() []string { return slices.Sorted(maps.Keys(s)) }
 
-// Clone is a set of its own.
+// Clone returns a copy.
 func (s Set) Clone() Set { return maps.Clone(s) }
 
-// Generation is a set with its number; numbers only grow.
+// Generation is a set with its number. Numbers only grow.
 type Generation struct {
 	Number uint64 `json:"number"`
 	Set    Set    `json:"set"`
 }
 
-// Phase is what an instance is seen to be.
+// Phase is the state of an instance's process, as observed.
 type Phase string
 
-// Phases of an instance, as the agent observes them.
+// The phases.
 const (
-	Unknown  Phase = "unknown" // it can't be told now: never the last good value
-	Down     Phase = "down"    // proven: nothing holds its lock
-	Starting Phase = "starting"
-	Ready    Phase = "ready" // it holds a list and could serve
-	Ending   Phase = "ending"
-	Alien    Phase = "alien" // its lock is held by what can't prove to be it: nothing is done to it
+	PhaseUnknown      Phase = "unknown" // it can't be told now; the last known phase is not assumed
+	PhaseDown         Phase = "down"    // proven: no process holds its lock
+	PhaseStarting     Phase = "starting"
+	PhaseReady        Phase = "ready" // it has an endpoint list and could serve
+	PhaseShuttingDown Phase = "ending"
+	PhaseForeign      Phase = "alien" // its lock is held by a process that can't prove to be the instance: nothing is done to it
 )
 
-// Seen is what was seen of an instance.
-type Seen struct {
-	Phase     Phase   `json:"phase"`
-	At        float64 `json:"at"` // when
-	Pid       int     `json:"pid,omitempty"`
-	Digest    string  `json:"digest,omitempty"` // of the configuration that it runs
-	Epoch     uint64  `json:"epoch,omitempty"`
-	List      string  `json:"list,omitempty"` // where it asks for the list
-	ListAt    uint64  `json:"list_version,omitempty"`
-	ListSum   string  `json:"list_digest,omitempty"`
-	InService bool    `json:"in_service"`
-	Open      int64   `json:"open_ops"`
-	MemoryMB  float64 `json:"memory_mb,omitempty"`
-	CertStage string  `json:"cert_stage,omitempty"` // of the certificate that ends first
-	CertEnds  float64 `json:"cert_ends,omitempty"`  // Unix ms; 0 where it is missing
-	Settings  string  `json:"settings,omitempty"`   // that the control plane has put in force: version, digest, age, member
-	Why       string  `json:"why,omitempty"`        // of Unknown, Alien
-	Proven    bool    `json:"proven"`               // the process that holds its lock is the one that was started
+// Observation is what was observed of an instance.
+type Observation struct {
+	Phase        Phase   `json:"phase"`
+	ObservedAt   float64 `json:"at"` // ms
+	PID          int     `json:"pid,omitempty"`
+	Digest       string  `json:"digest,omitempty"` // of the configuration that it runs
+	Epoch        uint64  `json:"epoch,omitempty"`
+	Discovery    string  `json:"list,omitempty"` // address where it polls its endpoint list
+	ListVersion  uint64  `json:"list_version,omitempty"`
+	ListDigest   string  `json:"list_digest,omitempty"`
+	InService    bool    `json:"in_service"`
+	OpenRequests int64   `json:"open_ops"`
+	MemoryMB     float64 `json:"memory_mb,omitempty"`
+	CertStage    string  `json:"cert_stage,omitempty"` // of the certificate that expires first
+	CertExpiry   float64 `json:"cert_ends,omitempty"`  // Unix ms; 0 if the certificate is missing
+	Settings     string  `json:"settings,omitempty"`   // in force by the control plane: version, digest, age, member
+	Reason       string  `json:"why,omitempty"`        // for PhaseUnknown and PhaseForeign
+	IsProven     bool    `json:"proven"`               // the process that holds its lock is the one that was started
 }
 
-// Witness is what the agent itself read from a list's source.
-type Witness struct {
-	At      float64
+// SourceDigest is the version and digest of an endpoint list as the agent itself has read it from its source.
+type SourceDigest struct {
+	ReadAt  float64
 	Version uint64
-	Sum     string
+	Digest  string
 }
 
-// Status of a change.
+// Status is the status of a Change.
 type Status string
 
-// Statuses of a Change.
+// The statuses. Succeeded, RolledBack and Stuck are final.
 const (
-	Rolling    Status = "rolling"
-	Reverting  Status = "rolling back"
-	Succeeded  Status = "done"
-	RolledBack Status = "rolled back"
-	Stuck      Status = "stuck" // neither forward nor back: told to the operator, and left as it is, part here, part there
+	Rolling     Status = "rolling"
+	RollingBack Status = "rolling back"
+	Succeeded   Status = "done"
+	RolledBack  Status = "rolled back"
+	Stuck       Status = "stuck" // neither rolled out nor rolled back: left as it is, for the operator to decide
 )
 
-// Over tells whether nothing more happens by it.
-func (s Status) Over() bool { return s == Succeeded || s == RolledBack || s == Stuck }
+// IsFinal reports whether the change is over.
+func (s Status) IsFinal() bool { return s == Succeeded || s == RolledBack || s == Stuck }
 
-// Options are how a change rolls.
+// Options say how a change is rolled out.
 type Options struct {
-	AtOnce   int     `json:"at_once"`   // instances out of service at a time for it
-	Canary   int     `json:"canary"`    // that go first, alone
-	HealthMs float64 `json:"health_ms"` // so long one must stay in service before the next begin
-	NoRevert bool    `json:"no_revert"` // stop on failure, and leave it there
+	MaxUnavailable int     `json:"at_once"`   // instances that are out of service for the change at a time; at least 1
+	Canary         int     `json:"canary"`    // instances that are changed first, before all others
+	HealthMs       float64 `json:"health_ms"` // ms for which an instance must stay healthy before the next ones are changed
+	NoRollback     bool    `json:"no_revert"` // a failure stops the change and leaves it there
 }
 
-// Change is a transaction: from one generation to another.
+// Change takes the instances from one generation to another.
 type Change struct {
-	ID      uint64             `json:"id"`
-	At      float64            `json:"at"`
-	Author  string             `json:"author"`
-	Reason  string             `json:"reason"`
-	What    string             `json:"what"` // the command
-	From    uint64             `json:"from"`
-	To      uint64             `json:"to"`
-	Options Options            `json:"options"`
-	Order   []string           `json:"order"`   // those that differ, in the order in which they go
-	Reached int                `json:"reached"` // so many of Order are to be as in To, the others as in From
-	Most    int                `json:"most"`    // and so many were, when it was turned
-	Well    map[string]float64 `json:"well"`    // of those reached: since when it is as wanted
-	Done    map[string]bool    `json:"done"`    // and those that stayed so
-	Status  Status             `json:"status"`
-	Failure string             `json:"failure,omitempty"`
-	Ended   float64            `json:"ended,omitempty"`
+	ID           uint64             `json:"id"`
+	StartedAt    float64            `json:"at"`
+	Author       string             `json:"author"`
+	Reason       string             `json:"reason"`
+	Command      string             `json:"what"` // what the operator called
+	From         uint64             `json:"from"`
+	To           uint64             `json:"to"`
+	Options      Options            `json:"options"`
+	Order        []string           `json:"order"`   // the instances that differ, in the order in which they are changed
+	Reached      int                `json:"reached"` // the first Reached of Order are to be as in To, the others as in From
+	MaxReached   int                `json:"most"`    // Reached when the rollback began
+	HealthySince map[string]float64 `json:"well"`    // since when a reached instance is healthy, ms
+	Healthy      map[string]bool    `json:"done"`    // reached instances that stayed healthy for HealthMs
+	Status       Status             `json:"status"`
+	Failure      string             `json:"failure,omitempty"`
+	EndedAt      float64            `json:"ended,omitempty"`
 }
 
-// Clone is a change of its own: the core goes on writing into its maps.
+// Clone returns a copy that the fleet does not write to.
 func (c Change) Clone() Change {
-	c.Order, c.Well, c.Done = slices.Clone(c.Order), maps.Clone(c.Well), maps.Clone(c.Done)
+	c.Order, c.HealthySince, c.Healthy = slices.Clone(c.Order), maps.Clone(c.HealthySince), maps.Clone(c.Healthy)
 	return c
 }
 
-// Step is what the agent does about one instance.
+// Step is what the agent does to one instance.
 type Step string
 
-// Steps that the agent takes for one instance.
+// The steps.
 const (
-	Start     Step = "start"
-	Terminate Step = "terminate"
-	Kill      Step = "kill"
-	Admit     Step = "admit"
-	Withhold  Step = "withhold"
-	Forget    Step = "forget" // one no longer declared, and down: its files may go
+	StepStart     Step = "start"
+	StepTerminate Step = "terminate"
+	StepKill      Step = "kill"
+	StepAdmit     Step = "admit"
+	StepWithdraw  Step = "withhold"
+	StepForget    Step = "forget" // remove the files of an instance that is neither declared nor running
 )
 
-// Record is what the agent keeps of an instance between its own lives.
+// Record is what is stored of an instance across restarts of the agent. Times are ms.
 type Record struct {
-	Name      string    `json:"name"`
-	Doing     Step      `json:"doing,omitempty"` // written before it is taken, cleared after
-	Token     string    `json:"token,omitempty"` // that the process must answer with
-	Pid       int       `json:"pid,omitempty"`
-	Digest    string    `json:"digest,omitempty"` // of the configuration it was last started with
-	Epoch     uint64    `json:"epoch,omitempty"`
-	StartedAt float64   `json:"started_at,omitempty"`
-	TermAt    float64   `json:"term_at,omitempty"`
-	WasReady  bool      `json:"was_ready,omitempty"` // since that start
-	Tries     []float64 `json:"tries,omitempty"`     // of starts that came to nothing or ended by themselves, lately
-	NextAt    float64   `json:"next_at,omitempty"`
-	Halted    bool      `json:"halted,omitempty"` // in a crash loop: not started again by itself
-	Fault     string    `json:"fault,omitempty"`  // the latest
+	Name         string    `json:"name"`
+	PendingStep  Step      `json:"doing,omitempty"` // stored before the step is taken, cleared after
+	Token        string    `json:"token,omitempty"` // with which the process proves to be the instance
+	PID          int       `json:"pid,omitempty"`
+	Digest       string    `json:"digest,omitempty"` // of the configuration that it was last started with
+	Epoch        uint64    `json:"epoch,omitempty"`
+	StartedAt    float64   `json:"started_at,omitempty"`
+	TerminatedAt float64   `json:"term_at,omitempty"`
+	WasReady     bool      `json:"was_ready,omitempty"` // since that start
+	Failures     []float64 `json:"tries,omitempty"`     // recent starts that failed or exited by themselves
+	NextStartAt  float64   `json:"next_at,omitempty"`
+	CrashLooping bool      `json:"halted,omitempty"` // not started again until an operator changes it
+	LastFailure  string    `json:"fault,omitempty"`  // why the latest failure happened
 }
 
-// State is all that must outlive the agent.
+// State is all that must survive the agent.
 type State struct {
 	Revision    uint64            `json:"revision"`
-	Generations []Generation      `json:"generations"` // the latest last
-	Changes     []Change          `json:"changes"`     // the latest last
+	Generations []Generation      `json:"generations"` // oldest first
+	Changes     []Change          `json:"changes"`     // oldest first
 	Records     map[string]Record `json:"records"`
 }
 
-// Limits of what is kept.
+// Bounds of the stored history: enough to roll back and to see who changed what, in a state of a few hundred kB.
 const (
-	mostGenerations = 20
-	mostChanges     = 200
+	maxGenerations = 20
+	maxChanges     = 200
 )
 
-// Timing is how long things may take, in ms.
+// Timing has time limits, in ms.
 type Timing struct {
-	StartWithin float64 // from a start until ready
-	EndWithin   float64 // from SIGTERM until it is killed: all the time that it has for its last answers
-	BackoffMs   float64 // after a start that came to nothing; doubled with each
-	BackoffMost float64
-	LoopCount   int     // so many of them ...
-	LoopWithin  float64 // ... in so long are a loop
-	SeenWithin  float64 // what was seen longer ago is unknown
+	StartTimeout    float64 // from start to ready
+	ShutdownTimeout float64 // from SIGTERM to SIGKILL, for the answers to requests in flight
+	BaseBackoffMs   float64 // after a failed start; doubled with each further failure
+	MaxBackoffMs    float64
+	CrashLoopCount  int // failures within CrashLoopWindow that are a crash loop
+	CrashLoopWindow float64
+	ObservationTTL  float64 // an older observation counts as unknown
 }
 
-// Defaults hold for a node with ops of some seconds.
-func Defaults() Timing {
-	return Timing{StartWithin: 15e3, EndWithin: 10e3, BackoffMs: 500, BackoffMost: 60e3, LoopCount: 5, LoopWithin: 120e3, SeenWithin: 5e3}
+// DefaultTiming fits a node with deadlines of a few seconds.
+func DefaultTiming() Timing {
+	return Timing{StartTimeout: 15e3, ShutdownTimeout: 10e3, BaseBackoffMs: 500, MaxBackoffMs: 60e3, CrashLoopCount: 5, CrashLoopWindow: 120e3, ObservationTTL: 5e3}
 }
