--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command simhost runs the decision module on the simulator's wire.
+// Command simhost runs balancers on the protocol of the operators' simulator, over its standard input and output.
 package main
 
 import (
@@ -16,7 +16,7 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // a node has little CPU in each second, and its live heap is small
+	debug.SetGCPercent(800) // a simulated node has little processor time a second, and its live heap is small
 	h := simprotocol.NewHost()
 	end, err := captured(h, os.Getenv(captureVariable))
 	if err == nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// captureVariable switches a capture on: INSTANCE:DIR, one instance's into a directory.
+// captureVariable names the environment variable that captures one instance, as INSTANCE:DIR.
 const captureVariable = "PEARKNOT_SIM_CAPTURE"
 
 func captured(h *simprotocol.Host, text string) (end func(), err error) {
@@ -41,7 +41,7 @@
 	if err != nil || !ok || dir == "" {
 		return nil, fmt.Errorf("%s=%s is not INSTANCE:DIR", captureVariable, text)
 	}
-	// The simulator's time is not the wall's: the mailbox holds whatever it brings.
+	// The simulator runs faster than the wall clock, so as much as it brings may be pending.
 	w, err := capture.NewWriter(capture.WriterConfig{Dir: dir, NodeName: number, SegmentMB: 16, MaxTotalMB: 1 << 10, FlushInterval: time.Second, BlockKB: 64, MaxPendingMB: 1 << 10,
 		Sync: capture.SyncSegment, Log: slog.New(slog.NewTextHandler(os.Stderr, nil)), Now: func() float64 { return float64(time.Now().UnixMilli()) }})
 	if err != nil {
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -42,41 +42,41 @@
 }
 
 func start(inst uint32) []byte {
-	return bin(byte(enlist), inst, uint64(5), uint32(len(settings)), []byte(settings))
+	return bin(byte(eventStart), inst, uint64(5), uint32(len(settings)), []byte(settings))
 }
 
 func listOf(number uint16, ports ...uint16) []byte {
-	b := bin(byte(defineList), number, uint32(len(ports)))
+	b := bin(byte(eventDefineList), number, uint32(len(ports)))
 	for _, p := range ports {
 		b = append(b, bin("0a124a07", p, "00 00 0000 02", float32(1), 0.0)...)
 	}
 	return b
 }
 
-func viewOf(inst uint32, mode byte, number uint16) []byte {
-	return bin(byte(view), inst, mode, uint32(1), number)
+func endpointsOf(inst uint32, mode byte, number uint16) []byte {
+	return bin(byte(eventEndpoints), inst, mode, uint32(1), number)
 }
 
-func acceptOf(inst uint32, id uint64, category byte) []byte {
-	return bin(byte(accept), inst, id, uint16(1), 12.0, 6000.0, uint64(0), category, uint16(0))
+func requestOf(inst uint32, id uint64, class byte) []byte {
+	return bin(byte(eventRequest), inst, id, uint16(1), 12.0, 6000.0, uint64(0), class, uint16(0))
 }
 
-func answerOf(inst uint32, id uint64, how, finished byte) []byte {
-	return bin(byte(answer), inst, id, byte(0), "0a124a07 1b58", how, 15.0, finished, byte(1), float32(3))
+func attemptEndedOf(inst uint32, id uint64, how, finished byte) []byte {
+	return bin(byte(eventAttemptEnded), inst, id, byte(0), "0a124a07 1b58", how, 15.0, finished, byte(1), float32(3))
 }
 
-// actions walks a reply and gives its records' codes, instances and, for pushes, ports.
+// actions walks a reply and gives its records' codes, instances and, for attempts, ports.
 func actions(t *testing.T, reply []byte) (codes []byte, instances []uint32, ports []uint16) {
 	require.Equal(t, len(reply), int(binary.BigEndian.Uint32(reply)))
 	count, at := binary.BigEndian.Uint32(reply[4:]), 8
-	size := map[byte]int{track: 6, respondError: 13, revoke: 14, callOut: 27, overloadReply: 21, setTimer: 21}
+	size := map[byte]int{actionPoll: 6, actionFail: 13, actionCancel: 14, actionAttempt: 27, actionReject: 21, actionSetTimer: 21}
 	for range count {
 		code := reply[at]
 		codes, instances = append(codes, code), append(instances, binary.BigEndian.Uint32(reply[at+1:]))
-		if code == callOut {
+		if code == actionAttempt {
 			ports = append(ports, binary.BigEndian.Uint16(reply[at+17:]))
 		}
-		if code == record || code == die {
+		if code == actionLog || code == actionCrash {
 			at += 7 + int(binary.BigEndian.Uint16(reply[at+5:]))
 		} else {
 			at += size[code]
@@ -89,7 +89,7 @@
 // without takes the timers out.
 func without(codes []byte) (rest []byte) {
 	for _, c := range codes {
-		if c != setTimer {
+		if c != actionSetTimer {
 			rest = append(rest, c)
 		}
 	}
@@ -105,20 +105,20 @@
 		ports   []uint16
 	}{
 		{"empty batch", nil, nil, nil},
-		{"start and list", [][]byte{start(3), listOf(0, 7000), viewOf(3, 2, 0)}, nil, nil},
-		{"an op is pushed", [][]byte{acceptOf(3, 1, 0)}, []byte{callOut}, []uint16{7000}},
-		{"answered", [][]byte{answerOf(3, 1, 10, 1)}, nil, nil},
-		{"an ending after the end", [][]byte{answerOf(3, 1, 10, 1)}, nil, nil},
-		{"an op that left unknown", [][]byte{bin(byte(gone), uint32(3), uint64(99))}, nil, nil},
-		{"stale timer", [][]byte{bin(byte(deadlineHit), uint32(3), uint64(7))}, nil, nil},
-		{"a peer's message and a probe", [][]byte{bin(byte(noteFrom), uint32(3), uint16(1), uint16(2), "6869"),
-			bin(byte(pong), uint32(3), 2.0, byte(10), "0a124a07 1b58", byte(2), float32(1), float32(2))}, nil, nil},
-		{"a list's number used twice in a batch", [][]byte{listOf(4, 7001), viewOf(3, 1, 4), acceptOf(3, 2, 0),
-			listOf(4, 7002), start(9), viewOf(9, 2, 4), acceptOf(9, 3, 0)}, []byte{callOut, callOut}, []uint16{7001, 7002}},
-		{"a failed list call", [][]byte{viewOf(3, 3, 15)}, []byte{record}, nil},
-		{"stopped and restarted in one batch", [][]byte{bin(byte(down), uint32(3)), start(3), listOf(0, 7005),
-			viewOf(3, 2, 0), answerOf(3, 2, 10, 1), acceptOf(3, 8, 0)}, []byte{callOut}, []uint16{7005}},
-		{"events for one that is stopped", [][]byte{bin(byte(down), uint32(9)), answerOf(9, 3, 10, 1)}, nil, nil},
+		{"start and list", [][]byte{start(3), listOf(0, 7000), endpointsOf(3, 2, 0)}, nil, nil},
+		{"a request is sent", [][]byte{requestOf(3, 1, 0)}, []byte{actionAttempt}, []uint16{7000}},
+		{"answered", [][]byte{attemptEndedOf(3, 1, 10, 1)}, nil, nil},
+		{"an ending after the end", [][]byte{attemptEndedOf(3, 1, 10, 1)}, nil, nil},
+		{"a request that left unknown", [][]byte{bin(byte(eventClientGone), uint32(3), uint64(99))}, nil, nil},
+		{"stale timer", [][]byte{bin(byte(eventTimer), uint32(3), uint64(7))}, nil, nil},
+		{"a peer's message and a probe", [][]byte{bin(byte(eventGossip), uint32(3), uint16(1), uint16(2), "6869"),
+			bin(byte(eventHealthCheck), uint32(3), 2.0, byte(10), "0a124a07 1b58", byte(2), float32(1), float32(2))}, nil, nil},
+		{"a list's number used twice in a batch", [][]byte{listOf(4, 7001), endpointsOf(3, 1, 4), requestOf(3, 2, 0),
+			listOf(4, 7002), start(9), endpointsOf(9, 2, 4), requestOf(9, 3, 0)}, []byte{actionAttempt, actionAttempt}, []uint16{7001, 7002}},
+		{"a failed list call", [][]byte{endpointsOf(3, 3, 15)}, []byte{actionLog}, nil},
+		{"stopped and restarted in one batch", [][]byte{bin(byte(eventStop), uint32(3)), start(3), listOf(0, 7005),
+			endpointsOf(3, 2, 0), attemptEndedOf(3, 2, 10, 1), requestOf(3, 8, 0)}, []byte{actionAttempt}, []uint16{7005}},
+		{"events for one that is stopped", [][]byte{bin(byte(eventStop), uint32(9)), attemptEndedOf(9, 3, 10, 1)}, nil, nil},
 	} {
 		reply, err := h.Batch(1000, uint32(len(step.records)), bytes.Join(step.records, nil))
 		require.NoError(t, err, step.name)
@@ -136,20 +136,20 @@
 	h := NewHost()
 	_, err := h.Batch(1000, 2, bytes.Join([][]byte{start(1), start(2)}, nil))
 	require.NoError(t, err)
-	h.instances[1].node = nil
-	reply, err := h.Batch(1001, 2, bytes.Join([][]byte{acceptOf(1, 1, 0), acceptOf(2, 2, 0)}, nil))
+	h.instances[1].decider = nil
+	reply, err := h.Batch(1001, 2, bytes.Join([][]byte{requestOf(1, 1, 0), requestOf(2, 2, 0)}, nil))
 	require.NoError(t, err)
 	codes, instances, _ := actions(t, reply)
-	assert.Equal(t, []byte{die, overloadReply}, without(codes))
+	assert.Equal(t, []byte{actionCrash, actionReject}, without(codes))
 	assert.Equal(t, []uint32{1, 2}, instances[:2])
 }
 
 func TestBadInput(t *testing.T) {
-	whole := frame(1000, start(1), listOf(0, 7000), viewOf(1, 2, 0))
+	whole := frame(1000, start(1), listOf(0, 7000), endpointsOf(1, 2, 0))
 	more := func(records ...[]byte) []byte { return append(bytes.Clone(whole), frame(1001, records...)...) }
 	set := func(from, to string) []byte {
 		s := []byte(strings.Replace(settings, from, to, 1))
-		return frame(1000, bin(byte(enlist), uint32(1), uint64(5), uint32(len(s)), s))
+		return frame(1000, bin(byte(eventStart), uint32(1), uint64(5), uint32(len(s)), s))
 	}
 	for name, c := range map[string]struct {
 		input []byte
@@ -161,17 +161,17 @@
 		"shorter than a header":   {bin(uint32(3), uint32(0), 1.0), "shorter than its header"},
 		"vast length, no bytes":   {bin(uint32(math.MaxUint32), uint32(1), 1.0), "ends at byte 16"},
 		"clock not finite":        {frame(math.NaN()), "clock at byte 8"},
-		"too few records counted": {bin(uint32(headerSize+5), uint32(0), 1.0, byte(down), uint32(1)), "goes on at byte 16"},
+		"too few records counted": {bin(uint32(headerSize+5), uint32(0), 1.0, byte(eventStop), uint32(1)), "goes on at byte 16"},
 		"too many":                {bin(uint32(headerSize), uint32(2), 1.0), "record 0 at byte 16: 1 bytes wanted"},
 		"unknown code":            {more(bin(byte(77), uint32(1))), "record 0 at byte 16: unknown code 77"},
-		"unset list":              {more(viewOf(1, 1, 5)), "list 5 is not set"},
+		"unset list":              {more(endpointsOf(1, 1, 5)), "list 5 is not set"},
 		"list number too high":    {more(listOf(16, 1)), "list number 16"},
-		"vast list":               {more(bin(byte(defineList), uint16(0), uint32(math.MaxUint32))), "bytes wanted"},
-		"unknown kind of list":    {more(viewOf(1, 4, 0)), "unknown kind of list 4"},
-		"unknown ending":          {more(answerOf(1, 1, 11, 0)), "unknown ending 11"},
-		"time not finite": {more(bin(byte(accept), uint32(1), uint64(1), uint16(1), 12.0, math.Inf(1), uint64(0), uint16(0),
+		"vast list":               {more(bin(byte(eventDefineList), uint16(0), uint32(math.MaxUint32))), "bytes wanted"},
+		"unknown kind of list":    {more(endpointsOf(1, 4, 0)), "unknown kind of list 4"},
+		"unknown outcome":          {more(attemptEndedOf(1, 1, 11, 0)), "unknown outcome 11"},
+		"time not finite": {more(bin(byte(eventRequest), uint32(1), uint64(1), uint16(1), 12.0, math.Inf(1), uint64(0), uint16(0),
 			byte(0))), "time at byte 39 is not finite"},
-		"category unheard of": {more(acceptOf(1, 1, 9)), "category 9 of 1"},
+		"unknown class": {more(requestOf(1, 1, 9)), "class 9 of 1"},
 		"setting missing":     {set("balancers=2\n", ""), "setting balancers is missing"},
 		"setting no number":   {set("balancers=2", "balancers=two"), `setting balancers is no number: "two"`},
 		"setting no flag":     {set("cancel=true", "cancel=yes"), "bounds.cancel is neither"},
@@ -191,12 +191,12 @@
 }
 
 func FuzzBatch(f *testing.F) {
-	f.Add(bytes.Join([][]byte{start(1), listOf(0, 7000), viewOf(1, 2, 0), acceptOf(1, 1, 0), answerOf(1, 1, 20, 0)}, nil), uint32(5))
+	f.Add(bytes.Join([][]byte{start(1), listOf(0, 7000), endpointsOf(1, 2, 0), requestOf(1, 1, 0), attemptEndedOf(1, 1, 20, 0)}, nil), uint32(5))
 	f.Fuzz(func(t *testing.T, body []byte, count uint32) {
 		reply, err := NewHost().Batch(1000, count, body)
 		if err == nil {
 			codes, _, _ := actions(t, reply)
-			assert.NotContains(t, codes, byte(die))
+			assert.NotContains(t, codes, byte(actionCrash))
 		}
 	})
 }
