--- a/internal/invariants/invariants_test.go
+++ b/internal/invariants/invariants_test.go
@@ -96,195 +96,201 @@
 	return s.counts
 }
 
-// Each case breaks one rule in a way that a balancer might be tempted to. Its sound counterpart does nearly the same and
-// breaks none.
-func TestEachRuleIsNoticed(t *testing.T) {
-	flood := func(s *eventSource, nodes int, work float64, notified bool) {
-		start := s.now
-		s.at(0, Event{Kind: BackendStarted, Backend: 1, Started: s.now, Speed: 1})
-		for n := range nodes {
-			id := uint64(n + 1)
-			if notified {
-				s.at(0, Event{Kind: EndpointNotified, Node: n, Backend: 1, State: balancer.BackendReady, Started: start})
-			}
-			s.accept(id, idempotent).at(0.01, Event{Kind: AttemptStarted, Request: id, Node: n, Backend: 1, Work: work})
-			s.endAttempt(0, id, 0, balancer.OutcomeAnswered).answer(0, id, Served)
+// flood starts backend 1 and has each of the nodes send it one attempt of that work, after notifying it of the start if
+// notified is true.
+func flood(s *eventSource, nodes int, work float64, notified bool) {
+	start := s.now
+	s.at(0, Event{Kind: BackendStarted, Backend: 1, Started: s.now, Speed: 1})
+	for n := range nodes {
+		id := uint64(n + 1)
+		if notified {
+			s.at(0, Event{Kind: EndpointNotified, Node: n, Backend: 1, State: balancer.BackendReady, Started: start})
 		}
+		s.accept(id, idempotent).at(0.01, Event{Kind: AttemptStarted, Request: id, Node: n, Backend: 1, Work: work})
+		s.endAttempt(0, id, 0, balancer.OutcomeAnswered).answer(0, id, Served)
 	}
-	for _, c := range []struct {
-		name   string
-		rule   Rule
-		faulty func(*eventSource)
-		sound  func(*eventSource)
-	}{
-		{"answered late", NoRequestLost,
-			func(s *eventSource) {
-				s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(1001, 1, 0, balancer.OutcomeTimedOut).answer(0, 1, Rejected)
-			},
-			func(s *eventSource) {
-				s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(999, 1, 0, balancer.OutcomeTimedOut).answer(0, 1, Rejected)
-			}},
-		{"no answer", NoRequestLost,
-			func(s *eventSource) {
-				s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeAnswered)
-			},
-			func(s *eventSource) {
-				s.accept(1, idempotent).start(0, 1, 0, 1).at(5, Event{Kind: ClientGone, Request: 1})
-			}},
-		{"attempt out of order", KeyOrder,
-			func(s *eventSource) {
-				s.acceptOrdered(1, 7).acceptOrdered(2, 7).start(0, 2, 0, 1).at(5, Event{Kind: ClientGone, Request: 1})
-			},
-			func(s *eventSource) {
-				s.acceptOrdered(1, 7).acceptOrdered(2, 8).start(0, 2, 0, 1).at(5, Event{Kind: ClientGone, Request: 1})
-			}},
-		{"attempt while an answered request still has one in flight", KeyOrder,
-			func(s *eventSource) {
-				s.acceptOrdered(1, 7).start(0, 1, 0, 1).answer(5, 1, Rejected).acceptOrdered(2, 7).start(0, 2, 0, 1)
-			},
-			func(s *eventSource) {
-				s.acceptOrdered(1, 7).start(0, 1, 0, 1).answer(5, 1, Rejected).endAttempt(0, 1, 0, balancer.OutcomeFailed).acceptOrdered(2, 7).start(0, 2, 0, 1)
-			}},
-		{"attempt during the key's cooldown", KeyOrder,
-			func(s *eventSource) {
-				s.acceptOrdered(1, 7).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeTimedOut).answer(0, 1, Rejected).acceptOrdered(2, 7).start(199, 2, 0, 1)
-			},
-			func(s *eventSource) {
-				s.acceptOrdered(1, 7).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeTimedOut).answer(0, 1, Rejected).acceptOrdered(2, 7).start(200, 2, 0, 1)
-			}},
-		{"the cooldown binds later requests only", KeyOrder,
-			func(s *eventSource) {
-				s.acceptOrdered(1, 7).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeConnectionReset).answer(0, 1, Rejected).acceptOrdered(2, 7).start(50, 2, 0, 1)
-			},
-			func(s *eventSource) {
-				s.acceptOrdered(1, 7).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeConnectionReset).start(50, 1, 1, 2)
-			}},
-		{"node killed elsewhere", NoRequestLost,
-			func(s *eventSource) { s.accept(1, idempotent).at(5, Event{Kind: NodeKilled, Node: 1}) },
-			func(s *eventSource) { s.accept(1, idempotent).at(5, Event{Kind: NodeKilled, Node: 0}) }},
-		{"two answers", NoRequestLost,
-			func(s *eventSource) {
-				s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeAnswered).answer(0, 1, Served).answer(3, 1, Rejected)
-			},
-			func(s *eventSource) {
-				s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeAnswered).answer(0, 1, Served).accept(2, idempotent).answer(3, 2, Rejected)
-			}},
-		{"served without a response", NoRequestLost,
-			func(s *eventSource) {
-				s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeFailed).answer(0, 1, Served)
-			},
-			func(s *eventSource) {
-				s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeAnswered).answer(0, 1, Served)
-			}},
-		{"withheld until near the deadline", NoRequestLost,
-			func(s *eventSource) {
-				s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeRejected).answer(980, 1, Rejected)
-			},
-			func(s *eventSource) {
-				s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(975, 1, 0, balancer.OutcomeTimedOut).answer(5, 1, Rejected)
-			}},
-		{"attempt after the answer", NoRequestLost,
-			func(s *eventSource) {
-				s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeFailed).answer(0, 1, Rejected).start(1, 1, 1, 2)
-			},
-			func(s *eventSource) {
-				s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeFailed).start(1, 1, 1, 2).answer(1, 1, Rejected)
-			}},
-		{"attempt after the deadline", NoRequestLost,
-			func(s *eventSource) {
-				s.accept(1, idempotent).at(990, Event{Kind: ClientGone, Request: 1}).start(20, 1, 0, 1)
-			},
-			func(s *eventSource) {
-				s.accept(1, idempotent).at(90, Event{Kind: ClientGone, Request: 1}).start(1, 1, 0, 1)
-			}},
-		{"at-most-once retried after a reset", NoEffectTwice,
-			func(s *eventSource) {
-				s.accept(1, atMostOnce).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeConnectionReset).start(0, 1, 1, 2).endAttempt(5, 1, 1, balancer.OutcomeAnswered).answer(0, 1, Served)
-			},
-			func(s *eventSource) {
-				s.accept(1, atMostOnce).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeConnectFailed).start(0, 1, 1, 2).endAttempt(5, 1, 1, balancer.OutcomeAnswered).answer(0, 1, Served)
-			}},
-		{"at-most-once hedged", NoEffectTwice,
-			func(s *eventSource) {
-				s.accept(1, atMostOnce).start(0, 1, 0, 1).start(100, 1, 1, 2).answer(100, 1, Failed)
-			},
-			func(s *eventSource) {
-				s.accept(1, idempotent).start(0, 1, 0, 1).start(100, 1, 1, 2).answer(100, 1, Failed)
-			}},
-		{"at-most-once ran twice, whatever was proven", NoEffectTwice,
-			func(s *eventSource) {
-				s.accept(1, atMostOnce).start(0, 1, 0, 1).at(0, Event{Kind: AttemptRan, Request: 1}).endAttempt(5, 1, 0, balancer.OutcomeRejected)
-				s.start(0, 1, 1, 2).at(0, Event{Kind: AttemptRan, Request: 1, Attempt: 1}).endAttempt(5, 1, 1, balancer.OutcomeAnswered).answer(0, 1, Served)
-			},
-			func(s *eventSource) {
-				s.accept(1, atMostOnce).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeRejected)
-				s.start(0, 1, 1, 2).at(0, Event{Kind: AttemptRan, Request: 1, Attempt: 1}).endAttempt(5, 1, 1, balancer.OutcomeAnswered).answer(0, 1, Served)
-			}},
-		{"rejected after an attempt that may have run", NoEffectTwice,
-			func(s *eventSource) {
-				s.accept(1, atMostOnce).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeConnectionReset).answer(0, 1, Rejected)
-			},
-			func(s *eventSource) {
-				s.accept(1, atMostOnce).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeConnectionReset).answer(0, 1, Failed)
-			}},
-		{"rejected while an attempt is in flight", NoEffectTwice,
-			func(s *eventSource) { s.accept(1, keyedByZone).start(0, 1, 0, 1).answer(5, 1, Rejected) },
-			func(s *eventSource) { s.accept(1, keyedByAll).start(0, 1, 0, 1).answer(5, 1, Rejected) }},
-		{"retried outside the deduplication scope", NoEffectTwice,
-			func(s *eventSource) {
-				s.accept(1, keyedByZone).start(0, 1, 0, 1).start(50, 1, 1, 3).answer(1, 1, Failed)
-			},
-			func(s *eventSource) {
-				s.accept(1, keyedByZone).start(0, 1, 0, 1).start(50, 1, 1, 2).answer(1, 1, Failed)
-			}},
-		{"retried after the deduplication window", NoEffectTwice,
-			func(s *eventSource) {
-				s.accept(1, keyedByAll).start(0, 1, 0, 1).start(300, 1, 1, 3).answer(1, 1, Rejected)
-			},
-			func(s *eventSource) {
-				s.accept(1, keyedByAll).start(0, 1, 0, 1).start(299, 1, 1, 3).answer(1, 1, Rejected)
-			}},
-		{"too many attempts", NoEffectTwice,
-			func(s *eventSource) {
-				s.accept(1, idempotent).start(0, 1, 0, 1).start(1, 1, 1, 2).start(1, 1, 2, 3).start(1, 1, 3, 0).answer(1, 1, Rejected)
-			},
-			func(s *eventSource) {
-				s.accept(1, idempotent).start(0, 1, 0, 1).start(1, 1, 1, 2).start(1, 1, 2, 3).answer(1, 1, Rejected)
-			}},
-		{"after the drain grace", DrainRespected,
-			func(s *eventSource) {
-				s.notify(0, 1, balancer.BackendDraining).accept(1, idempotent).start(501, 1, 0, 1).answer(0, 1, Failed)
-			},
-			func(s *eventSource) {
-				s.notify(0, 1, balancer.BackendDraining).accept(1, idempotent).start(499, 1, 0, 1).answer(0, 1, Failed)
-			}},
-		{"a second notice gives no new grace", DrainRespected,
-			func(s *eventSource) {
-				s.notify(0, 1, balancer.BackendDraining).notify(400, 1, balancer.BackendRemoved).accept(1, idempotent).start(200, 1, 0, 1).answer(0, 1, Rejected)
-			},
-			func(s *eventSource) {
-				s.notify(0, 1, balancer.BackendDraining).notify(400, 1, balancer.BackendReady).accept(1, idempotent).start(200, 1, 0, 1).answer(0, 1, Rejected)
-			}},
-		{"a restarted node knows only its own notices", DrainRespected,
-			func(s *eventSource) {
-				s.notify(0, 1, balancer.BackendRemoved).accept(1, idempotent).start(600, 1, 0, 1).answer(0, 1, Rejected)
-			},
-			func(s *eventSource) {
-				s.notify(0, 1, balancer.BackendRemoved).at(1, Event{Kind: NodeKilled}).accept(1, idempotent).start(600, 1, 0, 1).answer(0, 1, Rejected)
-			}},
-		{"retired backend", DrainRespected,
-			func(s *eventSource) {
-				s.at(0, Event{Kind: BackendRetired, Backend: 1}).accept(1, idempotent).start(0, 1, 0, 1).answer(0, 1, Rejected)
-			},
-			func(s *eventSource) {
-				s.at(0, Event{Kind: BackendRetired, Backend: 1}).accept(1, idempotent).start(0, 1, 0, 2).answer(0, 1, Rejected)
-			}},
-		// A cold backend can take 4 x 0.25 x 2000 = 2000 ms of work: one request of 30 ms from each node is too much.
-		{"one request from each node", SlowStartPerNode,
-			func(s *eventSource) { flood(s, 100, 30, true) }, func(s *eventSource) { flood(s, 100, 15, true) }},
-		{"notified of the start or not", SlowStartPerNode,
-			func(s *eventSource) { flood(s, 70, 30, true) }, func(s *eventSource) { flood(s, 70, 30, false) }},
-	} {
+}
+
+// ruleCases has for each rule what breaks it, in a way that a balancer might be tempted to, and a sound counterpart that
+// does nearly the same and breaks no rule.
+var ruleCases = []struct {
+	name   string
+	rule   Rule
+	faulty func(*eventSource)
+	sound  func(*eventSource)
+}{
+	{"answered late", NoRequestLost,
+		func(s *eventSource) {
+			s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(1001, 1, 0, balancer.OutcomeTimedOut).answer(0, 1, Rejected)
+		},
+		func(s *eventSource) {
+			s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(999, 1, 0, balancer.OutcomeTimedOut).answer(0, 1, Rejected)
+		}},
+	{"no answer", NoRequestLost,
+		func(s *eventSource) {
+			s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeAnswered)
+		},
+		func(s *eventSource) {
+			s.accept(1, idempotent).start(0, 1, 0, 1).at(5, Event{Kind: ClientGone, Request: 1})
+		}},
+	{"attempt out of order", KeyOrder,
+		func(s *eventSource) {
+			s.acceptOrdered(1, 7).acceptOrdered(2, 7).start(0, 2, 0, 1).at(5, Event{Kind: ClientGone, Request: 1})
+		},
+		func(s *eventSource) {
+			s.acceptOrdered(1, 7).acceptOrdered(2, 8).start(0, 2, 0, 1).at(5, Event{Kind: ClientGone, Request: 1})
+		}},
+	{"attempt while an answered request still has one in flight", KeyOrder,
+		func(s *eventSource) {
+			s.acceptOrdered(1, 7).start(0, 1, 0, 1).answer(5, 1, Rejected).acceptOrdered(2, 7).start(0, 2, 0, 1)
+		},
+		func(s *eventSource) {
+			s.acceptOrdered(1, 7).start(0, 1, 0, 1).answer(5, 1, Rejected).endAttempt(0, 1, 0, balancer.OutcomeFailed).acceptOrdered(2, 7).start(0, 2, 0, 1)
+		}},
+	{"attempt during the key's cooldown", KeyOrder,
+		func(s *eventSource) {
+			s.acceptOrdered(1, 7).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeTimedOut).answer(0, 1, Rejected).acceptOrdered(2, 7).start(199, 2, 0, 1)
+		},
+		func(s *eventSource) {
+			s.acceptOrdered(1, 7).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeTimedOut).answer(0, 1, Rejected).acceptOrdered(2, 7).start(200, 2, 0, 1)
+		}},
+	{"the cooldown binds later requests only", KeyOrder,
+		func(s *eventSource) {
+			s.acceptOrdered(1, 7).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeConnectionReset).answer(0, 1, Rejected).acceptOrdered(2, 7).start(50, 2, 0, 1)
+		},
+		func(s *eventSource) {
+			s.acceptOrdered(1, 7).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeConnectionReset).start(50, 1, 1, 2)
+		}},
+	{"node killed elsewhere", NoRequestLost,
+		func(s *eventSource) { s.accept(1, idempotent).at(5, Event{Kind: NodeKilled, Node: 1}) },
+		func(s *eventSource) { s.accept(1, idempotent).at(5, Event{Kind: NodeKilled, Node: 0}) }},
+	{"two answers", NoRequestLost,
+		func(s *eventSource) {
+			s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeAnswered).answer(0, 1, Served).answer(3, 1, Rejected)
+		},
+		func(s *eventSource) {
+			s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeAnswered).answer(0, 1, Served).accept(2, idempotent).answer(3, 2, Rejected)
+		}},
+	{"served without a response", NoRequestLost,
+		func(s *eventSource) {
+			s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeFailed).answer(0, 1, Served)
+		},
+		func(s *eventSource) {
+			s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeAnswered).answer(0, 1, Served)
+		}},
+	{"withheld until near the deadline", NoRequestLost,
+		func(s *eventSource) {
+			s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeRejected).answer(980, 1, Rejected)
+		},
+		func(s *eventSource) {
+			s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(975, 1, 0, balancer.OutcomeTimedOut).answer(5, 1, Rejected)
+		}},
+	{"attempt after the answer", NoRequestLost,
+		func(s *eventSource) {
+			s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeFailed).answer(0, 1, Rejected).start(1, 1, 1, 2)
+		},
+		func(s *eventSource) {
+			s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeFailed).start(1, 1, 1, 2).answer(1, 1, Rejected)
+		}},
+	{"attempt after the deadline", NoRequestLost,
+		func(s *eventSource) {
+			s.accept(1, idempotent).at(990, Event{Kind: ClientGone, Request: 1}).start(20, 1, 0, 1)
+		},
+		func(s *eventSource) {
+			s.accept(1, idempotent).at(90, Event{Kind: ClientGone, Request: 1}).start(1, 1, 0, 1)
+		}},
+	{"at-most-once retried after a reset", NoEffectTwice,
+		func(s *eventSource) {
+			s.accept(1, atMostOnce).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeConnectionReset).start(0, 1, 1, 2).endAttempt(5, 1, 1, balancer.OutcomeAnswered).answer(0, 1, Served)
+		},
+		func(s *eventSource) {
+			s.accept(1, atMostOnce).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeConnectFailed).start(0, 1, 1, 2).endAttempt(5, 1, 1, balancer.OutcomeAnswered).answer(0, 1, Served)
+		}},
+	{"at-most-once hedged", NoEffectTwice,
+		func(s *eventSource) {
+			s.accept(1, atMostOnce).start(0, 1, 0, 1).start(100, 1, 1, 2).answer(100, 1, Failed)
+		},
+		func(s *eventSource) {
+			s.accept(1, idempotent).start(0, 1, 0, 1).start(100, 1, 1, 2).answer(100, 1, Failed)
+		}},
+	{"at-most-once ran twice, whatever was proven", NoEffectTwice,
+		func(s *eventSource) {
+			s.accept(1, atMostOnce).start(0, 1, 0, 1).at(0, Event{Kind: AttemptRan, Request: 1}).endAttempt(5, 1, 0, balancer.OutcomeRejected)
+			s.start(0, 1, 1, 2).at(0, Event{Kind: AttemptRan, Request: 1, Attempt: 1}).endAttempt(5, 1, 1, balancer.OutcomeAnswered).answer(0, 1, Served)
+		},
+		func(s *eventSource) {
+			s.accept(1, atMostOnce).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeRejected)
+			s.start(0, 1, 1, 2).at(0, Event{Kind: AttemptRan, Request: 1, Attempt: 1}).endAttempt(5, 1, 1, balancer.OutcomeAnswered).answer(0, 1, Served)
+		}},
+	{"rejected after an attempt that may have run", NoEffectTwice,
+		func(s *eventSource) {
+			s.accept(1, atMostOnce).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeConnectionReset).answer(0, 1, Rejected)
+		},
+		func(s *eventSource) {
+			s.accept(1, atMostOnce).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeConnectionReset).answer(0, 1, Failed)
+		}},
+	{"rejected while an attempt is in flight", NoEffectTwice,
+		func(s *eventSource) { s.accept(1, keyedByZone).start(0, 1, 0, 1).answer(5, 1, Rejected) },
+		func(s *eventSource) { s.accept(1, keyedByAll).start(0, 1, 0, 1).answer(5, 1, Rejected) }},
+	{"retried outside the deduplication scope", NoEffectTwice,
+		func(s *eventSource) {
+			s.accept(1, keyedByZone).start(0, 1, 0, 1).start(50, 1, 1, 3).answer(1, 1, Failed)
+		},
+		func(s *eventSource) {
+			s.accept(1, keyedByZone).start(0, 1, 0, 1).start(50, 1, 1, 2).answer(1, 1, Failed)
+		}},
+	{"retried after the deduplication window", NoEffectTwice,
+		func(s *eventSource) {
+			s.accept(1, keyedByAll).start(0, 1, 0, 1).start(300, 1, 1, 3).answer(1, 1, Rejected)
+		},
+		func(s *eventSource) {
+			s.accept(1, keyedByAll).start(0, 1, 0, 1).start(299, 1, 1, 3).answer(1, 1, Rejected)
+		}},
+	{"too many attempts", NoEffectTwice,
+		func(s *eventSource) {
+			s.accept(1, idempotent).start(0, 1, 0, 1).start(1, 1, 1, 2).start(1, 1, 2, 3).start(1, 1, 3, 0).answer(1, 1, Rejected)
+		},
+		func(s *eventSource) {
+			s.accept(1, idempotent).start(0, 1, 0, 1).start(1, 1, 1, 2).start(1, 1, 2, 3).answer(1, 1, Rejected)
+		}},
+	{"after the drain grace", DrainRespected,
+		func(s *eventSource) {
+			s.notify(0, 1, balancer.BackendDraining).accept(1, idempotent).start(501, 1, 0, 1).answer(0, 1, Failed)
+		},
+		func(s *eventSource) {
+			s.notify(0, 1, balancer.BackendDraining).accept(1, idempotent).start(499, 1, 0, 1).answer(0, 1, Failed)
+		}},
+	{"a second notice gives no new grace", DrainRespected,
+		func(s *eventSource) {
+			s.notify(0, 1, balancer.BackendDraining).notify(400, 1, balancer.BackendRemoved).accept(1, idempotent).start(200, 1, 0, 1).answer(0, 1, Rejected)
+		},
+		func(s *eventSource) {
+			s.notify(0, 1, balancer.BackendDraining).notify(400, 1, balancer.BackendReady).accept(1, idempotent).start(200, 1, 0, 1).answer(0, 1, Rejected)
+		}},
+	{"a restarted node knows only its own notices", DrainRespected,
+		func(s *eventSource) {
+			s.notify(0, 1, balancer.BackendRemoved).accept(1, idempotent).start(600, 1, 0, 1).answer(0, 1, Rejected)
+		},
+		func(s *eventSource) {
+			s.notify(0, 1, balancer.BackendRemoved).at(1, Event{Kind: NodeKilled}).accept(1, idempotent).start(600, 1, 0, 1).answer(0, 1, Rejected)
+		}},
+	{"retired backend", DrainRespected,
+		func(s *eventSource) {
+			s.at(0, Event{Kind: BackendRetired, Backend: 1}).accept(1, idempotent).start(0, 1, 0, 1).answer(0, 1, Rejected)
+		},
+		func(s *eventSource) {
+			s.at(0, Event{Kind: BackendRetired, Backend: 1}).accept(1, idempotent).start(0, 1, 0, 2).answer(0, 1, Rejected)
+		}},
+	// A cold backend can take 4 x 0.25 x 2000 = 2000 ms of work: one request of 30 ms from each node is too much.
+	{"one request from each node", SlowStartPerNode,
+		func(s *eventSource) { flood(s, 100, 30, true) }, func(s *eventSource) { flood(s, 100, 15, true) }},
+	{"notified of the start or not", SlowStartPerNode,
+		func(s *eventSource) { flood(s, 70, 30, true) }, func(s *eventSource) { flood(s, 70, 30, false) }},
+}
+
+// Each rule is noticed to be broken in the ways of ruleCases, with evidence, and their sound counterparts are not reported.
+func TestEachRuleIsNoticed(t *testing.T) {
+	for _, c := range ruleCases {
 		t.Run(c.name, func(t *testing.T) {
 			s := newEventSource(testConfig())
 			c.faulty(s)
