--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -168,15 +168,15 @@
 		"list number too high":    {more(listOf(16, 1)), "list number 16"},
 		"vast list":               {more(bin(byte(eventDefineList), uint16(0), uint32(math.MaxUint32))), "bytes wanted"},
 		"unknown kind of list":    {more(endpointsOf(1, 4, 0)), "unknown kind of list 4"},
-		"unknown outcome":          {more(attemptEndedOf(1, 1, 11, 0)), "unknown outcome 11"},
+		"unknown outcome":         {more(attemptEndedOf(1, 1, 11, 0)), "unknown outcome 11"},
 		"time not finite": {more(bin(byte(eventRequest), uint32(1), uint64(1), uint16(1), 12.0, math.Inf(1), uint64(0), uint16(0),
 			byte(0))), "time at byte 39 is not finite"},
-		"unknown class": {more(requestOf(1, 1, 9)), "class 9 of 1"},
-		"setting missing":     {set("balancers=2\n", ""), "setting balancers is missing"},
-		"setting no number":   {set("balancers=2", "balancers=two"), `setting balancers is no number: "two"`},
-		"setting no flag":     {set("cancel=true", "cancel=yes"), "bounds.cancel is neither"},
-		"setting no word":     {set("=pure", "=pristine"), "idempotency has an unknown value"},
-		"vast count":          {set("categories.count=1", "categories.count=1e18"), "categories.count can't be"},
+		"unknown class":     {more(requestOf(1, 1, 9)), "class 9 of 1"},
+		"setting missing":   {set("balancers=2\n", ""), "setting balancers is missing"},
+		"setting no number": {set("balancers=2", "balancers=two"), `setting balancers is no number: "two"`},
+		"setting no flag":   {set("cancel=true", "cancel=yes"), "bounds.cancel is neither"},
+		"setting no word":   {set("=pure", "=pristine"), "idempotency has an unknown value"},
+		"vast count":        {set("categories.count=1", "categories.count=1e18"), "categories.count can't be"},
 	} {
 		var out bytes.Buffer
 		err := NewHost().Serve(bytes.NewReader(c.input), &out)
