--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// many are settings with so many tenants.
-func many(t testing.TB, n int) []byte {
+// manyTenants are settings with so many tenants.
+func manyTenants(t testing.TB, n int) []byte {
 	var tree map[string]any
-	require.NoError(t, json.Unmarshal([]byte(nested), &tree))
+	require.NoError(t, json.Unmarshal([]byte(jsonSettings), &tree))
 	var tenants []map[string]any
 	for k := range n {
 		tenants = append(tenants, map[string]any{"name": fmt.Sprintf("tenant-%06d", k), "quotaPerS": k % 97})
@@ -22,13 +22,13 @@
 	return text
 }
 
-func BenchmarkFromJSON(b *testing.B) {
+func BenchmarkParseJSON(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000, 140000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			text := many(b, n)
+			text := manyTenants(b, n)
 			b.ReportAllocs()
 			for b.Loop() {
-				_, err := FromJSON(text)
+				_, err := ParseJSON(text)
 				require.NoError(b, err)
 			}
 		})
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"pearknot/balancer"
 )
 
-const lines = `az=1
+const lineSettings = `az=1
 balancers=3
 benefitBy=work
 bounds.cancel=true
@@ -44,82 +44,87 @@
 kinds=
 `
 
-const nested = `{"az":1,"balancers":3,"benefitBy":"work","bounds":{"cancel":true,"connIdle":15000.0,"mostPushes":3,
+const jsonSettings = `{"az":1,"balancers":3,"benefitBy":"work","bounds":{"cancel":true,"connIdle":15000.0,"mostPushes":3,
 "retryAfter":true,"secondCopies":true},"categories":[{"idempotency":"pure","name":"first come","targetLatency":600.0,
 "ttl":1200.0,"benefit":3.0},{"idempotency":"token","dedupScope":"cell","name":"second","targetLatency":750.0,
 "ttl":3000.0,"benefit":1.0}],"loadReport":{"fields":["mean_ms","concurrent"]},"registryMode":"subscribe",
 "rules":{"askWithin":10000.0,"coldFrom":0.34,"fallMultiple":3.0,"overloadFor":3000.0,"warmWithin":9000.0},
 "tenants":[{"name":"one","quotaPerS":20}],"zones":["a","b"],"kinds":[],"more":{"unheard":null}}`
 
+// Lines and JSON with the same settings give the same configuration.
 func TestBothFormsReadAlike(t *testing.T) {
-	a, err := FromLines([]byte(lines))
+	a, err := ParseLines([]byte(lineSettings))
 	require.NoError(t, err)
-	b, err := FromJSON([]byte(nested))
+	b, err := ParseJSON([]byte(jsonSettings))
 	require.NoError(t, err)
-	b.keys = keys{} // which lines are never held against
+	b.present = presentSettings{} // lines never replace a configuration
 	assert.Equal(t, a, b)
 	assert.Equal(t, []string{"first_come", "second"}, a.Classes)
 	assert.Equal(t, 3000.0, a.MaxDeadline)
 	assert.Equal(t, balancer.DedupByCell, a.Balancer.Classes[1].DedupScope)
 	assert.Equal(t, 20.0, a.Balancer.Tenants[0].Quota)
-	assert.Equal(t, 250.0, a.ConnectTimeout, "where nothing is said")
+	assert.Equal(t, 250.0, a.ConnectTimeout, "the default")
 }
 
-func TestFaults(t *testing.T) {
+// A fault in the settings is reported with the path of the setting.
+func TestSettingErrors(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
-		"missing":        {"az=1\n", "", "az is missing"},
-		"no number":      {"az=1\n", "az=x\n", "az is no number"},
-		"not finite":     {"az=1\n", "az=Inf\n", "az is no number"},
-		"no flag":        {"cancel=true", "cancel=yes", "neither true nor false"},
-		"unknown word":   {"idempotency=pure", "idempotency=odd", "unknown value"},
-		"count too high": {"categories.count=2", "categories.count=2000", "can't be"},
-		"no nodes":       {"balancers=3", "balancers=0", "balancers is 0, not from 1"},
-		"asks for ever":  {"askWithin=10000.0", "askWithin=0", "rules.askWithin is 0, not from 1 to"},
-		"below 0":        {"askWithin=10000.0", "askWithin=-5", "rules.askWithin is -5, not from 1 to"},
-		"nothing beside": {"askWithin=10000.0", "askWithin=1e-12", "rules.askWithin is 1e-12, not from 1 to"},
-		"quota below 0":  {"quotaPerS=20", "quotaPerS=-20", "tenants.0.quotaPerS is -20"},
-		"more than all":  {"az=1\n", "az=1\nexcessBenefit=1.5\n", "excessBenefit is 1.5, not from 0 to 1"},
-		"late for more":  {"categories.0.benefit=3.0", "categories.0.benefit=3.0\ncategories.0.overdueBenefit=2", "categories.0.overdueBenefit is 2"},
+		"missing":             {"az=1\n", "", "az is missing"},
+		"no number":           {"az=1\n", "az=x\n", "az is no number"},
+		"not finite":          {"az=1\n", "az=Inf\n", "az is no number"},
+		"no flag":             {"cancel=true", "cancel=yes", "neither true nor false"},
+		"unknown word":        {"idempotency=pure", "idempotency=odd", "unknown value"},
+		"count too high":      {"categories.count=2", "categories.count=2000", "can't be"},
+		"no nodes":            {"balancers=3", "balancers=0", "balancers is 0, not from 1"},
+		"polls for ever":      {"askWithin=10000.0", "askWithin=0", "rules.askWithin is 0, not from 1 to"},
+		"below 0":             {"askWithin=10000.0", "askWithin=-5", "rules.askWithin is -5, not from 1 to"},
+		"next to nothing":     {"askWithin=10000.0", "askWithin=1e-12", "rules.askWithin is 1e-12, not from 1 to"},
+		"quota below 0":       {"quotaPerS=20", "quotaPerS=-20", "tenants.0.quotaPerS is -20"},
+		"share above 1":       {"az=1\n", "az=1\nexcessBenefit=1.5\n", "excessBenefit is 1.5, not from 0 to 1"},
+		"late weight above 1": {"categories.0.benefit=3.0", "categories.0.benefit=3.0\ncategories.0.overdueBenefit=2", "categories.0.overdueBenefit is 2"},
 	} {
-		_, err := FromLines([]byte(strings.Replace(lines, c.from, c.to, 1)))
+		_, err := ParseLines([]byte(strings.Replace(lineSettings, c.from, c.to, 1)))
 		assert.ErrorContains(t, err, c.want, name)
+		var fault *SettingError
+		require.ErrorAs(t, err, &fault, name)
+		assert.Equal(t, "setting "+fault.Path+" "+fault.Problem, err.Error(), name)
 	}
-	_, err := FromJSON([]byte(`[1]`))
+	_, err := ParseJSON([]byte(`[1]`))
 	assert.Error(t, err)
 }
 
-// Half a move must not serve: settings of two layouts are refused by the key that is of the other one. Without a word of
-// the layout it is a pool, as before there were two.
-func TestShapes(t *testing.T) {
-	beside := strings.NewReplacer(`"az":1`, `"az":0,"domainType":"mesh"`, `"secondCopies":true`, `"secondCopies":false`, `"zones":["a","b"]`,
-		`"zones":["a"]`, `"registryMode":"subscribe"`, `"registryMode":"automatic"`, `["mean_ms","concurrent"]`, `["concurrent","depth"]`).Replace(nested)
+// An operator moves from one topology to the other and forgets a setting. Such settings are refused by the path of the first
+// one that does not fit. Without a word of the topology it is a pool, as before there were two.
+func TestTopologies(t *testing.T) {
+	sidecar := strings.NewReplacer(`"az":1`, `"az":0,"domainType":"mesh"`, `"secondCopies":true`, `"secondCopies":false`, `"zones":["a","b"]`,
+		`"zones":["a"]`, `"registryMode":"subscribe"`, `"registryMode":"automatic"`, `["mean_ms","concurrent"]`, `["concurrent","depth"]`).Replace(jsonSettings)
 	for name, c := range map[string]struct {
 		text, from, to string
-		shape          Shape
+		topology       Topology
 		want           string
 	}{
-		"pool":                     {nested, "", "", Pool, ""},
-		"pool by its word":         {nested, `"az":1`, `"az":1,"domainType":"proxy"`, Pool, ""},
-		"beside":                   {beside, "", "", Beside, ""},
-		"pool without copies":      {nested, `"secondCopies":true`, `"secondCopies":false`, Pool, ""},
-		"beside with copies":       {beside, `"secondCopies":false`, `"secondCopies":true`, Beside, "setting bounds.secondCopies is true"},
-		"beside with zones":        {beside, `"zones":["a"]`, `"zones":["a","b"]`, Beside, "setting zones is [a b]"},
-		"beside, crossing priced":  {beside, `"az":0`, `"az":0,"prices":{"crossZone":0.1}`, Beside, "setting prices.crossZone is 0.1"},
-		"a layout nobody knows of": {beside, `"mesh"`, `"ring"`, Beside, "setting domainType has an unknown value"},
+		"pool":                    {jsonSettings, "", "", TopologyPool, ""},
+		"pool by name":            {jsonSettings, `"az":1`, `"az":1,"domainType":"proxy"`, TopologyPool, ""},
+		"sidecar":                 {sidecar, "", "", TopologySidecar, ""},
+		"pool without hedging":    {jsonSettings, `"secondCopies":true`, `"secondCopies":false`, TopologyPool, ""},
+		"sidecar with hedging":    {sidecar, `"secondCopies":false`, `"secondCopies":true`, TopologySidecar, "setting bounds.secondCopies is true"},
+		"sidecar with zones":      {sidecar, `"zones":["a"]`, `"zones":["a","b"]`, TopologySidecar, "setting zones is [a b]"},
+		"sidecar, crossing costs": {sidecar, `"az":0`, `"az":0,"prices":{"crossZone":0.1}`, TopologySidecar, "setting prices.crossZone is 0.1"},
+		"unknown topology":        {sidecar, `"mesh"`, `"ring"`, TopologySidecar, "setting domainType has an unknown value"},
 	} {
-		d, err := FromJSON([]byte(strings.Replace(c.text, c.from, c.to, 1)))
+		d, err := ParseJSON([]byte(strings.Replace(c.text, c.from, c.to, 1)))
 		if c.want != "" {
 			assert.ErrorContains(t, err, c.want, name)
 			assert.NotContains(t, err.Error(), "\n", name)
 		} else if assert.NoError(t, err, name) {
-			assert.Equal(t, c.shape, d.Shape, name)
+			assert.Equal(t, c.topology, d.Topology, name)
 		}
 	}
 }
 
-// The settings of deployments that keep order and whose list may be wrong; left out, nothing changes.
-func TestOrderAndListThatMayBeWrong(t *testing.T) {
-	d, err := FromLines([]byte(lines + "categories.1.keepOrder=true\nrules.settleAfterDoubt=200.0\nrules.removalNotBinding=true\n" +
+// Settings that only some deployments have: order by key, a list that may be wrong, costs of connections.
+func TestOptionalSettings(t *testing.T) {
+	d, err := ParseLines([]byte(lineSettings + "categories.1.keepOrder=true\nrules.settleAfterDoubt=200.0\nrules.removalNotBinding=true\n" +
 		"me=2\nfamilyInfo.warmKeys=true\nprices.connection=0.06\ngoal.nines=0.2\ngoal.ninesWanted=3.0\n"))
 	require.NoError(t, err)
 	assert.True(t, d.Balancer.Classes[1].Ordered && d.Balancer.RemovalIsHint && d.Balancer.KeyAffinity)
@@ -131,13 +136,13 @@
 		"rules.settleAfterDoubt=-1\n":       "setting rules.settleAfterDoubt is -1, not from 0 to 1.7976931348623157e+308",
 		"rules.removalNotBinding=perhaps\n": `setting rules.removalNotBinding is neither true nor false: "perhaps"`,
 	} {
-		_, err := FromLines([]byte(lines + line))
+		_, err := ParseLines([]byte(lineSettings + line))
 		assert.EqualError(t, err, want)
 	}
 }
 
-// Tenants of nested settings are read beside the lines, and alike: a fault names the same key, and what is no tenant's is 0.
-func TestTenantsBothWays(t *testing.T) {
+// Tenants in JSON are read without paths, and alike: a fault names the same path, and a quota that is absent is 0.
+func TestTenantsOfBothForms(t *testing.T) {
 	for tenants, want := range map[string]string{
 		`[{"name":"one","quotaPerS":20},{"name":"two words"},{"quotaPerS":0.5},3,null]`: "",
 		`[{"name":"one","quotaPerS":-1}]`:                                               "tenants.0.quotaPerS is -1, not from 0",
@@ -147,7 +152,7 @@
 		`[{"name":"one","quotaPerS":{"a":1}}]`:                                          "tenants.0.quotaPerS is no number",
 		`[]`:                                                                            "",
 	} {
-		d, err := FromJSON([]byte(strings.Replace(nested, `[{"name":"one","quotaPerS":20}]`, tenants, 1)))
+		d, err := ParseJSON([]byte(strings.Replace(jsonSettings, `[{"name":"one","quotaPerS":20}]`, tenants, 1)))
 		if want != "" {
 			assert.ErrorContains(t, err, want, tenants)
 			continue
@@ -160,7 +165,7 @@
 		assert.Equal(t, []string{"one", "two_words", "", "", ""}, d.Tenants)
 		assert.Equal(t, []balancer.Tenant{{Quota: 20}, {}, {Quota: 0.5}, {}, {}}, d.Balancer.Tenants)
 	}
-	// A count in lines is held against what stands there.
-	_, err := FromLines([]byte(lines + "tenants.count=1000000000\n"))
+	// A count in lines can't be above the number of values.
+	_, err := ParseLines([]byte(lineSettings + "tenants.count=1000000000\n"))
 	assert.ErrorContains(t, err, "tenants.count")
 }
--- /dev/null
+++ b/internal/config/parse.go
@@ -0,0 +1,166 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// ErrNoObject is the error of a JSON text that is not one object.
+var ErrNoObject = errors.New("settings: no object")
+
+// ParseLines reads path=value lines, the simulator's form. Lines without a "=" mean nothing. The error is a *SettingError.
+func ParseLines(data []byte) (*Deployment, error) {
+	s := &settings{values: map[string]string{}}
+	for line := range strings.Lines(string(data)) {
+		if path, value, found := strings.Cut(strings.TrimRight(line, "\r\n"), "="); found {
+			s.values[path] = value
+		}
+	}
+	return s.deployment()
+}
+
+// ParseJSON reads nested settings, whose paths are those of the lines. The error is a *SettingError, ErrNoObject, or one of
+// the JSON decoder's.
+func ParseJSON(data []byte) (*Deployment, error) {
+	tree, err := decodeObject(data)
+	if err != nil {
+		return nil, err
+	}
+	return parseTree(tree)
+}
+
+// nodeSettings are those that tell the nodes of one deployment apart.
+var nodeSettings = []string{"az", "me"}
+
+// ParseShared reads settings that all nodes of a deployment are given alike. The zone and index of a node, and the seed,
+// are those of own, whatever the shared text says of them. Without own, as for a check, they are 0.
+func ParseShared(data []byte, own *Deployment) (*Deployment, error) {
+	tree, err := decodeObject(data)
+	if err != nil {
+		return nil, err
+	}
+	for _, key := range nodeSettings {
+		delete(tree, key)
+	}
+	number := func(x int) json.Number { return json.Number(strconv.Itoa(x)) }
+	if own == nil {
+		tree["az"], tree["me"] = number(0), number(0)
+	} else {
+		tree["az"] = number(own.Balancer.Zone)
+		if own.present.plain["me"] {
+			tree["me"] = number(own.Balancer.NodeIndex)
+		}
+	}
+	d, err := parseTree(tree)
+	if err == nil && own != nil {
+		d.Balancer.Seed = own.Balancer.Seed
+	}
+	return d, err
+}
+
+func decodeObject(data []byte) (tree map[string]any, err error) {
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.UseNumber() // a number keeps its text, as in the lines
+	if err := decoder.Decode(&tree); err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	if tree == nil {
+		return nil, ErrNoObject
+	}
+	return tree, nil
+}
+
+func parseTree(tree map[string]any) (*Deployment, error) {
+	s := &settings{values: map[string]string{}}
+	s.flatten("", tree)
+	d, err := s.deployment()
+	if err != nil {
+		return nil, err
+	}
+	d.Topology = s.topology(d)
+	d.present = s.present()
+	for k, name := range d.Classes { // requests name their class
+		if name == "" || slices.Index(d.Classes, name) < k {
+			s.fail(fmt.Sprintf("categories.%d.name", k), "is missing or another's: %q", name)
+		}
+	}
+	return d, s.err
+}
+
+// flatten adds the values below path, each under its own path.
+func (s *settings) flatten(path string, value any) {
+	switch x := value.(type) {
+	case map[string]any:
+		for key, item := range x {
+			s.flatten(join(path, key), item)
+		}
+	case []any:
+		if path == "tenants" {
+			s.readTenantList(x)
+		}
+		s.flattenList(path, x)
+	case nil:
+	default:
+		s.values[path] = plainText(x)
+	}
+}
+
+// flattenList adds a list of plain values as one value, and one of objects as their values and a count.
+func (s *settings) flattenList(path string, items []any) {
+	plain := make([]string, 0, len(items))
+	for k, item := range items {
+		if _, isObject := item.(map[string]any); !isObject {
+			plain = append(plain, plainText(item))
+		} else if path != "tenants" {
+			s.flatten(join(path, strconv.Itoa(k)), item)
+		}
+	}
+	if len(plain) == len(items) {
+		s.values[path] = strings.Join(plain, ",")
+	} else {
+		s.values[join(path, "count")] = strconv.Itoa(len(items))
+	}
+}
+
+// readTenantList takes the tenants as they are; an item that is no object is a tenant without name and quota.
+func (s *settings) readTenantList(items []any) {
+	s.tenants = make([]tenantSetting, len(items))
+	for k, item := range items {
+		if object, isObject := item.(map[string]any); isObject {
+			s.tenants[k] = tenantSetting{plainText(object["name"]), plainText(object["quotaPerS"])}
+		}
+	}
+}
+
+func join(path, key string) string {
+	if path == "" {
+		return key
+	}
+	return path + "." + key
+}
+
+func plainText(value any) string {
+	switch x := value.(type) {
+	case string:
+		return NormalizeName(x)
+	case nil:
+		return ""
+	default:
+		return fmt.Sprint(x)
+	}
+}
+
+// NormalizeName puts a name into the form that it has in lines, where blanks and commas separate values.
+func NormalizeName(name string) string {
+	return strings.Map(func(r rune) rune {
+		if r == ' ' || r == ',' {
+			return '_'
+		}
+		return r
+	}, name)
+}
--- a/internal/controlplane/member/member.go
+++ b/internal/controlplane/member/member.go
@@ -611,7 +611,7 @@
 	if err != nil {
 		return nil // a head that no node can read is not to keep a better one out
 	}
-	return told.Follows(old)
+	return told.CheckReplaces(old)
 }
 
 func (v *validator) parse(d *controlplane.Document) (*config.Deployment, error) {
@@ -621,7 +621,7 @@
 			return v.cache[k].told, nil
 		}
 	}
-	told, err := config.Shared(d.Text(), nil)
+	told, err := config.ParseShared(d.Text(), nil)
 	if err == nil {
 		v.cache[1] = v.cache[0]
 		v.cache[0].digest, v.cache[0].told = digest, told
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -191,7 +191,7 @@
 // of name is unknown.
 func indexOfName(field json.RawMessage, names []string, what string) (int, error) {
 	name, err := readField[string](field)
-	index := slices.Index(names, config.Name(name))
+	index := slices.Index(names, config.NormalizeName(name))
 	if err == nil && index < 0 {
 		err = fmt.Errorf("unknown %s %.60q", what, name)
 	}
--- a/internal/lab/capacity/rig_module.go
+++ b/internal/lab/capacity/rig_module.go
@@ -204,7 +204,7 @@
 				var d *config.Deployment
 				for range rounds {
 					var err error
-					if d, err = config.FromJSON(text); err != nil {
+					if d, err = config.ParseJSON(text); err != nil {
 						return nil, err
 					}
 				}
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -61,7 +61,7 @@
 	}
 	request.Config = n.deployment.Balancer
 	request.Class = class
-	request.Tenant = max(n.deployment.Tenant(logged.Tenant), 0)
+	request.Tenant = max(n.deployment.TenantIndex(logged.Tenant), 0)
 	request.CostHint, request.HasCostHint = logged.CostHint, logged.HasCostHint
 	request.IsClientRetry = logged.IsClientRetry
 	request.Key = logged.Key
--- a/internal/serve/place.go
+++ b/internal/serve/place.go
@@ -100,7 +100,7 @@
 	if len(read.Settings) == 0 {
 		return nil, fmt.Errorf("%s: no settings", file)
 	}
-	if p.told, err = config.FromJSON(read.Settings); err != nil {
+	if p.told, err = config.ParseJSON(read.Settings); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	if p.told.Balancer.Seed, err = strconv.ParseUint(read.Seed, 16, 64); err != nil {
@@ -178,7 +178,7 @@
 	}
 	ours := p.version == 0
 	if err == nil && ours {
-		if err = next.told.Follows(p.told); err != nil {
+		if err = next.told.CheckReplaces(p.told); err != nil {
 			err = fmt.Errorf("%s: %w", p.file, err)
 		}
 	}
@@ -213,5 +213,5 @@
 		known = len(p.known.Endpoints)
 	}
 	return fmt.Sprintf("%s on %s, list at %s: %s, reports of %v, %d categories, %d known backends, %d nodes; %g cores, %d MB, %d sockets",
-		p.name, p.listen, p.discovery, p.told.Shape, p.told.Report, len(p.told.Classes), known, p.told.Balancer.Nodes, p.cores, p.memory>>20, p.sockets)
+		p.name, p.listen, p.discovery, p.told.Topology, p.told.LoadReportFields, len(p.told.Classes), known, p.told.Balancer.Nodes, p.cores, p.memory>>20, p.sockets)
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -143,7 +143,7 @@
 	retime := func(d *config.Deployment) {
 		told.Store(d)
 		backends.ConnectTimeout.Set(clock.Duration(d.ConnectTimeout))
-		backends.IdleTimeout.Set(clock.Duration(idleShare * d.ConnectionIdle))
+		backends.IdleTimeout.Set(clock.Duration(idleShare * d.ConnectionIdleTimeout))
 	}
 	retime(p.told)
 	n := node.New(p.told, o.Decide, now, backends, watch.Poll, log)
--- a/internal/serve/shared.go
+++ b/internal/serve/shared.go
@@ -54,7 +54,7 @@
 	if !there {
 		return s, nil
 	}
-	d, err := config.Shared(text, s.own)
+	d, err := config.ParseShared(text, s.own)
 	if err != nil {
 		log.Error("copy of the settings not taken, the file's hold", "version", version, "error", err)
 		return s, nil
@@ -81,7 +81,7 @@
 	if version == s.now.Load().version { // that it has started with
 		return nil
 	}
-	d, err := config.Shared(text, s.own)
+	d, err := config.ParseShared(text, s.own)
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 
 // take puts a version in force, whole or not at all.
 func (s *shared) take(a ask, retune func(*config.Deployment) error) error {
-	if err := a.settings.Follows(s.place.told); err != nil {
+	if err := a.settings.CheckReplaces(s.place.told); err != nil {
 		return err
 	}
 	if err := retune(a.settings); err != nil {
--- a/internal/server/decode.go
+++ b/internal/server/decode.go
@@ -100,7 +100,7 @@
 		return header, badRequest("no path")
 	}
 	className := r.Header.Get(classHeader)
-	header.class = slices.Index(deployment.Classes, config.Name(className))
+	header.class = slices.Index(deployment.Classes, config.NormalizeName(className))
 	if header.class < 0 {
 		return header, badRequest("unknown category %.40q", className)
 	}
@@ -122,5 +122,5 @@
 
 // tenantIndex is the index of a request's tenant; unknown ones count as the first.
 func tenantIndex(deployment *config.Deployment, r *http.Request) int {
-	return max(deployment.Tenant(config.Name(r.Header.Get(tenantHeader))), 0)
+	return max(deployment.TenantIndex(config.NormalizeName(r.Header.Get(tenantHeader))), 0)
 }
--- a/internal/server/requestlogging.go
+++ b/internal/server/requestlogging.go
@@ -57,7 +57,7 @@
 		return nil, badRequest("odd %s", s.requestLogging.KeyHeader)
 	}
 	// A key counts within its tenant alone: nobody gets another tenant's answer by guessing.
-	tenant := config.Name(r.Header.Get(tenantHeader))
+	tenant := config.NormalizeName(r.Header.Get(tenantHeader))
 	return &node.LoggedRequest{
 		Key:                  tenant + "\x00" + key,
 		Fingerprint:          fingerprint(r, body),
--- a/internal/simprotocol/simprotocol.go
+++ b/internal/simprotocol/simprotocol.go
@@ -178,7 +178,7 @@
 	switch code {
 	case enlist:
 		seed := r.u64()
-		told, err := config.FromLines(r.take(int(r.u32())))
+		told, err := config.ParseLines(r.take(int(r.u32())))
 		if r.err != nil {
 			return
 		}
@@ -190,7 +190,7 @@
 		if i != nil {
 			i.stopped = true
 		}
-		i = &instance{number: number, categories: len(told.Classes), fields: told.Report, ops: map[uint64]*balancer.Request{}, backends: map[uint64]*balancer.Backend{}}
+		i = &instance{number: number, categories: len(told.Classes), fields: told.LoadReportFields, ops: map[uint64]*balancer.Request{}, backends: map[uint64]*balancer.Backend{}}
 		h.instances[number] = i
 		h.touch(i)
 		h.guard(i, func() {
