--- a/internal/serve/certificates.go
+++ b/internal/serve/certificates.go
@@ -98,7 +98,7 @@
 	log.Info("serving challenges", "address", listener.Addr().String())
 	stop := context.AfterFunc(ctx, func() { _ = httpServer.Close() })
 	defer stop()
-	if err := httpServer.Serve(controlsocket.Limited(listener)); ctx.Err() == nil {
+	if err := httpServer.Serve(controlsocket.LimitConnections(listener)); ctx.Err() == nil {
 		log.Error("challenges no longer served", "error", err)
 	}
 }
--- a/internal/serve/config.go
+++ b/internal/serve/config.go
@@ -127,7 +127,7 @@
 	if len(content.Settings) == 0 {
 		return errors.New("no settings")
 	}
-	deployment, err := config.FromJSON(content.Settings)
+	deployment, err := config.ParseJSON(content.Settings)
 	if err != nil {
 		return err
 	}
@@ -203,6 +203,6 @@
 		cached = len(c.cachedEndpoints.Endpoints)
 	}
 	return fmt.Sprintf("%s on %s, list at %s: %s, reports of %v, %d categories, %d known backends, %d nodes; %g cores, %d MB, %d sockets",
-		c.name, c.address, c.discoveryAddress, c.deployment.Shape, c.deployment.Report, len(c.deployment.Classes), cached,
+		c.name, c.address, c.discoveryAddress, c.deployment.Topology, c.deployment.LoadReportFields, len(c.deployment.Classes), cached,
 		c.deployment.Balancer.Nodes, c.cores, c.memoryBytes>>20, c.maxDescriptors)
 }
--- a/internal/serve/controlplane.go
+++ b/internal/serve/controlplane.go
@@ -68,7 +68,7 @@
 	if !ok {
 		return
 	}
-	deployment, err := config.Shared(text, s.fileDeployment)
+	deployment, err := config.ParseShared(text, s.fileDeployment)
 	if err != nil {
 		s.log.Error("stored control plane settings not usable, using the file's", "version", version, "error", err)
 		return
@@ -95,7 +95,7 @@
 	if version == s.inForce.Load().version { // the node started with it
 		return nil
 	}
-	deployment, err := config.Shared(text, s.fileDeployment)
+	deployment, err := config.ParseShared(text, s.fileDeployment)
 	if err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 
 // put puts a version in force, completely or not at all.
 func (s *controlPlaneSettings) put(update settingsUpdate, reconfigure func(*config.Deployment) error) error {
-	if err := update.deployment.Follows(s.config.deployment); err != nil {
+	if err := update.deployment.CheckReplaces(s.config.deployment); err != nil {
 		return err
 	}
 	if err := reconfigure(update.deployment); err != nil {
@@ -131,15 +131,15 @@
 // status is what the control socket tells of the control plane.
 func (s *controlPlaneSettings) status(ctx context.Context) *controlsocket.ControlPlane {
 	inForce := s.inForce.Load()
-	status := &controlsocket.ControlPlane{InForce: inForce.version, Held: inForce.version, Digest: inForce.digest}
+	status := &controlsocket.ControlPlane{ActiveVersion: inForce.version, LatestVersion: inForce.version, Digest: inForce.digest}
 	state, err := s.client.State(ctx)
 	if err != nil {
 		return status
 	}
-	status.Held = state.StoredVersion
-	status.Member = state.Member
-	status.Refused = state.RejectedVersion
-	status.Why = state.RejectReason
+	status.LatestVersion = state.StoredVersion
+	status.FollowedMember = state.Member
+	status.RejectedVersion = state.RejectedVersion
+	status.RejectReason = state.RejectReason
 	status.AgeMs = client.FiniteOrNil(state.StalenessMs)
 	status.BytesIn, status.BytesOut = state.BytesIn, state.BytesOut
 	status.FramesIn, status.FramesOut = state.FramesIn, state.FramesOut
--- a/internal/serve/controlsocket.go
+++ b/internal/serve/controlsocket.go
@@ -24,7 +24,7 @@
 		return nil, err
 	}
 	status := func(ctx context.Context) (controlsocket.Status, error) { return p.status(ctx, startedAt) }
-	var certificates controlsocket.Certificates
+	var certificates controlsocket.CertificateCalls
 	if p.certificates != nil {
 		certificates = p.certificates
 	}
@@ -40,10 +40,16 @@
 			return p.peers.State(ctx)
 		}
 	}
-	handler := controlsocket.Node(status, p.setService, p.dumpCapture, certificates, clients, peersState)
-	httpServer := controlsocket.Server(handler)
+	httpServer := controlsocket.NewServer(controlsocket.NewNodeHandler(controlsocket.NodeCalls{
+		Status:       status,
+		SetService:   p.setService,
+		DumpCapture:  p.dumpCapture,
+		Certificates: certificates,
+		Clients:      clients,
+		Peers:        peersState,
+	}))
 	go func() {
-		if err := httpServer.Serve(controlsocket.Limited(listener)); !errors.Is(err, http.ErrServerClosed) {
+		if err := httpServer.Serve(controlsocket.LimitConnections(listener)); !errors.Is(err, http.ErrServerClosed) {
 			p.log.Error("control socket ended", "error", err)
 		}
 	}()
@@ -61,24 +67,24 @@
 	inService, shuttingDown := p.server.ServiceState()
 	current := p.config.current.Load()
 	status := controlsocket.Status{
-		Token:     p.options.Token,
-		PID:       os.Getpid(),
-		Name:      p.config.name,
-		Listen:    p.server.Address(),
-		Version:   p.options.Version,
-		Started:   startedAt,
-		Config:    p.config.file,
-		Digest:    current.digest,
-		Epoch:     p.options.Epoch,
-		List:      current.discoveryAddress,
-		ListAt:    nodeStatus.Version,
-		ListSum:   nodeStatus.Digest,
-		Backends:  nodeStatus.Backends,
-		Ready:     nodeStatus.HasEndpoints,
-		InService: inService,
-		Ending:    shuttingDown,
-		Open:      int64(nodeStatus.OpenRequests),
-		MemoryMB:  memoryMB(),
+		Token:        p.options.Token,
+		PID:          os.Getpid(),
+		Name:         p.config.name,
+		Listen:       p.server.Address(),
+		Version:      p.options.Version,
+		StartedAt:    startedAt,
+		Config:       p.config.file,
+		Digest:       current.digest,
+		Epoch:        p.options.Epoch,
+		ListAddress:  current.discoveryAddress,
+		ListVersion:  nodeStatus.Version,
+		ListDigest:   nodeStatus.Digest,
+		Backends:     nodeStatus.Backends,
+		Ready:        nodeStatus.HasEndpoints,
+		InService:    inService,
+		Draining:     shuttingDown,
+		OpenRequests: int64(nodeStatus.OpenRequests),
+		MemoryMB:     memoryMB(),
 	}
 	if p.certificates != nil {
 		status.TLS = &controlsocket.TLS{
@@ -100,8 +106,8 @@
 	if _, shuttingDown := p.server.ServiceState(); shuttingDown {
 		return errShuttingDown
 	}
-	p.server.SetOutOfService(!service.In)
-	p.log.Info("service", "in", service.In, "why", service.Why)
+	p.server.SetOutOfService(!service.InService)
+	p.log.Info("service", "in", service.InService, "why", service.Reason)
 	return nil
 }
 
--- a/internal/serve/hotrestart.go
+++ b/internal/serve/hotrestart.go
@@ -108,7 +108,7 @@
 	names := r.config.deploymentNames
 	if !reflect.DeepEqual(state.Zones, names.Zones) || !reflect.DeepEqual(state.Kinds, names.Kinds) {
 		r.log.Warn("predecessor's state has other zones or kinds, not restored")
-		return &hotrestart.State{Known: state.Known, Banned: state.Banned, Away: state.Away}
+		return &hotrestart.State{KnownNames: state.KnownNames, CordonedNames: state.CordonedNames, QuiescedMs: state.QuiescedMs}
 	}
 	return state
 }
@@ -116,19 +116,19 @@
 // restore has the node begin with its predecessor's state.
 func (r *restartCoordinator) restore(state *hotrestart.State) {
 	err := r.node.Restore(&node.LearnedState{
-		BackendNames:     state.Names,
-		BalancerSnapshot: state.Module,
-		KnownNames:       state.Known,
-		CordonedNames:    state.Banned,
+		BackendNames:     state.BackendNames,
+		BalancerSnapshot: state.BalancerSnapshot,
+		KnownNames:       state.KnownNames,
+		CordonedNames:    state.CordonedNames,
 	})
 	if err != nil {
 		r.log.Warn("predecessor's balancer state not restored, starting fresh", "error", err)
 	}
-	if state.Away != nil {
-		r.server.SetQuiescedSince(true, time.Now().Add(-clock.Duration(*state.Away)))
+	if state.QuiescedMs != nil {
+		r.server.SetQuiescedSince(true, time.Now().Add(-clock.Duration(*state.QuiescedMs)))
 	}
-	r.log.Info("state taken over from the predecessor process", "backends", len(state.Names), "cordoned", len(state.Banned),
-		"quiesced", state.Away != nil, "learned_bytes", len(state.Module))
+	r.log.Info("state taken over from the predecessor process", "backends", len(state.BackendNames), "cordoned", len(state.CordonedNames),
+		"quiesced", state.QuiescedMs != nil, "learned_bytes", len(state.BalancerSnapshot))
 }
 
 // beginServing tells the predecessor that this process serves, and listens for a successor once it is alone.
@@ -170,11 +170,11 @@
 	if r.closed {
 		return
 	}
-	listener, err := hotrestart.Listen(r.socketPath, hotrestart.Owner{
-		Name:       r.config.name,
-		State:      r.handOffState,
-		HandleCall: r.handleCall,
-		Log:        r.log,
+	listener, err := hotrestart.Listen(r.socketPath, hotrestart.Predecessor{
+		Name:         r.config.name,
+		CollectState: r.handOffState,
+		HandleCall:   r.handleCall,
+		Log:          r.log,
 		OnSuccessorGone: func() {
 			r.log.Info("successor process ended, this one continues")
 			r.useAllResources()
@@ -198,17 +198,17 @@
 		return nil, err
 	}
 	state := &hotrestart.State{
-		Zones:  r.config.deploymentNames.Zones,
-		Kinds:  r.config.deploymentNames.Kinds,
-		List:   learned.Endpoints,
-		Names:  learned.BackendNames,
-		Module: learned.BalancerSnapshot,
-		Known:  learned.KnownNames,
-		Banned: learned.CordonedNames,
+		Zones:            r.config.deploymentNames.Zones,
+		Kinds:            r.config.deploymentNames.Kinds,
+		List:             learned.Endpoints,
+		BackendNames:     learned.BackendNames,
+		BalancerSnapshot: learned.BalancerSnapshot,
+		KnownNames:       learned.KnownNames,
+		CordonedNames:    learned.CordonedNames,
 	}
 	if elapsed, isQuiesced := r.server.QuiescedFor(); isQuiesced {
 		ms := float64(elapsed.Microseconds()) / 1e3
-		state.Away = &ms
+		state.QuiescedMs = &ms
 	}
 	return state, nil
 }
--- a/internal/serve/process.go
+++ b/internal/serve/process.go
@@ -174,7 +174,7 @@
 func (p *process) useDeployment(deployment *config.Deployment) {
 	p.deployment.Store(deployment)
 	p.upstreamConfig.ConnectTimeout.Set(clock.Duration(deployment.ConnectTimeout))
-	p.upstreamConfig.IdleTimeout.Set(clock.Duration(idleConnectionShare * deployment.ConnectionIdle))
+	p.upstreamConfig.IdleTimeout.Set(clock.Duration(idleConnectionShare * deployment.ConnectionIdleTimeout))
 }
 
 func (p *process) enableAdmission() error {
--- a/internal/serve/reload.go
+++ b/internal/serve/reload.go
@@ -69,7 +69,7 @@
 
 // applyNext puts the next configuration's deployment in force.
 func (c *Config) applyNext(next *Config, reconfigure func(*config.Deployment) error) error {
-	if err := next.deployment.Follows(c.deployment); err != nil {
+	if err := next.deployment.CheckReplaces(c.deployment); err != nil {
 		return fmt.Errorf("%s: %w", c.file, err)
 	}
 	return reconfigure(next.deployment)
