--- a/cmd/pearknot/certs.go
+++ b/cmd/pearknot/certs.go
@@ -117,7 +117,7 @@
 		return t.UTC().Format(time.RFC3339)
 	}
 	for _, s := range all {
-		if s.Stage != certs.Fine && s.Stage != certs.Due {
+		if s.Stage != certs.StageFine && s.Stage != certs.StageRenewalDue {
 			bad++
 		}
 		order, fault := "-", "-"
--- a/internal/acme/client.go
+++ b/internal/acme/client.go
@@ -107,7 +107,7 @@
 
 // failure is why an order is over, or not.
 type failure struct {
-	fault certs.Fault
+	fault certs.FailureKind
 	err   error
 	after time.Duration
 	over  bool
@@ -123,18 +123,18 @@
 	}
 	var a *acme.Error
 	if !errors.As(err, &a) {
-		return &failure{certs.Away, oneLine(err), 0, false}
+		return &failure{certs.AuthorityUnavailable, oneLine(err), 0, false}
 	}
 	after := retryAfter(a.Header)
 	switch {
 	case a.StatusCode == http.StatusTooManyRequests || strings.HasSuffix(a.ProblemType, ":rateLimited"):
-		return &failure{certs.Limited, oneLine(err), after, false}
+		return &failure{certs.RateLimited, oneLine(err), after, false}
 	case a.StatusCode >= 500 || strings.HasSuffix(a.ProblemType, ":badNonce"):
-		return &failure{certs.Away, oneLine(err), after, false}
+		return &failure{certs.AuthorityUnavailable, oneLine(err), after, false}
 	case a.StatusCode == http.StatusNotFound: // the order is no more
-		return &failure{certs.Refused, oneLine(err), after, true}
+		return &failure{certs.OrderRejected, oneLine(err), after, true}
 	}
-	return &failure{certs.Refused, oneLine(err), after, true}
+	return &failure{certs.OrderRejected, oneLine(err), after, true}
 }
 
 // oneLine keeps what an authority says to a line of bounded length.
@@ -181,11 +181,11 @@
 	case acme.StatusReady:
 		csr, err := x509.CreateCertificateRequest(rand.Reader, &x509.CertificateRequest{DNSNames: names}, key)
 		if err != nil {
-			return nil, &failure{certs.OwnFault, err, 0, false}
+			return nil, &failure{certs.LocalFailure, err, 0, false}
 		}
 		chain, _, err := c.acme.CreateOrderCert(ctx, o.FinalizeURL, csr, true)
 		if err != nil && ctx.Err() != nil { // it waits for an order in processing until ctx ends
-			return nil, &failure{certs.Pending, errPending, 0, false}
+			return nil, &failure{certs.OrderPending, errPending, 0, false}
 		}
 		return chain, err
 	case acme.StatusValid:
@@ -195,9 +195,9 @@
 		if o.Error != nil {
 			why = oneLine(o.Error)
 		}
-		return nil, &failure{certs.Refused, why, 0, true}
+		return nil, &failure{certs.OrderRejected, why, 0, true}
 	}
-	return nil, &failure{certs.Pending, errPending, 0, false}
+	return nil, &failure{certs.OrderPending, errPending, 0, false}
 }
 
 // authorize proves one name.
@@ -210,7 +210,7 @@
 		return nil
 	}
 	if z.Status != acme.StatusPending {
-		return &failure{certs.Refused, fmt.Errorf("authorization of %s is %s", z.Identifier.Value, z.Status), 0, true}
+		return &failure{certs.OrderRejected, fmt.Errorf("authorization of %s is %s", z.Identifier.Value, z.Status), 0, true}
 	}
 	for _, kind := range []string{"tls-alpn-01", "http-01"} {
 		for _, ch := range z.Challenges {
@@ -222,7 +222,7 @@
 				continue
 			}
 			if err != nil {
-				return &failure{certs.OwnFault, err, 0, false}
+				return &failure{certs.LocalFailure, err, 0, false}
 			}
 			defer away()
 			if _, err := c.acme.Accept(ctx, ch); err != nil {
@@ -231,14 +231,14 @@
 			if _, err := c.acme.WaitAuthorization(ctx, z.URI); err != nil {
 				var no *acme.AuthorizationError
 				if errors.As(err, &no) {
-					return &failure{certs.Refused, oneLine(no), 0, true}
+					return &failure{certs.OrderRejected, oneLine(no), 0, true}
 				}
 				return err
 			}
 			return nil
 		}
 	}
-	return &failure{certs.Refused, fmt.Errorf("%s: no challenge that could be answered here", z.Identifier.Value), 0, true}
+	return &failure{certs.OrderRejected, fmt.Errorf("%s: no challenge that could be answered here", z.Identifier.Value), 0, true}
 }
 
 // errNotHere is a kind of challenge that is not answered here.
--- a/internal/acme/keeper.go
+++ b/internal/acme/keeper.go
@@ -46,7 +46,7 @@
 type Keeper struct {
 	o       Options
 	store   *store
-	core    *certs.Core
+	core    *certs.Scheduler
 	clients []*client
 	wanted  []string
 
@@ -112,7 +112,7 @@
 	}
 	slices.Sort(k.wanted)
 	k.served = map[string]*tls.Certificate{}
-	k.o.Limits.Authorities = len(k.o.Authorities)
+	k.o.Limits.AuthorityCount = len(k.o.Authorities)
 	k.core = certs.New(state, k.wanted, k.o.Limits)
 	for _, name := range k.wanted {
 		c, err := k.store.served(name)
@@ -121,12 +121,12 @@
 		}
 		n := k.core.Names[name]
 		if c == nil {
-			n.Held = nil
+			n.Certificate = nil
 			continue
 		}
-		if n.Held == nil || n.Held.Serial != c.Leaf.SerialNumber.String() { // the file is the truth
+		if n.Certificate == nil || n.Certificate.Serial != c.Leaf.SerialNumber.String() { // the file is the truth
 			h := heldOf(c.Leaf)
-			n.Held = &h
+			n.Certificate = &h
 		}
 		k.swap(name, c)
 	}
@@ -143,8 +143,8 @@
 	return k.store.close()
 }
 
-func heldOf(leaf *x509.Certificate) certs.Held {
-	return certs.Held{ID: infoID(leaf), Serial: leaf.SerialNumber.String(), NotBefore: ms(leaf.NotBefore), NotAfter: ms(leaf.NotAfter)}
+func heldOf(leaf *x509.Certificate) certs.Certificate {
+	return certs.Certificate{RenewalID: infoID(leaf), Serial: leaf.SerialNumber.String(), NotBefore: ms(leaf.NotBefore), NotAfter: ms(leaf.NotAfter)}
 }
 
 func ms(t time.Time) float64 { return float64(t.UnixMilli()) }
@@ -212,12 +212,12 @@
 	var all []Status
 	for _, name := range k.wanted {
 		n := k.core.Names[name]
-		s := Status{Name: name, Names: k.o.Names[name], Stage: k.core.Stage(now, name), Fault: n.Fault, FaultAt: at(n.FaultAt), RenewAt: at(k.core.RenewAt(name))}
-		if n.Held != nil {
-			s.Serial, s.NotAfter = n.Held.Serial, at(n.Held.NotAfter)
+		s := Status{Name: name, Names: k.o.Names[name], Stage: k.core.Stage(now, name), Fault: n.LastFailure, FaultAt: at(n.LastFailureAt), RenewAt: at(k.core.RenewAt(name))}
+		if n.Certificate != nil {
+			s.Serial, s.NotAfter = n.Certificate.Serial, at(n.Certificate.NotAfter)
 		}
-		if n.NextAt > now {
-			s.NextAt = at(n.NextAt)
+		if n.RetryAt > now {
+			s.NextAt = at(n.RetryAt)
 		}
 		if n.Order != nil {
 			s.Order = n.Order.URL
@@ -267,7 +267,7 @@
 		cancel()
 		if err != nil && ctx.Err() == nil {
 			f := faulty(err)
-			k.core.Failed(k.now(), a.Name, f.fault, f.err.Error(), float64(f.after.Milliseconds()), f.over)
+			k.core.ActionFailed(k.now(), a.Name, f.fault, f.err.Error(), float64(f.after.Milliseconds()), f.over)
 			k.tell(a, f)
 		}
 		if err := k.store.save(k.core.State); err != nil {
@@ -275,29 +275,29 @@
 		}
 		k.publish()
 	}
-	return time.Duration(math.Ceil(math.Min(k.core.Wait(k.now()), 1e10))) * time.Millisecond
+	return time.Duration(math.Ceil(math.Min(k.core.WaitMs(k.now()), 1e10))) * time.Millisecond
 }
 
 // tell logs a failure, the louder the less time is left.
 func (k *Keeper) tell(a certs.Action, f *failure) {
-	if f.fault == certs.Pending {
+	if f.fault == certs.OrderPending {
 		return
 	}
 	n := k.core.Names[a.Name]
 	log := k.o.Log.Warn
 	stage := k.core.Stage(k.now(), a.Name)
-	if stage == certs.Expired || stage == certs.Late || stage == certs.Missing {
+	if stage == certs.StageExpired || stage == certs.StageLate || stage == certs.StageMissing {
 		log = k.o.Log.Error
 	}
 	log("certificate not renewed", "name", a.Name, "stage", string(stage), "step", string(a.Kind), "authority", a.Authority, "fault", string(f.fault),
-		"error", f.err, "failures", n.Failures, "next", time.UnixMilli(int64(n.NextAt)).UTC().Format(time.RFC3339))
+		"error", f.err, "failures", n.Failures, "next", time.UnixMilli(int64(n.RetryAt)).UTC().Format(time.RFC3339))
 }
 
 func (k *Keeper) client(authority int) (*client, error) {
 	if k.clients[authority] == nil {
 		key, err := k.store.key(k.store.accountKey(authority))
 		if err != nil {
-			return nil, &failure{certs.OwnFault, err, 0, false}
+			return nil, &failure{certs.LocalFailure, err, 0, false}
 		}
 		k.clients[authority] = newClient(k.o.Authorities[authority], key)
 	}
@@ -313,24 +313,24 @@
 		if err == nil {
 			return nil
 		}
-		return &failure{certs.OwnFault, err, 0, false}
+		return &failure{certs.LocalFailure, err, 0, false}
 	}
 	names := k.o.Names[a.Name]
 	switch {
-	case a.Kind == certs.Ask:
-		from, to, wait, offered, err := c.info(ctx, k.core.Names[a.Name].Held.ID)
+	case a.Kind == certs.FetchRenewalInfo:
+		from, to, wait, offered, err := c.info(ctx, k.core.Names[a.Name].Certificate.RenewalID)
 		if err != nil {
 			return err
 		}
 		if !offered {
 			from, to = time.UnixMilli(0), time.UnixMilli(0)
 		}
-		k.core.Informed(k.now(), a.Name, ms(from), ms(to), float64(wait.Milliseconds()))
+		k.core.RenewalInfoFetched(k.now(), a.Name, ms(from), ms(to), float64(wait.Milliseconds()))
 		return nil
-	case a.Kind == certs.Begin:
-		k.core.Begun(k.now(), a)
+	case a.Kind == certs.CreateOrder:
+		k.core.OrderBegun(k.now(), a)
 		if err := k.store.save(k.core.State); err != nil {
-			return &failure{certs.OwnFault, err, 0, true} // nothing was ordered that could be forgotten
+			return &failure{certs.LocalFailure, err, 0, true} // nothing was ordered that could be forgotten
 		}
 		k.o.Point("noted")
 		fallthrough
@@ -344,7 +344,7 @@
 			return err
 		}
 		k.o.Point("ordered")
-		k.core.Opened(a.Name, url)
+		k.core.OrderCreated(a.Name, url)
 		if err := own(k.store.save(k.core.State)); err != nil {
 			return err
 		}
@@ -358,7 +358,7 @@
 func (k *Keeper) fetch(ctx context.Context, c *client, a certs.Action, names []string) error {
 	key, held, err := k.orderKey(a.Name)
 	if err != nil {
-		return &failure{certs.OwnFault, err, 0, false}
+		return &failure{certs.LocalFailure, err, 0, false}
 	}
 	chain, err := c.goOn(ctx, a.URL, names, key, func(ch *acme.Challenge, name string) (func(), error) { return k.put(c, ch, name) })
 	if err != nil {
@@ -367,17 +367,17 @@
 	k.o.Point("fetched")
 	leaf, err := fits(chain, key, names, k.o.Authorities[a.Authority].Roots, k.o.Now())
 	if err != nil {
-		return &failure{certs.Unfit, err, 0, true}
+		return &failure{certs.CertificateUnusable, err, 0, true}
 	}
 	if held == nil || !same(held.Certificate, chain) {
 		if err := k.store.serve(a.Name, chain, key); err != nil {
-			return &failure{certs.OwnFault, err, 0, false}
+			return &failure{certs.LocalFailure, err, 0, false}
 		}
 	}
 	k.o.Point("stored")
 	k.swap(a.Name, &tls.Certificate{Certificate: chain, PrivateKey: key, Leaf: leaf})
 	k.o.Point("swapped")
-	k.core.Issued(k.now(), a.Name, heldOf(leaf))
+	k.core.CertificateIssued(k.now(), a.Name, heldOf(leaf))
 	k.o.Log.Info("certificate", "name", a.Name, "serial", leaf.SerialNumber.String(), "not_after", leaf.NotAfter.UTC().Format(time.RFC3339),
 		"authority", a.Authority)
 	return nil
@@ -470,14 +470,14 @@
 	if held == nil {
 		return fmt.Errorf("no certificate %s", name)
 	}
-	c, err := k.client(n.Held.Authority)
+	c, err := k.client(n.Certificate.Authority)
 	if err != nil {
 		return err
 	}
 	if err := c.revoke(ctx, held.Certificate[0]); err != nil {
 		return oneLine(err)
 	}
-	k.core.Renew(name)
+	k.core.RenewAtOnce(name)
 	return k.store.save(k.core.State)
 }
 
@@ -486,6 +486,6 @@
 	if k.core.Names[name] == nil {
 		return fmt.Errorf("no certificate %s", name)
 	}
-	k.core.Renew(name)
+	k.core.RenewAtOnce(name)
 	return k.store.save(k.core.State)
 }
--- a/internal/acme/keeper_test.go
+++ b/internal/acme/keeper_test.go
@@ -93,7 +93,7 @@
 func (w *world) options(names ...string) Options {
 	o := Options{Dir: w.dir, Names: map[string][]string{}, HTTP: true, Now: w.clock, Within: 2 * time.Second, Log: slog.New(slog.NewTextHandler(w, nil)),
 		Authorities: []Authority{{Directory: w.server.URL + "/directory", Roots: w.a.Roots(), Contact: []string{"mailto:ops@example.org"}}},
-		Limits:      certs.Defaults(), Point: func(p string) { w.points(p) }}
+		Limits:      certs.DefaultLimits(), Point: func(p string) { w.points(p) }}
 	for _, n := range names {
 		o.Names[n] = []string{n}
 	}
@@ -141,7 +141,7 @@
 		assert.NotEqual(t, first.SerialNumber, second.SerialNumber)
 		assert.InDelta(t, 0.725*90, second.NotBefore.Sub(begun).Hours()/24, 3, "within the authority's window")
 		s := k.Status()[0]
-		assert.Equal(t, certs.Fine, s.Stage)
+		assert.Equal(t, certs.StageFine, s.Stage)
 		assert.Empty(t, s.Fault)
 		info, err := os.Stat(filepath.Join(w.dir, "names", "pay.example.org", "served.pem"))
 		require.NoError(t, err)
@@ -172,7 +172,7 @@
 		if after > 0 {
 			assert.Contains(t, w.log.String(), "level=ERROR msg=\"certificate not renewed\" name=pay.example.org stage=expired")
 		}
-		assert.Equal(t, certs.Fine, k.Status()[0].Stage)
+		assert.Equal(t, certs.StageFine, k.Status()[0].Stage)
 	}
 }
 
@@ -198,7 +198,7 @@
 	w.leaf(k, "a.example.org")
 	w.leaf(k, "c.example.org")
 	s := k.Status()[1]
-	assert.Equal(t, certs.Missing, s.Stage)
+	assert.Equal(t, certs.StageMissing, s.Stage)
 	assert.Contains(t, s.Fault, "rejected by the schedule")
 	w.run(k, begun.Add(27*time.Hour))
 	w.leaf(k, "b.example.org")
@@ -268,7 +268,7 @@
 		data, err := k.store.served("pay.example.org")
 		require.NoError(t, err, point)
 		assert.Equal(t, w.leaf(k, "pay.example.org").Raw, data.Certificate[0], point)
-		orders := len(k.core.Orders)
+		orders := len(k.core.OrderTimes)
 		assert.LessOrEqual(t, orders, 1, "%s: no order beside the one that was open", point)
 	}
 }
@@ -325,11 +325,11 @@
 func TestHundredInstances(t *testing.T) {
 	w := newWorld(t, func(o *acmestub.Options) { o.Window = 0 })
 	begun := w.clock()
-	var all []*certs.Core
+	var all []*certs.Scheduler
 	calls := map[int]int{} // by minute
 	down := func(now float64) bool { at := now - ms(begun); return at > 61*24*3600e3 && at < 62*24*3600e3 }
 	for n := range 100 {
-		l := certs.Defaults()
+		l := certs.DefaultLimits()
 		l.Instance = fmt.Sprint("node-", n)
 		all = append(all, certs.New(certs.State{}, []string{"pay.example.org"}, l))
 	}
@@ -339,21 +339,21 @@
 		for now < ms(begun)+365*24*3600e3 {
 			a, due := c.Next(now)
 			if !due {
-				now += max(c.Wait(now), 1)
+				now += max(c.WaitMs(now), 1)
 				continue
 			}
 			calls[int((now-ms(begun))/60e3)]++
 			if down(now) {
 				outage++
 			}
-			if a.Kind == certs.Begin {
-				c.Begun(now, a)
+			if a.Kind == certs.CreateOrder {
+				c.OrderBegun(now, a)
 			}
 			if down(now) {
-				c.Failed(now, a.Name, certs.Away, "down", 0, false)
+				c.ActionFailed(now, a.Name, certs.AuthorityUnavailable, "down", 0, false)
 			} else {
-				c.Opened(a.Name, "x")
-				c.Issued(now, a.Name, certs.Held{Serial: fmt.Sprint(now), NotBefore: now, NotAfter: now + 90*24*3600e3})
+				c.OrderCreated(a.Name, "x")
+				c.CertificateIssued(now, a.Name, certs.Certificate{Serial: fmt.Sprint(now), NotBefore: now, NotAfter: now + 90*24*3600e3})
 			}
 		}
 	}
--- a/internal/acme/process_test.go
+++ b/internal/acme/process_test.go
@@ -68,8 +68,8 @@
 	}
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(data)
-	l := certs.Defaults()
-	l.Backoff = 50
+	l := certs.DefaultLimits()
+	l.MinBackoff = 50
 	k, err := New(Options{Dir: dir, Names: map[string][]string{"pay": {"pay.example.org"}}, HTTP: true, Log: slog.New(slog.NewTextHandler(os.Stderr, nil)),
 		Authorities: []Authority{{Directory: os.Getenv(childDirectory), Roots: roots}}, Limits: l, Point: func(p string) {
 			if p == os.Getenv(childPoint) {
@@ -94,7 +94,7 @@
 	defer cancel()
 	for ctx.Err() == nil {
 		wait := k.Step(ctx)
-		if _, err := k.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org"}); err == nil && k.Status()[0].Stage == certs.Fine && k.Status()[0].Order == "" {
+		if _, err := k.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org"}); err == nil && k.Status()[0].Stage == certs.StageFine && k.Status()[0].Order == "" {
 			return k.Close()
 		}
 		pause(ctx, min(wait, time.Second))
--- a/internal/serve/tlsfile.go
+++ b/internal/serve/tlsfile.go
@@ -73,7 +73,7 @@
 
 // ReadTLS reads the operator's file of TLS, and the files that it names; relative paths are from where it is.
 func ReadTLS(name string) (*TLS, error) {
-	content := tlsFile{ALPN: true, Limits: tlsLimitsOf(certs.Defaults())}
+	content := tlsFile{ALPN: true, Limits: tlsLimitsOf(certs.DefaultLimits())}
 	file, err := tomlfile.Read(name, &content)
 	if err != nil {
 		return nil, err
@@ -109,20 +109,20 @@
 		OrdersPerHour: limits.OrdersPerHour,
 		FallBackAfter: limits.FallBackAfter,
 		ReturnAfterH:  limits.ReturnAfter / msPerHour,
-		BackoffS:      limits.Backoff / 1e3,
-		BackoffMostS:  limits.BackoffMost / 1e3,
-		InfoEveryH:    limits.InfoEvery / msPerHour,
+		BackoffS:      limits.MinBackoff / 1e3,
+		BackoffMostS:  limits.MaxBackoff / 1e3,
+		InfoEveryH:    limits.RenewalInfoInterval / msPerHour,
 	}
 }
 
 func (l *tlsLimits) limits() certs.Limits {
 	return certs.Limits{
-		OrdersPerHour: l.OrdersPerHour,
-		FallBackAfter: l.FallBackAfter,
-		ReturnAfter:   l.ReturnAfterH * msPerHour,
-		Backoff:       l.BackoffS * 1e3,
-		BackoffMost:   l.BackoffMostS * 1e3,
-		InfoEvery:     l.InfoEveryH * msPerHour,
+		OrdersPerHour:       l.OrdersPerHour,
+		FallBackAfter:       l.FallBackAfter,
+		ReturnAfter:         l.ReturnAfterH * msPerHour,
+		MinBackoff:          l.BackoffS * 1e3,
+		MaxBackoff:          l.BackoffMostS * 1e3,
+		RenewalInfoInterval: l.InfoEveryH * msPerHour,
 	}
 }
 
