--- a/internal/controlplane/client/client_test.go
+++ b/internal/controlplane/client/client_test.go
@@ -47,6 +47,7 @@
 	require.NoError(t, err)
 	example := string(text)
 	read := func(t *testing.T, text string, mode os.FileMode, key string) (*ControlPlane, error) {
+		t.Helper()
 		dir := t.TempDir()
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "control-plane.key"), []byte(key), mode))
 		require.NoError(t, os.Chmod(filepath.Join(dir, "control-plane.key"), mode))
@@ -55,25 +56,25 @@
 		return ReadFile(file)
 	}
 	key := strings.Repeat("0f", 32) + "\n"
-	p, err := read(t, example, 0o600, key)
+	plane, err := read(t, example, 0o600, key)
 	require.NoError(t, err)
-	require.Len(t, p.Members, 4)
-	require.Equal(t, Member{Name: "c4", Region: "east", Address: "127.0.0.1:7304"}, p.Members[3])
-	n, err := p.NodeConfig("n1")
+	require.Len(t, plane.Members, 4)
+	require.Equal(t, Member{Name: "c4", Region: "east", Address: "127.0.0.1:7304"}, plane.Members[3])
+	nodeConfig, err := plane.NodeConfig("n1")
 	require.NoError(t, err)
-	require.Equal(t, "n1.copy", filepath.Base(n.CopyFile))
-	_, err = p.NodeConfig("../n1")
+	require.Equal(t, "n1.copy", filepath.Base(nodeConfig.CopyFile))
+	_, err = plane.NodeConfig("../n1")
 	require.ErrorContains(t, err, "can't have a file there")
-	_, err = p.FindMember("c9")
+	_, err = plane.FindMember("c9")
 	require.ErrorContains(t, err, `none is called "c9"`)
 
 	replace := func(pairs ...string) string { return strings.NewReplacer(pairs...).Replace(example) }
-	more := func(n int, voter bool) string {
-		var b strings.Builder
-		for k := range n {
-			fmt.Fprintf(&b, "\n[[member]]\nname = \"m%d\"\nregion = \"r%d\"\naddress = \"127.0.0.1:%d\"\nvoter = %v\n", k, k, 7400+k, voter)
+	withMembers := func(count int, voter bool) string {
+		var members strings.Builder
+		for i := range count {
+			fmt.Fprintf(&members, "\n[[member]]\nname = \"m%d\"\nregion = \"r%d\"\naddress = \"127.0.0.1:%d\"\nvoter = %v\n", i, i, 7400+i, voter)
 		}
-		return example + b.String()
+		return example + members.String()
 	}
 	for name, c := range map[string]struct{ text, want string }{
 		"unknown key":        {"extra = 1\n" + example, "c.toml:1:1: unknown key extra"},
@@ -81,17 +82,17 @@
 		"unknown region":     {replace(`region = "east"                `, `region = "south" `), `c.toml:7:1: region: "south" has no member`},
 		"no voter":           {replace("voter = true", "voter = false"), "none is a voter"},
 		"two voters":         {strings.Replace(example, "voter = true", "voter = false", 1), "2 voters: an even number"},
-		"four voters":        {more(1, true), "4 voters: an even number"},
-		"six voters":         {more(3, true), "6 voters, 5 at most"},
-		"22 members":         {more(18, false), "22 members, 21 at most"},
-		"a name twice":       {replace(`"c2"`, `"c1"`), `member.1.name: "c1" is no name of letters, digits, dots and dashes, or another's`},
-		"a name that climbs": {replace(`"c2"`, `"../c2"`), `member.1.name: "../c2" is no name`},
-		"an address twice":   {replace(`7302`, `7301`), `member.1.address: "127.0.0.1:7301" is another's`},
+		"four voters":        {withMembers(1, true), "4 voters: an even number"},
+		"six voters":         {withMembers(3, true), "6 voters, 5 at most"},
+		"22 members":         {withMembers(18, false), "22 members, 21 at most"},
+		"name twice":         {replace(`"c2"`, `"c1"`), `member.1.name: "c1" is no name of letters, digits, dots and dashes, or another's`},
+		"name with a path":   {replace(`"c2"`, `"../c2"`), `member.1.name: "../c2" is no name`},
+		"address twice":      {replace(`7302`, `7301`), `member.1.address: "127.0.0.1:7301" is another's`},
 		"no port":            {replace(`127.0.0.1:7302`, `127.0.0.1`), "member.1.address: "},
 		"port 0":             {replace(`127.0.0.1:7302`, `127.0.0.1:0`), "member.1.address: "},
 		"no region":          {replace(`region = "north"`, `region = ""`), "member.1.region: "},
 		"no key file":        {replace(`"control-plane.key"`, `"other.key"`), "key_file: "},
-		"a text for a flag":  {replace("voter = true", `voter = "yes"`), "c.toml:16:"},
+		"text for a boolean": {replace("voter = true", `voter = "yes"`), "c.toml:16:"},
 	} {
 		_, err := read(t, c.text, 0o600, key)
 		require.Error(t, err, name)
@@ -114,13 +115,13 @@
 	require.NoError(t, err)
 	require.Equal(t, uint64(12), got.Version)
 	require.Equal(t, doc.Digest(), got.Document.Digest())
-	for k := range encoded {
-		_, err := decodeCopy(encoded[:k], "fleet \"one\"")
-		require.Error(t, err, "cut at %d", k)
+	for i := range encoded {
+		_, err := decodeCopy(encoded[:i], "fleet \"one\"")
+		require.Error(t, err, "cut at %d", i)
 		flipped := bytes.Clone(encoded)
-		flipped[k] ^= 0x10
+		flipped[i] ^= 0x10
 		_, err = decodeCopy(flipped, "fleet \"one\"")
-		require.Error(t, err, "byte %d", k)
+		require.Error(t, err, "byte %d", i)
 	}
 	_, err = decodeCopy(encoded, "two")
 	require.ErrorContains(t, err, "of fleet")
@@ -156,9 +157,9 @@
 	require.Equal(t, uint64(8), stored.Version)
 	last.Close()
 	require.NoError(t, os.WriteFile(file, []byte("garbage"), 0o600))
-	three, stored, err := OpenCopyStore(file, "f", logger)
+	third, stored, err := OpenCopyStore(file, "f", logger)
 	require.NoError(t, err)
-	defer three.Close()
+	defer third.Close()
 	require.Zero(t, stored.Version)
 	require.Equal(t, 1, strings.Count(log.String(), "\n"), log.String())
 	require.Contains(t, log.String(), "damaged, set aside")
@@ -170,10 +171,10 @@
 // No member answers. The client applies the stored copy, and stops at once when it is told to.
 func TestClientWithoutMembers(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "n1.copy")
-	d, _, err := OpenCopyStore(file, "f", slog.New(slog.DiscardHandler))
+	copyStore, _, err := OpenCopyStore(file, "f", slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	require.NoError(t, d.Write(7, []byte(`{"a":1}`)))
-	d.Close()
+	require.NoError(t, copyStore.Write(7, []byte(`{"a":1}`)))
+	copyStore.Close()
 	applied := make(chan uint64, 1)
 	c, err := New(Config{Fleet: "f", Name: "n1", Region: "r", Members: []Member{{Name: "c1", Region: "r", Address: "127.0.0.1:1"}},
 		Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, CopyFile: file}, func(version uint64, _ []byte) error { applied <- version; return nil }, clock.New(), slog.New(slog.DiscardHandler))
@@ -234,15 +235,15 @@
 // A message survives its way through fragments. What is no message is an error, without a panic.
 func TestMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := CallRequest{Method: rapid.String().Draw(t, "op"), Version: rapid.Uint64().Draw(t, "version")}
+		in := CallRequest{Method: rapid.String().Draw(t, "method"), Version: rapid.Uint64().Draw(t, "version")}
 		text := bytes.Repeat([]byte(rapid.StringN(0, 40, 40).Draw(t, "text")), rapid.IntRange(0, 200).Draw(t, "times"))
 		frames, err := EncodeMessage(&in, text)
 		require.NoError(t, err)
 		var assembler MessageAssembler
-		for k, f := range frames {
-			isLast, err := assembler.AddFrame(f)
+		for i, frame := range frames {
+			isLast, err := assembler.AddFrame(frame)
 			require.NoError(t, err)
-			require.Equal(t, k == len(frames)-1, isLast)
+			require.Equal(t, i == len(frames)-1, isLast)
 		}
 		var out CallRequest
 		decodedText, err := assembler.Decode(&out)
@@ -264,26 +265,27 @@
 	require.ErrorContains(t, err, "message of over")
 }
 
-// Two members report a node each, one of them with an older status; one member is stale, and one doesn't answer. The report has the
-// highest head, the latest status of each node and the leader that is not stale.
+// Two members both know a node, one of them by an older status, and both take themselves for the leader, one of them with a stale copy.
+// The report has the highest head, the latest status of each node and the leader that is not stale. A member that doesn't answer and a
+// node that rejects a version are problems.
 func TestReport(t *testing.T) {
-	ms := func(x float64) *float64 { return &x }
-	node := func(name string, inForce uint64, behind, age, seen float64) FollowerStatus {
-		return FollowerStatus{Name: name, Region: "east", Kind: controlplane.KindNode, StoredVersion: inForce, AppliedVersion: inForce, BehindMs: behind, StalenessMs: ms(age), LastSeenMs: seen}
+	pointer := func(x float64) *float64 { return &x }
+	node := func(name string, applied uint64, behind, staleness, lastSeen float64) FollowerStatus {
+		return FollowerStatus{Name: name, Region: "east", Kind: controlplane.KindNode, StoredVersion: applied, AppliedVersion: applied, BehindMs: behind, StalenessMs: pointer(staleness), LastSeenMs: lastSeen}
 	}
 	results := []StatusResult{
-		{Member: Member{Name: "c1"}, Status: &MemberStatus{Name: "c1", Head: 9, StalenessMs: ms(100), Leader: "c1", Followers: []FollowerStatus{
+		{Member: Member{Name: "c1"}, Status: &MemberStatus{Name: "c1", Head: 9, StalenessMs: pointer(100), Leader: "c1", Followers: []FollowerStatus{
 			node("n1", 7, 3000, 100, 5000), node("n2", 9, 0, 100, 10)}}},
-		{Member: Member{Name: "c2"}, Status: &MemberStatus{Name: "c2", Head: 8, StalenessMs: ms(9000), Leader: "c2", Followers: []FollowerStatus{
+		{Member: Member{Name: "c2"}, Status: &MemberStatus{Name: "c2", Head: 8, StalenessMs: pointer(9000), Leader: "c2", Followers: []FollowerStatus{
 			node("n1", 8, 0, 9000, 100), {Name: "c4", Kind: controlplane.KindMember}}}},
 	}
-	r := NewReport(results)
-	require.Equal(t, uint64(9), r.Version)
-	require.Equal(t, "c1", r.Leader, "the other one is stale")
-	require.Equal(t, []ReportRegion{{Region: "east", Nodes: 2, Behind: 1, WorstBehindMs: 9000}}, r.Regions)
-	require.Len(t, r.Behind, 1)
-	require.Equal(t, "c2", r.Behind[0].Member)
-	require.Equal(t, "node n1 is behind", r.FirstProblem())
+	report := NewReport(results)
+	require.Equal(t, uint64(9), report.Version)
+	require.Equal(t, "c1", report.Leader, "the other one is stale")
+	require.Equal(t, []ReportRegion{{Region: "east", Nodes: 2, Behind: 1, WorstBehindMs: 9000}}, report.Regions)
+	require.Len(t, report.Behind, 1)
+	require.Equal(t, "c2", report.Behind[0].Member)
+	require.Equal(t, "node n1 is behind", report.FirstProblem())
 	results[1].Status.Head = 9
 	require.Zero(t, NewReport(results).Behind[0].BehindMs, "its member has the version, and reports it as just behind")
 	results[1].Err = context.DeadlineExceeded
--- a/internal/controlplane/member/member_test.go
+++ b/internal/controlplane/member/member_test.go
@@ -58,51 +58,51 @@
 		defer os.RemoveAll(dir)
 		path := filepath.Join(dir, "c1.db")
 		want := controlplane.Bootstrap([]uint64{1, 2, 3})
-		s, _, err := openVoterStore(path, "f/c1", want)
+		store, _, err := openVoterStore(path, "f/c1", want)
 		require.NoError(t, err)
 		term := uint64(1)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			first, last := want.Snapshot.GetMetadata().GetIndex(), want.Snapshot.GetMetadata().GetIndex()
-			if n := len(want.Entries); n > 0 {
-				last = want.Entries[n-1].GetIndex()
+			if count := len(want.Entries); count > 0 {
+				last = want.Entries[count-1].GetIndex()
 			}
-			p := &controlplane.Persist{}
+			write := &controlplane.Persist{}
 			term += rapid.Uint64Range(0, 1).Draw(t, "term")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				at := rapid.Uint64Range(first+1, last+1).Draw(t, "from")
-				for k := range rapid.Uint64Range(1, 5).Draw(t, "many") {
-					p.Entries = append(p.Entries, testEntry(at+k, term))
+				firstIndex := rapid.Uint64Range(first+1, last+1).Draw(t, "from")
+				for i := range rapid.Uint64Range(1, 5).Draw(t, "many") {
+					write.Entries = append(write.Entries, testEntry(firstIndex+i, term))
 				}
 			case 1:
 				if last == first {
 					continue
 				}
-				p.Snapshot = &pb.Snapshot{Data: []byte("image"), Metadata: &pb.SnapshotMetadata{ConfState: want.ConfState, Term: proto.Uint64(term),
-					Index: proto.Uint64(rapid.Uint64Range(first+1, last).Draw(t, "image"))}}
+				write.Snapshot = &pb.Snapshot{Data: []byte("snapshot"), Metadata: &pb.SnapshotMetadata{ConfState: want.ConfState, Term: proto.Uint64(term),
+					Index: proto.Uint64(rapid.Uint64Range(first+1, last).Draw(t, "index"))}}
 			case 2:
-				p.Restored = true
-				p.Snapshot = &pb.Snapshot{Data: []byte("theirs"), Metadata: &pb.SnapshotMetadata{ConfState: want.ConfState, Term: proto.Uint64(term),
-					Index: proto.Uint64(rapid.Uint64Range(first+1, last+9).Draw(t, "image"))}}
+				write.Restored = true
+				write.Snapshot = &pb.Snapshot{Data: []byte("theirs"), Metadata: &pb.SnapshotMetadata{ConfState: want.ConfState, Term: proto.Uint64(term),
+					Index: proto.Uint64(rapid.Uint64Range(first+1, last+9).Draw(t, "index"))}}
 			}
-			p.HardState = &pb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(2), Commit: proto.Uint64(first)}
-			require.NoError(t, s.persist(p))
-			want.ApplyPersist(p)
+			write.HardState = &pb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(2), Commit: proto.Uint64(first)}
+			require.NoError(t, store.persist(write))
+			want.ApplyPersist(write)
 			if rapid.Bool().Draw(t, "restart") {
-				require.NoError(t, s.close())
-				s, _, err = openVoterStore(path, "f/c1", nil)
+				require.NoError(t, store.close())
+				store, _, err = openVoterStore(path, "f/c1", nil)
 				require.NoError(t, err)
 			}
 		}
-		require.NoError(t, s.close())
-		s, got, err := openVoterStore(path, "f/c1", nil)
+		require.NoError(t, store.close())
+		store, got, err := openVoterStore(path, "f/c1", nil)
 		require.NoError(t, err)
-		require.NoError(t, s.close())
+		require.NoError(t, store.close())
 		require.True(t, proto.Equal(want.HardState, got.HardState))
 		require.True(t, proto.Equal(want.Snapshot, got.Snapshot))
 		require.Len(t, got.Entries, len(want.Entries))
-		for k := range want.Entries {
-			require.True(t, proto.Equal(want.Entries[k], got.Entries[k]))
+		for i := range want.Entries {
+			require.True(t, proto.Equal(want.Entries[i], got.Entries[i]))
 		}
 	})
 }
@@ -114,16 +114,16 @@
 	path := filepath.Join(dir, "c1.db")
 	_, _, err := openVoterStore(path, "f/c1", nil)
 	require.ErrorContains(t, err, "--bootstrap")
-	s, _, err := openVoterStore(path, "f/c1", controlplane.Bootstrap([]uint64{1, 2, 3}))
+	store, _, err := openVoterStore(path, "f/c1", controlplane.Bootstrap([]uint64{1, 2, 3}))
 	require.NoError(t, err)
 	var storedEntries []*pb.Entry
-	for k := range uint64(40) {
-		storedEntries = append(storedEntries, testEntry(2+k, 2))
+	for i := range uint64(40) {
+		storedEntries = append(storedEntries, testEntry(2+i, 2))
 	}
-	require.NoError(t, s.persist(&controlplane.Persist{HardState: &pb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(9)}, Entries: storedEntries}))
+	require.NoError(t, store.persist(&controlplane.Persist{HardState: &pb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(9)}, Entries: storedEntries}))
 	_, _, err = openVoterStore(path, "f/c1", nil)
 	require.ErrorContains(t, err, "another process has it")
-	require.NoError(t, s.close())
+	require.NoError(t, store.close())
 	_, _, err = openVoterStore(path, "f/c2", nil)
 	require.ErrorContains(t, err, "the store of f/c1, not of f/c2")
 	_, _, err = openVoterStore(path, "f/c1", controlplane.Bootstrap([]uint64{1, 2, 3}))
@@ -132,29 +132,30 @@
 	require.NoError(t, err)
 	want, err := readVoterStore(path, "f/c1")
 	require.NoError(t, err)
-	damagedPath := filepath.Join(dir, "odd.db")
-	requireRefusedOrEqual := func(what string, k int) {
+	damagedPath := filepath.Join(dir, "damaged.db")
+	requireRefusedOrEqual := func(what string, i int) {
 		got, err := readVoterStore(damagedPath, "f/c1")
 		if err != nil {
 			require.NotContains(t, err.Error(), "\n")
 			return
 		}
-		require.True(t, proto.Equal(want.HardState, got.HardState) && proto.Equal(want.Snapshot, got.Snapshot) && len(want.Entries) == len(got.Entries), "%s %d", what, k)
+		require.True(t, proto.Equal(want.HardState, got.HardState) && proto.Equal(want.Snapshot, got.Snapshot) && len(want.Entries) == len(got.Entries), "%s %d", what, i)
 		for n := range want.Entries {
-			require.True(t, proto.Equal(want.Entries[n], got.Entries[n]), "%s %d", what, k)
+			require.True(t, proto.Equal(want.Entries[n], got.Entries[n]), "%s %d", what, i)
 		}
 	}
-	for k := 0; k < len(intact); k += 97 {
-		require.NoError(t, os.WriteFile(damagedPath, intact[:k], 0o600))
-		requireRefusedOrEqual("cut at", k)
+	for i := 0; i < len(intact); i += 97 {
+		require.NoError(t, os.WriteFile(damagedPath, intact[:i], 0o600))
+		requireRefusedOrEqual("cut at", i)
 	}
-	for k := 0; k < len(intact); k += 13 {
+	for i := 0; i < len(intact); i += 13 {
 		flipped := bytes.Clone(intact)
-		flipped[k] ^= 0x04
+		flipped[i] ^= 0x04
 		require.NoError(t, os.WriteFile(damagedPath, flipped, 0o600))
-		requireRefusedOrEqual("byte", k)
+		requireRefusedOrEqual("byte", i)
 	}
-	db, err := bbolt.Open(path, 0o600, nil) // the last entry is lost, with all checksums right
+	// The last entry is lost, with all checksums right.
+	db, err := bbolt.Open(path, 0o600, nil)
 	require.NoError(t, err)
 	require.NoError(t, db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(entriesBucket).Delete([]byte(entryKey(41))) }))
 	require.NoError(t, db.Close())
@@ -164,29 +165,31 @@
 
 // testControlPlane writes the file of a control plane of one voter, c1, and one relay, c2, and reads it.
 func testControlPlane(t *testing.T) *client.ControlPlane {
+	t.Helper()
 	dir := t.TempDir()
-	free := func() string {
-		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.5:0", 64+os.Getpid()>>8&0x3f, os.Getpid()&0xff))
+	freeAddress := func() string {
+		listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.5:0", 64+os.Getpid()>>8&0x3f, os.Getpid()&0xff))
 		require.NoError(t, err)
-		defer l.Close()
-		return l.Addr().String()
+		defer listener.Close()
+		return listener.Addr().String()
 	}
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "k"), []byte(strings.Repeat("01", 32)+"\n"), 0o600))
 	file := filepath.Join(dir, "c.toml")
 	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "fleet = \"f\"\nkey_file = \"k\"\nregion = \"r\"\n[[member]]\nname = \"c1\"\nregion = \"r\"\naddress = %q\nvoter = true\n"+
-		"[[member]]\nname = \"c2\"\nregion = \"r\"\naddress = %q\n", free(), free()), 0o600))
-	p, err := client.ReadFile(file)
+		"[[member]]\nname = \"c2\"\nregion = \"r\"\naddress = %q\n", freeAddress(), freeAddress()), 0o600))
+	plane, err := client.ReadFile(file)
 	require.NoError(t, err)
-	return p
+	return plane
 }
 
 // startMember runs a member until the test's end, and returns its log.
-func startMember(t *testing.T, p *client.ControlPlane, name string, o Options) *logBuffer {
+func startMember(t *testing.T, plane *client.ControlPlane, name string, options Options) *logBuffer {
+	t.Helper()
 	log, ended := &logBuffer{}, make(chan error, 1)
-	ctx, end := context.WithCancel(context.Background())
-	go func() { ended <- Run(ctx, p, name, o, slog.New(slog.NewTextHandler(log, nil))) }()
+	ctx, cancel := context.WithCancel(context.Background())
+	go func() { ended <- Run(ctx, plane, name, options, slog.New(slog.NewTextHandler(log, nil))) }()
 	t.Cleanup(func() {
-		end()
+		cancel()
 		select {
 		case err := <-ended:
 			require.NoError(t, err)
@@ -201,105 +204,106 @@
 // Strangers connect and send garbage, a wrong key, an unknown version or a frame that is too long, before and after the handshake. Each
 // connection ends, the log gets few lines, and a follower beside them goes on.
 func TestMalformedConnectionsAreRejected(t *testing.T) {
-	p := testControlPlane(t)
-	log := startMember(t, p, "c1", Options{Bootstrap: true, Control: filepath.Join(t.TempDir(), "s")})
-	startMember(t, p, "c2", Options{})
+	plane := testControlPlane(t)
+	log := startMember(t, plane, "c1", Options{Bootstrap: true, Control: filepath.Join(t.TempDir(), "s")})
+	startMember(t, plane, "c2", Options{})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	version, err := p.Apply(ctx, 0, []byte(testSettings), "test", "")
+	version, err := plane.Apply(ctx, 0, []byte(testSettings), "test", "")
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), version)
-	to := p.Members[0]
-	ends := func(c net.Conn) {
-		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
-		_, err := io.Copy(io.Discard, c)
+	voter := plane.Members[0]
+	requireClosed := func(conn net.Conn) {
+		_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+		_, err := io.Copy(io.Discard, conn)
 		require.True(t, err == nil || !strings.Contains(err.Error(), "timeout"), "%v", err)
-		_ = c.Close()
+		_ = conn.Close()
 	}
 	dial := func() net.Conn {
-		c, err := net.Dial("tcp", to.Address)
+		conn, err := net.Dial("tcp", voter.Address)
 		require.NoError(t, err)
-		return c
+		return conn
 	}
 	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x05hello", "\xff\xff\xff\xff", "\x00\x00\x00\x00"} {
-		c := dial()
-		_, _ = io.WriteString(c, text)
-		_ = c.(*net.TCPConn).CloseWrite()
-		ends(c)
+		conn := dial()
+		_, _ = io.WriteString(conn, text)
+		_ = conn.(*net.TCPConn).CloseWrite()
+		requireClosed(conn)
 	}
-	c := dial()
-	_, err = transport.ClientHandshake(c, [][]byte{bytes.Repeat([]byte{9}, 32)}, client.HandshakeFleet("f"), "n1", "c1", 1)
+	conn := dial()
+	_, err = transport.ClientHandshake(conn, [][]byte{bytes.Repeat([]byte{9}, 32)}, client.HandshakeFleet("f"), "n1", "c1", 1)
 	require.ErrorIs(t, err, transport.ErrWrongKey)
-	ends(c)
-	c = dial()
-	_, err = transport.ClientHandshake(c, p.Keys, "f", "n1", "c1", 1) // as a peer of that name would
+	requireClosed(conn)
+	conn = dial()
+	_, err = transport.ClientHandshake(conn, plane.Keys, "f", "n1", "c1", 1) // as a peer of that name would
 	require.Error(t, err)
-	ends(c)
-	opening := func(version int, what string) []byte {
-		return snapshot.Append(nil, &client.LinkHeader{Version: version, Purpose: what})
+	requireClosed(conn)
+	header := func(version int, purpose string) []byte {
+		return snapshot.Append(nil, &client.LinkHeader{Version: version, Purpose: purpose})
 	}
-	long := []byte("\xff\xff\xff\xff")
-	for what, frames := range map[string][][]byte{
-		"no opening":         {[]byte("garbage")},
-		"another version":    {opening(9, client.PurposeFollow)},
-		"for what":           {opening(client.ProtocolVersion, "else")},
-		"no voter":           {opening(client.ProtocolVersion, client.PurposeVote)},
-		"a follower's":       {opening(client.ProtocolVersion, client.PurposeFollow), []byte("garbage")},
-		"a follower's empty": {opening(client.ProtocolVersion, client.PurposeFollow), {}},
-		"a caller's":         {opening(client.ProtocolVersion, client.PurposeCall), {7, 7}},
-		"a caller's message": {opening(client.ProtocolVersion, client.PurposeCall), {0, 1, 2, 3}},
-		"a follower's long":  {opening(client.ProtocolVersion, client.PurposeFollow), long},
-		"a caller's long":    {opening(client.ProtocolVersion, client.PurposeCall), long},
+	tooLong := []byte("\xff\xff\xff\xff")
+	for name, frames := range map[string][][]byte{
+		"malformed header":         {[]byte("garbage")},
+		"unknown version":          {header(9, client.PurposeFollow)},
+		"unknown purpose":          {header(client.ProtocolVersion, "else")},
+		"vote of no voter":         {header(client.ProtocolVersion, client.PurposeVote)},
+		"malformed follower frame": {header(client.ProtocolVersion, client.PurposeFollow), []byte("garbage")},
+		"empty follower frame":     {header(client.ProtocolVersion, client.PurposeFollow), {}},
+		"malformed call fragment":  {header(client.ProtocolVersion, client.PurposeCall), {7, 7}},
+		"malformed call message":   {header(client.ProtocolVersion, client.PurposeCall), {0, 1, 2, 3}},
+		"follower frame too long":  {header(client.ProtocolVersion, client.PurposeFollow), tooLong},
+		"call fragment too long":   {header(client.ProtocolVersion, client.PurposeCall), tooLong},
 	} {
-		c := dial()
-		_, err := transport.ClientHandshake(c, p.Keys, client.HandshakeFleet("f"), "n1", "c1", 1)
-		require.NoError(t, err, what)
-		for _, f := range frames {
-			if bytes.Equal(f, long) {
-				_, err = c.Write(f)
+		conn := dial()
+		_, err := transport.ClientHandshake(conn, plane.Keys, client.HandshakeFleet("f"), "n1", "c1", 1)
+		require.NoError(t, err, name)
+		for _, frame := range frames {
+			if bytes.Equal(frame, tooLong) {
+				_, err = conn.Write(frame)
 			} else {
-				err = transport.WriteFrame(c, f)
+				err = transport.WriteFrame(conn, frame)
 			}
-			require.NoError(t, err, what)
+			require.NoError(t, err, name)
 		}
-		ends(c)
+		requireClosed(conn)
 	}
 	require.Less(t, strings.Count(log.String(), "connection rejected"), 8, log)
 	require.NotContains(t, log.String(), "panic")
-	r := client.NewReport(p.MemberStatuses(ctx))
-	require.Empty(t, r.FirstProblem())
+	report := client.NewReport(plane.MemberStatuses(ctx))
+	require.Empty(t, report.FirstProblem())
 	require.Eventually(t, func() bool {
-		r = client.NewReport(p.MemberStatuses(ctx))
-		return r.Members[0].Head == 1 && r.Members[1].Head == 1
+		report = client.NewReport(plane.MemberStatuses(ctx))
+		return report.Members[0].Head == 1 && report.Members[1].Head == 1
 	}, 10*time.Second, 10*time.Millisecond, "the relay still follows")
 }
 
 // 200 connections are opened that send nothing. They occupy the places of connections without a handshake until its timeout, and an
 // operator's call behind them is answered.
 func TestSilentConnectionsDontBlockCalls(t *testing.T) {
-	p := testControlPlane(t)
-	startMember(t, p, "c1", Options{Bootstrap: true})
+	plane := testControlPlane(t)
+	startMember(t, plane, "c1", Options{Bootstrap: true})
 	for range 200 {
-		c, err := net.Dial("tcp", p.Members[0].Address)
+		conn, err := net.Dial("tcp", plane.Members[0].Address)
 		require.NoError(t, err)
-		defer c.Close()
+		defer conn.Close()
 	}
 	require.Eventually(t, func() bool {
-		a := p.MemberStatuses(t.Context())
-		return a[0].Err == nil
+		return plane.MemberStatuses(t.Context())[0].Err == nil
 	}, 15*time.Second, 10*time.Millisecond)
 }
 
 // Starts with the wrong options, without a store or beside another process each fail with one line.
 func TestInvalidStarts(t *testing.T) {
-	p := testControlPlane(t)
-	run := func(name string, o Options) error { return Run(t.Context(), p, name, o, slog.New(slog.DiscardHandler)) }
+	plane := testControlPlane(t)
+	run := func(name string, options Options) error {
+		return Run(t.Context(), plane, name, options, slog.New(slog.DiscardHandler))
+	}
 	require.ErrorContains(t, run("c9", Options{}), `none is called "c9"`)
 	require.ErrorContains(t, run("c1", Options{}), "no store: a voter's first start takes --bootstrap")
 	require.ErrorContains(t, run("c2", Options{Bootstrap: true}), "is no voter")
-	startMember(t, p, "c1", Options{Bootstrap: true})
+	startMember(t, plane, "c1", Options{Bootstrap: true})
 	require.ErrorContains(t, run("c1", Options{}), "another process has it")
-	startMember(t, p, "c2", Options{})
+	startMember(t, plane, "c2", Options{})
 	require.ErrorContains(t, run("c2", Options{}), "another process has its state")
 }
 
