--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -59,7 +59,7 @@
 	request.overQuota = math.Max(0, 1-1/odds)
 }
 
-// rejectOrFail gives a request's client a final answer of the node's own, and at once: a rejection where the client may
+// rejectOrFail ends a request with an answer of the node's own, and at once: a rejection where the client may
 // safely send it again, else a failure. All such answers pass here.
 func (lb *Balancer) rejectOrFail(request *Request) {
 	if request.stage == stageEnded || request.stage == stageStreaming {
--- a/balancer/admission_tenants_test.go
+++ b/balancer/admission_tenants_test.go
@@ -39,7 +39,7 @@
 	}
 	h := newHarness(t, config(), 3)
 	chance := rand.New(rand.NewPCG(1, 2))
-	beyond, most := 0, 0.0
+	beyond, maxDifference := 0, 0.0
 	arrive := func(n *Balancer) {
 		h.now += 40 * chance.ExpFloat64()
 		if chance.IntN(500) == 0 {
@@ -58,7 +58,7 @@
 		if excess > 0.3 {
 			beyond++
 		}
-		most = math.Max(most, math.Abs(excess-request.overQuota))
+		maxDifference = math.Max(maxDifference, math.Abs(excess-request.overQuota))
 		n.ClientGone(h.now, request)
 		for _, more := n.Next(); more; _, more = n.Next() {
 		}
@@ -67,7 +67,7 @@
 		arrive(h.balancer)
 	}
 	assert.Greater(t, beyond, 1000)
-	t.Logf("differs by %.1e at most", most)
+	t.Logf("differs by %.1e at most", maxDifference)
 
 	s, err := h.balancer.Snapshot(nil, h.backends)
 	require.NoError(t, err)
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -6,7 +6,7 @@
 )
 
 // An attempt is one send of a request to a backend. Every attempt passes sendAttempt, and checkRules in it, which holds
-// the rules that bind whatever the reason to send; the host tells by AttemptEnded how the attempt ended. An attempt that
+// the rules that bind whatever the reason to send; the host reports by AttemptEnded how the attempt ended. An attempt that
 // timed out or was canceled may still run at its backend, and counts there for as long again.
 
 // Outcome is how an attempt ended.
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("ending %d", uint8(o))
 }
 
-// NeverRan tells whether the outcome proves that the backend did not run the request.
+// NeverRan reports whether the outcome proves that the backend did not run the request.
 func (o Outcome) NeverRan() bool {
 	return o == OutcomeRejected || o == OutcomeConnectFailed || o == OutcomeNotSent
 }
@@ -58,7 +58,7 @@
 // Outcome is how the attempt ended, once it has.
 func (a *Attempt) Outcome() Outcome { return a.outcome }
 
-// InFlight tells whether the attempt has not ended yet.
+// InFlight reports whether the attempt has not ended yet.
 func (a *Attempt) InFlight() bool { return a.inFlight }
 
 // countedInFlight is 1 while the attempt counts toward the node's limit, else 0.
@@ -69,14 +69,14 @@
 	return 0
 }
 
-// isOvertaken tells whether its backend has answered an attempt sent later: then the connection is at fault, not the
+// isOvertaken reports whether its backend has answered an attempt sent later: then the connection is at fault, not the
 // backend.
 func (a *Attempt) isOvertaken() bool { return a.Backend.lastAnsweredSentAt > a.SentAt }
 
-// mayStillRun tells whether an attempt that ended so may still run at its backend, for as long again as it was given.
+// mayStillRun reports whether an attempt that ended so may still run at its backend, for as long again as it was given.
 func (o Outcome) mayStillRun() bool { return o == OutcomeTimedOut || o == OutcomeCanceled }
 
-// checkRules holds the rules that bind every attempt, and tells by which of them the request may not be sent to the
+// checkRules holds the rules that bind every attempt, and returns the one by which the request may not be sent to the
 // backend now:
 //  1. not after the request's end or deadline, and not more often than allowed;
 //  2. not where an earlier attempt may have run, unless the class allows that;
@@ -103,7 +103,7 @@
 	return Eligible
 }
 
-// mayRepeat tells whether the class allows the request at the backend after an attempt that may have run: where there
+// mayRepeat reports whether the class allows the request at the backend after an attempt that may have run: where there
 // was none, always; with an idempotency key, while the first attempt's backends still recognize it.
 func (lb *Balancer) mayRepeat(request *Request, backend *Backend) bool {
 	first := request.UncertainAttempt()
@@ -165,7 +165,7 @@
 	}
 }
 
-// ResponseStarted takes the start of a streamed answer: from now on the attempt is the client's, and no other may
+// ResponseStarted records the start of a streamed answer: from now on the attempt is the client's, and no other may
 // take its place.
 func (lb *Balancer) ResponseStarted(now float64, attempt *Attempt) {
 	lb.now = now
@@ -174,7 +174,7 @@
 	}
 }
 
-// RequestBodySent takes the moment at which the last byte of a streamed request has been passed on: its times count from
+// RequestBodySent records the moment at which the last byte of a streamed request has been passed on: its times count from
 // here, since the client may have taken long.
 func (lb *Balancer) RequestBodySent(now float64, attempt *Attempt) {
 	lb.now = now
@@ -186,7 +186,7 @@
 	}
 }
 
-// AttemptEnded takes the end of an attempt, elapsed ms after it was sent; finished tells that the request has ended with it
+// AttemptEnded records the end of an attempt, elapsed ms after it was sent; finished says that the request has ended with it
 // or before.
 func (lb *Balancer) AttemptEnded(now float64, attempt *Attempt, how Outcome, elapsed float64, finished bool) {
 	lb.now = now
@@ -217,7 +217,7 @@
 	}
 }
 
-// recordOutcome takes what an outcome tells of the backend: its speed, its faults, whether it accepts connections.
+// recordOutcome records what an outcome tells of the backend: its speed, its faults, whether it accepts connections.
 func (lb *Balancer) recordOutcome(attempt *Attempt, how Outcome, elapsed float64) {
 	backend := attempt.Backend
 	switch how {
@@ -235,7 +235,7 @@
 		lb.recordReset(backend)
 	case OutcomeFailed:
 		lb.addSuspicion(backend, clearFault)
-	case OutcomeRejected: // it tells of load, not of a fault; and an end so quick would draw more requests
+	case OutcomeRejected: // it is a sign of load, not of a fault; and an end so quick would draw more requests
 		lb.lowerBackendLimit(backend, 0)
 		lb.adjustInFlightLimit(true)
 		backend.pausedUntil = lb.now + lb.estimates.work.value*lb.paceOf(backend)
@@ -244,7 +244,7 @@
 		(backend.isConnected || how == OutcomeAnswered || how == OutcomeRejected)
 }
 
-// recordOutcomeWait takes what an outcome tells of how long the attempt waited behind others at its backend.
+// recordOutcomeWait records what an outcome tells of how long the attempt waited behind others at its backend.
 func (lb *Balancer) recordOutcomeWait(attempt *Attempt, how Outcome, elapsed float64) {
 	switch {
 	case how == OutcomeAnswered:
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -33,7 +33,7 @@
 	// endpoints.go
 	tracked      bool    // the balancer has it among its backends
 	removedAt    float64 // when the list first said that it is gone
-	wasDrained   bool    // it was told to drain, and has not been ready since
+	wasDrained   bool    // the list said that it drains, and has not called it ready since
 	isCordoned   bool    // taken out of service by an operator
 	cordonedAt   float64 // when it was last
 	uncordonedAt float64 // when it was put back, where nothing else tells of its restart
@@ -57,7 +57,7 @@
 	recentWork slidingSum // sent to it within the last overload window
 }
 
-// IsTracked tells whether the balancer keeps the backend; of one that is gone for good, the host may let go too.
+// IsTracked reports whether the balancer keeps the backend; of one that is gone for good, the host may let go too.
 func (b *Backend) IsTracked() bool { return b.tracked }
 
 // addInFlight counts an attempt as in flight at the backend.
@@ -82,7 +82,7 @@
 	}
 }
 
-// releaseOvertaken takes an answer. An attempt that is overdue by then and was sent before the answered one no longer
+// releaseOvertaken is called for each answer. An attempt that is overdue by then and was sent before the answered one no longer
 // counts: its connection fell silent, or its answer stopped short, while the backend works on. It would take capacity,
 // lower the drain rate and keep long requests away until it timed out.
 func (b *Backend) releaseOvertaken(now float64, answered *Attempt) {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -137,7 +137,7 @@
 	return lb
 }
 
-// Next gives the next decision, if there is one. The clock is that of the latest input. After the last decision the
+// Next returns the next decision, if there is one. The clock is that of the latest input. After the last decision the
 // host's timer is set to when there is something to do without an input.
 func (lb *Balancer) Next() (Decision, bool) {
 	for len(lb.decisions) == 0 {
@@ -156,7 +156,7 @@
 	return decision, true
 }
 
-// step does the first thing that is due, and tells whether there was one. The order counts: arrivals go before timers,
+// step does the first thing that is due, and reports whether there was one. The order counts: arrivals go before timers,
 // and both before freed capacity is offered to the queue.
 func (lb *Balancer) step() bool {
 	switch {
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -42,7 +42,7 @@
 	return total / float64(max(lb.config.Nodes, 1))
 }
 
-// isAtCapacity tells whether a backend has all the attempts that this node sends there at once. Beyond that they would queue,
+// isAtCapacity reports whether a backend has all the attempts that this node sends there at once. Beyond that they would queue,
 // and an overloaded backend may turn slower for all nodes. A part of an attempt is rounded up where nodes are few, and
 // down where many of them would add up.
 func (lb *Balancer) isAtCapacity(backend *Backend) bool {
@@ -52,7 +52,7 @@
 	return float64(len(backend.inFlight)) >= max(math.Floor(backend.maxInFlight+math.Min(lb.perNodeShare(initialInFlight), 0.99)), 1)
 }
 
-// adjustLimits takes an answer. Queues that any node causes lengthen the answers of all: each lowers its limits, so that
+// adjustLimits adjusts the limits after an answer. Queues that any node causes lengthen the answers of all: each lowers its limits, so that
 // they share what there is without a message. The best pace seen is the measure: the present one holds queues that have
 // come to stay.
 func (lb *Balancer) adjustLimits(backend *Backend, attempt *Attempt, elapsed float64) {
@@ -104,7 +104,7 @@
 	return lb.concurrency.answeredTime.get(lb.now, rateHalfLife) * math.Ln2 / rateHalfLife
 }
 
-// recordAnsweredTime takes an answer for affordableInFlight.
+// recordAnsweredTime records an answer for affordableInFlight.
 func (lb *Balancer) recordAnsweredTime(backend *Backend, request *Request) {
 	counter := &lb.concurrency.answeredTime
 	counter.set(lb.now, counter.get(lb.now, rateHalfLife)+request.work*lb.paceOf(backend)+toleratedWaitShare*request.class.LatencyObjective)
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -94,7 +94,7 @@
 		require.InDelta(t, max(2, had/2), h.balancer.minInFlightLimit(), 0.01, "half of it once nothing is answered for the rate's half-life")
 		return had
 	}
-	// Each answer of 10 ms of work may take 0.4 of 1,000 ms beside it: by Little's law 410 ms a attempt at the rate.
+	// Each answer of 10 ms of work may take 0.4 of 1,000 ms beside it: by Little's law 410 ms an attempt at the rate.
 	require.InDelta(t, 410/20.*0.9, minLimit(20), 2)
 	require.InDelta(t, 410/100.*0.9, minLimit(100), 1, "and some of the wait at a pace that was learned")
 	require.Equal(t, 2.0, minLimit(1000), "a node of few requests keeps two")
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -64,7 +64,7 @@
 	return math.Max(0, backend.suspicion.get(lb.now, suspicionHalfLife)-lb.ejection.commonSuspicion)
 }
 
-// addSuspicion takes a fault of a backend.
+// addSuspicion records a fault of a backend.
 func (lb *Balancer) addSuspicion(backend *Backend, fault float64) {
 	before := lb.suspicionOf(backend)
 	backend.suspicion.set(lb.now, math.Min(backend.suspicion.get(lb.now, suspicionHalfLife)+fault, maxSuspicion))
@@ -100,7 +100,7 @@
 	}
 }
 
-// recordReset takes a connection that was reset before the answer: the request may have brought the backend down.
+// recordReset records a connection that was reset before the answer: the request may have brought the backend down.
 func (lb *Balancer) recordReset(backend *Backend) {
 	backend.lastResetAt, lb.ejection.lastResetAt = lb.now, lb.now
 	if !lb.resetsAreIsolated() {
@@ -108,7 +108,7 @@
 	}
 }
 
-// recordAnswerAfterReset takes an answer: a backend that answers right after a reset, or answers an attempt that was in
+// recordAnswerAfterReset records an answer: a backend that answers right after a reset, or answers an attempt that was in
 // flight at it, has not been brought down.
 func (lb *Balancer) recordAnswerAfterReset(backend *Backend, attempt *Attempt) {
 	if backend.lastResetAt > 0 && (lb.now-backend.lastResetAt < minRestartTime || attempt.SentAt < backend.lastResetAt) {
@@ -116,7 +116,7 @@
 	}
 }
 
-// suspectsPoisonRequest tells whether requests may lately have brought down the backends that began them. Then one that met
+// suspectsPoisonRequest reports whether requests may lately have brought down the backends that began them. Then one that met
 // a reset is not retried, nor are clients' retries placed: each would cost one more backend. First tries go on.
 func (lb *Balancer) suspectsPoisonRequest() bool {
 	return lb.now-lb.ejection.lastResetAt < poisonWindow && !lb.resetsAreIsolated()
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -11,8 +11,8 @@
 // Which faults eject a backend, and which are not its own: load, old faults, and what all backends show.
 func TestSuspicionAndEjection(t *testing.T) {
 	for name, c := range map[string]struct {
-		trouble func(*harness, *Backend)
-		shunned bool
+		trouble   func(*harness, *Backend)
+		isEjected bool
 	}{
 		"errors":        {func(h *harness, b *Backend) { h.failAttempts(3, OutcomeFailed, b) }, true},
 		"no connection": {func(h *harness, b *Backend) { h.failAttempts(3, OutcomeConnectFailed, b) }, true},
@@ -35,8 +35,8 @@
 		b := h.backends[0]
 		c.trouble(h, b)
 		h.decisions()
-		assert.Equal(t, c.shunned, h.balancer.suspicionOf(b) >= ejectionThreshold, name)
-		if c.shunned {
+		assert.Equal(t, c.isEjected, h.balancer.suspicionOf(b) >= ejectionThreshold, name)
+		if c.isEjected {
 			require.NotEmpty(t, h.events, name)
 			assert.Equal(t, EventBackendEjected, h.events[0].Kind, name)
 			assert.Equal(t, b.ID, h.events[0].Backend, name)
@@ -45,7 +45,7 @@
 			request := h.requestArrives(fmt.Sprint(k), 0, 10)
 			h.decisions()
 			for _, p := range request.Attempts {
-				assert.False(t, c.shunned && p.Backend == b, name)
+				assert.False(t, c.isEjected && p.Backend == b, name)
 			}
 		}
 	}
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -51,7 +51,7 @@
 	pollFailures int     // in a row
 }
 
-// EndpointsChanged takes lines of the endpoint list. Where full, a backend not among them is removed; cached tells that the
+// EndpointsChanged takes lines of the endpoint list. Where full, a backend not among them is removed; cached says that the
 // lines come from the host's own copy and not from the list's service.
 func (lb *Balancer) EndpointsChanged(now float64, endpoints []Endpoint, full, cached bool) {
 	lb.now = now
@@ -69,7 +69,7 @@
 	lb.reviewBackends()
 }
 
-// applyEndpoint takes one line of the list.
+// applyEndpoint records one line of the list.
 func (lb *Balancer) applyEndpoint(endpoint Endpoint) {
 	backend := endpoint.Backend
 	if !backend.tracked {
@@ -78,12 +78,12 @@
 		backend.maxInFlight = 1 + lb.perNodeShare(initialInFlight)
 		backend.rotationPass = lb.rotation.position + lb.random.nextUnit() // the rotation starts at random
 	}
-	// While an operator had it out of service it was restarted, which the list tells late, if at all.
+	// While an operator had it out of service it was restarted, which the list reports late, if at all.
 	wasUncordoned := backend.isCordoned && !endpoint.Cordoned
 	switch {
 	case endpoint.Cordoned && !backend.isCordoned:
 		backend.cordonedAt = lb.now
-	case endpoint.Started > backend.cordonedAt: // the list has told of the restart
+	case endpoint.Started > backend.cordonedAt: // the list has reported the restart
 		backend.uncordonedAt = 0
 	case wasUncordoned:
 		backend.uncordonedAt = lb.now
@@ -112,14 +112,14 @@
 	backend.suspicion, backend.busyUntil, backend.pausedUntil = decayingCounter{}, 0, 0
 }
 
-// markRemoved takes the news that a backend is gone, by its line or by its missing one.
+// markRemoved records that a backend is gone, by its line or by its missing one.
 func (b *Backend) markRemoved(now float64) {
 	if b.State != BackendRemoved {
 		b.State, b.removedAt = BackendRemoved, now
 	}
 }
 
-// forgetIfGone clears tracked for a backend that is gone for good, and tells whether it did: each decision would look at
+// forgetIfGone clears tracked for a backend that is gone for good, and reports whether it did: each decision would look at
 // all that ever were. Until its overload window has passed, what it was sent counts, should it come back.
 func (b *Backend) forgetIfGone(now float64, config *Config) bool {
 	b.tracked = b.State != BackendRemoved || len(b.inFlight) > 0 || b.recentWork.sumWithin(now, config.OverloadWindow) > 0 ||
@@ -127,7 +127,7 @@
 	return !b.tracked
 }
 
-// PollFailed takes the failure of a poll; the old list still holds. The waits grow and are spread: a service of fixed
+// PollFailed records the failure of a poll; the old list still holds. The waits grow and are spread: a service of fixed
 // capacity must not meet a storm of retries.
 func (lb *Balancer) PollFailed(now float64) {
 	lb.now, lb.endpoints.isWatched = now, false
@@ -138,7 +138,7 @@
 	lb.logEvent(Event{Kind: EventPollFailed, Count: lb.endpoints.pollFailures})
 }
 
-// isPollDue tells whether the list is to be polled now.
+// isPollDue reports whether the list is to be polled now.
 func (lb *Balancer) isPollDue() bool { return !lb.endpoints.isWatched && lb.now >= lb.endpoints.pollAt }
 
 // poll asks for the list, and once more where no reply comes at all.
@@ -162,7 +162,7 @@
 	lb.endpoints.isDoubted = lb.config.RemovalIsHint && 2*removed > total
 }
 
-// isUsable tells whether a backend may be sent requests: ready, or removed by a list that is doubted.
+// isUsable reports whether a backend may be sent requests: ready, or removed by a list that is doubted.
 func (lb *Balancer) isUsable(backend *Backend) bool {
 	if backend.State != BackendRemoved {
 		return backend.State == BackendReady
--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -55,10 +55,10 @@
 	return LoadReport{NotReported, NotReported, NotReported, NotReported}
 }
 
-// HasValues tells whether the report has any value.
+// HasValues reports whether the report has any value.
 func (r LoadReport) HasValues() bool { return r != EmptyLoadReport() }
 
-// LoadReported takes a backend's load report. Its service time holds no waits, and its queue is of all nodes' making, so
+// LoadReported records a backend's load report. Its service time holds no waits, and its queue is of all nodes' making, so
 // that both are better than what this node sees. Without a queue, what the backend has beyond what its throughput
 // keeps at work is a guess at one, which counts for the backend alone and not for its zone.
 func (lb *Balancer) LoadReported(now float64, backend *Backend, report LoadReport) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// recordAnswer takes what an answer tells of its backend, for all rules that learn from answers.
+// recordAnswer records what an answer tells of its backend, for all rules that learn from answers.
 func (lb *Balancer) recordAnswer(backend *Backend, attempt *Attempt, elapsed float64) {
 	work := attempt.Request.work
 	backend.releaseOvertaken(lb.now, attempt)
@@ -116,7 +116,7 @@
 	return backend.pace.blend(lb.estimates.paces.byKind.at(backend.Kind).blend(lb.paceOf(nil), known), known)
 }
 
-// recordPace takes what an answer's time tells of its backend's pace. Behind other attempts of this node's it tells of the
+// recordPace records what an answer's time tells of its backend's pace. Behind other attempts of this node's it tells of the
 // queue, not of the backend; and what backends report is better.
 func (lb *Balancer) recordPace(attempt *Attempt, elapsed float64) {
 	if !attempt.wasAlone || lb.estimates.serviceTime.seen > 0 {
@@ -129,7 +129,7 @@
 	lb.estimates.paces.add(attempt.Backend, share*elapsed, share*work)
 }
 
-// updateBestPace takes a backend's present pace; a better one is forgotten in time.
+// updateBestPace updates it by the present pace; a better one is forgotten in time.
 func (b *Backend) updateBestPace(pace float64) {
 	if b.bestPace == 0 || pace < b.bestPace {
 		b.bestPace = pace
@@ -153,7 +153,7 @@
 	return rate
 }
 
-// recordWait takes how long an attempt waited behind others. No single wait counts for more than the latency objective,
+// recordWait records how long an attempt waited behind others. No single wait counts for more than the latency objective,
 // silence neither.
 func (lb *Balancer) recordWait(attempt *Attempt, wait float64) {
 	wait = math.Min(math.Max(0, wait), attempt.Request.class.LatencyObjective)
@@ -212,7 +212,7 @@
 	seen  int
 }
 
-// add takes a sample; quantile is the one that is followed, and step the smallest step.
+// add records a sample; quantile is the one that is followed, and step the smallest step.
 func (q *quantileEstimate) add(x, quantile, step float64) {
 	q.seen++
 	switch {
@@ -253,7 +253,7 @@
 	byKind byPlace[paceEstimate]
 }
 
-// add takes a time for some work at a backend.
+// add records a time for some work at a backend.
 func (t *paceTable) add(backend *Backend, time, work float64) {
 	backend.pace.add(time, work)
 	t.byKind.at(backend.Kind).add(time, work)
--- a/balancer/estimators_test.go
+++ b/balancer/estimators_test.go
@@ -40,7 +40,7 @@
 func TestRotationFollowsReportedQueues(t *testing.T) {
 	h := newHarness(t, testConfig(), 2)
 	h.balancer.estimates.work = runningMean{50, 50}
-	most := func() (first int) {
+	placeRound := func() (first int) {
 		for range 20 {
 			request := h.requestArrives("a", 1, 50)
 			require.Equal(t, "attempt:a", h.decisions())
@@ -55,13 +55,13 @@
 	fresh := &Backend{}
 	h.balancer.LoadReported(h.now, fresh, LoadReport{ServiceTime: NotReported, InFlight: 14, Queued: 12})
 	assert.InDelta(t, 300, fresh.waits.mean(h.now, 0, 0), 60, "two at work, twelve of 50 ms wait")
-	assert.InDelta(t, 10, most(), 3)
+	assert.InDelta(t, 10, placeRound(), 3)
 	for range 3 {
 		h.balancer.LoadReported(h.now, h.backends[0], LoadReport{ServiceTime: NotReported, InFlight: 14, Queued: 12})
 	}
-	assert.Less(t, most(), 8)
+	assert.Less(t, placeRound(), 8)
 	h.advance(60e3)
-	assert.InDelta(t, 10, most(), 3, "and is forgotten")
+	assert.InDelta(t, 10, placeRound(), 3, "and is forgotten")
 }
 
 // One silent backend's time-out says nothing of the waits elsewhere. Counted whole, and again for being overdue, it had nodes
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Explanations tell why a backend was passed over for a request, and what the balancer believed of it at that moment.
+// Explanations show why a backend was passed over for a request, and what the balancer believed of it at that moment.
 // Decisions do not depend on them; `pearknot explain` sets OnConsidered on a replayed balancer.
 
 // Reason is why a backend was passed over for a request.
@@ -48,7 +48,7 @@
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// recordReason gives the reason back, and to OnConsidered where it is set.
+// recordReason returns the reason, and passes it to OnConsidered where that is set.
 func (lb *Balancer) recordReason(request *Request, backend *Backend, reason Reason) Reason {
 	if lb.OnConsidered != nil {
 		lb.OnConsidered(request, backend, reason)
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -43,7 +43,7 @@
 	return h
 }
 
-// setState has the endpoint list tell the state and start time of backends.
+// setState has the endpoint list report a state and start time of backends.
 func (h *harness) setState(state BackendState, started float64, backends ...*Backend) {
 	var endpoints []Endpoint
 	for _, b := range backends {
--- a/balancer/ordering.go
+++ b/balancer/ordering.go
@@ -63,7 +63,7 @@
 	queue.cooldownUntil = math.Max(queue.cooldownUntil, lb.now+request.Config.UncertainCooldown+clockResolution)
 }
 
-// isKeysTurn tells whether no earlier request of the key is open or in flight and, before the request's own first
+// isKeysTurn reports whether no earlier request of the key is open or in flight and, before the request's own first
 // attempt, the key's cooldown is over.
 func (lb *Balancer) isKeysTurn(request *Request) bool {
 	queue := request.keyQueue
--- a/balancer/ordering_test.go
+++ b/balancer/ordering_test.go
@@ -37,7 +37,7 @@
 	}{
 		{"an answer gives the turn to the next", OutcomeAnswered, "attempt:b", ""},
 		{"so does what never ran, once it is rejected", OutcomeRejected, "reject:a attempt:b", ""},
-		// Reported: an request was sent 25 ms after a attempt of its key's earlier request had ended without proof that it runs no more.
+		// Reported: a request was sent 25 ms after an attempt of its key's earlier request had ended without proof that it runs no more.
 		{"after a time-out the cooldown runs", OutcomeTimedOut, "reject:a", "attempt:b"},
 		{"after a reset the cooldown runs", OutcomeConnectionReset, "reject:a", "attempt:b"},
 		{"an error ends the work", OutcomeFailed, "reject:a attempt:b", ""},
@@ -51,7 +51,7 @@
 			h.requestWithKey(0, "free", 3) // without a key
 			h.requestWithKey(7, "other", 0)
 			h.requestWithKey(8, "else", 3)
-			// Reported: an request of a key was sent while an earlier one of it was not over.
+			// Reported: a request of a key was sent while an earlier one of it was not over.
 			require.Equal(t, "attempt:a attempt:free attempt:other attempt:else", h.decisions())
 			h.now += 30
 			h.endAttempt(a.Attempts[0], c.how)
--- a/balancer/random.go
+++ b/balancer/random.go
@@ -20,14 +20,14 @@
 	return m
 }
 
-// nextUnit gives the next number, in [0, 1).
+// nextUnit returns the next number, in [0, 1).
 func (m *multiplyWithCarry) nextUnit() float64 {
 	t := mwcMultiplier*m.x + m.carry
 	m.x, m.carry = t&0xffffffff, t>>32
 	return float64(m.x) / (1 << 32)
 }
 
-// nextBelow gives the next number as an integer in [0, n).
+// nextBelow returns the next number as an integer in [0, n).
 func (m *multiplyWithCarry) nextBelow(n int) int { return int(m.nextUnit() * float64(n)) }
 
 // hashUnit hashes a key with a reference, such as a backend's ID, to [0, 1): the same at every node, so that a key
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -47,7 +47,7 @@
 	estimate  float64 // its place among queued requests
 	overQuota float64 // how likely it is beyond its tenant's quota, from 0 to 1
 	stage     requestStage
-	affinity  *Backend  // where its key is at home, if anywhere
+	affinity  *Backend  // where its key has affinity to, if anywhere
 	isPending bool      // a decision on it is due
 	keyQueue  *keyQueue // of its key, where its class keeps order, until it is over
 	// assumesCanceled is set while a place is looked for on the assumption that the attempt in flight is canceled.
@@ -59,13 +59,13 @@
 	r.Attempts = append(r.Attempts, &Attempt{Request: r, Backend: backend, Number: len(r.Attempts), SentAt: at, outcome: how})
 }
 
-// IsDone tells whether the request has ended and nothing of it is in flight, so that the host may forget it.
+// IsDone reports whether the request has ended and nothing of it is in flight, so that the host may forget it.
 func (r *Request) IsDone() bool { return r.stage == stageEnded && r.inFlightCount() == 0 }
 
-// IsLong tells whether the request counts as long, and what work is expected of it, in ms on a standard core.
+// IsLong reports whether the request counts as long, and what work is expected of it, in ms on a standard core.
 func (r *Request) IsLong() (isLong bool, work float64) { return r.isLong, r.work }
 
-// UncertainAttempt gives the first attempt that may have run; nil where all are known not to have.
+// UncertainAttempt returns the first attempt that may have run; nil where all are known not to have.
 func (r *Request) UncertainAttempt() *Attempt {
 	for _, attempt := range r.Attempts {
 		if attempt.inFlight || !attempt.outcome.NeverRan() {
@@ -146,7 +146,7 @@
 	}
 }
 
-// ClientGone takes the news that the request's client has gone: the request ends, and what is in flight is canceled.
+// ClientGone records that the request's client has gone: the request ends, and what is in flight is canceled.
 func (lb *Balancer) ClientGone(now float64, request *Request) {
 	lb.now = now
 	lb.endRequest(request)
--- a/balancer/restore.go
+++ b/balancer/restore.go
@@ -276,6 +276,6 @@
 		}
 		r.lb.timers.entries = append(r.lb.timers.entries, t)
 	}
-	heap.Init(&r.lb.timers.entries) // cooldowns that another process told of come in the order of their keys
+	heap.Init(&r.lb.timers.entries) // cooldowns that another process handed over come in the order of their keys
 	return nil
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// mayLeaveOverdue tells whether an overdue attempt's request may be sent to another backend. Where only one attempt may be
+// mayLeaveOverdue reports whether an overdue attempt's request may be sent to another backend. Where only one attempt may be
 // in flight, the first must end before, and its work goes on there: then only where others are answered meanwhile, so
 // that the backend is silent and not all of them are crowded.
 func (lb *Balancer) mayLeaveOverdue(attempt *Attempt) bool {
@@ -105,7 +105,7 @@
 	}
 }
 
-// recordOverrun takes by how much an answer took longer than predicted.
+// recordOverrun records by how much an answer took longer than predicted.
 func (lb *Balancer) recordOverrun(attempt *Attempt, elapsed float64) {
 	lb.retries.overrun.add(math.Max(elapsed, minAnswerTime)/math.Max(attempt.expectedTime, 1), overrunQuantile, overrunStep)
 }
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -186,8 +186,8 @@
 	lb.rotation.meanWeight = max(weight, 1e-9) / max(float64(usable), 1)
 }
 
-// whyUnfit tells why a backend may be sent a request now, whichever way it was picked. It is the one place for that;
-// the rotation and long requests ask for more.
+// whyUnfit returns why a backend may not be sent a request now, whichever way it was picked; Eligible where it may. The
+// rotation and long requests ask for more.
 func (lb *Balancer) whyUnfit(request *Request, backend *Backend) Reason {
 	switch {
 	case lb.suspicionOf(backend) >= ejectionThresholds[request.class.Idempotency]:
@@ -198,7 +198,7 @@
 	return lb.checkRules(request, backend)
 }
 
-// whyPassedOver tells why the rotation passes over a backend.
+// whyPassedOver returns why the rotation passes over a backend.
 func (lb *Balancer) whyPassedOver(request *Request, backend *Backend, patience float64) Reason {
 	if request.hasTried(backend) {
 		return ReasonAlreadyTried
@@ -212,7 +212,7 @@
 	return Eligible
 }
 
-// whyUnfitForLong tells why a backend may be sent no long request. A quick error makes one idle at once, and one that warms
+// whyUnfitForLong returns why a backend may be sent no long request; Eligible where it may. A quick error makes one idle at once, and one that warms
 // up is idle by nature: neither draws long requests. Idle of this node's work says little where there are many nodes:
 // others' requests may be queued there, so that the predicted time counts too.
 func (lb *Balancer) whyUnfitForLong(request *Request, backend *Backend, patience float64) Reason {
@@ -238,7 +238,7 @@
 	return Eligible
 }
 
-// isTooSlow tells whether an answer would come too late, or the request would wait behind others for longer than its
+// isTooSlow reports whether an answer would come too late, or the request would wait behind others for longer than its
 // patience. A heavy request's own time is not held against it, and its wait does not grow with it, as the drain rate
 // seen with small requests would have it. The patience falls by how much later than its objective it is likely to come:
 // cost hints are rough, and a quarter of heavy requests take less than half of what is predicted.
@@ -265,7 +265,7 @@
 	return int(math.Min(penalty+timeStepsInAll*expected/lb.timeToObjective(request), timeStepsInAll))
 }
 
-// isNear tells whether using a backend costs no crossing of zones.
+// isNear reports whether using a backend costs no crossing of zones.
 func (lb *Balancer) isNear(backend *Backend) bool {
 	return lb.config.CrossZoneCost == 0 || backend.Zone == lb.config.Zone
 }
@@ -275,7 +275,7 @@
 	return lb.config.CrossZoneCost * lb.estimates.priority.value / math.Max(lb.priorityOf(request), 1e-9)
 }
 
-// findAffinity finds the backend where a request's key is at home, by highest random weight: the same at all nodes that
+// findAffinity finds the backend that a request's key has affinity to, by highest random weight: the same at all nodes that
 // see the same fleet. A backend that met a key lately has less work with it. Keys leave one that warms up or is ejected,
 // and come back.
 func (lb *Balancer) findAffinity(request *Request) {
@@ -292,7 +292,7 @@
 	}
 }
 
-// mayUse tells whether this node uses a backend at present. Where connections cost, it uses its subset. Else it uses
+// mayUse reports whether this node uses a backend at present. Where connections cost, it uses its subset. Else it uses
 // all of its own zone and some of the others, different ones in each period, more of them where answers come promptly: in a
 // burst all nodes cross at once.
 func (lb *Balancer) mayUse(backend *Backend) bool {
@@ -324,7 +324,7 @@
 	}
 }
 
-// hashRing gives the backends of the own zone, or the others, in an order that is the same at all nodes, and takes them out
+// hashRing returns the backends of the own zone, or the others, in an order that is the same at all nodes, and takes them out
 // of the subset.
 func (lb *Balancer) hashRing(near bool) (ring []*Backend) {
 	for _, backend := range lb.backends {
@@ -336,7 +336,7 @@
 	return ring
 }
 
-// recordConnectFailure takes a connect that failed: the backend is down or accepts no more connections, and neither is over
+// recordConnectFailure records a connect that failed: the backend is down or accepts no more connections, and neither is over
 // soon. Where connections cost, it is left alone for twice as long with each failure in a row.
 func (lb *Balancer) recordConnectFailure(backend *Backend) {
 	backend.refusals = math.Min(backend.refusals+1, maxConnectRefusals)
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -45,7 +45,7 @@
 	return math.Max(request.work, request.class.meanWork.value/2)
 }
 
-// hasSlowStartBudget tells whether this node's share of what a backend bears that warms up has room for the work, in the
+// hasSlowStartBudget reports whether this node's share of what a backend bears that warms up has room for the work, in the
 // window that ends now.
 //
 // The bound counts half a standard core until its kind's speed is known, and one at most: what looks faster may be
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -72,7 +72,7 @@
 		rng := newMultiplyWithCarry(seed*0x9e3779b97f4a7c15 + 1)
 		sent, when := make([][]float64, backends), make([][]float64, backends)
 		var balancers []*Balancer
-		var cold [][]*Backend
+		var backendsOf [][]*Backend
 		for k := range uint64(up) {
 			config := testConfig()
 			config.Nodes, config.Seed, config.OverloadMultiple, config.OverloadWindow = nodes, (seed*up+k)*0xbf58476d1ce4e5b9+7, 4, span
@@ -80,7 +80,7 @@
 			h.setState(BackendReady, h.now, h.backends...)
 			h.balancer.estimates.work = runningMean{25, 50}
 			*h.balancer.estimates.paces.byKind.at(0) = paceEstimate{2e5, 1e5} // half a standard core
-			balancers, cold = append(balancers, h.balancer), append(cold, h.backends)
+			balancers, backendsOf = append(balancers, h.balancer), append(backendsOf, h.backends)
 		}
 		for now := 1000.0; now < 7000; now += 5 {
 			for k, n := range balancers {
@@ -88,7 +88,7 @@
 					continue
 				}
 				work, at := 25*math.Exp(1.2*math.Sqrt(-2*math.Log(1-rng.nextUnit()))*math.Cos(2*math.Pi*rng.nextUnit())-0.72), rng.nextBelow(backends)
-				if b := cold[k][at]; n.hasSlowStartBudget(b, work) {
+				if b := backendsOf[k][at]; n.hasSlowStartBudget(b, work) {
 					b.recentWork.add(now, span, work)
 					sent[at], when[at] = append(sent[at], work), append(when[at], now)
 				}
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -129,7 +129,7 @@
 	Requests      []int
 }
 
-// Snapshot takes the balancer's state between two batches. The host names all requests that are not over, and all backends
+// Snapshot returns the balancer's state between two batches. The host names all requests that are not over, and all backends
 // that it may name again, in an order of its own.
 func (lb *Balancer) Snapshot(requests []*Request, backends []*Backend) (*Snapshot, error) {
 	for _, request := range requests {
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -12,7 +12,7 @@
 // clockResolution in ms is how much earlier than asked for a timer may fire: hosts round their clocks.
 const clockResolution = 1e-3
 
-// timer is one entry; what it is for is told by the field that is set.
+// timer is one entry; what it is for shows by the field that is set.
 type timer struct {
 	at              float64
 	seq             uint64
@@ -50,7 +50,7 @@
 	heap.Push(&lb.timers.entries, t)
 }
 
-// TimerFired takes the news that the host's timer fired.
+// TimerFired records that the host's timer fired.
 func (lb *Balancer) TimerFired(now float64) {
 	lb.now = now
 	// A clock rounded to just before the time asked for counts: else no timer would ever be set again.
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// readTenantList takes the tenants as they are; an item that is no object is a tenant without name and quota.
+// readTenantList records the tenants as they are; an item that is no object is a tenant without name and quota.
 func (s *settings) readTenantList(items []any) {
 	s.tenants = make([]tenantSetting, len(items))
 	for k, item := range items {
--- a/internal/config/replace.go
+++ b/internal/config/replace.go
@@ -41,7 +41,7 @@
 	return present
 }
 
-// CheckReplaces tells why this configuration can't replace another while a node runs; nil where it can. It can't where it
+// CheckReplaces returns an error where this configuration can't replace another while a node runs. It can't where it
 // lacks a setting that the other has, which would have to be guessed, or where it names other zones or kinds, by whose
 // numbers the endpoint list was read. The error is a *SettingError.
 func (d *Deployment) CheckReplaces(old *Deployment) error {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -59,7 +59,7 @@
 	return x
 }
 
-// numberWithin gives a reader of numbers with bounds, both of them allowed.
+// numberWithin returns a reader of numbers with bounds, both of them allowed.
 func (s *settings) numberWithin(low, high float64) func(path string) float64 {
 	return func(path string) float64 { return s.checkBounds(path, s.number(path), low, high) }
 }
@@ -119,7 +119,7 @@
 	return int(n)
 }
 
-// tenant gives the text of one tenant.
+// tenant returns the text of one tenant.
 func (s *settings) tenant(k int) tenantSetting {
 	if s.tenants != nil {
 		return s.tenants[k]
