--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	server := controlsocket.Server(a.api())
+	server := controlsocket.NewServer(a.api())
 	failed := make(chan error, 1)
 	go func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -55,7 +55,7 @@
 }
 
 // lockHolder reads what the holder of the lock has written into it.
-func (p instanceFiles) lockHolder() (h serve.Holder, err error) {
+func (p instanceFiles) lockHolder() (h serve.LockHolder, err error) {
 	data, err := os.ReadFile(p.lockFile())
 	if err != nil {
 		return h, err
@@ -101,7 +101,7 @@
 	}
 	point("executed")
 	go func() { ended(c.Wait()) }()
-	if data, err := json.Marshal(serve.Holder{PID: c.Process.Pid, Token: token}); err == nil {
+	if data, err := json.Marshal(serve.LockHolder{PID: c.Process.Pid, Token: token}); err == nil {
 		_, _ = lock.WriteAt(data, 0) // the process writes the same itself; either may be first
 	}
 	point("noted")
@@ -141,7 +141,7 @@
 }
 
 // verifyHolder checks that the lock is held, by a process with that token.
-func (p instanceFiles) verifyHolder(h serve.Holder, token string) error {
+func (p instanceFiles) verifyHolder(h serve.LockHolder, token string) error {
 	if token == "" || h.Token != token || h.PID <= 1 {
 		return fmt.Errorf("%s: holder is not the one that was started", p.lockFile())
 	}
@@ -181,17 +181,17 @@
 	if s.Token != r.Token {
 		return fleet.Observation{Phase: fleet.PhaseForeign, ObservedAt: now(), PID: s.PID, Reason: fmt.Sprintf("process %d answers with another token", s.PID)}
 	}
-	seen := fleet.Observation{Phase: fleet.PhaseStarting, ObservedAt: now(), PID: s.PID, Digest: s.Digest, Epoch: s.Epoch, Discovery: s.List,
-		ListVersion: s.ListAt, ListDigest: s.ListSum, InService: s.InService, OpenRequests: s.Open, MemoryMB: s.MemoryMB, Settings: s.ControlPlane.String(), IsProven: true}
+	seen := fleet.Observation{Phase: fleet.PhaseStarting, ObservedAt: now(), PID: s.PID, Digest: s.Digest, Epoch: s.Epoch, Discovery: s.ListAddress,
+		ListVersion: s.ListVersion, ListDigest: s.ListDigest, InService: s.InService, OpenRequests: s.OpenRequests, MemoryMB: s.MemoryMB, Settings: s.ControlPlane.String(), IsProven: true}
 	if s.TLS != nil {
-		worst := s.TLS.Worst()
+		worst := s.TLS.FirstToExpire()
 		seen.CertStage = string(worst.Stage)
 		if !worst.NotAfter.IsZero() {
 			seen.CertExpiry = float64(worst.NotAfter.UnixMilli())
 		}
 	}
 	switch {
-	case s.Ending || r.TerminatedAt > 0:
+	case s.Draining || r.TerminatedAt > 0:
 		seen.Phase = fleet.PhaseShuttingDown
 	case s.Ready:
 		seen.Phase = fleet.PhaseReady
--- a/internal/controlplane/member/status.go
+++ b/internal/controlplane/member/status.go
@@ -82,8 +82,8 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+StatusPath, m.controlSocketHandler(ctx, client.MethodStatus))
 	mux.HandleFunc("GET "+LogPath, m.controlSocketHandler(ctx, client.MethodLog))
-	server := controlsocket.Server(mux)
-	m.goroutines.Go(func() { _ = server.Serve(controlsocket.Limited(listener)) })
+	server := controlsocket.NewServer(mux)
+	m.goroutines.Go(func() { _ = server.Serve(controlsocket.LimitConnections(listener)) })
 	return server, nil
 }
 
@@ -94,11 +94,11 @@
 		response, _ := m.handleCall(ctx, &client.CallRequest{Method: method, Limit: max(limit, 1)}, nil)
 		switch {
 		case response.Status != nil:
-			controlsocket.Answer(w, http.StatusOK, response.Status)
+			controlsocket.WriteJSON(w, http.StatusOK, response.Status)
 		case response.Code == controlplane.CodeDone:
-			controlsocket.Answer(w, http.StatusOK, response.Log)
+			controlsocket.WriteJSON(w, http.StatusOK, response.Log)
 		default:
-			controlsocket.Fail(w, http.StatusServiceUnavailable, response.Detail)
+			controlsocket.WriteError(w, http.StatusServiceUnavailable, response.Detail)
 		}
 	}
 }
--- a/internal/controlplane/member/store.go
+++ b/internal/controlplane/member/store.go
@@ -129,8 +129,8 @@
 			return err
 		}
 		err = errors.Join(
-			voter.Put([]byte(schemaKey), boltfile.Seal(schemaVersion)),
-			voter.Put([]byte(ownerKey), boltfile.Seal(owner)),
+			voter.Put([]byte(schemaKey), boltfile.EncodeValue(schemaVersion)),
+			voter.Put([]byte(ownerKey), boltfile.EncodeValue(owner)),
 			s.putState(tx, state.HardState, state.Snapshot, state.Entries))
 		if err != nil {
 			return err
@@ -203,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	return bucket.Put([]byte(key), boltfile.Seal(string(data)))
+	return bucket.Put([]byte(key), boltfile.EncodeValue(string(data)))
 }
 
 // entryKey is the key of an entry: its index, big-endian, so that entries are in order.
@@ -224,5 +224,5 @@
 }
 
 func (s *voterStore) putLastIndex(voter *bbolt.Bucket) error {
-	return voter.Put([]byte(lastIndexKey), boltfile.Seal(strconv.FormatUint(s.lastIndex, 10)))
+	return voter.Put([]byte(lastIndexKey), boltfile.EncodeValue(strconv.FormatUint(s.lastIndex, 10)))
 }
--- a/internal/controlplane/member/store_read.go
+++ b/internal/controlplane/member/store_read.go
@@ -25,7 +25,7 @@
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
 	}
-	if err := boltfile.Heads(path); err != nil {
+	if err := boltfile.CheckMetaPages(path); err != nil {
 		return nil, err
 	}
 	r := &storeReader{path: path}
@@ -103,7 +103,7 @@
 
 // value returns a value whose checksum is right.
 func (r *storeReader) value(bucket *bbolt.Bucket, key string) (string, error) {
-	v, err := boltfile.Unseal(bucket.Get([]byte(key)))
+	v, err := boltfile.DecodeValue(bucket.Get([]byte(key)))
 	if err != nil {
 		return "", r.damaged("%s", key)
 	}
@@ -147,7 +147,7 @@
 		if count++; count > maxEntriesRead {
 			return r.damaged("pages in a ring")
 		}
-		data, err := boltfile.Unseal(value)
+		data, err := boltfile.DecodeValue(value)
 		if err != nil {
 			return r.damaged("entry %x", key)
 		}
