--- a/cmd/pearknot/certs.go
+++ b/cmd/pearknot/certs.go
@@ -43,8 +43,8 @@
 					}
 					return cli.UsageError(odd)
 				}
-				t.Acme.Log = slog.New(slog.DiscardHandler)
-				return tellCertificates(c.OutOrStdout(), acme.Look(t.Acme))
+				t.ACME.Log = slog.New(slog.DiscardHandler)
+				return tellCertificates(c.OutOrStdout(), acme.Look(t.ACME))
 			}
 			by := "this instance"
 			if !s.TLS.Orders {
@@ -58,7 +58,7 @@
 	tell := func(use, path, short string, done string) *cobra.Command {
 		return &cobra.Command{Use: use + " SOCKET NAME", Args: cobra.ExactArgs(2), Short: short, RunE: func(c *cobra.Command, args []string) error {
 			err := controlsocket.NewClient(args[0], certsWithin).Call(c.Context(), "POST", path, controlsocket.Certificate{Name: args[1]}, nil)
-			var refused *controlsocket.Refused
+			var refused *controlsocket.ResponseError
 			if errors.As(err, &refused) {
 				return &cli.Error{Status: cli.StatusCheckFailed, Err: err}
 			}
@@ -85,7 +85,7 @@
 				return cli.UsageError(err)
 			}
 			if address == "" {
-				fmt.Fprintf(c.OutOrStdout(), "%s: TLS on %s, %d certificates, %d authorities, store %s\n", args[0], t.Listen, len(t.Acme.Names), len(t.Acme.Authorities), t.Acme.Dir)
+				fmt.Fprintf(c.OutOrStdout(), "%s: TLS on %s, %d certificates, %d authorities, store %s\n", args[0], t.Address, len(t.ACME.Names), len(t.ACME.Authorities), t.ACME.Dir)
 				return nil
 			}
 			return checkServed(c.OutOrStdout(), address, t, time.Now())
@@ -138,11 +138,11 @@
 // checkServed makes a handshake for each name, as a client would.
 func checkServed(out io.Writer, address string, t *serve.TLS, now time.Time) error {
 	bad := 0
-	for _, names := range t.Acme.Names {
+	for _, names := range t.ACME.Names {
 		for _, name := range names {
 			var c *tls.Conn
 			var err error
-			for _, a := range t.Acme.Authorities { // whichever has issued it
+			for _, a := range t.ACME.Authorities { // whichever has issued it
 				c, err = tls.DialWithDialer(&net.Dialer{Timeout: dialWithin}, "tcp", address, &tls.Config{ServerName: name, RootCAs: a.Roots, MinVersion: tls.VersionTLS12})
 				if err == nil {
 					break
--- a/internal/controlplane/member/validator.go
+++ b/internal/controlplane/member/validator.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil // a head that no node can read must not keep a better one out
 	}
-	return deployment.Follows(current)
+	return deployment.CheckReplaces(current)
 }
 
 func (v *validator) parse(doc *controlplane.Document) (*config.Deployment, error) {
@@ -46,7 +46,7 @@
 			return parsed.deployment, nil
 		}
 	}
-	deployment, err := config.Shared(doc.Text(), nil)
+	deployment, err := config.ParseShared(doc.Text(), nil)
 	if err != nil {
 		return nil, err
 	}
