--- a/internal/controlplane/history_test.go
+++ b/internal/controlplane/history_test.go
@@ -45,6 +45,7 @@
 		longLine := strings.Repeat(string(rune('a'+n%26)), 1<<20)
 		appendSplices(t, big, Splice{Delete: uint64(doc.LineCount()), Insert: []string{longLine}})
 	}
+	require.EqualValues(t, 30, big.headVersion)
 	require.LessOrEqual(t, big.retainedBytes, maxRetainedBytes)
 	require.Greater(t, len(big.changes), 5)
 }
