--- a/cmd/pearknot/certs.go
+++ b/cmd/pearknot/certs.go
@@ -44,7 +44,7 @@
 					return cli.UsageError(odd)
 				}
 				t.ACME.Log = slog.New(slog.DiscardHandler)
-				return tellCertificates(c.OutOrStdout(), acme.Look(t.ACME))
+				return tellCertificates(c.OutOrStdout(), acme.ReadStatus(t.ACME))
 			}
 			by := "this instance"
 			if !s.TLS.Orders {
@@ -124,10 +124,10 @@
 		if s.Order != "" {
 			order = "open"
 		}
-		if s.Fault != "" {
-			fault = at(s.FaultAt) + " " + s.Fault
+		if s.LastFailure != "" {
+			fault = at(s.LastFailureAt) + " " + s.LastFailure
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Name, s.Stage, at(s.NotAfter), at(s.RenewAt), at(s.NextAt), order, fault)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Name, s.Stage, at(s.NotAfter), at(s.RenewAt), at(s.RetryAt), order, fault)
 	}
 	if err := w.Flush(); err != nil || bad == 0 {
 		return err
--- a/internal/acme/instance.go
+++ b/internal/acme/instance.go
@@ -1,15 +1,11 @@
 package acme
 
 import (
-	"bytes"
 	"context"
-	"crypto/rand"
 	"crypto/tls"
 	"errors"
 	"fmt"
-	"io/fs"
 	"os"
-	"path/filepath"
 	"sync"
 	"time"
 
@@ -17,282 +13,246 @@
 )
 
 const (
-	followEvery = time.Second // looks at the files, by those who don't order
+	// followInterval is the time between two looks at the store by an instance that does not order.
+	followInterval = time.Second
 
-	// A ticket key seals for ticketLife and opens for ticketKeys-1 times that longer: far below the seven days that RFC 8446,
-	// 4.6.1 allows a ticket.
-	ticketLife = 12 * time.Hour
-	ticketKeys = 3
+	// ticketKeyCheckInterval is the time between two looks at the age of the session ticket keys.
+	ticketKeyCheckInterval = time.Minute
 )
 
-// Instance is one of several processes on a store. One of them has it and orders for all; the others serve what it
-// stores, and answer challenges with what it puts there. When it ends, another takes its place.
+// Instance is one of several processes on a store. One of them has the store's lock and orders for all. The others serve
+// the certificates that it stores, and answer challenges with the answers that it publishes there. When it ends, another
+// one takes its place.
 type Instance struct {
-	o       Options
-	tickets func([][32]byte)
+	options      Options
+	onTicketKeys func([][32]byte)
 
-	mu     sync.RWMutex
-	keeper *Keeper // nil while another process orders
-	served map[string]*tls.Certificate
-	files  map[string]time.Time // of the certificates read, and of the ticket keys
-	keys   []byte
-	first  string
+	mu            sync.RWMutex
+	keeper        *Keeper                     // nil while another process orders
+	byHost        map[string]*tls.Certificate // to serve while another process orders; nil until first read
+	modTimes      map[string]time.Time        // of the store's files when they were read
+	ticketKeyData []byte                      // as onTicketKeys got it
+	firstName     string                      // of the certificates, by name
 }
 
-// Open takes the store, or follows the one that has it. Tickets is told the keys of session tickets, the newest first.
-func Open(o Options, tickets func([][32]byte)) (*Instance, error) {
-	if len(o.Names) == 0 {
+// Open opens the store, or follows the process that has it. onTicketKeys gets the keys of TLS session tickets whenever
+// they change, the newest first.
+func Open(options Options, onTicketKeys func([][32]byte)) (*Instance, error) {
+	if len(options.Names) == 0 {
 		return nil, errors.New("no certificates are named")
 	}
-	if o.Now == nil {
-		o.Now = time.Now
+	if options.Now == nil {
+		options.Now = time.Now
 	}
-	i := &Instance{o: o, tickets: tickets}
-	if err := i.take(); err != nil {
+	i := &Instance{options: options, onTicketKeys: onTicketKeys}
+	if err := i.tryLead(); err != nil {
 		return nil, err
 	}
 	return i, nil
 }
 
-// take becomes the one that orders, where nobody is.
-func (i *Instance) take() error {
-	k, err := New(i.o)
-	switch {
-	case errors.Is(err, ErrBusy):
-		i.follow()
+// tryLead becomes the instance that orders where no other process has the store, and otherwise reads what that one has
+// stored.
+func (i *Instance) tryLead() error {
+	keeper, err := New(i.options)
+	if errors.Is(err, ErrStoreLocked) {
+		i.readStore()
 		return nil
-	case err != nil:
+	}
+	if err != nil {
 		return err
 	}
 	i.mu.Lock()
-	followed := i.served != nil
-	i.keeper = k
+	hasFollowed := i.byHost != nil
+	i.keeper = keeper
 	i.mu.Unlock()
-	if followed {
-		i.o.Log.Info("certificates: this instance orders from now on", "dir", i.o.Dir)
+	if hasFollowed {
+		i.options.Log.Info("this instance orders certificates from now on", "dir", i.options.Dir)
 	}
-	return i.rotate()
+	return i.rotateTicketKeys()
 }
 
-// Run goes on until ctx ends, and lets go of the store.
+// Run keeps the certificates valid, or follows the process that does, until ctx is done. Then it releases the store.
 func (i *Instance) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		k := i.orders()
-		if k == nil {
-			pause(ctx, followEvery)
-			if err := i.take(); err != nil {
-				i.o.Log.Error("certificates can't be followed", "error", err)
-			}
+		if keeper := i.leadingKeeper(); keeper != nil {
+			i.lead(ctx, keeper)
 			continue
 		}
-		var turning sync.WaitGroup
-		turning.Go(func() {
-			for pause(ctx, time.Minute); ctx.Err() == nil; pause(ctx, time.Minute) {
-				if err := i.rotate(); err != nil {
-					i.o.Log.Error("ticket keys not rotated", "error", err)
-				}
-			}
-		})
-		k.Run(ctx)
-		turning.Wait()
-	}
-	if k := i.orders(); k != nil {
-		_ = k.Close()
+		sleep(ctx, followInterval)
+		if err := i.tryLead(); err != nil {
+			i.options.Log.Error("certificate store could not be opened", "error", err)
+		}
 	}
+	_ = i.Close()
 }
 
-func pause(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+// lead runs the keeper, and keeps the session ticket keys young, until ctx is done.
+func (i *Instance) lead(ctx context.Context, keeper *Keeper) {
+	var running sync.WaitGroup
+	running.Go(func() {
+		for sleep(ctx, ticketKeyCheckInterval); ctx.Err() == nil; sleep(ctx, ticketKeyCheckInterval) {
+			if err := i.rotateTicketKeys(); err != nil {
+				i.options.Log.Error("session ticket key rotation failed", "error", err)
+			}
+		}
+	})
+	keeper.Run(ctx)
+	running.Wait()
+}
+
+// sleep waits until d has passed or ctx is done.
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
 
-func (i *Instance) orders() *Keeper {
+// leadingKeeper is the keeper, or nil while another process orders.
+func (i *Instance) leadingKeeper() *Keeper {
 	i.mu.RLock()
 	defer i.mu.RUnlock()
 	return i.keeper
 }
 
-// Close lets go of a store whose Run was never called.
+// Close releases the store. It is called where Run is not.
 func (i *Instance) Close() error {
-	if k := i.orders(); k != nil {
-		return k.Close()
+	if keeper := i.leadingKeeper(); keeper != nil {
+		return keeper.Close()
 	}
 	return nil
 }
 
-// follow reads what has changed.
-func (i *Instance) follow() {
-	s := &store{dir: i.o.Dir}
+// readStore reads what has changed in the store.
+func (i *Instance) readStore() {
+	files := &store{dir: i.options.Dir}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.served == nil {
-		i.served, i.files = map[string]*tls.Certificate{}, map[string]time.Time{}
+	if i.byHost == nil {
+		i.byHost, i.modTimes = map[string]*tls.Certificate{}, map[string]time.Time{}
 	}
-	for name, names := range i.o.Names {
-		if i.first == "" || name < i.first {
-			i.first = name
-		}
-		if !i.changed(s.at(name, servedFile)) {
-			continue
-		}
-		c, err := s.served(name)
-		if err != nil {
-			i.o.Log.Error("certificate can't be read", "name", name, "error", err)
+	for name, hosts := range i.options.Names {
+		if i.firstName == "" || name < i.firstName {
+			i.firstName = name
 		}
-		if c == nil { // what was read before goes on
-			continue
-		}
-		i.o.Log.Info("certificate", "name", name, "serial", c.Leaf.SerialNumber.String(), "not_after", c.Leaf.NotAfter.UTC().Format(time.RFC3339), "by_process", holder(i.o.Dir))
-		for _, n := range names {
-			i.served[n] = c
+		if i.hasChanged(files.path(name, certificateFile)) {
+			i.readCertificate(files, name, hosts)
 		}
 	}
-	if name := filepath.Join(i.o.Dir, ticketFile); i.changed(name) {
+	if name := ticketKeyPath(i.options.Dir); i.hasChanged(name) {
 		if data, err := os.ReadFile(name); err == nil {
-			i.tell(data)
+			i.publishTicketKeys(data)
 		}
 	}
 }
 
-// changed notes a file's time and tells whether it is another.
-func (i *Instance) changed(name string) bool {
+// readCertificate reads a certificate that another process has stored. Where it can't be read, the one before is served
+// on. The lock is held.
+func (i *Instance) readCertificate(files *store, name string, hosts []string) {
+	certificate, err := files.loadCertificate(name)
+	if err != nil {
+		i.options.Log.Error("certificate file not readable", "name", name, "error", err)
+	}
+	if certificate == nil {
+		return
+	}
+	i.options.Log.Info("serving certificate", "name", name, "serial", certificate.Leaf.SerialNumber.String(),
+		"not_after", certificate.Leaf.NotAfter.UTC().Format(time.RFC3339), "by_process", lockHolder(i.options.Dir))
+	for _, host := range hosts {
+		i.byHost[host] = certificate
+	}
+}
+
+// hasChanged notes a file's modification time and reports whether it is another than before. The lock is held.
+func (i *Instance) hasChanged(name string) bool {
 	info, err := os.Stat(name)
-	if err != nil || info.ModTime().Equal(i.files[name]) {
+	if err != nil || info.ModTime().Equal(i.modTimes[name]) {
 		return false
 	}
-	i.files[name] = info.ModTime()
+	i.modTimes[name] = info.ModTime()
 	return true
 }
 
-// Certificate is what a TLS listener serves.
+// Certificate is the certificate for a handshake: that of the host, or the answer to a tls-alpn-01 challenge.
 func (i *Instance) Certificate(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
-	if k := i.orders(); k != nil {
-		return k.Certificate(hello)
+	if keeper := i.leadingKeeper(); keeper != nil {
+		return keeper.Certificate(hello)
 	}
-	if proof(hello) {
-		data, err := os.ReadFile(openFile(i.o.Dir, "proof", hello.ServerName))
+	if isChallenge(hello) {
+		data, err := os.ReadFile(answerFile(i.options.Dir, answerProof, hello.ServerName))
 		if err != nil {
 			return nil, fmt.Errorf("no challenge of %.80q is open", hello.ServerName)
 		}
-		c, err := tls.X509KeyPair(data, data)
-		return &c, err
+		proof, err := tls.X509KeyPair(data, data)
+		return &proof, err
 	}
 	i.mu.RLock()
 	defer i.mu.RUnlock()
-	return pick(i.served, i.o.Names[i.first][0], hello.ServerName)
+	return certificateFor(i.byHost, i.options.Names[i.firstName][0], hello.ServerName)
 }
 
-// Challenge gives the answer to an http-01 challenge by its path.
+// Challenge is the answer to an http-01 challenge, by its path.
 func (i *Instance) Challenge(path string) (string, bool) {
-	if k := i.orders(); k != nil {
-		return k.Challenge(path)
+	if keeper := i.leadingKeeper(); keeper != nil {
+		return keeper.Challenge(path)
 	}
-	data, err := os.ReadFile(openFile(i.o.Dir, "token", path))
+	data, err := os.ReadFile(answerFile(i.options.Dir, answerToken, path))
 	return string(data), err == nil
 }
 
-// Orders tells whether this instance orders, or else which process does; 0 is unknown.
+// Orders reports whether this instance orders, and which process does; 0 is unknown.
 func (i *Instance) Orders() (here bool, pid int) {
-	if i.orders() != nil {
+	if i.leadingKeeper() != nil {
 		return true, os.Getpid()
 	}
-	return false, holder(i.o.Dir)
+	return false, lockHolder(i.options.Dir)
 }
 
-// Status tells of all certificates; one that follows tells what it serves.
+// Status is the status of all certificates. While another process orders it is read from the store.
 func (i *Instance) Status() []Status {
-	if k := i.orders(); k != nil {
-		return k.Status()
+	if keeper := i.leadingKeeper(); keeper != nil {
+		return keeper.Status()
 	}
-	return Look(i.o)
+	return ReadStatus(i.options)
 }
 
-// Look reads the state that a store has on disk, whoever has it.
-func Look(o Options) []Status {
-	if o.Now == nil {
-		o.Now = time.Now
+// ReadStatus reads the status of all certificates from a store, whichever process has that.
+func ReadStatus(options Options) []Status {
+	if options.Now == nil {
+		options.Now = time.Now
 	}
-	s := &store{dir: o.Dir}
-	k := &Keeper{o: o, store: s}
-	state, err := s.peek()
+	files := &store{dir: options.Dir}
+	state, err := files.readState()
 	if err != nil {
 		state = certs.State{}
 	}
-	k.begin(state)
-	return k.Status()
+	reader := &Keeper{options: options, store: files}
+	reader.start(state)
+	return reader.Status()
 }
 
-// Renew has a certificate ordered anew now; Revoke takes it back first. They fail where another process orders.
+// Renew orders a certificate again now. Like Revoke and Rollover it fails where another process orders.
 func (i *Instance) Renew(ctx context.Context, name string) error {
-	return i.do(ctx, func(k *Keeper) error { return k.Renew(name) })
+	return i.callKeeper(ctx, func(keeper *Keeper) error { return keeper.Renew(name) })
 }
 
-// Revoke revokes the certificate of that name at its authority, and orders another.
+// Revoke revokes a certificate at its authority, and orders another.
 func (i *Instance) Revoke(ctx context.Context, name string) error {
-	return i.do(ctx, func(k *Keeper) error { return k.Revoke(ctx, name) })
+	return i.callKeeper(ctx, func(keeper *Keeper) error { return keeper.Revoke(ctx, name) })
 }
 
 // Rollover gives the account at an authority a new key.
 func (i *Instance) Rollover(ctx context.Context, authority int) error {
-	return i.do(ctx, func(k *Keeper) error { return k.Rollover(ctx, authority) })
-}
-
-func (i *Instance) do(ctx context.Context, f func(*Keeper) error) error {
-	k := i.orders()
-	if k == nil {
-		return fmt.Errorf("process %d orders the certificates in %s: tell it", holder(i.o.Dir), i.o.Dir)
-	}
-	return k.Do(ctx, func() error { return f(k) })
-}
-
-const ticketFile = "tickets"
-
-// rotate sees that there is a key young enough, and tells all.
-func (i *Instance) rotate() error {
-	if i.orders() == nil {
-		return nil
-	}
-	name := filepath.Join(i.o.Dir, ticketFile)
-	data, err := os.ReadFile(name)
-	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return err
-	}
-	info, err := os.Stat(name)
-	if len(data) == 0 || len(data)%32 != 0 || err != nil || i.o.Now().Sub(info.ModTime()) >= ticketLife {
-		fresh := make([]byte, 32, 32*ticketKeys)
-		if _, err := rand.Read(fresh); err != nil {
-			return err
-		}
-		if len(data)%32 != 0 {
-			data = nil
-		}
-		data = append(fresh, data[:min(len(data), 32*(ticketKeys-1))]...)
-		if err := write(name, data); err != nil {
-			return err
-		}
-		now := i.o.Now()
-		if err := os.Chtimes(name, now, now); err != nil {
-			return err
-		}
-	}
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.tell(data)
-	return nil
+	return i.callKeeper(ctx, func(keeper *Keeper) error { return keeper.Rollover(ctx, authority) })
 }
 
-func (i *Instance) tell(data []byte) {
-	if i.tickets == nil || bytes.Equal(data, i.keys) || len(data) == 0 || len(data)%32 != 0 {
-		return
-	}
-	i.keys = data
-	var keys [][32]byte
-	for ; len(data) > 0; data = data[32:] {
-		keys = append(keys, [32]byte(data))
+func (i *Instance) callKeeper(ctx context.Context, f func(*Keeper) error) error {
+	keeper := i.leadingKeeper()
+	if keeper == nil {
+		return fmt.Errorf("process %d orders the certificates in %s: tell it", lockHolder(i.options.Dir), i.options.Dir)
 	}
-	i.tickets(keys)
+	return keeper.Call(ctx, func() error { return f(keeper) })
 }
--- a/internal/acme/keeper_test.go
+++ b/internal/acme/keeper_test.go
@@ -23,84 +23,88 @@
 	"pearknot/internal/lab/acmestub"
 )
 
-// world is an authority, the ports that its challenges are looked up on, and a clock that a test moves.
-type world struct {
-	t      *testing.T
-	mu     sync.Mutex
-	now    time.Time
-	a      *acmestub.Authority
-	server *httptest.Server
-	keeper *Keeper // whose challenges are answered
-	port   string
-	tls    string
-	log    strings.Builder
-	dir    string
-	points func(string)
+// testWorld is an authority, the addresses at which it looks for answers to challenges, and a clock that the test moves.
+type testWorld struct {
+	t           *testing.T
+	mu          sync.Mutex
+	now         time.Time
+	authority   *acmestub.Authority
+	server      *httptest.Server
+	keeper      *Keeper // answers the challenges
+	httpAddress string
+	tlsAddress  string
+	log         strings.Builder
+	dir         string
+	onStep      func(string)
 }
 
-func (w *world) clock() time.Time {
+func (w *testWorld) clock() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.now
 }
 
-func (w *world) pass(d time.Duration) {
+func (w *testWorld) advance(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.now = w.now.Add(d)
 }
 
-// Write is the log's.
-func (w *world) Write(b []byte) (int, error) {
+// Write takes the keeper's log.
+func (w *testWorld) Write(b []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.log.Write(b)
 }
 
-func newWorld(t *testing.T, change func(*acmestub.Options)) *world {
-	w := &world{t: t, now: time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC), dir: t.TempDir(), points: func(string) {}}
-	http1 := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		text, ok := w.keeper.Challenge(r.URL.Path)
+func newTestWorld(t *testing.T, change func(*acmestub.Options)) *testWorld {
+	w := &testWorld{t: t, now: time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC), dir: t.TempDir(), onStep: func(string) {}}
+	t.Helper()
+	httpServer := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
+		answer, ok := w.keeper.Challenge(request.URL.Path)
 		if !ok {
-			http.NotFound(rw, r)
+			http.NotFound(response, request)
 			return
 		}
-		_, _ = io.WriteString(rw, text)
+		_, _ = io.WriteString(response, answer)
 	}))
-	t.Cleanup(http1.Close)
-	l, err := tls.Listen("tcp", "127.0.0.1:0", &tls.Config{NextProtos: []string{"acme-tls/1"},
-		GetCertificate: func(h *tls.ClientHelloInfo) (*tls.Certificate, error) { return w.keeper.Certificate(h) }})
+	t.Cleanup(httpServer.Close)
+	tlsListener, err := tls.Listen("tcp", "127.0.0.1:0", &tls.Config{NextProtos: []string{"acme-tls/1"},
+		GetCertificate: func(hello *tls.ClientHelloInfo) (*tls.Certificate, error) { return w.keeper.Certificate(hello) }})
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() })
+	t.Cleanup(func() { _ = tlsListener.Close() })
 	go func() {
-		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
-			go func() { _ = c.(*tls.Conn).Handshake(); _ = c.Close() }()
+		for conn, err := tlsListener.Accept(); err == nil; conn, err = tlsListener.Accept() {
+			go func() {
+				_ = conn.(*tls.Conn).Handshake()
+				_ = conn.Close()
+			}()
 		}
 	}()
-	w.port, w.tls = http1.Listener.Addr().String(), l.Addr().String()
-	o := acmestub.Options{Now: w.clock, HTTP: func(string) string { return w.port }, TLS: func(string) string { return w.tls }, Window: 0.7}
+	w.httpAddress, w.tlsAddress = httpServer.Listener.Addr().String(), tlsListener.Addr().String()
+	o := acmestub.Options{Now: w.clock, HTTP: func(string) string { return w.httpAddress }, TLS: func(string) string { return w.tlsAddress }, Window: 0.7}
 	if change != nil {
 		change(&o)
 	}
-	w.a, err = acmestub.New(o)
+	w.authority, err = acmestub.New(o)
 	require.NoError(t, err)
-	w.server = httptest.NewServer(w.a)
+	w.server = httptest.NewServer(w.authority)
 	w.server.Config.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)
 	t.Cleanup(w.server.Close)
 	return w
 }
 
-func (w *world) options(names ...string) Options {
-	o := Options{Dir: w.dir, Names: map[string][]string{}, HTTP: true, Now: w.clock, Within: 2 * time.Second, Log: slog.New(slog.NewTextHandler(w, nil)),
-		Authorities: []Authority{{Directory: w.server.URL + "/directory", Roots: w.a.Roots(), Contact: []string{"mailto:ops@example.org"}}},
-		Limits:      certs.DefaultLimits(), Point: func(p string) { w.points(p) }}
+func (w *testWorld) options(names ...string) Options {
+	o := Options{Dir: w.dir, Names: map[string][]string{}, AnswerHTTP: true, Now: w.clock, StepTimeout: 2 * time.Second, Log: slog.New(slog.NewTextHandler(w, nil)),
+		Authorities: []Authority{{Directory: w.server.URL + "/directory", Roots: w.authority.Roots(), Contact: []string{"mailto:ops@example.org"}}},
+		Limits:      certs.DefaultLimits(), OnStep: func(p string) { w.onStep(p) }}
 	for _, n := range names {
 		o.Names[n] = []string{n}
 	}
 	return o
 }
 
-func (w *world) open(o Options) *Keeper {
+func (w *testWorld) openKeeper(o Options) *Keeper {
 	k, err := New(o)
 	require.NoError(w.t, err)
 	w.keeper = k
@@ -108,252 +112,257 @@
 	return k
 }
 
-// run has a keeper go on until a time, in leaps from one thing due to the next.
-func (w *world) run(k *Keeper, until time.Time) {
-	for n := 0; w.clock().Before(until); n++ {
-		require.Less(w.t, n, 20_000)
+// runUntil runs a keeper until a time, moving the clock from one due action to the next.
+func (w *testWorld) runUntil(k *Keeper, until time.Time) {
+	for steps := 0; w.clock().Before(until); steps++ {
+		require.Less(w.t, steps, 20_000)
 		wait := k.Step(context.Background())
 		if left := until.Sub(w.clock()); wait > left {
 			wait = left
 		}
-		w.pass(wait)
+		w.advance(wait)
 	}
 }
 
-func (w *world) leaf(k *Keeper, name string) *x509.Certificate {
-	c, err := k.Certificate(&tls.ClientHelloInfo{ServerName: name, SupportedProtos: []string{"http/1.1"}})
+// leaf is the certificate that a keeper serves for a host.
+func (w *testWorld) leaf(k *Keeper, name string) *x509.Certificate {
+	w.t.Helper()
+	certificate, err := k.Certificate(&tls.ClientHelloInfo{ServerName: name, SupportedProtos: []string{"http/1.1"}})
 	require.NoError(w.t, err)
-	return c.Leaf
+	return certificate.Leaf
 }
 
 func TestObtainAndRenew(t *testing.T) {
 	for _, kind := range []string{"http-01", "tls-alpn-01"} {
-		w := newWorld(t, nil)
-		o := w.options("pay.example.org")
-		o.HTTP, o.TLS = kind == "http-01", kind == "tls-alpn-01"
-		k := w.open(o)
-		begun := w.clock()
-		w.run(k, begun.Add(time.Minute))
-		first := w.leaf(k, "pay.example.org")
+		w := newTestWorld(t, nil)
+		options := w.options("pay.example.org")
+		options.AnswerHTTP, options.AnswerTLS = kind == "http-01", kind == "tls-alpn-01"
+		keeper := w.openKeeper(options)
+		start := w.clock()
+		w.runUntil(keeper, start.Add(time.Minute))
+		first := w.leaf(keeper, "pay.example.org")
 		assert.Equal(t, []string{"pay.example.org"}, first.DNSNames, kind)
-		w.run(k, begun.Add(80*24*time.Hour))
-		second := w.leaf(k, "pay.example.org")
+		w.runUntil(keeper, start.Add(80*24*time.Hour))
+		second := w.leaf(keeper, "pay.example.org")
 		assert.NotEqual(t, first.SerialNumber, second.SerialNumber)
-		assert.InDelta(t, 0.725*90, second.NotBefore.Sub(begun).Hours()/24, 3, "within the authority's window")
-		s := k.Status()[0]
-		assert.Equal(t, certs.StageFine, s.Stage)
-		assert.Empty(t, s.Fault)
+		assert.InDelta(t, 0.725*90, second.NotBefore.Sub(start).Hours()/24, 3, "within the authority's window")
+		status := keeper.Status()[0]
+		assert.Equal(t, certs.StageFine, status.Stage)
+		assert.Empty(t, status.LastFailure)
 		info, err := os.Stat(filepath.Join(w.dir, "names", "pay.example.org", "served.pem"))
 		require.NoError(t, err)
 		assert.Equal(t, os.FileMode(0o600), info.Mode().Perm())
 		assert.NotContains(t, w.log.String(), "PRIVATE")
-		_, err = k.Certificate(&tls.ClientHelloInfo{ServerName: "other.example.org"})
+		_, err = keeper.Certificate(&tls.ClientHelloInfo{ServerName: "other.example.org"})
 		assert.ErrorContains(t, err, "no certificate for")
 	}
 }
 
-// The authority is away for hours before expiry and back minutes before it: renewed, and what is held is served throughout.
-// Away past expiry: the held one goes on being served, loudly logged, and is renewed when the authority is back.
-func TestAuthorityAway(t *testing.T) {
+// The authority is unavailable for weeks. Where it is back minutes before the certificate expires, that is renewed in time. Where it
+// is back only later, the expired one is served on, which is logged as an error, and is renewed then.
+func TestAuthorityUnavailable(t *testing.T) {
 	for name, after := range map[string]time.Duration{"back before": -10 * time.Minute, "back after": 3 * time.Hour} {
-		w := newWorld(t, nil)
-		k := w.open(w.options("pay.example.org"))
-		w.run(k, w.clock().Add(time.Minute))
-		first := w.leaf(k, "pay.example.org")
+		w := newTestWorld(t, nil)
+		keeper := w.openKeeper(w.options("pay.example.org"))
+		w.runUntil(keeper, w.clock().Add(time.Minute))
+		first := w.leaf(keeper, "pay.example.org")
 		from := first.NotBefore.Add(50 * 24 * time.Hour)
 		back := first.NotAfter.Add(after)
-		w.a.Put(acmestub.Trouble{Fault: acmestub.Unreachable, From: from, To: back})
-		w.run(k, back)
-		assert.Equal(t, first.SerialNumber, w.leaf(k, "pay.example.org").SerialNumber, name)
+		w.authority.Put(acmestub.Trouble{Fault: acmestub.Unreachable, From: from, To: back})
+		w.runUntil(keeper, back)
+		assert.Equal(t, first.SerialNumber, w.leaf(keeper, "pay.example.org").SerialNumber, name)
 		days := back.Sub(from).Hours() / 24
-		assert.Less(t, float64(w.a.Calls(from, back)), 30*days+60, "%s: not above one in half an hour and the first few", name)
-		w.run(k, back.Add(2*time.Hour))
-		assert.NotEqual(t, first.SerialNumber, w.leaf(k, "pay.example.org").SerialNumber, name)
+		assert.Less(t, float64(w.authority.Calls(from, back)), 30*days+60, "%s: about one call in half an hour at most, and the first few", name)
+		w.runUntil(keeper, back.Add(2*time.Hour))
+		assert.NotEqual(t, first.SerialNumber, w.leaf(keeper, "pay.example.org").SerialNumber, name)
 		if after > 0 {
 			assert.Contains(t, w.log.String(), "level=ERROR msg=\"certificate not renewed\" name=pay.example.org stage=expired")
 		}
-		assert.Equal(t, certs.StageFine, k.Status()[0].Stage)
+		assert.Equal(t, certs.StageFine, keeper.Status()[0].Stage)
 	}
 }
 
-// Rate limited, the time that was said is heeded.
+// The authority limits orders and states a Retry-After, which the keeper keeps to.
 func TestRateLimited(t *testing.T) {
-	w := newWorld(t, nil)
-	k := w.open(w.options("pay.example.org"))
-	begun := w.clock()
-	w.a.Put(acmestub.Trouble{Fault: acmestub.TooMany, From: begun, To: begun.Add(5 * time.Hour), After: 2 * time.Hour})
-	w.run(k, begun.Add(5*time.Hour))
-	assert.LessOrEqual(t, w.a.Calls(begun, begun.Add(5*time.Hour)), 12, "three times, a few calls each")
-	w.run(k, begun.Add(8*time.Hour))
-	w.leaf(k, "pay.example.org")
+	w := newTestWorld(t, nil)
+	keeper := w.openKeeper(w.options("pay.example.org"))
+	start := w.clock()
+	w.authority.Put(acmestub.Trouble{Fault: acmestub.TooMany, From: start, To: start.Add(5 * time.Hour), After: 2 * time.Hour})
+	w.runUntil(keeper, start.Add(5*time.Hour))
+	assert.LessOrEqual(t, w.authority.Calls(start, start.Add(5*time.Hour)), 12, "three times, a few calls each")
+	w.runUntil(keeper, start.Add(8*time.Hour))
+	w.leaf(keeper, "pay.example.org")
 }
 
-// A challenge of one name of three does not hold: the two others have theirs.
-func TestRejected(t *testing.T) {
-	w := newWorld(t, nil)
-	k := w.open(w.options("a.example.org", "b.example.org", "c.example.org"))
-	begun := w.clock()
-	w.a.Put(acmestub.Trouble{Fault: acmestub.Reject, From: begun, To: begun.Add(24 * time.Hour), Name: "b.example.org"})
-	w.run(k, begun.Add(3*time.Hour))
-	w.leaf(k, "a.example.org")
-	w.leaf(k, "c.example.org")
-	s := k.Status()[1]
-	assert.Equal(t, certs.StageMissing, s.Stage)
-	assert.Contains(t, s.Fault, "rejected by the schedule")
-	w.run(k, begun.Add(27*time.Hour))
-	w.leaf(k, "b.example.org")
+// The challenge of one of three names is rejected: the two others get their certificates.
+func TestChallengeRejected(t *testing.T) {
+	w := newTestWorld(t, nil)
+	keeper := w.openKeeper(w.options("a.example.org", "b.example.org", "c.example.org"))
+	start := w.clock()
+	w.authority.Put(acmestub.Trouble{Fault: acmestub.Reject, From: start, To: start.Add(24 * time.Hour), Name: "b.example.org"})
+	w.runUntil(keeper, start.Add(3*time.Hour))
+	w.leaf(keeper, "a.example.org")
+	w.leaf(keeper, "c.example.org")
+	status := keeper.Status()[1]
+	assert.Equal(t, certs.StageMissing, status.Stage)
+	assert.Contains(t, status.LastFailure, "rejected by the schedule")
+	w.runUntil(keeper, start.Add(27*time.Hour))
+	w.leaf(keeper, "b.example.org")
 }
 
-// What does not fit key, name, time or root is never swapped in; once what comes fits, it is.
-func TestUnfit(t *testing.T) {
-	for fault, why := range map[acmestub.Fault]string{acmestub.OtherKey: "issued for another key", acmestub.OtherName: "issued for other names",
+// A certificate that does not match its key, its names, the time or a trusted root is never served. Once the authority issues one that
+// does, that is served.
+func TestUnusableCertificateIsNotServed(t *testing.T) {
+	for fault, reason := range map[acmestub.Fault]string{acmestub.OtherKey: "issued for another key", acmestub.OtherName: "issued for other names",
 		acmestub.Outdated: "expired at", acmestub.TooEarly: "not valid before", acmestub.WrongChain: "signed by unknown authority"} {
-		w := newWorld(t, nil)
-		k := w.open(w.options("pay.example.org"))
-		begun := w.clock()
-		w.a.Put(acmestub.Trouble{Fault: fault, From: begun, To: begun.Add(6 * time.Hour)})
-		w.run(k, begun.Add(5*time.Hour))
-		_, err := k.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org"})
+		w := newTestWorld(t, nil)
+		keeper := w.openKeeper(w.options("pay.example.org"))
+		start := w.clock()
+		w.authority.Put(acmestub.Trouble{Fault: fault, From: start, To: start.Add(6 * time.Hour)})
+		w.runUntil(keeper, start.Add(5*time.Hour))
+		_, err := keeper.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org"})
 		require.Error(t, err, fault)
-		assert.Contains(t, k.Status()[0].Fault, why, fault)
-		w.run(k, begun.Add(12*time.Hour))
-		w.leaf(k, "pay.example.org")
+		assert.Contains(t, keeper.Status()[0].LastFailure, reason, fault)
+		w.runUntil(keeper, start.Add(12*time.Hour))
+		w.leaf(keeper, "pay.example.org")
 	}
 }
 
-// The other troubles of an authority end with a certificate once they are over, in bounded memory and with one clear line.
-func TestOtherTroubles(t *testing.T) {
+// Other faults of the authority: each step ends within its time and memory and leaves a one-line reason. Once the fault is over there
+// is a certificate.
+func TestOtherAuthorityFaults(t *testing.T) {
 	for _, fault := range []acmestub.Fault{acmestub.Broken, acmestub.BadNonce, acmestub.Garbage, acmestub.Huge, acmestub.Slow, acmestub.Stuck} {
-		w := newWorld(t, nil)
-		o := w.options("pay.example.org")
-		o.Within = 300 * time.Millisecond
-		k := w.open(o)
-		begun := w.clock()
-		w.a.Put(acmestub.Trouble{Fault: fault, From: begun, To: begun.Add(time.Minute), Delay: time.Second})
-		for k.Step(t.Context()) == 0 {
+		w := newTestWorld(t, nil)
+		options := w.options("pay.example.org")
+		options.StepTimeout = 300 * time.Millisecond
+		keeper := w.openKeeper(options)
+		start := w.clock()
+		w.authority.Put(acmestub.Trouble{Fault: fault, From: start, To: start.Add(time.Minute), Delay: time.Second})
+		for keeper.Step(t.Context()) == 0 {
 		}
-		_, err := k.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org"})
+		_, err := keeper.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org"})
 		require.Error(t, err, fault)
-		for line := range strings.SplitSeq(k.Status()[0].Fault, "\n") {
+		for line := range strings.SplitSeq(keeper.Status()[0].LastFailure, "\n") {
 			assert.Less(t, len(line), 400, fault)
 		}
-		w.run(k, begun.Add(3*time.Hour))
-		w.leaf(k, "pay.example.org")
+		w.runUntil(keeper, start.Add(3*time.Hour))
+		w.leaf(keeper, "pay.example.org")
 	}
 }
 
-// Killed between any two steps of an order: the store can be read, the order goes on where it stood, and what is served
-// fits its key.
-func TestKilledAtEveryStep(t *testing.T) {
-	for _, point := range Points {
-		w := newWorld(t, nil)
-		o := w.options("pay.example.org")
-		k := w.open(o)
-		w.points = func(p string) {
-			if p == point {
+// The process crashes between any two steps of an order. Afterwards the store can be read, the order continues, and the certificate that
+// is served matches its key.
+func TestCrashAtEveryStep(t *testing.T) {
+	for _, step := range StepNames {
+		w := newTestWorld(t, nil)
+		options := w.options("pay.example.org")
+		keeper := w.openKeeper(options)
+		w.onStep = func(name string) {
+			if name == step {
 				panic("killed")
 			}
 		}
 		func() {
 			defer func() { _ = recover() }()
 			for range 10 {
-				w.pass(k.Step(t.Context()))
+				w.advance(keeper.Step(t.Context()))
 			}
 		}()
-		require.NoError(t, k.Close()) // as the kernel lets go of a killed process's lock
-		w.points = func(string) {}
-		k = w.open(o)
-		w.run(k, w.clock().Add(time.Hour))
-		w.leaf(k, "pay.example.org")
-		data, err := k.store.served("pay.example.org")
-		require.NoError(t, err, point)
-		assert.Equal(t, w.leaf(k, "pay.example.org").Raw, data.Certificate[0], point)
-		orders := len(k.core.OrderTimes)
-		assert.LessOrEqual(t, orders, 1, "%s: no order beside the one that was open", point)
+		require.NoError(t, keeper.Close()) // as the kernel releases a killed process's lock
+		w.onStep = func(string) {}
+		keeper = w.openKeeper(options)
+		w.runUntil(keeper, w.clock().Add(time.Hour))
+		w.leaf(keeper, "pay.example.org")
+		data, err := keeper.store.loadCertificate("pay.example.org")
+		require.NoError(t, err, step)
+		assert.Equal(t, w.leaf(keeper, "pay.example.org").Raw, data.Certificate[0], step)
+		orders := len(keeper.scheduler.OrderTimes)
+		assert.LessOrEqual(t, orders, 1, "%s: no order beside the open one", step)
 	}
 }
 
-// The disk is full: nothing is lost, what is served goes on being served, and with room it goes on. A second process on
-// the store is told so. A damaged note is set aside, and what is served is read from its own file.
-func TestStoreTroubles(t *testing.T) {
-	w := newWorld(t, nil)
-	o := w.options("pay.example.org")
-	k := w.open(o)
-	_, err := New(o)
-	assert.ErrorIs(t, err, ErrBusy)
-	w.run(k, w.clock().Add(time.Minute))
-	first := w.leaf(k, "pay.example.org")
-	require.NoError(t, k.Close())
+// Faults of the store. A second process finds it locked. A damaged state file is set aside, and the certificate is served from its own
+// file. While nothing can be written, the certificate is served on; once writes succeed, it is renewed.
+func TestStoreFaults(t *testing.T) {
+	w := newTestWorld(t, nil)
+	options := w.options("pay.example.org")
+	keeper := w.openKeeper(options)
+	_, err := New(options)
+	assert.ErrorIs(t, err, ErrStoreLocked)
+	w.runUntil(keeper, w.clock().Add(time.Minute))
+	first := w.leaf(keeper, "pay.example.org")
+	require.NoError(t, keeper.Close())
 	require.NoError(t, os.WriteFile(filepath.Join(w.dir, stateFile), []byte("{nonsense"), 0o600))
-	k = w.open(o)
-	assert.Equal(t, first.SerialNumber, w.leaf(k, "pay.example.org").SerialNumber)
+	keeper = w.openKeeper(options)
+	assert.Equal(t, first.SerialNumber, w.leaf(keeper, "pay.example.org").SerialNumber)
 	assert.Contains(t, w.log.String(), "set aside")
 	due := first.NotBefore.Add(80 * 24 * time.Hour)
 	names := filepath.Join(w.dir, "names")
 	require.NoError(t, os.Rename(names, names+".away"))
-	require.NoError(t, os.WriteFile(names, nil, 0o600)) // no directory can be made there: every write fails
-	w.run(k, due)
-	assert.Equal(t, first.SerialNumber, w.leaf(k, "pay.example.org").SerialNumber)
-	require.NotEmpty(t, k.Status()[0].Fault)
+	require.NoError(t, os.WriteFile(names, nil, 0o600)) // a file in the directory's place: every write fails
+	w.runUntil(keeper, due)
+	assert.Equal(t, first.SerialNumber, w.leaf(keeper, "pay.example.org").SerialNumber)
+	require.NotEmpty(t, keeper.Status()[0].LastFailure)
 	require.NoError(t, os.Remove(names))
 	require.NoError(t, os.Rename(names+".away", names))
-	w.run(k, due.Add(3*time.Hour))
-	assert.NotEqual(t, first.SerialNumber, w.leaf(k, "pay.example.org").SerialNumber)
+	w.runUntil(keeper, due.Add(3*time.Hour))
+	assert.NotEqual(t, first.SerialNumber, w.leaf(keeper, "pay.example.org").SerialNumber)
 }
 
-// A binding to an account outside is asked for and given; keys roll over; a certificate is revoked, and then renewed at once.
-func TestAccounts(t *testing.T) {
+// The authority demands an external account binding, which the operator then configures. The account's key is replaced. A certificate is
+// revoked, and then renewed at once.
+func TestAccountKeysAndRevocation(t *testing.T) {
 	secret := []byte("0123456789abcdef0123456789abcdef")
-	w := newWorld(t, func(o *acmestub.Options) { o.Binding = map[string][]byte{"kid-1": secret} })
-	o := w.options("pay.example.org")
-	k := w.open(o)
-	w.run(k, w.clock().Add(time.Minute))
-	assert.Contains(t, k.Status()[0].Fault, "externalAccountRequired")
-	require.NoError(t, k.Close())
-	o.Authorities[0].KeyID, o.Authorities[0].KeyHMAC = "kid-1", secret
-	k = w.open(o)
-	w.run(k, w.clock().Add(3*time.Hour))
-	first := w.leaf(k, "pay.example.org")
-	require.NoError(t, k.Rollover(t.Context(), 0))
-	require.NoError(t, k.Revoke(t.Context(), "pay.example.org"))
-	assert.True(t, w.a.Revoked(first.SerialNumber))
-	w.run(k, w.clock().Add(24*time.Hour))
-	assert.NotEqual(t, first.SerialNumber, w.leaf(k, "pay.example.org").SerialNumber, "under the new key")
+	w := newTestWorld(t, func(options *acmestub.Options) { options.Binding = map[string][]byte{"kid-1": secret} })
+	options := w.options("pay.example.org")
+	keeper := w.openKeeper(options)
+	w.runUntil(keeper, w.clock().Add(time.Minute))
+	assert.Contains(t, keeper.Status()[0].LastFailure, "externalAccountRequired")
+	require.NoError(t, keeper.Close())
+	options.Authorities[0].KeyID, options.Authorities[0].KeyHMAC = "kid-1", secret
+	keeper = w.openKeeper(options)
+	w.runUntil(keeper, w.clock().Add(3*time.Hour))
+	first := w.leaf(keeper, "pay.example.org")
+	require.NoError(t, keeper.Rollover(t.Context(), 0))
+	require.NoError(t, keeper.Revoke(t.Context(), "pay.example.org"))
+	assert.True(t, w.authority.Revoked(first.SerialNumber))
+	w.runUntil(keeper, w.clock().Add(24*time.Hour))
+	assert.NotEqual(t, first.SerialNumber, w.leaf(keeper, "pay.example.org").SerialNumber, "under the new key")
 }
 
-// A hundred instances over a year: an outage of a day brings no storm, neither in it nor in the first minute after.
+// A hundred instances over a year, with an outage of a day: there is never a burst of calls, neither during it nor right after.
 func TestHundredInstances(t *testing.T) {
-	w := newWorld(t, func(o *acmestub.Options) { o.Window = 0 })
-	begun := w.clock()
-	var all []*certs.Scheduler
+	w := newTestWorld(t, func(o *acmestub.Options) { o.Window = 0 })
+	start := w.clock()
+	var schedulers []*certs.Scheduler
 	calls := map[int]int{} // by minute
-	down := func(now float64) bool { at := now - ms(begun); return at > 61*24*3600e3 && at < 62*24*3600e3 }
+	down := func(now float64) bool { at := now - toMs(start); return at > 61*24*3600e3 && at < 62*24*3600e3 }
 	for n := range 100 {
-		l := certs.DefaultLimits()
-		l.Instance = fmt.Sprint("node-", n)
-		all = append(all, certs.New(certs.State{}, []string{"pay.example.org"}, l))
+		limits := certs.DefaultLimits()
+		limits.Instance = fmt.Sprint("node-", n)
+		schedulers = append(schedulers, certs.New(certs.State{}, []string{"pay.example.org"}, limits))
 	}
 	worst, outage := 0, 0
-	for _, c := range all {
-		now := ms(begun)
-		for now < ms(begun)+365*24*3600e3 {
-			a, due := c.Next(now)
+	for _, scheduler := range schedulers {
+		now := toMs(start)
+		for now < toMs(start)+365*24*3600e3 {
+			action, due := scheduler.Next(now)
 			if !due {
-				now += max(c.WaitMs(now), 1)
+				now += max(scheduler.WaitMs(now), 1)
 				continue
 			}
-			calls[int((now-ms(begun))/60e3)]++
+			calls[int((now-toMs(start))/60e3)]++
 			if down(now) {
 				outage++
 			}
-			if a.Kind == certs.CreateOrder {
-				c.OrderBegun(now, a)
+			if action.Kind == certs.CreateOrder {
+				scheduler.OrderBegun(now, action)
 			}
 			if down(now) {
-				c.ActionFailed(now, a.Name, certs.AuthorityUnavailable, "down", 0, false)
+				scheduler.ActionFailed(now, action.Name, certs.AuthorityUnavailable, "down", 0, false)
 			} else {
-				c.OrderCreated(a.Name, "x")
-				c.CertificateIssued(now, a.Name, certs.Certificate{Serial: fmt.Sprint(now), NotBefore: now, NotAfter: now + 90*24*3600e3})
+				scheduler.OrderCreated(action.Name, "x")
+				scheduler.CertificateIssued(now, action.Name, certs.Certificate{Serial: fmt.Sprint(now), NotBefore: now, NotAfter: now + 90*24*3600e3})
 			}
 		}
 	}
@@ -362,11 +371,11 @@
 			worst = max(worst, n)
 		}
 	}
-	assert.LessOrEqual(t, worst, 12, "in any minute of the year but the first")
-	t.Logf("most calls in a minute %d, in a day's outage %d, in the first minute after %d, in the year %d", worst, outage, calls[62*24*60], sum(calls))
+	assert.LessOrEqual(t, worst, 12, "calls in any minute of the year but the first")
+	t.Logf("most calls in a minute %d, in a day's outage %d, in the first minute after %d, in the year %d", worst, outage, calls[62*24*60], total(calls))
 }
 
-func sum(m map[int]int) (n int) {
+func total(m map[int]int) (n int) {
 	for _, x := range m {
 		n += x
 	}
--- a/internal/acme/process_test.go
+++ b/internal/acme/process_test.go
@@ -28,36 +28,36 @@
 	"pearknot/internal/lab/acmestub"
 )
 
-// What a child process of these tests is told.
+// Environment variables of the tests' child processes.
 const (
-	childDir       = "PEARKNOT_TEST_DIR"
-	childDirectory = "PEARKNOT_TEST_DIRECTORY"
-	childListen    = "PEARKNOT_TEST_LISTEN"
-	childPoint     = "PEARKNOT_TEST_POINT" // at which it kills itself
-	childFull      = "PEARKNOT_TEST_FULL"  // bytes that a file may have: more is as on a full disk
+	childDir         = "PEARKNOT_TEST_DIR"
+	childDirectory   = "PEARKNOT_TEST_DIRECTORY"
+	childListen      = "PEARKNOT_TEST_LISTEN"
+	childStep        = "PEARKNOT_TEST_POINT" // after which it kills itself
+	childMaxFileSize = "PEARKNOT_TEST_FULL"  // in bytes; longer writes fail as on a full disk
 )
 
-// TestMain is a keeper in a process of its own where it is asked to be.
+// TestMain runs a keeper in place of the tests in a child process.
 func TestMain(m *testing.M) {
 	if os.Getenv(childDir) == "" {
 		os.Exit(m.Run())
 	}
-	if err := child(); err != nil {
+	if err := runChild(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-func child() error {
+func runChild() error {
 	dir := os.Getenv(childDir)
 	within := 20 * time.Second
-	if text := os.Getenv(childFull); text != "" {
-		most, err := strconv.ParseUint(text, 10, 64)
+	if text := os.Getenv(childMaxFileSize); text != "" {
+		maxSize, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
 			return err
 		}
 		signal.Ignore(syscall.SIGXFSZ) // the write is to fail
-		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: most, Max: most}); err != nil {
+		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: maxSize, Max: maxSize}); err != nil {
 			return err
 		}
 		within = time.Second
@@ -68,11 +68,11 @@
 	}
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(data)
-	l := certs.DefaultLimits()
-	l.MinBackoff = 50
-	k, err := New(Options{Dir: dir, Names: map[string][]string{"pay": {"pay.example.org"}}, HTTP: true, Log: slog.New(slog.NewTextHandler(os.Stderr, nil)),
-		Authorities: []Authority{{Directory: os.Getenv(childDirectory), Roots: roots}}, Limits: l, Point: func(p string) {
-			if p == os.Getenv(childPoint) {
+	limits := certs.DefaultLimits()
+	limits.MinBackoff = 50
+	keeper, err := New(Options{Dir: dir, Names: map[string][]string{"pay": {"pay.example.org"}}, AnswerHTTP: true, Log: slog.New(slog.NewTextHandler(os.Stderr, nil)),
+		Authorities: []Authority{{Directory: os.Getenv(childDirectory), Roots: roots}}, Limits: limits, OnStep: func(p string) {
+			if p == os.Getenv(childStep) {
 				_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 				select {}
 			}
@@ -86,192 +86,191 @@
 	}
 	go func() {
 		_ = http.Serve(listener, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			text, _ := k.Challenge(r.URL.Path)
+			text, _ := keeper.Challenge(r.URL.Path)
 			_, _ = io.WriteString(w, text)
 		}))
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	for ctx.Err() == nil {
-		wait := k.Step(ctx)
-		if _, err := k.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org"}); err == nil && k.Status()[0].Stage == certs.StageFine && k.Status()[0].Order == "" {
-			return k.Close()
+		wait := keeper.Step(ctx)
+		if _, err := keeper.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org"}); err == nil && keeper.Status()[0].Stage == certs.StageFine && keeper.Status()[0].Order == "" {
+			return keeper.Close()
 		}
-		pause(ctx, min(wait, time.Second))
+		sleep(ctx, min(wait, time.Second))
 	}
 	return errors.New("nothing came of it")
 }
 
-// children gives an authority on the machine's clock, a store, and what runs a keeper on it in a process of its own.
-func children(t *testing.T) (w *world, dir string, run func(told ...string) (string, error)) {
+// newChildWorld makes an authority on the machine's clock, a store, and a function that runs a keeper on the store in a child process.
+func newChildWorld(t *testing.T) (w *testWorld, dir string, run func(environment ...string) (string, error)) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := free.Addr().String()
 	require.NoError(t, free.Close())
-	w = newWorld(t, func(o *acmestub.Options) {
+	w = newTestWorld(t, func(o *acmestub.Options) {
 		o.Now = time.Now
 		o.HTTP = func(string) string { return address }
 	})
 	dir = filepath.Join(w.dir, "store")
-	require.NoError(t, os.WriteFile(filepath.Join(w.dir, "roots.pem"), w.a.RootPEM(), 0o600))
-	return w, dir, func(told ...string) (string, error) {
-		c := exec.Command(os.Args[0])
-		c.Env = append(append(os.Environ(), childDir+"="+dir, childDirectory+"="+w.server.URL+"/directory", childListen+"="+address), told...)
-		var said bytes.Buffer
-		c.Stderr = &said
-		err := c.Run()
-		return said.String(), err
+	require.NoError(t, os.WriteFile(filepath.Join(w.dir, "roots.pem"), w.authority.RootPEM(), 0o600))
+	return w, dir, func(environment ...string) (string, error) {
+		command := exec.Command(os.Args[0])
+		command.Env = append(append(os.Environ(), childDir+"="+dir, childDirectory+"="+w.server.URL+"/directory", childListen+"="+address), environment...)
+		var output bytes.Buffer
+		command.Stderr = &output
+		err := command.Run()
+		return output.String(), err
 	}
 }
 
-// A process is killed by the kernel at each point of an order; the next one takes the store up, goes on with the order
-// that is open, and no second one is made.
-func TestSigkillAtEveryPoint(t *testing.T) {
-	for _, point := range Points {
-		t.Run(point, func(t *testing.T) {
-			w, dir, run := children(t)
-			text, err := run(childPoint + "=" + point)
+// A process is killed at each step of an order. The next one opens the store and continues the open order; no second order is made.
+func TestSigkillAtEveryStep(t *testing.T) {
+	for _, step := range StepNames {
+		t.Run(step, func(t *testing.T) {
+			w, dir, run := newChildWorld(t)
+			text, err := run(childStep + "=" + step)
 			var exit *exec.ExitError
 			require.ErrorAs(t, err, &exit, text)
 			assert.Equal(t, syscall.SIGKILL, exit.Sys().(syscall.WaitStatus).Signal(), text)
 			text, err = run()
 			require.NoError(t, err, text)
-			most := 1
-			if point == "ordered" { // the kernel took the address with it: the authority alone knows of that order
-				most = 2
+			maxOrders := 1
+			if step == "ordered" { // its URL is lost with the process: the authority alone knows of that order
+				maxOrders = 2
 			}
-			assert.LessOrEqual(t, w.a.Orders(), most)
-			c, err := (&store{dir: dir}).served("pay")
+			assert.LessOrEqual(t, w.authority.Orders(), maxOrders)
+			certificate, err := (&store{dir: dir}).loadCertificate("pay")
 			require.NoError(t, err)
-			require.NotNil(t, c)
+			require.NotNil(t, certificate)
 			assert.NotContains(t, text, "PRIVATE KEY")
 		})
 	}
 }
 
-// The system refuses what a process writes, at whichever file it comes to that: it goes on, nothing is served that is not
-// stored, no order is made that could be forgotten, and with room the next one ends in a certificate.
+// The disk is full, at whichever file. The process keeps running, serves nothing that is not stored, and creates no order that could be
+// forgotten. Once there is room, the next process obtains a certificate.
 func TestFullDisk(t *testing.T) {
-	for _, most := range []string{"20", "150", "230", "700"} {
-		w, dir, run := children(t)
-		text, err := run(childFull + "=" + most)
-		require.Error(t, err, most)
-		assert.Contains(t, text, "file too large", most)
-		assert.Contains(t, text, "nothing came of it", "%s: it goes on", most)
-		assert.LessOrEqual(t, w.a.Orders(), 1, most)
-		c, err := (&store{dir: dir}).served("pay")
-		require.NoError(t, err, most)
-		assert.Nil(t, c, most)
+	for _, maxFileSize := range []string{"20", "150", "230", "700"} {
+		w, dir, run := newChildWorld(t)
+		text, err := run(childMaxFileSize + "=" + maxFileSize)
+		require.Error(t, err, maxFileSize)
+		assert.Contains(t, text, "file too large", maxFileSize)
+		assert.Contains(t, text, "nothing came of it", "%s: it keeps running", maxFileSize)
+		assert.LessOrEqual(t, w.authority.Orders(), 1, maxFileSize)
+		certificate, err := (&store{dir: dir}).loadCertificate("pay")
+		require.NoError(t, err, maxFileSize)
+		assert.Nil(t, certificate, maxFileSize)
 		text, err = run()
 		require.NoError(t, err, text)
-		assert.LessOrEqual(t, w.a.Orders(), 2, most)
+		assert.LessOrEqual(t, w.authority.Orders(), 2, maxFileSize)
 	}
 }
 
-// Several instances on a store: the first orders, the others serve what it brings and show its answers to challenges; when
-// it ends, one of the others orders.
-func TestInstances(t *testing.T) {
-	w := newWorld(t, nil)
-	o := w.options("pay.example.org")
+// Several instances share a store. The first one orders; the others serve its certificates and its answers to challenges. When it ends,
+// one of the others orders.
+func TestInstancesShareStore(t *testing.T) {
+	w := newTestWorld(t, nil)
+	options := w.options("pay.example.org")
 	var keys [2][][32]byte
-	one, err := Open(o, func(k [][32]byte) { keys[0] = k })
+	first, err := Open(options, func(keeper [][32]byte) { keys[0] = keeper })
 	require.NoError(t, err)
-	two, err := Open(o, func(k [][32]byte) { keys[1] = k })
+	second, err := Open(options, func(keeper [][32]byte) { keys[1] = keeper })
 	require.NoError(t, err)
-	here, _ := one.Orders()
+	here, _ := first.Orders()
 	assert.True(t, here)
-	here, pid := two.Orders()
+	here, pid := second.Orders()
 	assert.False(t, here)
 	assert.Equal(t, os.Getpid(), pid)
 	assert.Len(t, keys[0], 1)
-	assert.Equal(t, keys[0], keys[1], "tickets of one are understood by the other")
-	assert.ErrorContains(t, two.Renew(t.Context(), "pay.example.org"), "orders the certificates")
+	assert.Equal(t, keys[0], keys[1], "tickets of one can be used at the other")
+	assert.ErrorContains(t, second.Renew(t.Context(), "pay.example.org"), "orders the certificates")
 	hello := &tls.ClientHelloInfo{ServerName: "pay.example.org"}
-	_, err = two.Certificate(hello)
+	_, err = second.Certificate(hello)
 	assert.Error(t, err)
 
-	k := one.orders()
-	w.keeper = k
-	away, err := k.store.putToken("/.well-known/acme-challenge/x", "token.proof")
+	keeper := first.leadingKeeper()
+	w.keeper = keeper
+	withdraw, err := keeper.store.publishToken("/.well-known/acme-challenge/x", "token.proof")
 	require.NoError(t, err)
-	seen, _ := two.Challenge("/.well-known/acme-challenge/x")
-	assert.Equal(t, "token.proof", seen)
-	away()
-	_, ok := two.Challenge("/.well-known/acme-challenge/x")
+	answer, _ := second.Challenge("/.well-known/acme-challenge/x")
+	assert.Equal(t, "token.proof", answer)
+	withdraw()
+	_, ok := second.Challenge("/.well-known/acme-challenge/x")
 	assert.False(t, ok)
-	_, ok = two.Challenge("/../../../lock")
-	assert.False(t, ok, "what is asked for names no file")
-	client, err := k.client(0)
+	_, ok = second.Challenge("/../../../lock")
+	assert.False(t, ok, "a path that is asked for names no file")
+	client, err := keeper.clientFor(0)
 	require.NoError(t, err)
 	cert, err := client.acme.TLSALPN01ChallengeCert("x", "pay.example.org")
 	require.NoError(t, err)
-	away, err = k.store.putProof("pay.example.org", &cert)
+	withdraw, err = keeper.store.publishProof("pay.example.org", &cert)
 	require.NoError(t, err)
-	got, err := two.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org", SupportedProtos: []string{"acme-tls/1"}})
+	got, err := second.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org", SupportedProtos: []string{"acme-tls/1"}})
 	require.NoError(t, err)
 	assert.Equal(t, cert.Certificate, got.Certificate)
-	away()
+	withdraw()
 
-	w.run(k, w.clock().Add(time.Minute))
-	two.follow()
-	mine, err := one.Certificate(hello)
+	w.runUntil(keeper, w.clock().Add(time.Minute))
+	second.readStore()
+	served, err := first.Certificate(hello)
 	require.NoError(t, err)
-	theirs, err := two.Certificate(hello)
+	followed, err := second.Certificate(hello)
 	require.NoError(t, err)
-	assert.Equal(t, mine.Certificate, theirs.Certificate)
-	assert.Equal(t, one.Status(), two.Status())
+	assert.Equal(t, served.Certificate, followed.Certificate)
+	assert.Equal(t, first.Status(), second.Status())
 
-	w.pass(ticketLife)
-	require.NoError(t, one.rotate())
-	two.follow()
+	w.advance(ticketKeyLifetime)
+	require.NoError(t, first.rotateTicketKeys())
+	second.readStore()
 	assert.Len(t, keys[0], 2)
 	assert.Equal(t, keys[0], keys[1])
 	for range 5 {
-		w.pass(ticketLife)
-		require.NoError(t, one.rotate())
+		w.advance(ticketKeyLifetime)
+		require.NoError(t, first.rotateTicketKeys())
 	}
-	assert.Len(t, keys[0], ticketKeys)
+	assert.Len(t, keys[0], maxTicketKeys)
 
-	require.NoError(t, one.Close())
-	require.NoError(t, two.take())
-	here, _ = two.Orders()
+	require.NoError(t, first.Close())
+	require.NoError(t, second.tryLead())
+	here, _ = second.Orders()
 	assert.True(t, here)
-	require.NoError(t, two.Close())
+	require.NoError(t, second.Close())
 }
 
-// FuzzAnswers has the authority answer one of the calls with whatever, cut short or not: the keeper ends the step in
-// bounded memory with one line, and the next tries go on.
-func FuzzAnswers(f *testing.F) {
+// FuzzResponses replaces one of the authority's responses: the keeper must end the step in bounded memory with a one-line reason, and keep
+// trying.
+func FuzzResponses(f *testing.F) {
 	f.Add(uint8(0), uint16(200), "application/json", []byte(`{"newNonce":`))
 	f.Add(uint8(1), uint16(200), "application/json", []byte(`{"newNonce":"http://127.0.0.1:1","newAccount":3}`))
 	f.Add(uint8(2), uint16(201), "text/html", []byte("<html>"))
 	f.Add(uint8(3), uint16(429), "application/problem+json", []byte(`{"type":"urn:ietf:params:acme:error:rateLimited"}`))
 	f.Add(uint8(4), uint16(500), "", []byte{0, 255, 10})
 	f.Add(uint8(9), uint16(200), "application/pem-certificate-chain", []byte("-----BEGIN CERTIFICATE-----\nAAAA\n-----END CERTIFICATE-----\n"))
-	f.Fuzz(func(t *testing.T, at uint8, status uint16, kind string, body []byte) {
-		w := newWorld(t, nil)
+	f.Fuzz(func(t *testing.T, callIndex uint8, status uint16, kind string, body []byte) {
+		w := newTestWorld(t, nil)
 		calls := 0
 		inner := w.server.Config.Handler
-		w.server.Config.Handler = http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+		w.server.Config.Handler = http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 			calls++
-			if calls-1 != int(at%12) || status < 200 || status > 599 {
-				inner.ServeHTTP(rw, r)
+			if calls-1 != int(callIndex%12) || status < 200 || status > 599 {
+				inner.ServeHTTP(response, request)
 				return
 			}
-			rw.Header().Set("Content-Type", strings.ToValidUTF8(kind, ""))
-			rw.Header().Set("Replay-Nonce", "AAAA")
-			rw.Header().Set("Location", string(bytes.ToValidUTF8(body, nil)))
-			rw.WriteHeader(int(status))
-			_, _ = rw.Write(body)
+			response.Header().Set("Content-Type", strings.ToValidUTF8(kind, ""))
+			response.Header().Set("Replay-Nonce", "AAAA")
+			response.Header().Set("Location", string(bytes.ToValidUTF8(body, nil)))
+			response.WriteHeader(int(status))
+			_, _ = response.Write(body)
 		})
-		o := w.options("pay.example.org")
-		o.Within = 500 * time.Millisecond
-		k := w.open(o)
+		options := w.options("pay.example.org")
+		options.StepTimeout = 500 * time.Millisecond
+		keeper := w.openKeeper(options)
 		for range 6 {
-			wait := k.Step(t.Context())
-			require.LessOrEqual(t, len(k.Status()[0].Fault), 400)
-			require.NotContains(t, k.Status()[0].Fault, "\n")
-			w.pass(wait)
+			wait := keeper.Step(t.Context())
+			require.LessOrEqual(t, len(keeper.Status()[0].LastFailure), 400)
+			require.NotContains(t, keeper.Status()[0].LastFailure, "\n")
+			w.advance(wait)
 		}
 	})
 }
--- a/internal/acme/store.go
+++ b/internal/acme/store.go
@@ -25,93 +25,134 @@
 	"pearknot/internal/certs"
 )
 
-// store is a directory: accounts' keys, and for each name what is served, and the key of the order that is open. Each file
-// is written whole or not at all, and one process has the directory.
+// The store's files. Each is written completely or not at all.
+const (
+	lockFile        = "lock"       // its holder's process ID
+	stateFile       = "state.json" // certs.State
+	namesDir        = "names"      // a directory for each certificate, with certificateFile and orderKeyName
+	certificateFile = "served.pem" // the chain that is served, and its key
+	orderKeyName    = "order.key"  // the open order's key
+	answersDir      = "open"       // answers to challenges, for instances that follow
+)
+
+// The PEM types of what the store has.
+const (
+	pemCertificate = "CERTIFICATE"
+	pemECKey       = "EC PRIVATE KEY"
+	pemPKCS8Key    = "PRIVATE KEY"
+)
+
+// The kinds of published answers.
+const (
+	answerToken = "token" // of http-01
+	answerProof = "proof" // of tls-alpn-01
+)
+
+const (
+	privateDir  = 0o700
+	privateFile = 0o600
+)
+
+// ErrStoreLocked means that another process has the store.
+var ErrStoreLocked = errors.New("another process has it")
+
+// store is a directory with the accounts' keys, the state and the certificates. One process has its lock.
 type store struct {
 	dir  string
-	lock *os.File
-}
-
-// Holder tells which process has a store; 0 is unknown.
-func holder(dir string) (pid int) {
-	if data, err := os.ReadFile(filepath.Join(dir, "lock")); err == nil {
-		pid, _ = strconv.Atoi(strings.TrimSpace(string(data)))
-	}
-	return pid
+	lock *os.File // nil where the store is only read
 }
 
-// ErrBusy is a store that another process has.
-var ErrBusy = errors.New("another process has it")
-
+// openStore locks the store. It returns ErrStoreLocked where another process has it.
 func openStore(dir string) (*store, error) {
-	if err := os.MkdirAll(filepath.Join(dir, "names"), 0o700); err != nil {
+	if err := os.MkdirAll(filepath.Join(dir, namesDir), privateDir); err != nil {
 		return nil, err
 	}
-	lock, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, privateFile)
 	if err != nil {
 		return nil, err
 	}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		_ = lock.Close()
-		return nil, fmt.Errorf("%s: %w", dir, ErrBusy)
+		return nil, fmt.Errorf("%s: %w", dir, ErrStoreLocked)
 	}
-	if err := errors.Join(lock.Truncate(0), writeAt(lock, strconv.Itoa(os.Getpid())), os.RemoveAll(filepath.Join(dir, "open"))); err != nil {
-		_ = lock.Close() // answers to challenges that a killed one left are of no order any more
+	// Answers that a killed process has left are of no order any more.
+	if err := errors.Join(writeHolder(lock), os.RemoveAll(filepath.Join(dir, answersDir))); err != nil {
+		_ = lock.Close()
 		return nil, err
 	}
 	return &store{dir, lock}, nil
 }
 
-func writeAt(f *os.File, text string) error {
-	_, err := f.WriteAt([]byte(text), 0)
-	return err
+// writeHolder writes this process's ID into the lock's file.
+func writeHolder(lock *os.File) error {
+	truncateErr := lock.Truncate(0)
+	_, writeErr := lock.WriteAt([]byte(strconv.Itoa(os.Getpid())), 0)
+	return errors.Join(truncateErr, writeErr)
 }
 
-// putToken and putProof put the answer to a challenge where instances beside this one find it.
-func (s *store) putToken(path, text string) (away func(), err error) {
-	return putOpen(openFile(s.dir, "token", path), []byte(text))
-}
-
-func (s *store) putProof(name string, c *tls.Certificate) (away func(), err error) {
-	data, err := x509.MarshalPKCS8PrivateKey(c.PrivateKey)
-	if err != nil {
-		return nil, err
+// lockHolder is the process that has a store; 0 is unknown.
+func lockHolder(dir string) (pid int) {
+	if data, err := os.ReadFile(filepath.Join(dir, lockFile)); err == nil {
+		pid, _ = strconv.Atoi(strings.TrimSpace(string(data)))
 	}
-	return putOpen(openFile(s.dir, "proof", name), append(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Certificate[0]}),
-		pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: data})...))
+	return pid
 }
 
-func putOpen(name string, data []byte) (away func(), err error) {
-	return func() { _ = os.Remove(name) }, write(name, data)
+func (s *store) close() error { return s.lock.Close() }
+
+// path is a file of a certificate's.
+func (s *store) path(name, file string) string {
+	return filepath.Join(s.dir, namesDir, strings.ReplaceAll(name, "/", "_"), file)
 }
 
-// openFile is where such an answer lies: what a client asks for is hashed, and so names no other file.
-func openFile(dir, kind, what string) string {
-	sum := sha256.Sum256([]byte(what))
-	return filepath.Join(dir, "open", kind+"-"+hex.EncodeToString(sum[:16]))
+func (s *store) accountKeyFile(authority int) string {
+	return filepath.Join(s.dir, fmt.Sprintf("account-%d.key", authority))
 }
 
-func (s *store) close() error { return s.lock.Close() }
+func (s *store) orderKeyFile(name string) string { return s.path(name, orderKeyName) }
 
-func (s *store) at(name, file string) string {
-	return filepath.Join(s.dir, "names", strings.ReplaceAll(name, "/", "_"), file)
+func (s *store) exists(file string) bool {
+	_, err := os.Stat(file)
+	return err == nil
 }
 
-func write(name string, data []byte) error {
-	if err := os.MkdirAll(filepath.Dir(name), 0o700); err != nil {
+// writeFile writes a file, completely or not at all.
+func writeFile(name string, data []byte) error {
+	if err := os.MkdirAll(filepath.Dir(name), privateDir); err != nil {
 		return err
 	}
-	return renameio.WriteFile(name, data, 0o600)
+	return renameio.WriteFile(name, data, privateFile)
 }
 
-const (
-	stateFile  = "state.json"
-	servedFile = "served.pem"
-)
+// publishToken publishes the answer to an http-01 challenge for the instances that follow, until withdraw is called.
+func (s *store) publishToken(path, answer string) (withdraw func(), err error) {
+	return publishAnswer(answerFile(s.dir, answerToken, path), []byte(answer))
+}
+
+// publishProof publishes the answer to a tls-alpn-01 challenge for the instances that follow, until withdraw is called.
+func (s *store) publishProof(host string, proof *tls.Certificate) (withdraw func(), err error) {
+	key, err := x509.MarshalPKCS8PrivateKey(proof.PrivateKey)
+	if err != nil {
+		return nil, err
+	}
+	data := pem.EncodeToMemory(&pem.Block{Type: pemCertificate, Bytes: proof.Certificate[0]})
+	data = append(data, pem.EncodeToMemory(&pem.Block{Type: pemPKCS8Key, Bytes: key})...)
+	return publishAnswer(answerFile(s.dir, answerProof, host), data)
+}
 
-// state reads what the core kept; none is an empty one. One that can't be read is set aside: the certificates themselves
-// stand in files of their own.
-func (s *store) state() (state certs.State, damaged error, err error) {
+func publishAnswer(name string, data []byte) (withdraw func(), err error) {
+	return func() { _ = os.Remove(name) }, writeFile(name, data)
+}
+
+// answerFile is the file of a published answer. What a client asks for is hashed, so that it can name no other file.
+func answerFile(dir, kind, asked string) string {
+	sum := sha256.Sum256([]byte(asked))
+	return filepath.Join(dir, answersDir, kind+"-"+hex.EncodeToString(sum[:16]))
+}
+
+// loadState reads the scheduler's state, which is empty in a new store. One that can't be read is set aside and reported
+// as damaged: the certificates are in files of their own.
+func (s *store) loadState() (state certs.State, damaged error, err error) {
 	name := filepath.Join(s.dir, stateFile)
 	data, err := os.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -120,38 +161,36 @@
 	if err != nil {
 		return state, nil, err
 	}
-	if damaged = json.Unmarshal(data, &state); damaged != nil {
-		return certs.State{}, fmt.Errorf("%s: %w", name, damaged), os.Rename(name, name+".damaged")
+	if decodeErr := json.Unmarshal(data, &state); decodeErr != nil {
+		return certs.State{}, fmt.Errorf("%s: %w", name, decodeErr), os.Rename(name, name+".damaged")
 	}
 	return state, nil, nil
 }
 
-// peek reads it as it is, and changes nothing.
-func (s *store) peek() (state certs.State, err error) {
+// readState reads the scheduler's state and changes nothing.
+func (s *store) readState() (certs.State, error) {
+	var state certs.State
 	data, err := os.ReadFile(filepath.Join(s.dir, stateFile))
-	if err == nil {
-		err = json.Unmarshal(data, &state)
+	if err != nil {
+		return state, err
 	}
+	err = json.Unmarshal(data, &state)
 	return state, err
 }
 
-func (s *store) save(state certs.State) error {
+func (s *store) saveState(state certs.State) error {
 	data, err := json.MarshalIndent(state, "", " ")
 	if err != nil {
 		return err
 	}
-	return write(filepath.Join(s.dir, stateFile), data)
+	return writeFile(filepath.Join(s.dir, stateFile), data)
 }
 
-// key reads a key, or makes one and keeps it first.
-func (s *store) key(file string) (*ecdsa.PrivateKey, error) {
+// loadOrCreateKey reads a key, or creates and stores it.
+func (s *store) loadOrCreateKey(file string) (*ecdsa.PrivateKey, error) {
 	data, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
-		k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-		if err != nil {
-			return nil, err
-		}
-		return k, s.putKey(file, k)
+		return s.createKey(file)
 	}
 	if err != nil {
 		return nil, err
@@ -160,67 +199,72 @@
 	if block == nil {
 		return nil, fmt.Errorf("%s: no key", file)
 	}
-	k, err := x509.ParseECPrivateKey(block.Bytes)
+	key, err := x509.ParseECPrivateKey(block.Bytes)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	return k, nil
+	return key, nil
 }
 
-func (s *store) has(file string) bool {
-	_, err := os.Stat(file)
-	return err == nil
-}
-
-func (s *store) putKey(file string, k *ecdsa.PrivateKey) error {
-	der, err := x509.MarshalECPrivateKey(k)
+func (s *store) createKey(file string) (*ecdsa.PrivateKey, error) {
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return err
+		return nil, err
+	}
+	encoded, err := encodeKey(key)
+	if err != nil {
+		return nil, err
+	}
+	if err := writeFile(file, encoded); err != nil {
+		return nil, err
 	}
-	return write(file, pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: der}))
+	return key, nil
 }
 
-func (s *store) accountKey(authority int) string {
-	return filepath.Join(s.dir, fmt.Sprintf("account-%d.key", authority))
+func encodeKey(key *ecdsa.PrivateKey) ([]byte, error) {
+	der, err := x509.MarshalECPrivateKey(key)
+	if err != nil {
+		return nil, err
+	}
+	return pem.EncodeToMemory(&pem.Block{Type: pemECKey, Bytes: der}), nil
 }
 
-func (s *store) orderKey(name string) string { return s.at(name, "order.key") }
-
-// served reads what is served under a name; nil is nothing yet.
-func (s *store) served(name string) (*tls.Certificate, error) {
-	data, err := os.ReadFile(s.at(name, servedFile))
+// loadCertificate reads the certificate that is served under a name, and its key; nil is none yet.
+func (s *store) loadCertificate(name string) (*tls.Certificate, error) {
+	file := s.path(name, certificateFile)
+	data, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	c, err := tls.X509KeyPair(data, data)
+	certificate, err := tls.X509KeyPair(data, data)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", s.at(name, servedFile), err)
+		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	return &c, nil
+	return &certificate, nil
 }
 
-// serve puts a certificate and its key, in one file: there is no moment at which they don't fit.
-func (s *store) serve(name string, chain [][]byte, key crypto.Signer) error {
-	k, ok := key.(*ecdsa.PrivateKey)
+// saveCertificate stores a certificate and its key in one file, so that there is no moment at which they don't match.
+// The order's key is removed: the next order gets its own.
+func (s *store) saveCertificate(name string, chain [][]byte, key crypto.Signer) error {
+	ecKey, ok := key.(*ecdsa.PrivateKey)
 	if !ok {
 		return fmt.Errorf("a key of kind %T", key)
 	}
-	der, err := x509.MarshalECPrivateKey(k)
+	encodedKey, err := encodeKey(ecKey)
 	if err != nil {
 		return err
 	}
 	var data []byte
-	for _, c := range chain {
-		data = append(data, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c})...)
+	for _, der := range chain {
+		data = append(data, pem.EncodeToMemory(&pem.Block{Type: pemCertificate, Bytes: der})...)
 	}
-	if err := write(s.at(name, servedFile), append(data, pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: der})...)); err != nil {
+	if err := writeFile(s.path(name, certificateFile), append(data, encodedKey...)); err != nil {
 		return err
 	}
-	// The next order makes a key of its own.
-	if err := os.Remove(s.orderKey(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := os.Remove(s.orderKeyFile(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	return nil
--- a/internal/serve/certificates.go
+++ b/internal/serve/certificates.go
@@ -41,7 +41,7 @@
 	err = p.server.ListenTLS(server.TLSConfig{
 		Address:          cmp.Or(p.config.tlsAddress, options.Address),
 		ReusePort:        p.config.adminAddress != "",
-		AnswerChallenges: acmeOptions.TLS,
+		AnswerChallenges: acmeOptions.AnswerTLS,
 		GetCertificate: func(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
 			return certificates.Certificate(hello)
 		},
--- a/internal/serve/tlsfile.go
+++ b/internal/serve/tlsfile.go
@@ -86,8 +86,8 @@
 		ChallengeAddress: content.Challenge,
 		ACME: acme.Options{
 			Dir:    content.Dir,
-			HTTP:   content.Challenge != "",
-			TLS:    content.ALPN,
+			AnswerHTTP:   content.Challenge != "",
+			AnswerTLS:    content.ALPN,
 			Limits: content.Limits.limits(),
 		},
 	}
