--- a/balancer/admission_tenants_test.go
+++ b/balancer/admission_tenants_test.go
@@ -24,9 +24,10 @@
 	return math.Max(0, 1-1/odds), rates
 }
 
-// The sum of all tenants' rates that is updated as requests arrive is theirs added up, but for what the tenants of half a minute
-// ago and earlier still have, less than a thousandth of a request each, which each by itself counts as nothing. Another
-// configuration begins anew, and a snapshot goes on where it was, one of a build that stored no sum with the sum.
+// The sum of all tenants' rates that is updated as requests arrive is theirs added up, but for what the tenants of half
+// a minute ago and earlier still have, less than a thousandth of a request each, which each by itself counts as
+// nothing. Another configuration begins anew, and a snapshot goes on where it was, one of a build that stored no sum
+// with the sum.
 func TestTenantRateIsTheSum(t *testing.T) {
 	const tenants = 40
 	config := func() *Config {
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -186,8 +186,8 @@
 	}
 }
 
-// AttemptEnded records the end of an attempt, elapsed ms after it was sent; finished says that the request has ended with it
-// or before.
+// AttemptEnded records the end of an attempt, elapsed ms after it was sent; finished says that the request has ended
+// with it or before.
 func (lb *Balancer) AttemptEnded(now float64, attempt *Attempt, how Outcome, elapsed float64, finished bool) {
 	lb.now = now
 	request, backend := attempt.Request, attempt.Backend
--- a/balancer/attempt_test.go
+++ b/balancer/attempt_test.go
@@ -108,8 +108,8 @@
 	assert.Equal(t, "fail:b", h.decisions(), "answered in the batch of its time-out")
 }
 
-// A streamed request is sent once. While it comes, no backend is blamed for its client's slowness; from its last byte on its
-// attempt is like any other.
+// A streamed request is sent once. While it comes, no backend is blamed for its client's slowness; from its last byte
+// on its attempt is like any other.
 func TestStreamedRequests(t *testing.T) {
 	for how, want := range map[Outcome]string{OutcomeConnectFailed: "reject:a", OutcomeConnectionReset: "reject:a", OutcomeAnswered: ""} {
 		h := newHarness(t, testConfig(), 3)
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// releaseOvertaken is called for each answer. An attempt that is overdue by then and was sent before the answered one no longer
-// counts: its connection fell silent, or its answer stopped short, while the backend works on. It would take capacity,
-// lower the drain rate and keep long requests away until it timed out.
+// releaseOvertaken is called for each answer. An attempt that is overdue by then and was sent before the answered one
+// no longer counts: its connection fell silent, or its answer stopped short, while the backend works on. It would take
+// capacity, lower the drain rate and keep long requests away until it timed out.
 func (b *Backend) releaseOvertaken(now float64, answered *Attempt) {
 	b.lastAnsweredSentAt = max(b.lastAnsweredSentAt, answered.SentAt)
 	for _, attempt := range slices.Clone(b.inFlight) {
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -26,6 +26,8 @@
 	limitDecrease = 0.8
 	// maxLimitGrowth is the part of a limit that one answer adds at most: small limits must not double at once.
 	maxLimitGrowth = 4
+	// maxRoundingUp is just below one, so that a whole limit is not raised by one.
+	maxRoundingUp = 0.99
 	// minNodeInFlight attempts may always be in flight, so that one silent backend does not stop a node.
 	minNodeInFlight = 2
 )
@@ -42,19 +44,20 @@
 	return total / float64(max(lb.config.Nodes, 1))
 }
 
-// isAtCapacity reports whether a backend has all the attempts that this node sends there at once. Beyond that they would queue,
-// and an overloaded backend may turn slower for all nodes. A part of an attempt is rounded up where nodes are few, and
-// down where many of them would add up.
+// isAtCapacity reports whether a backend has all the attempts that this node sends there at once. Beyond that they
+// would queue, and an overloaded backend may turn slower for all nodes. A part of an attempt is rounded up where nodes
+// are few, and down where many of them would add up.
 func (lb *Balancer) isAtCapacity(backend *Backend) bool {
 	if float64(lb.concurrency.inFlight) >= lb.concurrency.limit || backend.pausedUntil > lb.now || !lb.mayUse(backend) {
 		return true
 	}
-	return float64(len(backend.inFlight)) >= max(math.Floor(backend.maxInFlight+math.Min(lb.perNodeShare(initialInFlight), 0.99)), 1)
+	limit := math.Floor(backend.maxInFlight + math.Min(lb.perNodeShare(initialInFlight), maxRoundingUp))
+	return float64(len(backend.inFlight)) >= max(limit, 1)
 }
 
-// adjustLimits adjusts the limits after an answer. Queues that any node causes lengthen the answers of all: each lowers its limits, so that
-// they share what there is without a message. The best pace seen is the measure: the present one holds queues that have
-// come to stay.
+// adjustLimits adjusts the limits after an answer. Queues that any node causes lengthen the answers of all: each lowers
+// its limits, so that they share what there is without a message. The best pace seen is the measure: the present one
+// holds queues that have come to stay.
 func (lb *Balancer) adjustLimits(backend *Backend, attempt *Attempt, elapsed float64) {
 	objective := attempt.Request.class.LatencyObjective
 	queueing := elapsed - paceTolerance*attempt.Request.work*backend.bestPace
@@ -97,9 +100,9 @@
 	return max(minNodeInFlight, lb.perNodeShare(minInFlightPerBackend*float64(len(lb.backends))), lb.affordableInFlight())
 }
 
-// affordableInFlight is how many attempts would be in flight if those lately answered had each taken as long as they may: by
-// Little's law, at the rate at which answers come. Where backends turn slow it falls with that rate, and a node of much
-// traffic has more of it than one of little; all nodes' together keep waits within that time.
+// affordableInFlight is how many attempts would be in flight if those lately answered had each taken as long as they
+// may: by Little's law, at the rate at which answers come. Where backends turn slow it falls with that rate, and a node
+// of much traffic has more of it than one of little; all nodes' together keep waits within that time.
 func (lb *Balancer) affordableInFlight() float64 {
 	return lb.concurrency.answeredTime.get(lb.now, rateHalfLife) * math.Ln2 / rateHalfLife
 }
@@ -107,5 +110,6 @@
 // recordAnsweredTime records an answer for affordableInFlight.
 func (lb *Balancer) recordAnsweredTime(backend *Backend, request *Request) {
 	counter := &lb.concurrency.answeredTime
-	counter.set(lb.now, counter.get(lb.now, rateHalfLife)+request.work*lb.paceOf(backend)+toleratedWaitShare*request.class.LatencyObjective)
+	sum := counter.get(lb.now, rateHalfLife) + request.work*lb.paceOf(backend) + toleratedWaitShare*request.class.LatencyObjective
+	counter.set(lb.now, sum)
 }
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -71,8 +71,9 @@
 	assert.Greater(t, out, 6, "answers without a queue raise it")
 }
 
-// One minimum for all deployments did not fit: a node of much traffic stood at what is too many for a quiet one, and 300 nodes
-// at less than their backends bore. It follows from the rate at which answers come, falls with it, and survives a snapshot.
+// One minimum for all deployments did not fit: a node of much traffic stood at what is too many for a quiet one, and
+// 300 nodes at less than their backends bore. It follows from the rate at which answers come, falls with it, and
+// survives a snapshot.
 func TestMinInFlightLimitFollowsAnswers(t *testing.T) {
 	config := testConfig()
 	config.Nodes = 500
@@ -100,8 +101,8 @@
 	require.Equal(t, 2.0, minLimit(1000), "a node of few requests keeps two")
 }
 
-// What timed out may still run: it counts toward the node's limit for as long again as it was in flight, and a snapshot keeps
-// that.
+// What timed out may still run: it counts toward the node's limit for as long again as it was in flight, and a snapshot
+// keeps that.
 func TestAbandonedWorkCountsForAsLongAgain(t *testing.T) {
 	h := newHarness(t, testConfig(), 3)
 	request := h.requestArrives("a", 1, 10)
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -116,8 +116,9 @@
 	}
 }
 
-// suspectsPoisonRequest reports whether requests may lately have brought down the backends that began them. Then one that met
-// a reset is not retried, nor are clients' retries placed: each would cost one more backend. First tries go on.
+// suspectsPoisonRequest reports whether requests may lately have brought down the backends that began them. Then one
+// that met a reset is not retried, nor are clients' retries placed: each would cost one more backend. First tries go
+// on.
 func (lb *Balancer) suspectsPoisonRequest() bool {
 	return lb.now-lb.ejection.lastResetAt < poisonWindow && !lb.resetsAreIsolated()
 }
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -96,8 +96,8 @@
 	require.Len(t, h.balancer.backends, 2)
 }
 
-// An operator takes a backend out of service. It counts as draining whatever the list says, also when it goes and comes back;
-// put back it warms up, and nothing of its former process keeps it from being used.
+// An operator takes a backend out of service. It counts as draining whatever the list says, also when it goes and comes
+// back; put back it warms up, and nothing of its former process keeps it from being used.
 func TestCordonedBackend(t *testing.T) {
 	h := newHarness(t, testConfig(), 2)
 	a, b := h.backends[0], h.backends[1]
--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -116,8 +116,8 @@
 	return backend.pace.blend(lb.estimates.paces.byKind.at(backend.Kind).blend(lb.paceOf(nil), known), known)
 }
 
-// recordPace records what an answer's time tells of its backend's pace. Behind other attempts of this node's it tells of the
-// queue, not of the backend; and what backends report is better.
+// recordPace records what an answer's time tells of its backend's pace. Behind other attempts of this node's it tells
+// of the queue, not of the backend; and what backends report is better.
 func (lb *Balancer) recordPace(attempt *Attempt, elapsed float64) {
 	if !attempt.wasAlone || lb.estimates.serviceTime.seen > 0 {
 		return
--- a/balancer/estimators_test.go
+++ b/balancer/estimators_test.go
@@ -64,8 +64,8 @@
 	assert.InDelta(t, 10, placeRound(), 3, "and is forgotten")
 }
 
-// One silent backend's time-out says nothing of the waits elsewhere. Counted whole, and again for being overdue, it had nodes
-// reject for seconds while all but a few backends were idle.
+// One silent backend's time-out says nothing of the waits elsewhere. Counted whole, and again for being overdue, it had
+// nodes reject for seconds while all but a few backends were idle.
 func TestSilenceCountsOnceAndForTheObjectiveAtMost(t *testing.T) {
 	h := newHarness(t, testConfig(), 4)
 	request := h.requestArrives("a", 1, 10)
--- a/balancer/ordering_test.go
+++ b/balancer/ordering_test.go
@@ -37,7 +37,8 @@
 	}{
 		{"an answer gives the turn to the next", OutcomeAnswered, "attempt:b", ""},
 		{"so does what never ran, once it is rejected", OutcomeRejected, "reject:a attempt:b", ""},
-		// Reported: a request was sent 25 ms after an attempt of its key's earlier request had ended without proof that it runs no more.
+		// Reported: a request was sent 25 ms after an attempt of its key's earlier request had ended without proof that
+		// it runs no more.
 		{"after a time-out the cooldown runs", OutcomeTimedOut, "reject:a", "attempt:b"},
 		{"after a reset the cooldown runs", OutcomeConnectionReset, "reject:a", "attempt:b"},
 		{"an error ends the work", OutcomeFailed, "reject:a attempt:b", ""},
@@ -62,8 +63,8 @@
 	}
 }
 
-// All classes that keep order share their keys. A request whose client leaves gives up its turn; its attempt outlives it and
-// keeps the key.
+// All classes that keep order share their keys. A request whose client leaves gives up its turn; its attempt outlives
+// it and keeps the key.
 func TestOrderAcrossClassesAndAbandonedRequests(t *testing.T) {
 	h := newHarness(t, orderedConfig(), 4)
 	a := h.requestWithKey(7, "a", 3)
@@ -82,8 +83,8 @@
 	require.Empty(t, h.balancer.keyQueues, "a key without requests and cooldown is forgotten")
 }
 
-// A request that has its turn may be retried without a cooldown. One whose turn does not come in time is rejected then; a third,
-// for which the two before it are predicted to take too long, at once.
+// A request that has its turn may be retried without a cooldown. One whose turn does not come in time is rejected then;
+// a third, for which the two before it are predicted to take too long, at once.
 func TestWaitingForTheKeyEndsInTime(t *testing.T) {
 	h := newHarness(t, orderedConfig(), 4)
 	a := h.requestWithKey(7, "a", 3)
@@ -108,8 +109,8 @@
 	require.Greater(t, h.now, now+300)
 }
 
-// No attempt out of order and no key kept for good, whatever comes: time-outs, resets, cancels, clients that leave, snapshots,
-// restarts.
+// No attempt out of order and no key kept for good, whatever comes: time-outs, resets, cancels, clients that leave,
+// snapshots, restarts.
 func TestOrderUnderRandomEvents(t *testing.T) {
 	endings := []Outcome{OutcomeAnswered, OutcomeFailed, OutcomeRejected, OutcomeTimedOut, OutcomeConnectFailed, OutcomeConnectionReset, OutcomeCanceled, OutcomeNotSent}
 	rapid.Check(t, func(r *rapid.T) {
--- a/balancer/poison_test.go
+++ b/balancer/poison_test.go
@@ -58,8 +58,9 @@
 	require.Equal(t, before, h.balancer.suspicionOf(other), "and blamed on the connection: a few backends reset a tenth each and stay")
 }
 
-// An attempt sent before a reset and answered by the same backend after it, however late, shows that the backend did not crash.
-// At a node that seldom meets one twice within a second nothing else does, and its clients' retries were all rejected.
+// An attempt sent before a reset and answered by the same backend after it, however late, shows that the backend did
+// not crash. At a node that seldom meets one twice within a second nothing else does, and its clients' retries were all
+// rejected.
 func TestAnswerToAnEarlierAttemptShowsThatNothingCrashed(t *testing.T) {
 	h := newHarness(t, testConfig(), 1)
 	early, broken := h.sendShort(h.backends[0]), h.sendShort(h.backends[0])
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -63,8 +63,8 @@
 	assert.Equal(t, "reject:b", h.decisions(), "it can't be in time: at once")
 }
 
-// None of the own zone's backends can be used, by the list or by an operator, or hardly any. What may cross is queued for the
-// others; what is not worth crossing is rejected at once.
+// None of the own zone's backends can be used, by the list or by an operator, or hardly any. What may cross is queued
+// for the others; what is not worth crossing is rejected at once.
 func TestQueuedForAnotherZone(t *testing.T) {
 	config := testConfig()
 	config.CrossZoneCost, config.WeightByWork = 0.06, true
--- a/balancer/restore.go
+++ b/balancer/restore.go
@@ -8,8 +8,8 @@
 	"sort"
 )
 
-// Restoring makes a balancer of a snapshot, part by part. Snapshots come from files and from other processes: every index in
-// one is checked before it is used, and what a balancer can't have is an error.
+// Restoring makes a balancer of a snapshot, part by part. Snapshots come from files and from other processes: every
+// index in one is checked before it is used, and what a balancer can't have is an error.
 
 // maxZoneOrKind bounds the numbers of zones and kinds of machine in a snapshot, by which tables grow.
 const maxZoneOrKind = 1 << 16
@@ -47,8 +47,16 @@
 	lb.timers.armedFor, lb.timers.seq = s.ArmedFor, s.Seq
 	lb.review = reviewSchedule{at: s.ReviewAt, hasNews: s.HasNews}
 	lb.rotation = rotationState{position: s.RotationPosition, meanWeight: s.MeanWeight}
-	lb.retries = retryState{tokens: s.RetryTokens, overrun: quantileEstimate{s.Overrun.Value, s.Overrun.Seen}, latestAnsweredSentAt: s.LatestAnsweredSentAt}
-	lb.ejection = ejectionState{commonSuspicion: s.CommonSuspicion, lastResetAt: s.LastResetAt, answeredAfterResetAt: s.AnsweredAfterResetAt}
+	lb.retries = retryState{
+		tokens:               s.RetryTokens,
+		overrun:              quantileEstimate{s.Overrun.Value, s.Overrun.Seen},
+		latestAnsweredSentAt: s.LatestAnsweredSentAt,
+	}
+	lb.ejection = ejectionState{
+		commonSuspicion:      s.CommonSuspicion,
+		lastResetAt:          s.LastResetAt,
+		answeredAfterResetAt: s.AnsweredAfterResetAt,
+	}
 	lb.endpoints = endpointState{isDoubted: s.IsListDoubted, isWatched: s.IsWatched, pollAt: s.PollAt, pollFailures: s.PollFailures}
 	lb.concurrency.limit, lb.concurrency.answeredTime = s.InFlightLimit, decayingCounter{s.AnsweredTime[0], s.AnsweredTime[1]}
 	lb.slowStart.processes, lb.slowStart.splitUntil = s.Processes, s.SplitUntil
@@ -100,7 +108,8 @@
 
 func (r *snapshotReader) readBackends() error {
 	for _, x := range r.snapshot.Backends {
-		if len(x.RecentWorkAt) != len(x.RecentWork) || len(x.InFlight)%2 != 0 || x.Zone < 0 || x.Kind < 0 || x.Zone > maxZoneOrKind || x.Kind > maxZoneOrKind {
+		if len(x.RecentWorkAt) != len(x.RecentWork) || len(x.InFlight)%2 != 0 ||
+			x.Zone < 0 || x.Kind < 0 || x.Zone > maxZoneOrKind || x.Kind > maxZoneOrKind {
 			return errors.New("snapshot with an invalid backend")
 		}
 		r.backends = append(r.backends, x.restore())
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// mayLeaveOverdue reports whether an overdue attempt's request may be sent to another backend. Where only one attempt may be
-// in flight, the first must end before, and its work goes on there: then only where others are answered meanwhile, so
-// that the backend is silent and not all of them are crowded.
+// mayLeaveOverdue reports whether an overdue attempt's request may be sent to another backend. Where only one attempt
+// may be in flight, the first must end before, and its work goes on there: then only where others are answered
+// meanwhile, so that the backend is silent and not all of them are crowded.
 func (lb *Balancer) mayLeaveOverdue(attempt *Attempt) bool {
 	request := attempt.Request
 	if request.class.Idempotency == AtMostOnce || lb.retries.tokens < 1 || request.inFlightCount() > 1 {
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -212,9 +212,9 @@
 	return Eligible
 }
 
-// whyUnfitForLong returns why a backend may be sent no long request; Eligible where it may. A quick error makes one idle at once, and one that warms
-// up is idle by nature: neither draws long requests. Idle of this node's work says little where there are many nodes:
-// others' requests may be queued there, so that the predicted time counts too.
+// whyUnfitForLong returns why a backend may be sent no long request; Eligible where it may. A quick error makes one
+// idle at once, and one that warms up is idle by nature: neither draws long requests. Idle of this node's work says
+// little where there are many nodes: others' requests may be queued there, so that the predicted time counts too.
 func (lb *Balancer) whyUnfitForLong(request *Request, backend *Backend, patience float64) Reason {
 	switch {
 	case lb.config.ConnectionCost > 0 && !backend.inSubset:
@@ -324,8 +324,8 @@
 	}
 }
 
-// hashRing returns the backends of the own zone, or the others, in an order that is the same at all nodes, and takes them out
-// of the subset.
+// hashRing returns the backends of the own zone, or the others, in an order that is the same at all nodes, and takes
+// them out of the subset.
 func (lb *Balancer) hashRing(near bool) (ring []*Backend) {
 	for _, backend := range lb.backends {
 		if lb.isNear(backend) == near {
@@ -336,8 +336,8 @@
 	return ring
 }
 
-// recordConnectFailure records a connect that failed: the backend is down or accepts no more connections, and neither is over
-// soon. Where connections cost, it is left alone for twice as long with each failure in a row.
+// recordConnectFailure records a connect that failed: the backend is down or accepts no more connections, and neither
+// is over soon. Where connections cost, it is left alone for twice as long with each failure in a row.
 func (lb *Balancer) recordConnectFailure(backend *Backend) {
 	backend.refusals = math.Min(backend.refusals+1, maxConnectRefusals)
 	if lb.config.ConnectionCost > 0 {
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Kinds of one weight differ in speed. The rotation follows, also for backends never used, and a heavy request goes to a fast
-// machine though the slow one is next.
+// Kinds of one weight differ in speed. The rotation follows, also for backends never used, and a heavy request goes to
+// a fast machine though the slow one is next.
 func TestRotationFollowsTheKindsSpeed(t *testing.T) {
 	h := newHarness(t, testConfig(), 2)
 	fast, slow := h.backends[0], h.backends[1]
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// Slow start bounds the work that a backend gets while it warms up. From its announced start on, its capacity grows from
-// SlowStartShare to all within SlowStartWindow, and within any OverloadWindow all nodes together may send it no more than
-// OverloadMultiple times what it can do. Each node keeps to its own share of that, which it knows without a message, so that
-// the bound holds when no node hears of the others.
+// Slow start bounds the work that a backend gets while it warms up. From its announced start on, its capacity grows
+// from SlowStartShare to all within SlowStartWindow, and within any OverloadWindow all nodes together may send it no
+// more than OverloadMultiple times what it can do. Each node keeps to its own share of that, which it knows without a
+// message, so that the bound holds when no node hears of the others.
 
 const (
 	// slowStartSafety is the share of the bound that is used: cost hints are rough, and connections are work too.
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// A slow machine's share goes by what warmed-up backends take for their speed: by weight alone, the shares of fourteen nodes
-// overloaded a slow backend that had just started.
+// A slow machine's share goes by what warmed-up backends take for their speed: by weight alone, the shares of fourteen
+// nodes overloaded a slow backend that had just started.
 func TestSlowStartBudgetOfSlowMachines(t *testing.T) {
 	budgetOfKind := func(kind int) (spent float64) {
 		config := testConfig()
@@ -63,9 +63,9 @@
 	assert.Greater(t, budgetOfKind(0), 1.5*budgetOfKind(1))
 }
 
-// A zone comes back with all backends just started. Of 80 nodes each one's share of a backend's budget is less than a request,
-// and none sent any. By draws they use the backends, and all of them together keep the budget in every window, at twice the
-// usual number of requests and with more nodes up than configured.
+// A zone comes back with all backends just started. Of 80 nodes each one's share of a backend's budget is less than a
+// request, and none sent any. By draws they use the backends, and all of them together keep the budget in every window,
+// at twice the usual number of requests and with more nodes up than configured.
 func TestDrawsKeepTheSlowStartBudgetTogether(t *testing.T) {
 	const nodes, up, backends, span = 80, 90, 12, 2000.0
 	for seed := range uint64(4) {
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -12,8 +12,8 @@
 // same decisions from then on. What the configuration says is not in it, nor what follows from that. Requests and
 // backends go by their index in the lists that the host gave; -1 is none where that is said.
 //
-// Snapshots are stored, and sent from one process to the next, by the ORDER of their fields (see internal/snapshot): a field
-// may be renamed, and a new one is added at a struct's end; none may move, change its type or go.
+// Snapshots are stored, and sent from one process to the next, by the ORDER of their fields (see internal/snapshot): a
+// field may be renamed, and a new one is added at a struct's end; none may move, change its type or go.
 
 // ErrMidBatch is the error of a snapshot that is taken while decisions are due.
 var ErrMidBatch = errors.New("snapshot in the middle of a batch")
@@ -24,34 +24,50 @@
 
 // Snapshot is the state of a balancer.
 type Snapshot struct {
-	Now, ArmedFor, ReviewAt, RotationPosition, RetryTokens, CommonSuspicion, MeanWeight, PollAt, InFlightLimit, LatestAnsweredSentAt float64
-	IsWatched, HasNews, HasFreedCapacity                                                                                             bool
-	PollFailures                                                                                                                     int
-	Seq                                                                                                                              uint64
-	Random                                                                                                                           [2]uint64
-	Hints                                                                                                                            []float64 // the window of the cutoff
-	HintNext                                                                                                                         int
-	Overrun                                                                                                                          QuantileSnapshot
-	Priority, Work, ServiceTime                                                                                                      MeanSnapshot
-	PaceAll                                                                                                                          [2]float64
-	PaceKinds                                                                                                                        [][2]float64
-	WaitsAll                                                                                                                         [3]float64
-	WaitsByZone                                                                                                                      [][3]float64
-	UsageByZone                                                                                                                      [][2]float64
-	Classes                                                                                                                          []MeanSnapshot // mean work
-	Tenants                                                                                                                          [][2]float64   // request rates
-	Backends                                                                                                                         []BackendSnapshot
-	Order                                                                                                                            []int // the balancer's backends among them
-	Requests                                                                                                                         []RequestSnapshot
-	Queued                                                                                                                           []int
-	Timers                                                                                                                           []TimerSnapshot
-	Processes                                                                                                                        int
-	SplitUntil                                                                                                                       float64
-	KeyQueues                                                                                                                        []KeyQueueSnapshot
-	IsListDoubted                                                                                                                    bool
-	LastResetAt, AnsweredAfterResetAt                                                                                                float64
-	AnsweredTime                                                                                                                     [2]float64
-	TenantRate                                                                                                                       [2]float64 // of all tenants together
+	Now                  float64
+	ArmedFor             float64
+	ReviewAt             float64
+	RotationPosition     float64
+	RetryTokens          float64
+	CommonSuspicion      float64
+	MeanWeight           float64
+	PollAt               float64
+	InFlightLimit        float64
+	LatestAnsweredSentAt float64
+	IsWatched            bool
+	HasNews              bool
+	HasFreedCapacity     bool
+	PollFailures         int
+	Seq                  uint64
+	// Random is the state of the generator of random numbers.
+	Random      [2]uint64
+	Hints       []float64 // the window of the cutoff
+	HintNext    int
+	Overrun     QuantileSnapshot
+	Priority    MeanSnapshot
+	Work        MeanSnapshot
+	ServiceTime MeanSnapshot
+	// Paces are time and work; waits are sum, count and time; usage is work and speed; rates are sum and time.
+	PaceAll              [2]float64
+	PaceKinds            [][2]float64
+	WaitsAll             [3]float64
+	WaitsByZone          [][3]float64
+	UsageByZone          [][2]float64
+	Classes              []MeanSnapshot // mean work
+	Tenants              [][2]float64   // request rates
+	Backends             []BackendSnapshot
+	Order                []int // the balancer's backends among them
+	Requests             []RequestSnapshot
+	Queued               []int
+	Timers               []TimerSnapshot
+	Processes            int
+	SplitUntil           float64
+	KeyQueues            []KeyQueueSnapshot
+	IsListDoubted        bool
+	LastResetAt          float64
+	AnsweredAfterResetAt float64
+	AnsweredTime         [2]float64
+	TenantRate           [2]float64 // of all tenants together
 }
 
 // QuantileSnapshot is the state of an estimate of a quantile.
@@ -65,50 +81,74 @@
 
 // BackendSnapshot is the state of a backend.
 type BackendSnapshot struct {
-	ID                                                                                            uint64
-	Zone, Cell, Kind                                                                              int
-	State                                                                                         BackendState
-	Weight, Started                                                                               float64
-	Tracked                                                                                       bool
-	LongInFlight                                                                                  int
-	WorkInFlight, LastAnsweredSentAt, BusyUntil, BestPace, MaxInFlight, PausedUntil, RotationPass float64
-	Pace                                                                                          [2]float64
-	AnswerRatio                                                                                   QuantileSnapshot
-	Drain                                                                                         [3]float64
-	Suspicion                                                                                     [2]float64
-	RecentWorkAt, RecentWork                                                                      []float64
-	InFlight                                                                                      []int // attempts, as request and number in turn
-	Waits                                                                                         [3]float64
-	MaxCoresSeen                                                                                  float64
-	LastWait                                                                                      [2]float64
-	Cordoned                                                                                      bool
-	UncordonedAt, CordonedAt                                                                      float64
-	RemovedAt                                                                                     float64
-	WasDrained, IsConnected, InSubset                                                             bool
-	Refusals, LastResetAt                                                                         float64
+	ID                 uint64
+	Zone               int
+	Cell               int
+	Kind               int
+	State              BackendState
+	Weight             float64
+	Started            float64
+	Tracked            bool
+	LongInFlight       int
+	WorkInFlight       float64
+	LastAnsweredSentAt float64
+	BusyUntil          float64
+	BestPace           float64
+	MaxInFlight        float64
+	PausedUntil        float64
+	RotationPass       float64
+	Pace               [2]float64
+	AnswerRatio        QuantileSnapshot
+	Drain              [3]float64
+	Suspicion          [2]float64
+	RecentWorkAt       []float64
+	RecentWork         []float64
+	InFlight           []int // attempts, as request and number in turn
+	Waits              [3]float64
+	MaxCoresSeen       float64
+	LastWait           [2]float64
+	Cordoned           bool
+	UncordonedAt       float64
+	CordonedAt         float64
+	RemovedAt          float64
+	WasDrained         bool
+	IsConnected        bool
+	InSubset           bool
+	Refusals           float64
+	LastResetAt        float64
 }
 
 // RequestSnapshot is the state of a request that is not over.
 type RequestSnapshot struct {
-	ID                                  uint64
-	Class, Tenant                       int
-	CostHint, ArrivedAt, Deadline, Work float64
-	Estimate                            float64
-	HasCostHint, IsClientRetry, IsLong  bool
-	Stage                               int
-	Attempts                            []AttemptSnapshot
-	OverQuota                           float64
-	Streamed                            bool
-	Key                                 uint64
+	ID            uint64
+	Class         int
+	Tenant        int
+	CostHint      float64
+	ArrivedAt     float64
+	Deadline      float64
+	Work          float64
+	Estimate      float64
+	HasCostHint   bool
+	IsClientRetry bool
+	IsLong        bool
+	Stage         int
+	Attempts      []AttemptSnapshot
+	OverQuota     float64
+	Streamed      bool
+	Key           uint64
 }
 
 // AttemptSnapshot is the state of one of its attempts.
 type AttemptSnapshot struct {
-	Backend                                 int
-	SentAt, ExpectedTime                    float64
-	InFlight, Canceled, IsOverdue, WasAlone bool
-	Outcome                                 Outcome
-	HasStarted                              bool
+	Backend      int
+	SentAt       float64
+	ExpectedTime float64
+	InFlight     bool
+	Canceled     bool
+	IsOverdue    bool
+	WasAlone     bool
+	Outcome      Outcome
+	HasStarted   bool
 }
 
 // TimerSnapshot is a timer: of a request, of one of its attempts, of a key, or of none where what it was for is over.
@@ -129,8 +169,8 @@
 	Requests      []int
 }
 
-// Snapshot returns the balancer's state between two batches. The host names all requests that are not over, and all backends
-// that it may name again, in an order of its own.
+// Snapshot returns the balancer's state between two batches. The host names all requests that are not over, and all
+// backends that it may name again, in an order of its own.
 func (lb *Balancer) Snapshot(requests []*Request, backends []*Backend) (*Snapshot, error) {
 	for _, request := range requests {
 		if request.Config != lb.config && request.Config != nil {
@@ -156,8 +196,8 @@
 }
 
 // HandoffSnapshot is what another process may go on with: all that was learned and spent. What is in flight, queued or
-// timed stays with the process that has it, and so does its random generator; the endpoint list is polled anew. Cooldowns of
-// keys go over: what may still run there is out of the other process's sight.
+// timed stays with the process that has it, and so does its random generator; the endpoint list is polled anew.
+// Cooldowns of keys go over: what may still run there is out of the other process's sight.
 func (lb *Balancer) HandoffSnapshot(backends []*Backend) (*Snapshot, error) {
 	w := newSnapshotWriter(lb, nil, backends)
 	if err := w.writeLearned(backends, false); err != nil {
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -24,8 +24,8 @@
 	return own
 }
 
-// Reported: 332 nodes and 244 backends of 22 connections each: seven in ten attempts got none. Each node has its subset, and
-// the subsets spread evenly, also over every second node.
+// Reported: 332 nodes and 244 backends of 22 connections each: seven in ten attempts got none. Each node has its
+// subset, and the subsets spread evenly, also over every second node.
 func TestSubsetsSpreadEvenly(t *testing.T) {
 	for _, zones := range []int{1, 2} {
 		at := map[uint64]int{}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -93,8 +93,8 @@
 	assert.Error(t, err)
 }
 
-// An operator moves from one topology to the other and forgets a setting. Such settings are refused by the path of the first
-// one that does not fit. Without a word of the topology it is a pool, as before there were two.
+// An operator moves from one topology to the other and forgets a setting. Such settings are refused by the path of the
+// first one that does not fit. Without a word of the topology it is a pool, as before there were two.
 func TestTopologies(t *testing.T) {
 	sidecar := strings.NewReplacer(`"az":1`, `"az":0,"domainType":"mesh"`, `"secondCopies":true`, `"secondCopies":false`, `"zones":["a","b"]`,
 		`"zones":["a"]`, `"registryMode":"subscribe"`, `"registryMode":"automatic"`, `["mean_ms","concurrent"]`, `["concurrent","depth"]`).Replace(jsonSettings)
