--- a/cmd/pearknot/bench_test.go
+++ b/cmd/pearknot/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkSmallOp is an op of the usual size through a node, with the processor time that the node takes for it.
+// BenchmarkSmallOp is a request of the usual size through a node, with the processor time that the node takes for it.
 func BenchmarkSmallOp(b *testing.B) {
 	w := start(b, 256, func(rw http.ResponseWriter, _ *http.Request) { fmt.Fprint(rw, "answer") })
 	spent := func() float64 { // ticks of 10 ms, as microseconds
--- a/cmd/pearknot/bulk_test.go
+++ b/cmd/pearknot/bulk_test.go
@@ -48,7 +48,7 @@
 	var all sync.WaitGroup
 	slow, begins := make(chan struct{}), make(chan struct{}, 1)
 	for k := range 6 {
-		begins <- struct{}{} // one after the other, so that none is nacked for the others
+		begins <- struct{}{} // one after the other, so that none is rejected for the others
 		all.Go(func() {
 			r, _ := http.NewRequest("GET", "http://"+w.address+"/api", nil)
 			r.Header = http.Header{"X-Trace-Id": {fmt.Sprint("down-", k)}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"1500"}}
@@ -61,7 +61,7 @@
 			_, err = io.ReadFull(answer.Body, first)
 			assert.NoError(t, err, "the first bytes at once")
 			<-begins
-			<-slow // and then far beyond the op's time
+			<-slow // and then far beyond the request's time
 			n, err := io.Copy(io.Discard, answer.Body)
 			assert.NoError(t, err)
 			assert.Equal(t, int64(bulk-1000), n)
@@ -81,17 +81,17 @@
 			assert.Equal(t, strconv.Itoa(bulk), string(said))
 		})
 	}
-	client, begun, acked, k := fresh(), time.Now(), 0, 0
+	client, begun, served, k := fresh(), time.Now(), 0, 0
 	for ; time.Since(begun) < 2*time.Second; k++ {
 		asked := time.Now()
 		status, _, _, err := w.ask(client, "GET", fmt.Sprint("small-", k), "check", "2000")
 		require.NoError(t, err)
 		if status == 200 {
-			acked++
+			served++
 		}
 		assert.Less(t, time.Since(asked), time.Second)
 	}
-	assert.Greater(t, acked, k*9/10)
+	assert.Greater(t, served, k*9/10)
 	close(slow)
 	all.Wait()
 	assert.Less(t, memory(), 64<<10, "of %d MB that went through", 12*bulk>>20)
@@ -101,7 +101,7 @@
 
 func (endless) Read(b []byte) (int, error) { return len(b), nil }
 
-// All forms that an op may have: those of one op are taken, whatever the pieces; those that may hide another are not.
+// All forms that a request may have: those of one request are taken, whatever the pieces; those that may hide another are not.
 func TestFormsOfOps(t *testing.T) {
 	w := start(t, 256, func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
--- a/cmd/pearknot/call_test.go
+++ b/cmd/pearknot/call_test.go
@@ -54,7 +54,7 @@
 		args   []string
 		says   string
 		status int
-		ops    int // what an op gets after it
+		ops    int // what a request gets after it
 	}{
 		{[]string{"health"}, "YES ready\n", 0, 200},
 		{[]string{"cordon", "s-1"}, "YES out\n", 0, 503},
@@ -155,7 +155,7 @@
 	assert.Equal(t, 200, status)
 }
 
-// SIGHUP takes new settings whole or not at all: categories come, go and change their effect, and an op that is open keeps
+// SIGHUP takes new settings whole or not at all: classes come, go and change their effect, and a request that is open keeps
 // what it came under.
 func TestNewSettings(t *testing.T) {
 	inHand, answer := make(chan bool, 9), make(chan bool)
--- a/cmd/pearknot/capture.go
+++ b/cmd/pearknot/capture.go
@@ -20,7 +20,7 @@
 	"pearknot/internal/controlsocket"
 )
 
-// eachRecord hands on all records of a capture. A segment that was cut short is told of and is no error.
+// eachRecord calls f with all records of a capture. A truncated segment is reported on standard error and is no error.
 func eachRecord(c *cobra.Command, path string, f func(capture.Record) error) error {
 	files, err := capture.Segments(path)
 	if err != nil {
@@ -43,14 +43,14 @@
 }
 
 // dumpWithin is how long a node may take to write its memory out.
-const dumpWithin = 30 * time.Second
+const dumpTimeout = 30 * time.Second
 
 func replayCommand() *cobra.Command {
 	times, against, from := 1, "", 0.0
-	c := &cobra.Command{Use: "replay FILE|DIR", Short: "Play a capture to the module and hold each decision against it", Args: cobra.ExactArgs(1),
-		Long: `replay tells the module what it was told then, and holds every decision against the captured one, bit for bit.
+	c := &cobra.Command{Use: "replay FILE|DIR", Short: "Replay a capture and compare each decision with it", Args: cobra.ExactArgs(1),
+		Long: `replay passes the recorded inputs to the balancer and compares every decision with the recorded one, bit for bit.
 
-Exit status: 0 all match, 2 the capture can't be read, 3 the first difference is printed, with its batch.`,
+Exit status: 0 all match, 2 the capture can't be read, 3 the first difference is printed, with the inputs of its batch.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			if times < 1 {
 				return cli.UsageError(fmt.Errorf("--times %d is below 1", times))
@@ -58,7 +58,7 @@
 			if against != "" {
 				return replayAgainst(c, against, args[0])
 			}
-			skip, err := beginning(c, args[0], from)
+			skip, err := firstReplayable(c, args[0], from)
 			if err != nil {
 				return err
 			}
@@ -74,22 +74,22 @@
 					return err
 				}
 				x := p.Result
-				fmt.Fprintf(c.OutOrStdout(), "%d decisions match in %d records, from %d starts and %d snapshots, %.1f s of time in %.2f s; %d records missing in %d gaps, of %d nothing is claimed\n",
+				fmt.Fprintf(c.OutOrStdout(), "%d decisions match in %d records, from %d starts and %d snapshots, %.1f s of time in %.2f s; %d records missing in %d gaps, %d records not verified\n",
 					x.Decisions, x.Records, x.Epochs, x.Restored, (x.To-x.From)/1e3, time.Since(begun).Seconds(), x.MissingRecords, x.Gaps, x.Unverified)
 				if x.Decisions == 0 {
-					return &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New("nothing could be claimed: no start stands in the capture")}
+					return &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New("nothing could be verified: the capture has no start")}
 				}
 			}
 			return nil
 		}}
-	c.Flags().IntVar(&times, "times", 1, "so many times")
+	c.Flags().IntVar(&times, "times", 1, "how often to replay")
 	c.Flags().Float64Var(&from, "from", 0, "begin at the latest start or snapshot up to this time, in the capture's ms")
-	c.Flags().StringVar(&against, "against", "", "another build's program, whose module is to decide")
+	c.Flags().StringVar(&against, "against", "", "another build's program, whose balancer is to decide")
 	return c
 }
 
-// beginning is the number of records before the latest one up to a time from which a replay may begin.
-func beginning(c *cobra.Command, path string, from float64) (skip int, err error) {
+// firstReplayable returns the number of records before the latest start or snapshot up to a time, where a replay may begin.
+func firstReplayable(c *cobra.Command, path string, from float64) (skip int, err error) {
 	if from <= 0 {
 		return 0, nil
 	}
@@ -111,17 +111,17 @@
 	return skip, err
 }
 
-// explainCommand tells why one op went where it went.
+// explainCommand prints why one request went where it went.
 func explainCommand() *cobra.Command {
-	return &cobra.Command{Use: "explain FILE|DIR OP", Short: "Tell why an op went where it went, by the module's own reasons", Args: cobra.ExactArgs(2),
-		Long: `explain plays the capture to the module and listens when it looks for a backend for the op: each one that it looked at, what it
-believed of it at that moment, and the reason why it was passed over. OP is the op's number in the capture, or its name with
-an x before it, both as 'capture cat' has them: 12 or x9b1f03aa.`,
+	return &cobra.Command{Use: "explain FILE|DIR REQUEST", Short: "Print why a request went where it went, by the balancer's own reasons", Args: cobra.ExactArgs(2),
+		Long: `explain replays the capture and prints, for each decision about the request, the backends that the balancer considered, what it
+expected of each at that moment, and why it was passed over. REQUEST is the request's number in the capture, or its ID with an x before
+it, both as 'capture cat' prints them: 12 or x9b1f03aa.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			text, named := strings.CutPrefix(args[1], "x")
 			number, err := strconv.ParseUint(text, map[bool]int{true: 16, false: 10}[named], 64)
 			if err != nil {
-				return cli.UsageError(fmt.Errorf("op %q is neither a number nor x and a name", args[1]))
+				return cli.UsageError(fmt.Errorf("request %q is neither a number nor x and an ID", args[1]))
 			}
 			if named {
 				ref := number
@@ -140,13 +140,13 @@
 				return err
 			}
 			if !e.Found() {
-				return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("op %s is not in what can be played", args[1])}
+				return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("request %s is not in the part that can be replayed", args[1])}
 			}
 			return nil
 		}}
 }
 
-// replayAgainst has another build's module decide on the same capture: it says where it first does otherwise.
+// replayAgainst replays the capture with another build's program, which prints the first difference.
 func replayAgainst(c *cobra.Command, program, path string) error {
 	other := exec.CommandContext(c.Context(), program, "replay", path)
 	other.Stdout, other.Stderr = c.OutOrStdout(), c.ErrOrStderr()
@@ -170,15 +170,15 @@
 				return cli.UsageError(err)
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 2, 8, 2, ' ', 0)
-			fmt.Fprintln(w, "segment\tbytes\trecords\tops\tstarts\tmissing\tfrom\tto\tends")
+			fmt.Fprintln(w, "segment\tbytes\trecords\trequests\tstarts\tmissing\tfrom\tto\tends")
 			for _, file := range files {
-				var records, ops, starts, missing uint64
+				var records, requests, starts, missing uint64
 				from, to := 0.0, 0.0
 				err := capture.Read(file, func(r capture.Record) error {
 					records++
 					switch r.Kind {
 					case capture.RequestArrived:
-						ops++
+						requests++
 					case capture.Begin:
 						starts++
 					case capture.Gap:
@@ -190,7 +190,7 @@
 					to = max(to, r.Now)
 					return nil
 				})
-				ends := "whole"
+				ends := "complete"
 				if err != nil {
 					ends = err.Error()
 				}
@@ -198,11 +198,11 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.3f\t%s\n", file, info.Size(), records, ops, starts, missing, from, to, ends)
+				fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.3f\t%s\n", file, info.Size(), records, requests, starts, missing, from, to, ends)
 			}
 			return w.Flush()
 		}})
-	root.AddCommand(&cobra.Command{Use: "cat FILE|DIR", Short: "The records, a line each; what came late is marked", Args: cobra.ExactArgs(1),
+	root.AddCommand(&cobra.Command{Use: "cat FILE|DIR", Short: "The records, a line each; late ones are marked", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var notes capture.LateNotes
 			return eachRecord(c, args[0], func(r capture.Record) error {
@@ -215,43 +215,43 @@
 			})
 		}})
 	from, to, out := 0.0, 0.0, ""
-	cut := &cobra.Command{Use: "cut FILE|DIR --from T --to T --out FILE", Short: "A part of a capture that can be replayed for itself", Args: cobra.ExactArgs(1),
+	cut := &cobra.Command{Use: "cut FILE|DIR --from T --to T --out FILE", Short: "Copy a part of a capture that can be replayed by itself", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			skip, err := beginning(c, args[0], from)
+			skip, err := firstReplayable(c, args[0], from)
 			if err != nil {
 				return err
 			}
-			var kept [][]byte
+			var selected [][]byte
 			n := 0
 			if err := eachRecord(c, args[0], func(r capture.Record) error {
 				if n++; n > skip && r.Now <= to {
-					kept = append(kept, capture.Frame(r))
+					selected = append(selected, capture.Frame(r))
 				}
 				return nil
 			}); err != nil {
 				return err
 			}
-			if len(kept) == 0 {
+			if len(selected) == 0 {
 				return cli.UsageError(fmt.Errorf("nothing from %.3f to %.3f", from, to))
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d records\n", len(kept))
-			return capture.Write(out, kept)
+			fmt.Fprintf(c.OutOrStdout(), "%d records\n", len(selected))
+			return capture.Write(out, selected)
 		}}
 	cut.Flags().Float64Var(&from, "from", 0, "from the latest start or snapshot up to this time, in the capture's ms")
 	cut.Flags().Float64Var(&to, "to", math.Inf(1), "up to this time")
 	cut.Flags().StringVar(&out, "out", "", "file to write")
 	_ = cut.MarkFlagRequired("out")
-	dump := &cobra.Command{Use: "dump SOCKET", Short: "Have a node write out the capture that it holds in memory, by its control socket", Args: cobra.ExactArgs(1),
+	dump := &cobra.Command{Use: "dump SOCKET", Short: "Have a node write its capture in memory to a file, by its control socket", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var w controlsocket.Written
-			if err := controlsocket.NewClient(args[0], dumpWithin).Call(c.Context(), http.MethodPost, controlsocket.CapturePath, nil, &w); err != nil {
+			if err := controlsocket.NewClient(args[0], dumpTimeout).Call(c.Context(), http.MethodPost, controlsocket.CapturePath, nil, &w); err != nil {
 				return err
 			}
 			fmt.Fprintln(c.OutOrStdout(), w.File)
 			return nil
 		}}
 	root.AddCommand(cut, dump)
-	root.AddCommand(&cobra.Command{Use: "verify FILE|DIR", Short: "Read all, check all checksums", Args: cobra.ExactArgs(1),
+	root.AddCommand(&cobra.Command{Use: "verify FILE|DIR", Short: "Read all segments and check all checksums", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			files, err := capture.Segments(args[0])
 			if err != nil {
@@ -264,9 +264,9 @@
 					fmt.Fprintln(c.OutOrStdout(), err)
 				}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d segments, %d records whole, %d segments that are not\n", len(files), n, bad)
+			fmt.Fprintf(c.OutOrStdout(), "%d segments, %d complete records, %d damaged segments\n", len(files), n, bad)
 			if bad > 0 {
-				return &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New("not whole"), Silent: true}
+				return &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New("damaged"), Silent: true}
 			}
 			return nil
 		}})
--- a/cmd/pearknot/capture_test.go
+++ b/cmd/pearknot/capture_test.go
@@ -84,7 +84,7 @@
 		says   string
 	}{
 		{[]string{"capture", "ls", out}, 0, "records"}, {[]string{"capture", "cat", out}, 0, "request arrived request 1"},
-		{[]string{"capture", "verify", out}, 0, "0 segments that are not"}, {[]string{"replay", "/nowhere"}, 2, "no such file"},
+		{[]string{"capture", "verify", out}, 0, "0 damaged segments"}, {[]string{"replay", "/nowhere"}, 2, "no such file"},
 		{[]string{"replay", dir}, 2, "no captures"}, {[]string{"replay", file}, 2, "not a capture"}, {[]string{"replay", out, "--times", "0"}, 2, "below 1"},
 		{[]string{"serve", "--config", "x", "--capture", file}, 1, "no such file"},
 	} {
@@ -143,8 +143,8 @@
 	assert.Contains(t, call(0, "replay", part), "from 0 starts and 1 snapshots")
 	assert.Contains(t, call(0, "replay", second, "--from", fmt.Sprintf("%f", last.Now)), "decisions match")
 	assert.Contains(t, call(2, "replay", second, "--from", fmt.Sprintf("%f", first-1)), "the first start or snapshot is at")
-	assert.Contains(t, call(3, "explain", second, "999999"), "is not in what can be played")
-	assert.Contains(t, call(2, "explain", second, "y"), "neither a number nor x and a name")
+	assert.Contains(t, call(3, "explain", second, "999999"), "is not in the part that can be replayed")
+	assert.Contains(t, call(2, "explain", second, "y"), "neither a number nor x and an ID")
 	assert.Contains(t, call(2, "capture", "cut", second, "--to", "1", "--out", part), "nothing from")
 	require.NoError(t, os.WriteFile(file, []byte("dir = 'x'\nmost_mb = 3\n"), 0o600))
 	assert.Contains(t, call(2, "serve", "--config", w.file, "--capture", file), "capture.toml:2:1: most_mb: 3 is less than two segments")
--- a/cmd/pearknot/certs.go
+++ b/cmd/pearknot/certs.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	certsWithin  = time.Minute // a revocation is a call to the authority
-	dialWithin   = 5 * time.Second
-	shortestLeft = 24 * time.Hour // a certificate that ends sooner is no good sign
+	certsCallTimeout = time.Minute // a revocation is a call to the authority
+	dialTimeout      = 5 * time.Second
+	minTimeLeft      = 24 * time.Hour // a certificate that expires sooner should have been renewed
 )
 
-// certsCommand looks after certificates.
+// certsCommand shows certificates and acts on them.
 func certsCommand() *cobra.Command {
 	c := &cobra.Command{Use: "certs", Short: "Certificates: what is served, and what becomes of it"}
-	status := &cobra.Command{Use: "status SOCKET|FILE", Args: cobra.ExactArgs(1), Short: "Tell of a node's certificates, by its control socket or by its tls.toml; 3 where one is late, expired or missing",
+	status := &cobra.Command{Use: "status SOCKET|FILE", Args: cobra.ExactArgs(1), Short: "Show a node's certificates, by its control socket or by its tls.toml; 3 where one is late, expired or missing",
 		RunE: func(c *cobra.Command, args []string) error {
 			var s controlsocket.Status
-			err := controlsocket.NewClient(args[0], dialWithin).Call(c.Context(), "GET", controlsocket.StatusPath, nil, &s)
+			err := controlsocket.NewClient(args[0], dialTimeout).Call(c.Context(), "GET", controlsocket.StatusPath, nil, &s)
 			if err == nil && s.TLS == nil {
 				return cli.UsageError(fmt.Errorf("%s: this node serves no TLS", args[0]))
 			}
@@ -44,7 +44,7 @@
 					return cli.UsageError(odd)
 				}
 				t.Acme.Log = slog.New(slog.DiscardHandler)
-				return tellCertificates(c.OutOrStdout(), acme.Look(t.Acme))
+				return printCertificates(c.OutOrStdout(), acme.Look(t.Acme))
 			}
 			by := "this instance"
 			if !s.TLS.Orders {
@@ -53,11 +53,11 @@
 			h := s.TLS.Handshakes
 			fmt.Fprintf(c.OutOrStdout(), "%s, store %s, ordered by %s; handshakes: %d done, %d of them resumed, %d failed, %d ended for others, %d open\n",
 				s.TLS.Listen, s.TLS.Dir, by, h.Done, h.Resumed, h.Failed, h.Evicted, h.Open)
-			return tellCertificates(c.OutOrStdout(), s.TLS.Certificates)
+			return printCertificates(c.OutOrStdout(), s.TLS.Certificates)
 		}}
 	tell := func(use, path, short string, done string) *cobra.Command {
 		return &cobra.Command{Use: use + " SOCKET NAME", Args: cobra.ExactArgs(2), Short: short, RunE: func(c *cobra.Command, args []string) error {
-			err := controlsocket.NewClient(args[0], certsWithin).Call(c.Context(), "POST", path, controlsocket.Certificate{Name: args[1]}, nil)
+			err := controlsocket.NewClient(args[0], certsCallTimeout).Call(c.Context(), "POST", path, controlsocket.Certificate{Name: args[1]}, nil)
 			var refused *controlsocket.Refused
 			if errors.As(err, &refused) {
 				return &cli.Error{Status: cli.StatusCheckFailed, Err: err}
@@ -71,7 +71,7 @@
 	key := &cobra.Command{Use: "account-key SOCKET", Args: cobra.ExactArgs(1), Short: "Give the account at an authority a new key"}
 	authority := key.Flags().Int("authority", 0, "which one of the file, from 0")
 	key.RunE = func(c *cobra.Command, args []string) error {
-		err := controlsocket.NewClient(args[0], certsWithin).Call(c.Context(), "POST", controlsocket.KeyPath, controlsocket.Certificate{Authority: *authority}, nil)
+		err := controlsocket.NewClient(args[0], certsCallTimeout).Call(c.Context(), "POST", controlsocket.KeyPath, controlsocket.Certificate{Authority: *authority}, nil)
 		if err == nil {
 			fmt.Fprintln(c.OutOrStdout(), "the account has a new key")
 		}
@@ -88,27 +88,27 @@
 				fmt.Fprintf(c.OutOrStdout(), "%s: TLS on %s, %d certificates, %d authorities, store %s\n", args[0], t.Listen, len(t.Acme.Names), len(t.Acme.Authorities), t.Acme.Dir)
 				return nil
 			}
-			return checkServed(c.OutOrStdout(), address, t, time.Now())
+			return checkHandshakes(c.OutOrStdout(), address, t, time.Now())
 		}}
 	check.Flags().StringVar(&address, "address", "", "host:port of a listener to look at")
 	c.AddCommand(status, check, key,
 		tell("renew", controlsocket.RenewPath, "Have a certificate ordered anew now, whatever its age", "is ordered anew"),
-		tell("revoke", controlsocket.RevokePath, "Take a certificate back at its authority; another is ordered at once", "revoked, and ordered anew"))
+		tell("revoke", controlsocket.RevokePath, "Revoke a certificate at its authority; another is ordered at once", "revoked, and ordered anew"))
 	return c
 }
 
 func isSocket(name string) bool {
-	c, err := net.DialTimeout("unix", name, dialWithin)
+	c, err := net.DialTimeout("unix", name, dialTimeout)
 	if err == nil {
 		_ = c.Close()
 	}
 	return err == nil
 }
 
-// tellCertificates is a table; its error is that an operator has something to do.
-func tellCertificates(out io.Writer, all []acme.Status) error {
+// printCertificates prints a table. Its error says that an operator has something to do.
+func printCertificates(out io.Writer, all []acme.Status) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "name\tstage\tends\trenewed from\tnext try\torder\tlatest fault")
+	fmt.Fprintln(w, "name\tstage\texpires\trenewed from\tnext try\torder\tlatest fault")
 	bad := 0
 	at := func(t time.Time) string {
 		if t.IsZero() {
@@ -135,15 +135,15 @@
 	return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d of %d certificates want looking after", bad, len(all))}
 }
 
-// checkServed makes a handshake for each name, as a client would.
-func checkServed(out io.Writer, address string, t *serve.TLS, now time.Time) error {
+// checkHandshakes makes a handshake for each name, as a client would.
+func checkHandshakes(out io.Writer, address string, t *serve.TLS, now time.Time) error {
 	bad := 0
 	for _, names := range t.Acme.Names {
 		for _, name := range names {
 			var c *tls.Conn
 			var err error
 			for _, a := range t.Acme.Authorities { // whichever has issued it
-				c, err = tls.DialWithDialer(&net.Dialer{Timeout: dialWithin}, "tcp", address, &tls.Config{ServerName: name, RootCAs: a.Roots, MinVersion: tls.VersionTLS12})
+				c, err = tls.DialWithDialer(&net.Dialer{Timeout: dialTimeout}, "tcp", address, &tls.Config{ServerName: name, RootCAs: a.Roots, MinVersion: tls.VersionTLS12})
 				if err == nil {
 					break
 				}
@@ -157,7 +157,7 @@
 			_ = c.Close()
 			left := leaf.NotAfter.Sub(now)
 			fmt.Fprintf(out, "%s: serial %s, ends %s, in %s\n", name, leaf.SerialNumber, leaf.NotAfter.UTC().Format(time.RFC3339), left.Round(time.Minute))
-			if left < shortestLeft {
+			if left < minTimeLeft {
 				bad++
 			}
 		}
--- a/cmd/pearknot/clients.go
+++ b/cmd/pearknot/clients.go
@@ -15,29 +15,29 @@
 	"pearknot/internal/server"
 )
 
-// clientsCommand shows who holds what of a node.
+// clientsCommand prints who holds connections of a node.
 func clientsCommand() *cobra.Command {
 	every, most := 0.0, 20
 	c := &cobra.Command{Use: "clients SOCKET", Args: cobra.ExactArgs(1), Short: "Who holds connections of a node, and who was refused and why; 3 while the node chooses among them",
 		RunE: func(c *cobra.Command, args []string) error {
 			if every < 0 || most < 1 {
-				return cli.UsageError(fmt.Errorf("--every %v or --most %d is none", every, most))
+				return cli.UsageError(fmt.Errorf("--every %v or --most %d is out of range", every, most))
 			}
-			client := controlsocket.NewClient(args[0], dialWithin)
+			client := controlsocket.NewClient(args[0], dialTimeout)
 			for {
-				var told server.ClientStats
-				if err := client.Call(c.Context(), "GET", controlsocket.ClientsPath, nil, &told); err != nil {
+				var stats server.ClientStats
+				if err := client.Call(c.Context(), "GET", controlsocket.ClientsPath, nil, &stats); err != nil {
 					return err
 				}
 				if every > 0 {
 					fmt.Fprint(c.OutOrStdout(), "\x1b[H\x1b[2J") // the top of a cleared screen
 				}
-				if err := tellClients(c.OutOrStdout(), told, most); err != nil {
+				if err := printClients(c.OutOrStdout(), stats, most); err != nil {
 					return err
 				}
 				if every == 0 {
-					if told.UnderPressure {
-						return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d of %d connections: the node chooses among its clients", told.Open, told.Limit), Silent: true}
+					if stats.UnderPressure {
+						return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d of %d connections: the node chooses among its clients", stats.Open, stats.Limit), Silent: true}
 					}
 					return nil
 				}
@@ -48,28 +48,29 @@
 				}
 			}
 		}}
-	c.Flags().Float64Var(&every, "every", 0, "seconds between looks; 0 is one look")
+	c.Flags().Float64Var(&every, "every", 0, "seconds between queries; 0 asks once")
 	c.Flags().IntVar(&most, "most", most, "addresses shown")
 	return c
 }
 
-func tellClients(out io.Writer, told server.ClientStats, most int) error {
+// printClients prints the table of a node's clients.
+func printClients(out io.Writer, stats server.ClientStats, most int) error {
 	state := "calm"
-	if told.UnderPressure {
+	if stats.UnderPressure {
 		state = "pressed"
 	}
-	fmt.Fprintf(out, "%d of %d connections, %s\n", told.Open, told.Limit, state)
+	fmt.Fprintf(out, "%d of %d connections, %s\n", stats.Open, stats.Limit, state)
 	for _, m := range []struct {
 		what string
 		of   map[string]uint64
-	}{{"refused", told.Refused}, {"let go", told.Evicted}} {
+	}{{"refused", stats.Refused}, {"let go", stats.Evicted}} {
 		for _, why := range slices.Sorted(maps.Keys(m.of)) {
 			fmt.Fprintf(out, "%s: %d, %s\n", m.what, m.of[why], why)
 		}
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "address\tknown\tconnections\twithout an op\tgood\todd\t")
-	for _, r := range told.Addresses[:min(most, len(told.Addresses))] {
+	fmt.Fprintln(w, "address\tknown\tconnections\twithout a request\tgood\todd\t")
+	for _, r := range stats.Addresses[:min(most, len(stats.Addresses))] {
 		fmt.Fprintf(w, "%s\t%v\t%d\t%d\t%.1f\t%.1f\t\n", r.Address, r.Known, r.Connections, r.Unproven, r.Answered, r.Misbehavior)
 	}
 	return w.Flush()
--- a/cmd/pearknot/crew_test.go
+++ b/cmd/pearknot/cluster_test.go
@@ -22,14 +22,14 @@
 
 // nemesis breaks one thing after the other for a while, some at once; one seed draws one schedule. Processes are killed and
 // started anew, frozen and resumed, links cut both ways and one, slowed, delayed, reset, flapping.
-func (c *crew) nemesis(rng *rand.Rand, until time.Time, log func(string, ...any)) (kills int) {
+func (c *cluster) nemesis(rng *rand.Rand, until time.Time, log func(string, ...any)) (kills int) {
 	size := len(c.nodes)
 	pairs := func(a int, others []int, f faultproxy.Fault, both bool) {
 		for _, b := range others {
 			if a != b {
-				c.wires[a][b].Set(f)
+				c.proxies[a][b].Set(f)
 				if both {
-					c.wires[b][a].Set(f)
+					c.proxies[b][a].Set(f)
 				}
 			}
 		}
@@ -50,7 +50,7 @@
 		switch kind {
 		case 0, 1:
 			lost := []int{a}
-			if kind == 1 && c.copies > 3 {
+			if kind == 1 && c.replicas > 3 {
 				lost = append(lost, (a+1)%size)
 			}
 			for _, k := range lost {
@@ -83,9 +83,9 @@
 			for end := time.Now().Add(last); time.Now().Before(end); time.Sleep(150 * time.Millisecond) {
 				for _, b := range some {
 					if a != b {
-						c.wires[a][b].Reset()
+						c.proxies[a][b].Reset()
 						if kind == 8 {
-							c.wires[b][a].Reset()
+							c.proxies[b][a].Reset()
 						}
 					}
 				}
@@ -96,14 +96,14 @@
 	return kills
 }
 
-func (c *crew) node(k int) *crewNode {
+func (c *cluster) node(k int) *clusterNode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nodes[k]
 }
 
 // settle asks with a key until it has an outcome, at whatever node answers.
-func (c *crew) settle(key, category, ttl string, rng *rand.Rand, within time.Duration) bool {
+func (c *cluster) settle(key, category, ttl string, rng *rand.Rand, within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); {
 		status, _ := c.ask(rng.IntN(len(c.ports)), category, key, ttl, "x")
 		if status == 200 || status == 502 {
@@ -114,7 +114,7 @@
 	return false
 }
 
-// Five processes under a steady load of ops that must not run twice, and a nemesis; then all is healed, and each key that ever ran
+// Five processes under a steady load of requests that must not run twice, and a nemesis; then all is healed, and each key that ever ran
 // has one outcome. CREW_SECONDS and CREW_SEED play longer and other ones.
 func TestACrewUnderFaults(t *testing.T) {
 	seconds, seed := 12, uint64(1)
@@ -124,8 +124,8 @@
 	if n, err := strconv.ParseUint(os.Getenv("CREW_SEED"), 10, 64); err == nil {
 		seed = n
 	}
-	c := newCrew(t, 5, 3+2*int(seed%2)) // two killed at once are a majority of three
-	c.lag = 300 * time.Millisecond
+	c := newCluster(t, 5, 3+2*int(seed%2)) // two killed at once are a majority of three
+	c.maxDelay = 300 * time.Millisecond
 	defer c.judge()
 	until := time.Now().Add(time.Duration(seconds) * time.Second)
 	var clients sync.WaitGroup
@@ -158,10 +158,10 @@
 		return true
 	})
 	c.mu.Lock()
-	acked, dead := c.acked, c.dead
+	served, failed := c.served, c.failed
 	c.mu.Unlock()
-	t.Logf("seed %d: %d keys, %d settled within 6 s, %d acked, %d dead-lettered, %d kills", seed, asked.Load(), settled.Load(), acked, dead, kills)
-	require.Greater(t, acked, 20)
+	t.Logf("seed %d: %d keys, %d settled within 6 s, %d served, %d dead-lettered, %d kills", seed, asked.Load(), settled.Load(), served, failed, kills)
+	require.Greater(t, served, 20)
 }
 
 // The figures of docs/takeover.md: PEERS_MEASURE=1 go test -run TestMeasurePeers -v ./cmd/pearknot
@@ -169,13 +169,13 @@
 	if os.Getenv("PEERS_MEASURE") == "" {
 		t.Skip("a measurement")
 	}
-	c := newCrew(t, 5, 3)
+	c := newCluster(t, 5, 3)
 	defer c.judge()
 	quantile := func(all []time.Duration, q float64) time.Duration {
 		slices.Sort(all)
 		return all[int(q*float64(len(all)-1))].Round(10 * time.Microsecond)
 	}
-	// What protection adds to an op, one at a time and at a rate.
+	// What protection adds to a request, one at a time and at a rate.
 	time.Sleep(2 * time.Second)
 	for _, kept := range []bool{false, true} {
 		var took []time.Duration
@@ -199,7 +199,7 @@
 		}
 		t.Logf("kept %v: %d ops, 50%% %v, 99%% %v", kept, len(took), quantile(took, 0.5), quantile(took, 0.99))
 	}
-	// From a kill to the outcome of each op that the killed one had.
+	// From a kill to the outcome of each request that the killed one had.
 	var all []time.Duration
 	var mu sync.Mutex
 	for round := range 10 {
@@ -244,9 +244,9 @@
 	if n, err := strconv.Atoi(os.Getenv("CREW_CALM")); err == nil {
 		seconds = n
 	}
-	c := newCrew(t, 5, 3)
+	c := newCluster(t, 5, 3)
 	defer c.judge()
-	for _, row := range c.wires {
+	for _, row := range c.proxies {
 		for _, w := range row {
 			if w != nil {
 				w.Set(faultproxy.Fault{Delay: 300 * time.Millisecond, Odd: 0.005})
@@ -255,7 +255,7 @@
 	}
 	until := time.Now().Add(time.Duration(seconds) * time.Second)
 	var clients sync.WaitGroup
-	var acked, other atomic.Int64
+	var served, other atomic.Int64
 	for lane := range 5 {
 		clients.Go(func() {
 			tick := time.NewTicker(10 * time.Millisecond)
@@ -263,7 +263,7 @@
 			for n := 0; time.Now().Before(until); n++ {
 				<-tick.C
 				if status, _ := c.ask(lane, "pay", fmt.Sprintf("pay-%d-%d", lane, n), "4000", "x"); status == 200 {
-					acked.Add(1)
+					served.Add(1)
 				} else {
 					other.Add(1)
 				}
@@ -275,13 +275,13 @@
 	for _, n := range c.nodes {
 		took += strings.Count(n.log.String(), "request taken over")
 	}
-	t.Logf("%d s: %d acked, %d not, %d taken over", seconds, acked.Load(), other.Load(), took)
+	t.Logf("%d s: %d served, %d not, %d taken over", seconds, served.Load(), other.Load(), took)
 	require.Zero(t, took)
-	require.Greater(t, acked.Load(), other.Load()*50)
+	require.Greater(t, served.Load(), other.Load()*50)
 }
 
-// load has clients ask for at-most-once ops until stop, each until its key has an outcome, and tells how many did and had one.
-func (c *crew) load(lanes int, ttl string, seed uint64) (stop func() (asked, settled int64)) {
+// load has clients ask for at-most-once requests until stop, each until its key has an outcome, and tells how many did and had one.
+func (c *cluster) load(lanes int, ttl string, seed uint64) (stop func() (asked, settled int64)) {
 	over := make(chan struct{})
 	var clients sync.WaitGroup
 	var asked, settled atomic.Int64
@@ -309,7 +309,7 @@
 }
 
 // end tells a process to end and waits until it has.
-func (c *crew) end(n *crewNode) {
+func (c *cluster) end(n *clusterNode) {
 	require.NoError(c.t, n.cmd.Process.Signal(syscall.SIGTERM))
 	select {
 	case <-n.ended:
@@ -318,11 +318,11 @@
 	}
 }
 
-// leftNothing holds that whoever was told to end has ended what it had: nobody had to take an op over.
-func (c *crew) leftNothing(asked, settled int64) {
+// leftNothing holds that whoever was told to end has ended what it had: nobody had to take a request over.
+func (c *cluster) leftNothing(asked, settled int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.t.Logf("%d keys, %d settled, %d dead-lettered", asked, settled, c.dead)
+	c.t.Logf("%d keys, %d settled, %d dead-lettered", asked, settled, c.failed)
 	require.Equal(c.t, asked, settled)
 	require.Empty(c.t, c.said("request taken over"))
 }
@@ -332,8 +332,8 @@
 // log was full, and outcomes were not written.
 func TestAllInTurn(t *testing.T) {
 	t.Run("told to end", func(t *testing.T) {
-		c := newCrew(t, 5, 3)
-		c.lag = 100 * time.Millisecond
+		c := newCluster(t, 5, 3)
+		c.maxDelay = 100 * time.Millisecond
 		defer c.judge()
 		stop := c.load(10, "3000", 5)
 		for k := range c.nodes {
@@ -344,8 +344,8 @@
 		c.leftNothing(stop())
 	})
 	t.Run("killed", func(t *testing.T) {
-		c := newCrew(t, 5, 5)
-		c.lag = 100 * time.Millisecond
+		c := newCluster(t, 5, 5)
+		c.maxDelay = 100 * time.Millisecond
 		defer c.judge()
 		stop := c.load(10, "3000", 5)
 		begun := time.Now()
@@ -356,7 +356,7 @@
 		}
 		took := time.Since(begun)
 		asked, settled := stop()
-		t.Logf("%v for five, %d keys, %d dead-lettered", took.Round(time.Millisecond), asked, c.dead)
+		t.Logf("%v for five, %d keys, %d dead-lettered", took.Round(time.Millisecond), asked, c.failed)
 		require.Equal(t, asked, settled)
 	})
 }
@@ -368,8 +368,8 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
 	t.Setenv("TMPDIR", dir)
-	c := newCrewAt(t, 3, 3, reserved(t))
-	c.lag = 200 * time.Millisecond
+	c := newClusterAt(t, 3, 3, reserved(t))
+	c.maxDelay = 200 * time.Millisecond
 	defer c.judge()
 	stop := c.load(9, "3500", 6)
 	for range 2 {
@@ -384,6 +384,6 @@
 // Fleets that start together link, found their logs and are whole.
 func TestFleetsStart(t *testing.T) {
 	for k := range 3 {
-		t.Run(strconv.Itoa(k), func(t *testing.T) { newCrew(t, 5, 5) })
+		t.Run(strconv.Itoa(k), func(t *testing.T) { newCluster(t, 5, 5) })
 	}
 }
--- a/cmd/pearknot/controlplane.go
+++ b/cmd/pearknot/controlplane.go
@@ -33,7 +33,7 @@
 	c := &cobra.Command{Use: "control-plane FILE --name NAME", Args: cobra.ExactArgs(1),
 		Short: "Run a member of the control plane in the foreground until SIGTERM",
 		RunE: func(c *cobra.Command, args []string) error {
-			p, err := readPlane(args[0])
+			p, err := readControlPlane(args[0])
 			if err != nil {
 				return err
 			}
@@ -42,13 +42,13 @@
 	c.Flags().StringVar(&name, "name", "", "which of the file's members this process is")
 	c.Flags().BoolVar(&o.Bootstrap, "bootstrap", false, "a voter's first start: begin its store")
 	c.Flags().StringVar(&o.Control, "control", "", "path of a control socket")
-	c.Flags().TextVar(&level, "log", slog.LevelInfo, "least level of log lines: debug, info, warn, error")
+	c.Flags().TextVar(&level, "log", slog.LevelInfo, "minimum level of log lines: debug, info, warn, error")
 	_ = c.MarkFlagRequired("name")
 	return c
 }
 
-// readPlane reads the control plane's file; what is wrong in it is the operator's.
-func readPlane(file string) (*client.ControlPlane, error) {
+// readControlPlane reads the control plane's file.
+func readControlPlane(file string) (*client.ControlPlane, error) {
 	p, err := client.ReadFile(file)
 	var odd *tomlfile.Error
 	if err != nil && !errors.As(err, &odd) {
@@ -59,9 +59,9 @@
 
 // configTool is what the config commands have in common.
 type configTool struct {
-	file   string
-	within time.Duration
-	json   bool
+	file    string
+	timeout time.Duration
+	json    bool
 }
 
 // configCommand changes and shows the settings that the control plane holds.
@@ -71,36 +71,36 @@
 		Long: "The settings that the control plane holds.\n\nExit status: 0 done, 1 failed, 2 a file can't be read or its settings can't be put in force, " +
 			"3 another change came first,\nor a node is behind or refuses, or a member does not answer."}
 	c.PersistentFlags().StringVar(&t.file, "file", "control-plane.toml", "file of the control plane")
-	c.PersistentFlags().DurationVar(&t.within, "within", 10*time.Second, "how long to try")
+	c.PersistentFlags().DurationVar(&t.timeout, "within", 10*time.Second, "how long to try")
 	c.PersistentFlags().BoolVar(&t.json, "json", false, "as JSON")
 	c.AddCommand(t.apply(), t.get(), t.log(), t.rollback(), t.status(), t.node())
 	return c
 }
 
-// plane reads the file and bounds the time.
+// plane reads the control plane's file and returns a context with the command's timeout.
 func (t *configTool) plane(c *cobra.Command) (*client.ControlPlane, context.Context, context.CancelFunc, error) {
-	p, err := readPlane(t.file)
+	p, err := readControlPlane(t.file)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	ctx, cancel := context.WithTimeout(c.Context(), t.within)
+	ctx, cancel := context.WithTimeout(c.Context(), t.timeout)
 	return p, ctx, cancel, nil
 }
 
-// change has the flags of what makes a version.
-type change struct {
+// changeFlags are the flags of commands that make a new version.
+type changeFlags struct {
 	base       uint64
 	by, reason string
 }
 
-func (w *change) flags(c *cobra.Command) *cobra.Command {
+func (w *changeFlags) addTo(c *cobra.Command) *cobra.Command {
 	c.Flags().Uint64Var(&w.base, "base", 0, "the version that the change was made from (default: the head as the command begins)")
 	c.Flags().StringVar(&w.by, "by", caller(), "who changes")
 	c.Flags().StringVar(&w.reason, "reason", "", "why, for the log")
 	return c
 }
 
-// caller is the user's name.
+// caller returns the user's name, or nothing if the system has none.
 func caller() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -108,16 +108,16 @@
 	return ""
 }
 
-// from gives the base: an explicit 0 is one, too.
-func (w *change) from(ctx context.Context, c *cobra.Command, p *client.ControlPlane) (uint64, error) {
+// baseVersion returns the version that the change is based on: --base, also an explicit 0, or the head.
+func (w *changeFlags) baseVersion(ctx context.Context, c *cobra.Command, p *client.ControlPlane) (uint64, error) {
 	if c.Flags().Changed("base") {
 		return w.base, nil
 	}
 	return p.HeadVersion(ctx)
 }
 
-// done tells of a version made, or why there is none.
-func (t *configTool) done(c *cobra.Command, version uint64, err error) error {
+// printVersion prints the version that was made, or returns why there is none.
+func (t *configTool) printVersion(c *cobra.Command, version uint64, err error) error {
 	var conflict *client.ConflictError
 	switch {
 	case errors.As(err, &conflict):
@@ -132,8 +132,8 @@
 }
 
 func (t *configTool) apply() *cobra.Command {
-	w := &change{}
-	return w.flags(&cobra.Command{Use: "apply FILE", Args: cobra.ExactArgs(1), Short: "Make a file of settings the next version; it is on a majority's disks when this ends",
+	w := &changeFlags{}
+	return w.addTo(&cobra.Command{Use: "apply FILE", Args: cobra.ExactArgs(1), Short: "Make a file of settings the next version; it is on a majority's disks when this ends",
 		RunE: func(c *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
@@ -147,7 +147,7 @@
 				return err
 			}
 			defer cancel()
-			base, err := w.from(ctx, c, p)
+			base, err := w.baseVersion(ctx, c, p)
 			if err != nil {
 				return err
 			}
@@ -157,15 +157,15 @@
 				line, column := settingPlace(text, invalid.Detail)
 				return &tomlfile.Error{File: args[0], Line: line, Column: column, What: invalid.Detail}
 			}
-			return t.done(c, version, err)
+			return t.printVersion(c, version, err)
 		}})
 }
 
-var placed = regexp.MustCompile(`^(\d+):(\d+): `)
+var linePrefix = regexp.MustCompile(`^(\d+):(\d+): `)
 
-// wrongSettings puts the file before what begins with a line and a column.
+// wrongSettings adds the file to an error that begins with line:column.
 func wrongSettings(file string, err error) error {
-	m := placed.FindStringSubmatch(err.Error())
+	m := linePrefix.FindStringSubmatch(err.Error())
 	if m == nil {
 		return &tomlfile.Error{File: file, Line: 1, Column: 1, What: err.Error()}
 	}
@@ -174,12 +174,12 @@
 	return &tomlfile.Error{File: file, Line: line, Column: column, What: err.Error()[len(m[0]):]}
 }
 
-var faulty = regexp.MustCompile(`setting ([A-Za-z0-9_.]+)`)
+var settingInError = regexp.MustCompile(`setting ([A-Za-z0-9_.]+)`)
 
-// settingPlace finds the key that a fault names in the text, or the nearest that holds it.
+// settingPlace returns the place of the setting that an error names, or of the nearest object that should contain it.
 func settingPlace(text []byte, why string) (line, column int) {
 	at := 0
-	if m := faulty.FindStringSubmatch(why); m != nil {
+	if m := settingInError.FindStringSubmatch(why); m != nil {
 		places := settingPlaces(text)
 		for path := strings.TrimSuffix(m[1], "."); ; {
 			if k, ok := places[path]; ok {
@@ -197,7 +197,7 @@
 	return 1 + bytes.Count(before, []byte("\n")), at - bytes.LastIndexByte(before, '\n')
 }
 
-// settingPlaces walks JSON for where its keys and its lists' elements begin; elements count from 0.
+// settingPlaces returns the offsets at which the keys and list elements of a JSON text begin, by path; elements count from 0.
 func settingPlaces(text []byte) map[string]int {
 	found := map[string]int{}
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -245,7 +245,7 @@
 		if err != nil {
 			return err
 		}
-		t.old(c, age)
+		t.warnIfStale(c, age)
 		if t.json {
 			return json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"version": got, "settings": json.RawMessage(text)})
 		}
@@ -256,8 +256,8 @@
 	return c
 }
 
-// old warns of an answer from members that a majority does not confirm.
-func (t *configTool) old(c *cobra.Command, age *float64) {
+// warnIfStale warns of an answer that no majority of the voters confirms.
+func (t *configTool) warnIfStale(c *cobra.Command, age *float64) {
 	switch {
 	case age == nil:
 		fmt.Fprintln(c.ErrOrStderr(), "pearknot: no voter that answers knows how old this is")
@@ -278,7 +278,7 @@
 		if err != nil {
 			return err
 		}
-		t.old(c, age)
+		t.warnIfStale(c, age)
 		if t.json {
 			return json.NewEncoder(c.OutOrStdout()).Encode(entries)
 		}
@@ -294,15 +294,15 @@
 }
 
 func (t *configTool) rollback() *cobra.Command {
-	w, to := &change{}, uint64(0)
-	c := w.flags(&cobra.Command{Use: "rollback --to VERSION", Args: cobra.NoArgs, Short: "Make an earlier version's settings the next version",
+	w, to := &changeFlags{}, uint64(0)
+	c := w.addTo(&cobra.Command{Use: "rollback --to VERSION", Args: cobra.NoArgs, Short: "Make an earlier version's settings the next version",
 		RunE: func(c *cobra.Command, _ []string) error {
 			p, ctx, cancel, err := t.plane(c)
 			if err != nil {
 				return err
 			}
 			defer cancel()
-			base, err := w.from(ctx, c, p)
+			base, err := w.baseVersion(ctx, c, p)
 			if err != nil {
 				return err
 			}
@@ -313,7 +313,7 @@
 			if errors.Is(err, client.ErrVersionNotFound) {
 				err = cli.UsageError(fmt.Errorf("version %d: %w", to, err))
 			}
-			return t.done(c, version, err)
+			return t.printVersion(c, version, err)
 		}})
 	c.Flags().Uint64Var(&to, "to", 0, "the version to go back to: see log")
 	_ = c.MarkFlagRequired("to")
@@ -406,7 +406,7 @@
 	return &cobra.Command{Use: "node SOCKET", Args: cobra.ExactArgs(1), Short: "What a node has in force, by its own word at its control socket",
 		RunE: func(c *cobra.Command, args []string) error {
 			var s controlsocket.Status
-			if err := controlsocket.NewClient(args[0], dialWithin).Call(c.Context(), "GET", controlsocket.StatusPath, nil, &s); err != nil {
+			if err := controlsocket.NewClient(args[0], dialTimeout).Call(c.Context(), "GET", controlsocket.StatusPath, nil, &s); err != nil {
 				return err
 			}
 			if s.ControlPlane == nil {
--- a/cmd/pearknot/controlplane_test.go
+++ b/cmd/pearknot/controlplane_test.go
@@ -555,7 +555,7 @@
 	require.Contains(t, p.processes["n2"].log.String(), "configuration version rejected")
 }
 
-// No member lives: a node starts from its last good copy, whatever its file says, and a SIGHUP doesn't undo it; a damaged copy is set
+// No member incarnations: a node starts from its last good copy, whatever its file says, and a SIGHUP doesn't undo it; a damaged copy is set
 // aside with one line.
 func TestANodeStartsFromItsCopy(t *testing.T) {
 	t.Parallel()
--- a/cmd/pearknot/discovery_test.go
+++ b/cmd/pearknot/discovery_test.go
@@ -19,13 +19,13 @@
 )
 
 // Where a whole fleet starts at once or is replaced in bulk, its one list service turns callers away, breaks off, or tells what
-// nobody expects. The node goes on with what it holds, answers each op it takes, and comes back with the list.
+// nobody expects. The node goes on with what it holds, answers each request it takes, and comes back with the list.
 func TestOddDiscovery(t *testing.T) {
 	refuse := func(rw http.ResponseWriter, _, _ string) { rw.WriteHeader(http.StatusServiceUnavailable) }
 	for name, c := range map[string]struct {
 		odd  func(rw http.ResponseWriter, old, fresh string)
-		want []int // statuses that ops may have meanwhile
-		now  bool  // a nack is at once, not when the op's time is over
+		want []int // statuses that requests may have meanwhile
+		now  bool  // a rejection is at once, not when the request's time is over
 	}{
 		"turned away": {refuse, []int{200}, false},
 		"half a list": {func(rw http.ResponseWriter, old, _ string) {
--- a/cmd/pearknot/edge_test.go
+++ b/cmd/pearknot/edge_test.go
@@ -69,7 +69,7 @@
 	return &all
 }
 
-// Whoever floods in whatever way: known clients get in within 100 ms, all but one in a hundred; each op that is taken has
+// Whoever floods in whatever way: known clients get in within 100 ms, all but one in a hundred; each request that is taken has
 // its answer; the node takes new limits up meanwhile, stays up, and is back to normal within 5 s.
 func TestFloodsAtTheEdge(t *testing.T) {
 	dir, err := os.MkdirTemp("", "pk") // short: a socket's path is bounded
@@ -103,7 +103,7 @@
 			quick.Add(1)
 		}
 	}
-	for k := range 250 { // each is known by five ops
+	for k := range 250 { // each is known by five requests
 		ask(k)
 	}
 	require.Equal(t, int64(250), answered.Load())
@@ -162,7 +162,7 @@
 }
 
 // A hundred and fifty members behind one address beside fifty with one each, as many as there is room for; one of the
-// members sends nothing but malformed ops, on a connection for each: only those pay.
+// members sends nothing but malformed requests, on a connection for each: only those pay.
 func TestMembersBehindOneAddress(t *testing.T) {
 	dir, err := os.MkdirTemp("", "pk")
 	require.NoError(t, err)
--- a/cmd/pearknot/fleet.go
+++ b/cmd/pearknot/fleet.go
@@ -24,35 +24,37 @@
 	"pearknot/internal/fleet"
 )
 
-// callWithin is how long the agent may take to answer, waits that were asked for aside.
-const callWithin = 70 * time.Second
+// agentCallTimeout bounds a call to the agent. It is longer than the 60 s for which a call may wait for a change.
+const agentCallTimeout = 70 * time.Second
 
-// tool is what the fleet's commands have in common.
-type tool struct {
-	socket   string
-	json     bool
-	reason   string
-	revision int64
-	wait     bool
-	within   time.Duration
-	options  fleet.Options
-	dryRun   bool
+// fleetTool is what the fleet commands have in common.
+type fleetTool struct {
+	socket      string
+	json        bool
+	reason      string
+	revision    int64
+	wait        bool
+	waitTimeout time.Duration
+	options     fleet.Options
+	dryRun      bool
 }
 
-func (t *tool) client() *controlsocket.Client { return controlsocket.NewClient(t.socket, callWithin) }
+func (t *fleetTool) client() *controlsocket.Client {
+	return controlsocket.NewClient(t.socket, agentCallTimeout)
+}
 
-func (t *tool) view(ctx context.Context) (v agent.View, err error) {
+func (t *fleetTool) view(ctx context.Context) (v agent.View, err error) {
 	err = t.client().Call(ctx, http.MethodGet, agent.FleetPath, nil, &v)
 	return v, err
 }
 
 func fleetCommand() *cobra.Command {
-	t := &tool{}
-	root := &cobra.Command{Use: "fleet", Short: "Speak with the agent: declare, look, change, roll back",
+	t := &fleetTool{}
+	root := &cobra.Command{Use: "fleet", Short: "Declare, show, change and roll back the instances of a host",
 		Long: `fleet speaks with the agent of this host over its socket.
 
 Every change is made from a revision of the fleet, the one just read where --revision is not given. Of two conflicting
-ones exactly one is taken; the other is told what came first and exits with 3.
+ones exactly one is taken; the other gets an error that says what came first, and exits with 3.
 
 Exit status: 0 done, 1 failed (also a change that was rolled back), 2 the command line or a file can't be read, 3 not all
 is as wanted (status), something differs (diff), or another's change came first.`}
@@ -64,18 +66,18 @@
 		}
 		return nil
 	}
-	root.AddCommand(t.apply(), t.diff(), t.status(), t.words("start"), t.words("stop"), t.words("restart"), t.reconfigure(), t.rollback(),
+	root.AddCommand(t.apply(), t.diff(), t.status(), t.lifecycleCommand("start"), t.lifecycleCommand("stop"), t.lifecycleCommand("restart"), t.reconfigure(), t.rollback(),
 		t.history(), t.logs(), t.watch())
 	return root
 }
 
-func (t *tool) writing(c *cobra.Command) *cobra.Command {
+func (t *fleetTool) withChangeFlags(c *cobra.Command) *cobra.Command {
 	f := c.Flags()
 	f.StringVar(&t.reason, "reason", "", "why, for the history")
 	f.Int64Var(&t.revision, "revision", -1, "the revision that this was made from")
 	f.BoolVar(&t.wait, "wait", false, "wait for the end of the change")
-	f.DurationVar(&t.within, "within", 10*time.Minute, "wait no longer")
-	f.BoolVar(&t.dryRun, "dry-run", false, "only tell what would be touched")
+	f.DurationVar(&t.waitTimeout, "within", 10*time.Minute, "wait no longer")
+	f.BoolVar(&t.dryRun, "dry-run", false, "only print what would be changed")
 	f.IntVar(&t.options.MaxUnavailable, "at-once", 0, "instances out of service at a time (default: the agent's)")
 	f.IntVar(&t.options.Canary, "canary", -1, "instances that go first (default: the agent's)")
 	f.Float64Var(&t.options.HealthMs, "health-ms", -1, "time that one must stay well (default: the agent's)")
@@ -84,8 +86,8 @@
 	return c
 }
 
-// write sends a change and, where asked, waits for its end.
-func (t *tool) write(c *cobra.Command, w agent.Write) error {
+// write sends a change and, with --wait, waits for its end.
+func (t *fleetTool) write(c *cobra.Command, w agent.Write) error {
 	ctx := c.Context()
 	v, err := t.view(ctx)
 	if err != nil {
@@ -126,11 +128,11 @@
 		})
 	}
 	if t.wait {
-		if out.Change, err = t.follow(ctx, out.Change.ID); err != nil {
+		if out.Change, err = t.waitForChange(ctx, out.Change.ID); err != nil {
 			return err
 		}
 	}
-	if err := t.show(c, out, func(w io.Writer) { line(w, out.Change) }); err != nil {
+	if err := t.show(c, out, func(w io.Writer) { printChange(w, out.Change) }); err != nil {
 		return err
 	}
 	done := out.Change.Status == fleet.Succeeded || w.Command == "rollback" && out.Change.Status == fleet.RolledBack
@@ -140,9 +142,9 @@
 	return nil
 }
 
-// follow waits until a change is over.
-func (t *tool) follow(ctx context.Context, id uint64) (fleet.Change, error) {
-	ctx, cancel := context.WithTimeout(ctx, t.within)
+// waitForChange waits until a change is over.
+func (t *fleetTool) waitForChange(ctx context.Context, id uint64) (fleet.Change, error) {
+	ctx, cancel := context.WithTimeout(ctx, t.waitTimeout)
 	defer cancel()
 	since := uint64(0)
 	for {
@@ -150,7 +152,7 @@
 		err := t.client().Call(ctx, http.MethodGet, fmt.Sprintf("%s?since=%d&wait_ms=5000", agent.FleetPath, since), nil, &v)
 		switch {
 		case ctx.Err() != nil:
-			return fleet.Change{}, fmt.Errorf("change %d is not over after %v", id, t.within)
+			return fleet.Change{}, fmt.Errorf("change %d is not over after %v", id, t.waitTimeout)
 		case err != nil: // the agent may be on its way back
 			select {
 			case <-time.After(200 * time.Millisecond):
@@ -168,7 +170,7 @@
 }
 
 // show prints a value for programs, or its table for people.
-func (t *tool) show(c *cobra.Command, v any, table func(io.Writer)) error {
+func (t *fleetTool) show(c *cobra.Command, v any, table func(io.Writer)) error {
 	if t.json {
 		e := json.NewEncoder(c.OutOrStdout())
 		e.SetIndent("", " ")
@@ -179,13 +181,13 @@
 	return w.Flush()
 }
 
-func line(w io.Writer, c fleet.Change) {
+func printChange(w io.Writer, c fleet.Change) {
 	fmt.Fprintf(w, "change %d\t%s\t%s\tby %s\t%s\tgeneration %d to %d\t%d of %d instances\t%s\n", c.ID, c.Status, c.Command, c.Author, c.Reason,
 		c.From, c.To, len(c.Healthy), len(c.Order), c.Failure)
 }
 
-func (t *tool) apply() *cobra.Command {
-	return t.writing(&cobra.Command{Use: "apply FILE", Short: "Declare all instances, as a file has them", Args: cobra.ExactArgs(1),
+func (t *fleetTool) apply() *cobra.Command {
+	return t.withChangeFlags(&cobra.Command{Use: "apply FILE", Short: "Declare all instances, as a file has them", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			instances, configs, err := agent.ReadFleet(args[0])
 			if err != nil {
@@ -195,7 +197,7 @@
 		}})
 }
 
-func (t *tool) diff() *cobra.Command {
+func (t *fleetTool) diff() *cobra.Command {
 	return &cobra.Command{Use: "diff FILE", Short: "Tell what apply would change", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			instances, configs, err := agent.ReadFleet(args[0])
@@ -251,16 +253,16 @@
 		}}
 }
 
-// table is the fleet for people: what is declared, what was seen, and when.
-func table(w io.Writer, v agent.View) {
+// printFleet prints what is declared, what was observed, and when.
+func printFleet(w io.Writer, v agent.View) {
 	fmt.Fprintf(w, "revision %d, generation %d\n", v.Revision, v.Generation)
 	if v.WriteError != "" {
 		fmt.Fprintf(w, "the state can't be written, nothing is changed until it can: %s\n", v.WriteError)
 	}
 	if c := v.Change; c != nil && !c.Status.IsFinal() {
-		line(w, *c)
+		printChange(w, *c)
 	}
-	fmt.Fprintln(w, "instance\twanted\tverdict\tseen\tago\tlisten\tconfiguration\tpid\tops\tMB\tcertificate\tsettings\twhy")
+	fmt.Fprintln(w, "instance\twanted\tverdict\tseen\tago\tlisten\tconfiguration\tpid\trequests\tMB\tcertificate\tsettings\twhy")
 	for _, i := range v.Instances {
 		wanted, listen := "none", ""
 		if i.Declared != nil {
@@ -275,12 +277,12 @@
 			phase = "in service"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%.0f\t%s\t%s\t%s\n", i.Name, wanted, i.Verdict, phase, ago, listen,
-			i.Observation.Digest[:min(8, len(i.Observation.Digest))], i.Observation.PID, i.Observation.OpenRequests, i.Observation.MemoryMB, certificate(i.Observation, v.Now), cmp.Or(i.Observation.Settings, "-"), i.Reason)
+			i.Observation.Digest[:min(8, len(i.Observation.Digest))], i.Observation.PID, i.Observation.OpenRequests, i.Observation.MemoryMB, certificateTimeLeft(i.Observation, v.Now), cmp.Or(i.Observation.Settings, "-"), i.Reason)
 	}
 }
 
-// certificate tells how long an instance's first certificate to end has left.
-func certificate(s fleet.Observation, now float64) string {
+// certificateTimeLeft says how long the instance's certificate that expires first is still valid.
+func certificateTimeLeft(s fleet.Observation, now float64) string {
 	const day = 24 * 3600e3
 	switch {
 	case s.CertStage == "":
@@ -291,14 +293,14 @@
 	return fmt.Sprintf("%s, %.1f d", s.CertStage, (s.CertExpiry-now)/day)
 }
 
-func (t *tool) status() *cobra.Command {
-	return &cobra.Command{Use: "status", Short: "What is declared, what was seen, and when", Args: cobra.NoArgs,
+func (t *fleetTool) status() *cobra.Command {
+	return &cobra.Command{Use: "status", Short: "What is declared, what was observed, and when", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			v, err := t.view(c.Context())
 			if err != nil {
 				return err
 			}
-			if err := t.show(c, v, func(w io.Writer) { table(w, v) }); err != nil {
+			if err := t.show(c, v, func(w io.Writer) { printFleet(w, v) }); err != nil {
 				return err
 			}
 			for _, i := range v.Instances {
@@ -310,15 +312,15 @@
 		}}
 }
 
-func (t *tool) words(what string) *cobra.Command {
-	return t.writing(&cobra.Command{Use: what + " [NAME ...]", Short: strings.ToUpper(what[:1]) + what[1:] + " instances, all where none is named",
+func (t *fleetTool) lifecycleCommand(what string) *cobra.Command {
+	return t.withChangeFlags(&cobra.Command{Use: what + " [NAME ...]", Short: strings.ToUpper(what[:1]) + what[1:] + " instances, all where none is named",
 		RunE: func(c *cobra.Command, args []string) error {
 			return t.write(c, agent.Write{Command: what, Names: args})
 		}})
 }
 
-func (t *tool) reconfigure() *cobra.Command {
-	return t.writing(&cobra.Command{Use: "reconfigure FILE NAME [NAME ...]", Short: "Give some instances what a file has for them, and leave the others",
+func (t *fleetTool) reconfigure() *cobra.Command {
+	return t.withChangeFlags(&cobra.Command{Use: "reconfigure FILE NAME [NAME ...]", Short: "Give some instances what a file has for them, and leave the others",
 		Args: cobra.MinimumNArgs(2), RunE: func(c *cobra.Command, args []string) error {
 			instances, configs, err := agent.ReadFleet(args[0])
 			if err != nil {
@@ -337,17 +339,17 @@
 		}})
 }
 
-func (t *tool) rollback() *cobra.Command {
+func (t *fleetTool) rollback() *cobra.Command {
 	to := uint64(0)
-	c := t.writing(&cobra.Command{Use: "rollback [--to GENERATION]", Short: "Turn the change that is on its way, or go back to a generation",
+	c := t.withChangeFlags(&cobra.Command{Use: "rollback [--to GENERATION]", Short: "Roll back the change in progress, or go back to a generation",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			return t.write(c, agent.Write{Command: "rollback", To: to})
 		}})
-	c.Flags().Uint64Var(&to, "to", 0, "a generation that is kept: see history")
+	c.Flags().Uint64Var(&to, "to", 0, "a stored generation: see history")
 	return c
 }
 
-func (t *tool) history() *cobra.Command {
+func (t *fleetTool) history() *cobra.Command {
 	n := 20
 	c := &cobra.Command{Use: "history", Short: "Who changed what, when and why", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -359,7 +361,7 @@
 				fmt.Fprintf(w, "revision %d, generations kept %v\n", h.Revision, h.Generations)
 				for _, x := range h.Changes {
 					fmt.Fprintf(w, "%s\t", time.UnixMilli(int64(x.StartedAt)).UTC().Format(time.RFC3339))
-					line(w, x)
+					printChange(w, x)
 				}
 			})
 		}}
@@ -367,7 +369,7 @@
 	return c
 }
 
-func (t *tool) logs() *cobra.Command {
+func (t *fleetTool) logs() *cobra.Command {
 	n := 50
 	c := &cobra.Command{Use: "logs NAME", Short: "An instance's last log lines", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -385,7 +387,7 @@
 	return c
 }
 
-func (t *tool) watch() *cobra.Command {
+func (t *fleetTool) watch() *cobra.Command {
 	within := time.Duration(0)
 	c := &cobra.Command{Use: "watch", Short: "The status, again whenever it changes", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -406,7 +408,7 @@
 				}
 				if next := fmt.Sprintf("&since=%d", v.Seq); next != since {
 					since = next
-					if err := t.show(c, v, func(w io.Writer) { table(w, v); fmt.Fprintln(w) }); err != nil {
+					if err := t.show(c, v, func(w io.Writer) { printFleet(w, v); fmt.Fprintln(w) }); err != nil {
 						return err
 					}
 				}
--- a/cmd/pearknot/idle_test.go
+++ b/cmd/pearknot/idle_test.go
@@ -56,19 +56,19 @@
 
 // Idle clients take every descriptor that clients may have, and more of them wait, while discovery is down and when it returns.
 // They give way to one another and to whoever asks something, and nobody else gives way to them: the node keeps its
-// connections to backends and has new ones, has the list as soon as it can be had, and answers each op. The process may not
+// connections to backends and has new ones, has the list as soon as it can be had, and answers each request. The process may not
 // open one descriptor more than its limit.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	const limit, many = 64, 64
 	const look = "GET /_health HTTP/1.1\r\nHost: s\r\n\r\n"
-	const op = "POST /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: idle\r\nX-Qos: check\r\nX-Expires-In-Ms: 9000\r\nContent-Length: 9\r\n\r\n"
+	const request = "POST /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: idle\r\nX-Qos: check\r\nX-Expires-In-Ms: 9000\r\nContent-Length: 9\r\n\r\n"
 	for name, i := range map[string]idler{
 		"rest after an answer":                 {look, false},
 		"rest after an answer, and come again": {look, true},
 		"never send a byte":                    {"", false},
 		"never send a byte, and come again":    {"", true},
 		"send half a head, and come again":     {look[:30], true},
-		"send half a body, and come again":     {op + "half", true},
+		"send half a body, and come again":     {request + "half", true},
 	} {
 		for _, mode := range []string{"subscribe", "automatic"} {
 			t.Run(name+"/"+mode, func(t *testing.T) {
@@ -131,7 +131,7 @@
 	dialled, before := dials[0].Load(), served[0].Load()
 	for range 3 {
 		ask()
-		<-time.After(2 * pressedFor) // the pace at which ops come
+		<-time.After(2 * pressedFor) // the pace at which requests come
 	}
 	list.be(refusing)
 	require.Eventually(t, func() bool { return log.count(`msg="endpoint list poll failed"`) >= 1 }, 20*time.Second, time.Millisecond)
@@ -157,8 +157,8 @@
 	assert.False(t, log.over(), "the node lives")
 }
 
-// served sends an op until it is answered by a backend. Where a busy machine holds things up for seconds, a backend is spared
-// and ops are rejected for a while, or a new connection is shut with the op unread; both come again.
+// served sends a request until it is answered by a backend. Where a busy machine holds things up for seconds, a backend is spared
+// and requests are rejected for a while, or a new connection is shut with the request unread; both come again.
 func (w *world) served(client *http.Client, id string) {
 	for until := time.Now().Add(20 * time.Second); ; <-time.After(time.Millisecond) {
 		status, _, _, err := w.ask(client, "GET", id, "check", "20000")
--- a/cmd/pearknot/main.go
+++ b/cmd/pearknot/main.go
@@ -1,4 +1,5 @@
-// Command pearknot is one real node on sockets, and the agent and the tool that look after many.
+// Command pearknot is the load balancer: its node, the agent that looks after many nodes of a host, members of the control
+// plane, and the operators' tools for all of them.
 package main
 
 import (
@@ -20,15 +21,15 @@
 	"pearknot/internal/serve"
 )
 
-// A node's own log is kept to so much.
+// Bounds of a log file and of its rotated predecessors.
 const (
-	logMB   = 20
-	logKept = 5
+	maxLogMB    = 20
+	rotatedLogs = 5
 )
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run gives the exit status.
+// run executes a command line and returns the exit status.
 func run(args []string, out, errs io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -43,18 +44,18 @@
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return cli.UsageError(err) })
 	serveCommand, check := nodeCommand("serve", "serve"), nodeCommand("check", "check")
 	serveCommand.Short = "Serve clients in the foreground until SIGTERM"
-	check.Short = "Read the configuration, tell what it says, and end"
-	root.AddCommand(serveCommand, check, &cobra.Command{Use: "version", Short: "Tell the version", Args: cobra.NoArgs,
+	check.Short = "Read the configuration, print what it says, and end"
+	root.AddCommand(serveCommand, check, &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), "pearknot", cli.Version()) }},
 		agentCommand(), fleetCommand(), replayCommand(), explainCommand(), captureCommand(), certsCommand(), clientsCommand(), callCommand(), peersCommand(), controlPlaneCommand(), configCommand())
-	root.SetArgs(longFlags(args))
+	root.SetArgs(withLongFlags(args))
 	root.SetOut(out)
 	root.SetErr(errs)
 	return cli.Exit("pearknot", root.ExecuteContext(ctx), errs)
 }
 
 // longFlags takes the node's flags with one dash too, as they always were.
-func longFlags(args []string) []string {
+func withLongFlags(args []string) []string {
 	long := make([]string, 0, len(args))
 	for k, a := range args {
 		if a == "--" {
@@ -71,19 +72,19 @@
 	return long
 }
 
-// nodeCommand serves or checks.
+// nodeCommand returns the command that serves, or the one that checks a configuration.
 func nodeCommand(use, what string) *cobra.Command {
 	var file, logFile, captureFile, tlsFile, peersFile, planeFile string
 	var o serve.Options
 	level := slog.LevelInfo
 	c := &cobra.Command{Use: use, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		var again chan os.Signal
-		if what == "serve" { // first of all
+		if what == "serve" { // first of all: an unhandled SIGHUP would end the process
 			again = serve.Hear()
 		}
 		sink := c.ErrOrStderr()
 		if logFile != "" {
-			rotated := &lumberjack.Logger{Filename: logFile, MaxSize: logMB, MaxBackups: logKept}
+			rotated := &lumberjack.Logger{Filename: logFile, MaxSize: maxLogMB, MaxBackups: rotatedLogs}
 			defer func() { _ = rotated.Close() }()
 			sink = rotated
 		}
@@ -122,7 +123,7 @@
 			}
 		}
 		if planeFile != "" {
-			if o.Plane, err = readPlane(planeFile); err != nil {
+			if o.Plane, err = readControlPlane(planeFile); err != nil {
 				return err
 			}
 		}
@@ -135,13 +136,13 @@
 		return serve.Run(c.Context(), again, p, o, log)
 	}}
 	c.Flags().StringVar(&file, "config", os.Getenv("ROUTER_CONFIG"), "configuration file (default $ROUTER_CONFIG)")
-	c.Flags().StringVar(&o.Edge, "edge", "", "file of who gets in when descriptors run short, such as deploy/edge.toml")
-	c.Flags().TextVar(&level, "log", slog.LevelInfo, "least level of log lines: debug, info, warn, error")
+	c.Flags().StringVar(&o.Edge, "edge", "", "file of the admission of connections when descriptors run short, such as deploy/edge.toml")
+	c.Flags().TextVar(&level, "log", slog.LevelInfo, "minimum level of log lines: debug, info, warn, error")
 	if what == "serve" {
 		c.Flags().StringVar(&o.Control, "control", "", "path of a control socket")
 		c.Flags().StringVar(&captureFile, "capture", "", "file of a capture, such as deploy/capture.toml")
 		c.Flags().StringVar(&tlsFile, "tls", "", "file of a TLS listener and its certificates, such as deploy/tls.toml")
-		c.Flags().StringVar(&peersFile, "peers", "", "file of the processes that keep each other's ops, such as deploy/peers.toml")
+		c.Flags().StringVar(&peersFile, "peers", "", "file of the processes that log requests in flight for each other, such as deploy/peers.toml")
 		c.Flags().StringVar(&planeFile, "control-plane", "", "file of the control plane whose settings it follows, such as deploy/control-plane.toml")
 		c.Flags().BoolVar(&o.Held, "held", false, "stay out of service until the control socket says otherwise")
 		c.Flags().StringVar(&logFile, "log-file", "", "log to a file, rotated, and not to standard error")
--- a/cmd/pearknot/pearknot_test.go
+++ b/cmd/pearknot/pearknot_test.go
@@ -61,14 +61,14 @@
 
 // world is one running node between a backend, discovery and clients.
 type world struct {
-	t       testing.TB
-	process *exec.Cmd
-	file    string // its configuration
-	address string
-	ended   chan error
-	changes chan string // entries that discovery tells next
-	mu      sync.Mutex
-	pushes  []string // ids that the backend got
+	t        testing.TB
+	process  *exec.Cmd
+	file     string // its configuration
+	address  string
+	ended    chan error
+	changes  chan string // entries that discovery tells next
+	mu       sync.Mutex
+	attempts []string // ids that the backend got
 }
 
 func entry(address, state string) string {
@@ -131,7 +131,7 @@
 	w := &world{t: t, ended: make(chan error, 1), changes: make(chan string)}
 	backend := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		w.mu.Lock()
-		w.pushes = append(w.pushes, r.Header.Get("X-Trace-Id"))
+		w.attempts = append(w.attempts, r.Header.Get("X-Trace-Id"))
 		w.mu.Unlock()
 		body, _ := io.ReadAll(r.Body) // a context tells of a closed connection only once all is read
 		r.Body = io.NopCloser(bytes.NewReader(body))
@@ -161,7 +161,7 @@
 	return w
 }
 
-// ask sends an op by a client and gives status, body and header.
+// ask sends a request by a client and gives status, body and header.
 func (w *world) ask(client *http.Client, method, id, category, ttl string) (int, string, http.Header, error) {
 	r, err := http.NewRequest(method, "http://"+w.address+"/api?x=1", strings.NewReader(map[string]string{"POST": "paid"}[method]))
 	require.NoError(w.t, err)
@@ -185,7 +185,7 @@
 func (w *world) times(id string) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, p := range w.pushes {
+	for _, p := range w.attempts {
 		if p == id {
 			n++
 		}
@@ -243,7 +243,7 @@
 	}
 
 	w := start(t, 1024, handler)
-	// Once the list tells of the drain nothing new goes there, and the op is answered at once.
+	// Once the list tells of the drain nothing new goes there, and the request is answered at once.
 	select {
 	case w.changes <- "draining":
 	case <-time.After(5 * time.Second):
@@ -296,7 +296,7 @@
 	assert.Less(t, time.Since(begun), 3700*time.Millisecond, "before SIGKILL")
 }
 
-// SIGHUP takes up a new address of the list while ops are in hand; a text that can't be read changes nothing, and
+// SIGHUP takes up a new address of the list while requests are in hand; a text that can't be read changes nothing, and
 // neither ends the program.
 func TestNewConfiguration(t *testing.T) {
 	inHand, answer := make(chan bool, 1), make(chan bool)
@@ -358,7 +358,7 @@
 		defer conns[k].Close()
 	}
 	require.Eventually(t, func() bool { return open() > limit/2 }, 5*time.Second, time.Millisecond, "as many as may")
-	conns = conns[limit/2:] // the others bring nothing, and must not keep these out for as long as an op may take to come
+	conns = conns[limit/2:] // the others bring nothing, and must not keep these out for as long as a request may take to come
 	begun := time.Now()
 	var all sync.WaitGroup
 	for k, c := range conns {
@@ -376,9 +376,9 @@
 	assert.Less(t, time.Since(begun), 6*time.Second)
 }
 
-// What comes from odd clients gets a plain refusal or an end, takes nothing with it, and is never worded as a nack.
+// What comes from odd clients gets a plain refusal or an end, takes nothing with it, and is never worded as a rejection.
 func TestOddClients(t *testing.T) {
-	const op = "X-Trace-Id: odd\r\nX-Qos: check\r\nX-Expires-In-Ms: 2000\r\n"
+	const request = "X-Trace-Id: odd\r\nX-Qos: check\r\nX-Expires-In-Ms: 2000\r\n"
 	const hidden = "GET /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: hidden\r\nX-Qos: check\r\nX-Expires-In-Ms: 2000\r\n\r\n"
 	inHand, answer := make(chan bool, 1), make(chan bool)
 	w := start(t, 1024, func(_ http.ResponseWriter, r *http.Request) {
@@ -395,25 +395,25 @@
 	<-inHand
 	for name, c := range map[string]struct{ sends, status string }{
 		"no HTTP":           {"\x16\x03\x01\x02\x00hello\r\n\r\n", "400"},
-		"hides an op":       {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n" + op + "\r\n0\r\n\r\n" + hidden, "400"},
-		"several at once":   {"GET /api HTTP/1.1\r\nHost: s\r\n" + op + "\r\n" + hidden, "400"},
+		"hides a request":   {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n" + request + "\r\n0\r\n\r\n" + hidden, "400"},
+		"several at once":   {"GET /api HTTP/1.1\r\nHost: s\r\n" + request + "\r\n" + hidden, "400"},
 		"an open id":        {"GET /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: slow\r\nX-Qos: check\r\nX-Expires-In-Ms: 2000\r\n\r\n", "409"},
-		"a huge length":     {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 60000000\r\n" + op + "\r\n", "413"},
-		"half a body":       {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 9\r\n" + op + "\r\nab", "400"},
-		"half a head":       {"GET /api HTTP/1.1\r\nHost: s\r\n" + op, "end"},
+		"a huge length":     {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 60000000\r\n" + request + "\r\n", "413"},
+		"half a body":       {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 9\r\n" + request + "\r\nab", "400"},
+		"half a head":       {"GET /api HTTP/1.1\r\nHost: s\r\n" + request, "end"},
 		"silence":           {"", "end"},
-		"no host":           {"GET /api HTTP/1.1\r\n" + op + "\r\n", "400"},
-		"odd length":        {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: -1\r\n" + op + "\r\n", "400"},
-		"two lengths":       {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 1\r\nContent-Length: 2\r\n" + op + "\r\nab", "400"},
-		"odd chunk":         {"POST /api HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n" + op + "\r\nxyz\r\n", "400"},
-		"odd encoding":      {"POST /api HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: odd\r\n" + op + "\r\n", "501"},
+		"no host":           {"GET /api HTTP/1.1\r\n" + request + "\r\n", "400"},
+		"odd length":        {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: -1\r\n" + request + "\r\n", "400"},
+		"two lengths":       {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 1\r\nContent-Length: 2\r\n" + request + "\r\nab", "400"},
+		"odd chunk":         {"POST /api HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n" + request + "\r\nxyz\r\n", "400"},
+		"odd encoding":      {"POST /api HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: odd\r\n" + request + "\r\n", "501"},
 		"endless head":      {"GET /api HTTP/1.1\r\nHost: s\r\nX-Long: " + strings.Repeat("x", 80<<10) + "\r\n\r\n", "431"},
-		"a body too long":   {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 33554433\r\n" + op + "\r\n" + strings.Repeat("x", 70000), "413"},
-		"half a long body":  {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 90000\r\n" + op + "\r\n" + strings.Repeat("x", 70000), "50"},
-		"an unknown number": {"GET /api HTTP/9.9\r\nHost: s\r\n" + op + "\r\n", "505"},
-		"chunks":            {"POST /api HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n" + op + "\r\n2\r\nab\r\n0\r\n\r\n", "200"},
-		"an old client":     {"GET /api HTTP/1.0\r\n" + op + "\r\n", "200"},
-		"leaves at once":    {"GET /api HTTP/1.1\r\nHost: s\r\n" + op, ""},
+		"a body too long":   {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 33554433\r\n" + request + "\r\n" + strings.Repeat("x", 70000), "413"},
+		"half a long body":  {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 90000\r\n" + request + "\r\n" + strings.Repeat("x", 70000), "50"},
+		"an unknown number": {"GET /api HTTP/9.9\r\nHost: s\r\n" + request + "\r\n", "505"},
+		"chunks":            {"POST /api HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n" + request + "\r\n2\r\nab\r\n0\r\n\r\n", "200"},
+		"an old client":     {"GET /api HTTP/1.0\r\n" + request + "\r\n", "200"},
+		"leaves at once":    {"GET /api HTTP/1.1\r\nHost: s\r\n" + request, ""},
 	} {
 		conn, err := net.Dial("tcp", w.address)
 		require.NoError(t, err)
@@ -440,7 +440,7 @@
 	assert.Equal(t, 1, w.times("slow"))
 }
 
-// The TTL counts from the client's sending: what waited on this machine past it is not pushed any more.
+// The TTL counts from the client's sending: what waited on this machine past it is not sent any more.
 func TestStalledNode(t *testing.T) {
 	w := start(t, 1024, func(http.ResponseWriter, *http.Request) {})
 	kept := fresh()
@@ -461,8 +461,8 @@
 	assert.Zero(t, w.times("kept")+w.times("new"))
 }
 
-// A node stands still for longer than an op may take to come, while ops come whole on connections that were there before. Two of three
-// were closed with their op unread.
+// A node stands still for longer than a request may take to come, while requests come whole on connections that were there before. Two of three
+// were closed with their request unread.
 func TestOpsThatComeDuringAStandstill(t *testing.T) {
 	w := start(t, 1024, func(http.ResponseWriter, *http.Request) {})
 	open := func() int {
--- a/cmd/pearknot/peers.go
+++ b/cmd/pearknot/peers.go
@@ -15,28 +15,28 @@
 	"pearknot/internal/requestlog"
 )
 
-// peersCommand shows the logs that processes keep for each other, as one of them sees them.
+// peersCommand prints the request logs that processes replicate for each other, as one of them sees them.
 func peersCommand() *cobra.Command {
 	var asJSON, watch bool
 	c := &cobra.Command{Use: "peers SOCKET", Args: cobra.ExactArgs(1),
-		Short: "Links to other processes, who leads and holds which log, and what was taken over; 3 while a log is not whole",
+		Short: "Links to other processes, who leads and replicates which log, and what was taken over; 3 while a log lacks replicas",
 		RunE: func(c *cobra.Command, args []string) error {
-			client := controlsocket.NewClient(args[0], dialWithin)
+			client := controlsocket.NewClient(args[0], dialTimeout)
 			for {
-				var told requestlog.StateDigest
-				if err := client.Call(c.Context(), "GET", controlsocket.PeersPath, nil, &told); err != nil {
+				var state requestlog.StateDigest
+				if err := client.Call(c.Context(), "GET", controlsocket.PeersPath, nil, &state); err != nil {
 					return err
 				}
 				if watch && !asJSON {
 					fmt.Fprint(c.OutOrStdout(), "\x1b[H\x1b[2J") // the top of a cleared screen
 				}
-				if err := tellPeers(c.OutOrStdout(), told, asJSON); err != nil {
+				if err := printPeers(c.OutOrStdout(), state, asJSON); err != nil {
 					return err
 				}
 				if !watch {
-					for _, l := range told.Logs {
-						if !l.Complete {
-							return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("the log of %s is not whole", l.Member), Silent: true}
+					for _, log := range state.Logs {
+						if !log.Complete {
+							return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("the log of %s lacks replicas", log.Member), Silent: true}
 						}
 					}
 					return nil
@@ -49,31 +49,32 @@
 			}
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	c.Flags().BoolVar(&watch, "watch", false, "again every second")
+	c.Flags().BoolVar(&watch, "watch", false, "print it again every second")
 	return c
 }
 
-func tellPeers(out io.Writer, told requestlog.StateDigest, asJSON bool) error {
+// printPeers prints a process's view of its peers and logs.
+func printPeers(out io.Writer, state requestlog.StateDigest, asJSON bool) error {
 	if asJSON {
-		return json.NewEncoder(out).Encode(told)
+		return json.NewEncoder(out).Encode(state)
 	}
-	fmt.Fprintf(out, "%s, life %d, %d ops taken over\n", told.Self, told.Incarnation, told.Takeovers)
+	fmt.Fprintf(out, "%s, incarnation %d, %d requests taken over\n", state.Self, state.Incarnation, state.Takeovers)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "peer\tlinked\tsilent ms\tlife")
-	for _, p := range told.Peers {
+	fmt.Fprintln(w, "peer\tconnected\tsilent ms\tincarnation")
+	for _, p := range state.Peers {
 		fmt.Fprintf(w, "%s\t%v\t%.0f\t%d\n", p.Name, p.Connected, p.SilentMs, p.Incarnation)
 	}
-	fmt.Fprintln(w, "log of\tleader\twhole\tterm\theld by\tlag\tin hand\trecords\tbytes")
-	for _, l := range told.Logs {
-		leader := l.Leader
+	fmt.Fprintln(w, "log of\tleader\tcomplete\tterm\treplicas\tlag\tin flight\trecords\tbytes")
+	for _, log := range state.Logs {
+		leader := log.Leader
 		if leader == "" {
 			leader = "none known"
 		}
-		held := "not here"
-		if l.HasReplica {
-			held = strings.Join(l.Voters, " ")
+		replicas := "not here"
+		if log.HasReplica {
+			replicas = strings.Join(log.Voters, " ")
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%s\t%d\t%d\t%d\t%d\n", l.Member, leader, l.Complete, l.Term, held, l.Lag, l.InFlight, l.Records, l.Bytes)
+		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%s\t%d\t%d\t%d\t%d\n", log.Member, leader, log.Complete, log.Term, replicas, log.Lag, log.InFlight, log.Records, log.Bytes)
 	}
 	return w.Flush()
 }
--- a/cmd/pearknot/peers_test.go
+++ b/cmd/pearknot/peers_test.go
@@ -27,32 +27,32 @@
 	"pearknot/internal/lab/faultproxy"
 )
 
-// crew is several real processes that keep each other's ops, every directed link of two of them through a relay, with
+// cluster is several real processes that keep each other's requests, every directed link of two of them through a relay, with
 // backends that count what runs and clients whose outcomes are judged from outside.
-type crew struct {
+type cluster struct {
 	t         *testing.T
-	copies    int
+	replicas  int
 	dir       string
 	discovery string
 	list      string
 	ports     []string
-	wires     [][]*faultproxy.Wire // from, to
-	nodes     []*crewNode
+	proxies   [][]*faultproxy.Wire // from, to
+	nodes     []*clusterNode
 
-	mu     sync.Mutex
-	ran    map[string]int // effects by key
-	begun  map[string]chan struct{}
-	held   map[string]chan struct{} // backends answer once it is closed
-	keys   *invariants.KeyAuditor
-	logs   []*lockedBuffer // of all lives
-	lives  int
-	acked  int
-	dead   int
-	lag    time.Duration // that backends take at most
-	listen string        // of node 0, where another process of it may come beside it
+	mu           sync.Mutex
+	ran          map[string]int // effects by key
+	started      map[string]chan struct{}
+	blocked      map[string]chan struct{} // backends answer once it is closed
+	keys         *invariants.KeyAuditor
+	logs         []*lockedBuffer // of all incarnations
+	incarnations int
+	served       int
+	failed       int
+	maxDelay     time.Duration // that backends take at most
+	listen       string        // of node 0, where another process of it may come beside it
 }
 
-type crewNode struct {
+type clusterNode struct {
 	cmd     *exec.Cmd
 	ended   chan struct{}
 	address string
@@ -77,7 +77,7 @@
 	return l.b.String()
 }
 
-const crewSettings = `{"az":0,"balancers":3,"benefitBy":"request","bounds":{"cancel":true,"connIdle":15000,"connectTimeout":250,
+const clusterSettings = `{"az":0,"balancers":3,"benefitBy":"request","bounds":{"cancel":true,"connIdle":15000,"connectTimeout":250,
 "mostHeld":20000,"mostPushes":3,"retryAfter":true,"maxRetryAfter":2000,"secondCopies":true},"categories":[
 {"benefit":1,"idempotency":"pure","name":"check","overdueBenefit":0.2,"targetLatency":2500,"ttl":9000},
 {"benefit":8,"idempotency":"side_effect","name":"pay","overdueBenefit":0.2,"targetLatency":1500,"ttl":9000}],
@@ -94,10 +94,10 @@
 	return l.Addr().String()
 }
 
-func newCrew(t *testing.T, size, copies int) *crew { return newCrewAt(t, size, copies, "") }
+func newCluster(t *testing.T, size, copies int) *cluster { return newClusterAt(t, size, copies, "") }
 
-func newCrewAt(t *testing.T, size, copies int, listen string) *crew {
-	c := &crew{listen: listen, t: t, copies: copies, dir: t.TempDir(), ran: map[string]int{}, begun: map[string]chan struct{}{}, held: map[string]chan struct{}{},
+func newClusterAt(t *testing.T, size, copies int, listen string) *cluster {
+	c := &cluster{listen: listen, t: t, replicas: copies, dir: t.TempDir(), ran: map[string]int{}, started: map[string]chan struct{}{}, blocked: map[string]chan struct{}{},
 		keys: invariants.NewKeyAuditor()}
 	var targets []string
 	for k := range 3 {
@@ -114,17 +114,17 @@
 		c.ports = append(c.ports, freePort(t))
 	}
 	for from := range size {
-		c.wires = append(c.wires, make([]*faultproxy.Wire, size))
+		c.proxies = append(c.proxies, make([]*faultproxy.Wire, size))
 		for to := range size {
 			if to != from {
 				w, err := faultproxy.Open(c.ports[to])
 				require.NoError(t, err)
 				t.Cleanup(w.Close)
-				c.wires[from][to] = w
+				c.proxies[from][to] = w
 			}
 		}
 	}
-	c.nodes = make([]*crewNode, size)
+	c.nodes = make([]*clusterNode, size)
 	for k := range size {
 		c.start(k)
 	}
@@ -133,12 +133,12 @@
 }
 
 // start starts a process, or its next life.
-func (c *crew) start(k int) {
+func (c *cluster) start(k int) {
 	var peers strings.Builder
-	fmt.Fprintf(&peers, "fleet = %q\nkey_file = \"peers.key\"\ncopies = %d\n", "crew "+c.ports[0], c.copies)
+	fmt.Fprintf(&peers, "fleet = %q\nkey_file = \"peers.key\"\ncopies = %d\n", "crew "+c.ports[0], c.replicas)
 	for m, port := range c.ports {
 		if m != k {
-			port = c.wires[k][m].Address()
+			port = c.proxies[k][m].Address()
 		}
 		fmt.Fprintf(&peers, "[[member]]\nname = \"n%d\"\naddress = %q\n", m, port)
 	}
@@ -150,9 +150,9 @@
 		listen = c.listen + `","control":"127.0.0.1:0`
 	}
 	require.NoError(c.t, os.WriteFile(config, fmt.Appendf(nil, `{"name":"n%d","listen":"%s","discovery":%q,"seed":"8c1%d",
-"limits":{"cores":1,"memory_mb":192,"sockets":512},"known":{"rev":41,"all":true,"targets":[%s]},"settings":%s}`, k, listen, c.discovery, k, c.list, crewSettings), 0o600))
-	c.lives++
-	n := &crewNode{control: filepath.Join(c.dir, fmt.Sprintf("n%d-%d.sock", k, c.lives)), log: &lockedBuffer{}, ended: make(chan struct{})}
+"limits":{"cores":1,"memory_mb":192,"sockets":512},"known":{"rev":41,"all":true,"targets":[%s]},"settings":%s}`, k, listen, c.discovery, k, c.list, clusterSettings), 0o600))
+	c.incarnations++
+	n := &clusterNode{control: filepath.Join(c.dir, fmt.Sprintf("n%d-%d.sock", k, c.incarnations)), log: &lockedBuffer{}, ended: make(chan struct{})}
 	process, address, stderr := launchProgram(c.t, nextProgram(), "serve", "-config", config, "--peers", file, "--control", n.control)
 	n.cmd, n.address = process, address
 	go func() {
@@ -167,7 +167,7 @@
 }
 
 // whole waits until every log is whole, by the word of each process that runs.
-func (c *crew) whole() {
+func (c *cluster) whole() {
 	var last []byte
 	for end := time.Now().Add(20 * time.Second); ; {
 		good := true
@@ -189,7 +189,7 @@
 	}
 }
 
-func (c *crew) serve(w http.ResponseWriter, r *http.Request) {
+func (c *cluster) serve(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	key := r.Header.Get("Idempotency-Key")
 	c.mu.Lock()
@@ -201,7 +201,7 @@
 	}
 	c.keys.EffectRan(ms(), key, effect)
 	c.keys.RequestStored(ms(), key, effect, ms()+9000)
-	begun, held := c.begun[key], c.held[key]
+	begun, held := c.started[key], c.blocked[key]
 	c.mu.Unlock()
 	if begun != nil && n == 1 {
 		close(begun)
@@ -212,9 +212,9 @@
 		case <-r.Context().Done():
 		}
 	}
-	if c.lag > 0 {
+	if c.maxDelay > 0 {
 		select {
-		case <-time.After(rand.N(c.lag)):
+		case <-time.After(rand.N(c.maxDelay)):
 		case <-r.Context().Done():
 		}
 	}
@@ -225,23 +225,23 @@
 	fmt.Fprintf(w, "run %d of %s %s", n, key, body)
 }
 
-// hold has the first push of a key held at its backend; begun is closed once it is there.
-func (c *crew) hold(key string) (begun, held chan struct{}) {
+// hold has the first attempt of a key held at its backend; begun is closed once it is there.
+func (c *cluster) hold(key string) (begun, held chan struct{}) {
 	begun, held = make(chan struct{}), make(chan struct{})
 	c.mu.Lock()
-	c.begun[key], c.held[key] = begun, held
+	c.started[key], c.blocked[key] = begun, held
 	c.mu.Unlock()
 	return begun, held
 }
 
-func (c *crew) times(key string) int {
+func (c *cluster) times(key string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ran[key]
 }
 
-// ask sends an op at a node and notes what outcome its client was given: an ack or a dead letter.
-func (c *crew) ask(k int, category, key, ttl, body string) (int, string) {
+// ask sends a request at a node and notes what outcome its client was given: an ack or a failure.
+func (c *cluster) ask(k int, category, key, ttl, body string) (int, string) {
 	r, err := http.NewRequest("POST", "http://"+c.node(k).address+"/pay", strings.NewReader(body))
 	require.NoError(c.t, err)
 	for name, value := range map[string]string{"X-Trace-Id": fmt.Sprintf("%s-%d", key, time.Now().UnixNano()), "X-Qos": category,
@@ -261,9 +261,9 @@
 		c.mu.Lock()
 		c.keys.OutcomeReported(ms(), key, fmt.Sprintf("%d %s", answer.StatusCode, text))
 		if answer.StatusCode == 200 {
-			c.acked++
+			c.served++
 		} else {
-			c.dead++
+			c.failed++
 		}
 		c.mu.Unlock()
 	}
@@ -271,15 +271,15 @@
 }
 
 // judge looks for broken promises over all that was seen.
-func (c *crew) judge() {
+func (c *cluster) judge() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	broken := c.keys.Violations(ms(), 5000)
 	assert.Empty(c.t, broken, "the auditor")
 }
 
-// said gives the lines of all lives' logs that have one of some words, in their order.
-func (c *crew) said(words ...string) string {
+// said gives the lines of all incarnations' logs that have one of some words, in their order.
+func (c *cluster) said(words ...string) string {
 	var lines []string
 	for k, log := range c.logs {
 		for line := range strings.Lines(log.String()) {
@@ -295,7 +295,7 @@
 // ms is the auditor's clock.
 func ms() float64 { return float64(time.Now().UnixMicro()) / 1e3 }
 
-func (c *crew) kill(k int) {
+func (c *cluster) kill(k int) {
 	require.NoError(c.t, c.nodes[k].cmd.Process.Kill())
 	select {
 	case <-c.nodes[k].ended:
@@ -304,9 +304,9 @@
 	}
 }
 
-// Whatever becomes of the process that took an op, whoever comes with its key hears of one outcome, and it ran once.
+// Whatever becomes of the process that took a request, whoever comes with its key hears of one outcome, and it ran once.
 func TestAnOpSurvivesItsNode(t *testing.T) {
-	c := newCrew(t, 3, 3)
+	c := newCluster(t, 3, 3)
 	defer c.judge()
 	status, text := c.ask(0, "pay", "pay-calm", "4000", "x")
 	require.Equal(t, 200, status, text)
@@ -332,7 +332,7 @@
 	close(held)
 	both.Wait()
 
-	// Killed with one push out that may have run, and one op that may run again.
+	// Killed with one attempt out that may have run, and one request that may run again.
 	begun, held = c.hold("pay-lost")
 	defer close(held)
 	begun2, held2 := c.hold("check-lost")
@@ -361,9 +361,9 @@
 	require.Equal(t, 200, status, text)
 }
 
-// Frozen with a push out and resumed after the takeover: the deposed one gives no outcome of its own that differs.
+// Frozen with an attempt out and resumed after the takeover: the deposed one gives no outcome of its own that differs.
 func TestAFrozenNodeIsDeposed(t *testing.T) {
-	c := newCrew(t, 3, 3)
+	c := newCluster(t, 3, 3)
 	defer c.judge()
 	begun, held := c.hold("pay-frozen")
 	answers := make(chan int, 1)
@@ -384,10 +384,10 @@
 	require.Equal(t, 502, status)
 }
 
-// Cut off from all its peers but not from clients and backends: what may not go alone is nacked at once, the rest goes on,
+// Cut off from all its peers but not from clients and backends: what may not go alone is rejected at once, the rest goes on,
 // and what it had is the others'. Healed, all is whole again.
 func TestACutOffNodeGoesByWhatItsCategoriesSay(t *testing.T) {
-	c := newCrew(t, 3, 3)
+	c := newCluster(t, 3, 3)
 	defer c.judge()
 	begun, held := c.hold("pay-cut")
 	answers := make(chan int, 1)
@@ -397,8 +397,8 @@
 	}()
 	<-begun
 	for k := 1; k < 3; k++ {
-		c.wires[0][k].Set(faultproxy.Fault{Drop: true})
-		c.wires[k][0].Set(faultproxy.Fault{Drop: true})
+		c.proxies[0][k].Set(faultproxy.Fault{Drop: true})
+		c.proxies[k][0].Set(faultproxy.Fault{Drop: true})
 	}
 	status, text := c.ask(1, "pay", "pay-cut", "4500", "x")
 	require.Equal(t, 502, status, text)
@@ -413,13 +413,13 @@
 	require.Equal(t, 503, status)
 	require.Less(t, time.Since(begunAt), 2*time.Second, "answered at once, not held")
 	require.Zero(t, c.times("pay-alone"))
-	require.Eventually(t, func() bool { // once the module no longer takes the held op's time for a crowd
+	require.Eventually(t, func() bool { // once the module no longer takes the held request's time for a crowd
 		status, _ := c.ask(0, "check", "check-alone", "4000", "x")
 		return status == 200
 	}, 10*time.Second, 50*time.Millisecond)
 	for k := 1; k < 3; k++ {
-		c.wires[0][k].Set(faultproxy.Fault{})
-		c.wires[k][0].Set(faultproxy.Fault{})
+		c.proxies[0][k].Set(faultproxy.Fault{})
+		c.proxies[k][0].Set(faultproxy.Fault{})
 	}
 	c.whole()
 	require.Eventually(t, func() bool {
@@ -428,9 +428,9 @@
 	}, 10*time.Second, 50*time.Millisecond)
 }
 
-// An answer too long to be kept is given to whoever has the op, and nobody else hears more than that there was one.
+// An answer too long to be kept is given to whoever has the request, and nobody else hears more than that there was one.
 func TestLongAnswersAreNotKept(t *testing.T) {
-	c := newCrew(t, 3, 3)
+	c := newCluster(t, 3, 3)
 	for k, want := range []int{1 << 20, 0} {
 		r, err := http.NewRequest("POST", "http://"+c.nodes[k].address+"/pay", strings.NewReader("x"))
 		require.NoError(t, err)
@@ -449,15 +449,15 @@
 	require.Equal(t, 1, c.times("long"))
 }
 
-// Clients leave while their op's push waits for its record, the links between the processes being slow, or cut right then: none runs
-// once all is whole again. Its key is free, unless an heir took the op over meanwhile, which can't know that it never ran.
+// Clients leave while their request's attempt waits for its record, the links between the processes being slow, or cut right then: none runs
+// once all is whole again. Its key is free, unless an heir took the request over meanwhile, which can't know that it never ran.
 func TestAKeptOpWhoseClientLeavesBeforeItsRecord(t *testing.T) {
-	c := newCrew(t, 3, 3)
+	c := newCluster(t, 3, 3)
 	defer c.judge()
 	links := func(f faultproxy.Fault) {
 		for k := 1; k < 3; k++ {
-			c.wires[0][k].Set(f)
-			c.wires[k][0].Set(f)
+			c.proxies[0][k].Set(f)
+			c.proxies[k][0].Set(f)
 		}
 	}
 	looks := controlsocket.NewClient(c.nodes[0].control, 5*time.Second)
--- a/cmd/pearknot/ready_test.go
+++ b/cmd/pearknot/ready_test.go
@@ -131,7 +131,7 @@
 }
 
 // A node that is told to end or is killed, and starts anew, is ready within 10 s whatever discovery is like: by its list where it
-// has one or can have it, else 10 s after that can be had. What it calls ready is: it answers an op.
+// has one or can have it, else 10 s after that can be had. What it calls ready is: it answers a request.
 func TestReadyWhateverDiscoveryIsLike(t *testing.T) {
 	for m := range moods {
 		for _, mode := range []string{"subscribe", "automatic"} {
--- a/cmd/pearknot/shape_test.go
+++ b/cmd/pearknot/shape_test.go
@@ -21,7 +21,7 @@
 	`["mean_ms"]`, `["concurrent","depth"]`, `"tenants":[]`, `"tenants":[{"name":"one","quotaPerS":50}]`, `"registryMode":"subscribe"`,
 	`"registryMode":"automatic"`).Replace(settings)
 
-// pair is two backends, the first of them silent, and what each op had out there at most at once.
+// pair is two backends, the first of them silent, and what each request had out there at most at once.
 type pair struct {
 	mu        sync.Mutex
 	out, most map[string]int
@@ -37,7 +37,7 @@
 			id := r.Header.Get("X-Trace-Id")
 			p.count(id, 1)
 			defer p.count(id, -1)
-			// Without a queue: a wait reported where none is met would keep ops away from the backend not met yet.
+			// Without a queue: a wait reported where none is met would keep requests away from the backend not met yet.
 			rw.Header().Set("Endpoint-Load-Metrics", "TEXT concurrent=3, depth=0")
 			if k == 0 {
 				select {
@@ -83,7 +83,7 @@
 	return address
 }
 
-// One build serves both layouts, and the settings alone tell which: beside one of two backends that is silent, an op of a
+// One build serves both layouts, and the settings alone tell which: beside one of two backends that is silent, a request of a
 // pool's node has a second copy out, one of a node beside its client never; each has one final answer within its time.
 func TestBothShapes(t *testing.T) {
 	for name, c := range map[string]struct {
--- a/cmd/pearknot/signals_test.go
+++ b/cmd/pearknot/signals_test.go
@@ -114,7 +114,7 @@
 	assert.NoError(t, <-w.ended)
 }
 
-// A node all of whose ops are short is told to end: it closed its listener at once, though new connections go on coming for
+// A node all of whose requests are short is told to end: it closed its listener at once, though new connections go on coming for
 // 0.2 to 0.4 s, and each was refused or closed with no answer.
 func TestAnEndAmongShortOps(t *testing.T) {
 	w := startWith(t, strings.NewReplacer(`"ttl":6000`, `"ttl":250`, `"ttl":4000`, `"ttl":250`).Replace(settings), 256,
--- a/cmd/pearknot/tls_test.go
+++ b/cmd/pearknot/tls_test.go
@@ -201,7 +201,7 @@
 	assert.Equal(t, 2, status)
 }
 
-// Connections with an op in hand each, without a pause between two, over three swaps: each op has its one answer, no
+// Connections with a request in hand each, without a pause between two, over three swaps: each request has its one answer, no
 // connection breaks, no handshake fails, and old certificates end with the connections that began by them. Two thousand of
 // them where PEARKNOT_CONNECTIONS says so: see docs/tls.md, 4.
 func TestSwapUnderConnections(t *testing.T) {
@@ -283,7 +283,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	pushed := map[string]int{}
-	for _, id := range w.pushes {
+	for _, id := range w.attempts {
 		pushed[id]++
 		assert.Equal(t, 1, pushed[id], "at-most-once")
 	}
@@ -385,7 +385,7 @@
 	}
 }
 
-// BenchmarkMemory tells what an open connection between ops costs a real node.
+// BenchmarkMemory tells what an open connection between requests costs a real node.
 func BenchmarkMemory(b *testing.B) {
 	const count = 500
 	for _, kind := range []string{"plain", "tls"} {
--- a/cmd/pearknot/upgrade_test.go
+++ b/cmd/pearknot/upgrade_test.go
@@ -29,11 +29,11 @@
 	dir      string // TMPDIR of all its processes
 	address  string
 	file     string
-	backends [2]atomic.Int64 // pushes
+	backends [2]atomic.Int64 // attempts
 	mu       sync.Mutex
-	pushes   map[string]int // by id
+	attempts map[string]int // by id
 	faults   []string       // what clients met
-	nacked   []string       // ids
+	rejected []string       // ids
 	asked    atomic.Int64
 }
 
@@ -41,7 +41,7 @@
 	dir, err := os.MkdirTemp("", "pk") // short: a socket's path is bounded
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	r := &rig{t: t, dir: dir, pushes: map[string]int{}, address: reserved(t)}
+	r := &rig{t: t, dir: dir, attempts: map[string]int{}, address: reserved(t)}
 	list := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	t.Cleanup(list.Close)
 	var entries []string
@@ -50,7 +50,7 @@
 			r.backends[k].Add(1)
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.pushes[q.Header.Get("X-Trace-Id")]++
+			r.attempts[q.Header.Get("X-Trace-Id")]++
 		}))
 		t.Cleanup(s.Close)
 		entries = append(entries, strings.Replace(entry(s.Listener.Addr().String(), "up"), "s-1", fmt.Sprint("s-", k+1), 1))
@@ -143,7 +143,7 @@
 					_ = answer.Body.Close()
 					if answer.StatusCode == http.StatusServiceUnavailable {
 						r.mu.Lock()
-						r.nacked = append(r.nacked, id)
+						r.rejected = append(r.rejected, id)
 						r.mu.Unlock()
 					} else if answer.StatusCode != http.StatusOK {
 						err = fmt.Errorf("status %d", answer.StatusCode)
@@ -178,7 +178,7 @@
 	assert.Contains(r.t, o.log(), "ended unanswered=0")
 }
 
-// Upgrades in a row under load, at-most-once ops always in flight: no op lost, refused or run twice, and a ban holds.
+// Upgrades in a row under load, at-most-once requests always in flight: no request lost, refused or run twice, and a ban holds.
 func TestUpgrades(t *testing.T) {
 	r := newRig(t)
 	now := r.launch(true)
@@ -202,15 +202,15 @@
 	require.Eventually(t, func() bool { return r.backends[1].Load() > out }, 5*time.Second, time.Millisecond)
 	stop()
 	assert.Empty(t, r.faults)
-	for id, times := range r.pushes {
+	for id, times := range r.attempts {
 		assert.Equal(t, 1, times, id)
 	}
-	for _, id := range r.nacked {
-		assert.Zero(t, r.pushes[id], id)
+	for _, id := range r.rejected {
+		assert.Zero(t, r.attempts[id], id)
 	}
-	// What was on its way to the backend taken out finds the other full, and is nacked: no more than all clients at once.
-	assert.LessOrEqual(t, len(r.nacked), 8)
-	assert.Equal(t, int(r.asked.Load()), len(r.pushes)+len(r.nacked))
+	// What was on its way to the backend taken out finds the other full, and is rejected: no more than all clients at once.
+	assert.LessOrEqual(t, len(r.rejected), 8)
+	assert.Equal(t, int(r.asked.Load()), len(r.attempts)+len(r.rejected))
 }
 
 // Either process may be killed at any moment: the other is the node.
@@ -353,7 +353,7 @@
 	assert.Contains(t, older.log(), "handing over to the next process")
 	assert.Contains(t, older.log(), "ended unanswered=0")
 	assert.Empty(t, r.faults)
-	for id, times := range r.pushes {
+	for id, times := range r.attempts {
 		assert.Equal(t, 1, times, id)
 	}
 }
