--- a/cmd/pearknot/capture.go
+++ b/cmd/pearknot/capture.go
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// dumpWithin is how long a node may take to write its memory out.
+// dumpTimeout is how long a node may take to write its memory out.
 const dumpTimeout = 30 * time.Second
 
 func replayCommand() *cobra.Command {
@@ -243,11 +243,11 @@
 	_ = cut.MarkFlagRequired("out")
 	dump := &cobra.Command{Use: "dump SOCKET", Short: "Have a node write its capture in memory to a file, by its control socket", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			var w controlsocket.Written
+			var w controlsocket.CaptureFile
 			if err := controlsocket.NewClient(args[0], dumpTimeout).Call(c.Context(), http.MethodPost, controlsocket.CapturePath, nil, &w); err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), w.File)
+			fmt.Fprintln(c.OutOrStdout(), w.Name)
 			return nil
 		}}
 	root.AddCommand(cut, dump)
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -110,18 +110,18 @@
 		var v View
 		var next chan struct{}
 		if err := a.onActor(r.Context(), func() { v, next = a.view(), a.changed }); err != nil {
-			controlsocket.Fail(w, http.StatusServiceUnavailable, err.Error())
+			controlsocket.WriteError(w, http.StatusServiceUnavailable, err.Error())
 			return
 		}
 		if !watching || v.Seq > since || ctx.Err() != nil {
-			controlsocket.Answer(w, http.StatusOK, v)
+			controlsocket.WriteJSON(w, http.StatusOK, v)
 			return
 		}
 		select {
 		case <-next:
 		case <-ctx.Done():
 		case <-a.done:
-			controlsocket.Fail(w, http.StatusServiceUnavailable, "the agent ends")
+			controlsocket.WriteError(w, http.StatusServiceUnavailable, "the agent ends")
 			return
 		}
 	}
@@ -129,30 +129,30 @@
 
 func (a *Agent) postWrite(w http.ResponseWriter, r *http.Request) {
 	var x Write
-	if err := controlsocket.Decode(r, &x); err != nil {
-		controlsocket.Fail(w, http.StatusBadRequest, err.Error())
+	if err := controlsocket.DecodeBody(r, &x); err != nil {
+		controlsocket.WriteError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	author := author(controlsocket.Who(r.Context()))
+	author := author(controlsocket.CallerOf(r.Context()))
 	var out Written
 	var err error
 	if e := a.onActor(r.Context(), func() { out, err = a.applyWrite(x, author) }); e != nil {
-		controlsocket.Fail(w, http.StatusServiceUnavailable, e.Error())
+		controlsocket.WriteError(w, http.StatusServiceUnavailable, e.Error())
 		return
 	}
 	var conflict *fleet.ConflictError
 	var busy *fleet.BusyError
 	switch {
 	case err == nil:
-		controlsocket.Answer(w, http.StatusOK, out)
+		controlsocket.WriteJSON(w, http.StatusOK, out)
 	case errors.As(err, &conflict), errors.As(err, &busy):
-		controlsocket.Fail(w, http.StatusConflict, err.Error())
+		controlsocket.WriteError(w, http.StatusConflict, err.Error())
 	case errors.Is(err, fleet.ErrNoChange):
-		controlsocket.Fail(w, NothingToChange, err.Error())
+		controlsocket.WriteError(w, NothingToChange, err.Error())
 	case errors.Is(err, errStateNotWritten):
-		controlsocket.Fail(w, http.StatusInsufficientStorage, err.Error())
+		controlsocket.WriteError(w, http.StatusInsufficientStorage, err.Error())
 	default:
-		controlsocket.Fail(w, http.StatusUnprocessableEntity, err.Error())
+		controlsocket.WriteError(w, http.StatusUnprocessableEntity, err.Error())
 	}
 }
 
@@ -295,12 +295,12 @@
 			h.Generations = append(h.Generations, g.Number)
 		}
 	}); err != nil {
-		controlsocket.Fail(w, http.StatusServiceUnavailable, err.Error())
+		controlsocket.WriteError(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
 	slices.Reverse(h.Changes)
 	h.Changes = h.Changes[:min(most, len(h.Changes))]
-	controlsocket.Answer(w, http.StatusOK, h)
+	controlsocket.WriteJSON(w, http.StatusOK, h)
 }
 
 // Logs are the last lines of an instance's log.
@@ -317,11 +317,11 @@
 	}
 	known := false
 	if err := a.onActor(r.Context(), func() { known = slices.Contains(a.fleet.Names(), name) }); err != nil {
-		controlsocket.Fail(w, http.StatusServiceUnavailable, err.Error())
+		controlsocket.WriteError(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
 	if !known {
-		controlsocket.Fail(w, http.StatusNotFound, fmt.Sprintf("instance %s is not known", name))
+		controlsocket.WriteError(w, http.StatusNotFound, fmt.Sprintf("instance %s is not known", name))
 		return
 	}
 	p := instanceFiles{a.options.Dir, name}
@@ -330,5 +330,5 @@
 		l.Lines = nil
 	}
 	l.Out, _ = tail(p.outputFile(), lines)
-	controlsocket.Answer(w, http.StatusOK, l)
+	controlsocket.WriteJSON(w, http.StatusOK, l)
 }
--- a/internal/agent/rebuild.go
+++ b/internal/agent/rebuild.go
@@ -42,7 +42,7 @@
 		}
 		a.fleet.Adopt(a.now(), p.name, s.Token, s.PID, s.Digest, s.Epoch)
 		i := set[p.name]
-		i.Name, i.Listen, i.Digest, i.Discovery, i.Desired, i.Epoch = p.name, s.Listen, s.Digest, s.List, fleet.Running, s.Epoch
+		i.Name, i.Listen, i.Digest, i.Discovery, i.Desired, i.Epoch = p.name, s.Listen, s.Digest, s.ListAddress, fleet.Running, s.Epoch
 		if was, had := set[p.name]; had { // as it was declared, not as the kernel worded it
 			i.Listen = was.Listen
 		}
--- a/internal/agent/rounds.go
+++ b/internal/agent/rounds.go
@@ -154,7 +154,7 @@
 		return 0, p.signal(a.fleet.Records[x.Name].Token, syscall.SIGKILL)
 	case fleet.StepAdmit, fleet.StepWithdraw:
 		return 0, controlsocket.NewClient(p.socket(), a.options.CallTimeout).Call(ctx, "POST", controlsocket.ServicePath,
-			controlsocket.Service{In: x.Step == fleet.StepAdmit, Why: x.Reason}, nil)
+			controlsocket.Service{InService: x.Step == fleet.StepAdmit, Reason: x.Reason}, nil)
 	case fleet.StepForget:
 		lock, err := p.tryLock()
 		if err != nil || lock == nil {
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -104,7 +104,7 @@
 // readStart starts an instance, in place of one with the same number.
 func (h *Host) readStart(r *reader, number uint32) {
 	seed := r.u64()
-	deployment, err := config.FromLines(r.take(int(r.u32())))
+	deployment, err := config.ParseLines(r.take(int(r.u32())))
 	if r.err != nil {
 		return
 	}
@@ -116,7 +116,7 @@
 	if former := h.instances[number]; former != nil {
 		former.stopped = true
 	}
-	i := &instance{number: number, classes: len(deployment.Classes), reportFields: deployment.Report,
+	i := &instance{number: number, classes: len(deployment.Classes), reportFields: deployment.LoadReportFields,
 		requests: map[uint64]*balancer.Request{}, backends: map[uint64]*balancer.Backend{}}
 	h.instances[number] = i
 	h.touch(i)
