--- a/cmd/pearknot/deploy_test.go
+++ b/cmd/pearknot/deploy_test.go
@@ -80,7 +80,7 @@
 	require.NoError(t, err)
 	var want []string
 	for name := range strings.Lines(string(out)) {
-		if name, ours := strings.CutPrefix(strings.TrimSpace(name), "pearknot/"); ours && name != "balance" {
+		if name, ours := strings.CutPrefix(strings.TrimSpace(name), "pearknot/"); ours && name != "balancer" {
 			want = append(want, name)
 		}
 	}
