--- a/cmd/pearknot/call.go
+++ b/cmd/pearknot/call.go
@@ -21,7 +21,7 @@
 		Short: "Make a call at a node's second address; 3 where the answer is no, 1 where there is none",
 		RunE: func(c *cobra.Command, args []string) error {
 			line := strings.Join(args[1:], " ")
-			if _, err := admin.Parse([]byte(line)); err != nil {
+			if _, err := admin.ParseCommand([]byte(line)); err != nil {
 				return cli.UsageError(err)
 			}
 			if _, _, err := net.SplitHostPort(args[0]); err != nil {
@@ -29,7 +29,7 @@
 			}
 			ctx, cancel := context.WithTimeout(c.Context(), within)
 			defer cancel()
-			answer, yes, err := admin.Ask(ctx, args[0], line)
+			answer, yes, err := admin.SendLine(ctx, args[0], line)
 			if err != nil {
 				return err
 			}
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -9,22 +9,26 @@
 	"strings"
 )
 
-// Ask makes a call and gives the answer's line; yes tells what it begins with.
-func Ask(ctx context.Context, address, line string) (answer string, yes bool, err error) {
-	var d net.Dialer
-	to, err := d.DialContext(ctx, "tcp", address)
+// maxAnswerBytes bounds what a client reads of an answer.
+const maxAnswerBytes = 4 << 10
+
+// SendLine sends a command's line to an address while the context lasts, and returns the answer's line without its newline. isYes
+// tells whether it is YES or NO; anything else is an error.
+func SendLine(ctx context.Context, address, line string) (answer string, isYes bool, err error) {
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return "", false, err
 	}
-	defer to.Close()
-	if until, ok := ctx.Deadline(); ok {
-		_ = to.SetDeadline(until)
+	defer conn.Close()
+	if deadline, ok := ctx.Deadline(); ok {
+		_ = conn.SetDeadline(deadline)
 	}
-	defer context.AfterFunc(ctx, func() { _ = to.Close() })()
-	if _, err := io.WriteString(to, line+"\n"); err != nil {
+	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
+	if _, err := io.WriteString(conn, line+"\n"); err != nil {
 		return "", false, err
 	}
-	answer, err = bufio.NewReader(io.LimitReader(to, 4<<10)).ReadString('\n')
+	answer, err = bufio.NewReader(io.LimitReader(conn, maxAnswerBytes)).ReadString('\n')
 	if err != nil {
 		return "", false, fmt.Errorf("no answer: %w", err)
 	}
--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -173,7 +173,7 @@
 func (n *node) untilYes(p *process) error {
 	for begun := time.Now(); time.Since(begun) < yesWithin; {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		_, yes, err := admin.Ask(ctx, n.control, "health")
+		_, yes, err := admin.SendLine(ctx, n.control, "health")
 		cancel()
 		if err == nil && yes {
 			return nil
@@ -215,7 +215,7 @@
 func (n *node) call(line string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	answer, yes, err := admin.Ask(ctx, n.control, line)
+	answer, yes, err := admin.SendLine(ctx, n.control, line)
 	if err == nil && !yes {
 		err = errors.New(answer)
 	}
--- a/internal/serve/pair.go
+++ b/internal/serve/pair.go
@@ -86,7 +86,7 @@
 	p.mu.Lock()
 	p.before = link
 	p.mu.Unlock()
-	p.budget.SetLimit(p.limit - int(olderShare*float64(p.limit)) - admin.Descriptors) // the other has a second address, too
+	p.budget.SetLimit(p.limit - int(olderShare*float64(p.limit)) - admin.MaxDescriptors) // the other has a second address, too
 	p.remember(2)
 	if !reflect.DeepEqual(s.Zones, p.place.names.Zones) || !reflect.DeepEqual(s.Kinds, p.place.names.Kinds) {
 		p.log.Warn("what the process before has learned is of other zones or kinds and not taken")
@@ -208,7 +208,7 @@
 	for {
 		used := p.budget.Used() + onTheWay
 		p.budget.SetLimit(used)
-		to.SendDescriptorLimit(used + admin.Descriptors)
+		to.SendDescriptorLimit(used + admin.MaxDescriptors)
 		select {
 		case <-ctx.Done():
 			return
@@ -231,14 +231,14 @@
 }
 
 // call is an operator's, carried out here and in the other process.
-func (p *pair) call(ctx context.Context, c admin.Call) (string, error) {
+func (p *pair) call(ctx context.Context, c admin.Command) (string, error) {
 	if !p.serves.Load() {
 		return "", errors.New("not serving yet")
 	}
 	if c.Verb == admin.Health {
 		return p.health()
 	}
-	there := hotrestart.Call{Verb: string(c.Verb), ID: c.ID}
+	there := hotrestart.Call{Verb: string(c.Verb), ID: c.Backend}
 	text, err := p.do(ctx, there)
 	other := p.other()
 	if other == nil || err != nil && !errors.Is(err, node.ErrNeverListed) {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -88,7 +88,7 @@
 		limit -= tlsReserve
 	}
 	if p.control != "" {
-		limit -= admin.Descriptors
+		limit -= admin.MaxDescriptors
 	}
 	if o.Peers != nil {
 		if err := o.Peers.fits(p); err != nil {
@@ -117,7 +117,7 @@
 	both.remember(1)
 	second := ""
 	if p.control != "" {
-		c, err := admin.Open(p.control, both.call, log)
+		c, err := admin.Start(p.control, both.call, log)
 		if err != nil {
 			return fmt.Errorf("second address: %w", err)
 		}
