--- a/balancer/admission_tenants_test.go
+++ b/balancer/admission_tenants_test.go
@@ -24,9 +24,10 @@
 	return math.Max(0, 1-1/odds), rates
 }
 
-// The sum of all tenants' rates that is updated as requests arrive is theirs added up, but for what the tenants of half a minute
-// ago and earlier still have, less than a thousandth of a request each, which each by itself counts as nothing. Another
-// configuration begins anew, and a snapshot goes on where it was, one of a build that stored no sum with the sum.
+// The sum of all tenants' rates that is updated as requests arrive is theirs added up, but for what the tenants of half
+// a minute ago and earlier still have, less than a thousandth of a request each, which each by itself counts as
+// nothing. Another configuration begins anew, and a snapshot goes on where it was, one of a build that stored no sum
+// with the sum.
 func TestTenantRateIsTheSum(t *testing.T) {
 	const tenants = 40
 	config := func() *Config {
@@ -39,7 +40,7 @@
 	}
 	h := newHarness(t, config(), 3)
 	chance := rand.New(rand.NewPCG(1, 2))
-	beyond, most := 0, 0.0
+	beyond, maxDifference := 0, 0.0
 	arrive := func(n *Balancer) {
 		h.now += 40 * chance.ExpFloat64()
 		if chance.IntN(500) == 0 {
@@ -58,7 +59,7 @@
 		if excess > 0.3 {
 			beyond++
 		}
-		most = math.Max(most, math.Abs(excess-request.overQuota))
+		maxDifference = math.Max(maxDifference, math.Abs(excess-request.overQuota))
 		n.ClientGone(h.now, request)
 		for _, more := n.Next(); more; _, more = n.Next() {
 		}
@@ -67,7 +68,7 @@
 		arrive(h.balancer)
 	}
 	assert.Greater(t, beyond, 1000)
-	t.Logf("differs by %.1e at most", most)
+	t.Logf("differs by %.1e at most", maxDifference)
 
 	s, err := h.balancer.Snapshot(nil, h.backends)
 	require.NoError(t, err)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// A slow machine's share goes by what warmed-up backends take for their speed: by weight alone, the shares of fourteen nodes
-// overloaded a slow backend that had just started.
+// A slow machine's share goes by what warmed-up backends take for their speed: by weight alone, the shares of fourteen
+// nodes overloaded a slow backend that had just started.
 func TestSlowStartBudgetOfSlowMachines(t *testing.T) {
 	budgetOfKind := func(kind int) (spent float64) {
 		config := testConfig()
@@ -63,16 +63,16 @@
 	assert.Greater(t, budgetOfKind(0), 1.5*budgetOfKind(1))
 }
 
-// A zone comes back with all backends just started. Of 80 nodes each one's share of a backend's budget is less than a request,
-// and none sent any. By draws they use the backends, and all of them together keep the budget in every window, at twice the
-// usual number of requests and with more nodes up than configured.
+// A zone comes back with all backends just started. Of 80 nodes each one's share of a backend's budget is less than a
+// request, and none sent any. By draws they use the backends, and all of them together keep the budget in every window,
+// at twice the usual number of requests and with more nodes up than configured.
 func TestDrawsKeepTheSlowStartBudgetTogether(t *testing.T) {
 	const nodes, up, backends, span = 80, 90, 12, 2000.0
 	for seed := range uint64(4) {
 		rng := newMultiplyWithCarry(seed*0x9e3779b97f4a7c15 + 1)
 		sent, when := make([][]float64, backends), make([][]float64, backends)
 		var balancers []*Balancer
-		var cold [][]*Backend
+		var backendsOf [][]*Backend
 		for k := range uint64(up) {
 			config := testConfig()
 			config.Nodes, config.Seed, config.OverloadMultiple, config.OverloadWindow = nodes, (seed*up+k)*0xbf58476d1ce4e5b9+7, 4, span
@@ -80,7 +80,7 @@
 			h.setState(BackendReady, h.now, h.backends...)
 			h.balancer.estimates.work = runningMean{25, 50}
 			*h.balancer.estimates.paces.byKind.at(0) = paceEstimate{2e5, 1e5} // half a standard core
-			balancers, cold = append(balancers, h.balancer), append(cold, h.backends)
+			balancers, backendsOf = append(balancers, h.balancer), append(backendsOf, h.backends)
 		}
 		for now := 1000.0; now < 7000; now += 5 {
 			for k, n := range balancers {
@@ -88,7 +88,7 @@
 					continue
 				}
 				work, at := 25*math.Exp(1.2*math.Sqrt(-2*math.Log(1-rng.nextUnit()))*math.Cos(2*math.Pi*rng.nextUnit())-0.72), rng.nextBelow(backends)
-				if b := cold[k][at]; n.hasSlowStartBudget(b, work) {
+				if b := backendsOf[k][at]; n.hasSlowStartBudget(b, work) {
 					b.recentWork.add(now, span, work)
 					sent[at], when[at] = append(sent[at], work), append(when[at], now)
 				}
--- a/cmd/pearknot/controlplane_test.go
+++ b/cmd/pearknot/controlplane_test.go
@@ -555,7 +555,7 @@
 	require.Contains(t, p.processes["n2"].log.String(), "configuration version rejected")
 }
 
-// No member lives: a node starts from its last good copy, whatever its file says, and a SIGHUP doesn't undo it; a damaged copy is set
+// No member incarnations: a node starts from its last good copy, whatever its file says, and a SIGHUP doesn't undo it; a damaged copy is set
 // aside with one line.
 func TestANodeStartsFromItsCopy(t *testing.T) {
 	t.Parallel()
@@ -574,7 +574,7 @@
 	require.Nil(t, s.AgeMs, "nobody has told it how old that is")
 	p.signal("n1", syscall.SIGHUP)
 	p.within(5*time.Second, "SIGHUP heard", func() bool {
-		return strings.Contains(p.processes["n1"].log.String(), "settings of the file not taken: the control plane's hold")
+		return strings.Contains(p.processes["n1"].log.String(), "settings of the file ignored, the control plane's are in force")
 	})
 	s, err = p.holds("n1")
 	require.NoError(t, err)
@@ -751,8 +751,8 @@
 	file := filepath.Join(p.dir, "state", "n1.copy")
 	p.within(5*time.Second, "kept on disk", func() bool { _, err := os.Stat(file); return err == nil })
 	start("new")
-	require.Contains(t, p.processes["new"].log.String(), "settings of the copy")
-	require.Contains(t, p.processes["old"].log.String(), "another process follows this one")
+	require.Contains(t, p.processes["new"].log.String(), "starting with the stored control plane settings")
+	require.Contains(t, p.processes["old"].log.String(), "successor process connected")
 	p.everywhere(version, time.Now(), "old", "new")
 	version, at = p.apply(tenants(5, 4002))
 	p.everywhere(version, at, "old", "new")
