--- a/internal/serve/hotrestart.go
+++ b/internal/serve/hotrestart.go
@@ -102,7 +102,7 @@
 	r.mu.Lock()
 	r.predecessor = link
 	r.mu.Unlock()
-	predecessorUses := int(predecessorShare*float64(r.maxDescriptors)) + admin.Descriptors // it has an admin address, too
+	predecessorUses := int(predecessorShare*float64(r.maxDescriptors)) + admin.MaxDescriptors // it has an admin address, too
 	r.budget.SetLimit(r.maxDescriptors - predecessorUses)
 	r.setMemoryLimit(2)
 	names := r.config.deploymentNames
@@ -258,7 +258,7 @@
 	for {
 		used := r.budget.Used() + descriptorMargin
 		r.budget.SetLimit(used)
-		successor.SendDescriptorLimit(used + admin.Descriptors)
+		successor.SendDescriptorLimit(used + admin.MaxDescriptors)
 		select {
 		case <-ctx.Done():
 			return
@@ -282,14 +282,14 @@
 }
 
 // handleAdminCall carries out an operator's call here and in the other process.
-func (r *restartCoordinator) handleAdminCall(ctx context.Context, call admin.Call) (string, error) {
+func (r *restartCoordinator) handleAdminCall(ctx context.Context, call admin.Command) (string, error) {
 	if !r.serves.Load() {
 		return "", errors.New("not serving yet")
 	}
 	if call.Verb == admin.Health {
 		return r.health()
 	}
-	forwarded := hotrestart.Call{Verb: string(call.Verb), ID: call.ID}
+	forwarded := hotrestart.Call{Verb: string(call.Verb), ID: call.Backend}
 	text, err := r.handleCall(ctx, forwarded)
 	other := r.otherProcess()
 	if other == nil || err != nil && !errors.Is(err, node.ErrNeverListed) {
--- a/internal/serve/process.go
+++ b/internal/serve/process.go
@@ -76,7 +76,7 @@
 		limit -= tlsDescriptors
 	}
 	if p.config.adminAddress != "" {
-		limit -= admin.Descriptors
+		limit -= admin.MaxDescriptors
 	}
 	if p.options.Peers != nil {
 		if err := p.options.Peers.bind(p.config); err != nil {
@@ -114,7 +114,7 @@
 // openAdmin opens the operators' address.
 func (p *process) openAdmin() error {
 	if p.config.adminAddress != "" {
-		adminServer, err := admin.Open(p.config.adminAddress, p.restart.handleAdminCall, p.log)
+		adminServer, err := admin.Start(p.config.adminAddress, p.restart.handleAdminCall, p.log)
 		if err != nil {
 			return fmt.Errorf("second address: %w", err)
 		}
