--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -11,10 +11,10 @@
 const maxQueuedFrames = 4096
 
 // link is the two connections to one member, as the actor knows them. The member counts as connected while both are up, and
-// belong to one incarnation: only then can each process be sure that the other hears what it is told.
+// belong to one incarnation: only then does each process receive what the other sends.
 //
 // Each connection is closed by itself. When closing one closed the other too, two processes that reconnected at the same
-// time kept closing each other's new connections, and stayed apart for long.
+// time closed each other's new connections over and over, and stayed apart for long.
 type link struct {
 	outbound           *outboundConn // nil is none
 	inbound            net.Conn      // nil is none
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -34,7 +34,7 @@
 	Replicas    int      // of each request log
 	Keys        [][]byte // the first is used to prove, each is accepted
 	MaxLogBytes int      // that the ledger of one request log may hold
-	AnswerTTL   float64  // ms that an answer is kept
+	AnswerTTL   float64  // ms for which an answer is stored
 }
 
 // frameReserveBytes is what a frame, or a queue of frames, may take beside the snapshot of a ledger.
--- a/internal/requestlog/calls.go
+++ b/internal/requestlog/calls.go
@@ -154,7 +154,7 @@
 		record.LeaderTime, record.Caller, record.CallSeq = m.now, caller, call.Seq
 		if err := log.node.Propose(snapshot.Append(nil, &record)); err != nil {
 			// A transfer of the leadership is under way, or too many bytes are uncommitted. Neither lasts, so the caller is
-			// told to come again and not that the log is full.
+			// asked to come again, and LogFull would be wrong.
 			m.replyTo(caller, CallReply{Seq: call.Seq, Result: NotLeader})
 		}
 	}
--- a/internal/requestlog/heartbeat.go
+++ b/internal/requestlog/heartbeat.go
@@ -9,7 +9,7 @@
 const (
 	// heartbeatIntervalMs is how often a member sends heartbeats: ten in PeerTimeoutMs.
 	heartbeatIntervalMs = 100.0
-	// removedReplicaLingerMs is how long a replica that was removed from its log's voters is kept and still votes.
+	// removedReplicaLingerMs is how long a replica that was removed from its log's voters stays and still votes.
 	removedReplicaLingerMs = 2000.0
 )
 
--- a/internal/requestlog/member.go
+++ b/internal/requestlog/member.go
@@ -9,7 +9,7 @@
 	"pearknot/internal/snapshot"
 )
 
-// Config is what a member is told at its start.
+// Config is the configuration of a member.
 type Config struct {
 	Members     []string // names, the same in the same order at all members
 	Self        int      // this member's index among them
@@ -17,7 +17,7 @@
 	Replicas    int      // of each log
 	Seed        uint64   // of the election timeouts
 	MaxLogBytes int      // that the ledger of one log may hold
-	AnswerTTL   float64  // ms that an answer is kept
+	AnswerTTL   float64  // ms for which an answer is stored
 	InjectedBug InjectedBug
 }
 
--- a/internal/requestlog/replica.go
+++ b/internal/requestlog/replica.go
@@ -124,7 +124,7 @@
 	return err
 }
 
-// silentLogger drops what a raft node logs: what operators need of it, Member logs itself. Fatal and Panic are kept, which
+// silentLogger drops what a raft node logs: what operators need of it, Member logs itself. Fatal and Panic stay, which
 // end the process where a raft node finds its state broken.
 type silentLogger struct{ raft.Logger }
 
