--- a/internal/serve/tlsfile.go
+++ b/internal/serve/tlsfile.go
@@ -85,10 +85,10 @@
 		Address:          content.Listen,
 		ChallengeAddress: content.Challenge,
 		ACME: acme.Options{
-			Dir:    content.Dir,
-			AnswerHTTP:   content.Challenge != "",
-			AnswerTLS:    content.ALPN,
-			Limits: content.Limits.limits(),
+			Dir:        content.Dir,
+			AnswerHTTP: content.Challenge != "",
+			AnswerTLS:  content.ALPN,
+			Limits:     content.Limits.limits(),
 		},
 	}
 	if options.ACME.Names, err = certificateNames(file, content.Certificates); err != nil {
