--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -199,7 +199,7 @@
 	for _, x := range records {
 		require.NoError(t, e.Feed(x))
 	}
-	require.Contains(t, said.String(), "taken over from another node: request 1, its attempt at 900.000, timed out as far as is known, to backend 63")
+	require.Contains(t, said.String(), "earlier attempt request 1, attempt of another node at 900.000, last known as timed out, to backend 63")
 }
 
 // A node that restarts within a capture is another epoch of the same name.
