--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent looks after the instances of the program on one host. It carries out what internal/fleet decides, stores the
-// state, and serves the API that operators call. Instances outlive the agent; the next one finds them by their locks and
-// adopts them.
+// Package agent looks after the instances of the program on one host. It carries out what internal/fleet decides,
+// stores the state, and serves the API that operators call. Instances outlive the agent; the next one finds them by
+// their locks and adopts them.
 package agent
 
 import (
@@ -54,33 +54,33 @@
 }
 
 // New opens the stored state of a directory. Nothing is started or observed before Run.
-func New(o Options, log *slog.Logger) (*Agent, error) {
-	if o.OnPoint == nil {
-		o.OnPoint = func(string) {}
+func New(options Options, log *slog.Logger) (*Agent, error) {
+	if options.OnPoint == nil {
+		options.OnPoint = func(string) {}
 	}
-	if err := makeDirectories(o.Dir); err != nil {
+	if err := makeDirectories(options.Dir); err != nil {
 		return nil, err
 	}
-	a := &Agent{options: o, clock: clock.New(), log: log, mailbox: mailbox.New[func()](), done: make(chan struct{}), changed: make(chan struct{}),
+	agent := &Agent{options: options, clock: clock.New(), log: log, mailbox: mailbox.New[func()](), done: make(chan struct{}), changed: make(chan struct{}),
 		nextRound: time.NewTimer(0)}
-	s, state, recovered, err := openStore(o.Dir, log)
+	stateStore, state, recovered, err := openStore(options.Dir, log)
 	if err != nil {
 		return nil, err
 	}
-	a.store, a.fleet = s, fleet.New(state, o.Timing)
+	agent.store, agent.fleet = stateStore, fleet.New(state, options.Timing)
 	if recovered {
-		if err := a.rebuildState(); err != nil {
-			_ = s.close()
+		if err := agent.rebuildState(); err != nil {
+			_ = stateStore.close()
 			return nil, err
 		}
 	}
-	return a, nil
+	return agent, nil
 }
 
 // makeDirectories creates the layout of an agent's directory.
 func makeDirectories(dir string) error {
-	for _, d := range []string{"", "run", "logs", "configs"} {
-		if err := os.MkdirAll(filepath.Join(dir, d), 0o700); err != nil {
+	for _, name := range []string{"", "run", "logs", "configs"} {
+		if err := os.MkdirAll(filepath.Join(dir, name), 0o700); err != nil {
 			return err
 		}
 	}
@@ -91,14 +91,14 @@
 
 // Run serves the API and looks after the instances until ctx ends. The instances go on running.
 func (a *Agent) Run(ctx context.Context) error {
-	l, err := controlsocket.Listen(a.options.Socket)
+	listener, err := controlsocket.Listen(a.options.Socket)
 	if err != nil {
 		return err
 	}
 	server := controlsocket.NewServer(a.api())
 	failed := make(chan error, 1)
 	go func() {
-		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			failed <- err
 		}
 	}()
@@ -118,8 +118,8 @@
 		case err := <-failed:
 			return err
 		case <-a.mailbox.Ready():
-			for _, f := range a.mailbox.TakeAll(nil) {
-				f()
+			for _, task := range a.mailbox.TakeAll(nil) {
+				task()
 			}
 		case <-a.nextRound.C:
 			a.runRound(ctx)
@@ -128,9 +128,9 @@
 }
 
 // onActor runs f on the actor's goroutine and waits for it.
-func (a *Agent) onActor(ctx context.Context, f func()) error {
+func (a *Agent) onActor(ctx context.Context, task func()) error {
 	done := make(chan struct{})
-	a.mailbox.Put(func() { f(); close(done) })
+	a.mailbox.Put(func() { task(); close(done) })
 	select {
 	case <-done:
 		return nil
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -22,8 +22,8 @@
 	LogsPath    = "/v1/logs"
 )
 
-// View is the fleet as the agent knows it: what is declared, what was observed, and when. Its JSON keeps the names of earlier
-// versions.
+// View is the fleet as the agent knows it: what is declared, what was observed, and when. Its JSON keeps the names
+// of earlier versions.
 type View struct {
 	Revision   uint64         `json:"revision"`
 	Generation uint64         `json:"generation"`
@@ -67,36 +67,36 @@
 }
 
 func (a *Agent) api() http.Handler {
-	m := http.NewServeMux()
-	m.HandleFunc("GET "+FleetPath, a.getFleet)
-	m.HandleFunc("POST "+WritePath, a.postWrite)
-	m.HandleFunc("GET "+HistoryPath, a.getHistory)
-	m.HandleFunc("GET "+LogsPath, a.getLogs)
-	return m
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET "+FleetPath, a.getFleet)
+	mux.HandleFunc("POST "+WritePath, a.postWrite)
+	mux.HandleFunc("GET "+HistoryPath, a.getHistory)
+	mux.HandleFunc("GET "+LogsPath, a.getLogs)
+	return mux
 }
 
 // view returns the current view. It is called on the actor's goroutine.
 func (a *Agent) view() View {
 	now := a.now()
-	g := a.fleet.Current()
-	v := View{Revision: a.fleet.Revision, Generation: g.Number, Now: now, Seq: a.viewVersion, Rolling: a.options.Rolling}
-	if c := a.fleet.Latest(); c != nil {
-		copied := c.Clone() // the actor goes on changing it while the answer is encoded
-		v.Change = &copied
+	generation := a.fleet.Current()
+	view := View{Revision: a.fleet.Revision, Generation: generation.Number, Now: now, Seq: a.viewVersion, Rolling: a.options.Rolling}
+	if change := a.fleet.Latest(); change != nil {
+		copied := change.Clone() // the actor goes on changing it while the answer is encoded
+		view.Change = &copied
 	}
 	if a.writeError != nil {
-		v.WriteError = a.writeError.Error()
+		view.WriteError = a.writeError.Error()
 	}
 	for _, name := range a.fleet.Names() {
-		verdict, why := a.fleet.Verdict(now, name)
-		r := a.fleet.Records[name]
-		i := InstanceView{Name: name, Observation: a.fleet.Observation(now, name), Verdict: verdict, Reason: why, RecentFailures: len(r.Failures), LastFailure: r.LastFailure}
-		if d, ok := g.Set[name]; ok {
-			i.Declared = &d
+		verdict, reason := a.fleet.Verdict(now, name)
+		record := a.fleet.Records[name]
+		instance := InstanceView{Name: name, Observation: a.fleet.Observation(now, name), Verdict: verdict, Reason: reason, RecentFailures: len(record.Failures), LastFailure: record.LastFailure}
+		if declared, ok := generation.Set[name]; ok {
+			instance.Declared = &declared
 		}
-		v.Instances = append(v.Instances, i)
+		view.Instances = append(view.Instances, instance)
 	}
-	return v
+	return view
 }
 
 // getFleet answers with the view. With the parameter since it waits until the view is newer, for at most wait_ms.
@@ -107,14 +107,14 @@
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(min(max(wait, 0), 60_000))*time.Millisecond)
 	defer cancel()
 	for {
-		var v View
+		var view View
 		var next chan struct{}
-		if err := a.onActor(r.Context(), func() { v, next = a.view(), a.changed }); err != nil {
+		if err := a.onActor(r.Context(), func() { view, next = a.view(), a.changed }); err != nil {
 			controlsocket.WriteError(w, http.StatusServiceUnavailable, err.Error())
 			return
 		}
-		if !watching || v.Seq > since || ctx.Err() != nil {
-			controlsocket.WriteJSON(w, http.StatusOK, v)
+		if !watching || view.Seq > since || ctx.Err() != nil {
+			controlsocket.WriteJSON(w, http.StatusOK, view)
 			return
 		}
 		select {
@@ -128,23 +128,23 @@
 }
 
 func (a *Agent) postWrite(w http.ResponseWriter, r *http.Request) {
-	var x Write
-	if err := controlsocket.DecodeBody(r, &x); err != nil {
+	var write Write
+	if err := controlsocket.DecodeBody(r, &write); err != nil {
 		controlsocket.WriteError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	author := author(controlsocket.CallerOf(r.Context()))
-	var out Written
+	var written Written
 	var err error
-	if e := a.onActor(r.Context(), func() { out, err = a.applyWrite(x, author) }); e != nil {
-		controlsocket.WriteError(w, http.StatusServiceUnavailable, e.Error())
+	if actorErr := a.onActor(r.Context(), func() { written, err = a.applyWrite(write, author) }); actorErr != nil {
+		controlsocket.WriteError(w, http.StatusServiceUnavailable, actorErr.Error())
 		return
 	}
 	var conflict *fleet.ConflictError
 	var busy *fleet.BusyError
 	switch {
 	case err == nil:
-		controlsocket.WriteJSON(w, http.StatusOK, out)
+		controlsocket.WriteJSON(w, http.StatusOK, written)
 	case errors.As(err, &conflict), errors.As(err, &busy):
 		controlsocket.WriteError(w, http.StatusConflict, err.Error())
 	case errors.Is(err, fleet.ErrNoChange):
@@ -162,45 +162,45 @@
 var errStateNotWritten = errors.New("state can't be written")
 
 // author returns the caller's user name, or its uid if the system knows no name.
-func author(c controlsocket.Caller) string {
-	id := strconv.FormatUint(uint64(c.UID), 10)
-	if u, err := user.LookupId(id); err == nil {
-		return u.Username
+func author(caller controlsocket.Caller) string {
+	id := strconv.FormatUint(uint64(caller.UID), 10)
+	if account, err := user.LookupId(id); err == nil {
+		return account.Username
 	}
 	return "uid " + id
 }
 
 // applyWrite takes an operator's change. The change is durable before it is answered and before its first step.
-func (a *Agent) applyWrite(x Write, author string) (Written, error) {
-	if x.Reason == "" {
+func (a *Agent) applyWrite(write Write, author string) (Written, error) {
+	if write.Reason == "" {
 		return Written{}, errors.New("give a reason")
 	}
 	options := a.options.Rolling
-	if x.Options != nil {
-		options = *x.Options
+	if write.Options != nil {
+		options = *write.Options
 	}
 	before := a.fleet.CopyState()
-	set, err := a.declaredSet(x)
+	set, err := a.declaredSet(write)
 	if err != nil {
 		return Written{}, err
 	}
-	var c fleet.Change
-	if x.Command == "rollback" && x.To == 0 {
-		c, err = a.fleet.RollBack(a.now(), x.Revision, author, x.Reason)
+	var change fleet.Change
+	if write.Command == "rollback" && write.To == 0 {
+		change, err = a.fleet.RollBack(a.now(), write.Revision, author, write.Reason)
 	} else {
-		what := x.Command
-		if x.Command == "rollback" {
-			what = fmt.Sprintf("rollback to generation %d", x.To)
+		command := write.Command
+		if write.Command == "rollback" {
+			command = fmt.Sprintf("rollback to generation %d", write.To)
 		}
-		c, err = a.fleet.Propose(a.now(), x.Revision, set, fleet.Change{Author: author, Reason: x.Reason, Command: what, Options: options})
+		change, err = a.fleet.Propose(a.now(), write.Revision, set, fleet.Change{Author: author, Reason: write.Reason, Command: command, Options: options})
 	}
 	if err != nil {
 		return Written{}, err
 	}
-	out := Written{Revision: a.fleet.Revision, Change: c, Instances: slices.Clone(c.Order)}
-	if x.DryRun {
+	written := Written{Revision: a.fleet.Revision, Change: change, Instances: slices.Clone(change.Order)}
+	if write.DryRun {
 		a.fleet.RestoreState(before)
-		return out, nil
+		return written, nil
 	}
 	a.options.OnPoint("proposed")
 	if !a.save() {
@@ -208,10 +208,10 @@
 		return Written{}, fmt.Errorf("%w: %w", errStateNotWritten, a.writeError)
 	}
 	a.options.OnPoint("planned")
-	a.log.Info("change", "id", c.ID, "what", c.Command, "author", author, "reason", x.Reason, "instances", len(c.Order))
+	a.log.Info("change", "id", change.ID, "what", change.Command, "author", author, "reason", write.Reason, "instances", len(change.Order))
 	a.removeUnusedConfigs()
 	a.scheduleRound()
-	return out, nil
+	return written, nil
 }
 
 // declaredSet returns the set of instances that a write asks for.
@@ -284,23 +284,23 @@
 }
 
 func (a *Agent) getHistory(w http.ResponseWriter, r *http.Request) {
-	most, err := strconv.Atoi(r.URL.Query().Get("n"))
-	if err != nil || most <= 0 {
-		most = 20
+	limit, err := strconv.Atoi(r.URL.Query().Get("n"))
+	if err != nil || limit <= 0 {
+		limit = 20
 	}
-	var h History
+	var history History
 	if err := a.onActor(r.Context(), func() {
-		h.Revision, h.Changes = a.fleet.Revision, a.fleet.CopyState().Changes
-		for _, g := range a.fleet.Generations {
-			h.Generations = append(h.Generations, g.Number)
+		history.Revision, history.Changes = a.fleet.Revision, a.fleet.CopyState().Changes
+		for _, generation := range a.fleet.Generations {
+			history.Generations = append(history.Generations, generation.Number)
 		}
 	}); err != nil {
 		controlsocket.WriteError(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
-	slices.Reverse(h.Changes)
-	h.Changes = h.Changes[:min(most, len(h.Changes))]
-	controlsocket.WriteJSON(w, http.StatusOK, h)
+	slices.Reverse(history.Changes)
+	history.Changes = history.Changes[:min(limit, len(history.Changes))]
+	controlsocket.WriteJSON(w, http.StatusOK, history)
 }
 
 // Logs are the last lines of an instance's log.
@@ -324,11 +324,11 @@
 		controlsocket.WriteError(w, http.StatusNotFound, fmt.Sprintf("instance %s is not known", name))
 		return
 	}
-	p := instanceFiles{a.options.Dir, name}
-	var l Logs
-	if l.Lines, err = tail(p.logFile(), lines); err != nil {
-		l.Lines = nil
+	files := instanceFiles{a.options.Dir, name}
+	var logs Logs
+	if logs.Lines, err = tail(files.logFile(), lines); err != nil {
+		logs.Lines = nil
 	}
-	l.Out, _ = tail(p.outputFile(), lines)
-	controlsocket.WriteJSON(w, http.StatusOK, l)
+	logs.Out, _ = tail(files.outputFile(), lines)
+	controlsocket.WriteJSON(w, http.StatusOK, logs)
 }
--- a/internal/agent/configs.go
+++ b/internal/agent/configs.go
@@ -28,19 +28,19 @@
 // removeUnusedConfigs removes configurations that no stored generation or record names.
 func (a *Agent) removeUnusedConfigs() {
 	named := map[string]bool{}
-	for _, g := range a.fleet.Generations {
-		for _, i := range g.Set {
-			named[i.Digest] = true
+	for _, generation := range a.fleet.Generations {
+		for _, instance := range generation.Set {
+			named[instance.Digest] = true
 		}
 	}
-	for _, r := range a.fleet.Records {
-		named[r.Digest] = true
+	for _, record := range a.fleet.Records {
+		named[record.Digest] = true
 	}
 	files, _ := filepath.Glob(filepath.Join(a.options.Dir, "configs", "*.json"))
-	for _, f := range files {
-		base := filepath.Base(f)
+	for _, file := range files {
+		base := filepath.Base(file)
 		if !named[base[:len(base)-len(".json")]] {
-			_ = os.Remove(f)
+			_ = os.Remove(file)
 		}
 	}
 }
--- a/internal/agent/file.go
+++ b/internal/agent/file.go
@@ -199,8 +199,8 @@
 	return instances, configs, nil
 }
 
-// Configure replaces values in a configuration and returns its text, with the addresses that the node listens at and polls its
-// endpoint list from. Empty values replace nothing.
+// Configure replaces values in a configuration and returns its text, with the addresses that the node listens at
+// and polls its endpoint list from. Empty values replace nothing.
 func Configure(data []byte, values, limits map[string]any) (text, listen, list string, err error) {
 	var c map[string]any
 	d := json.NewDecoder(bytes.NewReader(data))
--- a/internal/agent/lists.go
+++ b/internal/agent/lists.go
@@ -14,46 +14,47 @@
 // maxListBytes bounds what is read of an endpoint list: some ten thousand backends.
 const maxListBytes = 4 << 20
 
-// checkLists reads the declared sources of endpoint lists, so that each instance's list can be compared with its source.
+// checkLists reads the declared sources of endpoint lists, so that each instance's list can be compared with its
+// source.
 func (a *Agent) checkLists() {
 	sources := map[string]bool{}
-	for _, i := range a.fleet.Current().Set {
-		if i.Desired == fleet.Running && i.Discovery != "" {
-			sources[i.Discovery] = true
+	for _, instance := range a.fleet.Current().Set {
+		if instance.Desired == fleet.Running && instance.Discovery != "" {
+			sources[instance.Discovery] = true
 		}
 	}
 	for source := range sources {
 		a.probes.Add(1)
 		go func() {
 			defer a.probes.Done()
-			w, err := readSourceDigest(source, a.options.CallTimeout)
-			w.ReadAt = a.now()
+			digest, err := readSourceDigest(source, a.options.CallTimeout)
+			digest.ReadAt = a.now()
 			a.mailbox.Put(func() {
 				if err != nil { // no witness is no verdict
 					a.log.Debug("endpoint list read failed", "source", source, "error", err)
 				}
-				a.fleet.SourceRead(source, w)
+				a.fleet.SourceRead(source, digest)
 			})
 		}()
 	}
 }
 
 // readSourceDigest reads a complete endpoint list from its source.
-func readSourceDigest(source string, within time.Duration) (w fleet.SourceDigest, err error) {
-	c := http.Client{Timeout: within, Transport: &http.Transport{DisableKeepAlives: true,
-		DialContext: (&net.Dialer{Timeout: within}).DialContext}}
-	answer, err := c.Get("http://" + source + "/catalog/members")
+func readSourceDigest(source string, timeout time.Duration) (digest fleet.SourceDigest, err error) {
+	client := http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true,
+		DialContext: (&net.Dialer{Timeout: timeout}).DialContext}}
+	response, err := client.Get("http://" + source + "/catalog/members")
 	if err != nil {
-		return w, err
+		return digest, err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return w, errors.New(answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return digest, errors.New(response.Status)
 	}
-	data, err := io.ReadAll(io.LimitReader(answer.Body, maxListBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
-		return w, err
+		return digest, err
 	}
-	w.Version, w.Digest, err = discovery.ReadDigest(data)
-	return w, err
+	digest.Version, digest.Digest, err = discovery.ReadDigest(data)
+	return digest, err
 }
--- a/internal/agent/points.go
+++ b/internal/agent/points.go
@@ -9,8 +9,8 @@
 	"syscall"
 )
 
-// KillVariable makes the agent kill itself at a named point, so that tests see how the next one recovers: NAME:N is the Nth
-// time that it passes there.
+// KillVariable makes the agent kill itself at a named point, so that tests see how the next one recovers: NAME:N is
+// the Nth time that it passes there.
 const KillVariable = "PEARKNOT_AGENT_KILL_AT"
 
 // Points are the names of the points, in the order of a change.
--- a/internal/agent/rebuild.go
+++ b/internal/agent/rebuild.go
@@ -9,8 +9,8 @@
 	"pearknot/internal/fleet"
 )
 
-// rebuildState declares the instances that run, on top of the latest snapshot, after the state file was found corrupt: nothing
-// is stopped because a file was damaged.
+// rebuildState declares the instances that run, on top of the latest snapshot, after the state file was found
+// corrupt: nothing is stopped because a file was damaged.
 func (a *Agent) rebuildState() error {
 	locks, err := filepath.Glob(filepath.Join(a.options.Dir, "run", "*.lock"))
 	if err != nil {
@@ -21,9 +21,9 @@
 		set = fleet.Set{}
 	}
 	found := 0
-	for _, l := range locks {
-		p := instanceFiles{a.options.Dir, filepath.Base(l[:len(l)-len(".lock")])}
-		lock, err := p.tryLock()
+	for _, lockPath := range locks {
+		files := instanceFiles{a.options.Dir, filepath.Base(lockPath[:len(lockPath)-len(".lock")])}
+		lock, err := files.tryLock()
 		if err != nil {
 			return err
 		}
@@ -31,22 +31,22 @@
 			_ = lock.Close()
 			continue
 		}
-		var s controlsocket.Status
+		var status controlsocket.Status
 		ctx, cancel := context.WithTimeout(context.Background(), a.options.CallTimeout)
-		err = controlsocket.NewClient(p.socket(), a.options.CallTimeout).Call(ctx, "GET", controlsocket.StatusPath, nil, &s)
+		err = controlsocket.NewClient(files.socket(), a.options.CallTimeout).Call(ctx, "GET", controlsocket.StatusPath, nil, &status)
 		cancel()
-		h, noted := p.lockHolder()
-		if err != nil || noted != nil || h.Token != s.Token || h.PID != s.PID {
-			a.log.Error("running instance not adopted", "instance", p.name, "error", err)
+		holder, holderErr := files.lockHolder()
+		if err != nil || holderErr != nil || holder.Token != status.Token || holder.PID != status.PID {
+			a.log.Error("running instance not adopted", "instance", files.name, "error", err)
 			continue
 		}
-		a.fleet.Adopt(a.now(), p.name, s.Token, s.PID, s.Digest, s.Epoch)
-		i := set[p.name]
-		i.Name, i.Listen, i.Digest, i.Discovery, i.Desired, i.Epoch = p.name, s.Listen, s.Digest, s.ListAddress, fleet.Running, s.Epoch
-		if was, had := set[p.name]; had { // as it was declared, not as the kernel worded it
-			i.Listen = was.Listen
+		a.fleet.Adopt(a.now(), files.name, status.Token, status.PID, status.Digest, status.Epoch)
+		instance := set[files.name]
+		instance.Name, instance.Listen, instance.Digest, instance.Discovery, instance.Desired, instance.Epoch = files.name, status.Listen, status.Digest, status.ListAddress, fleet.Running, status.Epoch
+		if declared, isDeclared := set[files.name]; isDeclared { // as it was declared, not as the kernel worded it
+			instance.Listen = declared.Listen
 		}
-		set[p.name] = i
+		set[files.name] = instance
 		found++
 	}
 	a.fleet.DeclareRunning(a.now(), set, fmt.Sprintf("state rebuilt, %d running instances adopted", found))
--- a/internal/agent/rounds.go
+++ b/internal/agent/rounds.go
@@ -21,8 +21,8 @@
 // scheduleRound makes the next round begin at once.
 func (a *Agent) scheduleRound() { a.nextRound.Reset(0) }
 
-// runRound observes all instances, lets the fleet plan, and carries out the steps that are due. The next round follows after
-// BusyInterval while something is in progress, else after IdleInterval.
+// runRound observes all instances, lets the fleet plan, and carries out the steps that are due. The next round
+// follows after BusyInterval while something is in progress, else after IdleInterval.
 func (a *Agent) runRound(ctx context.Context) {
 	a.observeAll(ctx)
 	if ctx.Err() != nil {
@@ -35,12 +35,12 @@
 	actions := a.fleet.Plan(a.now())
 	a.carryOut(ctx, actions)
 	a.notifyWatchers()
-	c := a.fleet.Latest()
-	busy := len(actions) > 0 || c != nil && !c.Status.IsFinal()
-	if !busy {
-		for _, r := range a.fleet.Records {
-			s := a.fleet.Observation(a.now(), r.Name)
-			busy = busy || s.Phase == fleet.PhaseStarting || s.Phase == fleet.PhaseShuttingDown
+	change := a.fleet.Latest()
+	isBusy := len(actions) > 0 || change != nil && !change.Status.IsFinal()
+	if !isBusy {
+		for _, record := range a.fleet.Records {
+			observation := a.fleet.Observation(a.now(), record.Name)
+			isBusy = isBusy || observation.Phase == fleet.PhaseStarting || observation.Phase == fleet.PhaseShuttingDown
 		}
 		if a.store.newerThanSnapshot {
 			if err := a.store.snapshot(); err != nil {
@@ -50,7 +50,7 @@
 		}
 	}
 	wait := a.options.IdleInterval
-	if busy {
+	if isBusy {
 		wait = a.options.BusyInterval
 	}
 	a.nextRound.Reset(wait)
@@ -63,29 +63,29 @@
 		observation fleet.Observation
 	}
 	names := a.fleet.Names()
-	out := make(chan result, len(names))
+	results := make(chan result, len(names))
 	slots := make(chan struct{}, maxParallelProbes)
 	for _, name := range names {
-		r := a.fleet.Records[name]
+		record := a.fleet.Records[name]
 		slots <- struct{}{}
 		a.probes.Add(1)
 		go func() {
 			defer a.probes.Done()
 			defer func() { <-slots }()
-			out <- result{name, instanceFiles{a.options.Dir, name}.observe(ctx, r, a.now, a.options.CallTimeout)}
+			results <- result{name, instanceFiles{a.options.Dir, name}.observe(ctx, record, a.now, a.options.CallTimeout)}
 		}()
 	}
 	for range names {
-		observed := <-out
-		if r := a.fleet.Records[observed.name]; observed.observation.Phase == fleet.PhaseDown && r.StartedAt > 0 {
-			why := "ended by itself"
+		observed := <-results
+		if record := a.fleet.Records[observed.name]; observed.observation.Phase == fleet.PhaseDown && record.StartedAt > 0 {
+			reason := "ended by itself"
 			if lines, err := tail((instanceFiles{a.options.Dir, observed.name}).outputFile(), 1); err == nil && len(lines) > 0 && lines[0] != "" {
-				why += ": " + lines[0]
+				reason += ": " + lines[0]
 			}
-			if r.TerminatedAt == 0 && r.PendingStep != fleet.StepStart {
-				a.log.Warn("instance exited", "instance", observed.name, "why", why)
+			if record.TerminatedAt == 0 && record.PendingStep != fleet.StepStart {
+				a.log.Warn("instance exited", "instance", observed.name, "why", reason)
 			}
-			a.fleet.InstanceExited(a.now(), observed.name, why)
+			a.fleet.InstanceExited(a.now(), observed.name, reason)
 		}
 		a.fleet.Observe(observed.name, observed.observation)
 	}
@@ -104,8 +104,8 @@
 	return err == nil
 }
 
-// carryOut takes steps. They are stored as pending first, then taken, then stored as done, so that an agent that crashes
-// anywhere between leaves a record of what it may have done.
+// carryOut takes steps. They are stored as pending first, then taken, then stored as done, so that an agent that
+// crashes anywhere between leaves a record of what it may have done.
 func (a *Agent) carryOut(ctx context.Context, actions []fleet.Action) {
 	if len(actions) == 0 {
 		a.save()
@@ -113,35 +113,35 @@
 	}
 	before := a.fleet.CopyState()
 	tokens := make([]string, len(actions))
-	for i, x := range actions {
+	for i, action := range actions {
 		tokens[i] = newToken()
-		a.fleet.StepStarted(a.now(), x, tokens[i])
+		a.fleet.StepStarted(a.now(), action, tokens[i])
 	}
 	if !a.save() {
 		a.fleet.RestoreState(before)
 		return
 	}
 	a.options.OnPoint("begun")
-	for i, x := range actions {
-		pid, err := a.carryOutStep(ctx, x, tokens[i])
+	for i, action := range actions {
+		pid, err := a.carryOutStep(ctx, action, tokens[i])
 		if err != nil {
-			a.log.Error("step failed", "step", x.Step, "instance", x.Name, "error", err)
+			a.log.Error("step failed", "step", action.Step, "instance", action.Name, "error", err)
 		} else {
-			a.log.Info("step taken", "step", x.Step, "instance", x.Name, "why", x.Reason, "pid", pid)
+			a.log.Info("step taken", "step", action.Step, "instance", action.Name, "why", action.Reason, "pid", pid)
 		}
-		a.options.OnPoint(string(x.Step))
-		a.fleet.StepEnded(a.now(), x, pid, err)
+		a.options.OnPoint(string(action.Step))
+		a.fleet.StepEnded(a.now(), action, pid, err)
 	}
 	a.save() // where it can't be, the records say that the steps were begun: they are looked at again
 	a.options.OnPoint("ended")
 }
 
 // carryOutStep takes one step and returns the process id for StepStart.
-func (a *Agent) carryOutStep(ctx context.Context, x fleet.Action, token string) (pid int, err error) {
-	p := instanceFiles{a.options.Dir, x.Name}
-	switch x.Step {
+func (a *Agent) carryOutStep(ctx context.Context, action fleet.Action, token string) (pid int, err error) {
+	files := instanceFiles{a.options.Dir, action.Name}
+	switch action.Step {
 	case fleet.StepStart:
-		return p.start(a.options.Binary, x.Instance, token, a.options.OnPoint, func(error) {
+		return files.start(a.options.Binary, action.Instance, token, a.options.OnPoint, func(error) {
 			select {
 			case <-a.done:
 			default:
@@ -149,19 +149,19 @@
 			}
 		})
 	case fleet.StepTerminate:
-		return 0, p.signal(a.fleet.Records[x.Name].Token, syscall.SIGTERM)
+		return 0, files.signal(a.fleet.Records[action.Name].Token, syscall.SIGTERM)
 	case fleet.StepKill:
-		return 0, p.signal(a.fleet.Records[x.Name].Token, syscall.SIGKILL)
+		return 0, files.signal(a.fleet.Records[action.Name].Token, syscall.SIGKILL)
 	case fleet.StepAdmit, fleet.StepWithdraw:
-		return 0, controlsocket.NewClient(p.socket(), a.options.CallTimeout).Call(ctx, "POST", controlsocket.ServicePath,
-			controlsocket.Service{InService: x.Step == fleet.StepAdmit, Reason: x.Reason}, nil)
+		return 0, controlsocket.NewClient(files.socket(), a.options.CallTimeout).Call(ctx, "POST", controlsocket.ServicePath,
+			controlsocket.Service{InService: action.Step == fleet.StepAdmit, Reason: action.Reason}, nil)
 	case fleet.StepForget:
-		lock, err := p.tryLock()
+		lock, err := files.tryLock()
 		if err != nil || lock == nil {
 			return 0, errors.Join(err, errors.New("still held"))
 		}
 		defer func() { _ = lock.Close() }()
-		for _, name := range []string{p.socket(), p.lockFile()} {
+		for _, name := range []string{files.socket(), files.lockFile()} {
 			if err := os.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return 0, err
 			}
@@ -170,21 +170,21 @@
 	return 0, nil
 }
 
-// notifyWatchers wakes clients that watch the fleet when something in it has changed. Values that change all the time, such as
-// the number of open requests, do not count.
+// notifyWatchers wakes clients that watch the fleet when something in it has changed. Values that change all the
+// time, such as the number of open requests, do not count.
 func (a *Agent) notifyWatchers() {
-	h, now := xxhash.New(), a.now()
-	fmt.Fprintln(h, a.fleet.Revision, a.writeError)
-	if c := a.fleet.Latest(); c != nil {
-		fmt.Fprintln(h, c.Status, c.Reached, len(c.Healthy))
+	hash, now := xxhash.New(), a.now()
+	fmt.Fprintln(hash, a.fleet.Revision, a.writeError)
+	if change := a.fleet.Latest(); change != nil {
+		fmt.Fprintln(hash, change.Status, change.Reached, len(change.Healthy))
 	}
 	for _, name := range a.fleet.Names() {
-		verdict, why := a.fleet.Verdict(now, name)
-		s := a.fleet.Observation(now, name)
-		fmt.Fprintln(h, name, verdict, why, s.Phase, s.InService, s.PID, s.Digest)
+		verdict, reason := a.fleet.Verdict(now, name)
+		observation := a.fleet.Observation(now, name)
+		fmt.Fprintln(hash, name, verdict, reason, observation.Phase, observation.InService, observation.PID, observation.Digest)
 	}
-	if s := h.Sum64(); s != a.viewDigest {
-		a.viewDigest = s
+	if digest := hash.Sum64(); digest != a.viewDigest {
+		a.viewDigest = digest
 		a.viewVersion++
 		close(a.changed)
 		a.changed = make(chan struct{})
--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -33,8 +33,8 @@
 
 var bucket = []byte("state")
 
-// store is the agent's durable state, with one writer. Every value has a checksum, and one key holds the checksum of all, so
-// that truncated or altered data is found when it is read.
+// store is the agent's durable state, with one writer. Every value has a checksum, and one key holds the checksum
+// of all, so that truncated or altered data is found when it is read.
 type store struct {
 	dir               string
 	db                *bbolt.DB
@@ -51,16 +51,16 @@
 // errSchema means that another version of the agent wrote the state. The file is left as it is.
 var errSchema = errors.New("another schema")
 
-// openStore opens the state of a directory. A corrupt file is moved aside and replaced by the latest snapshot; recovered
-// reports that, and that what is observed to run takes precedence over what was read.
-func openStore(dir string, log *slog.Logger) (s *store, state fleet.State, recovered bool, err error) {
-	s = &store{dir: dir, onDisk: map[string]string{}, log: log}
+// openStore opens the state of a directory. A corrupt file is moved aside and replaced by the latest snapshot;
+// recovered reports that, and that what is observed to run takes precedence over what was read.
+func openStore(dir string, log *slog.Logger) (opened *store, state fleet.State, recovered bool, err error) {
+	opened = &store{dir: dir, onDisk: map[string]string{}, log: log}
 	path := filepath.Join(dir, stateFile)
-	kept, err := readState(path)
+	stored, err := readState(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		kept = nil
-		if _, e := os.Stat(filepath.Join(dir, snapshotFile)); e == nil { // the state is missing, but not its snapshot
+		stored = nil
+		if _, statErr := os.Stat(filepath.Join(dir, snapshotFile)); statErr == nil { // the state is missing, but not its snapshot
 			recovered = true
 		}
 	case errors.Is(err, errSchema), errors.Is(err, errLocked), errors.Is(err, os.ErrPermission):
@@ -71,94 +71,94 @@
 		if err := os.Rename(path, aside); err != nil {
 			return nil, state, false, err
 		}
-		kept, recovered = nil, true
+		stored, recovered = nil, true
 	}
 	if recovered {
-		if kept, err = readSnapshot(filepath.Join(dir, snapshotFile)); err != nil {
+		if stored, err = readSnapshot(filepath.Join(dir, snapshotFile)); err != nil {
 			log.Error("state snapshot unreadable, rebuilding state from running instances", "error", err)
-			kept = nil
+			stored = nil
 		}
 	}
-	if state, err = decode(kept); err != nil { // its checksums are right, so an operator has to look
+	if state, err = decode(stored); err != nil { // its checksums are right, so an operator has to look
 		return nil, state, false, fmt.Errorf("%s: %w", path, err)
 	}
 	// The content is written to a new file, so that damage in a place that reading does not touch ends here.
-	if err := s.createDatabase(path, kept); err != nil {
+	if err := opened.createDatabase(path, stored); err != nil {
 		return nil, state, false, err
 	}
-	return s, state, recovered, nil
+	return opened, state, recovered, nil
 }
 
-func (s *store) createDatabase(path string, kept map[string]string) error {
-	fresh := path + ".new"
-	if err := os.Remove(fresh); err != nil && !errors.Is(err, fs.ErrNotExist) {
+func (s *store) createDatabase(path string, stored map[string]string) error {
+	newPath := path + ".new"
+	if err := os.Remove(newPath); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	db, err := bbolt.Open(fresh, 0o600, &bbolt.Options{Timeout: time.Second})
+	db, err := bbolt.Open(newPath, 0o600, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
 		return err
 	}
 	s.db = db
-	if err := s.write(kept, nil); err != nil {
+	if err := s.write(stored, nil); err != nil {
 		_ = db.Close()
 		return err
 	}
-	return os.Rename(fresh, path)
+	return os.Rename(newPath, path)
 }
 
 func (s *store) close() error { return s.db.Close() }
 
 // save writes what has changed, in one transaction that is durable when save returns.
 func (s *store) save(state fleet.State) error {
-	now, err := encode(state)
+	encoded, err := encode(state)
 	if err != nil {
 		return err
 	}
-	var gone []string
+	var removed []string
 	changed := map[string]string{}
-	for key, value := range now {
+	for key, value := range encoded {
 		if s.onDisk[key] != value {
 			changed[key] = value
 		}
 	}
 	for key := range s.onDisk {
-		if _, there := now[key]; !there {
-			gone = append(gone, key)
+		if _, exists := encoded[key]; !exists {
+			removed = append(removed, key)
 		}
 	}
-	if len(changed) == 0 && len(gone) == 0 {
+	if len(changed) == 0 && len(removed) == 0 {
 		return nil
 	}
-	return s.write(changed, gone)
+	return s.write(changed, removed)
 }
 
-func (s *store) write(changed map[string]string, gone []string) error {
+func (s *store) write(changed map[string]string, removed []string) error {
 	next := make(map[string]string, len(s.onDisk)+len(changed))
-	for k, v := range s.onDisk {
-		next[k] = v
+	for key, value := range s.onDisk {
+		next[key] = value
 	}
-	for k, v := range changed {
-		next[k] = v
+	for key, value := range changed {
+		next[key] = value
 	}
-	for _, k := range gone {
-		delete(next, k)
+	for _, key := range removed {
+		delete(next, key)
 	}
 	err := s.db.Update(func(tx *bbolt.Tx) error {
-		b, err := tx.CreateBucketIfNotExists(bucket)
+		stateBucket, err := tx.CreateBucketIfNotExists(bucket)
 		if err != nil {
 			return err
 		}
-		for _, k := range gone {
-			if err := b.Delete([]byte(k)); err != nil {
+		for _, key := range removed {
+			if err := stateBucket.Delete([]byte(key)); err != nil {
 				return err
 			}
 		}
-		for k, v := range changed {
-			if err := b.Put([]byte(k), boltfile.EncodeValue(v)); err != nil {
+		for key, value := range changed {
+			if err := stateBucket.Put([]byte(key), boltfile.EncodeValue(value)); err != nil {
 				return err
 			}
 		}
-		return b.Put([]byte("sum"), checksumOfAll(next))
+		return stateBucket.Put([]byte("sum"), checksumOfAll(next))
 	})
 	if err == nil {
 		s.onDisk, s.newerThanSnapshot = next, true
@@ -182,26 +182,26 @@
 // checksumOfAll returns a checksum over all keys and values that does not depend on their order.
 func checksumOfAll(all map[string]string) []byte {
 	sum := uint64(len(all))
-	for k, v := range all {
-		sum += xxhash.Sum64String(k + "\x00" + v)
+	for key, value := range all {
+		sum += xxhash.Sum64String(key + "\x00" + value)
 	}
 	return binary.BigEndian.AppendUint64(nil, sum)
 }
 
 // readState reads a state file and verifies every checksum.
-func readState(path string) (kept map[string]string, err error) {
+func readState(path string) (stored map[string]string, err error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
 	}
 	if err := boltfile.CheckMetaPages(path); err != nil {
 		return nil, err
 	}
-	// bbolt maps the file: one that was truncated is mapped beyond its end, and altered pages may point anywhere. Either shows as a
-	// fault of the memory or a panic in bbolt.
+	// bbolt maps the file: one that was truncated is mapped beyond its end, and altered pages may point anywhere.
+	// Either shows as a fault of the memory or a panic in bbolt.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if fault := recover(); fault != nil {
-			kept, err = nil, fmt.Errorf("%s: %w: %v", path, errDamaged, fault)
+			stored, err = nil, fmt.Errorf("%s: %w: %v", path, errDamaged, fault)
 		}
 	}()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
@@ -215,39 +215,39 @@
 		return nil, fmt.Errorf("%s: %w: %w", path, errDamaged, err)
 	}
 	defer func() { _ = db.Close() }()
-	kept = map[string]string{}
+	stored = map[string]string{}
 	var sum []byte
 	steps := 0
 	err = db.View(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(bucket)
-		if b == nil {
+		stateBucket := tx.Bucket(bucket)
+		if stateBucket == nil {
 			return errDamaged
 		}
-		return b.ForEach(func(k, v []byte) error {
+		return stateBucket.ForEach(func(key, encoded []byte) error {
 			if steps++; steps > 1_000_000 { // altered pages that form a cycle
 				return errDamaged
 			}
-			if string(k) == "sum" {
-				sum = append([]byte{}, v...)
+			if string(key) == "sum" {
+				sum = append([]byte{}, encoded...)
 				return nil
 			}
-			value, err := boltfile.DecodeValue(v)
-			kept[string(k)] = value
+			value, err := boltfile.DecodeValue(encoded)
+			stored[string(key)] = value
 			return err
 		})
 	})
-	if err == nil && string(sum) != string(checksumOfAll(kept)) {
+	if err == nil && string(sum) != string(checksumOfAll(stored)) {
 		err = errDamaged
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return kept, checkSchema(kept, path)
+	return stored, checkSchema(stored, path)
 }
 
-func checkSchema(kept map[string]string, path string) error {
-	if v := kept["schema"]; v != "" && v != fmt.Sprint(schema) {
-		return fmt.Errorf("%s: %w: version %s, this agent has %d", path, errSchema, v, schema)
+func checkSchema(stored map[string]string, path string) error {
+	if version := stored["schema"]; version != "" && version != fmt.Sprint(schema) {
+		return fmt.Errorf("%s: %w: version %s, this agent has %d", path, errSchema, version, schema)
 	}
 	return nil
 }
@@ -261,68 +261,68 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	kept := map[string]string{}
-	if err := json.Unmarshal([]byte(text), &kept); err != nil {
+	stored := map[string]string{}
+	if err := json.Unmarshal([]byte(text), &stored); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return kept, checkSchema(kept, path)
+	return stored, checkSchema(stored, path)
 }
 
 // encode maps a state to keys and values, one for each record, so that a step writes its record alone.
-func encode(s fleet.State) (map[string]string, error) {
-	all := map[string]string{"schema": fmt.Sprint(schema), "revision": fmt.Sprint(s.Revision)}
-	put := func(key string, v any) error {
-		data, err := json.Marshal(v)
+func encode(state fleet.State) (map[string]string, error) {
+	all := map[string]string{"schema": fmt.Sprint(schema), "revision": fmt.Sprint(state.Revision)}
+	put := func(key string, value any) error {
+		data, err := json.Marshal(value)
 		all[key] = string(data)
 		return err
 	}
-	for _, g := range s.Generations {
-		if err := put(fmt.Sprintf("generation/%020d", g.Number), g); err != nil {
+	for _, generation := range state.Generations {
+		if err := put(fmt.Sprintf("generation/%020d", generation.Number), generation); err != nil {
 			return nil, err
 		}
 	}
-	for _, c := range s.Changes {
-		if err := put(fmt.Sprintf("change/%020d", c.ID), c); err != nil {
+	for _, change := range state.Changes {
+		if err := put(fmt.Sprintf("change/%020d", change.ID), change); err != nil {
 			return nil, err
 		}
 	}
-	for _, r := range s.Records {
-		if err := put("record/"+r.Name, r); err != nil {
+	for _, record := range state.Records {
+		if err := put("record/"+record.Name, record); err != nil {
 			return nil, err
 		}
 	}
 	return all, nil
 }
 
-func decode(all map[string]string) (s fleet.State, err error) {
+func decode(all map[string]string) (state fleet.State, err error) {
 	keys := make([]string, 0, len(all))
-	for k := range all {
-		keys = append(keys, k)
+	for key := range all {
+		keys = append(keys, key)
 	}
 	slices.Sort(keys)
-	s.Records = map[string]fleet.Record{}
-	for _, k := range keys {
-		kind, _, _ := strings.Cut(k, "/")
-		data := []byte(all[k])
+	state.Records = map[string]fleet.Record{}
+	for _, key := range keys {
+		kind, _, _ := strings.Cut(key, "/")
+		data := []byte(all[key])
 		switch kind {
 		case "revision":
-			err = json.Unmarshal(data, &s.Revision)
+			err = json.Unmarshal(data, &state.Revision)
 		case "generation":
-			var g fleet.Generation
-			err = json.Unmarshal(data, &g)
-			s.Generations = append(s.Generations, g)
+			var generation fleet.Generation
+			err = json.Unmarshal(data, &generation)
+			state.Generations = append(state.Generations, generation)
 		case "change":
-			var c fleet.Change
-			err = json.Unmarshal(data, &c)
-			s.Changes = append(s.Changes, c)
+			var change fleet.Change
+			err = json.Unmarshal(data, &change)
+			state.Changes = append(state.Changes, change)
 		case "record":
-			var r fleet.Record
-			err = json.Unmarshal(data, &r)
-			s.Records[r.Name] = r
+			var record fleet.Record
+			err = json.Unmarshal(data, &record)
+			state.Records[record.Name] = record
 		}
 		if err != nil {
-			return s, fmt.Errorf("%s: %w", k, err)
+			return state, fmt.Errorf("%s: %w", key, err)
 		}
 	}
-	return s, nil
+	return state, nil
 }
--- a/internal/capture/explain.go
+++ b/internal/capture/explain.go
@@ -7,8 +7,8 @@
 	"pearknot/balancer"
 )
 
-// Explainer is a replay that prints why one request went where it went: each backend that the balancer considered for it,
-// with the balancer's own reason and estimates.
+// Explainer is a replay that prints why one request went where it went: each backend that the balancer considered
+// for it, with the balancer's own reason and estimates.
 type Explainer struct {
 	Replayer
 	RequestNumber uint64 // of the request, in the capture
@@ -21,68 +21,68 @@
 }
 
 // Feed takes the next record, see Replayer.Feed.
-func (e *Explainer) Feed(x Record) error {
+func (e *Explainer) Feed(record Record) error {
 	if e.reportedAt == nil {
 		e.reportedAt = map[uint64]float64{}
 	}
-	switch x.Kind {
+	switch record.Kind {
 	case EndpointsChanged:
-		if x.Flags&flagCached == 0 {
-			e.listReceivedAt = x.Now
+		if record.Flags&flagCached == 0 {
+			e.listReceivedAt = record.Now
 		}
 	case LoadReported:
-		e.reportedAt[x.Backend] = x.Now
+		e.reportedAt[record.Backend] = record.Now
 	}
-	mine := x.Request == e.RequestNumber && x.Kind != Snapshot
-	if mine && x.Kind != Decided {
-		fmt.Fprintln(e.Out, x)
+	isAboutRequest := record.Request == e.RequestNumber && record.Kind != Snapshot
+	if isAboutRequest && record.Kind != Decided {
+		fmt.Fprintln(e.Out, record)
 	}
 	e.considered = e.considered[:0]
-	if err := e.Replayer.Feed(x); err != nil {
+	if err := e.Replayer.Feed(record); err != nil {
 		return err
 	}
-	if n, ok := e.decider.(*balancer.Balancer); ok && n.OnConsidered == nil {
-		n.OnConsidered = func(request *balancer.Request, b *balancer.Backend, r balancer.Reason) {
-			e.recordConsidered(n, request, b, r)
+	if core, ok := e.decider.(*balancer.Balancer); ok && core.OnConsidered == nil {
+		core.OnConsidered = func(request *balancer.Request, backend *balancer.Backend, reason balancer.Reason) {
+			e.recordConsidered(core, request, backend, reason)
 		}
 	}
 	// What was considered in this step belongs to the decisions that follow, of this request or others.
 	for _, line := range e.considered {
 		fmt.Fprintln(e.Out, line)
 	}
-	if mine && x.Kind == Decided {
+	if isAboutRequest && record.Kind == Decided {
 		e.found = true
-		fmt.Fprintf(e.Out, "%.3f decided: %s\n", x.Now, describeDecision(x))
+		fmt.Fprintf(e.Out, "%.3f decided: %s\n", record.Now, describeDecision(record))
 	}
 	return nil
 }
 
 // recordConsidered receives each backend that the balancer considered.
-func (e *Explainer) recordConsidered(n *balancer.Balancer, request *balancer.Request, b *balancer.Backend, r balancer.Reason) {
+func (e *Explainer) recordConsidered(core *balancer.Balancer, request *balancer.Request, backend *balancer.Backend, reason balancer.Reason) {
 	if e.requestNumbers[request] != e.RequestNumber {
 		return
 	}
-	if b == nil {
+	if backend == nil {
 		text := "    queued: no backend is eligible now"
-		if r == balancer.ReasonPoisonRequest {
-			text = "    no backend looked for: " + r.String()
+		if reason == balancer.ReasonPoisonRequest {
+			text = "    no backend looked for: " + reason.String()
 		}
 		e.considered = append(e.considered, text)
 		return
 	}
-	x, number := n.Belief(request, b), e.backendNumbers[b]
+	belief, backendNumber := core.Belief(request, backend), e.backendNumbers[backend]
 	line := fmt.Sprintf("    backend %d (%x): %s; %.1f ms expected (%.1f when idle), %d of %.1f attempts in flight, suspicion %.2f, slow start %.2f, rotation %.2f",
-		number, b.ID, r, x.AnswerTime, x.Alone, x.InFlight, x.MaxInFlight, x.Suspicion, x.SlowStartFactor, x.RotationPass)
-	if !x.IsNear {
+		backendNumber, backend.ID, reason, belief.AnswerTime, belief.Alone, belief.InFlight, belief.MaxInFlight, belief.Suspicion, belief.SlowStartFactor, belief.RotationPass)
+	if !belief.IsNear {
 		line += ", another zone"
 	}
-	if x.AnsweredAgo >= 0 {
-		line += fmt.Sprintf(", last answered an attempt sent %.0f ms ago", x.AnsweredAgo)
+	if belief.AnsweredAgo >= 0 {
+		line += fmt.Sprintf(", last answered an attempt sent %.0f ms ago", belief.AnsweredAgo)
 	} else {
 		line += ", never answered"
 	}
-	if at, ok := e.reportedAt[number]; ok {
-		line += fmt.Sprintf(", reported %.0f ms ago", e.now()-at)
+	if reportedAt, ok := e.reportedAt[backendNumber]; ok {
+		line += fmt.Sprintf(", reported %.0f ms ago", e.now()-reportedAt)
 	}
 	if e.listReceivedAt > 0 {
 		line += fmt.Sprintf(", endpoint list %.0f ms old", e.now()-e.listReceivedAt)
@@ -95,8 +95,8 @@
 // Found reports whether a decision about the request was replayed.
 func (e *Explainer) Found() bool { return e.found }
 
-// LateNotes marks what arrived late, in the order of a capture: an endpoint list older than the one in use, an answer that
-// answers to later attempts had overtaken, the end of an attempt after its request's final answer.
+// LateNotes marks what arrived late, in the order of a capture: an endpoint list older than the one in use, an
+// answer that answers to later attempts had overtaken, the end of an attempt after its request's final answer.
 type LateNotes struct {
 	newestStart    map[uint64]float64    // start time of each backend, by the newest list
 	answered       map[uint64]bool       // requests with a final answer and an attempt in flight
@@ -107,45 +107,45 @@
 }
 
 // Note returns a remark on the next record, or nothing.
-func (n *LateNotes) Note(x Record) string {
-	if n.newestStart == nil || x.Kind == Begin {
+func (n *LateNotes) Note(record Record) string {
+	if n.newestStart == nil || record.Kind == Begin {
 		*n = LateNotes{map[uint64]float64{}, map[uint64]bool{}, map[uint64]int{}, map[[2]uint64]float64{}, map[[2]uint64]uint64{},
 			map[uint64]float64{}}
 	}
-	attempt := [2]uint64{x.Request, uint64(x.Attempt)}
-	switch x.Kind {
+	attempt := [2]uint64{record.Request, uint64(record.Attempt)}
+	switch record.Kind {
 	case EndpointsChanged:
-		for _, l := range x.Endpoints {
-			if l.Started < n.newestStart[l.Backend] {
-				return fmt.Sprintf("older than what is known of backend %d", l.Backend)
+		for _, endpoint := range record.Endpoints {
+			if endpoint.Started < n.newestStart[endpoint.Backend] {
+				return fmt.Sprintf("older than what is known of backend %d", endpoint.Backend)
 			}
-			n.newestStart[l.Backend] = l.Started
+			n.newestStart[endpoint.Backend] = endpoint.Started
 		}
 	case Decided:
-		switch x.Decision {
+		switch record.Decision {
 		case balancer.DoAttempt:
-			n.sentAt[attempt], n.sentTo[attempt] = x.Now, x.Backend
-			n.inFlight[x.Request]++
+			n.sentAt[attempt], n.sentTo[attempt] = record.Now, record.Backend
+			n.inFlight[record.Request]++
 		case balancer.DoReject, balancer.DoFail:
-			n.requestAnswered(x.Request)
+			n.requestAnswered(record.Request)
 		}
 	case AttemptEnded:
-		at, b := n.sentAt[attempt], n.sentTo[attempt]
+		sentAt, backend := n.sentAt[attempt], n.sentTo[attempt]
 		delete(n.sentAt, attempt)
 		delete(n.sentTo, attempt)
-		defer n.attemptEnded(x.Request)
-		late := n.newestAnswered[b] > at
-		if x.Outcome == balancer.OutcomeAnswered {
-			n.newestAnswered[b] = max(n.newestAnswered[b], at)
+		defer n.attemptEnded(record.Request)
+		isOvertaken := n.newestAnswered[backend] > sentAt
+		if record.Outcome == balancer.OutcomeAnswered {
+			n.newestAnswered[backend] = max(n.newestAnswered[backend], sentAt)
 		}
 		switch {
-		case n.answered[x.Request]:
+		case n.answered[record.Request]:
 			return "after the request's final answer"
-		case late && x.Outcome == balancer.OutcomeAnswered:
+		case isOvertaken && record.Outcome == balancer.OutcomeAnswered:
 			return "overtaken by an answer to a later attempt"
 		}
-		if x.Flags&flagFinished != 0 {
-			n.answered[x.Request] = true
+		if record.Flags&flagFinished != 0 {
+			n.answered[record.Request] = true
 		}
 	}
 	return ""
--- a/internal/capture/file.go
+++ b/internal/capture/file.go
@@ -17,97 +17,105 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// The layout of a segment file: magic, version, then blocks. A block has a header of 12 bytes (length, xxhash of the
-// compressed bytes), then zstd data. Decompressed, that is a row of records, each with a header of 8 bytes (length, half of
-// an xxhash: enough beside the block's full one, and checksums are most of what does not compress). All complete records
-// of a truncated block can be read.
+// The layout of a segment file: magic, version, then blocks. A block has a header of 12 bytes (length and xxhash of
+// the compressed bytes), then zstd data. Decompressed, that is a sequence of records, each with a header of 8
+// bytes: its length and the lower half of its xxhash. Half is enough beside the block's full checksum, and
+// checksums are most of what does not compress. A record has a checksum of its own so that the complete records of
+// a truncated block can be read.
 const (
 	magic            = "pkcapture"
 	version          = 2
 	suffix           = ".pkcap"
-	blockHeaderSize  = 12
-	recordHeaderSize = 8
-	maxRecordBytes   = 4 << 20 // bytes: a complete endpoint list of some ten thousand backends
-	maxBlockBytes    = 8 << 20 // bytes, compressed
+	blockHeaderSize  = 12      // bytes
+	recordHeaderSize = 8       // bytes
+	maxRecordBytes   = 4 << 20 // a complete endpoint list of some ten thousand backends
+	maxBlockBytes    = 8 << 20 // compressed: two of the largest records
 )
 
 var emptyRecordHeader [recordHeaderSize]byte
 
 // fillRecordHeader writes the length and checksum of the record that follows the header in b.
-func fillRecordHeader(b []byte) {
-	record := b[recordHeaderSize:]
-	binary.LittleEndian.PutUint32(b, uint32(len(record)))
-	binary.LittleEndian.PutUint32(b[4:], uint32(xxhash.Sum64(record)))
+func fillRecordHeader(framed []byte) {
+	record := framed[recordHeaderSize:]
+	binary.LittleEndian.PutUint32(framed, uint32(len(record)))
+	binary.LittleEndian.PutUint32(framed[4:], uint32(xxhash.Sum64(record)))
 }
 
 // segmentHeader is the first bytes of every segment.
 var segmentHeader = append([]byte(magic), version)
 
-// newEncoder returns a compressor for blocks that needs little memory. Entropy coding is off: it is half of the cost and
-// gains 7% on captures.
+// newEncoder returns a compressor for blocks that needs little memory. Entropy coding is off: it is half of the
+// cost and gains 7% on captures.
 func newEncoder() (*zstd.Encoder, error) {
-	return zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(256<<10),
-		zstd.WithLowerEncoderMem(true), zstd.WithNoEntropyCompression(true))
+	return zstd.NewWriter(nil,
+		zstd.WithEncoderConcurrency(1),
+		zstd.WithEncoderLevel(zstd.SpeedFastest),
+		zstd.WithWindowSize(256<<10),
+		zstd.WithLowerEncoderMem(true),
+		zstd.WithNoEntropyCompression(true))
 }
 
 // appendBlock appends framed records as one compressed block.
-func appendBlock(b []byte, zip *zstd.Encoder, records []byte) []byte {
-	from := len(b)
-	b = zip.EncodeAll(records, append(b, make([]byte, blockHeaderSize)...))
-	body := b[from+blockHeaderSize:]
-	binary.LittleEndian.PutUint32(b[from:], uint32(len(body)))
-	binary.LittleEndian.PutUint64(b[from+4:], xxhash.Sum64(body))
-	return b
+func appendBlock(out []byte, encoder *zstd.Encoder, records []byte) []byte {
+	start := len(out)
+	out = encoder.EncodeAll(records, append(out, make([]byte, blockHeaderSize)...))
+	body := out[start+blockHeaderSize:]
+	binary.LittleEndian.PutUint32(out[start:], uint32(len(body)))
+	binary.LittleEndian.PutUint64(out[start+4:], xxhash.Sum64(body))
+	return out
 }
 
 // Write writes framed records as one segment file, atomically.
 func Write(name string, records [][]byte) error {
-	zip, err := newEncoder()
+	encoder, err := newEncoder()
 	if err != nil {
 		return err
 	}
-	defer func() { _ = zip.Close() }()
+	defer func() { _ = encoder.Close() }()
 	out := bytes.Clone(segmentHeader)
 	var block []byte
-	for i, r := range records {
-		block = append(block, r...)
+	for i, record := range records {
+		block = append(block, record...)
 		if len(block) >= targetBlockBytes || i == len(records)-1 {
-			out, block = appendBlock(out, zip, block), block[:0]
+			out, block = appendBlock(out, encoder, block), block[:0]
 		}
 	}
 	return renameio.WriteFile(name, out, 0o600)
 }
 
-const targetBlockBytes = 64 << 10 // bytes before compression: enough for a good ratio, little to lose with a truncated block
+// targetBlockBytes is the size of a block before compression: enough for a good ratio, and little to lose with a
+// truncated block.
+const targetBlockBytes = 64 << 10
 
 // Frame encodes a record with its header, as Write takes it.
-func Frame(r Record) []byte {
-	b := r.Append(append([]byte(nil), emptyRecordHeader[:]...))
-	fillRecordHeader(b)
-	return b
+func Frame(record Record) []byte {
+	framed := record.Append(append([]byte(nil), emptyRecordHeader[:]...))
+	fillRecordHeader(framed)
+	return framed
 }
 
-// TruncatedError reports a segment that ends in the middle of a block or header. All complete records before it were read.
+// TruncatedError reports a segment that ends in the middle of a block or header. All complete records before it
+// were read.
 type TruncatedError struct {
 	File   string
 	Offset int64 // in the compressed file, of the block that is incomplete
 	Reason string
 }
 
-func (c *TruncatedError) Error() string {
-	return fmt.Sprintf("%s: truncated at byte %d: %s", c.File, c.Offset, c.Reason)
+func (e *TruncatedError) Error() string {
+	return fmt.Sprintf("%s: truncated at byte %d: %s", e.File, e.Offset, e.Reason)
 }
 
 // CorruptError reports a segment whose bytes are not what was written.
 type CorruptError struct {
 	File   string
-	Record int
-	Offset int64
+	Record int   // records that were read before, in the whole segment
+	Offset int64 // in the compressed file, of the block that is corrupt
 	Reason string
 }
 
-func (d *CorruptError) Error() string {
-	return fmt.Sprintf("%s: record %d in the block at byte %d: %s", d.File, d.Record, d.Offset, d.Reason)
+func (e *CorruptError) Error() string {
+	return fmt.Sprintf("%s: record %d in the block at byte %d: %s", e.File, e.Record, e.Offset, e.Reason)
 }
 
 // Segments lists the segment files of a capture, oldest first: all in a directory, or the one file that path names.
@@ -130,123 +138,132 @@
 	return files, nil
 }
 
-// Read calls f with each record of a segment file in order, until f returns an error, which Read returns, or the segment
-// ends. Its own errors are a *TruncatedError or a *CorruptError, after all complete records were handed on.
-func Read(name string, f func(Record) error) error {
+// Read calls f with each record of a segment file in order, until f returns an error, which Read returns, or the
+// segment ends. Its own errors are a *TruncatedError or a *CorruptError, after all complete records were handed on.
+func Read(name string, handle func(Record) error) error {
 	file, err := os.Open(name)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = file.Close() }()
-	return ReadFrom(name, file, f)
+	return ReadFrom(name, file, handle)
 }
 
 // ReadFrom is Read for a segment from any reader; name stands in errors.
-func ReadFrom(name string, from io.Reader, f func(Record) error) error {
-	in := bufio.NewReaderSize(from, 64<<10)
-	head := make([]byte, len(segmentHeader))
-	if n, err := io.ReadFull(in, head); err != nil {
-		return &TruncatedError{name, int64(n), "incomplete header"}
-	}
-	if string(head[:len(magic)]) != magic {
-		return &CorruptError{name, 0, 0, "not a capture"}
-	}
-	if head[len(magic)] != version {
-		return fmt.Errorf("%s: version %d, this program reads %d", name, head[len(magic)], version)
+func ReadFrom(name string, reader io.Reader, handle func(Record) error) error {
+	input := bufio.NewReaderSize(reader, 64<<10)
+	if err := readSegmentHeader(name, input); err != nil {
+		return err
 	}
-	unzip, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(64<<20), zstd.WithDecoderLowmem(true))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(64<<20),
+		zstd.WithDecoderLowmem(true))
 	if err != nil {
 		return err
 	}
-	defer unzip.Close()
-	at, number := int64(len(head)), 0
+	defer decoder.Close()
+	offset, recordNumber := int64(len(segmentHeader)), 0
 	for {
-		var frame [blockHeaderSize]byte
-		n, err := io.ReadFull(in, frame[:])
+		var header [blockHeaderSize]byte
+		count, err := io.ReadFull(input, header[:])
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return &TruncatedError{name, at + int64(n), "incomplete block header"}
+			return &TruncatedError{name, offset + int64(count), "incomplete block header"}
 		}
-		size := binary.LittleEndian.Uint32(frame[:])
+		size := binary.LittleEndian.Uint32(header[:])
 		if size > maxBlockBytes {
-			return &CorruptError{name, number, at, fmt.Sprintf("a block of %d bytes", size)}
+			return &CorruptError{name, recordNumber, offset, fmt.Sprintf("a block of %d bytes", size)}
 		}
-		packed := &checksumReader{io.LimitReader(in, int64(size)), xxhash.New(), 0}
-		if err := unzip.Reset(packed); err != nil {
-			return &CorruptError{name, number, at, err.Error()}
+		block := &checksumReader{io.LimitReader(input, int64(size)), xxhash.New(), 0}
+		if err := decoder.Reset(block); err != nil {
+			return &CorruptError{name, recordNumber, offset, err.Error()}
 		}
-		number, err = readRecords(name, at, number, bufio.NewReaderSize(unzip, 16<<10), f)
-		_, rest := io.Copy(io.Discard, packed)
-		short := packed.n < int64(size)
-		var stop *callbackError
+		recordNumber, err = readRecords(name, offset, recordNumber, bufio.NewReaderSize(decoder, 16<<10), handle)
+		_, discardErr := io.Copy(io.Discard, block)
+		isTruncated := block.count < int64(size) && discardErr == nil
+		var callbackErr *callbackError
 		switch {
-		case errors.As(err, &stop):
-			return stop.err
-		case short && rest == nil:
-			return &TruncatedError{name, at, "incomplete block"}
+		case errors.As(err, &callbackErr):
+			return callbackErr.err
+		case isTruncated:
+			return &TruncatedError{name, offset, "incomplete block"}
 		case err != nil:
 			return err
-		case packed.sum.Sum64() != binary.LittleEndian.Uint64(frame[4:]):
-			return &CorruptError{name, number, at, "wrong block checksum"}
+		case block.sum.Sum64() != binary.LittleEndian.Uint64(header[4:]):
+			return &CorruptError{name, recordNumber, offset, "wrong block checksum"}
 		}
-		at += blockHeaderSize + int64(size)
+		offset += blockHeaderSize + int64(size)
+	}
+}
+
+// readSegmentHeader reads the first bytes of a segment, and fails for what is not a capture of this version.
+func readSegmentHeader(name string, input io.Reader) error {
+	header := make([]byte, len(segmentHeader))
+	if count, err := io.ReadFull(input, header); err != nil {
+		return &TruncatedError{name, int64(count), "incomplete header"}
+	}
+	if string(header[:len(magic)]) != magic {
+		return &CorruptError{name, 0, 0, "not a capture"}
+	}
+	if header[len(magic)] != version {
+		return fmt.Errorf("%s: version %d, this program reads %d", name, header[len(magic)], version)
 	}
+	return nil
 }
 
 // checksumReader counts and checksums what is read of a block.
 type checksumReader struct {
 	io.Reader
-	sum *xxhash.Digest
-	n   int64
+	sum   *xxhash.Digest
+	count int64
 }
 
-func (c *checksumReader) Read(b []byte) (int, error) {
-	n, err := c.Reader.Read(b)
-	_, _ = c.sum.Write(b[:n])
-	c.n += int64(n)
-	return n, err
+func (c *checksumReader) Read(buffer []byte) (int, error) {
+	count, err := c.Reader.Read(buffer)
+	_, _ = c.sum.Write(buffer[:count])
+	c.count += int64(count)
+	return count, err
 }
 
 // callbackError wraps an error that the caller's function returned, to tell it from the reader's own.
 type callbackError struct{ err error }
 
-func (s *callbackError) Error() string { return s.err.Error() }
+func (e *callbackError) Error() string { return e.err.Error() }
 
 // readRecords reads the records of one block.
-func readRecords(name string, at int64, number int, in *bufio.Reader, f func(Record) error) (int, error) {
-	var buf []byte
+func readRecords(name string, offset int64, recordNumber int, input *bufio.Reader, handle func(Record) error) (int, error) {
+	var buffer []byte
 	for {
-		var head [recordHeaderSize]byte
-		if _, err := io.ReadFull(in, head[:]); errors.Is(err, io.EOF) {
-			return number, nil
+		var header [recordHeaderSize]byte
+		if _, err := io.ReadFull(input, header[:]); errors.Is(err, io.EOF) {
+			return recordNumber, nil
 		} else if err != nil {
-			return number, &CorruptError{name, number, at, "head: " + err.Error()}
+			return recordNumber, &CorruptError{name, recordNumber, offset, "head: " + err.Error()}
 		}
-		size := binary.LittleEndian.Uint32(head[:])
+		size := binary.LittleEndian.Uint32(header[:])
 		if size > maxRecordBytes {
-			return number, &CorruptError{name, number, at, fmt.Sprintf("a record of %d bytes", size)}
+			return recordNumber, &CorruptError{name, recordNumber, offset, fmt.Sprintf("a record of %d bytes", size)}
 		}
 		// The buffer grows with the data that arrives, so a wrong length in a damaged file allocates next to nothing.
-		buf = buf[:0]
-		for len(buf) < int(size) {
-			from := len(buf)
-			buf = append(buf, make([]byte, min(int(size)-from, 16<<10))...)
-			if _, err := io.ReadFull(in, buf[from:]); err != nil {
-				return number, &CorruptError{name, number, at, "record: " + err.Error()}
+		buffer = buffer[:0]
+		for len(buffer) < int(size) {
+			start := len(buffer)
+			buffer = append(buffer, make([]byte, min(int(size)-start, 16<<10))...)
+			if _, err := io.ReadFull(input, buffer[start:]); err != nil {
+				return recordNumber, &CorruptError{name, recordNumber, offset, "record: " + err.Error()}
 			}
 		}
-		if uint32(xxhash.Sum64(buf)) != binary.LittleEndian.Uint32(head[4:]) {
-			return number, &CorruptError{name, number, at, "wrong record checksum"}
+		if uint32(xxhash.Sum64(buffer)) != binary.LittleEndian.Uint32(header[4:]) {
+			return recordNumber, &CorruptError{name, recordNumber, offset, "wrong record checksum"}
 		}
-		r, err := Decode(buf)
+		record, err := Decode(buffer)
 		if err != nil {
-			return number, &CorruptError{name, number, at, err.Error()}
+			return recordNumber, &CorruptError{name, recordNumber, offset, err.Error()}
 		}
-		number++
-		if err := f(r); err != nil {
-			return number, &callbackError{err}
+		recordNumber++
+		if err := handle(record); err != nil {
+			return recordNumber, &callbackError{err}
 		}
 	}
 }
--- a/internal/capture/memory.go
+++ b/internal/capture/memory.go
@@ -17,25 +17,25 @@
 }
 
 // NewMemoryRing makes a ring of maxBytes bytes of records.
-func NewMemoryRing(most int) *MemoryRing { return &MemoryRing{maxBytes: most} }
+func NewMemoryRing(maxBytes int) *MemoryRing { return &MemoryRing{maxBytes: maxBytes} }
 
 // Put adds a batch. Beyond the size the oldest batches are dropped, up to the next one that holds a snapshot.
-func (m *MemoryRing) Put(b Batch) {
+func (m *MemoryRing) Put(batch Batch) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	b.Data = bytes.Clone(b.Data)
-	m.batches = append(m.batches, b)
-	m.bytes += len(b.Data)
+	batch.Data = bytes.Clone(batch.Data)
+	m.batches = append(m.batches, batch)
+	m.bytes += len(batch.Data)
 	if m.bytes <= m.maxBytes {
 		return
 	}
-	k := 0
-	for k < len(m.batches) && (m.bytes > m.maxBytes || !m.batches[k].Restart) {
-		m.bytes -= len(m.batches[k].Data)
-		m.dropped += uint64(m.batches[k].Records)
-		k++
+	first := 0
+	for first < len(m.batches) && (m.bytes > m.maxBytes || !m.batches[first].Restart) {
+		m.bytes -= len(m.batches[first].Data)
+		m.dropped += uint64(m.batches[first].Records)
+		first++
 	}
-	m.batches = append([]Batch(nil), m.batches[k:]...)
+	m.batches = append([]Batch(nil), m.batches[first:]...)
 }
 
 // Size returns the bytes in the ring, and how many records were dropped from it.
@@ -48,11 +48,11 @@
 // WriteTo writes the ring's content as a segment file of that name.
 func (m *MemoryRing) WriteTo(name string) error {
 	m.mu.Lock()
-	held := m.batches[:len(m.batches):len(m.batches)]
+	batches := m.batches[:len(m.batches):len(m.batches)]
 	m.mu.Unlock()
-	records := make([][]byte, 0, len(held))
-	for _, b := range held { // their data never changes after Put
-		records = append(records, b.Data)
+	records := make([][]byte, 0, len(batches))
+	for _, batch := range batches { // their data never changes after Put
+		records = append(records, batch.Data)
 	}
 	return Write(name, records)
 }
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -1,6 +1,7 @@
-// Package capture records every input of the balancer, in order and by batch, and every decision, so that a replay takes
-// exactly the same decisions. A capture is a sequence of segment files; a segment is a header and compressed blocks of
-// records. Records are in the protobuf wire format, each with a checksum; a reader skips fields that it does not know.
+// Package capture records every input of the balancer, in order and by batch, and every decision, so that a replay
+// takes exactly the same decisions. A capture is a sequence of segment files; a segment is a header and compressed
+// blocks of records. Records are in the protobuf wire format, each with a checksum; a reader skips fields that it
+// does not know.
 package capture
 
 import (
@@ -53,8 +54,8 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Record is one input or decision. Requests and backends have the numbers that the capture gave them. Times are in ms on
-// the node's clock.
+// Record is one input or decision. Requests and backends have the numbers that the capture gave them. Times are in
+// ms on the node's clock.
 type Record struct {
 	Kind      Kind
 	Now       float64
@@ -131,15 +132,15 @@
 )
 
 // Append appends the encoded record to b. Zero values are left out.
-func (r *Record) Append(b []byte) []byte {
-	number := func(field protowire.Number, x uint64) {
-		if x != 0 {
-			b = protowire.AppendVarint(protowire.AppendTag(b, field, protowire.VarintType), x)
+func (r *Record) Append(encoded []byte) []byte {
+	number := func(field protowire.Number, value uint64) {
+		if value != 0 {
+			encoded = protowire.AppendVarint(protowire.AppendTag(encoded, field, protowire.VarintType), value)
 		}
 	}
-	float := func(field protowire.Number, x float64) {
-		if bits := math.Float64bits(x); bits != 0 {
-			b = protowire.AppendFixed64(protowire.AppendTag(b, field, protowire.Fixed64Type), bits)
+	float := func(field protowire.Number, value float64) {
+		if bits := math.Float64bits(value); bits != 0 {
+			encoded = protowire.AppendFixed64(protowire.AppendTag(encoded, field, protowire.Fixed64Type), bits)
 		}
 	}
 	number(fieldKind, uint64(r.Kind))
@@ -158,195 +159,198 @@
 	float(fieldCostHint, r.CostHint)
 	float(fieldDeadline, r.Deadline)
 	number(fieldCount, r.Count)
-	for _, l := range r.Endpoints {
-		b = protowire.AppendBytes(protowire.AppendTag(b, fieldEndpoint, protowire.BytesType), l.append(nil))
+	for _, endpoint := range r.Endpoints {
+		encoded = protowire.AppendBytes(protowire.AppendTag(encoded, fieldEndpoint, protowire.BytesType), endpoint.append(nil))
 	}
-	for _, x := range []struct {
+	for _, value := range []struct {
 		field protowire.Number
 		data  []byte
 	}{{fieldData, r.Data}, {fieldState, r.State}, {fieldRequests, packNumbers(r.Requests)}, {fieldBackends, packNumbers(r.Backends)}, {fieldLoad, r.encodeLoad()}} {
-		if len(x.data) > 0 {
-			b = protowire.AppendBytes(protowire.AppendTag(b, x.field, protowire.BytesType), x.data)
+		if len(value.data) > 0 {
+			encoded = protowire.AppendBytes(protowire.AppendTag(encoded, value.field, protowire.BytesType), value.data)
 		}
 	}
-	return b
+	return encoded
 }
 
-// encodeLoad encodes the values of a load report. A value that was not reported is below 0, unlike an idle backend's 0.
-func (r *Record) encodeLoad() (b []byte) {
+// encodeLoad encodes the values of a load report. A value that was not reported is below 0, unlike an idle
+// backend's 0.
+func (r *Record) encodeLoad() (encoded []byte) {
 	if r.Kind == LoadReported {
-		for _, x := range []float64{r.Load.ServiceTime, r.Load.InFlight, r.Load.Queued, r.Load.Throughput} {
-			b = protowire.AppendFixed64(b, math.Float64bits(x))
+		for _, value := range []float64{r.Load.ServiceTime, r.Load.InFlight, r.Load.Queued, r.Load.Throughput} {
+			encoded = protowire.AppendFixed64(encoded, math.Float64bits(value))
 		}
 	}
-	return b
+	return encoded
 }
 
-func decodeLoad(b []byte) (load balancer.LoadReport, err error) {
+func decodeLoad(encoded []byte) (load balancer.LoadReport, err error) {
 	load = balancer.EmptyLoadReport()
-	for _, x := range []*float64{&load.ServiceTime, &load.InFlight, &load.Queued, &load.Throughput} {
-		bits, size := protowire.ConsumeFixed64(b)
-		if len(b) == 0 && x == &load.Throughput { // earlier builds did not store it
+	for _, value := range []*float64{&load.ServiceTime, &load.InFlight, &load.Queued, &load.Throughput} {
+		bits, size := protowire.ConsumeFixed64(encoded)
+		if len(encoded) == 0 && value == &load.Throughput { // earlier builds did not store it
 			break
 		}
 		if size < 0 {
 			return load, errInvalidRecord
 		}
-		*x, b = math.Float64frombits(bits), b[size:]
+		*value, encoded = math.Float64frombits(bits), encoded[size:]
 	}
 	return load, nil
 }
 
-func packNumbers(numbers []uint64) (b []byte) {
-	for _, x := range numbers {
-		b = protowire.AppendVarint(b, x)
+func packNumbers(numbers []uint64) (packed []byte) {
+	for _, number := range numbers {
+		packed = protowire.AppendVarint(packed, number)
 	}
-	return b
+	return packed
 }
 
-func unpackNumbers(b []byte) (numbers []uint64, err error) {
-	for len(b) > 0 {
-		x, size := protowire.ConsumeVarint(b)
+func unpackNumbers(packed []byte) (numbers []uint64, err error) {
+	for len(packed) > 0 {
+		number, size := protowire.ConsumeVarint(packed)
 		if size < 0 {
 			return nil, errInvalidRecord
 		}
-		numbers, b = append(numbers, x), b[size:]
+		numbers, packed = append(numbers, number), packed[size:]
 	}
 	return numbers, nil
 }
 
-func (l Endpoint) append(b []byte) []byte {
-	for field, x := range []uint64{l.Backend, l.ID, uint64(l.State), uint64(l.Zone), uint64(l.Cell), uint64(l.Kind)} {
-		if x != 0 {
-			b = protowire.AppendVarint(protowire.AppendTag(b, protowire.Number(field+1), protowire.VarintType), x)
+func (e Endpoint) append(encoded []byte) []byte {
+	for field, value := range []uint64{e.Backend, e.ID, uint64(e.State), uint64(e.Zone), uint64(e.Cell), uint64(e.Kind)} {
+		if value != 0 {
+			encoded = protowire.AppendVarint(protowire.AppendTag(encoded, protowire.Number(field+1), protowire.VarintType), value)
 		}
 	}
-	for field, x := range []float64{l.Weight, l.Started} {
-		if bits := math.Float64bits(x); bits != 0 {
-			b = protowire.AppendFixed64(protowire.AppendTag(b, protowire.Number(field+7), protowire.Fixed64Type), bits)
+	for field, value := range []float64{e.Weight, e.Started} {
+		if bits := math.Float64bits(value); bits != 0 {
+			encoded = protowire.AppendFixed64(protowire.AppendTag(encoded, protowire.Number(field+7), protowire.Fixed64Type), bits)
 		}
 	}
-	if l.Cordoned {
-		b = protowire.AppendVarint(protowire.AppendTag(b, 9, protowire.VarintType), 1)
+	if e.Cordoned {
+		encoded = protowire.AppendVarint(protowire.AppendTag(encoded, 9, protowire.VarintType), 1)
 	}
-	return b
+	return encoded
 }
 
 var errInvalidRecord = errors.New("odd record")
 
 // walkFields calls f for each field of an encoded message.
-func walkFields(b []byte, f func(n protowire.Number, x uint64, bytes []byte) error) error {
-	return snapshot.Walk(b, errInvalidRecord, func(n protowire.Number, _ protowire.Type, x uint64, body []byte) error { return f(n, x, body) })
+func walkFields(encoded []byte, handle func(field protowire.Number, value uint64, bytes []byte) error) error {
+	return snapshot.Walk(encoded, errInvalidRecord, func(field protowire.Number, _ protowire.Type, value uint64, body []byte) error {
+		return handle(field, value, body)
+	})
 }
 
 // maxIndex bounds decoded values that are used as an index, so that a damaged record allocates little.
 const maxIndex = 1 << 20
 
 // Decode decodes a record.
-func Decode(b []byte) (r Record, err error) {
-	loaded := false
-	small := func(x uint64) int {
-		if x > maxIndex {
+func Decode(encoded []byte) (record Record, err error) {
+	hasLoad := false
+	boundedIndex := func(value uint64) int {
+		if value > maxIndex {
 			err = errInvalidRecord
 			return 0
 		}
-		return int(x)
+		return int(value)
 	}
-	walk := walkFields(b, func(n protowire.Number, x uint64, data []byte) error {
-		switch n {
+	walkErr := walkFields(encoded, func(field protowire.Number, value uint64, data []byte) error {
+		switch field {
 		case fieldKind:
-			r.Kind = Kind(min(x, math.MaxUint8))
+			record.Kind = Kind(min(value, math.MaxUint8))
 		case fieldNow:
-			r.Now = math.Float64frombits(x)
+			record.Now = math.Float64frombits(value)
 		case fieldRequest:
-			r.Request = x
+			record.Request = value
 		case fieldID:
-			r.ID = x
+			record.ID = value
 		case fieldAttempt:
-			r.Attempt = small(x)
+			record.Attempt = boundedIndex(value)
 		case fieldBackend:
-			r.Backend = x
+			record.Backend = value
 		case fieldDecision:
-			r.Decision = balancer.DecisionKind(min(x, math.MaxUint8))
+			record.Decision = balancer.DecisionKind(min(value, math.MaxUint8))
 		case fieldOutcome:
-			r.Outcome = balancer.Outcome(min(x, math.MaxUint8))
+			record.Outcome = balancer.Outcome(min(value, math.MaxUint8))
 		case fieldValue:
-			r.Value = math.Float64frombits(x)
+			record.Value = math.Float64frombits(value)
 		case fieldFlags:
-			r.Flags = x
+			record.Flags = value
 		case fieldClass:
-			r.Class = small(x)
+			record.Class = boundedIndex(value)
 		case fieldTenant:
-			r.Tenant = small(x)
+			record.Tenant = boundedIndex(value)
 		case fieldKey:
-			r.Key = x
+			record.Key = value
 		case fieldCostHint:
-			r.CostHint = math.Float64frombits(x)
+			record.CostHint = math.Float64frombits(value)
 		case fieldDeadline:
-			r.Deadline = math.Float64frombits(x)
+			record.Deadline = math.Float64frombits(value)
 		case fieldCount:
-			r.Count = x
+			record.Count = value
 		case fieldEndpoint:
-			l, odd := decodeEndpoint(data)
-			if odd != nil {
-				return odd
+			endpoint, endpointErr := decodeEndpoint(data)
+			if endpointErr != nil {
+				return endpointErr
 			}
-			r.Endpoints = append(r.Endpoints, l)
+			record.Endpoints = append(record.Endpoints, endpoint)
 		case fieldLoad:
-			loaded = true
-			r.Load, err = decodeLoad(data)
+			hasLoad = true
+			record.Load, err = decodeLoad(data)
 		case fieldData:
-			r.Data = append([]byte{}, data...)
+			record.Data = append([]byte{}, data...)
 		case fieldState:
-			r.State = append([]byte{}, data...)
+			record.State = append([]byte{}, data...)
 		case fieldRequests:
-			r.Requests, err = unpackNumbers(data)
+			record.Requests, err = unpackNumbers(data)
 		case fieldBackends:
-			r.Backends, err = unpackNumbers(data)
+			record.Backends, err = unpackNumbers(data)
 		}
 		return err
 	})
-	if r.Kind == LoadReported && !loaded { // earlier builds stored the service time alone, in Value
-		r.Load = balancer.EmptyLoadReport()
-		r.Load.ServiceTime = r.Value
+	if record.Kind == LoadReported && !hasLoad { // earlier builds stored the service time alone, in Value
+		record.Load = balancer.EmptyLoadReport()
+		record.Load.ServiceTime = record.Value
 	}
-	if walk == nil && (r.Kind == 0 || math.IsNaN(r.Now)) {
-		walk = errInvalidRecord
+	if walkErr == nil && (record.Kind == 0 || math.IsNaN(record.Now)) {
+		walkErr = errInvalidRecord
 	}
-	return r, walk
+	return record, walkErr
 }
 
-func decodeEndpoint(b []byte) (l Endpoint, err error) {
-	walk := walkFields(b, func(n protowire.Number, x uint64, _ []byte) error {
-		if n >= 3 && n <= 6 && x > maxIndex {
+func decodeEndpoint(encoded []byte) (endpoint Endpoint, err error) {
+	walk := walkFields(encoded, func(field protowire.Number, value uint64, _ []byte) error {
+		if field >= 3 && field <= 6 && value > maxIndex {
 			return errInvalidRecord
 		}
-		switch n {
+		switch field {
 		case 1:
-			l.Backend = x
+			endpoint.Backend = value
 		case 2:
-			l.ID = x
+			endpoint.ID = value
 		case 3:
-			if x > uint64(balancer.BackendReady) {
+			if value > uint64(balancer.BackendReady) {
 				return errInvalidRecord
 			}
-			l.State = balancer.BackendState(x)
+			endpoint.State = balancer.BackendState(value)
 		case 4:
-			l.Zone = int(x)
+			endpoint.Zone = int(value)
 		case 5:
-			l.Cell = int(x)
+			endpoint.Cell = int(value)
 		case 6:
-			l.Kind = int(x)
+			endpoint.Kind = int(value)
 		case 7:
-			l.Weight = math.Float64frombits(x)
+			endpoint.Weight = math.Float64frombits(value)
 		case 8:
-			l.Started = math.Float64frombits(x)
+			endpoint.Started = math.Float64frombits(value)
 		case 9:
-			l.Cordoned = x != 0
+			endpoint.Cordoned = value != 0
 		}
 		return nil
 	})
-	return l, walk
+	return endpoint, walk
 }
 
 // Start describes the process whose decider a Begin record starts.
@@ -357,14 +361,14 @@
 	Config *balancer.Config `json:"terms"`
 }
 
-func (r Record) startInfo() (s Start, err error) {
-	if err := json.Unmarshal(r.Data, &s); err != nil {
-		return s, fmt.Errorf("begin: %w", err)
+func (r Record) startInfo() (start Start, err error) {
+	if err := json.Unmarshal(r.Data, &start); err != nil {
+		return start, fmt.Errorf("begin: %w", err)
 	}
-	if s.Config == nil {
-		return s, errors.New("begin: no configuration")
+	if start.Config == nil {
+		return start, errors.New("begin: no configuration")
 	}
-	return s, nil
+	return start, nil
 }
 
 // String returns the record in one line.
@@ -372,8 +376,8 @@
 	text := fmt.Sprintf("%.3f %s", r.Now, r.Kind)
 	switch r.Kind {
 	case Begin:
-		if s, err := r.startInfo(); err == nil {
-			text += fmt.Sprintf(" %s epoch %d, seed %x, %d nodes, %d classes", s.Name, s.Epoch, s.Config.Seed, s.Config.Nodes, len(s.Config.Classes))
+		if start, err := r.startInfo(); err == nil {
+			text += fmt.Sprintf(" %s epoch %d, seed %x, %d nodes, %d classes", start.Name, start.Epoch, start.Config.Seed, start.Config.Nodes, len(start.Config.Classes))
 		}
 	case EndpointsChanged:
 		text += fmt.Sprintf(" %d endpoints, complete %t, cached %t", len(r.Endpoints), r.Flags&flagFull != 0, r.Flags&flagCached != 0)
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -46,41 +46,41 @@
 }
 
 // NewRecorder begins a capture of a decider that was created at now.
-func NewRecorder(inner balancer.Decider, now float64, s Start, o Options) (*Recorder, error) {
-	data, err := json.Marshal(s)
+func NewRecorder(inner balancer.Decider, now float64, start Start, options Options) (*Recorder, error) {
+	data, err := json.Marshal(start)
 	if err != nil {
 		return nil, err
 	}
-	r := &Recorder{inner: inner, options: o, startInfo: s, startJSON: data, requests: map[*balancer.Request]uint64{}, backends: map[*balancer.Backend]uint64{}}
-	r.record(&Record{Kind: Begin, Now: now, Data: data})
-	r.recordSnapshot() // what an earlier decider learned is in the state, not in the configuration
-	return r, nil
+	recorder := &Recorder{inner: inner, options: options, startInfo: start, startJSON: data, requests: map[*balancer.Request]uint64{}, backends: map[*balancer.Backend]uint64{}}
+	recorder.record(&Record{Kind: Begin, Now: now, Data: data})
+	recorder.recordSnapshot() // what an earlier decider learned is in the state, not in the configuration
+	return recorder, nil
 }
 
 // recordSnapshot records the decider's state, if it has one to give.
 func (r *Recorder) recordSnapshot() {
-	module, ok := r.inner.(interface {
+	snapshotter, ok := r.inner.(interface {
 		Snapshot(requests []*balancer.Request, backends []*balancer.Backend) (*balancer.Snapshot, error)
 	})
 	if !ok {
 		return
 	}
 	requests, backends := inNumberOrder(r.requests), inNumberOrder(r.backends)
-	s, err := module.Snapshot(requests, backends)
+	state, err := snapshotter.Snapshot(requests, backends)
 	if err != nil { // in the middle of a batch: the next interval will do
 		return
 	}
-	for i := range s.Requests { // the decider itself goes on with the original IDs
-		s.Requests[i].ID = r.hashID(s.Requests[i].ID)
+	for i := range state.Requests { // the decider itself goes on with the original IDs
+		state.Requests[i].ID = r.hashID(state.Requests[i].ID)
 	}
-	x := Record{Kind: Snapshot, Now: r.now, Data: r.startJSON, State: snapshot.Encode(s)}
+	record := Record{Kind: Snapshot, Now: r.now, Data: r.startJSON, State: snapshot.Encode(state)}
 	for _, request := range requests {
-		x.Requests = append(x.Requests, r.requests[request])
+		record.Requests = append(record.Requests, r.requests[request])
 	}
-	for _, b := range backends {
-		x.Backends = append(x.Backends, r.backends[b])
+	for _, backend := range backends {
+		record.Backends = append(record.Backends, r.backends[backend])
 	}
-	r.record(&x)
+	r.record(&record)
 	r.nextSnapshot, r.hasSnapshot = r.now+r.options.SnapshotIntervalMs, true
 }
 
@@ -95,21 +95,21 @@
 }
 
 // hashID returns what stands for a request's ID where IDs are confidential. It is never 0, which means no ID.
-func (r *Recorder) hashID(x uint64) uint64 {
-	if len(r.options.HashKey) == 0 || x == 0 {
-		return x
+func (r *Recorder) hashID(id uint64) uint64 {
+	if len(r.options.HashKey) == 0 || id == 0 {
+		return id
 	}
-	h := xxhash.New()
-	_, _ = h.Write(r.options.HashKey)
-	_, _ = h.Write(binary.LittleEndian.AppendUint64(nil, x))
-	return max(h.Sum64(), 1)
+	hash := xxhash.New()
+	_, _ = hash.Write(r.options.HashKey)
+	_, _ = hash.Write(binary.LittleEndian.AppendUint64(nil, id))
+	return max(hash.Sum64(), 1)
 }
 
-func (r *Recorder) record(x *Record) {
-	r.now = x.Now
-	from := len(r.batch)
-	r.batch = x.Append(append(r.batch, emptyRecordHeader[:]...))
-	fillRecordHeader(r.batch[from:])
+func (r *Recorder) record(record *Record) {
+	r.now = record.Now
+	start := len(r.batch)
+	r.batch = record.Append(append(r.batch, emptyRecordHeader[:]...))
+	fillRecordHeader(r.batch[start:])
 	r.batchRecords++
 }
 
@@ -121,31 +121,31 @@
 }
 
 // numberOf numbers a backend when it is first named.
-func (r *Recorder) numberOf(b *balancer.Backend) uint64 {
-	n, known := r.backends[b]
+func (r *Recorder) numberOf(backend *balancer.Backend) uint64 {
+	number, known := r.backends[backend]
 	if !known {
 		r.lastBackend++
-		n = r.lastBackend
-		r.backends[b] = n
+		number = r.lastBackend
+		r.backends[backend] = number
 	}
-	return n
+	return number
 }
 
 // EndpointsChanged implements balancer.Decider.
-func (r *Recorder) EndpointsChanged(now float64, lines []balancer.Endpoint, full, cached bool) {
-	x := Record{Kind: EndpointsChanged, Now: now}
+func (r *Recorder) EndpointsChanged(now float64, endpoints []balancer.Endpoint, full, cached bool) {
+	record := Record{Kind: EndpointsChanged, Now: now}
 	if full {
-		x.Flags |= flagFull
+		record.Flags |= flagFull
 	}
 	if cached {
-		x.Flags |= flagCached
+		record.Flags |= flagCached
 	}
-	for _, l := range lines {
-		x.Endpoints = append(x.Endpoints, Endpoint{Backend: r.numberOf(l.Backend), ID: l.Backend.ID, State: l.State, Zone: l.Zone, Cell: l.Cell, Kind: l.Kind,
-			Weight: l.Weight, Started: l.Started, Cordoned: l.Cordoned})
+	for _, endpoint := range endpoints {
+		record.Endpoints = append(record.Endpoints, Endpoint{Backend: r.numberOf(endpoint.Backend), ID: endpoint.Backend.ID, State: endpoint.State, Zone: endpoint.Zone, Cell: endpoint.Cell, Kind: endpoint.Kind,
+			Weight: endpoint.Weight, Started: endpoint.Started, Cordoned: endpoint.Cordoned})
 	}
-	r.record(&x)
-	r.inner.EndpointsChanged(now, lines, full, cached)
+	r.record(&record)
+	r.inner.EndpointsChanged(now, endpoints, full, cached)
 }
 
 // PollFailed implements balancer.Decider.
@@ -158,26 +158,26 @@
 func (r *Recorder) RequestArrived(now float64, request *balancer.Request) {
 	r.lastRequest++
 	r.requests[request] = r.lastRequest
-	for _, p := range request.Attempts { // begun by another node
-		b := p.Backend
-		r.record(&Record{Kind: EarlierAttempt, Now: now, Request: r.lastRequest, Value: p.SentAt, Outcome: p.Outcome(),
-			Endpoints: []Endpoint{{Backend: r.numberOf(b), ID: b.ID, Zone: b.Zone, Cell: b.Cell}}})
+	for _, attempt := range request.Attempts { // begun by another node
+		backend := attempt.Backend
+		r.record(&Record{Kind: EarlierAttempt, Now: now, Request: r.lastRequest, Value: attempt.SentAt, Outcome: attempt.Outcome(),
+			Endpoints: []Endpoint{{Backend: r.numberOf(backend), ID: backend.ID, Zone: backend.Zone, Cell: backend.Cell}}})
 	}
-	x := Record{Kind: RequestArrived, Now: now, Request: r.lastRequest, ID: r.hashID(request.ID), Class: request.Class, Tenant: request.Tenant, CostHint: request.CostHint,
+	record := Record{Kind: RequestArrived, Now: now, Request: r.lastRequest, ID: r.hashID(request.ID), Class: request.Class, Tenant: request.Tenant, CostHint: request.CostHint,
 		Deadline: request.Deadline, Key: request.Key}
 	if request.HasCostHint {
-		x.Flags |= flagCostHint
+		record.Flags |= flagCostHint
 	}
 	if request.IsClientRetry {
-		x.Flags |= flagClientRetry
+		record.Flags |= flagClientRetry
 	}
 	if request.Streamed {
-		x.Flags |= flagStreamed
+		record.Flags |= flagStreamed
 	}
 	if request.Config != nil && request.Config != r.startInfo.Config {
-		x.Flags |= flagPreviousConfig
+		record.Flags |= flagPreviousConfig
 	}
-	r.record(&x)
+	r.record(&record)
 	r.inner.RequestArrived(now, request)
 }
 
@@ -195,53 +195,53 @@
 }
 
 // ResponseStarted implements balancer.Decider.
-func (r *Recorder) ResponseStarted(now float64, p *balancer.Attempt) {
-	r.record(&Record{Kind: ResponseStarted, Now: now, Request: r.requests[p.Request], Attempt: p.Number})
-	r.inner.ResponseStarted(now, p)
+func (r *Recorder) ResponseStarted(now float64, attempt *balancer.Attempt) {
+	r.record(&Record{Kind: ResponseStarted, Now: now, Request: r.requests[attempt.Request], Attempt: attempt.Number})
+	r.inner.ResponseStarted(now, attempt)
 }
 
 // RequestBodySent implements balancer.Decider; the record has the request's deadline at that moment.
-func (r *Recorder) RequestBodySent(now float64, p *balancer.Attempt) {
-	r.record(&Record{Kind: RequestBodySent, Now: now, Request: r.requests[p.Request], Attempt: p.Number, Value: p.Request.Deadline})
-	r.inner.RequestBodySent(now, p)
+func (r *Recorder) RequestBodySent(now float64, attempt *balancer.Attempt) {
+	r.record(&Record{Kind: RequestBodySent, Now: now, Request: r.requests[attempt.Request], Attempt: attempt.Number, Value: attempt.Request.Deadline})
+	r.inner.RequestBodySent(now, attempt)
 }
 
 // AttemptEnded implements balancer.Decider.
-func (r *Recorder) AttemptEnded(now float64, p *balancer.Attempt, how balancer.Outcome, elapsed float64, finished bool) {
-	x := Record{Kind: AttemptEnded, Now: now, Request: r.requests[p.Request], Attempt: p.Number, Outcome: how, Value: elapsed}
+func (r *Recorder) AttemptEnded(now float64, attempt *balancer.Attempt, outcome balancer.Outcome, elapsed float64, finished bool) {
+	record := Record{Kind: AttemptEnded, Now: now, Request: r.requests[attempt.Request], Attempt: attempt.Number, Outcome: outcome, Value: elapsed}
 	if finished {
-		x.Flags |= flagFinished
+		record.Flags |= flagFinished
 	}
-	r.record(&x)
-	r.inner.AttemptEnded(now, p, how, elapsed, finished)
-	r.forgetIfDone(p.Request)
+	r.record(&record)
+	r.inner.AttemptEnded(now, attempt, outcome, elapsed, finished)
+	r.forgetIfDone(attempt.Request)
 }
 
 // LoadReported implements balancer.Decider.
-func (r *Recorder) LoadReported(now float64, b *balancer.Backend, load balancer.LoadReport) {
-	r.record(&Record{Kind: LoadReported, Now: now, Backend: r.backends[b], Load: load})
-	r.inner.LoadReported(now, b, load)
+func (r *Recorder) LoadReported(now float64, backend *balancer.Backend, load balancer.LoadReport) {
+	r.record(&Record{Kind: LoadReported, Now: now, Backend: r.backends[backend], Load: load})
+	r.inner.LoadReported(now, backend, load)
 }
 
 // ProcessesChanged implements balancer.Decider.
-func (r *Recorder) ProcessesChanged(now float64, of int) {
-	r.record(&Record{Kind: ProcessesChanged, Now: now, Count: uint64(of)})
-	r.inner.ProcessesChanged(now, of)
+func (r *Recorder) ProcessesChanged(now float64, count int) {
+	r.record(&Record{Kind: ProcessesChanged, Now: now, Count: uint64(count)})
+	r.inner.ProcessesChanged(now, count)
 }
 
 // ConfigChanged implements balancer.Decider.
-func (r *Recorder) ConfigChanged(now float64, t *balancer.Config, from []int) {
-	s := r.startInfo
-	s.Config = t
-	if data, err := json.Marshal(s); err == nil { // fails for no configuration that the first one did not fail for
-		r.startJSON, r.startInfo = data, s
+func (r *Recorder) ConfigChanged(now float64, config *balancer.Config, formerIndexes []int) {
+	start := r.startInfo
+	start.Config = config
+	if data, err := json.Marshal(start); err == nil { // fails for no configuration that the first one did not fail for
+		r.startJSON, r.startInfo = data, start
 	}
-	x := Record{Kind: ConfigChanged, Now: now, Data: r.startJSON}
-	for _, k := range from {
-		x.Requests = append(x.Requests, uint64(k+1))
+	record := Record{Kind: ConfigChanged, Now: now, Data: r.startJSON}
+	for _, index := range formerIndexes {
+		record.Requests = append(record.Requests, uint64(index+1))
 	}
-	r.record(&x)
-	r.inner.ConfigChanged(now, t, from)
+	r.record(&record)
+	r.inner.ConfigChanged(now, config, formerIndexes)
 }
 
 // TimerFired implements balancer.Decider.
@@ -252,29 +252,29 @@
 
 // Next implements balancer.Decider. When no decision is left it hands the batch to the sink.
 func (r *Recorder) Next() (balancer.Decision, bool) {
-	d, more := r.inner.Next()
+	decision, more := r.inner.Next()
 	if !more {
 		r.record(&Record{Kind: BatchEnd, Now: r.now})
 		if r.options.SnapshotIntervalMs > 0 && r.now >= r.nextSnapshot {
 			r.recordSnapshot()
 		}
 		r.flush()
-		return d, more
+		return decision, more
 	}
-	x := decisionRecord(d, func(request *balancer.Request) uint64 { return r.requests[request] }, func(b *balancer.Backend) uint64 { return r.backends[b] })
-	x.Now = r.now
-	r.record(&x)
-	if d.Kind == balancer.DoReject || d.Kind == balancer.DoFail {
-		r.forgetIfDone(d.Request)
+	record := decisionRecord(decision, func(request *balancer.Request) uint64 { return r.requests[request] }, func(backend *balancer.Backend) uint64 { return r.backends[backend] })
+	record.Now = r.now
+	r.record(&record)
+	if decision.Kind == balancer.DoReject || decision.Kind == balancer.DoFail {
+		r.forgetIfDone(decision.Request)
 	}
-	return d, more
+	return decision, more
 }
 
 // BackendForgotten records that the host has released a backend. Should the backend return, it is a new one to the
 // decider as well.
-func (r *Recorder) BackendForgotten(b *balancer.Backend) {
-	r.record(&Record{Kind: BackendForgotten, Now: r.now, Backend: r.backends[b]})
-	delete(r.backends, b)
+func (r *Recorder) BackendForgotten(backend *balancer.Backend) {
+	r.record(&Record{Kind: BackendForgotten, Now: r.now, Backend: r.backends[backend]})
+	delete(r.backends, backend)
 }
 
 // forgetIfDone releases a request that has ended: nothing that happens to it later reaches the decider either.
@@ -285,13 +285,13 @@
 }
 
 // decisionRecord encodes a decision as a record, with the numbers that the capture gave to requests and backends.
-func decisionRecord(d balancer.Decision, request func(*balancer.Request) uint64, backend func(*balancer.Backend) uint64) Record {
-	x := Record{Kind: Decided, Decision: d.Kind, Value: d.Wait, Data: []byte(storedEvent(d.Event))}
-	if d.Request != nil {
-		x.Request = request(d.Request)
+func decisionRecord(decision balancer.Decision, requestNumber func(*balancer.Request) uint64, backendNumber func(*balancer.Backend) uint64) Record {
+	record := Record{Kind: Decided, Decision: decision.Kind, Value: decision.Wait, Data: []byte(storedEvent(decision.Event))}
+	if decision.Request != nil {
+		record.Request = requestNumber(decision.Request)
 	}
-	if d.Attempt != nil {
-		x.Attempt, x.Backend = d.Attempt.Number, backend(d.Attempt.Backend)
+	if decision.Attempt != nil {
+		record.Attempt, record.Backend = decision.Attempt.Number, backendNumber(decision.Attempt.Backend)
 	}
-	return x
+	return record
 }
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -21,8 +21,8 @@
 
 func (d *MismatchError) Error() string {
 	text := fmt.Sprintf("record %d at %.3f: captured %s, replayed %s", d.RecordNumber, d.Now, d.Captured, d.Replayed)
-	for _, r := range d.Inputs {
-		text += "\n    " + r.String()
+	for _, input := range d.Inputs {
+		text += "\n    " + input.String()
 	}
 	return text
 }
@@ -60,50 +60,50 @@
 }
 
 // Feed takes the next record. The error is a *MismatchError, or says what is inconsistent in the capture itself.
-func (r *Replayer) Feed(x Record) error {
+func (r *Replayer) Feed(record Record) error {
 	r.Result.Records++
 	if r.Result.From == 0 {
-		r.Result.From = x.Now
+		r.Result.From = record.Now
 	}
-	r.Result.To = math.Max(r.Result.To, x.Now)
+	r.Result.To = math.Max(r.Result.To, record.Now)
 	switch {
-	case x.Kind == Gap:
+	case record.Kind == Gap:
 		r.Result.Gaps++
-		r.Result.MissingRecords += x.Count
+		r.Result.MissingRecords += record.Count
 		r.afterGap = true
 		return nil
 	case r.Result.Records <= r.Skip:
 		return nil
-	case x.Kind == Begin:
-		return r.startEpoch(x)
-	case x.Kind == Snapshot:
-		return r.checkSnapshot(x)
+	case record.Kind == Begin:
+		return r.startEpoch(record)
+	case record.Kind == Snapshot:
+		return r.checkSnapshot(record)
 	case r.afterGap || r.decider == nil:
 		r.Result.Unverified++
 		return nil
 	}
-	if x.Kind != Decided && x.Kind != BatchEnd {
-		r.inputs = append(r.inputs, x)
-		return r.applyInput(x)
+	if record.Kind != Decided && record.Kind != BatchEnd {
+		r.inputs = append(r.inputs, record)
+		return r.applyInput(record)
 	}
-	d, more := r.decider.Next()
-	if x.Kind == BatchEnd {
+	decision, more := r.decider.Next()
+	if record.Kind == BatchEnd {
 		if more {
-			return r.mismatch(x, "no decision left", describeDecision(r.decisionRecord(d)))
+			return r.mismatch(record, "no decision left", describeDecision(r.decisionRecord(decision)))
 		}
 		r.inputs = r.inputs[:0]
 		return nil
 	}
 	if !more {
-		return r.mismatch(x, describeDecision(x), "no decision left")
+		return r.mismatch(record, describeDecision(record), "no decision left")
 	}
-	got := r.decisionRecord(d)
-	got.Now = x.Now
-	if !bytes.Equal(got.Append(nil), x.Append(nil)) {
-		return r.mismatch(x, describeDecision(x), describeDecision(got))
+	replayed := r.decisionRecord(decision)
+	replayed.Now = record.Now
+	if !bytes.Equal(replayed.Append(nil), record.Append(nil)) {
+		return r.mismatch(record, describeDecision(record), describeDecision(replayed))
 	}
 	r.Result.Decisions++
-	r.forgetIfDone(d.Request)
+	r.forgetIfDone(decision.Request)
 	return nil
 }
 
@@ -114,26 +114,26 @@
 	}
 }
 
-func (r *Replayer) decisionRecord(d balancer.Decision) Record {
-	return decisionRecord(d, func(request *balancer.Request) uint64 { return r.requestNumbers[request] }, func(b *balancer.Backend) uint64 { return r.backendNumbers[b] })
+func (r *Replayer) decisionRecord(decision balancer.Decision) Record {
+	return decisionRecord(decision, func(request *balancer.Request) uint64 { return r.requestNumbers[request] }, func(backend *balancer.Backend) uint64 { return r.backendNumbers[backend] })
 }
 
-func (r *Replayer) mismatch(x Record, captured, replayed string) *MismatchError {
-	return &MismatchError{RecordNumber: r.Result.Records, Now: x.Now, Captured: captured, Replayed: replayed, Inputs: append([]Record{}, r.inputs...)}
+func (r *Replayer) mismatch(record Record, captured, replayed string) *MismatchError {
+	return &MismatchError{RecordNumber: r.Result.Records, Now: record.Now, Captured: captured, Replayed: replayed, Inputs: append([]Record{}, r.inputs...)}
 }
 
-func (r *Replayer) startEpoch(x Record) error {
-	s, err := x.startInfo()
+func (r *Replayer) startEpoch(record Record) error {
+	start, err := record.startInfo()
 	if err != nil {
 		return fmt.Errorf("record %d: %w", r.Result.Records, err)
 	}
 	if r.New != nil {
-		r.decider = r.New(s.Config, x.Now)
+		r.decider = r.New(start.Config, record.Now)
 	} else {
-		r.decider = balancer.New(s.Config, x.Now)
+		r.decider = balancer.New(start.Config, record.Now)
 	}
 	r.reset()
-	r.config, r.previousConfig = s.Config, nil
+	r.config, r.previousConfig = start.Config, nil
 	r.Result.Epochs++
 	return nil
 }
@@ -146,131 +146,131 @@
 
 // checkSnapshot restores the decider where its state is unknown. Elsewhere, if Strict, it compares its state with the
 // recorded one.
-func (r *Replayer) checkSnapshot(x Record) error {
+func (r *Replayer) checkSnapshot(record Record) error {
 	if r.decider == nil || r.afterGap {
-		return r.restore(x)
+		return r.restore(record)
 	}
 	if !r.Strict {
 		return nil
 	}
-	data, err := r.encodedState()
-	if err == nil && data != nil && !bytes.Equal(data, x.State) {
-		return r.mismatch(x, fmt.Sprintf("a state of %d bytes", len(x.State)), fmt.Sprintf("another, of %d bytes", len(data)))
+	state, err := r.encodedState()
+	if err == nil && state != nil && !bytes.Equal(state, record.State) {
+		return r.mismatch(record, fmt.Sprintf("a state of %d bytes", len(record.State)), fmt.Sprintf("another, of %d bytes", len(state)))
 	}
 	return err
 }
 
 // encodedState returns the decider's encoded state, or nil if it cannot give one.
 func (r *Replayer) encodedState() ([]byte, error) {
-	module, ok := r.decider.(*balancer.Balancer)
+	core, ok := r.decider.(*balancer.Balancer)
 	if !ok {
 		return nil, nil
 	}
-	s, err := module.Snapshot(inNumberOrder(r.requestNumbers), inNumberOrder(r.backendNumbers))
+	state, err := core.Snapshot(inNumberOrder(r.requestNumbers), inNumberOrder(r.backendNumbers))
 	if err != nil {
 		return nil, err
 	}
-	return snapshot.Encode(s), nil
+	return snapshot.Encode(state), nil
 }
 
-func (r *Replayer) restore(x Record) error {
-	fail := func(err error) error { return fmt.Errorf("record %d at %.3f: %w", r.Result.Records, x.Now, err) }
-	s, err := x.startInfo()
+func (r *Replayer) restore(record Record) error {
+	fail := func(err error) error { return fmt.Errorf("record %d at %.3f: %w", r.Result.Records, record.Now, err) }
+	start, err := record.startInfo()
 	if err != nil {
 		return fail(err)
 	}
-	state, err := snapshot.Decode(x.State)
+	state, err := snapshot.Decode(record.State)
 	if err != nil {
 		return fail(err)
 	}
-	n, requests, backends, err := balancer.Restore(s.Config, state)
+	restored, requests, backends, err := balancer.Restore(start.Config, state)
 	if err != nil {
 		return fail(err)
 	}
-	if len(requests) != len(x.Requests) || len(backends) != len(x.Backends) {
+	if len(requests) != len(record.Requests) || len(backends) != len(record.Backends) {
 		return fail(errInvalidRecord)
 	}
 	r.reset()
-	r.decider, r.config, r.previousConfig = n, s.Config, nil
+	r.decider, r.config, r.previousConfig = restored, start.Config, nil
 	for i, request := range requests {
-		r.requests[x.Requests[i]], r.requestNumbers[request] = request, x.Requests[i]
+		r.requests[record.Requests[i]], r.requestNumbers[request] = request, record.Requests[i]
 	}
-	for i, b := range backends {
-		r.backends[x.Backends[i]], r.backendNumbers[b] = b, x.Backends[i]
+	for i, backend := range backends {
+		r.backends[record.Backends[i]], r.backendNumbers[backend] = backend, record.Backends[i]
 	}
 	r.Result.Restored++
 	return nil
 }
 
-// RestoreFromOwnState replaces the decider by one restored from its own snapshot, so that tests see whether both decide
-// alike from there on.
-func (r *Replayer) RestoreFromOwnState(s Start) error {
-	data, err := r.encodedState()
+// RestoreFromOwnState replaces the decider by one restored from its own snapshot, so that tests see whether both
+// decide alike from there on.
+func (r *Replayer) RestoreFromOwnState(start Start) error {
+	state, err := r.encodedState()
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(s)
+	startJSON, err := json.Marshal(start)
 	if err != nil {
 		return err
 	}
-	x := Record{Kind: Snapshot, Data: text, State: data}
+	record := Record{Kind: Snapshot, Data: startJSON, State: state}
 	for _, request := range inNumberOrder(r.requestNumbers) {
-		x.Requests = append(x.Requests, r.requestNumbers[request])
+		record.Requests = append(record.Requests, r.requestNumbers[request])
 	}
-	for _, b := range inNumberOrder(r.backendNumbers) {
-		x.Backends = append(x.Backends, r.backendNumbers[b])
+	for _, backend := range inNumberOrder(r.backendNumbers) {
+		record.Backends = append(record.Backends, r.backendNumbers[backend])
 	}
-	return r.restore(x)
+	return r.restore(record)
 }
 
 // applyInput passes a recorded input to the decider.
-func (r *Replayer) applyInput(x Record) error {
-	request, attempt, err := r.subjects(x)
+func (r *Replayer) applyInput(record Record) error {
+	request, attempt, err := r.subjects(record)
 	if err != nil {
 		return err
 	}
-	switch x.Kind {
+	switch record.Kind {
 	case EndpointsChanged:
-		r.decider.EndpointsChanged(x.Now, r.endpoints(x), x.Flags&flagFull != 0, x.Flags&flagCached != 0)
+		r.decider.EndpointsChanged(record.Now, r.endpoints(record), record.Flags&flagFull != 0, record.Flags&flagCached != 0)
 	case PollFailed:
-		r.decider.PollFailed(x.Now)
+		r.decider.PollFailed(record.Now)
 	case EarlierAttempt:
-		if len(x.Endpoints) != 1 {
-			return r.errorf(x, "an attempt of another node without its backend")
+		if len(record.Endpoints) != 1 {
+			return r.errorf(record, "an attempt of another node without its backend")
 		}
-		r.earlierAttempts = append(r.earlierAttempts, x)
+		r.earlierAttempts = append(r.earlierAttempts, record)
 	case RequestArrived:
-		if request, err = r.arrivedRequest(x); err != nil {
+		if request, err = r.arrivedRequest(record); err != nil {
 			return err
 		}
-		r.decider.RequestArrived(x.Now, request)
+		r.decider.RequestArrived(record.Now, request)
 	case ClientGone:
-		r.decider.ClientGone(x.Now, request)
+		r.decider.ClientGone(record.Now, request)
 	case DeadlineShortened:
-		request.Deadline = x.Value
-		r.decider.DeadlineShortened(x.Now, request)
+		request.Deadline = record.Value
+		r.decider.DeadlineShortened(record.Now, request)
 	case ResponseStarted:
-		r.decider.ResponseStarted(x.Now, attempt)
+		r.decider.ResponseStarted(record.Now, attempt)
 	case RequestBodySent:
-		request.Deadline = x.Value
-		r.decider.RequestBodySent(x.Now, attempt)
+		request.Deadline = record.Value
+		r.decider.RequestBodySent(record.Now, attempt)
 	case AttemptEnded:
-		r.decider.AttemptEnded(x.Now, attempt, x.Outcome, x.Value, x.Flags&flagFinished != 0)
+		r.decider.AttemptEnded(record.Now, attempt, record.Outcome, record.Value, record.Flags&flagFinished != 0)
 	case LoadReported:
-		backend := r.backends[x.Backend]
+		backend := r.backends[record.Backend]
 		if backend == nil {
-			return r.errorf(x, "backend %d was never listed", x.Backend)
+			return r.errorf(record, "backend %d was never listed", record.Backend)
 		}
-		r.decider.LoadReported(x.Now, backend, x.Load)
+		r.decider.LoadReported(record.Now, backend, record.Load)
 	case ConfigChanged:
-		return r.changeConfig(x)
+		return r.changeConfig(record)
 	case ProcessesChanged:
-		r.decider.ProcessesChanged(x.Now, int(min(x.Count, maxIndex)))
+		r.decider.ProcessesChanged(record.Now, int(min(record.Count, maxIndex)))
 	case TimerFired:
-		r.decider.TimerFired(x.Now)
+		r.decider.TimerFired(record.Now)
 	case BackendForgotten:
-		delete(r.backendNumbers, r.backends[x.Backend])
-		delete(r.backends, x.Backend)
+		delete(r.backendNumbers, r.backends[record.Backend])
+		delete(r.backends, record.Backend)
 	default: // a kind of a later build: the decider's state is unknown from here on
 		r.Result.Gaps++
 		r.afterGap = true
@@ -279,81 +279,81 @@
 	return nil
 }
 
-func (r *Replayer) errorf(x Record, format string, args ...any) error {
-	return fmt.Errorf("record %d at %.3f: %s", r.Result.Records, x.Now, fmt.Sprintf(format, args...))
+func (r *Replayer) errorf(record Record, format string, args ...any) error {
+	return fmt.Errorf("record %d at %.3f: %s", r.Result.Records, record.Now, fmt.Sprintf(format, args...))
 }
 
 // subjects returns the request that a record is about, and its attempt, for the kinds that must have them.
-func (r *Replayer) subjects(x Record) (*balancer.Request, *balancer.Attempt, error) {
-	request := r.requests[x.Request]
-	switch x.Kind {
+func (r *Replayer) subjects(record Record) (*balancer.Request, *balancer.Attempt, error) {
+	request := r.requests[record.Request]
+	switch record.Kind {
 	case ClientGone, DeadlineShortened, ResponseStarted, RequestBodySent, AttemptEnded:
 	default:
 		return request, nil, nil
 	}
 	if request == nil {
-		return nil, nil, r.errorf(x, "request %d never arrived", x.Request)
+		return nil, nil, r.errorf(record, "request %d never arrived", record.Request)
 	}
-	if x.Kind == ClientGone || x.Kind == DeadlineShortened {
+	if record.Kind == ClientGone || record.Kind == DeadlineShortened {
 		return request, nil, nil
 	}
-	if x.Attempt >= len(request.Attempts) {
-		return nil, nil, r.mismatch(x, fmt.Sprintf("request %d has attempt %d", x.Request, x.Attempt), fmt.Sprintf("it has %d attempts", len(request.Attempts)))
+	if record.Attempt >= len(request.Attempts) {
+		return nil, nil, r.mismatch(record, fmt.Sprintf("request %d has attempt %d", record.Request, record.Attempt), fmt.Sprintf("it has %d attempts", len(request.Attempts)))
 	}
-	return request, request.Attempts[x.Attempt], nil
+	return request, request.Attempts[record.Attempt], nil
 }
 
 // endpoints returns the endpoints of a record, with the backends that their numbers stand for.
-func (r *Replayer) endpoints(x Record) []balancer.Endpoint {
-	all := make([]balancer.Endpoint, 0, len(x.Endpoints))
-	for _, e := range x.Endpoints {
-		backend := r.backends[e.Backend]
+func (r *Replayer) endpoints(record Record) []balancer.Endpoint {
+	endpoints := make([]balancer.Endpoint, 0, len(record.Endpoints))
+	for _, endpoint := range record.Endpoints {
+		backend := r.backends[endpoint.Backend]
 		if backend == nil {
-			backend = &balancer.Backend{ID: e.ID}
-			r.backends[e.Backend], r.backendNumbers[backend] = backend, e.Backend
+			backend = &balancer.Backend{ID: endpoint.ID}
+			r.backends[endpoint.Backend], r.backendNumbers[backend] = backend, endpoint.Backend
 		}
-		all = append(all, balancer.Endpoint{Backend: backend, State: e.State, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, Weight: e.Weight,
-			Started: e.Started, Cordoned: e.Cordoned})
+		endpoints = append(endpoints, balancer.Endpoint{Backend: backend, State: endpoint.State, Zone: endpoint.Zone, Cell: endpoint.Cell, Kind: endpoint.Kind, Weight: endpoint.Weight,
+			Started: endpoint.Started, Cordoned: endpoint.Cordoned})
 	}
-	return all
+	return endpoints
 }
 
 // arrivedRequest makes the request of a RequestArrived record, with the attempts of other nodes that precede it.
-func (r *Replayer) arrivedRequest(x Record) (*balancer.Request, error) {
-	request := &balancer.Request{ID: x.ID, Class: x.Class, Tenant: x.Tenant, CostHint: x.CostHint, HasCostHint: x.Flags&flagCostHint != 0,
-		IsClientRetry: x.Flags&flagClientRetry != 0, Streamed: x.Flags&flagStreamed != 0, Deadline: x.Deadline, Key: x.Key}
+func (r *Replayer) arrivedRequest(record Record) (*balancer.Request, error) {
+	request := &balancer.Request{ID: record.ID, Class: record.Class, Tenant: record.Tenant, CostHint: record.CostHint, HasCostHint: record.Flags&flagCostHint != 0,
+		IsClientRetry: record.Flags&flagClientRetry != 0, Streamed: record.Flags&flagStreamed != 0, Deadline: record.Deadline, Key: record.Key}
 	request.Config = r.config
-	if x.Flags&flagPreviousConfig != 0 && r.previousConfig != nil {
+	if record.Flags&flagPreviousConfig != 0 && r.previousConfig != nil {
 		request.Config = r.previousConfig
 	}
 	if request.Class >= len(request.Config.Classes) {
-		return nil, r.errorf(x, "class %d of %d", request.Class, len(request.Config.Classes))
+		return nil, r.errorf(record, "class %d of %d", request.Class, len(request.Config.Classes))
 	}
 	for _, earlier := range r.earlierAttempts {
-		e := earlier.Endpoints[0]
-		backend := r.backends[e.Backend]
+		endpoint := earlier.Endpoints[0]
+		backend := r.backends[endpoint.Backend]
 		if backend == nil {
-			backend = &balancer.Backend{ID: e.ID, Zone: e.Zone, Cell: e.Cell}
-			r.backends[e.Backend], r.backendNumbers[backend] = backend, e.Backend
+			backend = &balancer.Backend{ID: endpoint.ID, Zone: endpoint.Zone, Cell: endpoint.Cell}
+			r.backends[endpoint.Backend], r.backendNumbers[backend] = backend, endpoint.Backend
 		}
 		request.AddEarlierAttempt(backend, earlier.Value, earlier.Outcome)
 	}
 	r.earlierAttempts = r.earlierAttempts[:0]
-	r.requests[x.Request], r.requestNumbers[request] = request, x.Request
+	r.requests[record.Request], r.requestNumbers[request] = request, record.Request
 	return request, nil
 }
 
 // changeConfig replays a new configuration; the record's Requests has each class's former index plus 1, or 0.
-func (r *Replayer) changeConfig(x Record) error {
-	s, err := x.startInfo()
+func (r *Replayer) changeConfig(record Record) error {
+	start, err := record.startInfo()
 	if err != nil {
-		return fmt.Errorf("record %d at %.3f: %w", r.Result.Records, x.Now, err)
+		return fmt.Errorf("record %d at %.3f: %w", r.Result.Records, record.Now, err)
 	}
-	formerIndex := make([]int, 0, len(x.Requests))
-	for _, k := range x.Requests {
-		formerIndex = append(formerIndex, int(min(k, maxIndex))-1)
+	formerIndex := make([]int, 0, len(record.Requests))
+	for _, index := range record.Requests {
+		formerIndex = append(formerIndex, int(min(index, maxIndex))-1)
 	}
-	r.previousConfig, r.config = r.config, s.Config
-	r.decider.ConfigChanged(x.Now, s.Config, formerIndex)
+	r.previousConfig, r.config = r.config, start.Config
+	r.decider.ConfigChanged(record.Now, start.Config, formerIndex)
 	return nil
 }
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -22,7 +22,8 @@
 	SyncBlock   Sync = "block"   // after each block
 )
 
-// WriterConfig configures a Writer: where segments are stored, and the size and age beyond which the oldest are removed.
+// WriterConfig configures a Writer: where segments are stored, and the size and age beyond which the oldest are
+// removed.
 type WriterConfig struct {
 	Dir           string
 	NodeName      string // its name
@@ -47,8 +48,8 @@
 	Close() error
 }
 
-// Writer writes batches to segment files on a goroutine of its own. Put never waits for the disk: what does not fit the
-// pending bytes is dropped, counted, and recorded as a gap of that many records.
+// Writer writes batches to segment files on a goroutine of its own. Put never waits for the disk: what does not fit
+// the pending bytes is dropped, counted, and recorded as a gap of that many records.
 type Writer struct {
 	config         WriterConfig
 	mu             sync.Mutex
@@ -76,36 +77,37 @@
 const diskRetryDelay = time.Second
 
 // NewWriter creates the directory and starts the writing goroutine; Close ends it.
-func NewWriter(r WriterConfig) (*Writer, error) {
-	if err := os.MkdirAll(r.Dir, 0o700); err != nil {
+func NewWriter(config WriterConfig) (*Writer, error) {
+	if err := os.MkdirAll(config.Dir, 0o700); err != nil {
 		return nil, err
 	}
-	zip, err := newEncoder()
+	encoder, err := newEncoder()
 	if err != nil {
 		return nil, err
 	}
-	if r.create == nil {
-		r.create = func(name string) (segment, error) {
+	if config.create == nil {
+		config.create = func(name string) (segment, error) {
 			return os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 		}
 	}
-	w := &Writer{config: r, blockReady: make(chan struct{}, 1), closing: make(chan struct{}), closed: make(chan struct{}), encoder: zip}
+	w := &Writer{config: config, blockReady: make(chan struct{}, 1), closing: make(chan struct{}), closed: make(chan struct{}), encoder: encoder}
 	go w.run()
 	return w, nil
 }
 
-// Put queues a batch and never blocks. The writing goroutine is woken once a full block is pending, not for each batch.
-func (w *Writer) Put(b Batch) {
+// Put queues a batch and never blocks. The writing goroutine is woken once a full block is pending, not for each
+// batch.
+func (w *Writer) Put(batch Batch) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.pending)+len(b.Data) > int(w.config.MaxPendingMB*(1<<20)) {
-		w.dropped += uint64(b.Records)
-		w.totalDropped += uint64(b.Records)
+	if len(w.pending)+len(batch.Data) > int(w.config.MaxPendingMB*(1<<20)) {
+		w.dropped += uint64(batch.Records)
+		w.totalDropped += uint64(batch.Records)
 		return
 	}
 	w.pending = w.appendGap(w.pending, &w.dropped)
-	w.pending = append(w.pending, b.Data...)
-	w.pendingRecords += uint64(b.Records)
+	w.pending = append(w.pending, batch.Data...)
+	w.pendingRecords += uint64(batch.Records)
 	if len(w.pending) >= w.config.BlockKB<<10 {
 		select {
 		case w.blockReady <- struct{}{}:
@@ -115,12 +117,12 @@
 }
 
 // appendGap appends a gap record for the missing records, if there are any, and resets the count.
-func (w *Writer) appendGap(b []byte, missing *uint64) []byte {
+func (w *Writer) appendGap(framed []byte, missing *uint64) []byte {
 	if *missing > 0 {
-		b = append(b, Frame(Record{Kind: Gap, Now: w.config.Now(), Count: *missing})...)
+		framed = append(framed, Frame(Record{Kind: Gap, Now: w.config.Now(), Count: *missing})...)
 		*missing = 0
 	}
-	return b
+	return framed
 }
 
 // Dropped returns the number of records that were lost, because too much was pending or the disk failed.
@@ -140,17 +142,17 @@
 func (w *Writer) run() {
 	defer close(w.closed)
 	defer func() { _ = w.encoder.Close() }()
-	tick := time.NewTicker(max(w.config.FlushInterval, time.Millisecond))
-	defer tick.Stop()
-	for ending := false; !ending; {
+	ticker := time.NewTicker(max(w.config.FlushInterval, time.Millisecond))
+	defer ticker.Stop()
+	for isClosing := false; !isClosing; {
 		select {
 		case <-w.blockReady:
-		case <-tick.C:
+		case <-ticker.C:
 		case <-w.closing:
-			ending = true
+			isClosing = true
 		}
 		w.mu.Lock()
-		if ending {
+		if isClosing {
 			w.pending = w.appendGap(w.pending, &w.dropped)
 		}
 		w.block, w.pending = w.pending, w.block[:0]
@@ -197,26 +199,27 @@
 	w.mu.Unlock()
 }
 
-// writeBlock compresses a block and appends it to the current segment, beginning a new segment when the current one is full.
+// writeBlock compresses a block and appends it to the current segment, beginning a new segment when the current one
+// is full.
 func (w *Writer) writeBlock(block []byte) error {
 	if w.segment != nil && float64(w.segmentBytes) >= w.config.SegmentMB*(1<<20) {
 		w.closeSegment()
 	}
 	if w.segment == nil {
 		w.segments++
-		out, err := w.config.create(filepath.Join(w.config.Dir, Name(w.config.NodeName, w.config.Now(), w.segments)))
+		file, err := w.config.create(filepath.Join(w.config.Dir, Name(w.config.NodeName, w.config.Now(), w.segments)))
 		if err != nil {
 			return err
 		}
-		w.segment, w.segmentBytes = out, 0
-		if _, err := out.Write(segmentHeader); err != nil {
+		w.segment, w.segmentBytes = file, 0
+		if _, err := file.Write(segmentHeader); err != nil {
 			return err
 		}
 		w.removeOldSegments()
 	}
 	w.compressed = appendBlock(w.compressed[:0], w.encoder, block)
-	n, err := w.segment.Write(w.compressed)
-	w.segmentBytes += int64(n)
+	written, err := w.segment.Write(w.compressed)
+	w.segmentBytes += int64(written)
 	if err == nil && w.config.Sync == SyncBlock {
 		err = w.segment.Sync()
 	}
@@ -244,17 +247,17 @@
 	if err != nil {
 		return
 	}
-	sum := 0.0
-	for k := len(files) - 1; k >= 0; k-- {
-		info, err := os.Stat(files[k])
+	totalMB := 0.0
+	for i := len(files) - 1; i >= 0; i-- {
+		info, err := os.Stat(files[i])
 		if err != nil {
 			continue
 		}
-		sum += float64(info.Size()) / (1 << 20)
-		old := w.config.MaxAge > 0 && time.UnixMilli(int64(w.config.Now())).Sub(info.ModTime()) > w.config.MaxAge
-		if k < len(files)-1 && (old || sum+w.config.SegmentMB > w.config.MaxTotalMB) {
-			if err := os.Remove(files[k]); err != nil {
-				w.config.Log.Warn("old capture segment not removed", "file", files[k], "error", err)
+		totalMB += float64(info.Size()) / (1 << 20)
+		isExpired := w.config.MaxAge > 0 && time.UnixMilli(int64(w.config.Now())).Sub(info.ModTime()) > w.config.MaxAge
+		if i < len(files)-1 && (isExpired || totalMB+w.config.SegmentMB > w.config.MaxTotalMB) {
+			if err := os.Remove(files[i]); err != nil {
+				w.config.Log.Warn("old capture segment not removed", "file", files[i], "error", err)
 			}
 		}
 	}
--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// Propose begins a change to another set of instances. Of two changes that are based on one revision exactly one is accepted;
-// the other gets a *ConflictError. The instances that differ are changed in the order of their names.
-func (f *Fleet) Propose(now float64, revision uint64, to Set, change Change) (Change, error) {
+// Propose begins a change to another set of instances. Of two changes that are based on one revision exactly one is
+// accepted; the other gets a *ConflictError. The instances that differ are changed in the order of their names.
+func (f *Fleet) Propose(now float64, revision uint64, target Set, change Change) (Change, error) {
 	if revision != f.Revision {
 		return Change{}, f.conflict(revision)
 	}
@@ -17,14 +17,14 @@
 	if latest != nil && !latest.Status.IsFinal() {
 		return Change{}, &BusyError{latest.Clone()}
 	}
-	if err := validate(to); err != nil {
+	if err := validate(target); err != nil {
 		return Change{}, err
 	}
 	from := f.Current()
 	if latest != nil && latest.Status == Stuck { // what runs is a mixture of two generations: it becomes one of its own
 		from = Generation{from.Number + 1, f.effective()}
 	}
-	order := f.changeOrder(from.Set, to)
+	order := f.changeOrder(from.Set, target)
 	if len(order) == 0 {
 		return Change{}, ErrNoChange
 	}
@@ -38,7 +38,7 @@
 	for _, name := range order {
 		f.forgetFailures(name)
 	}
-	f.Generations = append(f.Generations, Generation{Number: change.To, Set: to.Clone()})
+	f.Generations = append(f.Generations, Generation{Number: change.To, Set: target.Clone()})
 	f.Changes = append(f.Changes, change)
 	f.Revision++
 	f.dropOldHistory()
@@ -46,8 +46,8 @@
 	return f.Latest().Clone(), nil
 }
 
-// changeOrder returns the instances that a change touches: those that differ, and those in a crash loop, which are started
-// again even where nothing in them changes.
+// changeOrder returns the instances that a change touches: those that differ, and those in a crash loop, which are
+// started again even where nothing in them changes.
 func (f *Fleet) changeOrder(from, to Set) []string {
 	order := Differences(from, to)
 	for name := range to {
@@ -72,49 +72,49 @@
 	if revision != f.Revision {
 		return Change{}, f.conflict(revision)
 	}
-	l := f.Latest()
-	if l == nil || l.Status.IsFinal() {
+	latest := f.Latest()
+	if latest == nil || latest.Status.IsFinal() {
 		return Change{}, errors.New("no change is on its way: roll back to a generation by its number")
 	}
-	if l.Status == RollingBack {
-		return Change{}, &BusyError{l.Clone()}
+	if latest.Status == RollingBack {
+		return Change{}, &BusyError{latest.Clone()}
 	}
 	f.Revision++
 	f.startRollback(now, fmt.Sprintf("rolled back by %s: %s", author, reason))
-	return l.Clone(), nil
+	return latest.Clone(), nil
 }
 
 // validate refuses a set in which two instances would get in each other's way.
-func validate(s Set) error {
-	at := map[string]string{}
-	for _, name := range s.Names() {
-		i := s[name]
-		if name == "" || name != i.Name || strings.ContainsAny(name, "/ \x00") || strings.HasPrefix(name, ".") {
+func validate(set Set) error {
+	listeners := map[string]string{}
+	for _, name := range set.Names() {
+		instance := set[name]
+		if name == "" || name != instance.Name || strings.ContainsAny(name, "/ \x00") || strings.HasPrefix(name, ".") {
 			return fmt.Errorf("instance %q: no name for a file", name)
 		}
-		if i.Desired != Running && i.Desired != Stopped {
-			return fmt.Errorf("instance %s: wanted is %q, not running or stopped", name, i.Desired)
+		if instance.Desired != Running && instance.Desired != Stopped {
+			return fmt.Errorf("instance %s: wanted is %q, not running or stopped", name, instance.Desired)
 		}
-		if i.Desired == Running {
-			if other, taken := at[i.Listen]; taken && !strings.HasSuffix(i.Listen, ":0") {
-				return fmt.Errorf("instance %s: listens on %s, as %s does", name, i.Listen, other)
+		if instance.Desired == Running {
+			if other, taken := listeners[instance.Listen]; taken && !strings.HasSuffix(instance.Listen, ":0") {
+				return fmt.Errorf("instance %s: listens on %s, as %s does", name, instance.Listen, other)
 			}
-			at[i.Listen] = name
+			listeners[instance.Listen] = name
 		}
 	}
 	return nil
 }
 
 // Differences returns the names of the instances that differ between two sets, sorted.
-func Differences(a, b Set) []string {
+func Differences(from, to Set) []string {
 	var names []string
-	for name, i := range b {
-		if was, had := a[name]; !had || was != i {
+	for name, instance := range to {
+		if former, existed := from[name]; !existed || former != instance {
 			names = append(names, name)
 		}
 	}
-	for name := range a {
-		if _, has := b[name]; !has {
+	for name := range from {
+		if _, exists := to[name]; !exists {
 			names = append(names, name)
 		}
 	}
@@ -122,53 +122,54 @@
 	return names
 }
 
-// target returns what an instance is to be now. Within a change in progress, or one that is stuck, instances that it has not
-// reached are still to be as in the generation before. The second result is false if the instance is not to exist.
+// target returns what an instance is to be now. Within a change in progress, or one that is stuck, instances that
+// it has not reached are still to be as in the generation before. The second result is false if the instance is not
+// to exist.
 func (f *Fleet) target(name string) (Instance, bool) {
-	now := f.Current()
-	if c := f.Latest(); c != nil && (!c.Status.IsFinal() || c.Status == Stuck) {
-		if k, in := f.orderOf(c, name); in && k >= c.Reached {
-			if from, ok := f.Generation(c.From); ok {
-				i, has := from.Set[name]
-				return i, has
+	current := f.Current()
+	if change := f.Latest(); change != nil && (!change.Status.IsFinal() || change.Status == Stuck) {
+		if position, isPart := f.orderOf(change, name); isPart && position >= change.Reached {
+			if from, ok := f.Generation(change.From); ok {
+				instance, exists := from.Set[name]
+				return instance, exists
 			}
 		}
 	}
-	i, has := now.Set[name]
-	return i, has
+	instance, exists := current.Set[name]
+	return instance, exists
 }
 
 // effective returns what all instances are to be now.
 func (f *Fleet) effective() Set {
 	set := Set{}
 	for _, name := range f.Names() {
-		if i, declared := f.target(name); declared {
-			set[name] = i
+		if instance, declared := f.target(name); declared {
+			set[name] = instance
 		}
 	}
 	return set
 }
 
 // orderOf returns an instance's position in a change's order. The index is rebuilt when another change is asked about.
-func (f *Fleet) orderOf(c *Change, name string) (int, bool) {
-	if f.orderIndexOf != c.ID || f.orderIndex == nil {
-		f.orderIndexOf, f.orderIndex = c.ID, make(map[string]int, len(c.Order))
-		for k, n := range c.Order {
-			f.orderIndex[n] = k
+func (f *Fleet) orderOf(change *Change, name string) (int, bool) {
+	if f.orderIndexOf != change.ID || f.orderIndex == nil {
+		f.orderIndexOf, f.orderIndex = change.ID, make(map[string]int, len(change.Order))
+		for position, ordered := range change.Order {
+			f.orderIndex[ordered] = position
 		}
 	}
-	k, in := f.orderIndex[name]
-	return k, in
+	position, isPart := f.orderIndex[name]
+	return position, isPart
 }
 
 // isChanging reports whether an instance is part of the change in progress.
 func (f *Fleet) isChanging(name string) bool {
-	c := f.Latest()
-	if c == nil || c.Status.IsFinal() {
+	change := f.Latest()
+	if change == nil || change.Status.IsFinal() {
 		return false
 	}
-	_, in := f.orderOf(c, name)
-	return in
+	_, isPart := f.orderOf(change, name)
+	return isPart
 }
 
 // advanceChange lets the change in progress reach the next instances once those before them are healthy, within
@@ -219,26 +220,26 @@
 }
 
 // advanceRollback takes further instances back, no more at once than the change went forward.
-func (f *Fleet) advanceRollback(now float64, c *Change) {
-	out := 0
-	for _, name := range c.Order[c.Reached:c.MaxReached] {
+func (f *Fleet) advanceRollback(now float64, change *Change) {
+	unavailable := 0
+	for _, name := range change.Order[change.Reached:change.MaxReached] {
 		if f.isHealthy(now, name) {
 			continue
 		}
-		out++
-		if v, why := f.Verdict(now, name); v == VerdictCrashLoop || v == VerdictWrongList || v == VerdictForeign {
-			c.Status, c.EndedAt = Stuck, now
-			c.Failure += fmt.Sprintf("; and back: %s: %s: %s", name, v, why)
+		unavailable++
+		if verdict, reason := f.Verdict(now, name); verdict == VerdictCrashLoop || verdict == VerdictWrongList || verdict == VerdictForeign {
+			change.Status, change.EndedAt = Stuck, now
+			change.Failure += fmt.Sprintf("; and back: %s: %s: %s", name, verdict, reason)
 			return
 		}
 	}
-	for c.Reached > 0 && out < c.Options.MaxUnavailable {
-		c.Reached--
-		out++
+	for change.Reached > 0 && unavailable < change.Options.MaxUnavailable {
+		change.Reached--
+		unavailable++
 	}
-	if out == 0 {
-		c.Status, c.EndedAt = RolledBack, now
-		if from, ok := f.Generation(c.From); ok { // declared anew: numbers only grow
+	if unavailable == 0 {
+		change.Status, change.EndedAt = RolledBack, now
+		if from, ok := f.Generation(change.From); ok { // declared anew: numbers only grow
 			f.Generations = append(f.Generations, Generation{Number: f.Current().Number + 1, Set: from.Set.Clone()})
 			f.dropOldHistory()
 		}
@@ -247,42 +248,42 @@
 
 // failureOf returns what stops the change at an instance, or nothing.
 func (f *Fleet) failureOf(now float64, name string) string {
-	switch v, why := f.Verdict(now, name); v {
+	switch verdict, reason := f.Verdict(now, name); verdict {
 	case VerdictWrongList, VerdictCrashLoop, VerdictForeign:
-		return string(v) + ": " + why
+		return string(verdict) + ": " + reason
 	}
-	c := f.Latest()
-	if r := f.Records[name]; len(r.Failures) > 0 && r.Failures[len(r.Failures)-1] > c.StartedAt { // it failed since the change began
-		return "did not stay up: " + r.LastFailure
+	change := f.Latest()
+	if record := f.Records[name]; len(record.Failures) > 0 && record.Failures[len(record.Failures)-1] > change.StartedAt { // it failed since the change began
+		return "did not stay up: " + record.LastFailure
 	}
 	return ""
 }
 
 // failChange stops the change, and rolls it back unless the operator has ruled that out.
-func (f *Fleet) failChange(now float64, why string) {
-	c := f.Latest()
-	if c.Options.NoRollback {
-		c.Status, c.Failure, c.EndedAt = Stuck, why, now
+func (f *Fleet) failChange(now float64, reason string) {
+	change := f.Latest()
+	if change.Options.NoRollback {
+		change.Status, change.Failure, change.EndedAt = Stuck, reason, now
 		return
 	}
-	f.startRollback(now, why)
+	f.startRollback(now, reason)
 }
 
-// startRollback has all reached instances go back. Those that are not healthy go at once, since they serve nobody; the others
-// follow in their turn.
-func (f *Fleet) startRollback(now float64, why string) {
-	c := f.Latest()
-	c.Status, c.Failure, c.MaxReached = RollingBack, why, c.Reached
-	var well, not []string
-	for _, name := range c.Order[:c.Reached] {
+// startRollback has all reached instances go back. Those that are not healthy go at once, since they serve nobody;
+// the others follow in their turn.
+func (f *Fleet) startRollback(now float64, reason string) {
+	change := f.Latest()
+	change.Status, change.Failure, change.MaxReached = RollingBack, reason, change.Reached
+	var healthy, unhealthy []string
+	for _, name := range change.Order[:change.Reached] {
 		if f.isHealthy(now, name) {
-			well = append(well, name)
+			healthy = append(healthy, name)
 		} else {
-			not = append(not, name)
+			unhealthy = append(unhealthy, name)
 		}
 		f.forgetFailures(name)
 	}
-	copy(c.Order, append(well, not...))
-	c.Reached, f.orderIndex = len(well), nil
+	copy(change.Order, append(healthy, unhealthy...))
+	change.Reached, f.orderIndex = len(healthy), nil
 	f.advanceChange(now)
 }
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// ConflictError refuses a write that was based on another revision than the current one: somebody else has written since.
+// ConflictError refuses a write that was based on another revision than the current one: somebody else has written
+// since.
 type ConflictError struct {
 	Based, Current uint64
 	Since          []Change // what changed in between
@@ -15,11 +16,11 @@
 
 // Error lists the changes since the revision that the write was based on.
 func (c *ConflictError) Error() string {
-	var by []string
-	for _, x := range c.Since {
-		by = append(by, fmt.Sprintf("change %d by %s (%s: %s)", x.ID, x.Author, x.Command, x.Reason))
+	var changes []string
+	for _, change := range c.Since {
+		changes = append(changes, fmt.Sprintf("change %d by %s (%s: %s)", change.ID, change.Author, change.Command, change.Reason))
 	}
-	return fmt.Sprintf("made from revision %d, the fleet is at %d: %s", c.Based, c.Current, strings.Join(by, ", "))
+	return fmt.Sprintf("made from revision %d, the fleet is at %d: %s", c.Based, c.Current, strings.Join(changes, ", "))
 }
 
 // BusyError refuses a write while a change is in progress.
@@ -35,9 +36,9 @@
 var ErrNoChange = errors.New("nothing to change")
 
 func (f *Fleet) conflict(revision uint64) *ConflictError {
-	c := &ConflictError{Based: revision, Current: f.Revision}
+	conflictError := &ConflictError{Based: revision, Current: f.Revision}
 	if missed := int(f.Revision) - int(revision); missed > 0 {
-		c.Since = slices.Clone(f.Changes[max(0, len(f.Changes)-missed):])
+		conflictError.Since = slices.Clone(f.Changes[max(0, len(f.Changes)-missed):])
 	}
-	return c
+	return conflictError
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,14 +16,14 @@
 }
 
 // New returns a fleet that continues from stored state; the zero State is an empty fleet.
-func New(s State, t Timing) *Fleet {
-	if len(s.Generations) == 0 {
-		s.Generations = []Generation{{Set: Set{}}}
+func New(state State, timing Timing) *Fleet {
+	if len(state.Generations) == 0 {
+		state.Generations = []Generation{{Set: Set{}}}
 	}
-	if s.Records == nil {
-		s.Records = map[string]Record{}
+	if state.Records == nil {
+		state.Records = map[string]Record{}
 	}
-	return &Fleet{State: s, timing: t, observations: map[string]Observation{}, sourceDigests: map[string]SourceDigest{}}
+	return &Fleet{State: state, timing: timing, observations: map[string]Observation{}, sourceDigests: map[string]SourceDigest{}}
 }
 
 // Current returns the generation that was declared last.
@@ -31,9 +31,9 @@
 
 // Generation returns a generation by its number, if it is still stored.
 func (f *Fleet) Generation(number uint64) (Generation, bool) {
-	for _, g := range f.Generations {
-		if g.Number == number {
-			return g, true
+	for _, generation := range f.Generations {
+		if generation.Number == number {
+			return generation, true
 		}
 	}
 	return Generation{}, false
@@ -48,8 +48,8 @@
 }
 
 func (f *Fleet) nextID() uint64 {
-	if l := f.Latest(); l != nil {
-		return l.ID + 1
+	if latest := f.Latest(); latest != nil {
+		return latest.ID + 1
 	}
 	return 1
 }
@@ -60,37 +60,38 @@
 	f.Changes = f.Changes[max(0, len(f.Changes)-maxChanges):]
 }
 
-// Names returns the names of all instances that are declared, have a record, or are part of the change in progress, sorted.
+// Names returns the names of all instances that are declared, have a record, or are part of the change in progress,
+// sorted.
 func (f *Fleet) Names() []string {
-	all := make([]string, 0, len(f.Records)+len(f.Current().Set))
+	names := make([]string, 0, len(f.Records)+len(f.Current().Set))
 	for name := range f.Current().Set {
-		all = append(all, name)
+		names = append(names, name)
 	}
 	for name := range f.Records {
 		if _, declared := f.Current().Set[name]; !declared {
-			all = append(all, name)
+			names = append(names, name)
 		}
 	}
-	if c := f.Latest(); c != nil && !c.Status.IsFinal() { // one that was declared, never ran, and is to go
-		for _, name := range c.Order {
+	if change := f.Latest(); change != nil && !change.Status.IsFinal() { // one that was declared, never ran, and is to go
+		for _, name := range change.Order {
 			if _, declared := f.Current().Set[name]; !declared && f.Records[name].Name == "" {
-				all = append(all, name)
+				names = append(names, name)
 			}
 		}
 	}
-	slices.Sort(all)
-	return slices.Compact(all)
+	slices.Sort(names)
+	return slices.Compact(names)
 }
 
-// DeclareRunning makes the instances that were found running the declared set, after the stored state was lost. Nothing is
-// rolled out for it.
-func (f *Fleet) DeclareRunning(now float64, set Set, why string) {
+// DeclareRunning makes the instances that were found running the declared set, after the stored state was lost.
+// Nothing is rolled out for it.
+func (f *Fleet) DeclareRunning(now float64, set Set, reason string) {
 	number := f.Current().Number + 1
-	if l := f.Latest(); l != nil && !l.Status.IsFinal() {
-		l.Status, l.EndedAt, l.Failure = Stuck, now, "the state was lost on the way"
+	if latest := f.Latest(); latest != nil && !latest.Status.IsFinal() {
+		latest.Status, latest.EndedAt, latest.Failure = Stuck, now, "the state was lost on the way"
 	}
 	f.Generations = append(f.Generations, Generation{number, set})
-	f.Changes = append(f.Changes, Change{ID: f.nextID(), StartedAt: now, Author: "agent", Reason: why, Command: "recover", From: number - 1, To: number,
+	f.Changes = append(f.Changes, Change{ID: f.nextID(), StartedAt: now, Author: "agent", Reason: reason, Command: "recover", From: number - 1, To: number,
 		Status: Succeeded, EndedAt: now})
 	f.Revision++
 	f.dropOldHistory()
@@ -98,13 +99,13 @@
 
 // CopyState returns a copy of the state. RestoreState takes it back if what followed could not be stored.
 func (f *Fleet) CopyState() State {
-	s := f.State
-	s.Generations, s.Changes, s.Records = slices.Clone(s.Generations), slices.Clone(s.Changes), maps.Clone(s.Records)
-	if n := len(s.Changes); n > 0 { // the others are over
-		s.Changes[n-1] = s.Changes[n-1].Clone()
+	state := f.State
+	state.Generations, state.Changes, state.Records = slices.Clone(state.Generations), slices.Clone(state.Changes), maps.Clone(state.Records)
+	if count := len(state.Changes); count > 0 { // the others are over
+		state.Changes[count-1] = state.Changes[count-1].Clone()
 	}
-	return s
+	return state
 }
 
 // RestoreState replaces the state by a copy.
-func (f *Fleet) RestoreState(s State) { f.State, f.orderIndex = s, nil }
+func (f *Fleet) RestoreState(state State) { f.State, f.orderIndex = state, nil }
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -14,8 +14,8 @@
 	NeverReady bool // a Terminate of what never came up
 }
 
-// Plan advances the change in progress and returns the steps that are due, in the order of names. No step is due for an
-// instance whose phase is unknown: what can't be seen is neither started twice nor stopped.
+// Plan advances the change in progress and returns the steps that are due, in the order of names. No step is due
+// for an instance whose phase is unknown: what can't be seen is neither started twice nor stopped.
 func (f *Fleet) Plan(now float64) []Action {
 	f.advanceChange(now)
 	var actions []Action
@@ -65,7 +65,8 @@
 	record := f.Records[action.Name]
 	switch {
 	case record.PendingStep == StepTerminate:
-		// The agent crashed after storing the step: whether the signal was sent is unknown, and a second one is harmless.
+		// The agent crashed after storing the step: whether the signal was sent is unknown, and a second one is
+		// harmless.
 		action.Step, action.Reason = StepTerminate, "to be told again"
 	case record.TerminatedAt > 0:
 		if now-record.TerminatedAt >= f.timing.ShutdownTimeout {
--- a/internal/fleet/steps.go
+++ b/internal/fleet/steps.go
@@ -7,78 +7,79 @@
 	"slices"
 )
 
-// StepStarted records a step before it is taken; the caller stores the state first. The token is for StepStart. A crash between
-// the two leaves a pending step, which is looked at again by the next agent.
-func (f *Fleet) StepStarted(now float64, a Action, token string) {
-	r := f.Records[a.Name]
-	r.Name, r.PendingStep = a.Name, a.Step
-	switch a.Step {
+// StepStarted records a step before it is taken; the caller stores the state first. The token is for StepStart. A
+// crash between the two leaves a pending step, which is looked at again by the next agent.
+func (f *Fleet) StepStarted(now float64, action Action, token string) {
+	record := f.Records[action.Name]
+	record.Name, record.PendingStep = action.Name, action.Step
+	switch action.Step {
 	case StepStart:
-		r.Token, r.PID, r.Digest, r.Epoch, r.StartedAt, r.TerminatedAt = token, 0, a.Instance.Digest, a.Instance.Epoch, now, 0
-		r.WasReady = false
+		record.Token, record.PID, record.Digest, record.Epoch, record.StartedAt, record.TerminatedAt = token, 0, action.Instance.Digest, action.Instance.Epoch, now, 0
+		record.WasReady = false
 	case StepTerminate:
-		r.TerminatedAt = now
-		if r.LastFailure = a.Reason; a.NeverReady {
-			f.recordFailure(now, &r, a.Reason)
+		record.TerminatedAt = now
+		if record.LastFailure = action.Reason; action.NeverReady {
+			f.recordFailure(now, &record, action.Reason)
 		}
 	}
-	f.Records[a.Name] = r
+	f.Records[action.Name] = record
 }
 
 // StepEnded records how a step went. What was observed before it no longer counts.
-func (f *Fleet) StepEnded(now float64, a Action, pid int, err error) {
-	if a.Step == StepForget {
-		delete(f.Records, a.Name)
-		delete(f.observations, a.Name)
+func (f *Fleet) StepEnded(now float64, action Action, pid int, err error) {
+	if action.Step == StepForget {
+		delete(f.Records, action.Name)
+		delete(f.observations, action.Name)
 		return
 	}
-	r := f.Records[a.Name]
-	r.PendingStep = ""
-	if a.Step == StepStart {
-		r.PID = pid
+	record := f.Records[action.Name]
+	record.PendingStep = ""
+	if action.Step == StepStart {
+		record.PID = pid
 		if err != nil {
-			f.recordFailure(now, &r, err.Error())
-			r.StartedAt = 0 // nothing was started that could be found gone
+			f.recordFailure(now, &record, err.Error())
+			record.StartedAt = 0 // nothing was started that could be found gone
 		}
 	}
-	f.Records[a.Name] = r
-	f.observations[a.Name] = Observation{Phase: PhaseUnknown, ObservedAt: now, Reason: "just told to " + string(a.Step)}
+	f.Records[action.Name] = record
+	f.observations[action.Name] = Observation{Phase: PhaseUnknown, ObservedAt: now, Reason: "just told to " + string(action.Step)}
 }
 
 // InstanceExited records that an instance that was to run has exited without having been told to.
-func (f *Fleet) InstanceExited(now float64, name, why string) {
-	r, ok := f.Records[name]
-	if !ok || r.StartedAt == 0 {
+func (f *Fleet) InstanceExited(now float64, name, reason string) {
+	record, ok := f.Records[name]
+	if !ok || record.StartedAt == 0 {
 		return
 	}
-	if r.TerminatedAt == 0 && r.PendingStep != StepStart { // a start that the agent's own end cut off came to nothing by no fault
-		f.recordFailure(now, &r, why)
+	if record.TerminatedAt == 0 && record.PendingStep != StepStart { // a start that the agent's own end cut off came to nothing by no fault
+		f.recordFailure(now, &record, reason)
 	}
-	r.PendingStep = ""
-	r.StartedAt, r.TerminatedAt, r.PID, r.Token = 0, 0, 0, ""
-	f.Records[name] = r
+	record.PendingStep = ""
+	record.StartedAt, record.TerminatedAt, record.PID, record.Token = 0, 0, 0, ""
+	f.Records[name] = record
 }
 
 // Adopt takes over an instance that runs and has proven its token, although the record of its start was not stored.
 func (f *Fleet) Adopt(now float64, name, token string, pid int, digest string, epoch uint64) {
-	r := f.Records[name]
-	r.Name, r.Token, r.PID, r.Digest, r.Epoch, r.PendingStep = name, token, pid, digest, epoch, ""
-	if r.StartedAt == 0 {
-		r.StartedAt = now
+	record := f.Records[name]
+	record.Name, record.Token, record.PID, record.Digest, record.Epoch, record.PendingStep = name, token, pid, digest, epoch, ""
+	if record.StartedAt == 0 {
+		record.StartedAt = now
 	}
-	f.Records[name] = r
+	f.Records[name] = record
 }
 
-// recordFailure records a start that failed. The next start is delayed by exponential backoff with jitter, so that instances that
-// failed together do not start together; too many failures within CrashLoopWindow are a crash loop, which is not started again.
-func (f *Fleet) recordFailure(now float64, r *Record, why string) {
-	r.LastFailure = why
-	r.Failures = append(slices.DeleteFunc(slices.Clone(r.Failures), func(at float64) bool { return now-at > f.timing.CrashLoopWindow }), now)
-	if len(r.Failures) >= f.timing.CrashLoopCount {
-		r.CrashLooping = true
+// recordFailure records a start that failed. The next start is delayed by exponential backoff with jitter, so that
+// instances that failed together do not start together; too many failures within CrashLoopWindow are a crash loop,
+// which is not started again.
+func (f *Fleet) recordFailure(now float64, record *Record, reason string) {
+	record.LastFailure = reason
+	record.Failures = append(slices.DeleteFunc(slices.Clone(record.Failures), func(at float64) bool { return now-at > f.timing.CrashLoopWindow }), now)
+	if len(record.Failures) >= f.timing.CrashLoopCount {
+		record.CrashLooping = true
 	}
-	h := fnv.New64a()
-	fmt.Fprintf(h, "%s %d %v", r.Name, len(r.Failures), now)
-	spread := 0.5 + float64(h.Sum64()>>11)/(1<<53)
-	r.NextStartAt = now + math.Min(f.timing.BaseBackoffMs*math.Exp2(float64(len(r.Failures)-1)), f.timing.MaxBackoffMs)*spread
+	hash := fnv.New64a()
+	fmt.Fprintf(hash, "%s %d %v", record.Name, len(record.Failures), now)
+	jitter := 0.5 + float64(hash.Sum64()>>11)/(1<<53)
+	record.NextStartAt = now + math.Min(f.timing.BaseBackoffMs*math.Exp2(float64(len(record.Failures)-1)), f.timing.MaxBackoffMs)*jitter
 }
--- a/internal/fleet/types.go
+++ b/internal/fleet/types.go
@@ -1,9 +1,10 @@
-// Package fleet decides what is to be done about the instances of the program on one host. The declared instances and what
-// was observed of them come in, the next steps come out; changes are rolled out a few instances at a time, and rolled back
-// when one fails. The package has no I/O and no clock: times are ms that the caller passes in.
+// Package fleet decides what is to be done about the instances of the program on one host. The declared instances
+// and what was observed of them come in, the next steps come out; changes are rolled out a few instances at a time,
+// and rolled back when one fails. The package has no I/O and no clock: times are ms that the caller passes in.
 //
-// What must survive a crash of the agent is in State, which the caller stores before and after each step. A crash between
-// the two is safe, because steps follow from what is observed, not from what was intended: the next agent observes again.
+// What must survive a crash of the agent is in State, which the caller stores before and after each step. A crash
+// between the two is safe, because steps follow from what is observed, not from what was intended: the next agent
+// observes again.
 //
 // JSON names and enumerated strings are stored and part of the agent's API, so some keep words of earlier versions.
 package fleet
--- a/internal/fleet/verdict.go
+++ b/internal/fleet/verdict.go
@@ -6,28 +6,28 @@
 )
 
 // Observe records what was observed of an instance.
-func (f *Fleet) Observe(name string, s Observation) {
-	f.observations[name] = s
-	if r, ok := f.Records[name]; ok && s.Phase == PhaseReady && !r.WasReady { // from now on silence is no start
-		r.WasReady = true
-		f.Records[name] = r
+func (f *Fleet) Observe(name string, observation Observation) {
+	f.observations[name] = observation
+	if record, ok := f.Records[name]; ok && observation.Phase == PhaseReady && !record.WasReady { // from now on silence is no start
+		record.WasReady = true
+		f.Records[name] = record
 	}
 }
 
 // SourceRead records what the agent itself has read from a discovery address.
-func (f *Fleet) SourceRead(source string, w SourceDigest) { f.sourceDigests[source] = w }
+func (f *Fleet) SourceRead(source string, digest SourceDigest) { f.sourceDigests[source] = digest }
 
-// Observation returns what is known of an instance now: an observation older than ObservationTTL counts as unknown, never as
-// the last good value.
+// Observation returns what is known of an instance now: an observation older than ObservationTTL counts as unknown,
+// never as the last good value.
 func (f *Fleet) Observation(now float64, name string) Observation {
-	s, ok := f.observations[name]
+	observation, ok := f.observations[name]
 	switch {
 	case !ok:
 		return Observation{Phase: PhaseUnknown, Reason: "never seen"}
-	case now-s.ObservedAt > f.timing.ObservationTTL:
-		return Observation{Phase: PhaseUnknown, ObservedAt: s.ObservedAt, Reason: "not seen lately"}
+	case now-observation.ObservedAt > f.timing.ObservationTTL:
+		return Observation{Phase: PhaseUnknown, ObservedAt: observation.ObservedAt, Reason: "not seen lately"}
 	}
-	return s
+	return observation
 }
 
 // InstanceVerdict compares an instance with what it is to be. Its text is part of the agent's API.
@@ -47,51 +47,51 @@
 )
 
 // Verdict returns what an instance is, against what it is to be, and the reason in words for the operator.
-func (f *Fleet) Verdict(now float64, name string) (v InstanceVerdict, why string) {
-	t, declared := f.target(name)
-	s, r := f.Observation(now, name), f.Records[name]
-	want := declared && t.Desired == Running
+func (f *Fleet) Verdict(now float64, name string) (verdict InstanceVerdict, reason string) {
+	target, declared := f.target(name)
+	observation, record := f.Observation(now, name), f.Records[name]
+	shouldRun := declared && target.Desired == Running
 	switch {
-	case s.Phase == PhaseForeign:
-		return VerdictForeign, s.Reason
-	case s.Phase == PhaseUnknown:
-		return VerdictUnknown, s.Reason
-	case s.Phase == PhaseDown && !declared:
+	case observation.Phase == PhaseForeign:
+		return VerdictForeign, observation.Reason
+	case observation.Phase == PhaseUnknown:
+		return VerdictUnknown, observation.Reason
+	case observation.Phase == PhaseDown && !declared:
 		return VerdictUndeclared, ""
-	case s.Phase == PhaseDown && !want:
+	case observation.Phase == PhaseDown && !shouldRun:
 		return VerdictAsDeclared, ""
-	case s.Phase == PhaseDown && r.CrashLooping:
-		return VerdictCrashLoop, r.LastFailure
-	case s.Phase == PhaseDown:
-		return VerdictInProgress, r.LastFailure
-	case !want:
+	case observation.Phase == PhaseDown && record.CrashLooping:
+		return VerdictCrashLoop, record.LastFailure
+	case observation.Phase == PhaseDown:
+		return VerdictInProgress, record.LastFailure
+	case !shouldRun:
 		return VerdictInProgress, "to end"
-	case s.Phase == PhaseShuttingDown:
+	case observation.Phase == PhaseShuttingDown:
 		return VerdictInProgress, "ending"
-	case s.Phase == PhaseStarting:
-		return VerdictInProgress, strings.TrimSuffix("starting: "+s.Reason, ": ")
-	case s.Digest != t.Digest:
-		return VerdictWrongConfig, fmt.Sprintf("declared %s, runs %s", shortDigest(t.Digest), shortDigest(s.Digest))
-	case s.Epoch != t.Epoch:
+	case observation.Phase == PhaseStarting:
+		return VerdictInProgress, strings.TrimSuffix("starting: "+observation.Reason, ": ")
+	case observation.Digest != target.Digest:
+		return VerdictWrongConfig, fmt.Sprintf("declared %s, runs %s", shortDigest(target.Digest), shortDigest(observation.Digest))
+	case observation.Epoch != target.Epoch:
 		return VerdictRestartDue, "a restart is due"
 	}
-	if why := f.listMismatch(t, s); why != "" {
-		return VerdictWrongList, why
+	if reason := f.listMismatch(target, observation); reason != "" {
+		return VerdictWrongList, reason
 	}
-	if !s.InService {
+	if !observation.InService {
 		return VerdictInProgress, "out of service"
 	}
 	return VerdictAsDeclared, ""
 }
 
-// listMismatch says how an instance's endpoint list differs from the declared one: by its source, or, at the same version of
-// the same source, by its content.
-func (f *Fleet) listMismatch(t Instance, s Observation) string {
-	if s.Discovery != t.Discovery {
-		return fmt.Sprintf("declared %s (%s), asks %s (%s)", t.Discovery, shortDigest(f.sourceDigests[t.Discovery].Digest), s.Discovery, shortDigest(s.ListDigest))
+// listMismatch says how an instance's endpoint list differs from the declared one: by its source, or, at the same
+// version of the same source, by its content.
+func (f *Fleet) listMismatch(declared Instance, observation Observation) string {
+	if observation.Discovery != declared.Discovery {
+		return fmt.Sprintf("declared %s (%s), asks %s (%s)", declared.Discovery, shortDigest(f.sourceDigests[declared.Discovery].Digest), observation.Discovery, shortDigest(observation.ListDigest))
 	}
-	if w, ok := f.sourceDigests[t.Discovery]; ok && s.ListDigest != "" && w.Version == s.ListVersion && w.Digest != s.ListDigest {
-		return fmt.Sprintf("declared %s, holds %s at version %d of %s", shortDigest(w.Digest), shortDigest(s.ListDigest), w.Version, t.Discovery)
+	if sourceDigest, ok := f.sourceDigests[declared.Discovery]; ok && observation.ListDigest != "" && sourceDigest.Version == observation.ListVersion && sourceDigest.Digest != observation.ListDigest {
+		return fmt.Sprintf("declared %s, holds %s at version %d of %s", shortDigest(sourceDigest.Digest), shortDigest(observation.ListDigest), sourceDigest.Version, declared.Discovery)
 	}
 	return ""
 }
@@ -105,6 +105,6 @@
 
 // isHealthy reports whether an instance is what it is to be.
 func (f *Fleet) isHealthy(now float64, name string) bool {
-	v, _ := f.Verdict(now, name)
-	return v == VerdictAsDeclared || v == VerdictUndeclared
+	verdict, _ := f.Verdict(now, name)
+	return verdict == VerdictAsDeclared || verdict == VerdictUndeclared
 }
