--- a/internal/capture/explain.go
+++ b/internal/capture/explain.go
@@ -57,8 +57,10 @@
 	return nil
 }
 
-// recordConsidered receives each backend that the balancer considered.
-func (e *Explainer) recordConsidered(core *balancer.Balancer, request *balancer.Request, backend *balancer.Backend, reason balancer.Reason) {
+// recordConsidered receives each backend that the balancer considered, and nil where it looked for none.
+func (e *Explainer) recordConsidered(
+	core *balancer.Balancer, request *balancer.Request, backend *balancer.Backend, reason balancer.Reason,
+) {
 	if e.requestNumbers[request] != e.RequestNumber {
 		return
 	}
@@ -71,8 +73,10 @@
 		return
 	}
 	belief, backendNumber := core.Belief(request, backend), e.backendNumbers[backend]
-	line := fmt.Sprintf("    backend %d (%x): %s; %.1f ms expected (%.1f when idle), %d of %.1f attempts in flight, suspicion %.2f, slow start %.2f, rotation %.2f",
-		backendNumber, backend.ID, reason, belief.AnswerTime, belief.Alone, belief.InFlight, belief.MaxInFlight, belief.Suspicion, belief.SlowStartFactor, belief.RotationPass)
+	line := fmt.Sprintf("    backend %d (%x): %s; %.1f ms expected (%.1f when idle), ",
+		backendNumber, backend.ID, reason, belief.AnswerTime, belief.Alone)
+	line += fmt.Sprintf("%d of %.1f attempts in flight, suspicion %.2f, slow start %.2f, rotation %.2f",
+		belief.InFlight, belief.MaxInFlight, belief.Suspicion, belief.SlowStartFactor, belief.RotationPass)
 	if !belief.IsNear {
 		line += ", another zone"
 	}
@@ -90,29 +94,42 @@
 	e.considered = append(e.considered, line)
 }
 
+// now is the time of the latest record.
 func (e *Explainer) now() float64 { return e.Result.To }
 
 // Found reports whether a decision about the request was replayed.
 func (e *Explainer) Found() bool { return e.found }
 
-// LateNotes marks what arrived late, in the order of a capture: an endpoint list older than the one in use, an
-// answer that answers to later attempts had overtaken, the end of an attempt after its request's final answer.
+// LateNotes marks what arrived late, in the order of a capture: an endpoint list older than the one in use, an answer
+// that answers to later attempts had overtaken, the end of an attempt after its request's final answer.
 type LateNotes struct {
-	newestStart    map[uint64]float64    // start time of each backend, by the newest list
-	answered       map[uint64]bool       // requests with a final answer and an attempt in flight
-	inFlight       map[uint64]int        // attempts in flight, by request
-	sentAt         map[[2]uint64]float64 // by request and attempt: when it was sent
-	sentTo         map[[2]uint64]uint64
-	newestAnswered map[uint64]float64 // by backend: when the newest attempt was sent that it has answered
+	newestStart    map[uint64]float64     // start time of each backend, by the newest list
+	answered       map[uint64]bool        // requests with a final answer and an attempt in flight
+	inFlight       map[uint64]int         // attempts in flight, by request
+	sentAt         map[attemptKey]float64 // when each attempt in flight was sent
+	sentTo         map[attemptKey]uint64  // the backend of each attempt in flight
+	newestAnswered map[uint64]float64     // by backend: when the newest attempt was sent that it has answered
+}
+
+// attemptKey identifies an attempt in a capture.
+type attemptKey struct {
+	request uint64
+	attempt int
 }
 
 // Note returns a remark on the next record, or nothing.
 func (n *LateNotes) Note(record Record) string {
 	if n.newestStart == nil || record.Kind == Begin {
-		*n = LateNotes{map[uint64]float64{}, map[uint64]bool{}, map[uint64]int{}, map[[2]uint64]float64{}, map[[2]uint64]uint64{},
-			map[uint64]float64{}}
+		*n = LateNotes{
+			newestStart:    map[uint64]float64{},
+			answered:       map[uint64]bool{},
+			inFlight:       map[uint64]int{},
+			sentAt:         map[attemptKey]float64{},
+			sentTo:         map[attemptKey]uint64{},
+			newestAnswered: map[uint64]float64{},
+		}
 	}
-	attempt := [2]uint64{record.Request, uint64(record.Attempt)}
+	attempt := attemptKey{record.Request, record.Attempt}
 	switch record.Kind {
 	case EndpointsChanged:
 		for _, endpoint := range record.Endpoints {
@@ -151,13 +168,14 @@
 	return ""
 }
 
-// requestAnswered and attemptEnded keep only requests of which more records will come.
+// requestAnswered notes a request's final answer, unless no attempt is in flight of which a record could follow.
 func (n *LateNotes) requestAnswered(request uint64) {
 	if n.inFlight[request] > 0 {
 		n.answered[request] = true
 	}
 }
 
+// attemptEnded forgets the request with its last attempt in flight.
 func (n *LateNotes) attemptEnded(request uint64) {
 	if n.inFlight[request]--; n.inFlight[request] <= 0 {
 		delete(n.inFlight, request)
--- a/internal/capture/file.go
+++ b/internal/capture/file.go
@@ -231,8 +231,10 @@
 
 func (e *callbackError) Error() string { return e.err.Error() }
 
-// readRecords reads the records of one block.
-func readRecords(name string, offset int64, recordNumber int, input *bufio.Reader, handle func(Record) error) (int, error) {
+// readRecords reads the records of the block at an offset, and returns recordNumber plus how many there were.
+func readRecords(
+	name string, offset int64, recordNumber int, input *bufio.Reader, handle func(Record) error,
+) (int, error) {
 	var buffer []byte
 	for {
 		var header [recordHeaderSize]byte
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -8,44 +8,73 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"math"
-
-	"google.golang.org/protobuf/encoding/protowire"
 
 	"pearknot/balancer"
-	"pearknot/internal/snapshot"
 )
 
 // Kind says what a record is about. The numbers are stored: they never change their meaning.
 type Kind uint8
 
-// The kinds of a record. All but Decided, BatchEnd, Gap and Snapshot are inputs of a balancer.Decider.
+// The kinds of a record. Inputs of a balancer.Decider are EndpointsChanged to DeadlineShortened, ProcessesChanged,
+// RequestBodySent and ConfigChanged, each named as its method; EarlierAttempt is a part of the RequestArrived that
+// follows. Begin, Decided, BatchEnd, Gap, Snapshot and BackendForgotten are no inputs. Record says which of its
+// fields each kind has.
 const (
-	// Begin is a decider's start: the clock, and in Data a Start as JSON.
+	// Begin is a decider's start.
 	Begin Kind = iota + 1
 	EndpointsChanged
 	PollFailed
 	RequestArrived
+	// ClientGone is recorded for every request that the node abandons, also where its client is still there.
 	ClientGone
+	// ResponseStarted is not recorded by nodes, which do not stream responses; simulators pass it on.
 	ResponseStarted
 	AttemptEnded
 	LoadReported
 	TimerFired
-	DeadlineShortened // a request's deadline was moved, as a node does that shuts down
-	Decided           // a decision that the host took
-	BatchEnd          // no decision was left: the batch is over
-	Gap               // Count records are missing here
-	Snapshot          // the decider's state at a batch's end, from which a replay may begin
-	BackendForgotten  // the host released a backend
-	ProcessesChanged  // the node consists of Count processes
-	RequestBodySent   // the last byte of a streamed request was sent; Value is its deadline
-	ConfigChanged     // a new configuration, in Data as of Begin; Requests has each class's former index plus 1, 0 for a new class
-	EarlierAttempt    // before RequestArrived: an attempt that another node began for a request taken over from it; its backend is in Endpoints
+	// DeadlineShortened is recorded by a node that shuts down.
+	DeadlineShortened
+	// Decided is a decision that the host took.
+	Decided
+	// BatchEnd says that no decision was left.
+	BatchEnd
+	// Gap stands for records that were not stored.
+	Gap
+	// Snapshot is the decider's state at a batch's end, from which a replay may begin.
+	Snapshot
+	// BackendForgotten says that the host released a backend. If it is listed again it gets another number.
+	BackendForgotten
+	// ProcessesChanged says how many processes the node consists of.
+	ProcessesChanged
+	// RequestBodySent says that the last byte of a streamed request was sent.
+	RequestBodySent
+	ConfigChanged
+	// EarlierAttempt precedes a RequestArrived: an attempt that another node began for a request that was taken
+	// over from it.
+	EarlierAttempt
 )
 
-var kindNames = [...]string{"", "begin", "endpoints changed", "poll failed", "request arrived", "client gone", "response started", "attempt ended",
-	"load reported", "timer fired", "deadline shortened", "decided", "batch end", "gap", "snapshot", "backend forgotten", "processes changed",
-	"request body sent", "config changed", "earlier attempt"}
+var kindNames = [...]string{
+	Begin:             "begin",
+	EndpointsChanged:  "endpoints changed",
+	PollFailed:        "poll failed",
+	RequestArrived:    "request arrived",
+	ClientGone:        "client gone",
+	ResponseStarted:   "response started",
+	AttemptEnded:      "attempt ended",
+	LoadReported:      "load reported",
+	TimerFired:        "timer fired",
+	DeadlineShortened: "deadline shortened",
+	Decided:           "decided",
+	BatchEnd:          "batch end",
+	Gap:               "gap",
+	Snapshot:          "snapshot",
+	BackendForgotten:  "backend forgotten",
+	ProcessesChanged:  "processes changed",
+	RequestBodySent:   "request body sent",
+	ConfigChanged:     "config changed",
+	EarlierAttempt:    "earlier attempt",
+}
 
 func (k Kind) String() string {
 	if int(k) < len(kindNames) && k > 0 {
@@ -55,36 +84,65 @@
 }
 
 // Record is one input or decision. Requests and backends have the numbers that the capture gave them. Times are in
-// ms on the node's clock.
+// ms on the node's clock. Fields that a record's kind does not name are 0 and take no space.
 type Record struct {
-	Kind      Kind
-	Now       float64
-	Request   uint64 // number of the request, counted from 1 in order of arrival
-	ID        uint64 // the host's ID of the request or backend
-	Attempt   int
-	Backend   uint64 // number of the backend, counted from 1 in order of its first listing
-	Decision  balancer.DecisionKind
-	Outcome   balancer.Outcome
-	Value     float64 // elapsed time, wait or deadline, by Kind
-	Flags     uint64
-	Class     int
-	Tenant    int
-	CostHint  float64
-	Deadline  float64
-	Key       uint64 // affinity and ordering key, not hashed: decisions follow from it
-	Count     uint64
+	Kind Kind
+	Now  float64 // when the input was passed on or the decision taken
+
+	// Request is the request's number, counted from 1 in order of arrival: RequestArrived, EarlierAttempt, ClientGone,
+	// DeadlineShortened, ResponseStarted, RequestBodySent, AttemptEnded, and Decided about a request.
+	Request uint64
+	// ID is the host's ID of the request, hashed if Options.HashKey is set: RequestArrived.
+	ID uint64
+	// Attempt is the attempt's index within its request: ResponseStarted, RequestBodySent, AttemptEnded, and
+	// Decided about an attempt.
+	Attempt int
+	// Backend is the backend's number, counted from 1 in order of its first listing: LoadReported,
+	// BackendForgotten, and Decided about an attempt.
+	Backend uint64
+	// Decision is what was decided: Decided.
+	Decision balancer.DecisionKind
+	// Outcome is how the attempt ended: AttemptEnded; as far as the other node knew: EarlierAttempt.
+	Outcome balancer.Outcome
+	// Value is, in ms,
+	//   - AttemptEnded: the time that the attempt took;
+	//   - DeadlineShortened, RequestBodySent: the request's deadline from then on;
+	//   - EarlierAttempt: when the other node sent it, on this node's clock;
+	//   - Decided: the decision's timeout, Retry-After or timer, see balancer.Decision.Wait;
+	//   - LoadReported by earlier builds: the service time, in the place of Load.
+	Value float64
+	// Flags has bits by kind, see flagFull and those that follow: EndpointsChanged, RequestArrived, AttemptEnded.
+	Flags uint64
+
+	// The request's class, tenant, cost hint and deadline: RequestArrived.
+	Class    int
+	Tenant   int
+	CostHint float64
+	Deadline float64
+	// Key is the request's affinity and ordering key, never hashed because decisions follow from it: RequestArrived.
+	Key uint64
+
+	// Count is a number of missing records: Gap; of the node's processes: ProcessesChanged.
+	Count uint64
+	// Endpoints is the endpoint list: EndpointsChanged; or the attempt's backend alone: EarlierAttempt.
 	Endpoints []Endpoint
-	Data      []byte              // a Start as JSON for Begin, Snapshot and ConfigChanged; the log line for Decided
-	State     []byte              // for Snapshot, as internal/snapshot encodes it
-	Requests  []uint64            // for Snapshot: the numbers of its requests, in the order of State
-	Backends  []uint64            // for Snapshot: the numbers of its backends, in the order of State
-	Load      balancer.LoadReport // for LoadReported
+	// Data is a Start as JSON: Begin, Snapshot, ConfigChanged; the event's stored text: Decided with DoLog.
+	Data []byte
+	// State is the decider's state as internal/snapshot encodes it: Snapshot.
+	State []byte
+	// Requests are the numbers of the state's requests, in its order: Snapshot. For ConfigChanged they are each
+	// class's former index plus 1, 0 for a new class.
+	Requests []uint64
+	// Backends are the numbers of the state's backends, in its order: Snapshot.
+	Backends []uint64
+	// Load is what the backend reported: LoadReported.
+	Load balancer.LoadReport
 }
 
-// Endpoint is one entry of an endpoint list.
+// Endpoint is one entry of an endpoint list, see balancer.Endpoint.
 type Endpoint struct {
-	Backend  uint64
-	ID       uint64
+	Backend  uint64 // the backend's number in the capture
+	ID       uint64 // the host's ID of the backend, never hashed
 	State    balancer.BackendState
 	Zone     int
 	Cell     int
@@ -94,266 +152,19 @@
 	Cordoned bool
 }
 
-// Bits of Record.Flags.
-const (
-	flagFull uint64 = 1 << iota
-	flagCached
-	flagCostHint
-	flagClientRetry
-	flagFinished
-	flagStreamed
-	flagPreviousConfig // the request arrived under the configuration before the one in force
-)
-
-// Field numbers in the wire format: never reused.
+// Bits of Record.Flags. The numbers are stored: they never change their meaning.
 const (
-	fieldKind = iota + 1
-	fieldNow
-	fieldRequest
-	fieldID
-	fieldAttempt
-	fieldBackend
-	fieldDecision
-	fieldOutcome
-	fieldValue
-	fieldFlags
-	fieldClass
-	fieldTenant
-	fieldKey
-	fieldCostHint
-	fieldDeadline
-	fieldCount
-	fieldEndpoint
-	fieldData
-	fieldState
-	fieldRequests
-	fieldBackends
-	fieldLoad
+	flagFull           uint64 = 1 << iota // EndpointsChanged: the list is complete
+	flagCached                            // EndpointsChanged: it was read from the node's own cache
+	flagCostHint                          // RequestArrived: CostHint was given
+	flagClientRetry                       // RequestArrived: the client says that it is a retry
+	flagFinished                          // AttemptEnded: the request has ended, with it or before
+	flagStreamed                          // RequestArrived: the body is forwarded while it arrives
+	flagPreviousConfig                    // RequestArrived: under the configuration before the one in force
 )
 
-// Append appends the encoded record to b. Zero values are left out.
-func (r *Record) Append(encoded []byte) []byte {
-	number := func(field protowire.Number, value uint64) {
-		if value != 0 {
-			encoded = protowire.AppendVarint(protowire.AppendTag(encoded, field, protowire.VarintType), value)
-		}
-	}
-	float := func(field protowire.Number, value float64) {
-		if bits := math.Float64bits(value); bits != 0 {
-			encoded = protowire.AppendFixed64(protowire.AppendTag(encoded, field, protowire.Fixed64Type), bits)
-		}
-	}
-	number(fieldKind, uint64(r.Kind))
-	float(fieldNow, r.Now)
-	number(fieldRequest, r.Request)
-	number(fieldID, r.ID)
-	number(fieldAttempt, uint64(r.Attempt))
-	number(fieldBackend, r.Backend)
-	number(fieldDecision, uint64(r.Decision))
-	number(fieldOutcome, uint64(r.Outcome))
-	float(fieldValue, r.Value)
-	number(fieldFlags, r.Flags)
-	number(fieldClass, uint64(r.Class))
-	number(fieldTenant, uint64(r.Tenant))
-	number(fieldKey, r.Key)
-	float(fieldCostHint, r.CostHint)
-	float(fieldDeadline, r.Deadline)
-	number(fieldCount, r.Count)
-	for _, endpoint := range r.Endpoints {
-		encoded = protowire.AppendBytes(protowire.AppendTag(encoded, fieldEndpoint, protowire.BytesType), endpoint.append(nil))
-	}
-	for _, value := range []struct {
-		field protowire.Number
-		data  []byte
-	}{{fieldData, r.Data}, {fieldState, r.State}, {fieldRequests, packNumbers(r.Requests)}, {fieldBackends, packNumbers(r.Backends)}, {fieldLoad, r.encodeLoad()}} {
-		if len(value.data) > 0 {
-			encoded = protowire.AppendBytes(protowire.AppendTag(encoded, value.field, protowire.BytesType), value.data)
-		}
-	}
-	return encoded
-}
-
-// encodeLoad encodes the values of a load report. A value that was not reported is below 0, unlike an idle
-// backend's 0.
-func (r *Record) encodeLoad() (encoded []byte) {
-	if r.Kind == LoadReported {
-		for _, value := range []float64{r.Load.ServiceTime, r.Load.InFlight, r.Load.Queued, r.Load.Throughput} {
-			encoded = protowire.AppendFixed64(encoded, math.Float64bits(value))
-		}
-	}
-	return encoded
-}
-
-func decodeLoad(encoded []byte) (load balancer.LoadReport, err error) {
-	load = balancer.EmptyLoadReport()
-	for _, value := range []*float64{&load.ServiceTime, &load.InFlight, &load.Queued, &load.Throughput} {
-		bits, size := protowire.ConsumeFixed64(encoded)
-		if len(encoded) == 0 && value == &load.Throughput { // earlier builds did not store it
-			break
-		}
-		if size < 0 {
-			return load, errInvalidRecord
-		}
-		*value, encoded = math.Float64frombits(bits), encoded[size:]
-	}
-	return load, nil
-}
-
-func packNumbers(numbers []uint64) (packed []byte) {
-	for _, number := range numbers {
-		packed = protowire.AppendVarint(packed, number)
-	}
-	return packed
-}
-
-func unpackNumbers(packed []byte) (numbers []uint64, err error) {
-	for len(packed) > 0 {
-		number, size := protowire.ConsumeVarint(packed)
-		if size < 0 {
-			return nil, errInvalidRecord
-		}
-		numbers, packed = append(numbers, number), packed[size:]
-	}
-	return numbers, nil
-}
-
-func (e Endpoint) append(encoded []byte) []byte {
-	for field, value := range []uint64{e.Backend, e.ID, uint64(e.State), uint64(e.Zone), uint64(e.Cell), uint64(e.Kind)} {
-		if value != 0 {
-			encoded = protowire.AppendVarint(protowire.AppendTag(encoded, protowire.Number(field+1), protowire.VarintType), value)
-		}
-	}
-	for field, value := range []float64{e.Weight, e.Started} {
-		if bits := math.Float64bits(value); bits != 0 {
-			encoded = protowire.AppendFixed64(protowire.AppendTag(encoded, protowire.Number(field+7), protowire.Fixed64Type), bits)
-		}
-	}
-	if e.Cordoned {
-		encoded = protowire.AppendVarint(protowire.AppendTag(encoded, 9, protowire.VarintType), 1)
-	}
-	return encoded
-}
-
-var errInvalidRecord = errors.New("odd record")
-
-// walkFields calls f for each field of an encoded message.
-func walkFields(encoded []byte, handle func(field protowire.Number, value uint64, bytes []byte) error) error {
-	return snapshot.Walk(encoded, errInvalidRecord, func(field protowire.Number, _ protowire.Type, value uint64, body []byte) error {
-		return handle(field, value, body)
-	})
-}
-
-// maxIndex bounds decoded values that are used as an index, so that a damaged record allocates little.
-const maxIndex = 1 << 20
-
-// Decode decodes a record.
-func Decode(encoded []byte) (record Record, err error) {
-	hasLoad := false
-	boundedIndex := func(value uint64) int {
-		if value > maxIndex {
-			err = errInvalidRecord
-			return 0
-		}
-		return int(value)
-	}
-	walkErr := walkFields(encoded, func(field protowire.Number, value uint64, data []byte) error {
-		switch field {
-		case fieldKind:
-			record.Kind = Kind(min(value, math.MaxUint8))
-		case fieldNow:
-			record.Now = math.Float64frombits(value)
-		case fieldRequest:
-			record.Request = value
-		case fieldID:
-			record.ID = value
-		case fieldAttempt:
-			record.Attempt = boundedIndex(value)
-		case fieldBackend:
-			record.Backend = value
-		case fieldDecision:
-			record.Decision = balancer.DecisionKind(min(value, math.MaxUint8))
-		case fieldOutcome:
-			record.Outcome = balancer.Outcome(min(value, math.MaxUint8))
-		case fieldValue:
-			record.Value = math.Float64frombits(value)
-		case fieldFlags:
-			record.Flags = value
-		case fieldClass:
-			record.Class = boundedIndex(value)
-		case fieldTenant:
-			record.Tenant = boundedIndex(value)
-		case fieldKey:
-			record.Key = value
-		case fieldCostHint:
-			record.CostHint = math.Float64frombits(value)
-		case fieldDeadline:
-			record.Deadline = math.Float64frombits(value)
-		case fieldCount:
-			record.Count = value
-		case fieldEndpoint:
-			endpoint, endpointErr := decodeEndpoint(data)
-			if endpointErr != nil {
-				return endpointErr
-			}
-			record.Endpoints = append(record.Endpoints, endpoint)
-		case fieldLoad:
-			hasLoad = true
-			record.Load, err = decodeLoad(data)
-		case fieldData:
-			record.Data = append([]byte{}, data...)
-		case fieldState:
-			record.State = append([]byte{}, data...)
-		case fieldRequests:
-			record.Requests, err = unpackNumbers(data)
-		case fieldBackends:
-			record.Backends, err = unpackNumbers(data)
-		}
-		return err
-	})
-	if record.Kind == LoadReported && !hasLoad { // earlier builds stored the service time alone, in Value
-		record.Load = balancer.EmptyLoadReport()
-		record.Load.ServiceTime = record.Value
-	}
-	if walkErr == nil && (record.Kind == 0 || math.IsNaN(record.Now)) {
-		walkErr = errInvalidRecord
-	}
-	return record, walkErr
-}
-
-func decodeEndpoint(encoded []byte) (endpoint Endpoint, err error) {
-	walk := walkFields(encoded, func(field protowire.Number, value uint64, _ []byte) error {
-		if field >= 3 && field <= 6 && value > maxIndex {
-			return errInvalidRecord
-		}
-		switch field {
-		case 1:
-			endpoint.Backend = value
-		case 2:
-			endpoint.ID = value
-		case 3:
-			if value > uint64(balancer.BackendReady) {
-				return errInvalidRecord
-			}
-			endpoint.State = balancer.BackendState(value)
-		case 4:
-			endpoint.Zone = int(value)
-		case 5:
-			endpoint.Cell = int(value)
-		case 6:
-			endpoint.Kind = int(value)
-		case 7:
-			endpoint.Weight = math.Float64frombits(value)
-		case 8:
-			endpoint.Started = math.Float64frombits(value)
-		case 9:
-			endpoint.Cordoned = value != 0
-		}
-		return nil
-	})
-	return endpoint, walk
-}
-
-// Start describes the process whose decider a Begin record starts.
+// Start describes the process whose decider a Begin record starts. Its JSON is stored in captures and keeps the
+// word of earlier builds for the configuration.
 type Start struct {
 	Name   string           `json:"name"`  // of the node; its processes share the name
 	Epoch  uint64           `json:"epoch"` // tells the processes of one node apart
@@ -361,6 +172,7 @@
 	Config *balancer.Config `json:"terms"`
 }
 
+// startInfo decodes the Start in the data of a Begin, Snapshot or ConfigChanged record.
 func (r Record) startInfo() (start Start, err error) {
 	if err := json.Unmarshal(r.Data, &start); err != nil {
 		return start, fmt.Errorf("begin: %w", err)
@@ -374,42 +186,66 @@
 // String returns the record in one line.
 func (r Record) String() string {
 	text := fmt.Sprintf("%.3f %s", r.Now, r.Kind)
+	if details := r.describe(); details != "" {
+		text += " " + details
+	}
+	return text
+}
+
+// describe returns the fields of the record's kind as text.
+func (r Record) describe() string {
 	switch r.Kind {
 	case Begin:
-		if start, err := r.startInfo(); err == nil {
-			text += fmt.Sprintf(" %s epoch %d, seed %x, %d nodes, %d classes", start.Name, start.Epoch, start.Config.Seed, start.Config.Nodes, len(start.Config.Classes))
-		}
+		return r.describeStart()
 	case EndpointsChanged:
-		text += fmt.Sprintf(" %d endpoints, complete %t, cached %t", len(r.Endpoints), r.Flags&flagFull != 0, r.Flags&flagCached != 0)
+		return fmt.Sprintf("%d endpoints, complete %t, cached %t",
+			len(r.Endpoints), r.Flags&flagFull != 0, r.Flags&flagCached != 0)
 	case RequestArrived:
-		text += fmt.Sprintf(" request %d (%x) class %d cost hint %g deadline %.3f", r.Request, r.ID, r.Class, r.CostHint, r.Deadline)
+		return fmt.Sprintf("request %d (%x) class %d cost hint %g deadline %.3f",
+			r.Request, r.ID, r.Class, r.CostHint, r.Deadline)
 	case EarlierAttempt:
-		text += fmt.Sprintf(" request %d, attempt of another node at %.3f, last known as %s", r.Request, r.Value, r.Outcome)
+		text := fmt.Sprintf("request %d, attempt of another node at %.3f, last known as %s",
+			r.Request, r.Value, r.Outcome)
 		if len(r.Endpoints) > 0 {
 			text += fmt.Sprintf(", to backend %x", r.Endpoints[0].ID)
 		}
+		return text
 	case ClientGone, DeadlineShortened:
-		text += fmt.Sprintf(" request %d", r.Request)
+		return fmt.Sprintf("request %d", r.Request)
 	case ResponseStarted:
-		text += fmt.Sprintf(" request %d attempt %d", r.Request, r.Attempt)
+		return fmt.Sprintf("request %d attempt %d", r.Request, r.Attempt)
 	case AttemptEnded:
-		text += fmt.Sprintf(" request %d attempt %d %s after %.3f ms, finished %t", r.Request, r.Attempt, r.Outcome, r.Value, r.Flags&flagFinished != 0)
+		return fmt.Sprintf("request %d attempt %d %s after %.3f ms, finished %t",
+			r.Request, r.Attempt, r.Outcome, r.Value, r.Flags&flagFinished != 0)
 	case Snapshot:
-		text += fmt.Sprintf(" of %d bytes, %d requests, %d backends", len(r.State), len(r.Requests), len(r.Backends))
+		return fmt.Sprintf("of %d bytes, %d requests, %d backends", len(r.State), len(r.Requests), len(r.Backends))
 	case BackendForgotten:
-		text += fmt.Sprintf(" backend %d", r.Backend)
+		return fmt.Sprintf("backend %d", r.Backend)
 	case LoadReported:
-		text += fmt.Sprintf(" backend %d, service time %.3f, in flight %g, queued %g", r.Backend, r.Load.ServiceTime, r.Load.InFlight, r.Load.Queued)
+		return fmt.Sprintf("backend %d, service time %.3f, in flight %g, queued %g",
+			r.Backend, r.Load.ServiceTime, r.Load.InFlight, r.Load.Queued)
 	case Decided:
-		text += " " + describeDecision(r)
+		return describeDecision(r)
 	case Gap:
-		text += fmt.Sprintf(" %d records missing", r.Count)
+		return fmt.Sprintf("%d records missing", r.Count)
 	}
-	return text
+	return ""
+}
+
+// describeStart returns the start of a Begin record as text, empty if it can't be decoded.
+func (r Record) describeStart() string {
+	start, err := r.startInfo()
+	if err != nil {
+		return ""
+	}
+	config := start.Config
+	return fmt.Sprintf("%s epoch %d, seed %x, %d nodes, %d classes",
+		start.Name, start.Epoch, config.Seed, config.Nodes, len(config.Classes))
 }
 
 var decisionNames = [...]string{"attempt", "reject", "fail", "cancel", "poll", "timer", "log"}
 
+// describeDecision returns the decision of a Decided record as text.
 func describeDecision(r Record) string {
 	name := "decision"
 	if int(r.Decision) < len(decisionNames) {
@@ -417,7 +253,8 @@
 	}
 	switch r.Decision {
 	case balancer.DoAttempt:
-		return fmt.Sprintf("%s request %d to backend %d (attempt %d), timeout %g", name, r.Request, r.Backend, r.Attempt, r.Value)
+		return fmt.Sprintf("%s request %d to backend %d (attempt %d), timeout %g",
+			name, r.Request, r.Backend, r.Attempt, r.Value)
 	case balancer.DoReject, balancer.DoFail:
 		return fmt.Sprintf("%s request %d, retry after %g", name, r.Request, r.Value)
 	case balancer.DoCancel:
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -22,9 +22,13 @@
 
 // Options configure a Recorder.
 type Options struct {
-	SnapshotIntervalMs float64     // time between snapshots; 0 takes none after the first
-	HashKey            []byte      // key that request IDs are hashed with; empty stores them as they are. All nodes of a fleet need the same key
-	Sink               func(Batch) // receives each batch; must neither block nor keep the bytes
+	// SnapshotIntervalMs is the least time between snapshots; 0 takes none after the first.
+	SnapshotIntervalMs float64
+	// HashKey is the key that request IDs are hashed with; empty stores the IDs as they are. All nodes of a fleet
+	// need the same key, so that a request can be found in the captures of several.
+	HashKey []byte
+	// Sink receives each batch. It must neither block nor keep the bytes.
+	Sink func(Batch)
 }
 
 // Recorder is a balancer.Decider that passes every input on to another decider, every decision back to the host,
@@ -51,7 +55,14 @@
 	if err != nil {
 		return nil, err
 	}
-	recorder := &Recorder{inner: inner, options: options, startInfo: start, startJSON: data, requests: map[*balancer.Request]uint64{}, backends: map[*balancer.Backend]uint64{}}
+	recorder := &Recorder{
+		inner:     inner,
+		options:   options,
+		startInfo: start,
+		startJSON: data,
+		requests:  map[*balancer.Request]uint64{},
+		backends:  map[*balancer.Backend]uint64{},
+	}
 	recorder.record(&Record{Kind: Begin, Now: now, Data: data})
 	recorder.recordSnapshot() // what an earlier decider learned is in the state, not in the configuration
 	return recorder, nil
@@ -105,6 +116,7 @@
 	return max(hash.Sum64(), 1)
 }
 
+// record adds a record to the current batch.
 func (r *Recorder) record(record *Record) {
 	r.now = record.Now
 	start := len(r.batch)
@@ -113,6 +125,7 @@
 	r.batchRecords++
 }
 
+// flush hands the current batch to the sink.
 func (r *Recorder) flush() {
 	if r.batchRecords > 0 {
 		r.options.Sink(Batch{r.batchRecords, r.batch, r.hasSnapshot})
@@ -141,8 +154,17 @@
 		record.Flags |= flagCached
 	}
 	for _, endpoint := range endpoints {
-		record.Endpoints = append(record.Endpoints, Endpoint{Backend: r.numberOf(endpoint.Backend), ID: endpoint.Backend.ID, State: endpoint.State, Zone: endpoint.Zone, Cell: endpoint.Cell, Kind: endpoint.Kind,
-			Weight: endpoint.Weight, Started: endpoint.Started, Cordoned: endpoint.Cordoned})
+		record.Endpoints = append(record.Endpoints, Endpoint{
+			Backend:  r.numberOf(endpoint.Backend),
+			ID:       endpoint.Backend.ID,
+			State:    endpoint.State,
+			Zone:     endpoint.Zone,
+			Cell:     endpoint.Cell,
+			Kind:     endpoint.Kind,
+			Weight:   endpoint.Weight,
+			Started:  endpoint.Started,
+			Cordoned: endpoint.Cordoned,
+		})
 	}
 	r.record(&record)
 	r.inner.EndpointsChanged(now, endpoints, full, cached)
@@ -158,13 +180,20 @@
 func (r *Recorder) RequestArrived(now float64, request *balancer.Request) {
 	r.lastRequest++
 	r.requests[request] = r.lastRequest
-	for _, attempt := range request.Attempts { // begun by another node
-		backend := attempt.Backend
-		r.record(&Record{Kind: EarlierAttempt, Now: now, Request: r.lastRequest, Value: attempt.SentAt, Outcome: attempt.Outcome(),
-			Endpoints: []Endpoint{{Backend: r.numberOf(backend), ID: backend.ID, Zone: backend.Zone, Cell: backend.Cell}}})
+	for _, attempt := range request.Attempts {
+		r.recordEarlierAttempt(now, attempt)
+	}
+	record := Record{
+		Kind:     RequestArrived,
+		Now:      now,
+		Request:  r.lastRequest,
+		ID:       r.hashID(request.ID),
+		Class:    request.Class,
+		Tenant:   request.Tenant,
+		CostHint: request.CostHint,
+		Deadline: request.Deadline,
+		Key:      request.Key,
 	}
-	record := Record{Kind: RequestArrived, Now: now, Request: r.lastRequest, ID: r.hashID(request.ID), Class: request.Class, Tenant: request.Tenant, CostHint: request.CostHint,
-		Deadline: request.Deadline, Key: request.Key}
 	if request.HasCostHint {
 		record.Flags |= flagCostHint
 	}
@@ -181,6 +210,20 @@
 	r.inner.RequestArrived(now, request)
 }
 
+// recordEarlierAttempt records an attempt that another node began for the request that arrives.
+func (r *Recorder) recordEarlierAttempt(now float64, attempt *balancer.Attempt) {
+	backend := attempt.Backend
+	endpoint := Endpoint{Backend: r.numberOf(backend), ID: backend.ID, Zone: backend.Zone, Cell: backend.Cell}
+	r.record(&Record{
+		Kind:      EarlierAttempt,
+		Now:       now,
+		Request:   r.lastRequest,
+		Value:     attempt.SentAt,
+		Outcome:   attempt.Outcome(),
+		Endpoints: []Endpoint{endpoint},
+	})
+}
+
 // ClientGone implements balancer.Decider.
 func (r *Recorder) ClientGone(now float64, request *balancer.Request) {
 	r.record(&Record{Kind: ClientGone, Now: now, Request: r.requests[request]})
@@ -202,13 +245,28 @@
 
 // RequestBodySent implements balancer.Decider; the record has the request's deadline at that moment.
 func (r *Recorder) RequestBodySent(now float64, attempt *balancer.Attempt) {
-	r.record(&Record{Kind: RequestBodySent, Now: now, Request: r.requests[attempt.Request], Attempt: attempt.Number, Value: attempt.Request.Deadline})
+	r.record(&Record{
+		Kind:    RequestBodySent,
+		Now:     now,
+		Request: r.requests[attempt.Request],
+		Attempt: attempt.Number,
+		Value:   attempt.Request.Deadline,
+	})
 	r.inner.RequestBodySent(now, attempt)
 }
 
 // AttemptEnded implements balancer.Decider.
-func (r *Recorder) AttemptEnded(now float64, attempt *balancer.Attempt, outcome balancer.Outcome, elapsed float64, finished bool) {
-	record := Record{Kind: AttemptEnded, Now: now, Request: r.requests[attempt.Request], Attempt: attempt.Number, Outcome: outcome, Value: elapsed}
+func (r *Recorder) AttemptEnded(
+	now float64, attempt *balancer.Attempt, outcome balancer.Outcome, elapsed float64, finished bool,
+) {
+	record := Record{
+		Kind:    AttemptEnded,
+		Now:     now,
+		Request: r.requests[attempt.Request],
+		Attempt: attempt.Number,
+		Outcome: outcome,
+		Value:   elapsed,
+	}
 	if finished {
 		record.Flags |= flagFinished
 	}
@@ -237,7 +295,7 @@
 		r.startJSON, r.startInfo = data, start
 	}
 	record := Record{Kind: ConfigChanged, Now: now, Data: r.startJSON}
-	for _, index := range formerIndexes {
+	for _, index := range formerIndexes { // -1 for a new class, which is stored as 0
 		record.Requests = append(record.Requests, uint64(index+1))
 	}
 	r.record(&record)
@@ -261,7 +319,7 @@
 		r.flush()
 		return decision, more
 	}
-	record := decisionRecord(decision, func(request *balancer.Request) uint64 { return r.requests[request] }, func(backend *balancer.Backend) uint64 { return r.backends[backend] })
+	record := decisionRecord(decision, r.requests, r.backends)
 	record.Now = r.now
 	r.record(&record)
 	if decision.Kind == balancer.DoReject || decision.Kind == balancer.DoFail {
@@ -284,14 +342,22 @@
 	}
 }
 
-// decisionRecord encodes a decision as a record, with the numbers that the capture gave to requests and backends.
-func decisionRecord(decision balancer.Decision, requestNumber func(*balancer.Request) uint64, backendNumber func(*balancer.Backend) uint64) Record {
-	record := Record{Kind: Decided, Decision: decision.Kind, Value: decision.Wait, Data: []byte(storedEvent(decision.Event))}
+// decisionRecord returns a decision as a record, with the numbers that the capture gave to requests and backends.
+func decisionRecord(
+	decision balancer.Decision, requests map[*balancer.Request]uint64, backends map[*balancer.Backend]uint64,
+) Record {
+	record := Record{
+		Kind:     Decided,
+		Decision: decision.Kind,
+		Value:    decision.Wait,
+		Data:     []byte(storedEvent(decision.Event)),
+	}
 	if decision.Request != nil {
-		record.Request = requestNumber(decision.Request)
+		record.Request = requests[decision.Request]
 	}
 	if decision.Attempt != nil {
-		record.Attempt, record.Backend = decision.Attempt.Number, backendNumber(decision.Attempt.Backend)
+		record.Attempt = decision.Attempt.Number
+		record.Backend = backends[decision.Attempt.Backend]
 	}
 	return record
 }
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -41,12 +41,13 @@
 
 // Replayer passes the recorded inputs to a decider of its own and compares its decisions with the recorded ones.
 type Replayer struct {
-	New func(t *balancer.Config, now float64) balancer.Decider // creates the decider; nil means balancer.New
+	// New creates the decider; nil means balancer.New.
+	New func(config *balancer.Config, now float64) balancer.Decider
 
 	Skip   int  // number of records to skip at the beginning
 	Strict bool // compare the decider's state with each snapshot too
+	Result Result
 
-	Result          Result
 	decider         balancer.Decider
 	requests        map[uint64]*balancer.Request
 	requestNumbers  map[*balancer.Request]uint64
@@ -115,11 +116,17 @@
 }
 
 func (r *Replayer) decisionRecord(decision balancer.Decision) Record {
-	return decisionRecord(decision, func(request *balancer.Request) uint64 { return r.requestNumbers[request] }, func(backend *balancer.Backend) uint64 { return r.backendNumbers[backend] })
+	return decisionRecord(decision, r.requestNumbers, r.backendNumbers)
 }
 
 func (r *Replayer) mismatch(record Record, captured, replayed string) *MismatchError {
-	return &MismatchError{RecordNumber: r.Result.Records, Now: record.Now, Captured: captured, Replayed: replayed, Inputs: append([]Record{}, r.inputs...)}
+	return &MismatchError{
+		RecordNumber: r.Result.Records,
+		Now:          record.Now,
+		Captured:     captured,
+		Replayed:     replayed,
+		Inputs:       append([]Record{}, r.inputs...),
+	}
 }
 
 func (r *Replayer) startEpoch(record Record) error {
@@ -155,7 +162,8 @@
 	}
 	state, err := r.encodedState()
 	if err == nil && state != nil && !bytes.Equal(state, record.State) {
-		return r.mismatch(record, fmt.Sprintf("a state of %d bytes", len(record.State)), fmt.Sprintf("another, of %d bytes", len(state)))
+		captured := fmt.Sprintf("a state of %d bytes", len(record.State))
+		return r.mismatch(record, captured, fmt.Sprintf("another, of %d bytes", len(state)))
 	}
 	return err
 }
@@ -231,7 +239,8 @@
 	}
 	switch record.Kind {
 	case EndpointsChanged:
-		r.decider.EndpointsChanged(record.Now, r.endpoints(record), record.Flags&flagFull != 0, record.Flags&flagCached != 0)
+		full, cached := record.Flags&flagFull != 0, record.Flags&flagCached != 0
+		r.decider.EndpointsChanged(record.Now, r.endpoints(record), full, cached)
 	case PollFailed:
 		r.decider.PollFailed(record.Now)
 	case EarlierAttempt:
@@ -298,7 +307,8 @@
 		return request, nil, nil
 	}
 	if record.Attempt >= len(request.Attempts) {
-		return nil, nil, r.mismatch(record, fmt.Sprintf("request %d has attempt %d", record.Request, record.Attempt), fmt.Sprintf("it has %d attempts", len(request.Attempts)))
+		captured := fmt.Sprintf("request %d has attempt %d", record.Request, record.Attempt)
+		return nil, nil, r.mismatch(record, captured, fmt.Sprintf("it has %d attempts", len(request.Attempts)))
 	}
 	return request, request.Attempts[record.Attempt], nil
 }
@@ -312,17 +322,34 @@
 			backend = &balancer.Backend{ID: endpoint.ID}
 			r.backends[endpoint.Backend], r.backendNumbers[backend] = backend, endpoint.Backend
 		}
-		endpoints = append(endpoints, balancer.Endpoint{Backend: backend, State: endpoint.State, Zone: endpoint.Zone, Cell: endpoint.Cell, Kind: endpoint.Kind, Weight: endpoint.Weight,
-			Started: endpoint.Started, Cordoned: endpoint.Cordoned})
+		endpoints = append(endpoints, balancer.Endpoint{
+			Backend:  backend,
+			State:    endpoint.State,
+			Zone:     endpoint.Zone,
+			Cell:     endpoint.Cell,
+			Kind:     endpoint.Kind,
+			Weight:   endpoint.Weight,
+			Started:  endpoint.Started,
+			Cordoned: endpoint.Cordoned,
+		})
 	}
 	return endpoints
 }
 
 // arrivedRequest makes the request of a RequestArrived record, with the attempts of other nodes that precede it.
 func (r *Replayer) arrivedRequest(record Record) (*balancer.Request, error) {
-	request := &balancer.Request{ID: record.ID, Class: record.Class, Tenant: record.Tenant, CostHint: record.CostHint, HasCostHint: record.Flags&flagCostHint != 0,
-		IsClientRetry: record.Flags&flagClientRetry != 0, Streamed: record.Flags&flagStreamed != 0, Deadline: record.Deadline, Key: record.Key}
-	request.Config = r.config
+	request := &balancer.Request{
+		ID:            record.ID,
+		Class:         record.Class,
+		Tenant:        record.Tenant,
+		CostHint:      record.CostHint,
+		HasCostHint:   record.Flags&flagCostHint != 0,
+		IsClientRetry: record.Flags&flagClientRetry != 0,
+		Streamed:      record.Flags&flagStreamed != 0,
+		Deadline:      record.Deadline,
+		Key:           record.Key,
+		Config:        r.config,
+	}
 	if record.Flags&flagPreviousConfig != 0 && r.previousConfig != nil {
 		request.Config = r.previousConfig
 	}
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -26,13 +26,13 @@
 // removed.
 type WriterConfig struct {
 	Dir           string
-	NodeName      string // its name
-	SegmentMB     float64
-	MaxTotalMB    float64
-	MaxAge        time.Duration
+	NodeName      string        // in the names of segments
+	SegmentMB     float64       // size beyond which a segment is complete
+	MaxTotalMB    float64       // of all segments
+	MaxAge        time.Duration // of a segment; 0 for no limit
 	FlushInterval time.Duration // longest time until a block is written
-	BlockKB       int
-	MaxPendingMB  float64 // records waiting for the disk; what exceeds it is dropped and recorded as a gap
+	BlockKB       int           // pending records that are written before FlushInterval is over
+	MaxPendingMB  float64       // records waiting for the disk; what exceeds it is dropped and recorded as a gap
 	Sync          Sync
 	Log           *slog.Logger
 	Now           func() float64 // Unix ms
@@ -54,22 +54,24 @@
 	config         WriterConfig
 	mu             sync.Mutex
 	pending        []byte // framed records
-	pendingRecords uint64 // of them
+	pendingRecords uint64 // the number of records in pending
 	dropped        uint64 // records, since the last batch that was accepted
 	totalDropped   uint64
 	blockReady     chan struct{} // signals that a full block is pending
 	closing        chan struct{}
 	closed         chan struct{}
 
+	// The fields below belong to the writing goroutine, see run.
+
 	encoder      *zstd.Encoder
 	compressed   []byte
 	segment      segment
 	segmentBytes int64
 	segments     int
 	block        []byte
-	blockRecords uint64    // records
-	failedAt     time.Time // zero while the disk takes all
-	unwritten    uint64    // records that it did not take, since it last did
+	blockRecords uint64    // the number of records in block
+	failedAt     time.Time // of the latest disk error; zero while writes succeed
+	unwritten    uint64    // records lost to disk errors since the last block that was written
 }
 
 // diskRetryDelay is the time between a disk error and the next attempt to begin a segment: a full disk is rarely
@@ -90,7 +92,13 @@
 			return os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 		}
 	}
-	w := &Writer{config: config, blockReady: make(chan struct{}, 1), closing: make(chan struct{}), closed: make(chan struct{}), encoder: encoder}
+	w := &Writer{
+		config:     config,
+		blockReady: make(chan struct{}, 1),
+		closing:    make(chan struct{}),
+		closed:     make(chan struct{}),
+		encoder:    encoder,
+	}
 	go w.run()
 	return w, nil
 }
@@ -138,7 +146,7 @@
 	<-w.closed
 }
 
-// run is the writing goroutine. It owns the fields below closed.
+// run is the writing goroutine. It writes a block whenever one is full, after FlushInterval, and at the end.
 func (w *Writer) run() {
 	defer close(w.closed)
 	defer func() { _ = w.encoder.Close() }()
