--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -236,7 +236,7 @@
 
 // walkFields calls f for each field of an encoded message.
 func walkFields(b []byte, f func(n protowire.Number, x uint64, bytes []byte) error) error {
-	return snapshot.Walk(b, errInvalidRecord, func(n protowire.Number, _ protowire.Type, x uint64, body []byte) error { return f(n, x, body) })
+	return snapshot.WalkFields(b, errInvalidRecord, func(n protowire.Number, _ protowire.Type, x uint64, body []byte) error { return f(n, x, body) })
 }
 
 // maxIndex bounds decoded values that are used as an index, so that a damaged record allocates little.
--- a/internal/controlplane/client/link.go
+++ b/internal/controlplane/client/link.go
@@ -34,7 +34,7 @@
 // DecodeLinkHeader returns the purpose of a link. A header of another version may mean anything and is an error.
 func DecodeLinkHeader(data []byte) (purpose string, err error) {
 	header := &LinkHeader{}
-	if err := snapshot.Read(data, header); err != nil {
+	if err := snapshot.ReadStruct(data, header); err != nil {
 		return "", err
 	}
 	if header.Version != ProtocolVersion {
@@ -58,7 +58,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	_, err = transport.ClientHandshake(conn, keys, HandshakeFleet(fleet), from, to.Name, max(rand.Uint64(), 1))
 	if err == nil {
-		err = transport.WriteFrame(conn, snapshot.Append(nil, &LinkHeader{Version: ProtocolVersion, Purpose: purpose}))
+		err = transport.WriteFrame(conn, snapshot.AppendStruct(nil, &LinkHeader{Version: ProtocolVersion, Purpose: purpose}))
 	}
 	if !stop() || err != nil {
 		_ = conn.Close()
--- a/internal/controlplane/follower_frames.go
+++ b/internal/controlplane/follower_frames.go
@@ -91,7 +91,7 @@
 
 func (f *Follower) handleSnapshotBegin(body []byte) error {
 	var b snapshotBegin
-	if snapshot.Read(body, &b) != nil || b.Version == 0 || len(b.Digest) != len(Digest{}) {
+	if snapshot.ReadStruct(body, &b) != nil || b.Version == 0 || len(b.Digest) != len(Digest{}) {
 		return errMalformedFrame
 	}
 	// What doesn't get smaller goes as it is, with one byte more: the compressed size may exceed the document's limit a little.
@@ -104,7 +104,7 @@
 
 func (f *Follower) handleSnapshotChunk(now float64, body []byte) error {
 	var c snapshotChunk
-	if snapshot.Read(body, &c) != nil || len(c.Data) == 0 {
+	if snapshot.ReadStruct(body, &c) != nil || len(c.Data) == 0 {
 		return errMalformedFrame
 	}
 	in := f.incoming
--- a/internal/controlplane/history.go
+++ b/internal/controlplane/history.go
@@ -189,7 +189,7 @@
 	for _, retained := range h.changes {
 		s.Changes = append(s.Changes, snapshotChange{newWireChange(&retained.change), encodeSplices(retained.inverse)})
 	}
-	return compress(snapshot.Append(nil, &s))
+	return compress(snapshot.AppendStruct(nil, &s))
 }
 
 // decodeHistorySnapshot returns the history of a snapshot. maxChanges 0 is the default.
@@ -199,7 +199,7 @@
 		return nil, errMalformedSnapshot
 	}
 	var s historySnapshot
-	if snapshot.Read(data, &s) != nil || s.FormatVersion != historySnapshotFormat || uint64(len(s.Changes)) > s.Version {
+	if snapshot.ReadStruct(data, &s) != nil || s.FormatVersion != historySnapshotFormat || uint64(len(s.Changes)) > s.Version {
 		return nil, errMalformedSnapshot
 	}
 	doc, err := newDocument(s.Text)
--- a/internal/controlplane/member/member_test.go
+++ b/internal/controlplane/member/member_test.go
@@ -239,7 +239,7 @@
 	require.Error(t, err)
 	requireClosed(conn)
 	header := func(version int, purpose string) []byte {
-		return snapshot.Append(nil, &client.LinkHeader{Version: version, Purpose: purpose})
+		return snapshot.AppendStruct(nil, &client.LinkHeader{Version: version, Purpose: purpose})
 	}
 	tooLong := []byte("\xff\xff\xff\xff")
 	for name, frames := range map[string][][]byte{
--- a/internal/controlplane/voter_apply.go
+++ b/internal/controlplane/voter_apply.go
@@ -99,7 +99,7 @@
 		return 0, Change{}, err
 	}
 	var entry logEntry
-	if err := snapshot.Read(data, &entry); err != nil {
+	if err := snapshot.ReadStruct(data, &entry); err != nil {
 		return 0, Change{}, err
 	}
 	change, err = entry.Change.decode()
--- a/internal/controlplane/voter_proposals.go
+++ b/internal/controlplane/voter_proposals.go
@@ -56,7 +56,7 @@
 		ProposedAtMs: now,
 	}
 	entry := logEntry{Base: p.Base, Change: newWireChange(&change)}
-	if err := v.node.Propose(compress(snapshot.Append(nil, &entry))); err != nil {
+	if err := v.node.Propose(compress(snapshot.AppendStruct(nil, &entry))); err != nil {
 		v.queueReply(id, Result{Code: CodeBusy})
 		return
 	}
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -119,7 +119,7 @@
 }
 
 func encodeFrame(kind byte, message any) []byte {
-	return snapshot.Append([]byte{protocolVersion, kind}, message)
+	return snapshot.AppendStruct([]byte{protocolVersion, kind}, message)
 }
 
 // parseFrame splits a frame into its kind and its body.
@@ -136,7 +136,7 @@
 // decodeStatus decodes the body of a hello or a status.
 func decodeStatus(body []byte) (status, error) {
 	var s status
-	if snapshot.Read(body, &s) != nil {
+	if snapshot.ReadStruct(body, &s) != nil {
 		return s, errMalformedFrame
 	}
 	if !isFinite(s.SentAt) || math.IsNaN(s.StalenessMs) || s.StalenessMs < 0 || len(s.RejectReason) > maxReasonBytes {
@@ -147,7 +147,7 @@
 
 func decodeHeartbeat(body []byte) (heartbeat, error) {
 	var h heartbeat
-	if snapshot.Read(body, &h) != nil {
+	if snapshot.ReadStruct(body, &h) != nil {
 		return h, errMalformedFrame
 	}
 	// The offset is minus infinity, and the staleness infinite, if the server doesn't know how old its copy is.
@@ -223,7 +223,7 @@
 // encodeChange returns a change as a frame, or nil if it is too large for one.
 func encodeChange(c *Change) []byte {
 	w := newWireChange(c)
-	body := snapshot.Append(nil, &w)
+	body := snapshot.AppendStruct(nil, &w)
 	if len(body) > maxChangeBytes {
 		return nil
 	}
@@ -241,7 +241,7 @@
 		return Change{}, err
 	}
 	var w wireChange
-	if snapshot.Read(body, &w) != nil {
+	if snapshot.ReadStruct(body, &w) != nil {
 		return Change{}, errMalformedFrame
 	}
 	return w.decode()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -183,7 +183,7 @@
 
 	unknownVersion := transport.NewHello("f", "b", "a", 1)
 	unknownVersion.Version = 9
-	hello := snapshot.Append(nil, &unknownVersion)
+	hello := snapshot.AppendStruct(nil, &unknownVersion)
 	for _, text := range []string{
 		"GET / HTTP/1.1\r\n\r\n",
 		"\x00\x00\x00\x05hello",
@@ -199,7 +199,7 @@
 	}
 
 	frameOfVersion := func(version int) []byte {
-		return snapshot.Append(nil, &requestlog.Frame{Version: version, Kind: 1})
+		return snapshot.AppendStruct(nil, &requestlog.Frame{Version: version, Kind: 1})
 	}
 	for _, frame := range [][]byte{[]byte("garbage"), frameOfVersion(2), frameOfVersion(1), bytes.Repeat([]byte{0xff}, 1000)} {
 		conn, err := net.Dial("tcp", address)
--- a/internal/peers/transport/golden_test.go
+++ b/internal/peers/transport/golden_test.go
@@ -31,11 +31,11 @@
 			MAC: []byte{0xb}},
 	} {
 		t.Run(file, func(t *testing.T) {
-			goldentest.Equal(t, file, snapshot.Append(nil, v))
+			goldentest.Equal(t, file, snapshot.AppendStruct(nil, v))
 			data, err := os.ReadFile(filepath.Join("testdata", file))
 			require.NoError(t, err)
 			read := reflect.New(reflect.TypeOf(v).Elem()).Interface()
-			require.NoError(t, snapshot.Read(data, read))
+			require.NoError(t, snapshot.ReadStruct(data, read))
 			require.Equal(t, v, read)
 		})
 	}
--- a/internal/peers/transport/handshake.go
+++ b/internal/peers/transport/handshake.go
@@ -89,7 +89,7 @@
 	mac := hmac.New(sha256.New, key)
 	_, _ = io.WriteString(mac, side)
 	for _, hello := range []*Hello{client, server} {
-		encoded := snapshot.Append(nil, hello)
+		encoded := snapshot.AppendStruct(nil, hello)
 		_ = binary.Write(mac, binary.BigEndian, uint32(len(encoded)))
 		_, _ = mac.Write(encoded)
 	}
@@ -112,7 +112,7 @@
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer func() { _ = conn.SetDeadline(time.Time{}) }()
 	client := NewHello(fleet, from, to, incarnation)
-	if err := WriteFrame(conn, snapshot.Append(nil, &client)); err != nil {
+	if err := WriteFrame(conn, snapshot.AppendStruct(nil, &client)); err != nil {
 		return 0, err
 	}
 	data, err := ReadFrame(conn, maxHelloBytes)
@@ -120,7 +120,7 @@
 		return 0, err
 	}
 	var server proof
-	if err := snapshot.Read(data, &server); err != nil {
+	if err := snapshot.ReadStruct(data, &server); err != nil {
 		return 0, err
 	}
 	if err := server.Hello.check(fleet, to, from); err != nil {
@@ -143,7 +143,7 @@
 		return "", 0, err
 	}
 	var client Hello
-	if err := snapshot.Read(data, &client); err != nil {
+	if err := snapshot.ReadStruct(data, &client); err != nil {
 		return "", 0, err
 	}
 	if err := client.check(fleet, "", self); err != nil {
@@ -151,7 +151,7 @@
 	}
 	server := NewHello(fleet, self, client.From, incarnation)
 	answer := proof{Hello: server, MAC: computeMAC(keys[0], serverSide, &client, &server)}
-	if err := WriteFrame(conn, snapshot.Append(nil, &answer)); err != nil {
+	if err := WriteFrame(conn, snapshot.AppendStruct(nil, &answer)); err != nil {
 		return "", 0, err
 	}
 	mac, err := ReadFrame(r, maxHelloBytes)
--- a/internal/requestlog/bootstrap.go
+++ b/internal/requestlog/bootstrap.go
@@ -89,7 +89,7 @@
 }
 
 func (e *bootstrapEvidence) digest() uint64 {
-	return xxhash.Sum64(snapshot.Append(nil, &Heartbeat{Logs: e.statuses}))
+	return xxhash.Sum64(snapshot.AppendStruct(nil, &Heartbeat{Logs: e.statuses}))
 }
 
 // hasQuorum reports whether the replicas that are left can elect a leader. The voters are those that the replica names that
--- a/internal/requestlog/calls.go
+++ b/internal/requestlog/calls.go
@@ -152,7 +152,7 @@
 	default:
 		record := call.Record
 		record.LeaderTime, record.Caller, record.CallSeq = m.now, caller, call.Seq
-		if err := log.node.Propose(snapshot.Append(nil, &record)); err != nil {
+		if err := log.node.Propose(snapshot.AppendStruct(nil, &record)); err != nil {
 			// A transfer of the leadership is under way, or too many bytes are uncommitted. Neither lasts, so the caller is
 			// asked to come again, and LogFull would be wrong.
 			m.replyTo(caller, CallReply{Seq: call.Seq, Result: NotLeader})
--- a/internal/requestlog/frame.go
+++ b/internal/requestlog/frame.go
@@ -38,7 +38,7 @@
 
 func encodeFrame(frame *Frame) []byte {
 	frame.Version = Version
-	return snapshot.Append(nil, frame)
+	return snapshot.AppendStruct(nil, frame)
 }
 
 func (m *Member) sendFrame(to int, frame *Frame) {
@@ -49,7 +49,7 @@
 func (m *Member) Receive(now float64, from int, data []byte) error {
 	m.now = now
 	frame := &Frame{}
-	if err := snapshot.Read(data, frame); err != nil {
+	if err := snapshot.ReadStruct(data, frame); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformedFrame, err)
 	}
 	if frame.Version != Version {
--- a/internal/requestlog/ledger_test.go
+++ b/internal/requestlog/ledger_test.go
@@ -38,9 +38,9 @@
 				require.Equal(t, ownerBefore, record.Owner, "only the owner's records are applied")
 			}
 			if record.Kind == AttemptStarted || record.Kind == AttemptEnded {
-				once := snapshot.Append(nil, ledger.snapshot())
+				once := snapshot.AppendStruct(nil, ledger.snapshot())
 				_, _ = ledger.apply(record)
-				require.Equal(t, once, snapshot.Append(nil, ledger.snapshot()), "a record that comes twice changes nothing")
+				require.Equal(t, once, snapshot.AppendStruct(nil, ledger.snapshot()), "a record that comes twice changes nothing")
 			}
 			requireConsistent(t, ledger)
 		}
@@ -73,7 +73,7 @@
 	}
 	require.Equal(t, sum, ledger.bytes)
 	state, restored := &ledgerSnapshot{}, newLedger(20e3, 500, NoInjectedBug)
-	require.NoError(t, snapshot.Read(snapshot.Append(nil, ledger.snapshot()), state))
+	require.NoError(t, snapshot.ReadStruct(snapshot.AppendStruct(nil, ledger.snapshot()), state))
 	restored.restore(state)
 	require.Equal(t, ledger.bytes, restored.bytes)
 	require.Equal(t, len(ledger.unanswered), len(restored.unanswered))
--- a/internal/requestlog/member.go
+++ b/internal/requestlog/member.go
@@ -223,7 +223,7 @@
 }
 
 func (m *Member) proposeExpiry() {
-	record := snapshot.Append(nil, &Record{Kind: AnswersExpired, LeaderTime: m.now})
+	record := snapshot.AppendStruct(nil, &Record{Kind: AnswersExpired, LeaderTime: m.now})
 	for _, log := range m.servableReplicas() {
 		_ = log.node.Propose(record) // proposed again after expiryIntervalMs
 	}
--- a/internal/requestlog/ready.go
+++ b/internal/requestlog/ready.go
@@ -42,7 +42,7 @@
 		return // older than what is here
 	}
 	state := &ledgerSnapshot{}
-	if snapshot.Read(received.GetData(), state) == nil {
+	if snapshot.ReadStruct(received.GetData(), state) == nil {
 		r.ledger.restore(state)
 	}
 	r.confState = received.GetMetadata().GetConfState()
@@ -62,7 +62,7 @@
 			return
 		}
 		record := &Record{}
-		if snapshot.Read(entry.GetData(), record) != nil {
+		if snapshot.ReadStruct(entry.GetData(), record) != nil {
 			return // skipped by all replicas alike
 		}
 		result, answer := r.ledger.apply(record)
@@ -90,7 +90,7 @@
 
 // createSnapshot stores a snapshot of the ledger and drops the entries before it.
 func (r *replica) createSnapshot() {
-	data := snapshot.Append(nil, r.ledger.snapshot())
+	data := snapshot.AppendStruct(nil, r.ledger.snapshot())
 	if _, err := r.storage.CreateSnapshot(r.appliedIndex, r.confState, data); err != nil {
 		return // there is one of this index already
 	}
--- a/internal/requestlog/replica.go
+++ b/internal/requestlog/replica.go
@@ -76,7 +76,7 @@
 	r := newReplicaWithoutNode(config, logIndex, generation, voterID)
 	r.confState = &pb.ConfState{Voters: []uint64{voterID}}
 	first := &pb.Snapshot{
-		Data:     snapshot.Append(nil, r.ledger.snapshot()),
+		Data:     snapshot.AppendStruct(nil, r.ledger.snapshot()),
 		Metadata: &pb.SnapshotMetadata{ConfState: r.confState, Index: proto.Uint64(1), Term: proto.Uint64(1)},
 	}
 	if err := r.storage.ApplySnapshot(first); err != nil {
--- a/internal/requestlog/takeover.go
+++ b/internal/requestlog/takeover.go
@@ -66,7 +66,7 @@
 	for _, entry := range sortedEntries(due) {
 		log.takeoverProposedAt[entry.Key] = m.now
 		record := Record{Kind: OwnerChanged, Key: entry.Key, Owner: entry.Owner, NewOwner: m.self, LeaderTime: m.now}
-		_ = log.node.Propose(snapshot.Append(nil, &record)) // proposed again after proposalTimeoutMs
+		_ = log.node.Propose(snapshot.AppendStruct(nil, &record)) // proposed again after proposalTimeoutMs
 	}
 }
 
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -10,7 +10,7 @@
 	"pearknot/internal/goldentest"
 )
 
-// filled has a value of its own in each field, so that two fields that change places are noticed.
+// filled returns a snapshot with a distinct value in each field, so that the test notices two fields that were swapped.
 func filled() *balancer.Snapshot {
 	return &balancer.Snapshot{Now: 2.5,
 		ArmedFor:             3.5,
@@ -126,7 +126,8 @@
 		TenantRate:           [2]float64{172.5, 173.5}}
 }
 
-// An earlier build wrote the file. This one writes the same bytes, and reads each value into its own field.
+// An earlier build wrote the file, as a node may find it after an upgrade. This build must write the same bytes and read
+// each value into the field that it came from.
 func TestSnapshotForm(t *testing.T) {
 	goldentest.Equal(t, "snapshot-v2.bin", Encode(filled()))
 	data, err := os.ReadFile("testdata/snapshot-v2.bin")
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -90,13 +90,13 @@
 
 // Encode returns a message, which must not be streamed, in its stored form.
 func (m *Message) Encode() []byte {
-	return snapshot.Append(nil, &storedMessage{m.head, m.body, m.isHead})
+	return snapshot.AppendStruct(nil, &storedMessage{m.head, m.body, m.isHead})
 }
 
 // DecodeMessage reads the stored form of a message. It returns nil if data is not one.
 func DecodeMessage(data []byte) *Message {
 	stored := &storedMessage{}
-	if snapshot.Read(data, stored) != nil || len(stored.Head) == 0 {
+	if snapshot.ReadStruct(data, stored) != nil || len(stored.Head) == 0 {
 		return nil
 	}
 	return &Message{head: stored.Head, body: stored.Body, isHead: stored.IsHead}
