--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -48,17 +48,18 @@
 	}
 }
 
-// Reason is why a connection is refused or evicted. Operators' tools show the texts.
+// Reason is why a connection is refused or evicted. The texts are keys of the JSON that the control socket returns
+// (docs/edge.md), so they keep their earlier words.
 type Reason string
 
 // The reasons. Misbehaving, OverShare and Full refuse a connection, Silent and Idle evict one.
 const (
 	Admitted    Reason = ""
-	Misbehaving Reason = "too much that was odd came from there"
-	OverShare   Reason = "too many from there without an op"
-	Full        Reason = "full"
-	Silent      Reason = "silent while others wait"
-	Idle        Reason = "idle while others wait"
+	Misbehaving Reason = "too much that was odd came from there" // the address's misbehavior exceeds its limit
+	OverShare   Reason = "too many from there without an op"     // the address has too many connections without an answered request
+	Full        Reason = "full"                                  // all connections are taken and none may be evicted
+	Silent      Reason = "silent while others wait"              // had no answered request and made room for another
+	Idle        Reason = "idle while others wait"                // had answered requests, was idle and made room for another
 )
 
 // Verdict is the decision on a new connection.
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -23,7 +23,7 @@
 const rejectedLogInterval = time.Second
 
 // errStopped is what State returns once the client has stopped.
-var errStopped = errors.New("it has ended")
+var errStopped = errors.New("control plane client has stopped")
 
 // Config configures a follower of the control plane.
 type Config struct {
--- a/internal/controlplane/document.go
+++ b/internal/controlplane/document.go
@@ -17,7 +17,8 @@
 // maxDocumentLines bounds the line index, which takes 4 bytes a line.
 const maxDocumentLines = 2 << 20
 
-// The texts of these errors reach operators by Result.Detail, also those of other builds: they don't change.
+// A voter sends these texts in Result.Detail to the proposer of a change that it rejects, who may be of another build, so
+// they keep their earlier words. They mean: malformed document text, invalid splices, digest mismatch.
 var (
 	errMalformedText  = errors.New("odd text of a document")
 	errInvalidSplices = errors.New("odd splices")
--- a/internal/controlplane/stored_state.go
+++ b/internal/controlplane/stored_state.go
@@ -53,7 +53,7 @@
 	}
 	lastIndex, lastTerm := metadata.GetIndex(), metadata.GetTerm()
 	if lastIndex == 0 || lastTerm == 0 {
-		return errors.New("an image of no index")
+		return errors.New("snapshot without an index")
 	}
 	for _, e := range s.Entries {
 		if e == nil || e.GetIndex() <= metadata.GetIndex() {
--- a/internal/controlsocket/server.go
+++ b/internal/controlsocket/server.go
@@ -47,6 +47,7 @@
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			caller, isKnown := r.Context().Value(callerKey{}).(Caller)
 			if !isKnown || caller.UID != ownUID && caller.UID != 0 {
+				// The text is part of the JSON that callers get, so it stays. It means: permission denied.
 				WriteError(w, http.StatusForbidden, "not yours to call")
 				return
 			}
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -123,7 +123,7 @@
 			}
 		case kindCall:
 			if m.Call == nil {
-				return errors.New("call of nothing")
+				return errors.New("call message without a call")
 			}
 			go l.serveCall(m.N, *m.Call)
 		}
--- a/internal/hotrestart/messages.go
+++ b/internal/hotrestart/messages.go
@@ -112,7 +112,7 @@
 		return message{}, err
 	}
 	if m.Kind == "" {
-		return message{}, errors.New("message of no kind")
+		return message{}, errors.New("message without a kind")
 	}
 	return m, nil
 }
--- a/internal/serve/certificates.go
+++ b/internal/serve/certificates.go
@@ -71,7 +71,7 @@
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
 			if loggedErr != err.Error() {
-				log.Warn("challenges not served here", "error", err)
+				log.Warn("challenge address not available, retrying", "error", err)
 			}
 			loggedErr = err.Error()
 			select {
@@ -99,7 +99,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = httpServer.Close() })
 	defer stop()
 	if err := httpServer.Serve(controlsocket.LimitConnections(listener)); ctx.Err() == nil {
-		log.Error("challenges no longer served", "error", err)
+		log.Error("challenge server failed", "error", err)
 	}
 }
 
--- a/internal/serve/controlsocket.go
+++ b/internal/serve/controlsocket.go
@@ -50,7 +50,7 @@
 	}))
 	go func() {
 		if err := httpServer.Serve(controlsocket.LimitConnections(listener)); !errors.Is(err, http.ErrServerClosed) {
-			p.log.Error("control socket ended", "error", err)
+			p.log.Error("control socket server failed", "error", err)
 		}
 	}()
 	return httpServer, nil
@@ -101,13 +101,14 @@
 	return status, nil
 }
 
-// setService takes the node out of service or back, as the control socket says.
+// setService takes the node out of service, or puts it back, on a call to the control socket. It fails while the node
+// shuts down. A node out of service answers health checks with NO and still serves the requests that it gets.
 func (p *process) setService(service controlsocket.Service) error {
 	if _, shuttingDown := p.server.ServiceState(); shuttingDown {
 		return errShuttingDown
 	}
 	p.server.SetOutOfService(!service.InService)
-	p.log.Info("service", "in", service.InService, "why", service.Reason)
+	p.log.Info("service state set", "in_service", service.InService, "reason", service.Reason)
 	return nil
 }
 
--- a/internal/serve/drain.go
+++ b/internal/serve/drain.go
@@ -52,7 +52,7 @@
 	}
 	p.budget.Close()
 	p.node.Stop()
-	p.log.Info("ended", "unanswered", unanswered)
+	p.log.Info("node stopped", "unanswered", unanswered)
 }
 
 // serveUntilQuiet serves while clients come, for maxWait at most, and returns the successor that serves in this
