--- a/cmd/pearknot/peers.go
+++ b/cmd/pearknot/peers.go
@@ -23,7 +23,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			client := controlsocket.NewClient(args[0], dialTimeout)
 			for {
-				var state requestlog.StateDigest
+				var state requestlog.Status
 				if err := client.Call(c.Context(), "GET", controlsocket.PeersPath, nil, &state); err != nil {
 					return err
 				}
@@ -54,7 +54,7 @@
 }
 
 // printPeers prints a process's view of its peers and logs.
-func printPeers(out io.Writer, state requestlog.StateDigest, asJSON bool) error {
+func printPeers(out io.Writer, state requestlog.Status, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(out).Encode(state)
 	}
--- a/internal/controlsocket/node.go
+++ b/internal/controlsocket/node.go
@@ -28,7 +28,7 @@
 	DumpCapture  func() (fileName string, err error) // nil without a capture in memory
 	Certificates CertificateCalls                    // nil without TLS
 	Clients      func() server.ClientStats           // nil if clients are not tracked
-	Peers        func(context.Context) (requestlog.StateDigest, error)
+	Peers        func(context.Context) (requestlog.Status, error)
 }
 
 // CertificateCalls carries out the calls about certificates.
--- a/internal/lab/simcluster/simcluster.go
+++ b/internal/lab/simcluster/simcluster.go
@@ -579,7 +579,7 @@
 func (s *Fleet) Served() (n int) {
 	for _, p := range s.procs {
 		if p.up {
-			x := p.house.StateDigest()
+			x := p.house.Status()
 			for _, l := range x.Logs {
 				if l.Leader == x.Self {
 					n++
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -21,17 +21,19 @@
 	request.calls = append(request.calls, call)
 	request.attemptsInFlight++
 	switch {
-	case request.clientGone.Load(): // needs no connection and no record; Cancel's message follows
+	case request.clientGone.Load(): // no connection or record is made; Cancel's message is on its way
 		call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 	case request.Logged != nil:
-		n.logAttemptStart(request, attempt, call)
+		n.recordAttemptStart(request, attempt, call)
 	default:
 		n.sendAttempt(attempt, call)
 	}
 }
 
-// newCall makes the attempt's call. An attempt that a panicked balancer has decided on is unknown to the one
-// that replaces it, so its results are dropped.
+// newCall makes the call that carries the attempt to its backend. Its results are dropped if the balancer that decided
+// on the attempt has panicked meanwhile: the one in its place does not know the attempt.
+//
+// balancer.Decider.ResponseStarted is never called here: a response that is streamed counts as ended with its first part.
 func (n *Node) newCall(request *Request, attempt *balancer.Attempt, deadline float64) *upstream.Call {
 	decider := n.decider
 	call := upstream.NewCall(request.Message, n.clock.Time(deadline), func(result upstream.Result) {
@@ -67,7 +69,7 @@
 	call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 }
 
-// attemptEnded takes an attempt's result. The first response is the request's answer.
+// attemptEnded takes an attempt's result. The first response to a request is its answer.
 func (n *Node) attemptEnded(request *Request, attempt *balancer.Attempt, result upstream.Result) {
 	request.attemptsInFlight--
 	if result.Reply != nil && result.Report.HasValues() {
@@ -77,7 +79,7 @@
 		n.finish(request, Answer{Status: Served, Reply: result.Reply})
 	} else {
 		result.Reply.Release()
-		n.logAttemptEnd(request, attempt, result.Outcome)
+		n.recordAttemptEnd(request, attempt, result.Outcome)
 	}
 	// A backend's work ends where its response begins: sending and reading a long response takes time as well.
 	elapsed := max(n.now-attempt.SentAt-float64(result.SinceFirstByte.Microseconds())/1e3, 0)
@@ -86,7 +88,8 @@
 	n.forgetIfOver(request)
 }
 
-// logAttempt and logUnserved write the lines that `pearknot-lab count` adds up over a fleet.
+// logAttempt logs an attempt that has ended. `pearknot-lab count` reads these lines, and those of logUnserved, and adds
+// them up over a fleet: their messages, keys and values must not change.
 func (n *Node) logAttempt(request *Request, attempt *balancer.Attempt, result upstream.Result) {
 	if !n.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
@@ -97,6 +100,7 @@
 		"first_ms", float64(result.SinceFirstByte.Microseconds())/1e3, "at_ms", n.now, "outcome", result.Outcome.String())
 }
 
+// logUnserved logs a request that no backend has served.
 func (n *Node) logUnserved(request *Request, answer Answer) {
 	if !n.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
--- a/internal/node/cordon.go
+++ b/internal/node/cordon.go
@@ -8,15 +8,15 @@
 	"pearknot/balancer"
 )
 
-// maxKnownNames bounds the names that are remembered. A fleet has some hundred at a time; the rest covers what
-// replaced them for days.
+// maxKnownNames bounds the names that are remembered. A fleet has several hundred backends at a time, so this covers the
+// names of several days of replacements.
 const maxKnownNames = 4096
 
 // ErrNeverListed means that the endpoint list has never named a backend, or so long ago that it is forgotten.
 var ErrNeverListed = errors.New("never listed")
 
-// cordonedNames has the names that the endpoint list has had, whether it still has them or not, and those that
-// operators have cordoned.
+// cordonedNames holds the names that the endpoint list has contained at some time, and those that operators have
+// cordoned.
 type cordonedNames struct {
 	known          map[string]struct{}
 	byFirstListing []string // the known names
@@ -43,10 +43,10 @@
 	c.byFirstListing = append(c.byFirstListing, name)
 }
 
-// Cordon has a backend count as draining, whatever the endpoint list says of it, or ends that. It returns when
-// the balancer has it, may be repeated, and goes ahead of waiting messages. isKnown says that the node's other
-// process knows the name: the backend need not have been listed here. It returns ErrNeverListed for a name that
-// is not known at all.
+// Cordon marks a backend as draining, whatever the endpoint list says of it, or ends that. It goes ahead of waiting
+// messages, returns once the balancer has the change, and may be repeated. isKnown says that the node's other process
+// knows the name, so that the backend need not have been listed here. For a name that is not known at all it returns
+// ErrNeverListed.
 func (n *Node) Cordon(ctx context.Context, name string, cordoned, isKnown bool) error {
 	done := make(chan error, 1)
 	n.mailbox.PutFirst(func() {
@@ -72,7 +72,8 @@
 	}
 	if b := n.backends[name]; b != nil {
 		n.setEndpoint(b, b.endpoint)
-		n.decider.EndpointsChanged(n.now, []balancer.Endpoint{n.balancerEndpoint(b)}, false, true)
+		const complete, cached = false, true
+		n.decider.EndpointsChanged(n.now, []balancer.Endpoint{n.balancerEndpoint(b)}, complete, cached)
 	}
 	n.log.Info("backend cordon changed", "backend", name, "cordoned", cordoned)
 	return nil
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// finishUnserved ends a request that no backend serves.
+// finishUnserved ends a request that the balancer has rejected or failed.
 func (n *Node) finishUnserved(decided *balancer.Request, answer Answer) {
 	if request := n.requests[decided.ID]; request != nil {
 		n.logUnserved(request, answer)
@@ -54,8 +54,8 @@
 	}
 }
 
-// forgetIfOver forgets a request that is answered and has no attempt in flight. The balancer's timers keep its
-// own part until the request's deadline; the body need not stay as long.
+// forgetIfOver forgets a request that is answered and has no attempt in flight. The balancer's timers may refer to the
+// request until its deadline, so the message is dropped separately: bodies need not stay in memory as long.
 func (n *Node) forgetIfOver(request *Request) {
 	if request.answered && request.attemptsInFlight == 0 {
 		delete(n.requests, request.ID)
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -88,13 +88,13 @@
 		assert.NoError(t, err) // the attempt has begun
 	}
 	queued := newTestRequest(c, 0)
-	queued.CostHint, queued.HasCostHint, queued.Logged = 1, true, &LoggedRequest{Key: "a"}
+	queued.CostHint, queued.HasCostHint, queued.Logged = 1, true, &LoggedRequest{IdempotencyKey: "a"}
 	n.Submit(queued)
 	n.Cancel(queued)
 	open := make(chan int)
 	n.mailbox.Put(func() {
 		for _, request := range inFlight {
-			request.Logged = &LoggedRequest{Key: "b"}
+			request.Logged = &LoggedRequest{IdempotencyKey: "b"}
 		}
 	})
 	n.Cancel(inFlight[0])
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -16,14 +16,14 @@
 	upstream *upstream.Backend // its connections; nil once the endpoint is removed
 }
 
-// dropObserver is a decider that must hear when the node forgets a backend: a capture records it.
+// dropObserver is a decider that needs to know when the node forgets a backend, such as the recorder of a capture.
 type dropObserver interface {
 	BackendForgotten(b *balancer.Backend)
 }
 
 // EndpointsChanged takes a new endpoint list, or changes to the one that the node has.
 func (n *Node) EndpointsChanged(list *discovery.List) {
-	n.mailbox.Put(func() { n.applyEndpoints(list, false) })
+	n.mailbox.Put(func() { n.applyEndpoints(list, fromDiscovery) })
 }
 
 // PollFailed takes a failed poll of the endpoint list. A node that has a cached list becomes ready by it.
@@ -34,20 +34,27 @@
 	})
 }
 
-// applyEndpoints brings the backends in line with an endpoint list and passes it to the balancer; cached says
-// that it is not news from discovery.
-func (n *Node) applyEndpoints(list *discovery.List, cached bool) {
+// listSource is where an endpoint list comes from.
+type listSource bool
+
+const (
+	fromDiscovery listSource = false // a new list, or changes to one
+	fromCache     listSource = true  // the list that the node, or the process before it, has had before
+)
+
+// applyEndpoints brings the backends in line with an endpoint list and passes it to the balancer.
+func (n *Node) applyEndpoints(list *discovery.List, source listSource) {
 	changes, listed := n.applyListedEndpoints(list)
 	if list.Complete {
 		n.removeUnlisted(listed)
 	}
-	n.decider.EndpointsChanged(n.now, changes, list.Complete, cached)
+	n.decider.EndpointsChanged(n.now, changes, list.Complete, bool(source))
 	n.forgetRemovedBackends()
 	n.hasEndpoints, n.endpointsVersion = true, list.Version
 	n.log.Debug("endpoint list applied", "version", list.Version, "complete", list.Complete, "endpoints", len(changes))
-	// A watch reports the present state from its first moment on. A backend that the cached list calls ready may
-	// be draining by now, so a node with a watch is ready only once that has reported, or can't be reached.
-	if !cached || n.deployment.Balancer.PollEndpoints {
+	// A watch reports the current state as soon as it is connected. A backend that is ready by the cached list may be
+	// draining by now, so a node with a watch is ready only once the watch has reported, or has failed (PollFailed).
+	if source == fromDiscovery || n.deployment.Balancer.PollEndpoints {
 		n.markReady()
 	}
 }
@@ -140,9 +147,9 @@
 	}
 }
 
-// setEndpoint sets a backend's entry and opens or closes its connections. The balancer still has the state
-// before. Where a removal is only a hint, a removed backend keeps its connections until the balancer forgets it,
-// unless it was draining.
+// setEndpoint sets a backend's entry and opens or closes its connections. It is called before the balancer learns of the
+// entry, so b.State is the former state. Where a removal is only a hint, a removed backend keeps its connections until
+// the balancer forgets it, unless it was draining.
 func (n *Node) setEndpoint(b *backend, endpoint discovery.Endpoint) {
 	b.endpoint = endpoint
 	switch {
@@ -164,7 +171,7 @@
 	}
 }
 
-// backendID is the balancer's number of a backend. It is the same at every node.
+// backendID is the number by which the balancer knows a backend. It is the same at every node.
 func backendID(name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name))
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -14,7 +14,7 @@
 
 // LearnedState is what a node passes to the process that replaces it.
 type LearnedState struct {
-	Endpoints        discovery.List // complete
+	Endpoints        discovery.List // a complete list
 	BackendNames     []string       // of the backends in BalancerSnapshot, in their order
 	BalancerSnapshot []byte         // empty where the decider has no state to pass on
 	KnownNames       []string       // all names that the endpoint list has had
@@ -26,7 +26,7 @@
 	var state *LearnedState
 	done := make(chan error, 1)
 	n.mailbox.PutFirst(func() {
-		n.afterBatch = append(n.afterBatch, func() { // a balancer with decisions left to pull gives no snapshot
+		n.afterBatch = append(n.afterBatch, func() { // the balancer gives no snapshot while decisions are left to pull
 			var err error
 			state, err = n.learnedState()
 			done <- err
@@ -55,7 +55,8 @@
 	if !n.isReady {
 		return state, nil
 	}
-	// A recorder round the balancer would not notice that the balancer in it was restored.
+	// With a recorder around the balancer there is no snapshot: the recorder would not notice that the balancer inside it
+	// was restored.
 	decider, ok := n.decider.(*balancer.Balancer)
 	if !ok {
 		return state, nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,18 +21,18 @@
 	"pearknot/internal/upstream"
 )
 
-// drainGraceMs is how long after the drain deadline the balancer may still answer requests itself, in ms: by
-// then the attempts have timed out. A request that it queues for a later moment is failed by the node.
+// drainGraceMs is how long after the drain deadline the balancer may still answer requests itself, in ms: by then all
+// attempts have timed out. A request that the balancer has not answered by then is failed by the node.
 const drainGraceMs = 50.0
 
 var errStopped = errors.New("the node has ended")
 
-// NewDecider makes the part that decides; now is the node's clock, in ms.
-type NewDecider func(options *balancer.Config, now float64) balancer.Decider
+// NewDecider makes the decider of a node; now is the node's clock, in ms.
+type NewDecider func(config *balancer.Config, now float64) balancer.Decider
 
 // NewBalancer is the NewDecider of a node that serves.
-func NewBalancer(options *balancer.Config, now float64) balancer.Decider {
-	return balancer.New(options, now)
+func NewBalancer(balancerConfig *balancer.Config, now float64) balancer.Decider {
+	return balancer.New(balancerConfig, now)
 }
 
 // Node is the actor that owns the balancer. Its methods may be called from any goroutine.
@@ -49,13 +49,13 @@
 	// The actor alone uses the following fields.
 	deployment       *config.Deployment
 	decider          balancer.Decider
-	now              float64 // when the batch at hand began, in ms
+	now              float64 // when the current batch of messages began, in ms
 	requests         map[uint64]*Request
 	lastRequestID    uint64
 	backends         map[string]*backend            // by name
-	backendOf        map[*balancer.Backend]*backend // the same backends, by what the balancer calls them
+	backendOf        map[*balancer.Backend]*backend // the same backends, by the balancer's part of them
 	cordons          cordonedNames
-	hasEndpoints     bool   // there is an endpoint list, if only that of a process before this one
+	hasEndpoints     bool   // there is an endpoint list, which may be the cached one of an earlier process
 	isReady          bool   // requests may be routed by that list
 	endpointsVersion uint64 // of that list
 	timer            *time.Timer
@@ -92,7 +92,7 @@
 		n.decider = n.newDecider(n.deployment.Balancer, n.now)
 	}
 	if cached != nil {
-		n.applyEndpoints(cached, true)
+		n.applyEndpoints(cached, fromCache)
 	}
 	if !n.deployment.Balancer.PollEndpoints { // the balancer never asks for a poll: the list is watched
 		n.pollEndpoints()
@@ -104,7 +104,7 @@
 // Ready is closed once the node has an endpoint list to route requests by.
 func (n *Node) Ready() <-chan struct{} { return n.ready }
 
-// Submit takes a request over; its answer comes on request.Answer.
+// Submit hands a request to the node. Its answer comes on request.Answer, unless Cancel is called.
 func (n *Node) Submit(request *Request) {
 	n.mailbox.Put(func() {
 		n.addRequest(request)
@@ -121,8 +121,8 @@
 	n.requests[request.ID] = request
 }
 
-// Cancel tells the node that the request's client is gone: no answer is owed to it any more. A logged request
-// continues where one of its attempts has begun, for whoever asks with its key; no further attempt begins.
+// Cancel tells the node that the request's client is gone: no answer will be read. No further attempt begins. A logged
+// request of which an attempt has begun continues all the same, since its client may ask for the answer with its key.
 func (n *Node) Cancel(request *Request) {
 	request.clientGone.Store(true) // takes effect at once: the actor may be in a long batch
 	n.mailbox.Put(func() {
@@ -193,8 +193,8 @@
 	})
 }
 
-// Drain has every request answered by deadline, which is in ms of the node's clock: no client can wait longer
-// for a node that stops then.
+// Drain has every request answered by deadline, which is in ms of the node's clock, because the process is going to end
+// then.
 func (n *Node) Drain(deadline float64) {
 	n.mailbox.Put(func() {
 		n.drainDeadline = deadline
@@ -211,7 +211,8 @@
 	})
 }
 
-// failOpenRequests fails what the balancer has left open when the node ends.
+// failOpenRequests fails the requests that the balancer has left open when the node ends. Their clients may still be
+// there: as in withdraw, ClientGone only tells the balancer that the requests are over.
 func (n *Node) failOpenRequests() {
 	for _, request := range n.requests {
 		n.finish(request, Answer{Status: Failed})
@@ -266,9 +267,9 @@
 	step()
 }
 
-// restartDecider begins anew after a panic of the balancer, as after a restart of the process. A panic would
-// otherwise end the process and leave every client without an answer. All open requests are failed, which
-// claims nothing about whether they ran, since the old balancer's state can't be trusted.
+// restartDecider replaces a balancer that has panicked by a new one, as a restart of the process would. The panic would
+// otherwise end the process and leave every client without an answer. All open requests are failed, which says that
+// they may have run: the old balancer's state can't be trusted.
 func (n *Node) restartDecider() {
 	n.decider = n.newDecider(n.deployment.Balancer, n.now)
 	for id, request := range n.requests {
@@ -288,6 +289,6 @@
 		}
 	}
 	if n.hasEndpoints {
-		n.applyEndpoints(current, true)
+		n.applyEndpoints(current, fromCache)
 	}
 }
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -13,9 +13,11 @@
 const (
 	// Served means that a backend responded.
 	Served AnswerStatus = iota
-	// Rejected means that no attempt had an effect; the client may send the request again.
+	// Rejected means that the client may safely send the request again: no attempt has run, or running twice does no harm.
+	// What counts as harmless depends on the request's class, and for logged requests on more than for others. See
+	// rejectOrFail in package balancer and canRejectLogged.
 	Rejected
-	// Failed means that there is no response, and the request may have run.
+	// Failed means that there is no response, and that the request may have run.
 	Failed
 	// RetryLater means that the outcome is not known here. Another node has the request, or no majority of the
 	// request log answers. A client that asks again with the same key gets the outcome.
@@ -33,7 +35,7 @@
 type Answer struct {
 	Status     AnswerStatus
 	Reply      *upstream.Reply // the backend's response, where Status is Served; whoever receives it releases it
-	RetryAfter float64         // ms; 0 is no advice
+	RetryAfter float64         // ms after which the client should come back, where Status is Rejected or RetryLater; 0 is unknown
 }
 
 // Request is a client's request together with the node's state of it.
@@ -44,11 +46,11 @@
 
 	answer     chan Answer
 	isUnread   atomic.Bool // nobody waits for the answer
-	clientGone atomic.Bool // no attempt begins any more
+	clientGone atomic.Bool // the client has disconnected: no further attempt may begin
 
 	// The node's actor alone uses the following fields.
 	answered         bool             // the answer is decided, or the client is gone
-	calls            []*upstream.Call // by the attempt's number
+	calls            []*upstream.Call // one for each attempt, by the attempt's number
 	attemptsInFlight int              // attempts that have not ended
 }
 
@@ -71,7 +73,7 @@
 	}
 }
 
-// deliver hands the answer to whoever waits, or releases it.
+// deliver passes the answer to the receiver of Answer, or releases it if there is none any more.
 func (r *Request) deliver(answer Answer) {
 	r.answer <- answer
 	if r.isUnread.Load() {
@@ -79,7 +81,7 @@
 	}
 }
 
-// discardAnswer releases the answer, whether it is there or comes later.
+// discardAnswer releases the answer, whether it is there already or comes later.
 func (r *Request) discardAnswer() {
 	r.isUnread.Store(true)
 	select {
@@ -89,7 +91,7 @@
 	}
 }
 
-// markAnswered notes that the client is owed nothing more, and withholds attempts that have not begun.
+// markAnswered records that no further answer will be given, and prevents the start of attempts that have not begun.
 func (r *Request) markAnswered() {
 	r.answered = true
 	for _, call := range r.calls {
--- a/internal/node/requestlogging.go
+++ b/internal/node/requestlogging.go
@@ -14,41 +14,46 @@
 )
 
 const (
-	// attemptRecordTimeoutMs is how long an attempt waits until a majority has its record: an election's time.
-	// After that the request goes by its class's rule for a log that does not answer.
-	attemptRecordTimeoutMs = 1500.0
+	// attemptRecordTimeoutMs is how long an attempt waits for its record to be committed. After that the request is
+	// treated as one whose log has no quorum. The server's lookupTimeoutMs is the same, for the same reason.
+	attemptRecordTimeoutMs = requestlog.MaxElectionMs
 
-	// answerRecordGraceMs is how long past its deadline a request waits until a majority has its answer.
+	// answerRecordGraceMs is how long past its deadline a request waits for its answer to be committed. With
+	// answerRecordMs, by which the server brings the deadline forward, it leaves the response 10 ms to be written.
 	answerRecordGraceMs = 30.0
 )
 
-// truncatedAnswerHeader marks a served answer of which the request log has no header and body: they were too long.
+// truncatedAnswerHeader marks a served answer whose header and body are not in the request log, because they were too
+// long for it. Clients read the header and its value, so neither changes.
 const (
 	truncatedAnswerHeader = "Pearknot-Answer"
 	truncatedAnswerValue  = "not kept"
 )
 
-// LoggedRequest is what the request log knows a request by.
+// LoggedRequest is the part of a request that the request log needs beside the request itself.
 type LoggedRequest struct {
-	Key                  string
+	IdempotencyKey       string // by which the log knows it, the tenant included; balancer.Request.Key is another key
 	Fingerprint          uint64 // of method, path and body
-	ProceedWithoutQuorum bool   // the request goes on unlogged where no majority answers
-	MaxAnswerBytes       int    // of an answer's header and body in the log
+	ProceedWithoutQuorum bool   // without a quorum the request goes on unlogged; otherwise it is rejected
+	MaxAnswerBytes       int    // bounds an answer's header and body in the log
 
 	// The node's actor alone uses the following fields.
 	takenOver bool // from another node
 	hasRecord bool // the log has a record of it
 }
 
-// LogRequests has requests that carry a LoggedRequest logged by peers. It is called before Start.
+// LogRequests sets the request log, in which requests with a LoggedRequest are recorded. It is called before Start.
+//
+// In this package record... means a record of the replicated request log, and log... a line of the process's own log
+// (slog).
 func (n *Node) LogRequests(log *peers.Peers) { n.requestLog = log }
 
-// logAttemptStart appends the attempt's record to the request log. The attempt is sent once a majority has the
-// record, so that a successor knows of every attempt that may have run.
-func (n *Node) logAttemptStart(request *Request, attempt *balancer.Attempt, call *upstream.Call) {
+// recordAttemptStart appends the attempt's record to the request log. The attempt is sent only once the record is
+// committed, so that a successor knows of every attempt that may have run.
+func (n *Node) recordAttemptStart(request *Request, attempt *balancer.Attempt, call *upstream.Call) {
 	record := requestlog.Record{
 		Kind: requestlog.AttemptStarted,
-		Key:  request.Logged.Key,
+		Key:  request.Logged.IdempotencyKey,
 		Attempt: requestlog.Attempt{
 			Number:    attempt.Number,
 			Backend:   n.backendOf[attempt.Backend].endpoint.Name,
@@ -64,7 +69,7 @@
 	n.requestLog.Append(record, min(request.Deadline, n.now+attemptRecordTimeoutMs), func(reply requestlog.Reply) {
 		n.mailbox.Put(func() {
 			if n.decider == decider {
-				n.attemptStartLogged(request, attempt, call, reply)
+				n.attemptStartRecorded(request, attempt, call, reply)
 			} else {
 				call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 			}
@@ -72,7 +77,7 @@
 	})
 }
 
-// loggedForm is what a successor needs of a request.
+// loggedForm returns what a successor needs to continue the request.
 func (n *Node) loggedForm(request *Request) requestlog.Request {
 	class := request.Config.Classes[request.Class]
 	form := requestlog.Request{
@@ -94,12 +99,13 @@
 	return form
 }
 
-// attemptStartLogged takes the log's reply to an attempt's record, and sends the attempt if it is committed.
+// attemptStartRecorded takes the log's reply to an attempt's record, and sends the attempt if the record is committed.
 //
-// A node that stood still or was cut off may get the reply when a successor has the request already. The
-// attempt therefore has to begin within the lease, counted from when the record was sent; until its end no
-// other node takes the request over.
-func (n *Node) attemptStartLogged(request *Request, attempt *balancer.Attempt, call *upstream.Call, reply requestlog.Reply) {
+// A node that was paused or cut off may get the reply when a successor has the request already. That successor knows
+// of the attempt, since the record is committed. The attempt must still begin within the lease, counted from when the
+// record was sent, so that it does not begin long after the successor has ended the request. The comment on takeover
+// in package requestlog has the whole argument.
+func (n *Node) attemptStartRecorded(request *Request, attempt *balancer.Attempt, call *upstream.Call, reply requestlog.Reply) {
 	logged := request.Logged
 	isFirst := attempt.Number == 0
 	switch reply.Result {
@@ -133,22 +139,25 @@
 		n.withdraw(request, call, rejection)
 		return
 	}
-	// Another node has the request, or nobody answers: this node must not state an outcome.
+	// Another node has the request, or there is no quorum: this node must not state an outcome.
 	n.withdraw(request, call, Answer{Status: RetryLater, RetryAfter: requestlog.PeerTimeoutMs})
 }
 
-// latestStart is until when the attempt may begin: within the lease, and within the time for which a backend
-// recognizes a repeated idempotency key. An attempt that is not sent by then ends as one that never ran.
+// latestStart returns the time, in ms of the node's clock, before which the attempt must begin: the end of the lease,
+// and of the time for which a backend recognizes a repeated idempotency key. An attempt that has not been sent by then
+// ends as one that never ran.
 func (n *Node) latestStart(request *Request, reply requestlog.Reply) float64 {
 	latest := reply.SentAt + requestlog.LeaseMs
 	if class := request.Config.Classes[request.Class]; class.Idempotency == balancer.IdempotentWithKey {
-		// The earliest attempt that may have run began that time; it may be this one.
+		// The window counts from the earliest attempt that may have run, which may be this one.
 		latest = min(latest, request.UncertainAttempt().SentAt+class.DedupWindow)
 	}
 	return latest
 }
 
-// withdraw ends a request whose attempt is not sent.
+// withdraw ends a request, because an attempt of it may not be sent. The client is still there and gets the answer.
+// balancer.Decider.ClientGone tells the balancer that the request is over; it is also the input for that where the
+// client is not gone but the node itself answers.
 func (n *Node) withdraw(request *Request, call *upstream.Call, answer Answer) {
 	if !request.answered {
 		request.finish(answer)
@@ -157,21 +166,27 @@
 	call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 }
 
-// logAttemptEnd records an attempt that never ran: a successor may then send the request again.
-func (n *Node) logAttemptEnd(request *Request, attempt *balancer.Attempt, outcome balancer.Outcome) {
+// recordAttemptEnd records that an attempt never ran, so that a successor may send the request again. Other outcomes are
+// not recorded: to a successor, an attempt without a recorded end may have run.
+//
+// Nobody waits for this record. If a leader is lost just then, the next attempt's record may be committed before this one,
+// which is sent again only after a while. A successor that takes over in between holds both attempts for uncertain and
+// goes by the first one. For a class whose keys are recognized in one zone or cell alone, and a next attempt in another one,
+// that is a gap: the successor may send the request where its key is not known.
+func (n *Node) recordAttemptEnd(request *Request, attempt *balancer.Attempt, outcome balancer.Outcome) {
 	if request.Logged == nil || !request.Logged.hasRecord || !outcome.NeverRan() {
 		return
 	}
 	record := requestlog.Record{
 		Kind:    requestlog.AttemptEnded,
-		Key:     request.Logged.Key,
+		Key:     request.Logged.IdempotencyKey,
 		Attempt: requestlog.Attempt{Number: attempt.Number, Outcome: outcome},
 	}
 	n.requestLog.Append(record, request.Deadline, func(requestlog.Reply) {})
 }
 
-// continuesWithoutClient reports whether a request whose client is gone goes on: it is logged and one of its
-// attempts has begun. The attempts that have not begun never do.
+// continuesWithoutClient reports whether a request goes on after its client has gone: it is logged, and one of its
+// attempts has begun. Attempts that have not begun are canceled.
 func (n *Node) continuesWithoutClient(request *Request) bool {
 	if request.Logged == nil {
 		return false
@@ -185,16 +200,17 @@
 	return hasBegun
 }
 
-// abandonRequest ends a request that nobody is owed an answer of, and frees its key if the log has that.
+// abandonRequest ends a request whose client is gone and that does not continue. If it is logged, no attempt of it has
+// begun, and its key becomes unused again.
 func (n *Node) abandonRequest(request *Request) {
 	request.markAnswered()
 	if request.Logged != nil && len(request.Attempts) > 0 {
-		n.logAnswer(request, Answer{Status: Rejected}, requestlog.FinalAnswer{Status: requestlog.Rejected})
+		n.recordAnswer(request, Answer{Status: Rejected}, requestlog.FinalAnswer{Status: requestlog.Rejected})
 	}
 }
 
-// finish gives a request its final answer. A logged request gets it once a majority has it, so that all who ask
-// with its key get the same one.
+// finish gives a request its final answer. For a logged request the answer is committed first, so that all who ask with
+// its key get the same one. A rejection of a logged request that must not be repeated becomes a failure here.
 func (n *Node) finish(request *Request, answer Answer) {
 	if request.Logged == nil || request.answered || len(request.Attempts) == 0 { // without attempts the log has no record
 		request.finish(answer)
@@ -210,20 +226,24 @@
 	case answer.Status == Rejected:
 		answer = Answer{Status: Failed}
 	}
-	n.logAnswer(request, answer, final)
+	n.recordAnswer(request, answer, final)
 }
 
-// canRejectLogged reports whether a logged request's key may be free again. A request with an idempotency key
-// that may have run must fail instead: the backend may have forgotten the key when the client comes back.
+// canRejectLogged reports whether a logged request may be rejected, which frees its key: no attempt has run, or the
+// request is idempotent. A request with an idempotency key that may have run must fail instead, because the backends may
+// have forgotten the key when the client comes back.
+//
+// This is stricter than the rule for all other requests, balancer's rejectOrFail. It is the owner's side of
+// requestlog.Entry.CanReject, by which a successor decides; change the two together.
 func canRejectLogged(request *Request) bool {
 	return request.UncertainAttempt() == nil ||
 		request.Config.Classes[request.Class].Idempotency == balancer.Idempotent
 }
 
-// logAnswer records the final answer, and delivers it once that is committed. Where another node has recorded an
-// answer before, that one counts.
-func (n *Node) logAnswer(request *Request, answer Answer, final requestlog.FinalAnswer) {
-	record := requestlog.Record{Kind: requestlog.RequestAnswered, Key: request.Logged.Key, Answer: final}
+// recordAnswer appends the final answer to the request log and delivers it once it is committed. If the log has another
+// answer already, that one is delivered. If neither is known by the deadline, the answer is RetryLater.
+func (n *Node) recordAnswer(request *Request, answer Answer, final requestlog.FinalAnswer) {
+	record := requestlog.Record{Kind: requestlog.RequestAnswered, Key: request.Logged.IdempotencyKey, Answer: final}
 	deadline := math.Max(request.Deadline, n.now) + answerRecordGraceMs
 	n.requestLog.Append(record, deadline, func(reply requestlog.Reply) {
 		switch reply.Result {
@@ -239,8 +259,8 @@
 	})
 }
 
-// answerForLog is a response as the log keeps it. Of one that is longer than maxBytes it keeps only that there
-// was one.
+// answerForLog returns a response as the log stores it. Of a response that is longer than maxBytes the log stores only
+// that there was one.
 func answerForLog(reply *upstream.Reply, maxBytes int) requestlog.FinalAnswer {
 	final := requestlog.FinalAnswer{Status: requestlog.Served, HTTPStatus: http.StatusOK}
 	header := reply.Header.Clone()
@@ -254,7 +274,7 @@
 	return final
 }
 
-// AnswerFromLog is a logged answer as a client gets it.
+// AnswerFromLog returns a logged answer as a client gets it.
 func AnswerFromLog(final requestlog.FinalAnswer) Answer {
 	switch final.Status {
 	case requestlog.Served:
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -33,7 +33,7 @@
 	})
 }
 
-// endTakenOver records the final answer of a request that is not sent again.
+// endTakenOver records the final answer of a request that has been taken over and is not sent again.
 func (n *Node) endTakenOver(key string, action requestlog.TakeoverAction) {
 	final := requestlog.FinalAnswer{Status: requestlog.Failed, HTTPStatus: http.StatusBadGateway}
 	if action == requestlog.RejectRequest {
@@ -43,7 +43,8 @@
 	n.requestLog.Append(record, n.now+2*requestlog.PeerTimeoutMs, func(requestlog.Reply) {})
 }
 
-// requestFromLog makes a request of its log entry, or nil where its class or message is unknown here.
+// requestFromLog makes a request from its log entry. It returns nil if this node does not know the request's class or
+// can't read its message.
 func (n *Node) requestFromLog(entry *requestlog.Entry) *Request {
 	logged := &entry.Request
 	message := upstream.DecodeMessage(logged.EncodedMessage)
@@ -53,7 +54,7 @@
 	}
 	request := NewRequest(message)
 	request.Logged = &LoggedRequest{
-		Key:            entry.Key,
+		IdempotencyKey: entry.Key,
 		Fingerprint:    logged.Fingerprint,
 		MaxAnswerBytes: upstream.MaxBufferedBody,
 		takenOver:      true,
@@ -72,8 +73,8 @@
 	return request
 }
 
-// addLoggedAttempt adds an attempt of the lost node's. One whose end is not logged counts as timed out: it may
-// have run.
+// addLoggedAttempt adds an attempt of the node that was lost. An attempt without a recorded end counts as timed out,
+// since it may have run.
 func (n *Node) addLoggedAttempt(request *Request, attempt requestlog.Attempt) {
 	tried := &balancer.Backend{ID: backendID(attempt.Backend), Zone: attempt.Zone, Cell: attempt.Cell}
 	if known := n.backends[attempt.Backend]; known != nil {
@@ -85,5 +86,5 @@
 	}
 	request.AddEarlierAttempt(tried, attempt.StartedAt, outcome)
 	ended := upstream.NewCall(request.Message, n.clock.Time(0), func(upstream.Result) {})
-	request.calls = append(request.calls, ended) // keeps calls indexed by the attempt's number
+	request.calls = append(request.calls, ended) // a placeholder: calls are indexed by the attempt's number
 }
--- a/internal/peers/accept.go
+++ b/internal/peers/accept.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxHandshakes bounds the connections whose handshake is under way, so that whoever opens many without a key takes few
-	// descriptors.
+	// maxHandshakes bounds the connections whose handshake is under way, so that a host without a key that opens many takes
+	// few descriptors.
 	maxHandshakes = 8
 	// listenRetryInterval is how often the address is tried again while another process has it, and how long accepting pauses
 	// after an error, such as a lack of descriptors.
--- a/internal/peers/dial.go
+++ b/internal/peers/dial.go
@@ -40,7 +40,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(backoff/2 + rand.N(backoff)): // jitter, so that members that start together spread out
+		case <-time.After(backoff/2 + rand.N(backoff)): // jitter, so that members that start together do not dial in step
 		}
 		backoff = min(2*backoff, maxDialBackoff)
 	}
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -10,8 +10,8 @@
 // maxQueuedFrames bounds the frames that are queued to one member.
 const maxQueuedFrames = 4096
 
-// link is the two connections to one member, as the actor knows them. The member counts as connected while both are up, and
-// belong to one incarnation: only then does each process receive what the other sends.
+// link is the pair of connections to one member, as the actor knows them. The member counts as connected while both are up
+// and belong to the same incarnation: only then does each process receive what the other sends.
 //
 // Each connection is closed by itself. When closing one closed the other too, two processes that reconnected at the same
 // time closed each other's new connections over and over, and stayed apart for long.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -26,13 +26,13 @@
 	Address string // host and port
 }
 
-// Config is what the operator says of the fleet.
+// Config is the operator's configuration of the fleet.
 type Config struct {
 	Fleet       string
 	Members     []Member // the same in the same order at all members
 	Self        int      // this process's index among them
 	Replicas    int      // of each request log
-	Keys        [][]byte // the first is used to prove, each is accepted
+	Keys        [][]byte // shared secrets: this process authenticates itself with the first, and accepts each
 	MaxLogBytes int      // that the ledger of one request log may hold
 	AnswerTTL   float64  // ms for which an answer is stored
 }
@@ -47,11 +47,12 @@
 // queued behind another.
 func (c *Config) maxQueuedBytes() int64 { return 2 * int64(c.maxFrameBytes()) }
 
-// Descriptors returns how many file descriptors the links take at most: two for each member, a listener, and the connections
-// whose handshake is under way.
+// Descriptors returns the largest number of file descriptors that the links take: two for each member, one for the
+// listener, and those of the connections whose handshake is under way.
 func (c *Config) Descriptors() int { return 2*len(c.Members) + 1 + maxHandshakes }
 
-// rejectionLogInterval is how often rejected connections are logged at most: whoever has a wrong key tries again and again.
+// rejectionLogInterval is the least time between two log lines about rejected connections: a process with a wrong key tries
+// again and again.
 const rejectionLogInterval = time.Second
 
 // Peers is this process's part of the fleet. Lookup, Append, State and Shutdown may be called from any goroutine.
@@ -155,11 +156,11 @@
 	return p.lastID
 }
 
-// State returns this process's view of the request logs. It waits for the actor.
-func (p *Peers) State(ctx context.Context) (requestlog.StateDigest, error) {
-	answer := make(chan requestlog.StateDigest, 1)
+// State returns this process's status of the request logs. It waits for the actor.
+func (p *Peers) State(ctx context.Context) (requestlog.Status, error) {
+	answer := make(chan requestlog.Status, 1)
 	p.mailbox.Put(func() {
-		state := p.member.StateDigest()
+		state := p.member.Status()
 		state.Takeovers = p.takeovers
 		answer <- state
 	})
@@ -167,7 +168,7 @@
 	case state := <-answer:
 		return state, nil
 	case <-ctx.Done():
-		return requestlog.StateDigest{}, ctx.Err()
+		return requestlog.Status{}, ctx.Err()
 	}
 }
 
@@ -203,7 +204,7 @@
 	}
 }
 
-// carryOutDecisions pulls what the member has decided until there is nothing left.
+// carryOutDecisions pulls the member's outputs and carries them out until there are none left.
 func (p *Peers) carryOutDecisions(ctx context.Context) {
 	for {
 		output, ok := p.member.Next()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -85,7 +85,7 @@
 	return p
 }
 
-func state(t *testing.T, p *Peers) requestlog.StateDigest {
+func state(t *testing.T, p *Peers) requestlog.Status {
 	t.Helper()
 	digest, err := p.State(t.Context())
 	require.NoError(t, err)
--- a/internal/requestlog/bootstrap.go
+++ b/internal/requestlog/bootstrap.go
@@ -56,9 +56,9 @@
 	m.bootstrap()
 }
 
-// bootstrapEvidence is what all members say of this member's own log.
+// bootstrapEvidence is what the other members' heartbeats say of this member's own log.
 type bootstrapEvidence struct {
-	unheard   int         // members that said nothing since this process started, was paused or lost its link to them
+	unheard   int         // members without a heartbeat since this process started, was paused or lost its link to them
 	hasLeader bool        // a member says that it leads the log
 	statuses  []LogStatus // of the members with a replica
 }
@@ -92,8 +92,8 @@
 	return xxhash.Sum64(snapshot.Append(nil, &Heartbeat{Logs: e.statuses}))
 }
 
-// hasQuorum reports whether the replicas that are left can elect a leader. The voters are those that the replica names that
-// has applied most: the ones behind may still name voters of before a change.
+// hasQuorum reports whether the replicas that are left can elect a leader. The replica that has applied most entries says
+// who the voters are: those that lag behind may still name the voters of before a change.
 func (e *bootstrapEvidence) hasQuorum() bool {
 	if len(e.statuses) == 0 {
 		return false
--- a/internal/requestlog/calls.go
+++ b/internal/requestlog/calls.go
@@ -11,17 +11,18 @@
 // Calls: a member looks up a key or appends a record by calling the leader of the key's log, which may be itself. A call
 // without a reply is sent again, to whoever leads the log by then, until its deadline.
 const (
-	// callRetryMs is how long a call waits for its reply before it is sent again: some round trips between regions.
+	// callRetryMs is how long a call waits for its reply before it is sent again: several round trips between regions.
 	callRetryMs = 200.0
-	// notLeaderRetryMs is how long a call waits that was sent to a member that does not lead the log. The leader is known
-	// after the next heartbeat or raft message, so this is shorter than callRetryMs.
+	// notLeaderRetryMs is how long a call waits before it is sent again after a reply of NotLeader. The leader is known after
+	// the next heartbeat or raft message, so this is shorter than callRetryMs.
 	notLeaderRetryMs = 2 * TickMs
-	// startupGraceMs is the time from a start of a process in which it is not taken for isolated, as it may have yet to
-	// connect. A process that it replaces may also still hold the address of the member.
+	// startupGraceMs is how long after its start a process does not take itself for isolated: it may not have connected yet,
+	// and a process that it replaces may still have the member's address.
 	startupGraceMs = 2500.0
 )
 
-// Call asks the leader of a log to look up a key or to append a record.
+// Call is a remote procedure call to the leader of a log, which looks up a key or appends a record. It has nothing to do
+// with upstream.Call, which is an attempt on its way to a backend.
 type Call struct {
 	Seq    uint64
 	Lookup bool
--- a/internal/requestlog/heartbeat.go
+++ b/internal/requestlog/heartbeat.go
@@ -13,7 +13,7 @@
 	removedReplicaLingerMs = 2000.0
 )
 
-// Heartbeat is what a member says of itself to all others, every heartbeatIntervalMs.
+// Heartbeat is a member's state, which it sends to all others every heartbeatIntervalMs.
 type Heartbeat struct {
 	ShuttingDown bool
 	Nonce        uint64
@@ -33,7 +33,7 @@
 	Voters          []uint64
 	OutgoingVoters  []uint64 // of a joint configuration, the voters before the change
 	Applied         uint64   // index of the last entry applied
-	Complete        bool     // it leads, and as many live members as configured hold replicas
+	Complete        bool     // the member leads the log, and as many live members as configured have replicas of it
 }
 
 // isLaterThan reports whether this status of a log is of a later generation, or of a later term of the same one.
--- a/internal/requestlog/ledger.go
+++ b/internal/requestlog/ledger.go
@@ -2,8 +2,9 @@
 
 import "pearknot/balancer"
 
-// Ledger is the state that the records of a log lead to: the replicated state machine. The same records in the same order
-// give the same ledger on every replica, so nothing in it may depend on a clock, a random number or the order of a map.
+// Ledger is the replicated state machine of a log: the state that results from applying its records. The same records in
+// the same order give the same ledger on every replica, so nothing in it may depend on a clock, a random number or the
+// order of a map.
 type Ledger struct {
 	entries     map[string]*Entry
 	unanswered  map[string]*Entry // the entries without a final answer
--- a/internal/requestlog/member.go
+++ b/internal/requestlog/member.go
@@ -11,14 +11,14 @@
 
 // Config is the configuration of a member.
 type Config struct {
-	Members     []string // names, the same in the same order at all members
-	Self        int      // this member's index among them
-	Incarnation uint64   // the number of this run: above the numbers of all runs of the member before it
-	Replicas    int      // of each log
-	Seed        uint64   // of the election timeouts
-	MaxLogBytes int      // that the ledger of one log may hold
-	AnswerTTL   float64  // ms for which an answer is stored
-	InjectedBug InjectedBug
+	Members     []string    // names, the same in the same order at all members
+	Self        int         // this member's index among them
+	Incarnation uint64      // the number of this run: above the numbers of all runs of the member before it
+	Replicas    int         // of each log
+	Seed        uint64      // of the election timeouts
+	MaxLogBytes int         // that the ledger of one log may hold
+	AnswerTTL   float64     // ms for which an answer is stored
+	InjectedBug InjectedBug // for tests
 }
 
 const (
@@ -32,7 +32,8 @@
 	expiryIntervalMs = 1000.0
 )
 
-// Member is one process's part in all logs. It is not safe for concurrent use.
+// Member is this process's part in all logs: its replicas, its calls, and what it knows of the other members. It is not
+// safe for concurrent use.
 type Member struct {
 	config Config
 	self   Incarnation
@@ -67,7 +68,7 @@
 	bootstrapDigestSince float64
 }
 
-// Output is one thing for the host to do. One of its fields is set, To beside Frame.
+// Output is one thing for the host to do. Exactly one of Frame, Reply, TakenOver and Event is set; To belongs to Frame.
 type Output struct {
 	To        int    // the member that the frame is for
 	Frame     []byte // to be sent
--- a/internal/requestlog/reconfiguration.go
+++ b/internal/requestlog/reconfiguration.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// reconfigurationIntervalMs is how often a leader looks at who should hold replicas of its logs, and who should lead.
+	// reconfigurationIntervalMs is how often a leader checks which members should have replicas of its logs, and which lead.
 	reconfigurationIntervalMs = 200.0
 	// confChangeTimeoutMs is when a change of voters that was proposed and not applied may be proposed again.
 	confChangeTimeoutMs = 1000.0
 )
 
-// reconfigureLogs has each log that this member leads held by as many available members as configured, one change of voters
-// at a time, and then led by its own member.
+// reconfigureLogs works on the logs that this member leads: each should have as many available voters as configured, and
+// once it has them, its own member as the leader. It changes a log's voters one step at a time.
 func (m *Member) reconfigureLogs() {
 	for logIndex, log := range m.replicas {
 		if log == nil || !log.isLeader || log.readyTerm == 0 {
@@ -60,8 +60,8 @@
 	return changes
 }
 
-// desiredVoters returns who should hold replicas of a log, out of the available members: first the log's own member, then
-// those who are voters already, then others.
+// desiredVoters returns the voter IDs that should have replicas of a log. Of the available members it prefers the log's own,
+// then those that are voters already, then others.
 func (m *Member) desiredVoters(logIndex int, log *replica) []uint64 {
 	voters := log.confState.GetVoters()
 	preferences := []func(member int, voterID uint64) bool{
--- a/internal/requestlog/record.go
+++ b/internal/requestlog/record.go
@@ -44,7 +44,7 @@
 	CostHint       float64 // ms
 	HasCostHint    bool
 	IsClientRetry  bool
-	Key            uint64 // as in balancer.Request
+	Key            uint64 // for affinity and ordering, as in balancer.Request; not the idempotency key, which is Record.Key
 	Deadline       float64
 	EncodedMessage []byte
 }
@@ -71,14 +71,14 @@
 // Record is one entry of a log.
 type Record struct {
 	Kind       RecordKind
-	Key        string
-	Owner      Incarnation // who wrote it; of OwnerChanged, the owner until then
-	LeaderTime float64     // ms of the leader's clock when it was proposed
+	Key        string      // the tenant and the idempotency key that its client chose, see server.RequestLogging
+	Owner      Incarnation // the writer; in an OwnerChanged record, the owner until then
+	LeaderTime float64     // ms of the leader's clock at the proposal
 	Request    Request     // of AttemptStarted
 	Attempt    Attempt     // of AttemptStarted and AttemptEnded
 	Answer     FinalAnswer // of RequestAnswered
 	NewOwner   Incarnation // of OwnerChanged
-	Caller     Incarnation // who gets the reply once the record is applied; 0 is nobody
+	Caller     Incarnation // gets the reply once the record is applied; 0 is nobody
 	CallSeq    uint64      // the caller's sequence number of the call
 }
 
@@ -87,7 +87,7 @@
 
 // The results of a call.
 const (
-	Committed     Result = iota + 1 // the record is on a majority of the log's replicas and holds
+	Committed     Result = iota + 1 // the record is on a majority of the log's replicas and has taken effect
 	KeyUnused                       // no request has the key
 	KeyInFlight                     // another incarnation owns a request with the key
 	KeyAnswered                     // the request with the key has its final answer
@@ -96,7 +96,7 @@
 	LogFull                         // the log holds as many bytes as it may
 	NotLeader                       // the called member does not lead the log
 	NoQuorum                        // no majority has answered before the deadline
-	InvalidRecord                   // a record that a caller may not append
+	InvalidRecord                   // the record is of a kind, or of an owner, that the caller may not append
 )
 
 // String names the result.
@@ -135,10 +135,13 @@
 	return nil
 }
 
-// CanReject reports whether the request may be rejected with Retry-After, which tells the client that it may repeat it.
+// CanReject reports whether the request may be rejected, which tells the client that it may safely repeat it: no attempt has
+// run, or the request is idempotent.
 //
 // A rejection frees the key, and the client may come back with it long after the backends have forgotten the idempotency key
-// of the first attempt. A request with an idempotency key that may have run is therefore not rejected.
+// of the first attempt. A request with an idempotency key that may have run is therefore not rejected. That is stricter than
+// the rule for requests that are not logged, balancer's rejectOrFail, which rejects such a request where all backends share
+// their keys. The node's canRejectLogged is this rule on the owner's side; change the two together.
 func (e *Entry) CanReject() bool {
 	return e.UncertainAttempt() == nil || e.Request.Idempotency == balancer.Idempotent
 }
--- a/internal/requestlog/replica.go
+++ b/internal/requestlog/replica.go
@@ -16,9 +16,10 @@
 const (
 	// raftHeartbeatTicks is how often a leader sends raft heartbeats: every 50 ms.
 	raftHeartbeatTicks = 2
-	// minElectionTicks is the shortest election timeout: 500 ms. The longest is twice that.
+	// minElectionTicks is the shortest election timeout: 500 ms. The longest is twice that, see MaxElectionMs.
 	minElectionTicks = 20
-	// maxUncommittedBytes bounds the entries that a leader has proposed and a majority has not stored. More are refused.
+	// maxUncommittedBytes bounds the entries that a leader has proposed and a majority has not stored. More are refused. The
+	// control plane's log has a constant of the same meaning and another size, since its entries are whole documents.
 	maxUncommittedBytes = 8 << 20
 	// maxMessageBytes bounds the entries in one raft message, unless it holds a single longer one.
 	maxMessageBytes = 256 << 10
@@ -30,6 +31,11 @@
 	// recordOverheadBytes is what an entry of the raft log takes in memory beside its data.
 	recordOverheadBytes = 64
 
+	// MaxElectionMs is how long a log with a quorum is without a leader after it has lost one: the longest election timeout,
+	// 1 s, and half of that for the votes and for the messages by which the other members learn who leads. A caller that has
+	// waited that long may assume that there is no quorum.
+	MaxElectionMs = 3 * minElectionTicks * TickMs
+
 	// MemoryFactor is how much memory one replica takes at most, as a multiple of Config.MaxLogBytes: the ledger, its snapshot,
 	// and the records since then, which are dropped with a new snapshot once they come to a quarter. A follower that lags
 	// behind further than that gets the snapshot.
@@ -49,10 +55,10 @@
 
 	appliedIndex       uint64
 	bytesSinceSnapshot int    // of the records applied since the last snapshot
-	isLeader           bool   // at the end of the last processReady
-	readyTerm          uint64 // the term in which it leads and has applied all that was committed before; 0 is none
+	isLeader           bool   // as of the end of the last processReady
+	readyTerm          uint64 // the term in which it leads and has applied all that was committed before that; 0 is none
 
-	// The election timeout, which starts anew with each message of the leader.
+	// The election timeout, which restarts with each message of the leader.
 	rng                  *rand.Rand
 	ticksWithoutLeader   int
 	electionTimeoutTicks int
@@ -124,8 +130,9 @@
 	return err
 }
 
-// silentLogger drops what a raft node logs: what operators need of it, Member logs itself. Fatal and Panic stay, which
-// end the process where a raft node finds its state broken.
+// silentLogger drops what a raft node logs; Member itself logs what operators need. Fatal and Panic keep their effect: they
+// end the process where a raft node finds its state corrupt. internal/controlplane has a logger of the same name for its own
+// raft node; the cores do not import each other.
 type silentLogger struct{ raft.Logger }
 
 var fatalLogger = raft.Logger(&raft.DefaultLogger{Logger: stdlog.New(io.Discard, "", 0)})
--- a/internal/requestlog/digest.go
+++ b/internal/requestlog/status.go
@@ -1,7 +1,9 @@
 package requestlog
 
-// StateDigest is a member's view of all logs, for operators. Its JSON is read by scripts: the tags keep earlier words.
-type StateDigest struct {
+// Status is the state of a member and of all logs as the member sees them, for operators. Scripts read its JSON, so the
+// tags keep the words that they had first: "life" is an incarnation, "linked" connected, "whole" complete, "in_hand" in
+// flight, and "of" the member whose log it is.
+type Status struct {
 	Self        string      `json:"self"`
 	Incarnation uint64      `json:"life"`
 	Peers       []PeerState `json:"peers"`
@@ -32,15 +34,15 @@
 	MemoryBytes int      `json:"held_bytes"` // of the ledger, its snapshot and the records since
 }
 
-// StateDigest returns the member's view. Takeovers is left to the host.
-func (m *Member) StateDigest() StateDigest {
-	digest := StateDigest{Self: m.config.Members[m.config.Self], Incarnation: m.config.Incarnation}
+// Status returns the member's status, without Takeovers, which the host counts.
+func (m *Member) Status() Status {
+	status := Status{Self: m.config.Members[m.config.Self], Incarnation: m.config.Incarnation}
 	for i := range m.peers {
 		if i == m.config.Self {
 			continue
 		}
 		peer := &m.peers[i]
-		digest.Peers = append(digest.Peers, PeerState{
+		status.Peers = append(status.Peers, PeerState{
 			Name:        m.config.Members[i],
 			Incarnation: peer.incarnation.number(),
 			Connected:   peer.connected,
@@ -48,9 +50,9 @@
 		})
 	}
 	for logIndex := range m.replicas {
-		digest.Logs = append(digest.Logs, m.logState(logIndex))
+		status.Logs = append(status.Logs, m.logState(logIndex))
 	}
-	return digest
+	return status
 }
 
 func (m *Member) logState(logIndex int) LogState {
--- a/internal/requestlog/takeover.go
+++ b/internal/requestlog/takeover.go
@@ -10,29 +10,49 @@
 // Takeover: the leader of a log proposes itself as the owner of each request whose owner is lost or whose deadline has long
 // passed. Once OwnerChanged is committed the leader carries the request on as TakeoverAction says.
 //
-// Why no attempt runs twice: an owner starts an attempt only within LeaseMs of having sent the record of it. A successor
-// takes an owner for lost only after PeerTimeoutMs of silence, or after ReconnectTimeoutMs without a link. A record that the
-// former owner writes later is refused by the ledger, as the request belongs to another incarnation.
+// Why no request runs twice that must not: an owner sends an attempt only after the attempt's record is committed. The log
+// orders that record against OwnerChanged, which leaves two cases.
+//
+//   - The record comes before OwnerChanged. The successor then knows of the attempt, and takes it for one that may have run
+//     unless AttemptEnded says that it never did. A request that is not idempotent is failed and not sent again. One with an
+//     idempotency key is sent again only where and while the backends still recognize the key, and the former owner, too,
+//     sends the attempt only within that time (node's latestStart). An idempotent one may run any number of times.
+//   - The record comes after OwnerChanged. The ledger refuses it, since the request belongs to another incarnation by then
+//     (fencing), and the former owner does not send the attempt.
+//
+// Apart from the time for which backends recognize a key, none of this depends on clocks. The lease is a second bound: it
+// limits how long after its record was sent an attempt may still begin, so that a process that was paused does not send one
+// long after its successor has ended the request.
+//
+// The lease covers an owner that falls silent, because LeaseMs is shorter than PeerTimeoutMs. It does not cover an owner
+// whose link is cut: that one is taken for lost after ReconnectTimeoutMs already, which is shorter than LeaseMs. In the time
+// between, at most LeaseMs-ReconnectTimeoutMs, it may still begin an attempt whose record is committed, for example one that
+// was waiting for a connection. The first case above holds for that attempt like for any other, so no request runs twice by
+// it. What can happen is that an attempt of a request that the successor has failed begins after that: a failed request is
+// one that may have run, and its client is told no more than that. The same holds where a later incarnation of the owner's
+// member has started, which counts as the loss of the former one at once.
 const (
 	// PeerTimeoutMs is how long a connected member may send nothing before it is taken for lost: ten heartbeats.
 	PeerTimeoutMs = 1000.0
-	// ReconnectTimeoutMs is how long the link to a member may be down before the member is taken for lost.
+	// ReconnectTimeoutMs is how long the link to a member may be down before the member is taken for lost. It is shorter than
+	// LeaseMs; the comment on takeover above says why that is safe.
 	ReconnectTimeoutMs = 400.0
-	// LeaseMs is how long after a call was sent its reply entitles the owner to start an attempt. It is shorter than
-	// PeerTimeoutMs, so that the lease of a frozen owner has ended when it is taken for lost.
+	// LeaseMs is how long after a call was sent its reply entitles the owner to start an attempt, by the owner's own clock. It
+	// is shorter than PeerTimeoutMs, so that the lease of an owner that fell silent has ended when it is taken for lost.
 	LeaseMs = 700.0
 
 	// overdueAfterMs is how long past its deadline a request stays unanswered before it is taken over from an owner that
 	// lives: an owner that works would have failed it by then.
 	overdueAfterMs = 500.0
-	// proposalTimeoutMs is when a proposed takeover that was not applied is proposed again: two retries of a call.
+	// proposalTimeoutMs is how long a proposed takeover may take to be applied before it is proposed again: as long as two
+	// retries of a call.
 	proposalTimeoutMs = 2 * callRetryMs
-	// minTimeLeftMs is the time before its deadline with which a request is still worth an attempt.
+	// minTimeLeftMs is the least time before its deadline in which an attempt at a request is still worthwhile.
 	minTimeLeftMs = 20.0
 )
 
 // isLost reports whether an incarnation is gone, as far as this member can tell. It may be wrong, for instance where only
-// the network between the two is cut; fencing in the ledger and the owner's lease make that harmless.
+// the network between the two is cut. The comment at the top of this file says why that is harmless.
 func (m *Member) isLost(owner Incarnation) bool {
 	index := owner.Member()
 	if index >= len(m.peers) {
@@ -50,7 +70,8 @@
 	return m.now-peer.disconnectedAt > ReconnectTimeoutMs
 }
 
-// proposeTakeovers proposes this member as the owner of what lost members had, and of what is overdue, in a log that it leads.
+// proposeTakeovers proposes this member as the owner of the requests of lost members, and of overdue ones, in a log that it
+// leads.
 func (m *Member) proposeTakeovers(log *replica) {
 	for key, proposedAt := range log.takeoverProposedAt {
 		if m.now-proposedAt > proposalTimeoutMs {
@@ -71,7 +92,8 @@
 }
 
 func (m *Member) isTakeoverDue(entry *Entry) bool {
-	isAbandoned := entry.Owner == m.self && !m.ownedKeys[entry.Key] // a call timed out, but its record was committed later
+	// A call of this member timed out, so the host has ended the request, but the record was committed later.
+	isAbandoned := entry.Owner == m.self && !m.ownedKeys[entry.Key]
 	return m.isLost(entry.Owner) || m.now >= entry.Request.Deadline+overdueAfterMs || isAbandoned
 }
 
@@ -93,8 +115,8 @@
 // The actions of a successor.
 const (
 	ContinueRequest TakeoverAction = iota // give it to the balancer with its remaining time and its attempts so far
-	RejectRequest                         // with Retry-After: no attempt ran, or it may run again
-	FailRequest                           // an attempt may have run, and must not run again
+	RejectRequest                         // with Retry-After: the client may safely repeat it, see Entry.CanReject
+	FailRequest                           // an attempt may have run, and the request must not run again
 )
 
 // String names the action.
--- a/internal/serve/controlsocket.go
+++ b/internal/serve/controlsocket.go
@@ -32,9 +32,9 @@
 	if p.options.AdmissionFile != "" {
 		clients = p.server.ClientStats
 	}
-	var peersState func(context.Context) (requestlog.StateDigest, error)
+	var peersState func(context.Context) (requestlog.Status, error)
 	if p.peers != nil {
-		peersState = func(ctx context.Context) (requestlog.StateDigest, error) {
+		peersState = func(ctx context.Context) (requestlog.Status, error) {
 			ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 			defer cancel()
 			return p.peers.State(ctx)
--- a/internal/serve/peersfile.go
+++ b/internal/serve/peersfile.go
@@ -49,7 +49,7 @@
 	file           *tomlfile.File
 	keyHeader      string
 	maxAnswerBytes int
-	classes        map[string]bool // logged classes; true proceeds without a quorum
+	classes        map[string]server.WithoutQuorum // the logged classes, by name
 }
 
 // ReadPeers reads the operator's file of peers, and the keys that it names.
@@ -67,7 +67,7 @@
 		file:           file,
 		keyHeader:      content.Header,
 		maxAnswerBytes: int(content.AnswersKB * 1024),
-		classes:        map[string]bool{},
+		classes:        map[string]server.WithoutQuorum{},
 		config: peers.Config{
 			Fleet:       content.Fleet,
 			Replicas:    content.Copies,
@@ -130,8 +130,10 @@
 			return p.file.Errorf(key+"survive", "%q is not no or finish", rule.Survive)
 		case rule.Alone != "" && rule.Alone != "nack" && rule.Alone != "go-on":
 			return p.file.Errorf(key+"alone", "%q is not nack or go-on", rule.Alone)
+		case rule.Survive == "finish" && rule.Alone == "go-on":
+			p.classes[rule.Name] = server.ProceedWithoutQuorum
 		case rule.Survive == "finish":
-			p.classes[rule.Name] = rule.Alone == "go-on"
+			p.classes[rule.Name] = server.RejectWithoutQuorum
 		}
 	}
 	return nil
--- a/internal/server/client_gone_logged_test.go
+++ b/internal/server/client_gone_logged_test.go
@@ -98,7 +98,7 @@
 		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, pausing.decide, endpoints,
 		func(srv *Server) {
 			srv.node.LogRequests(links)
-			srv.LogRequests(RequestLogging{Peers: links, KeyHeader: "Idempotency-Key", Classes: map[string]bool{"check": false}, MaxAnswerBytes: 1 << 10})
+			srv.LogRequests(RequestLogging{Peers: links, KeyHeader: "Idempotency-Key", Classes: map[string]WithoutQuorum{"check": RejectWithoutQuorum}, MaxAnswerBytes: 1 << 10})
 		})
 	require.Eventually(t, func() bool { // a majority of the log answers
 		results := make(chan requestlog.Result, 1)
--- a/internal/server/requestlogging.go
+++ b/internal/server/requestlogging.go
@@ -15,40 +15,52 @@
 )
 
 const (
-	// maxKeyBytes bounds a request's key.
+	// maxKeyBytes bounds a request's idempotency key.
 	maxKeyBytes = 255
 
-	// answerRecordMs is set aside of a logged request's time for its answer to be recorded, in ms.
+	// answerRecordMs is the part of a logged request's time that is reserved for recording its answer, in ms: a round trip
+	// to a majority, within the node's answerRecordGraceMs (30 ms), and the writing of the response.
 	answerRecordMs = 40
 
-	// lookupTimeoutMs is how long the request log may take to look a key up, in ms: an election's time. After that the
-	// request goes by its class's rule for a log that does not answer.
-	lookupTimeoutMs = 1500
+	// lookupTimeoutMs is how long the request log may take to look a key up. After that the request is treated as one whose
+	// log has no quorum. The node's attemptRecordTimeoutMs is the same, for the same reason.
+	lookupTimeoutMs = requestlog.MaxElectionMs
 
-	// A key that is in flight is looked up again after minLookupPause, then after pauses that double to maxLookupPause.
+	// A key that is in flight is looked up again after minLookupPause, then after pauses that double up to maxLookupPause.
 	minLookupPause = 25 * time.Millisecond
 	maxLookupPause = 100 * time.Millisecond
 )
 
-// RequestLogging says which requests go to the replicated request log, so that they survive the loss of this node.
+// WithoutQuorum is what becomes of a request that should be logged while its log has no quorum.
+type WithoutQuorum uint8
+
+const (
+	// RejectWithoutQuorum rejects the request.
+	RejectWithoutQuorum WithoutQuorum = iota
+	// ProceedWithoutQuorum serves the request unlogged.
+	ProceedWithoutQuorum
+)
+
+// RequestLogging is the configuration of the replicated request log, which lets requests survive the loss of this node.
 type RequestLogging struct {
 	Peers          *peers.Peers
-	KeyHeader      string          // the header field with a request's key; requests without one are not logged
-	Classes        map[string]bool // logged classes, by name; true proceeds unlogged where no majority answers
-	MaxAnswerBytes int             // of an answer in the log
+	KeyHeader      string                   // the header field with a request's idempotency key; requests without one are not logged
+	Classes        map[string]WithoutQuorum // the logged classes, by name
+	MaxAnswerBytes int                      // bounds the header and body of an answer in the log
 }
 
-// LogRequests logs requests from now on. It is called before Serve.
+// LogRequests sets which requests are logged. It is called before Serve.
 func (s *Server) LogRequests(logging RequestLogging) { s.requestLogging = &logging }
 
-// loggedRequest is what the request log knows a request by, or nil where the request is not to be logged.
+// loggedRequest returns the request's part for the request log, or nil if the request is not logged: it has no idempotency
+// key, its class is not logged, or its body is streamed.
 func (s *Server) loggedRequest(r *http.Request, request *node.Request, body []byte) (*node.LoggedRequest, *requestError) {
 	keys := r.Header.Values(s.requestLogging.KeyHeader)
 	if len(keys) == 0 {
 		return nil, nil
 	}
 	class := s.deployment.Load().Classes[request.Class]
-	proceedWithoutQuorum, isLogged := s.requestLogging.Classes[class]
+	withoutQuorum, isLogged := s.requestLogging.Classes[class]
 	if !isLogged || request.Streamed {
 		return nil, nil
 	}
@@ -56,17 +68,17 @@
 	if len(keys) > 1 || key == "" || len(key) > maxKeyBytes {
 		return nil, badRequest("odd %s", s.requestLogging.KeyHeader)
 	}
-	// A key counts within its tenant alone: nobody gets another tenant's answer by guessing.
+	// Each tenant has its own keys, so that nobody can get another tenant's answer by guessing a key.
 	tenant := config.NormalizeName(r.Header.Get(tenantHeader))
 	return &node.LoggedRequest{
-		Key:                  tenant + "\x00" + key,
+		IdempotencyKey:       tenant + "\x00" + key,
 		Fingerprint:          fingerprint(r, body),
-		ProceedWithoutQuorum: proceedWithoutQuorum,
+		ProceedWithoutQuorum: withoutQuorum == ProceedWithoutQuorum,
 		MaxAnswerBytes:       s.requestLogging.MaxAnswerBytes,
 	}, nil
 }
 
-// fingerprint is a hash of what makes two requests with one key the same.
+// fingerprint returns a hash of what must be equal for two requests with one key to be the same request.
 func fingerprint(r *http.Request, body []byte) uint64 {
 	hash := xxhash.New()
 	for _, part := range []string{r.Method, "\x00", r.RequestURI, "\x00"} {
@@ -76,49 +88,42 @@
 	return hash.Sum64()
 }
 
-// serveLogged serves a logged request: by its own outcome, or by that of the request that has its key already.
+// serveLogged serves a logged request: by its own outcome, or by that of an earlier request with the same key. It looks the
+// key up until that decides what to do, or the request's deadline passes, or the client goes.
+//
+// The answers here that are rejections are safe without a look at the class: nothing of this request was submitted, or the
+// request that was has been rejected itself. They carry Retry-After in any case, see retryAfterMs.
 func (s *Server) serveLogged(w http.ResponseWriter, r *http.Request, conn *clientConn, request *node.Request) {
 	s.openRequests.Add(1)
 	defer s.openRequests.Add(-1)
 	s.lastRequestAt.Store(time.Now().UnixMilli())
-	logged := request.Logged
+	logged := request.Logged // the node may change the field once it has the request
 	request.Deadline -= answerRecordMs
 	ctx, cancel := context.WithDeadline(r.Context(), s.clock.Time(request.Deadline))
 	defer cancel()
-	submitted, pause := false, minLookupPause
+	isSubmitted, pause := false, minLookupPause
 	for {
 		result, final := s.lookUp(ctx, conn.gone, logged, min(request.Deadline, s.clock.Now()+lookupTimeoutMs))
 		select {
-		case <-conn.gone: // noticed before Submit, or an attempt might begin for a client that has gone
+		case <-conn.gone: // must be noticed before Submit, or an attempt might begin for a client that has gone
 			cancel()
 		default:
 		}
-		noQuorum := result == requestlog.NoQuorum
+		isOver := ctx.Err() != nil || result == requestlog.NoQuorum && s.clock.Now() >= request.Deadline
 		switch {
-		case ctx.Err() != nil || noQuorum && s.clock.Now() >= request.Deadline:
+		case isOver:
 			s.writeAnswer(w, conn, node.Answer{Status: node.RetryLater, RetryAfter: requestlog.PeerTimeoutMs})
 			return
-		case result == requestlog.KeyUnused && !submitted:
-			submitted = true
+		case result == requestlog.KeyUnused && !isSubmitted:
+			isSubmitted = true
 			if s.submitLogged(w, r, conn, request) {
 				return
 			}
 			continue // another request has taken the key meanwhile
-		case result == requestlog.KeyUnused: // the request that had the key was rejected
-			s.writeAnswer(w, conn, node.Answer{Status: node.Rejected, RetryAfter: requestlog.PeerTimeoutMs / 4})
-			return
-		case result == requestlog.KeyAnswered:
-			s.writeAnswer(w, conn, node.AnswerFromLog(final))
-			return
-		case result == requestlog.KeyMismatch:
-			s.writeResponse(w, conn, http.StatusUnprocessableEntity, []byte("the key of another op\n"))
-			return
-		case noQuorum && logged.ProceedWithoutQuorum && !submitted:
-			request.Logged = nil
-			s.serveRequest(w, r, conn, request)
+		case result == requestlog.NoQuorum && !isSubmitted:
+			s.serveWithoutQuorum(w, r, conn, request)
 			return
-		case noQuorum && !submitted:
-			s.writeAnswer(w, conn, node.Answer{Status: node.Rejected, RetryAfter: 2 * requestlog.PeerTimeoutMs})
+		case s.writeLookedUp(w, conn, result, final):
 			return
 		}
 		select {
@@ -129,8 +134,34 @@
 	}
 }
 
-// submitLogged passes a request to the node and writes its answer. It reports false, and writes nothing, where another
-// request has taken the key.
+// serveWithoutQuorum serves a request that has not been submitted, and whose log has no quorum, as its class says.
+func (s *Server) serveWithoutQuorum(w http.ResponseWriter, r *http.Request, conn *clientConn, request *node.Request) {
+	if request.Logged.ProceedWithoutQuorum {
+		request.Logged = nil
+		s.serveRequest(w, r, conn, request)
+		return
+	}
+	s.writeAnswer(w, conn, node.Answer{Status: node.Rejected, RetryAfter: 2 * requestlog.PeerTimeoutMs})
+}
+
+// writeLookedUp writes the answer that follows from the result of a lookup. It writes nothing, and reports false, if the
+// result decides nothing yet: the key is in flight, or the log has no quorum. The text is the protocol's: "op" is a request.
+func (s *Server) writeLookedUp(w http.ResponseWriter, conn *clientConn, result requestlog.Result, final requestlog.FinalAnswer) bool {
+	switch result {
+	case requestlog.KeyUnused: // the request that had the key was rejected, so this one is as well
+		s.writeAnswer(w, conn, node.Answer{Status: node.Rejected, RetryAfter: requestlog.PeerTimeoutMs / 4})
+	case requestlog.KeyAnswered:
+		s.writeAnswer(w, conn, node.AnswerFromLog(final))
+	case requestlog.KeyMismatch:
+		s.writeResponse(w, conn, http.StatusUnprocessableEntity, []byte("the key of another op\n"))
+	default:
+		return false
+	}
+	return true
+}
+
+// submitLogged passes a request to the node and writes its answer. If another request has taken the key meanwhile, it
+// writes nothing and reports false.
 func (s *Server) submitLogged(w http.ResponseWriter, r *http.Request, conn *clientConn, request *node.Request) bool {
 	s.node.Submit(request)
 	select {
@@ -143,14 +174,14 @@
 	case <-r.Context().Done():
 	case <-conn.gone:
 	}
-	s.node.Cancel(request) // an attempt that has begun goes on: whoever asks with the key gets the answer
+	s.node.Cancel(request) // an attempt that has begun continues, for a client that asks again with the key
 	return true
 }
 
 // lookUp asks the request log for a key. It returns NoQuorum also where ctx is done or the client has gone.
 func (s *Server) lookUp(ctx context.Context, gone <-chan struct{}, logged *node.LoggedRequest, deadline float64) (requestlog.Result, requestlog.FinalAnswer) {
 	replies := make(chan requestlog.Reply, 1)
-	s.requestLogging.Peers.Lookup(logged.Key, logged.Fingerprint, deadline, func(reply requestlog.Reply) { replies <- reply })
+	s.requestLogging.Peers.Lookup(logged.IdempotencyKey, logged.Fingerprint, deadline, func(reply requestlog.Reply) { replies <- reply })
 	select {
 	case reply := <-replies:
 		return reply.Result, reply.Answer
--- a/internal/server/response.go
+++ b/internal/server/response.go
@@ -13,19 +13,23 @@
 )
 
 const (
-	// minRetryAfterMs is the shortest wait that Retry-After can state, in ms. Where the balancer foresees less, the
-	// request was not rejected for a queue but for backends that refuse or break connections.
+	// minRetryAfterMs is the shortest wait that Retry-After can state, in ms: the header has three decimals of a second,
+	// which is the protocol's form and not RFC 9110's. Where the balancer expects a shorter wait, the request was not
+	// rejected because of a queue but because backends refuse or break connections.
 	minRetryAfterMs = 1.0
 
-	// defaultRetryAfterMs is the wait without one foreseen, in ms: the balancer looks at such backends every 100 ms,
-	// and decides the same until then.
+	// defaultRetryAfterMs is the wait where the balancer expects none, in ms: it reviews such backends every 100 ms, and
+	// decides the same until then.
 	defaultRetryAfterMs = 100.0
 
 	// streamBufferBytes is how much of a long response is read and written at a time.
 	streamBufferBytes = 16 << 10
 )
 
-// writeAnswer writes a request's answer as a response. Texts and header fields are the protocol's.
+// writeAnswer writes a request's answer as a response. Texts and header fields are the protocol's and must not change: in
+// them "op" is a request, "in hand" means in flight, and "ask again with its key" tells the client to repeat the request with
+// the same idempotency key. Every attempt that has a response to pass on was answered with 200, because the protocol has no
+// other success: upstream's Reply.outcome takes any other status for a failed or rejected attempt.
 func (s *Server) writeAnswer(w http.ResponseWriter, conn *clientConn, answer node.Answer) {
 	switch answer.Status {
 	case node.Served:
@@ -44,7 +48,7 @@
 	}
 }
 
-// writeReply writes a backend's response.
+// writeReply writes a backend's response. Its status is 200, see writeAnswer; a logged answer stores it as well.
 func (s *Server) writeReply(w http.ResponseWriter, conn *clientConn, reply *upstream.Reply) {
 	upstream.RemoveHopByHop(reply.Header)
 	for name, values := range reply.Header {
@@ -57,32 +61,40 @@
 	s.writeResponse(w, conn, http.StatusOK, reply.Body)
 }
 
-// setRetryAfter states a wait of ms, in seconds with three decimals.
+// setRetryAfter sets the Retry-After header to a wait of ms, in seconds with three decimals.
 func setRetryAfter(w http.ResponseWriter, ms float64) {
 	w.Header().Set("Retry-After", strconv.FormatFloat(ms/1e3, 'f', 3, 64))
 }
 
-// retryAfterMs is when a rejected client is to come again, in ms: as the balancer foresees, or a little later where it
-// foresees no wait. Clients that are rejected together get different times, so that they don't come back together. It
-// is 0 where the deployment sends no Retry-After.
+// retryAfterMs returns after how many ms a rejected client should come back: the answer's own time, or a random time of up
+// to defaultRetryAfterMs where that is too short to be stated. Clients that are rejected together get different times, so
+// that they don't come back together.
+//
+// Where the deployment sends no Retry-After (bounds.retryAfter is off), it is 0, and the response has no such header. The
+// exception are rejections for the sake of the request log, in serveLogged: those have a time in any case, for a client that
+// came back at once would meet the same log.
+//
+// A deployment may leave out bounds.maxRetryAfter, so that MaxRetryAfter is 0. That means no maximum here; the balancer and
+// the node's rejections for the request log take the minimum with it and so state no wait, for which this function then
+// puts one in.
 func (s *Server) retryAfterMs(answer node.Answer) float64 {
-	options := s.deployment.Load().Balancer
-	if answer.RetryAfter >= minRetryAfterMs || !options.SendRetryAfter {
+	config := s.deployment.Load().Balancer
+	if answer.RetryAfter >= minRetryAfterMs || !config.SendRetryAfter {
 		return answer.RetryAfter
 	}
 	wait := defaultRetryAfterMs * (0.5 + 0.5*rand.Float64())
-	if options.MaxRetryAfter > 0 {
-		wait = min(wait, options.MaxRetryAfter)
+	if config.MaxRetryAfter > 0 {
+		wait = min(wait, config.MaxRetryAfter)
 	}
 	return wait
 }
 
 func (s *Server) writeResponse(w http.ResponseWriter, conn *clientConn, status int, body []byte) {
 	s.writeHeader(w, conn, status, int64(len(body)))
-	_, _ = w.Write(body) // a client that is gone is no fault
+	_, _ = w.Write(body) // an error means that the client has gone, which is no fault of the node
 }
 
-// writeHeader writes a response's header. The body's size is unknown where bodySize is below 0.
+// writeHeader writes a response's header. A negative bodySize means that the body's size is unknown.
 func (s *Server) writeHeader(w http.ResponseWriter, conn *clientConn, status int, bodySize int64) {
 	if conn.beginResponse() || s.draining.Load() || s.quiesce.closing.Load() || s.budget.ShouldCloseClients() {
 		w.Header().Set("Connection", "close")
@@ -94,9 +106,9 @@
 	w.WriteHeader(status)
 }
 
-// streamResponse passes a long response on as it comes: its first bytes at once, and the rest no faster than the client
-// reads, which may be slow but must not stop. A response that the backend does not finish is aborted, so that the
-// client can tell.
+// streamResponse passes a long response on as it arrives: the first bytes at once, the rest no faster than the client reads.
+// The client may be slow, but must take each part within writeTimeout. If the backend does not finish the response, the
+// connection is aborted, so that the client can tell that the body is incomplete.
 func (s *Server) streamResponse(w http.ResponseWriter, conn *clientConn, reply *upstream.Reply) {
 	controller := http.NewResponseController(w)
 	s.writeHeader(w, conn, http.StatusOK, reply.Stream.Size)
