--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -8,18 +8,18 @@
 	"pearknot/internal/clock"
 )
 
-// refusalReserve are descriptors of the clients' that stay free for connections about to be refused. A flood is thus
-// answered by closing at once, and not by a queue in which known clients would wait as well.
+// refusalReserve is the number of the clients' descriptors that are reserved for connections about to be refused. In a flood
+// connections are thus closed at once and do not fill the listener's queue, in which known clients would wait as well.
 const refusalReserve = 4
 
 // maxStatsAddresses bounds the addresses in ClientStats.
 const maxStatsAddresses = 200
 
-// connectionAdmitter has the core that decides which connections are admitted and evicted, and the connections. The
-// listeners and handlers call it; no connection is closed under its lock.
+// connectionAdmitter applies the decisions of admission.Controller, which connections to admit and to evict, to the
+// connections. The listeners and handlers call it; no connection is closed under its lock.
 type connectionAdmitter struct {
 	clock      *clock.Clock
-	onPressure func(underPressure bool) // of each change
+	onPressure func(underPressure bool) // called on each change
 
 	mu            sync.Mutex
 	controller    *admission.Controller
@@ -28,7 +28,8 @@
 	underPressure bool
 }
 
-// ClientStats says who is connected, and what was refused since the start.
+// ClientStats is which clients are connected, and what was refused since the start. Scripts read its JSON, so the tags keep
+// earlier words: "pressed" is under pressure, "let_go" evicted.
 type ClientStats struct {
 	Open          int                      `json:"open"`
 	Limit         int                      `json:"limit"`
@@ -38,7 +39,7 @@
 	Addresses     []admission.AddressStats `json:"addresses"` // those with most connections first
 }
 
-// admit takes a new connection or refuses it, and closes those that the core evicts for it.
+// admit decides on a new connection, closes those that are evicted for it, and reports whether it was admitted.
 func (a *connectionAdmitter) admit(conn *clientConn) bool {
 	remote, err := netip.ParseAddrPort(conn.RemoteAddr().String())
 	if err != nil { // no address to judge by
@@ -70,7 +71,7 @@
 	return verdict, evicted
 }
 
-// notifyPressure calls onPressure where connections have become scarce or suffice again. The lock is held.
+// notifyPressure calls onPressure if connections have become scarce or suffice again. The lock must be held.
 func (a *connectionAdmitter) notifyPressure() {
 	if underPressure := a.controller.UnderPressure(); underPressure != a.underPressure {
 		a.underPressure = underPressure
@@ -78,15 +79,15 @@
 	}
 }
 
-// requestBegan notes that a complete request has come. It reports false where the connection has been evicted and is
-// about to be closed: the request must not be taken.
+// requestBegan records that a complete request has come. It reports false if the connection has been evicted and is about to
+// be closed: then the request must not be taken.
 func (a *connectionAdmitter) requestBegan(conn *clientConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.controller.RequestBegan(conn.admissionID)
 }
 
-// connClosed notes that a connection has closed.
+// connClosed records that a connection has closed.
 func (a *connectionAdmitter) connClosed(conn *clientConn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/server/body.go
+++ b/internal/server/body.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// minBodyRate is what a body must come at on average, in bytes a second: half of what slow clients are known to
-	// manage.
+	// minBodyRate is the least average rate of a request's body, in bytes a second: half the rate of the slowest clients
+	// that are known.
 	minBodyRate = 32 << 10
 
-	// bodyPause is how long a body may stand still beside that.
+	// bodyPause is how long a body may pause in addition.
 	bodyPause = 2 * time.Second
 
 	// maxBodyMs is how long the largest body takes at minBodyRate, in ms.
 	maxBodyMs = 1e3 * upstream.MaxBody / minBodyRate
 )
 
-// errClientGone ends a body that came completely from a client that has gone since: unread bytes hid the end of its
-// connection. The backend does not get the body's end, and so never runs the request.
+// errClientGone is returned in place of the end of a body that came completely, if the client has disconnected since:
+// unread bytes had hidden the end of its connection. The backend does not get the body's end, and so never runs the request.
 var errClientGone = errors.New("the client has disconnected")
 
-// bodyReader reads a client's body with a deadline that grows with what has come.
+// bodyReader reads a client's body with a deadline that grows with the bytes that have come.
 type bodyReader struct {
 	controller *http.ResponseController
 	source     io.Reader
@@ -61,8 +61,8 @@
 		source:     http.MaxBytesReader(w, r.Body, upstream.MaxBody),
 		start:      time.Now(),
 	}
-	// Without a body no deadline is set: on a machine that stood still it would have run out by now, which net/http
-	// takes for a client that has gone.
+	// Without a body no deadline is set. If this process was paused, the deadline would have expired, which net/http takes
+	// for a client that has gone.
 	if r.Body == http.NoBody {
 		return nil, reader, nil
 	}
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// interruptDeadlineAge tells a read deadline that net/http sets to interrupt a read, which lies years back, from
-	// one that has run out.
+	// interruptDeadlineAge tells a read deadline by which net/http interrupts a read, which lies years in the past, from a
+	// deadline that has expired.
 	interruptDeadlineAge = 24 * time.Hour
 
-	// lateReadTimeout is for reading what has come already when a read deadline runs out.
+	// lateReadTimeout is for reading bytes that had already come when a read deadline expired.
 	lateReadTimeout = 200 * time.Millisecond
 
-	// defaultTransitMs is allowed for the way from the client's machine where nothing is known of it, in ms.
+	// defaultTransitMs is the assumed time from the client to this machine where nothing better is known, in ms.
 	defaultTransitMs = 2.0
 )
 
-// listener accepts connections as the descriptor budget allows; the others wait in its queue.
+// listener accepts connections while the descriptor budget has room; the others wait in the kernel's queue.
 type listener struct {
 	*net.TCPListener
 	budget   *descriptors.Budget
@@ -61,13 +61,13 @@
 	}
 }
 
-// drain lets Accept go on until nothing has come for a while.
+// drain makes Accept end once no connection has come for listenerQuiet.
 func (l *listener) drain() {
 	l.draining.Store(true)
 	_ = l.SetDeadline(time.Now().Add(listenerQuiet))
 }
 
-// resetConn ends a connection that was refused, at once and without the state that an orderly close leaves here.
+// resetConn resets a connection that was refused. An orderly close would leave its state in this kernel for a while.
 func resetConn(tcp *net.TCPConn) {
 	_ = tcp.SetLinger(0)
 	_ = tcp.Close()
@@ -75,15 +75,15 @@
 
 // clientConn is a client's connection. Closing it returns its descriptor to the budget, once.
 //
-// A request and the close of its connection exclude each other. net/http closes idle connections by a state that may
-// be out of date by then, and a client whose connection closes without a response sends its request again: a request
-// that was taken already would run twice. Close therefore does nothing while the connection has a request.
+// A connection is never closed while it has a request. net/http closes idle connections by a state that may be out of date,
+// and a client whose connection closes without a response sends its request again: a request that had already been taken
+// would run twice. Close therefore does nothing while the connection has a request.
 type clientConn struct {
 	net.Conn    // the TCP connection, or the TLS one on it
 	tcp         *net.TCPConn
 	budget      *descriptors.Budget
 	admitter    *connectionAdmitter
-	admissionID uint64 // the admitter's name of it; 0 is none
+	admissionID uint64 // by which the admitter knows the connection; 0 is none
 
 	mu              sync.Mutex
 	hasRequest      bool
@@ -106,7 +106,7 @@
 	return context.WithValue(ctx, connContextKey{}, conn)
 }
 
-// CloseWrite ends the sending. net/http calls it before Close where the client may still be sending.
+// CloseWrite closes the sending side. net/http calls it before Close where the client may still be sending.
 func (c *clientConn) CloseWrite() error {
 	if conn, ok := c.Conn.(*tls.Conn); ok {
 		return conn.CloseWrite()
@@ -114,7 +114,7 @@
 	return c.tcp.CloseWrite()
 }
 
-// SetReadDeadline sets the deadline, and notes whether it interrupts a read.
+// SetReadDeadline sets the deadline, and records whether it is one by which net/http interrupts a read.
 func (c *clientConn) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,7 +122,7 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// Read reads, and follows the requests' framing.
+// Read reads from the connection, and tracks the framing of the requests.
 func (c *clientConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extendLateRead() {
@@ -141,8 +141,8 @@
 	return n, err
 }
 
-// extendLateRead extends a read deadline that ran out while the first bytes of a request lay there. Then this process
-// stood still and not the client, which may have sent the whole request and is owed a response.
+// extendLateRead extends a read deadline that expired although the first bytes of a request had come. Then this process was
+// paused, not the client, which may have sent the whole request and must get a response.
 func (c *clientConn) extendLateRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,16 +153,17 @@
 	return n > 0 && c.tcp.SetReadDeadline(time.Now().Add(lateReadTimeout)) == nil
 }
 
-// isWithinRequest reports whether a part of a request has come. net/http says so only once its header is complete,
-// which may take seconds.
+// isWithinRequest reports whether a part of a request has come. net/http's state shows that only once the header is
+// complete, which may take seconds.
 func (c *clientConn) isWithinRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.framing.stage != stageBetween
 }
 
-// framingError says why what was read can't be taken for a single request with nothing around it; "" is no reason.
-// Clients see the text.
+// framingError returns why the bytes read are not exactly one request; "" means that they are. The text is the body of a
+// 400 and must not change: "a length and an encoding" are Content-Length and Transfer-Encoding, and "a further op before the
+// answer" is a pipelined request.
 func (c *clientConn) framingError() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,7 +187,7 @@
 	return isLast
 }
 
-// takeRequest takes a request over. It reports false where the connection was closed or evicted before.
+// takeRequest marks the connection as having a request. It reports false if the connection was closed or evicted before.
 func (c *clientConn) takeRequest(isStreamed bool) bool {
 	if c.admissionID != 0 && !c.admitter.requestBegan(c) {
 		return false
@@ -194,8 +195,8 @@
 	return c.claimForRequest(isStreamed)
 }
 
-// claimForRequest keeps the connection from being closed until releaseFromRequest, and watches for a disconnect where
-// net/http does not: the body is streamed, or a byte has come behind the request.
+// claimForRequest prevents the connection from being closed until releaseFromRequest. It starts a disconnectWatch where
+// net/http does not notice a disconnect: the body is streamed, or a byte has come behind the request.
 func (c *clientConn) claimForRequest(isStreamed bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -240,8 +241,8 @@
 	return nil
 }
 
-// transitTimeMs is how long ago the client sent what was just read completely, in ms: the time that its last bytes
-// waited on this machine and half a round trip. A busy node reads late, and a request's time counts from its sending.
+// transitTimeMs returns how long ago the client sent the request that was just read, in ms: the time that its last bytes
+// waited on this machine, and half a round trip. A busy node reads late, but a request's time counts from its sending.
 func (c *clientConn) transitTimeMs() float64 {
 	socket, err := c.tcp.SyscallConn()
 	if err != nil {
--- a/internal/server/decode.go
+++ b/internal/server/decode.go
@@ -13,7 +13,8 @@
 	"pearknot/internal/upstream"
 )
 
-// Header fields of requests. Their names are the protocol's; backends get them as they came.
+// Header fields of requests. Their names are the protocol's; backends get them unchanged. The protocol's words in code: QoS
+// or category is a class, a customer a tenant, a second try a client's retry, a size hint a cost hint.
 const (
 	idHeader          = "X-Trace-Id"
 	classHeader       = "X-Qos"
@@ -25,8 +26,9 @@
 // maxTTLMs bounds a request's time to live to what a clock can hold, in ms.
 const maxTTLMs = 3600e3
 
-// requestError says why a request is not taken. The client gets the status and the reason, whose words are the
-// protocol's.
+// requestError is why a request is refused. The client gets the status, and the reason as the body. Reasons are the
+// protocol's texts and must not change: "odd X" means that the field X is malformed, "no or several X" that it must be
+// there exactly once, and a category is a class.
 type requestError struct {
 	status int
 	reason string
@@ -36,7 +38,7 @@
 	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// requestHeader is what a request's header says.
+// requestHeader is the decoded part of a request's header.
 type requestHeader struct {
 	class       int
 	ttlMs       float64
@@ -44,8 +46,8 @@
 	hasCostHint bool
 }
 
-// decode reads a request, with its body as far as that is held in memory. It returns a requestError where the request
-// is malformed.
+// decode reads a request and its body, or of a body that is streamed its buffered beginning. It returns a requestError if
+// the request is malformed.
 func (s *Server) decode(w http.ResponseWriter, r *http.Request, conn *clientConn) (*node.Request, *requestError) {
 	if reason := conn.framingError(); reason != "" {
 		return nil, badRequest("%s", reason)
@@ -65,7 +67,7 @@
 	timeLeft := header.ttlMs
 	var streamed *upstream.StreamedBody
 	if len(body) > upstream.MaxBufferedBody {
-		// The rest is passed on as it comes, and the request's time to live begins with its last byte.
+		// The rest is passed on as it comes, and the request's time begins with its last byte.
 		rest.conn = conn
 		streamed = &upstream.StreamedBody{Size: r.ContentLength, Timeout: clock.Duration(header.ttlMs - defaultTransitMs), Reader: rest}
 		timeLeft += maxBodyMs
@@ -90,7 +92,7 @@
 
 // decodeHeader reads a request's header fields.
 func decodeHeader(r *http.Request, deployment *config.Deployment) (header requestHeader, malformed *requestError) {
-	// Of a field that stands twice a backend may read the other one.
+	// A field must not be there twice: a backend may read the other one.
 	for _, name := range []string{idHeader, classHeader, upstream.ExpiresHeader} {
 		if r.Header.Get(name) == "" || len(r.Header[name]) > 1 {
 			return header, badRequest("no or several %s", name)
@@ -120,7 +122,7 @@
 	return header, nil
 }
 
-// tenantIndex is the index of a request's tenant; unknown ones count as the first.
+// tenantIndex returns the index of a request's tenant. An unknown tenant counts as the first one.
 func tenantIndex(deployment *config.Deployment, r *http.Request) int {
 	return max(deployment.TenantIndex(config.NormalizeName(r.Header.Get(tenantHeader))), 0)
 }
--- a/internal/server/disconnect.go
+++ b/internal/server/disconnect.go
@@ -9,18 +9,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// net/http reads on while a request is in flight and so notices a client that disconnects, but not while the request's
-// body is unread, and no more once a byte has come behind the request. No attempt may begin for a client that has gone,
-// so in these cases disconnectWatch looks for the end of the connection.
+// net/http notices a client that disconnects because it goes on reading while a request is in flight. It does not do so
+// while the request's body is unread, and it stops once a byte has come behind the request. No attempt may begin for a
+// client that has gone, so in these two cases disconnectWatch looks for the end of the connection.
+//
+// That rule is a term of the operators' contract, see "A client that leaves" in docs/design.md: from 0.1 s after a client
+// has closed its connection, no attempt begins for its request.
 const (
-	// disconnectCheckInterval is well within the 0.1 s after which no attempt may begin for a client that has gone.
+	// disconnectCheckInterval is a quarter of the contract's 0.1 s.
 	disconnectCheckInterval = 25 * time.Millisecond
 
-	// maxReadBehind bounds what is read behind a request between two checks. The connection's end comes after all of
-	// that, and a flood must cost next to nothing.
+	// maxReadBehind bounds the bytes behind a request that are read between two checks. The end of the connection can be
+	// seen only after them, but a client that floods the connection must not cost much.
 	maxReadBehind = 16 << 10
 
-	// behindBufferBytes is how much of that is read at a time.
+	// behindBufferBytes is the size of one such read.
 	behindBufferBytes = 4 << 10
 )
 
@@ -34,8 +37,8 @@
 	responseBegun       bool          // no watch is needed: the writes show whether the client is there
 }
 
-// startWatch begins to look for the client's end. With reads it reads what comes behind the request. The connection's
-// lock is held.
+// startWatch begins to watch for the client's disconnect. reads says that the watch reads what comes behind the request.
+// The connection's lock must be held.
 func (c *clientConn) startWatch(reads bool) {
 	if c.stop == nil && !c.responseBegun {
 		c.stop, c.done, c.reads = make(chan struct{}), make(chan struct{}), reads
@@ -78,7 +81,7 @@
 		total += n
 		c.mu.Lock()
 		if c.framing.observe(buffer[:n]) {
-			c.pipelined = true // the connection closes after the response, so what was read here is no loss
+			c.pipelined = true // the connection closes after the response, so the bytes read here are not needed
 		}
 		c.mu.Unlock()
 		select {
@@ -115,13 +118,13 @@
 	_ = c.Conn.SetReadDeadline(time.Time{})
 }
 
-// hasUnreadData reports whether something lies on the connection that was not read yet, be it its end.
+// hasUnreadData reports whether the connection has something to read: bytes, or its end.
 func (c *clientConn) hasUnreadData() bool {
 	n, err := c.peek()
 	return n > 0 || !errors.Is(err, unix.EAGAIN)
 }
 
-// hasDisconnected reports whether the client has closed its connection, also where unread bytes lie before the end.
+// hasDisconnected reports whether the client has closed its connection, even if there are unread bytes before the end.
 func (c *clientConn) hasDisconnected() bool {
 	n, err := c.peek()
 	if n <= 0 {
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// maxShutdownQuiet is how long a node without requests waits for another one while it shuts down, and how long
-	// clients may need to hear of the shutdown and still come.
+	// maxShutdownQuiet is how long a node that shuts down waits for another request. It is also the least time that it goes
+	// on serving: until clients have noticed the failing health check, they still come.
 	maxShutdownQuiet = 500 * time.Millisecond
 
 	// listenerQuiet is how long a listener's queue must be empty before the listener closes.
 	listenerQuiet = 50 * time.Millisecond
 )
 
-// ServeUntilQuiet goes on serving while requests come, for maxWait at most: clients with connections use them for as
-// long as these stay open, and may have no other node yet. It returns early once isHandedOff says so. Drain follows, or
-// DrainForHandoff where another process serves in this one's place.
+// ServeUntilQuiet goes on serving while requests come, for at most maxWait: clients use their connections as long as these
+// stay open, and may have no other node yet. It returns early once isHandedOff reports true. The caller then calls Drain,
+// or DrainForHandoff if another process serves in this one's place.
 func (s *Server) ServeUntilQuiet(maxWait time.Duration, isHandedOff func() bool) {
 	s.shuttingDown.Store(true)
 	s.lastRequestAt.Store(time.Now().UnixMilli())
@@ -30,8 +30,8 @@
 	}
 }
 
-// Drain ends serving: it asks clients to close their connections, takes no new ones, and waits until all requests have
-// their responses or ctx is done. It returns how many requests are left without one.
+// Drain ends serving: it asks clients to close their connections, accepts no new ones, and waits until all requests have
+// responses or ctx is done. It returns the number of requests without a response.
 func (s *Server) Drain(ctx context.Context) int64 {
 	s.shuttingDown.Store(true)
 	s.draining.Store(true)
@@ -48,9 +48,9 @@
 	return s.openRequests.Load()
 }
 
-// DrainForHandoff ends serving while another process of the node serves. New connections go to that one; those in the
-// listener's queue here are taken. Each connection is closed after its response or when it is idle. It waits until none
-// is left or ctx is done, and returns how many requests are left without a response.
+// DrainForHandoff ends serving while another process of the node serves. New connections go to that process; those in this
+// listener's queue are still accepted. Each connection is closed after its response, or when it is idle. It waits until no
+// connection is left or ctx is done, and returns the number of requests without a response.
 func (s *Server) DrainForHandoff(ctx context.Context) int64 {
 	s.handedOff.Store(true)
 	s.shuttingDown.Store(true)
@@ -80,9 +80,9 @@
 	return []*listener{s.listener, s.tlsListener.inner}
 }
 
-// closeUntilEmpty closes connections that are idle until there is none left or ctx is done; minIdle says how long they
-// must be idle, by the time since the start. net/http's Shutdown would close connections with a request that lies there
-// unread, so it comes after this.
+// closeUntilEmpty closes idle connections until none is left or ctx is done; minIdle returns how long they must be idle, by
+// the time since the start. net/http's Shutdown comes after this, because it would also close connections with an unread
+// request.
 func (s *Server) closeUntilEmpty(ctx context.Context, minIdle func(elapsed time.Duration) time.Duration) {
 	start, tick := time.Now(), time.NewTicker(listenerQuiet)
 	defer tick.Stop()
--- a/internal/server/framing.go
+++ b/internal/server/framing.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// framing follows where the requests on a connection begin and end, from the bytes themselves. net/http alone is not
-// enough: it drops a Content-Length that stands beside a Transfer-Encoding before a handler sees it, so that a request
-// hidden in the body (request smuggling) would pass, and it takes whatever follows a request for the next one.
+// framing tracks where the requests on a connection begin and end, from the bytes themselves. net/http alone is not enough:
+// it drops a Content-Length beside a Transfer-Encoding before a handler sees it, so that a request hidden in the body
+// (request smuggling) would pass, and it takes whatever follows a request for the next one.
 type framing struct {
 	stage    framingStage
-	line     [48]byte // the beginning of the header line at hand, as far as it is needed
+	line     [48]byte // the beginning of the current header line, as far as it is needed
 	lineSize int      // of the whole line so far
 	bodyLeft int64
 
 	hasLength    bool // the header has a Content-Length
 	hasEncoding  bool // the header has a Transfer-Encoding
 	ambiguous    bool // a request had both
-	mustBeLast   bool // the request's end is not followed: nothing may come after it
+	mustBeLast   bool // the request's end is not tracked, so nothing may come after it
 	requestEnded bool // the latest request has come completely
 }
 
@@ -28,10 +28,10 @@
 	stageBetween framingStage = iota // no part of a request has come
 	stageHead
 	stageBody
-	stageUntracked // mustBeLast: the rest of the connection is not followed
+	stageUntracked // mustBeLast: the rest of the connection is not tracked
 )
 
-// observe takes bytes that were read and reports whether any of them lies behind a request's end.
+// observe takes bytes that were read and reports whether any of them comes after a request's end.
 func (f *framing) observe(data []byte) (isBehind bool) {
 	for len(data) > 0 {
 		switch f.stage {
@@ -69,7 +69,7 @@
 	return rest
 }
 
-// endLine takes what a complete header line says of the body.
+// endLine evaluates a complete header line, if it concerns the body's length.
 func (f *framing) endLine() {
 	line := string(f.line[:min(f.lineSize, len(f.line))])
 	isComplete := f.lineSize <= len(f.line)
--- a/internal/server/handler.go
+++ b/internal/server/handler.go
@@ -11,7 +11,7 @@
 	"pearknot/internal/node"
 )
 
-// healthPath is where load balancers ask whether clients may be sent here.
+// healthPath is the path of the health check, by which a load balancer in front decides whether to send clients here.
 const healthPath = "/_health"
 
 // ServeHTTP handles the health check and requests.
@@ -27,7 +27,7 @@
 	id := r.Header.Get(idHeader)
 	request, refusal := s.decode(w, r, conn)
 	if refusal == nil && !s.reserveID(id) {
-		refusal = &requestError{http.StatusConflict, "the id of an open op"}
+		refusal = &requestError{http.StatusConflict, "the id of an open op"} // the protocol's text; an op is a request
 	}
 	if refusal != nil {
 		s.logMalformed(refusal.reason)
@@ -37,8 +37,8 @@
 	}
 	defer s.releaseID(id)
 	if !conn.takeRequest(request.Streamed) {
-		// Nothing of the request was taken. If this handler returned, net/http would send a 200, which gets out where
-		// the connection is only about to be closed.
+		// The request was not taken. If this handler returned, net/http would send a 200, which could still reach the client
+		// while the connection is being closed.
 		panic(http.ErrAbortHandler)
 	}
 	defer conn.releaseFromRequest()
@@ -54,8 +54,8 @@
 	s.serveRequest(w, r, conn, request)
 }
 
-// recoverHandler answers a request whose handler panicked with 500, which claims nothing about what ran. Without it
-// net/http would end the connection, and a request that was taken would get no response.
+// recoverHandler answers a request whose handler panicked with 500, which says that the request may have run. Without it
+// net/http would close the connection, and a request that was taken would get no response.
 func (s *Server) recoverHandler(fault any, w http.ResponseWriter, conn *clientConn, request *node.Request) {
 	if fault == nil {
 		return
@@ -85,7 +85,7 @@
 	delete(s.openIDs, id)
 }
 
-// logMalformed logs malformed requests now and then, with how many there were.
+// logMalformed logs malformed requests at most once in malformedLogInterval, with their number since the last line.
 func (s *Server) logMalformed(reason string) {
 	s.malformedUnlogged.Add(1)
 	s.malformedLog.Do(func() {
@@ -105,7 +105,8 @@
 	s.writeResponse(w, conn, http.StatusServiceUnavailable, []byte("not ready\n"))
 }
 
-// serveRequest passes a request to the node and writes its answer.
+// serveRequest passes a request to the node and writes its answer. It rejects the request itself, before the balancer sees
+// it, if too many are open or clients are being sent away; nothing of the request has been sent then.
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, conn *clientConn, request *node.Request) {
 	openRequests := s.openRequests.Add(1)
 	defer s.openRequests.Add(-1)
@@ -114,7 +115,7 @@
 	maxOpen := int64(deployment.MaxOpenRequests)
 	if maxOpen > 0 && openRequests > maxOpen || s.quiesce.rejecting.Load() {
 		rejection := node.Answer{Status: node.Rejected}
-		if deployment.Balancer.SendRetryAfter { // a node as full as this stays full for a while
+		if deployment.Balancer.SendRetryAfter { // a node that is that full stays full for a while
 			rejection.RetryAfter = deployment.Balancer.MaxRetryAfter
 		}
 		s.writeAnswer(w, conn, rejection)
@@ -129,6 +130,6 @@
 	case <-conn.gone:
 	}
 	s.node.Cancel(request)
-	// A client that has only ended its sending may still read.
+	// A client that has closed only its sending side may still read.
 	s.writeAnswer(w, conn, node.Answer{Status: node.Failed})
 }
--- a/internal/server/quiesce.go
+++ b/internal/server/quiesce.go
@@ -7,27 +7,31 @@
 )
 
 const (
-	// The load balancer in front of the nodes checks their health ten times a second, and sends no client from 0.2 s
-	// after it was told. Until quiesceHeard nothing but the health check changes: clients that were asked to leave
-	// sooner would come back here.
+	// The steps follow each other at these times after the call. The contract, in docs/operations.md ("quiesce"), is that
+	// clients are gone within four seconds: from then on no connection is idle or has had a request in the last two
+	// seconds.
+
+	// quiesceHeard is when the load balancer in front of the nodes has certainly noticed: it checks their health ten times
+	// a second, and sends no more clients 0.2 s after a check that failed. Until then only the health check changes,
+	// because clients that were sent away sooner would come back here.
 	quiesceHeard = 500 * time.Millisecond
 
-	// Four seconds after the call no connection may be idle or have had a request in the last two. Until
-	// quiesceCloseAll connections in use are asked to close with their next response, which costs their clients
-	// nothing; then all are closed as soon as they are idle.
+	// quiesceCloseAll is when all connections are closed as soon as they are idle. Until then connections in use are only
+	// asked to close with their next response, which costs their clients nothing.
 	quiesceCloseAll = 1600 * time.Millisecond
 
-	// quiesceReject is from when new requests are rejected at once: they could not be answered and gone in time.
+	// quiesceReject is when new requests are rejected at once: they might not be answered, and their connections not
+	// closed, within the four seconds.
 	quiesceReject = 1900 * time.Millisecond
 
 	// quiesceIdle is how long a connection must be idle to be closed before quiesceCloseAll.
 	quiesceIdle = 300 * time.Millisecond
 
-	// quiesceTick is the time between two looks at what is idle.
+	// quiesceTick is the interval at which idle connections are closed.
 	quiesceTick = 50 * time.Millisecond
 )
 
-// quiesce is the state in which clients are sent away while the node runs on.
+// quiesce is the state in which clients are sent away while the process goes on running.
 type quiesce struct {
 	closing   atomic.Bool // responses ask clients to close their connections
 	rejecting atomic.Bool // new requests are rejected at once
@@ -43,7 +47,7 @@
 	return q.stop != nil
 }
 
-// advance sets what the elapsed time calls for, unless that state has ended meanwhile.
+// advance takes the steps that are due after the elapsed time, unless that state, identified by stop, has ended meanwhile.
 func (q *quiesce) advance(stop <-chan struct{}, elapsed time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -53,15 +57,15 @@
 	}
 }
 
-// QuiescedFor is for how long clients have been sent away, if they are.
+// QuiescedFor returns for how long clients have been sent away, and whether they are.
 func (s *Server) QuiescedFor() (elapsed time.Duration, on bool) {
 	s.quiesce.mu.Lock()
 	defer s.quiesce.mu.Unlock()
 	return time.Since(s.quiesce.since), s.quiesce.stop != nil
 }
 
-// SetQuiesced has the health check fail and, once that has been noticed, sends clients away; or takes clients again, at
-// any point of that. It reports whether anything changed.
+// SetQuiesced with on makes the health check fail and, once that has been noticed, sends clients away; without on it ends
+// that, at any point. It reports whether anything changed.
 func (s *Server) SetQuiesced(on bool) bool { return s.SetQuiescedSince(on, time.Now()) }
 
 // SetQuiescedSince is SetQuiesced for a state that began earlier, in another process of the node.
--- a/internal/server/reuseport.go
+++ b/internal/server/reuseport.go
@@ -28,8 +28,8 @@
 }
 
 // steerToNextProcess has the kernel give all new connections to the second of the two listeners, which is the one that
-// was opened later. Connections already in this listener's queue stay there; closing the listener would reset them. If
-// the second listener closes, the program's result names none, and the kernel distributes as before.
+// was opened later. Connections already in this listener's queue stay there; closing the listener would reset them. If the
+// second listener closes, the program's result is an index without a listener, and the kernel distributes as before.
 func steerToNextProcess(l *net.TCPListener) error {
 	socket, err := l.SyscallConn()
 	if err != nil {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,6 +1,12 @@
-// Package server takes clients' requests on net/http's server and gives each its one response. Beside net/http it
-// decides which connections to take, follows where requests begin and end on a connection, notices clients that
-// disconnect, and shuts down without losing a request that it has taken.
+// Package server takes clients' requests on net/http's server and gives each its one response. Beyond net/http it decides
+// which connections to accept, tracks where requests begin and end on a connection, notices clients that disconnect, and
+// shuts down without losing a request that it has taken.
+//
+// "Admission" in this package is that of connections, by internal/admission. The balancer has its own admission, of
+// requests, in balancer/admission.go.
+//
+// The texts in the bodies of 4xx responses are part of the protocol. Clients and their operators match them, so they keep
+// their words: "op" is a request, "odd" means malformed, and "category" is a class.
 package server
 
 import (
@@ -22,14 +28,15 @@
 )
 
 const (
-	// readTimeout is for a request's bytes, from its first or the connection's start on. A client that sends none must
-	// hear of the connection's end within 3 s, and may have waited for a descriptor before.
+	// readTimeout is for reading a request, from its first byte or from the start of the connection. By the operators'
+	// contract a client that sends no complete request gets a 4xx or the end of its connection within 3 s (docs/oncall.md,
+	// "Odd clients"); the rest of that time is for a connection that waits for a file descriptor before it is accepted.
 	readTimeout = 2200 * time.Millisecond
 
-	// writeTimeout is for a response's bytes, and begins anew with each part of a long one.
+	// writeTimeout is for writing a response, and restarts with each part of a long one.
 	writeTimeout = 5 * time.Second
 
-	// idleTimeout is for a connection between requests: some clients send one request and never close.
+	// idleTimeout is for a connection between requests: some clients send one request and never close theirs.
 	idleTimeout = 5 * time.Second
 
 	// maxHeaderBytes bounds a request's header; net/http allows 4 KiB more.
@@ -59,13 +66,13 @@
 	requestLogging *RequestLogging     // nil where no request is logged
 	serveDone      chan struct{}       // closed when Serve has ended
 
-	outOfService  atomic.Bool  // an operator's or agent's wish
+	outOfService  atomic.Bool  // set by an operator or the agent
 	shuttingDown  atomic.Bool  // the health check sends no more clients here
 	draining      atomic.Bool  // responses ask clients to close their connections
 	handedOff     atomic.Bool  // another process serves in this one's place: the node stays in service
 	quiesce       quiesce      // whether clients are sent away while the node runs on
 	lastRequestAt atomic.Int64 // Unix ms
-	openRequests  atomic.Int64 // taken and without a response
+	openRequests  atomic.Int64 // requests that were taken and have no response yet
 
 	mu        sync.Mutex
 	idleConns map[net.Conn]time.Time // connections without a request, and since when
@@ -101,8 +108,8 @@
 	return s
 }
 
-// EnableAdmission limits clients' connections from the start on. It is called before Listen. onPressure hears of each
-// time at which connections become scarce (true) or suffice again (false); it must not block.
+// EnableAdmission limits clients' connections. It is called before Listen. onPressure is called whenever connections become
+// scarce (true) or suffice again (false); it must not block.
 func (s *Server) EnableAdmission(limits admission.Limits, onPressure func(underPressure bool)) {
 	limits.MaxConnections = max(s.budget.MaxClients()-refusalReserve, 1)
 	s.admitter = &connectionAdmitter{
@@ -113,13 +120,13 @@
 	}
 }
 
-// SetAdmissionLimits puts other limits in force. It needs EnableAdmission before it.
+// SetAdmissionLimits replaces the limits. EnableAdmission must have been called.
 func (s *Server) SetAdmissionLimits(limits admission.Limits) { s.admitter.setLimits(limits) }
 
-// ClientStats says who is connected. It needs EnableAdmission before it.
+// ClientStats returns which clients are connected. EnableAdmission must have been called.
 func (s *Server) ClientStats() ClientStats { return s.admitter.stats() }
 
-// Reconfigure puts a deployment in force for the requests that come from now on. The node must have it already.
+// Reconfigure sets the deployment for the requests that come from now on. The node must have it already.
 func (s *Server) Reconfigure(deployment *config.Deployment) { s.deployment.Store(deployment) }
 
 // Listen opens the address for plain HTTP; connections are taken from Serve on. With reusePort another process of the
@@ -133,15 +140,15 @@
 	return nil
 }
 
-// ListenTLS opens the address for TLS; connections are taken from Serve on. They count to the same descriptor budget,
-// which is maxDescriptors; a quarter of it at most may be in a handshake.
-func (s *Server) ListenTLS(options TLSConfig, maxDescriptors int) error {
-	tcp, err := listenTCP(options.Address, options.ReusePort)
+// ListenTLS opens the address for TLS; connections are taken from Serve on. They count towards the same descriptor budget,
+// whose size is maxDescriptors; at most a quarter of it may be in handshakes.
+func (s *Server) ListenTLS(config TLSConfig, maxDescriptors int) error {
+	tcp, err := listenTCP(config.Address, config.ReusePort)
 	if err != nil {
 		return err
 	}
 	inner := &listener{TCPListener: tcp, budget: s.budget, admitter: s.admitter}
-	s.tlsListener = newTLSListener(inner, options, maxDescriptors)
+	s.tlsListener = newTLSListener(inner, config, maxDescriptors)
 	return nil
 }
 
@@ -161,13 +168,13 @@
 // connections are not affected.
 func (s *Server) SetSessionTicketKeys(keys [][32]byte) { s.tlsListener.setSessionTicketKeys(keys) }
 
-// HandshakeStats counts TLS handshakes.
+// HandshakeStats returns the counts of TLS handshakes.
 func (s *Server) HandshakeStats() HandshakeStats { return s.tlsListener.stats() }
 
-// Address is where plain HTTP is served.
+// Address returns the address at which plain HTTP is served.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// TLSAddress is where TLS is served.
+// TLSAddress returns the address at which TLS is served.
 func (s *Server) TLSAddress() string { return s.tlsListener.Addr().String() }
 
 // Serve takes connections until Drain or DrainForHandoff has ended it, or a listener fails.
@@ -203,8 +210,8 @@
 	}
 }
 
-// SetOutOfService keeps the node out of service, or takes it back: the health check says so. Requests that come are
-// served all the same.
+// SetOutOfService sets whether the health check reports the node as out of service. Requests that come are served all the
+// same.
 func (s *Server) SetOutOfService(out bool) { s.outOfService.Store(out) }
 
 // ServiceState reports whether the health check would send clients here, and whether the node is shutting down.
@@ -223,8 +230,8 @@
 	}
 }
 
-// closeIdle closes connections that have had no request for minIdle, and with partial also those on which a part of one
-// has come. It never closes one with unread data: that may be a request, which would be lost with the connection.
+// closeIdle closes connections that have had no request for minIdle. It spares those on which a part of a request has come,
+// unless partial is true. It never closes one with unread data: that may be a request, which would be lost.
 func (s *Server) closeIdle(minIdle time.Duration, partial bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/server/tlslistener.go
+++ b/internal/server/tlslistener.go
@@ -34,7 +34,7 @@
 	acmeTLSProtocol = "acme-tls/1"
 )
 
-// TLSConfig is how the server serves TLS.
+// TLSConfig is the configuration of the address for TLS.
 type TLSConfig struct {
 	Address          string
 	ReusePort        bool // another process of the node may listen there as well
@@ -43,7 +43,7 @@
 }
 
 // tlsListener accepts connections whose handshake is complete. Handshakes run concurrently, bounded in number and time.
-// Where the number is reached, a new one takes the place of one whose client keeps it waiting, so that a client that
+// When all places are taken, a new handshake takes the place of one whose client keeps it waiting, so that a client that
 // opens connections and sends nothing can't lock the others out.
 type tlsListener struct {
 	inner         *listener
@@ -76,18 +76,18 @@
 	evicted   bool
 }
 
-// newTLSListener listens for TLS on inner; maxDescriptors is what the budget has.
-func newTLSListener(inner *listener, options TLSConfig, maxDescriptors int) *tlsListener {
+// newTLSListener returns a listener for TLS on top of inner; maxDescriptors is the size of the descriptor budget.
+func newTLSListener(inner *listener, config TLSConfig, maxDescriptors int) *tlsListener {
 	l := &tlsListener{
 		inner: inner,
 		// HTTP/1.1 alone: framing follows the requests by their bytes.
-		config:        &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: []string{"http/1.1"}, GetCertificate: options.GetCertificate},
+		config:        &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: []string{"http/1.1"}, GetCertificate: config.GetCertificate},
 		maxHandshakes: min(maxHandshakes, max(maxDescriptors/descriptorsPerHandshake, minHandshakes)),
 		ready:         make(chan net.Conn),
 		ended:         make(chan struct{}),
 		handshakeDone: make(chan struct{}, 1),
 	}
-	if options.AnswerChallenges {
+	if config.AnswerChallenges {
 		l.config.NextProtos = append(l.config.NextProtos, acmeTLSProtocol)
 	}
 	return l
@@ -139,9 +139,8 @@
 	}
 }
 
-// add adds a handshake to those in progress. Where there is no place for it, it takes that of one whose client keeps it
-// waiting, and otherwise waits: honest clients' handshakes wait for this machine and not for their clients, and must not
-// evict each other.
+// add adds a handshake to those in progress. If all places are taken, it evicts one whose client keeps it waiting. If there
+// is none it waits: handshakes that wait for this machine, and not for their clients, must not evict each other.
 func (l *tlsListener) add(h *handshake) {
 	for {
 		wait, added := l.tryAdd(h, time.Now())
@@ -173,9 +172,9 @@
 	return 0, true
 }
 
-// evictionCandidate is the index of the oldest handshake whose client has sent nothing for too long, or else of the
-// oldest one whose client has sent something and then fell silent. It is -1 where there is neither; then wait is how
-// long it takes until there is one.
+// evictionCandidate returns the index of the oldest handshake whose client has sent nothing for too long, or else of the
+// oldest one whose client has sent something and then fell silent. If there is neither, index is -1 and wait the time until
+// there will be one.
 func (l *tlsListener) evictionCandidate(now time.Time) (index int, wait time.Duration) {
 	index, wait = -1, handshakeTimeout
 	for i, h := range l.handshakes {
--- a/internal/upstream/backend.go
+++ b/internal/upstream/backend.go
@@ -21,7 +21,7 @@
 type Backend struct {
 	name             string
 	config           *Config
-	acceptsAttempts  atomic.Bool // whether the endpoint list lets attempts start
+	acceptsAttempts  atomic.Bool // attempts may start, see Update
 	invalidReportLog rate.Sometimes
 	mailbox          *mailbox.Box[func()]
 
@@ -29,7 +29,7 @@
 	address        string
 	idle           []*conn // the most recently used last
 	activeCalls    int
-	waitingForIdle int // those of activeCalls that wait until an idle connection may be used again
+	waitingForIdle int // how many of activeCalls wait until an idle connection may be used again
 	closing        bool
 	idleTimer      *time.Timer // fires when the oldest idle connection reaches the idle timeout
 	breakage       idleBreakage
@@ -48,8 +48,8 @@
 	return b
 }
 
-// Update takes what the endpoint list says of the backend: its address, and whether attempts may start. The latter holds
-// as soon as Update returns, also for calls that were sent before.
+// Update sets the backend's address and whether attempts may start, as the endpoint list says. The latter applies as soon as
+// Update returns, also to calls that were sent before.
 func (b *Backend) Update(address string, acceptsAttempts bool) {
 	b.acceptsAttempts.Store(acceptsAttempts)
 	b.mailbox.Put(func() {
@@ -104,10 +104,11 @@
 	}()
 }
 
-// exchangeFinished ends a call, or sends it once more if it met an idle connection that the backend was just closing.
+// exchangeFinished ends a call, or sends it once more if its write failed on a reused connection, which the backend was
+// probably just closing.
 //
-// A write that failed means that the request never arrived complete, so it can't have run, and another connection is
-// safe. Only one further connection is tried, and only after a reused one: a fresh one that fails is the backend's fault.
+// After a failed write the request never arrived complete, so it can't have run and may be sent again. Only one further
+// connection is tried, and only after a reused one: if a fresh one fails, that is the backend's fault.
 func (b *Backend) exchangeFinished(call *Call, on *conn, result Result, state connState) {
 	if on.reused {
 		broke := state == connWriteFailed || result.Outcome == balancer.OutcomeConnectionReset
@@ -122,8 +123,8 @@
 	b.finishCall(call, on, result, state)
 }
 
-// finishCall ends a call. on is nil if it had no connection. The connection of a streamed response is taken back later,
-// when the stream is closed.
+// finishCall ends a call. on is nil if the call had no connection. The connection of a streamed response is taken back
+// later, when the stream is closed.
 func (b *Backend) finishCall(call *Call, on *conn, result Result, state connState) {
 	if state != connStreaming {
 		b.takeBackConn(on, state == connReusable)
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -11,7 +11,7 @@
 	"pearknot/balancer"
 )
 
-// Result says how a call ended.
+// Result is how a call ended.
 type Result struct {
 	Outcome        balancer.Outcome
 	SinceFirstByte time.Duration       // from the response's first byte until the call's end; 0 if there was no response
@@ -19,15 +19,17 @@
 	Report         balancer.LoadReport // the load report that came with Reply; meaningless without one
 }
 
-// Call is one attempt on its way to a backend. Its methods may be called from any goroutine while the backend works on it:
-// they cancel it, shorten its deadline, or keep it from starting. Whether its first byte may still be sent is decided in
-// one place, start, under the call's lock.
+// Call is the transport's side of one attempt: a message on its way to one backend, and what came back. The balancer's side
+// of the same attempt is balancer.Attempt. It has nothing to do with requestlog.Call, which is an RPC between members.
+//
+// Its methods may be called from any goroutine while the backend works on it: they cancel it, shorten its deadline, or
+// prevent it from starting. Whether its first byte may still be sent is decided in one place, start, under the call's lock.
 //
 // The exported fields must be set before Backend.Send.
 type Call struct {
 	Message     *Message
 	OnDone      func(Result)    // called once; must not block
-	StartBefore time.Time       // it does not start at or after this time; zero means no limit
+	StartBefore time.Time       // it must start before this time; zero means no limit
 	OnBodySent  func(time.Time) // called with the deadline once a streamed body is complete; must not block
 	ClientGone  *atomic.Bool    // set as soon as the request's client has disconnected; nil if that can't happen
 
@@ -35,11 +37,11 @@
 	deadline       time.Time
 	canceled       bool
 	started        bool
-	startPrevented bool               // it must not start, also not once more on another connection
-	conn           net.Conn           // that carries it, nil before and after
-	cancelDial     context.CancelFunc // of the connection that is being dialed
+	startPrevented bool               // it must not start, nor start again on another connection
+	conn           net.Conn           // the connection that carries it; nil before and after
+	cancelDial     context.CancelFunc // cancels the dialing of its connection
 
-	retriedOnFresh bool // it was sent again on a fresh connection after a failed write; the backend's actor's own
+	retriedOnFresh bool // it was sent again on a fresh connection after a failed write; only the backend's actor uses it
 }
 
 // NewCall returns a call that times out at the deadline.
@@ -47,8 +49,8 @@
 	return &Call{Message: m, OnDone: onDone, deadline: deadline}
 }
 
-// PreventStart keeps the call from starting, also from starting again after a write that is failing just now. A call that
-// has started goes on. It is called before the request's final answer is given, so that nothing is sent after that.
+// PreventStart prevents the call from starting, or from starting again after a write that is just failing. A call that has
+// started goes on. It is called before the request's final answer is given, so that nothing is sent after the answer.
 func (c *Call) PreventStart() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +60,7 @@
 	}
 }
 
-// CancelIfNotStarted cancels the call unless it has started, and reports whether it did.
+// CancelIfNotStarted cancels the call unless it has started, and reports whether it canceled it.
 func (c *Call) CancelIfNotStarted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,8 +114,8 @@
 	return ctx, cancel, !c.canceled && !c.startPrevented
 }
 
-// start is called right before the first byte is written. ok reports whether the call may be sent, and timeout the time
-// that the backend is told it has; for a streamed body that begins with its last byte.
+// start is called right before the first byte is written. ok reports whether the call may be sent. timeout is the time left,
+// which the backend is told; for a streamed body it counts from the body's last byte.
 func (c *Call) start(conn net.Conn) (timeout time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,8 +138,8 @@
 	return !c.canceled && !c.startPrevented && !clientGone && !tooLate
 }
 
-// sendBody copies the rest of a streamed body from the client to the backend. The two sides' errors are told apart: an
-// error of reading is the client's fault, or means that it took too long.
+// sendBody copies the rest of a streamed body from the client to the backend. It returns the errors of the two sides
+// separately: readErr means that the client failed or took too long.
 func (c *Call) sendBody(conn net.Conn) (readErr, writeErr error) {
 	body := c.Message.stream.Reader
 	buffer := make([]byte, streamBufferSize)
@@ -179,8 +181,8 @@
 	if !c.beginResponseTimeout(conn) {
 		return net.ErrClosed
 	}
-	// The lock is not held here: a backend that reads no more lets this write wait, and whoever cancels the call, the
-	// node's actor, must not wait for it.
+	// The lock must not be held here. A backend that has stopped reading blocks this write, and the node's actor would wait
+	// for the lock when it cancels the call.
 	if !c.Message.stream.isChunked() {
 		return nil
 	}
--- a/internal/upstream/config.go
+++ b/internal/upstream/config.go
@@ -21,8 +21,8 @@
 // Config holds what all backends of a node have in common.
 type Config struct {
 	ConnectTimeout AtomicDuration      // for establishing a connection
-	IdleTimeout    AtomicDuration      // how long an idle connection is kept
-	Budget         *descriptors.Budget // counts each connection's descriptor
+	IdleTimeout    AtomicDuration      // after which an idle connection is closed
+	Budget         *descriptors.Budget // of file descriptors; each connection takes one
 	Log            *slog.Logger
 
 	// SetReportValue puts a value of a load report, under the name that the deployment gives it, into its field.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -12,7 +12,7 @@
 type conn struct {
 	net.Conn
 	reader     *Reader
-	address    string // that was dialed
+	address    string // the address that was dialed
 	reused     bool   // it has carried a request before
 	idleSince  time.Time
 	idleBefore time.Duration // how long it was idle before its latest request
@@ -28,8 +28,8 @@
 const (
 	connClosed      connState = iota // it must be closed
 	connReusable                     // it can carry another request
-	connWriteFailed                  // it must be closed; the request was not written to its end and may be sent once more
-	connStreaming                    // the rest of a response is read from it
+	connWriteFailed                  // it must be closed; the request was not written completely and may be sent once more
+	connStreaming                    // the rest of a response is still to be read from it
 )
 
 // isUsable reports whether an idle connection is still open with nothing to read. The backend may have closed it, and a
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -18,8 +18,8 @@
 	if !ok {
 		return Result{Outcome: balancer.OutcomeNotSent}, connReusable
 	}
-	if result, state := b.writeMessage(call, on, timeout); state != connReusable {
-		return result, state
+	if failed, state := b.writeMessage(call, on, timeout); failed != nil {
+		return *failed, state
 	}
 	firstByteAt := on.reader.waitFirstByte()
 	response, rest, reusable, err := ReadReply(on.reader, call.Message.isHead, MaxBody, MaxBufferedBody)
@@ -40,39 +40,41 @@
 	return Result{Outcome: response.outcome(), SinceFirstByte: time.Since(firstByteAt), Reply: response, Report: report}, state
 }
 
-// writeMessage writes the call's request, and the body that is still to come from the client. The state is connReusable if
-// all of it was written.
-func (b *Backend) writeMessage(call *Call, on *conn, timeout time.Duration) (Result, connState) {
+// writeMessage writes the call's request, including the body that is still to come from the client. It returns nil if all of
+// it was written, and otherwise the call's result and what can be done with the connection.
+func (b *Backend) writeMessage(call *Call, on *conn, timeout time.Duration) (failed *Result, state connState) {
 	message := call.Message.buffers(float64(timeout.Microseconds()) / 1e3)
 	written, err := message.WriteTo(on.Conn)
 	if err == nil && call.Message.IsStreamed() {
 		var readErr error
 		readErr, err = call.sendBody(on)
-		if readErr != nil { // the client's fault: the request was never complete, and the backend is not to blame
+		if readErr != nil { // the client's fault. The backend never got the whole request, so it did not run it.
 			call.release()
 			b.config.Log.Debug("client request body read failed", "backend", b.name, "error", readErr)
-			return Result{Outcome: balancer.OutcomeNotSent}, connClosed
+			return &Result{Outcome: balancer.OutcomeNotSent}, connClosed
 		}
 	}
 	if err != nil {
 		return b.writeFailed(call, written, err)
 	}
-	return Result{}, connReusable
+	return nil, connReusable
 }
 
 // writeFailed returns the result of a call whose request could not be written. A write reports an error only if bytes are
-// left, so the request never arrived complete and can't have run.
-func (b *Backend) writeFailed(call *Call, written int64, err error) (Result, connState) {
+// left, so the request never arrived complete and can't have run. The outcomes therefore are those of an attempt that never
+// ran: OutcomeNotSent, although a part may have been sent, where the backend is not to blame, and otherwise
+// OutcomeConnectFailed.
+func (b *Backend) writeFailed(call *Call, written int64, err error) (*Result, connState) {
 	wasCanceled := call.release()
 	b.config.Log.Debug("backend request write failed", "backend", b.name, "written", written, "error", err)
 	switch {
-	case wasCanceled: // this node did it: that says nothing about the backend
-		return Result{Outcome: balancer.OutcomeNotSent}, connClosed
+	case wasCanceled: // by this node, which says nothing about the backend
+		return &Result{Outcome: balancer.OutcomeNotSent}, connClosed
 	case !call.Message.IsStreamed():
-		return Result{Outcome: balancer.OutcomeConnectFailed}, connWriteFailed
+		return &Result{Outcome: balancer.OutcomeConnectFailed}, connWriteFailed
 	}
 	// What was sent of a streamed body is gone, so the request can't be written again.
-	return Result{Outcome: balancer.OutcomeConnectFailed}, connClosed
+	return &Result{Outcome: balancer.OutcomeConnectFailed}, connClosed
 }
 
 // readFailed returns the result of a call whose response could not be read.
@@ -88,7 +90,7 @@
 	return Result{Outcome: balancer.OutcomeConnectionReset}
 }
 
-// loadReport reads the response's load report and removes its header, which is meant for this node and not the client.
+// loadReport decodes the response's load report and removes its header, which is meant for this node and not the client.
 func (b *Backend) loadReport(response *Reply) balancer.LoadReport {
 	report, invalid := response.parseLoadReport(b.config.SetReportValue)
 	if invalid != "" {
@@ -100,8 +102,8 @@
 	return report
 }
 
-// attachStream has the response's stream read the rest of the body from the connection. The deadline of the call ends
-// with the first bytes; from here on each read has a timeout of its own.
+// attachStream connects the response's stream to the connection, to read the rest of the body. The call's deadline no longer
+// applies, since the first bytes came in time; from here on each read has a timeout of its own.
 func (b *Backend) attachStream(response *Reply, on *conn, rest io.Reader, reusable bool) {
 	stream := response.Stream
 	stream.body, stream.conn, stream.reusable = rest, on, reusable
--- a/internal/upstream/idle_breakage.go
+++ b/internal/upstream/idle_breakage.go
@@ -5,32 +5,31 @@
 	"time"
 )
 
-// Some connections break when they are used again after far less idle time than the deployment's idle timeout, and give
-// no sign of it before: a device between the machines forgets them, or the backend does. A request that must not run
-// twice is lost by that. Each backend therefore learns after which idle times its connections break, and does not reuse
-// them after so long.
+// Some connections break when they are reused after far less idle time than the deployment's idle timeout: a device between
+// the machines, or the backend itself, has dropped them without a notice. A request that must not run twice fails by that.
+// The node therefore learns, for each backend, after which idle times connections break, and does not reuse them then.
 
 const (
-	// maxBreakShare is the share of reused connections that may break. It is well above what breaks anyway at a backend
-	// with other faults.
+	// maxBreakShare is the share of reused connections that may break before the idle time is blamed. It is well above the
+	// share that breaks at a backend with other faults.
 	maxBreakShare = 0.2
 
 	// minBreaks is how many breaks are needed to blame the idle time: a single one may be chance.
 	minBreaks = 2
 
-	// breakageHalfLife is after how long counts are halved, so that longer idle times are tried again.
+	// breakageHalfLife is the interval at which the counts are halved, so that longer idle times are tried again.
 	breakageHalfLife = 20 * time.Second
 
-	// minSuspectIdle is the least idle time that is blamed: a round trip between zones. A connection that breaks after
-	// less would have broken in use.
+	// minSuspectIdle is the shortest idle time that is blamed: a round trip between zones. A connection that breaks after
+	// less would have broken without an idle time as well.
 	minSuspectIdle = 32 * time.Millisecond
 
 	// idleRangeCount is the number of ranges: the last one begins at 1024 ms.
 	idleRangeCount = 12
 )
 
-// idleBreakage counts how a backend's connections fared when they were reused, by the time that they had been idle. The
-// ranges of that time begin at each power of two, in milliseconds.
+// idleBreakage counts the reuses of a backend's connections and how many of them broke, by the time for which the connection
+// had been idle. The ranges of idle time begin at the powers of two, in milliseconds.
 type idleBreakage struct {
 	ranges    [idleRangeCount]idleRange
 	decayedAt time.Time
@@ -60,8 +59,8 @@
 	}
 }
 
-// isLikelyBroken reports whether a connection that has been idle for that time would probably break: those that had been
-// idle as long or less did.
+// isLikelyBroken reports whether a connection that has been idle for that time would probably break, judged by those that
+// had been idle for as long or less.
 func (b *idleBreakage) isLikelyBroken(idle time.Duration) bool {
 	if idle < minSuspectIdle {
 		return false
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -11,14 +11,14 @@
 	"pearknot/balancer"
 )
 
-// minIdle is how long a connection must be idle before it is used again. A backend that closes the connection after a
-// response, or sends bytes that don't belong to it, does so at once, but between machines that arrives a little later. On
-// a connection that was reused before, a request would be lost to the close, or get those bytes as its response.
+// minIdle is how long a connection must be idle before it is used again. Some backends close the connection right after a
+// response, or send surplus bytes behind it, and between machines that arrives a little later. If the connection were reused
+// before, the next request would be lost to the close, or get those bytes as its response.
 const minIdle = 10 * time.Millisecond
 
-// assignConn sends the call on the most recently used idle connection of those that have been idle for minIdle, and dials
-// one if there is none. If a connection will have been idle for minIdle soon, the call waits for that instead: a new one
-// would take as long, and cost the backend work and a place.
+// assignConn sends the call on the most recently used of the connections that have been idle for minIdle, and dials one if
+// there is none. If a connection will have been idle for minIdle soon, the call waits for that instead: dialing would take
+// as long, and cost the backend work and one of the connections that it accepts.
 func (b *Backend) assignConn(call *Call) {
 	tooRecent, wait := 0, minIdle
 	for k := len(b.idle) - 1; k >= 0; k-- {
@@ -37,7 +37,7 @@
 		}
 		b.closeConn(on)
 	}
-	if tooRecent > b.waitingForIdle { // each call that waits has a connection to itself
+	if tooRecent > b.waitingForIdle { // there is one that no other call waits for
 		b.waitForIdle(call, wait)
 		return
 	}
@@ -45,7 +45,7 @@
 	b.dial(call)
 }
 
-// waitForIdle assigns a connection to the call after a while.
+// waitForIdle assigns a connection to the call after the wait.
 func (b *Backend) waitForIdle(call *Call, wait time.Duration) {
 	b.waitingForIdle++
 	time.AfterFunc(wait, func() {
@@ -56,8 +56,8 @@
 	})
 }
 
-// dial establishes a connection for the call, unless the call or the backend doesn't want one any more, or there is no
-// descriptor for it.
+// dial establishes a connection for the call. If the call must not start any more, the backend accepts no attempts, or there
+// is no file descriptor, the call ends with OutcomeNotSent.
 func (b *Backend) dial(call *Call) {
 	ctx, cancel, wanted := call.dialContext(b.config.ConnectTimeout.Get())
 	if !wanted || !b.acceptsAttempts.Load() || !b.config.Budget.TryAcquireBackend() {
@@ -74,8 +74,8 @@
 	}()
 }
 
-// dialOutcome returns the outcome of a call whose connection was not established. A call that was cancelled and a lack of
-// descriptors, ports or memory of this machine say nothing about the backend, and must not count against it.
+// dialOutcome returns the outcome of a call whose connection was not established. A cancellation, or a lack of descriptors,
+// ports or memory on this machine, says nothing about the backend and must not count against it.
 func dialOutcome(err error) balancer.Outcome {
 	for _, local := range []error{context.Canceled, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS} {
 		if errors.Is(err, local) {
@@ -85,8 +85,8 @@
 	return balancer.OutcomeConnectFailed
 }
 
-// takeBackConn takes the connection of a call that has ended, nil if it had none. It becomes idle if it is reusable and
-// the backend, at that address, still accepts attempts, and is closed otherwise.
+// takeBackConn takes the connection of a call that has ended; nil means that it had none. The connection becomes idle if it
+// is reusable and the backend still has that address and accepts attempts. Otherwise it is closed.
 func (b *Backend) takeBackConn(on *conn, reusable bool) {
 	b.activeCalls--
 	if on == nil {
@@ -114,7 +114,7 @@
 	}
 }
 
-// closeConn closes a connection and gives its descriptor back. No other place closes one.
+// closeConn closes a connection and returns its descriptor to the budget. Connections are closed nowhere else.
 func (b *Backend) closeConn(on *conn) {
 	_ = on.Close()
 	b.config.Budget.ReleaseBackend()
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -21,12 +21,12 @@
 
 // Headers between a node and a backend.
 const (
-	ExpiresHeader    = "X-Expires-In-Ms"       // the time that a request has left, in milliseconds
+	ExpiresHeader    = "X-Expires-In-Ms"       // the time until the request's deadline, in ms
 	neverRanHeader   = "X-Never-Ran"           // "1" in a rejection proves that the request did not run
 	loadReportHeader = "Endpoint-Load-Metrics" // a backend's load report
 )
 
-// Message is a request as its backends get it. It is encoded once, but for the time that the request has left.
+// Message is a request as its backends get it. It is encoded once, except for ExpiresHeader, which each attempt gets anew.
 type Message struct {
 	head   []byte
 	body   []byte
@@ -34,7 +34,7 @@
 	stream *StreamedBody // the rest of a body that is passed on as it comes; nil if body is complete
 }
 
-// StreamedBody is what a client still has to send of a long request body.
+// StreamedBody is the part of a long request body that the client has yet to send.
 type StreamedBody struct {
 	Size    int64         // of the complete body in bytes; negative for one in chunks, whose size is unknown
 	Timeout time.Duration // of the request, from the last byte of its body
@@ -46,7 +46,7 @@
 // IsStreamed reports whether the body is passed on as it comes. Such a message can be sent only once.
 func (m *Message) IsStreamed() bool { return m.stream != nil }
 
-// hopByHopHeaders are the headers that concern a single connection, and those that each message gets anew.
+// hopByHopHeaders are the headers that concern a single connection, and those that this node sets itself in each message.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te",
 	"Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length", ExpiresHeader}
 
@@ -102,8 +102,7 @@
 	return &Message{head: stored.Head, body: stored.Body, isHead: stored.IsHead}
 }
 
-// buffers returns the message for a single write. The backend is told that the request has that many milliseconds left,
-// rounded down, and at least one.
+// buffers returns the message for a single write. timeoutMs, rounded down and at least 1, goes into ExpiresHeader.
 func (m *Message) buffers(timeoutMs float64) net.Buffers {
 	const expiresLineSize = 40
 	head := make([]byte, 0, len(m.head)+expiresLineSize)
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// maxHeaderBytes bounds the head of a response together with the informational ones before it.
+	// maxHeaderBytes bounds the head of a response together with the informational responses (1xx) before it.
 	maxHeaderBytes = 16 << 10
 
 	// responseBufferSize holds the head of most responses.
 	responseBufferSize = 2 << 10
 )
 
-// errResponseTooLong means that a connection delivered more than a response may have.
+// errResponseTooLong means that a response has more bytes than it may have.
 var errResponseTooLong = errors.New("response exceeds its limit")
 
 // Reply is a backend's response: complete, or its head with the beginning of its body.
@@ -93,9 +93,9 @@
 	if !isHead && size > maxBody {
 		return nil, nil, false, fmt.Errorf("body of %d bytes", size)
 	}
-	r.remaining = maxBody + 1 // one more tells a body that is too long from one that just fits
+	r.remaining = maxBody + 1 // the one more tells a body that is too long from one that just fits
 	if len(response.TransferEncoding) > 0 {
-		r.remaining = 2*maxBody + maxHeaderBytes // the lines between chunks take room, too
+		r.remaining = 2*maxBody + maxHeaderBytes // the lines between chunks count as well
 	}
 
 	firstPart := maxBuffered + 1
@@ -140,7 +140,9 @@
 	}
 }
 
-// outcome returns what the response says of its attempt. A rejection counts as one that never ran only if it proves that.
+// outcome returns the attempt's outcome that follows from the response. The protocol knows one successful status, 200: any
+// other, also of the 2xx and 3xx, is OutcomeFailed, except a rejection that proves that the attempt never ran. The server's
+// writeReply relies on that when it writes 200 for every response that it passes on.
 func (r *Reply) outcome() balancer.Outcome {
 	switch r.Status {
 	case http.StatusOK:
@@ -153,8 +155,8 @@
 	return balancer.OutcomeFailed
 }
 
-// parseLoadReport reads the load report, "TEXT name=value, name=value ...". Each value is passed to set. If the report is
-// invalid, its text is returned and the report is empty.
+// parseLoadReport decodes the load report, "TEXT name=value, name=value ...". It passes each value to set, which stores it in
+// the report. If the report is invalid, it returns its text and an empty report.
 func (r *Reply) parseLoadReport(set func(report *balancer.LoadReport, name string, value float64)) (report balancer.LoadReport, invalid string) {
 	report = balancer.EmptyLoadReport()
 	text := r.Header.Get(loadReportHeader)
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// stallTimeout is how long a side of a streamed body may send or take nothing. Backends and clients pause for seconds
-	// now and then; one that has stopped for good must not keep a descriptor for long.
+	// stallTimeout is how long either side of a streamed body may send or take nothing. Backends and clients sometimes pause
+	// for seconds; one that has stopped for good must not occupy a descriptor for long.
 	stallTimeout = 10 * time.Second
 
-	// streamThreshold is how many bytes of a long response must have arrived before it is passed on. A response whose
-	// length was corrupted on the way shows by falling silent before that, and the request can still be answered by another
-	// backend. A higher threshold would delay whole responses: some backends send 64 KiB in a second.
+	// streamThreshold is how many bytes of a long response must have arrived before it is passed on. If a Content-Length was
+	// corrupted on the way, a short response seems to be a long one that stalls. It stalls before this many bytes, so that
+	// another backend can still answer the request. A higher threshold would delay sound responses: some backends send 64 KiB
+	// in a second.
 	streamThreshold = 4 << 10
 
 	// streamBufferSize is how many bytes of a stream are buffered at a time.
@@ -24,8 +25,8 @@
 // errBodyTooLong means that a streamed response has more bytes than MaxBody.
 var errBodyTooLong = errors.New("body exceeds its limit")
 
-// Stream is the rest of a response body that is passed on as it comes. Its reader must close it, which gives the
-// connection back. Read and Close may be called from different goroutines.
+// Stream is the rest of a response body that is passed on as it comes. Its user must close it, which returns the connection
+// to its backend. Read and Close may be called from different goroutines.
 type Stream struct {
 	Size int64 // of the complete body in bytes; negative if the backend did not say
 
@@ -56,7 +57,8 @@
 	return n, err
 }
 
-// Close gives the connection back, to be reused if the response has been read to its end. Further calls have no effect.
+// Close returns the connection to its backend, which reuses it if the response has been read to its end. Further calls have
+// no effect.
 func (s *Stream) Close() {
 	s.once.Do(func() {
 		s.mu.Lock()
