--- a/internal/capture/encoding.go
+++ b/internal/capture/encoding.go
@@ -175,7 +175,7 @@
 
 // walkFields calls handle for each field of an encoded message: value is a number's, data that of bytes.
 func walkFields(encoded []byte, handle func(field protowire.Number, value uint64, data []byte) error) error {
-	return snapshot.Walk(encoded, errInvalidRecord,
+	return snapshot.WalkFields(encoded, errInvalidRecord,
 		func(field protowire.Number, _ protowire.Type, value uint64, data []byte) error {
 			return handle(field, value, data)
 		})
