--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -21,7 +21,9 @@
 		return Change{}, err
 	}
 	from := f.Current()
-	if latest != nil && latest.Status == Stuck { // what runs is a mixture of two generations: it becomes one of its own
+	if latest != nil && latest.Status == Stuck {
+		// What runs is a mixture of two generations. It becomes a generation of its own, to which a rollback may
+		// return.
 		from = Generation{from.Number + 1, f.effective()}
 	}
 	order := f.changeOrder(from.Set, target)
@@ -67,7 +69,8 @@
 	}
 }
 
-// RollBack turns the change in progress: what it has reached goes back to the generation before.
+// RollBack reverses the change in progress: the instances that it has reached go back to the generation before. It
+// fails with a *ConflictError for another revision than the current one, and with a *BusyError during a rollback.
 func (f *Fleet) RollBack(now float64, revision uint64, author, reason string) (Change, error) {
 	if revision != f.Revision {
 		return Change{}, f.conflict(revision)
@@ -84,7 +87,8 @@
 	return latest.Clone(), nil
 }
 
-// validate refuses a set in which two instances would get in each other's way.
+// validate refuses a set with a name that is no file name, an unknown desired state, or two running instances at one
+// address. Port 0 is exempt: the kernel gives each instance its own.
 func validate(set Set) error {
 	listeners := map[string]string{}
 	for _, name := range set.Names() {
@@ -227,7 +231,7 @@
 			continue
 		}
 		unavailable++
-		if verdict, reason := f.Verdict(now, name); verdict == VerdictCrashLoop || verdict == VerdictWrongList || verdict == VerdictForeign {
+		if verdict, reason := f.Verdict(now, name); verdict.needsOperator() {
 			change.Status, change.EndedAt = Stuck, now
 			change.Failure += fmt.Sprintf("; and back: %s: %s: %s", name, verdict, reason)
 			return
@@ -248,12 +252,11 @@
 
 // failureOf returns what stops the change at an instance, or nothing.
 func (f *Fleet) failureOf(now float64, name string) string {
-	switch verdict, reason := f.Verdict(now, name); verdict {
-	case VerdictWrongList, VerdictCrashLoop, VerdictForeign:
+	if verdict, reason := f.Verdict(now, name); verdict.needsOperator() {
 		return string(verdict) + ": " + reason
 	}
-	change := f.Latest()
-	if record := f.Records[name]; len(record.Failures) > 0 && record.Failures[len(record.Failures)-1] > change.StartedAt { // it failed since the change began
+	record := f.Records[name]
+	if count := len(record.Failures); count > 0 && record.Failures[count-1] > f.Latest().StartedAt {
 		return "did not stay up: " + record.LastFailure
 	}
 	return ""
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -10,17 +10,20 @@
 // ConflictError refuses a write that was based on another revision than the current one: somebody else has written
 // since.
 type ConflictError struct {
-	Based, Current uint64
-	Since          []Change // what changed in between
+	Based   uint64   // the revision that the write was based on
+	Current uint64   // the fleet's revision
+	Since   []Change // what changed in between, as far as it is still stored
 }
 
 // Error lists the changes since the revision that the write was based on.
 func (c *ConflictError) Error() string {
 	var changes []string
 	for _, change := range c.Since {
-		changes = append(changes, fmt.Sprintf("change %d by %s (%s: %s)", change.ID, change.Author, change.Command, change.Reason))
+		changes = append(changes,
+			fmt.Sprintf("change %d by %s (%s: %s)", change.ID, change.Author, change.Command, change.Reason))
 	}
-	return fmt.Sprintf("made from revision %d, the fleet is at %d: %s", c.Based, c.Current, strings.Join(changes, ", "))
+	return fmt.Sprintf("made from revision %d, the fleet is at %d: %s",
+		c.Based, c.Current, strings.Join(changes, ", "))
 }
 
 // BusyError refuses a write while a change is in progress.
@@ -28,13 +31,14 @@
 
 // Error says how far the change is.
 func (b *BusyError) Error() string {
-	return fmt.Sprintf("change %d by %s is %s, %d of %d instances done: wait, or roll it back", b.Change.ID, b.Change.Author,
-		b.Change.Status, len(b.Change.Healthy), len(b.Change.Order))
+	return fmt.Sprintf("change %d by %s is %s, %d of %d instances done: wait, or roll it back",
+		b.Change.ID, b.Change.Author, b.Change.Status, len(b.Change.Healthy), len(b.Change.Order))
 }
 
 // ErrNoChange refuses a write that would change nothing.
 var ErrNoChange = errors.New("nothing to change")
 
+// conflict returns the error for a write that was based on a revision.
 func (f *Fleet) conflict(revision uint64) *ConflictError {
 	conflictError := &ConflictError{Based: revision, Current: f.Revision}
 	if missed := int(f.Revision) - int(revision); missed > 0 {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -9,10 +9,10 @@
 type Fleet struct {
 	State
 	timing        Timing
-	observations  map[string]Observation
-	sourceDigests map[string]SourceDigest // by source of the list
-	orderIndex    map[string]int          // of names in the order of the change whose id is placed
-	orderIndexOf  uint64
+	observations  map[string]Observation  // by name, also outdated ones: see Observation
+	sourceDigests map[string]SourceDigest // by address of the endpoint list's source
+	orderIndex    map[string]int          // positions of names in Change.Order, see orderOf
+	orderIndexOf  uint64                  // the ID of the change that orderIndex is of
 }
 
 // New returns a fleet that continues from stored state; the zero State is an empty fleet.
@@ -23,7 +23,12 @@
 	if state.Records == nil {
 		state.Records = map[string]Record{}
 	}
-	return &Fleet{State: state, timing: timing, observations: map[string]Observation{}, sourceDigests: map[string]SourceDigest{}}
+	return &Fleet{
+		State:         state,
+		timing:        timing,
+		observations:  map[string]Observation{},
+		sourceDigests: map[string]SourceDigest{},
+	}
 }
 
 // Current returns the generation that was declared last.
@@ -47,6 +52,7 @@
 	return &f.Changes[len(f.Changes)-1]
 }
 
+// nextID returns the ID of the next change.
 func (f *Fleet) nextID() uint64 {
 	if latest := f.Latest(); latest != nil {
 		return latest.ID + 1
@@ -72,7 +78,8 @@
 			names = append(names, name)
 		}
 	}
-	if change := f.Latest(); change != nil && !change.Status.IsFinal() { // one that was declared, never ran, and is to go
+	if change := f.Latest(); change != nil && !change.Status.IsFinal() {
+		// An instance that was declared, never ran, and is to be removed has no record and is no longer declared.
 		for _, name := range change.Order {
 			if _, declared := f.Current().Set[name]; !declared && f.Records[name].Name == "" {
 				names = append(names, name)
@@ -91,8 +98,17 @@
 		latest.Status, latest.EndedAt, latest.Failure = Stuck, now, "the state was lost on the way"
 	}
 	f.Generations = append(f.Generations, Generation{number, set})
-	f.Changes = append(f.Changes, Change{ID: f.nextID(), StartedAt: now, Author: "agent", Reason: reason, Command: "recover", From: number - 1, To: number,
-		Status: Succeeded, EndedAt: now})
+	f.Changes = append(f.Changes, Change{
+		ID:        f.nextID(),
+		StartedAt: now,
+		Author:    "agent",
+		Reason:    reason,
+		Command:   "recover",
+		From:      number - 1,
+		To:        number,
+		Status:    Succeeded,
+		EndedAt:   now,
+	})
 	f.Revision++
 	f.dropOldHistory()
 }
@@ -100,8 +116,10 @@
 // CopyState returns a copy of the state. RestoreState takes it back if what followed could not be stored.
 func (f *Fleet) CopyState() State {
 	state := f.State
-	state.Generations, state.Changes, state.Records = slices.Clone(state.Generations), slices.Clone(state.Changes), maps.Clone(state.Records)
-	if count := len(state.Changes); count > 0 { // the others are over
+	state.Generations = slices.Clone(state.Generations)
+	state.Changes = slices.Clone(state.Changes)
+	state.Records = maps.Clone(state.Records)
+	if count := len(state.Changes); count > 0 { // those before the latest are over and no longer written to
 		state.Changes[count-1] = state.Changes[count-1].Clone()
 	}
 	return state
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -9,9 +9,9 @@
 type Action struct {
 	Step       Step
 	Name       string
-	Instance   Instance // for Start
-	Reason     string
-	NeverReady bool // a Terminate of what never came up
+	Instance   Instance // what to start, for StepStart
+	Reason     string   // in words, for the log
+	NeverReady bool     // StepTerminate of an instance that did not become ready: this counts as a failed start
 }
 
 // Plan advances the change in progress and returns the steps that are due, in the order of names. No step is due
@@ -70,7 +70,8 @@
 		action.Step, action.Reason = StepTerminate, "to be told again"
 	case record.TerminatedAt > 0:
 		if now-record.TerminatedAt >= f.timing.ShutdownTimeout {
-			action.Step, action.Reason = StepKill, fmt.Sprintf("still there %.1f s after SIGTERM", (now-record.TerminatedAt)/1e3)
+			action.Step = StepKill
+			action.Reason = fmt.Sprintf("still there %.1f s after SIGTERM", (now-record.TerminatedAt)/1e3)
 		}
 	case !shouldRun:
 		action.Step, action.Reason = StepTerminate, "not wanted"
--- a/internal/fleet/steps.go
+++ b/internal/fleet/steps.go
@@ -14,8 +14,9 @@
 	record.Name, record.PendingStep = action.Name, action.Step
 	switch action.Step {
 	case StepStart:
-		record.Token, record.PID, record.Digest, record.Epoch, record.StartedAt, record.TerminatedAt = token, 0, action.Instance.Digest, action.Instance.Epoch, now, 0
-		record.WasReady = false
+		record.Token, record.PID, record.WasReady = token, 0, false
+		record.Digest, record.Epoch = action.Instance.Digest, action.Instance.Epoch
+		record.StartedAt, record.TerminatedAt = now, 0
 	case StepTerminate:
 		record.TerminatedAt = now
 		if record.LastFailure = action.Reason; action.NeverReady {
@@ -42,7 +43,8 @@
 		}
 	}
 	f.Records[action.Name] = record
-	f.observations[action.Name] = Observation{Phase: PhaseUnknown, ObservedAt: now, Reason: "just told to " + string(action.Step)}
+	reason := "just told to " + string(action.Step)
+	f.observations[action.Name] = Observation{Phase: PhaseUnknown, ObservedAt: now, Reason: reason}
 }
 
 // InstanceExited records that an instance that was to run has exited without having been told to.
@@ -51,7 +53,9 @@
 	if !ok || record.StartedAt == 0 {
 		return
 	}
-	if record.TerminatedAt == 0 && record.PendingStep != StepStart { // a start that the agent's own end cut off came to nothing by no fault
+	if record.TerminatedAt == 0 && record.PendingStep != StepStart {
+		// A pending start was interrupted by the agent's own end: that no process exists is not the instance's
+		// failure.
 		f.recordFailure(now, &record, reason)
 	}
 	record.PendingStep = ""
@@ -62,7 +66,8 @@
 // Adopt takes over an instance that runs and has proven its token, although the record of its start was not stored.
 func (f *Fleet) Adopt(now float64, name, token string, pid int, digest string, epoch uint64) {
 	record := f.Records[name]
-	record.Name, record.Token, record.PID, record.Digest, record.Epoch, record.PendingStep = name, token, pid, digest, epoch, ""
+	record.Name, record.Token, record.PID = name, token, pid
+	record.Digest, record.Epoch, record.PendingStep = digest, epoch, ""
 	if record.StartedAt == 0 {
 		record.StartedAt = now
 	}
@@ -73,13 +78,20 @@
 // instances that failed together do not start together; too many failures within CrashLoopWindow are a crash loop,
 // which is not started again.
 func (f *Fleet) recordFailure(now float64, record *Record, reason string) {
+	isForgotten := func(failedAt float64) bool { return now-failedAt > f.timing.CrashLoopWindow }
 	record.LastFailure = reason
-	record.Failures = append(slices.DeleteFunc(slices.Clone(record.Failures), func(at float64) bool { return now-at > f.timing.CrashLoopWindow }), now)
+	record.Failures = append(slices.DeleteFunc(slices.Clone(record.Failures), isForgotten), now)
 	if len(record.Failures) >= f.timing.CrashLoopCount {
 		record.CrashLooping = true
 	}
+	backoff := f.timing.BaseBackoffMs * math.Exp2(float64(len(record.Failures)-1))
+	record.NextStartAt = now + math.Min(backoff, f.timing.MaxBackoffMs)*backoffJitter(now, record)
+}
+
+// backoffJitter returns a factor from 0.5 to 1.5 that follows from the instance and its failures, so that it is the
+// same when the state is computed again.
+func backoffJitter(now float64, record *Record) float64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%s %d %v", record.Name, len(record.Failures), now)
-	jitter := 0.5 + float64(hash.Sum64()>>11)/(1<<53)
-	record.NextStartAt = now + math.Min(f.timing.BaseBackoffMs*math.Exp2(float64(len(record.Failures)-1)), f.timing.MaxBackoffMs)*jitter
+	return 0.5 + float64(hash.Sum64()>>11)/(1<<53)
 }
--- a/internal/fleet/types.go
+++ b/internal/fleet/types.go
@@ -6,7 +6,9 @@
 // between the two is safe, because steps follow from what is observed, not from what was intended: the next agent
 // observes again.
 //
-// JSON names and enumerated strings are stored and part of the agent's API, so some keep words of earlier versions.
+// JSON names and the strings of enumerations are stored, and are part of the agent's API. They keep words of
+// earlier versions ("wanted" for desired, "alien" for foreign, "no_revert" for no rollback): this package is where
+// they are mapped.
 package fleet
 
 import (
@@ -27,7 +29,7 @@
 type Instance struct {
 	Name      string       `json:"name"`
 	Listen    string       `json:"listen"`
-	Config    string       `json:"config"` // the operator's file; the instance runs a copy of what it was when declared
+	Config    string       `json:"config"` // the operator's file, of which the instance runs the copy with Digest
 	Digest    string       `json:"digest"` // of that copy
 	Discovery string       `json:"list"`   // address of the endpoint list's source
 	Desired   DesiredState `json:"wanted"`
@@ -59,7 +61,7 @@
 	PhaseStarting     Phase = "starting"
 	PhaseReady        Phase = "ready" // it has an endpoint list and could serve
 	PhaseShuttingDown Phase = "ending"
-	PhaseForeign      Phase = "alien" // its lock is held by a process that can't prove to be the instance: nothing is done to it
+	PhaseForeign      Phase = "alien" // a process that can't prove to be the instance holds its lock: left alone
 )
 
 // Observation is what was observed of an instance.
@@ -108,7 +110,7 @@
 type Options struct {
 	MaxUnavailable int     `json:"at_once"`   // instances that are out of service for the change at a time; at least 1
 	Canary         int     `json:"canary"`    // instances that are changed first, before all others
-	HealthMs       float64 `json:"health_ms"` // ms for which an instance must stay healthy before the next ones are changed
+	HealthMs       float64 `json:"health_ms"` // how long an instance must stay healthy before the next ones follow
 	NoRollback     bool    `json:"no_revert"` // a failure stops the change and leaves it there
 }
 
@@ -122,8 +124,8 @@
 	From         uint64             `json:"from"`
 	To           uint64             `json:"to"`
 	Options      Options            `json:"options"`
-	Order        []string           `json:"order"`   // the instances that differ, in the order in which they are changed
-	Reached      int                `json:"reached"` // the first Reached of Order are to be as in To, the others as in From
+	Order        []string           `json:"order"`   // the instances that are changed, in their order
+	Reached      int                `json:"reached"` // instances of Order, from its first, that are to be as in To
 	MaxReached   int                `json:"most"`    // Reached when the rollback began
 	HealthySince map[string]float64 `json:"well"`    // since when a reached instance is healthy, ms
 	Healthy      map[string]bool    `json:"done"`    // reached instances that stayed healthy for HealthMs
@@ -143,12 +145,12 @@
 
 // The steps.
 const (
-	StepStart     Step = "start"
-	StepTerminate Step = "terminate"
-	StepKill      Step = "kill"
-	StepAdmit     Step = "admit"
-	StepWithdraw  Step = "withhold"
-	StepForget    Step = "forget" // remove the files of an instance that is neither declared nor running
+	StepStart     Step = "start"     // start a process
+	StepTerminate Step = "terminate" // send SIGTERM
+	StepKill      Step = "kill"      // send SIGKILL
+	StepAdmit     Step = "admit"     // let the instance serve
+	StepWithdraw  Step = "withhold"  // take the instance out of service
+	StepForget    Step = "forget"    // remove the files of an instance that is neither declared nor running
 )
 
 // Record is what is stored of an instance across restarts of the agent. Times are ms.
@@ -159,13 +161,13 @@
 	PID          int       `json:"pid,omitempty"`
 	Digest       string    `json:"digest,omitempty"` // of the configuration that it was last started with
 	Epoch        uint64    `json:"epoch,omitempty"`
-	StartedAt    float64   `json:"started_at,omitempty"`
-	TerminatedAt float64   `json:"term_at,omitempty"`
-	WasReady     bool      `json:"was_ready,omitempty"` // since that start
-	Failures     []float64 `json:"tries,omitempty"`     // recent starts that failed or exited by themselves
-	NextStartAt  float64   `json:"next_at,omitempty"`
-	CrashLooping bool      `json:"halted,omitempty"` // not started again until an operator changes it
-	LastFailure  string    `json:"fault,omitempty"`  // why the latest failure happened
+	StartedAt    float64   `json:"started_at,omitempty"` // 0 if no process is to be found
+	TerminatedAt float64   `json:"term_at,omitempty"`    // when SIGTERM was sent; 0 before
+	WasReady     bool      `json:"was_ready,omitempty"`  // since that start
+	Failures     []float64 `json:"tries,omitempty"`      // recent starts that failed or exited by themselves
+	NextStartAt  float64   `json:"next_at,omitempty"`    // not started before
+	CrashLooping bool      `json:"halted,omitempty"`     // not started again until an operator changes it
+	LastFailure  string    `json:"fault,omitempty"`      // why the latest failure happened
 }
 
 // State is all that must survive the agent.
@@ -195,5 +197,13 @@
 
 // DefaultTiming fits a node with deadlines of a few seconds.
 func DefaultTiming() Timing {
-	return Timing{StartTimeout: 15e3, ShutdownTimeout: 10e3, BaseBackoffMs: 500, MaxBackoffMs: 60e3, CrashLoopCount: 5, CrashLoopWindow: 120e3, ObservationTTL: 5e3}
+	return Timing{
+		StartTimeout:    15e3,
+		ShutdownTimeout: 10e3,
+		BaseBackoffMs:   500,
+		MaxBackoffMs:    60e3,
+		CrashLoopCount:  5,
+		CrashLoopWindow: 120e3,
+		ObservationTTL:  5e3,
+	}
 }
--- a/internal/fleet/verdict.go
+++ b/internal/fleet/verdict.go
@@ -8,8 +8,8 @@
 // Observe records what was observed of an instance.
 func (f *Fleet) Observe(name string, observation Observation) {
 	f.observations[name] = observation
-	if record, ok := f.Records[name]; ok && observation.Phase == PhaseReady && !record.WasReady { // from now on silence is no start
-		record.WasReady = true
+	if record, ok := f.Records[name]; ok && observation.Phase == PhaseReady && !record.WasReady {
+		record.WasReady = true // from now on an instance that does not answer is no longer taken to be starting
 		f.Records[name] = record
 	}
 }
@@ -35,17 +35,22 @@
 
 // The verdicts on an instance.
 const (
-	VerdictAsDeclared  InstanceVerdict = "as wanted"
-	VerdictInProgress  InstanceVerdict = "on the way"
-	VerdictRestartDue  InstanceVerdict = "not as wanted"
-	VerdictWrongList   InstanceVerdict = "wrong list"
-	VerdictWrongConfig InstanceVerdict = "wrong configuration"
-	VerdictCrashLoop   InstanceVerdict = "crash loop"
-	VerdictUnknown     InstanceVerdict = "unknown"
-	VerdictForeign     InstanceVerdict = "alien process"
-	VerdictUndeclared  InstanceVerdict = "not declared"
+	VerdictAsDeclared  InstanceVerdict = "as wanted"           // in its declared state
+	VerdictInProgress  InstanceVerdict = "on the way"          // it starts, ends, or is about to
+	VerdictRestartDue  InstanceVerdict = "not as wanted"       // a restart was asked for and has not happened
+	VerdictWrongList   InstanceVerdict = "wrong list"          // its endpoint list is not the declared one
+	VerdictWrongConfig InstanceVerdict = "wrong configuration" // it runs another configuration than the declared one
+	VerdictCrashLoop   InstanceVerdict = "crash loop"          // it failed too often and is not started again
+	VerdictUnknown     InstanceVerdict = "unknown"             // it can't be observed now
+	VerdictForeign     InstanceVerdict = "alien process"       // another process holds its lock
+	VerdictUndeclared  InstanceVerdict = "not declared"        // its files remain until they are removed
 )
 
+// needsOperator reports whether the agent can't mend what the verdict says: a change stops there.
+func (v InstanceVerdict) needsOperator() bool {
+	return v == VerdictCrashLoop || v == VerdictWrongList || v == VerdictForeign
+}
+
 // Verdict returns what an instance is, against what it is to be, and the reason in words for the operator.
 func (f *Fleet) Verdict(now float64, name string) (verdict InstanceVerdict, reason string) {
 	target, declared := f.target(name)
@@ -71,7 +76,8 @@
 	case observation.Phase == PhaseStarting:
 		return VerdictInProgress, strings.TrimSuffix("starting: "+observation.Reason, ": ")
 	case observation.Digest != target.Digest:
-		return VerdictWrongConfig, fmt.Sprintf("declared %s, runs %s", shortDigest(target.Digest), shortDigest(observation.Digest))
+		return VerdictWrongConfig, fmt.Sprintf("declared %s, runs %s",
+			shortDigest(target.Digest), shortDigest(observation.Digest))
 	case observation.Epoch != target.Epoch:
 		return VerdictRestartDue, "a restart is due"
 	}
@@ -87,15 +93,20 @@
 // listMismatch says how an instance's endpoint list differs from the declared one: by its source, or, at the same
 // version of the same source, by its content.
 func (f *Fleet) listMismatch(declared Instance, observation Observation) string {
+	source, isRead := f.sourceDigests[declared.Discovery]
 	if observation.Discovery != declared.Discovery {
-		return fmt.Sprintf("declared %s (%s), asks %s (%s)", declared.Discovery, shortDigest(f.sourceDigests[declared.Discovery].Digest), observation.Discovery, shortDigest(observation.ListDigest))
+		return fmt.Sprintf("declared %s (%s), asks %s (%s)", declared.Discovery, shortDigest(source.Digest),
+			observation.Discovery, shortDigest(observation.ListDigest))
 	}
-	if sourceDigest, ok := f.sourceDigests[declared.Discovery]; ok && observation.ListDigest != "" && sourceDigest.Version == observation.ListVersion && sourceDigest.Digest != observation.ListDigest {
-		return fmt.Sprintf("declared %s, holds %s at version %d of %s", shortDigest(sourceDigest.Digest), shortDigest(observation.ListDigest), sourceDigest.Version, declared.Discovery)
+	isComparable := isRead && observation.ListDigest != "" && source.Version == observation.ListVersion
+	if isComparable && source.Digest != observation.ListDigest {
+		return fmt.Sprintf("declared %s, holds %s at version %d of %s", shortDigest(source.Digest),
+			shortDigest(observation.ListDigest), source.Version, declared.Discovery)
 	}
 	return ""
 }
 
+// shortDigest returns as much of a digest as people compare.
 func shortDigest(digest string) string {
 	if digest == "" {
 		return "unknown"
