--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -40,17 +40,17 @@
 	clock   *clock.Clock
 	log     *slog.Logger
 	mailbox *mailbox.Box[func()]
-	done    chan struct{}
+	done    chan struct{} // closed when Run ends
 
 	store          *store
 	fleet          *fleet.Fleet
 	nextRound      *time.Timer
-	viewVersion    uint64 // grows whenever the view changes
-	changed        chan struct{}
-	viewDigest     uint64 // of the view at seq
-	listsCheckedAt time.Time
-	writeError     error // why the state could not be stored; no step is taken until it can
-	probes         sync.WaitGroup
+	viewVersion    uint64         // grows whenever the view changes; View.Seq
+	viewDigest     uint64         // of the view at viewVersion
+	changed        chan struct{}  // closed when viewVersion grows, and replaced
+	listsCheckedAt time.Time      // when checkLists last began
+	writeError     error          // why the state could not be stored; no step is taken until it can
+	probes         sync.WaitGroup // goroutines that observe instances or read endpoint lists
 }
 
 // New opens the stored state of a directory. Nothing is started or observed before Run.
@@ -61,8 +61,15 @@
 	if err := makeDirectories(options.Dir); err != nil {
 		return nil, err
 	}
-	agent := &Agent{options: options, clock: clock.New(), log: log, mailbox: mailbox.New[func()](), done: make(chan struct{}), changed: make(chan struct{}),
-		nextRound: time.NewTimer(0)}
+	agent := &Agent{
+		options:   options,
+		clock:     clock.New(),
+		log:       log,
+		mailbox:   mailbox.New[func()](),
+		done:      make(chan struct{}),
+		changed:   make(chan struct{}),
+		nextRound: time.NewTimer(0),
+	}
 	stateStore, state, recovered, err := openStore(options.Dir, log)
 	if err != nil {
 		return nil, err
@@ -87,6 +94,7 @@
 	return nil
 }
 
+// now is the agent's clock, in Unix ms.
 func (a *Agent) now() float64 { return a.clock.Now() }
 
 // Run serves the API and looks after the instances until ctx ends. The instances go on running.
@@ -102,7 +110,8 @@
 			failed <- err
 		}
 	}()
-	a.log.Info("agent serving", "socket", a.options.Socket, "dir", a.options.Dir, "revision", a.fleet.Revision, "instances", len(a.fleet.Current().Set))
+	a.log.Info("agent serving", "socket", a.options.Socket, "dir", a.options.Dir,
+		"revision", a.fleet.Revision, "instances", len(a.fleet.Current().Set))
 	defer func() {
 		close(a.done)
 		_ = server.Close()
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -51,10 +51,10 @@
 	Revision  uint64            `json:"revision"` // that the change is based on
 	Command   string            `json:"what"`     // apply, start, stop, restart, reconfigure, rollback
 	Reason    string            `json:"reason"`
-	Instances []fleet.Instance  `json:"instances,omitempty"` // apply: all that is declared; reconfigure: those that change
+	Instances []fleet.Instance  `json:"instances,omitempty"` // apply: all; reconfigure: those that change
 	Configs   map[string]string `json:"configs,omitempty"`   // texts, by name of the instance
 	Names     []string          `json:"names,omitempty"`     // start, stop, restart; none is all
-	To        uint64            `json:"to,omitempty"`        // rollback: a generation; 0 rolls back the change in progress
+	To        uint64            `json:"to,omitempty"`        // rollback: the generation; 0 for the change in progress
 	Options   *fleet.Options    `json:"options,omitempty"`
 	DryRun    bool              `json:"dry_run,omitempty"`
 }
@@ -66,6 +66,7 @@
 	Instances []string     `json:"differs"` // the instances that it changes
 }
 
+// api returns the handler of the agent's socket.
 func (a *Agent) api() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+FleetPath, a.getFleet)
@@ -79,7 +80,13 @@
 func (a *Agent) view() View {
 	now := a.now()
 	generation := a.fleet.Current()
-	view := View{Revision: a.fleet.Revision, Generation: generation.Number, Now: now, Seq: a.viewVersion, Rolling: a.options.Rolling}
+	view := View{
+		Revision:   a.fleet.Revision,
+		Generation: generation.Number,
+		Now:        now,
+		Seq:        a.viewVersion,
+		Rolling:    a.options.Rolling,
+	}
 	if change := a.fleet.Latest(); change != nil {
 		copied := change.Clone() // the actor goes on changing it while the answer is encoded
 		view.Change = &copied
@@ -90,7 +97,14 @@
 	for _, name := range a.fleet.Names() {
 		verdict, reason := a.fleet.Verdict(now, name)
 		record := a.fleet.Records[name]
-		instance := InstanceView{Name: name, Observation: a.fleet.Observation(now, name), Verdict: verdict, Reason: reason, RecentFailures: len(record.Failures), LastFailure: record.LastFailure}
+		instance := InstanceView{
+			Name:           name,
+			Observation:    a.fleet.Observation(now, name),
+			Verdict:        verdict,
+			Reason:         reason,
+			RecentFailures: len(record.Failures),
+			LastFailure:    record.LastFailure,
+		}
 		if declared, ok := generation.Set[name]; ok {
 			instance.Declared = &declared
 		}
@@ -99,12 +113,15 @@
 	return view
 }
 
+// maxWaitMs bounds how long a client may wait for a newer view in one call.
+const maxWaitMs = 60_000
+
 // getFleet answers with the view. With the parameter since it waits until the view is newer, for at most wait_ms.
 func (a *Agent) getFleet(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	watching := err == nil
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(min(max(wait, 0), 60_000))*time.Millisecond)
+	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(min(max(wait, 0), maxWaitMs))*time.Millisecond)
 	defer cancel()
 	for {
 		var view View
@@ -127,6 +144,7 @@
 	}
 }
 
+// postWrite takes an operator's change. Its status says why it was refused.
 func (a *Agent) postWrite(w http.ResponseWriter, r *http.Request) {
 	var write Write
 	if err := controlsocket.DecodeBody(r, &write); err != nil {
@@ -159,6 +177,7 @@
 // NothingToChange is the status of a write that would change nothing.
 const NothingToChange = http.StatusPreconditionFailed
 
+// errStateNotWritten refuses a write that could not be stored. Nothing is changed by it.
 var errStateNotWritten = errors.New("state can't be written")
 
 // author returns the caller's user name, or its uid if the system knows no name.
@@ -192,7 +211,8 @@
 		if write.Command == "rollback" {
 			command = fmt.Sprintf("rollback to generation %d", write.To)
 		}
-		change, err = a.fleet.Propose(a.now(), write.Revision, set, fleet.Change{Author: author, Reason: write.Reason, Command: command, Options: options})
+		proposed := fleet.Change{Author: author, Reason: write.Reason, Command: command, Options: options}
+		change, err = a.fleet.Propose(a.now(), write.Revision, set, proposed)
 	}
 	if err != nil {
 		return Written{}, err
@@ -208,74 +228,107 @@
 		return Written{}, fmt.Errorf("%w: %w", errStateNotWritten, a.writeError)
 	}
 	a.options.OnPoint("planned")
-	a.log.Info("change", "id", change.ID, "what", change.Command, "author", author, "reason", write.Reason, "instances", len(change.Order))
+	a.log.Info("change", "id", change.ID, "what", change.Command, "author", author, "reason", write.Reason,
+		"instances", len(change.Order))
 	a.removeUnusedConfigs()
 	a.scheduleRound()
 	return written, nil
 }
 
 // declaredSet returns the set of instances that a write asks for.
-func (a *Agent) declaredSet(x Write) (fleet.Set, error) {
-	set := a.fleet.Current().Set.Clone()
-	switch x.Command {
-	case "apply", "reconfigure":
-		if x.Command == "apply" {
-			set = fleet.Set{}
-		}
-		for _, i := range x.Instances {
-			was, had := a.fleet.Current().Set[i.Name]
-			if x.Command == "reconfigure" && !had {
-				return nil, fmt.Errorf("instance %s is not declared", i.Name)
-			}
-			if _, twice := set[i.Name]; twice && x.Command == "apply" {
-				return nil, fmt.Errorf("instance %s declared twice", i.Name)
-			}
-			text, ok := x.Configs[i.Name]
-			if !ok {
-				return nil, fmt.Errorf("instance %s: no text of its configuration", i.Name)
-			}
-			digest, err := a.storeConfig(text)
-			if err != nil {
-				return nil, fmt.Errorf("%w: %w", errStateNotWritten, err)
-			}
-			i.Digest, i.Epoch = digest, was.Epoch
-			set[i.Name] = i
-		}
+func (a *Agent) declaredSet(write Write) (fleet.Set, error) {
+	current := a.fleet.Current().Set.Clone()
+	switch write.Command {
+	case "apply":
+		return a.appliedSet(write)
+	case "reconfigure":
+		return current, a.reconfigure(current, write)
 	case "start", "stop", "restart":
-		names := x.Names
-		if len(names) == 0 {
-			names = set.Names()
+		return current, setDesiredState(current, write)
+	case "rollback":
+		if write.To == 0 { // of the change in progress: declares nothing
+			return current, nil
 		}
-		for _, name := range names {
-			i, ok := set[name]
-			if !ok {
-				return nil, fmt.Errorf("instance %s is not declared", name)
-			}
-			switch x.Command {
-			case "stop":
-				i.Desired = fleet.Stopped
-			case "restart":
-				i.Epoch++
-				fallthrough
-			default:
-				i.Desired = fleet.Running
-			}
-			set[name] = i
+		generation, ok := a.fleet.Generation(write.To)
+		if !ok {
+			return nil, fmt.Errorf("generation %d is not kept: see history", write.To)
 		}
-	case "rollback":
-		if x.To > 0 {
-			g, ok := a.fleet.Generation(x.To)
-			if !ok {
-				return nil, fmt.Errorf("generation %d is not kept: see history", x.To)
-			}
-			set = g.Set.Clone()
+		return generation.Set.Clone(), nil
+	}
+	return nil, fmt.Errorf("unknown command %q", write.Command)
+}
+
+// appliedSet returns the instances of an apply, which declares all that are to exist.
+func (a *Agent) appliedSet(write Write) (fleet.Set, error) {
+	set := fleet.Set{}
+	for _, instance := range write.Instances {
+		if _, isTwice := set[instance.Name]; isTwice {
+			return nil, fmt.Errorf("instance %s declared twice", instance.Name)
+		}
+		if err := a.declare(set, instance, write.Configs); err != nil {
+			return nil, err
 		}
-	default:
-		return nil, fmt.Errorf("unknown command %q", x.Command)
 	}
 	return set, nil
 }
 
+// reconfigure replaces declared instances in a set.
+func (a *Agent) reconfigure(set fleet.Set, write Write) error {
+	for _, instance := range write.Instances {
+		if _, isDeclared := a.fleet.Current().Set[instance.Name]; !isDeclared {
+			return fmt.Errorf("instance %s is not declared", instance.Name)
+		}
+		if err := a.declare(set, instance, write.Configs); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// declare adds an instance to a set, with its stored configuration and with the restarts that were asked for so far.
+func (a *Agent) declare(set fleet.Set, instance fleet.Instance, configs map[string]string) error {
+	text, ok := configs[instance.Name]
+	if !ok {
+		return fmt.Errorf("instance %s: no text of its configuration", instance.Name)
+	}
+	digest, err := a.storeConfig(text)
+	if err != nil {
+		return fmt.Errorf("%w: %w", errStateNotWritten, err)
+	}
+	instance.Digest, instance.Epoch = digest, a.fleet.Current().Set[instance.Name].Epoch
+	set[instance.Name] = instance
+	return nil
+}
+
+// setDesiredState carries out start, stop and restart on the named instances of a set, or on all.
+func setDesiredState(set fleet.Set, write Write) error {
+	names := write.Names
+	if len(names) == 0 {
+		names = set.Names()
+	}
+	for _, name := range names {
+		instance, ok := set[name]
+		if !ok {
+			return fmt.Errorf("instance %s is not declared", name)
+		}
+		instance.Desired = fleet.Running
+		switch write.Command {
+		case "stop":
+			instance.Desired = fleet.Stopped
+		case "restart":
+			instance.Epoch++
+		}
+		set[name] = instance
+	}
+	return nil
+}
+
+// What an answer holds if the caller gives no number: a terminal's height.
+const (
+	defaultHistory  = 20 // changes
+	defaultLogLines = 50
+)
+
 // History lists the changes, the latest first.
 type History struct {
 	Revision    uint64         `json:"revision"`
@@ -283,10 +336,11 @@
 	Generations []uint64       `json:"generations_kept"`
 }
 
+// getHistory answers with the latest n changes, defaultHistory if no n is given.
 func (a *Agent) getHistory(w http.ResponseWriter, r *http.Request) {
 	limit, err := strconv.Atoi(r.URL.Query().Get("n"))
 	if err != nil || limit <= 0 {
-		limit = 20
+		limit = defaultHistory
 	}
 	var history History
 	if err := a.onActor(r.Context(), func() {
@@ -309,11 +363,12 @@
 	Out   []string `json:"standard_output,omitempty"` // what it wrote to its standard output and error
 }
 
+// getLogs answers with the last lines of an instance's log and output, defaultLogLines if no number is given.
 func (a *Agent) getLogs(w http.ResponseWriter, r *http.Request) {
 	name := r.URL.Query().Get("name")
 	lines, err := strconv.Atoi(r.URL.Query().Get("lines"))
 	if err != nil || lines <= 0 {
-		lines = 50
+		lines = defaultLogLines
 	}
 	known := false
 	if err := a.onActor(r.Context(), func() { known = slices.Contains(a.fleet.Names(), name) }); err != nil {
--- a/internal/agent/points.go
+++ b/internal/agent/points.go
@@ -14,7 +14,19 @@
 const KillVariable = "PEARKNOT_AGENT_KILL_AT"
 
 // Points are the names of the points, in the order of a change.
-var Points = []string{"proposed", "planned", "begun", "locked", "executed", "noted", "start", "terminate", "admit", "ended", "snapshot"}
+var Points = []string{
+	"proposed",  // the change is accepted, not stored
+	"planned",   // the change is stored
+	"begun",     // the due steps are stored as pending
+	"locked",    // the agent has the lock of the instance that it starts
+	"executed",  // the instance's process exists
+	"noted",     // the process is named in its lock file
+	"start",     // a StepStart was taken, or failed
+	"terminate", // a StepTerminate was taken, or failed
+	"admit",     // a StepAdmit was taken, or failed
+	"ended",     // the steps' results are stored
+	"snapshot",  // the state is in the snapshot file
+}
 
 // KillAt returns the function that Options.OnPoint calls for a value of KillVariable, or nil for an empty one.
 func KillAt(text string) (func(string), error) {
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -8,6 +8,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"io/fs"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -78,9 +79,11 @@
 	return hex.EncodeToString(token)
 }
 
-// start starts an instance's process and returns its id. It calls ended when the process has exited, if the agent
-// still lives.
-func (files instanceFiles) start(binary []string, instance fleet.Instance, token string, onPoint func(string), onExit func(error)) (pid int, err error) {
+// start starts an instance's process and returns its id. It calls onPoint at the points that it passes, and onExit
+// when the process has exited, if the agent still lives.
+func (files instanceFiles) start(
+	binary []string, instance fleet.Instance, token string, onPoint func(string), onExit func(error),
+) (pid int, err error) {
 	lock, err := files.tryLock()
 	if err != nil {
 		return 0, err
@@ -98,13 +101,9 @@
 		return 0, err
 	}
 	defer func() { _ = output.Close() }()
-	args := append(slices.Clone(binary[1:]), "serve", "--config", configFile(files.dir, instance.Digest), "--control", files.socket(), "--held",
-		"--log-file", files.logFile())
-	command := exec.Command(binary[0], args...)
-	command.Env = append(withoutOwnVariables(os.Environ()), serve.TokenVariable+"="+token, serve.LockVariable+"="+files.lockFile(),
-		fmt.Sprintf("%s=%d", serve.EpochVariable, instance.Epoch))
-	command.Stdout, command.Stderr, command.ExtraFiles = output, output, []*os.File{lock}
-	command.SysProcAttr = &syscall.SysProcAttr{Setsid: true} // in a session of its own, it survives the agent and its terminal
+	command := files.command(binary, instance, token)
+	command.Stdout, command.Stderr = output, output
+	command.ExtraFiles = []*os.File{lock} // the process inherits the lock, see tryLock
 	if err := command.Start(); err != nil {
 		return 0, err
 	}
@@ -117,6 +116,23 @@
 	return command.Process.Pid, nil
 }
 
+// command returns the command that runs an instance out of service, until the agent admits it.
+func (files instanceFiles) command(binary []string, instance fleet.Instance, token string) *exec.Cmd {
+	args := append(slices.Clone(binary[1:]), "serve",
+		"--config", configFile(files.dir, instance.Digest),
+		"--control", files.socket(),
+		"--held",
+		"--log-file", files.logFile())
+	command := exec.Command(binary[0], args...)
+	command.Env = append(withoutOwnVariables(os.Environ()),
+		serve.TokenVariable+"="+token,
+		serve.LockVariable+"="+files.lockFile(),
+		fmt.Sprintf("%s=%d", serve.EpochVariable, instance.Epoch))
+	// In a session of its own, the process survives the agent and its terminal.
+	command.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
+	return command
+}
+
 // withoutOwnVariables removes variables that would give a node another identity or configuration.
 func withoutOwnVariables(env []string) []string {
 	var remaining []string
@@ -165,8 +181,25 @@
 	return nil
 }
 
+// remove removes an instance's socket and lock. It fails while a process holds the lock.
+func (files instanceFiles) remove() error {
+	lock, err := files.tryLock()
+	if err != nil || lock == nil {
+		return errors.Join(err, errors.New("still held"))
+	}
+	defer func() { _ = lock.Close() }()
+	for _, name := range []string{files.socket(), files.lockFile()} {
+		if err := os.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			return err
+		}
+	}
+	return nil
+}
+
 // observe returns what an instance is now. It changes nothing.
-func (files instanceFiles) observe(ctx context.Context, record fleet.Record, now func() float64, timeout time.Duration) fleet.Observation {
+func (files instanceFiles) observe(
+	ctx context.Context, record fleet.Record, now func() float64, timeout time.Duration,
+) fleet.Observation {
 	lock, err := files.tryLock()
 	if err != nil {
 		return fleet.Observation{Phase: fleet.PhaseUnknown, ObservedAt: now(), Reason: err.Error()}
@@ -176,27 +209,67 @@
 		return fleet.Observation{Phase: fleet.PhaseDown, ObservedAt: now()}
 	}
 	holder, err := files.lockHolder()
-	proven := err == nil && record.Token != "" && holder.Token == record.Token
+	isProven := err == nil && record.Token != "" && holder.Token == record.Token
+	status, err := files.status(ctx, timeout)
+	if err != nil {
+		return observeSilent(record, holder, isProven, now(), err)
+	}
+	return observeStatus(record, status, now())
+}
+
+// status asks an instance for its status on its control socket.
+func (files instanceFiles) status(ctx context.Context, timeout time.Duration) (controlsocket.Status, error) {
 	var status controlsocket.Status
-	if err := controlsocket.NewClient(files.socket(), timeout).Call(ctx, "GET", controlsocket.StatusPath, nil, &status); err != nil {
-		switch {
-		case proven && record.TerminatedAt > 0:
-			return fleet.Observation{Phase: fleet.PhaseShuttingDown, ObservedAt: now(), PID: holder.PID, IsProven: true}
-		case proven && !record.WasReady:
-			return fleet.Observation{Phase: fleet.PhaseStarting, ObservedAt: now(), PID: holder.PID, IsProven: true, Reason: "no answer yet: " + err.Error()}
-		}
-		return fleet.Observation{Phase: fleet.PhaseUnknown, ObservedAt: now(), IsProven: proven, Reason: "runs, and does not answer: " + err.Error()}
+	client := controlsocket.NewClient(files.socket(), timeout)
+	err := client.Call(ctx, "GET", controlsocket.StatusPath, nil, &status)
+	return status, err
+}
+
+// observeSilent returns what an instance is whose lock is held and which does not answer. A proven process is taken
+// to be starting until it was ready once, and to be shutting down after its SIGTERM; else its phase is unknown.
+func observeSilent(
+	record fleet.Record, holder serve.LockHolder, isProven bool, now float64, err error,
+) fleet.Observation {
+	observation := fleet.Observation{ObservedAt: now, IsProven: isProven}
+	switch {
+	case isProven && record.TerminatedAt > 0:
+		observation.Phase, observation.PID = fleet.PhaseShuttingDown, holder.PID
+	case isProven && !record.WasReady:
+		observation.Phase, observation.PID = fleet.PhaseStarting, holder.PID
+		observation.Reason = "no answer yet: " + err.Error()
+	default:
+		observation.Phase = fleet.PhaseUnknown
+		observation.Reason = "runs, and does not answer: " + err.Error()
 	}
+	return observation
+}
+
+// observeStatus returns what an instance is by its own answer.
+func observeStatus(record fleet.Record, status controlsocket.Status, now float64) fleet.Observation {
 	if status.Token != record.Token {
-		return fleet.Observation{Phase: fleet.PhaseForeign, ObservedAt: now(), PID: status.PID, Reason: fmt.Sprintf("process %d answers with another token", status.PID)}
+		reason := fmt.Sprintf("process %d answers with another token", status.PID)
+		return fleet.Observation{Phase: fleet.PhaseForeign, ObservedAt: now, PID: status.PID, Reason: reason}
+	}
+	observation := fleet.Observation{
+		Phase:        fleet.PhaseStarting,
+		ObservedAt:   now,
+		PID:          status.PID,
+		Digest:       status.Digest,
+		Epoch:        status.Epoch,
+		Discovery:    status.ListAddress,
+		ListVersion:  status.ListVersion,
+		ListDigest:   status.ListDigest,
+		InService:    status.InService,
+		OpenRequests: status.OpenRequests,
+		MemoryMB:     status.MemoryMB,
+		Settings:     status.ControlPlane.String(),
+		IsProven:     true,
 	}
-	observation := fleet.Observation{Phase: fleet.PhaseStarting, ObservedAt: now(), PID: status.PID, Digest: status.Digest, Epoch: status.Epoch, Discovery: status.ListAddress,
-		ListVersion: status.ListVersion, ListDigest: status.ListDigest, InService: status.InService, OpenRequests: status.OpenRequests, MemoryMB: status.MemoryMB, Settings: status.ControlPlane.String(), IsProven: true}
 	if status.TLS != nil {
-		worst := status.TLS.FirstToExpire()
-		observation.CertStage = string(worst.Stage)
-		if !worst.NotAfter.IsZero() {
-			observation.CertExpiry = float64(worst.NotAfter.UnixMilli())
+		firstToExpire := status.TLS.FirstToExpire()
+		observation.CertStage = string(firstToExpire.Stage)
+		if !firstToExpire.NotAfter.IsZero() {
+			observation.CertExpiry = float64(firstToExpire.NotAfter.UnixMilli())
 		}
 	}
 	switch {
@@ -208,7 +281,13 @@
 	return observation
 }
 
-// tail returns the last lines of a file.
+// Bounds of what tail reads of a file.
+const (
+	usualLineBytes = 512     // longer lines than this on average are read in part
+	maxTailBytes   = 4 << 20 // an answer on the control socket
+)
+
+// tail returns the last lines of a file, fewer where they are long.
 func tail(name string, lines int) ([]string, error) {
 	file, err := os.Open(name)
 	if err != nil {
@@ -219,11 +298,11 @@
 	if err != nil {
 		return nil, err
 	}
-	start := max(0, info.Size()-int64(lines)*512)
+	start := max(0, info.Size()-int64(lines)*usualLineBytes)
 	if _, err := file.Seek(start, io.SeekStart); err != nil {
 		return nil, err
 	}
-	data, err := io.ReadAll(io.LimitReader(file, 4<<20))
+	data, err := io.ReadAll(io.LimitReader(file, maxTailBytes))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/agent/rebuild.go
+++ b/internal/agent/rebuild.go
@@ -4,8 +4,8 @@
 	"context"
 	"fmt"
 	"path/filepath"
+	"strings"
 
-	"pearknot/internal/controlsocket"
 	"pearknot/internal/fleet"
 )
 
@@ -20,36 +20,48 @@
 	if set == nil {
 		set = fleet.Set{}
 	}
-	found := 0
+	adopted := 0
 	for _, lockPath := range locks {
-		files := instanceFiles{a.options.Dir, filepath.Base(lockPath[:len(lockPath)-len(".lock")])}
-		lock, err := files.tryLock()
+		name := strings.TrimSuffix(filepath.Base(lockPath), ".lock")
+		isAdopted, err := a.adoptIfRunning(set, instanceFiles{a.options.Dir, name})
 		if err != nil {
 			return err
 		}
-		if lock != nil {
-			_ = lock.Close()
-			continue
+		if isAdopted {
+			adopted++
 		}
-		var status controlsocket.Status
-		ctx, cancel := context.WithTimeout(context.Background(), a.options.CallTimeout)
-		err = controlsocket.NewClient(files.socket(), a.options.CallTimeout).Call(ctx, "GET", controlsocket.StatusPath, nil, &status)
-		cancel()
-		holder, holderErr := files.lockHolder()
-		if err != nil || holderErr != nil || holder.Token != status.Token || holder.PID != status.PID {
-			a.log.Error("running instance not adopted", "instance", files.name, "error", err)
-			continue
-		}
-		a.fleet.Adopt(a.now(), files.name, status.Token, status.PID, status.Digest, status.Epoch)
-		instance := set[files.name]
-		instance.Name, instance.Listen, instance.Digest, instance.Discovery, instance.Desired, instance.Epoch = files.name, status.Listen, status.Digest, status.ListAddress, fleet.Running, status.Epoch
-		if declared, isDeclared := set[files.name]; isDeclared { // as it was declared, not as the kernel worded it
-			instance.Listen = declared.Listen
-		}
-		set[files.name] = instance
-		found++
 	}
-	a.fleet.DeclareRunning(a.now(), set, fmt.Sprintf("state rebuilt, %d running instances adopted", found))
-	a.log.Warn("state rebuilt from snapshot and running instances", "declared", len(set), "adopted", found)
+	a.fleet.DeclareRunning(a.now(), set, fmt.Sprintf("state rebuilt, %d running instances adopted", adopted))
+	a.log.Warn("state rebuilt from snapshot and running instances", "declared", len(set), "adopted", adopted)
 	return a.store.save(a.fleet.State)
 }
+
+// adoptIfRunning declares an instance in a set as it runs, and reports whether it did. A process is adopted only if
+// its answer and the holder of its lock agree on token and process id.
+func (a *Agent) adoptIfRunning(set fleet.Set, files instanceFiles) (bool, error) {
+	lock, err := files.tryLock()
+	if err != nil {
+		return false, err
+	}
+	if lock != nil { // nobody holds it
+		_ = lock.Close()
+		return false, nil
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), a.options.CallTimeout)
+	defer cancel()
+	status, err := files.status(ctx, a.options.CallTimeout)
+	holder, holderErr := files.lockHolder()
+	if err != nil || holderErr != nil || holder.Token != status.Token || holder.PID != status.PID {
+		a.log.Error("running instance not adopted", "instance", files.name, "error", err)
+		return false, nil
+	}
+	a.fleet.Adopt(a.now(), files.name, status.Token, status.PID, status.Digest, status.Epoch)
+	instance, isDeclared := set[files.name]
+	if !isDeclared { // else as the operator wrote it, which may differ from the kernel's form of the address
+		instance.Listen = status.Listen
+	}
+	instance.Name, instance.Digest, instance.Discovery = files.name, status.Digest, status.ListAddress
+	instance.Desired, instance.Epoch = fleet.Running, status.Epoch
+	set[files.name] = instance
+	return true, nil
+}
--- a/internal/agent/rounds.go
+++ b/internal/agent/rounds.go
@@ -2,10 +2,7 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"io/fs"
-	"os"
 	"syscall"
 	"time"
 
@@ -38,16 +35,8 @@
 	change := a.fleet.Latest()
 	isBusy := len(actions) > 0 || change != nil && !change.Status.IsFinal()
 	if !isBusy {
-		for _, record := range a.fleet.Records {
-			observation := a.fleet.Observation(a.now(), record.Name)
-			isBusy = isBusy || observation.Phase == fleet.PhaseStarting || observation.Phase == fleet.PhaseShuttingDown
-		}
-		if a.store.newerThanSnapshot {
-			if err := a.store.snapshot(); err != nil {
-				a.log.Error("state snapshot write failed", "error", err)
-			}
-			a.options.OnPoint("snapshot")
-		}
+		isBusy = a.isAnyInTransition()
+		a.snapshotIfNewer()
 	}
 	wait := a.options.IdleInterval
 	if isBusy {
@@ -56,6 +45,28 @@
 	a.nextRound.Reset(wait)
 }
 
+// isAnyInTransition reports whether an instance is starting or shutting down.
+func (a *Agent) isAnyInTransition() bool {
+	for _, record := range a.fleet.Records {
+		phase := a.fleet.Observation(a.now(), record.Name).Phase
+		if phase == fleet.PhaseStarting || phase == fleet.PhaseShuttingDown {
+			return true
+		}
+	}
+	return false
+}
+
+// snapshotIfNewer writes the snapshot file if the state has changed since.
+func (a *Agent) snapshotIfNewer() {
+	if !a.store.newerThanSnapshot {
+		return
+	}
+	if err := a.store.snapshot(); err != nil {
+		a.log.Error("state snapshot write failed", "error", err)
+	}
+	a.options.OnPoint("snapshot")
+}
+
 // observeAll observes every instance, maxParallelProbes at a time.
 func (a *Agent) observeAll(ctx context.Context) {
 	type result struct {
@@ -72,25 +83,33 @@
 		go func() {
 			defer a.probes.Done()
 			defer func() { <-slots }()
-			results <- result{name, instanceFiles{a.options.Dir, name}.observe(ctx, record, a.now, a.options.CallTimeout)}
+			files := instanceFiles{a.options.Dir, name}
+			results <- result{name, files.observe(ctx, record, a.now, a.options.CallTimeout)}
 		}()
 	}
 	for range names {
 		observed := <-results
-		if record := a.fleet.Records[observed.name]; observed.observation.Phase == fleet.PhaseDown && record.StartedAt > 0 {
-			reason := "ended by itself"
-			if lines, err := tail((instanceFiles{a.options.Dir, observed.name}).outputFile(), 1); err == nil && len(lines) > 0 && lines[0] != "" {
-				reason += ": " + lines[0]
-			}
-			if record.TerminatedAt == 0 && record.PendingStep != fleet.StepStart {
-				a.log.Warn("instance exited", "instance", observed.name, "why", reason)
-			}
-			a.fleet.InstanceExited(a.now(), observed.name, reason)
+		record := a.fleet.Records[observed.name]
+		if observed.observation.Phase == fleet.PhaseDown && record.StartedAt > 0 {
+			a.instanceExited(observed.name, record)
 		}
 		a.fleet.Observe(observed.name, observed.observation)
 	}
 }
 
+// instanceExited records that a started instance has no process any more, with the last line of its output.
+func (a *Agent) instanceExited(name string, record fleet.Record) {
+	reason := "ended by itself"
+	lines, err := tail(instanceFiles{a.options.Dir, name}.outputFile(), 1)
+	if err == nil && len(lines) > 0 && lines[0] != "" {
+		reason += ": " + lines[0]
+	}
+	if record.TerminatedAt == 0 && record.PendingStep != fleet.StepStart {
+		a.log.Warn("instance exited", "instance", name, "why", reason)
+	}
+	a.fleet.InstanceExited(a.now(), name, reason)
+}
+
 // save stores the state. While that fails no step is taken, and what runs goes on.
 func (a *Agent) save() bool {
 	err := a.store.save(a.fleet.State)
@@ -132,7 +151,7 @@
 		a.options.OnPoint(string(action.Step))
 		a.fleet.StepEnded(a.now(), action, pid, err)
 	}
-	a.save() // where it can't be, the records say that the steps were begun: they are looked at again
+	a.save() // if it fails, the stored records say that the steps are pending: they are looked at again
 	a.options.OnPoint("ended")
 }
 
@@ -141,35 +160,31 @@
 	files := instanceFiles{a.options.Dir, action.Name}
 	switch action.Step {
 	case fleet.StepStart:
-		return files.start(a.options.Binary, action.Instance, token, a.options.OnPoint, func(error) {
-			select {
-			case <-a.done:
-			default:
-				a.mailbox.Put(a.scheduleRound)
-			}
-		})
+		return files.start(a.options.Binary, action.Instance, token, a.options.OnPoint, a.processExited)
 	case fleet.StepTerminate:
 		return 0, files.signal(a.fleet.Records[action.Name].Token, syscall.SIGTERM)
 	case fleet.StepKill:
 		return 0, files.signal(a.fleet.Records[action.Name].Token, syscall.SIGKILL)
 	case fleet.StepAdmit, fleet.StepWithdraw:
-		return 0, controlsocket.NewClient(files.socket(), a.options.CallTimeout).Call(ctx, "POST", controlsocket.ServicePath,
-			controlsocket.Service{InService: action.Step == fleet.StepAdmit, Reason: action.Reason}, nil)
+		client := controlsocket.NewClient(files.socket(), a.options.CallTimeout)
+		service := controlsocket.Service{InService: action.Step == fleet.StepAdmit, Reason: action.Reason}
+		return 0, client.Call(ctx, "POST", controlsocket.ServicePath, service, nil)
 	case fleet.StepForget:
-		lock, err := files.tryLock()
-		if err != nil || lock == nil {
-			return 0, errors.Join(err, errors.New("still held"))
-		}
-		defer func() { _ = lock.Close() }()
-		for _, name := range []string{files.socket(), files.lockFile()} {
-			if err := os.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
-				return 0, err
-			}
-		}
+		return 0, files.remove()
 	}
 	return 0, nil
 }
 
+// processExited makes the next round begin at once when the process of an instance has exited. It is called on another
+// goroutine than the actor's.
+func (a *Agent) processExited(error) {
+	select {
+	case <-a.done:
+	default:
+		a.mailbox.Put(a.scheduleRound)
+	}
+}
+
 // notifyWatchers wakes clients that watch the fleet when something in it has changed. Values that change all the
 // time, such as the number of open requests, do not count.
 func (a *Agent) notifyWatchers() {
@@ -181,7 +196,8 @@
 	for _, name := range a.fleet.Names() {
 		verdict, reason := a.fleet.Verdict(now, name)
 		observation := a.fleet.Observation(now, name)
-		fmt.Fprintln(hash, name, verdict, reason, observation.Phase, observation.InService, observation.PID, observation.Digest)
+		fmt.Fprintln(hash, name, verdict, reason,
+			observation.Phase, observation.InService, observation.PID, observation.Digest)
 	}
 	if digest := hash.Sum64(); digest != a.viewDigest {
 		a.viewDigest = digest
--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -60,7 +60,8 @@
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		stored = nil
-		if _, statErr := os.Stat(filepath.Join(dir, snapshotFile)); statErr == nil { // the state is missing, but not its snapshot
+		if _, statErr := os.Stat(filepath.Join(dir, snapshotFile)); statErr == nil {
+			// The state is missing although it was there when the snapshot was written.
 			recovered = true
 		}
 	case errors.Is(err, errSchema), errors.Is(err, errLocked), errors.Is(err, os.ErrPermission):
@@ -172,7 +173,8 @@
 	if err != nil {
 		return err
 	}
-	if err := renameio.WriteFile(filepath.Join(s.dir, snapshotFile), boltfile.EncodeValue(string(data)), 0o600); err != nil {
+	value := boltfile.EncodeValue(string(data))
+	if err := renameio.WriteFile(filepath.Join(s.dir, snapshotFile), value, 0o600); err != nil {
 		return err
 	}
 	s.newerThanSnapshot = false
