--- a/cmd/pearknot/agent.go
+++ b/cmd/pearknot/agent.go
@@ -12,35 +12,55 @@
 	"pearknot/internal/cli"
 )
 
+// agentFlags are the flags of agent.
+type agentFlags struct {
+	file     string
+	logLevel slog.Level
+}
+
+// agentCommand runs the agent of a host.
 func agentCommand() *cobra.Command {
-	file, level := "", slog.LevelInfo
-	c := &cobra.Command{Use: "agent --config FILE", Short: "Look after the instances of this host", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			o, err := agent.ReadOptions(file)
-			if err != nil {
-				return cli.UsageError(err)
-			}
-			if o.OnPoint, err = agent.KillAt(os.Getenv(agent.KillVariable)); err != nil {
-				return cli.UsageError(err)
-			}
-			log := slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: level}))
-			a, err := agent.New(o, log)
-			if err != nil {
-				return err
-			}
-			return a.Run(c.Context())
-		}}
-	c.PersistentFlags().StringVar(&file, "config", "deploy/agent.toml", "the agent's file")
-	c.Flags().TextVar(&level, "log", slog.LevelInfo, "least level of log lines")
-	c.AddCommand(&cobra.Command{Use: "check", Short: "Read the agent's file, tell what it says, and end", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			o, err := agent.ReadOptions(file)
-			if err != nil {
-				return cli.UsageError(err)
-			}
-			fmt.Fprintf(c.OutOrStdout(), "state in %s, socket %s, node %s; %d at once, %d canaries\n", o.Dir, o.Socket,
-				strings.Join(o.Binary, " "), o.Rolling.MaxUnavailable, o.Rolling.Canary)
-			return nil
-		}})
-	return c
+	agentFlags := &agentFlags{}
+	command := &cobra.Command{
+		Use:   "agent --config FILE",
+		Short: "Look after the instances of this host",
+		Args:  cobra.NoArgs,
+		RunE:  agentFlags.run,
+	}
+	command.PersistentFlags().StringVar(&agentFlags.file, "config", "deploy/agent.toml", "the agent's file")
+	command.Flags().TextVar(&agentFlags.logLevel, "log", slog.LevelInfo, "least level of log lines")
+	command.AddCommand(&cobra.Command{
+		Use:   "check",
+		Short: "Read the agent's file, tell what it says, and end",
+		Args:  cobra.NoArgs,
+		RunE:  agentFlags.check,
+	})
+	return command
+}
+
+func (f *agentFlags) run(command *cobra.Command, _ []string) error {
+	options, err := agent.ReadOptions(f.file)
+	if err != nil {
+		return cli.UsageError(err)
+	}
+	if options.OnPoint, err = agent.KillAt(os.Getenv(agent.KillVariable)); err != nil {
+		return cli.UsageError(err)
+	}
+	log := slog.New(slog.NewTextHandler(command.ErrOrStderr(), &slog.HandlerOptions{Level: f.logLevel}))
+	hostAgent, err := agent.New(options, log)
+	if err != nil {
+		return err
+	}
+	return hostAgent.Run(command.Context())
+}
+
+func (f *agentFlags) check(command *cobra.Command, _ []string) error {
+	options, err := agent.ReadOptions(f.file)
+	if err != nil {
+		return cli.UsageError(err)
+	}
+	fmt.Fprintf(command.OutOrStdout(), "state in %s, socket %s, node %s; %d at once, %d canaries\n",
+		options.Dir, options.Socket, strings.Join(options.Binary, " "),
+		options.Rolling.MaxUnavailable, options.Rolling.Canary)
+	return nil
 }
--- a/cmd/pearknot/call.go
+++ b/cmd/pearknot/call.go
@@ -14,31 +14,37 @@
 	"pearknot/internal/cli"
 )
 
-// callCommand makes an operator's call at a node's second address.
+// callCommand makes an operator's call at a node's admin address.
 func callCommand() *cobra.Command {
-	within := time.Second
-	c := &cobra.Command{Use: "call ADDRESS health|cordon ID|uncordon ID|quiesce|resume", Args: cobra.MinimumNArgs(2),
+	var timeout time.Duration
+	command := &cobra.Command{
+		Use:   "call ADDRESS health|cordon ID|uncordon ID|quiesce|resume",
 		Short: "Make a call at a node's second address; 3 where the answer is no, 1 where there is none",
-		RunE: func(c *cobra.Command, args []string) error {
-			line := strings.Join(args[1:], " ")
-			if _, err := admin.ParseCommand([]byte(line)); err != nil {
-				return cli.UsageError(err)
-			}
-			if _, _, err := net.SplitHostPort(args[0]); err != nil {
-				return cli.UsageError(err)
-			}
-			ctx, cancel := context.WithTimeout(c.Context(), within)
-			defer cancel()
-			answer, yes, err := admin.SendLine(ctx, args[0], line)
-			if err != nil {
-				return err
-			}
-			fmt.Fprintln(c.OutOrStdout(), answer)
-			if !yes {
-				return &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New(answer), Silent: true}
-			}
-			return nil
-		}}
-	c.Flags().DurationVar(&within, "within", within, "how long to wait for the answer")
-	return c
+		Args:  cobra.MinimumNArgs(2),
+		RunE: func(command *cobra.Command, args []string) error {
+			return makeCall(command, args[0], strings.Join(args[1:], " "), timeout)
+		},
+	}
+	command.Flags().DurationVar(&timeout, "within", time.Second, "how long to wait for the answer")
+	return command
+}
+
+func makeCall(command *cobra.Command, address, line string, timeout time.Duration) error {
+	if _, err := admin.ParseCommand([]byte(line)); err != nil {
+		return cli.UsageError(err)
+	}
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return cli.UsageError(err)
+	}
+	ctx, cancel := context.WithTimeout(command.Context(), timeout)
+	defer cancel()
+	answer, isAccepted, err := admin.SendLine(ctx, address, line)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintln(command.OutOrStdout(), answer)
+	if !isAccepted {
+		return &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New(answer), Silent: true}
+	}
+	return nil
 }
--- a/cmd/pearknot/main.go
+++ b/cmd/pearknot/main.go
@@ -1,5 +1,5 @@
-// Command pearknot is the load balancer: its node, the agent that looks after many nodes of a host, members of the control
-// plane, and the operators' tools for all of them.
+// Command pearknot is the load balancer: its node, the agent that looks after many nodes of a host, members of the
+// control plane, and the operators' tools for all of them.
 package main
 
 import (
@@ -42,110 +42,197 @@
 	root.Args = nil // an unknown word is an unknown command, whatever follows it
 	root.SilenceUsage, root.SilenceErrors = true, true
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return cli.UsageError(err) })
-	serveCommand, check := nodeCommand("serve", "serve"), nodeCommand("check", "check")
+	serveCommand, checkCommand := nodeCommand("serve", "serve"), nodeCommand("check", "check")
 	serveCommand.Short = "Serve clients in the foreground until SIGTERM"
-	check.Short = "Read the configuration, print what it says, and end"
-	root.AddCommand(serveCommand, check, &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
-		Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), "pearknot", cli.Version()) }},
-		agentCommand(), fleetCommand(), replayCommand(), explainCommand(), captureCommand(), certsCommand(), clientsCommand(), callCommand(), peersCommand(), controlPlaneCommand(), configCommand())
+	checkCommand.Short = "Read the configuration, print what it says, and end"
+	root.AddCommand(
+		serveCommand,
+		checkCommand,
+		versionCommand(),
+		agentCommand(),
+		fleetCommand(),
+		replayCommand(),
+		explainCommand(),
+		captureCommand(),
+		certsCommand(),
+		clientsCommand(),
+		callCommand(),
+		peersCommand(),
+		controlPlaneCommand(),
+		configCommand(),
+	)
 	root.SetArgs(withLongFlags(args))
 	root.SetOut(out)
 	root.SetErr(errs)
 	return cli.Exit("pearknot", root.ExecuteContext(ctx), errs)
 }
 
-// longFlags takes the node's flags with one dash too, as they always were.
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "version",
+		Short: "Print the version",
+		Args:  cobra.NoArgs,
+		Run: func(command *cobra.Command, _ []string) {
+			fmt.Fprintln(command.OutOrStdout(), "pearknot", cli.Version())
+		},
+	}
+}
+
+// withLongFlags gives the node's oldest flags a second dash where they have one: operators' scripts write them so.
 func withLongFlags(args []string) []string {
 	long := make([]string, 0, len(args))
-	for k, a := range args {
-		if a == "--" {
-			return append(long, args[k:]...)
+	for i, arg := range args {
+		if arg == "--" {
+			return append(long, args[i:]...)
 		}
 		for _, name := range []string{"-config", "-log"} {
-			if a == name || strings.HasPrefix(a, name+"=") {
-				a = "-" + a
+			if arg == name || strings.HasPrefix(arg, name+"=") {
+				arg = "-" + arg
 				break
 			}
 		}
-		long = append(long, a)
+		long = append(long, arg)
 	}
 	return long
 }
 
+// nodeFlags are the flags of serve and check.
+type nodeFlags struct {
+	configFile       string
+	captureFile      string
+	tlsFile          string
+	peersFile        string
+	controlPlaneFile string
+	logFile          string
+	logLevel         slog.Level
+	options          serve.Options
+}
+
 // nodeCommand returns the command that serves, or the one that checks a configuration.
-func nodeCommand(use, what string) *cobra.Command {
-	var file, logFile, captureFile, tlsFile, peersFile, planeFile string
-	var o serve.Options
-	level := slog.LevelInfo
-	c := &cobra.Command{Use: use, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-		var again chan os.Signal
-		if what == "serve" { // first of all: an unhandled SIGHUP would end the process
-			again = serve.NotifyReload()
-		}
-		sink := c.ErrOrStderr()
-		if logFile != "" {
-			rotated := &lumberjack.Logger{Filename: logFile, MaxSize: maxLogMB, MaxBackups: rotatedLogs}
-			defer func() { _ = rotated.Close() }()
-			sink = rotated
-		}
-		log := slog.New(slog.NewTextHandler(sink, &slog.HandlerOptions{Level: level}))
-		if what == "serve" {
-			if err := serve.WriteLockHolder(); err != nil {
-				return err
-			}
-		}
-		p, err := serve.ReadConfig(file, log)
-		switch {
-		case err != nil:
-			return err
-		case o.AdmissionFile != "":
-			if _, err := serve.ReadAdmission(o.AdmissionFile); err != nil {
-				return cli.UsageError(err)
-			}
-		}
-		if what == "check" {
-			fmt.Fprintln(c.OutOrStdout(), p)
-			return nil
-		}
-		if captureFile != "" {
-			if o.Capture, err = serve.ReadCapture(captureFile); err != nil {
-				return cli.UsageError(err)
-			}
+func nodeCommand(use, action string) *cobra.Command {
+	nodeFlags := &nodeFlags{logLevel: slog.LevelInfo}
+	run := nodeFlags.check
+	if action == "serve" {
+		run = nodeFlags.serve
+	}
+	command := &cobra.Command{Use: use, Args: cobra.NoArgs, RunE: run}
+	nodeFlags.addTo(command)
+	if action == "serve" {
+		nodeFlags.addServeFlagsTo(command)
+	}
+	return command
+}
+
+// addTo adds the flags that serve and check have in common.
+func (n *nodeFlags) addTo(command *cobra.Command) {
+	flags := command.Flags()
+	flags.StringVar(&n.configFile, "config", os.Getenv("ROUTER_CONFIG"), "configuration file (default $ROUTER_CONFIG)")
+	flags.StringVar(&n.options.AdmissionFile, "edge", "",
+		"file of the admission of connections when descriptors run short, such as deploy/edge.toml")
+	flags.TextVar(&n.logLevel, "log", slog.LevelInfo, "minimum level of log lines: debug, info, warn, error")
+}
+
+// addServeFlagsTo adds the flags of serve alone.
+func (n *nodeFlags) addServeFlagsTo(command *cobra.Command) {
+	flags := command.Flags()
+	flags.StringVar(&n.options.ControlSocket, "control", "", "path of a control socket")
+	flags.StringVar(&n.captureFile, "capture", "", "file of a capture, such as deploy/capture.toml")
+	flags.StringVar(&n.tlsFile, "tls", "", "file of a TLS listener and its certificates, such as deploy/tls.toml")
+	flags.StringVar(&n.peersFile, "peers", "",
+		"file of the processes that log requests in flight for each other, such as deploy/peers.toml")
+	flags.StringVar(&n.controlPlaneFile, "control-plane", "",
+		"file of the control plane whose settings it follows, such as deploy/control-plane.toml")
+	flags.BoolVar(&n.options.OutOfService, "held", false,
+		"stay out of service until the control socket says otherwise")
+	flags.StringVar(&n.logFile, "log-file", "", "log to a file, rotated, and not to standard error")
+}
+
+// logger returns a logger to standard error, or to the log file if one is given, and the function that closes it.
+func (n *nodeFlags) logger(command *cobra.Command) (log *slog.Logger, closeLog func()) {
+	sink, closeLog := command.ErrOrStderr(), func() {}
+	if n.logFile != "" {
+		rotated := &lumberjack.Logger{Filename: n.logFile, MaxSize: maxLogMB, MaxBackups: rotatedLogs}
+		sink, closeLog = rotated, func() { _ = rotated.Close() }
+	}
+	return slog.New(slog.NewTextHandler(sink, &slog.HandlerOptions{Level: n.logLevel})), closeLog
+}
+
+// check prints what the configuration says.
+func (n *nodeFlags) check(command *cobra.Command, _ []string) error {
+	log, closeLog := n.logger(command)
+	defer closeLog()
+	config, err := serve.ReadConfig(n.configFile, log)
+	if err != nil {
+		return err
+	}
+	if err := n.checkAdmissionFile(); err != nil {
+		return err
+	}
+	fmt.Fprintln(command.OutOrStdout(), config)
+	return nil
+}
+
+// serve runs a node until SIGTERM.
+func (n *nodeFlags) serve(command *cobra.Command, _ []string) error {
+	reload := serve.NotifyReload() // first of all: an unhandled SIGHUP would end the process
+	log, closeLog := n.logger(command)
+	defer closeLog()
+	if err := serve.WriteLockHolder(); err != nil {
+		return err
+	}
+	config, err := serve.ReadConfig(n.configFile, log)
+	if err != nil {
+		return err
+	}
+	if err := n.checkAdmissionFile(); err != nil {
+		return err
+	}
+	if err := n.readFiles(); err != nil {
+		return err
+	}
+	n.options.NewDecider, n.options.Version = node.NewBalancer, cli.Version()
+	n.options.Token = os.Getenv(serve.TokenVariable)
+	if epoch := os.Getenv(serve.EpochVariable); epoch != "" {
+		if n.options.Epoch, err = strconv.ParseUint(epoch, 10, 64); err != nil {
+			return fmt.Errorf("%s: %w", serve.EpochVariable, err)
 		}
-		if tlsFile != "" {
-			if o.TLS, err = serve.ReadTLS(tlsFile); err != nil {
-				return cli.UsageError(err)
-			}
+	}
+	return serve.Run(command.Context(), reload, config, n.options, log)
+}
+
+// checkAdmissionFile refuses an unreadable --edge file at the start. The node reads the file itself, again on each
+// reload.
+func (n *nodeFlags) checkAdmissionFile() error {
+	if n.options.AdmissionFile == "" {
+		return nil
+	}
+	if _, err := serve.ReadAdmission(n.options.AdmissionFile); err != nil {
+		return cli.UsageError(err)
+	}
+	return nil
+}
+
+// readFiles reads the files that the flags name into the options.
+func (n *nodeFlags) readFiles() (err error) {
+	if n.captureFile != "" {
+		if n.options.Capture, err = serve.ReadCapture(n.captureFile); err != nil {
+			return cli.UsageError(err)
 		}
-		if peersFile != "" {
-			if o.Peers, err = serve.ReadPeers(peersFile); err != nil {
-				return cli.UsageError(err)
-			}
+	}
+	if n.tlsFile != "" {
+		if n.options.TLS, err = serve.ReadTLS(n.tlsFile); err != nil {
+			return cli.UsageError(err)
 		}
-		if planeFile != "" {
-			if o.ControlPlane, err = readControlPlane(planeFile); err != nil {
-				return err
-			}
+	}
+	if n.peersFile != "" {
+		if n.options.Peers, err = serve.ReadPeers(n.peersFile); err != nil {
+			return cli.UsageError(err)
 		}
-		o.NewDecider, o.Version, o.Token = node.NewBalancer, cli.Version(), os.Getenv(serve.TokenVariable)
-		if e := os.Getenv(serve.EpochVariable); e != "" {
-			if o.Epoch, err = strconv.ParseUint(e, 10, 64); err != nil {
-				return fmt.Errorf("%s: %w", serve.EpochVariable, err)
-			}
+	}
+	if n.controlPlaneFile != "" {
+		if n.options.ControlPlane, err = readControlPlane(n.controlPlaneFile); err != nil {
+			return err
 		}
-		return serve.Run(c.Context(), again, p, o, log)
-	}}
-	c.Flags().StringVar(&file, "config", os.Getenv("ROUTER_CONFIG"), "configuration file (default $ROUTER_CONFIG)")
-	c.Flags().StringVar(&o.AdmissionFile, "edge", "", "file of the admission of connections when descriptors run short, such as deploy/edge.toml")
-	c.Flags().TextVar(&level, "log", slog.LevelInfo, "minimum level of log lines: debug, info, warn, error")
-	if what == "serve" {
-		c.Flags().StringVar(&o.ControlSocket, "control", "", "path of a control socket")
-		c.Flags().StringVar(&captureFile, "capture", "", "file of a capture, such as deploy/capture.toml")
-		c.Flags().StringVar(&tlsFile, "tls", "", "file of a TLS listener and its certificates, such as deploy/tls.toml")
-		c.Flags().StringVar(&peersFile, "peers", "", "file of the processes that log requests in flight for each other, such as deploy/peers.toml")
-		c.Flags().StringVar(&planeFile, "control-plane", "", "file of the control plane whose settings it follows, such as deploy/control-plane.toml")
-		c.Flags().BoolVar(&o.OutOfService, "held", false, "stay out of service until the control socket says otherwise")
-		c.Flags().StringVar(&logFile, "log-file", "", "log to a file, rotated, and not to standard error")
-	}
-	return c
+	}
+	return nil
 }
--- a/cmd/pearknot/peers.go
+++ b/cmd/pearknot/peers.go
@@ -15,57 +15,81 @@
 	"pearknot/internal/requestlog"
 )
 
+// watchInterval is the time between queries of commands that print again.
+const watchInterval = time.Second
+
+// peersOptions are the flags of peers.
+type peersOptions struct {
+	json  bool
+	watch bool
+}
+
 // peersCommand prints the request logs that processes replicate for each other, as one of them sees them.
 func peersCommand() *cobra.Command {
-	var asJSON, watch bool
-	c := &cobra.Command{Use: "peers SOCKET", Args: cobra.ExactArgs(1),
-		Short: "Links to other processes, who leads and replicates which log, and what was taken over; 3 while a log lacks replicas",
-		RunE: func(c *cobra.Command, args []string) error {
-			client := controlsocket.NewClient(args[0], dialTimeout)
-			for {
-				var state requestlog.Status
-				if err := client.Call(c.Context(), "GET", controlsocket.PeersPath, nil, &state); err != nil {
-					return err
-				}
-				if watch && !asJSON {
-					fmt.Fprint(c.OutOrStdout(), "\x1b[H\x1b[2J") // the top of a cleared screen
-				}
-				if err := printPeers(c.OutOrStdout(), state, asJSON); err != nil {
-					return err
-				}
-				if !watch {
-					for _, log := range state.Logs {
-						if !log.Complete {
-							return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("the log of %s lacks replicas", log.Member), Silent: true}
-						}
-					}
-					return nil
-				}
-				select {
-				case <-c.Context().Done():
-					return nil
-				case <-time.After(time.Second):
-				}
-			}
-		}}
-	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	c.Flags().BoolVar(&watch, "watch", false, "print it again every second")
-	return c
+	var options peersOptions
+	command := &cobra.Command{
+		Use: "peers SOCKET",
+		Short: "Links to other processes, who leads and replicates which log, and what was taken over; " +
+			"3 while a log lacks replicas",
+		Args: cobra.ExactArgs(1),
+		RunE: func(command *cobra.Command, args []string) error {
+			return showPeers(command, args[0], options)
+		},
+	}
+	command.Flags().BoolVar(&options.json, "json", false, "as JSON")
+	command.Flags().BoolVar(&options.watch, "watch", false, "print it again every second")
+	return command
+}
+
+func showPeers(command *cobra.Command, socket string, options peersOptions) error {
+	client := controlsocket.NewClient(socket, dialTimeout)
+	for {
+		var status requestlog.Status
+		if err := client.Call(command.Context(), "GET", controlsocket.PeersPath, nil, &status); err != nil {
+			return err
+		}
+		if options.watch && !options.json {
+			fmt.Fprint(command.OutOrStdout(), clearScreen)
+		}
+		if err := printPeers(command.OutOrStdout(), status, options.json); err != nil {
+			return err
+		}
+		if !options.watch {
+			return checkReplicas(status)
+		}
+		select {
+		case <-command.Context().Done():
+			return nil
+		case <-time.After(watchInterval):
+		}
+	}
+}
+
+// checkReplicas returns an error that names a log that lacks replicas.
+func checkReplicas(status requestlog.Status) error {
+	for _, log := range status.Logs {
+		if !log.Complete {
+			err := fmt.Errorf("the log of %s lacks replicas", log.Member)
+			return &cli.Error{Status: cli.StatusCheckFailed, Err: err, Silent: true}
+		}
+	}
+	return nil
 }
 
 // printPeers prints a process's view of its peers and logs.
-func printPeers(out io.Writer, state requestlog.Status, asJSON bool) error {
+func printPeers(out io.Writer, status requestlog.Status, asJSON bool) error {
 	if asJSON {
-		return json.NewEncoder(out).Encode(state)
+		return json.NewEncoder(out).Encode(status)
 	}
-	fmt.Fprintf(out, "%s, incarnation %d, %d requests taken over\n", state.Self, state.Incarnation, state.Takeovers)
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "peer\tconnected\tsilent ms\tincarnation")
-	for _, p := range state.Peers {
-		fmt.Fprintf(w, "%s\t%v\t%.0f\t%d\n", p.Name, p.Connected, p.SilentMs, p.Incarnation)
+	fmt.Fprintf(out, "%s, incarnation %d, %d requests taken over\n",
+		status.Self, status.Incarnation, status.Takeovers)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "peer\tconnected\tsilent ms\tincarnation")
+	for _, peer := range status.Peers {
+		fmt.Fprintf(table, "%s\t%v\t%.0f\t%d\n", peer.Name, peer.Connected, peer.SilentMs, peer.Incarnation)
 	}
-	fmt.Fprintln(w, "log of\tleader\tcomplete\tterm\treplicas\tlag\tin flight\trecords\tbytes")
-	for _, log := range state.Logs {
+	fmt.Fprintln(table, "log of\tleader\tcomplete\tterm\treplicas\tlag\tin flight\trecords\tbytes")
+	for _, log := range status.Logs {
 		leader := log.Leader
 		if leader == "" {
 			leader = "none known"
@@ -74,7 +98,8 @@
 		if log.HasReplica {
 			replicas = strings.Join(log.Voters, " ")
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%s\t%d\t%d\t%d\t%d\n", log.Member, leader, log.Complete, log.Term, replicas, log.Lag, log.InFlight, log.Records, log.Bytes)
+		fmt.Fprintf(table, "%s\t%s\t%v\t%d\t%s\t%d\t%d\t%d\t%d\n", log.Member, leader, log.Complete, log.Term,
+			replicas, log.Lag, log.InFlight, log.Records, log.Bytes)
 	}
-	return w.Flush()
+	return table.Flush()
 }
