--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -12,7 +12,7 @@
 	// gone, and under overload retries are what keeps it up.
 	clientRetryPatience = 0.1
 	// rateHalfLife in ms of request rates: a flood is seen within its first seconds, also by nodes of a request a second.
-	rateHalfLife = 3e3
+	rateHalfLifeMs = 3e3
 	// quotaMixPrior is how many requests, spread over the tenants as their quotas are, count beside those seen: a few
 	// requests say little of who is over quota.
 	quotaMixPrior = 8.0
@@ -44,8 +44,8 @@
 		return
 	}
 	tenant := &lb.config.Tenants[request.Tenant]
-	tenant.rate.set(lb.now, tenant.rate.get(lb.now, rateHalfLife)+1)
-	lb.config.tenantRate.set(lb.now, lb.config.tenantRate.get(lb.now, rateHalfLife)+1) // all decay alike, and so does their sum
+	tenant.rate.set(lb.now, tenant.rate.get(lb.now, rateHalfLifeMs)+1)
+	lb.config.tenantRate.set(lb.now, lb.config.tenantRate.get(lb.now, rateHalfLifeMs)+1) // all decay alike, and so does their sum
 	if tenant.Quota == 0 {
 		return
 	}
@@ -55,7 +55,7 @@
 	if quotas == tenant.Quota {
 		odds = math.Inf(1)
 	}
-	odds = math.Min(odds, tenant.rate.sum*1e3*math.Ln2/rateHalfLife*float64(lb.config.Nodes)/tenant.Quota)
+	odds = math.Min(odds, tenant.rate.sum*1e3*math.Ln2/rateHalfLifeMs*float64(lb.config.Nodes)/tenant.Quota)
 	request.overQuota = math.Max(0, 1-1/odds)
 }
 
--- a/balancer/admission_tenants_test.go
+++ b/balancer/admission_tenants_test.go
@@ -13,14 +13,14 @@
 func (n *Balancer) overQuotaBySumming(request *Request) (excess, rates float64) {
 	w, quotas := n.config.Tenants[request.Tenant], 0.0
 	for _, o := range n.config.Tenants {
-		rates, quotas = rates+o.rate.get(n.now, rateHalfLife), quotas+o.Quota
+		rates, quotas = rates+o.rate.get(n.now, rateHalfLifeMs), quotas+o.Quota
 	}
 	if w.Quota == 0 {
 		return 0, rates
 	}
 	own, all := w.rate.sum+quotaMixPrior*w.Quota/quotas, rates+quotaMixPrior
 	odds := own * (quotas - w.Quota) / math.Max((all-own)*w.Quota, 1e-9)
-	odds = math.Min(odds, w.rate.sum*1e3*math.Ln2/rateHalfLife*float64(n.config.Nodes)/w.Quota)
+	odds = math.Min(odds, w.rate.sum*1e3*math.Ln2/rateHalfLifeMs*float64(n.config.Nodes)/w.Quota)
 	return math.Max(0, 1-1/odds), rates
 }
 
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -134,7 +134,7 @@
 	lb.advanceRotation(backend)
 	timeout := 0.0
 	if request.class.LateWeight == 0 && !request.Streamed {
-		timeout = math.Max(lb.timeLeft(request), minTimeout)
+		timeout = math.Max(lb.timeLeft(request), minTimeoutMs)
 	}
 	lb.decisions = append(lb.decisions, Decision{Kind: DoAttempt, Request: request, Attempt: attempt, Wait: timeout})
 	if !request.Streamed { // else the client may take long to send it, which says nothing of the backend
@@ -144,14 +144,14 @@
 }
 
 // minTimeout in ms is the shortest time-out of an attempt: 0 would mean none.
-const minTimeout = 0.1
+const minTimeoutMs = 0.1
 
 // startAttempt has an attempt count at its backend, and sets a timer for when it will be overdue.
 func (lb *Balancer) startAttempt(attempt *Attempt) {
 	attempt.hasStarted, lb.concurrency.inFlight = true, lb.concurrency.inFlight+1
 	attempt.Backend.addInFlight(lb.now, attempt)
 	overrun := math.Min(math.Max(lb.retries.overrun.valueOr(unknownOverrun), minOverrun), maxOverrun)
-	patience := overdueBase + attempt.expectedTime*overrun
+	patience := overdueBaseMs + attempt.expectedTime*overrun
 	if patience < lb.timeLeft(attempt.Request) {
 		lb.setTimer(timer{at: lb.now + patience, attempt: attempt})
 	}
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -25,7 +25,7 @@
 	// estimators.go
 	pace         paceEstimate
 	bestPace     float64 // the lowest seen
-	drain        drainEstimate
+	completionRate        completionRateEstimate
 	waits        decayingMean // how long attempts waited behind others there
 	lastWait     latestWait
 	maxCoresSeen float64 // the most requests at work at once that it has reported
@@ -62,7 +62,7 @@
 
 // addInFlight counts an attempt as in flight at the backend.
 func (b *Backend) addInFlight(now float64, attempt *Attempt) {
-	b.drain.advance(now, len(b.inFlight) > 0)
+	b.completionRate.advance(now, len(b.inFlight) > 0)
 	b.inFlight = append(b.inFlight, attempt)
 	b.workInFlight += attempt.Request.work
 	if attempt.Request.isLong {
@@ -72,7 +72,7 @@
 
 // removeInFlight no longer counts an attempt; one that was removed before is not subtracted twice.
 func (b *Backend) removeInFlight(now float64, attempt *Attempt) {
-	b.drain.advance(now, len(b.inFlight) > 0)
+	b.completionRate.advance(now, len(b.inFlight) > 0)
 	if k := slices.Index(b.inFlight, attempt); k >= 0 {
 		b.inFlight = slices.Delete(b.inFlight, k, k+1)
 		b.workInFlight -= attempt.Request.work
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -14,7 +14,7 @@
 
 // reviewInterval in ms between reviews of all backends: several within the shortest latency objective of services that
 // people wait for.
-const reviewInterval = 100.0
+const reviewIntervalMs = 100.0
 
 // Decider is what a host asks: a Balancer, or what stands round one or in its place.
 type Decider interface {
@@ -132,7 +132,7 @@
 	}
 	lb.setPatience()
 	if config.PollEndpoints {
-		lb.endpoints.pollAt = now + pollSpread*lb.random.nextUnit()
+		lb.endpoints.pollAt = now + pollSpreadMs*lb.random.nextUnit()
 	}
 	return lb
 }
@@ -173,7 +173,7 @@
 		lb.queue.hasFreedCapacity = false
 		lb.placeQueued()
 	case lb.review.hasNews && lb.now >= lb.review.at:
-		lb.review.at = lb.now + reviewInterval
+		lb.review.at = lb.now + reviewIntervalMs
 		lb.reviewBackends()
 	default:
 		return false
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -104,12 +104,12 @@
 // may: by Little's law, at the rate at which answers come. Where backends turn slow it falls with that rate, and a node
 // of much traffic has more of it than one of little; all nodes' together keep waits within that time.
 func (lb *Balancer) affordableInFlight() float64 {
-	return lb.concurrency.answeredTime.get(lb.now, rateHalfLife) * math.Ln2 / rateHalfLife
+	return lb.concurrency.answeredTime.get(lb.now, rateHalfLifeMs) * math.Ln2 / rateHalfLifeMs
 }
 
 // recordAnsweredTime records an answer for affordableInFlight.
 func (lb *Balancer) recordAnsweredTime(backend *Backend, request *Request) {
 	counter := &lb.concurrency.answeredTime
-	sum := counter.get(lb.now, rateHalfLife) + request.work*lb.paceOf(backend) + toleratedWaitShare*request.class.LatencyObjective
+	sum := counter.get(lb.now, rateHalfLifeMs) + request.work*lb.paceOf(backend) + toleratedWaitShare*request.class.LatencyObjective
 	counter.set(lb.now, sum)
 }
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -91,7 +91,7 @@
 		require.NoError(t, err)
 		require.Equal(t, h.balancer.affordableInFlight(), n.affordableInFlight())
 		had := h.balancer.minInFlightLimit()
-		h.balancer.now += rateHalfLife
+		h.balancer.now += rateHalfLifeMs
 		require.InDelta(t, max(2, had/2), h.balancer.minInFlightLimit(), 0.01, "half of it once nothing is answered for the rate's half-life")
 		return had
 	}
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -101,7 +101,7 @@
 // retentionAfterRemoval is for how many ms a backend is remembered that was removed without draining.
 func (c *Config) retentionAfterRemoval() float64 {
 	if c.RemovalIsHint {
-		return removedRetention
+		return removedRetentionMs
 	}
 	return 0
 }
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -9,7 +9,7 @@
 
 const (
 	// suspicionHalfLife in ms: an ejected backend is tried again within seconds.
-	suspicionHalfLife = 4e3
+	suspicionHalfLifeMs = 4e3
 	// ejectionThreshold of suspicion: two clear faults in a row.
 	ejectionThreshold = 2.0
 	// atMostOnceThreshold ejects for requests that can't be repeated: an error within the last seconds.
@@ -21,7 +21,7 @@
 	// overdueFault is that for an attempt that is overdue, which may still be answered.
 	overdueFault = 0.5
 	// answerForgiveness is the share of suspicion that an answer in time leaves.
-	answerForgiveness = 0.8
+	suspicionLeftByAnswer = 0.8
 	// commonSuspicionQuantile: a sound quarter of the fleet tells that the fault is not elsewhere, also where a failed zone
 	// is most of it.
 	commonSuspicionQuantile = 0.25
@@ -36,13 +36,13 @@
 	outlierRatio = 4
 	// answerRatioReturn is by what power the ratio returns to the fellows' at each review: what isn't seen again is
 	// forgotten within seconds.
-	answerRatioReturn = 0.03
+	answerRatioReversion = 0.03
 
 	// poisonWindow in ms is how long a reset is held against requests that may have caused it: until a backend is back and
 	// half warmed up.
-	poisonWindow = 10e3
+	poisonWindowMs = 10e3
 	// minRestartTime in ms: a process that crashed answers nothing for longer.
-	minRestartTime = 1e3
+	minRestartTimeMs = 1e3
 )
 
 // ejectionThresholds are by idempotency of the request's class.
@@ -61,13 +61,13 @@
 
 // suspicionOf is a backend's suspicion against its fellows'.
 func (lb *Balancer) suspicionOf(backend *Backend) float64 {
-	return math.Max(0, backend.suspicion.get(lb.now, suspicionHalfLife)-lb.ejection.commonSuspicion)
+	return math.Max(0, backend.suspicion.get(lb.now, suspicionHalfLifeMs)-lb.ejection.commonSuspicion)
 }
 
 // addSuspicion records a fault of a backend.
 func (lb *Balancer) addSuspicion(backend *Backend, fault float64) {
 	before := lb.suspicionOf(backend)
-	backend.suspicion.set(lb.now, math.Min(backend.suspicion.get(lb.now, suspicionHalfLife)+fault, maxSuspicion))
+	backend.suspicion.set(lb.now, math.Min(backend.suspicion.get(lb.now, suspicionHalfLifeMs)+fault, maxSuspicion))
 	if after := lb.suspicionOf(backend); before < ejectionThreshold && after >= ejectionThreshold {
 		lb.logEvent(Event{Kind: EventBackendEjected, Backend: backend.ID, Count: len(backend.inFlight)})
 	}
@@ -81,7 +81,7 @@
 		if !lb.isUsable(backend) {
 			continue
 		}
-		suspicions = append(suspicions, backend.suspicion.get(lb.now, suspicionHalfLife))
+		suspicions = append(suspicions, backend.suspicion.get(lb.now, suspicionHalfLifeMs))
 		if backend.answerRatio.seen > minAnswerRatios {
 			ratios = append(ratios, backend.answerRatio.value)
 		}
@@ -94,9 +94,9 @@
 		}
 		if ratio := backend.answerRatio.value / usual; ratio > outlierRatio {
 			suspicion := math.Min(ratio/outlierRatio, ejectionThreshold)
-			backend.suspicion.set(lb.now, math.Max(backend.suspicion.get(lb.now, suspicionHalfLife), suspicion))
+			backend.suspicion.set(lb.now, math.Max(backend.suspicion.get(lb.now, suspicionHalfLifeMs), suspicion))
 		}
-		backend.answerRatio.value *= math.Pow(usual/backend.answerRatio.value, answerRatioReturn)
+		backend.answerRatio.value *= math.Pow(usual/backend.answerRatio.value, answerRatioReversion)
 	}
 }
 
@@ -111,7 +111,7 @@
 // recordAnswerAfterReset records an answer: a backend that answers right after a reset, or answers an attempt that was in
 // flight at it, has not been brought down.
 func (lb *Balancer) recordAnswerAfterReset(backend *Backend, attempt *Attempt) {
-	if backend.lastResetAt > 0 && (lb.now-backend.lastResetAt < minRestartTime || attempt.SentAt < backend.lastResetAt) {
+	if backend.lastResetAt > 0 && (lb.now-backend.lastResetAt < minRestartTimeMs || attempt.SentAt < backend.lastResetAt) {
 		lb.ejection.answeredAfterResetAt = lb.now
 	}
 }
@@ -120,10 +120,10 @@
 // that met a reset is not retried, nor are clients' retries placed: each would cost one more backend. First tries go
 // on.
 func (lb *Balancer) suspectsPoisonRequest() bool {
-	return lb.now-lb.ejection.lastResetAt < poisonWindow && !lb.resetsAreIsolated()
+	return lb.now-lb.ejection.lastResetAt < poisonWindowMs && !lb.resetsAreIsolated()
 }
 
 // resetsAreIsolated tells that connections lately broke by themselves: a backend answered right after a reset.
 func (lb *Balancer) resetsAreIsolated() bool {
-	return lb.now-lb.ejection.answeredAfterResetAt < poisonWindow
+	return lb.now-lb.ejection.answeredAfterResetAt < poisonWindowMs
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -10,13 +10,13 @@
 const (
 	// removedRetention in ms is how long a backend that was removed without draining is remembered where the list may be
 	// wrong: a list that is wrong for longer is repaired by people, and memory must not grow with those that come and go.
-	removedRetention = 60e3
+	removedRetentionMs = 60e3
 	// pollSpread in ms: nodes restarted together must not poll the list's one service together.
-	pollSpread = 200
+	pollSpreadMs = 200
 	// firstPollBackoff in ms is the wait after one failed poll; it doubles with each further one.
-	firstPollBackoff = 500
+	firstPollBackoffMs = 500
 	// maxPollBackoff in ms, half more with the random spread: a list service that is back is polled within seconds.
-	maxPollBackoff = 2.4e3
+	maxPollBackoffMs = 2.4e3
 	// pollBackoffDivisor bounds the wait to a third of the poll interval too: a failed poll is made up for within one.
 	pollBackoffDivisor = 3
 )
@@ -108,7 +108,7 @@
 
 // forgetFormerProcess drops what was learned of the state of a backend's former process.
 func (lb *Balancer) forgetFormerProcess(backend *Backend) {
-	backend.drain, backend.maxInFlight = drainEstimate{}, 1+lb.perNodeShare(initialInFlight)
+	backend.completionRate, backend.maxInFlight = completionRateEstimate{}, 1+lb.perNodeShare(initialInFlight)
 	backend.suspicion, backend.busyUntil, backend.pausedUntil = decayingCounter{}, 0, 0
 }
 
@@ -131,8 +131,8 @@
 // capacity must not meet a storm of retries.
 func (lb *Balancer) PollFailed(now float64) {
 	lb.now, lb.endpoints.isWatched = now, false
-	backoff := firstPollBackoff * math.Exp2(float64(lb.endpoints.pollFailures))
-	backoff = min(backoff, lb.config.PollInterval/pollBackoffDivisor, maxPollBackoff)
+	backoff := firstPollBackoffMs * math.Exp2(float64(lb.endpoints.pollFailures))
+	backoff = min(backoff, lb.config.PollInterval/pollBackoffDivisor, maxPollBackoffMs)
 	lb.endpoints.pollAt = now + backoff*(0.5+lb.random.nextUnit())
 	lb.endpoints.pollFailures++
 	lb.logEvent(Event{Kind: EventPollFailed, Count: lb.endpoints.pollFailures})
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -36,7 +36,7 @@
 			h.balancer.PollFailed(h.now)
 		}
 	}
-	assert.InDelta(t, 120e3/maxPollBackoff, asked, 15)
+	assert.InDelta(t, 120e3/maxPollBackoffMs, asked, 15)
 	h.balancer.EndpointsChanged(h.now, nil, false, false)
 	assert.Empty(t, h.advance(20e3).decisions())
 }
@@ -123,7 +123,7 @@
 	assert.Equal(t, BackendDraining, a.State)
 	line(BackendReady, 0, false)
 	assert.Equal(t, h.balancer.config.SlowStartShare, h.balancer.slowStartFactor(a), "nothing tells of its restart but the cordon")
-	assert.Zero(t, a.suspicion.get(h.now, suspicionHalfLife))
+	assert.Zero(t, a.suspicion.get(h.now, suspicionHalfLifeMs))
 	used := 0
 	for k := range 100 {
 		request := h.requestArrives(fmt.Sprint("c", k), 0, 10)
@@ -190,9 +190,9 @@
 		h.setState(BackendDraining, 0, h.backends[0]) // drained and then gone stays out
 		empty(h)
 		require.Len(t, h.backendsInUse(), 9, name)
-		learned := h.backends[3].drain
+		learned := h.backends[3].completionRate
 		h.setState(BackendReady, 0, h.backends[1:]...) // its return is no restart of all backends
-		require.Equal(t, learned, h.backends[3].drain, name)
+		require.Equal(t, learned, h.backends[3].completionRate, name)
 		require.Equal(t, 1.0, h.balancer.slowStartFactor(h.backends[3]), name)
 
 		bound := newHarness(t, testConfig(), 10)
@@ -220,7 +220,7 @@
 	on := h.backendsInUse()
 	require.GreaterOrEqual(t, len(on), 5)
 	require.False(t, on[h.backends[0]] || on[h.backends[1]])
-	h.advance(removedRetention)
+	h.advance(removedRetentionMs)
 	require.Empty(t, h.backendsInUse())
 	require.Empty(t, h.balancer.backends)
 }
--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -19,7 +19,7 @@
 	// bestPaceGrowth a sample forgets the best pace seen over a thousand answers.
 	bestPaceGrowth = 1.001
 	// minAnswerTime in ms: clocks round shorter ones to nothing.
-	minAnswerTime = 0.1
+	minAnswerTimeMs = 0.1
 	// reportedWorkPrior is how many requests of the reported service time count beside the cost hints seen: the mean of a
 	// few hints can be far off, and until then the fleet is rather a standard core's.
 	reportedWorkPrior = 20
@@ -86,15 +86,15 @@
 	lb.recordAnsweredTime(backend, attempt.Request)
 	lb.recordPace(attempt, elapsed)
 	// The mean work keeps small requests, or hints that say nothing, from making a backend look slow.
-	backend.answerRatio.add(math.Max(elapsed, minAnswerTime)/(work+lb.estimates.work.value), answerRatioQuantile, answerRatioStep)
-	backend.drain.done += work
+	backend.answerRatio.add(math.Max(elapsed, minAnswerTimeMs)/(work+lb.estimates.work.value), answerRatioQuantile, answerRatioStep)
+	backend.completionRate.done += work
 	backend.updateBestPace(lb.paceOf(backend))
 	lb.adjustLimits(backend, attempt, elapsed)
 	backend.refusals = 0
 	lb.recordAnswerAfterReset(backend, attempt)
 	lb.recordOverrun(attempt, elapsed)
 	if !attempt.isOverdue {
-		backend.suspicion.set(lb.now, backend.suspicion.get(lb.now, suspicionHalfLife)*answerForgiveness)
+		backend.suspicion.set(lb.now, backend.suspicion.get(lb.now, suspicionHalfLifeMs)*suspicionLeftByAnswer)
 	}
 }
 
@@ -103,7 +103,7 @@
 // node has not lately seen of the backend, the zone's waits stand in.
 func (lb *Balancer) predictAnswerTime(backend *Backend, request *Request) float64 {
 	alone := request.work * lb.paceOf(backend)
-	return math.Max((backend.workInFlight+request.work)/lb.drainRate(backend), alone+backend.drain.unseen(lb.now)*lb.zoneWait(backend.Zone))
+	return math.Max((backend.workInFlight+request.work)/lb.completionRate(backend), alone+backend.completionRate.priorShare(lb.now)*lb.zoneWait(backend.Zone))
 }
 
 // paceOf is a backend's time for a unit of work: its kind's until its own is known, and that of all for nil. Machines of
@@ -139,15 +139,15 @@
 
 // drainRate is the work a ms that a backend lately did for this node while it had any. It holds what others send, slowness
 // and silence: with attempts in flight and no answers it falls by itself.
-func (lb *Balancer) drainRate(backend *Backend) float64 {
-	return backend.drain.rate(lb.now, len(backend.inFlight) > 0, 1/lb.paceOf(backend))
+func (lb *Balancer) completionRate(backend *Backend) float64 {
+	return backend.completionRate.rate(lb.now, len(backend.inFlight) > 0, 1/lb.paceOf(backend))
 }
 
 // totalDrainRate is the drain rate of the backends of this node's zone, or of all zones.
-func (lb *Balancer) totalDrainRate(allZones bool) (rate float64) {
+func (lb *Balancer) totalCompletionRate(allZones bool) (rate float64) {
 	for _, backend := range lb.backends {
 		if (allZones || lb.isNear(backend)) && lb.isUsable(backend) && lb.suspicionOf(backend) < ejectionThreshold {
-			rate += lb.drainRate(backend)
+			rate += lb.completionRate(backend)
 		}
 	}
 	return rate
@@ -170,7 +170,7 @@
 // expectedWait is the wait expected at a backend: first of all what was just met there, then what is usual.
 func (b *Backend) expectedWait(now, usual float64) float64 {
 	usual = b.waits.mean(now, usual, 1)
-	return usual + (b.lastWait.wait-usual)*lastWaitShare*decayFactor(b.lastWait.at, now, lastWaitHalfLife)
+	return usual + (b.lastWait.wait-usual)*lastWaitShare*decayFactor(b.lastWait.at, now, lastWaitHalfLifeMs)
 }
 
 // decayFactor is what is left now of something last counted at a time, with a half-life in ms.
@@ -262,17 +262,17 @@
 
 const (
 	// drainHalfLife in ms: a queue seen is believed for about as long as one lasts.
-	drainHalfLife = 2e3
+	completionHalfLifeMs = 2e3
 	// drainPrior in ms at the usual rate counts before anything is seen.
-	drainPrior = 100.0
+	completionPriorMs = 100.0
 )
 
 // drainEstimate is work done over the time with any in flight, both decaying.
-type drainEstimate struct{ done, busyTime, at float64 }
+type completionRateEstimate struct{ done, busyTime, at float64 }
 
 // advance counts the time since the last call as busy or not.
-func (d *drainEstimate) advance(now float64, isBusy bool) {
-	left := decayFactor(d.at, now, drainHalfLife)
+func (d *completionRateEstimate) advance(now float64, isBusy bool) {
+	left := decayFactor(d.at, now, completionHalfLifeMs)
 	if isBusy {
 		d.busyTime += now - d.at
 	}
@@ -280,41 +280,41 @@
 }
 
 // rate is the work a ms while busy.
-func (d drainEstimate) rate(now float64, isBusy bool, usual float64) float64 {
+func (d completionRateEstimate) rate(now float64, isBusy bool, usual float64) float64 {
 	if d.at == 0 { // most backends of a large fleet are new to a node: next to no computing for them
 		return usual
 	}
 	d.advance(now, isBusy)
-	return (d.done + drainPrior*usual) / (d.busyTime + drainPrior)
+	return (d.done + completionPriorMs*usual) / (d.busyTime + completionPriorMs)
 }
 
 // unseen is the share of what would be known of a busy backend that is not.
-func (d drainEstimate) unseen(now float64) float64 {
-	return drainPrior / (drainPrior + d.busyTime*decayFactor(d.at, now, drainHalfLife))
+func (d completionRateEstimate) priorShare(now float64) float64 {
+	return completionPriorMs / (completionPriorMs + d.busyTime*decayFactor(d.at, now, completionHalfLifeMs))
 }
 
 // perTime is the work a ms, busy or not.
-func (d drainEstimate) perTime(now float64) float64 {
+func (d completionRateEstimate) throughput(now float64) float64 {
 	if d.done == 0 {
 		return 0
 	}
-	return d.done * decayFactor(d.at, now, drainHalfLife) * math.Ln2 / drainHalfLife
+	return d.done * decayFactor(d.at, now, completionHalfLifeMs) * math.Ln2 / completionHalfLifeMs
 }
 
 // waitHalfLife in ms: a zone is believed crowded for a little longer than one backend.
-const waitHalfLife = 3e3
+const waitHalfLifeMs = 3e3
 
 // decayingMean is a mean of what was lately seen.
 type decayingMean struct{ sum, count, at float64 }
 
 func (m *decayingMean) add(now, x float64) {
-	left := decayFactor(m.at, now, waitHalfLife)
+	left := decayFactor(m.at, now, waitHalfLifeMs)
 	m.sum, m.count, m.at = m.sum*left+x, m.count*left+1, now
 }
 
 // mean counts so many samples of the usual beside what was seen.
 func (m *decayingMean) mean(now, usual, prior float64) float64 {
-	left := decayFactor(m.at, now, waitHalfLife)
+	left := decayFactor(m.at, now, waitHalfLifeMs)
 	return (m.sum*left + prior*usual) / (m.count*left + prior)
 }
 
@@ -332,7 +332,7 @@
 
 const (
 	// lastWaitHalfLife in ms: a queue behind one heavy request forms and goes within a second.
-	lastWaitHalfLife = 300.0
+	lastWaitHalfLifeMs = 300.0
 	// lastWaitShare of a wait just met is believed: what came to the backend meanwhile is not seen.
 	lastWaitShare = 0.75
 )
--- a/balancer/estimators_test.go
+++ b/balancer/estimators_test.go
@@ -83,7 +83,7 @@
 	p := late.Attempts[0]
 	p.isOverdue = true // so that the answer alone is looked at
 	h.advance(3500).endAttempt(p, OutcomeAnswered)
-	left := decayFactor(before.at, h.now, waitHalfLife)
+	left := decayFactor(before.at, h.now, waitHalfLifeMs)
 	assert.InDelta(t, before.sum*left+1000, h.balancer.estimates.waits.all.sum, 1e-6, "a wait counts for the objective at most")
 }
 
--- a/balancer/ordering.go
+++ b/balancer/ordering.go
@@ -60,7 +60,7 @@
 // resolution is added, so that a timer that fires early does not shorten it.
 func (lb *Balancer) startCooldown(request *Request) {
 	queue := request.keyQueue
-	queue.cooldownUntil = math.Max(queue.cooldownUntil, lb.now+request.Config.UncertainCooldown+clockResolution)
+	queue.cooldownUntil = math.Max(queue.cooldownUntil, lb.now+request.Config.UncertainCooldown+clockResolutionMs)
 }
 
 // isKeysTurn reports whether no earlier request of the key is open or in flight and, before the request's own first
--- a/balancer/poison_test.go
+++ b/balancer/poison_test.go
@@ -31,7 +31,7 @@
 	require.Equal(t, "attempt:first", h.decisions())
 	h.endAttempt(h.requests["once"].Attempts[0], OutcomeAnswered)
 	h.endAttempt(h.requests["first"].Attempts[0], OutcomeAnswered)
-	h.advance(poisonWindow).decisions()
+	h.advance(poisonWindowMs).decisions()
 	h.clientRetries("later", 0)
 	require.Equal(t, "attempt:later", h.decisions(), "no longer than the evidence lasts")
 }
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -99,7 +99,7 @@
 // or of all zones where it may cross, lately did this node's work. Its own work counts only where others are
 // queued: a heavy request alone is no cause for a rejection.
 func (lb *Balancer) queueTime(request *Request, mayCross bool) float64 {
-	rate, ahead := lb.totalDrainRate(mayCross), 0.0
+	rate, ahead := lb.totalCompletionRate(mayCross), 0.0
 	for _, queued := range lb.queue.requests {
 		ahead += queued.work
 	}
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -95,7 +95,7 @@
 	// Its own zone is back, with one backend that answers next to nothing: what may cross does not wait for that one.
 	h.setState(BackendReady, 0, h.backends[0])
 	h.balancer.queue.requests = append(h.balancer.queue.requests, worth)
-	h.backends[0].drain = drainEstimate{done: 1, busyTime: 1e6, at: h.now}
+	h.backends[0].completionRate = completionRateEstimate{done: 1, busyTime: 1e6, at: h.now}
 	may, mayNot := h.balancer.queueTime(worth, true), h.balancer.queueTime(worth, false)
 	assert.Less(t, 5*may, mayNot)
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -16,7 +16,7 @@
 	// maxRetryTokens may be saved up: one backend's requests in flight when it fails.
 	maxRetryTokens = 20.0
 	// overdueBase in ms is for setting up a connection and some ticks of the host's clock.
-	overdueBase = 20
+	overdueBaseMs = 20
 	// unknownOverrun is how much longer than predicted answers are taken to need before any came.
 	unknownOverrun = 4
 	// minOverrun and maxOverrun bound what was learned of it: unusual days must not end all patience or leave none.
@@ -107,5 +107,5 @@
 
 // recordOverrun records by how much an answer took longer than predicted.
 func (lb *Balancer) recordOverrun(attempt *Attempt, elapsed float64) {
-	lb.retries.overrun.add(math.Max(elapsed, minAnswerTime)/math.Max(attempt.expectedTime, 1), overrunQuantile, overrunStep)
+	lb.retries.overrun.add(math.Max(elapsed, minAnswerTimeMs)/math.Max(attempt.expectedTime, 1), overrunQuantile, overrunStep)
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -45,10 +45,10 @@
 		}
 		h.advance(500).decisions()
 		assert.Equal(t, answered == 0, len(b.inFlight) == 1, name)
-		before := b.suspicion.get(h.now, suspicionHalfLife)
+		before := b.suspicion.get(h.now, suspicionHalfLifeMs)
 		assert.Equal(t, answered == 1, before == 0, name)
 		h.endAttempt(request.Attempts[0], OutcomeTimedOut)
-		assert.Equal(t, answered == 0, b.suspicion.get(h.now, suspicionHalfLife) > before, name)
+		assert.Equal(t, answered == 0, b.suspicion.get(h.now, suspicionHalfLifeMs) > before, name)
 		assert.Empty(t, b.inFlight, name)
 		assert.Zero(t, b.workInFlight, name)
 	}
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -37,7 +37,7 @@
 
 	// subsetPeriod in ms after which a node uses other backends of other zones: long enough to see a few answers, short
 	// enough to try all within half a minute.
-	subsetPeriod = 4e3
+	subsetPeriodMs = 4e3
 	// minCrossZoneShare of other zones' backends are used at a time at least.
 	minCrossZoneShare = 0.2
 
@@ -52,7 +52,7 @@
 	subsetTryStep  = 0.7548776662
 
 	// connectBackoffBase in ms: a backend that refused a connection is tried again after this, doubled with each refusal.
-	connectBackoffBase = 1e3
+	connectBackoffBaseMs = 1e3
 	// maxConnectRefusals bounds the doubling: a full table and a restart are over within some ten seconds.
 	maxConnectRefusals = 4
 )
@@ -303,7 +303,7 @@
 		return true
 	}
 	used := max(minCrossZoneShare, lb.perNodeShare(initialInFlight), backend.maxInFlight-1)
-	return lb.slotDraw(backend, subsetPeriod) <= used
+	return lb.slotDraw(backend, subsetPeriodMs) <= used
 }
 
 // chooseSubset picks the backends that this node connects to, where connections cost. By the node's index on a ring that is
@@ -341,6 +341,6 @@
 func (lb *Balancer) recordConnectFailure(backend *Backend) {
 	backend.refusals = math.Min(backend.refusals+1, maxConnectRefusals)
 	if lb.config.ConnectionCost > 0 {
-		backend.pausedUntil = lb.now + connectBackoffBase*math.Exp2(backend.refusals-1)*(0.5+lb.random.nextUnit())
+		backend.pausedUntil = lb.now + connectBackoffBaseMs*math.Exp2(backend.refusals-1)*(0.5+lb.random.nextUnit())
 	}
 }
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -88,7 +88,7 @@
 					opened, used[b] = opened+1, true
 				}
 			}
-			h.advance(subsetPeriod).decisions()
+			h.advance(subsetPeriodMs).decisions()
 		}
 		assert.InDelta(t, 50*c.share, opened/40, 4, "%+v", c)
 		assert.Greater(t, len(used), 47, "%+v", c)
@@ -149,7 +149,7 @@
 	require.Equal(t, "attempt:small", h.decisions())
 	h.advance(80).endAttempt(small.Attempts[0], OutcomeAnswered)
 	h.decisions()
-	require.Less(t, h.balancer.drainRate(h.backends[0]), 0.8)
+	require.Less(t, h.balancer.completionRate(h.backends[0]), 0.8)
 	h.requestArrives("long", 1, 700)
 	assert.Equal(t, "attempt:long", h.decisions())
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -80,7 +80,7 @@
 		}
 		usage := lb.slowStart.usageByZone.at(backend.Zone)
 		if lb.slowStartFactor(backend) == 1 {
-			usage.work, usage.speed = usage.work+backend.drain.perTime(lb.now), usage.speed+backend.Weight/lb.paceOf(backend)
+			usage.work, usage.speed = usage.work+backend.completionRate.throughput(lb.now), usage.speed+backend.Weight/lb.paceOf(backend)
 		}
 	}
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -345,7 +345,7 @@
 		RotationPass:       b.rotationPass,
 		Pace:               [2]float64{b.pace.time, b.pace.work},
 		AnswerRatio:        QuantileSnapshot{b.answerRatio.value, b.answerRatio.seen},
-		Drain:              [3]float64{b.drain.done, b.drain.busyTime, b.drain.at},
+		Drain:              [3]float64{b.completionRate.done, b.completionRate.busyTime, b.completionRate.at},
 		Suspicion:          [2]float64{b.suspicion.sum, b.suspicion.at},
 		RecentWorkAt:       slices.Clone(b.recentWork.at),
 		RecentWork:         slices.Clone(b.recentWork.amount),
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -61,7 +61,7 @@
 		}
 		b.pausedUntil = h.now + 1e3
 	}
-	h.advance(reviewInterval + 1).decisions()
+	h.advance(reviewIntervalMs + 1).decisions()
 	require.Len(t, h.subset(), subsetSizeOwnZone+2)
 	for range 20 {
 		request := h.requestArrives("a", 1, 10)
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -10,7 +10,7 @@
 // keep the order in which they were set, so that a replay decides alike.
 
 // clockResolution in ms is how much earlier than asked for a timer may fire: hosts round their clocks.
-const clockResolution = 1e-3
+const clockResolutionMs = 1e-3
 
 // timer is one entry; what it is for shows by the field that is set.
 type timer struct {
@@ -54,7 +54,7 @@
 func (lb *Balancer) TimerFired(now float64) {
 	lb.now = now
 	// A clock rounded to just before the time asked for counts: else no timer would ever be set again.
-	if now >= lb.timers.armedFor-clockResolution {
+	if now >= lb.timers.armedFor-clockResolutionMs {
 		lb.timers.armedFor = math.Inf(1)
 	}
 }
