--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -2,27 +2,32 @@
 
 import "math"
 
-// Admission decides how long a request may wait for a backend before it is rejected. The patience is a share of the time
-// left to its latency objective: more for classes of higher priority weight, less for requests that are likely beyond
-// their tenant's quota, and next to none for clients' retries. A rejection carries Retry-After, in ms, where the
-// configuration says so; a request that may have run and can't be repeated is failed instead.
+// Admission here means one thing: how long a request may wait behind other work before the balancer rejects it. (The
+// limits by which the server accepts connections and requests at all are another admission, outside this package.)
+//
+// The longest accepted wait is the request's patience, in ms. It is a share of the time left until the latency objective:
+// a larger share for classes of higher priority weight, a smaller one for requests that are probably over their tenant's
+// quota, and a very small one for clients' retries. A rejection carries a Retry-After if the configuration says so. A
+// request that the client could not repeat safely is failed and not rejected.
 
 const (
-	// clientRetryPatience is the share of a first try's patience that a client's retry has: most of the client's time is
-	// gone, and under overload retries are what keeps it up.
+	// clientRetryPatience is the patience of a client's retry, as a share of that of the client's first try. Most of the
+	// client's time has passed by then, and an overload lasts for as long as the retries that it causes are accepted.
 	clientRetryPatience = 0.1
-	// rateHalfLife in ms of request rates: a flood is seen within its first seconds, also by nodes of a request a second.
+	// rateHalfLifeMs is the half-life of the counters of requests. Even a node that receives one request a second then
+	// notices a flood of requests within its first seconds.
 	rateHalfLifeMs = 3e3
-	// quotaMixPrior is how many requests, spread over the tenants as their quotas are, count beside those seen: a few
-	// requests say little of who is over quota.
+	// quotaMixPrior is a number of assumed requests, divided between the tenants in proportion to their quotas, that is added
+	// to those counted. A few counted requests alone would say little about who is over quota.
 	quotaMixPrior = 8.0
-	// minRetryAfterShare and retryAfterSpread spread Retry-After from a quarter to three quarters of the queue time, which
-	// is about when half of the queue has gone: a retry too late is lost, and all at once are a storm.
+	// minRetryAfterShare and retryAfterSpread give the range of Retry-After: from a quarter to three quarters of the queue
+	// time, drawn evenly. On average clients come back when half of the queue is gone. Later could be too late for their
+	// deadlines, and all at the same time would be the next overload.
 	minRetryAfterShare = 0.25
 	retryAfterSpread   = 0.5
 )
 
-// patienceOf is the wait behind others in ms above which a request is rejected.
+// patienceOf returns the request's patience: the wait behind other work, in ms, above which it is rejected.
 func (lb *Balancer) patienceOf(request *Request) float64 {
 	share := request.class.patienceShare * lb.quotaFactor(request)
 	if request.IsClientRetry {
@@ -31,43 +36,56 @@
 	return share * lb.timeToObjective(request)
 }
 
-// quotaFactor is the share of a request's priority that is left by how likely it is beyond its tenant's quota.
+// quotaFactor returns the factor by which the request's priority and patience are reduced: 1 for a request that is surely
+// within its tenant's quota, Config.OverQuotaWeight for one that is surely over it, and in proportion between them.
 func (lb *Balancer) quotaFactor(request *Request) float64 {
 	return 1 - request.overQuota*(1-lb.config.OverQuotaWeight)
 }
 
-// estimateOverQuota estimates how likely a request is beyond its tenant's quota, from two things, whichever says less: the
-// tenant's part of this node's requests against its part of all quotas, and its rate here against an equal part of its
-// quota. Nodes carry very unlike parts of the traffic: by the rate alone, a busy node would always see a flood.
+// estimateOverQuota sets request.overQuota, an estimate of the probability that the request is over its tenant's quota.
+//
+// It compares two ratios and goes by the lower one:
+//   - the odds of this tenant among the node's latest requests, divided by its odds among the quotas of all tenants;
+//   - the tenant's request rate at this node, divided by an equal share for each node of the tenant's quota.
+//
+// The second ratio alone would not do: nodes carry very different parts of the traffic, and a busy one would take every
+// tenant for over quota. Of a tenant that sends x times its quota, the share 1-1/x is over quota.
 func (lb *Balancer) estimateOverQuota(request *Request) {
 	if request.Tenant >= len(lb.config.Tenants) {
 		return
 	}
 	tenant := &lb.config.Tenants[request.Tenant]
 	tenant.rate.set(lb.now, tenant.rate.get(lb.now, rateHalfLifeMs)+1)
-	lb.config.tenantRate.set(lb.now, lb.config.tenantRate.get(lb.now, rateHalfLifeMs)+1) // all decay alike, and so does their sum
+	// All tenants' counters have the same half-life, so that the sum of all of them can be kept as one counter.
+	lb.config.tenantRate.set(lb.now, lb.config.tenantRate.get(lb.now, rateHalfLifeMs)+1)
 	if tenant.Quota == 0 {
 		return
 	}
 	quotas := lb.config.totalQuota()
-	own, all := tenant.rate.sum+quotaMixPrior*tenant.Quota/quotas, lb.config.tenantRate.sum+quotaMixPrior
-	odds := own * (quotas - tenant.Quota) / math.Max((all-own)*tenant.Quota, 1e-9)
-	if quotas == tenant.Quota {
-		odds = math.Inf(1)
+	ownRequests := tenant.rate.sum + quotaMixPrior*tenant.Quota/quotas
+	allRequests := lb.config.tenantRate.sum + quotaMixPrior
+	oddsRatio := ownRequests * (quotas - tenant.Quota) / math.Max((allRequests-ownRequests)*tenant.Quota, 1e-9)
+	if quotas == tenant.Quota { // it is the only tenant with a quota: the mix says nothing
+		oddsRatio = math.Inf(1)
 	}
-	odds = math.Min(odds, tenant.rate.sum*1e3*math.Ln2/rateHalfLifeMs*float64(lb.config.Nodes)/tenant.Quota)
-	request.overQuota = math.Max(0, 1-1/odds)
+	// A decaying counter of steady requests holds rate * half-life / ln 2; 1e3 turns requests a ms into requests a second.
+	rateRatio := tenant.rate.sum * 1e3 * math.Ln2 / rateHalfLifeMs * float64(lb.config.Nodes) / tenant.Quota
+	timesQuota := math.Min(oddsRatio, rateRatio)
+	request.overQuota = math.Max(0, 1-1/timesQuota)
 }
 
-// rejectOrFail ends a request with an answer of the node's own, and at once: a rejection where the client may
-// safely send it again, else a failure. All such answers pass here.
+// rejectOrFail ends a request without a backend's answer: with a rejection if the client may repeat it safely, else with a
+// failure. Every rejection and failure that the balancer decides on passes through this function.
+//
+// Some answers of a node do not come from the balancer. The server answers requests that it does not accept, or whose
+// key is already in the request log; the node answers the requests that are still open when it shuts down; and for a
+// logged request the node turns a rejection into a failure under a stricter rule (see isSafeToRepeat).
 func (lb *Balancer) rejectOrFail(request *Request) {
 	if request.stage == stageEnded || request.stage == stageStreaming {
 		return
 	}
 	kind := DoFail
-	if request.UncertainAttempt() == nil || request.class.Idempotency == Idempotent ||
-		request.class.Idempotency == IdempotentWithKey && request.class.DedupScope == DedupByAll {
+	if request.isSafeToRepeat() {
 		kind = DoReject
 	}
 	decision := Decision{Kind: kind, Request: request}
@@ -78,7 +96,25 @@
 	lb.endRequest(request)
 }
 
-// retryAfter is in how many ms a rejected client is to come back.
+// isSafeToRepeat reports whether the client may repeat the request without the risk that it has an effect twice. That does
+// not mean that no attempt has run. It is safe if one of these holds:
+//   - no attempt may have run;
+//   - the class is Idempotent, so that running it twice does no harm;
+//   - the class is IdempotentWithKey with DedupByAll: whichever backend the client's repeat reaches recognizes the key. With
+//     a narrower DedupScope the repeat could reach a backend that does not. This relies on the client coming back within
+//     the class's DedupWindow, which is not checked here.
+//
+// For logged requests a stricter rule holds, in canRejectLogged of internal/node and CanReject of internal/requestlog: a
+// rejection frees the request's key in the log, so that the client may come back long after the backends have forgotten
+// it. They therefore never reject an IdempotentWithKey request that may have run.
+func (r *Request) isSafeToRepeat() bool {
+	return r.UncertainAttempt() == nil || r.class.Idempotency == Idempotent ||
+		r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupByAll
+}
+
+// retryAfter returns the Retry-After of a rejection in ms: a random share of the queue time, or of the latency objective if
+// that is shorter, and at most Config.MaxRetryAfter. A MaxRetryAfter of 0 means a Retry-After of 0, not that there is no
+// maximum.
 func (lb *Balancer) retryAfter(request *Request) float64 {
 	wait := math.Min(request.class.LatencyObjective, lb.queueTime(request, false))
 	wait *= minRetryAfterShare + retryAfterSpread*lb.random.nextUnit()
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -23,12 +23,12 @@
 	busyUntil          float64    // until then, the work of attempts that timed out or were canceled may still run
 
 	// estimators.go
-	pace         paceEstimate
-	bestPace     float64 // the lowest seen
-	completionRate        completionRateEstimate
-	waits        decayingMean // how long attempts waited behind others there
-	lastWait     latestWait
-	maxCoresSeen float64 // the most requests at work at once that it has reported
+	pace           paceEstimate
+	bestPace       float64 // the lowest seen
+	completionRate completionRateEstimate
+	waits          decayingMean // how long attempts waited behind others there
+	lastWait       latestWait
+	maxCoresSeen   float64 // the most requests at work at once that it has reported
 
 	// endpoints.go
 	tracked      bool    // the balancer has it among its backends
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,8 +1,3 @@
-// Package balancer decides what a node does with its requests: which backend gets an attempt, what is queued, retried or
-// rejected. It is pure: a host starts a Balancer with its Config, tells it what happens through the inputs, which only
-// update what is known, and after each batch of them pulls decisions with Next, one by one, until there is none. Times are
-// the host's clock in ms; no method may be called concurrently with another. Each rule has a file of its own; the
-// ordinary path is CDA(c), see docs/design.md.
 package balancer
 
 import (
@@ -12,11 +7,12 @@
 	"slices"
 )
 
-// reviewInterval in ms between reviews of all backends: several within the shortest latency objective of services that
-// people wait for.
+// reviewIntervalMs is the time between two reviews of all backends. It is short enough for several reviews within the
+// latency objective of an interactive service.
 const reviewIntervalMs = 100.0
 
-// Decider is what a host asks: a Balancer, or what stands round one or in its place.
+// Decider is the interface through which a host uses a Balancer. The other implementers either wrap a Balancer, such as a
+// recorder of its inputs and decisions, or replace it, such as a simpler policy to compare it with.
 type Decider interface {
 	EndpointsChanged(now float64, endpoints []Endpoint, full, cached bool)
 	PollFailed(now float64)
@@ -39,8 +35,8 @@
 // The kinds of decision. Their numbers are stored.
 const (
 	DoAttempt  DecisionKind = iota // send the request to the attempt's backend
-	DoReject                       // answer the client that it may safely send the request again
-	DoFail                         // answer the client that the request may have run
+	DoReject                       // answer the client that it may repeat the request safely; see isSafeToRepeat
+	DoFail                         // answer the client that the request may have run and must not be repeated blindly
 	DoCancel                       // cancel the attempt
 	DoPoll                         // poll the endpoint list
 	DoSetTimer                     // call TimerFired after Wait, in place of any timer set before
@@ -52,23 +48,25 @@
 	Kind    DecisionKind
 	Request *Request
 	Attempt *Attempt
-	Wait    float64 // ms; DoAttempt: its time-out, 0 for none; DoReject: Retry-After; DoSetTimer: how far from now
-	Event   Event   // DoLog
+	// Wait is a duration in ms: of DoAttempt the attempt's time-out, or 0 for none; of DoReject the Retry-After, or 0 for
+	// none; of DoSetTimer the time from now until TimerFired is to be called.
+	Wait  float64
+	Event Event // of DoLog
 }
 
-// EventKind is what happened that is worth a log line.
+// EventKind says what an Event reports.
 type EventKind uint8
 
 // The kinds of event.
 const (
-	EventBackendEjected EventKind = iota + 1 // Backend; Count is its attempts in flight
-	EventPollFailed                          // Count is the failures in a row
+	EventBackendEjected EventKind = iota + 1 // Backend was ejected; Count is the number of its attempts in flight
+	EventPollFailed                          // a poll of the endpoint list failed; Count is the failures in a row
 )
 
-// Event is something for the log, with the values that its kind has.
+// Event is something to log. Its kind says which of the other fields are set.
 type Event struct {
 	Kind    EventKind
-	Backend uint64 // its ID
+	Backend uint64 // the backend's ID
 	Count   int
 }
 
@@ -82,22 +80,22 @@
 	return fmt.Sprintf("event %d", uint8(e.Kind))
 }
 
-// Balancer decides for one node. Nothing is shared between nodes: what one needs of the others it computes from the
-// configuration and its own answers. All fields belong to the goroutine that calls the methods.
+// Balancer decides for one node. Nodes exchange nothing: what a balancer must know of the other nodes it computes from
+// the configuration and from the answers that it sees itself. All fields belong to the goroutine that calls the methods.
 type Balancer struct {
 	config    *Config
-	now       float64 // of the latest input
+	now       float64 // time of the latest input
 	random    multiplyWithCarry
-	backends  []*Backend // all that the list named, in the order of their first naming
-	pending   []*Request // those that a decision is due on
-	decisions []Decision // not yet pulled
+	backends  []*Backend // all tracked backends, in the order in which the endpoint list first named them
+	pending   []*Request // requests that must be decided on
+	decisions []Decision // decisions that Next has not returned yet
 	review    reviewSchedule
 
-	cutoff      hintWindow // between short and long requests
+	cutoff      hintWindow // the latest cost hints, which place the cutoff between short and long requests
 	endpoints   endpointState
 	rotation    rotationState
 	queue       requestQueue
-	keyQueues   map[uint64]*keyQueue // of classes that keep order, by key
+	keyQueues   map[uint64]*keyQueue // by Request.Key, for requests of classes that keep order
 	retries     retryState
 	ejection    ejectionState
 	slowStart   slowStartState
@@ -105,17 +103,18 @@
 	estimates   estimates
 	timers      timerState
 
-	// OnConsidered is called for each backend considered for a request, with why it was passed over; nil where nobody asks.
+	// OnConsidered, if not nil, is called for each backend that is considered for a request, with the reason why the backend
+	// was passed over, or Eligible. It does not influence decisions.
 	OnConsidered func(request *Request, backend *Backend, reason Reason)
 }
 
-// reviewSchedule is when all backends are reviewed next.
+// reviewSchedule says when reviewBackends runs next.
 type reviewSchedule struct {
-	at      float64
-	hasNews bool // since the last review: without, a fleet of idle nodes spends nothing
+	at      float64 // earliest time of the next review
+	hasNews bool    // there was an input since the last review; without one no review runs, so that an idle node uses no CPU
 }
 
-// New starts a balancer; now is the host's clock.
+// New returns a balancer that starts at the time now, without any backends.
 func New(config *Config, now float64) *Balancer {
 	lb := &Balancer{
 		config:      config,
@@ -137,8 +136,8 @@
 	return lb
 }
 
-// Next returns the next decision, if there is one. The clock is that of the latest input. After the last decision the
-// host's timer is set to when there is something to do without an input.
+// Next returns the next decision, or false if there is none. It decides as of the time of the latest input. The last
+// decision of a batch is DoSetTimer if there is something to do, without a further input, earlier than the host's timer.
 func (lb *Balancer) Next() (Decision, bool) {
 	for len(lb.decisions) == 0 {
 		if lb.step() {
@@ -156,8 +155,8 @@
 	return decision, true
 }
 
-// step does the first thing that is due, and reports whether there was one. The order counts: arrivals go before timers,
-// and both before freed capacity is offered to the queue.
+// step does the first thing that is due, and reports whether anything was due. Requests that must be decided on come
+// before timers, and both come before freed capacity is offered to the queue. Replays depend on this order.
 func (lb *Balancer) step() bool {
 	switch {
 	case len(lb.pending) > 0:
@@ -181,11 +180,12 @@
 	return true
 }
 
-// reviewBackends compares the backends with each other, and forgets those that are gone for good. It runs periodically
-// while there is news, and with each change of the endpoint list.
+// reviewBackends forgets the backends that are gone for good, and updates everything that is computed over all backends.
+// It runs every reviewIntervalMs while there is news, and after each change of the endpoint list.
 func (lb *Balancer) reviewBackends() {
 	lb.backends = slices.DeleteFunc(lb.backends, func(b *Backend) bool { return b.forgetIfGone(lb.now, lb.config) })
-	if math.IsInf(lb.concurrency.limit, 1) && len(lb.backends) > 0 { // all nodes may start at once, without news of a queue
+	// Without a limit, nodes that all start at the same time could overload the backends before the first answers show it.
+	if math.IsInf(lb.concurrency.limit, 1) && len(lb.backends) > 0 {
 		lb.concurrency.limit = lb.minInFlightLimit()
 	}
 	lb.reviewEndpointList()
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -2,51 +2,63 @@
 
 import "math"
 
-// Concurrency limits bound how many attempts are in flight, at each backend and for the node in all. They follow the
-// answers: up by one while answers come without a queue, down by a fifth where they were queued, timed out or were
-// rejected. A node sees only its own work, so that queues of others show in answer times alone. At a limit, requests are
-// queued.
+// Concurrency limits bound the number of attempts that this node has in flight: one limit for each backend and one for
+// all backends together. Both follow additive increase and multiplicative decrease: a limit rises by about one for as many
+// answers as it allows attempts, while answers show no queue, and falls by a fifth when an answer was queued, timed out or
+// was rejected. A node sees only its own attempts in flight, so that work of other nodes shows only in answer times. While
+// a limit is reached, requests are queued.
 
 const (
-	// initialInFlight attempts may be in flight, by all nodes together, at a backend of which nothing is known, beyond one
-	// of each node.
+	// initialInFlight is the limit of attempts in flight at a backend of which nothing is known, for all nodes together and
+	// beyond one attempt of each node.
 	initialInFlight = 3.0
-	// minInFlightPerBackend attempts by all nodes together are not too many for any backend.
+	// minInFlightPerBackend is a number of attempts in flight, of all nodes together, that no backend is overloaded by.
 	minInFlightPerBackend = 7.0
-	// toleratedWaitShare of the latency objective is what an answer may take beside its own work before it is too late.
+	// toleratedWaitShare is the wait that affordableInFlight allows for each answer, as a share of the latency objective.
 	toleratedWaitShare = 0.4
-	// backendQueueTolerance is the share of the latency objective from which on a queue lowers the backend's limit.
+	// backendQueueTolerance is the time in a queue, as a share of the latency objective, above which an answer lowers the
+	// limit of its backend.
 	backendQueueTolerance = 0.03
-	// nodeQueueTolerance is that for the node's limit, and for a backend's where it stands for pauses: a pause gives up more
-	// than an attempt in flight does.
+	// nodeQueueTolerance is the same for the node's limit, and for a backend's limit of 1 or less. Such a limit is lowered by
+	// pauses between attempts, which cost more throughput than one attempt in flight less, so that more queueing is tolerated.
 	nodeQueueTolerance = 0.2
-	// paceTolerance: an answer that takes longer than this many times the best pace was queued for the rest.
+	// paceTolerance is how many times longer than at the backend's best pace an answer may take before the rest of its time
+	// counts as time in a queue.
 	paceTolerance = 1.5
-	// limitDecrease is what a queue leaves of a limit.
+	// limitDecrease is the factor by which a limit falls.
 	limitDecrease = 0.8
-	// maxLimitGrowth is the part of a limit that one answer adds at most: small limits must not double at once.
+	// maxLimitGrowth bounds the rise of a limit by one answer to a fourth of the limit, so that a limit of 1 does not double
+	// by a single answer.
 	maxLimitGrowth = 4
-	// maxRoundingUp is just below one, so that a whole limit is not raised by one.
+	// maxRoundingUp bounds what is added to a limit before it is rounded down. It is just below 1, so that a whole number is
+	// not raised.
 	maxRoundingUp = 0.99
-	// minNodeInFlight attempts may always be in flight, so that one silent backend does not stop a node.
+	// minNodeInFlight is the lowest limit of the node, so that one silent backend does not block all requests.
 	minNodeInFlight = 2
 )
 
-// concurrencyState is the limit of the node in all.
+// concurrencyState holds the node's limit over all backends.
 type concurrencyState struct {
-	inFlight     int             // attempts, with those whose work may go on after their end
-	limit        float64         // infinite before the first backend is known
-	answeredTime decayingCounter // ms that each of the latest answered attempts might have taken
+	// inFlight is the number of attempts in flight, with those that timed out or were canceled and may still run.
+	inFlight int
+	// limit is the maximum of inFlight; infinite until the first backend is known.
+	limit float64
+	// answeredTime is the decaying sum, over answered attempts, of the ms that each could have taken and still been good
+	// enough: its work at the backend's pace, and toleratedWaitShare of its latency objective. See affordableInFlight.
+	answeredTime decayingCounter
 }
 
-// perNodeShare is this node's share of what all nodes together may.
+// perNodeShare returns this node's equal share of a limit or a budget that is for all nodes together.
 func (lb *Balancer) perNodeShare(total float64) float64 {
 	return total / float64(max(lb.config.Nodes, 1))
 }
 
-// isAtCapacity reports whether a backend has all the attempts that this node sends there at once. Beyond that they
-// would queue, and an overloaded backend may turn slower for all nodes. A part of an attempt is rounded up where nodes
-// are few, and down where many of them would add up.
+// isAtCapacity reports whether this node may not send the backend another attempt now: the node's limit or the backend's
+// limit is reached, the backend is paused, or the node does not use it at present (see mayUse). Further attempts would be
+// queued at the backend, and an overloaded backend may become slower for all nodes.
+//
+// The backend's limit is a fraction. With few nodes it is rounded up. With many it is rounded down, since the fractions of
+// all of them would add up to many attempts.
 func (lb *Balancer) isAtCapacity(backend *Backend) bool {
 	if float64(lb.concurrency.inFlight) >= lb.concurrency.limit || backend.pausedUntil > lb.now || !lb.mayUse(backend) {
 		return true
@@ -55,9 +67,9 @@
 	return float64(len(backend.inFlight)) >= max(limit, 1)
 }
 
-// adjustLimits adjusts the limits after an answer. Queues that any node causes lengthen the answers of all: each lowers
-// its limits, so that they share what there is without a message. The best pace seen is the measure: the present one
-// holds queues that have come to stay.
+// adjustLimits adjusts the limits after an answer that took elapsed ms. A queue that one node causes lengthens the answers
+// of all nodes, so that each lowers its limits and they share the backend without exchanging messages. Time in a queue is
+// measured against the best pace seen of the backend: the present pace already includes a queue that has lasted.
 func (lb *Balancer) adjustLimits(backend *Backend, attempt *Attempt, elapsed float64) {
 	objective := attempt.Request.class.LatencyObjective
 	queueing := elapsed - paceTolerance*attempt.Request.work*backend.bestPace
@@ -73,8 +85,9 @@
 	}
 }
 
-// lowerBackendLimit lowers a backend's limit. Below one it stands for pauses between attempts: with many nodes, one attempt
-// of each at all times can be more than a backend bears.
+// lowerBackendLimit lowers a backend's limit after an attempt that took elapsed ms. A limit below 1 means one attempt at a
+// time with a pause after each, of 1/limit - 1 times the answer time: 0.25 means one attempt, then a pause of three answer
+// times. This is needed where nodes are many: one attempt of each at all times can be more than a backend can serve.
 func (lb *Balancer) lowerBackendLimit(backend *Backend, elapsed float64) {
 	backend.maxInFlight = math.Max(backend.maxInFlight*limitDecrease, math.Min(1, lb.perNodeShare(initialInFlight)))
 	if backend.maxInFlight < 1 {
@@ -82,8 +95,10 @@
 	}
 }
 
-// adjustInFlightLimit lowers or raises the limit of the node in all. Many nodes of few requests each reach no backend's
-// limit, and learn of a queue too late to keep from feeding it: what is not answered yet holds back the next.
+// adjustInFlightLimit lowers or raises the node's limit after an answer; wasQueued says that the answer showed a queue. The
+// limits of single backends are not enough where nodes are many and each has few requests: none of them reaches such a
+// limit, and each learns of a queue only after it has added to it. Under the node's limit, attempts that are not answered
+// yet hold back further ones.
 func (lb *Balancer) adjustInFlightLimit(wasQueued bool) {
 	minLimit := lb.minInFlightLimit()
 	switch {
@@ -94,22 +109,25 @@
 	}
 }
 
-// minInFlightLimit is the lowest that the node's limit falls: two, its share of what no backend minds, or what answers show
-// to be affordable.
+// minInFlightLimit returns the lower bound of the node's limit: the largest of minNodeInFlight, this node's share of
+// minInFlightPerBackend over all backends, and affordableInFlight.
 func (lb *Balancer) minInFlightLimit() float64 {
 	return max(minNodeInFlight, lb.perNodeShare(minInFlightPerBackend*float64(len(lb.backends))), lb.affordableInFlight())
 }
 
-// affordableInFlight is how many attempts would be in flight if those lately answered had each taken as long as they
-// may: by Little's law, at the rate at which answers come. Where backends turn slow it falls with that rate, and a node
-// of much traffic has more of it than one of little; all nodes' together keep waits within that time.
+// affordableInFlight returns how many attempts would be in flight if each of the latest answers had taken as long as is
+// acceptable (concurrencyState.answeredTime). By Little's law that is the answer rate times the acceptable time. It falls
+// when backends become slow, since then fewer answers come, and it is larger at a node with more traffic. With all nodes
+// at this number, waits stay within the acceptable time.
 func (lb *Balancer) affordableInFlight() float64 {
 	return lb.concurrency.answeredTime.get(lb.now, rateHalfLifeMs) * math.Ln2 / rateHalfLifeMs
 }
 
-// recordAnsweredTime records an answer for affordableInFlight.
+// recordAnsweredTime adds the acceptable time of an answered request to concurrencyState.answeredTime.
 func (lb *Balancer) recordAnsweredTime(backend *Backend, request *Request) {
 	counter := &lb.concurrency.answeredTime
-	sum := counter.get(lb.now, rateHalfLifeMs) + request.work*lb.paceOf(backend) + toleratedWaitShare*request.class.LatencyObjective
+	sum := counter.get(lb.now, rateHalfLifeMs)
+	sum += request.work * lb.paceOf(backend)
+	sum += toleratedWaitShare * request.class.LatencyObjective
 	counter.set(lb.now, sum)
 }
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -2,69 +2,75 @@
 
 import "math"
 
-// Ejection keeps requests from backends that fail. Each has a suspicion that faults raise, answers lower and time
-// halves; what three in four backends show is not their fault and does not count. From two clear faults in a row on a
-// backend is ejected until its suspicion has decayed, within seconds. Requests that may be what brings backends down are
-// not sent to another one.
+// Ejection keeps requests away from backends that fail. Each backend has a suspicion: each fault adds to it, each answer
+// in time lowers it, and it halves every suspicionHalfLifeMs. Suspicion that three quarters of the backends share does not
+// count, since its cause must lie elsewhere. After two clear faults in a row a backend is ejected until its suspicion has
+// decayed again, which takes seconds. Requests that may have crashed a backend (poison requests) are not sent to another.
 
 const (
-	// suspicionHalfLife in ms: an ejected backend is tried again within seconds.
+	// suspicionHalfLifeMs is short enough that an ejected backend is tried again within seconds.
 	suspicionHalfLifeMs = 4e3
-	// ejectionThreshold of suspicion: two clear faults in a row.
+	// ejectionThreshold is the suspicion from which on a backend is ejected: that of two clear faults in a row.
 	ejectionThreshold = 2.0
-	// atMostOnceThreshold ejects for requests that can't be repeated: an error within the last seconds.
+	// atMostOnceThreshold is the lower threshold for AtMostOnce requests, which can't be retried if the backend fails: one
+	// clear fault within the last three seconds reaches it.
 	atMostOnceThreshold = 0.6
-	// maxSuspicion bounds the time until a backend is tried again: a few half-lives.
+	// maxSuspicion bounds the suspicion, and thereby the time until an ejected backend is tried again, to a few half-lives.
 	maxSuspicion = 3 * ejectionThreshold
-	// clearFault is the suspicion for an error, a failed connect or a time-out.
+	// clearFault is the suspicion that is added for an error, a failed connect or a time-out.
 	clearFault = 1
-	// overdueFault is that for an attempt that is overdue, which may still be answered.
+	// overdueFault is the suspicion that is added for an overdue attempt. It is less, since an answer may still come.
 	overdueFault = 0.5
-	// answerForgiveness is the share of suspicion that an answer in time leaves.
+	// suspicionLeftByAnswer is the factor by which an answer in time lowers the suspicion.
 	suspicionLeftByAnswer = 0.8
-	// commonSuspicionQuantile: a sound quarter of the fleet tells that the fault is not elsewhere, also where a failed zone
-	// is most of it.
+	// commonSuspicionQuantile is the quantile of all backends' suspicions that is taken for common to all of them. As long as
+	// a quarter of the backends work, the cause is not common, even if a failed zone holds most of the backends.
 	commonSuspicionQuantile = 0.25
 
-	// answerRatioQuantile of a backend's answer times is compared with its fellows'.
+	// answerRatioQuantile is the quantile of a backend's answer ratios (answer time over work) that is compared with those
+	// of the other backends.
 	answerRatioQuantile = 0.9
-	// answerRatioStep is how fast that follows, in proportion: a dozen answers show a slow backend.
+	// answerRatioStep is the relative step by which the estimate of that quantile follows each answer. At a tenth, a dozen
+	// answers show a slow backend.
 	answerRatioStep = 0.1
-	// minAnswerRatios is how many answers must be known, else one slow answer alone would be an outlier.
+	// minAnswerRatios is the number of answers above which a backend is compared. With fewer, one slow answer alone could
+	// make an outlier.
 	minAnswerRatios = 5
-	// outlierRatio to the fellows' median: slower than the slowest of unlike machines would be.
+	// outlierRatio is the multiple of the backends' median answer ratio above which a backend is an outlier. Differences
+	// between kinds of machine are smaller than that.
 	outlierRatio = 4
-	// answerRatioReturn is by what power the ratio returns to the fellows' at each review: what isn't seen again is
-	// forgotten within seconds.
+	// answerRatioReversion draws a backend's answer ratio back to the median of the backends at each review, so that
+	// slowness that is not seen again is forgotten within seconds: ratio becomes ratio * (median/ratio)^answerRatioReversion.
 	answerRatioReversion = 0.03
 
-	// poisonWindow in ms is how long a reset is held against requests that may have caused it: until a backend is back and
-	// half warmed up.
+	// poisonWindowMs is how long after a reset the balancer acts as if a request had caused it. Within that time a backend
+	// that crashed is back and has half warmed up.
 	poisonWindowMs = 10e3
-	// minRestartTime in ms: a process that crashed answers nothing for longer.
+	// minRestartTimeMs is less than a crashed process needs until it answers again. A backend that answers sooner after a
+	// reset did not crash.
 	minRestartTimeMs = 1e3
 )
 
-// ejectionThresholds are by idempotency of the request's class.
+// ejectionThresholds holds the threshold of suspicion by the idempotency of the request's class.
 var ejectionThresholds = [...]float64{
 	Idempotent:        ejectionThreshold,
 	IdempotentWithKey: ejectionThreshold,
 	AtMostOnce:        atMostOnceThreshold,
 }
 
-// ejectionState is what is known of faults that are not one backend's own.
+// ejectionState holds what concerns the faults of all backends together.
 type ejectionState struct {
-	commonSuspicion      float64 // what three in four backends show
-	lastResetAt          float64 // when an attempt last ended in a reset
-	answeredAfterResetAt float64 // when a backend last answered right after one
+	commonSuspicion      float64 // the suspicion that three quarters of the backends have at least
+	lastResetAt          float64 // time of the last reset of a connection, at any backend
+	answeredAfterResetAt float64 // time of the last answer that proved that a reset was not a crash; see recordAnswerAfterReset
 }
 
-// suspicionOf is a backend's suspicion against its fellows'.
+// suspicionOf returns a backend's suspicion, less what is common to the backends. It is never negative.
 func (lb *Balancer) suspicionOf(backend *Backend) float64 {
 	return math.Max(0, backend.suspicion.get(lb.now, suspicionHalfLifeMs)-lb.ejection.commonSuspicion)
 }
 
-// addSuspicion records a fault of a backend.
+// addSuspicion adds a fault to a backend's suspicion, and logs the event if that ejects it.
 func (lb *Balancer) addSuspicion(backend *Backend, fault float64) {
 	before := lb.suspicionOf(backend)
 	backend.suspicion.set(lb.now, math.Min(backend.suspicion.get(lb.now, suspicionHalfLifeMs)+fault, maxSuspicion))
@@ -73,10 +79,12 @@
 	}
 }
 
-// reviewOutliers compares the backends with each other: what most of them show is no fault of any, and one whose answers
-// take several times as long as its fellows' is suspected.
+// reviewOutliers compares the usable backends with each other. It computes the common suspicion, and raises the suspicion of
+// each backend whose answer ratio is more than outlierRatio times the median: in proportion to the excess, up to the
+// ejection threshold.
 func (lb *Balancer) reviewOutliers() {
-	suspicions, ratios := make([]float64, 0, len(lb.backends)), make([]float64, 0, len(lb.backends))
+	suspicions := make([]float64, 0, len(lb.backends))
+	ratios := make([]float64, 0, len(lb.backends))
 	for _, backend := range lb.backends {
 		if !lb.isUsable(backend) {
 			continue
@@ -87,43 +95,50 @@
 		}
 	}
 	lb.ejection.commonSuspicion = valueAtShare(suspicions, commonSuspicionQuantile)
-	usual := valueAtShare(ratios, 0.5)
+	median := valueAtShare(ratios, 0.5)
 	for _, backend := range lb.backends {
-		if backend.answerRatio.seen <= minAnswerRatios || usual == 0 {
+		if backend.answerRatio.seen <= minAnswerRatios || median == 0 {
 			continue
 		}
-		if ratio := backend.answerRatio.value / usual; ratio > outlierRatio {
-			suspicion := math.Min(ratio/outlierRatio, ejectionThreshold)
+		if multiple := backend.answerRatio.value / median; multiple > outlierRatio {
+			suspicion := math.Min(multiple/outlierRatio, ejectionThreshold)
 			backend.suspicion.set(lb.now, math.Max(backend.suspicion.get(lb.now, suspicionHalfLifeMs), suspicion))
 		}
-		backend.answerRatio.value *= math.Pow(usual/backend.answerRatio.value, answerRatioReversion)
+		backend.answerRatio.value *= math.Pow(median/backend.answerRatio.value, answerRatioReversion)
 	}
 }
 
-// recordReset records a connection that was reset before the answer: the request may have brought the backend down.
+// recordReset records that a connection to the backend was reset before the answer. The request may have crashed the
+// backend.
 func (lb *Balancer) recordReset(backend *Backend) {
-	backend.lastResetAt, lb.ejection.lastResetAt = lb.now, lb.now
+	backend.lastResetAt = lb.now
+	lb.ejection.lastResetAt = lb.now
 	if !lb.resetsAreIsolated() {
 		lb.addSuspicion(backend, clearFault)
 	}
 }
 
-// recordAnswerAfterReset records an answer: a backend that answers right after a reset, or answers an attempt that was in
-// flight at it, has not been brought down.
+// recordAnswerAfterReset records an answer for resetsAreIsolated. A backend that answers sooner after a reset than a crashed
+// process could, or that answers an attempt which was in flight during the reset, has not crashed: only the connection
+// broke.
 func (lb *Balancer) recordAnswerAfterReset(backend *Backend, attempt *Attempt) {
 	if backend.lastResetAt > 0 && (lb.now-backend.lastResetAt < minRestartTimeMs || attempt.SentAt < backend.lastResetAt) {
 		lb.ejection.answeredAfterResetAt = lb.now
 	}
 }
 
-// suspectsPoisonRequest reports whether requests may lately have brought down the backends that began them. Then one
-// that met a reset is not retried, nor are clients' retries placed: each would cost one more backend. First tries go
-// on.
+// suspectsPoisonRequest reports whether a request may have crashed a backend within the last poisonWindowMs: a connection was
+// reset, and no answer has shown that resets are isolated.
+//
+// While it is true, for up to 10 s after one reset anywhere, two things are blocked, since each could crash one more
+// backend: retryOrEnd does not retry a request of which an attempt was reset, even an idempotent one, and decideRequest
+// rejects clients' retries. Requests that clients send for the first time are still placed.
 func (lb *Balancer) suspectsPoisonRequest() bool {
 	return lb.now-lb.ejection.lastResetAt < poisonWindowMs && !lb.resetsAreIsolated()
 }
 
-// resetsAreIsolated tells that connections lately broke by themselves: a backend answered right after a reset.
+// resetsAreIsolated reports whether an answer has shown, within the last poisonWindowMs, that a reset was not a crash (see
+// recordAnswerAfterReset). Resets are then taken for the breaking of single connections, and count as no fault.
 func (lb *Balancer) resetsAreIsolated() bool {
 	return lb.now-lb.ejection.answeredAfterResetAt < poisonWindowMs
 }
--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -5,52 +5,60 @@
 	"sort"
 )
 
-// Estimators turn what attempts and load reports show into predictions: how fast backends work (pace), how fast they drain
-// what this node sends (drain rate), how long requests wait there (waits). Times are in ms, work in ms on a standard core;
-// a pace is the one over the other. What a node has not seen of a backend itself is taken from its kind of machine or from
-// its zone, and at last from a standard core: in a large fleet a node hears of one backend about once a minute.
+// Estimators turn the outcomes of attempts and the backends' load reports into predictions: the time that a backend needs
+// for a unit of work (its pace), the work that it completes for this node in a ms (its completion rate), and the time that
+// attempts spend behind other work there (its wait). Times are in ms. Work is in ms on a standard core.
+//
+// In a large fleet a node receives an answer of a given backend only about once a minute. For what it has not seen of a
+// backend, the estimate for the backend's kind of machine or its zone stands in, and before that is known, a standard core.
 
 const (
-	// pacePriorRequests of mean work count as the kind's pace against a backend's own.
+	// pacePriorRequests is how many requests of mean work the pace of a backend's kind weighs against the answers of the
+	// backend itself.
 	pacePriorRequests = 3.0
-	// queuedSampleShare is the weight of a sample that is slower than the known pace: others' queues lengthen times, and
-	// nothing shortens them.
+	// queuedSampleShare is the weight of an answer that is slower than the known pace. Queues of other nodes' requests make
+	// answers slower and nothing makes them faster, so that slow answers say less about the backend.
 	queuedSampleShare = 0.25
-	// bestPaceGrowth a sample forgets the best pace seen over a thousand answers.
+	// bestPaceGrowth is the factor by which the best pace seen rises with each answer: it is forgotten within about a thousand
+	// answers.
 	bestPaceGrowth = 1.001
-	// minAnswerTime in ms: clocks round shorter ones to nothing.
+	// minAnswerTimeMs is the shortest answer time that is used in ratios, since clocks may round a shorter one to 0.
 	minAnswerTimeMs = 0.1
-	// reportedWorkPrior is how many requests of the reported service time count beside the cost hints seen: the mean of a
-	// few hints can be far off, and until then the fleet is rather a standard core's.
+	// reportedWorkPrior is how many assumed requests count beside those seen, when the mean work is set against a reported
+	// service time. Their work equals the mean reported service time, as if the backends were standard cores. The mean work
+	// of a few requests alone can be far off.
 	reportedWorkPrior = 20
-	// zoneWaitPrior is how many samples of the usual count beside those of a zone: one alone is chance.
+	// zoneWaitPrior is how many assumed waits of the usual length count beside those measured in a zone, since a single
+	// measurement may be an exception.
 	zoneWaitPrior = 4
-	// unknownZoneWait is the share of all zones' waits that a zone is taken to have of which little is known. Taken for
-	// empty, all nodes would try it as soon as the fleet is crowded; for as crowded as the rest, none ever would.
+	// unknownZoneWait is the usual wait that is assumed of a zone of which little is known, as a share of the mean wait in all
+	// zones. If it were 0, all nodes would send requests there as soon as there are waits elsewhere; if it were 1, no node
+	// ever would.
 	unknownZoneWait = 0.5
 )
 
-// estimates are those that hold for more than one backend.
+// estimates holds the estimates that concern more than one backend.
 type estimates struct {
-	priority    runningMean // of the requests' values
-	work        runningMean // of the requests' work
-	serviceTime runningMean // that backends report
+	priority    runningMean // mean priority weight of the requests; see priorityOf
+	work        runningMean // mean work of the requests
+	serviceTime runningMean // mean of the service times that backends report, in ms
 	paces       paceTable
 	waits       waitTable
 }
 
-// NotReported is a value of a load report that was not sent; all real ones are at least 0.
+// NotReported is the value of a field that a load report does not contain. Reported values are never negative.
 const NotReported = -1
 
-// LoadReport is what a backend says of its load in an answer.
+// LoadReport is the load that a backend reports with an answer. It covers the requests of all nodes. Each field may be
+// NotReported.
 type LoadReport struct {
-	ServiceTime float64 // mean service time in ms, without waiting
-	InFlight    float64 // requests that it has, of all nodes
-	Queued      float64 // of those, the ones not yet at work
-	Throughput  float64 // requests done a second
+	ServiceTime float64 // mean service time of a request in ms, without waits
+	InFlight    float64 // requests that the backend has, running or queued
+	Queued      float64 // requests of those that are not running yet
+	Throughput  float64 // completed requests a second
 }
 
-// EmptyLoadReport is a report without any value.
+// EmptyLoadReport returns a report without any value.
 func EmptyLoadReport() LoadReport {
 	return LoadReport{NotReported, NotReported, NotReported, NotReported}
 }
@@ -58,35 +66,47 @@
 // HasValues reports whether the report has any value.
 func (r LoadReport) HasValues() bool { return r != EmptyLoadReport() }
 
-// LoadReported records a backend's load report. Its service time holds no waits, and its queue is of all nodes' making, so
-// that both are better than what this node sees. Without a queue, what the backend has beyond what its throughput
-// keeps at work is a guess at one, which counts for the backend alone and not for its zone.
+// LoadReported records a backend's load report. Its values are better than this node's own measurements: the service time
+// contains no waits, and the queue is that of all nodes.
+//
+// The wait is the queued work at the backend's pace, divided by the number of cores seen at work. If the queue is not
+// reported, it is guessed: the requests in flight, less those that the throughput keeps at work by Little's law. Such a
+// guess is recorded for this backend only and not for its zone.
 func (lb *Balancer) LoadReported(now float64, backend *Backend, report LoadReport) {
 	lb.now = now
 	work := &lb.estimates.work
 	if report.ServiceTime > 0 {
 		lb.estimates.serviceTime.add(report.ServiceTime)
-		lb.estimates.paces.add(backend, report.ServiceTime,
-			(work.value*work.seen+reportedWorkPrior*lb.estimates.serviceTime.value)/(work.seen+reportedWorkPrior))
+		meanWork := (work.value*work.seen + reportedWorkPrior*lb.estimates.serviceTime.value) / (work.seen + reportedWorkPrior)
+		lb.estimates.paces.add(backend, report.ServiceTime, meanWork)
 	}
-	if report.InFlight >= 0 && report.Queued >= 0 {
-		backend.maxCoresSeen = math.Max(backend.maxCoresSeen, report.InFlight-report.Queued)
-		lb.estimates.waits.add(backend, now, report.Queued*work.value*lb.paceOf(backend)/math.Max(backend.maxCoresSeen, 1))
-	} else if report.InFlight >= 0 && report.Throughput >= 0 && report.ServiceTime >= 0 {
-		backend.maxCoresSeen = math.Max(backend.maxCoresSeen, math.Max(1, report.Throughput*report.ServiceTime/1e3))
-		backend.waits.add(now, math.Max(0, report.InFlight-backend.maxCoresSeen)*work.value*lb.paceOf(backend)/backend.maxCoresSeen)
+	hasQueue := report.InFlight >= 0 && report.Queued >= 0
+	canGuessQueue := report.InFlight >= 0 && report.Throughput >= 0 && report.ServiceTime >= 0
+	switch {
+	case hasQueue:
+		running := report.InFlight - report.Queued
+		backend.maxCoresSeen = math.Max(backend.maxCoresSeen, running)
+		wait := report.Queued * work.value * lb.paceOf(backend) / math.Max(backend.maxCoresSeen, 1)
+		lb.estimates.waits.add(backend, now, wait)
+	case canGuessQueue:
+		running := report.Throughput * report.ServiceTime / 1e3 // 1e3 since the throughput is per second
+		backend.maxCoresSeen = math.Max(backend.maxCoresSeen, math.Max(1, running))
+		queued := math.Max(0, report.InFlight-backend.maxCoresSeen)
+		backend.waits.add(now, queued*work.value*lb.paceOf(backend)/backend.maxCoresSeen)
 	}
 }
 
-// recordAnswer records what an answer tells of its backend, for all rules that learn from answers.
+// recordAnswer records an answer, elapsed ms after its attempt was sent, for all rules that learn from answers.
 func (lb *Balancer) recordAnswer(backend *Backend, attempt *Attempt, elapsed float64) {
 	work := attempt.Request.work
 	backend.releaseOvertaken(lb.now, attempt)
 	lb.retries.latestAnsweredSentAt = math.Max(lb.retries.latestAnsweredSentAt, attempt.SentAt)
 	lb.recordAnsweredTime(backend, attempt.Request)
 	lb.recordPace(attempt, elapsed)
-	// The mean work keeps small requests, or hints that say nothing, from making a backend look slow.
-	backend.answerRatio.add(math.Max(elapsed, minAnswerTimeMs)/(work+lb.estimates.work.value), answerRatioQuantile, answerRatioStep)
+	// The mean work is added because an answer also takes time that does not depend on its request's work. Without it, small
+	// requests, or cost hints that are too low, would make a backend look slow.
+	answerRatio := math.Max(elapsed, minAnswerTimeMs) / (work + lb.estimates.work.value)
+	backend.answerRatio.add(answerRatio, answerRatioQuantile, answerRatioStep)
 	backend.completionRate.done += work
 	backend.updateBestPace(lb.paceOf(backend))
 	lb.adjustLimits(backend, attempt, elapsed)
@@ -98,38 +118,48 @@
 	}
 }
 
-// predictAnswerTime is the answer time in ms expected of a backend: the work that this node has there and the request's, at
-// the rate at which the backend lately drained such work, and never less than the request takes alone. For what this
-// node has not lately seen of the backend, the zone's waits stand in.
+// predictAnswerTime returns the answer time in ms that is expected if the request is sent to the backend now. It is the
+// larger of two predictions:
+//   - from this node's own attempts there: their work and the request's, divided by the backend's completion rate;
+//   - from the request alone: its work at the backend's pace, and a part of the zone's wait. The part is the larger, the
+//     less is known of the backend's completion rate.
 func (lb *Balancer) predictAnswerTime(backend *Backend, request *Request) float64 {
 	alone := request.work * lb.paceOf(backend)
-	return math.Max((backend.workInFlight+request.work)/lb.completionRate(backend), alone+backend.completionRate.priorShare(lb.now)*lb.zoneWait(backend.Zone))
+	behindOwnAttempts := (backend.workInFlight + request.work) / lb.completionRate(backend)
+	assumedWait := backend.completionRate.priorShare(lb.now) * lb.zoneWait(backend.Zone)
+	return math.Max(behindOwnAttempts, alone+assumedWait)
 }
 
-// paceOf is a backend's time for a unit of work: its kind's until its own is known, and that of all for nil. Machines of
-// one weight may differ threefold; where nodes are many, only the pace of a kind can be known.
+// paceOf returns a backend's pace, in ms for a unit of work, or with nil the pace of all backends together. Until a
+// backend's own pace is known, that of its kind of machine counts, and until that is known, that of all backends. The pace
+// is not taken from the weight, since machines of equal weight may differ threefold. With many nodes, one node sees too
+// little of a single backend to learn more than the pace of its kind.
 func (lb *Balancer) paceOf(backend *Backend) float64 {
-	known := pacePriorRequests * math.Max(lb.estimates.work.value, 1)
+	priorWork := pacePriorRequests * math.Max(lb.estimates.work.value, 1)
 	if backend == nil {
-		return lb.estimates.paces.all.blend(1, known) // a standard core's, before any answer
+		return lb.estimates.paces.all.blend(1, priorWork) // before any answer 1, the pace of a standard core
 	}
-	return backend.pace.blend(lb.estimates.paces.byKind.at(backend.Kind).blend(lb.paceOf(nil), known), known)
+	kindPace := lb.estimates.paces.byKind.at(backend.Kind).blend(lb.paceOf(nil), priorWork)
+	return backend.pace.blend(kindPace, priorWork)
 }
 
-// recordPace records what an answer's time tells of its backend's pace. Behind other attempts of this node's it tells
-// of the queue, not of the backend; and what backends report is better.
+// recordPace records an answer's time as a measurement of its backend's pace. An attempt that was sent behind others of
+// this node measures their queue and not the pace, and is left out. Once backends report service times, which contain no
+// waits, this node's own measurements are no longer used.
 func (lb *Balancer) recordPace(attempt *Attempt, elapsed float64) {
 	if !attempt.wasAlone || lb.estimates.serviceTime.seen > 0 {
 		return
 	}
-	share, work := 1.0, attempt.Request.work
+	work := attempt.Request.work
+	sampleWeight := 1.0
 	if elapsed > work*lb.paceOf(attempt.Backend) {
-		share = queuedSampleShare
+		sampleWeight = queuedSampleShare
 	}
-	lb.estimates.paces.add(attempt.Backend, share*elapsed, share*work)
+	lb.estimates.paces.add(attempt.Backend, sampleWeight*elapsed, sampleWeight*work)
 }
 
-// updateBestPace updates it by the present pace; a better one is forgotten in time.
+// updateBestPace updates the best pace seen by the present one. The best pace rises a little with each answer, so that one
+// that is not reached any more is forgotten.
 func (b *Backend) updateBestPace(pace float64) {
 	if b.bestPace == 0 || pace < b.bestPace {
 		b.bestPace = pace
@@ -137,13 +167,15 @@
 	b.bestPace *= bestPaceGrowth
 }
 
-// drainRate is the work a ms that a backend lately did for this node while it had any. It holds what others send, slowness
-// and silence: with attempts in flight and no answers it falls by itself.
+// completionRate returns the work in a ms that a backend lately completed for this node, over the time in which it had any
+// of this node's attempts. Work of other nodes, slowness and silence all lower it: with attempts in flight and no answers
+// it falls by itself.
 func (lb *Balancer) completionRate(backend *Backend) float64 {
 	return backend.completionRate.rate(lb.now, len(backend.inFlight) > 0, 1/lb.paceOf(backend))
 }
 
-// totalDrainRate is the drain rate of the backends of this node's zone, or of all zones.
+// totalCompletionRate returns the sum of the completion rates of the near backends, or of all backends with allZones.
+// Backends that are ejected or may not be sent requests are left out.
 func (lb *Balancer) totalCompletionRate(allZones bool) (rate float64) {
 	for _, backend := range lb.backends {
 		if (allZones || lb.isNear(backend)) && lb.isUsable(backend) && lb.suspicionOf(backend) < ejectionThreshold {
@@ -153,52 +185,60 @@
 	return rate
 }
 
-// recordWait records how long an attempt waited behind others. No single wait counts for more than the latency objective,
-// silence neither.
+// recordWait records how long an attempt waited behind other work, in ms. A wait counts for at most the latency objective,
+// so that one attempt without an answer does not dominate the mean.
 func (lb *Balancer) recordWait(attempt *Attempt, wait float64) {
 	wait = math.Min(math.Max(0, wait), attempt.Request.class.LatencyObjective)
 	lb.estimates.waits.add(attempt.Backend, lb.now, wait)
 	attempt.Backend.lastWait.record(attempt.SentAt, wait)
 }
 
-// zoneWait is how long attempts lately waited in a zone.
+// zoneWait returns the mean wait in ms of the latest attempts in a zone. As far as little is known of the zone, a share of
+// the mean over all zones counts.
 func (lb *Balancer) zoneWait(zone int) float64 {
 	usual := unknownZoneWait * lb.estimates.waits.all.mean(lb.now, 0, zoneWaitPrior)
 	return lb.estimates.waits.byZone.at(zone).mean(lb.now, usual, zoneWaitPrior)
 }
 
-// expectedWait is the wait expected at a backend: first of all what was just met there, then what is usual.
-func (b *Backend) expectedWait(now, usual float64) float64 {
-	usual = b.waits.mean(now, usual, 1)
-	return usual + (b.lastWait.wait-usual)*lastWaitShare*decayFactor(b.lastWait.at, now, lastWaitHalfLifeMs)
+// expectedWait returns the wait in ms that is expected at a backend, where zoneWait is the mean wait in its zone. It moves
+// from the latest wait seen there to the backend's mean wait, as the latest one ages.
+func (b *Backend) expectedWait(now, zoneWait float64) float64 {
+	meanWait := b.waits.mean(now, zoneWait, 1)
+	return meanWait + (b.lastWait.wait-meanWait)*lastWaitShare*decayFactor(b.lastWait.at, now, lastWaitHalfLifeMs)
 }
 
-// decayFactor is what is left now of something last counted at a time, with a half-life in ms.
+// decayFactor returns the factor by which a value decays between the times at and now, by its half-life in ms.
 func decayFactor(at, now, halfLife float64) float64 { return math.Exp2((at - now) / halfLife) }
 
-// negligible is the sum below which a decaying counter is set to 0: next to nothing should cost no more computing.
+// negligible is the sum below which a decaying counter is set to 0, so that its decay need not be computed any more.
 const negligible = 1e-3
 
-// decayingCounter is a sum that decays with time.
+// decayingCounter is a sum that decays exponentially with time. sum is its value at the time at.
 type decayingCounter struct{ sum, at float64 }
 
 func (c *decayingCounter) get(now, halfLife float64) float64 {
 	if c.sum == 0 || now <= c.at {
 		return c.sum
 	}
-	x := c.sum * decayFactor(c.at, now, halfLife)
-	if x < negligible {
-		c.sum, x = 0, 0
+	decayed := c.sum * decayFactor(c.at, now, halfLife)
+	if decayed < negligible {
+		c.sum = 0
+		return 0
 	}
-	return x
+	return decayed
 }
 
-func (c *decayingCounter) set(now, sum float64) { c.sum, c.at = sum, now }
+func (c *decayingCounter) set(now, sum float64) {
+	c.sum = sum
+	c.at = now
+}
 
-// maxMeanSamples is how many samples a running mean remembers: enough for a mean, few enough to follow a day's course.
+// maxMeanSamples is over how many samples a running mean forgets: enough for a steady mean, and few enough to follow changes
+// in the course of a day.
 const maxMeanSamples = 50
 
-// runningMean is the mean of all samples at first, then one that forgets over the latest ones.
+// runningMean is the mean of the first maxMeanSamples samples, and from then on an exponentially weighted mean in which each
+// new sample has the weight 1/maxMeanSamples.
 type runningMean struct{ value, seen float64 }
 
 func (m *runningMean) add(x float64) {
@@ -206,13 +246,15 @@
 	m.value += (x - m.value) / m.seen
 }
 
-// quantileEstimate follows one quantile of a stream of ratios, in steps of equal proportion.
+// quantileEstimate follows one quantile of a stream of ratios. Each sample moves the estimate by a factor, up if the sample
+// lies above it and else down, such that the two balance when the wanted share of the samples lies below.
 type quantileEstimate struct {
 	value float64
 	seen  int
 }
 
-// add records a sample; quantile is the one that is followed, and step the smallest step.
+// add records a sample x. quantile, from 0 to 1, is the one to follow; step is the relative size of a step. The first
+// samples take larger steps, of 1 over their number.
 func (q *quantileEstimate) add(x, quantile, step float64) {
 	q.seen++
 	switch {
@@ -232,28 +274,30 @@
 	return q.value
 }
 
-// paceMemory is what a sample leaves of the earlier ones: a pace remembers some thirty.
+// paceMemory is the factor by which each sample lowers the weight of the earlier ones: a pace follows the latest thirty or
+// so.
 const paceMemory = 0.97
 
-// paceEstimate is time over work, where each sample weighs by its work: small requests' ratios say little.
+// paceEstimate estimates a pace as a decaying sum of times divided by one of work. Each sample thereby has its work as its
+// weight, since the ratio of a small request says little.
 type paceEstimate struct{ time, work float64 }
 
 func (p *paceEstimate) add(time, work float64) {
 	p.time, p.work = paceMemory*p.time+time, paceMemory*p.work+work
 }
 
-// blend counts the usual pace for so much known work beside what was seen.
-func (p *paceEstimate) blend(usual, known float64) float64 {
-	return (p.time + known*usual) / (p.work + known)
+// blend returns the pace, where the prior pace counts like a sample of priorWork.
+func (p *paceEstimate) blend(priorPace, priorWork float64) float64 {
+	return (p.time + priorWork*priorPace) / (p.work + priorWork)
 }
 
-// paceTable is the pace of all backends together, and by kind of machine.
+// paceTable holds the pace of all backends together, and that of each kind of machine.
 type paceTable struct {
 	all    paceEstimate
 	byKind byPlace[paceEstimate]
 }
 
-// add records a time for some work at a backend.
+// add records that a backend took the time, in ms, for the work.
 func (t *paceTable) add(backend *Backend, time, work float64) {
 	backend.pace.add(time, work)
 	t.byKind.at(backend.Kind).add(time, work)
@@ -261,39 +305,50 @@
 }
 
 const (
-	// drainHalfLife in ms: a queue seen is believed for about as long as one lasts.
+	// completionHalfLifeMs is the half-life of completion rates. It is about as long as a queue at a backend usually lasts.
 	completionHalfLifeMs = 2e3
-	// drainPrior in ms at the usual rate counts before anything is seen.
+	// completionPriorMs is the assumed busy time, at the usual rate, that counts beside what was measured.
 	completionPriorMs = 100.0
 )
 
-// drainEstimate is work done over the time with any in flight, both decaying.
-type completionRateEstimate struct{ done, busyTime, at float64 }
+// completionRateEstimate estimates a backend's completion rate for this node: the work that it completed, divided by the
+// time in which it had any attempt of this node. Both sums decay.
+type completionRateEstimate struct {
+	done     float64 // work completed
+	busyTime float64 // ms with an attempt of this node in flight there
+	at       float64 // time as of which both hold; 0 if there has been no attempt
+}
 
-// advance counts the time since the last call as busy or not.
+// advance counts the time since the last call, with isBusy as time with an attempt in flight, and decays both sums.
 func (d *completionRateEstimate) advance(now float64, isBusy bool) {
-	left := decayFactor(d.at, now, completionHalfLifeMs)
+	decay := decayFactor(d.at, now, completionHalfLifeMs)
 	if isBusy {
 		d.busyTime += now - d.at
 	}
-	d.done, d.busyTime, d.at = d.done*left, d.busyTime*left, now
+	d.done *= decay
+	d.busyTime *= decay
+	d.at = now
 }
 
-// rate is the work a ms while busy.
+// rate returns the work completed in a ms of busy time, where usual is the rate that is assumed before anything is measured.
+// isBusy says whether an attempt is in flight now.
 func (d completionRateEstimate) rate(now float64, isBusy bool, usual float64) float64 {
-	if d.at == 0 { // most backends of a large fleet are new to a node: next to no computing for them
+	if d.at == 0 { // in a large fleet most backends are new to a node: this saves the computation for them
 		return usual
 	}
 	d.advance(now, isBusy)
 	return (d.done + completionPriorMs*usual) / (d.busyTime + completionPriorMs)
 }
 
-// unseen is the share of what would be known of a busy backend that is not.
+// priorShare returns the part of the estimated rate that is assumed and not measured: completionPriorMs, divided by
+// completionPriorMs and the decayed busy time. It is 1 for a backend without recent attempts, and approaches a small value
+// for one that is always busy.
 func (d completionRateEstimate) priorShare(now float64) float64 {
 	return completionPriorMs / (completionPriorMs + d.busyTime*decayFactor(d.at, now, completionHalfLifeMs))
 }
 
-// perTime is the work a ms, busy or not.
+// throughput returns the work completed in a ms of all time, busy or not. Decayed work of a steady rate adds up to the rate
+// times the half-life divided by ln 2.
 func (d completionRateEstimate) throughput(now float64) float64 {
 	if d.done == 0 {
 		return 0
@@ -301,24 +356,27 @@
 	return d.done * decayFactor(d.at, now, completionHalfLifeMs) * math.Ln2 / completionHalfLifeMs
 }
 
-// waitHalfLife in ms: a zone is believed crowded for a little longer than one backend.
+// waitHalfLifeMs is the half-life of mean waits. It is a little longer than that of completion rates, since a crowded zone
+// lasts longer than a queue at one backend.
 const waitHalfLifeMs = 3e3
 
-// decayingMean is a mean of what was lately seen.
+// decayingMean is the mean of samples whose weight halves every waitHalfLifeMs. sum and count hold as of the time at.
 type decayingMean struct{ sum, count, at float64 }
 
 func (m *decayingMean) add(now, x float64) {
-	left := decayFactor(m.at, now, waitHalfLifeMs)
-	m.sum, m.count, m.at = m.sum*left+x, m.count*left+1, now
+	decay := decayFactor(m.at, now, waitHalfLifeMs)
+	m.sum = m.sum*decay + x
+	m.count = m.count*decay + 1
+	m.at = now
 }
 
-// mean counts so many samples of the usual beside what was seen.
-func (m *decayingMean) mean(now, usual, prior float64) float64 {
-	left := decayFactor(m.at, now, waitHalfLifeMs)
-	return (m.sum*left + prior*usual) / (m.count*left + prior)
+// mean returns the mean, where priorCount assumed samples of the usual value count beside the measured ones.
+func (m *decayingMean) mean(now, usual, priorCount float64) float64 {
+	decay := decayFactor(m.at, now, waitHalfLifeMs)
+	return (m.sum*decay + priorCount*usual) / (m.count*decay + priorCount)
 }
 
-// waitTable is how long attempts lately waited behind others, in all and by zone.
+// waitTable holds the mean wait of the latest attempts, in all zones together and in each zone.
 type waitTable struct {
 	all    decayingMean
 	byZone byPlace[decayingMean]
@@ -331,13 +389,15 @@
 }
 
 const (
-	// lastWaitHalfLife in ms: a queue behind one heavy request forms and goes within a second.
+	// lastWaitHalfLifeMs is how fast the latest wait at a backend loses its weight. A queue behind one heavy request forms and
+	// dissolves within a second.
 	lastWaitHalfLifeMs = 300.0
-	// lastWaitShare of a wait just met is believed: what came to the backend meanwhile is not seen.
+	// lastWaitShare is the weight of the latest wait against the mean wait, at the moment of its attempt. It is less than 1,
+	// since the node does not see what other nodes have sent to the backend in the meantime.
 	lastWaitShare = 0.75
 )
 
-// latestWait is the wait of the latest attempt whose wait is known, as of when it was sent.
+// latestWait is the wait, in ms, of the latest attempt whose wait is known, and the time at which that attempt was sent.
 type latestWait struct{ wait, at float64 }
 
 func (l *latestWait) record(at, wait float64) {
@@ -346,7 +406,7 @@
 	}
 }
 
-// byPlace keeps something for each zone or kind of machine, by its number.
+// byPlace is a table with an entry for each zone, or for each kind of machine, by its number.
 type byPlace[T any] []T
 
 func (p *byPlace[T]) at(place int) *T {
@@ -356,7 +416,7 @@
 	return &(*p)[place]
 }
 
-// slidingSum is what was added within a span of time that ends now.
+// slidingSum is a sum over a time window that ends now. at and amount have an entry for each addition, oldest first.
 type slidingSum struct{ at, amount []float64 }
 
 func (s *slidingSum) add(now, span, amount float64) {
@@ -375,13 +435,15 @@
 	return sum
 }
 
-// hintWindowSize is how many cost hints place the cutoff: twenty of them lie above it, which is enough.
+// hintWindowSize is the number of latest cost hints that place the cutoff. Twenty of them lie above it, which is enough to
+// place it steadily.
 const hintWindowSize = 500
 
-// hintWindow keeps the latest cost hints, also in order of size.
+// hintWindow holds the latest hintWindowSize cost hints.
 type hintWindow struct {
-	ring, sorted []float64
-	next         int
+	ring   []float64 // in order of arrival, as a ring buffer once it is full
+	sorted []float64 // the same hints in order of size
+	next   int       // index in ring of the oldest hint, which the next one replaces
 }
 
 func (w *hintWindow) add(x float64) {
@@ -404,7 +466,7 @@
 	return w.sorted[max(i, 0)]
 }
 
-// valueAtShare sorts the values, and gives the one that this share of them lies under; 0 where there are none.
+// valueAtShare sorts the values in place, and returns the one below which the given share of them lies; 0 if there are none.
 func valueAtShare(values []float64, share float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/balancer/restore.go
+++ b/balancer/restore.go
@@ -138,7 +138,7 @@
 		rotationPass:       x.RotationPass,
 		pace:               paceEstimate{x.Pace[0], x.Pace[1]},
 		answerRatio:        quantileEstimate{x.AnswerRatio.Value, x.AnswerRatio.Seen},
-		completionRate:              completionRateEstimate{x.Drain[0], x.Drain[1], x.Drain[2]},
+		completionRate:     completionRateEstimate{x.Drain[0], x.Drain[1], x.Drain[2]},
 		suspicion:          decayingCounter{x.Suspicion[0], x.Suspicion[1]},
 		recentWork:         slidingSum{slices.Clone(x.RecentWorkAt), slices.Clone(x.RecentWork)},
 		waits:              decayingMean{x.Waits[0], x.Waits[1], x.Waits[2]},
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -5,49 +5,64 @@
 	"slices"
 )
 
-// A request whose attempts have all ended without an answer is sent to another backend, and one that is overdue is hedged,
-// both on a budget: each request earns a tenth of a retry, so that retries can't turn a failure into an overload. An
-// attempt is overdue when it is in flight for longer than nearly all answers against their predicted time. Where the budget
-// is spent or no backend can answer in time, the request is rejected or failed.
+// Retries and hedges. A request whose attempts have all ended without an answer is retried at another backend. A request
+// whose attempt is overdue is hedged: it is sent to a second backend while the first attempt is still in flight. Both
+// spend tokens of one retry budget. Each arriving request adds a tenth of a token, so that retries can't turn a failure
+// into an overload. When the budget is spent, or no backend is expected to answer in time, the request is rejected or
+// failed.
+//
+// An attempt is overdue when it has been in flight for longer than nearly all answers take, in relation to their predicted
+// answer times. The overrun of an answer is its answer time divided by the predicted one; a high quantile of the overruns
+// seen sets the limit.
 
 const (
-	// retryTokensPerRequest is what a request earns for the budget: a storm of retries adds no more load than this.
+	// retryTokensPerRequest is the number of tokens that each arriving request adds. Retries and hedges thereby add at most a
+	// tenth to the load.
 	retryTokensPerRequest = 0.1
-	// maxRetryTokens may be saved up: one backend's requests in flight when it fails.
+	// maxRetryTokens is the most that the budget holds: about as many as one backend's requests in flight when it fails.
 	maxRetryTokens = 20.0
-	// overdueBase in ms is for setting up a connection and some ticks of the host's clock.
+	// overdueBaseMs is added to the time after which an attempt is overdue. It covers the setup of a connection and the
+	// resolution of the host's clock.
 	overdueBaseMs = 20
-	// unknownOverrun is how much longer than predicted answers are taken to need before any came.
+	// unknownOverrun is the overrun that is assumed before the first answer.
 	unknownOverrun = 4
-	// minOverrun and maxOverrun bound what was learned of it: unusual days must not end all patience or leave none.
+	// minOverrun and maxOverrun bound the learned overrun, so that unusual traffic makes the balancer neither hedge nearly
+	// everything nor nothing.
 	minOverrun = 2
 	maxOverrun = 8
-	// overrunQuantile of the answers count as not overdue.
+	// overrunQuantile is the quantile of the overruns that is learned: 95 of 100 answers come before they are overdue.
 	overrunQuantile = 0.95
-	// overrunStep is how fast the quantile follows, in proportion: it must outlast a short burst of slow answers.
+	// overrunStep is the relative step by which the estimate of that quantile follows each answer. It is small, so that a
+	// short burst of slow answers does not raise it much.
 	overrunStep = 0.02
-	// hedgeSuspicion is from when on a silent backend is left where only one attempt may be in flight.
+	// hedgeSuspicion is the suspicion from which on an overdue attempt is canceled and moved, where hedging is not allowed.
 	hedgeSuspicion = ejectionThreshold / 2
 )
 
-// retryState is the budget, and what tells an overdue attempt.
+// retryState holds the retry budget, and what decides when an attempt is overdue.
 type retryState struct {
-	tokens               float64
-	overrun              quantileEstimate // how much longer than predicted answers take, at the high end
-	latestAnsweredSentAt float64          // when the latest attempt was sent that has been answered
+	tokens               float64          // of the budget
+	overrun              quantileEstimate // the overrunQuantile of answer time over predicted answer time
+	latestAnsweredSentAt float64          // latest SentAt of all answered attempts
 }
 
-// retryOrEnd decides on a request whose attempts have all ended without an answer: another backend within the budget, or
-// the end. An attempt that never ran costs nothing of the budget, since it was no work for the backends: when a fleet is
-// replaced in bulk, many are rejected.
+// retryOrEnd decides on a request whose attempts have all ended without an answer. It retries the request at another
+// backend, or ends it.
+//
+// A retry costs one token, but none if no attempt has run: then the attempts were no work for the backends. When many
+// backends are replaced at the same time, they reject many attempts, which must not use up the budget.
+//
+// A request of which an attempt was reset is not retried while suspectsPoisonRequest holds, even if it is idempotent. One
+// reset at any backend thereby blocks such retries for poisonWindowMs, unless an answer shows that resets are isolated.
 func (lb *Balancer) retryOrEnd(request *Request) {
 	cost := 1.0
 	if request.UncertainAttempt() == nil {
 		cost = 0
 	}
 	wasReset := func(a *Attempt) bool { return a.outcome == OutcomeConnectionReset }
-	isPoison := lb.suspectsPoisonRequest() && slices.ContainsFunc(request.Attempts, wasReset)
-	if !isPoison && lb.timeLeft(request) > 0 && lb.retries.tokens >= cost {
+	mayBePoison := lb.suspectsPoisonRequest() && slices.ContainsFunc(request.Attempts, wasReset)
+	mayRetry := !mayBePoison && lb.timeLeft(request) > 0 && lb.retries.tokens >= cost
+	if mayRetry {
 		backend := lb.selectByRotation(request)
 		if backend != nil && lb.predictAnswerTime(backend, request) < lb.timeLeft(request) && lb.sendAttempt(request, backend) {
 			lb.retries.tokens -= cost
@@ -57,8 +72,8 @@
 	lb.rejectOrFail(request)
 }
 
-// handleOverdue decides on an attempt that is in flight for longer than nearly all others would be. Silence is the first
-// sign of a backend that accepts requests and answers none, long before a time-out.
+// handleOverdue records that an attempt is overdue, and decides whether to send its request to another backend. A missing
+// answer is the first sign of a backend that accepts requests and answers none; it shows long before the time-out.
 func (lb *Balancer) handleOverdue(attempt *Attempt) {
 	request, backend := attempt.Request, attempt.Backend
 	if request.stage != stageInFlight || attempt.canceled {
@@ -69,7 +84,8 @@
 		backend.removeInFlight(lb.now, attempt)
 		lb.queue.hasFreedCapacity = true
 	} else {
-		backend.lastWait.record(attempt.SentAt, lb.now-attempt.SentAt) // of itself alone: the silence of a few is no overload
+		// It counts as a wait at this backend only, not in its zone: a few silent backends are no overload of the zone.
+		backend.lastWait.record(attempt.SentAt, lb.now-attempt.SentAt)
 		lb.addSuspicion(backend, overdueFault)
 	}
 	if lb.mayLeaveOverdue(attempt) {
@@ -77,9 +93,9 @@
 	}
 }
 
-// mayLeaveOverdue reports whether an overdue attempt's request may be sent to another backend. Where only one attempt
-// may be in flight, the first must end before, and its work goes on there: then only where others are answered
-// meanwhile, so that the backend is silent and not all of them are crowded.
+// mayLeaveOverdue reports whether the request of an overdue attempt may be sent to another backend. Where hedging is not
+// allowed, the first attempt must be canceled for that, while its backend goes on with the work. That is only worth it if
+// this backend alone is silent: a later attempt has been answered by some backend, and this one is suspected.
 func (lb *Balancer) mayLeaveOverdue(attempt *Attempt) bool {
 	request := attempt.Request
 	if request.class.Idempotency == AtMostOnce || lb.retries.tokens < 1 || request.inFlightCount() > 1 {
@@ -89,8 +105,9 @@
 		lb.retries.latestAnsweredSentAt > attempt.SentAt && lb.suspicionOf(attempt.Backend) >= hedgeSuspicion
 }
 
-// hedgeOrMove sends an overdue attempt's request to another backend too, where hedging is allowed; else it cancels the
-// attempt, whose end brings the request back to retryOrEnd.
+// hedgeOrMove sends the request of an overdue attempt to a second backend if hedging is allowed; only Idempotent requests
+// are hedged. If hedging is not allowed it cancels the attempt. When the attempt has ended, retryOrEnd decides on the
+// request again. Nothing is done if no other backend is expected to answer in time.
 func (lb *Balancer) hedgeOrMove(attempt *Attempt) {
 	request := attempt.Request
 	request.assumesCanceled = !request.Config.AllowHedging
@@ -105,7 +122,8 @@
 	}
 }
 
-// recordOverrun records by how much an answer took longer than predicted.
+// recordOverrun records the overrun of an answer that took elapsed ms.
 func (lb *Balancer) recordOverrun(attempt *Attempt, elapsed float64) {
-	lb.retries.overrun.add(math.Max(elapsed, minAnswerTimeMs)/math.Max(attempt.expectedTime, 1), overrunQuantile, overrunStep)
+	overrun := math.Max(elapsed, minAnswerTimeMs) / math.Max(attempt.expectedTime, 1)
+	lb.retries.overrun.add(overrun, overrunQuantile, overrunStep)
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -2,36 +2,46 @@
 
 import "math"
 
-// Slow start bounds the work that a backend gets while it warms up. From its announced start on, its capacity grows
-// from SlowStartShare to all within SlowStartWindow, and within any OverloadWindow all nodes together may send it no
-// more than OverloadMultiple times what it can do. Each node keeps to its own share of that, which it knows without a
-// message, so that the bound holds when no node hears of the others.
+// Slow start bounds the work that a backend receives while it warms up. After its announced start its capacity grows
+// linearly from Config.SlowStartShare to 1 within Config.SlowStartWindow. Within any Config.OverloadWindow, all nodes
+// together may send it at most Config.OverloadMultiple times what it can do in that window: the bound. Each node keeps to
+// its own share of the bound, which it computes without messages, so that the bound holds even if no node hears of the
+// others.
 
 const (
-	// slowStartSafety is the share of the bound that is used: cost hints are rough, and connections are work too.
+	// slowStartSafety is the part of the bound that the nodes' shares use. The rest covers cost hints that are too low, and
+	// the work of opening connections.
 	slowStartSafety = 0.6
-	// drawBudgetShare of the bound, on average, goes to nodes whose share is less than one request, by a draw; chance may
-	// bring three times that.
+	// drawBudgetShare is the part of the bound that is given out, on average, by the lottery for nodes whose share is less
+	// than one request: each node draws once for each backend and window (slotDraw), and a winner may send one request. By
+	// chance the winners of one window may take about three times this part.
 	drawBudgetShare = 0.3
-	// maxDrawShare of the bound may be one such request, so that many must win at once to exceed it.
+	// maxDrawShare is the largest part of the bound that one request sent after a win may take, so that only many winners in
+	// the same window could exceed the bound.
 	maxDrawShare = 1. / 16
-	// unknownSlowness is the pace of a kind of machine until it is known, against a standard core's by weight: half as fast.
+	// unknownSlowness is the pace that is assumed of a kind of machine before it is known, for a backend of mean weight: half
+	// as fast as a standard core.
 	unknownSlowness = 2
 )
 
-// slowStartState is what the shares go by.
+// slowStartState holds what a node's share of the bound is computed from.
 type slowStartState struct {
 	usageByZone byPlace[zoneUsage]
-	processes   int     // of this node, at most, lately
-	splitUntil  float64 // until then the node's share is divided between them
+	processes   int     // the most processes that this node lately consisted of; 2 during a hot restart
+	splitUntil  float64 // time until which the node's share is divided between them
 }
 
-// zoneUsage is the work that a zone's warmed-up backends lately did for this node a ms, and the speed of all their cores.
-type zoneUsage struct{ work, speed float64 }
+// zoneUsage sums over the warmed-up backends of a zone.
+type zoneUsage struct {
+	work  float64 // the work a ms that they lately completed for this node
+	speed float64 // their weights, each divided by its backend's pace
+}
 
-// slowStartFactor is the share of its capacity that a backend is sure to have. A backend that restarts accepts connections
-// before it can answer, so that its first failures would make it look idle: the time therefore counts from its announced
-// start, or from when an operator put it back, not from its first success.
+// slowStartFactor returns the share of its capacity that a backend has by now: 1 once it has warmed up.
+//
+// A backend that restarts accepts connections before it can answer, so its first responses fail and its attempt count
+// looks idle, which would draw the whole rotation to it. The time therefore counts from its announced start, or from when
+// an operator put it back into service, and not from its first success.
 func (lb *Balancer) slowStartFactor(backend *Backend) float64 {
 	started := math.Max(backend.Started, backend.uncordonedAt)
 	if age := lb.now - started; started > 0 && age < lb.config.SlowStartWindow {
@@ -40,38 +50,70 @@
 	return 1
 }
 
-// slowStartCost is the work that a request counts for: a hint far below its class's mean may be untrue.
+// slowStartCost returns the work that a request counts for in slow start: its expected work, but at least half the mean of
+// its class, since a cost hint far below the mean may be wrong.
 func slowStartCost(request *Request) float64 {
 	return math.Max(request.work, request.class.meanWork.value/2)
 }
 
-// hasSlowStartBudget reports whether this node's share of what a backend bears that warms up has room for the work, in the
-// window that ends now.
+// hasSlowStartBudget reports whether this node may send a backend that warms up the given work now, by what it has sent there
+// within the OverloadWindow that ends now. A backend that has warmed up has no such bound.
+//
+// The bound is what the backend can do in the window, by the pace of its kind of machine. Until that pace is known the kind
+// is assumed to be half as fast as a standard core, and it never counts as faster than one: an estimate that says so
+// may be wrong.
+//
+// This node's share is the larger of two, each of which adds up to slowStartSafety of the bound over all nodes:
+//   - an equal share: slowStartSafety of the bound, divided by the number of nodes;
+//   - a usage share: slowStartSafety of the part of the zone's warmed-up backends that this node lately used, applied to
+//     this backend. A node that carries much traffic thereby has a larger share.
 //
-// The bound counts half a standard core until its kind's speed is known, and one at most: what looks faster may be
-// untrue. The node's share is the larger of two: an equal one, and the one that it takes of the zone's warmed-up
-// backends, whose shares add up to what those do. Where nodes are many, a share is less than one request: a node that
-// has spent nothing in the window may send a whole one if its draw for this window wins.
+// With many nodes the share is less than one request. Then a hash lottery for each node, backend and window decides: a node
+// that has spent nothing in the window may send one request if it wins (see winsSlowStartDraw).
 func (lb *Balancer) hasSlowStartBudget(backend *Backend, work float64) bool {
 	factor := lb.slowStartFactor(backend)
 	if factor == 1 {
 		return true
 	}
-	known := pacePriorRequests * math.Max(lb.estimates.work.value, 1)
-	window := lb.config.OverloadMultiple * factor * lb.config.OverloadWindow
-	kindPace := lb.estimates.paces.byKind.at(backend.Kind).blend(unknownSlowness*lb.rotation.meanWeight/backend.Weight, known)
-	budget := window / math.Max(kindPace, 1)
-	share := slowStartSafety * lb.perNodeShare(budget) / lb.activeProcesses()
-	if usage := lb.slowStart.usageByZone.at(backend.Zone); usage.speed > 0 { // a slow machine bears less than a fast one takes
-		share = math.Max(share, slowStartSafety*window*usage.work/usage.speed*backend.Weight/lb.paceOf(backend)/lb.activeProcesses())
+	// windowTime is the bound as ms of the backend's own capacity; budget is the same as work.
+	windowTime := lb.config.OverloadMultiple * factor * lb.config.OverloadWindow
+	budget := windowTime / math.Max(lb.slowStartKindPace(backend), 1)
+
+	share := slowStartSafety * lb.perNodeShare(budget) / lb.activeProcesses() // the equal share
+	if usage := lb.slowStart.usageByZone.at(backend.Zone); usage.speed > 0 {
+		// The backend's own pace, since a slow machine can take less than a fast one.
+		usageShare := slowStartSafety * windowTime * usage.work / usage.speed * backend.Weight / lb.paceOf(backend) / lb.activeProcesses()
+		share = math.Max(share, usageShare)
 	}
+
 	spent := backend.recentWork.sumWithin(lb.now, lb.config.OverloadWindow)
-	return spent+work <= share ||
-		spent == 0 && work <= maxDrawShare*budget &&
-			lb.slotDraw(backend, lb.config.OverloadWindow)*lb.activeProcesses() < drawBudgetShare*lb.perNodeShare(budget)/work
+	if spent+work <= share {
+		return true
+	}
+	return spent == 0 && lb.winsSlowStartDraw(backend, work, budget)
+}
+
+// slowStartKindPace returns the pace of a backend's kind of machine. Before it is known it is unknownSlowness for a backend of
+// mean weight, and in inverse proportion for other weights.
+func (lb *Balancer) slowStartKindPace(backend *Backend) float64 {
+	knownWork := pacePriorRequests * math.Max(lb.estimates.work.value, 1)
+	assumedPace := unknownSlowness * lb.rotation.meanWeight / backend.Weight
+	return lb.estimates.paces.byKind.at(backend.Kind).blend(assumedPace, knownWork)
+}
+
+// winsSlowStartDraw reports whether this node's draw for the backend in the present OverloadWindow allows it one request of
+// the given work. The chance to win is drawBudgetShare of the node's equal share of the budget, in requests of that work,
+// so that the winners of all nodes send drawBudgetShare of the budget on average. A request of more than maxDrawShare of
+// the budget never wins.
+func (lb *Balancer) winsSlowStartDraw(backend *Backend, work, budget float64) bool {
+	if work > maxDrawShare*budget {
+		return false
+	}
+	draw := lb.slotDraw(backend, lb.config.OverloadWindow)
+	return draw*lb.activeProcesses() < drawBudgetShare*lb.perNodeShare(budget)/work
 }
 
-// reviewZoneUsage adds up what each zone's warmed-up backends do for this node.
+// reviewZoneUsage recomputes zoneUsage for each zone, over the usable backends that have warmed up.
 func (lb *Balancer) reviewZoneUsage() {
 	clear(lb.slowStart.usageByZone)
 	for _, backend := range lb.backends {
@@ -80,22 +122,25 @@
 		}
 		usage := lb.slowStart.usageByZone.at(backend.Zone)
 		if lb.slowStartFactor(backend) == 1 {
-			usage.work, usage.speed = usage.work+backend.completionRate.throughput(lb.now), usage.speed+backend.Weight/lb.paceOf(backend)
+			usage.work += backend.completionRate.throughput(lb.now)
+			usage.speed += backend.Weight / lb.paceOf(backend)
 		}
 	}
 }
 
-// ProcessesChanged tells of how many processes this node is made up, as in a hot restart. Only shares of slow start are
-// divided between them: one has nearly all of the requests at any time. What the other spent counts until the overload
-// window after its end has passed.
+// ProcessesChanged records how many processes this node consists of: two during a hot restart, else one. Only the node's
+// share of slow start is divided between them; no other limit is, since one process has nearly all of the requests at any
+// time. After the other process has ended, what it sent counts until the OverloadWindow has passed.
 func (lb *Balancer) ProcessesChanged(now float64, processes int) {
-	lb.now, lb.slowStart.processes, lb.slowStart.splitUntil = now, max(processes, lb.slowStart.processes), math.Inf(1)
+	lb.now = now
+	lb.slowStart.processes = max(processes, lb.slowStart.processes)
+	lb.slowStart.splitUntil = math.Inf(1)
 	if processes == 1 {
 		lb.slowStart.splitUntil = now + lb.config.OverloadWindow
 	}
 }
 
-// activeProcesses is between how many processes this node's share is divided.
+// activeProcesses returns the number of processes between which this node's share is divided at present.
 func (lb *Balancer) activeProcesses() float64 {
 	if lb.now < lb.slowStart.splitUntil {
 		return float64(max(lb.slowStart.processes, 1))
