--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -2,22 +2,29 @@
 
 import "math"
 
-// The endpoint list says which backends there are and which of them may be sent requests. It is pushed to the host, or
-// polled by DoPoll at random times that grow with failures; until a new one comes, the old one holds. Where a removal
-// without draining is only a hint (Config.RemovalIsHint), a list that takes away more than half of the backends at
-// once is doubted: they go on being used, and those that are really gone show by failed connects.
+// The endpoint list says which backends exist and which of them may be sent requests. The host either watches the list and
+// passes on its changes, or polls it when the balancer decides DoPoll. Failed polls are repeated with a random backoff that
+// grows; until a new list comes, the old one is used.
+//
+// If the removal of a backend that did not drain is only a hint (Config.RemovalIsHint), a list that has lately removed more
+// than half of the backends is doubted: the removed ones are still used, and those that are really gone are ejected by
+// their failed connects.
 
 const (
-	// removedRetention in ms is how long a backend that was removed without draining is remembered where the list may be
-	// wrong: a list that is wrong for longer is repaired by people, and memory must not grow with those that come and go.
+	// removedRetentionMs is how long a backend that was removed without draining is remembered, if the list may be wrong. An
+	// error that lasts longer is corrected by operators. The time is bounded so that memory does not grow with all backends
+	// that ever existed.
 	removedRetentionMs = 60e3
-	// pollSpread in ms: nodes restarted together must not poll the list's one service together.
+	// pollSpreadMs is the range of the random delay before the first poll. Nodes that restart together must not all poll the
+	// discovery service at the same moment.
 	pollSpreadMs = 200
-	// firstPollBackoff in ms is the wait after one failed poll; it doubles with each further one.
+	// firstPollBackoffMs is the mean backoff after one failed poll. It doubles with each further failure in a row.
 	firstPollBackoffMs = 500
-	// maxPollBackoff in ms, half more with the random spread: a list service that is back is polled within seconds.
+	// maxPollBackoffMs bounds the mean backoff; with the random spread it is up to half longer. A discovery service that
+	// recovers is polled again within seconds.
 	maxPollBackoffMs = 2.4e3
-	// pollBackoffDivisor bounds the wait to a third of the poll interval too: a failed poll is made up for within one.
+	// pollBackoffDivisor bounds the mean backoff to a third of Config.PollInterval too, so that a failed poll is repeated
+	// within one interval.
 	pollBackoffDivisor = 3
 )
 
@@ -25,38 +32,42 @@
 type BackendState uint8
 
 const (
-	// BackendRemoved is no longer in the list.
+	// BackendRemoved means that the list no longer names the backend.
 	BackendRemoved BackendState = iota
-	// BackendDraining finishes what it has and must be sent nothing more.
+	// BackendDraining means that the backend finishes its requests and must not be sent further ones.
 	BackendDraining
-	// BackendReady may be sent requests.
+	// BackendReady means that the backend may be sent requests.
 	BackendReady
 )
 
-// Endpoint is one line of the endpoint list.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	Backend         *Backend
-	State           BackendState
-	Zone, Cell      int
-	Kind            int // of machine
-	Weight, Started float64
-	Cordoned        bool // taken out of service by an operator: draining, whatever its state is here
+	Backend  *Backend
+	State    BackendState
+	Zone     int
+	Cell     int
+	Kind     int     // kind of machine
+	Weight   float64 // capacity in relation to other backends; 1 is assumed if it is not a positive number
+	Started  float64 // time of its latest start; 0 if that is long ago
+	Cordoned bool    // an operator has taken it out of service: it counts as draining even if State is BackendReady
 }
 
-// endpointState is what the balancer knows of the list itself.
+// endpointState holds what the balancer knows of the endpoint list itself.
 type endpointState struct {
-	isDoubted    bool    // it has taken away more than can have gone
-	isWatched    bool    // its changes are pushed
-	pollAt       float64 // when it is polled where they aren't
-	pollFailures int     // in a row
+	isDoubted    bool    // it has removed more backends than can have failed; see reviewEndpointList
+	isWatched    bool    // the host receives the list's changes, so that no poll is needed
+	pollAt       float64 // time of the next poll while the list is not watched; infinite for none
+	pollFailures int     // failed polls in a row
 }
 
-// EndpointsChanged takes lines of the endpoint list. Where full, a backend not among them is removed; cached says that the
-// lines come from the host's own copy and not from the list's service.
+// EndpointsChanged records entries of the endpoint list. With full, they are the whole list, and a backend that is not among
+// them is removed; else they are changes. cached says that they come from the host's stored copy and not from the
+// discovery service: then the list still counts as not watched.
 func (lb *Balancer) EndpointsChanged(now float64, endpoints []Endpoint, full, cached bool) {
 	lb.now = now
 	if !cached {
-		lb.endpoints.isWatched, lb.endpoints.pollFailures = true, 0
+		lb.endpoints.isWatched = true
+		lb.endpoints.pollFailures = 0
 	}
 	if full {
 		for _, backend := range lb.backends {
@@ -69,16 +80,22 @@
 	lb.reviewBackends()
 }
 
-// applyEndpoint records one line of the list.
+// applyEndpoint records one entry of the list.
+//
+// Four times decide from when on a backend counts as started, for slow start. Started is the start that the list
+// announces. cordonedAt and uncordonedAt are when an operator took the backend out of service and put it back. A backend is
+// usually restarted while it is out of service, but the list reports that late or never. Therefore uncordonedAt stands in
+// for the start until the list announces one later than cordonedAt. removedAt does not concern the start: it is when the
+// list stopped naming the backend.
 func (lb *Balancer) applyEndpoint(endpoint Endpoint) {
 	backend := endpoint.Backend
 	if !backend.tracked {
 		lb.backends = append(lb.backends, backend)
 		backend.tracked = true
 		backend.maxInFlight = 1 + lb.perNodeShare(initialInFlight)
-		backend.rotationPass = lb.rotation.position + lb.random.nextUnit() // the rotation starts at random
+		// A random place, so that the nodes' rotations do not visit the backends in step.
+		backend.rotationPass = lb.rotation.position + lb.random.nextUnit()
 	}
-	// While an operator had it out of service it was restarted, which the list reports late, if at all.
 	wasUncordoned := backend.isCordoned && !endpoint.Cordoned
 	switch {
 	case endpoint.Cordoned && !backend.isCordoned:
@@ -94,9 +111,13 @@
 	if endpoint.State == BackendRemoved {
 		backend.markRemoved(lb.now)
 	}
-	backend.Zone, backend.Cell, backend.Kind = endpoint.Zone, endpoint.Cell, endpoint.Kind
-	backend.State, backend.Started = endpoint.State, endpoint.Started
-	if backend.isCordoned = endpoint.Cordoned; backend.isCordoned {
+	backend.Zone = endpoint.Zone
+	backend.Cell = endpoint.Cell
+	backend.Kind = endpoint.Kind
+	backend.State = endpoint.State
+	backend.Started = endpoint.Started
+	backend.isCordoned = endpoint.Cordoned
+	if backend.isCordoned { // it does not count as ready, but may be removed
 		backend.State = min(backend.State, BackendDraining)
 	}
 	backend.wasDrained = backend.State == BackendDraining || backend.wasDrained && backend.State == BackendRemoved
@@ -106,31 +127,39 @@
 	}
 }
 
-// forgetFormerProcess drops what was learned of the state of a backend's former process.
+// forgetFormerProcess discards what was learned of a backend's former process after a restart. What concerns the machine, such
+// as its pace, is kept.
 func (lb *Balancer) forgetFormerProcess(backend *Backend) {
-	backend.completionRate, backend.maxInFlight = completionRateEstimate{}, 1+lb.perNodeShare(initialInFlight)
-	backend.suspicion, backend.busyUntil, backend.pausedUntil = decayingCounter{}, 0, 0
+	backend.completionRate = completionRateEstimate{}
+	backend.maxInFlight = 1 + lb.perNodeShare(initialInFlight)
+	backend.suspicion = decayingCounter{}
+	backend.busyUntil = 0
+	backend.pausedUntil = 0
 }
 
-// markRemoved records that a backend is gone, by its line or by its missing one.
+// markRemoved records that the list has removed a backend, either by an entry that says so or by no longer naming it.
 func (b *Backend) markRemoved(now float64) {
 	if b.State != BackendRemoved {
-		b.State, b.removedAt = BackendRemoved, now
+		b.State = BackendRemoved
+		b.removedAt = now
 	}
 }
 
-// forgetIfGone clears tracked for a backend that is gone for good, and reports whether it did: each decision would look at
-// all that ever were. Until its overload window has passed, what it was sent counts, should it come back.
+// forgetIfGone stops tracking a backend that is gone for good, and reports whether it did. Without that, each decision would
+// look at all backends that ever existed. A removed backend is kept while it has attempts in flight, while work that it was
+// sent within Config.OverloadWindow would count if it came back, and for the retention after a removal.
 func (b *Backend) forgetIfGone(now float64, config *Config) bool {
 	b.tracked = b.State != BackendRemoved || len(b.inFlight) > 0 || b.recentWork.sumWithin(now, config.OverloadWindow) > 0 ||
 		now-b.removedAt < config.retentionAfterRemoval()
 	return !b.tracked
 }
 
-// PollFailed records the failure of a poll; the old list still holds. The waits grow and are spread: a service of fixed
-// capacity must not meet a storm of retries.
+// PollFailed records that a poll of the endpoint list failed, or that its watch ended; the old list is used further. The next
+// poll follows after a backoff that grows and is spread randomly, so that the polls of all nodes do not overload the
+// discovery service.
 func (lb *Balancer) PollFailed(now float64) {
-	lb.now, lb.endpoints.isWatched = now, false
+	lb.now = now
+	lb.endpoints.isWatched = false
 	backoff := firstPollBackoffMs * math.Exp2(float64(lb.endpoints.pollFailures))
 	backoff = min(backoff, lb.config.PollInterval/pollBackoffDivisor, maxPollBackoffMs)
 	lb.endpoints.pollAt = now + backoff*(0.5+lb.random.nextUnit())
@@ -138,19 +167,21 @@
 	lb.logEvent(Event{Kind: EventPollFailed, Count: lb.endpoints.pollFailures})
 }
 
-// isPollDue reports whether the list is to be polled now.
+// isPollDue reports whether the endpoint list must be polled now.
 func (lb *Balancer) isPollDue() bool { return !lb.endpoints.isWatched && lb.now >= lb.endpoints.pollAt }
 
-// poll asks for the list, and once more where no reply comes at all.
+// poll decides to poll the list. The next poll is set to half a poll interval later, in case no reply comes at all.
 func (lb *Balancer) poll() {
 	lb.endpoints.pollAt = lb.now + lb.config.PollInterval/2
 	lb.decisions = append(lb.decisions, Decision{Kind: DoPoll})
 }
 
-// reviewEndpointList decides whether to doubt the list where a removal without draining is a hint. More than half of the
-// backends that it lately had do not fail at once; and if they did, failed connects would eject each of them.
+// reviewEndpointList decides whether the list is doubted: it is if removals without draining are hints, and more than half of
+// the backends that were ready within the retention have been removed. It is unlikely that so many fail at the same time.
+// If they really did, failed connects eject each of them.
 func (lb *Balancer) reviewEndpointList() {
-	removed, total := 0, 0
+	removed := 0
+	total := 0
 	for _, backend := range lb.backends {
 		if !backend.wasDrained && (backend.State == BackendReady || lb.now-backend.removedAt < lb.config.retentionAfterRemoval()) {
 			total++
@@ -162,7 +193,8 @@
 	lb.endpoints.isDoubted = lb.config.RemovalIsHint && 2*removed > total
 }
 
-// isUsable reports whether a backend may be sent requests: ready, or removed by a list that is doubted.
+// isUsable reports whether the endpoint list allows requests to a backend: the backend is ready, or a list that is doubted
+// has lately removed it and it had not drained.
 func (lb *Balancer) isUsable(backend *Backend) bool {
 	if backend.State != BackendRemoved {
 		return backend.State == BackendReady
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -6,64 +6,73 @@
 	"slices"
 )
 
-// Selection picks the backend for a request. Short requests go by rotation, each backend taking turns in proportion to
-// its share; long ones go to a backend with none of this node's work in flight, picked at random. The node's own zone
-// comes first; another is crossed to where the predicted time, in ms, falls by more than the crossing costs. Where no
-// backend may take a request, it is queued. The rotation and the treatment of long requests are those of CDA(c), see
-// docs/design.md.
+// Selection picks the backend for a request. A short request is sent by rotation, in which each backend takes turns in
+// proportion to its rotation share. A long request is sent to a backend with no attempt of this node in flight, picked at
+// random among the best. Backends of the node's own zone come first; a backend of another zone is picked if the gain in
+// predicted answer time is worth more than crossing zones costs. If no backend may take the request, it is queued. The
+// rotation and the treatment of long requests are those of the paper (see the package comment).
 
 const (
-	// skipMargin: the rotation passes over a backend above this many times the mean load of its zone, by the design.
+	// skipMargin is the multiple of the mean load above which the rotation passes over a backend, as in the paper. The load
+	// of a backend is its attempts in flight divided by its rotation share.
 	skipMargin = 2.0
-	// behindLongLoad is the load that a long request adds to a backend's: behind one is the last place for a short one.
+	// behindLongLoad is added to the load of a backend that runs a long request, so that a short one is sent there last.
 	behindLongLoad = 2
 
-	// timeStepsInAll: expected times are compared in thirty-seconds of the time left, so that small differences do not
-	// draw all nodes to the same backend.
+	// timeStepsInAll is the number of time steps that the time left to the latency objective is divided into. Expected times
+	// are compared in whole steps, so that a small difference does not draw all nodes to the same backend.
 	timeStepsInAll = 32
-	// affinityPenaltySteps is for a backend other than the key's own: it does all the work anew.
+	// affinityPenaltySteps is added for a backend other than the one that the request's key has affinity to, since it must do
+	// all of the work anew.
 	affinityPenaltySteps = 8
-	// connectPenaltySteps is for a new connection: a handshake costs both ends.
+	// connectPenaltySteps is added for a backend that a connection must be opened to, since a handshake costs both ends time.
 	connectPenaltySteps = 2
-	// ownZoneSteps: long requests stay in their own zone for half an eighth of the time left; the rank counts half steps.
+	// ownZoneSteps is the advantage of near backends for long requests, in half time steps, which is the unit of placeLong's
+	// rank. Four half steps are two of the 32 time steps: a backend of another zone must save a sixteenth of the time left.
 	ownZoneSteps = 4
-	// maxLongCrossZoneCost is the share of its value that crossing zones may cost a long request.
+	// maxLongCrossZoneCost is the largest cost of crossing zones, as a share of the request's value, for a long request to be
+	// sent to another zone.
 	maxLongCrossZoneCost = 0.5
-	// longSuspicion keeps long requests away: a quick error makes a backend idle at once.
+	// longSuspicion is the suspicion from which on a backend receives no long request. It is lower than ejectionThreshold,
+	// since a backend that fails quickly is idle at once and would otherwise draw all long requests.
 	longSuspicion = ejectionThreshold / 2
 
-	// minRotationShare keeps every backend in the rotation, so that it can be found well again.
+	// minRotationShare is the least rotation share of a backend. Any backend takes a turn now and then, so that a recovery is
+	// noticed.
 	minRotationShare = 1e-3
 
-	// subsetPeriod in ms after which a node uses other backends of other zones: long enough to see a few answers, short
-	// enough to try all within half a minute.
+	// subsetPeriodMs is the time after which a node changes which backends of other zones it uses. It is long enough to see a
+	// few answers, and short enough to try all of them within half a minute.
 	subsetPeriodMs = 4e3
-	// minCrossZoneShare of other zones' backends are used at a time at least.
+	// minCrossZoneShare is the least share of the other zones' backends that a node uses at a time.
 	minCrossZoneShare = 0.2
 
-	// subsetSizeOwnZone backends are connected to where connections cost: each is used often, and the tables of
-	// connections at backends stay half empty.
+	// subsetSizeOwnZone is the number of near backends that a node connects to if connections cost (Config.ConnectionCost).
+	// It is small, so that each connection is used often and the backends do not reach their limits of connections.
 	subsetSizeOwnZone = 4
-	// subsetSizeOtherZones of other zones are connected to beside them.
+	// subsetSizeOtherZones is the number of backends of other zones that a node connects to in addition.
 	subsetSizeOtherZones = 2
-	// subsetNodeStep and subsetTryStep are steps on the ring of backends for each node, and for each replacement: far from
-	// any fraction, so that no two nodes' numbers meet and any subset of the nodes spreads evenly.
+	// subsetNodeStep and subsetTryStep are the distances on the hash ring, as parts of its length, from one node's position to
+	// the next node's and from one try of a node to its next. Both are irrational numbers that are far from simple fractions,
+	// so that the positions of any set of nodes spread evenly and do not coincide.
 	subsetNodeStep = 0.6180339887
 	subsetTryStep  = 0.7548776662
 
-	// connectBackoffBase in ms: a backend that refused a connection is tried again after this, doubled with each refusal.
+	// connectBackoffBaseMs is the mean time after which a backend that refused a connection is tried again. It doubles with
+	// each further refusal.
 	connectBackoffBaseMs = 1e3
-	// maxConnectRefusals bounds the doubling: a full table and a restart are over within some ten seconds.
+	// maxConnectRefusals bounds the number of refusals that count, and thereby the backoff to 8 s on average. A restart, or a
+	// backend at its limit of connections, is over within about ten seconds.
 	maxConnectRefusals = 4
 )
 
-// rotationState is where the rotation stands.
+// rotationState holds the state of the rotation.
 type rotationState struct {
-	position   float64
-	meanWeight float64 // of the usable backends
+	position   float64 // the highest rotation pass of a backend that has been sent an attempt
+	meanWeight float64 // mean weight of the usable backends
 }
 
-// placeRequest sends a request to a backend, if one may take it.
+// placeRequest sends a request to a backend, and reports whether a backend could take it.
 func (lb *Balancer) placeRequest(request *Request) bool {
 	if request.isLong {
 		return lb.placeLong(request)
@@ -72,8 +81,9 @@
 	return backend != nil && lb.sendAttempt(request, backend)
 }
 
-// placeLong sends a long request to a backend with none of this node's work in flight, picked at random among the best;
-// its own zone first, others where the request's value pays for crossing.
+// placeLong sends a long request to a backend with no attempt of this node in flight, and reports whether there was one. It
+// picks at random among the eligible backends of the highest rank. The rank is in half time steps: minus twice the
+// expected time steps, plus ownZoneSteps for a near backend.
 func (lb *Balancer) placeLong(request *Request) bool {
 	lb.findAffinity(request)
 	patience := lb.patienceOf(request)
@@ -97,12 +107,16 @@
 	return len(candidates) > 0 && lb.sendAttempt(request, candidates[lb.random.nextBelow(len(candidates))])
 }
 
-// selectByRotation picks a backend by the rotation: the own zone first, another where that gains more than it costs.
-// What would stay without a backend for longer than it may wait is rejected, which counts as lost for sure.
+// selectByRotation picks a backend by the rotation; nil if none may take the request. It compares the best near backend
+// with the best one of the other zones, by the risk of missing the latency objective: the predicted answer time as a share
+// of the time left, at most 1. The other zone's is picked if it lowers the risk by more than the cost of crossing zones, as
+// a share of the request's value. If no near backend may take the request, staying means to be queued; if that would
+// take longer than the request's patience, staying means a rejection, which is a risk of 1.
 func (lb *Balancer) selectByRotation(request *Request) *Backend {
 	lb.findAffinity(request)
 	patience := lb.patienceOf(request)
-	near, far := lb.nextInRotation(request, true, patience), lb.nextInRotation(request, false, patience)
+	near := lb.nextInRotation(request, true, patience)
+	far := lb.nextInRotation(request, false, patience)
 	if far == nil {
 		return near
 	}
@@ -120,9 +134,10 @@
 	return near
 }
 
-// nextInRotation is the rotation over the own zone's backends, or over the others: of those within the margin and without
-// a long request of this node's, the one whose answer takes the fewest steps of time, and of those the one whose turn is
-// longest due. Where none is within the margin, it is the least loaded.
+// nextInRotation returns the next backend of the rotation over the near backends, or over the others; nil if none may take
+// the request. Of the backends within the load margin and without a long request of this node, it is the one with the
+// fewest expected time steps, and among equals the one with the lowest rotation pass. If there is none, it is the
+// backend with the lowest load.
 func (lb *Balancer) nextInRotation(request *Request, near bool, patience float64) *Backend {
 	margin := lb.loadMargin(near)
 	var next, leastLoaded *Backend
@@ -149,26 +164,30 @@
 	return cmp.Or(next, leastLoaded)
 }
 
-// loadMargin is the load above which the rotation passes over a backend of the own zone, or of the others.
+// loadMargin returns the load above which the rotation passes over a near backend, or one of the others: skipMargin times
+// the attempts in flight at all of them, divided by the sum of their rotation shares.
 func (lb *Balancer) loadMargin(near bool) float64 {
-	inFlight, shares := 0.0, 0.0
+	inFlight := 0.0
+	shares := 0.0
 	for _, backend := range lb.backends {
 		if lb.isUsable(backend) && lb.isNear(backend) == near {
-			inFlight, shares = inFlight+float64(len(backend.inFlight)), shares+lb.rotationShare(backend)
+			inFlight += float64(len(backend.inFlight))
+			shares += lb.rotationShare(backend)
 		}
 	}
 	return skipMargin * inFlight / shares
 }
 
-// advanceRotation counts a turn of a backend. One that comes back from being skipped takes its next turn, not all those
-// that it missed.
+// advanceRotation counts a turn of a backend: its rotation pass rises by one over its rotation share. A backend that was
+// passed over for some time takes its next turn soon, but does not make up for all the turns that it missed: its pass is
+// first raised to at most one below the position.
 func (lb *Balancer) advanceRotation(backend *Backend) {
 	lb.rotation.position = math.Max(lb.rotation.position, backend.rotationPass)
 	backend.rotationPass = math.Max(backend.rotationPass, lb.rotation.position-1) + 1/lb.rotationShare(backend)
 }
 
-// rotationShare is a backend's share of the rotation: its weight and speed against the mean, less while it warms up or is
-// suspected.
+// rotationShare returns how often a backend takes a turn, against 1 for an average one: its weight and its speed in relation
+// to the mean, lowered while it warms up and by its suspicion.
 func (lb *Balancer) rotationShare(backend *Backend) float64 {
 	capacity := backend.Weight / lb.rotation.meanWeight * lb.slowStartFactor(backend) / (1 + lb.suspicionOf(backend))
 	return math.Max(capacity*lb.paceOf(nil)/lb.paceOf(backend), minRotationShare)
@@ -176,7 +195,8 @@
 
 // reviewMeanWeight sets the mean weight of the usable backends.
 func (lb *Balancer) reviewMeanWeight() {
-	weight, usable := 0.0, 0
+	weight := 0.0
+	usable := 0
 	for _, backend := range lb.backends {
 		if lb.isUsable(backend) {
 			weight += backend.Weight
@@ -186,8 +206,8 @@
 	lb.rotation.meanWeight = max(weight, 1e-9) / max(float64(usable), 1)
 }
 
-// whyUnfit returns why a backend may not be sent a request now, whichever way it was picked; Eligible where it may. The
-// rotation and long requests ask for more.
+// whyUnfit returns why a backend may not be sent a request now, or Eligible. It holds for late sends, and is part of what the
+// rotation requires (whyPassedOver). Long requests have requirements of their own (whyUnfitForLong).
 func (lb *Balancer) whyUnfit(request *Request, backend *Backend) Reason {
 	switch {
 	case lb.suspicionOf(backend) >= ejectionThresholds[request.class.Idempotency]:
@@ -198,7 +218,7 @@
 	return lb.checkRules(request, backend)
 }
 
-// whyPassedOver returns why the rotation passes over a backend.
+// whyPassedOver returns why the rotation passes over a backend for a request, or Eligible.
 func (lb *Balancer) whyPassedOver(request *Request, backend *Backend, patience float64) Reason {
 	if request.hasTried(backend) {
 		return ReasonAlreadyTried
@@ -212,9 +232,12 @@
 	return Eligible
 }
 
-// whyUnfitForLong returns why a backend may be sent no long request; Eligible where it may. A quick error makes one
-// idle at once, and one that warms up is idle by nature: neither draws long requests. Idle of this node's work says
-// little where there are many nodes: others' requests may be queued there, so that the predicted time counts too.
+// whyUnfitForLong returns why a backend may not be sent a long request, or Eligible.
+//
+// A backend that fails quickly is idle again at once, and one that has just started is idle too. Neither may draw the long
+// requests, so that both a lower suspicion (longSuspicion) and warming up exclude a backend here. With many nodes, a
+// backend without attempts of this node may still have a queue of other nodes' requests. Therefore the predicted answer
+// time counts as well.
 func (lb *Balancer) whyUnfitForLong(request *Request, backend *Backend, patience float64) Reason {
 	switch {
 	case lb.config.ConnectionCost > 0 && !backend.inSubset:
@@ -238,21 +261,32 @@
 	return Eligible
 }
 
-// isTooSlow reports whether an answer would come too late, or the request would wait behind others for longer than its
-// patience. A heavy request's own time is not held against it, and its wait does not grow with it, as the drain rate
-// seen with small requests would have it. The patience falls by how much later than its objective it is likely to come:
-// cost hints are rough, and a quarter of heavy requests take less than half of what is predicted.
+// isTooSlow reports whether the backend's answer would come too late to have a value, or the request would wait behind other
+// work for longer than its patience, in ms. Only the wait counts against the patience, not the request's own time.
+//
+// The predicted time of a long request is bounded by its own time plus the zone's wait. The prediction by the completion
+// rate would be too long, because that rate was measured with smaller requests.
+//
+// If the answer is expected after the latency objective, the value at stake is lower, and so is the patience: it is
+// multiplied by LateWeight + (1-LateWeight) * (time to the objective / predicted time). The patience is lowered gradually
+// and the request not rejected outright, since cost hints are rough: a quarter of heavy requests take less than half of
+// the predicted time.
 func (lb *Balancer) isTooSlow(backend *Backend, request *Request, patience float64) bool {
-	time, alone := lb.predictAnswerTime(backend, request), request.work*lb.paceOf(backend)
+	alone := request.work * lb.paceOf(backend)
+	predicted := lb.predictAnswerTime(backend, request)
 	if request.isLong {
-		time = math.Min(time, alone+lb.zoneWait(backend.Zone))
+		predicted = math.Min(predicted, alone+lb.zoneWait(backend.Zone))
 	}
-	patience *= request.class.LateWeight + (1-request.class.LateWeight)*math.Min(1, lb.timeToObjective(request)/time)
-	return time > lb.timeLeft(request) || time-alone > patience
+	inTimeShare := math.Min(1, lb.timeToObjective(request)/predicted)
+	patience *= request.class.LateWeight + (1-request.class.LateWeight)*inTimeShare
+	wait := predicted - alone
+	return predicted > lb.timeLeft(request) || wait > patience
 }
 
-// timeSteps is how many thirty-seconds of its time left a request is expected to take at a backend, by its work and what
-// lately waited there, all of them at most. Heavy requests are worth the most, and a slow machine may not do one in time.
+// timeSteps returns the time that a request is expected to take at a backend, in whole steps of the time left to its latency
+// objective divided by timeStepsInAll, and at most timeStepsInAll. The expected time is the request's work at the backend's
+// pace plus the expected wait; penalties for a new connection and for a lost affinity are added. The own time matters
+// most for heavy requests, which a slow machine might not complete in time.
 func (lb *Balancer) timeSteps(backend *Backend, request *Request) int {
 	penalty := 0.0
 	if lb.config.ConnectionCost > 0 && !backend.isConnected {
@@ -265,19 +299,20 @@
 	return int(math.Min(penalty+timeStepsInAll*expected/lb.timeToObjective(request), timeStepsInAll))
 }
 
-// isNear reports whether using a backend costs no crossing of zones.
+// isNear reports whether a backend is in the node's own zone, or crossing zones costs nothing.
 func (lb *Balancer) isNear(backend *Backend) bool {
 	return lb.config.CrossZoneCost == 0 || backend.Zone == lb.config.Zone
 }
 
-// crossZoneCost is what crossing zones costs, as a share of the request's value.
+// crossZoneCost returns the cost of crossing zones as a share of the request's value: Config.CrossZoneCost times the mean
+// priority of requests, divided by the priority of this one.
 func (lb *Balancer) crossZoneCost(request *Request) float64 {
 	return lb.config.CrossZoneCost * lb.estimates.priority.value / math.Max(lb.priorityOf(request), 1e-9)
 }
 
-// findAffinity finds the backend that a request's key has affinity to, by highest random weight: the same at all nodes that
-// see the same fleet. A backend that met a key lately has less work with it. Keys leave one that warms up or is ejected,
-// and come back.
+// findAffinity sets the backend that a request's key has affinity to, since a backend that has lately served a key has less
+// work with it. It uses rendezvous hashing (highest random weight), so that all nodes with the same endpoint list agree
+// without messages. Keys move away from a backend that warms up or is ejected, and return later.
 func (lb *Balancer) findAffinity(request *Request) {
 	request.affinity = nil
 	if !lb.config.KeyAffinity || request.Key == 0 {
@@ -292,9 +327,10 @@
 	}
 }
 
-// mayUse reports whether this node uses a backend at present. Where connections cost, it uses its subset. Else it uses
-// all of its own zone and some of the others, different ones in each period, more of them where answers come promptly: in a
-// burst all nodes cross at once.
+// mayUse reports whether this node uses a backend at present. If connections cost, it uses those of its subset. Else it uses
+// all near backends, and a share of the other zones' that changes every subsetPeriodMs. The share is larger for a backend
+// whose limit has risen, which means that its answers come without a queue. It is bounded because in a burst all nodes
+// would send requests to the other zones at the same time.
 func (lb *Balancer) mayUse(backend *Backend) bool {
 	if lb.config.ConnectionCost > 0 {
 		return backend.inSubset
@@ -306,38 +342,45 @@
 	return lb.slotDraw(backend, subsetPeriodMs) <= used
 }
 
-// chooseSubset picks the backends that this node connects to, where connections cost. By the node's index on a ring that is
-// the same at all nodes, the subsets spread evenly without a message. One that is ejected or refuses connections is
-// replaced by the next for as long as it does.
+// chooseSubset picks the backends that this node connects to, if connections cost. Each node starts at a position on a hash
+// ring that is the same at all nodes, so that the subsets spread evenly over the backends without messages. While a
+// backend is ejected or refuses connections, the next try on the ring adds a replacement for it.
 func (lb *Balancer) chooseSubset() {
-	for side, missing := range [...]int{subsetSizeOtherZones, subsetSizeOwnZone} {
-		ring := lb.hashRing(side == 1)
-		for try := 0; missing > 0 && try < 2*len(ring); try++ {
-			_, at := math.Modf(float64(lb.config.NodeIndex)*subsetNodeStep + float64(try)*subsetTryStep)
-			backend := ring[int(at*float64(len(ring)))]
-			if !backend.inSubset && lb.isUsable(backend) && lb.suspicionOf(backend) < ejectionThreshold &&
-				(backend.refusals == 0 || backend.pausedUntil <= lb.now) {
-				missing--
-			}
-			backend.inSubset = true
+	lb.chooseSubsetOf(false, subsetSizeOtherZones)
+	lb.chooseSubsetOf(true, subsetSizeOwnZone)
+}
+
+// chooseSubsetOf adds size working backends to the subset, and the failing ones that it passes on the ring: from the near
+// backends, or from the others.
+func (lb *Balancer) chooseSubsetOf(near bool, size int) {
+	missing := size
+	ring := lb.hashRing(near)
+	for try := 0; missing > 0 && try < 2*len(ring); try++ {
+		_, at := math.Modf(float64(lb.config.NodeIndex)*subsetNodeStep + float64(try)*subsetTryStep)
+		backend := ring[int(at*float64(len(ring)))]
+		isPaused := backend.refusals != 0 && backend.pausedUntil > lb.now
+		if !backend.inSubset && lb.isUsable(backend) && lb.suspicionOf(backend) < ejectionThreshold && !isPaused {
+			missing--
 		}
+		backend.inSubset = true
 	}
 }
 
-// hashRing returns the backends of the own zone, or the others, in an order that is the same at all nodes, and takes
-// them out of the subset.
+// hashRing returns the near backends, or the others, ordered by a hash of their IDs, which is the same at all nodes. It
+// takes them out of the subset.
 func (lb *Balancer) hashRing(near bool) (ring []*Backend) {
 	for _, backend := range lb.backends {
 		if lb.isNear(backend) == near {
-			backend.inSubset, ring = false, append(ring, backend)
+			backend.inSubset = false
+			ring = append(ring, backend)
 		}
 	}
 	slices.SortFunc(ring, func(a, b *Backend) int { return cmp.Compare(hashUnit(a.ID, 1), hashUnit(b.ID, 1)) })
 	return ring
 }
 
-// recordConnectFailure records a connect that failed: the backend is down or accepts no more connections, and neither
-// is over soon. Where connections cost, it is left alone for twice as long with each failure in a row.
+// recordConnectFailure records a failed connect: the backend is down, or at its limit of connections, and neither is over
+// soon. If connections cost, the backend is paused for an exponential backoff with random spread.
 func (lb *Balancer) recordConnectFailure(backend *Backend) {
 	backend.refusals = math.Min(backend.refusals+1, maxConnectRefusals)
 	if lb.config.ConnectionCost > 0 {
