--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -5,26 +5,28 @@
 	"math"
 )
 
-// An attempt is one send of a request to a backend. Every attempt passes sendAttempt, and checkRules in it, which holds
-// the rules that bind whatever the reason to send; the host reports by AttemptEnded how the attempt ended. An attempt that
-// timed out or was canceled may still run at its backend, and counts there for as long again.
+// An attempt is one send of a request to a backend. Every attempt is sent by sendAttempt, which first calls checkRules for
+// the rules that hold whatever the reason to send. The host reports by AttemptEnded how the attempt ended. An attempt that
+// timed out or was canceled may still run at its backend. It therefore counts toward the node's concurrency limit for as
+// long again as it took.
 
 // Outcome is how an attempt ended.
 type Outcome uint8
 
 // The outcomes. Their numbers are stored.
 const (
-	OutcomeAnswered        Outcome = iota // a whole answer came
-	OutcomeFailed                         // an answer came that is none, or not by the protocol
-	OutcomeRejected                       // the backend refused it with proof that it did not run
-	OutcomeTimedOut                       // no answer within the time given
-	OutcomeConnectFailed                  // no connection could be opened, or not all of the request was written
-	OutcomeConnectionReset                // the connection ended before the answer
+	OutcomeAnswered        Outcome = iota // the complete answer was received
+	OutcomeFailed                         // the answer is an error, or violates the protocol
+	OutcomeRejected                       // the backend refused the request and stated that it did not run
+	OutcomeTimedOut                       // no answer within the attempt's time-out
+	OutcomeConnectFailed                  // no connection could be opened, or the request could not be written completely
+	OutcomeConnectionReset                // the connection ended after the request was sent and before the answer was complete
 	OutcomeCanceled                       // the balancer or the host canceled it
-	OutcomeNotSent                        // the host kept it back, for a reason that is not the backend's
+	OutcomeNotSent                        // the host did not send it completely, for a reason other than the backend
 )
 
-// outcomeNames are the texts of outcomes in captures' explanations and in logs, which keep the words of earlier builds.
+// outcomeNames are the texts of outcomes in the explanations of captures and in logs. They keep the words of earlier builds,
+// since operators' scripts read them; "revoked" is canceled, and "no connection" a failed connect.
 var outcomeNames = [...]string{"answered", "failed", "rejected", "timed out", "no connection", "reset", "revoked", "not sent"}
 
 func (o Outcome) String() string {
@@ -43,25 +45,25 @@
 type Attempt struct {
 	Request *Request
 	Backend *Backend
-	Number  int     // its index among the request's attempts
-	SentAt  float64 // ms
+	Number  int     // index among the request's attempts
+	SentAt  float64 // time in ms
 
-	expectedTime float64 // ms; predicted answer time
+	expectedTime float64 // predicted answer time in ms
 	inFlight     bool
-	hasStarted   bool // it counts at its backend and toward the node's limit
+	hasStarted   bool // it counts as in flight at its backend and toward the node's limit
 	canceled     bool
 	isOverdue    bool
-	wasAlone     bool // sent with at most one other of this node's in flight there
+	wasAlone     bool // when it was sent, this node had at most one other attempt in flight at the backend
 	outcome      Outcome
 }
 
-// Outcome is how the attempt ended, once it has.
+// Outcome returns how the attempt ended. It is meaningless while the attempt is in flight.
 func (a *Attempt) Outcome() Outcome { return a.outcome }
 
 // InFlight reports whether the attempt has not ended yet.
 func (a *Attempt) InFlight() bool { return a.inFlight }
 
-// countedInFlight is 1 while the attempt counts toward the node's limit, else 0.
+// countedInFlight returns 1 while the attempt counts toward the node's limit, else 0.
 func (a *Attempt) countedInFlight() int {
 	if a.inFlight && a.hasStarted {
 		return 1
@@ -69,26 +71,27 @@
 	return 0
 }
 
-// isOvertaken reports whether its backend has answered an attempt sent later: then the connection is at fault, not the
-// backend.
+// isOvertaken reports whether the backend has answered an attempt that was sent later. Then a missing answer is the fault of
+// the connection and not of the backend.
 func (a *Attempt) isOvertaken() bool { return a.Backend.lastAnsweredSentAt > a.SentAt }
 
-// mayStillRun reports whether an attempt that ended so may still run at its backend, for as long again as it was given.
+// mayStillRun reports whether an attempt with this outcome may still be running at its backend.
 func (o Outcome) mayStillRun() bool { return o == OutcomeTimedOut || o == OutcomeCanceled }
 
-// checkRules holds the rules that bind every attempt, and returns the one by which the request may not be sent to the
-// backend now:
-//  1. not after the request's end or deadline, and not more often than allowed;
-//  2. not where an earlier attempt may have run, unless the class allows that;
-//  3. only to a backend that the endpoint list calls ready;
-//  4. within the node's share of what a backend bears that warms up;
-//  5. in order, where the class keeps order.
+// checkRules checks the five rules that hold for every attempt. It returns the reason of a rule that forbids to send the
+// request to the backend now, or Eligible:
+//  1. No attempt is sent after the request's end or deadline, nor more attempts than allowed, nor a hedge unless hedging is
+//     allowed.
+//  2. No attempt is sent after one that may have run, unless the request's class allows that at this backend.
+//  3. An attempt is only sent to a backend that the endpoint list calls ready. There is no grace period after a change.
+//  4. A backend that warms up is sent no more than this node's share of what it can serve.
+//  5. If the class keeps order, no attempt is sent before the request's turn.
 func (lb *Balancer) checkRules(request *Request, backend *Backend) Reason {
 	switch {
 	case request.stage == stageEnded || request.stage == stageStreaming ||
 		request.Deadline <= lb.now || len(request.Attempts) >= request.maxAttempts():
 		return ReasonRequestDone
-	case !lb.isUsable(backend): // from the moment that the list says so: there is no grace period
+	case !lb.isUsable(backend):
 		return ReasonNotReady
 	case request.inFlightCount() > 0 && !request.Config.AllowHedging && !request.assumesCanceled:
 		return ReasonNoHedging
@@ -103,8 +106,9 @@
 	return Eligible
 }
 
-// mayRepeat reports whether the class allows the request at the backend after an attempt that may have run: where there
-// was none, always; with an idempotency key, while the first attempt's backends still recognize it.
+// mayRepeat reports whether rule 2 allows to send the request to the backend. It always does if no attempt may have run, and
+// for Idempotent classes. For IdempotentWithKey classes it does while the backend recognizes the key: within DedupWindow of
+// the first attempt that may have run, and in the same DedupScope as that attempt's backend.
 func (lb *Balancer) mayRepeat(request *Request, backend *Backend) bool {
 	first := request.UncertainAttempt()
 	if first == nil {
@@ -122,33 +126,45 @@
 	return true
 }
 
-// sendAttempt sends a request to a backend unless a rule forbids it. All attempts pass here.
+// sendAttempt sends a request to a backend unless a rule forbids it, and reports whether it did. All attempts are sent here.
 func (lb *Balancer) sendAttempt(request *Request, backend *Backend) bool {
 	if lb.checkRules(request, backend) != Eligible {
 		return false
 	}
-	attempt := &Attempt{Request: request, Backend: backend, Number: len(request.Attempts), SentAt: lb.now,
-		expectedTime: lb.predictAnswerTime(backend, request), inFlight: true, wasAlone: len(backend.inFlight) < 2}
-	request.Attempts, request.stage = append(request.Attempts, attempt), stageInFlight
+	attempt := &Attempt{
+		Request:      request,
+		Backend:      backend,
+		Number:       len(request.Attempts),
+		SentAt:       lb.now,
+		expectedTime: lb.predictAnswerTime(backend, request),
+		inFlight:     true,
+		wasAlone:     len(backend.inFlight) < 2,
+	}
+	request.Attempts = append(request.Attempts, attempt)
+	request.stage = stageInFlight
 	backend.recentWork.add(lb.now, lb.config.OverloadWindow, slowStartCost(request))
 	lb.advanceRotation(backend)
-	timeout := 0.0
+	timeout := 0.0 // none: a late answer still has a value, or the client may take long to send the body
 	if request.class.LateWeight == 0 && !request.Streamed {
 		timeout = math.Max(lb.timeLeft(request), minTimeoutMs)
 	}
 	lb.decisions = append(lb.decisions, Decision{Kind: DoAttempt, Request: request, Attempt: attempt, Wait: timeout})
-	if !request.Streamed { // else the client may take long to send it, which says nothing of the backend
+	// A streamed body takes as long as the client sends it, which says nothing of the backend. Such an attempt starts to
+	// count with RequestBodySent.
+	if !request.Streamed {
 		lb.startAttempt(attempt)
 	}
 	return true
 }
 
-// minTimeout in ms is the shortest time-out of an attempt: 0 would mean none.
+// minTimeoutMs is the shortest time-out of an attempt, since 0 would mean none.
 const minTimeoutMs = 0.1
 
-// startAttempt has an attempt count at its backend, and sets a timer for when it will be overdue.
+// startAttempt counts an attempt as in flight, at its backend and toward the node's limit. It sets a timer for the time from
+// which on the attempt is overdue, unless the answer would have no value by then.
 func (lb *Balancer) startAttempt(attempt *Attempt) {
-	attempt.hasStarted, lb.concurrency.inFlight = true, lb.concurrency.inFlight+1
+	attempt.hasStarted = true
+	lb.concurrency.inFlight++
 	attempt.Backend.addInFlight(lb.now, attempt)
 	overrun := math.Min(math.Max(lb.retries.overrun.valueOr(unknownOverrun), minOverrun), maxOverrun)
 	patience := overdueBaseMs + attempt.expectedTime*overrun
@@ -157,7 +173,7 @@
 	}
 }
 
-// cancelAttempt cancels an attempt in flight, where the host can; AttemptEnded follows.
+// cancelAttempt cancels an attempt in flight if the host can do that. The host then reports its end by AttemptEnded.
 func (lb *Balancer) cancelAttempt(attempt *Attempt) {
 	if attempt.Request.Config.CancelAttempts && attempt.inFlight && !attempt.canceled {
 		attempt.canceled = true
@@ -165,8 +181,8 @@
 	}
 }
 
-// ResponseStarted records the start of a streamed answer: from now on the attempt is the client's, and no other may
-// take its place.
+// ResponseStarted records that a streamed answer has begun to go to the client. From then on no other attempt can replace
+// this one. internal/node never calls it; only internal/simprotocol and replays of its captures do.
 func (lb *Balancer) ResponseStarted(now float64, attempt *Attempt) {
 	lb.now = now
 	if attempt.Request.stage != stageEnded {
@@ -174,27 +190,30 @@
 	}
 }
 
-// RequestBodySent records the moment at which the last byte of a streamed request has been passed on: its times count from
-// here, since the client may have taken long.
+// RequestBodySent records that the whole body of a streamed request has been sent to the attempt's backend. The times of the
+// attempt and of the request count from now on, since the client may have taken long to send the body.
 func (lb *Balancer) RequestBodySent(now float64, attempt *Attempt) {
 	lb.now = now
 	request := attempt.Request
 	if request.stage == stageInFlight && attempt.inFlight {
-		attempt.SentAt, request.ArrivedAt = now, now
+		attempt.SentAt = now
+		request.ArrivedAt = now
 		attempt.expectedTime = lb.predictAnswerTime(attempt.Backend, request)
 		lb.startAttempt(attempt)
 	}
 }
 
-// AttemptEnded records the end of an attempt, elapsed ms after it was sent; finished says that the request has ended
-// with it or before.
+// AttemptEnded records that an attempt ended with the outcome how, elapsed ms after it was sent. finished says that the
+// request has ended, with this attempt or before it, and must not be decided on again.
 func (lb *Balancer) AttemptEnded(now float64, attempt *Attempt, how Outcome, elapsed float64, finished bool) {
 	lb.now = now
-	request, backend := attempt.Request, attempt.Backend
+	request := attempt.Request
+	backend := attempt.Backend
 	lb.review.hasNews = true
 	backend.removeInFlight(now, attempt)
 	counted := attempt.countedInFlight()
-	attempt.inFlight, attempt.outcome = false, how
+	attempt.inFlight = false
+	attempt.outcome = how
 	if counted > 0 && how.mayStillRun() {
 		lb.setTimer(timer{at: now + elapsed, isWorkAbandoned: true})
 	} else {
@@ -202,7 +221,7 @@
 	}
 	lb.recordOutcomeWait(attempt, how, elapsed)
 	lb.recordOutcome(attempt, how, elapsed)
-	if how.mayStillRun() { // the backend is not idle before the work could be done
+	if how.mayStillRun() { // the backend does not count as idle until the work should be done
 		backend.busyUntil = math.Max(backend.busyUntil, now+request.work*lb.paceOf(backend))
 	}
 	lb.queue.hasFreedCapacity = true
@@ -217,14 +236,14 @@
 	}
 }
 
-// recordOutcome records what an outcome tells of the backend: its speed, its faults, whether it accepts connections.
+// recordOutcome records what an outcome says of the backend: its speed, its faults, and whether it accepts connections.
 func (lb *Balancer) recordOutcome(attempt *Attempt, how Outcome, elapsed float64) {
 	backend := attempt.Backend
 	switch how {
 	case OutcomeAnswered:
 		lb.recordAnswer(backend, attempt, elapsed)
 	case OutcomeTimedOut:
-		if !attempt.isOvertaken() { // else a connection fell silent, not the backend
+		if !attempt.isOvertaken() { // an overtaken attempt is the fault of its connection
 			lb.lowerBackendLimit(backend, 0)
 			lb.addSuspicion(backend, clearFault)
 		}
@@ -235,7 +254,9 @@
 		lb.recordReset(backend)
 	case OutcomeFailed:
 		lb.addSuspicion(backend, clearFault)
-	case OutcomeRejected: // it is a sign of load, not of a fault; and an end so quick would draw more requests
+	case OutcomeRejected:
+		// A rejection is a sign of load and not a fault. The pause keeps the backend, which looks idle after such a quick end,
+		// from drawing the next requests.
 		lb.lowerBackendLimit(backend, 0)
 		lb.adjustInFlightLimit(true)
 		backend.pausedUntil = lb.now + lb.estimates.work.value*lb.paceOf(backend)
@@ -244,14 +265,14 @@
 		(backend.isConnected || how == OutcomeAnswered || how == OutcomeRejected)
 }
 
-// recordOutcomeWait records what an outcome tells of how long the attempt waited behind others at its backend.
+// recordOutcomeWait records what an outcome says of how long the attempt waited behind other work at its backend.
 func (lb *Balancer) recordOutcomeWait(attempt *Attempt, how Outcome, elapsed float64) {
 	switch {
 	case how == OutcomeAnswered:
 		lb.recordWait(attempt, elapsed-attempt.Request.work*lb.paceOf(attempt.Backend))
 	case how == OutcomeTimedOut && !attempt.isOvertaken():
 		lb.recordWait(attempt, elapsed)
-	case how == OutcomeRejected: // a queue as long as can be
+	case how == OutcomeRejected: // the backend is full: recordWait bounds this to the latency objective
 		lb.recordWait(attempt, math.Inf(1))
 	}
 }
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -2,62 +2,60 @@
 
 import "slices"
 
-// A backend is a server of the endpoint list, with what this node has learned of it. The list's word is kept in the
-// exported fields; the unexported ones belong to the rule whose file is named above them. Times are in ms.
-
-// Backend is a server as the endpoint list gives it, with what this node has learned of it.
+// Backend is a server of the endpoint list, with what this node has learned of it. The exported fields hold what the list
+// says. The unexported fields belong to the rule whose file is named above them. Times are in ms.
 type Backend struct {
-	ID      uint64 // the host's name for it, the same at every node
+	ID      uint64 // identifier given by the host, the same at all nodes
 	Zone    int
 	Cell    int
-	Kind    int // of machine
+	Kind    int // kind of machine
 	State   BackendState
-	Weight  float64
-	Started float64 // time of its latest start; 0 is long ago
+	Weight  float64 // capacity in relation to other backends
+	Started float64 // time of its latest start; 0 if that is long ago
 
-	// In flight.
-	inFlight           []*Attempt // not yet ended, oldest first, without those overdue and overtaken
-	longInFlight       int        // of those, the ones of long requests
-	workInFlight       float64    // their work
-	lastAnsweredSentAt float64    // when the latest attempt was sent that has been answered
-	busyUntil          float64    // until then, the work of attempts that timed out or were canceled may still run
+	// attempt.go
+	inFlight           []*Attempt // attempts in flight, oldest first, without those that are overdue and overtaken
+	longInFlight       int        // number of them that belong to long requests
+	workInFlight       float64    // sum of their work
+	lastAnsweredSentAt float64    // latest SentAt of the attempts that it has answered
+	busyUntil          float64    // time until which attempts that timed out or were canceled may still run
 
 	// estimators.go
 	pace           paceEstimate
-	bestPace       float64 // the lowest seen
+	bestPace       float64 // the lowest pace seen, slowly forgotten
 	completionRate completionRateEstimate
-	waits          decayingMean // how long attempts waited behind others there
+	waits          decayingMean // ms that attempts there waited behind other work
 	lastWait       latestWait
-	maxCoresSeen   float64 // the most requests at work at once that it has reported
+	maxCoresSeen   float64 // the most requests that were running there at once, by its load reports
 
 	// endpoints.go
-	tracked      bool    // the balancer has it among its backends
-	removedAt    float64 // when the list first said that it is gone
-	wasDrained   bool    // the list said that it drains, and has not called it ready since
-	isCordoned   bool    // taken out of service by an operator
-	cordonedAt   float64 // when it was last
-	uncordonedAt float64 // when it was put back, where nothing else tells of its restart
+	tracked      bool    // it is in Balancer.backends
+	removedAt    float64 // time at which the list removed it
+	wasDrained   bool    // the list called it draining, and has not called it ready since
+	isCordoned   bool    // an operator has taken it out of service
+	cordonedAt   float64 // time at which that last happened
+	uncordonedAt float64 // time at which it was put back, if the list has announced no start since; see applyEndpoint
 
 	// selection.go
-	rotationPass float64 // its place in the rotation: the lowest goes first
-	isConnected  bool    // a connection there has lately served
-	inSubset     bool    // it is among the backends that this node connects to
-	refusals     float64 // failed connects in a row
+	rotationPass float64 // place in the rotation: the backend with the lowest has the next turn
+	isConnected  bool    // the latest attempt there shows that a connection to it works
+	inSubset     bool    // it is one of the backends that this node connects to, if connections cost
+	refusals     float64 // failed connects in a row, at most maxConnectRefusals
 
 	// ejection.go
 	suspicion   decayingCounter
-	answerRatio quantileEstimate // answer time for a unit of work, at the high end
-	lastResetAt float64          // when an attempt there last ended in a reset
+	answerRatio quantileEstimate // the answerRatioQuantile of answer time over work
+	lastResetAt float64          // time at which an attempt there last ended in a reset
 
 	// concurrency.go
-	maxInFlight float64 // below 1 it stands for pauses between attempts
-	pausedUntil float64 // until then it is sent nothing
+	maxInFlight float64 // limit of attempts in flight; below 1 it means pauses, see lowerBackendLimit
+	pausedUntil float64 // time until which it is sent nothing
 
 	// slowstart.go
-	recentWork slidingSum // sent to it within the last overload window
+	recentWork slidingSum // work sent to it, by slowStartCost, within the last Config.OverloadWindow
 }
 
-// IsTracked reports whether the balancer keeps the backend; of one that is gone for good, the host may let go too.
+// IsTracked reports whether the balancer still tracks the backend. When it no longer does, the host may forget it too.
 func (b *Backend) IsTracked() bool { return b.tracked }
 
 // addInFlight counts an attempt as in flight at the backend.
@@ -70,7 +68,7 @@
 	}
 }
 
-// removeInFlight no longer counts an attempt; one that was removed before is not subtracted twice.
+// removeInFlight stops counting an attempt as in flight at the backend. An attempt that is not counted is ignored.
 func (b *Backend) removeInFlight(now float64, attempt *Attempt) {
 	b.completionRate.advance(now, len(b.inFlight) > 0)
 	if k := slices.Index(b.inFlight, attempt); k >= 0 {
@@ -82,9 +80,9 @@
 	}
 }
 
-// releaseOvertaken is called for each answer. An attempt that is overdue by then and was sent before the answered one
-// no longer counts: its connection fell silent, or its answer stopped short, while the backend works on. It would take
-// capacity, lower the drain rate and keep long requests away until it timed out.
+// releaseOvertaken stops counting, after an answer, the attempts that are overdue and were sent before the answered one. Their
+// connections are broken while the backend works: no answer comes, or it stopped halfway. Until they timed out they would
+// take up capacity, lower the completion rate and keep long requests away.
 func (b *Backend) releaseOvertaken(now float64, answered *Attempt) {
 	b.lastAnsweredSentAt = max(b.lastAnsweredSentAt, answered.SentAt)
 	for _, attempt := range slices.Clone(b.inFlight) {
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -1,29 +1,52 @@
 package balancer
 
-// Explanations show why a backend was passed over for a request, and what the balancer believed of it at that moment.
-// Decisions do not depend on them; `pearknot explain` sets OnConsidered on a replayed balancer.
+// Explanations show why a backend was passed over for a request, and what the balancer's estimates of the backend were at
+// that moment. Decisions do not depend on them. `pearknot explain` sets Balancer.OnConsidered on a replayed balancer.
 
 // Reason is why a backend was passed over for a request.
 type Reason uint8
 
-// The reasons.
+// The reasons. Where a reason stands for several causes, the functions that return it are named.
 const (
-	Eligible              Reason = iota // it was not
-	ReasonAlreadyTried                  // the request was sent there before
-	ReasonEjected                       // suspected, against its fellows
-	ReasonAtCapacity                    // it has all that this node sends there at once, is paused, or is not used by this node
-	ReasonBusy                          // a long request needs one with none of this node's work
-	ReasonWarmingUp                     // a long request needs one that has warmed up
-	ReasonCrossZoneCost                 // crossing zones costs more than the request is worth
-	ReasonTooSlow                       // the answer would come too late, or the wait be longer than the class's patience
-	ReasonRequestDone                   // rule 1: the request is over, its deadline has passed, or its attempts are used up
-	ReasonNoHedging                     // hedging is not allowed, and an attempt is in flight
-	ReasonMayHaveRun                    // rule 2: an earlier attempt may have run, and the class does not allow another there
-	ReasonNotReady                      // rule 3: it drains or is gone
-	ReasonSlowStartBudget               // rule 4: this node's share of what it bears while it warms up is used up
-	ReasonOutOfOrder                    // rule 5: an earlier request of its key is not over, or the key's cooldown runs
-	ReasonPoisonRequest                 // of no backend: a client's retry, after a backend crashed under an attempt
-	ReasonQueued                        // of no backend: the request is queued
+	// Eligible means that the backend was not passed over.
+	Eligible Reason = iota
+	// ReasonAlreadyTried means that the request has been sent there before.
+	ReasonAlreadyTried
+	// ReasonEjected means that the backend's suspicion is at or above the threshold for the request. That is ejectionThreshold
+	// (2), but atMostOnceThreshold (0.6) for AtMostOnce requests, and at most longSuspicion (1) for long requests: those two
+	// pass over a backend that is not ejected for others (whyUnfit, whyUnfitForLong).
+	ReasonEjected
+	// ReasonAtCapacity means one of five things: the node's limit of attempts in flight is reached, the backend's limit is
+	// reached, the backend is paused after a rejection or a failed connect or by a limit below 1 (all isAtCapacity), it is
+	// not among the other zones' backends that the node uses in this period (mayUse), or it is not in the node's subset where
+	// connections cost (mayUse, whyUnfitForLong).
+	ReasonAtCapacity
+	// ReasonBusy means that the request is long and the backend has attempts of this node in flight, or may still run one that
+	// timed out or was canceled.
+	ReasonBusy
+	// ReasonWarmingUp means that the request is long and the backend has not warmed up.
+	ReasonWarmingUp
+	// ReasonCrossZoneCost means that the request is long and its value does not pay for crossing zones.
+	ReasonCrossZoneCost
+	// ReasonTooSlow means that the answer is expected too late, or the wait to be longer than the request's patience.
+	ReasonTooSlow
+	// ReasonRequestDone (rule 1) means that the request has ended, its deadline has passed, or its attempts are used up.
+	ReasonRequestDone
+	// ReasonNoHedging means that an attempt is in flight and hedging is not allowed.
+	ReasonNoHedging
+	// ReasonMayHaveRun (rule 2) means that an earlier attempt may have run, and the class does not allow another one there.
+	ReasonMayHaveRun
+	// ReasonNotReady (rule 3) means that the endpoint list calls the backend draining or has removed it.
+	ReasonNotReady
+	// ReasonSlowStartBudget (rule 4) means that the backend warms up and this node has used up its share of what it can serve.
+	ReasonSlowStartBudget
+	// ReasonOutOfOrder (rule 5) means that an earlier request of the same key has not ended, or the key's cooldown runs.
+	ReasonOutOfOrder
+	// ReasonPoisonRequest is recorded without a backend: the request is a client's retry, and a request may lately have
+	// crashed a backend (suspectsPoisonRequest).
+	ReasonPoisonRequest
+	// ReasonQueued is recorded without a backend: no backend could take the request, which was queued.
+	ReasonQueued
 )
 
 // reasonNames are the reasons' texts in the output of `pearknot explain`. They are not stored.
@@ -48,7 +71,7 @@
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// recordReason returns the reason, and passes it to OnConsidered where that is set.
+// recordReason passes the reason to OnConsidered, if that is set, and returns it.
 func (lb *Balancer) recordReason(request *Request, backend *Backend, reason Reason) Reason {
 	if lb.OnConsidered != nil {
 		lb.OnConsidered(request, backend, reason)
@@ -56,25 +79,25 @@
 	return reason
 }
 
-// Belief is what the balancer believes of a backend for a request. Times are in ms.
+// Belief holds the balancer's estimates of a backend for a request. Times are in ms.
 type Belief struct {
-	IsNear          bool    // using it costs no crossing of zones
-	AnswerTime      float64 // the answer time expected
-	Alone           float64 // and with nothing else there
-	InFlight        int     // this node's attempts in flight there
-	MaxInFlight     float64 // that it sends there at once
-	Suspicion       float64 // suspicion; ejected from 2 on
-	SlowStartFactor float64 // share of its capacity that it is sure to have
-	RotationShare   float64 // its share of the rotation
-	AnsweredAgo     float64 // how long ago the latest attempt was sent that has been answered; below 0 none was
-	RotationPass    float64 // its place in the rotation: the lowest goes first
+	IsNear          bool    // it is in the node's own zone, or crossing zones costs nothing
+	AnswerTime      float64 // predicted answer time
+	Alone           float64 // answer time without any wait
+	InFlight        int     // attempts of this node in flight there
+	MaxInFlight     float64 // this node's limit of them; below 1 it means pauses between attempts
+	Suspicion       float64 // ejected from 2 on, for AtMostOnce requests from 0.6, and for long requests from 1
+	SlowStartFactor float64 // share of its capacity that it has by now, 1 once it has warmed up
+	RotationShare   float64 // how often it takes a turn in the rotation, against 1 for an average backend
+	AnsweredAgo     float64 // time since the latest answered attempt was sent; -1 if none has been answered
+	RotationPass    float64 // place in the rotation, relative to its position: the lowest has the next turn
 }
 
-// Belief is what is believed at this moment.
+// Belief returns the estimates as of the latest input.
 func (lb *Balancer) Belief(request *Request, backend *Backend) Belief {
-	heard := -1.0
+	answeredAgo := -1.0
 	if backend.lastAnsweredSentAt > 0 {
-		heard = lb.now - backend.lastAnsweredSentAt
+		answeredAgo = lb.now - backend.lastAnsweredSentAt
 	}
 	return Belief{
 		IsNear:          lb.isNear(backend),
@@ -85,7 +108,7 @@
 		Suspicion:       lb.suspicionOf(backend),
 		SlowStartFactor: lb.slowStartFactor(backend),
 		RotationShare:   lb.rotationShare(backend),
-		AnsweredAgo:     heard,
+		AnsweredAgo:     answeredAgo,
 		RotationPass:    backend.rotationPass - lb.rotation.position,
 	}
 }
--- a/balancer/ordering.go
+++ b/balancer/ordering.go
@@ -5,30 +5,32 @@
 	"slices"
 )
 
-// In classes that keep order, the requests with one key run one at a time, in order of arrival at this node. A key's next
-// request starts when the one before is over, with nothing in flight, and the key's cooldown has passed: after
-// an attempt that timed out, was canceled or whose connection was reset, a backend may still be running it.
-// A request whose turn can't come in time is rejected or failed.
+// In classes that keep order (Class.Ordered), the requests with the same key run one at a time, in the order of their
+// arrival at this node. The next request of a key starts when two conditions hold: the previous one has ended with no
+// attempt in flight, and the key's cooldown is over. A cooldown of Config.UncertainCooldown begins when an attempt times
+// out, is canceled or loses its connection, since the backend may still be running it. A request whose turn can't come in
+// time is rejected or failed.
 
-// keyQueue is the requests of one key that are not over, in order of arrival.
+// keyQueue holds the requests of one key that have not ended or have attempts in flight, in order of arrival.
 type keyQueue struct {
 	key           uint64
 	requests      []*Request
-	cooldownUntil float64
+	cooldownUntil float64 // time at which the cooldown ends
 }
 
-// addToKeyQueue puts a request behind the others of its key.
+// addToKeyQueue adds a request behind the others of its key.
 func (lb *Balancer) addToKeyQueue(request *Request) {
 	queue := lb.keyQueues[request.Key]
 	if queue == nil {
 		queue = &keyQueue{key: request.Key}
 		lb.keyQueues[request.Key] = queue
 	}
-	queue.requests, request.keyQueue = append(queue.requests, request), queue
+	queue.requests = append(queue.requests, request)
+	request.keyQueue = queue
 }
 
-// removeFromKeyQueue takes a request that is over, with nothing in flight, from its key's queue; the next one's turn may
-// have come.
+// removeFromKeyQueue removes a request that is done (IsDone) from the queue of its key. If it was the first one, the next
+// one's turn has come, at once or after the cooldown.
 func (lb *Balancer) removeFromKeyQueue(request *Request) {
 	queue := request.keyQueue
 	if queue == nil || !request.IsDone() {
@@ -45,8 +47,8 @@
 	}
 }
 
-// wakeKeyQueue schedules a key's first request, and forgets a key without requests whose cooldown is over: the table
-// holds no more keys than requests are open and cooldowns run.
+// wakeKeyQueue schedules the first request of a key. A key without requests whose cooldown is over is deleted, so that the
+// table does not grow with all keys ever seen.
 func (lb *Balancer) wakeKeyQueue(queue *keyQueue) {
 	switch {
 	case len(queue.requests) > 0:
@@ -56,15 +58,16 @@
 	}
 }
 
-// startCooldown keeps a key from its next request, since the attempt that just ended may still run. The clock's
-// resolution is added, so that a timer that fires early does not shorten it.
+// startCooldown starts the cooldown of the request's key, since the attempt that just ended may still run. The clock's
+// resolution is added, since the host's timer may fire that much too early.
 func (lb *Balancer) startCooldown(request *Request) {
 	queue := request.keyQueue
 	queue.cooldownUntil = math.Max(queue.cooldownUntil, lb.now+request.Config.UncertainCooldown+clockResolutionMs)
 }
 
-// isKeysTurn reports whether no earlier request of the key is open or in flight and, before the request's own first
-// attempt, the key's cooldown is over.
+// isKeysTurn reports whether it is the request's turn among those of its key: no earlier one is in the queue and, unless the
+// request has had an attempt, the key's cooldown is over. A cooldown that the request's own attempt started does not hold
+// back its retry.
 func (lb *Balancer) isKeysTurn(request *Request) bool {
 	queue := request.keyQueue
 	if queue == nil {
@@ -73,8 +76,11 @@
 	return queue.requests[0] == request && (len(request.Attempts) > 0 || lb.now >= queue.cooldownUntil)
 }
 
-// awaitKeysTurn keeps a request until those before it of the same key are over. It ends the request at once where they are
-// foreseen to take too long, else when it could no longer be answered in time.
+// awaitKeysTurn lets a request wait for its turn among those of its key. If the wait is predicted to be too long, the request
+// is rejected or failed at once. Else a timer does that at the last moment at which it could still be answered in time.
+//
+// The predicted wait is the rest of the cooldown and, for each earlier request, its work at the mean pace plus the wait in
+// the node's zone, less the time since its first attempt was sent.
 func (lb *Balancer) awaitKeysTurn(request *Request) {
 	alone := request.work * lb.paceOf(nil)
 	wait := math.Max(0, request.keyQueue.cooldownUntil-lb.now)
@@ -84,9 +90,10 @@
 			wait = math.Max(wait-lb.now+earlier.Attempts[0].SentAt, 0)
 		}
 	}
-	if last := lb.timeLeft(request) - alone; wait > last {
+	maxWait := lb.timeLeft(request) - alone
+	if wait > maxWait {
 		lb.rejectOrFail(request)
-	} else {
-		lb.setTimer(timer{at: lb.now + last, request: request})
+		return
 	}
+	lb.setTimer(timer{at: lb.now + maxWait, request: request})
 }
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -6,30 +6,32 @@
 	"slices"
 )
 
-// The queue keeps long requests for which no backend is idle, and short ones for which all backends are at capacity.
-// Whenever capacity is freed, they are placed in order of their estimate: cost hint times the share of the time left, so
-// that small requests go first and waiting moves a request forward. When a quarter of its time is left, a request
-// is sent late, to the least loaded backend that may take it, or is rejected.
+// The queue holds long requests for which no backend is idle, and short ones for which all backends are at capacity. When
+// capacity is freed, the requests are placed in the order of their estimates, the smallest first. The estimate is a
+// request's work times the share of its time to the latency objective that is left. Small requests thereby go first, and a
+// request moves forward while it waits. When a quarter of the time that was left at its arrival in the queue remains, a
+// request is sent late: to the least loaded backend that may take it, or else it is rejected or failed.
 
 const (
-	// lateSendShare of its time left when it was queued is kept for a request's late send, by the paper's design.
+	// lateSendShare is the share of the time to its latency objective, as of when a request is queued, that is kept for its
+	// late send, as in the paper.
 	lateSendShare = 0.25
-	// maxPlacementMisses ends a pass over the queue: where some of the smallest requests find no backend, the
-	// others hardly do, and a node has little processor time for looking on.
+	// maxPlacementMisses is the number of requests without an eligible backend after which a pass over the queue ends. If some
+	// of the smallest requests find no backend, the others rarely do, and each search costs CPU time.
 	maxPlacementMisses = 4
-	// maxQueuedCrossZoneCost is the share of its value that crossing zones may cost a request for other zones'
-	// backends to count in the time that it is foreseen to be queued: above it, crossing hardly ever pays.
+	// maxQueuedCrossZoneCost is the cost of crossing zones, as a share of the request's value, below which the backends of all
+	// zones count when its queue time is predicted. Above it, crossing zones is rarely worth it.
 	maxQueuedCrossZoneCost = 0.5
 )
 
-// requestQueue is the requests without a backend.
+// requestQueue holds the queued requests.
 type requestQueue struct {
 	requests         []*Request
-	hasFreedCapacity bool // a backend may have capacity that was not offered to the queue yet
+	hasFreedCapacity bool // a backend may have free capacity that has not been offered to the queue yet
 }
 
-// enqueue queues a request. Where the wait is foreseen to be too long, it is rejected at once: queueing it would only
-// delay that.
+// enqueue queues a request, and sets a timer for its late send. If the predicted wait is longer than the request's patience,
+// or its answer would come too late, it is rejected or failed at once, since queueing it would only delay that.
 func (lb *Balancer) enqueue(request *Request) {
 	wait := lb.queueTime(request, lb.crossZoneCost(request) < maxQueuedCrossZoneCost)
 	if wait > lb.patienceOf(request) || wait+request.work*lb.paceOf(nil) > lb.timeLeft(request) {
@@ -42,21 +44,23 @@
 	lb.setTimer(timer{at: lb.now + (1-lateSendShare)*lb.timeToObjective(request), request: request})
 }
 
-// dequeue takes a request out of the queue.
+// dequeue removes a request from the queue.
 func (lb *Balancer) dequeue(request *Request) {
 	lb.queue.requests = slices.DeleteFunc(lb.queue.requests, func(other *Request) bool { return other == request })
 }
 
-// placeQueued offers freed capacity to the queue, smallest estimate first.
+// placeQueued offers freed capacity to the queued requests, smallest estimate first.
 func (lb *Balancer) placeQueued() {
 	if len(lb.queue.requests) == 0 {
 		return
 	}
 	for _, request := range lb.queue.requests {
-		request.estimate = request.work * lb.timeToObjective(request) / math.Max(request.objectiveTime()-request.ArrivedAt, 1)
+		totalTime := math.Max(request.objectiveTime()-request.ArrivedAt, 1)
+		request.estimate = request.work * lb.timeToObjective(request) / totalTime
 	}
 	slices.SortStableFunc(lb.queue.requests, func(a, b *Request) int { return cmp.Compare(a.estimate, b.estimate) })
-	remaining, misses := lb.queue.requests[:0], 0
+	remaining := lb.queue.requests[:0]
+	misses := 0
 	for _, request := range lb.queue.requests {
 		if misses < maxPlacementMisses {
 			if lb.placeRequest(request) {
@@ -69,7 +73,7 @@
 	lb.queue.requests = remaining
 }
 
-// sendLate sends a queued request whose time runs out to the least loaded backend, or ends it.
+// sendLate sends a queued request whose time runs out to the least loaded backend, or rejects or fails it.
 func (lb *Balancer) sendLate(request *Request) {
 	lb.dequeue(request)
 	if backend := lb.leastLoaded(request); backend == nil || !lb.sendAttempt(request, backend) {
@@ -77,8 +81,8 @@
 	}
 }
 
-// leastLoaded is the backend with the fewest attempts of this node in flight for its share of the rotation; crossing zones
-// counts as up to one more. It is nil where none may take the request.
+// leastLoaded returns the eligible backend with the lowest load, or nil if none may take the request. The load is this node's
+// attempts in flight there divided by the rotation share; the cost of crossing zones is added, up to 1.
 func (lb *Balancer) leastLoaded(request *Request) (best *Backend) {
 	minLoad := math.Inf(1)
 	for _, backend := range lb.backends {
@@ -86,7 +90,7 @@
 		if !lb.isNear(backend) {
 			load += math.Min(lb.crossZoneCost(request), 1)
 		}
-		// Equals by the rotation: by the list's order the late sends of all nodes would meet at one backend.
+		// Among equals the rotation decides. By the order of the list, the late sends of all nodes would go to one backend.
 		if (load < minLoad || load == minLoad && backend.rotationPass < best.rotationPass) &&
 			lb.recordReason(request, backend, lb.whyUnfit(request, backend)) == Eligible {
 			best, minLoad = backend, load
@@ -95,19 +99,20 @@
 	return best
 }
 
-// queueTime is how long in ms a request would be queued behind the others, at the rate at which the backends of its zone,
-// or of all zones where it may cross, lately did this node's work. Its own work counts only where others are
-// queued: a heavy request alone is no cause for a rejection.
+// queueTime returns how long in ms a request would be queued behind the others: the work ahead of it, divided by the total
+// completion rate of the near backends, or of all backends with mayCross, plus the wait in the node's zone. The request's
+// own work is included only if others are queued, so that a heavy request alone is not rejected for its own size.
 func (lb *Balancer) queueTime(request *Request, mayCross bool) float64 {
-	rate, ahead := lb.totalCompletionRate(mayCross), 0.0
+	rate := lb.totalCompletionRate(mayCross)
+	workAhead := 0.0
 	for _, queued := range lb.queue.requests {
-		ahead += queued.work
+		workAhead += queued.work
 	}
-	if ahead > 0 {
-		ahead += request.work
+	if workAhead > 0 {
+		workAhead += request.work
 	}
 	if rate == 0 {
 		return math.Inf(1)
 	}
-	return ahead/rate + lb.zoneWait(lb.config.Zone)
+	return workAhead/rate + lb.zoneWait(lb.config.Zone)
 }
--- a/balancer/random.go
+++ b/balancer/random.go
@@ -1,15 +1,15 @@
 package balancer
 
-// Random draws decide between backends that are equal, and spread nodes in time. All of them come from one
-// generator seeded by the configuration, so that a captured run can be replayed decision by decision. What must be
-// the same at all nodes without a message is not drawn but hashed.
+// Random numbers decide between equal backends, and spread the actions of different nodes in time. All of them come from
+// one generator with the seed of the configuration, so that a replay of a capture makes the same decisions. Values that
+// must be equal at all nodes without messages are hashed instead.
 
-// multiplyWithCarry is a small pseudo-random number generator whose whole state fits into a snapshot.
+// multiplyWithCarry is a pseudo-random number generator with a state of two words, which a snapshot can store.
 type multiplyWithCarry struct{ x, carry uint64 }
 
 const (
 	mwcMultiplier = 4294957665 // gives a period near 2^63 with words of 32 bits
-	mwcWarmUp     = 8          // numbers dropped at first: they follow the seed too closely
+	mwcWarmUp     = 8          // first numbers to discard, since they depend too simply on the seed
 )
 
 func newMultiplyWithCarry(seed uint64) multiplyWithCarry {
@@ -20,26 +20,30 @@
 	return m
 }
 
-// nextUnit returns the next number, in [0, 1).
+// nextUnit returns the next random number, in [0, 1).
 func (m *multiplyWithCarry) nextUnit() float64 {
-	t := mwcMultiplier*m.x + m.carry
-	m.x, m.carry = t&0xffffffff, t>>32
+	product := mwcMultiplier*m.x + m.carry
+	m.x = product & 0xffffffff
+	m.carry = product >> 32
 	return float64(m.x) / (1 << 32)
 }
 
-// nextBelow returns the next number as an integer in [0, n).
+// nextBelow returns the next random integer, in [0, n).
 func (m *multiplyWithCarry) nextBelow(n int) int { return int(m.nextUnit() * float64(n)) }
 
-// hashUnit hashes a key with a reference, such as a backend's ID, to [0, 1): the same at every node, so that a key
-// keeps its backend while others come and go.
+// hashUnit hashes a key together with a reference, such as a backend's ID, to a number in [0, 1). It is the same at every
+// node, so that a key stays with its backend while other backends are added and removed.
 func hashUnit(key, ref uint64) float64 {
 	x := (key ^ ref*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>31) * 0x94d049bb133111eb
 	return float64((x^x>>29)>>11) / (1 << 53)
 }
 
-// slotDraw is this node's own number in [0, 1) for a backend, another one in each period of so many ms. The periods
-// of different nodes and backends begin at different times.
+// slotDraw returns this node's number in [0, 1) for a backend in the present time slot of period ms. It is a hash of the
+// node's seed, the backend and the number of the slot, and thus changes with each slot. The slots of different nodes and
+// backends begin at different times.
 func (lb *Balancer) slotDraw(backend *Backend, period float64) float64 {
-	return hashUnit(backend.ID+uint64(lb.now/period+hashUnit(lb.config.Seed, backend.ID))<<48, lb.config.Seed)
+	offset := hashUnit(lb.config.Seed, backend.ID)
+	slot := uint64(lb.now/period + offset)
+	return hashUnit(backend.ID+slot<<48, lb.config.Seed)
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -2,70 +2,73 @@
 
 import "math"
 
-// A request is one that a client sent to this node. It arrives, waits or is sent to backends, and ends with an answer, a
-// rejection or a failure. Its work is its cost hint, in ms on a standard core, or the mean of its class's hints where it
-// has none; it counts as long where the hint lies above the cutoff, a high quantile of the latest hints.
+// A request is sent by a client to this node. It arrives, is queued or sent to backends, and ends with an answer, a
+// rejection or a failure. Its work is its cost hint, in ms on a standard core, or the mean work of its class if it has no
+// hint. It is long if its hint lies above the cutoff, which is a high quantile of the latest hints, and short otherwise.
 
 const (
-	// cutoffQuantile of the latest hints is the cutoff between short and long requests, c in the paper's design.
+	// cutoffQuantile is the quantile of the latest cost hints that is the cutoff between short and long requests: the c of
+	// the paper's CDA(c).
 	cutoffQuantile = 0.96
-	// minHints is how many hints must have been seen before any request counts as long, by the design.
+	// minHints is the number of hints that must have been seen before a request can be long, as docs/design.md requires.
 	minHints = 50
-	// unknownWorkDivisor makes the work of a request of which nothing is known a small part of its latency objective.
+	// unknownWorkDivisor is what the latency objective is divided by for the assumed work of a request, if nothing is known of
+	// its class.
 	unknownWorkDivisor = 20
 )
 
-// requestStage is where a request stands.
+// requestStage is the stage of a request's life. The numbers are stored in snapshots.
 type requestStage uint8
 
 const (
-	stageNew       requestStage = iota // not placed yet
-	stageQueued                        // waits for a backend
-	stageInFlight                      // was sent to a backend
+	stageNew       requestStage = iota // it has not been placed yet
+	stageQueued                        // it is in the queue
+	stageInFlight                      // it has been sent to a backend
 	stageStreaming                     // its answer has begun to go to the client
-	stageEnded                         // answered, rejected, failed or abandoned by the client
+	stageEnded                         // it was answered, rejected, failed or abandoned
 )
 
-// Request is one client request taken by this node. The host fills the exported fields before RequestArrived.
+// Request is a client's request. The host sets the exported fields before RequestArrived.
 type Request struct {
-	ID            uint64 // the host's name for it
-	Class         int    // index into the configuration's classes
-	Tenant        int    // index into the configuration's tenants
-	CostHint      float64
+	ID            uint64  // identifier given by the host
+	Class         int     // index into the configuration's classes
+	Tenant        int     // index into the configuration's tenants
+	CostHint      float64 // expected work by the client, in ms on a standard core
 	HasCostHint   bool
-	IsClientRetry bool    // the client sent it before
-	Key           uint64  // what it is about; 0 is none
-	ArrivedAt     float64 // ms; set by RequestArrived
-	Deadline      float64 // ms; when the client stops waiting
+	IsClientRetry bool    // the client has sent the same request before
+	Key           uint64  // what it concerns, for affinity and order; 0 for none
+	ArrivedAt     float64 // time in ms; set by RequestArrived
+	Deadline      float64 // time in ms at which the client stops waiting
 	Attempts      []*Attempt
-	Config        *Config // that it came under; where nil, RequestArrived sets the present one
-	Streamed      bool    // its body is passed on in pieces and not stored: it can be sent once
+	Config        *Config // under which it arrived; if nil, RequestArrived sets the present one
+	Streamed      bool    // its body is passed on as it arrives and not stored, so that it can be sent only once
 
 	class     *Class
-	work      float64 // expected, in ms on a standard core
+	work      float64 // expected work, in ms on a standard core
 	isLong    bool
-	estimate  float64 // its place among queued requests
-	overQuota float64 // how likely it is beyond its tenant's quota, from 0 to 1
+	estimate  float64 // order among the queued requests, smallest first
+	overQuota float64 // probability that it is over its tenant's quota, 0 to 1
 	stage     requestStage
-	affinity  *Backend  // where its key has affinity to, if anywhere
-	isPending bool      // a decision on it is due
-	keyQueue  *keyQueue // of its key, where its class keeps order, until it is over
-	// assumesCanceled is set while a place is looked for on the assumption that the attempt in flight is canceled.
+	affinity  *Backend  // backend that its key has affinity to, if any
+	isPending bool      // it is in Balancer.pending
+	keyQueue  *keyQueue // queue of its key, if its class keeps order, until it is done
+	// assumesCanceled is set while a backend is searched on the assumption that the attempt in flight will be canceled.
 	assumesCanceled bool
 }
 
-// AddEarlierAttempt records, before RequestArrived, an attempt that another node made; it counts as ended.
+// AddEarlierAttempt records an attempt that another node made, before a takeover. It must be called before RequestArrived. The
+// attempt counts as ended.
 func (r *Request) AddEarlierAttempt(backend *Backend, at float64, how Outcome) {
 	r.Attempts = append(r.Attempts, &Attempt{Request: r, Backend: backend, Number: len(r.Attempts), SentAt: at, outcome: how})
 }
 
-// IsDone reports whether the request has ended and nothing of it is in flight, so that the host may forget it.
+// IsDone reports whether the request has ended and has no attempt in flight, so that the host may forget it.
 func (r *Request) IsDone() bool { return r.stage == stageEnded && r.inFlightCount() == 0 }
 
-// IsLong reports whether the request counts as long, and what work is expected of it, in ms on a standard core.
+// IsLong reports whether the request is long, and its expected work in ms on a standard core.
 func (r *Request) IsLong() (isLong bool, work float64) { return r.isLong, r.work }
 
-// UncertainAttempt returns the first attempt that may have run; nil where all are known not to have.
+// UncertainAttempt returns the first attempt that may have run; nil if it is proved that none has.
 func (r *Request) UncertainAttempt() *Attempt {
 	for _, attempt := range r.Attempts {
 		if attempt.inFlight || !attempt.outcome.NeverRan() {
@@ -84,7 +87,7 @@
 	return count
 }
 
-// maxAttempts is how many attempts it may have in all.
+// maxAttempts returns how many attempts the request may have in all.
 func (r *Request) maxAttempts() int {
 	if r.Streamed {
 		return min(r.Config.MaxAttempts, 1)
@@ -92,7 +95,7 @@
 	return r.Config.MaxAttempts
 }
 
-// objectiveTime is the time until which an answer has its full value.
+// objectiveTime returns the time until which an answer has its full value.
 func (r *Request) objectiveTime() float64 {
 	return min(r.Deadline, r.ArrivedAt+r.class.LatencyObjective)
 }
@@ -106,14 +109,15 @@
 	return false
 }
 
-// RequestArrived takes a request.
+// RequestArrived records the arrival of a request, which Next then decides on.
 func (lb *Balancer) RequestArrived(now float64, request *Request) {
 	lb.now = now
 	if request.Config == nil {
 		request.Config = lb.config
 	}
 	class := &request.Config.Classes[request.Class]
-	request.class, request.ArrivedAt = class, now
+	request.class = class
+	request.ArrivedAt = now
 	lb.estimateWork(request)
 	lb.estimateOverQuota(request)
 	lb.review.hasNews = true
@@ -126,8 +130,7 @@
 	lb.schedule(request)
 }
 
-// estimateWork sets a request's work and whether it counts as long. A hint that is no positive finite number counts as
-// none.
+// estimateWork sets a request's work, and whether it is long. A cost hint that is not a positive finite number is ignored.
 func (lb *Balancer) estimateWork(request *Request) {
 	class := request.class
 	request.HasCostHint = request.HasCostHint && request.CostHint > 0 && !math.IsInf(request.CostHint, 0)
@@ -146,21 +149,24 @@
 	}
 }
 
-// ClientGone records that the request's client has gone: the request ends, and what is in flight is canceled.
+// ClientGone records that nobody waits for the request's answer any more: the request ends, and its attempts in flight are
+// canceled. Besides a client that has closed its connection, the host also reports this for a client that is still there,
+// when it answers the request itself: when the request is withdrawn because another node has it, and when the node shuts
+// down.
 func (lb *Balancer) ClientGone(now float64, request *Request) {
 	lb.now = now
 	lb.endRequest(request)
 }
 
-// DeadlineShortened takes a request whose Deadline the host has moved to earlier: what it waits for may be too late now, so
-// that it is decided on anew.
+// DeadlineShortened records that the host has moved the request's Deadline to an earlier time. The request is decided on
+// again, since what it waits for may be too late now.
 func (lb *Balancer) DeadlineShortened(now float64, request *Request) {
 	lb.now = now
 	lb.dequeue(request)
 	lb.schedule(request)
 }
 
-// schedule has Next decide on a request.
+// schedule makes Next decide on a request, unless the request has ended.
 func (lb *Balancer) schedule(request *Request) {
 	if !request.isPending && request.stage != stageEnded {
 		request.isPending = true
@@ -168,7 +174,7 @@
 	}
 }
 
-// decideRequest decides on a request that has nothing in flight.
+// decideRequest decides on a request. Nothing is done if the request has an attempt in flight, streams its answer or has ended.
 func (lb *Balancer) decideRequest(request *Request) {
 	switch {
 	case request.stage == stageEnded || request.stage == stageStreaming || request.inFlightCount() > 0:
@@ -184,7 +190,7 @@
 	}
 }
 
-// endRequest closes a request and cancels what is in flight for it. A streaming answer goes on: it is the client's.
+// endRequest ends a request and cancels its attempts in flight. An answer that is streaming to the client is not canceled.
 func (lb *Balancer) endRequest(request *Request) {
 	if request.stage == stageQueued {
 		lb.dequeue(request)
@@ -198,7 +204,8 @@
 	lb.removeFromKeyQueue(request)
 }
 
-// timeLeft is the time in ms in which an answer still has a value.
+// timeLeft returns the time in ms for which an answer still has a value: until the deadline if late answers have one, else until
+// the latency objective.
 func (lb *Balancer) timeLeft(request *Request) float64 {
 	if request.class.LateWeight == 0 {
 		return request.objectiveTime() - lb.now
@@ -206,12 +213,13 @@
 	return request.Deadline - lb.now
 }
 
-// timeToObjective is the time in ms in which an answer has its full value; 1 where that has passed.
+// timeToObjective returns the time in ms for which an answer has its full value, and at least 1.
 func (lb *Balancer) timeToObjective(request *Request) float64 {
 	return math.Max(1, request.objectiveTime()-lb.now)
 }
 
-// priorityOf is the value of an answer to the request in time.
+// priorityOf returns the value of an answer in time: the priority weight of the class, times the work if Config.WeightByWork is
+// set, times the quota factor.
 func (lb *Balancer) priorityOf(request *Request) float64 {
 	priority := request.class.PriorityWeight
 	if lb.config.WeightByWork {
--- a/balancer/restore.go
+++ b/balancer/restore.go
@@ -8,14 +8,16 @@
 	"sort"
 )
 
-// Restoring makes a balancer of a snapshot, part by part. Snapshots come from files and from other processes: every
-// index in one is checked before it is used, and what a balancer can't have is an error.
+// Restoring makes a balancer from a snapshot, part by part. Snapshots come from files and from other processes and may be
+// damaged. Every index is therefore checked before it is used, and a state that no balancer can have is an error.
 
-// maxZoneOrKind bounds the numbers of zones and kinds of machine in a snapshot, by which tables grow.
+// maxZoneOrKind is the highest number of a zone or a kind of machine that is accepted. Tables grow to that number, so that a
+// damaged one could exhaust the memory.
 const maxZoneOrKind = 1 << 16
 
-// Restore makes a balancer that goes on where a snapshot was taken, with the requests and backends in the snapshot's order.
-// The configuration is that of then. A snapshot that can't be of such a balancer is an error.
+// Restore returns a balancer in the state of a snapshot, and its requests and backends in the snapshot's order. config must
+// be the configuration under which the snapshot was taken. It returns an error if the snapshot does not fit the
+// configuration, or has a state that no balancer can have.
 func Restore(config *Config, s *Snapshot) (*Balancer, []*Request, []*Backend, error) {
 	if len(s.Classes) != len(config.Classes) || len(s.Tenants) != len(config.Tenants) || len(s.Hints) > hintWindowSize ||
 		s.HintNext < 0 || s.HintNext >= hintWindowSize {
@@ -44,7 +46,8 @@
 
 func (r *snapshotReader) readRules() {
 	lb, s := r.lb, r.snapshot
-	lb.timers.armedFor, lb.timers.seq = s.ArmedFor, s.Seq
+	lb.timers.armedFor = s.ArmedFor
+	lb.timers.seq = s.Seq
 	lb.review = reviewSchedule{at: s.ReviewAt, hasNews: s.HasNews}
 	lb.rotation = rotationState{position: s.RotationPosition, meanWeight: s.MeanWeight}
 	lb.retries = retryState{
@@ -58,8 +61,10 @@
 		answeredAfterResetAt: s.AnsweredAfterResetAt,
 	}
 	lb.endpoints = endpointState{isDoubted: s.IsListDoubted, isWatched: s.IsWatched, pollAt: s.PollAt, pollFailures: s.PollFailures}
-	lb.concurrency.limit, lb.concurrency.answeredTime = s.InFlightLimit, decayingCounter{s.AnsweredTime[0], s.AnsweredTime[1]}
-	lb.slowStart.processes, lb.slowStart.splitUntil = s.Processes, s.SplitUntil
+	lb.concurrency.limit = s.InFlightLimit
+	lb.concurrency.answeredTime = decayingCounter{s.AnsweredTime[0], s.AnsweredTime[1]}
+	lb.slowStart.processes = s.Processes
+	lb.slowStart.splitUntil = s.SplitUntil
 	lb.queue.hasFreedCapacity = s.HasFreedCapacity
 	if s.Random != [2]uint64{} {
 		lb.random = multiplyWithCarry{s.Random[0], s.Random[1]}
@@ -89,7 +94,8 @@
 	}
 }
 
-// readTenants restores the tenants' rates. A snapshot of a build that stored no sum of them has zeros there.
+// readTenants restores the tenants' rates. Earlier builds did not store the rate of all tenants together: their snapshots have
+// zeros there, and it is computed as the sum.
 func (r *snapshotReader) readTenants() {
 	config, s := r.lb.config, r.snapshot
 	for i, rate := range s.Tenants {
@@ -117,7 +123,7 @@
 	return nil
 }
 
-// restore makes a backend without its attempts.
+// restore returns the backend without its attempts in flight.
 func (x BackendSnapshot) restore() *Backend {
 	return &Backend{
 		ID:                 x.ID,
@@ -189,7 +195,7 @@
 	return nil
 }
 
-// restore makes a request without its attempts.
+// restore returns the request without its attempts.
 func (x RequestSnapshot) restore(config *Config) *Request {
 	return &Request{
 		ID:            x.ID,
@@ -219,7 +225,8 @@
 			if at < 0 || at >= len(r.requests) || r.requests[at].keyQueue != nil {
 				return errors.New("snapshot with an invalid queue of a key")
 			}
-			queue.requests, r.requests[at].keyQueue = append(queue.requests, r.requests[at]), queue
+			queue.requests = append(queue.requests, r.requests[at])
+			r.requests[at].keyQueue = queue
 		}
 		r.keyQueues = append(r.keyQueues, queue)
 		r.lb.keyQueues[x.Key] = queue
@@ -227,7 +234,7 @@
 	return nil
 }
 
-// attempt is the attempt of a request and a number in the snapshot.
+// attempt returns a request's attempt, by the index of the request in the snapshot and the number of the attempt.
 func (r *snapshotReader) attempt(request, number int) (*Attempt, error) {
 	if request < 0 || request >= len(r.requests) || number < 0 || number >= len(r.requests[request].Attempts) {
 		return nil, errors.New("snapshot refers to an unknown attempt")
@@ -248,7 +255,7 @@
 	return nil
 }
 
-// readOrder restores the order of the balancer's backends and of its queue.
+// readOrder restores the tracked backends and the queue, both in their order.
 func (r *snapshotReader) readOrder() error {
 	for _, at := range r.snapshot.Order {
 		if at < 0 || at >= len(r.backends) {
@@ -285,6 +292,7 @@
 		}
 		r.lb.timers.entries = append(r.lb.timers.entries, t)
 	}
-	heap.Init(&r.lb.timers.entries) // cooldowns that another process handed over come in the order of their keys
+	// The cooldowns of a HandoffSnapshot are in the order of their keys and not in that of a heap.
+	heap.Init(&r.lb.timers.entries)
 	return nil
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -8,21 +8,22 @@
 	"slices"
 )
 
-// A snapshot is all that a balancer knows between two batches of inputs, as plain values: one restored from it makes the
-// same decisions from then on. What the configuration says is not in it, nor what follows from that. Requests and
-// backends go by their index in the lists that the host gave; -1 is none where that is said.
+// A snapshot is the complete state of a balancer between two batches of inputs, as plain values. A balancer that is restored
+// from it makes the same decisions from then on. The configuration is not part of it, nor are values that are computed from
+// the configuration. Requests and backends are given as indexes into the lists that the host passed to Snapshot. Times and
+// durations are in ms.
 //
-// Snapshots are stored, and sent from one process to the next, by the ORDER of their fields (see internal/snapshot): a
-// field may be renamed, and a new one is added at a struct's end; none may move, change its type or go.
+// Snapshots are stored, and sent from one process to the next, by the ORDER of their fields (see internal/snapshot). A field
+// may be renamed, and a new one added at the end of a struct. No field may be moved or removed, or change its type.
 
-// ErrMidBatch is the error of a snapshot that is taken while decisions are due.
+// ErrMidBatch is returned for a snapshot while decisions are due: the host must call Next until it returns false before.
 var ErrMidBatch = errors.New("snapshot in the middle of a batch")
 
-// ErrEarlierConfig is the error of a snapshot with a request that came under an earlier configuration: its class has no
-// index in the present one.
+// ErrEarlierConfig is returned for a snapshot with a request that arrived under an earlier configuration, since its class
+// may have no index in the present one.
 var ErrEarlierConfig = errors.New("snapshot with a request under an earlier configuration")
 
-// Snapshot is the state of a balancer.
+// Snapshot is the state of a balancer. Its fields are those of the balancer and its rules' states, under similar names.
 type Snapshot struct {
 	Now                  float64
 	ArmedFor             float64
@@ -41,24 +42,25 @@
 	Seq                  uint64
 	// Random is the state of the generator of random numbers.
 	Random      [2]uint64
-	Hints       []float64 // the window of the cutoff
+	Hints       []float64 // cost hints, as in hintWindow.ring
 	HintNext    int
 	Overrun     QuantileSnapshot
 	Priority    MeanSnapshot
 	Work        MeanSnapshot
 	ServiceTime MeanSnapshot
-	// Paces are time and work; waits are sum, count and time; usage is work and speed; rates are sum and time.
+	// A pace is stored as time and work (paceEstimate), a wait as sum, count and time (decayingMean), a zone's usage as work
+	// and speed (zoneUsage), and a decaying counter, such as a rate, as sum and time.
 	PaceAll              [2]float64
 	PaceKinds            [][2]float64
 	WaitsAll             [3]float64
 	WaitsByZone          [][3]float64
 	UsageByZone          [][2]float64
-	Classes              []MeanSnapshot // mean work
-	Tenants              [][2]float64   // request rates
+	Classes              []MeanSnapshot // mean work of each class
+	Tenants              [][2]float64   // rate of each tenant
 	Backends             []BackendSnapshot
-	Order                []int // the balancer's backends among them
+	Order                []int // indexes into Backends of the tracked ones, in the balancer's order
 	Requests             []RequestSnapshot
-	Queued               []int
+	Queued               []int // indexes into Requests, in the order of the queue
 	Timers               []TimerSnapshot
 	Processes            int
 	SplitUntil           float64
@@ -67,16 +69,16 @@
 	LastResetAt          float64
 	AnsweredAfterResetAt float64
 	AnsweredTime         [2]float64
-	TenantRate           [2]float64 // of all tenants together
+	TenantRate           [2]float64 // rate of all tenants together
 }
 
-// QuantileSnapshot is the state of an estimate of a quantile.
+// QuantileSnapshot is the state of a quantileEstimate.
 type QuantileSnapshot struct {
 	Value float64
 	Seen  int
 }
 
-// MeanSnapshot is the state of a running mean.
+// MeanSnapshot is the state of a runningMean.
 type MeanSnapshot struct{ Value, Seen float64 }
 
 // BackendSnapshot is the state of a backend.
@@ -99,14 +101,14 @@
 	RotationPass       float64
 	Pace               [2]float64
 	AnswerRatio        QuantileSnapshot
-	Drain              [3]float64
+	Drain              [3]float64 // completion rate: work done, busy time, and the time as of which both hold
 	Suspicion          [2]float64
 	RecentWorkAt       []float64
 	RecentWork         []float64
-	InFlight           []int // attempts, as request and number in turn
+	InFlight           []int // pairs of a request's index and the number of its attempt
 	Waits              [3]float64
 	MaxCoresSeen       float64
-	LastWait           [2]float64
+	LastWait           [2]float64 // wait, and the time at which its attempt was sent
 	Cordoned           bool
 	UncordonedAt       float64
 	CordonedAt         float64
@@ -118,7 +120,7 @@
 	LastResetAt        float64
 }
 
-// RequestSnapshot is the state of a request that is not over.
+// RequestSnapshot is the state of a request that is not done.
 type RequestSnapshot struct {
 	ID            uint64
 	Class         int
@@ -138,9 +140,9 @@
 	Key           uint64
 }
 
-// AttemptSnapshot is the state of one of its attempts.
+// AttemptSnapshot is the state of an attempt of a request.
 type AttemptSnapshot struct {
-	Backend      int
+	Backend      int // index into Snapshot.Backends
 	SentAt       float64
 	ExpectedTime float64
 	InFlight     bool
@@ -151,26 +153,28 @@
 	HasStarted   bool
 }
 
-// TimerSnapshot is a timer: of a request, of one of its attempts, of a key, or of none where what it was for is over.
+// TimerSnapshot is a timer. It concerns a request, an attempt of a request, a key queue or abandoned work; or nothing, if what
+// it was set for is done.
 type TimerSnapshot struct {
 	At       float64
 	Seq      uint64
-	Request  int // -1 is none
-	Attempt  int // -1 is none
-	KeyQueue int // from 1, 0 is none
+	Request  int // index into Snapshot.Requests; -1 for none
+	Attempt  int // number of the request's attempt; -1 for none
+	KeyQueue int // index into Snapshot.KeyQueues plus 1; 0 for none
 
 	IsWorkAbandoned bool
 }
 
-// KeyQueueSnapshot is the requests with one key that are not over, in their order, and the end of its cooldown.
+// KeyQueueSnapshot is the state of a keyQueue.
 type KeyQueueSnapshot struct {
 	Key           uint64
 	CooldownUntil float64
-	Requests      []int
+	Requests      []int // indexes into Snapshot.Requests
 }
 
-// Snapshot returns the balancer's state between two batches. The host names all requests that are not over, and all
-// backends that it may name again, in an order of its own.
+// Snapshot returns the balancer's state between two batches of inputs. requests must contain all requests that are not done,
+// and backends all that the host may use again, each in any order. It returns ErrMidBatch while decisions are due,
+// ErrEarlierConfig, or an error if a request or a backend is missing.
 func (lb *Balancer) Snapshot(requests []*Request, backends []*Backend) (*Snapshot, error) {
 	for _, request := range requests {
 		if request.Config != lb.config && request.Config != nil {
@@ -195,9 +199,10 @@
 	return w.snapshot, nil
 }
 
-// HandoffSnapshot is what another process may go on with: all that was learned and spent. What is in flight, queued or
-// timed stays with the process that has it, and so does its random generator; the endpoint list is polled anew.
-// Cooldowns of keys go over: what may still run there is out of the other process's sight.
+// HandoffSnapshot returns a state for another process to start with, as in a hot restart: what was learned, and the budgets
+// that were spent. Requests, timers and the state of the random generator are not in it, since they stay with this process.
+// The other one polls the endpoint list at once. Cooldowns of keys are in it, since the other process can't know which
+// attempts may still run.
 func (lb *Balancer) HandoffSnapshot(backends []*Backend) (*Snapshot, error) {
 	w := newSnapshotWriter(lb, nil, backends)
 	if err := w.writeLearned(backends, false); err != nil {
@@ -210,10 +215,17 @@
 	for i, queue := range s.KeyQueues {
 		s.Timers = append(s.Timers, TimerSnapshot{At: queue.CooldownUntil, Request: -1, Attempt: -1, KeyQueue: i + 1})
 	}
-	s.HasFreedCapacity, s.HasNews, s.Random = false, true, [2]uint64{}
-	s.ArmedFor, s.ReviewAt, s.PollAt, s.IsWatched, s.PollFailures = math.Inf(1), s.Now, s.Now, false, 0
+	s.HasFreedCapacity = false
+	s.HasNews = true
+	s.Random = [2]uint64{} // Restore then draws from the seed of its own configuration
+	s.ArmedFor = math.Inf(1)
+	s.ReviewAt = s.Now
+	s.PollAt = s.Now
+	s.IsWatched = false
+	s.PollFailures = 0
 	for i := range s.Backends {
-		s.Backends[i].WorkInFlight, s.Backends[i].LongInFlight = 0, 0
+		s.Backends[i].WorkInFlight = 0
+		s.Backends[i].LongInFlight = 0
 	}
 	return s, nil
 }
@@ -222,8 +234,8 @@
 type snapshotWriter struct {
 	lb        *Balancer
 	snapshot  *Snapshot
-	requestAt map[*Request]int
-	backendAt map[*Backend]int
+	requestAt map[*Request]int // index of each request that the host named
+	backendAt map[*Backend]int // index of each backend that the host named
 }
 
 func newSnapshotWriter(lb *Balancer, requests []*Request, backends []*Backend) *snapshotWriter {
@@ -237,7 +249,8 @@
 	return w
 }
 
-// writeLearned writes all that does not belong to single requests.
+// writeLearned starts the snapshot with all that does not belong to single requests; withInFlight adds the attempts in flight
+// at each backend.
 func (w *snapshotWriter) writeLearned(backends []*Backend, withInFlight bool) error {
 	lb := w.lb
 	if len(lb.pending) > 0 || len(lb.decisions) > 0 {
@@ -268,7 +281,7 @@
 	return nil
 }
 
-// snapshotRules is the state of the rules.
+// snapshotRules returns a snapshot with the state of the rules.
 func (lb *Balancer) snapshotRules() *Snapshot {
 	return &Snapshot{
 		Now:                  lb.now,
@@ -296,7 +309,7 @@
 	}
 }
 
-// snapshotEstimates adds what was learned of requests, zones and kinds of machine.
+// snapshotEstimates adds the estimates of requests, classes, tenants, zones and kinds of machine to a snapshot.
 func (lb *Balancer) snapshotEstimates(s *Snapshot) {
 	known := &lb.estimates
 	s.TenantRate = [2]float64{lb.config.tenantRate.sum, lb.config.tenantRate.at}
@@ -324,7 +337,7 @@
 	}
 }
 
-// snapshot is the backend's state without its attempts.
+// snapshot returns the backend's state without its attempts in flight.
 func (b *Backend) snapshot() BackendSnapshot {
 	return BackendSnapshot{
 		ID:                 b.ID,
@@ -405,8 +418,8 @@
 	return nil
 }
 
-// writeKeyQueues writes the keys in the order of their values, and gives their numbers from 1 on. Without requests, only
-// those keys count whose cooldown runs.
+// writeKeyQueues writes the key queues in the order of their keys, and returns the position of each, from 1 on. Without
+// withRequests, only keys whose cooldown runs are written.
 func (w *snapshotWriter) writeKeyQueues(withRequests bool) (map[*keyQueue]int, error) {
 	keyQueueAt := map[*keyQueue]int{}
 	for _, key := range slices.Sorted(maps.Keys(w.lb.keyQueues)) {
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -5,21 +5,22 @@
 	"math"
 )
 
-// Timers are what the balancer wants to be woken for: late sends, overdue attempts, cooldowns of keys. They lie in a
-// heap ordered by time in ms; the host keeps one timer, which DoSetTimer moves to the earliest of them. Equal times
-// keep the order in which they were set, so that a replay decides alike.
+// Timers are set for late sends, overdue attempts, cooldowns of keys and the assumed end of abandoned work. They are kept in
+// a heap by time. The host has a single timer, which DoSetTimer moves to the earliest of them. Timers of the same time are
+// handled in the order in which they were set, so that a replay makes the same decisions.
 
-// clockResolution in ms is how much earlier than asked for a timer may fire: hosts round their clocks.
+// clockResolutionMs is how much earlier than asked for the host's timer may fire, since hosts round their clocks.
 const clockResolutionMs = 1e-3
 
-// timer is one entry; what it is for shows by the field that is set.
+// timer is one entry of the heap. At most one of request, attempt, keyQueue and isWorkAbandoned is set: it says what the timer
+// is for.
 type timer struct {
-	at              float64
-	seq             uint64
-	request         *Request  // queued: its late send; waiting for its key: its last chance
-	attempt         *Attempt  // it is overdue
-	keyQueue        *keyQueue // its cooldown is over
-	isWorkAbandoned bool      // the work of an attempt that timed out or was canceled is believed done
+	at              float64   // time in ms
+	seq             uint64    // order in which timers were set
+	request         *Request  // its late send if it is queued; the end of its wait for its key's turn if it is new
+	attempt         *Attempt  // it is overdue then
+	keyQueue        *keyQueue // its cooldown ends then
+	isWorkAbandoned bool      // an attempt that timed out or was canceled is assumed to have stopped running
 }
 
 type timerHeap []timer
@@ -37,13 +38,14 @@
 	return x
 }
 
-// timerState is all timers, and for when the host's timer is set.
+// timerState holds all timers, and the state of the host's timer.
 type timerState struct {
 	entries  timerHeap
-	seq      uint64  // of the timer set last
-	armedFor float64 // infinite where the host's timer is not set
+	seq      uint64  // of the timer that was set last
+	armedFor float64 // time for which the host's timer is set; infinite if it is not set
 }
 
+// setTimer adds a timer.
 func (lb *Balancer) setTimer(t timer) {
 	lb.timers.seq++
 	t.seq = lb.timers.seq
@@ -53,13 +55,14 @@
 // TimerFired records that the host's timer fired.
 func (lb *Balancer) TimerFired(now float64) {
 	lb.now = now
-	// A clock rounded to just before the time asked for counts: else no timer would ever be set again.
+	// The host may round its clock to just before the time asked for. If that did not count as fired, the balancer would
+	// wait for a timer that has already fired, and never set another one.
 	if now >= lb.timers.armedFor-clockResolutionMs {
 		lb.timers.armedFor = math.Inf(1)
 	}
 }
 
-// nextWakeUp is the earliest time at which there is something to do without an input; infinite for never.
+// nextWakeUp returns the earliest time at which there is something to do without a further input; infinite for never.
 func (lb *Balancer) nextWakeUp() float64 {
 	at := math.Inf(1)
 	if lb.review.hasNews {
@@ -74,18 +77,19 @@
 	return at
 }
 
-// handleTimer does what a timer was set for, unless that is over by now.
+// handleTimer does what a timer was set for, unless that has been settled in the meantime.
 func (lb *Balancer) handleTimer(t timer) {
 	switch {
 	case t.keyQueue != nil:
 		lb.wakeKeyQueue(t.keyQueue)
-	case t.request != nil && t.request.stage == stageNew: // its turn among those of its key has not come in time
+	case t.request != nil && t.request.stage == stageNew: // its turn among the requests of its key has not come in time
 		lb.rejectOrFail(t.request)
 	case t.request != nil && t.request.stage == stageQueued:
 		lb.sendLate(t.request)
 	case t.attempt != nil && t.attempt.inFlight:
 		lb.handleOverdue(t.attempt)
 	case t.isWorkAbandoned:
-		lb.concurrency.inFlight, lb.queue.hasFreedCapacity = lb.concurrency.inFlight-1, true
+		lb.concurrency.inFlight--
+		lb.queue.hasFreedCapacity = true
 	}
 }
