--- a/balancer/config.go
+++ b/balancer/config.go
@@ -68,9 +68,12 @@
 	CrossZoneCost  float64 `json:"CrossPrice"` // of an attempt to another zone, in units of priority weight
 	MaxAttempts    int     `json:"MaxPushes"`  // for one request
 	AllowHedging   bool    `json:"SecondCopies"`
-	CancelAttempts bool    `json:"Cancel"`      // attempts in flight can be canceled
-	SendRetryAfter bool    `json:"ComeBack"`    // rejections carry Retry-After
-	MaxRetryAfter  float64 `json:"MaxComeBack"` // ms
+	CancelAttempts bool    `json:"Cancel"`   // attempts in flight can be canceled
+	SendRetryAfter bool    `json:"ComeBack"` // rejections carry Retry-After
+	// MaxRetryAfter is the longest Retry-After, in ms, that a client follows. The balancer states no longer one. If it is
+	// 0, because the deployment leaves it out, the balancer states 0, and package server puts a wait of its own in place
+	// of that: 0 is neither "no maximum" here nor a request to return at once.
+	MaxRetryAfter float64 `json:"MaxComeBack"`
 
 	PollEndpoints    bool    `json:"MustAsk"`      // the endpoint list comes only when polled
 	PollInterval     float64 `json:"AskWithin"`    // ms
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,49 +1,68 @@
 // Package config reads what a deployment tells a node when it starts, from nested JSON or from path=value lines, and checks
 // a configuration that is to replace the one in force. Times are in ms.
 //
-// The protocol gives the settings themed names. This package is the one place that maps them to the terms that the rest of
-// the code uses; the names stay as they are, since operators' files have them.
+// The protocol gives the settings themed names. This package is the one place that maps the names of settings to the terms
+// that the rest of the code uses; the names stay as they are, since operators' files have them. Other names of the protocol
+// are mapped where they are read: the endpoint list's in package discovery, the requests' header fields in package server,
+// the keys of the operator's TOML files in package serve.
 //
-//	setting                          term                                    field
-//	az                               the node's zone                         Balancer.Zone
-//	me                               index of the node                       Balancer.NodeIndex
-//	balancers                        number of nodes                         Balancer.Nodes
-//	domainType: proxy, mesh          topology: pool, sidecar                 Topology
-//	zones, kinds                     zones, kinds of machine                 Zones, Kinds
-//	registryMode: automatic,         endpoint list: pushed,                  Balancer.PollEndpoints
-//	  subscribe                        polled
-//	benefitBy: work                  priority weight by work                 Balancer.WeightByWork
-//	excessBenefit                    weight left over quota                  Balancer.OverQuotaWeight
-//	prices.crossZone                 cost of crossing zones                  Balancer.CrossZoneCost
-//	prices.connection                cost of open connections                Balancer.ConnectionCost
-//	bounds.mostPushes                maximum of attempts                     Balancer.MaxAttempts
-//	bounds.secondCopies              hedging allowed                         Balancer.AllowHedging
-//	bounds.cancel                    attempts can be canceled                Balancer.CancelAttempts
-//	bounds.retryAfter                rejections carry Retry-After            Balancer.SendRetryAfter
-//	bounds.maxRetryAfter             its maximum                             Balancer.MaxRetryAfter
-//	bounds.connectTimeout            connect time-out                        ConnectTimeout
-//	bounds.connIdle                  backends' idle time-out of connections  ConnectionIdleTimeout
-//	bounds.mostHeld                  maximum of open requests                MaxOpenRequests
-//	rules.askWithin                  poll interval of the endpoint list      Balancer.PollInterval
-//	rules.coldFrom, warmWithin       slow start: share, window               Balancer.SlowStartShare, SlowStartWindow
-//	rules.fallMultiple, overloadFor  overload: multiple, window              Balancer.OverloadMultiple, OverloadWindow
-//	rules.settleAfterDoubt           cooldown of a key                       Balancer.UncertainCooldown
-//	rules.removalNotBinding          removal is a hint                       Balancer.RemovalIsHint
-//	familyInfo.warmKeys              key affinity                            Balancer.KeyAffinity
-//	loadReport.fields: mean_ms,      load report: service time,              LoadReportFields
-//	  concurrent, depth, tps           in flight, queued, throughput
-//	categories.N                     class                                   Balancer.Classes[N]
-//	  .name                            its name                                Classes[N]
-//	  .idempotency: pure,              idempotent,                             .Idempotency
-//	    token, side_effect               with a key, at most once
-//	  .dedupScope: all, zone, cell     scope of deduplication                  .DedupScope
-//	  .keyTtl                          window of deduplication                 .DedupWindow
-//	  .targetLatency                   latency objective                       .LatencyObjective
-//	  .benefit                         priority weight                         .PriorityWeight
-//	  .overdueBenefit                  weight of a late answer                 .LateWeight
-//	  .keepOrder                       ordered by key                          .Ordered
-//	  .ttl                             deadline                                MaxDeadline, of all classes
-//	tenants.N.name, quotaPerS        tenant, quota in requests a second      Tenants[N], Balancer.Tenants[N].Quota
+// # Settings
+//
+// "required" means that a configuration without the setting is rejected; any other entry under "default" is what holds
+// where the setting is absent. Settings that the table does not list have no effect: they concern the platform, not the node.
+// Weights and costs are in the unit that the deployment's priority weights have.
+//
+//	setting                 values                     default   term, field
+//	az                      index in zones             required  the node's zone: Balancer.Zone
+//	me                      index from 0               0 (a)     index of the node: Balancer.NodeIndex
+//	balancers               1 and more                 required  number of nodes: Balancer.Nodes
+//	domainType              proxy, mesh                proxy     topology, pool or sidecar: Topology
+//	zones, kinds            lists of names             empty     zones, kinds of machine: Zones, Kinds
+//	registryMode            automatic, subscribe       required  endpoint list, pushed or polled: Balancer.PollEndpoints
+//	benefitBy               work, or another word      required  priority weight for each unit of work, or for each
+//	                                                             request: Balancer.WeightByWork
+//	excessBenefit           share, 0 to 1              1         weight left over quota: Balancer.OverQuotaWeight
+//	prices.crossZone        cost                       0         cost of crossing zones: Balancer.CrossZoneCost
+//	prices.connection       cost, 0 and more           0         cost of open connections: Balancer.ConnectionCost
+//	bounds.mostPushes       1 to 65535                 required  maximum of attempts for a request: Balancer.MaxAttempts
+//	bounds.secondCopies     true, false                required  hedging allowed: Balancer.AllowHedging
+//	bounds.cancel           true, false                required  attempts can be canceled: Balancer.CancelAttempts
+//	bounds.retryAfter       true, false                required  rejections carry Retry-After: Balancer.SendRetryAfter
+//	bounds.maxRetryAfter    ms                         0         its maximum: Balancer.MaxRetryAfter, which defines 0
+//	bounds.connectTimeout   ms                         250       connect timeout: ConnectTimeout
+//	bounds.connIdle         ms                         15000     idle timeout of backends' connections:
+//	                                                             ConnectionIdleTimeout
+//	bounds.mostHeld         requests; 0 is no limit    0         maximum of open requests: MaxOpenRequests
+//	rules.askWithin         ms, 1 and more             required  poll interval of the endpoint list: Balancer.PollInterval
+//	rules.coldFrom          share of the capacity      required  slow start, at first: Balancer.SlowStartShare
+//	rules.warmWithin        ms                         required  slow start, duration: Balancer.SlowStartWindow
+//	rules.fallMultiple      multiple of the capacity   required  overload: Balancer.OverloadMultiple
+//	rules.overloadFor       ms                         required  overload, window: Balancer.OverloadWindow
+//	rules.settleAfterDoubt  ms, 0 and more             0         cooldown of a key: Balancer.UncertainCooldown
+//	rules.removalNotBinding true, false                false     removal is a hint: Balancer.RemovalIsHint
+//	familyInfo.warmKeys     true, false                false     key affinity: Balancer.KeyAffinity
+//	loadReport.fields       list of mean_ms (service   empty     values of a load report: LoadReportFields
+//	                        time), concurrent (in
+//	                        flight), depth (queued),
+//	                        tps (throughput); others
+//	                        are ignored
+//	categories.N            a list of objects                    class: Balancer.Classes[N]
+//	  .name                 distinct names             (b)       its name: Classes[N]
+//	  .idempotency          pure, token, side_effect   required  idempotent, with a key, at most once: .Idempotency
+//	  .dedupScope           all, zone, cell            all       scope of deduplication: .DedupScope
+//	  .keyTtl               ms                         0         window of deduplication: .DedupWindow
+//	  .targetLatency        ms, above 0                required  latency objective: .LatencyObjective
+//	  .benefit              weight                     required  priority weight: .PriorityWeight
+//	  .overdueBenefit       share, 0 to 1              0         weight of a late answer: .LateWeight
+//	  .keepOrder            true, false                false     ordered by key: .Ordered
+//	  .ttl                  ms, above 0                required  deadline: MaxDeadline is the longest of all classes
+//	tenants.N               a list, or nothing         empty     tenant
+//	  .name                 a name                     empty     its name: Tenants[N]
+//	  .quotaPerS            requests a second, of all  0         quota: Balancer.Tenants[N].Quota
+//	                        nodes; 0 is no limit
+//
+// (a) Required where prices.connection is above 0.
+// (b) Required in JSON. In lines, whose requests name their class by its index, it may be absent.
 package config
 
 import (
@@ -65,7 +84,7 @@
 	LoadReportFields []string // names of a load report's values, in their order
 
 	MaxDeadline           float64 // ms; the longest of any class
-	ConnectTimeout        float64 // ms; a connection that is not up after it never comes up
+	ConnectTimeout        float64 // ms; the dial of a connection that takes longer has failed
 	ConnectionIdleTimeout float64 // ms; a backend closes a connection that is idle for so long
 	MaxOpenRequests       int     // at a node; 0 is no limit
 
@@ -75,7 +94,7 @@
 	tenantByName []int32 // indices of Tenants, in the order of their names
 }
 
-// TenantIndex is the index of the first tenant of that name, or -1.
+// TenantIndex returns the index of the first tenant of that name, or -1. It may be called from several goroutines.
 func (d *Deployment) TenantIndex(name string) int {
 	d.sorted.Do(d.sortTenants)
 	k, found := slices.BinarySearchFunc(d.tenantByName, name, func(at int32, name string) int {
@@ -87,7 +106,7 @@
 	return int(d.tenantByName[k])
 }
 
-// sortTenants keeps equal names in the order of their indices.
+// sortTenants fills tenantByName. Equal names stay in the order of their indices, so that TenantIndex finds the first.
 func (d *Deployment) sortTenants() {
 	d.tenantByName = make([]int32, len(d.Tenants))
 	for k := range d.tenantByName {
@@ -96,7 +115,8 @@
 	slices.SortStableFunc(d.tenantByName, func(a, b int32) int { return strings.Compare(d.Tenants[a], d.Tenants[b]) })
 }
 
-// SetReportValue sets a value of a load report by its name in the protocol. Other names mean nothing to the balancer.
+// SetReportValue sets a value of a load report by its name in the protocol. Names that the balancer has no use for are
+// ignored.
 func SetReportValue(report *balancer.LoadReport, name string, value float64) {
 	switch name {
 	case "mean_ms":
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -19,8 +19,9 @@
 // lock, and the copy while it is written.
 const MaxDescriptors = 4
 
-// rejectedLogInterval is the least time between two log lines about members that don't prove the key.
-const rejectedLogInterval = time.Second
+// RejectedLogInterval is the least time between two log lines about rejected connections, here of members that don't prove the
+// key and in package member of whoever connects: a stranger who connects in a loop must not fill the log.
+const RejectedLogInterval = time.Second
 
 // errStopped is what State returns once the client has stopped.
 var errStopped = errors.New("control plane client has stopped")
@@ -64,7 +65,7 @@
 		clock:       clock,
 		log:         log,
 		apply:       apply,
-		rejectedLog: rate.Sometimes{Interval: rejectedLogInterval},
+		rejectedLog: rate.Sometimes{Interval: RejectedLogInterval},
 		mailbox:     mailbox.New[func()](),
 		nextToApply: make(chan controlplane.VersionedDocument, 1),
 	}
--- a/internal/controlplane/client/link.go
+++ b/internal/controlplane/client/link.go
@@ -22,7 +22,8 @@
 	PurposeCall   = "call"   // an operator's call
 )
 
-// dialTimeout bounds the connection to a member, without the handshake.
+// dialTimeout bounds the connection to a member, without the handshake. A follower waits as long for the end of a dial:
+// dialTimeoutMs in package controlplane.
 const dialTimeout = time.Second
 
 // LinkHeader is a link's first frame. It is encoded by the order of its fields, which doesn't change.
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -2,10 +2,17 @@
 // voters agree on by raft (Voter), which members without a vote relay (Follower and Server together) and which nodes follow
 // (Follower).
 //
+// "Control plane" means the service that distributes the configuration to the nodes, and nothing else in this program. Operators'
+// commands to one running process have other ways: package controlsocket (the Unix socket of a process, which also says what a node
+// has of the control plane) and package admin (the TCP address of a node).
+//
 // The package does no I/O and starts no goroutines. Time comes in as a float64 in ms on the caller's monotonic clock, random numbers
 // come from a seed, and decisions are pulled by Next. An adapter carries them out: the packages client and member over sockets, the
 // lab in virtual time.
 //
+// Durations here are in ms and their names end in Ms; points in time are in ms of the caller's clock and their names end in At. The
+// packages client and member use time.Duration, except in the JSON that they exchange, whose fields follow the rule of this package.
+//
 // A Change is a difference between two documents, with the digest of the result. A follower applies it only to the version right
 // before it and only if the result has that digest; otherwise it asks for what it lacks.
 //
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// statusInterval is the time in ms between two statuses of a follower. Its lease outlives two that are lost.
-	statusInterval = 2000.0
-	// minStatusInterval is the least time in ms between two statuses if more than the time has changed, so that a burst of versions
+	// statusIntervalMs is the time between two statuses of a follower. Its lease outlives two that are lost.
+	statusIntervalMs = 2000.0
+	// minStatusIntervalMs is the least time between two statuses if more than the time has changed, so that a burst of versions
 	// isn't answered by as many statuses.
-	minStatusInterval = 250.0
-	// minHelloInterval is the least time in ms between two requests to begin anew on one connection: frames sent before the first
+	minStatusIntervalMs = 250.0
+	// minHelloIntervalMs is the least time between two requests to begin anew on one connection: frames sent before the first
 	// request was received still look like gaps.
-	minHelloInterval = 500.0
+	minHelloIntervalMs = 500.0
 	// maxDigestMismatches is how many wrong digests are taken from one member before another member is tried.
 	maxDigestMismatches = 3
 )
@@ -30,22 +30,22 @@
 	rng    *rand.Rand
 
 	// Selection of the member: follower_members.go.
-	memberOrder         []int // indices in config.Members: those of the own region first, each group in the order of its hash scores
-	localMembers        int   // number of members in the own region
-	current             int   // index in memberOrder of the member that is connected, dialed or to be dialed
-	staleSearchInterval float64
-	staleMembersTried   int // members left since a fresh one was last connected
-	remoteAttempts      int // members of other regions selected so far
-	tryingRemote        bool
-	nextStaleSearchAt   float64 // earliest time to leave a stale member; 0 if the member is fresh
-	localRetryInterval  float64
-	nextLocalRetryAt    float64
+	memberOrder           []int // indices in config.Members: those of the own region first, each group in the order of its hash scores
+	localMembers          int   // number of members in the own region
+	current               int   // index in memberOrder of the member that is connected, dialed or to be dialed
+	staleSearchIntervalMs float64
+	staleMembersTried     int // members left since a fresh one was last connected
+	remoteAttempts        int // members of other regions selected so far
+	tryingRemote          bool
+	nextStaleSearchAt     float64 // earliest time to leave a stale member; 0 if the member is fresh
+	localRetryIntervalMs  float64
+	nextLocalRetryAt      float64
 
 	// The connection: follower_connection.go.
 	state          connectionState
 	stateSince     float64
 	nextDialAt     float64
-	backoff        float64
+	backoffMs      float64
 	failedDials    int // since a heartbeat was last received
 	lastReceivedAt float64
 
@@ -76,20 +76,20 @@
 		retainedChanges = cmp.Or(config.RetainedChanges, defaultRetainedChanges)
 	}
 	f := &Follower{
-		config:              config,
-		rng:                 rand.New(rand.NewPCG(config.Seed, xxhash.Sum64String(config.Name))),
-		history:             newHistory(0, emptyDocument(), retainedChanges),
-		backoff:             minBackoff,
-		staleSearchInterval: minStaleSearchInterval,
-		localRetryInterval:  minLocalRetryInterval,
-		freshAsOf:           math.Inf(-1),
-		lastHelloAt:         math.Inf(-1),
+		config:                config,
+		rng:                   rand.New(rand.NewPCG(config.Seed, xxhash.Sum64String(config.Name))),
+		history:               newHistory(0, emptyDocument(), retainedChanges),
+		backoffMs:             minBackoffMs,
+		staleSearchIntervalMs: minStaleSearchIntervalMs,
+		localRetryIntervalMs:  minLocalRetryIntervalMs,
+		freshAsOf:             math.Inf(-1),
+		lastHelloAt:           math.Inf(-1),
 	}
 	if stored.Version > 0 && stored.Document != nil {
 		f.history.resetTo(stored.Version, stored.Document)
 	}
 	f.memberOrder, f.localMembers = orderMembers(config)
-	f.nextDialAt = now + f.rng.Float64()*minBackoff
+	f.nextDialAt = now + f.rng.Float64()*minBackoffMs
 	return f
 }
 
@@ -105,7 +105,7 @@
 			f.outputs = append(f.outputs, FollowerOutput{Dial: true, Member: f.currentMember()})
 		}
 	case connectionDialing:
-		if now-f.stateSince > dialTimeout {
+		if now-f.stateSince > dialTimeoutMs {
 			f.disconnectAndRetry(now)
 		}
 	case connectionUp:
@@ -115,12 +115,12 @@
 
 func (f *Follower) tickConnected(now float64) {
 	switch {
-	case now-f.lastReceivedAt > heartbeatTimeout:
+	case now-f.lastReceivedAt > heartbeatTimeoutMs:
 		f.disconnectAndRetry(now)
 	case f.isLocalRetryDue(now):
-		f.localRetryInterval = min(2*f.localRetryInterval, maxLocalRetryInterval)
+		f.localRetryIntervalMs = min(2*f.localRetryIntervalMs, maxLocalRetryIntervalMs)
 		f.switchMember(now, 0)
-	case now-f.lastStatusAt >= statusInterval || f.statusChanged && now-f.lastStatusAt >= minStatusInterval:
+	case now-f.lastStatusAt >= statusIntervalMs || f.statusChanged && now-f.lastStatusAt >= minStatusIntervalMs:
 		f.sendStatus(now, frameStatus)
 	}
 }
--- a/internal/controlplane/follower_connection.go
+++ b/internal/controlplane/follower_connection.go
@@ -8,13 +8,14 @@
 // member for a better one (which is dialed at once).
 
 const (
-	// heartbeatTimeout is how long in ms a member may send nothing before another is tried: two lost heartbeats and some delay.
-	heartbeatTimeout = 2500.0
-	// dialTimeout bounds a dial, in ms.
-	dialTimeout = 1000.0
-	// minBackoff and maxBackoff bound the time in ms over which the next dial is spread. It doubles each time all members have failed.
-	minBackoff = 200.0
-	maxBackoff = 2000.0
+	// heartbeatTimeoutMs is how long a member may send nothing before another is tried: two lost heartbeats and some delay.
+	heartbeatTimeoutMs = 2500.0
+	// dialTimeoutMs bounds a dial. The adapter's own limit (dialTimeout in package client) is as long; this one holds even if the
+	// adapter never reports the end of the dial.
+	dialTimeoutMs = 1000.0
+	// minBackoffMs and maxBackoffMs bound the time over which the next dial is spread. It doubles each time all members have failed.
+	minBackoffMs = 200.0
+	maxBackoffMs = 2000.0
 )
 
 type connectionState int
@@ -74,13 +75,13 @@
 	f.selectAfterFailure()
 	// All followers of a member lose it at the same time. Each dials at a random time within the backoff, so that they don't reach the
 	// next member all at once.
-	f.nextDialAt = now + f.rng.Float64()*f.backoff
+	f.nextDialAt = now + f.rng.Float64()*f.backoffMs
 	if f.failedDials%len(f.memberOrder) == 0 {
-		f.backoff = min(2*f.backoff, maxBackoff)
+		f.backoffMs = min(2*f.backoffMs, maxBackoffMs)
 	}
 }
 
-func (f *Follower) resetBackoff() { f.failedDials, f.backoff = 0, minBackoff }
+func (f *Follower) resetBackoff() { f.failedDials, f.backoffMs = 0, minBackoffMs }
 
 // sendHello reports what is stored. The server begins anew from there.
 func (f *Follower) sendHello(now float64) {
--- a/internal/controlplane/follower_frames.go
+++ b/internal/controlplane/follower_frames.go
@@ -84,7 +84,7 @@
 
 // requestResync asks for what is missing after a gap.
 func (f *Follower) requestResync(now float64) {
-	if now-f.lastHelloAt >= minHelloInterval {
+	if now-f.lastHelloAt >= minHelloIntervalMs {
 		f.sendHello(now)
 	}
 }
@@ -153,7 +153,7 @@
 	case f.hasGap(version, h):
 		f.requestResync(now)
 	case h.HeadVersion == version && h.HeadDigestPrefix != doc.digest.prefix() && f.config.InjectedBug != BugDigestUnchecked:
-		if now-f.lastHelloAt >= minHelloInterval {
+		if now-f.lastHelloAt >= minHelloIntervalMs {
 			return f.handleDigestMismatch(now)
 		}
 	default:
--- a/internal/controlplane/follower_members.go
+++ b/internal/controlplane/follower_members.go
@@ -17,16 +17,16 @@
 //   - from a member of another region, after a while: back to its own region.
 
 const (
-	// maxServerStaleness is how stale in ms a member's copy may be before a fresher member is looked for.
-	maxServerStaleness = 2000.0
-	// The time in ms between two moves to a fresher member grows from min to max, once every local member was tried: where all members
+	// maxServerStalenessMs is how stale a member's copy may be before a fresher member is looked for.
+	maxServerStalenessMs = 2000.0
+	// The time between two moves to a fresher member grows from min to max, once every local member was tried: where all members
 	// are stale, moving doesn't help and each move costs a hello.
-	minStaleSearchInterval = 1000.0
-	maxStaleSearchInterval = 30e3
-	// The time in ms until a follower of a remote member tries its own region again, which it spends up to some seconds on without a
+	minStaleSearchIntervalMs = 1000.0
+	maxStaleSearchIntervalMs = 30e3
+	// The time until a follower of a remote member tries its own region again, which it spends up to some seconds on without a
 	// connection. It is drawn between once and twice the interval, which grows from min to max as the tries fail.
-	minLocalRetryInterval = 30e3
-	maxLocalRetryInterval = 480e3
+	minLocalRetryIntervalMs = 30e3
+	maxLocalRetryIntervalMs = 480e3
 )
 
 // orderMembers returns the indices of the members in the order in which they are tried, and how many of them are of the follower's
@@ -74,8 +74,8 @@
 
 // checkServerStaleness looks for a fresher member if the current one's copy is too stale.
 func (f *Follower) checkServerStaleness(now, serverStaleness float64) {
-	if serverStaleness <= maxServerStaleness {
-		f.staleSearchInterval, f.nextStaleSearchAt = minStaleSearchInterval, 0
+	if serverStaleness <= maxServerStalenessMs {
+		f.staleSearchIntervalMs, f.nextStaleSearchAt = minStaleSearchIntervalMs, 0
 		f.staleMembersTried, f.tryingRemote = 0, false
 		return
 	}
@@ -87,9 +87,9 @@
 	}
 	// The interval grows only after all local members were tried. A follower that leaves one stale member may meet a second one, such
 	// as a deposed leader, and has to leave that one soon too: an acknowledged change must arrive within the stated bound.
-	f.nextStaleSearchAt = now + f.staleSearchInterval*(1+f.rng.Float64()/2)
+	f.nextStaleSearchAt = now + f.staleSearchIntervalMs*(1+f.rng.Float64()/2)
 	if f.staleMembersTried++; f.staleMembersTried >= f.localMembers {
-		f.staleSearchInterval = min(2*f.staleSearchInterval, maxStaleSearchInterval)
+		f.staleSearchIntervalMs = min(2*f.staleSearchIntervalMs, maxStaleSearchIntervalMs)
 	}
 	f.switchMember(now, f.nextFresherMember())
 }
@@ -117,9 +117,9 @@
 // scheduleLocalRetry sets when a follower that has connected to a remote member tries its own region again.
 func (f *Follower) scheduleLocalRetry(now float64) {
 	if !f.isRemote() {
-		f.localRetryInterval = minLocalRetryInterval
+		f.localRetryIntervalMs = minLocalRetryIntervalMs
 	}
-	f.nextLocalRetryAt = now + f.localRetryInterval*(1+f.rng.Float64())
+	f.nextLocalRetryAt = now + f.localRetryIntervalMs*(1+f.rng.Float64())
 }
 
 func (f *Follower) isLocalRetryDue(now float64) bool {
--- a/internal/controlplane/follower_test.go
+++ b/internal/controlplane/follower_test.go
@@ -70,17 +70,17 @@
 		f := NewFollower(FollowerConfig{Name: fmt.Sprintf("n%d", seed), Region: "east", Members: members, Seed: seed}, VersionedDocument{}, 0)
 		got, dialedAt := recordDials(f, 30e3, dialRefused)
 		require.Equal(t, []int{f.memberOrder[0], f.memberOrder[1], f.memberOrder[2]}, got[:3], "members of other regions last")
-		require.LessOrEqual(t, dialedAt[1], 2*minBackoff+TickIntervalMs)
+		require.LessOrEqual(t, dialedAt[1], 2*minBackoffMs+TickIntervalMs)
 		for i := 1; i < len(dialedAt); i++ {
-			require.LessOrEqual(t, dialedAt[i]-dialedAt[i-1], maxBackoff+TickIntervalMs)
+			require.LessOrEqual(t, dialedAt[i]-dialedAt[i-1], maxBackoffMs+TickIntervalMs)
 		}
 		require.Greater(t, len(dialedAt), 15)
 		f = NewFollower(FollowerConfig{Name: "n", Region: "east", Members: members, Seed: seed}, VersionedDocument{}, 0)
 		_, dialedAt = recordDials(f, 10e3, dialUnanswered)
-		require.LessOrEqual(t, dialedAt[1]-dialedAt[0], dialTimeout+minBackoff+2*TickIntervalMs)
+		require.LessOrEqual(t, dialedAt[1]-dialedAt[0], dialTimeoutMs+minBackoffMs+2*TickIntervalMs)
 		f = NewFollower(FollowerConfig{Name: "n", Region: "east", Members: members, Seed: seed}, VersionedDocument{}, 0)
 		got, dialedAt = recordDials(f, 10e3, dialConnected)
-		require.LessOrEqual(t, dialedAt[1]-dialedAt[0], heartbeatTimeout+minBackoff+2*TickIntervalMs)
+		require.LessOrEqual(t, dialedAt[1]-dialedAt[0], heartbeatTimeoutMs+minBackoffMs+2*TickIntervalMs)
 		require.NotEqual(t, got[0], got[1])
 	}
 }
@@ -127,7 +127,7 @@
 	require.Greater(t, len(members), 4, "it looks for a fresher member")
 	require.Less(t, len(members), 12, "but less and less often")
 	require.NotEqual(t, members[0], members[1])
-	require.GreaterOrEqual(t, dialedAt[2]-dialedAt[1], minStaleSearchInterval)
+	require.GreaterOrEqual(t, dialedAt[2]-dialedAt[1], minStaleSearchIntervalMs)
 	require.GreaterOrEqual(t, dialedAt[len(dialedAt)-1]-dialedAt[len(dialedAt)-2], 15e3)
 	require.InDelta(t, 10e3, f.State(120e3).StalenessMs, 1100)
 
--- a/internal/controlplane/member/member.go
+++ b/internal/controlplane/member/member.go
@@ -26,10 +26,6 @@
 	"pearknot/internal/mailbox"
 )
 
-// rejectedLogInterval is the least time between two log lines about rejected connections: a stranger who connects in a loop must not
-// fill the log.
-const rejectedLogInterval = time.Second
-
 // Options configures a member beyond what the control plane's file says.
 type Options struct {
 	Bootstrap bool   // this is a voter's first start: it begins an empty store
@@ -82,7 +78,7 @@
 		options:      options,
 		clock:        clock.New(),
 		log:          log,
-		rejectedLog:  rate.Sometimes{Interval: rejectedLogInterval},
+		rejectedLog:  rate.Sometimes{Interval: client.RejectedLogInterval},
 		callSlots:    make(chan struct{}, maxCalls),
 		mailbox:      mailbox.New[func()](),
 		followers:    map[uint64]*followerConn{},
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -12,8 +12,8 @@
 	// followers see its staleness on top of their own.
 	HeartbeatIntervalMs = 1000.0
 
-	// statusTimeout is how long in ms a connection may bring no status before it is closed: five that are lost.
-	statusTimeout = 10e3
+	// statusTimeoutMs is how long a connection may bring no status before it is closed: five that are lost.
+	statusTimeoutMs = 10e3
 	// maxUnwrittenBytes is what may wait to be written to a follower before it is disconnected: one that reads too slowly must not take
 	// the server's memory.
 	maxUnwrittenBytes = 1 << 20
@@ -222,7 +222,7 @@
 	s.lastTickAt = now
 	s.byteCredit = min(s.byteCredit+elapsed*totalRate, 2*TickIntervalMs*totalRate)
 	for _, c := range slices.Clone(s.connOrder) {
-		if now-c.statusReceivedAt > statusTimeout {
+		if now-c.statusReceivedAt > statusTimeoutMs {
 			s.disconnect(c, "it is silent")
 			continue
 		}
--- a/internal/controlplane/server_test.go
+++ b/internal/controlplane/server_test.go
@@ -56,7 +56,7 @@
 	fleet.advance(1000)
 	lease = fleet.server.Leases(fleet.now)[0]
 	require.Equal(t, Lease{Name: "n0", Region: "r", Kind: KindNode, StoredVersion: 4, AppliedVersion: 4, StalenessMs: lease.StalenessMs, LastSeenAt: lease.LastSeenAt}, lease)
-	fleet.followers[0].Tick(fleet.now + heartbeatTimeout + 1)
+	fleet.followers[0].Tick(fleet.now + heartbeatTimeoutMs + 1)
 	require.Empty(t, fleet.server.Leases(fleet.now+LeaseDurationMs+1), "a lease ends with the statuses")
 }
 
@@ -274,7 +274,7 @@
 	require.True(t, ok)
 	require.Equal(t, ServerOutput{Conn: 1, Disconnect: true, DisconnectReason: "it has come again"}, o)
 	s.AddConnection(0, 3, "silent")
-	s.Tick(statusTimeout + 1)
+	s.Tick(statusTimeoutMs + 1)
 	require.Empty(t, s.conns)
 	s.RemoveConnection(0, 99)
 	s.BytesWritten(0, 99, 5)
--- a/internal/controlplane/voter.go
+++ b/internal/controlplane/voter.go
@@ -24,8 +24,8 @@
 	// electionTicks is the least time without a message of the leader after which a voter campaigns. The timeout is drawn between once
 	// and twice that, so that the voters elect a leader within about 2 s.
 	electionTicks = 20
-	// readIndexInterval is the time in ms between two questions of a voter how far the log is committed. Its freshness is as old.
-	readIndexInterval = 500.0
+	// readIndexIntervalMs is the time between two questions of a voter how far the log is committed. Its freshness is as old.
+	readIndexIntervalMs = 500.0
 	// maxPendingReads bounds the questions without an answer.
 	maxPendingReads = 64
 	// maxUncommittedBytes bounds the proposals that no majority has stored yet: two of the largest documents.
@@ -160,7 +160,7 @@
 // readIndexPhase spreads the voters' questions over the interval between two of them.
 func readIndexPhase(id uint64) float64 {
 	const phases = 7
-	return readIndexInterval * float64(id%phases) / phases
+	return readIndexIntervalMs * float64(id%phases) / phases
 }
 
 // Tick lets time pass. It is due each TickIntervalMs.
@@ -177,7 +177,7 @@
 			_ = v.node.Campaign() // fails only for a node that is no voter
 		}
 	}
-	if now-v.lastReadIndexAt >= readIndexInterval {
+	if now-v.lastReadIndexAt >= readIndexIntervalMs {
 		v.requestReadIndex(now)
 	}
 	v.processReady(now)
--- a/internal/controlplane/voter_test.go
+++ b/internal/controlplane/voter_test.go
@@ -169,7 +169,7 @@
 	for _, v := range c.byID {
 		head, _ := v.History().Head()
 		require.EqualValues(t, 3, head)
-		require.Less(t, c.now-v.FreshAsOf(), readIndexInterval+TickIntervalMs, "as fresh as its latest question to the leader")
+		require.Less(t, c.now-v.FreshAsOf(), readIndexIntervalMs+TickIntervalMs, "as fresh as its latest question to the leader")
 	}
 }
 
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -44,7 +44,7 @@
 // The structs below are encoded by the order and the types of their fields, not by their names (package snapshot). Fields may be
 // renamed, and new ones added at the end; never reorder or remove one, or change its type.
 
-// status is what a follower reports: in its hello, then each statusInterval.
+// status is what a follower reports: in its hello, then each statusIntervalMs.
 type status struct {
 	SentAt           float64 // by the follower's clock; heartbeats return it
 	StoredVersion    uint64
--- a/internal/serve/hotrestart.go
+++ b/internal/serve/hotrestart.go
@@ -22,11 +22,12 @@
 )
 
 const (
-	// memoryShare is the garbage collector's share of the memory limit; the rest is for stacks and what the kernel
-	// counts.
+	// memoryShare is the garbage collector's share of the memory limit (limits.memory_mb of the configuration). The rest
+	// is for what the collector doesn't count: stacks, the program's own pages, and socket buffers.
 	memoryShare = 0.7
 
-	// gcPercent is by how much the live heap of a few MB may grow between collections; the memory limit holds anyway.
+	// gcPercent is by how many percent the live heap may grow between two collections. It is large because the live heap
+	// is only a few MB; the memory limit holds whatever it is. While two processes are the node, it is a quarter of that.
 	gcPercent = 400
 
 	// While two processes are the node, the predecessor keeps predecessorShare of the descriptors, as its clients are
@@ -77,7 +78,8 @@
 	return path
 }
 
-// setMemoryLimit bounds the garbage collector's memory by this process's share of the node's limit.
+// setMemoryLimit bounds the garbage collector's memory by this process's share of the node's limit, where the node has
+// that many processes.
 func (r *restartCoordinator) setMemoryLimit(processes int64) {
 	if r.config.memoryBytes > 0 {
 		debug.SetMemoryLimit(int64(memoryShare*float64(r.config.memoryBytes)) / processes)
@@ -85,8 +87,9 @@
 	debug.SetGCPercent(gcPercent / int(processes*processes))
 }
 
-// connect connects to a predecessor that runs and returns its state. It returns nil where there is none, and only what
-// holds for any configuration where the predecessor's zones or kinds were others.
+// connect connects to a running predecessor and returns its state, or nil where there is no predecessor or its state can't
+// be used. The endpoint list and the balancer's state refer to zones and kinds by index: where the predecessor's zones or
+// kinds were others, only names of backends and the quiesced state are returned.
 func (r *restartCoordinator) connect(ctx context.Context) *hotrestart.State {
 	if r.socketPath == "" {
 		return nil
@@ -113,7 +116,7 @@
 	return state
 }
 
-// restore has the node begin with its predecessor's state.
+// restore has the node begin with its predecessor's state. A balancer's state that can't be read is left out and logged.
 func (r *restartCoordinator) restore(state *hotrestart.State) {
 	err := r.node.Restore(&node.LearnedState{
 		BackendNames:     state.BackendNames,
@@ -187,7 +190,8 @@
 	r.listener = listener
 }
 
-// handOffState leaves a successor its share of descriptors and memory, and returns this process's state.
+// handOffState is called when a successor has connected. It reduces this process to its share of descriptors and memory,
+// and returns the state for the successor. If it fails, or the successor ends, OnSuccessorGone takes the reduction back.
 func (r *restartCoordinator) handOffState(ctx context.Context) (*hotrestart.State, error) {
 	r.log.Info("successor process connected")
 	r.budget.SetLimit(int(predecessorShare * float64(r.maxDescriptors)))
@@ -213,14 +217,14 @@
 	return state, nil
 }
 
-// hasPredecessor reports whether another process was there before and still runs.
+// hasPredecessor reports whether this process took over from another one that still runs.
 func (r *restartCoordinator) hasPredecessor() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.predecessor != nil
 }
 
-// otherProcess is the node's other process, or nil.
+// otherProcess returns the link to the node's other process, or nil.
 func (r *restartCoordinator) otherProcess() *hotrestart.Link {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -233,7 +237,7 @@
 	return nil
 }
 
-// readySuccessor is the process that serves in this one's place, or nil.
+// readySuccessor returns the link to a successor that serves clients, or nil.
 func (r *restartCoordinator) readySuccessor() *hotrestart.Link {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -252,8 +256,8 @@
 	}
 }
 
-// releaseDescriptors has this process take no more descriptors, and tells the successor what it still uses, until ctx
-// is done.
+// releaseDescriptors lowers this process's limit of descriptors to what it still uses, again and again until ctx is done,
+// and reports each limit to the successor, which may use the rest.
 func (r *restartCoordinator) releaseDescriptors(ctx context.Context, successor *hotrestart.Link) {
 	for {
 		used := r.budget.Used() + descriptorMargin
@@ -281,34 +285,53 @@
 	}
 }
 
-// handleAdminCall carries out an operator's call here and in the other process.
-func (r *restartCoordinator) handleAdminCall(ctx context.Context, call admin.Command) (string, error) {
+// handleAdminCall carries out an operator's command in this process and in the other process of the node, if there is one.
+// The command has been carried out by both when it succeeds; health is about this process alone.
+func (r *restartCoordinator) handleAdminCall(ctx context.Context, command admin.Command) (string, error) {
 	if !r.serves.Load() {
 		return "", errors.New("not serving yet")
 	}
-	if call.Verb == admin.Health {
+	if command.Verb == admin.Health {
 		return r.health()
 	}
-	forwarded := hotrestart.Call{Verb: string(call.Verb), ID: call.Backend}
-	text, err := r.handleCall(ctx, forwarded)
+	call := hotrestart.Call{Verb: string(command.Verb), ID: command.Backend}
 	other := r.otherProcess()
-	if other == nil || err != nil && !errors.Is(err, node.ErrNeverListed) {
+	if other == nil {
+		return r.handleCall(ctx, call)
+	}
+	return r.handleCallInBoth(ctx, call, other)
+}
+
+// handleCallInBoth carries out a call here and then in the other process.
+//
+// A call about a backend that no endpoint list has had fails with node.ErrNeverListed, unless it is forced. One of the two
+// processes may have received a list that the other has not yet, so a name that one of them knows is valid for both: the
+// process that does not know it gets the call forced. Only a name that neither knows is an error.
+//
+// Any other error of this process ends the call before the other one hears of it. An error of the other process is
+// reported although this one has carried the call out: operators repeat the call, which changes nothing the second time.
+// An other process that ends meanwhile needs no call.
+func (r *restartCoordinator) handleCallInBoth(ctx context.Context, call hotrestart.Call, other *hotrestart.Link) (string, error) {
+	text, err := r.handleCall(ctx, call)
+	isUnknownHere := errors.Is(err, node.ErrNeverListed)
+	if err != nil && !isUnknownHere {
 		return text, err
 	}
-	// One of the two may have an endpoint list before the other: a name that one of them knows is known to both.
-	forwarded.Force = err == nil
-	_, otherErr := other.Call(ctx, forwarded)
-	if otherErr != nil && !errors.Is(otherErr, hotrestart.ErrNoPeer) {
+	call.Force = !isUnknownHere
+	_, otherErr := other.Call(ctx, call)
+	otherEnded := errors.Is(otherErr, hotrestart.ErrNoPeer)
+	switch {
+	case otherErr != nil && !otherEnded:
 		return "", otherErr
-	}
-	if otherErr != nil || err == nil {
+	case otherEnded || !isUnknownHere:
 		return text, err
 	}
-	forwarded.Force = true
-	return r.handleCall(ctx, forwarded)
+	call.Force = true // the other process knows the name
+	return r.handleCall(ctx, call)
 }
 
-// The texts of calls are shown to operators, and read by their scripts.
+// These texts, and those that handleCall returns, are the answers of the admin address. Operators' scripts read them, so
+// they stay. "Clients are sent away" means quiesced.
 var (
 	errNoEndpoints  = errors.New("no list of backends yet")
 	errShuttingDown = errors.New("the node is about to end")
@@ -316,7 +339,7 @@
 	errUnknownCall  = errors.New("unknown call")
 )
 
-// health says whether the node can serve clients.
+// health answers a health check: YES where clients may be sent to this process. The error is the reason of a NO.
 func (r *restartCoordinator) health() (string, error) {
 	select {
 	case <-r.node.Ready():
@@ -328,7 +351,9 @@
 	switch {
 	case shuttingDown:
 		return "", errShuttingDown
-	case !inService && hasPredecessor: // can take over a node whose clients are sent away
+	case !inService && hasPredecessor:
+		// A quiesced node was restarted. This process is ready to take over, and that is what the operator who waits
+		// for it before ending the predecessor wants to know.
 		return "ready, clients are sent away", nil
 	case !inService:
 		return "", errQuiesced
@@ -336,7 +361,7 @@
 	return "ready", nil
 }
 
-// handleCall carries a call out in this process alone.
+// handleCall carries out a call in this process alone.
 func (r *restartCoordinator) handleCall(ctx context.Context, call hotrestart.Call) (string, error) {
 	switch verb := admin.Verb(call.Verb); verb {
 	case admin.Cordon:
@@ -360,6 +385,7 @@
 	return "", errUnknownCall
 }
 
+// setCordoned cordons or uncordons a backend and returns text, which is the answer.
 func (r *restartCoordinator) setCordoned(ctx context.Context, call hotrestart.Call, cordoned bool, text string) (string, error) {
 	if err := r.node.Cordon(ctx, call.ID, cordoned, call.Force); err != nil {
 		return "", fmt.Errorf("%.80q: %w", call.ID, err)
