--- a/cmd/pearknot/upgrade_test.go
+++ b/cmd/pearknot/upgrade_test.go
@@ -175,7 +175,7 @@
 	case <-time.After(3700 * time.Millisecond):
 		r.t.Fatal("SIGKILL would have come: " + o.log())
 	}
-	assert.Contains(r.t, o.log(), "ended unanswered=0")
+	assert.Contains(r.t, o.log(), `msg="node stopped" unanswered=0`)
 }
 
 // Upgrades in a row under load, at-most-once requests always in flight: no request lost, refused or run twice, and a ban holds.
@@ -351,7 +351,7 @@
 	r.settled(50)
 	stop()
 	assert.Contains(t, older.log(), "handing off to the successor process")
-	assert.Contains(t, older.log(), "ended unanswered=0")
+	assert.Contains(t, older.log(), `msg="node stopped" unanswered=0`)
 	assert.Empty(t, r.faults)
 	for id, times := range r.attempts {
 		assert.Equal(t, 1, times, id)
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -239,7 +239,7 @@
 		log, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf("n%d.log", k)))
 		require.NoError(t, err)
 		assert.GreaterOrEqual(t, strings.Count(string(log), "state taken over from the predecessor process"), 2)
-		assert.Equal(t, strings.Count(string(log), "state taken over from the predecessor process"), strings.Count(string(log), "ended unanswered=0")-1, "and the last")
+		assert.Equal(t, strings.Count(string(log), "state taken over from the predecessor process"), strings.Count(string(log), `msg="node stopped" unanswered=0`)-1, "and the last")
 	}
 	assert.Empty(t, left(t, dir))
 }
