--- a/internal/node/requestlogging.go
+++ b/internal/node/requestlogging.go
@@ -133,7 +133,7 @@
 			return
 		}
 		rejection := Answer{Status: Rejected}
-		if request.Config.SendRetryAfter {
+		if request.Config.SendRetryAfter { // without a maximum, 0, no time is stated here: the server then puts one in
 			rejection.RetryAfter = min(request.Config.MaxRetryAfter, 2*requestlog.PeerTimeoutMs)
 		}
 		n.withdraw(request, call, rejection)
--- a/internal/peers/accept.go
+++ b/internal/peers/accept.go
@@ -106,7 +106,7 @@
 	}
 	member = slices.IndexFunc(p.config.Members, func(m Member) bool { return m.Name == name })
 	if member < 0 || member == p.config.Self {
-		return 0, 0, fmt.Errorf("%.40q is no member", name)
+		return 0, 0, fmt.Errorf("%.40q is not a member of the fleet", name)
 	}
 	return member, incarnation, nil
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -154,7 +154,7 @@
 	for message, changeLast := range map[string]func(*Config){
 		"wrong key": func(c *Config) { c.Keys = [][]byte{otherKey} },
 		"is not":    func(c *Config) { c.Fleet = "g" },
-		"is no member": func(c *Config) {
+		"is not a member of the fleet": func(c *Config) {
 			c.Members = append([]Member(nil), c.Members...)
 			c.Members[2].Name = "x"
 		},
--- a/internal/peers/transport/frameconn.go
+++ b/internal/peers/transport/frameconn.go
@@ -16,7 +16,7 @@
 	// time of a long frame on a slow link.
 	writeChunkBytes = 4 << 10
 	writeTimeout    = 10 * time.Second
-	// progressInterval is how often the callback of OnProgress is called at most.
+	// progressInterval is the least time between two calls of OnProgress's function.
 	progressInterval = 500 * time.Millisecond
 	readBufferBytes  = 16 << 10
 )
@@ -24,8 +24,8 @@
 // ErrClosed is the result of Run after Close.
 var ErrClosed = errors.New("link closed")
 
-// FrameConn carries frames both ways on an open connection. Send never blocks: frames wait in a queue, and whoever sends has
-// to bound it, by what Send, QueuedBytes and the callback of Run say.
+// FrameConn carries frames both ways on an open connection. Send never blocks: frames wait in a queue without a limit. The
+// sender has to limit it, by the sizes that Send and QueuedBytes return and that Run's callback sent gets.
 //
 // Send, Close, QueuedBytes and Traffic may be called from any goroutine.
 type FrameConn struct {
@@ -46,18 +46,19 @@
 	bytesIn, bytesOut, framesIn, framesOut atomic.Int64
 }
 
-// NewFrameConn returns a FrameConn on a connection, which it closes in the end. Run has to be called.
+// NewFrameConn returns a FrameConn on a connection, which Run closes when it returns. Run must be called.
 func NewFrameConn(conn net.Conn) *FrameConn {
 	c := &FrameConn{conn: conn, queue: mailbox.New[[]byte](), stopped: make(chan struct{})}
 	c.reader = bufio.NewReaderSize(progressReader{c}, readBufferBytes)
 	return c
 }
 
-// Reader returns what a handshake has to read through, since it may read further than the handshake.
+// Reader returns the connection's buffered reader. A handshake must read through it, because the buffer may already hold
+// bytes that come after the handshake.
 func (c *FrameConn) Reader() *bufio.Reader { return c.reader }
 
-// OnProgress has a function called now and then while bytes come, also those of a frame that is not complete. It must be
-// called before Run.
+// OnProgress sets a function that is called while bytes come, also those of a frame that is not complete yet, but at most
+// once in progressInterval. It must be called before Run.
 func (c *FrameConn) OnProgress(callback func()) { c.onProgress = callback }
 
 // Send queues a frame and returns how many bytes are queued with it. The frame must not be changed afterwards.
@@ -70,7 +71,7 @@
 // QueuedBytes returns how many bytes of frames are queued.
 func (c *FrameConn) QueuedBytes() int64 { return c.queuedBytes.Load() }
 
-// Traffic returns how many bytes and frames went in and out. Bytes count with the frames' headers.
+// Traffic returns how many bytes and frames have been received and sent. The bytes include the frames' headers.
 func (c *FrameConn) Traffic() (bytesIn, bytesOut, framesIn, framesOut int64) {
 	return c.bytesIn.Load(), c.bytesOut.Load(), c.framesIn.Load(), c.framesOut.Load()
 }
@@ -89,7 +90,7 @@
 }
 
 // Run carries frames until the connection ends, and returns why: ErrClosed after Close, a *FrameTooLongError for a frame of
-// more than maxFrameBytes, a timeout where nothing came for idleTimeout (0 is no limit), or the error of the connection.
+// more than maxFrameBytes, a timeout if nothing came for idleTimeout (0 is no limit), or the error of the connection.
 //
 // received is called with each frame that came. sent is called with the size of each frame that has left the queue, from
 // another goroutine; it may be nil.
--- a/internal/peers/transport/handshake.go
+++ b/internal/peers/transport/handshake.go
@@ -28,26 +28,26 @@
 const version = 1
 
 const (
-	// maxHelloBytes bounds what an unproven process makes this one read.
+	// maxHelloBytes bounds the messages that are read from a process that has not authenticated itself.
 	maxHelloBytes = 1 << 10
-	// handshakeTimeout bounds the handshake, so that an unproven process holds no descriptor for longer.
+	// handshakeTimeout bounds the handshake, so that a process without a key occupies a file descriptor no longer.
 	handshakeTimeout = 2 * time.Second
 	nonceBytes       = 16
 )
 
-// The sides in a MAC, as all builds write them.
+// The sides in a MAC, as they stand on the wire: the server, which has accepted the connection, and the client.
 const (
 	serverSide = "taken"
 	clientSide = "calls"
 )
 
-// ErrWrongKey is a MAC by a key that this process does not accept.
+// ErrWrongKey means that the other side's MAC was not made with a key that this process accepts.
 var ErrWrongKey = errors.New("wrong key")
 
 // errMalformedHello is a Hello without a nonce or an incarnation.
 var errMalformedHello = errors.New("malformed hello")
 
-// Hello is what either side says first. It is encoded by the order of its fields.
+// Hello is each side's first message. It is encoded by the order of its fields.
 type Hello struct {
 	Version     int
 	Fleet       string
@@ -69,7 +69,8 @@
 	return hello
 }
 
-// check reports what is wrong with a Hello that came from a process to another. An empty from accepts any name.
+// check returns an error unless the Hello is of this version and fleet, and from and to the given names. An empty from
+// accepts any sender.
 func (h *Hello) check(fleet, from, to string) error {
 	switch {
 	case h.Version != version:
@@ -106,8 +107,9 @@
 	return false
 }
 
-// ClientHandshake opens a connection to a process by its name, and returns the process's incarnation. The first key is used
-// to prove, each of them is accepted. The error is ErrWrongKey if the server's key is none of them.
+// ClientHandshake does the client's part of the handshake with the process named to, and returns that process's incarnation.
+// This side authenticates itself with the first key and accepts each of them. The error is ErrWrongKey if the server's key
+// is none of them.
 func ClientHandshake(conn net.Conn, keys [][]byte, fleet, from, to string, incarnation uint64) (serverIncarnation uint64, err error) {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer func() { _ = conn.SetDeadline(time.Time{}) }()
@@ -132,9 +134,9 @@
 	return server.Hello.Incarnation, WriteFrame(conn, computeMAC(keys[0], clientSide, &client, &server.Hello))
 }
 
-// ServerHandshake answers the handshake of a connection that another process opened, and returns that process's name and
-// incarnation. It reads through r, which may have read further than the handshake. Any name is accepted: a holder of the
-// key may give itself any. The error is ErrWrongKey if the client's key is none of the keys.
+// ServerHandshake does the server's part of the handshake and returns the client's name and incarnation. It reads through r,
+// which may have read further than the handshake. Any name is accepted, because a process with the key can give itself any;
+// the caller decides whether the name may connect. The error is ErrWrongKey if the client's key is none of the keys.
 func ServerHandshake(conn net.Conn, r *bufio.Reader, keys [][]byte, fleet, self string, incarnation uint64) (from string, clientIncarnation uint64, err error) {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer func() { _ = conn.SetDeadline(time.Time{}) }()
--- a/internal/peers/transport/keys.go
+++ b/internal/peers/transport/keys.go
@@ -14,8 +14,8 @@
 // ReadKeys reads a file of keys, one a line in hexadecimal; empty lines and those that begin with # are skipped. The file
 // must be readable by its owner alone.
 //
-// The first key is used to prove, each of them is accepted. So a key is changed without a gap by adding the new one on all
-// machines, putting it first on all machines, and removing the old one.
+// A process authenticates itself with the first key and accepts each of them. A key can thus be replaced without an
+// interruption: add the new one on all machines, then put it first on all machines, then remove the old one.
 func ReadKeys(name string) (keys [][]byte, err error) {
 	file, err := os.Open(name)
 	if err != nil {
--- a/internal/requestlog/ledger.go
+++ b/internal/requestlog/ledger.go
@@ -14,7 +14,8 @@
 	injectedBug InjectedBug
 }
 
-// InjectedBug leaves out a part of the protocol on purpose: tests show with it that their checks notice.
+// InjectedBug names a part of the protocol that is left out on purpose, so that tests can show that their checks notice.
+// internal/controlplane has a type of this name for its own protocol.
 type InjectedBug uint8
 
 // The parts that can be left out.
--- a/internal/server/disconnect_test.go
+++ b/internal/server/disconnect_test.go
@@ -333,13 +333,13 @@
 	_, err := io.WriteString(far, "G")
 	require.NoError(t, err)
 	require.Eventually(t, conn.hasUnreadData, 10*time.Second, time.Millisecond)
-	srv.closeIdle(0, true)
+	srv.closeIdle(0, closePartial)
 	assert.Len(t, srv.idleConns, 1)
 	_, err = conn.Read(make([]byte, 9))
 	require.NoError(t, err)
-	srv.closeIdle(0, false)
+	srv.closeIdle(0, sparePartial)
 	assert.Len(t, srv.idleConns, 1, "within a request")
-	srv.closeIdle(0, true)
+	srv.closeIdle(0, closePartial)
 	assert.Empty(t, srv.idleConns)
 }
 
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -37,7 +37,7 @@
 	s.draining.Store(true)
 	// Clients whose idle connections are closed come back, and must still find the listener.
 	for range 2 {
-		s.closeIdle(listenerQuiet, false)
+		s.closeIdle(listenerQuiet, sparePartial)
 		time.Sleep(listenerQuiet)
 	}
 	for _, l := range s.listeners() {
@@ -67,7 +67,7 @@
 		}
 		return quiesceIdle
 	})
-	s.closeIdle(0, true)
+	s.closeIdle(0, closePartial)
 	_ = s.httpServer.Shutdown(ctx)
 	return s.openRequests.Load()
 }
@@ -87,7 +87,7 @@
 	start, tick := time.Now(), time.NewTicker(listenerQuiet)
 	defer tick.Stop()
 	for ctx.Err() == nil && (s.budget.Clients() > 0 || !s.hasEnded()) {
-		s.closeIdle(minIdle(time.Since(start)), false)
+		s.closeIdle(minIdle(time.Since(start)), sparePartial)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
--- a/internal/server/quiesce.go
+++ b/internal/server/quiesce.go
@@ -106,9 +106,9 @@
 		s.quiesce.advance(stop, time.Since(since))
 		switch elapsed := time.Since(since); {
 		case elapsed >= quiesceCloseAll:
-			s.closeIdle(quiesceTick, false)
+			s.closeIdle(quiesceTick, sparePartial)
 		case elapsed >= quiesceHeard:
-			s.closeIdle(quiesceIdle, false)
+			s.closeIdle(quiesceIdle, sparePartial)
 		}
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -224,20 +224,28 @@
 // CloseIdleConnections closes clients' connections that have had no request for a while, to free descriptors. A client
 // whose request crosses the close sends it again on another connection.
 func (s *Server) CloseIdleConnections() {
-	s.closeIdle(minIdleBeforeClose, true)
+	s.closeIdle(minIdleBeforeClose, closePartial)
 	if s.tlsListener != nil {
 		s.tlsListener.evictSilent(silentEvictionAge)
 	}
 }
 
-// closeIdle closes connections that have had no request for minIdle. It spares those on which a part of a request has come,
-// unless partial is true. It never closes one with unread data: that may be a request, which would be lost.
-func (s *Server) closeIdle(minIdle time.Duration, partial bool) {
+// partialRequests says what becomes of idle connections on which a part of a request has come.
+type partialRequests bool
+
+const (
+	sparePartial partialRequests = false
+	closePartial partialRequests = true
+)
+
+// closeIdle closes connections that have had no request for minIdle. It never closes one with unread data: that may be a
+// request, which would be lost.
+func (s *Server) closeIdle(minIdle time.Duration, partial partialRequests) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn, since := range s.idleConns {
 		c := conn.(*clientConn)
-		if time.Since(since) < minIdle || !partial && c.isWithinRequest() || c.hasUnreadData() {
+		if time.Since(since) < minIdle || partial == sparePartial && c.isWithinRequest() || c.hasUnreadData() {
 			continue
 		}
 		_ = c.Close()
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -91,7 +91,7 @@
 	}
 	size := response.ContentLength
 	if !isHead && size > maxBody {
-		return nil, nil, false, fmt.Errorf("body of %d bytes", size)
+		return nil, nil, false, fmt.Errorf("%w: %d bytes, at most %d", errBodyTooLong, size, maxBody)
 	}
 	r.remaining = maxBody + 1 // the one more tells a body that is too long from one that just fits
 	if len(response.TransferEncoding) > 0 {
@@ -115,7 +115,7 @@
 		return reply, nil, reusable && r.Buffered() == 0, nil
 	}
 	if firstPart > maxBody {
-		return nil, nil, false, fmt.Errorf("body of more than %d bytes", maxBody)
+		return nil, nil, false, fmt.Errorf("%w of %d bytes", errBodyTooLong, maxBody)
 	}
 	reply.Stream = &Stream{Size: size}
 	return reply, response.Body, reusable, nil
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -22,7 +22,7 @@
 	streamBufferSize = 16 << 10
 )
 
-// errBodyTooLong means that a streamed response has more bytes than MaxBody.
+// errBodyTooLong means that a response's body has, or announces, more bytes than it may have.
 var errBodyTooLong = errors.New("body exceeds its limit")
 
 // Stream is the rest of a response body that is passed on as it comes. Its user must close it, which returns the connection
