--- a/internal/requestlog/bootstrap.go
+++ b/internal/requestlog/bootstrap.go
@@ -18,12 +18,12 @@
 //
 // Two generations at once would let two requests with one key run, so:
 //   - only the member itself bootstraps its log, so no two members do;
-//   - for the first time it does so once so many say that they never heard of the log that no majority of its replicas can
-//     be among the others;
-//   - after that it hears from all members, and what they say must show, unchanged for quorumLostAfterMs, that nobody leads
-//     the log and that no majority of its replicas is left;
-//   - only heartbeats count that echo this process's present nonce: what was sent before this process was paused may be long
-//     out of date, and once led to a second generation beside one that lived.
+//   - it does so for the first time only if the members whose state it does not know are too few to hold a majority of the
+//     log's replicas, and none of the others knows the log;
+//   - after that it must know the state of all members, and this must show, unchanged for quorumLostAfterMs, that nobody
+//     leads the log and that no majority of its replicas is left;
+//   - only heartbeats count that echo this process's current nonce. Heartbeats from before a pause of this process may be
+//     long out of date; such ones once led to a second generation beside one that was alive.
 func (m *Member) maybeBootstrap() {
 	own := m.config.Self
 	log := m.replicas[own]
--- a/internal/requestlog/calls.go
+++ b/internal/requestlog/calls.go
@@ -9,7 +9,7 @@
 )
 
 // Calls: a member looks up a key or appends a record by calling the leader of the key's log, which may be itself. A call
-// without a reply is sent again, to whoever leads the log by then, until its deadline.
+// without a reply is sent again, to the member that leads the log by then, until its deadline.
 const (
 	// callRetryMs is how long a call waits for its reply before it is sent again: several round trips between regions.
 	callRetryMs = 200.0
@@ -55,7 +55,8 @@
 	record   Record
 }
 
-// Lookup asks what is known of a key. The result comes as a Reply with the ID; after the deadline it is NoQuorum.
+// Lookup asks the key's log for the state of a key. The result comes as a Reply with the ID; after the deadline it is
+// NoQuorum.
 func (m *Member) Lookup(now float64, id uint64, key string, fingerprint uint64, deadline float64) {
 	m.now = now
 	m.sendCall(&pendingCall{
@@ -98,8 +99,8 @@
 	return m.leaderByHeartbeats(logIndex)
 }
 
-// leaderByHeartbeats returns the member that says it leads a log. A leader that was cut off may say so for a while after
-// another was elected, so the latest generation and term count.
+// leaderByHeartbeats returns the member that leads a log by its own heartbeats. A leader that was cut off may claim that for
+// a while after another was elected, so the claim of the latest generation and term counts.
 func (m *Member) leaderByHeartbeats(logIndex int) (member int, known bool) {
 	var latest LogStatus
 	for i := range m.peers {
@@ -154,8 +155,8 @@
 		record := call.Record
 		record.LeaderTime, record.Caller, record.CallSeq = m.now, caller, call.Seq
 		if err := log.node.Propose(snapshot.AppendStruct(nil, &record)); err != nil {
-			// A transfer of the leadership is under way, or too many bytes are uncommitted. Neither lasts, so the caller is
-			// asked to come again, and LogFull would be wrong.
+			// A transfer of the leadership is under way, or too many bytes are uncommitted. Neither lasts, so the reply makes
+			// the caller try again; LogFull would make it give up.
 			m.replyTo(caller, CallReply{Seq: call.Seq, Result: NotLeader})
 		}
 	}
@@ -194,8 +195,8 @@
 	m.outputs = append(m.outputs, Output{Reply: &Reply{ID: call.id, Result: result, Answer: answer, SentAt: call.sentAt}})
 }
 
-// retryCalls ends the calls whose deadline has passed and sends those again that have waited for long, in their order. While
-// this member is isolated no call can succeed, so calls end within a tick and do not wait for their deadline.
+// retryCalls ends the calls whose deadline has passed, and sends those again, in their order, that have waited for
+// callRetryMs. While this member is isolated no call can succeed, so calls end within a tick instead of at their deadline.
 func (m *Member) retryCalls() {
 	for _, seq := range slices.Sorted(maps.Keys(m.pendingCalls)) {
 		call := m.pendingCalls[seq]
@@ -210,7 +211,8 @@
 	}
 }
 
-// isIsolated reports whether this member is connected with so few that no majority of any log's replicas can be among them.
+// isIsolated reports whether this member is connected with so few others that they can't form a majority of any log's
+// replicas.
 func (m *Member) isIsolated() bool {
 	if m.now < m.startedAt+startupGraceMs {
 		return false
--- a/internal/requestlog/doc.go
+++ b/internal/requestlog/doc.go
@@ -1,5 +1,5 @@
-// Package requestlog keeps replicated logs of the requests that the members of a fleet have in flight, and decides which
-// member takes over the requests of a lost one and what it does with them.
+// Package requestlog maintains replicated logs of the requests that the members of a fleet have in flight. It decides which
+// member takes over the requests of a lost one, and what it does with them.
 //
 // There is one log for each member of the fleet. The hash of a request's key names the log that holds the request's records,
 // whichever member accepted the request. Two requests with one key therefore meet in one log, and that log alone says which
--- a/internal/requestlog/frame.go
+++ b/internal/requestlog/frame.go
@@ -7,7 +7,7 @@
 	"pearknot/internal/snapshot"
 )
 
-// Version is the version of the frames. Frames of another version are refused.
+// Version is the version of the frames that this build sends. It refuses frames of any other version.
 const Version = 1
 
 // The kinds of frames. Members of other builds send these numbers.
@@ -30,7 +30,7 @@
 	Heartbeat  Heartbeat // of frameHeartbeat
 }
 
-// The errors of Receive. The sender's link should be closed on either.
+// The errors of Receive. On either of them the caller should close the link to the sender.
 var (
 	ErrMalformedFrame = errors.New("malformed frame")
 	ErrFrameVersion   = errors.New("unsupported frame version")
--- a/internal/requestlog/heartbeat.go
+++ b/internal/requestlog/heartbeat.go
@@ -109,12 +109,12 @@
 	return nil
 }
 
-// dropIfRemoved drops this member's replica of a log if the log's leader has a later generation, or has long been complete
-// without this replica.
+// dropIfRemoved drops this member's replica of a log if the log's leader has a later generation, or if the log has been
+// complete without this replica for removedReplicaLingerMs.
 //
-// A replica that was removed stays for removedReplicaLingerMs and votes. The other voters may have yet to learn that the
-// change of voters is committed; if the leader dies just then, they still need this vote by the joint configuration, and the
-// log would never get a leader again without it.
+// A replica that was removed goes on voting for that time. The other voters may not have learned yet that the change of
+// voters is committed. If the leader dies just then, they still go by the joint configuration, in which they need this vote:
+// without it the log would never have a leader again.
 func (m *Member) dropIfRemoved(leader *LogStatus) {
 	log := m.replicas[leader.Log]
 	if log == nil || !leader.IsLeader {
@@ -133,8 +133,8 @@
 	}
 }
 
-// dropReplica drops this member's replica of a log. Its votes and its log are forgotten, so its voter ID is never used again:
-// under the same ID the member could vote twice in a term, or lack entries that it has acknowledged.
+// dropReplica drops this member's replica of a log. The replica's votes and entries are lost, so its voter ID is never used
+// again: under the same ID the member could vote twice in a term, or lack entries that it has acknowledged.
 func (m *Member) dropReplica(logIndex int) {
 	m.replicas[logIndex] = nil
 	m.voterIDs[logIndex]++
--- a/internal/requestlog/incarnation.go
+++ b/internal/requestlog/incarnation.go
@@ -1,10 +1,10 @@
 package requestlog
 
-// Incarnation names one run of a member's process: a process that was started again is another incarnation.
+// Incarnation identifies one run of a member's process: a restarted process is another incarnation.
 //
-// It holds the member's index in the fleet above a number of numberBits bits, which is a time in ms and grows with each
-// start. The lowest voterIDBits bits are zero. A voter ID is an incarnation with a counter in these bits: an incarnation that
-// drops its replica of a log uses the next voter ID when it gets a new one.
+// From the highest bits to the lowest it consists of the member's index in the fleet; a number of numberBits bits, which is a
+// time in ms and grows with each start; and voterIDBits zero bits. A voter ID is an incarnation with a counter in these zero
+// bits: an incarnation that drops its replica of a log uses the next voter ID when it gets a new one.
 type Incarnation uint64
 
 const (
--- a/internal/requestlog/member.go
+++ b/internal/requestlog/member.go
@@ -43,7 +43,7 @@
 	// By log. A replica is nil where this member has none.
 	replicas         []*replica
 	voterIDs         []uint64 // by which this member is in the log, or would join it
-	knownGenerations []uint64 // the latest generation that any member is known to have heard of
+	knownGenerations []uint64 // the latest generation that any member has reported
 
 	// Calls of this member.
 	pendingCalls map[uint64]*pendingCall // by the sequence number of the latest sending
@@ -58,12 +58,12 @@
 	nextReconfigurationAt float64
 	nextExpiryAt          float64
 
-	nonce              uint64 // goes out with heartbeats; a new one after each pause of this process
+	nonce              uint64 // sent with heartbeats; a new one after each pause of this process
 	startedAt          float64
-	suspectNobodyUntil float64 // after a start or a pause nobody has been heard yet, so nobody is taken for lost
+	suspectNobodyUntil float64 // no member is taken for lost before: after a start or a pause none has sent anything yet
 	shuttingDown       bool
 
-	// What the members say of this member's own log while nobody leads it: a digest, and since when it is unchanged.
+	// A digest of the members' statuses of this member's own log while nobody leads it, and since when it is unchanged.
 	bootstrapDigest      uint64
 	bootstrapDigestSince float64
 }
@@ -77,7 +77,7 @@
 	Event     *Event // to be logged
 }
 
-// Event is something that operators should know of.
+// Event is something that operators should know, for the process's log.
 type Event struct {
 	Message string
 	Log     string // the member whose log it is about
@@ -132,7 +132,7 @@
 	return int(xxhash.Sum64String(key) % uint64(len(m.config.Members)))
 }
 
-// PeerConnected tells that frames can go both ways between this member and an incarnation of another.
+// PeerConnected records that frames can be sent both ways between this member and an incarnation of another.
 func (m *Member) PeerConnected(now float64, member int, incarnation Incarnation) {
 	m.now = now
 	peer := &m.peers[member]
@@ -141,7 +141,7 @@
 	peer.connected, peer.lastReceivedAt = true, now
 }
 
-// PeerDisconnected tells that the link to a member is down.
+// PeerDisconnected records that the link to a member is down.
 func (m *Member) PeerDisconnected(now float64, member int) {
 	m.now = now
 	peer := &m.peers[member]
@@ -152,7 +152,7 @@
 	peer.heartbeat = nil
 }
 
-// Shutdown begins a graceful shutdown: as far as possible, the logs that this member leads get other leaders.
+// Shutdown begins a graceful shutdown: this member hands the leadership of its logs to others, where there are any.
 func (m *Member) Shutdown(now float64) {
 	m.now = now
 	m.shuttingDown = true
@@ -188,10 +188,10 @@
 	}
 }
 
-// detectPause notices that this process itself was paused, by a stop signal, a suspended machine or a lack of processor time.
-// Seen from here all others fell silent at once, and all that they said last is old. So nobody is taken for lost until they
-// have had time to be heard again, ticks that were missed are not made up for, and heartbeats must echo a new nonce before
-// they count as evidence for a bootstrap.
+// detectPause detects that this process itself was paused, by a stop signal, a suspended machine or a lack of processor time.
+// To this process, all other members then seem to have fallen silent at once, and their last heartbeats are old. Therefore no
+// member is taken for lost until it has had time to send again, missed ticks are not made up for, and heartbeats must echo a
+// new nonce before they count as evidence for a bootstrap.
 func (m *Member) detectPause(now float64) {
 	if now-m.nextTickAt <= pauseMs && now-m.now <= pauseMs {
 		return
@@ -230,8 +230,8 @@
 	}
 }
 
-// Next returns the next thing for the host to do, if there is one. The logs process their inputs here and not as these come,
-// so that the messages that answer a batch of inputs go out together.
+// Next returns the next thing for the host to do, if there is one. The logs process their inputs here and not when these
+// arrive, so that the messages that answer a batch of inputs are sent together.
 func (m *Member) Next() (Output, bool) {
 	if len(m.outputs) == 0 {
 		m.processReplicas()
--- a/internal/requestlog/raftmessages.go
+++ b/internal/requestlog/raftmessages.go
@@ -7,8 +7,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// receiveRaftMessage hands a raft message to the replica that it is for. A member that was added to a log's voters learns of
-// it by the first message, and gets an empty replica then.
+// receiveRaftMessage passes a raft message to the replica that it is for. A member that was added to a log's voters learns
+// that from the first message, and creates an empty replica then.
 func (m *Member) receiveRaftMessage(peer *peer, frame *Frame) error {
 	message := &pb.Message{}
 	if err := proto.Unmarshal(frame.Raft, message); err != nil {
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// sendRaftMessage sends a message of a replica, if the incarnation that it is for is connected. What can't be sent is lost;
-// raft sends it again.
+// sendRaftMessage sends a message of a replica if the incarnation that it is for is connected. Otherwise the message is
+// lost; raft sends it again.
 func (m *Member) sendRaftMessage(log *replica, message *pb.Message) {
 	to := incarnationOf(message.GetTo())
 	peer := &m.peers[to.Member()]
@@ -56,8 +56,8 @@
 	log.reportSnapshot(message, true)
 }
 
-// processReplicas carries out what the replicas are ready for, until none of them is. Applying a record of one log may make
-// another one ready.
+// processReplicas processes the replicas' raft state until none has anything left to do. Applying a record of one log may
+// give another log work.
 func (m *Member) processReplicas() {
 	for again := true; again; {
 		again = false
--- a/internal/requestlog/ready.go
+++ b/internal/requestlog/ready.go
@@ -8,8 +8,8 @@
 	"pearknot/internal/snapshot"
 )
 
-// processReady carries out what the raft node is ready for, in the order that raft asks for: store, send, apply, advance.
-// send is called with each message, applied with each record and its result.
+// processReady processes what the raft node's Ready returns, in the order that raft requires: store, send, apply, advance.
+// send is called with each message, applied with each record that was applied and its result.
 func (r *replica) processReady(send func(*pb.Message), applied func(*Record, Result, FinalAnswer)) {
 	for r.node.HasReady() {
 		ready := r.node.Ready()
