--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -12,8 +12,8 @@
 // maxAnswerBytes bounds what a client reads of an answer.
 const maxAnswerBytes = 4 << 10
 
-// SendLine sends a command's line to an address while the context lasts, and returns the answer's line without its newline. isYes
-// tells whether it is YES or NO; anything else is an error.
+// SendLine sends a command's line to an admin address and returns the answer's line without its newline. isYes reports
+// whether that is a YES or a NO; any other answer is an error, as is none before ctx is done.
 func SendLine(ctx context.Context, address, line string) (answer string, isYes bool, err error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -1,5 +1,10 @@
-// Package admin is the node's second address, at which operators send commands: one line on a connection, one line as the
-// answer. command.go parses lines and formats answers without any I/O; server.go and client.go have the sockets.
+// Package admin is a node's admin address, a TCP address at which operators and load balancers send commands: one line on
+// a connection, one line as the answer. Operators' pages call it the second address; in the configuration it is "control",
+// although it is neither the control socket (package controlsocket, for everything that concerns the process) nor part of
+// the control plane (package controlplane, for the configuration of all nodes).
+//
+// command.go parses lines and formats answers without any I/O; server.go and client.go have the sockets. The verbs, the
+// answers and the times are a contract with callers, in docs/operations.md ("The second address").
 package admin
 
 import (
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -13,11 +13,14 @@
 )
 
 const (
-	// maxCallers bounds the connections at a time. A new caller takes the place of the one that has been silent for longest.
+	// maxCallers bounds the connections at a time, as in the contract. A new caller takes the place of the one that has
+	// been silent for longest.
 	maxCallers = 8
-	// lineTimeout is how long a caller may take from connecting to the end of its line.
+	// lineTimeout is how long a caller may take from connecting to the end of its line, as in the contract.
 	lineTimeout = 5 * time.Second
-	// commandTimeout is how long a command may take from the end of its line: callers wait for a second in all.
+	// commandTimeout is how long a command may take from the end of its line. The contract with callers, in
+	// docs/operations.md ("The second address"), is that the answer comes within a second however busy the node is; the
+	// rest of that second is for the connection and the two lines.
 	commandTimeout = 900 * time.Millisecond
 	// writeTimeout is how long the caller may take to read the answer.
 	writeTimeout = time.Second
@@ -32,7 +35,8 @@
 // MaxDescriptors is how many file descriptors a server takes at most: its callers, one that comes, and the listener.
 const MaxDescriptors = maxCallers + 2
 
-// Handler carries out a command while its context lasts, and returns the text of a YES, or the reason of a NO.
+// Handler carries out a command and returns the text of a YES, or an error whose text is the reason of a NO. Its context
+// ends after commandTimeout. It is called from several goroutines at once.
 type Handler func(ctx context.Context, command Command) (text string, err error)
 
 // Server answers commands until it is closed.
@@ -64,7 +68,8 @@
 // Address returns the address at which it listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends the server. Callers that have sent no line are disconnected; commands that are carried out are waited for.
+// Close stops the server. Callers that have not sent a line are disconnected. Commands that are being carried out are
+// finished and answered before Close returns.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	s.closed = true
@@ -94,9 +99,11 @@
 	}
 }
 
-// admit makes room for a caller. Callers that connect and say nothing would otherwise keep everybody else out, so the one that
-// has been silent for longest is disconnected; if none is silent, a command is about to be answered and is waited for. It
-// returns false if the server is closed.
+// admit makes room for a caller and reports false if the server is closed.
+//
+// Callers that connect and send nothing, such as a port scanner or a health check that hangs, would otherwise keep out the
+// operator who has to act. So where all places are taken, the caller that has been silent for longest is disconnected. If
+// none is silent, all of them wait for an answer, which comes within commandTimeout, and admit waits for the first to leave.
 func (s *Server) admit(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +123,8 @@
 	return true
 }
 
-// lineReceived takes a caller off the silent ones. It returns false if the caller had to make room meanwhile.
+// lineReceived removes a caller from the silent ones, so that it is no longer disconnected for another. It reports false if
+// that has happened already.
 func (s *Server) lineReceived(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +143,7 @@
 	s.callerChange.Signal()
 }
 
-// serve reads a caller's line, carries its command out and answers.
+// serve reads a caller's line, carries out its command and writes the answer.
 func (s *Server) serve(conn net.Conn) {
 	defer conn.Close()
 	line, err := readLine(conn)
@@ -158,7 +166,8 @@
 	writeAnswer(conn, answer)
 }
 
-// carryOut parses a line, carries its command out and returns the answer's line.
+// carryOut parses a line, carries out its command and returns the answer's line. The verb is that of the line, also where
+// the command is invalid.
 func (s *Server) carryOut(line []byte) (answer string, verb Verb) {
 	command, err := ParseCommand(line)
 	if err != nil {
--- a/internal/controlsocket/client.go
+++ b/internal/controlsocket/client.go
@@ -28,8 +28,8 @@
 	http http.Client
 }
 
-// NewClient returns a client whose calls each take the timeout at most. It keeps no connection between calls, as the server
-// has few to give.
+// NewClient returns a client whose calls each take at most timeout. It keeps no connection open between calls, because the
+// server accepts only a few.
 func NewClient(path string, timeout time.Duration) *Client {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		var dialer net.Dialer
@@ -39,8 +39,8 @@
 	return &Client{path: path, http: http.Client{Timeout: timeout, Transport: transport}}
 }
 
-// Call sends a request with a value as its body, nil is none, and decodes the answer into another, unless that is nil. An
-// answer with an error is returned as a *ResponseError.
+// Call sends a request with in as its JSON body, or without a body if in is nil, and decodes the response's JSON into out,
+// unless that is nil. A response with an error status is returned as a *ResponseError.
 func (c *Client) Call(ctx context.Context, method, target string, in, out any) error {
 	request, err := newRequest(ctx, method, target, in)
 	if err != nil {
@@ -80,8 +80,8 @@
 	return http.NewRequestWithContext(ctx, method, anyHost+target, body)
 }
 
-// newResponseError returns the error that a body holds. A body that holds none is of a server that is no control socket of
-// ours, so its status has to do.
+// newResponseError returns the error that a response's body holds. If the body holds none, the server is not a control
+// socket of this program, and the status is the message.
 func newResponseError(response *http.Response, body []byte) *ResponseError {
 	var content errorResponse
 	if json.Unmarshal(body, &content) != nil || content.Error == "" {
--- a/internal/controlsocket/listener.go
+++ b/internal/controlsocket/listener.go
@@ -1,6 +1,9 @@
-// Package controlsocket is the one socket by which a running process is looked at and controlled: HTTP over a Unix socket of
-// mode 0600, whose callers the kernel identifies (SO_PEERCRED). Nodes, the agent and the members of the control plane each
-// serve one; command lines and the agent call them.
+// Package controlsocket is the control socket of a process, by which its state is read and changed on its own machine: HTTP
+// over a Unix socket of mode 0600, whose callers the kernel identifies (SO_PEERCRED). Nodes, the agent and the members of
+// the control plane each serve one; the program's commands and the agent call them.
+//
+// Two other things have similar names. A node's admin address (package admin, "control" in its configuration) takes a few
+// commands over TCP. The control plane (package controlplane) distributes the configuration to all nodes.
 package controlsocket
 
 import (
@@ -18,8 +21,8 @@
 // maxConnections bounds the connections of a control socket at a time: a node has few descriptors to spare.
 const maxConnections = 8
 
-// Listen opens a control socket at a path. A socket that a killed process has left there is replaced; if a process still
-// listens on it, it returns an error.
+// Listen opens a control socket at a path. A socket that a killed process has left there is replaced. If a process still
+// listens on it, Listen returns an error.
 func Listen(path string) (net.Listener, error) {
 	if conn, err := net.DialTimeout("unix", path, time.Second); err == nil {
 		_ = conn.Close()
@@ -28,7 +31,7 @@
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("control socket: %w", err)
 	}
-	// The socket gets its mode as it is made: with a chmod afterwards, anybody could connect before it.
+	// The umask gives the socket its mode as it is created. With a chmod afterwards, any user could connect in between.
 	previous := unix.Umask(0o177)
 	listener, err := net.Listen("unix", path)
 	unix.Umask(previous)
--- a/internal/controlsocket/server.go
+++ b/internal/controlsocket/server.go
@@ -16,11 +16,12 @@
 const (
 	maxBodyBytes   = 8 << 20 // of a request
 	maxHeaderBytes = 8 << 10
-	// requestTimeout is how long a caller may take to send its request, so that a stuck one does not keep its connection.
+	// requestTimeout is how long a caller may take to send its request. One that hangs would otherwise keep one of the few
+	// connections.
 	requestTimeout = 10 * time.Second
 )
 
-// Caller is the process at the other end of a connection, as the kernel says.
+// Caller is the process at the other end of a connection, as the kernel identifies it.
 type Caller struct {
 	PID int32
 	UID uint32
@@ -29,7 +30,7 @@
 // callerKey is the key of the Caller in a request's context.
 type callerKey struct{}
 
-// CallerOf returns the caller of the request whose context it is.
+// CallerOf returns the caller of the request that ctx belongs to. It is the zero Caller for any other context.
 func CallerOf(ctx context.Context) Caller {
 	caller, _ := ctx.Value(callerKey{}).(Caller)
 	return caller
@@ -57,7 +58,8 @@
 	}
 }
 
-// withCaller adds the caller to the context of a connection's requests. If the kernel does not tell, none is added.
+// withCaller adds the caller to the context of a connection's requests. If the kernel can't identify the caller, none is
+// added, and its requests get 403.
 func withCaller(ctx context.Context, conn net.Conn) context.Context {
 	caller, err := peerCredentials(conn)
 	if err != nil {
--- a/internal/controlsocket/status.go
+++ b/internal/controlsocket/status.go
@@ -10,7 +10,7 @@
 // The JSON of these structures is read by agents, command lines and scripts of other builds: tags and the order of the fields
 // stay, and the tags keep earlier words.
 
-// Status is a node's account of itself.
+// Status is the state of a node.
 type Status struct {
 	Token       string  `json:"token"` // that it was started with; proves to the agent which process it speaks with
 	PID         int     `json:"pid"`
@@ -35,7 +35,7 @@
 	ControlPlane *ControlPlane `json:"control_plane,omitempty"`
 }
 
-// ControlPlane is what a node has of the control plane that it follows.
+// ControlPlane is the state of a node's link to the control plane that it follows.
 type ControlPlane struct {
 	ActiveVersion   uint64   `json:"in_force"`         // of the configuration; 0 is the file's
 	LatestVersion   uint64   `json:"held"`             // that the node has received
@@ -71,7 +71,7 @@
 	return text
 }
 
-// TLS is what a node serves beside plain connections.
+// TLS is the state of a node's TLS listener and certificates.
 type TLS struct {
 	Listen       string                `json:"listen"` // address for clients
 	Dir          string                `json:"dir"`    // of the certificate store
@@ -92,19 +92,20 @@
 	return first
 }
 
-// Certificate names what a call about certificates is about.
+// Certificate is the body of a call about certificates: the name of a certificate, or the index of an authority.
 type Certificate struct {
 	Name      string `json:"name,omitempty"`
 	Authority int    `json:"authority,omitempty"` // of a change of the account's key
 }
 
-// Service tells a node whether its health check should say that it may be sent clients.
+// Service is the body of a call that takes a node out of service or puts it back. Only the answer of the node's health
+// check changes; requests that come are served.
 type Service struct {
 	InService bool   `json:"in"`
 	Reason    string `json:"why"`
 }
 
-// CaptureFile is where a node has written its capture.
+// CaptureFile is the response to a call that writes a capture out: the file that it was written to.
 type CaptureFile struct {
 	Name string `json:"file"`
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -11,19 +11,24 @@
 	"time"
 )
 
-// The times of the watch follow from one bound. A connection may fall silent without being closed. What the discovery
-// service then has to say counts as known to this node 6 s later, whether or not it arrived. In that time
+// The times of the watch follow from one bound, which is a term of the platform's contract with nodes (docs/design.md, "The
+// endpoint list"; docs/hardening.md, "The renewed terms"): what the discovery service has listed counts as known to this node
+// 6 s later, whether or not it arrived. An attempt that is sent to a
+// backend some time after its removal is known breaks the contract.
+//
+// A connection may fall silent without being closed. Then
 //
 //	minPollInterval + longPollWait + answerTimeout = 3.5 s
 //
-// may pass before the silence is noticed, and answerTimeout before one more poll, that waits for nothing, has had its
-// answer: 5.7 s, which leaves 0.3 s to connect. After a poll that timed out, answerTimeout + maxTimeoutBackoff +
-// answerTimeout = 5.6 s pass at most.
+// may pass before the silence is noticed, and another answerTimeout until a poll that does not wait for an event has been
+// answered. That makes 5.7 s, which leaves 0.3 s to connect. After a poll that timed out, answerTimeout +
+// maxTimeoutBackoff + answerTimeout = 5.6 s pass at most.
 const (
-	// answerTimeout is how long an answer may take beside what its poll waits for. The service works its polls off in
-	// turn and fails those that waited for more than 2 s. A long answerTimeout and a short longPollWait cancel fewer
-	// polls that are only late: a cancelled poll costs the service, which all nodes share, the start of another watch,
-	// while the next poll of a running one costs it next to nothing.
+	// answerTimeout is how long an answer may take beyond the time for which its poll asked the service to wait. The
+	// service handles polls in turn and fails those that have been queued for more than 2 s. Of the time that the bound
+	// allows, answerTimeout gets more than longPollWait, so that fewer polls are cancelled that are merely late: after a
+	// cancelled poll the service, which all nodes share, has to start another watch, while the next poll of a running
+	// watch costs it next to nothing.
 	answerTimeout = 2200 * time.Millisecond
 
 	// longPollWait is how long the service may hold a poll until there is a watch event.
@@ -33,8 +38,8 @@
 	// zero as no wait given, and use its own.
 	immediateWait = time.Millisecond
 
-	// minPollInterval is the least time between the starts of two polls. It is well within the 200 ms in which the
-	// service expects a watch to go on.
+	// minPollInterval is the least time between the starts of two polls. It is half of the 200 ms within which
+	// the service expects the next poll of a watch.
 	minPollInterval = 100 * time.Millisecond
 
 	// maxTimeoutBackoff bounds the random backoff after a poll that timed out. Silence means a cut network rather than
@@ -141,7 +146,7 @@
 	}
 	w.failing = true
 	switch {
-	case w.LocalSource: // its list counts as known to this node as soon as it is back
+	case w.LocalSource: // what it lists counts as known to this node as soon as it answers again
 		time.AfterFunc(w.minPollInterval, w.Poll)
 	case isTimeout(err):
 		time.AfterFunc(rand.N(w.maxTimeoutBackoff), w.Poll)
--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -7,24 +7,26 @@
 	"pearknot/internal/tomlfile"
 )
 
-// admissionFile is deploy/edge.toml.
+// admissionFile is deploy/edge.toml. Its keys keep the words that operators' files have; limits maps them to the fields of
+// admission.Limits, which say what each one means. All keys are optional. The defaults are admission.DefaultLimits', the
+// ranges those of ranges.
 type admissionFile struct {
-	Reserve    float64  `toml:"reserve"`
-	PressedAt  float64  `toml:"pressed_at"`
-	CalmAt     float64  `toml:"calm_at"`
-	Unproven   int      `toml:"unproven"`
-	Penalty    float64  `toml:"penalty"`
-	FadeHalfS  float64  `toml:"fade_half_s"`
-	KnownAfter float64  `toml:"known_after"`
-	KnownHalfS float64  `toml:"known_half_s"`
-	GraceMs    float64  `toml:"grace_ms"`
-	IdleMs     float64  `toml:"idle_ms"`
-	Addresses  int      `toml:"addresses"`
-	Known      []string `toml:"known"`
+	Reserve    float64  `toml:"reserve"`      // share of the connections, 0 to 0.9; default 0.25
+	PressedAt  float64  `toml:"pressed_at"`   // share of the connections, 0.1 to 1; default 0.75
+	CalmAt     float64  `toml:"calm_at"`      // share of the connections, 0.05 to pressed_at; default 0.6
+	Unproven   int      `toml:"unproven"`     // connections; default 16
+	Penalty    float64  `toml:"penalty"`      // decayed count of misbehavior; default 32
+	FadeHalfS  float64  `toml:"fade_half_s"`  // half-life of misbehavior, s; default 10
+	KnownAfter float64  `toml:"known_after"`  // decayed count of answered requests; default 3
+	KnownHalfS float64  `toml:"known_half_s"` // half-life of answered requests, s; default 600
+	GraceMs    float64  `toml:"grace_ms"`     // ms; default 100
+	IdleMs     float64  `toml:"idle_ms"`      // ms; default 2000
+	Addresses  int      `toml:"addresses"`    // remembered addresses; default 4096
+	Known      []string `toml:"known"`        // networks, such as 10.0.0.0/8; default none
 }
 
-// ReadAdmission reads the operator's file of admission limits. How many connections clients may have is the node's to
-// say.
+// ReadAdmission reads the operator's file of admission limits. MaxConnections is not in the file and is left 0: it follows
+// from the node's limit of descriptors.
 func ReadAdmission(name string) (*admission.Limits, error) {
 	content := admissionFileOf(admission.DefaultLimits(0))
 	file, err := tomlfile.Read(name, &content)
@@ -77,6 +79,7 @@
 	}
 }
 
+// ranges returns the range of each key that is a number, both ends included.
 func (f *admissionFile) ranges() []keyRange {
 	return []keyRange{
 		{"reserve", f.Reserve, 0, 0.9},
@@ -99,7 +102,7 @@
 	value, min, max float64
 }
 
-// checkRanges returns an error at the first key whose value is out of range, or no number.
+// checkRanges returns an error at the first key whose value is out of range or not a number.
 func checkRanges(file *tomlfile.File, ranges []keyRange) error {
 	for _, r := range ranges {
 		if !(r.value >= r.min && r.value <= r.max) {
--- a/internal/serve/capture.go
+++ b/internal/serve/capture.go
@@ -95,18 +95,20 @@
 }
 
 // captureFile is deploy/capture.toml.
+//
+// dir is required. The defaults are ReadCapture's, the ranges validate's; all other keys are optional.
 type captureFile struct {
 	Dir       string  `toml:"dir"`
-	SegmentMB float64 `toml:"segment_mb"`
-	MostMB    float64 `toml:"most_mb"`
-	MostHours float64 `toml:"most_hours"`
-	EveryMs   float64 `toml:"every_ms"`
-	BlockKB   int     `toml:"block_kb"`
-	MailboxMB float64 `toml:"mailbox_mb"`
-	Sync      string  `toml:"sync"`
-	MemoryMB  float64 `toml:"memory_mb"`
-	EveryS    float64 `toml:"snapshot_s"`
-	Redact    string  `toml:"redact_key_file"`
+	SegmentMB float64 `toml:"segment_mb"`      // size of a segment file, MB; default 16
+	MostMB    float64 `toml:"most_mb"`         // size of all segments, MB; default 256, at least two segments
+	MostHours float64 `toml:"most_hours"`      // age at which a segment is deleted, hours; default 48
+	EveryMs   float64 `toml:"every_ms"`        // longest time until a block is written, ms; default 1000
+	BlockKB   int     `toml:"block_kb"`        // size at which a block is written, KB; default 64
+	MailboxMB float64 `toml:"mailbox_mb"`      // records that may wait for the disk, MB; default 4; more are dropped
+	Sync      string  `toml:"sync"`            // never, segment or block: after what the file is synced; default segment
+	MemoryMB  float64 `toml:"memory_mb"`       // size of a ring in memory, MB; default 0, which writes to disk instead
+	EveryS    float64 `toml:"snapshot_s"`      // time between two snapshots, s; default 10
+	Redact    string  `toml:"redact_key_file"` // file of the key that request names are hashed with; default none
 }
 
 // ReadCapture reads the operator's file of a capture, and the key that it names.
--- a/internal/serve/config.go
+++ b/internal/serve/config.go
@@ -49,7 +49,13 @@
 // currentConfig is what of a configuration changes while the node runs, and is read by other goroutines.
 type currentConfig struct{ digest, discoveryAddress string }
 
-// configFile is the configuration's JSON. Its names are the deployment's.
+// configFile is the configuration's JSON; its keys are the platform's. Required are settings, seed, and name, listen and
+// discovery, which environment variables may give instead. In limits, cores may be a fraction (the process runs on that many
+// threads, rounded up, and on one at least), memory_mb is in MiB and 0 is no limit, and sockets is the number of descriptors,
+// where 0 is defaultMaxDescriptors.
+// known is the endpoint list to begin with; without it a node begins when discovery has answered. control is the admin
+// address. tls and edge name the operator's files of TLS and of admission limits; tls_listen replaces the address in the
+// former.
 type configFile struct {
 	Name, Listen, Discovery, Control, Seed string
 	TLS                                    string `json:"tls"`
@@ -64,7 +70,8 @@
 	Settings json.RawMessage
 }
 
-// ReadConfig reads a configuration file. Environment variables stand in for addresses and a name that it leaves out.
+// ReadConfig reads a configuration file. For name, listen, discovery and control, an environment variable (ROUTER_NAME and
+// so on) is used where the file leaves the key out.
 func ReadConfig(file string, log *slog.Logger) (*Config, error) {
 	if file == "" {
 		return nil, errors.New("no configuration: give -config or set ROUTER_CONFIG")
@@ -173,7 +180,8 @@
 	}
 }
 
-// useControlPlaneSettings has the node start with the control plane's settings in place of the file's.
+// useControlPlaneSettings has the node start with the control plane's settings in place of the file's. The cached endpoint
+// list is read anew, because it refers to zones and kinds by name.
 func (c *Config) useControlPlaneSettings(deployment *config.Deployment, version uint64, log *slog.Logger) {
 	c.deployment, c.controlPlaneVersion = deployment, version
 	c.readCachedEndpoints(log)
--- a/internal/serve/controlplane.go
+++ b/internal/serve/controlplane.go
@@ -17,10 +17,11 @@
 // digestLogLength is how much of a version's digest log lines have.
 const digestLogLength = 12
 
-// controlPlaneSettings puts the settings in force that the control plane has for the node, in place of the file's.
+// controlPlaneSettings puts in force the settings that the control plane distributes, in place of those in the
+// configuration's file.
 type controlPlaneSettings struct {
 	config         *Config
-	fileDeployment *config.Deployment // has what is the node's own in every version
+	fileDeployment *config.Deployment // of the file; its zone, index and seed are the node's own in every version
 	client         *client.Client
 	updates        chan settingsUpdate
 	stopped        chan struct{} // closed by stop
@@ -28,7 +29,7 @@
 	log            *slog.Logger
 }
 
-// settingsUpdate is a version that is to be put in force; the outcome goes to result.
+// settingsUpdate is a version that is to be put in force. result gets nil, or why the version was rejected.
 type settingsUpdate struct {
 	settingsVersion
 	deployment *config.Deployment
@@ -62,7 +63,7 @@
 	return s, nil
 }
 
-// useStoredCopy has the node start with the last good version, where there is one.
+// useStoredCopy has the node start with the latest version that it had put in force, if a copy of it is stored.
 func (s *controlPlaneSettings) useStoredCopy() {
 	version, text, ok := s.client.StoredCopy()
 	if !ok {
@@ -89,8 +90,9 @@
 	s.client.Stop()
 }
 
-// apply decodes a version, off the goroutine that puts settings in force, and waits until that has taken or refused it.
-// It returns context.Canceled after stop, which says nothing about the version.
+// apply puts a version in force and returns why that was not possible. It decodes the version on the control plane client's
+// goroutine, so that the one that puts settings in force (handleEvents) is not held up by a large document, and waits for
+// that one's result. After stop it returns context.Canceled, which says nothing about the version.
 func (s *controlPlaneSettings) apply(version uint64, text []byte) error {
 	if version == s.inForce.Load().version { // the node started with it
 		return nil
@@ -113,7 +115,7 @@
 	}
 }
 
-// put puts a version in force, completely or not at all.
+// put puts a version in force. After an error the previous version is in force as a whole.
 func (s *controlPlaneSettings) put(update settingsUpdate, reconfigure func(*config.Deployment) error) error {
 	if err := update.deployment.CheckReplaces(s.config.deployment); err != nil {
 		return err
@@ -128,7 +130,7 @@
 	return nil
 }
 
-// status is what the control socket tells of the control plane.
+// status returns what the control socket reports of the control plane.
 func (s *controlPlaneSettings) status(ctx context.Context) *controlsocket.ControlPlane {
 	inForce := s.inForce.Load()
 	status := &controlsocket.ControlPlane{ActiveVersion: inForce.version, LatestVersion: inForce.version, Digest: inForce.digest}
--- a/internal/serve/drain.go
+++ b/internal/serve/drain.go
@@ -8,25 +8,32 @@
 	"pearknot/internal/hotrestart"
 )
 
-// A node that was told to end is killed no sooner than killDelayMs after the longest time to live of a request, of which
-// maxRequestWaitMs counts at most. drainMarginMs of that is kept for the last responses' way.
+// The contract with whoever ends a node (docs/oncall.md, "Node told to end"; docs/operations.md) is that after SIGTERM it
+// has the longest deadline of a class, 3 s at most, and another 0.7 s, before SIGKILL may follow: 3.7 s in all. A request
+// that is open at SIGTERM must have its response by then.
 const (
+	// maxRequestWaitMs is what of the longest deadline counts for the contract.
 	maxRequestWaitMs = 3000.0
-	killDelayMs      = 700.0
-	drainMarginMs    = 300.0
 
-	// lastRequestMs is kept of the drain for the requests that come last: most are answered sooner, and none takes longer
-	// than its time to live. Without it a node whose requests are all short would end before clients have heard that it
-	// ends.
+	// killDelayMs is the time that the contract gives beyond it.
+	killDelayMs = 700.0
+
+	// drainMarginMs is kept of that time for the last responses to be written and the process to exit.
+	drainMarginMs = 300.0
+
+	// lastRequestMs is the part of the drain in which the node no longer waits for new requests. The requests that came
+	// last are answered in it: most need less, and none is open longer than its deadline. Before it the node goes on
+	// serving, so that one whose requests are all short does not end before the load balancer in front has noticed that
+	// the health check fails.
 	lastRequestMs = 700.0
 
-	// The server may take a part of the margin beyond the node's drain, and more in a handoff: streamed responses have
-	// all the time there is.
+	// After the node's drain the server has serverMarginMs to write the last responses. In a handoff it has
+	// handoffMarginMs, so that responses that are still being streamed get nearly all the time that there is.
 	serverMarginMs  = drainMarginMs / 3
 	handoffMarginMs = drainMarginMs * 2 / 3
 )
 
-// drain answers all open requests and ends the node.
+// drain answers all open requests and stops the node. lifetime is the context of the node's parts, which run on meanwhile.
 func (p *process) drain(lifetime context.Context) {
 	longestRequest := min(p.deployment.Load().MaxDeadline, maxRequestWaitMs)
 	within := longestRequest + killDelayMs - drainMarginMs
--- a/internal/serve/lockholder.go
+++ b/internal/serve/lockholder.go
@@ -13,14 +13,15 @@
 	LockVariable  = "PEARKNOT_LOCK"  // the file whose lock the process has inherited
 )
 
-// LockHolder is the content of the lock's file.
+// LockHolder is the content of an instance's lock file. The agent reads it to find the process that holds the lock.
 type LockHolder struct {
 	PID   int    `json:"pid"`
 	Token string `json:"token"`
 }
 
-// WriteLockHolder writes this process into the file of the lock that it has inherited, if any. It is called before
-// anything else, so that an agent that ended right after the start finds the process again.
+// WriteLockHolder writes this process's ID and token into the lock file named by LockVariable, if there is one. It must be
+// called before anything else: an agent that crashes right after it has started a process finds the process again only by
+// this file.
 func WriteLockHolder() error {
 	name := os.Getenv(LockVariable)
 	if name == "" {
--- a/internal/serve/peersfile.go
+++ b/internal/serve/peersfile.go
@@ -15,27 +15,31 @@
 )
 
 // peersFile is deploy/peers.toml.
+//
+// fleet, key_file and member are required. The keys keep the words that operators' files have.
 type peersFile struct {
-	Fleet     string           `toml:"fleet"`
-	KeyFile   string           `toml:"key_file"`
-	Copies    int              `toml:"copies"`
-	Header    string           `toml:"header"`
-	KeepS     float64          `toml:"keep_s"`
-	MemoryMB  float64          `toml:"memory_mb"`
-	AnswersKB float64          `toml:"answers_kb"`
-	Member    []peersMember    `toml:"member"`
-	Category  []peersClassRule `toml:"category"`
+	Fleet     string           `toml:"fleet"`      // name, 1 to 64 bytes; members of another fleet are rejected
+	KeyFile   string           `toml:"key_file"`   // path, relative to this file
+	Copies    int              `toml:"copies"`     // replicas of each request log, 3 or 5; default 3
+	Header    string           `toml:"header"`     // that carries the idempotency key; default Idempotency-Key
+	KeepS     float64          `toml:"keep_s"`     // how long an answer is kept, s, 1 to 3600; default 60
+	MemoryMB  float64          `toml:"memory_mb"`  // of all replicas at this node, MB, 1 to 1024; default 16
+	AnswersKB float64          `toml:"answers_kb"` // size of the largest answer that is kept, KB, 0 to 1024; default 64
+	Member    []peersMember    `toml:"member"`     // at least as many as copies, at most 64
+	Category  []peersClassRule `toml:"category"`   // of logged classes; default none
 }
 
+// peersMember is one node; both keys are required.
 type peersMember struct {
-	Name    string `toml:"name"`
-	Address string `toml:"address"`
+	Name    string `toml:"name"`    // as in the node's configuration, 1 to 64 bytes, distinct
+	Address string `toml:"address"` // host:port
 }
 
+// peersClassRule says whether the requests of a class are logged.
 type peersClassRule struct {
-	Name    string `toml:"name"`
-	Survive string `toml:"survive"`
-	Alone   string `toml:"alone"`
+	Name    string `toml:"name"`    // of the class
+	Survive string `toml:"survive"` // required; finish: the requests are logged and taken over, no: they are not
+	Alone   string `toml:"alone"`   // without a quorum: nack rejects the request (default), go-on serves it unlogged
 }
 
 const (
@@ -153,12 +157,13 @@
 	return nil
 }
 
-// requestLogging is what the server logs with links.
+// requestLogging returns the server's part of the configuration.
 func (p *Peers) requestLogging(links *peers.Peers) server.RequestLogging {
 	return server.RequestLogging{Peers: links, KeyHeader: p.keyHeader, Classes: p.classes, MaxAnswerBytes: p.maxAnswerBytes}
 }
 
-// besideFile is the path of a file that another one names: relative paths are from where that one is.
+// besideFile returns the path of a file that the file called name refers to: a relative path starts at that file's
+// directory.
 func besideFile(name, relative string) string {
 	if filepath.IsAbs(relative) {
 		return relative
--- a/internal/serve/reload.go
+++ b/internal/serve/reload.go
@@ -12,8 +12,9 @@
 	"pearknot/internal/config"
 )
 
-// NotifyReload has SIGHUP wait for Run. It is called before the configuration is read: a SIGHUP that nobody waits for
-// ends the process. One that waits stands for all that come meanwhile.
+// NotifyReload catches SIGHUP from now on and returns the channel that Run takes it from. It must be called before the
+// configuration is read, because a SIGHUP that is not caught ends the process. The channel holds one signal, which stands
+// for all that arrive before Run takes it.
 func NotifyReload() chan os.Signal {
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
@@ -23,9 +24,14 @@
 // removableKeys are the keys that a configuration may come without, though the one before had them.
 var removableKeys = []string{"known", "tls", "tls_listen", "edge"}
 
-// reload reads the configuration's file again and puts it in force, completely or not at all: its deployment by
-// reconfigure, and discovery's address by setDiscoveryAddress. Other addresses and limits need a restart. Once the
-// control plane has put settings in force, those of the file are only checked.
+// reload reads the configuration's file again and puts it in force: its deployment by reconfigure, and discovery's address
+// by setDiscoveryAddress. Other addresses and limits need a restart.
+//
+// The two are put in force together or not at all: after an error the previous deployment and the previous address stay.
+// Two things are outside of that. Once the control plane has put settings in force, the file's settings must still be
+// readable, but they have no effect, and so it is not checked whether they could replace the ones in force; discovery's
+// address is still taken from the file. And the file of admission limits is read separately (reloadAdmission), after this
+// function and also after it has failed.
 func (c *Config) reload(setDiscoveryAddress func(address string), reconfigure func(*config.Deployment) error, log *slog.Logger) {
 	next, err := c.readNext(log)
 	ownsSettings := c.controlPlaneVersion == 0
@@ -53,7 +59,7 @@
 	log.Info("configuration reloaded", "discovery", c.discoveryAddress, "classes", strings.Join(c.deployment.Classes, " "))
 }
 
-// readNext reads the file again. A key that was there before must not be missing: the file may be half written.
+// readNext reads the file again. A key that was there before must not be missing, as the file may be only half written.
 func (c *Config) readNext(log *slog.Logger) (*Config, error) {
 	next, err := ReadConfig(c.file, log)
 	if err != nil {
--- a/internal/serve/tlsfile.go
+++ b/internal/serve/tlsfile.go
@@ -33,37 +33,40 @@
 	ACME             acme.Options
 }
 
-// tlsFile is deploy/tls.toml.
+// tlsFile is deploy/tls.toml. Required are listen, dir, one authority, one certificate, and one kind of challenge.
 type tlsFile struct {
-	Listen       string           `toml:"listen"`
-	Challenge    string           `toml:"challenge_listen"`
-	ALPN         bool             `toml:"challenge_tls"`
-	Dir          string           `toml:"dir"`
+	Listen       string           `toml:"listen"`           // host:port of the TLS listener
+	Challenge    string           `toml:"challenge_listen"` // host:port where http-01 is answered; default none
+	ALPN         bool             `toml:"challenge_tls"`    // tls-alpn-01 is answered at listen; default true
+	Dir          string           `toml:"dir"`              // of the certificate store
 	Limits       tlsLimits        `toml:"limits"`
-	Authorities  []tlsAuthority   `toml:"authority"`
+	Authorities  []tlsAuthority   `toml:"authority"` // in the order in which they are tried
 	Certificates []tlsCertificate `toml:"certificate"`
 }
 
+// tlsLimits are all optional: the defaults are certs.DefaultLimits', the ranges those of ranges.
 type tlsLimits struct {
-	OrdersPerHour int     `toml:"orders_per_hour"`
-	FallBackAfter int     `toml:"fall_back_after"`
-	ReturnAfterH  float64 `toml:"return_after_h"`
-	BackoffS      float64 `toml:"backoff_s"`
-	BackoffMostS  float64 `toml:"backoff_most_s"`
-	InfoEveryH    float64 `toml:"info_every_h"`
+	OrdersPerHour int     `toml:"orders_per_hour"` // orders of the store, 1 to 100
+	FallBackAfter int     `toml:"fall_back_after"` // failures in a row until the next authority is tried, 1 to 1000
+	ReturnAfterH  float64 `toml:"return_after_h"`  // time until the first authority is tried again, hours
+	BackoffS      float64 `toml:"backoff_s"`       // wait after the first failure, s; doubled with each further one
+	BackoffMostS  float64 `toml:"backoff_most_s"`  // longest wait after a failure, s
+	InfoEveryH    float64 `toml:"info_every_h"`    // time between two polls of the renewal information, hours
 }
 
+// tlsAuthority is a certificate authority. Only directory is required; key_id and key_file go together.
 type tlsAuthority struct {
-	Directory string   `toml:"directory"`
-	Contact   []string `toml:"contact"`
-	Roots     string   `toml:"roots_file"`
-	KeyID     string   `toml:"key_id"`
-	Key       string   `toml:"key_file"`
+	Directory string   `toml:"directory"`  // https URL of its ACME directory; plain http on this machine alone
+	Contact   []string `toml:"contact"`    // URLs, such as mailto:
+	Roots     string   `toml:"roots_file"` // PEM file of the roots that are trusted of it; default the system's
+	KeyID     string   `toml:"key_id"`     // of external account binding
+	Key       string   `toml:"key_file"`   // of external account binding, base64url
 }
 
+// tlsCertificate is a certificate; both keys are required.
 type tlsCertificate struct {
-	Name  string   `toml:"name"`
-	Names []string `toml:"names"`
+	Name  string   `toml:"name"`  // by which operators' commands know it, distinct
+	Names []string `toml:"names"` // host names, 1 to 100; no host name is in two certificates
 }
 
 var (
@@ -160,7 +163,7 @@
 	return nil
 }
 
-// certificateNames are the host names of each certificate, by the certificate's name. No host name may be in two.
+// certificateNames returns the host names of each certificate by the certificate's name. No host name may be in two.
 func certificateNames(file *tomlfile.File, certificates []tlsCertificate) (map[string][]string, error) {
 	names := map[string][]string{}
 	certificateOf := map[string]string{}
