--- a/internal/node/requestlogging.go
+++ b/internal/node/requestlogging.go
@@ -169,10 +169,11 @@
 // recordAttemptEnd records that an attempt never ran, so that a successor may send the request again. Other outcomes are
 // not recorded: to a successor, an attempt without a recorded end may have run.
 //
-// Nobody waits for this record. If a leader is lost just then, the next attempt's record may be committed before this one,
-// which is sent again only after a while. A successor that takes over in between holds both attempts for uncertain and
-// goes by the first one. For a class whose keys are recognized in one zone or cell alone, and a next attempt in another one,
-// that is a gap: the successor may send the request where its key is not known.
+// Known gap: nobody waits for this record. If it is lost with the link to the log's leader, it is sent again only after
+// requestlog's callRetryMs, and the next attempt's record may be committed before it. If this node dies in between, its
+// successor takes both attempts for uncertain and goes by the first one. For a class whose idempotency keys are recognized
+// only within one zone or cell, where the next attempt went to another one, the successor may then send the request to the
+// first attempt's zone or cell, where its key is not known.
 func (n *Node) recordAttemptEnd(request *Request, attempt *balancer.Attempt, outcome balancer.Outcome) {
 	if request.Logged == nil || !request.Logged.hasRecord || !outcome.NeverRan() {
 		return
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -136,7 +136,8 @@
 	// net/http reads a single byte where it looks for a client that disconnects, and looks no more once that has come.
 	c.httpStoppedWatching = len(buffer) == 1 && n == 1
 	if c.httpStoppedWatching && c.hasRequest {
-		c.startWatch(true)
+		const reads = true
+		c.startWatch(reads)
 	}
 	return n, err
 }
@@ -206,7 +207,8 @@
 	c.hasRequest = true
 	c.disconnectWatch = disconnectWatch{gone: make(chan struct{}), httpStoppedWatching: c.httpStoppedWatching}
 	if isStreamed || c.httpStoppedWatching {
-		c.startWatch(!isStreamed)
+		reads := !isStreamed // of a streamed body the bytes are read elsewhere
+		c.startWatch(reads)
 	}
 	return true
 }
