--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -1,4 +1,4 @@
-package snapshot
+package snapshot_test
 
 import (
 	"os"
@@ -8,6 +8,7 @@
 
 	"pearknot/balancer"
 	"pearknot/internal/goldentest"
+	"pearknot/internal/snapshot"
 )
 
 // filled returns a snapshot with a distinct value in each field, so that the test notices two fields that were swapped.
@@ -129,10 +130,10 @@
 // An earlier build wrote the file, as a node may find it after an upgrade. This build must write the same bytes and read
 // each value into the field that it came from.
 func TestSnapshotForm(t *testing.T) {
-	goldentest.Equal(t, "snapshot-v2.bin", Encode(filled()))
+	goldentest.Equal(t, "snapshot-v2.bin", snapshot.Encode(filled()))
 	data, err := os.ReadFile("testdata/snapshot-v2.bin")
 	require.NoError(t, err)
-	got, err := Decode(data)
+	got, err := snapshot.Decode(data)
 	require.NoError(t, err)
 	require.Equal(t, filled(), got)
 }
