--- a/balancer/config.go
+++ b/balancer/config.go
@@ -68,9 +68,12 @@
 	CrossZoneCost  float64 `json:"CrossPrice"` // cost of an attempt to another zone, in mean priorities of requests
 	MaxAttempts    int     `json:"MaxPushes"`  // most attempts for one request
 	AllowHedging   bool    `json:"SecondCopies"`
-	CancelAttempts bool    `json:"Cancel"`      // the host can cancel attempts in flight
-	SendRetryAfter bool    `json:"ComeBack"`    // rejections carry Retry-After
-	MaxRetryAfter  float64 `json:"MaxComeBack"` // longest Retry-After in ms; 0 means 0 ms, not that there is no maximum
+	CancelAttempts bool    `json:"Cancel"`   // the host can cancel attempts in flight
+	SendRetryAfter bool    `json:"ComeBack"` // rejections carry Retry-After
+	// MaxRetryAfter is the longest Retry-After, in ms, that a client follows. The balancer states no longer one. If it is
+	// 0, because the deployment leaves it out, the balancer states 0, and package server puts a wait of its own in place
+	// of that: 0 is neither "no maximum" here nor a request to return at once.
+	MaxRetryAfter float64 `json:"MaxComeBack"`
 
 	PollEndpoints    bool    `json:"MustAsk"`      // the endpoint list must be polled, since it is not watched
 	PollInterval     float64 `json:"AskWithin"`    // ms within which the list must be polled again
