--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -23,26 +23,26 @@
 	"pearknot/internal/fleet"
 )
 
-// Twenty real instances; the agent is killed at every named point of a change over ten of them. After its return all are in
-// one generation, each runs once, and none is lost.
+// The agent is killed at every named point of a change of ten of twenty real instances. The next agent brings all
+// into one generation; at no time an instance runs twice, and none is lost.
 func TestKilledAtEveryPoint(t *testing.T) {
 	r := newRig(t, nodeProgram, "")
 	r.start("")
-	all := names(20)
+	all := instanceNames(20)
 	base := r.realNodes(all)
-	w := base
-	w.Options = &fleet.Options{MaxUnavailable: 20}
-	_, err := r.write(w)
+	write := base
+	write.Options = &fleet.Options{MaxUnavailable: 20}
+	_, err := r.write(write)
 	require.NoError(t, err)
-	r.until(20*time.Second, "twenty run", settled)
+	r.waitFor(20*time.Second, "twenty run", isSettled)
 	watch := make(chan struct{})
-	var wg sync.WaitGroup
-	twice := map[string]bool{}
-	wg.Go(func() { // no instance runs twice at any moment
+	var watcher sync.WaitGroup
+	startedTwice := map[string]bool{}
+	watcher.Go(func() { // no instance runs twice at any moment
 		for {
-			for name, n := range r.counts() {
-				if n > 1 {
-					twice[name] = true
+			for name, count := range r.processCounts() {
+				if count > 1 {
+					startedTwice[name] = true
 				}
 			}
 			select {
@@ -52,8 +52,8 @@
 			}
 		}
 	})
-	var returns []time.Duration
-	for k, point := range Points {
+	var recoveryTimes []time.Duration
+	for index, point := range Points {
 		for _, nth := range []int{1, 3} {
 			switch point {
 			case "proposed", "planned":
@@ -63,32 +63,32 @@
 			}
 			r.stop()
 			r.start(fmt.Sprintf("%s:%d", point, nth))
-			mark := fmt.Sprintf("%d-%d", k, nth)
-			w := base
-			w.Configs = maps.Clone(base.Configs)
+			mark := fmt.Sprintf("%d-%d", index, nth)
+			write := base
+			write.Configs = maps.Clone(base.Configs)
 			for _, name := range all[:10] {
-				w.Configs[name] = strings.Replace(w.Configs[name], `"mark":"0"`, `"mark":"`+mark+`"`, 1)
+				write.Configs[name] = strings.Replace(write.Configs[name], `"mark":"0"`, `"mark":"`+mark+`"`, 1)
 			}
-			w.Options = &fleet.Options{MaxUnavailable: 5}
-			_, err := r.write(w)
+			write.Options = &fleet.Options{MaxUnavailable: 5}
+			_, err := r.write(write)
 			if point == "proposed" || point == "planned" {
 				require.Error(t, err, "killed before it could answer")
 			}
-			require.Error(t, <-r.ended, "killed at %s", point)
+			require.Error(t, <-r.exited, "killed at %s", point)
 			r.agent = nil
-			begun := time.Now()
+			startedAt := time.Now()
 			r.start("")
-			v := r.until(20*time.Second, fmt.Sprintf("one generation after %s:%d", point, nth), settled)
-			returns = append(returns, time.Since(begun))
-			require.Len(t, v.Instances, 20)
+			view := r.waitFor(20*time.Second, fmt.Sprintf("one generation after %s:%d", point, nth), isSettled)
+			recoveryTimes = append(recoveryTimes, time.Since(startedAt))
+			require.Len(t, view.Instances, 20)
 			if point != "proposed" { // what was planned is done
-				for _, i := range v.Instances[:10] {
-					require.Equal(t, Digest(w.Configs[i.Name]), i.Observation.Digest)
+				for _, instance := range view.Instances[:10] {
+					require.Equal(t, Digest(write.Configs[instance.Name]), instance.Observation.Digest)
 				}
 			}
-			for _, i := range v.Instances {
-				require.Equal(t, i.Declared.Digest, i.Observation.Digest)
-				require.Equal(t, []int{i.Observation.PID}, r.pids(i.Name))
+			for _, instance := range view.Instances {
+				require.Equal(t, instance.Declared.Digest, instance.Observation.Digest)
+				require.Equal(t, []int{instance.Observation.PID}, r.processIDs(instance.Name))
 			}
 			if point == "proposed" || point == "planned" || point == "snapshot" {
 				break
@@ -96,29 +96,30 @@
 		}
 	}
 	close(watch)
-	wg.Wait()
-	assert.Empty(t, twice)
-	slices.Sort(returns)
-	t.Logf("%d returns: median %v, worst %v", len(returns), returns[len(returns)/2], returns[len(returns)-1])
+	watcher.Wait()
+	assert.Empty(t, startedTwice)
+	slices.Sort(recoveryTimes)
+	t.Logf("%d returns: median %v, worst %v", len(recoveryTimes), recoveryTimes[len(recoveryTimes)/2], recoveryTimes[len(recoveryTimes)-1])
 }
 
-// What goes wrong with one instance is told as it is, and a change that meets it goes back.
-func TestBadInstances(t *testing.T) {
+// A change makes one instance fail: it exits, hangs, never becomes ready or has another list. The change is rolled
+// back, and its failure names the cause.
+func TestChangeToBadInstancesIsRolledBack(t *testing.T) {
 	for behaviour, c := range map[string]struct{ failure string }{
 		"exits": {"ended by itself: no use"}, "dies": {"ended by itself"}, "hangs": {"not ready within"},
 		"never ready": {"not ready within"}, "wrong list": {"wrong list: declared 127.0.0.1:1"},
 	} {
 		t.Run(behaviour, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, self(t), "start_within_ms = 600\nbackoff_ms = 50\n")
+			r := newRig(t, testProgram(t), "start_within_ms = 600\nbackoff_ms = 50\n")
 			data, err := os.ReadFile(r.file)
 			require.NoError(t, err)
 			require.NoError(t, os.WriteFile(r.file, []byte(strings.Replace(string(data), "start_within_ms = 3000\n", "", 1)), 0o600))
 			r.start("")
-			_, err = r.write(declared(names(3), normal, "a"))
+			_, err = r.write(applyOf(instanceNames(3), wellBehaved, "a"))
 			require.NoError(t, err)
-			r.until(10*time.Second, "three run", settled)
-			w := declared(names(3), func(n string) string {
+			r.waitFor(10*time.Second, "three run", isSettled)
+			w := applyOf(instanceNames(3), func(n string) string {
 				if n == "n00" {
 					return behaviour
 				}
@@ -127,67 +128,68 @@
 			w.Options = &fleet.Options{MaxUnavailable: 1, Canary: 1, HealthMs: 600} // dies lives for half of that
 			_, err = r.write(w)
 			require.NoError(t, err)
-			v := r.until(20*time.Second, "gone back", func(v View) bool { return v.Change.Status == fleet.RolledBack && settled(v) })
+			v := r.waitFor(20*time.Second, "gone back", func(v View) bool { return v.Change.Status == fleet.RolledBack && isSettled(v) })
 			assert.Contains(t, v.Change.Failure, c.failure)
 			assert.Equal(t, uint64(3), v.Generation)
 			for _, i := range v.Instances {
-				assert.Len(t, r.pids(i.Name), 1)
+				assert.Len(t, r.processIDs(i.Name), 1)
 			}
 		})
 	}
 }
 
-// An instance whose port somebody else has is told as it is, and the others go on.
+// Another process listens on an instance's address. The instance ends in a crash loop whose reason names the
+// address, the other instance serves, and a restart succeeds once the address is free.
 func TestPortTaken(t *testing.T) {
 	r := newRig(t, nodeProgram, "backoff_ms = 50\n")
 	r.start("")
-	w := r.realNodes(names(2))
-	l, err := net.Listen("tcp", w.Instances[0].Listen)
+	write := r.realNodes(instanceNames(2))
+	listener, err := net.Listen("tcp", write.Instances[0].Listen)
 	require.NoError(t, err)
-	defer l.Close()
-	w.Options = &fleet.Options{MaxUnavailable: 2, NoRollback: true}
-	_, err = r.write(w)
+	defer listener.Close()
+	write.Options = &fleet.Options{MaxUnavailable: 2, NoRollback: true}
+	_, err = r.write(write)
 	require.NoError(t, err)
-	v := r.until(20*time.Second, "told", func(v View) bool {
-		return v.Change.Status == fleet.Stuck && v.Instances[1].Verdict == fleet.VerdictAsDeclared
+	view := r.waitFor(20*time.Second, "told", func(view View) bool {
+		return view.Change.Status == fleet.Stuck && view.Instances[1].Verdict == fleet.VerdictAsDeclared
 	})
-	assert.Contains(t, v.Change.Failure, "address already in use")
-	v = r.until(20*time.Second, "halted", func(v View) bool { return v.Instances[0].Verdict == fleet.VerdictCrashLoop })
-	assert.Equal(t, 5, v.Instances[0].RecentFailures)
-	require.NoError(t, l.Close())
-	_, err = r.write(Write{Command: "restart", Names: names(1)})
+	assert.Contains(t, view.Change.Failure, "address already in use")
+	view = r.waitFor(20*time.Second, "halted", func(view View) bool { return view.Instances[0].Verdict == fleet.VerdictCrashLoop })
+	assert.Equal(t, 5, view.Instances[0].RecentFailures)
+	require.NoError(t, listener.Close())
+	_, err = r.write(Write{Command: "restart", Names: instanceNames(1)})
 	require.NoError(t, err)
-	r.until(10*time.Second, "runs once the port is free", settled)
+	r.waitFor(10*time.Second, "runs once the port is free", isSettled)
 }
 
-// An instance that ignores SIGTERM has its full time, and is killed after it.
-func TestIgnoresTerm(t *testing.T) {
-	r := newRig(t, self(t), "")
+// An instance ignores SIGTERM. It is killed, not before end_within_ms is over.
+func TestInstanceIgnoringSIGTERMIsKilled(t *testing.T) {
+	r := newRig(t, testProgram(t), "")
 	r.start("")
-	_, err := r.write(declared(names(1), func(string) string { return "stubborn" }, "a"))
+	_, err := r.write(applyOf(instanceNames(1), func(string) string { return "stubborn" }, "a"))
 	require.NoError(t, err)
-	r.until(10*time.Second, "runs", settled)
+	r.waitFor(10*time.Second, "runs", isSettled)
 	begun := time.Now()
-	_, err = r.write(Write{Command: "stop", Names: names(1)})
+	_, err = r.write(Write{Command: "stop", Names: instanceNames(1)})
 	require.NoError(t, err)
-	r.until(10*time.Second, "stopped", settled)
+	r.waitFor(10*time.Second, "stopped", isSettled)
 	assert.Greater(t, time.Since(begun), 3*time.Second)
-	assert.Empty(t, r.pids("n00"))
+	assert.Empty(t, r.processIDs("n00"))
 }
 
-// What dies while the agent is away is started again, what lives is adopted as it is, and what was told to stop meanwhile
-// is not started.
-func TestAgentAway(t *testing.T) {
-	r, v := running(t, 4, "")
+// The agent is killed, and one instance dies before the next agent starts. That one is started again; the others
+// are adopted and keep their processes.
+func TestAdoptionAfterAgentWasKilled(t *testing.T) {
+	r, v := newRunningRig(t, 4, "")
 	pids := map[string]int{}
 	for _, i := range v.Instances {
 		pids[i.Name] = i.Observation.PID
 	}
 	require.NoError(t, r.agent.Process.Kill())
-	require.Error(t, <-r.ended, "killed")
+	require.Error(t, <-r.exited, "killed")
 	require.NoError(t, syscall.Kill(pids["n01"], syscall.SIGKILL))
 	r.start("")
-	v = r.until(10*time.Second, "four run again", func(v View) bool { return settled(v) && len(v.Instances) == 4 })
+	v = r.waitFor(10*time.Second, "four run again", func(v View) bool { return isSettled(v) && len(v.Instances) == 4 })
 	for _, i := range v.Instances {
 		if i.Name == "n01" {
 			assert.NotEqual(t, pids[i.Name], i.Observation.PID)
@@ -198,56 +200,58 @@
 	}
 }
 
-// A process that has got an instance's old id is never signalled: ids are reused, locks are not.
-func TestReusedID(t *testing.T) {
-	r, v := running(t, 1, "")
+// An instance dies and the kernel gives its process ID to another program. The agent does not signal that program,
+// since nobody holds the instance's lock.
+func TestReusedProcessIDIsNotSignalled(t *testing.T) {
+	r, v := newRunningRig(t, 1, "")
 	r.stop()
 	require.NoError(t, syscall.Kill(v.Instances[0].Observation.PID, syscall.SIGKILL))
 	other := exec.Command("sleep", "60")
 	require.NoError(t, other.Start())
 	defer func() { _ = other.Process.Kill(); _ = other.Wait() }()
-	p := instanceFiles{r.dir, "n00"}
-	data, err := os.ReadFile(p.lockFile())
+	files := instanceFiles{r.dir, "n00"}
+	data, err := os.ReadFile(files.lockFile())
 	require.NoError(t, err)
 	text := strings.Replace(string(data), fmt.Sprint(v.Instances[0].Observation.PID), fmt.Sprint(other.Process.Pid), 1)
-	require.NoError(t, os.WriteFile(p.lockFile(), []byte(text), 0o600))
-	h, err := p.lockHolder()
+	require.NoError(t, os.WriteFile(files.lockFile(), []byte(text), 0o600))
+	holder, err := files.lockHolder()
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		lock, err := p.tryLock()
+		lock, err := files.tryLock()
 		if lock != nil {
 			_ = lock.Close()
 		}
 		return err == nil && lock != nil
 	}, 5*time.Second, time.Millisecond)
-	assert.ErrorContains(t, p.signal(h.Token, syscall.SIGKILL), "another program's")
+	assert.ErrorContains(t, files.signal(holder.Token, syscall.SIGKILL), "another program's")
 	r.start("")
 	_, err = r.write(Write{Command: "stop"})
 	require.NoError(t, err)
-	r.until(10*time.Second, "stopped", settled)
+	r.waitFor(10*time.Second, "stopped", isSettled)
 	assert.NoError(t, other.Process.Signal(syscall.Signal(0)), "it lives")
 }
 
-// A frozen instance is unknown, never its last good state; nothing is started beside it, and it can be stopped.
-func TestFrozen(t *testing.T) {
-	r, v := running(t, 2, "call_within_ms = 100\n")
+// An instance is frozen. Its verdict is unknown and not its last good state; nothing is started beside it, and it
+// can be stopped.
+func TestFrozenInstanceIsUnknown(t *testing.T) {
+	r, v := newRunningRig(t, 2, "call_within_ms = 100\n")
 	pid := v.Instances[0].Observation.PID
 	require.NoError(t, syscall.Kill(pid, syscall.SIGSTOP))
-	v = r.until(10*time.Second, "unknown", func(v View) bool { return v.Instances[0].Verdict == fleet.VerdictUnknown })
+	v = r.waitFor(10*time.Second, "unknown", func(v View) bool { return v.Instances[0].Verdict == fleet.VerdictUnknown })
 	assert.Contains(t, v.Instances[0].Reason, "does not answer")
 	assert.False(t, v.Instances[0].Observation.InService)
 	assert.Equal(t, fleet.VerdictAsDeclared, v.Instances[1].Verdict)
-	assert.Equal(t, []int{pid}, r.pids("n00"))
+	assert.Equal(t, []int{pid}, r.processIDs("n00"))
 	_, err := r.write(Write{Command: "stop", Names: []string{"n00"}})
 	require.NoError(t, err)
-	r.until(10*time.Second, "stopped", settled)
-	assert.Empty(t, r.pids("n00"))
+	r.waitFor(10*time.Second, "stopped", isSettled)
+	assert.Empty(t, r.processIDs("n00"))
 }
 
-// Somebody else's process that holds an instance's lock is told of, and left alone.
-func TestAlien(t *testing.T) {
-	r, _ := running(t, 1, "")
-	pid := r.pids("n00")[0]
+// A process with another token holds an instance's lock. The agent reports it and does nothing to it, also on stop.
+func TestForeignProcessIsLeftAlone(t *testing.T) {
+	r, _ := newRunningRig(t, 1, "")
+	pid := r.processIDs("n00")[0]
 	r.stop()
 	s, state, _, err := openStore(r.dir, discard)
 	require.NoError(t, err)
@@ -257,22 +261,23 @@
 	require.NoError(t, s.save(state))
 	require.NoError(t, s.close())
 	r.start("")
-	v := r.until(10*time.Second, "alien", func(v View) bool { return v.Instances[0].Verdict == fleet.VerdictForeign })
+	v := r.waitFor(10*time.Second, "alien", func(v View) bool { return v.Instances[0].Verdict == fleet.VerdictForeign })
 	assert.Contains(t, v.Instances[0].Reason, "another token")
 	_, err = r.write(Write{Command: "stop"})
 	require.NoError(t, err)
-	r.until(5*time.Second, "told", func(v View) bool { return v.Change.Status.IsFinal() })
-	assert.Equal(t, []int{pid}, r.pids("n00"))
+	r.waitFor(5*time.Second, "told", func(v View) bool { return v.Change.Status.IsFinal() })
+	assert.Equal(t, []int{pid}, r.processIDs("n00"))
 }
 
-// The state file cut short or flipped at any place, or gone: nothing that runs is stopped for it.
-func TestDamagedState(t *testing.T) {
-	r, v := running(t, 3, "")
+// The state file is truncated, overwritten or missing, once with its snapshot. The agent continues with all
+// instances, whose processes go on running.
+func TestCorruptStateStopsNothing(t *testing.T) {
+	r, v := newRunningRig(t, 3, "")
 	var pids []int
 	for _, i := range v.Instances {
 		pids = append(pids, i.Observation.PID)
 	}
-	r.until(5*time.Second, "snapshot", func(View) bool { _, err := os.Stat(filepath.Join(r.dir, snapshotFile)); return err == nil })
+	r.waitFor(5*time.Second, "snapshot", func(View) bool { _, err := os.Stat(filepath.Join(r.dir, snapshotFile)); return err == nil })
 	r.stop()
 	path := filepath.Join(r.dir, stateFile)
 	whole, err := os.ReadFile(path)
@@ -292,7 +297,7 @@
 		require.NoError(t, os.WriteFile(filepath.Join(r.dir, snapshotFile), snapshot, 0o600))
 		spoil()
 		r.start("")
-		v := r.until(10*time.Second, name, func(v View) bool { return settled(v) && len(v.Instances) == 3 })
+		v := r.waitFor(10*time.Second, name, func(v View) bool { return isSettled(v) && len(v.Instances) == 3 })
 		var now []int
 		for _, i := range v.Instances {
 			now = append(now, i.Observation.PID)
@@ -308,15 +313,16 @@
 	}
 }
 
-// Of two operators' conflicting commands exactly one wins, and the other is told what changed under it.
-func TestTwoOperators(t *testing.T) {
-	r, v := running(t, 1, "")
+// Two operators write from one revision at the same time. Exactly one write is accepted; the other gets a conflict
+// that says what changed.
+func TestConflictingWrites(t *testing.T) {
+	r, v := newRunningRig(t, 1, "")
 	errs := make(chan error, 2)
 	for _, reason := range []string{"ann wants it so", "bob wants it so"} {
 		go func() {
-			w := declared(names(1), normal, reason)
-			w.Revision, w.Reason = v.Revision, reason
-			_, err := r.write(w)
+			write := applyOf(instanceNames(1), wellBehaved, reason)
+			write.Revision, write.Reason = v.Revision, reason
+			_, err := r.write(write)
 			errs <- err
 		}()
 	}
@@ -325,7 +331,7 @@
 		if err := <-errs; err == nil {
 			won++
 		} else {
-			assert.Equal(t, http.StatusConflict, refusedStatus(err))
+			assert.Equal(t, http.StatusConflict, statusOf(err))
 			assert.Contains(t, err.Error(), fmt.Sprintf("made from revision %d, the fleet is at %d: change 2 by", v.Revision, v.Revision+1))
 			assert.Contains(t, err.Error(), "wants it so")
 		}
@@ -333,29 +339,29 @@
 	assert.Equal(t, 1, won)
 }
 
-// The disk is full: the write is refused, what runs goes on, and when there is room all goes on.
+// The state can't be stored: the write fails, and no step is begun that could not be stored as pending.
 func TestDiskFull(t *testing.T) {
 	dir := t.TempDir()
-	s, state, _, err := openStore(dir, discard)
+	stateStore, state, _, err := openStore(dir, discard)
 	require.NoError(t, err)
-	f := fleet.New(state, fleet.DefaultTiming())
-	a := &Agent{clock: clock.New(), store: s, fleet: f, log: discard, options: Options{Dir: dir, OnPoint: func(string) {}}}
-	require.True(t, a.save())
-	require.NoError(t, s.close()) // whatever is written now fails
-	before := f.CopyState()
-	assert.False(t, a.save() && f.Revision == 99)
-	f.StepStarted(1, fleet.Action{Step: fleet.StepStart, Name: "x"}, "t")
-	a.carryOut(t.Context(), []fleet.Action{{Step: fleet.StepStart, Name: "y"}})
-	assert.Error(t, a.writeError)
-	assert.NotContains(t, f.Records, "y", "nothing is begun that could not be written down")
-	f.RestoreState(before)
-	assert.Empty(t, f.Records)
+	fleetState := fleet.New(state, fleet.DefaultTiming())
+	agent := &Agent{clock: clock.New(), store: stateStore, fleet: fleetState, log: discard, options: Options{Dir: dir, OnPoint: func(string) {}}}
+	require.True(t, agent.save())
+	require.NoError(t, stateStore.close()) // whatever is written now fails
+	before := fleetState.CopyState()
+	assert.False(t, agent.save() && fleetState.Revision == 99)
+	fleetState.StepStarted(1, fleet.Action{Step: fleet.StepStart, Name: "x"}, "t")
+	agent.carryOut(t.Context(), []fleet.Action{{Step: fleet.StepStart, Name: "y"}})
+	assert.Error(t, agent.writeError)
+	assert.NotContains(t, fleetState.Records, "y", "nothing is begun that could not be written down")
+	fleetState.RestoreState(before)
+	assert.Empty(t, fleetState.Records)
 }
 
-// Who watches is woken by what is new, and by nothing else.
+// A client that watches the fleet gets an answer when something changes, and waits to the end if nothing does.
 func TestWatch(t *testing.T) {
-	r, v := running(t, 2, "")
-	v = r.until(5*time.Second, "all that the start brought was told", func(x View) bool { quiet := x.Seq == v.Seq; v = x; return quiet && settled(x) })
+	r, v := newRunningRig(t, 2, "")
+	v = r.waitFor(5*time.Second, "all that the start brought was told", func(x View) bool { quiet := x.Seq == v.Seq; v = x; return quiet && isSettled(x) })
 	begun := time.Now()
 	var same View
 	require.NoError(t, r.client.Call(t.Context(), http.MethodGet, fmt.Sprintf("%s?since=%d&wait_ms=400", FleetPath, v.Seq), nil, &same))
@@ -364,69 +370,71 @@
 	go func() { _ = syscall.Kill(v.Instances[0].Observation.PID, syscall.SIGKILL) }()
 	require.NoError(t, r.client.Call(t.Context(), http.MethodGet, fmt.Sprintf("%s?since=%d&wait_ms=10000", FleetPath, v.Seq), nil, &same))
 	assert.Greater(t, same.Seq, v.Seq)
-	r.until(10*time.Second, "started again", settled)
+	r.waitFor(10*time.Second, "started again", isSettled)
 }
 
-// The disk of a running agent takes nothing any more: what is asked for is refused, what runs goes on, and with room again
-// so does the agent.
+// The disk of a running agent is full: writes are refused and instances go on running. Once there is room the agent
+// accepts writes again.
 func TestDiskFullOfARunningAgent(t *testing.T) {
-	r, v := running(t, 3, "")
+	r, v := newRunningRig(t, 3, "")
 	limit := unix.Rlimit{Cur: 1, Max: unix.RLIM_INFINITY} // bytes in a file: every write beyond fails
 	require.NoError(t, unix.Prlimit(r.agent.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil))
 	_, err := r.write(Write{Command: "restart"})
-	assert.Equal(t, http.StatusInsufficientStorage, refusedStatus(err), "%v", err)
-	full := r.until(5*time.Second, "told", func(v View) bool { return v.WriteError != "" })
+	assert.Equal(t, http.StatusInsufficientStorage, statusOf(err), "%v", err)
+	full := r.waitFor(5*time.Second, "told", func(v View) bool { return v.WriteError != "" })
 	for k, i := range full.Instances {
-		assert.Equal(t, []int{v.Instances[k].Observation.PID}, r.pids(i.Name))
+		assert.Equal(t, []int{v.Instances[k].Observation.PID}, r.processIDs(i.Name))
 	}
 	assert.Equal(t, v.Revision, full.Revision)
 	limit.Cur = unix.RLIM_INFINITY
 	require.NoError(t, unix.Prlimit(r.agent.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil))
 	_, err = r.write(Write{Command: "restart"})
 	require.NoError(t, err)
-	r.until(10*time.Second, "restarted", func(v View) bool { return settled(v) && v.WriteError == "" })
+	r.waitFor(10*time.Second, "restarted", func(v View) bool { return isSettled(v) && v.WriteError == "" })
 }
 
-// A real node whose list is another than the one that the agent reads at the same source and version is out of service,
-// with both digests told.
-func TestWitness(t *testing.T) {
+// A real node whose list is another than the one that the agent reads at the same source and version is out of
+// service, with both digests told.
+func TestOtherEndpointListIsFound(t *testing.T) {
 	r := newRig(t, nodeProgram, "witness_ms = 50\n")
 	data, err := os.ReadFile(r.file)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(r.file, append([]byte("witness = true\n"), data...), 0o600))
 	r.start("")
-	w := r.realNodes(names(1))
+	w := r.realNodes(instanceNames(1))
 	_, err = r.write(w)
 	require.NoError(t, err)
-	r.until(10*time.Second, "in service: both have the same list", settled)
-	r.other.Store(true)
-	v := r.until(10*time.Second, "wrong list", func(v View) bool {
+	r.waitFor(10*time.Second, "in service: both have the same list", isSettled)
+	r.otherList.Store(true)
+	v := r.waitFor(10*time.Second, "wrong list", func(v View) bool {
 		return v.Instances[0].Verdict == fleet.VerdictWrongList && !v.Instances[0].Observation.InService
 	})
 	assert.Regexp(t, `declared [0-9a-f]{12}, holds [0-9a-f]{12} at version 41 of 127`, v.Instances[0].Reason)
-	r.other.Store(false)
-	r.until(10*time.Second, "back in service once the lists agree", settled)
+	r.otherList.Store(false)
+	r.waitFor(10*time.Second, "back in service once the lists agree", isSettled)
 }
 
+// Instances are stopped, started, restarted and rolled back; the history has each change with author and reason.
+// Writes that are invalid or change nothing are refused, and a dry run changes nothing.
 func TestStopAndHistory(t *testing.T) {
-	r, _ := running(t, 2, "")
-	for _, w := range []Write{{Command: "stop", Names: []string{"n01"}}, {Command: "start"}, {Command: "restart", Names: []string{"n00"}}, {Command: "rollback", To: 1}} {
-		_, err := r.write(w)
-		require.NoError(t, err, w.Command)
-		r.until(10*time.Second, w.Command, settled)
+	r, _ := newRunningRig(t, 2, "")
+	for _, write := range []Write{{Command: "stop", Names: []string{"n01"}}, {Command: "start"}, {Command: "restart", Names: []string{"n00"}}, {Command: "rollback", To: 1}} {
+		_, err := r.write(write)
+		require.NoError(t, err, write.Command)
+		r.waitFor(10*time.Second, write.Command, isSettled)
 	}
-	var h History
-	require.NoError(t, r.client.Call(t.Context(), http.MethodGet, HistoryPath, nil, &h))
+	var history History
+	require.NoError(t, r.client.Call(t.Context(), http.MethodGet, HistoryPath, nil, &history))
 	var what []string
-	for _, c := range h.Changes {
-		what = append(what, c.Command)
-		assert.NotEmpty(t, c.Author)
-		assert.Equal(t, "test", c.Reason)
+	for _, test := range history.Changes {
+		what = append(what, test.Command)
+		assert.NotEmpty(t, test.Author)
+		assert.Equal(t, "test", test.Reason)
 	}
 	assert.Equal(t, []string{"rollback to generation 1", "restart", "start", "stop", "apply"}, what)
-	assert.True(t, slices.Contains(h.Generations, 1))
-	for _, c := range []struct {
-		w      Write
+	assert.True(t, slices.Contains(history.Generations, 1))
+	for _, test := range []struct {
+		write  Write
 		status int
 		says   string
 	}{
@@ -434,16 +442,16 @@
 		{Write{Command: "rollback", To: 77}, 422, "not kept"}, {Write{Command: "start"}, 412, "nothing to change"},
 		{Write{Command: "rollback"}, 422, "no change is on its way"}, {Write{Command: "stop", Revision: 1}, 409, "made from revision 1"},
 	} {
-		_, err := r.write(c.w)
-		assert.Equal(t, c.status, refusedStatus(err), c.w.Command)
-		assert.ErrorContains(t, err, c.says)
+		_, err := r.write(test.write)
+		assert.Equal(t, test.status, statusOf(err), test.write.Command)
+		assert.ErrorContains(t, err, test.says)
 	}
-	dry := declared(names(1), normal, "z")
+	dry := applyOf(instanceNames(1), wellBehaved, "z")
 	dry.DryRun = true
 	out, err := r.write(dry)
 	require.NoError(t, err)
 	assert.Equal(t, []string{"n00", "n01"}, out.Instances)
 	v, err := r.view()
 	require.NoError(t, err)
-	assert.Equal(t, h.Revision, v.Revision, "nothing was changed")
+	assert.Equal(t, history.Revision, v.Revision, "nothing was changed")
 }
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -34,7 +34,7 @@
 func TestMain(m *testing.M) {
 	switch {
 	case len(os.Args) > 1 && os.Args[1] == "serve":
-		os.Exit(standIn(os.Args[2:]))
+		os.Exit(simulatedInstance(os.Args[2:]))
 	case len(os.Args) > 2 && os.Args[1] == "agent":
 		o, err := ReadOptions(os.Args[2])
 		if err == nil {
@@ -69,15 +69,16 @@
 	os.Exit(status)
 }
 
-// program is the real node.
+// nodeProgram is the path of the real node, as TestMain has built it.
 var nodeProgram string
 
-// standIn is an instance without clients: its lock, its control socket, and its behaviour.
-func standIn(args []string) int {
+// simulatedInstance is an instance without a data path: it has its lock and control socket, and behaves as its
+// configuration says.
+func simulatedInstance(args []string) int {
 	flags := map[string]string{}
-	for k := 0; k < len(args); k++ {
-		if k+1 < len(args) && !strings.HasPrefix(args[k+1], "--") {
-			flags[args[k]] = args[k+1]
+	for index := 0; index < len(args); index++ {
+		if index+1 < len(args) && !strings.HasPrefix(args[index+1], "--") {
+			flags[args[index]] = args[index+1]
 		}
 	}
 	data, err := os.ReadFile(flags["--config"])
@@ -85,69 +86,71 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	var c struct{ Name, Listen, Discovery, Behaviour string }
-	if err := json.Unmarshal(data, &c); err != nil {
+	var config struct{ Name, Listen, Discovery, Behaviour string }
+	if err := json.Unmarshal(data, &config); err != nil {
 		return 1
 	}
 	if err := serve.WriteLockHolder(); err != nil {
 		return 1
 	}
-	term := make(chan os.Signal, 1)
-	signal.Notify(term, syscall.SIGTERM)
-	switch c.Behaviour {
+	terminated := make(chan os.Signal, 1)
+	signal.Notify(terminated, syscall.SIGTERM)
+	switch config.Behaviour {
 	case "exits":
 		fmt.Fprintln(os.Stderr, "no use")
 		return 7
 	case "hangs": // before it opens its socket
-		<-term
+		<-terminated
 		return 0
 	}
 	epoch, _ := strconv.ParseUint(os.Getenv(serve.EpochVariable), 10, 64)
 	var mu sync.Mutex
-	in := false
-	list := c.Discovery
-	if c.Behaviour == "wrong list" {
+	isInService := false
+	list := config.Discovery
+	if config.Behaviour == "wrong list" {
 		list = "127.0.0.1:9"
 	}
-	l, err := controlsocket.Listen(flags["--control"])
+	listener, err := controlsocket.Listen(flags["--control"])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	s := controlsocket.NewServer(controlsocket.NewNodeHandler(controlsocket.NodeCalls{Status: func(context.Context) (controlsocket.Status, error) {
+	server := controlsocket.NewServer(controlsocket.NewNodeHandler(controlsocket.NodeCalls{Status: func(context.Context) (controlsocket.Status, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		return controlsocket.Status{Token: os.Getenv(serve.TokenVariable), PID: os.Getpid(), Name: c.Name, Listen: c.Listen, Digest: Digest(string(data)),
-			Epoch: epoch, ListAddress: list, Ready: c.Behaviour != "never ready", InService: in}, nil
-	}, SetService: func(s controlsocket.Service) error {
+		return controlsocket.Status{Token: os.Getenv(serve.TokenVariable), PID: os.Getpid(), Name: config.Name, Listen: config.Listen, Digest: Digest(string(data)),
+			Epoch: epoch, ListAddress: list, Ready: config.Behaviour != "never ready", InService: isInService}, nil
+	}, SetService: func(server controlsocket.Service) error {
 		mu.Lock()
 		defer mu.Unlock()
-		in = s.InService
+		isInService = server.InService
 		return nil
 	}}))
-	go func() { _ = s.Serve(l) }()
-	if c.Behaviour == "dies" {
+	go func() { _ = server.Serve(listener) }()
+	if config.Behaviour == "dies" {
 		time.AfterFunc(300*time.Millisecond, func() { os.Exit(9) })
 	}
-	<-term
-	for c.Behaviour == "stubborn" {
-		<-term
+	<-terminated
+	for config.Behaviour == "stubborn" {
+		<-terminated
 	}
 	return 0
 }
 
-// rig is a directory with an agent as a process of its own.
+// rig is an agent's directory with the agent as a process of its own.
 type rig struct {
-	t      *testing.T
-	dir    string
-	file   string
-	agent  *exec.Cmd
-	ended  chan error  // of the agent
-	other  atomic.Bool // the list tells the agent something else than the nodes
-	client *controlsocket.Client
+	t         *testing.T
+	dir       string
+	file      string
+	agent     *exec.Cmd
+	exited    chan error  // of the agent
+	otherList atomic.Bool // the list's source gives the agent another list than the nodes
+	client    *controlsocket.Client
 }
 
+// newRig returns a rig whose agent runs a program as its instances; extra is added to the agent's file.
 func newRig(t *testing.T, binary, extra string) *rig {
+	t.Helper()
 	dir, err := os.MkdirTemp("", "pk") // short: a socket's path is bounded
 	require.NoError(t, err)
 	r := &rig{t: t, dir: dir, file: filepath.Join(dir, "agent.toml"), client: controlsocket.NewClient(filepath.Join(dir, "agent.sock"), 20*time.Second)}
@@ -163,7 +166,7 @@
 %s`, dir, binary, extra), 0o600))
 	t.Cleanup(func() {
 		r.stop()
-		for _, pid := range r.pids("") {
+		for _, pid := range r.processIDs("") {
 			_ = syscall.Kill(pid, syscall.SIGKILL)
 		}
 		_ = os.RemoveAll(dir)
@@ -171,15 +174,17 @@
 	return r
 }
 
-func self(t *testing.T) string {
+// testProgram returns the path of the test's own program, see TestMain.
+func testProgram(t *testing.T) string {
+	t.Helper()
 	name, err := os.Executable()
 	require.NoError(t, err)
 	return name
 }
 
-// start starts the agent and waits until it answers, or is gone where it is to be killed on the way.
+// start starts the agent, to be killed at a point if one is given, and waits until it answers.
 func (r *rig) start(killAt string) {
-	r.agent = exec.Command(self(r.t), "agent", r.file)
+	r.agent = exec.Command(testProgram(r.t), "agent", r.file)
 	r.agent.Env = append(os.Environ(), KillVariable+"="+killAt)
 	log, err := os.OpenFile(filepath.Join(r.dir, "agent.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	require.NoError(r.t, err)
@@ -187,7 +192,7 @@
 	r.agent.Stderr = log
 	require.NoError(r.t, r.agent.Start())
 	ended := make(chan error, 1)
-	r.ended = ended
+	r.exited = ended
 	go func(c *exec.Cmd) { ended <- c.Wait() }(r.agent)
 	require.Eventually(r.t, func() bool {
 		_, err := r.view()
@@ -195,16 +200,18 @@
 	}, 10*time.Second, 5*time.Millisecond)
 }
 
+// stop ends the agent, if it runs, and waits for it.
 func (r *rig) stop() {
 	if r.agent != nil {
 		_ = r.agent.Process.Signal(syscall.SIGTERM)
-		if err := <-r.ended; err != nil {
+		if err := <-r.exited; err != nil {
 			r.t.Logf("the agent ended with %v", err)
 		}
 		r.agent = nil
 	}
 }
 
+// view asks the agent for the fleet.
 func (r *rig) view() (v View, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -212,6 +219,7 @@
 	return v, err
 }
 
+// write sends a change, from the current revision and with a reason if it has none.
 func (r *rig) write(w Write) (Written, error) {
 	if w.Revision == 0 {
 		v, err := r.view()
@@ -228,13 +236,13 @@
 	return out, err
 }
 
-// until waits for a view, and gives it.
-func (r *rig) until(within time.Duration, what string, f func(View) bool) (v View) {
+// waitFor returns the first view for which a condition holds, and fails the test after a time.
+func (r *rig) waitFor(timeout time.Duration, condition string, holds func(View) bool) (v View) {
 	r.t.Helper()
 	ok := false
-	for begun := time.Now(); time.Since(begun) < within; {
+	for begun := time.Now(); time.Since(begun) < timeout; {
 		var err error
-		if v, err = r.view(); err == nil && f(v) {
+		if v, err = r.view(); err == nil && holds(v) {
 			ok = true
 			break
 		}
@@ -243,12 +251,13 @@
 	if !ok {
 		data, _ := json.MarshalIndent(v, "", " ")
 		log, _ := tail(filepath.Join(r.dir, "agent.log"), 40)
-		r.t.Fatalf("not within %v: %s\n%s\n%s", within, what, data, strings.Join(log, "\n"))
+		r.t.Fatalf("not within %v: %s\n%s\n%s", timeout, condition, data, strings.Join(log, "\n"))
 	}
 	return v
 }
 
-func settled(v View) bool {
+// isSettled reports whether no change is in progress and all instances are as declared.
+func isSettled(v View) bool {
 	if v.Change != nil && !v.Change.Status.IsFinal() {
 		return false
 	}
@@ -260,100 +269,105 @@
 	return true
 }
 
-// pids are those of an instance's processes, by their command lines; of all where none is named.
-func (r *rig) pids(name string) (all []int) {
+// processIDs returns the ids of an instance's processes, found by their command lines; of all instances if name is
+// empty.
+func (r *rig) processIDs(name string) (ids []int) {
 	want := filepath.Join(r.dir, "run", name)
 	if name != "" {
 		want += ".sock"
 	}
-	procs, _ := filepath.Glob("/proc/[0-9]*/cmdline")
-	for _, p := range procs {
-		if line, err := os.ReadFile(p); err == nil && strings.Contains(string(line)+"\x00", want) {
-			pid, _ := strconv.Atoi(strings.Split(p, "/")[2])
-			all = append(all, pid)
+	paths, _ := filepath.Glob("/proc/[0-9]*/cmdline")
+	for _, path := range paths {
+		if line, err := os.ReadFile(path); err == nil && strings.Contains(string(line)+"\x00", want) {
+			pid, _ := strconv.Atoi(strings.Split(path, "/")[2])
+			ids = append(ids, pid)
 		}
 	}
-	return all
+	return ids
 }
 
-// counts are how many processes each instance has, by one look.
-func (r *rig) counts() map[string]int {
-	all := map[string]int{}
-	procs, _ := filepath.Glob("/proc/[0-9]*/cmdline")
+// processCounts returns how many processes each instance has now.
+func (r *rig) processCounts() map[string]int {
+	counts := map[string]int{}
+	paths, _ := filepath.Glob("/proc/[0-9]*/cmdline")
 	run := filepath.Join(r.dir, "run") + "/"
-	for _, p := range procs {
-		line, err := os.ReadFile(p)
+	for _, path := range paths {
+		line, err := os.ReadFile(path)
 		if err != nil {
 			continue
 		}
 		if _, rest, ok := strings.Cut(string(line), run); ok {
 			name, _, _ := strings.Cut(rest, ".sock")
-			all[name]++
+			counts[name]++
 		}
 	}
-	return all
+	return counts
 }
 
-// declared makes instances with a behaviour each.
-func declared(names []string, behaviour func(string) string, mark string) Write {
-	w := Write{Command: "apply", Configs: map[string]string{}}
-	for k, name := range names {
-		i := fleet.Instance{Name: name, Listen: fmt.Sprintf("127.0.0.1:%d", 1000+k), Discovery: "127.0.0.1:1", Desired: fleet.Running}
-		w.Instances = append(w.Instances, i)
-		w.Configs[name] = fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"behaviour":%q,"mark":%q}`, name, i.Listen, i.Discovery, behaviour(name), mark)
+// applyOf returns a write that declares simulated instances with a behaviour each. The mark makes configurations
+// differ.
+func applyOf(names []string, behaviour func(string) string, mark string) Write {
+	write := Write{Command: "apply", Configs: map[string]string{}}
+	for index, name := range names {
+		instance := fleet.Instance{Name: name, Listen: fmt.Sprintf("127.0.0.1:%d", 1000+index), Discovery: "127.0.0.1:1", Desired: fleet.Running}
+		write.Instances = append(write.Instances, instance)
+		write.Configs[name] = fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"behaviour":%q,"mark":%q}`, name, instance.Listen, instance.Discovery, behaviour(name), mark)
 	}
-	return w
+	return write
 }
 
-// running is an agent with so many instances as wanted.
-func running(t *testing.T, n int, extra string) (*rig, View) {
-	r := newRig(t, self(t), extra)
+// newRunningRig returns a rig whose agent runs count instances.
+func newRunningRig(t *testing.T, n int, extra string) (*rig, View) {
+	t.Helper()
+	r := newRig(t, testProgram(t), extra)
 	r.start("")
-	_, err := r.write(declared(names(n), normal, "a"))
+	_, err := r.write(applyOf(instanceNames(n), wellBehaved, "a"))
 	require.NoError(t, err)
-	return r, r.until(10*time.Second, "all run", settled)
+	return r, r.waitFor(10*time.Second, "all run", isSettled)
 }
 
-func normal(string) string { return "" }
+// wellBehaved is the behaviour of instances that serve until SIGTERM.
+func wellBehaved(string) string { return "" }
 
-func names(n int) (all []string) {
-	for k := range n {
-		all = append(all, fmt.Sprintf("n%02d", k))
+// instanceNames returns the names of count instances.
+func instanceNames(count int) (names []string) {
+	for index := range count {
+		names = append(names, fmt.Sprintf("n%02d", index))
 	}
-	return all
+	return names
 }
 
 // realNodes declares instances that run the real nodeProgram, each at an address of its own, and a list for them.
 func (r *rig) realNodes(names []string) Write {
 	t := r.t
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		if q.URL.Query().Get("from") != "" {
+	server := httptest.NewServer(http.HandlerFunc(func(write http.ResponseWriter, request *http.Request) {
+		if request.URL.Query().Get("from") != "" {
 			select {
-			case <-q.Context().Done():
+			case <-request.Context().Done():
 			case <-time.After(3 * time.Second):
 			}
-			fmt.Fprint(w, `{"rev":41,"all":false,"targets":[]}`)
+			fmt.Fprint(write, `{"rev":41,"all":false,"targets":[]}`)
 			return
 		}
 		uid := "s-1"
-		if r.other.Load() && q.UserAgent() != "" { // an agent's call: nodes have no such header
+		if r.otherList.Load() && request.UserAgent() != "" { // an agent's call: nodes have no such header
 			uid = "s-2"
 		}
-		fmt.Fprintf(w, `{"rev":41,"all":true,"targets":[{"uid":%q,"endpoint":"127.0.0.1:1","az":"a","model":"m","pod_group":0,"state":"up","capacity_hint":1,"boot_ms":0}]}`, uid)
+		fmt.Fprintf(write, `{"rev":41,"all":true,"targets":[{"uid":%q,"endpoint":"127.0.0.1:1","az":"a","model":"m","pod_group":0,"state":"up","capacity_hint":1,"boot_ms":0}]}`, uid)
 	}))
-	t.Cleanup(s.Close)
-	w := Write{Command: "apply", Configs: map[string]string{}}
-	for k, name := range names {
+	t.Cleanup(server.Close)
+	write := Write{Command: "apply", Configs: map[string]string{}}
+	for index, name := range names {
 		// An address that no outgoing connection is given, so that the port stays free between two lives.
-		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 100+os.Getpid()%100, os.Getpid()/100%250, k+1))
+		listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 100+os.Getpid()%100, os.Getpid()/100%250, index+1))
 		require.NoError(t, err)
-		require.NoError(t, l.Close())
-		i := fleet.Instance{Name: name, Listen: l.Addr().String(), Discovery: s.Listener.Addr().String(), Desired: fleet.Running}
-		w.Instances = append(w.Instances, i)
-		w.Configs[name] = fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"mark":"0","seed":"8c1f","limits":{"cores":1,"memory_mb":64,"sockets":128},"settings":%s}`,
-			name, i.Listen, i.Discovery, settings)
+		require.NoError(t, listener.Close())
+		instance := fleet.Instance{Name: name, Listen: listener.Addr().String(), Discovery: server.Listener.Addr().String(), Desired: fleet.Running}
+		write.Instances = append(write.Instances, instance)
+		write.Configs[name] = fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"mark":"0","seed":"8c1f","limits":{"cores":1,"memory_mb":64,"sockets":128},"settings":%s}`,
+			name, instance.Listen, instance.Discovery, settings)
 	}
-	return w
+	return write
 }
 
 const settings = `{"az":0,"balancers":1,"benefitBy":"request","bounds":{"cancel":true,"connIdle":15000,"connectTimeout":250,
@@ -362,10 +376,11 @@
 "kinds":["m"],"loadReport":{"fields":["mean_ms"],"via":"inline"},"registryMode":"subscribe","rules":{"askWithin":10000,
 "coldFrom":0.3,"drainGrace":500,"fallMultiple":4,"overloadFor":2000,"warmWithin":9000},"tenants":[],"zones":["a"]}`
 
-func refusedStatus(err error) int {
-	var r *controlsocket.ResponseError
-	if errors.As(err, &r) {
-		return r.Status
+// statusOf returns the HTTP status with which a call was refused, or 0.
+func statusOf(err error) int {
+	var response *controlsocket.ResponseError
+	if errors.As(err, &response) {
+		return response.Status
 	}
 	return 0
 }
--- a/internal/agent/store_test.go
+++ b/internal/agent/store_test.go
@@ -59,8 +59,8 @@
 	return string(data)
 }
 
-// At whatever byte a state file is flipped or cut, it is read as it was, or known to be damaged: never as something else,
-// and never with a panic.
+// At whatever byte a state file is flipped or cut, it is read as it was, or known to be damaged: never as something
+// else, and never with a panic.
 func TestEveryByte(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _, err := openStore(dir, discard)
--- a/internal/capture/bench_test.go
+++ b/internal/capture/bench_test.go
@@ -10,8 +10,8 @@
 	"pearknot/internal/snapshot"
 )
 
-// A decision: a request comes, is placed, and its answer is heard, among so many backends; off, and with all of it captured,
-// counted and let go of.
+// A decision: a request comes, is placed, and its answer is heard, among so many backends; off, and with all of it
+// captured, counted and let go of.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []struct{ backends, nodes int }{{10, 3}, {30, 100}, {200, 1250}} {
 		t := &balancer.Config{Seed: 1, Nodes: size.nodes, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, SlowStartShare: 0.3, SlowStartWindow: 8000,
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -27,80 +27,85 @@
 	"pearknot/internal/lab/virtual"
 )
 
-// played captures one node of an experiment, through all its lives.
-func played(t testing.TB, name string, seconds float64, node int, o Options) {
-	e, err := experiment.Read("../../experiments/" + name + ".toml")
+// captureExperiment captures one node of an experiment, through all its restarts.
+func captureExperiment(t testing.TB, name string, seconds float64, node int, options Options) {
+	t.Helper()
+	experimentConfig, err := experiment.Read("../../experiments/" + name + ".toml")
 	require.NoError(t, err)
-	e.Seconds = seconds
-	run, err := virtual.Run(e, 1, virtual.Options{Wrap: func(n, life int, d balancer.Decider, config *balancer.Config, now float64) balancer.Decider {
-		if n != node {
-			return d
+	experimentConfig.Seconds = seconds
+	run, err := virtual.Run(experimentConfig, 1, virtual.Options{Wrap: func(index, epoch int, decider balancer.Decider, config *balancer.Config, now float64) balancer.Decider {
+		if index != node {
+			return decider
 		}
-		r, err := NewRecorder(d, now, Start{Name: fmt.Sprint("n", n), Epoch: uint64(life), Build: "test", Config: config}, o)
+		recorder, err := NewRecorder(decider, now, Start{Name: fmt.Sprint("n", index), Epoch: uint64(epoch), Build: "test", Config: config}, options)
 		require.NoError(t, err)
-		return r
+		return recorder
 	}})
 	require.NoError(t, err)
 	require.True(t, run.Rules.Kept)
 }
 
-// captured is a capture in memory, as records.
-func captured(t testing.TB, name string, seconds float64, node int) (all []Record) {
-	played(t, name, seconds, node, Options{SnapshotIntervalMs: 3000, Sink: func(b Batch) {
-		all = append(all, unframed(b.Data)...)
+// captureRecords returns the records of a node of an experiment.
+func captureRecords(t testing.TB, name string, seconds float64, node int) (records []Record) {
+	t.Helper()
+	captureExperiment(t, name, seconds, node, Options{SnapshotIntervalMs: 3000, Sink: func(batch Batch) {
+		records = append(records, decodeBatch(batch.Data)...)
 	}})
-	return all
+	return records
 }
 
-// unframed takes a batch apart.
-func unframed(data []byte) (all []Record) {
+// decodeBatch returns the records of a batch.
+func decodeBatch(data []byte) (records []Record) {
 	data = bytes.Clone(data) // a sink may not keep it
 	for len(data) > 0 {
 		size := int(binary.LittleEndian.Uint32(data))
-		r, err := Decode(data[recordHeaderSize : recordHeaderSize+size])
+		record, err := Decode(data[recordHeaderSize : recordHeaderSize+size])
 		if err != nil {
 			panic(err)
 		}
-		all = append(all, r)
+		records = append(records, record)
 		data = data[recordHeaderSize+size:]
 	}
-	return all
+	return records
 }
 
-func replay(all []Record) (Result, error) {
-	p := &Replayer{Strict: true}
-	for _, r := range all {
-		if err := p.Feed(r); err != nil {
-			return p.Result, err
+// replayRecords replays records, and compares snapshots too.
+func replayRecords(records []Record) (Result, error) {
+	replayer := &Replayer{Strict: true}
+	for _, record := range records {
+		if err := replayer.Feed(record); err != nil {
+			return replayer.Result, err
 		}
 	}
-	return p.Result, nil
+	return replayer.Result, nil
 }
 
-// incidents are those of docs/incidents that the lab's model can express, and the experiment that has their trouble.
+// incidents maps the incidents of docs/incidents that the lab's model can express to an experiment with the same
+// faults.
 var incidents = map[string]string{"cold-fleet": "cold-rush", "cold-slow-machine": "crash-and-hang", "crowded-zone": "cut-in-a-burst",
 	"lost-zone": "zone-cut", "many-nodes": "metastable", "overdriven": "burst", "releases": "roll-in-a-shrink", "silent-list": "list-down",
 	"no-requests-no-list": "nodes", "one-category": "costly"}
 
-// What the module was told, played again, has it decide the same, bit for bit, a hundred times, whatever the processors.
+// A replay takes the same decisions, bit for bit, each of a hundred times, with any number of processors.
 func TestReplayMatches(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
 	for incident, name := range incidents {
-		all := captured(t, name, 14, 0)
-		for k := range 100 {
-			if k%10 == 0 {
-				runtime.GOMAXPROCS(1 + k%8)
+		records := captureRecords(t, name, 14, 0)
+		for run := range 100 {
+			if run%10 == 0 {
+				runtime.GOMAXPROCS(1 + run%8)
 			}
-			claim, err := replay(all)
+			result, err := replayRecords(records)
 			require.NoError(t, err, incident)
-			require.Greater(t, claim.Decisions, 30, incident)
-			require.Equal(t, len(all), claim.Records)
-			require.Zero(t, claim.Gaps+claim.Unverified)
+			require.Greater(t, result.Decisions, 30, incident)
+			require.Equal(t, len(records), result.Records)
+			require.Zero(t, result.Gaps+result.Unverified)
 		}
 	}
 }
 
-// A capture changes nothing of what it captures, whatever becomes of its writer.
+// Capturing changes no decision: not while the disk stands still and records are dropped, nor with a sink that
+// ignores all.
 func TestCapturingChangesNothing(t *testing.T) {
 	play := func(o *Options) string {
 		e, err := experiment.Read("../../experiments/roll-in-a-shrink.toml")
@@ -120,7 +125,7 @@
 		return string(data)
 	}
 	hold := make(chan struct{})
-	w, _ := ring(t, func(r *WriterConfig) {
+	w, _ := newTestWriter(t, func(r *WriterConfig) {
 		r.MaxPendingMB, r.BlockKB = 0.05, 1
 		r.create = func(name string) (segment, error) {
 			f, err := os.Create(name)
@@ -135,119 +140,121 @@
 	assert.Equal(t, plain, play(&Options{Sink: func(Batch) {}}))
 }
 
-// Names used again and a clock that steps are as they came.
-func TestOddHosts(t *testing.T) {
+// A host uses request IDs again and its clock steps back. The capture has both as they came, and can be replayed.
+func TestReplayWithReusedIDsAndClockSteps(t *testing.T) {
 	config := &balancer.Config{Seed: 2, Nodes: 1, MaxAttempts: 2, AllowHedging: true, OverloadWindow: 100, Classes: []balancer.Class{{LatencyObjective: 100, PriorityWeight: 1}}}
 	var records []Record
-	r, err := NewRecorder(balancer.New(config, 1000), 1000, Start{Config: config}, Options{SnapshotIntervalMs: 10, Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
+	recorder, err := NewRecorder(balancer.New(config, 1000), 1000, Start{Config: config}, Options{SnapshotIntervalMs: 10, Sink: func(backend Batch) { records = append(records, decodeBatch(backend.Data)...) }})
 	require.NoError(t, err)
 	drain := func() (attempts []*balancer.Attempt) {
-		for d, more := r.Next(); more; d, more = r.Next() {
-			if d.Kind == balancer.DoAttempt {
-				attempts = append(attempts, d.Attempt)
+		for decision, more := recorder.Next(); more; decision, more = recorder.Next() {
+			if decision.Kind == balancer.DoAttempt {
+				attempts = append(attempts, decision.Attempt)
 			}
 		}
 		return attempts
 	}
-	b := &balancer.Backend{ID: 4}
-	r.EndpointsChanged(1000, []balancer.Endpoint{{Backend: b, State: balancer.BackendReady, Weight: 1}}, true, false)
-	for k, now := range []float64{1010, 1030, 900, 905, 1500} { // back by a step, and on
-		r.RequestArrived(now, &balancer.Request{ID: 7, Deadline: now + 1000, HasCostHint: true, CostHint: 5})
-		for _, p := range drain() {
-			r.AttemptEnded(now+1, p, balancer.Outcome(k%2)*balancer.OutcomeConnectionReset, 1, k%2 == 0)
+	backend := &balancer.Backend{ID: 4}
+	recorder.EndpointsChanged(1000, []balancer.Endpoint{{Backend: backend, State: balancer.BackendReady, Weight: 1}}, true, false)
+	for index, now := range []float64{1010, 1030, 900, 905, 1500} { // back by a step, and on
+		recorder.RequestArrived(now, &balancer.Request{ID: 7, Deadline: now + 1000, HasCostHint: true, CostHint: 5})
+		for _, attempt := range drain() {
+			recorder.AttemptEnded(now+1, attempt, balancer.Outcome(index%2)*balancer.OutcomeConnectionReset, 1, index%2 == 0)
 		}
 		drain()
 	}
-	claim, err := replay(records)
+	result, err := replayRecords(records)
 	require.NoError(t, err)
-	assert.Greater(t, claim.Decisions, 5)
+	assert.Greater(t, result.Decisions, 5)
 }
 
-// An request taken over from another node comes with its attempts so far, to backends that this node's list may not have: played again it
-// goes where it went, and explain names it.
-func TestTakenOver(t *testing.T) {
+// A request that was taken over from another node comes with its attempts so far, to backends that may not be in
+// this node's list. Its replay takes the same decisions, and explain prints the earlier attempt.
+func TestReplayOfTakenOverRequest(t *testing.T) {
 	config := &balancer.Config{Seed: 2, Nodes: 1, MaxAttempts: 3, AllowHedging: true, OverloadWindow: 100, Classes: []balancer.Class{
 		{Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupByZone, DedupWindow: 500, LatencyObjective: 1000, PriorityWeight: 1}}}
 	var records []Record
-	r, err := NewRecorder(balancer.New(config, 1000), 1000, Start{Config: config}, Options{SnapshotIntervalMs: 10, Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
+	recorder, err := NewRecorder(balancer.New(config, 1000), 1000, Start{Config: config}, Options{SnapshotIntervalMs: 10, Sink: func(batch Batch) { records = append(records, decodeBatch(batch.Data)...) }})
 	require.NoError(t, err)
-	var pushed []*balancer.Attempt
+	var attempts []*balancer.Attempt
 	drain := func() {
-		for d, more := r.Next(); more; d, more = r.Next() {
-			if d.Kind == balancer.DoAttempt {
-				pushed = append(pushed, d.Attempt)
+		for decision, more := recorder.Next(); more; decision, more = recorder.Next() {
+			if decision.Kind == balancer.DoAttempt {
+				attempts = append(attempts, decision.Attempt)
 			}
 		}
 	}
 	near, far := &balancer.Backend{ID: 4}, &balancer.Backend{ID: 5}
-	r.EndpointsChanged(1000, []balancer.Endpoint{{Backend: near, State: balancer.BackendReady, Weight: 1}, {Backend: far, State: balancer.BackendReady, Weight: 1, Zone: 1}}, true, false)
+	recorder.EndpointsChanged(1000, []balancer.Endpoint{{Backend: near, State: balancer.BackendReady, Weight: 1}, {Backend: far, State: balancer.BackendReady, Weight: 1, Zone: 1}}, true, false)
 	drain()
 	request := &balancer.Request{ID: 7, Deadline: 3000}
 	request.AddEarlierAttempt(&balancer.Backend{ID: 99, Zone: 1}, 900, balancer.OutcomeTimedOut)
-	r.RequestArrived(1100, request)
+	recorder.RequestArrived(1100, request)
 	drain()
-	require.Len(t, pushed, 1)
-	require.Equal(t, far, pushed[0].Backend, "only its zone drops repeats")
-	require.Equal(t, 1, pushed[0].Number)
-	r.AttemptEnded(1150, pushed[0], balancer.OutcomeAnswered, 50, true)
+	require.Len(t, attempts, 1)
+	require.Equal(t, far, attempts[0].Backend, "only its zone drops repeats")
+	require.Equal(t, 1, attempts[0].Number)
+	recorder.AttemptEnded(1150, attempts[0], balancer.OutcomeAnswered, 50, true)
 	drain()
-	claim, err := replay(records)
+	result, err := replayRecords(records)
 	require.NoError(t, err)
-	require.Positive(t, claim.Decisions)
-	var said bytes.Buffer
-	e := &Explainer{RequestNumber: 1, Out: &said}
-	for _, x := range records {
-		require.NoError(t, e.Feed(x))
+	require.Positive(t, result.Decisions)
+	var explanation bytes.Buffer
+	explainer := &Explainer{RequestNumber: 1, Out: &explanation}
+	for _, record := range records {
+		require.NoError(t, explainer.Feed(record))
 	}
-	require.Contains(t, said.String(), "earlier attempt request 1, attempt of another node at 900.000, last known as timed out, to backend 63")
+	require.Contains(t, explanation.String(), "earlier attempt request 1, attempt of another node at 900.000, last known as timed out, to backend 63")
 }
 
 // A node that restarts within a capture is another epoch of the same name.
-func TestEpochs(t *testing.T) {
-	most := 0
+func TestRestartedNodeIsAnotherEpoch(t *testing.T) {
+	maxEpochs := 0
 	for node := range 3 {
-		claim, err := replay(captured(t, "nodes", 30, node))
+		result, err := replayRecords(captureRecords(t, "nodes", 30, node))
 		require.NoError(t, err)
-		most = max(most, claim.Epochs)
+		maxEpochs = max(maxEpochs, result.Epochs)
 	}
-	assert.GreaterOrEqual(t, most, 2)
+	assert.GreaterOrEqual(t, maxEpochs, 2)
 }
 
-// Whatever is changed in what was told or decided, the first difference is found, with its batch.
-func TestDifferenceIsFound(t *testing.T) {
-	all := captured(t, "hung", 12, 0)
+// If a recorded decision is changed in its last bit, or the balancer has another configuration, the replay reports
+// the first difference with its batch.
+func TestChangedRecordIsFound(t *testing.T) {
+	records := captureRecords(t, "hung", 12, 0)
 	found := 0
-	for k, r := range all {
-		if k%97 != 0 || r.Kind != Decided {
+	for index, record := range records {
+		if index%97 != 0 || record.Kind != Decided {
 			continue
 		}
-		wrong := append([]Record{}, all...)
-		wrong[k].Value = math.Nextafter(wrong[k].Value, 1e9) // the last bit
-		_, err := replay(wrong)
-		var d *MismatchError
-		require.ErrorAs(t, err, &d, "record %d of %d: %v", k, len(all), r)
-		assert.Equal(t, k+1, d.RecordNumber)
-		assert.Contains(t, d.Error(), "captured")
+		changed := append([]Record{}, records...)
+		changed[index].Value = math.Nextafter(changed[index].Value, 1e9) // the last bit
+		_, err := replayRecords(changed)
+		var mismatch *MismatchError
+		require.ErrorAs(t, err, &mismatch, "record %d of %d: %v", index, len(records), record)
+		assert.Equal(t, index+1, mismatch.RecordNumber)
+		assert.Contains(t, mismatch.Error(), "captured")
 		found++
 	}
 	assert.Positive(t, found)
-	// Other configuration are another module: it can't pass for the one captured.
-	p := &Replayer{New: func(config *balancer.Config, now float64) balancer.Decider {
+	// A balancer with another seed is not the one that was captured.
+	replayer := &Replayer{New: func(config *balancer.Config, now float64) balancer.Decider {
 		config.Seed ^= 0xff00 // the lowest bit is not the chance's
 		return balancer.New(config, now)
 	}}
 	var err error
-	for _, r := range all {
-		if err = p.Feed(r); err != nil {
+	for _, record := range records {
+		if err = replayer.Feed(record); err != nil {
 			break
 		}
 	}
-	var d *MismatchError
-	assert.ErrorAs(t, err, &d)
+	var mismatch *MismatchError
+	assert.ErrorAs(t, err, &mismatch)
 }
 
-// Snapshot, restore, go on is go on, at every batch of random days.
-func TestRestoredAtEveryBatch(t *testing.T) {
+// A balancer that is replaced at every batch by one restored from its snapshot takes the same decisions, in random
+// experiments.
+func TestReplayRestoredAtEveryBatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e, err := experiment.Read("../../experiments/" + rapid.SampledFrom([]string{"hung", "zone-cut", "burst", "cold-rush", "costly", "shrink"}).Draw(t, "day") + ".toml")
 		if err != nil {
@@ -267,7 +274,7 @@
 			}
 			start = Start{Name: "n1", Config: config}
 			r, err := NewRecorder(d, now, start, Options{SnapshotIntervalMs: 500, Sink: func(b Batch) {
-				for _, x := range unframed(b.Data) {
+				for _, x := range decodeBatch(b.Data) {
 					if err := p.Feed(x); err != nil {
 						t.Fatal(err)
 					}
@@ -289,46 +296,47 @@
 	})
 }
 
-// The ring in memory keeps within its size, and what is written out begins where a replay may.
-func TestMemory(t *testing.T) {
-	m := NewMemoryRing(300_000)
-	played(t, "hung", 30, 0, Options{SnapshotIntervalMs: 2000, Sink: m.Put})
-	held, dropped := m.Size()
-	assert.LessOrEqual(t, held, 300_000)
+// The ring in memory keeps within its size, and the file written from it begins with a batch that a replay may
+// begin in.
+func TestMemoryRingKeepsWithinItsSize(t *testing.T) {
+	ring := NewMemoryRing(300_000)
+	captureExperiment(t, "hung", 30, 0, Options{SnapshotIntervalMs: 2000, Sink: ring.Put})
+	size, dropped := ring.Size()
+	assert.LessOrEqual(t, size, 300_000)
 	assert.Positive(t, dropped)
 	name := filepath.Join(t.TempDir(), "dump"+suffix)
-	require.NoError(t, m.WriteTo(name))
-	all, err := read(t, name)
+	require.NoError(t, ring.WriteTo(name))
+	records, err := readRecordsOf(t, name)
 	require.NoError(t, err)
-	claim, err := replay(all)
+	result, err := replayRecords(records)
 	require.NoError(t, err)
-	assert.Equal(t, 1, claim.Restored)
-	assert.Greater(t, claim.Decisions, 200)
-	assert.Less(t, claim.Unverified, 50, "what stood before the snapshot in its batch")
+	assert.Equal(t, 1, result.Restored)
+	assert.Greater(t, result.Decisions, 200)
+	assert.Less(t, result.Unverified, 50, "what stood before the snapshot in its batch")
 }
 
-// A replay may begin at any snapshot, and a ring that has lost its start can be played from the first it has.
-func TestFromSnapshots(t *testing.T) {
-	all := captured(t, "cold-rush", 20, 0)
-	begun := 0
-	for k, x := range all {
-		if x.Kind != Snapshot {
+// A replay may begin at any snapshot; if old segments were removed, it begins at the first snapshot that is left.
+func TestReplayFromEverySnapshot(t *testing.T) {
+	records := captureRecords(t, "cold-rush", 20, 0)
+	snapshots := 0
+	for index, record := range records {
+		if record.Kind != Snapshot {
 			continue
 		}
-		p := &Replayer{Skip: k, Strict: true}
-		for _, r := range all {
-			require.NoError(t, p.Feed(r))
+		replayer := &Replayer{Skip: index, Strict: true}
+		for _, r := range records {
+			require.NoError(t, replayer.Feed(r))
 		}
-		assert.Equal(t, 1, p.Result.Restored)
-		begun++
+		assert.Equal(t, 1, replayer.Result.Restored)
+		snapshots++
 	}
-	assert.Greater(t, begun, 4)
-	w, r := ring(t, func(r *WriterConfig) { r.MaxTotalMB = 0.15 })
-	played(t, "hung", 30, 0, Options{SnapshotIntervalMs: 1000, Sink: w.Put})
+	assert.Greater(t, snapshots, 4)
+	w, r := newTestWriter(t, func(r *WriterConfig) { r.MaxTotalMB = 0.15 })
+	captureExperiment(t, "hung", 30, 0, Options{SnapshotIntervalMs: 1000, Sink: w.Put})
 	w.Close()
-	left, err := read(t, r.Dir)
+	left, err := readRecordsOf(t, r.Dir)
 	require.NoError(t, err)
-	claim, err := replay(left)
+	claim, err := replayRecords(left)
 	require.NoError(t, err)
 	assert.Zero(t, claim.Epochs)
 	assert.Equal(t, 1, claim.Restored)
@@ -336,10 +344,10 @@
 }
 
 // What is secret is hashed, the same way each time, and the replay matches all the same.
-func TestRedact(t *testing.T) {
+func TestRequestIDsAreHashed(t *testing.T) {
 	refs := func(secret string) (all []uint64) {
 		var records []Record
-		played(t, "hung", 5, 0, Options{SnapshotIntervalMs: 50, HashKey: []byte(secret), Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
+		captureExperiment(t, "hung", 5, 0, Options{SnapshotIntervalMs: 50, HashKey: []byte(secret), Sink: func(b Batch) { records = append(records, decodeBatch(b.Data)...) }})
 		claim := &Replayer{Strict: true} // names in the snapshots are hashed as well
 		for _, r := range records {
 			require.NoError(t, claim.Feed(r))
@@ -364,7 +372,7 @@
 
 // Why a request went where it went: every backend that the module looked at, with its reason, before the decision.
 func TestExplain(t *testing.T) {
-	all := captured(t, "cold-rush", 25, 0)
+	all := captureRecords(t, "cold-rush", 25, 0)
 	reasons := map[string]int{}
 	for _, request := range []uint64{5, 200, 400, 500, 600, 700, 800} {
 		var out bytes.Buffer
@@ -401,7 +409,7 @@
 }
 
 // What came late stands where it came, and is marked.
-func TestNotes(t *testing.T) {
+func TestLateNotes(t *testing.T) {
 	attempt := func(request, backend uint64, at float64) Record {
 		return Record{Kind: Decided, Decision: balancer.DoAttempt, Now: at, Request: request, Backend: backend}
 	}
@@ -427,19 +435,20 @@
 
 // After a gap nothing is claimed until the next start.
 func TestGap(t *testing.T) {
-	all := captured(t, "nodes", 30, 0)
-	whole, err := replay(all)
+	all := captureRecords(t, "nodes", 30, 0)
+	whole, err := replayRecords(all)
 	require.NoError(t, err)
 	cut := append(append([]Record{}, all[:100]...), Record{Kind: Gap, Now: all[100].Now, Count: 50})
 	cut = append(cut, all[150:]...)
-	claim, err := replay(cut)
+	claim, err := replayRecords(cut)
 	require.NoError(t, err)
 	assert.Equal(t, uint64(50), claim.MissingRecords)
 	assert.Less(t, claim.Decisions, whole.Decisions)
 	assert.Equal(t, len(cut), claim.Records)
 }
 
-func ring(t *testing.T, change func(*WriterConfig)) (*Writer, WriterConfig) {
+func newTestWriter(t *testing.T, change func(*WriterConfig)) (*Writer, WriterConfig) {
+	t.Helper()
 	r := WriterConfig{Dir: t.TempDir(), NodeName: "n/1", SegmentMB: 0.05, MaxTotalMB: 100, FlushInterval: 5 * time.Millisecond, BlockKB: 8, MaxPendingMB: 64, Sync: SyncSegment,
 		Log: slog.New(slog.DiscardHandler), Now: func() float64 { return float64(time.Now().UnixMilli()) }}
 	if change != nil {
@@ -450,7 +459,8 @@
 	return w, r
 }
 
-func read(t *testing.T, path string) (all []Record, err error) {
+func readRecordsOf(t *testing.T, path string) (all []Record, err error) {
+	t.Helper()
 	files, err := Segments(path)
 	require.NoError(t, err)
 	for _, f := range files {
@@ -462,27 +472,27 @@
 }
 
 // Through the writer and its segments, a capture is what it was.
-func TestRing(t *testing.T) {
+func TestWriterRoundTrip(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	w, r := ring(t, nil)
-	played(t, "hung", 25, 0, Options{Sink: w.Put})
+	w, r := newTestWriter(t, nil)
+	captureExperiment(t, "hung", 25, 0, Options{Sink: w.Put})
 	w.Close()
 	assert.Zero(t, w.Dropped())
 	files, err := Segments(r.Dir)
 	require.NoError(t, err)
 	assert.Greater(t, len(files), 2)
-	all, err := read(t, r.Dir)
+	all, err := readRecordsOf(t, r.Dir)
 	require.NoError(t, err)
-	claim, err := replay(all)
+	claim, err := replayRecords(all)
 	require.NoError(t, err)
 	assert.Zero(t, claim.Gaps)
 	assert.Greater(t, claim.Decisions, 1000)
 }
 
 // Beyond its size the ring drops the oldest; what is left says nothing until a start stands in it.
-func TestRingIsBounded(t *testing.T) {
-	w, r := ring(t, func(r *WriterConfig) { r.MaxTotalMB = 0.15 })
-	played(t, "hung", 30, 0, Options{Sink: w.Put})
+func TestWriterRemovesOldSegments(t *testing.T) {
+	w, r := newTestWriter(t, func(r *WriterConfig) { r.MaxTotalMB = 0.15 })
+	captureExperiment(t, "hung", 30, 0, Options{Sink: w.Put})
 	w.Close()
 	files, err := Segments(r.Dir)
 	require.NoError(t, err)
@@ -493,17 +503,17 @@
 		sum += info.Size()
 	}
 	assert.LessOrEqual(t, sum, int64(210_000))
-	all, err := read(t, r.Dir)
+	all, err := readRecordsOf(t, r.Dir)
 	require.NoError(t, err)
-	claim, err := replay(all)
+	claim, err := replayRecords(all)
 	require.NoError(t, err)
 	assert.Equal(t, claim.Records, claim.Unverified, "its start is gone")
 }
 
 // Cut at every byte, a segment is read up to its last whole record, and what was read replays.
-func TestCutAtEveryByte(t *testing.T) {
-	w, r := ring(t, func(r *WriterConfig) { r.SegmentMB, r.BlockKB = 100, 4 })
-	played(t, "hung", 2, 0, Options{Sink: w.Put})
+func TestReadTruncatedAtEveryByte(t *testing.T) {
+	w, r := newTestWriter(t, func(r *WriterConfig) { r.SegmentMB, r.BlockKB = 100, 4 })
+	captureExperiment(t, "hung", 2, 0, Options{Sink: w.Put})
 	w.Close()
 	files, err := Segments(r.Dir)
 	require.NoError(t, err)
@@ -521,7 +531,7 @@
 		require.GreaterOrEqual(t, len(all), last, "at %d", at)
 		last = len(all)
 		if at%50 == 0 {
-			_, err = replay(all)
+			_, err = replayRecords(all)
 			require.NoError(t, err)
 		}
 	}
@@ -533,7 +543,7 @@
 		if err := ReadFrom("x", bytes.NewReader(flipped), func(r Record) error { all = append(all, r); return nil }); err == nil {
 			t.Fatalf("byte %d flipped and nothing found", at)
 		}
-		_, err = replay(all)
+		_, err = replayRecords(all)
 		require.NoError(t, err, "what came before the damage is whole")
 	}
 }
@@ -564,7 +574,7 @@
 func (d *disk) Close() error { return d.file.Close() }
 
 // tally counts the records that are there, and those that are said to be missing.
-func tally(all []Record) (kept int, missing uint64) {
+func countRecords(all []Record) (kept int, missing uint64) {
 	for _, x := range all {
 		if x.Kind == Gap {
 			missing += x.Count
@@ -579,7 +589,7 @@
 func TestDiskFull(t *testing.T) {
 	var mu sync.Mutex
 	full := false
-	w, r := ring(t, func(r *WriterConfig) {
+	w, r := newTestWriter(t, func(r *WriterConfig) {
 		r.SegmentMB, r.BlockKB, r.FlushInterval = 100, 1, time.Millisecond
 		r.create = func(name string) (segment, error) {
 			mu.Lock()
@@ -612,7 +622,7 @@
 	for _, f := range files {
 		_ = Read(f, func(r Record) error { all = append(all, r); return nil }) // the torn ones
 	}
-	kept, missing := tally(all)
+	kept, missing := countRecords(all)
 	assert.Equal(t, w.Dropped(), missing)
 	assert.GreaterOrEqual(t, kept+int(missing), 1010)
 }
@@ -620,7 +630,7 @@
 // A writer that stands still holds nobody up: its mailbox is bounded, and what does not fit is counted.
 func TestSlowDisk(t *testing.T) {
 	hold := make(chan struct{})
-	w, r := ring(t, func(r *WriterConfig) {
+	w, r := newTestWriter(t, func(r *WriterConfig) {
 		r.MaxPendingMB, r.BlockKB, r.SegmentMB = 0.01, 1, 100
 		r.create = func(name string) (segment, error) {
 			f, err := os.Create(name)
@@ -636,9 +646,9 @@
 	assert.Greater(t, w.Dropped(), uint64(15_000))
 	close(hold)
 	w.Close()
-	all, err := read(t, r.Dir)
+	all, err := readRecordsOf(t, r.Dir)
 	require.NoError(t, err)
-	kept, missing := tally(all)
+	kept, missing := countRecords(all)
 	assert.Equal(t, uint64(20_000), uint64(kept)+missing, "all are there, or counted")
 }
 
@@ -678,7 +688,7 @@
 	})
 }
 
-func TestOddFiles(t *testing.T) {
+func TestReadRefusesOtherFiles(t *testing.T) {
 	for text, want := range map[string]string{"": "incomplete header", "nonsense and more": "not a capture", magic + "\x63": "version 99, this program reads 2"} {
 		err := ReadFrom("f", bytes.NewReader([]byte(text)), func(Record) error { return nil })
 		assert.ErrorContains(t, err, want)
@@ -688,8 +698,9 @@
 	assert.Equal(t, "000000000001234-000007-a_b"+suffix, filepath.Base(Name("a/b", 1234, 7)))
 }
 
-// A report keeps what is not told apart from an idle backend's zeros; one of an earlier build told a service time alone.
-func TestReportsRoundTrip(t *testing.T) {
+// A report keeps what is not told apart from an idle backend's zeros; one of an earlier build told a service time
+// alone.
+func TestLoadReportsRoundTrip(t *testing.T) {
 	for _, load := range []balancer.LoadReport{{ServiceTime: 3, InFlight: balancer.NotReported, Queued: balancer.NotReported, Throughput: 7}, {ServiceTime: balancer.NotReported, InFlight: 0, Queued: 0}} {
 		r := Record{Kind: LoadReported, Now: 1, Backend: 2, Load: load}
 		got, err := Decode(r.Append(nil))
@@ -703,14 +714,15 @@
 	assert.Equal(t, balancer.LoadReport{ServiceTime: 31.5, InFlight: balancer.NotReported, Queued: balancer.NotReported, Throughput: balancer.NotReported}, got.Load)
 }
 
-// A ban, a second process and new configuration are replayed as they came, also for a request that came under the earlier configuration.
+// A ban, a second process and new configuration are replayed as they came, also for a request that came under the
+// earlier configuration.
 func TestOperatorsReplayed(t *testing.T) {
 	configuration := func(effect balancer.Idempotency) *balancer.Config {
 		return &balancer.Config{Seed: 2, Nodes: 1, MaxAttempts: 2, OverloadWindow: 100, Classes: []balancer.Class{{Idempotency: effect, LatencyObjective: 100, PriorityWeight: 1}}}
 	}
 	first, second := configuration(balancer.Idempotent), configuration(balancer.AtMostOnce)
 	var records []Record
-	r, err := NewRecorder(balancer.New(first, 1000), 1000, Start{Config: first}, Options{Sink: func(b Batch) { records = append(records, unframed(b.Data)...) }})
+	r, err := NewRecorder(balancer.New(first, 1000), 1000, Start{Config: first}, Options{Sink: func(b Batch) { records = append(records, decodeBatch(b.Data)...) }})
 	require.NoError(t, err)
 	bs := []*balancer.Backend{{ID: 4}, {ID: 5}, {ID: 6}}
 	list := func(now float64, out bool) {
@@ -739,7 +751,7 @@
 	ask(1050, first)
 	ask(1060, nil)
 	assert.GreaterOrEqual(t, finals, 2) // others wait for backends that have failed
-	claim, err := replay(records)
+	claim, err := replayRecords(records)
 	require.NoError(t, err)
 	assert.Greater(t, claim.Decisions, 8)
 }
--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -33,9 +33,9 @@
 
 // A capture that an earlier build wrote is played again, state for state and decision for decision.
 func TestEarlierCapture(t *testing.T) {
-	all, err := read(t, "testdata/earlier.pkcap")
+	all, err := readRecordsOf(t, "testdata/earlier.pkcap")
 	require.NoError(t, err)
-	claim, err := replay(all)
+	claim, err := replayRecords(all)
 	require.NoError(t, err)
 	require.Greater(t, claim.Decisions, 500)
 	kinds := map[Kind]bool{}
--- a/internal/fleet/norace_test.go
+++ b/internal/fleet/norace_test.go
@@ -2,4 +2,5 @@
 
 package fleet
 
-const slower = 1
+// raceFactor is how many times slower code runs under the race detector: this build has none.
+const raceFactor = 1
--- a/internal/fleet/race_test.go
+++ b/internal/fleet/race_test.go
@@ -2,5 +2,5 @@
 
 package fleet
 
-// slower is what the race detector costs.
-const slower = 10
+// raceFactor is how many times slower code runs under the race detector.
+const raceFactor = 10
