--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -283,7 +283,8 @@
 type paceEstimate struct{ time, work float64 }
 
 func (p *paceEstimate) add(time, work float64) {
-	p.time, p.work = paceMemory*p.time+time, paceMemory*p.work+work
+	p.time = paceMemory*p.time + time
+	p.work = paceMemory*p.work + work
 }
 
 // blend returns the pace, where the prior pace counts like a sample of priorWork.
@@ -402,7 +403,8 @@
 
 func (l *latestWait) record(at, wait float64) {
 	if at >= l.at {
-		l.wait, l.at = wait, at
+		l.wait = wait
+		l.at = at
 	}
 }
 
@@ -421,9 +423,11 @@
 
 func (s *slidingSum) add(now, span, amount float64) {
 	for len(s.at) > 0 && s.at[0] <= now-span {
-		s.at, s.amount = s.at[1:], s.amount[1:]
+		s.at = s.at[1:]
+		s.amount = s.amount[1:]
 	}
-	s.at, s.amount = append(s.at, now), append(s.amount, amount)
+	s.at = append(s.at, now)
+	s.amount = append(s.amount, amount)
 }
 
 func (s *slidingSum) sumWithin(now, span float64) (sum float64) {
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -75,7 +75,8 @@
 // handleOverdue records that an attempt is overdue, and decides whether to send its request to another backend. A missing
 // answer is the first sign of a backend that accepts requests and answers none; it shows long before the time-out.
 func (lb *Balancer) handleOverdue(attempt *Attempt) {
-	request, backend := attempt.Request, attempt.Backend
+	request := attempt.Request
+	backend := attempt.Backend
 	if request.stage != stageInFlight || attempt.canceled {
 		return
 	}
