--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,7 +1,8 @@
-// Package admission decides which clients' connections a node takes, and which it evicts first when file descriptors
-// run short. Rule: a client whose requests are answered is preferred to one that has shown nothing yet, and that one
-// to a client that misbehaves. What becomes of connections counts, not the address alone, since many clients may
-// share one address.
+// Package admission decides which clients' connections a node accepts, and which it closes first when file descriptors
+// run short. Here "admission" is that of connections, by address; the balancer's admission.go decides on requests.
+//
+// The rule: a client whose requests are answered is preferred to one that has shown nothing yet, and that one to a client
+// that misbehaves. What happens on the connections counts, not the address alone, since many clients may share an address.
 //
 // The package does no I/O and has no clock: events come in with their time in ms of any clock that does not go back,
 // and the same events give the same verdicts.
@@ -129,8 +130,8 @@
 // MaxConnections is how many connections there may be.
 func (c *Controller) MaxConnections() int { return c.limits.MaxConnections }
 
-// SetLimits puts other limits in force, except MaxConnections. No connection is closed by it: what is over the new
-// limits goes as it ends, or as others come.
+// SetLimits puts other limits in force, except MaxConnections. It closes no connection: connections beyond the new limits
+// remain until they end or are evicted for others.
 func (c *Controller) SetLimits(limits Limits) {
 	limits.MaxConnections = c.limits.MaxConnections
 	c.limits = limits
@@ -143,7 +144,7 @@
 // UnderPressure reports whether connections are limited by address.
 func (c *Controller) UnderPressure() bool { return c.underPressure }
 
-// updatePressure enters and leaves pressure at two different marks, so that it does not flap.
+// updatePressure begins and ends pressure at two different shares, so that it does not change with each connection.
 func (c *Controller) updatePressure() {
 	share := float64(len(c.conns)) / float64(c.limits.MaxConnections)
 	switch {
@@ -181,8 +182,9 @@
 	return verdict
 }
 
-// standingFor is what a new connection is admitted as. A source that has become known in order to flood gets no more
-// than half the reserve by that.
+// standingFor returns the standing that a new connection would be admitted with. A known source has standingKnown for at most
+// half the reserve's worth of connections. So an attacker who first has a few requests answered and then opens as many
+// connections as it can gets no more than that half.
 func (c *Controller) standingFor(src *source, isKnown bool) standing {
 	maxTrusted := c.limits.ReservedShare * float64(c.limits.MaxConnections) / 2
 	switch {
@@ -195,7 +197,7 @@
 	}
 }
 
-// judgeSource is what a new connection's source alone says.
+// judgeSource decides on a new connection by its source alone: Admitted, or why it is refused.
 func (c *Controller) judgeSource(now float64, prefix netip.Prefix, src *source) Reason {
 	if c.isTrusted(prefix) {
 		return Admitted
@@ -209,8 +211,9 @@
 	} else {
 		misbehavior = c.forgotten.get(now, c.limits.MisbehaviorHalfLife, prefix)
 	}
-	// A shared address has many clients. Where requests of it are answered, misbehavior leaves it a few connections at
-	// a time, which well-behaved clients free again as soon as their requests are answered.
+	// Many clients may share an address. If the address has answered requests, misbehavior therefore does not shut it out:
+	// it may still have a few unproven connections at a time, which well-behaved clients turn into proven ones as soon as
+	// their requests are answered.
 	if misbehavior > c.limits.MaxMisbehavior+answered &&
 		(answered < c.limits.KnownAfter || unproven >= c.limits.MaxUnproven/4) {
 		return Misbehaving
@@ -241,8 +244,8 @@
 	c.updatePressure()
 }
 
-// RequestBegan notes that a complete request has come on a connection. It reports false where the connection has been
-// evicted meanwhile: the request must not be taken.
+// RequestBegan records that a complete request has arrived on a connection. It reports false if the connection has been
+// evicted meanwhile; the caller must then not serve the request.
 func (c *Controller) RequestBegan(id uint64) bool {
 	conn := c.conns[id]
 	if conn == nil {
@@ -252,7 +255,7 @@
 	return true
 }
 
-// RequestAnswered notes that a connection's request has its response. Its client has shown what it is here for.
+// RequestAnswered records that a connection's request has its response. That proves the connection and counts for its source.
 func (c *Controller) RequestAnswered(now float64, id uint64) {
 	conn := c.conns[id]
 	if conn == nil {
@@ -266,14 +269,15 @@
 	conn.source.answered.add(now, c.limits.KnownHalfLife, 1)
 }
 
-// HealthChecked notes that a connection was for a health check. That shows nothing, but its end is no misbehavior.
+// HealthChecked records that a connection was used for a health check. That does not prove the connection, but its end
+// without a request does not count as misbehavior.
 func (c *Controller) HealthChecked(_ float64, id uint64) {
 	if conn := c.conns[id]; conn != nil {
 		conn.healthChecked = true
 	}
 }
 
-// RequestMalformed notes a malformed request, which counts as misbehavior.
+// RequestMalformed records a malformed request, which counts as misbehavior.
 func (c *Controller) RequestMalformed(now float64, id uint64) {
 	conn := c.conns[id]
 	if conn == nil {
@@ -284,7 +288,7 @@
 	conn.source.misbehavior.add(now, c.limits.MisbehaviorHalfLife, 1)
 }
 
-// Closed notes the end of a connection, whoever ended it.
+// Closed records the end of a connection, by whichever side.
 func (c *Controller) Closed(now float64, id uint64) {
 	if conn := c.conns[id]; conn != nil {
 		c.remove(now, conn, true)
@@ -294,7 +298,8 @@
 // compactAfter is how many closed connections order may have before it is compacted.
 const compactAfter = 64
 
-// remove removes a connection. One that ends by itself and was of no use counts as misbehavior.
+// remove removes a connection. byItself is false for an eviction. A connection that ends by itself without an answered
+// request counts as misbehavior, unless a malformed request has been counted or it was for a health check.
 func (c *Controller) remove(now float64, removed *connection, byItself bool) {
 	src := removed.source
 	if !removed.hasAnswered {
@@ -331,7 +336,7 @@
 	Misbehavior float64 `json:"odd"`      // decayed
 }
 
-// Addresses are the addresses with connections, those with most first, at most limit of them.
+// Addresses returns the addresses with connections, at most limit of them, in descending order of their connections.
 func (c *Controller) Addresses(now float64, limit int) []AddressStats {
 	var stats []AddressStats
 	for prefix, src := range c.sources {
--- a/internal/admission/eviction.go
+++ b/internal/admission/eviction.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// makeRoom finds the connection that a new one of a standing displaces, if one has to go. isFull reports that one has
-// to go and none may.
+// makeRoom returns the connection to evict for a new one of this standing, or nil if there is room. isFull reports that
+// there is no room and no connection that may be evicted.
 //
-// The reserve is kept free for known sources: an unknown source displaces others before it takes of the reserve, and
-// one over its share before it takes of half the reserve.
+// The reserve is for connections of standingKnown. Once all others together fill everything but the reserve, a connection of
+// an unknown source needs an eviction; one of a source over its share may still take half of the reserve.
 func (c *Controller) makeRoom(now float64, src *source, granted standing) (eviction *Eviction, isFull bool) {
 	reservedFrom := [...]float64{
 		standingUnknown:   c.limits.ReservedShare,
@@ -40,20 +40,21 @@
 	return &Eviction{best.id, Silent}, false
 }
 
-// evictionRank orders connections for eviction, the highest first: by what the connection has shown and its standing,
-// then by how many its source has, then by how long it has been quiet.
+// evictionRank orders connections for eviction, the highest first. Its parts are compared in order: whether the connection
+// has an answered request, and its standing; then how many connections its source has; then how long it has been quiet, in
+// ms.
 type evictionRank [3]float64
 
 const (
 	rankIdle   = 1.0 // connections with an answered request
-	rankSilent = 2.0 // connections without
+	rankSilent = 2.0 // connections without an answered request
 
 	// rankPerStanding keeps a silent connection above an idle one, whatever their standings.
 	rankPerStanding = 0.25
 )
 
-// rankForEviction is a connection's rank. mayGo reports whether it may be evicted for a new connection of a standing,
-// whose source has ownUnproven connections without an answered request.
+// rankForEviction returns a connection's rank. mayGo reports whether it may be evicted for a new connection that would be
+// admitted with the standing granted and whose source has ownUnproven connections without an answered request.
 func (c *Controller) rankForEviction(now float64, candidate *connection, granted standing, ownUnproven int) (rank evictionRank, mayGo bool) {
 	if candidate.closed || candidate.hasRequest || candidate.standing == standingKnown && granted != standingKnown {
 		return rank, false
--- a/internal/admission/sketch.go
+++ b/internal/admission/sketch.go
@@ -16,8 +16,8 @@
 )
 
 // countMinSketch keeps decaying counts for any number of sources in bounded memory (Cormode and Muthukrishnan, "An
-// improved data stream summary: the count-min sketch", 2005). A count may be too high, by what shares all its cells,
-// and is never too low.
+// improved data stream summary: the count-min sketch", 2005). A count is never too low. It is too high if each of the
+// source's cells is shared with another source.
 //
 // All counts decay alike, so the cells are kept as of one moment and the scale grows instead: a count of x now is stored
 // as x times the scale.
--- a/internal/admission/source.go
+++ b/internal/admission/source.go
@@ -49,7 +49,8 @@
 	replacementCandidates = 8
 )
 
-// remember remembers a source without a connection: a useful one in the ring, any other only in the sketch.
+// remember keeps what is known of a source whose last connection has ended: a source with answered requests in the ring, and
+// of any other only its misbehavior, in the sketch.
 func (c *Controller) remember(now float64, src *source) {
 	answered := src.answered.get(now, c.limits.KnownHalfLife)
 	if answered < minAnsweredToRemember {
@@ -79,8 +80,8 @@
 	}
 }
 
-// leastAnswered is the one with the fewest answered requests among the ring's next few. A crowd of sources that came
-// once thus does not replace known ones.
+// leastAnswered returns the source with the fewest answered requests among the next replacementCandidates of the ring. Many
+// sources that appear only once therefore replace each other and not the known ones.
 func (c *Controller) leastAnswered(now float64) (index int, answered float64) {
 	answered = math.Inf(1)
 	for offset := range min(replacementCandidates, len(c.remembered)) {
@@ -92,14 +93,15 @@
 	return index, answered
 }
 
-// forget keeps only a source's misbehavior, in the sketch.
+// forget removes a source and keeps only its misbehavior, in the sketch.
 func (c *Controller) forget(now float64, src *source) {
 	delete(c.sources, src.prefix)
 	halfLife := c.limits.MisbehaviorHalfLife
 	c.forgotten.raise(now, halfLife, src.prefix, src.misbehavior.get(now, halfLife))
 }
 
-// decayingCounter is a count that decays exponentially.
+// decayingCounter is a count that decays exponentially. Package balancer has a counter of its own, since the cores don't
+// import each other. Half-lives and times are in ms.
 type decayingCounter struct {
 	count     float64 // as of updatedAt
 	updatedAt float64 // ms
--- a/internal/controlplane/compress.go
+++ b/internal/controlplane/compress.go
@@ -27,8 +27,8 @@
 	return append([]byte{encodingPlain}, data...)
 }
 
-// decompress reverses compress. Data from another process may claim any size: a claim beyond limit bytes is refused before memory is
-// taken for it, and so is a frame that claims none.
+// decompress reverses compress. Data from another process may claim any decompressed size. A claim above limit bytes is rejected
+// before memory is allocated for it, and so is a frame without a claim.
 func decompress(data []byte, limit int) ([]byte, error) {
 	switch {
 	case len(data) == 0:
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// statusIntervalMs is the time between two statuses of a follower. Its lease outlives two that are lost.
+	// statusIntervalMs is the time between two statuses of a follower. Its lease (LeaseDurationMs) covers two that are lost.
 	statusIntervalMs = 2000.0
 	// minStatusIntervalMs is the least time between two statuses if more than the time has changed, so that a burst of versions
 	// isn't answered by as many statuses.
 	minStatusIntervalMs = 250.0
-	// minHelloIntervalMs is the least time between two requests to begin anew on one connection: frames sent before the first
-	// request was received still look like gaps.
+	// minHelloIntervalMs is the least time between two hellos on one connection, each of which makes the member begin anew from what
+	// is stored. Frames that the member sent before it received the first one still look like gaps and must not cause a second one.
 	minHelloIntervalMs = 500.0
 	// maxDigestMismatches is how many wrong digests are taken from one member before another member is tried.
 	maxDigestMismatches = 3
@@ -93,7 +93,7 @@
 	return f
 }
 
-// Tick lets time pass. It is due each TickIntervalMs.
+// Tick advances the time to now. It is due each TickIntervalMs.
 func (f *Follower) Tick(now float64) {
 	if len(f.memberOrder) == 0 {
 		return
@@ -125,7 +125,7 @@
 	}
 }
 
-// VersionApplied tells that the caller has applied a version.
+// VersionApplied records that the caller has applied a version.
 func (f *Follower) VersionApplied(_ float64, version uint64) {
 	f.appliedVersion, f.statusChanged = version, true
 	if version >= f.rejectedVersion {
@@ -133,7 +133,7 @@
 	}
 }
 
-// VersionRejected tells that the caller can't apply a version, and why. The version applied before stays in use.
+// VersionRejected records that the caller can't apply a version, and why. The version applied before stays in use.
 func (f *Follower) VersionRejected(_ float64, version uint64, reason string) {
 	if len(reason) > maxReasonBytes {
 		reason = reason[:maxReasonBytes]
--- a/internal/controlplane/follower_connection.go
+++ b/internal/controlplane/follower_connection.go
@@ -8,7 +8,7 @@
 // member for a better one (which is dialed at once).
 
 const (
-	// heartbeatTimeoutMs is how long a member may send nothing before another is tried: two lost heartbeats and some delay.
+	// heartbeatTimeoutMs is how long a member may send nothing before another is tried. It covers two lost heartbeats and some delay.
 	heartbeatTimeoutMs = 2500.0
 	// dialTimeoutMs bounds a dial. The adapter's own limit (dialTimeout in package client) is as long; this one holds even if the
 	// adapter never reports the end of the dial.
@@ -26,7 +26,7 @@
 	connectionUp
 )
 
-// Connected tells that a dial has succeeded: the member has proven its identity.
+// Connected records that a dial has succeeded, with the member's proof of its identity.
 func (f *Follower) Connected(now float64, member int) {
 	if f.state != connectionDialing || member != f.currentMember() {
 		return
@@ -37,21 +37,21 @@
 	f.sendHello(now)
 }
 
-// Disconnected tells that the connection has ended or that the dial has failed.
+// Disconnected records that the connection has ended or that the dial has failed.
 func (f *Follower) Disconnected(now float64) {
 	if f.state != connectionIdle {
 		f.connectionFailed(now)
 	}
 }
 
-// BytesReceived tells that a part of a frame has arrived: a long frame on a slow link is no silence.
+// BytesReceived records that a part of a frame has arrived. A long frame on a slow link thus doesn't count as silence.
 func (f *Follower) BytesReceived(now float64) {
 	if f.state == connectionUp {
 		f.lastReceivedAt = now
 	}
 }
 
-// disconnectAndRetry closes the connection or stops the dial; the next member is tried.
+// disconnectAndRetry closes the connection or stops the dial, and has the next member tried.
 func (f *Follower) disconnectAndRetry(now float64) {
 	f.outputs = append(f.outputs, FollowerOutput{Disconnect: true})
 	f.connectionFailed(now)
@@ -83,7 +83,7 @@
 
 func (f *Follower) resetBackoff() { f.failedDials, f.backoffMs = 0, minBackoffMs }
 
-// sendHello reports what is stored. The server begins anew from there.
+// sendHello reports what is stored. The server then begins anew from there.
 func (f *Follower) sendHello(now float64) {
 	f.incoming, f.hasPendingHeartbeat = nil, false
 	f.lastHelloAt = now
--- a/internal/controlplane/follower_frames.go
+++ b/internal/controlplane/follower_frames.go
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// requestResync asks for what is missing after a gap.
+// requestResync sends a hello after a gap, so that the server sends what is missing.
 func (f *Follower) requestResync(now float64) {
 	if now-f.lastHelloAt >= minHelloIntervalMs {
 		f.sendHello(now)
@@ -94,7 +94,8 @@
 	if snapshot.ReadStruct(body, &b) != nil || b.Version == 0 || len(b.Digest) != len(Digest{}) {
 		return errMalformedFrame
 	}
-	// What doesn't get smaller goes as it is, with one byte more: the compressed size may exceed the document's limit a little.
+	// A document that compression doesn't make smaller is sent as it is, with one byte before it, so the size that is announced may
+	// be slightly above the limit for documents.
 	if b.Size == 0 || b.Size > MaxDocumentBytes+maxReasonBytes || b.TextBytes > MaxDocumentBytes {
 		return errMalformedFrame
 	}
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// hasGap reports whether a heartbeat speaks of frames, sent before it on this connection, that have not arrived.
+// hasGap reports whether frames are missing that the server, by its heartbeat, sent earlier on this connection.
 func (f *Follower) hasGap(version uint64, h heartbeat) bool {
 	lostChange := h.SentVersion > version && h.SentVersion <= h.HeadVersion
 	lostBegin := f.incoming == nil && h.SnapshotSent > 0
@@ -171,7 +172,7 @@
 	return lostChange || lostBegin || lostChunk
 }
 
-// updateFreshness takes over what the last heartbeat has proven, once the head that it spoke of is stored.
+// updateFreshness sets freshAsOf to what the last heartbeat has proven, once the head version that it named is stored.
 //
 // StatusSentAt is a time by this process's clock, and FreshnessOffset a difference of two times by the server's. Their sum is not later
 // than the moment at which the server's copy was complete, because the server received the status after it was sent. However long
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -12,10 +12,11 @@
 	// followers see its staleness on top of their own.
 	HeartbeatIntervalMs = 1000.0
 
-	// statusTimeoutMs is how long a connection may bring no status before it is closed: five that are lost.
+	// statusTimeoutMs is how long a connection may bring no status before it is closed: five statuses have been lost by
+	// then.
 	statusTimeoutMs = 10e3
-	// maxUnwrittenBytes is what may wait to be written to a follower before it is disconnected: one that reads too slowly must not take
-	// the server's memory.
+	// maxUnwrittenBytes is how much may wait to be written to a follower before the follower is disconnected. Without it, followers
+	// that read too slowly would use up the server's memory.
 	maxUnwrittenBytes = 1 << 20
 )
 
@@ -81,8 +82,8 @@
 	}
 }
 
-// SetHistory tells what is to be served. It is to be called whenever the head has changed, or freshAsOf, the time as of which the
-// history contains every acknowledged change. The history may be updated in place between calls.
+// SetHistory sets what is to be served. The caller calls it whenever the head has changed, and whenever freshAsOf has: the time as of
+// which the history contains every acknowledged change. The history may be updated in place between calls.
 func (s *Server) SetHistory(now float64, history *History, freshAsOf float64) {
 	s.freshAsOf = max(s.freshAsOf, freshAsOf)
 	head, _ := history.Head()
@@ -100,7 +101,7 @@
 	}
 }
 
-// AddConnection adds a connection whose other end has proven to be of the name. An earlier connection of the same name is closed.
+// AddConnection adds a connection whose other end has proven that it has this name. An earlier connection of the same name is closed.
 func (s *Server) AddConnection(now float64, id uint64, name string) {
 	for _, c := range s.connOrder {
 		if c.name == name {
@@ -119,7 +120,7 @@
 	s.connOrder = append(s.connOrder, c)
 }
 
-// RemoveConnection tells that a connection has ended.
+// RemoveConnection removes a connection that has ended.
 func (s *Server) RemoveConnection(_ float64, id uint64) {
 	if c := s.conns[id]; c != nil {
 		s.removeConn(c)
@@ -140,7 +141,7 @@
 	s.outputs = append(s.outputs, ServerOutput{Conn: c.id, Disconnect: true, DisconnectReason: reason})
 }
 
-// BytesWritten tells that so many bytes of frames have been written to a connection.
+// BytesWritten records that so many bytes of frames have been written to a connection.
 func (s *Server) BytesWritten(_ float64, id uint64, bytes int) {
 	if c := s.conns[id]; c != nil {
 		c.unwrittenBytes = max(c.unwrittenBytes-bytes, 0)
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// handleHello begins anew from what the follower has stored.
+// handleHello starts serving the follower from the version that it has stored, also in the middle of a connection.
 func (s *Server) handleHello(now float64, c *followerConn, st *status) error {
 	if st.Kind != KindNode && st.Kind != KindMember || len(st.Region) > maxNameBytes || len(st.Digest) != len(Digest{}) {
 		return fmt.Errorf("%w: hello of unknown follower kind %.20q", errMalformedFrame, st.Kind)
@@ -216,7 +217,8 @@
 	return nil
 }
 
-// Tick lets time pass: heartbeats, timeouts, and what is sent at a limited rate. It is due each TickIntervalMs.
+// Tick advances the time to now: it sends heartbeats, ends connections that have timed out, and sends what is sent at a limited
+// rate. It is due each TickIntervalMs.
 func (s *Server) Tick(now float64) {
 	elapsed := max(now-s.lastTickAt, 0)
 	s.lastTickAt = now
--- a/internal/controlplane/server_catchup.go
+++ b/internal/controlplane/server_catchup.go
@@ -34,8 +34,8 @@
 	data      []byte // at a follower: what has arrived
 }
 
-// sendMissingChanges sends a follower the changes that it lacks, or begins a snapshot. With atOnce, for a change that was just
-// committed, a follower that has all the earlier ones gets it without regard to the rate.
+// sendMissingChanges sends a follower the changes that it lacks, or begins a snapshot. atOnce is set for a change that was just
+// committed: a follower that has all earlier ones then gets it without regard to the rate limits.
 func (s *Server) sendMissingChanges(c *followerConn, atOnce bool) {
 	head, _ := s.history.Head()
 	if !c.helloReceived || c.snapshot != nil || head == 0 { // version 0 has no snapshot
@@ -81,7 +81,7 @@
 	return bytes, true
 }
 
-// snapshotBytesEstimate is about what the document takes when it is compressed.
+// snapshotBytesEstimate estimates the size of the compressed document.
 func (s *Server) snapshotBytesEstimate() int { return len(s.history.headDocument.text) / 8 }
 
 func (s *Server) spendCredit(c *followerConn, bytes int) {
@@ -89,8 +89,8 @@
 	s.byteCredit -= float64(bytes)
 }
 
-// beginSnapshot sends a follower the document from now on. All followers that need one at about the same time share it: to compress
-// 140,000 tenants takes long.
+// beginSnapshot starts to send a follower the document. Followers that need it at about the same time share one compressed copy,
+// because compressing a document of 140,000 tenants takes long.
 func (s *Server) beginSnapshot(c *followerConn) {
 	if !s.isCachedSnapshotUsable() {
 		head, doc := s.history.Head()
@@ -176,7 +176,7 @@
 	return true
 }
 
-// recordSnapshotProgress takes over from a status how much of the snapshot has arrived, and adapts the window to how long that took.
+// recordSnapshotProgress reads from a status how much of the snapshot has arrived, and adapts the window to how long that took.
 func (c *followerConn) recordSnapshotProgress(now float64, st *status) {
 	if c.snapshot == nil || int(min(st.SnapshotReceived, uint64(c.snapshotSent))) <= c.snapshotReceived {
 		return
--- a/internal/controlplane/server_leases.go
+++ b/internal/controlplane/server_leases.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// LeaseDurationMs is how long a follower is reported after its last status: two that are lost, and some delay.
+	// LeaseDurationMs is how long a follower is reported after its last status. It covers two lost statuses and some delay.
 	LeaseDurationMs = 6000.0
 
-	// maxLeases bounds the followers known: ten times the fleet.
+	// maxLeases bounds the number of followers that are remembered, to ten times the largest fleet.
 	maxLeases = 16 << 10
-	// maxArrivals bounds the versions whose time of arrival is known: as many as changes are retained.
+	// maxArrivals bounds the number of versions whose time of arrival is remembered. It is the number of changes that are retained.
 	maxArrivals = 4096
 )
 
-// renewLease takes over what a follower has reported. A lease that has expired on a connection that is still up is granted again, and
-// therefore filled in completely each time.
+// renewLease updates a follower's lease from a status. All fields are set each time, because a lease may have expired, and been
+// removed, while the connection stayed up.
 func (s *Server) renewLease(now float64, c *followerConn, st *status) error {
 	lease := s.leases[c.name]
 	if lease == nil {
@@ -69,7 +69,7 @@
 	return leases
 }
 
-// recordArrivals notes the time for each version since the last call, up to the new head.
+// recordArrivals records now as the time of arrival of each version since the last call, up to the new head.
 func (s *Server) recordArrivals(now float64, head uint64) {
 	if head > maxArrivals {
 		s.headVersion = max(s.headVersion, head-maxArrivals)
--- a/internal/controlplane/voter.go
+++ b/internal/controlplane/voter.go
@@ -24,9 +24,10 @@
 	// electionTicks is the least time without a message of the leader after which a voter campaigns. The timeout is drawn between once
 	// and twice that, so that the voters elect a leader within about 2 s.
 	electionTicks = 20
-	// readIndexIntervalMs is the time between two questions of a voter how far the log is committed. Its freshness is as old.
+	// readIndexIntervalMs is the time between two read index requests of a voter, which ask the leader how far the log is committed.
+	// The voter's history is known to be complete as of the latest one that was answered, so it is about as stale as this.
 	readIndexIntervalMs = 500.0
-	// maxPendingReads bounds the questions without an answer.
+	// maxPendingReads bounds the read index requests without an answer.
 	maxPendingReads = 64
 	// maxUncommittedBytes bounds the proposals that no majority has stored yet: two of the largest documents.
 	maxUncommittedBytes = 64 << 20
@@ -72,7 +73,7 @@
 	freshAsOf       float64
 }
 
-// readIndexRequest is a question to the leader how far the log is committed.
+// readIndexRequest is a request to the leader, which asks how far the log is committed.
 type readIndexRequest struct {
 	context  string // identifies the answer
 	sentAt   float64
@@ -80,8 +81,9 @@
 	answered bool
 }
 
-// silentLogger drops what a raft node logs, since the process logs what concerns operators by itself. It keeps the panics of the
-// logger that it wraps: a raft node panics when its state is broken, and must not go on.
+// silentLogger drops what a raft node logs, since the process itself logs what concerns operators. It keeps the panics of the logger
+// that it wraps: a raft node panics when its state is broken, and must not go on. Package requestlog has the same type: the cores of
+// the fleet's parts don't import each other.
 type silentLogger struct{ raft.Logger }
 
 func (silentLogger) Debug(...any)            {}
@@ -157,13 +159,13 @@
 		v.memoryLog.Append(stored.Entries))
 }
 
-// readIndexPhase spreads the voters' questions over the interval between two of them.
+// readIndexPhase returns when within the interval a voter makes its read index requests, so that those of all voters are spread.
 func readIndexPhase(id uint64) float64 {
 	const phases = 7
 	return readIndexIntervalMs * float64(id%phases) / phases
 }
 
-// Tick lets time pass. It is due each TickIntervalMs.
+// Tick advances the time to now. It is due each TickIntervalMs.
 //
 // A raft node draws its election timeouts from the machine's random source, so that one seed would not make one history. Followers
 // therefore only count ticks in the node, and the voter itself campaigns, by a timeout of its own.
@@ -188,11 +190,12 @@
 	v.electionTimeout = electionTicks + v.rng.IntN(electionTicks)
 }
 
-// requestReadIndex asks the leader how far the log is committed, which the leader answers once a majority has confirmed its term.
+// requestReadIndex asks the leader how far the log is committed. The leader answers once a majority has confirmed that it still
+// leads, so a deposed leader never answers.
 func (v *Voter) requestReadIndex(now float64) {
 	v.lastReadIndexAt = now
 	v.readIndexCount++
-	// The leader tells questions apart by their context. The ID, the time and the count make it unique over voters and restarts.
+	// The leader tells requests apart by their context. The ID, the time and the count make it unique over voters and restarts.
 	context := binary.BigEndian.AppendUint64(nil, v.config.ID)
 	context = binary.BigEndian.AppendUint64(context, math.Float64bits(now))
 	context = binary.BigEndian.AppendUint64(context, v.readIndexCount)
@@ -203,7 +206,7 @@
 	v.node.ReadIndex(context)
 }
 
-// recordReadIndex takes over an answer to requestReadIndex.
+// recordReadIndex handles the leader's answer to requestReadIndex.
 func (v *Voter) recordReadIndex(state raft.ReadState) {
 	for i := range v.pendingReads {
 		if v.pendingReads[i].context == string(state.RequestCtx) {
@@ -212,8 +215,8 @@
 	}
 }
 
-// updateFreshness takes over the questions whose answer, an index of the log, has been applied. Whatever was acknowledged before the
-// question was asked is in the history then.
+// updateFreshness completes the read index requests whose answer, an index of the log, has been applied. Whatever was acknowledged
+// before such a request was made is in the history by then, so the history is complete as of the time of the request.
 func (v *Voter) updateFreshness(now float64) {
 	v.pendingReads = slices.DeleteFunc(v.pendingReads, func(r readIndexRequest) bool {
 		isApplied := r.answered && r.index <= v.appliedIndex
@@ -251,8 +254,8 @@
 
 func (v *Voter) term() uint64 { return v.node.BasicStatus().GetTerm() }
 
-// StoreFault says how the store has lost entries that this voter had acknowledged; empty is none. Such a voter must not go on, since
-// it may vote for a leader that lacks committed entries: the process ends and an operator sets the store aside.
+// StoreFault describes how the store has lost entries that this voter had acknowledged; it is empty if none are missing. Such a voter
+// must not go on, since it may vote for a leader that lacks committed entries. The process ends, and an operator sets the store aside.
 func (v *Voter) StoreFault() string { return v.storeFault }
 
 // FreshAsOf returns the time, by this process's clock, as of which History contains every acknowledged change. It is minus infinity
--- a/internal/controlplane/voter_apply.go
+++ b/internal/controlplane/voter_apply.go
@@ -13,12 +13,13 @@
 	// entryApplyDivisor: each entry counts for this part of the document besides its own bytes. At a start it is applied again, which
 	// costs in proportion to the document.
 	entryApplyDivisor = 256
-	// retainedEntries stay in memory behind a snapshot, so that a voter that lags a little doesn't need the snapshot. Each entry may
-	// hold a whole document.
+	// retainedEntries is how many entries before a snapshot stay in memory, so that a voter that lags a little doesn't need the
+	// snapshot. It is small because each entry may hold a whole document.
 	retainedEntries = 64
 )
 
-// processReady carries out what the raft node is ready for. What is to be persisted comes before the messages that rely on it.
+// processReady queues what the raft node wants done. What is to be persisted is queued before the messages that rely on it: a vote or
+// an acknowledgement that was sent and then lost with the process could elect a second leader or lose a committed entry.
 func (v *Voter) processReady(now float64) {
 	for v.node.HasReady() {
 		ready := v.node.Ready()
--- a/internal/controlplane/voter_proposals.go
+++ b/internal/controlplane/voter_proposals.go
@@ -16,8 +16,8 @@
 	proposal Proposal
 }
 
-// Propose proposes a change. The ID is the proposer's and never 0; a Reply with it follows. A proposal whose reply was lost is made
-// again with the same ID, and takes effect once.
+// Propose proposes a change. The proposer chooses the ID, which must not be 0, and a Reply with this ID follows. A proposer whose reply
+// was lost makes the proposal again with the same ID; it takes effect only once.
 func (v *Voter) Propose(now float64, id uint64, p Proposal) {
 	switch {
 	case id == 0 || p.Document == nil || len(p.By) > maxReasonBytes || len(p.Reason) > maxReasonBytes:
@@ -36,7 +36,7 @@
 	v.processReady(now)
 }
 
-// appendProposal puts a proposal in the log, unless it is known already that it can't be applied.
+// appendProposal appends a proposal to the log, unless it is already known that the change can't be applied.
 func (v *Voter) appendProposal(now float64, id uint64, p Proposal) {
 	head, doc := v.history.Head()
 	if version, known := v.history.FindProposal(id); known {
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -12,8 +12,8 @@
 // MaxFrameBytes bounds a frame, in either direction.
 const MaxFrameBytes = 320 << 10
 
-// Limits of what a frame, a raft log entry or a raft snapshot may contain. Whatever comes from another process is held against them
-// before memory is taken for it.
+// Limits of what a frame, a raft log entry or a raft snapshot may contain. What comes from another process is checked against them
+// before memory is allocated for it.
 const (
 	maxChangeBytes   = 1 << 20  // of a change before compression; followers get a larger one as a snapshot
 	maxSnapshotBytes = 96 << 20 // of a history snapshot before compression: a document, the changes and their inverses
--- a/internal/hotrestart/connect.go
+++ b/internal/hotrestart/connect.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// connectTimeout bounds the search for a predecessor. A new process has 6 s until it must serve.
+	// connectTimeout bounds the search for a predecessor. By the contract in docs/operations.md a new process answers its
+	// health check with YES within 6 s; the remaining 1.5 s are for getting an endpoint list and listening.
 	connectTimeout = 4500 * time.Millisecond
 
 	// retryInterval is the time between two attempts to connect, or to accept a connection.
@@ -21,12 +22,12 @@
 // errBusy means that the predecessor has another successor, or is ending.
 var errBusy = errors.New("the predecessor process has another successor")
 
-// Connect connects to the predecessor that listens at path, if there is one, and gets its state. Without one, the link,
-// the state and the error are all nil, and the process starts fresh. It starts fresh as well if there is an error, which
-// says why the predecessor's state can't be used.
+// Connect connects to the predecessor that listens at path, if there is one, and gets its state. Without a predecessor the
+// link, the state and the error are all nil. An error says why the predecessor's state can't be used; the link and the state
+// are nil then, too. In both cases the process starts without a state.
 //
-// handleCall is called for calls that the predecessor passes on, and onDescriptorLimit for the number of descriptors that it
-// may still have open.
+// handleCall is called for each call that the predecessor passes on. onDescriptorLimit is called with the number of
+// descriptors that the predecessor may still have open. Both are called from the link's goroutines.
 func Connect(ctx context.Context, path, name string, handleCall CallHandler, onDescriptorLimit func(descriptors int)) (*Link, *State, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
@@ -38,7 +39,8 @@
 			}
 			return link, state, err
 		}
-		// A predecessor that is ending still has the node, or another process starts as well: both change soon.
+		// The running process already has a successor. Either that one takes over, and listens itself once its predecessor
+		// has ended, or it fails, and the running process is free again. Both take a moment.
 		select {
 		case <-ctx.Done():
 			return nil, nil, err
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -10,10 +10,12 @@
 // ErrNoPeer means that there is no other process, or that it has ended.
 var ErrNoPeer = errors.New("no other process")
 
-// maxDescriptors bounds the number of descriptors that a predecessor may name, so that it fits an int anywhere.
+// maxDescriptors bounds the number of descriptors that a predecessor may report, so that any value that is received fits an
+// int.
 const maxDescriptors = 1 << 20
 
-// CallHandler carries out a call that the other process passed on. The context ends after sendTimeout.
+// CallHandler carries out a call that the other process has passed on. The context ends after sendTimeout. It may be called
+// from several goroutines at once.
 type CallHandler func(ctx context.Context, c Call) (text string, err error)
 
 // Link connects a process to the other one while both run. Its methods may be called from any goroutine.
@@ -60,8 +62,8 @@
 // Close ends the link.
 func (l *Link) Close() { _ = l.conn.Close() }
 
-// Call has the other process carry a call out, and returns its text or error. If the link ends meanwhile it returns
-// ErrNoPeer: there is no other process left that would have to know of the call.
+// Call has the other process carry out a call and returns its text or error. If the link ends meanwhile, it returns
+// ErrNoPeer, which callers need not treat as a failure: no other process is left that would have to know of the call.
 func (l *Link) Call(ctx context.Context, c Call) (text string, err error) {
 	result := make(chan message, 1)
 	number := l.addPending(result)
@@ -130,7 +132,7 @@
 	}
 }
 
-// serveCall carries a call out and sends its result.
+// serveCall carries out a call and sends its result.
 func (l *Link) serveCall(number uint64, c Call) {
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -18,7 +18,7 @@
 // SocketPath returns the path of the socket of a node of that name.
 func SocketPath(dir, name string) string { return filepath.Join(dir, "pearknot-"+name+".sock") }
 
-// Predecessor is the running process as a Listener knows it. Its functions may be called from any goroutine.
+// Predecessor is what a Listener needs of the running process. Its functions are called from any goroutine.
 type Predecessor struct {
 	Name            string                                    // of the node
 	CollectState    func(ctx context.Context) (*State, error) // called when a successor connects
@@ -27,7 +27,7 @@
 	Log             *slog.Logger
 }
 
-// Listener waits at a socket for the process that takes over.
+// Listener waits at a socket for a successor. It has one successor at a time.
 type Listener struct {
 	predecessor Predecessor
 	socket      *net.UnixListener
@@ -38,7 +38,7 @@
 	closed    bool
 }
 
-// Listen waits for a successor at path. It replaces what a process that was killed left there.
+// Listen starts to wait for a successor at path. A socket that a killed process has left there is replaced.
 func Listen(path string, predecessor Predecessor) (*Listener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// By the time this process closes its socket, the path may be that of its successor's.
+	// By the time this process closes its socket, its successor may listen at the same path: its socket must not be removed.
 	socket.SetUnlinkOnClose(false)
 	l := &Listener{predecessor: predecessor, socket: socket}
 	l.goroutines.Add(1)
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// setSuccessor takes a link as the successor's and reports false if there is one already.
+// setSuccessor makes a link the successor's. It reports false if there is a successor already.
 func (l *Listener) setSuccessor(link *Link) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,7 +138,8 @@
 	return true
 }
 
-// successorGone forgets the successor. Unless this process closed the listener, it goes on alone.
+// successorGone removes a successor that has ended. OnSuccessorGone is called unless this process has closed the listener
+// itself, since it is ending then.
 func (l *Listener) successorGone() {
 	l.mu.Lock()
 	l.successor = nil
--- a/internal/hotrestart/messages.go
+++ b/internal/hotrestart/messages.go
@@ -1,6 +1,14 @@
-// Package hotrestart links a node's process with the one that takes over from it, through a Unix socket in a directory
-// that both share. The running process (the predecessor) listens there. A process that starts (its successor) connects,
-// gets what the predecessor has learned, and both pass operators' calls on to each other until one of them ends.
+// Package hotrestart links a node's running process (the predecessor) with the process that replaces it (the successor),
+// through a Unix socket in a directory that both share.
+//
+//  1. The predecessor listens at the socket. The successor connects and sends a hello.
+//  2. The predecessor answers with its state: the endpoint list and what it has learned of the backends. It answers busy
+//     instead if it already has a successor, and other if the hello is of another node or another Version.
+//  3. The successor sends ready once it serves clients. Whoever wants to end the predecessor waits for that.
+//  4. While it drains, the predecessor reports how many descriptors it may still have open; the rest is the successor's.
+//  5. Until one of them ends, each passes on operators' calls to the other, so that both have the same state.
+//
+// If any step fails, the successor starts without the state and the predecessor goes on as if it had none.
 package hotrestart
 
 import (
@@ -20,7 +28,7 @@
 const Version = 1
 
 const (
-	// maxMessageSize bounds a message, in bytes: the state of some hundred backends takes a few hundred kB.
+	// maxMessageSize bounds a message, in bytes. The state with some hundred backends takes a few hundred kB.
 	maxMessageSize = 8 << 20
 
 	// sendTimeout bounds the write of a message, and the time that a passed-on call may take.
@@ -35,19 +43,19 @@
 	List             discovery.List `json:"List"`
 	BackendNames     []string       `json:"Names"`  // of the backends in BalancerSnapshot, in their order
 	BalancerSnapshot []byte         `json:"Module"` // as package snapshot encodes it; empty if there is none
-	KnownNames       []string       `json:"Known"`  // of backends that the list has had
-	CordonedNames    []string       `json:"Banned"` // of backends that an operator took out of service
-	QuiescedMs       *float64       `json:"Away"`   // for how long clients have been sent away, in ms; nil if they are served
+	KnownNames       []string       `json:"Known"`  // of all backends that have been in the endpoint list
+	CordonedNames    []string       `json:"Banned"` // of backends that an operator has cordoned
+	QuiescedMs       *float64       `json:"Away"`   // how long the node has been quiesced, ms; nil if it is not
 }
 
 // Call is an operator's call that one process passes on to the other.
 type Call struct {
 	Verb  string `json:"Verb"`
 	ID    string `json:"ID"`    // of a backend
-	Force bool   `json:"Force"` // the sender knows the ID, so the receiver takes it even if it does not
+	Force bool   `json:"Force"` // the sender knows the ID, so the receiver accepts it even if it does not know it
 }
 
-// messageKind says what a message is about. The texts are sent.
+// messageKind determines which fields of a message are used. The texts are sent, so they stay.
 type messageKind string
 
 const (
@@ -61,7 +69,7 @@
 	kindDone  messageKind = "done"  // either: the result of call number N, Text or Fault
 )
 
-// message is what is sent over the link, in the field names of the first build.
+// message is what is sent over the link. The tags keep the field names of the first build.
 type message struct {
 	Kind    messageKind `json:"Kind"`
 	Version int         `json:"Version,omitempty"`
