--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// maxNodes is what the simulator's wire can number.
+	// maxNodes is the largest number of nodes that the simulator's protocol can express.
 	maxNodes = math.MaxUint32
-	// minPollInterval in ms is a timer's step. The balancer polls the list anew after a part of the interval; where that is
-	// nothing beside its clock, it would poll without end before it looked at anything else.
+	// minPollInterval, in ms, is the step of the timers. The balancer polls the list again after a part of the interval. If that
+	// part were too small to advance its clock, it would go on polling forever without handling anything else.
 	minPollInterval = 1
-	// defaultConnectTimeout in ms holds where the settings name none: a connection within a site is up far sooner.
+	// defaultConnectTimeout, in ms, is used if the settings have none. Connections within a site are established far sooner.
 	defaultConnectTimeout = 250
-	// defaultConnectionIdle in ms is what backends are taken to allow where the settings don't say.
+	// defaultConnectionIdle, in ms, is the idle timeout that backends are assumed to have if the settings don't say.
 	defaultConnectionIdle = 15e3
 )
 
-// deployment reads all settings. The order of reading decides which of several faults is reported.
+// deployment reads all settings. If several are wrong, the first one in the order of reading is reported.
 func (s *settings) deployment() (*Deployment, error) {
 	config := s.balancerConfig()
 	d := &Deployment{
@@ -87,7 +87,7 @@
 	}
 }
 
-// readTenants reads the tenants, where there are any.
+// readTenants reads the tenants, if there are any.
 func (s *settings) readTenants(d *Deployment) {
 	if s.values["tenants"] != "" || s.values["tenants.count"] == "" {
 		return
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// ErrNoObject is the error of a JSON text that is not one object.
+// ErrNoObject is returned for a JSON text that is not an object.
 var ErrNoObject = errors.New("settings: no object")
 
-// ParseLines reads path=value lines, the simulator's form. Lines without a "=" mean nothing. The error is a *SettingError.
+// ParseLines reads path=value lines, the simulator's form. Lines without a "=" are ignored. The error is a *SettingError.
 func ParseLines(data []byte) (*Deployment, error) {
 	s := &settings{values: map[string]string{}}
 	for line := range strings.Lines(string(data)) {
@@ -34,11 +34,11 @@
 	return parseTree(tree)
 }
 
-// nodeSettings are those that tell the nodes of one deployment apart.
+// nodeSettings are the settings that differ between the nodes of one deployment.
 var nodeSettings = []string{"az", "me"}
 
-// ParseShared reads settings that all nodes of a deployment are given alike. The zone and index of a node, and the seed,
-// are those of own, whatever the shared text says of them. Without own, as for a check, they are 0.
+// ParseShared reads settings that are the same for all nodes of a deployment, as the control plane distributes them. The zone,
+// the index and the seed are taken from own, whatever the shared text has for them. If own is nil, as for a check, they are 0.
 func ParseShared(data []byte, own *Deployment) (*Deployment, error) {
 	tree, err := decodeObject(data)
 	if err != nil {
@@ -65,7 +65,7 @@
 
 func decodeObject(data []byte) (tree map[string]any, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
-	decoder.UseNumber() // a number keeps its text, as in the lines
+	decoder.UseNumber() // a number keeps its text, so that both forms of a configuration are read alike
 	if err := decoder.Decode(&tree); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -110,7 +110,8 @@
 	}
 }
 
-// flattenList adds a list of plain values as one value, and one of objects as their values and a count.
+// flattenList adds a list of plain values as one value, joined by commas, and a list of objects as the values of each object and
+// a count.
 func (s *settings) flattenList(path string, items []any) {
 	plain := make([]string, 0, len(items))
 	for k, item := range items {
@@ -127,7 +128,8 @@
 	}
 }
 
-// readTenantList records the tenants as they are; an item that is no object is a tenant without name and quota.
+// readTenantList records the tenants' names and quotas without a path for each. An item that is not an object is a tenant without
+// name and quota.
 func (s *settings) readTenantList(items []any) {
 	s.tenants = make([]tenantSetting, len(items))
 	for k, item := range items {
@@ -155,7 +157,8 @@
 	}
 }
 
-// NormalizeName puts a name into the form that it has in lines, where blanks and commas separate values.
+// NormalizeName returns a name in the form that it has in lines, where blanks and commas separate values: with underscores in
+// their place.
 func NormalizeName(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r == ' ' || r == ',' {
--- a/internal/config/replace.go
+++ b/internal/config/replace.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// presentSettings are the paths that a configuration has: the plain ones, and those of each class.
+// presentSettings are the paths that are present in a configuration: the plain ones, and those of each class.
 type presentSettings struct {
 	plain   map[string]bool
 	classes []presentClassSettings
@@ -41,9 +41,9 @@
 	return present
 }
 
-// CheckReplaces returns an error where this configuration can't replace another while a node runs. It can't where it
-// lacks a setting that the other has, which would have to be guessed, or where it names other zones or kinds, by whose
-// numbers the endpoint list was read. The error is a *SettingError.
+// CheckReplaces returns an error if this configuration can't replace another while a node runs. That is so if it lacks a setting
+// that the other has: a file that is only half written must not put defaults in force. It is also so if its zones or kinds
+// differ, because the endpoint list that is in use refers to them by index. The error is a *SettingError.
 func (d *Deployment) CheckReplaces(old *Deployment) error {
 	if err := d.checkPresent(old); err != nil {
 		return err
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// checkPresent looks for settings that the other configuration has.
+// checkPresent returns an error for the first setting that the other configuration has and this one lacks.
 func (d *Deployment) checkPresent(old *Deployment) error {
 	for _, key := range slices.Sorted(maps.Keys(old.present.plain)) {
 		if !d.present.plain[key] {
@@ -76,11 +76,11 @@
 	return nil
 }
 
-// dedupSettings mean something only for classes with an idempotency key.
+// dedupSettings have a meaning only for classes with an idempotency key, so other classes need not have them.
 var dedupSettings = []string{"keyTtl", "dedupScope"}
 
-// required are the settings that a class of this idempotency must have: those that all classes have, and those that all
-// of its idempotency have.
+// required returns the settings that a class of this idempotency must have in a configuration that replaces this one: those that
+// all classes have here, and those that all classes of its idempotency have here.
 func (p presentSettings) required(idempotency string) map[string]bool {
 	required := map[string]bool{}
 	maps.Copy(required, p.common(func(presentClassSettings) bool { return true }))
@@ -91,7 +91,7 @@
 	return required
 }
 
-// common are the settings that all classes have for which include is true.
+// common returns the settings that are present in every class for which include is true.
 func (p presentSettings) common(include func(presentClassSettings) bool) map[string]bool {
 	var common map[string]bool
 	for _, class := range p.classes {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// SettingError is the fault of one setting.
+// SettingError says what is wrong with one setting. Operators see it in the output of pearknot check, in logs and as the reason
+// why a node rejected a version of the configuration. That reason is sent between builds, so the texts of problems stay.
 type SettingError struct {
 	Path    string // of the setting, as in path=value lines
 	Problem string // such as "is missing"
@@ -16,8 +17,8 @@
 
 func (e *SettingError) Error() string { return "setting " + e.Path + " " + e.Problem }
 
-// settings are the values of a configuration by their paths, as text. Reading goes on after a fault; the first one is kept
-// in err, and what is read after it counts for nothing.
+// settings are the values of a configuration by their paths, as text. Methods that read a value don't return an error, so that
+// a configuration can be read in one expression: the first error is kept in err, and what is read after it must not be used.
 type settings struct {
 	values  map[string]string
 	tenants []tenantSetting // of JSON, which may have very many: a path for each value costs several times as much
@@ -26,14 +27,14 @@
 
 type tenantSetting struct{ name, quota string }
 
-// fail keeps the first fault.
+// fail sets err, unless it is set.
 func (s *settings) fail(path, problem string, args ...any) {
 	if s.err == nil {
 		s.err = &SettingError{Path: path, Problem: fmt.Sprintf(problem, args...)}
 	}
 }
 
-// text reads a value that must be there; it may be empty.
+// text reads a value that is required but may be empty.
 func (s *settings) text(path string) string {
 	value, found := s.values[path]
 	if !found {
@@ -59,7 +60,7 @@
 	return x
 }
 
-// numberWithin returns a reader of numbers with bounds, both of them allowed.
+// numberWithin returns a function that reads a number from low to high, both included.
 func (s *settings) numberWithin(low, high float64) func(path string) float64 {
 	return func(path string) float64 { return s.checkBounds(path, s.number(path), low, high) }
 }
@@ -88,7 +89,7 @@
 	return value == "true"
 }
 
-// choice reads a value that is one of some words, and gives its index among them.
+// choice reads a value that must be one of words, and returns its index in words.
 func (s *settings) choice(path string, words ...string) int {
 	value := s.text(path)
 	if k := slices.Index(words, value); k >= 0 {
@@ -128,7 +129,8 @@
 	return tenantSetting{s.values[path+"name"], s.values[path+"quotaPerS"]}
 }
 
-// quota reads a tenant's, which may be absent. The path is only put together for a fault: there may be very many tenants.
+// quota reads the quota of tenant k, which may be absent. The setting's path is only built for an error, because there may be very
+// many tenants.
 func (s *settings) quota(k int, value string) float64 {
 	if value == "" || s.err != nil {
 		return 0
@@ -140,7 +142,7 @@
 	return s.checkBounds(path, s.parseNumber(path, value), 0, math.MaxFloat64)
 }
 
-// optional reads a setting that may be absent or empty; unset is what that means.
+// optional reads a setting that may be absent or empty. Its default is unset.
 func optional[T any](s *settings, path string, read func(string) T, unset T) T {
 	if value, found := s.values[path]; found && value != "" {
 		return read(path)
--- a/internal/config/topology.go
+++ b/internal/config/topology.go
@@ -18,8 +18,8 @@
 	return [...]string{"a pool of nodes", "a node beside each client process"}[t]
 }
 
-// topology reads the topology; without a word of it, it is a pool. Settings that belong to both are an error that names the
-// first one that does not fit: a move that is half done would serve under rules that nobody wrote.
+// topology reads the topology, which is a pool by default. If it is a sidecar but another setting belongs to a pool, that setting
+// is an error: an operator who has changed only some of the settings would otherwise get a mixture that nobody intended.
 func (s *settings) topology(d *Deployment) Topology {
 	read := func(path string) int { return s.choice(path, topologyWords[:]...) }
 	topology := Topology(optional(s, "domainType", read, int(TopologyPool)))
--- a/internal/controlplane/client/call.go
+++ b/internal/controlplane/client/call.go
@@ -27,19 +27,19 @@
 	operatorName = "operator"
 )
 
-// ConflictError is a change that was not made from the head.
+// ConflictError is returned for a change that was not made from the head.
 type ConflictError struct{ Base, Head uint64 }
 
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("made from version %d, and the head is %d: another change came first", e.Base, e.Head)
 }
 
-// InvalidError is a configuration that nodes can't apply.
+// InvalidError is returned for a configuration that nodes can't apply.
 type InvalidError struct{ Detail string }
 
 func (e *InvalidError) Error() string { return e.Detail }
 
-// ErrVersionNotFound is a version that none of the members that answered has.
+// ErrVersionNotFound is returned for a version that none of the members that answered has.
 var ErrVersionNotFound = errors.New("no such version is retained")
 
 // callMember makes one call of one member.
@@ -81,8 +81,8 @@
 	return response, responseText, nil
 }
 
-// callLeader calls voters until the leader has answered or ctx ends. A call whose answer was lost is made again, which is safe for a
-// change too: by its ID it takes effect once.
+// callLeader calls voters until the leader has answered or ctx ends. A call whose answer was lost is made again. That is safe for a
+// change too, because a change takes effect only once for its ID.
 func (p *ControlPlane) callLeader(ctx context.Context, request *CallRequest, text []byte) (*CallResponse, error) {
 	voters := p.Voters()
 	next := p.findLeader(ctx, voters)
@@ -149,8 +149,9 @@
 	return slices.IndexFunc(members, func(m Member) bool { return m.Name == name })
 }
 
-// findLeader returns the index of the voter that probably leads: the one that last did, or the first that says that it does. All are
-// asked at once, so that a frozen one delays nothing. Without an answer it is a random one.
+// findLeader returns the index of the voter that is probably the leader: the one that answered the latest call of the leader, or else
+// the first that reports that it leads. All voters are asked at once, so that a frozen one delays nothing. If none reports it, the
+// result is a random one.
 func (p *ControlPlane) findLeader(ctx context.Context, voters []Member) int {
 	if last := p.lastLeader.Load(); last != nil {
 		return max(indexOf(voters, *last), 0)
--- a/internal/controlplane/client/call_freshest.go
+++ b/internal/controlplane/client/call_freshest.go
@@ -13,9 +13,9 @@
 // hedgeDelay is how long one member may take before the next is asked beside it.
 const hedgeDelay = 250 * time.Millisecond
 
-// callFreshest asks members until an answer contains everything that was there when it began: a version that is asked for by its
-// number, or an answer that is less stale than the call is old. If no majority confirms one, it takes the freshest after
-// statusTimeout.
+// callFreshest asks members until an answer contains everything that had been acknowledged when callFreshest was called. That holds
+// for a version that is asked for by its number, since versions never change, and for an answer whose staleness is at most the time
+// since the call. Without a majority of voters no member can give such an answer; after statusTimeout the freshest one is returned.
 func (p *ControlPlane) callFreshest(ctx context.Context, request *CallRequest) (*CallResponse, []byte, error) {
 	start := time.Now()
 	isFreshEnough := func(response *CallResponse) bool {
@@ -113,7 +113,7 @@
 	}
 }
 
-// stalenessMs is the upper bound of a response's staleness; infinite if the member doesn't know one.
+// stalenessMs returns the upper bound of a response's staleness. It is infinite if the member doesn't know one.
 func stalenessMs(response *CallResponse) float64 {
 	if response.StalenessMs == nil {
 		return math.Inf(1)
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -15,8 +15,8 @@
 	"pearknot/internal/mailbox"
 )
 
-// MaxDescriptors is how many file descriptors a node's link takes: the connection, the dial of the next one while that one ends, the
-// lock, and the copy while it is written.
+// MaxDescriptors is the largest number of file descriptors that a node's link uses: the connection, the next one that is dialed while
+// the former is being closed, the lock, and the copy while it is written.
 const MaxDescriptors = 4
 
 // RejectedLogInterval is the least time between two log lines about rejected connections, here of members that don't prove the
@@ -31,7 +31,7 @@
 	Fleet, Name, Region string
 	Members             []Member
 	Keys                [][]byte // the first is proven to members, all are accepted
-	CopyFile            string   // where the last applied version is kept; empty keeps none
+	CopyFile            string   // where the last applied version is stored; empty stores none
 	Kind                string   // controlplane.KindNode by default
 }
 
@@ -59,7 +59,8 @@
 	nextToApply           chan controlplane.VersionedDocument // holds one at most
 }
 
-// New returns a client, and reads the stored copy. apply applies a version completely, or not at all with an error that says why.
+// New returns a client, and reads the stored copy. apply puts a version in force. If it returns an error, which says why the version
+// can't be applied, the version before must still be in force as a whole.
 func New(config Config, apply func(version uint64, text []byte) error, clock *clock.Clock, log *slog.Logger) (*Client, error) {
 	c := &Client{
 		clock:       clock,
@@ -193,7 +194,7 @@
 		case next := <-c.nextToApply:
 			err := c.apply(next.Version, next.Document.Text())
 			if err != nil && (c.ctx.Err() != nil || errors.Is(err, context.Canceled)) {
-				return // the node stops: that says nothing about the version
+				return // the node is stopping, which says nothing about the version
 			}
 			c.reportApplied(next, err)
 		}
@@ -213,8 +214,8 @@
 	}
 }
 
-// logRejected logs a member that does not prove the key, at most one a rejectedLogInterval, with how many there were since the last
-// line.
+// logRejected logs a member that does not prove the key, at most once in RejectedLogInterval, with the number of rejections since the
+// last line.
 func (c *Client) logRejected(member string, err error) {
 	c.rejectedSinceLastLine.Add(1)
 	c.rejectedLog.Do(func() {
--- a/internal/controlplane/client/copystore.go
+++ b/internal/controlplane/client/copystore.go
@@ -20,11 +20,11 @@
 	"pearknot/internal/controlplane"
 )
 
-// copyFormat is the form of the file: a line with the format, the checksum of all that follows, the version and the fleet; then the
-// document's text.
+// copyFormat identifies the format of the file: a line with copyFormat, the checksum of all that follows the checksum, the version and
+// the fleet; then the document's text.
 const copyFormat = "pearknot-copy-1"
 
-// errLocked is a copy that another process writes, such as the one that this process replaces.
+// errLocked is returned if another process writes the copy, such as the one that this process is replacing.
 var errLocked = errors.New("locked by another process")
 
 // CopyStore is the file in which a process keeps the last version that it has applied. One process writes; others may read.
@@ -71,7 +71,7 @@
 	return stored, nil
 }
 
-// setAside renames a damaged copy, so that it can be looked at and doesn't stand in the way of the next one.
+// setAside renames a damaged copy, so that operators can look at it and the next copy does not overwrite it.
 func (s *CopyStore) setAside(damage error) error {
 	aside := fmt.Sprintf("%s.damaged-%d", s.file, time.Now().UnixNano())
 	if err := os.Rename(s.file, aside); err != nil {
@@ -155,7 +155,7 @@
 	return isLocked
 }
 
-// Close lets another process write.
+// Close releases the lock, so that another process may write.
 func (s *CopyStore) Close() {
 	if s.lock != nil {
 		_ = s.lock.Close()
--- a/internal/controlplane/client/file.go
+++ b/internal/controlplane/client/file.go
@@ -15,8 +15,12 @@
 )
 
 const (
-	maxMembers   = 21 // the machines that a fleet sets aside for control
-	maxVoters    = 5  // outlive the loss of two; each further one makes every commit wait for one more disk
+	// maxMembers is the number of machines that a fleet sets aside for control.
+	maxMembers = 21
+
+	// maxVoters voters survive the loss of two. With more, every commit would wait for more disks.
+	maxVoters = 5
+
 	maxNameBytes = 64
 )
 
@@ -26,7 +30,8 @@
 	Voter                 bool
 }
 
-// ControlPlane is a control plane as its file describes it. The file is the same for members, nodes and operators, but for the region.
+// ControlPlane is a control plane as its file describes it. Members, nodes and operators read the same file, except that the region
+// in it is that of the node that reads it.
 type ControlPlane struct {
 	Fleet      string
 	Region     string // of a node that reads the file
@@ -37,23 +42,24 @@
 	lastLeader atomic.Pointer[string] // the voter that answered the latest call of the leader; nil is unknown
 }
 
-// controlPlaneFile is the form of deploy/control-plane.toml.
+// controlPlaneFile is deploy/control-plane.toml. fleet, key_file and member are required.
 type controlPlaneFile struct {
-	Fleet    string        `toml:"fleet"`
-	KeyFile  string        `toml:"key_file"`
-	Region   string        `toml:"region"`
-	StateDir string        `toml:"state_dir"`
-	Members  []memberEntry `toml:"member"`
+	Fleet    string        `toml:"fleet"`     // name, 1 to 64 bytes; processes of another fleet are rejected
+	KeyFile  string        `toml:"key_file"`  // path, relative to this file
+	Region   string        `toml:"region"`    // of the node that reads the file; one that a member has
+	StateDir string        `toml:"state_dir"` // of stores and stored copies, relative to this file; default control-plane
+	Members  []memberEntry `toml:"member"`    // at most 21, of which 1, 3 or 5 are voters
 }
 
+// memberEntry is one member; all keys but voter are required.
 type memberEntry struct {
-	Name    string `toml:"name"`
-	Region  string `toml:"region"`
-	Address string `toml:"address"`
-	Voter   bool   `toml:"voter"`
+	Name    string `toml:"name"`    // letters, digits, dots and dashes, distinct
+	Region  string `toml:"region"`  // 1 to 64 bytes
+	Address string `toml:"address"` // host:port, distinct
+	Voter   bool   `toml:"voter"`   // default false: the member relays
 }
 
-// ReadFile reads a control plane's file, and the keys that it names. Paths in it are relative to its directory. An error tells the
+// ReadFile reads a control plane's file, and the keys that it names. Paths in it are relative to its directory. An error names the
 // file, line and column.
 func ReadFile(name string) (*ControlPlane, error) {
 	file := controlPlaneFile{StateDir: "control-plane"}
@@ -153,7 +159,7 @@
 	return r == '-' || r == '_' || r == '.'
 }
 
-// FindMember returns the member of a name.
+// FindMember returns the member that has the name.
 func (p *ControlPlane) FindMember(name string) (Member, error) {
 	if i := indexOf(p.Members, name); i >= 0 {
 		return p.Members[i], nil
--- a/internal/controlplane/member/calls.go
+++ b/internal/controlplane/member/calls.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	// maxCalls bounds the calls of operators at one time: each may bring and get a whole document.
+	// maxCalls bounds the operators' calls at one time, because each may send and receive a whole document.
 	maxCalls = 16
 	// callIdleTimeout ends a call whose connection carries nothing.
 	callIdleTimeout = 30 * time.Second
-	// proposalTimeout is how long a call waits for the majority. The caller then asks again, by the change's ID.
+	// proposalTimeout is how long a call waits for a majority to store the change. The caller then makes the call again with the same
+	// change ID, by which it takes effect only once.
 	proposalTimeout = 4 * time.Second
 	// maxAuthorBytes bounds each of a call's author and reason.
 	maxAuthorBytes = 1 << 10
@@ -217,7 +218,7 @@
 	return &client.CallResponse{Code: controlplane.CodeLeadershipLost, Detail: detail}
 }
 
-// settleApply returns the response if it is known without a proposal, or nil.
+// settleApply returns the response to a call that needs no proposal, or nil if a proposal has to be made.
 func (m *Member) settleApply(request *client.CallRequest) *client.CallResponse {
 	if response := m.notLeaderResponse(); response != nil {
 		return response
--- a/internal/controlplane/member/connections.go
+++ b/internal/controlplane/member/connections.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// maxUnauthenticated bounds the connections that have not proven the key yet, so that strangers can't take all descriptors. They
-	// end after the handshake's timeout, and further ones wait in the kernel's queue until then.
+	// maxUnauthenticated bounds the connections that have not proven the key yet, so that strangers can't use up the descriptors. Such
+	// connections end after the handshake's timeout; further ones wait in the kernel's queue until then.
 	maxUnauthenticated = 64
 	// acceptRetryDelay is the pause after a failed accept, such as one for want of descriptors.
 	acceptRetryDelay = 50 * time.Millisecond
 	// headerTimeout and maxHeaderBytes bound the frame by which a connection says what it is for.
 	headerTimeout  = 2 * time.Second
 	maxHeaderBytes = 1 << 10
-	// maxFollowers bounds the followers of one member: over twice the fleet.
+	// maxFollowers bounds the followers of one member. It is over twice the number of nodes of the largest fleet.
 	maxFollowers = 4096
 	// maxQueuedFrames bounds the frames of one connection in the actor's mailbox; the next one is read when there is room.
 	maxQueuedFrames = 16
--- a/internal/controlplane/member/member.go
+++ b/internal/controlplane/member/member.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// logRejected logs a connection that was rejected, at most one a rejectedLogInterval, with how many there were since the last line.
+// logRejected logs a rejected connection, at most once in client.RejectedLogInterval, with the number of rejections since the last line.
 func (m *Member) logRejected(peer string, err error) {
 	m.rejectedSinceLastLine.Add(1)
 	m.rejectedLog.Do(func() {
--- a/internal/controlplane/member/validator.go
+++ b/internal/controlplane/member/validator.go
@@ -23,8 +23,8 @@
 	deployment *config.Deployment
 }
 
-// check returns an error if nodes that have the head, a version's document, can't apply the proposed one. Before the first version any
-// configuration may come.
+// check returns an error if nodes that have the head's document can't apply the proposed one. As the first version, any valid
+// configuration is accepted.
 func (v *validator) check(proposed *controlplane.Document, version uint64, head *controlplane.Document) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -34,7 +34,7 @@
 	}
 	current, err := v.parse(head)
 	if err != nil {
-		return nil // a head that no node can read must not keep a better one out
+		return nil // otherwise a head that no node can read could never be replaced
 	}
 	return deployment.CheckReplaces(current)
 }
--- a/internal/controlplane/member/voter.go
+++ b/internal/controlplane/member/voter.go
@@ -11,8 +11,8 @@
 	"pearknot/internal/controlplane"
 )
 
-// slowPersistThreshold is the time of a write to the store after which the log says so. The actor waits for the write, so that its
-// followers get nothing meanwhile and go to another member after 2.5 s.
+// slowPersistThreshold is the duration from which a write to the store is logged as slow. The actor waits for the write, so its
+// followers get no heartbeats meanwhile, and after 2.5 s (heartbeatTimeoutMs in package controlplane) they connect to another member.
 const slowPersistThreshold = time.Second
 
 // voterRole is what only a voter has. All but the links' outbound connections belongs to the actor.
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// carryOutVoterDecisions carries out the voter's decisions in their order. After an error the voter must not go on: what it has told
-// others may not be on its disk.
+// carryOutVoterDecisions carries out the voter's decisions in their order. After an error the voter must not go on, because the core
+// assumes that everything it decided so far is durable: a later message could acknowledge what is not on the disk.
 func (m *Member) carryOutVoterDecisions() error {
 	for output, ok := m.voter.Next(); ok; output, ok = m.voter.Next() {
 		switch {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// deliverReply hands a proposal's result to the call that waits for it, if it still does.
+// deliverReply passes a proposal's result to the call that waits for it, if there still is one.
 func (m *Member) deliverReply(reply *controlplane.Reply) {
 	if waiting := m.proposalReplies[reply.ID]; waiting != nil {
 		delete(m.proposalReplies, reply.ID)
