--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -343,7 +343,7 @@
 	whole = d.whole()
 	assert.Len(t, whole.Targets, 2)
 	assert.Equal(t, 4, whole.Rev)
-	assert.Equal(t, entry{UID: "s-1", Endpoint: "127.0.0.1:65000", AZ: "b", Model: "m", PodGroup: 1, State: "removed", Weight: 1}, d.entries(d.roll.Since(3))[0])
+	assert.Equal(t, entry{UID: "s-1", Endpoint: "127.0.0.1:65000", AZ: "b", Model: "m", PodGroup: 1, State: "removed", Weight: 1}, d.entries(d.roll.ChangesSince(3))[0])
 	assert.Zero(t, d.calls.Load())
 }
 
--- a/internal/lab/capacity/rig_serve.go
+++ b/internal/lab/capacity/rig_serve.go
@@ -45,7 +45,7 @@
 	server *http.Server
 	wg     sync.WaitGroup
 	mu     sync.Mutex
-	roll   *discoverystub.Roll
+	roll   *discoverystub.Service
 	news   chan struct{} // closed when there is something newer
 }
 
@@ -106,7 +106,7 @@
 	}
 	d := &discoveryServer{address: l.Addr().String(), backend: backend, roll: discoverystub.New(0), news: make(chan struct{})}
 	for k := range backends {
-		d.roll.Set(0, 0, discoverystub.Entry{Backend: k, State: balancer.BackendReady})
+		d.roll.Update(0, 0, discoverystub.Entry{Backend: k, State: balancer.BackendReady})
 	}
 	d.roll.Advance(0)
 	d.server = &http.Server{Handler: http.HandlerFunc(d.serve)}
@@ -124,7 +124,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, b := range backends {
-		d.roll.Set(0, 0, discoverystub.Entry{Backend: b, State: s})
+		d.roll.Update(0, 0, discoverystub.Entry{Backend: b, State: s})
 	}
 	d.roll.Advance(0)
 	close(d.news)
@@ -135,7 +135,7 @@
 func (d *discoveryServer) whole() told {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return told{d.roll.Version(), true, d.entries(d.roll.Whole())}
+	return told{d.roll.Version(), true, d.entries(d.roll.List())}
 }
 
 func (d *discoveryServer) entries(from []discoverystub.Entry) []entry {
@@ -169,9 +169,9 @@
 	}
 	answer := told{d.roll.Version(), !watching, nil}
 	if watching {
-		answer.Targets = d.entries(d.roll.Since(from))
+		answer.Targets = d.entries(d.roll.ChangesSince(from))
 	} else {
-		answer.Targets = d.entries(d.roll.Whole())
+		answer.Targets = d.entries(d.roll.List())
 	}
 	d.mu.Unlock()
 	data, err := json.Marshal(answer)
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -10,7 +10,9 @@
 	"pearknot/internal/lab/experiment"
 )
 
-func file(t *testing.T, troubles string) *experiment.Experiment {
+// decode returns a small experiment with the given faults.
+func decode(t *testing.T, faults string) *experiment.Experiment {
+	t.Helper()
 	e, err := experiment.Decode("e", []byte(`seconds = 60
 [fleet]
 nodes = 4
@@ -28,13 +30,15 @@
 target_latency_ms = 100
 ttl_ms = 1000
 benefit = 1
-`+troubles))
+`+faults))
 	require.NoError(t, err)
 	return e
 }
 
+// A schedule is the same on every run of a seed, so that policies can be compared on the same faults; another seed
+// hits other backends. A backend whose fault ends at the moment at which the next begins must be free for it.
 func TestSchedule(t *testing.T) {
-	e := file(t, `
+	e := decode(t, `
 [[trouble]]
 kind = "crash"
 at_s = 10
@@ -47,26 +51,26 @@
 for_s = 5
 count = 9
 `)
-	s := Schedule(e, 3)
-	require.Len(t, s, 4)
-	assert.Equal(t, []float64{5e3, 10e3, 10e3, 15e3}, []float64{s[0].At, s[1].At, s[2].At, s[3].At})
-	assert.Equal(t, []int{0, 1, 2, 3}, s[0].Targets, "all there are")
-	assert.False(t, s[1].On, "what ends makes room for what begins")
-	assert.Len(t, s[2].Targets, 2)
-	for _, b := range s[2].Targets {
-		assert.Equal(t, 1, b%3)
+	schedule := Schedule(e, 3)
+	require.Len(t, schedule, 4)
+	assert.Equal(t, []float64{5e3, 10e3, 10e3, 15e3}, []float64{schedule[0].At, schedule[1].At, schedule[2].At, schedule[3].At})
+	assert.Equal(t, []int{0, 1, 2, 3}, schedule[0].Targets, "all there are")
+	assert.False(t, schedule[1].On, "ends come before beginnings")
+	assert.Len(t, schedule[2].Targets, 2)
+	for _, backend := range schedule[2].Targets {
+		assert.Equal(t, 1, backend%3, "in zone b")
 	}
-	assert.Equal(t, s, Schedule(e, 3))
+	assert.Equal(t, schedule, Schedule(e, 3))
 	differs := false
 	for seed := range uint64(9) {
-		differs = differs || Schedule(e, seed)[2].Targets[0] != s[2].Targets[0]
+		differs = differs || Schedule(e, seed)[2].Targets[0] != schedule[2].Targets[0]
 	}
 	assert.True(t, differs)
 }
 
-// Troubles on one machine add up, and end each for itself.
-func TestOverlap(t *testing.T) {
-	e := file(t, `
+// During an incident several faults hit the same machine. Their effects combine, and the end of one leaves the others.
+func TestFaultsOverlap(t *testing.T) {
+	e := decode(t, `
 [[trouble]]
 kind = "slow"
 share = 1
@@ -99,29 +103,29 @@
 chance = 0.1
 factor = 7
 `)
-	s := NewState(e)
-	assert.Equal(t, backendmodel.Faults{}, s.Machine(1))
+	state := NewState(e)
+	assert.Equal(t, backendmodel.Faults{}, state.BackendFaults(1))
 	for i := range e.Trouble {
-		s.Put(Switch{On: true, Index: i, Targets: []int{1}})
+		state.Apply(Transition{On: true, Index: i, Targets: []int{1}})
 	}
-	assert.Equal(t, backendmodel.Faults{Slowdown: 6, ErrorShare: 0.5}, s.Machine(1))
-	assert.Equal(t, backendmodel.Faults{}, s.Machine(2))
-	assert.InDelta(t, 3, s.Burst(), 1e-9)
-	assert.InDelta(t, 3, MostBurst(e), 1e-9)
-	assert.InDelta(t, 400, s.Lag(), 1e-9)
-	assert.True(t, s.ListDown())
-	chance, factor := s.Costly(0)
+	assert.Equal(t, backendmodel.Faults{Slowdown: 6, ErrorShare: 0.5}, state.BackendFaults(1))
+	assert.Equal(t, backendmodel.Faults{}, state.BackendFaults(2))
+	assert.InDelta(t, 3, state.LoadFactor(), 1e-9)
+	assert.InDelta(t, 3, MaxLoadFactor(e), 1e-9)
+	assert.InDelta(t, 400, state.ListLag(), 1e-9)
+	assert.True(t, state.ListDown())
+	chance, factor := state.CostIncrease(0)
 	assert.Equal(t, []float64{0.1, 7}, []float64{chance, factor})
-	assert.Equal(t, []bool{true, true, false, false}, []bool{s.Cut(0, 1), s.Cut(1, 2), s.Cut(0, 2), s.Cut(1, 1)})
-	s.Put(Switch{Index: 0})
-	s.Put(Switch{Index: 5})
-	assert.InDelta(t, 3, s.Machine(1).Slowdown, 1e-9)
-	assert.False(t, s.Cut(0, 1))
+	assert.Equal(t, []bool{true, true, false, false}, []bool{state.IsPartitioned(0, 1), state.IsPartitioned(1, 2), state.IsPartitioned(0, 2), state.IsPartitioned(1, 1)})
+	state.Apply(Transition{Index: 0})
+	state.Apply(Transition{Index: 5})
+	assert.InDelta(t, 3, state.BackendFaults(1).Slowdown, 1e-9)
+	assert.False(t, state.IsPartitioned(0, 1))
 }
 
-// Those that join are not there before, whoever else is hit.
-func TestJoining(t *testing.T) {
-	e := file(t, `
+// A backend that joins during the experiment must not exist before, also where another fault has it as a target.
+func TestJoiningBackends(t *testing.T) {
+	e := decode(t, `
 [[trouble]]
 kind = "join"
 at_s = 10
@@ -136,12 +140,12 @@
 at_s = 5
 share = 1
 `)
-	s := Schedule(e, 3)
-	joining := Joining(e, s)
-	for _, w := range s {
-		for _, k := range w.Targets {
-			if e.Trouble[w.Index].Kind == experiment.Join {
-				assert.True(t, joining[k], k)
+	schedule := Schedule(e, 3)
+	joining := JoiningBackends(e, schedule)
+	for _, transition := range schedule {
+		for _, backend := range transition.Targets {
+			if e.Trouble[transition.Index].Kind == experiment.Join {
+				assert.True(t, joining[backend], backend)
 			}
 		}
 	}
--- a/internal/lab/loopback/backend.go
+++ b/internal/lab/loopback/backend.go
@@ -123,7 +123,7 @@
 func (b *backend) put() backendmodel.Faults {
 	b.hub.mu.Lock()
 	defer b.hub.mu.Unlock()
-	return b.hub.state.Machine(b.number)
+	return b.hub.state.BackendFaults(b.number)
 }
 
 // trouble takes up what is on for it now.
--- a/internal/lab/loopback/clients.go
+++ b/internal/lab/loopback/clients.go
@@ -52,8 +52,8 @@
 			device.CloseIdleConnections()
 		}
 	}()
-	for c.source.Next() < c.hub.e.Length() && ctx.Err() == nil {
-		wait(ctx, time.Until(c.hub.time(c.source.Next())))
+	for c.source.NextArrival() < c.hub.e.Length() && ctx.Err() == nil {
+		wait(ctx, time.Until(c.hub.time(c.source.NextArrival())))
 		if ctx.Err() != nil {
 			break
 		}
@@ -81,21 +81,21 @@
 		how, comeBack, left := c.try(ctx, op, number)
 		c.hub.mu.Lock()
 		switch how {
-		case workload.Acked:
+		case workload.OutcomeServed:
 			now := c.hub.now()
 			c.hub.rec.Served(op, now)
 			c.hub.live.Acked++
-			if now-op.At <= c.hub.e.Category[op.Category].TargetMs {
+			if now-op.ArrivesAt <= c.hub.e.Category[op.Class].TargetMs {
 				c.hub.live.InTime++
 			}
-		case workload.Unreached:
+		case workload.OutcomeUnreachable:
 			c.hub.rec.Unreached()
 		}
 		again, wants := 0.0, false
-		if how != workload.Acked && !left {
-			again, wants = c.source.Again(op, number, how, comeBack)
+		if how != workload.OutcomeServed && !left {
+			again, wants = c.source.Retry(op, number, how, comeBack)
 		}
-		if how != workload.Acked && !wants {
+		if how != workload.OutcomeServed && !wants {
 			c.hub.rec.Over(op)
 			c.hub.live.Lost++
 		}
@@ -129,18 +129,18 @@
 	h := c.hub
 	h.mu.Lock()
 	h.rec.Tried()
-	told := c.source.Try(op, number)
+	told := c.source.Behavior(op, number)
 	h.mu.Unlock()
 	n := c.front(op.Zone)
 	if n == nil {
-		return workload.Unreached, 0, false
+		return workload.OutcomeUnreachable, 0, false
 	}
 	id := workload.TryID(op.ID, number)
-	k := h.e.Category[op.Category]
+	k := h.e.Category[op.Class]
 	sent := h.now()
-	stay := told.Patience + slackMs
-	if told.Leaves > 0 {
-		stay = told.Leaves
+	stay := told.Timeout + slackMs
+	if told.DisconnectAfter > 0 {
+		stay = told.DisconnectAfter
 	}
 	run := ctx
 	ctx, cancel := context.WithDeadline(ctx, h.time(sent+stay))
@@ -149,7 +149,7 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(w httptrace.WroteRequestInfo) {
 		if w.Err == nil {
 			taken = true
-			h.taken(id, n.number, op, sent+told.Patience)
+			h.taken(id, n.number, op, sent+told.Timeout)
 		}
 	}})
 	method, body := http.MethodGet, []byte(nil)
@@ -166,9 +166,9 @@
 	}
 	r.Header.Set("X-Trace-Id", fmt.Sprintf("%016x", id))
 	r.Header.Set("X-Qos", k.Name)
-	r.Header.Set("X-Expires-In-Ms", strconv.Itoa(int(told.Patience)))
-	if op.HasHint {
-		r.Header.Set("X-Size-Hint", strconv.FormatFloat(op.Hint*1e3, 'f', 0, 64))
+	r.Header.Set("X-Expires-In-Ms", strconv.Itoa(int(told.Timeout)))
+	if op.HasCostHint {
+		r.Header.Set("X-Size-Hint", strconv.FormatFloat(op.CostHint*1e3, 'f', 0, 64))
 	}
 	if number > 0 {
 		r.Header.Set("X-Second-Try", "1")
@@ -179,23 +179,23 @@
 		data, err = drain(answer.Body)
 		_ = answer.Body.Close()
 	}
-	late := h.now() > sent+told.Patience
+	late := h.now() > sent+told.Timeout
 	switch {
 	case err != nil && run.Err() != nil: // the run was ended: nothing is owed
 		h.tell(invariants.Event{Kind: invariants.ClientGone, Request: id})
-		return workload.Lost, 0, true
-	case err != nil && told.Leaves > 0 && errors.Is(err, context.DeadlineExceeded):
+		return workload.OutcomeLost, 0, true
+	case err != nil && told.DisconnectAfter > 0 && errors.Is(err, context.DeadlineExceeded):
 		h.tell(invariants.Event{Kind: invariants.ClientGone, Request: id})
-		return workload.Lost, 0, true
+		return workload.OutcomeLost, 0, true
 	case err != nil && ctx.Err() != nil: // the auditor tells whether an answer was owed
 		h.mu.Lock()
 		h.rec.GaveUp()
 		h.mu.Unlock()
-		return workload.Lost, 0, false
+		return workload.OutcomeLost, 0, false
 	case err != nil && !taken:
-		return workload.Unreached, 0, false
+		return workload.OutcomeUnreachable, 0, false
 	case err != nil: // ended without an answer: lost, unless its node was killed
-		return workload.Lost, 0, false
+		return workload.OutcomeLost, 0, false
 	}
 	f, known := finals[answer.StatusCode]
 	if !known {
@@ -213,13 +213,13 @@
 	case invariants.Rejected:
 		h.live.Nacked++
 		s, _ := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64)
-		return workload.Nacked, s * 1e3, false
+		return workload.OutcomeRejected, s * 1e3, false
 	case invariants.Failed:
 		h.live.Dead++
-		return workload.Lost, 0, false
+		return workload.OutcomeLost, 0, false
 	}
 	if late {
-		return workload.Lost, 0, false
+		return workload.OutcomeLost, 0, false
 	}
-	return workload.Acked, 0, false
+	return workload.OutcomeServed, 0, false
 }
--- a/internal/lab/loopback/hub.go
+++ b/internal/lab/loopback/hub.go
@@ -101,7 +101,7 @@
 		return
 	}
 	h.tries[try] = known{node: node, work: op.Work, until: giveUp}
-	h.told(invariants.Event{Kind: invariants.RequestAccepted, Node: node, Request: try, Class: op.Category, Deadline: giveUp})
+	h.told(invariants.Event{Kind: invariants.RequestAccepted, Node: node, Request: try, Class: op.Class, Deadline: giveUp})
 }
 
 // forget lets go of tries whose time is long over.
--- a/internal/lab/loopback/list.go
+++ b/internal/lab/loopback/list.go
@@ -21,7 +21,7 @@
 	backends []*backend
 
 	mu      sync.Mutex
-	roll    *discoverystub.Roll
+	roll    *discoverystub.Service
 	news    chan struct{} // closed when there is something newer
 	timer   *time.Timer
 	servers []*http.Server
@@ -52,7 +52,7 @@
 	l.timer = time.AfterFunc(time.Hour, l.publish)
 	for _, b := range backends {
 		if !joining[b.number] {
-			l.roll.Set(0, 0, discoverystub.Entry{Backend: b.number, State: balancer.BackendReady})
+			l.roll.Update(0, 0, discoverystub.Entry{Backend: b.number, State: balancer.BackendReady})
 		}
 	}
 	l.roll.Advance(0)
@@ -62,15 +62,15 @@
 // set takes the truth about a backend; it is known after the lag of the moment.
 func (l *list) set(b *backend, s balancer.BackendState) {
 	l.hub.mu.Lock()
-	lag := l.hub.state.Lag()
+	lag := l.hub.state.ListLag()
 	l.hub.mu.Unlock()
 	b.mu.Lock()
 	started := b.m.StartTime()
 	b.mu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.roll.Set(l.hub.now(), lag, discoverystub.Entry{Backend: b.number, State: s, Started: started})
-	l.timer.Reset(max(0, time.Until(l.hub.time(l.roll.Due()))))
+	l.roll.Update(l.hub.now(), lag, discoverystub.Entry{Backend: b.number, State: s, Started: started})
+	l.timer.Reset(max(0, time.Until(l.hub.time(l.roll.NextPublish()))))
 }
 
 func (l *list) publish() {
@@ -80,7 +80,7 @@
 		close(l.news)
 		l.news = make(chan struct{})
 	}
-	if due := l.roll.Due(); due < 1e12 {
+	if due := l.roll.NextPublish(); due < 1e12 {
 		l.timer.Reset(max(time.Millisecond, time.Until(l.hub.time(due))))
 	}
 }
@@ -141,7 +141,7 @@
 func (l *list) known(at float64, zone int) told {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	entries, version := l.roll.WholeAt(max(at, 0))
+	entries, version := l.roll.ListAt(max(at, 0))
 	return told{Rev: version, All: true, Targets: l.entries(entries, zone)}
 }
 
@@ -176,9 +176,9 @@
 	answer := told{Rev: l.roll.Version(), All: !watching}
 	var entries []discoverystub.Entry
 	if watching {
-		entries = l.roll.Since(from)
+		entries = l.roll.ChangesSince(from)
 	} else {
-		entries = l.roll.Whole()
+		entries = l.roll.List()
 	}
 	lines := max(1, len(entries))
 	if watching && len(entries) == 0 { // going on with a watch costs next to nothing
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -70,7 +70,7 @@
 	backends []*backend
 	nodes    []*node
 	crowd    *crowd
-	switches []faults.Switch
+	switches []faults.Transition
 	secure   *secure // nil is plain
 	failed   chan error
 	wg       sync.WaitGroup
@@ -145,7 +145,7 @@
 
 // build starts backends, list and nodes, and waits until all nodes are ready.
 func (w *world) build(ctx context.Context) error {
-	joining := faults.Joining(w.e, w.switches)
+	joining := faults.JoiningBackends(w.e, w.switches)
 	for k := range w.e.Fleet.Backends {
 		m := backendmodel.New(w.e.MachineKind(k), rand.New(rand.NewPCG(w.random, uint64(k)+1000)))
 		b, err := newBackend(w.hub, k, k%len(w.e.Fleet.Zones), w.e.MachineOf(k), len(w.e.Fleet.Zones), m)
@@ -232,7 +232,7 @@
 // begin starts the clock of the experiment: the load, the troubles, the looks.
 func (w *world) begin(ctx context.Context) error {
 	w.startAt(w.clock.Now())
-	joining := faults.Joining(w.e, w.switches)
+	joining := faults.JoiningBackends(w.e, w.switches)
 	for _, b := range w.backends {
 		if joining[b.number] { // its ports were held until all others had theirs
 			b.stop(false)
@@ -329,9 +329,9 @@
 	}
 }
 
-func (w *world) put(ctx context.Context, s faults.Switch) error {
+func (w *world) put(ctx context.Context, s faults.Transition) error {
 	w.mu.Lock()
-	w.state.Put(s)
+	w.state.Apply(s)
 	w.mu.Unlock()
 	t := w.e.Trouble[s.Index]
 	for _, k := range s.Targets {
@@ -377,7 +377,7 @@
 		for _, b := range w.backends {
 			for _, d := range b.doors {
 				w.mu.Lock()
-				cut := w.state.Cut(d.zone, b.zone)
+				cut := w.state.IsPartitioned(d.zone, b.zone)
 				w.mu.Unlock()
 				if cut != d.cut {
 					if err := d.setCut(cut); err != nil {
--- a/internal/lab/metrics/metrics.go
+++ b/internal/lab/metrics/metrics.go
@@ -167,7 +167,7 @@
 func histogram1() *hdrhistogram.Histogram { return hdrhistogram.New(100, 600_000_000, 1) }
 
 func (r *Recorder) benefit(op *workload.Request) float64 {
-	b := r.cats[op.Category].PriorityWeight
+	b := r.cats[op.Class].PriorityWeight
 	if r.e.Rules.BenefitByWork {
 		b *= op.Work
 	}
@@ -176,11 +176,11 @@
 
 // Asked tells of an op that a client wants.
 func (r *Recorder) Asked(op *workload.Request) {
-	w, b := r.at(op.At), r.benefit(op)
+	w, b := r.at(op.ArrivesAt), r.benefit(op)
 	w.Ops++
-	w.asked[op.Category] += b
-	r.asked[op.Category] += b
-	r.counts[op.Category]++
+	w.asked[op.Class] += b
+	r.asked[op.Class] += b
+	r.counts[op.Class]++
 	r.run.Ops++
 	r.open[op.ID] = true
 }
@@ -191,13 +191,13 @@
 		return
 	}
 	delete(r.open, op.ID)
-	elapsed := math.Max(now-op.At, 0)
-	share := workload.Earned(&r.cats[op.Category], elapsed, r.e.Category[op.Category].TTLMs)
-	w, b := r.at(op.At), r.benefit(op)*share
-	w.earned[op.Category] += b
-	r.earned[op.Category] += b
+	elapsed := math.Max(now-op.ArrivesAt, 0)
+	share := workload.EarnedShare(&r.cats[op.Class], elapsed, r.e.Category[op.Class].TTLMs)
+	w, b := r.at(op.ArrivesAt), r.benefit(op)*share
+	w.earned[op.Class] += b
+	r.earned[op.Class] += b
 	us := int64(math.Min(elapsed*1e3, 599e6)) + 1
-	_ = r.hists[op.Category].RecordValue(us)
+	_ = r.hists[op.Class].RecordValue(us)
 	_ = w.hist.RecordValue(max(us, 100))
 	r.useful += op.Work
 }
--- a/internal/lab/metrics/metrics_test.go
+++ b/internal/lab/metrics/metrics_test.go
@@ -38,13 +38,13 @@
 func play(e *experiment.Experiment, after func(at float64) float64, troubles ...Trouble) Run {
 	r := New(e, 1)
 	for k := range int(e.Seconds * 10) {
-		op := &workload.Request{ID: uint64(k) + 1, At: float64(k) * 100, Work: 10}
+		op := &workload.Request{ID: uint64(k) + 1, ArrivesAt: float64(k) * 100, Work: 10}
 		r.Asked(op)
 		r.Tried()
-		r.Pushed(op.At, k%2, k%4 == 0)
-		if d := after(op.At); d >= 0 {
-			r.Served(op, op.At+d)
-			r.Served(op, op.At+d+1) // a second answer changes nothing
+		r.Pushed(op.ArrivesAt, k%2, k%4 == 0)
+		if d := after(op.ArrivesAt); d >= 0 {
+			r.Served(op, op.ArrivesAt+d)
+			r.Served(op, op.ArrivesAt+d+1) // a second answer changes nothing
 		}
 		r.Over(op)
 	}
--- a/internal/lab/virtual/attempts.go
+++ b/internal/lab/virtual/attempts.go
@@ -106,7 +106,7 @@
 		s.endAttempt(a, balancer.OutcomeConnectFailed)
 		return
 	}
-	if maxConnections := s.faults.Connections(target.number); maxConnections > 0 && s.countConnections(target) >= maxConnections {
+	if maxConnections := s.faults.MaxConnections(target.number); maxConnections > 0 && s.countConnections(target) >= maxConnections {
 		s.endAttempt(a, balancer.OutcomeConnectFailed)
 		return
 	}
--- a/internal/lab/virtual/backends.go
+++ b/internal/lab/virtual/backends.go
@@ -45,7 +45,7 @@
 		s.overloaded++
 		s.stopBackend(b, false)
 		s.respond(a, balancer.OutcomeConnectionReset, 0)
-		s.discovery.Set(s.now, s.faults.Lag(), discoverystub.Entry{Backend: b.number, State: balancer.BackendRemoved})
+		s.discovery.Update(s.now, s.faults.ListLag(), discoverystub.Entry{Backend: b.number, State: balancer.BackendRemoved})
 		s.schedulePublish()
 	}
 	s.advanceBackend(b)
@@ -66,9 +66,9 @@
 			continue
 		}
 		s.recordEvent(invariants.Event{Kind: invariants.AttemptRan, Request: a.request.ID, Attempt: a.decided.Number, Backend: b.number})
-		if a.request.try.request.Fells { // a poison request
+		if a.request.try.request.IsPoison { // a poison request
 			s.crashBackend(b, false)
-			s.schedule(s.now+s.faults.DownFor(), func() { s.restartBackend(b) })
+			s.schedule(s.now+s.faults.PoisonDowntime(), func() { s.restartBackend(b) })
 			return
 		}
 	}
@@ -87,7 +87,7 @@
 // report goes with a response if the experiment's backends send them.
 func (s *simulation) respond(a *attempt, outcome balancer.Outcome, delay float64) {
 	n, b := a.request.node, a.target
-	if s.faults.Cut(n.zone, b.zone) {
+	if s.faults.IsPartitioned(n.zone, b.zone) {
 		return
 	}
 	report := balancer.EmptyLoadReport()
@@ -138,7 +138,7 @@
 	}
 	b.silent = false
 	b.Start(s.now, false)
-	b.SetFaults(s.now, s.faults.Machine(b.number))
+	b.SetFaults(s.now, s.faults.BackendFaults(b.number))
 	s.recordEvent(invariants.Event{Kind: invariants.BackendStarted, Backend: b.number, Zone: b.zone, Cell: b.number, Speed: b.Capacity(), Started: s.now})
 	s.updateList(b, balancer.BackendReady)
 }
--- a/internal/lab/virtual/clients.go
+++ b/internal/lab/virtual/clients.go
@@ -19,11 +19,11 @@
 
 // requestArrives takes the next request from the workload, and schedules the one after it.
 func (s *simulation) requestArrives() {
-	if request := s.source.Arrive(); request != nil && request.At < s.experiment.Length() {
+	if request := s.source.Arrive(); request != nil && request.ArrivesAt < s.experiment.Length() {
 		s.recorder.Asked(request)
 		s.sendRequest(request, 0)
 	}
-	if next := s.source.Next(); next < s.experiment.Length() {
+	if next := s.source.NextArrival(); next < s.experiment.Length() {
 		s.schedule(next, s.requestArrives)
 	}
 }
@@ -48,16 +48,16 @@
 	try := &clientTry{request: request, number: number, node: s.pickNode(request.Zone)}
 	nearMs := s.experiment.Fleet.NearMs
 	if try.node == nil {
-		s.schedule(s.now+nearMs, func() { s.finishTry(try, workload.Unreached, 0) })
+		s.schedule(s.now+nearMs, func() { s.finishTry(try, workload.OutcomeUnreachable, 0) })
 		return
 	}
-	behavior := s.source.Try(request, number)
+	behavior := s.source.Behavior(request, number)
 	sentAt := s.now
-	s.schedule(s.now+nearMs, func() { s.receiveRequest(try, sentAt, behavior.Patience) })
-	if behavior.Leaves > 0 {
-		s.schedule(s.now+behavior.Leaves, func() { s.clientDisconnects(try) })
+	s.schedule(s.now+nearMs, func() { s.receiveRequest(try, sentAt, behavior.Timeout) })
+	if behavior.DisconnectAfter > 0 {
+		s.schedule(s.now+behavior.DisconnectAfter, func() { s.clientDisconnects(try) })
 	}
-	s.schedule(s.now+behavior.Patience, func() { s.clientTimesOut(try) })
+	s.schedule(s.now+behavior.Timeout, func() { s.clientTimesOut(try) })
 }
 
 // clientDisconnects ends a try whose client goes away for good.
@@ -78,7 +78,7 @@
 	}
 	s.recorder.GaveUp()
 	s.closeClientConnection(try)
-	s.finishTry(try, workload.Lost, 0)
+	s.finishTry(try, workload.OutcomeLost, 0)
 }
 
 // closeClientConnection lets the node notice, one network delay later, that its client is gone.
@@ -103,13 +103,13 @@
 	}
 	try.closed = true
 	switch outcome {
-	case workload.Acked:
+	case workload.OutcomeServed:
 		s.recorder.Served(try.request, s.now)
 		return
-	case workload.Unreached:
+	case workload.OutcomeUnreachable:
 		s.recorder.Unreached()
 	}
-	if wait, again := s.source.Again(try.request, try.number, outcome, retryAfter); again {
+	if wait, again := s.source.Retry(try.request, try.number, outcome, retryAfter); again {
 		s.schedule(s.now+wait, func() { s.sendRequest(try.request, try.number+1) })
 		return
 	}
@@ -123,20 +123,20 @@
 		return
 	}
 	if !n.alive {
-		s.schedule(s.now+s.experiment.Fleet.NearMs, func() { s.finishTry(try, workload.Unreached, 0) })
+		s.schedule(s.now+s.experiment.Fleet.NearMs, func() { s.finishTry(try, workload.OutcomeUnreachable, 0) })
 		return
 	}
 	sent := try.request
 	received := &request{node: n, try: try}
 	received.ID = workload.TryID(sent.ID, try.number)
-	received.Class = sent.Category
-	received.CostHint, received.HasCostHint = sent.Hint, sent.HasHint
+	received.Class = sent.Class
+	received.CostHint, received.HasCostHint = sent.CostHint, sent.HasCostHint
 	received.IsClientRetry = try.number > 0
 	received.Deadline = sentAt + patience - deadlineMarginMs
 	received.Key = sent.Key
 	try.handled = received
 	n.requests[received.ID] = received
-	s.recordEvent(invariants.Event{Kind: invariants.RequestAccepted, Node: n.number, Request: received.ID, Class: sent.Category, Key: sent.Key,
+	s.recordEvent(invariants.Event{Kind: invariants.RequestAccepted, Node: n.number, Request: received.ID, Class: sent.Class, Key: sent.Key,
 		Deadline: sentAt + patience})
 	n.decider.RequestArrived(s.now, &received.Request)
 	s.carryOutDecisions(n)
--- a/internal/lab/virtual/discovery.go
+++ b/internal/lab/virtual/discovery.go
@@ -82,7 +82,7 @@
 // callDiscovery charges the discovery service with a response to a node. It returns when the service responds, in ms,
 // and whether with success.
 func (s *simulation) callDiscovery(n *node) (done float64, ok bool) {
-	return s.discovery.Call(s.now, max(1, len(s.discovery.Since(n.version))))
+	return s.discovery.Call(s.now, max(1, len(s.discovery.ChangesSince(n.version))))
 }
 
 // pollEnded gives a node the response of its poll.
@@ -99,14 +99,14 @@
 
 // sendChanges gives a node all changes of the endpoint list since its version.
 func (s *simulation) sendChanges(n *node) {
-	entries, version := s.discovery.Since(n.version), s.discovery.Version()
+	entries, version := s.discovery.ChangesSince(n.version), s.discovery.Version()
 	n.version = version
 	s.applyEndpoints(n, entries, false, false)
 }
 
 // schedulePublish schedules publish for the time at which the discovery service learns of its next change.
 func (s *simulation) schedulePublish() {
-	if due := s.discovery.Due(); !math.IsInf(due, 1) {
+	if due := s.discovery.NextPublish(); !math.IsInf(due, 1) {
 		s.schedule(due, s.publish)
 	}
 }
@@ -163,10 +163,10 @@
 // updateList tells the discovery service of a backend's new state. While the list is wrongly empty nothing is recorded:
 // the list is built anew from the backends' states when that fault ends.
 func (s *simulation) updateList(b *backend, state balancer.BackendState) {
-	if s.faults.Emptied() {
+	if s.faults.ListEmpty() {
 		return
 	}
-	s.discovery.Set(s.now, s.faults.Lag(), discoverystub.Entry{Backend: b.number, State: state, Started: b.StartTime()})
+	s.discovery.Update(s.now, s.faults.ListLag(), discoverystub.Entry{Backend: b.number, State: state, Started: b.StartTime()})
 	s.schedulePublish()
 }
 
@@ -178,7 +178,7 @@
 		if !empty && b.Up() {
 			state = balancer.BackendReady
 		}
-		s.discovery.Set(s.now, 0, discoverystub.Entry{Backend: b.number, State: state, Started: b.StartTime()})
+		s.discovery.Update(s.now, 0, discoverystub.Entry{Backend: b.number, State: state, Started: b.StartTime()})
 	}
 	s.schedulePublish()
 }
--- a/internal/lab/virtual/faults.go
+++ b/internal/lab/virtual/faults.go
@@ -23,8 +23,8 @@
 
 // switchFault begins or ends a fault. Kinds that aren't named here act only through the state of faults, which the
 // workload and the network ask.
-func (s *simulation) switchFault(change faults.Switch) {
-	s.faults.Put(change)
+func (s *simulation) switchFault(change faults.Transition) {
+	s.faults.Apply(change)
 	switch kind := s.experiment.Trouble[change.Index].Kind; kind {
 	case experiment.Swallow, experiment.Errors, experiment.Slow, experiment.Pauses, experiment.Lies, experiment.Stuck,
 		experiment.Crash, experiment.Vanish, experiment.Shrink, experiment.Join:
@@ -72,7 +72,7 @@
 			s.restartBackend(b)
 		}
 	default: // a fault in how its machine works
-		b.SetFaults(s.now, s.faults.Machine(b.number))
+		b.SetFaults(s.now, s.faults.BackendFaults(b.number))
 		s.advanceBackend(b)
 	}
 }
--- a/internal/lab/virtual/nodes.go
+++ b/internal/lab/virtual/nodes.go
@@ -52,9 +52,9 @@
 
 // clientOutcomes maps a node's answer to what it means to the client.
 var clientOutcomes = [...]workload.Outcome{
-	invariants.Served:   workload.Acked,
-	invariants.Rejected: workload.Nacked,
-	invariants.Failed:   workload.Lost,
+	invariants.Served:   workload.OutcomeServed,
+	invariants.Rejected: workload.OutcomeRejected,
+	invariants.Failed:   workload.OutcomeLost,
 }
 
 // startNode starts a node's process with an endpoint list cached earlier. It returns an error if the experiment's
@@ -129,7 +129,7 @@
 			}
 		}
 		if !lost.answered {
-			s.schedule(s.now+s.experiment.Fleet.NearMs, func() { s.finishTry(lost.try, workload.Lost, 0) })
+			s.schedule(s.now+s.experiment.Fleet.NearMs, func() { s.finishTry(lost.try, workload.OutcomeLost, 0) })
 		}
 	}
 	n.requests = map[uint64]*request{}
@@ -141,9 +141,9 @@
 	if n.alive {
 		return
 	}
-	cached, version := s.discovery.WholeAt(n.diedAt - s.experiment.List.OldByMs)
+	cached, version := s.discovery.ListAt(n.diedAt - s.experiment.List.OldByMs)
 	if version == 0 {
-		cached, version = s.discovery.WholeAt(0)
+		cached, version = s.discovery.ListAt(0)
 	}
 	if err := s.startNode(n, cached, version); err != nil {
 		panic(err) // the same policy was built when the simulation began
--- a/internal/lab/virtual/simulation.go
+++ b/internal/lab/virtual/simulation.go
@@ -62,10 +62,10 @@
 	recorder *metrics.Recorder
 
 	faults   *faults.State
-	switches []faults.Switch
+	switches []faults.Transition
 
 	source    *workload.Source
-	discovery *discoverystub.Roll
+	discovery *discoverystub.Service
 
 	backends    []*backend
 	sampledWork []float64 // by backend, up to the latest sample
@@ -99,7 +99,7 @@
 		n := &node{number: number, zone: number % zones}
 		s.nodes = append(s.nodes, n)
 		s.nodesByZone[n.zone] = append(s.nodesByZone[n.zone], n)
-		if err := s.startNode(n, s.discovery.Whole(), s.discovery.Version()); err != nil {
+		if err := s.startNode(n, s.discovery.List(), s.discovery.Version()); err != nil {
 			return nil, err
 		}
 	}
@@ -108,7 +108,7 @@
 
 // addBackends creates all backends and starts those that don't join later.
 func (s *simulation) addBackends() {
-	joining := faults.Joining(s.experiment, s.switches)
+	joining := faults.JoiningBackends(s.experiment, s.switches)
 	for number := range s.experiment.Fleet.Backends {
 		rng := rand.New(rand.NewPCG(s.seed, uint64(number)+1000))
 		b := &backend{
@@ -124,14 +124,14 @@
 		}
 		b.Start(0, true)
 		s.recordEvent(invariants.Event{Kind: invariants.BackendStarted, Backend: number, Zone: b.zone, Cell: number, Speed: b.Capacity()})
-		s.discovery.Set(0, 0, discoverystub.Entry{Backend: number, State: balancer.BackendReady})
+		s.discovery.Update(0, 0, discoverystub.Entry{Backend: number, State: balancer.BackendReady})
 	}
 }
 
 // run processes events until the experiment's end, and from there until no request is open.
 func (s *simulation) run() metrics.Run {
 	spans := s.scheduleFaults()
-	s.schedule(s.source.Next(), s.requestArrives)
+	s.schedule(s.source.NextArrival(), s.requestArrives)
 	s.schedule(metrics.Look, s.sampleLoad)
 	s.processEvents()
 	s.auditor.Finish(s.now + requestsSettledMs)
@@ -179,5 +179,5 @@
 
 // isUnreachable reports whether packets between a node and a backend get lost without an error.
 func (s *simulation) isUnreachable(n *node, b *backend) bool {
-	return b.silent || s.faults.Cut(n.zone, b.zone)
+	return b.silent || s.faults.IsPartitioned(n.zone, b.zone)
 }
--- a/internal/lab/workload/workload_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -13,7 +13,8 @@
 	"pearknot/internal/lab/faults"
 )
 
-const file = `seconds = 100
+// experimentFile is an experiment of two classes, with requests of one that turn costly. HINTS is to be replaced.
+const experimentFile = `seconds = 100
 [fleet]
 zones = ["a", "b"]
 traffic = [3, 1]
@@ -50,113 +51,134 @@
 category = "pay"
 `
 
-func source(t *testing.T, hints string, on bool) (*Source, *experiment.Experiment) {
-	e, err := experiment.Decode("e.toml", []byte(strings.Replace(file, "HINTS", hints, 1)))
+// newSource returns a source with a quality of hints, and with the fault of costly requests if active.
+func newSource(t *testing.T, hints string, active bool) (*Source, *experiment.Experiment) {
+	t.Helper()
+	e, err := experiment.Decode("e.toml", []byte(strings.Replace(experimentFile, "HINTS", hints, 1)))
 	require.NoError(t, err)
-	s := faults.NewState(e)
-	if on {
-		s.Put(faults.Switch{On: true})
+	state := faults.NewState(e)
+	if active {
+		state.Apply(faults.Transition{On: true})
 	}
-	return New(e, s, 7), e
+	return New(e, state, 7), e
 }
 
-func all(s *Source, e *experiment.Experiment) (ops []*Request) {
-	for s.Next() < e.Length() {
-		if op := s.Arrive(); op != nil {
-			ops = append(ops, op)
+// generate returns all requests of an experiment.
+func generate(s *Source, e *experiment.Experiment) (requests []*Request) {
+	for s.NextArrival() < e.Length() {
+		if request := s.Arrive(); request != nil {
+			requests = append(requests, request)
 		}
 	}
-	return ops
+	return requests
 }
 
-func TestLoad(t *testing.T) {
-	s, e := source(t, "exact", false)
-	ops := all(s, e)
-	early, pays, near, work := 0, 0, 0, 0.0
-	for _, op := range ops {
-		if op.At < 50e3 {
-			early++
+// The figures of an experiment mean something only if the load is what its file says: the rate and its ramp, the mix
+// of zones and classes, and the mean cost.
+func TestLoadMatchesExperiment(t *testing.T) {
+	source, e := newSource(t, "exact", false)
+	requests := generate(source, e)
+	firstHalf, pays, inFirstZone, work := 0, 0, 0, 0.0
+	for _, request := range requests {
+		if request.ArrivesAt < 50e3 {
+			firstHalf++
 		}
-		pays += op.Category
-		near += 1 - op.Zone
-		if op.Category == 0 {
-			work += op.Work
+		pays += request.Class
+		inFirstZone += 1 - request.Zone
+		if request.Class == 0 {
+			work += request.Work
 		}
-		assert.InDelta(t, op.Work, op.Hint, 0)
+		assert.InDelta(t, request.Work, request.CostHint, 0)
 	}
-	assert.InDelta(t, 5000, early, 300)
-	assert.InDelta(t, 15000, len(ops), 500, "twice as many in the second half")
-	assert.InDelta(t, 0.25, float64(pays)/float64(len(ops)), 0.02)
-	assert.InDelta(t, 0.75, float64(near)/float64(len(ops)), 0.02)
-	assert.InDelta(t, 20, work/float64(len(ops)-pays), 0.6)
+	assert.InDelta(t, 5000, firstHalf, 300)
+	assert.InDelta(t, 15000, len(requests), 500, "twice as many in the second half")
+	assert.InDelta(t, 0.25, float64(pays)/float64(len(requests)), 0.02)
+	assert.InDelta(t, 0.75, float64(inFirstZone)/float64(len(requests)), 0.02)
+	assert.InDelta(t, 20, work/float64(len(requests)-pays), 0.6)
 }
 
+// Clients' cost hints are exact, rough, misleading or absent: what a hint says must correlate with the cost accordingly.
 func TestHints(t *testing.T) {
-	for hints, c := range map[string]struct{ least, most float64 }{"exact": {1, 1}, "rough": {0.5, 0.97}, "misleading": {-0.1, 0.1}} {
-		s, e := source(t, hints, false)
-		var x, y []float64
-		for _, op := range all(s, e) {
-			if op.Category == 0 {
-				x, y = append(x, math.Log(op.Work)), append(y, math.Log(op.Hint))
+	for hints, correlations := range map[string]struct{ min, max float64 }{
+		"exact":      {1, 1},
+		"rough":      {0.5, 0.97},
+		"misleading": {-0.1, 0.1},
+	} {
+		source, e := newSource(t, hints, false)
+		var work, hinted []float64
+		for _, request := range generate(source, e) {
+			if request.Class == 0 {
+				work, hinted = append(work, math.Log(request.Work)), append(hinted, math.Log(request.CostHint))
 			}
 		}
-		r := correlation(x, y)
-		assert.GreaterOrEqual(t, r, c.least-1e-9, hints)
-		assert.LessOrEqual(t, r, c.most+1e-9, hints)
+		r := correlation(work, hinted)
+		assert.GreaterOrEqual(t, r, correlations.min-1e-9, hints)
+		assert.LessOrEqual(t, r, correlations.max+1e-9, hints)
 	}
-	s, e := source(t, "absent", false)
-	assert.False(t, all(s, e)[0].HasHint)
+	source, e := newSource(t, "absent", false)
+	assert.False(t, generate(source, e)[0].HasCostHint)
 }
 
+// correlation returns Pearson's correlation coefficient.
 func correlation(x, y []float64) float64 {
 	n, sx, sy, sxx, syy, sxy := float64(len(x)), 0.0, 0.0, 0.0, 0.0, 0.0
 	for i := range x {
-		sx, sy, sxx, syy, sxy = sx+x[i], sy+y[i], sxx+x[i]*x[i], syy+y[i]*y[i], sxy+x[i]*y[i]
+		sx, sy = sx+x[i], sy+y[i]
+		sxx, syy, sxy = sxx+x[i]*x[i], syy+y[i]*y[i], sxy+x[i]*y[i]
 	}
 	return (n*sxy - sx*sy) / math.Sqrt((n*sxx-sx*sx)*(n*syy-sy*sy))
 }
 
-// What an op is like hangs on the seed alone: a trouble that makes some costly changes nothing else.
-func TestOpsArePaired(t *testing.T) {
-	a, e := source(t, "rough", false)
-	b, _ := source(t, "rough", true)
-	x, y := all(a, e), all(b, e)
-	require.Len(t, y, len(x))
+// Two runs are compared request by request, so a request's properties must depend on the seed alone: a fault that makes
+// some of them costly changes nothing else, not even their hints.
+func TestRequestsArePaired(t *testing.T) {
+	calm, e := newSource(t, "rough", false)
+	faulty, _ := newSource(t, "rough", true)
+	want, got := generate(calm, e), generate(faulty, e)
+	require.Len(t, got, len(want))
 	costly := 0
-	for i := range x {
-		if x[i].Work != y[i].Work {
-			assert.InDelta(t, 10, y[i].Work/x[i].Work, 1e-9)
-			assert.Equal(t, 1, x[i].Category)
+	for i := range want {
+		if want[i].Work != got[i].Work {
+			assert.InDelta(t, 10, got[i].Work/want[i].Work, 1e-9)
+			assert.Equal(t, 1, want[i].Class)
 			costly++
 		}
-		assert.Equal(t, x[i].Hint, y[i].Hint, "no hint foresees it")
+		assert.Equal(t, want[i].CostHint, got[i].CostHint, "no hint foresees it")
 	}
-	assert.InDelta(t, float64(len(x))/8, costly, 200)
-	assert.Equal(t, a.Try(x[5], 1), b.Try(y[5], 1))
+	assert.InDelta(t, float64(len(want))/8, costly, 200)
+	assert.Equal(t, calm.Behavior(want[5], 1), faulty.Behavior(got[5], 1))
 }
 
-func TestAgain(t *testing.T) {
-	s, _ := source(t, "rough", false)
-	look, pay := &Request{ID: 1}, &Request{ID: 2, Category: 1}
-	for _, c := range []struct {
-		op     *Request
-		number int
-		how    Outcome
-		back   float64
-		again  bool
+// A client that retried what may have run would pay twice, so a payment is only retried if it surely didn't run. A
+// Retry-After is honored, the number of tries bounded, and no two tries share an ID.
+func TestRetry(t *testing.T) {
+	source, _ := newSource(t, "rough", false)
+	look, pay := &Request{ID: 1}, &Request{ID: 2, Class: 1}
+	for name, c := range map[string]struct {
+		request    *Request
+		number     int
+		outcome    Outcome
+		retryAfter float64
+		want       bool
 	}{
-		{look, 0, Acked, 0, false}, {look, 0, Lost, 0, true}, {look, 2, Lost, 0, false}, {pay, 0, Lost, 0, false},
-		{pay, 0, Nacked, 0, true}, {pay, 0, Unreached, 0, true}, {pay, 1, Nacked, 700, true},
+		"served":                    {look, 0, OutcomeServed, 0, false},
+		"idempotent lost":           {look, 0, OutcomeLost, 0, true},
+		"idempotent, no tries left": {look, 2, OutcomeLost, 0, false},
+		"payment lost":              {pay, 0, OutcomeLost, 0, false},
+		"payment rejected":          {pay, 0, OutcomeRejected, 0, true},
+		"payment unreachable":       {pay, 0, OutcomeUnreachable, 0, true},
+		"payment with Retry-After":  {pay, 1, OutcomeRejected, 700, true},
 	} {
-		wait, again := s.Again(c.op, c.number, c.how, c.back)
-		assert.Equal(t, c.again, again, "%+v", c)
-		if c.back > 0 {
-			assert.InDelta(t, c.back, wait, 0)
-		} else if again {
-			assert.InDelta(t, 100, wait, 50)
+		wait, retry := source.Retry(c.request, c.number, c.outcome, c.retryAfter)
+		assert.Equal(t, c.want, retry, name)
+		if c.retryAfter > 0 {
+			assert.InDelta(t, c.retryAfter, wait, 0, name)
+		} else if retry {
+			assert.InDelta(t, 100, wait, 50, name)
 		}
 	}
-	c := &balancer.Class{LatencyObjective: 500, LateWeight: 0.5}
-	assert.Equal(t, []float64{1, 0.5, 0}, []float64{Earned(c, 500, 1000), Earned(c, 501, 1000), Earned(c, 1001, 1000)})
-	assert.Equal(t, TryID(78, 0), TryID(77, 31)+1, "tries of two ops never meet")
+	class := &balancer.Class{LatencyObjective: 500, LateWeight: 0.5}
+	earned := []float64{EarnedShare(class, 500, 1000), EarnedShare(class, 501, 1000), EarnedShare(class, 1001, 1000)}
+	assert.Equal(t, []float64{1, 0.5, 0}, earned)
+	assert.Equal(t, TryID(78, 0), TryID(77, 31)+1, "the tries of two requests never meet")
 }
