--- /dev/null
+++ b/internal/lab/workload/client.go
@@ -0,0 +1,72 @@
+package workload
+
+import (
+	"math"
+	"math/rand/v2"
+
+	"pearknot/balancer"
+)
+
+// maxTries bounds the tries of a request, so that the IDs of two requests' tries never meet.
+const maxTries = 32
+
+// TryID returns the ID that a request has on the wire in one of its tries, counted from 0.
+func TryID(request uint64, number int) uint64 { return request*maxTries + uint64(number) }
+
+// Outcome is how a try ended for the client.
+type Outcome uint8
+
+// Outcomes of a try.
+const (
+	OutcomeServed Outcome = iota
+	OutcomeRejected
+	OutcomeLost        // failed, reset or timed out: it may have run
+	OutcomeUnreachable // no node accepted it
+)
+
+// Behavior is what the client does in one of its tries.
+type Behavior struct {
+	Timeout         float64 // how long it waits for the response
+	DisconnectAfter float64 // after how long it goes away for good; 0 never
+}
+
+// Behavior draws what a client does in a try.
+func (s *Source) Behavior(request *Request, number int) Behavior {
+	rng := rand.New(rand.NewPCG(s.seed, request.ID<<8+1+uint64(number)))
+	clients := s.experiment.Clients
+	from, to := clients.GiveUp[0], clients.GiveUp[1]
+	ttl := s.experiment.Category[request.Class].TTLMs
+	behavior := Behavior{Timeout: math.Max(1, math.Floor(ttl*(from+(to-from)*rng.Float64())))}
+	if rng.Float64() < clients.Leave {
+		behavior.DisconnectAfter = behavior.Timeout * rng.Float64()
+	}
+	return behavior
+}
+
+// Retry returns whether the client retries after a try, and after how long. It honors the Retry-After of a rejection,
+// in ms, if the experiment's clients do. A request that may have run is only retried if it is idempotent.
+func (s *Source) Retry(request *Request, number int, outcome Outcome, retryAfter float64) (wait float64, retry bool) {
+	clients := s.experiment.Clients
+	if number >= clients.Retries || outcome == OutcomeServed {
+		return 0, false
+	}
+	if outcome == OutcomeLost && s.experiment.Category[request.Class].Effect != "redeliverable" {
+		return 0, false
+	}
+	rng := rand.New(rand.NewPCG(s.seed, request.ID<<8+101+uint64(number)))
+	if outcome == OutcomeRejected && clients.HeedsWait && retryAfter > 0 {
+		return retryAfter, true
+	}
+	return clients.RetryWaitMs * (0.5 + rng.Float64()), true
+}
+
+// EarnedShare returns the share of its priority weight that a request earns when it is served after so long.
+func EarnedShare(class *balancer.Class, elapsed, ttl float64) float64 {
+	switch {
+	case elapsed <= class.LatencyObjective:
+		return 1
+	case elapsed <= ttl:
+		return class.LateWeight
+	}
+	return 0
+}
