--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -113,8 +113,7 @@
 }
 
 // retryAfter returns the Retry-After of a rejection in ms: a random share of the queue time, or of the latency objective if
-// that is shorter, and at most Config.MaxRetryAfter. A MaxRetryAfter of 0 means a Retry-After of 0, not that there is no
-// maximum.
+// that is shorter, and at most Config.MaxRetryAfter, which has a special meaning if it is 0.
 func (lb *Balancer) retryAfter(request *Request) float64 {
 	wait := math.Min(request.class.LatencyObjective, lb.queueTime(request, false))
 	wait *= minRetryAfterShare + retryAfterSpread*lb.random.nextUnit()
