--- a/internal/lab/virtual/backends.go
+++ b/internal/lab/virtual/backends.go
@@ -34,18 +34,18 @@
 	if b.silent {
 		return
 	}
-	switch b.Arrive(s.now, a.id, a.request.try.request.Work, a.newConnection) {
-	case backendmodel.Taken:
+	switch b.Accept(s.now, a.id, a.request.try.request.Work, a.newConnection) {
+	case backendmodel.VerdictAccepted:
 		b.inFlight[a.id] = a
-	case backendmodel.Rejected:
+	case backendmodel.VerdictRejected:
 		s.respond(a, balancer.OutcomeRejected, 0)
-	case backendmodel.Failed:
+	case backendmodel.VerdictFailed:
 		s.respond(a, balancer.OutcomeFailed, errorDelayMs)
-	case backendmodel.Down: // this attempt overloaded it for good
+	case backendmodel.VerdictDown: // this attempt overloaded it for good
 		s.overloaded++
 		s.stopBackend(b, false)
 		s.respond(a, balancer.OutcomeConnectionReset, 0)
-		s.discovery.Set(s.now, s.faults.Lag(), discoverystub.Entry{Backend: b.number, State: balancer.BackendRemoved})
+		s.discovery.Update(s.now, s.faults.ListLag(), discoverystub.Entry{Backend: b.number, State: balancer.BackendRemoved})
 		s.schedulePublish()
 	}
 	s.advanceBackend(b)
@@ -60,21 +60,21 @@
 			s.respond(a, balancer.OutcomeAnswered, 0)
 		}
 	}
-	for _, id := range b.Begun() {
+	for _, id := range b.TakeStarted() {
 		a := b.inFlight[id]
 		if a == nil {
 			continue
 		}
 		s.recordEvent(invariants.Event{Kind: invariants.AttemptRan, Request: a.request.ID, Attempt: a.decided.Number, Backend: b.number})
-		if a.request.try.request.Fells { // a poison request
+		if a.request.try.request.IsPoison { // a poison request
 			s.crashBackend(b, false)
-			s.schedule(s.now+s.faults.DownFor(), func() { s.restartBackend(b) })
+			s.schedule(s.now+s.faults.PoisonDowntime(), func() { s.restartBackend(b) })
 			return
 		}
 	}
 	b.wakeup++
 	wakeup := b.wakeup
-	if next := b.Next(); !math.IsInf(next, 1) {
+	if next := b.NextEvent(); !math.IsInf(next, 1) {
 		s.schedule(next, func() {
 			if b.wakeup == wakeup {
 				s.advanceBackend(b)
@@ -87,7 +87,7 @@
 // report goes with a response if the experiment's backends send them.
 func (s *simulation) respond(a *attempt, outcome balancer.Outcome, delay float64) {
 	n, b := a.request.node, a.target
-	if s.faults.Cut(n.zone, b.zone) {
+	if s.faults.IsPartitioned(n.zone, b.zone) {
 		return
 	}
 	report := balancer.EmptyLoadReport()
@@ -130,7 +130,7 @@
 // restartBackend starts a backend that is down or draining; its caches are cold, so it is warming up. One that went
 // down under its load stays down.
 func (s *simulation) restartBackend(b *backend) {
-	if b.Fallen() || b.Up() && !b.Draining() {
+	if b.Overloaded() || b.Up() && !b.Draining() {
 		return
 	}
 	if b.Up() {
@@ -138,8 +138,8 @@
 	}
 	b.silent = false
 	b.Start(s.now, false)
-	b.Put(s.now, s.faults.Machine(b.number))
-	s.recordEvent(invariants.Event{Kind: invariants.BackendStarted, Backend: b.number, Zone: b.zone, Cell: b.number, Speed: b.Standing(), Started: s.now})
+	b.SetFaults(s.now, s.faults.BackendFaults(b.number))
+	s.recordEvent(invariants.Event{Kind: invariants.BackendStarted, Backend: b.number, Zone: b.zone, Cell: b.number, Speed: b.Capacity(), Started: s.now})
 	s.updateList(b, balancer.BackendReady)
 }
 
