--- a/internal/serve/capture.go
+++ b/internal/serve/capture.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// minRedactionKey is the least size of a key that hashes what is redacted, in bytes.
+	// minRedactionKey is the least size, in bytes, of the key that redacted names are hashed with.
 	minRedactionKey = 16
 
 	maxCaptureMemoryMB = 4096
 )
 
-// Capture is what an operator's file says of a capture.
+// Capture is the content of the operator's file of a capture.
 type Capture struct {
 	Ring             capture.WriterConfig
-	MemoryMB         float64 // of a ring in memory, dumped into Ring's directory on request; 0 writes to disk as it goes
+	MemoryMB         float64 // size of a ring in memory, written to Ring's directory on request; 0 writes to disk all the time
 	SnapshotInterval float64 // ms
 	RedactionKey     []byte  // nil redacts nothing
 }
 
-// captureSession is a node's capture.
+// captureSession is a running capture.
 type captureSession struct {
 	nodeName string
 	ring     capture.WriterConfig
@@ -73,10 +73,12 @@
 	}
 }
 
-// recordDecider puts a recorder round each balancer that the node makes.
+// recordDecider has each balancer that the node makes recorded. A balancer whose recorder can't be made is used without one.
 func (s *captureSession) recordDecider(options *Options) {
 	newDecider, captureOptions := options.NewDecider, options.Capture
-	epoch := uint64(s.ring.Now()) // in ms, so that a process begins above all epochs of the one before it
+	// Each balancer of a node needs a higher epoch than the one before it. The time in ms is above all epochs of an earlier
+	// process, since a process does not make a thousand balancers a second.
+	epoch := uint64(s.ring.Now())
 	options.NewDecider = func(config *balancer.Config, now float64) balancer.Decider {
 		decider := newDecider(config, now)
 		start := capture.Start{Name: s.nodeName, Epoch: epoch, Build: options.Version, Config: config}
--- a/internal/serve/certificates.go
+++ b/internal/serve/certificates.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	// tlsDescriptors are the descriptors, neither clients' nor backends', of a node that serves TLS: its listener, the
-	// challenges' listener and callers, the calls to the authority, and the store.
+	// tlsDescriptors is the number of descriptors that TLS needs besides those of clients and backends: for its listener,
+	// the listener for challenges and its connections, the calls to the authority, and the certificate store.
 	tlsDescriptors = 14
 
-	// challengeTimeout is for reading and for answering a challenge.
+	// challengeTimeout bounds the time to read a challenge's request, and the time to write its response.
 	challengeTimeout = 5 * time.Second
 
-	// challengeRetryDelay is the wait until a challenge address that was taken is tried again.
+	// challengeRetryDelay is the wait before another attempt to listen at a challenge address that was in use.
 	challengeRetryDelay = time.Second
 
 	challengeMaxHeaderBytes = 8 << 10
 )
 
-// openTLS opens the TLS listener and the certificate store, and keeps the certificates valid until ctx is done. wait
-// then waits until the store is released.
+// openTLS opens the TLS listener and the certificate store, and renews the certificates until ctx is done. wait waits until
+// the store has been released after that.
 func (p *process) openTLS(ctx context.Context) (wait func(), err error) {
 	options := p.options.TLS
 	acmeOptions := options.ACME
@@ -63,8 +63,8 @@
 	return running.Wait, nil
 }
 
-// serveChallenges answers http-01 until ctx is done. Of the instances on a machine one has the address at a time; the
-// others wait for it.
+// serveChallenges answers http-01 challenges until ctx is done. Only one of the instances on a machine can listen at the
+// address; the others try again until it is free. That the address is in use is logged once, not for each attempt.
 func serveChallenges(ctx context.Context, address string, certificates *acme.Instance, log *slog.Logger) {
 	var loggedErr string
 	for ctx.Err() == nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// serveChallengesOn answers http-01 on a listener until ctx is done or the listener fails.
+// serveChallengesOn answers http-01 challenges on a listener until ctx is done or the listener fails.
 func serveChallengesOn(ctx context.Context, listener net.Listener, certificates *acme.Instance, log *slog.Logger) {
 	httpServer := &http.Server{
 		Handler:        challengeHandler(certificates),
@@ -103,7 +103,7 @@
 	}
 }
 
-// challengeHandler answers http-01 (RFC 8555, 8.3), and nothing else.
+// challengeHandler answers http-01 challenges (RFC 8555, section 8.3) and nothing else.
 func challengeHandler(certificates *acme.Instance) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		answer, ok := certificates.Challenge(r.URL.Path)
--- a/internal/serve/process.go
+++ b/internal/serve/process.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	// idleConnectionShare is the share of a backend's own time-out after which the node closes an idle connection to
-	// it, so that the backend does not close it as a request is sent.
+	// idleConnectionShare is the share of a backend's idle timeout after which the node closes an idle connection to it.
+	// Below 1, so that the backend does not close the connection in the moment in which a request is sent on it.
 	idleConnectionShare = 0.8
 
 	// scarceCheckInterval is the time between two rounds of closing idle connections while clients wait for a
@@ -32,7 +32,7 @@
 	scarceCheckInterval = 100 * time.Millisecond
 )
 
-// process is a node's process: its parts, in the order in which they are opened. Parts that the options leave out are
+// process is a node's process, with its parts in the order in which they are opened. Parts that the options leave out are
 // nil.
 type process struct {
 	config  *Config
@@ -59,17 +59,18 @@
 	certificates   *acme.Instance
 }
 
-// onClose has a part closed when the process ends.
+// onClose registers a function that closes a part when the process ends.
 func (p *process) onClose(closePart func()) { p.closers = append(p.closers, closePart) }
 
-// close closes all parts, the one opened last first.
+// close closes all parts in the reverse order.
 func (p *process) close() {
 	for i := len(p.closers) - 1; i >= 0; i-- {
 		p.closers[i]()
 	}
 }
 
-// openBudget opens the budget of file descriptors and what takes its own part of them before it.
+// openBudget opens the budget of file descriptors for clients and backends. What other parts need is subtracted first, and
+// the parts that have to be opened to know that are opened here, too.
 func (p *process) openBudget() error {
 	limit := p.config.maxDescriptors
 	if p.options.TLS != nil {
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// openAdmin opens the operators' address.
+// openAdmin opens the admin address, if the configuration has one.
 func (p *process) openAdmin() error {
 	if p.config.adminAddress != "" {
 		adminServer, err := admin.Start(p.config.adminAddress, p.restart.handleAdminCall, p.log)
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// openCapture opens the capture, before the node makes its balancer.
+// openCapture opens the capture. It must be called before the node makes its balancer, whose inputs are recorded.
 func (p *process) openCapture() error {
 	options := p.options.Capture
 	if options == nil {
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// makeNode makes the node, the server and the links to peers; nothing of them runs yet.
+// makeNode makes the node, the server and the links to peers, without starting any of them.
 func (p *process) makeNode() error {
 	p.watch = &discovery.Watch{
 		Address:     p.config.discoveryAddress,
@@ -170,13 +171,14 @@
 	return nil
 }
 
-// useDeployment puts a deployment's time-outs of connections to backends in force.
+// useDeployment puts a deployment's timeouts of connections to backends in force.
 func (p *process) useDeployment(deployment *config.Deployment) {
 	p.deployment.Store(deployment)
 	p.upstreamConfig.ConnectTimeout.Set(clock.Duration(deployment.ConnectTimeout))
 	p.upstreamConfig.IdleTimeout.Set(clock.Duration(idleConnectionShare * deployment.ConnectionIdleTimeout))
 }
 
+// enableAdmission limits clients' connections by address when descriptors run short, if there is a file of admission limits.
 func (p *process) enableAdmission() error {
 	if p.options.AdmissionFile == "" {
 		return nil
@@ -195,7 +197,7 @@
 	return nil
 }
 
-// connectPredecessor takes over the state of the process before this one, if one runs.
+// connectPredecessor takes over the state of the predecessor process, if there is one.
 func (p *process) connectPredecessor(ctx context.Context) {
 	if state := p.restart.connect(ctx); state != nil {
 		p.restart.restore(state)
@@ -207,7 +209,8 @@
 	p.server.SetOutOfService(p.options.OutOfService)
 }
 
-// serveTLS opens TLS where it is to be served. endLifetime ends lifetime, by which the certificates are kept.
+// serveTLS opens the TLS listener and the certificate store, if the node serves TLS. Certificates are renewed until lifetime
+// ends, which endLifetime does.
 func (p *process) serveTLS(lifetime context.Context, endLifetime func()) error {
 	if p.options.TLS == nil {
 		return nil
@@ -223,8 +226,9 @@
 	return nil
 }
 
-// startNode starts the watch and the node. Beside a predecessor, which serves on until then, it waits until the node can
-// serve; isReady is false where ctx is done before.
+// startNode starts the watch and the node. If there is a predecessor, which goes on serving, startNode waits until the node
+// has an endpoint list; isReady is false if ctx is done before. Without a predecessor it does not wait, because clients have
+// nobody else to go to.
 func (p *process) startNode(ctx, lifetime context.Context) (isReady bool) {
 	p.watch.Start(lifetime)
 	p.node.Start(p.config.cachedEndpoints)
@@ -261,7 +265,7 @@
 	return nil
 }
 
-// beginServing serves clients. The channel gets the server's end.
+// beginServing serves clients. The channel gets the error with which the server ends.
 func (p *process) beginServing(lifetime context.Context) <-chan error {
 	go p.freeDescriptors(lifetime)
 	p.log.Info("serving", "name", p.config.name, "address", p.server.Address(), "control", p.adminAddress, "version", p.options.Version)
@@ -274,7 +278,7 @@
 	return ended
 }
 
-// freeDescriptors closes idle connections whenever descriptors run short, and goes on while clients wait for one.
+// freeDescriptors closes idle connections whenever descriptors run short, and repeats that while clients wait for one.
 func (p *process) freeDescriptors(ctx context.Context) {
 	for {
 		var again <-chan time.Time
@@ -294,9 +298,9 @@
 	}
 }
 
-// handleEvents puts other settings in force and dumps captures, as signals and the control plane say, until the process
-// is closed. It goes on while the node drains: an endpoint list from an address that is no longer configured must not
-// count even then.
+// handleEvents starts a goroutine that handles SIGHUP, SIGUSR1 and updates of the control plane until the process is closed.
+// It goes on while the node drains, because even then an endpoint list from an address that is no longer configured must
+// not be used.
 func (p *process) handleEvents(lifetime context.Context, endLifetime func()) {
 	var updates <-chan settingsUpdate
 	if p.settings != nil {
@@ -325,7 +329,8 @@
 	})
 }
 
-// reconfigure puts a deployment in force.
+// reconfigure puts a deployment in force. The node's actor decides whether that is possible; after its error nothing has
+// changed.
 func (p *process) reconfigure(ctx context.Context, deployment *config.Deployment) error {
 	if err := p.node.Reconfigure(ctx, deployment); err != nil {
 		return err
@@ -335,6 +340,7 @@
 	return nil
 }
 
+// reloadAdmission reads the file of admission limits again. After an error the previous limits stay in force.
 func (p *process) reloadAdmission() {
 	if p.options.AdmissionFile == "" {
 		return
@@ -347,6 +353,7 @@
 	p.server.SetAdmissionLimits(*limits)
 }
 
+// logDump writes out the capture in memory and logs the file's name.
 func (p *process) logDump() {
 	name, err := p.dumpCapture()
 	if err != nil {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -17,28 +17,29 @@
 	"pearknot/internal/node"
 )
 
-// Options are how a node is run beside its configuration. The zero value of each but NewDecider leaves its part out.
+// Options are what the command line says of a node besides its configuration. NewDecider is required; the zero value of any
+// other field leaves its part out.
 type Options struct {
 	NewDecider    node.NewDecider
 	Version       string               // of the program
 	ControlSocket string               // path of the control socket
-	OutOfService  bool                 // until the control socket says otherwise
-	Token         string               // what the control socket identifies the process with
+	OutOfService  bool                 // at the start, until a call to the control socket puts the node in service
+	Token         string               // that the control socket's status returns, so that the agent recognizes its process
 	Epoch         uint64               // the agent's count of restarts
 	Capture       *Capture             // nil captures nothing
 	TLS           *TLS                 // nil serves no TLS
 	AdmissionFile string               // empty admits all connections
 	Peers         *Peers               // nil logs no requests
-	ControlPlane  *client.ControlPlane // whose settings the node follows; nil is none
+	ControlPlane  *client.ControlPlane // whose settings the node follows; nil uses the file's
 }
 
-// Run runs a node until ctx is done, which SIGTERM has to do. reload is NotifyReload's. Both have to be set up before
-// the configuration is read, or a signal that comes meanwhile is lost.
+// Run runs a node until ctx is done or the node can't serve any more. The caller ends ctx on SIGTERM and gets reload from
+// NotifyReload. Both must be set up before the configuration is read, or a signal that arrives meanwhile ends the process.
 //
 // The node's parts are opened in the order of the calls here and closed in the reverse order.
 func Run(ctx context.Context, reload chan os.Signal, cfg *Config, options Options, log *slog.Logger) error {
 	defer signal.Stop(reload)
-	if ctx.Err() != nil { // told to end before it was there
+	if ctx.Err() != nil { // SIGTERM came before there was anything to stop
 		return nil
 	}
 	p := &process{config: cfg, options: options, log: log, clock: clock.New(), reload: reload, scarce: make(chan struct{}, 1)}
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// readFiles reads the operator's files that the configuration names and the command line does not.
+// readFiles reads the operator's files that only the configuration names. One that the command line names takes precedence.
 func (p *process) readFiles() error {
 	if p.options.TLS == nil && p.config.tlsFile != "" {
 		options, err := ReadTLS(p.config.tlsFile)
@@ -96,7 +97,8 @@
 	return nil
 }
 
-// notifyDumps has SIGUSR1 dump a capture in memory. Without one the signal ends the process, as is its default.
+// notifyDumps has SIGUSR1 write out a capture in memory. Without such a capture the signal keeps its default action, which
+// ends the process.
 func (p *process) notifyDumps() {
 	p.dumps = make(chan os.Signal, 1)
 	if p.options.Capture == nil || p.options.Capture.MemoryMB <= 0 {
