--- a/cmd/pearknot/call_test.go
+++ b/cmd/pearknot/call_test.go
@@ -51,10 +51,10 @@
 func TestCalls(t *testing.T) {
 	w, second := operated(t)
 	for _, c := range []struct {
-		args   []string
-		says   string
-		status int
-		ops    int // what a request gets after it
+		args          []string
+		says          string
+		status        int
+		requestStatus int // what a request gets after it
 	}{
 		{[]string{"health"}, "YES ready\n", 0, 200},
 		{[]string{"cordon", "s-1"}, "YES out\n", 0, 503},
@@ -74,7 +74,7 @@
 		assert.Equal(t, c.status, status, c.args)
 		got, _, _, err := w.ask(fresh(), "GET", fmt.Sprint(c.args), "check", "2000")
 		require.NoError(t, err)
-		assert.Equal(t, c.ops, got, c.args)
+		assert.Equal(t, c.requestStatus, got, c.args)
 	}
 	status, _ := call("call", "127.0.0.1:1", "health")
 	assert.Equal(t, 1, status, "nobody there")
@@ -121,14 +121,14 @@
 	assert.False(t, healthy())
 	_, err = io.WriteString(slow, "GET /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: slow\r\nX-Qos: check\r\n")
 	require.NoError(t, err)
-	told := make(chan int, 1)
+	statusOf := make(chan int, 1)
 	time.AfterFunc(1200*time.Millisecond, func() {
 		_, _ = io.WriteString(slow, "X-Expires-In-Ms: 2000\r\n\r\n")
 		status := 0
 		if answer, err := http.ReadResponse(bufio.NewReader(slow), nil); err == nil {
 			status = answer.StatusCode
 		}
-		told <- status
+		statusOf <- status
 	})
 	pace := time.NewTicker(20 * time.Millisecond)
 	defer pace.Stop()
@@ -141,7 +141,7 @@
 		require.Less(t, time.Since(begun), 3*time.Second)
 		<-pace.C
 	}
-	assert.Equal(t, 200, <-told)
+	assert.Equal(t, 200, <-statusOf)
 	assert.Less(t, (<-closed).Sub(begun), 3500*time.Millisecond)
 	require.Eventually(t, func() bool { // what comes later could not be gone in time
 		status, _, _, err := w.ask(fresh(), "GET", fmt.Sprint(time.Now()), "check", "2000")
@@ -193,6 +193,6 @@
 	assert.Equal(t, 400, status("b", "new"), "of none of the bad files anything was taken")
 	assert.Equal(t, 400, status("c", "pay"), "dropped")
 	close(answer)
-	assert.Equal(t, 503, <-slow, "redeliverable, as it came: a nack")
+	assert.Equal(t, 503, <-slow, "idempotent, as it arrived: rejected")
 	assert.Equal(t, 502, status("slow-2", "check"), "at-most-once now: a dead letter")
 }
--- a/cmd/pearknot/capture_test.go
+++ b/cmd/pearknot/capture_test.go
@@ -35,7 +35,7 @@
 		}
 		fmt.Fprint(w, "done")
 	}
-	count := func() (ops, starts int) {
+	count := func() (requests, starts int) {
 		files, err := capture.Segments(out)
 		if err != nil {
 			return 0, 0
@@ -44,14 +44,14 @@
 			_ = capture.Read(f, func(r capture.Record) error {
 				switch r.Kind {
 				case capture.RequestArrived:
-					ops++
+					requests++
 				case capture.Begin:
 					starts++
 				}
 				return nil
 			})
 		}
-		return ops, starts
+		return requests, starts
 	}
 	for life := range 2 {
 		w := start(t, 256, handler, "--capture", file)
@@ -63,7 +63,7 @@
 		}
 		client.CloseIdleConnections()
 		if life == 0 {
-			require.Eventually(t, func() bool { ops, _ := count(); return ops == 60 }, 5*time.Second, 5*time.Millisecond)
+			require.Eventually(t, func() bool { requests, _ := count(); return requests == 60 }, 5*time.Second, 5*time.Millisecond)
 			require.NoError(t, w.process.Process.Kill())
 			require.Error(t, <-w.ended, "killed")
 		} else {
@@ -71,8 +71,8 @@
 			require.NoError(t, <-w.ended, "ended by itself")
 		}
 	}
-	ops, starts := count()
-	assert.Equal(t, 120, ops)
+	requests, starts := count()
+	assert.Equal(t, 120, requests)
 	assert.Equal(t, 2, starts)
 	var stdout, stderr bytes.Buffer
 	status := run([]string{"replay", out, "--times", "3"}, &stdout, &stderr)
--- a/cmd/pearknot/cluster_test.go
+++ b/cmd/pearknot/cluster_test.go
@@ -160,7 +160,7 @@
 	c.mu.Lock()
 	served, failed := c.served, c.failed
 	c.mu.Unlock()
-	t.Logf("seed %d: %d keys, %d settled within 6 s, %d served, %d dead-lettered, %d kills", seed, asked.Load(), settled.Load(), served, failed, kills)
+	t.Logf("seed %d: %d keys, %d settled within 6 s, %d served, %d failed, %d kills", seed, asked.Load(), settled.Load(), served, failed, kills)
 	require.Greater(t, served, 20)
 }
 
@@ -197,7 +197,7 @@
 				took = append(took, time.Since(begun))
 			}
 		}
-		t.Logf("kept %v: %d ops, 50%% %v, 99%% %v", kept, len(took), quantile(took, 0.5), quantile(took, 0.99))
+		t.Logf("logged %v: %d requests, 50%% %v, 99%% %v", kept, len(took), quantile(took, 0.5), quantile(took, 0.99))
 	}
 	// From a kill to the outcome of each request that the killed one had.
 	var all []time.Duration
@@ -235,7 +235,7 @@
 		c.whole()
 		time.Sleep(1500 * time.Millisecond)
 	}
-	t.Logf("kill to outcome, %d ops: 50%% %v, 99%% %v, worst %v", len(all), quantile(all, 0.5), quantile(all, 0.99), quantile(all, 1))
+	t.Logf("kill to outcome, %d requests: 50%% %v, 99%% %v, worst %v", len(all), quantile(all, 0.5), quantile(all, 0.99), quantile(all, 1))
 }
 
 // Under a calm load with one piece in 200 late by 300 ms on every link nobody is taken for lost. CREW_CALM=600 plays ten minutes.
@@ -322,7 +322,7 @@
 func (c *cluster) leftNothing(asked, settled int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.t.Logf("%d keys, %d settled, %d dead-lettered", asked, settled, c.failed)
+	c.t.Logf("%d keys, %d settled, %d failed", asked, settled, c.failed)
 	require.Equal(c.t, asked, settled)
 	require.Empty(c.t, c.said("request taken over"))
 }
@@ -356,7 +356,7 @@
 		}
 		took := time.Since(begun)
 		asked, settled := stop()
-		t.Logf("%v for five, %d keys, %d dead-lettered", took.Round(time.Millisecond), asked, c.failed)
+		t.Logf("%v for five, %d keys, %d failed", took.Round(time.Millisecond), asked, c.failed)
 		require.Equal(t, asked, settled)
 	})
 }
--- a/cmd/pearknot/controlplane_test.go
+++ b/cmd/pearknot/controlplane_test.go
@@ -238,14 +238,14 @@
 func (p *plane) holds(node string) (s controlsocket.ControlPlane, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	var told controlsocket.Status
-	if err := controlsocket.NewClient(p.processes[node].control, time.Second).Call(ctx, "GET", controlsocket.StatusPath, nil, &told); err != nil {
+	var status controlsocket.Status
+	if err := controlsocket.NewClient(p.processes[node].control, time.Second).Call(ctx, "GET", controlsocket.StatusPath, nil, &status); err != nil {
 		return s, err
 	}
-	if told.ControlPlane == nil {
+	if status.ControlPlane == nil {
 		return s, errors.New("no control plane")
 	}
-	return *told.ControlPlane, nil
+	return *status.ControlPlane, nil
 }
 
 // everywhere waits until nodes have a version in force, by their own word, and its very text.
--- a/cmd/pearknot/pearknot_test.go
+++ b/cmd/pearknot/pearknot_test.go
@@ -217,7 +217,7 @@
 		method, id, category, ttl string
 		status                    int
 		body                      string
-		pushes                    int
+		attempts                  int
 	}{
 		{"GET", "a", "check", "2000", 200, "GET /api?x=1 ", 1},
 		{"POST", "b", "pay", "2000", 200, "POST /api?x=1 paid", 1},
@@ -237,7 +237,7 @@
 		require.NoError(t, err, c.id)
 		assert.Equal(t, c.status, status, c.id)
 		assert.Equal(t, c.body, body, c.id)
-		assert.Equal(t, c.pushes, w.times(c.id), c.id)
+		assert.Equal(t, c.attempts, w.times(c.id), c.id)
 		ttl, _ := strconv.Atoi(c.ttl)
 		assert.Less(t, time.Since(begun), time.Duration(ttl+500)*time.Millisecond, c.id)
 	}
@@ -434,9 +434,9 @@
 	status, _, _, err := w.ask(fresh(), "GET", "after", "check", "2000")
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
-	assert.Zero(t, w.times("hidden"), "nothing of an op that may hide another goes on")
+	assert.Zero(t, w.times("hidden"), "nothing of a request that may hide another goes on")
 	close(answer)
-	assert.Equal(t, 200, <-slow, "the op whose id another client took")
+	assert.Equal(t, 200, <-slow, "the request whose ID another client took")
 	assert.Equal(t, 1, w.times("slow"))
 }
 
--- a/cmd/pearknot/peers_test.go
+++ b/cmd/pearknot/peers_test.go
@@ -378,7 +378,7 @@
 	close(held) // its answer lies in the frozen one's socket
 	require.NoError(t, c.nodes[0].cmd.Process.Signal(syscall.SIGCONT))
 	status = <-answers
-	require.Contains(t, []int{409, 502}, status, "asked to come again, or told what the heir has written")
+	require.Contains(t, []int{409, 502}, status, "asked to come again, or given what the successor has written")
 	c.whole()
 	status, _ = c.ask(0, "pay", "pay-frozen", "4000", "x")
 	require.Equal(t, 502, status)
--- a/cmd/pearknot/shape_test.go
+++ b/cmd/pearknot/shape_test.go
@@ -100,7 +100,7 @@
 				require.NoError(t, err)
 				assert.Contains(t, []int{200, 503}, status)
 				if status == 503 {
-					assert.NotEmpty(t, header.Get("Retry-After"), "a nack says when to come back")
+					assert.NotEmpty(t, header.Get("Retry-After"), "a rejection says when to come back")
 				}
 				assert.Less(t, time.Since(begun), 1300*time.Millisecond)
 			}
--- a/cmd/pearknot/tls_test.go
+++ b/cmd/pearknot/tls_test.go
@@ -356,9 +356,9 @@
 	r.becomes(address, func(string) bool { return true })
 	for _, kind := range []string{"plain", "full", "resumed"} {
 		b.Run(kind, func(b *testing.B) {
-			told := r.clients.Clone()
+			config := r.clients.Clone()
 			if kind == "resumed" {
-				told.ClientSessionCache = tls.NewLRUClientSessionCache(64)
+				config.ClientSessionCache = tls.NewLRUClientSessionCache(64)
 			}
 			begun := cpu(b, w.process.Process.Pid)
 			b.SetParallelism(1)
@@ -369,7 +369,7 @@
 					if kind == "plain" {
 						c, err = net.Dial("tcp", w.address)
 					} else {
-						c, err = tls.Dial("tcp", address, told)
+						c, err = tls.Dial("tcp", address, config)
 					}
 					if err != nil {
 						b.Error(err)
