--- a/internal/lab/virtual/attempts.go
+++ b/internal/lab/virtual/attempts.go
@@ -106,7 +106,7 @@
 		s.endAttempt(a, balancer.OutcomeConnectFailed)
 		return
 	}
-	if maxConnections := s.faults.Connections(target.number); maxConnections > 0 && s.countConnections(target) >= maxConnections {
+	if maxConnections := s.faults.MaxConnections(target.number); maxConnections > 0 && s.countConnections(target) >= maxConnections {
 		s.endAttempt(a, balancer.OutcomeConnectFailed)
 		return
 	}
@@ -186,7 +186,7 @@
 	}
 	s.schedule(s.now+s.oneWayDelay(n.zone, target.zone), func() {
 		if target.inFlight[a.id] == a {
-			target.Revoke(s.now, a.id)
+			target.Cancel(s.now, a.id)
 			delete(target.inFlight, a.id)
 			s.advanceBackend(target)
 		}
