--- a/internal/capture/bench_test.go
+++ b/internal/capture/bench_test.go
@@ -10,83 +10,85 @@
 	"pearknot/internal/snapshot"
 )
 
-// A decision: a request comes, is placed, and its answer is heard, among so many backends; off, and with all of it
-// captured, counted and let go of.
+// BenchmarkDecision measures a request from its arrival to its answer among a number of backends, without a capture
+// and with one whose batches are discarded.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []struct{ backends, nodes int }{{10, 3}, {30, 100}, {200, 1250}} {
-		t := &balancer.Config{Seed: 1, Nodes: size.nodes, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, SlowStartShare: 0.3, SlowStartWindow: 8000,
+		config := &balancer.Config{Seed: 1, Nodes: size.nodes, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, SlowStartShare: 0.3, SlowStartWindow: 8000,
 			OverloadMultiple: 4, OverloadWindow: 2000, Classes: []balancer.Class{{LatencyObjective: 600, PriorityWeight: 1}}}
-		b.Run(fmt.Sprintf("%d/off", size.backends), func(b *testing.B) { decide(b, balancer.New(t, 1), size.backends) })
+		b.Run(fmt.Sprintf("%d/off", size.backends), func(b *testing.B) { decide(b, balancer.New(config, 1), size.backends) })
 		b.Run(fmt.Sprintf("%d/on", size.backends), func(b *testing.B) {
 			bytes := 0
-			r, err := NewRecorder(balancer.New(t, 1), 1, Start{Name: "n", Config: t}, Options{SnapshotIntervalMs: 10e3, Sink: func(b Batch) { bytes += len(b.Data) }})
+			recorder, err := NewRecorder(balancer.New(config, 1), 1, Start{Name: "n", Config: config}, Options{SnapshotIntervalMs: 10e3, Sink: func(b Batch) { bytes += len(b.Data) }})
 			require.NoError(b, err)
-			decide(b, r, size.backends)
+			decide(b, recorder, size.backends)
 			b.ReportMetric(float64(bytes)/float64(b.N), "bytes/request-unpacked")
 		})
 	}
 }
 
-func decide(b *testing.B, n balancer.Decider, backends int) {
-	var lines []balancer.Endpoint
-	for k := range backends {
-		lines = append(lines, balancer.Endpoint{Backend: &balancer.Backend{ID: uint64(k)}, State: balancer.BackendReady, Zone: k % 3, Kind: k % 3, Weight: 1})
+// decide has a decider serve b.N requests.
+func decide(b *testing.B, decider balancer.Decider, backends int) {
+	var endpoints []balancer.Endpoint
+	for index := range backends {
+		endpoints = append(endpoints, balancer.Endpoint{Backend: &balancer.Backend{ID: uint64(index)}, State: balancer.BackendReady, Zone: index % 3, Kind: index % 3, Weight: 1})
 	}
-	n.EndpointsChanged(1, lines, true, false)
+	decider.EndpointsChanged(1, endpoints, true, false)
 	b.ReportAllocs()
 	b.ResetTimer()
 	now := 1.0
 	for range b.N {
 		now += 5
 		request := &balancer.Request{Deadline: now + 2000, CostHint: 30, HasCostHint: true}
-		n.RequestArrived(now, request)
-		var p *balancer.Attempt
-		for d, more := n.Next(); more; d, more = n.Next() {
-			if d.Kind == balancer.DoAttempt {
-				p = d.Attempt
+		decider.RequestArrived(now, request)
+		var attempt *balancer.Attempt
+		for decision, more := decider.Next(); more; decision, more = decider.Next() {
+			if decision.Kind == balancer.DoAttempt {
+				attempt = decision.Attempt
 			}
 		}
-		n.LoadReported(now+3, p.Backend, balancer.LoadReport{ServiceTime: 3, InFlight: 2, Queued: balancer.NotReported})
-		n.AttemptEnded(now+3, p, balancer.OutcomeAnswered, 3, true)
-		for _, more := n.Next(); more; _, more = n.Next() {
+		decider.LoadReported(now+3, attempt.Backend, balancer.LoadReport{ServiceTime: 3, InFlight: 2, Queued: balancer.NotReported})
+		decider.AttemptEnded(now+3, attempt, balancer.OutcomeAnswered, 3, true)
+		for _, more := decider.Next(); more; _, more = decider.Next() {
 		}
 	}
 }
 
-// A snapshot: of a node that has had two thousand requests, and has one that is open for each backend.
+// BenchmarkSnapshot measures a snapshot of a node that has served two thousand requests and has one in flight for
+// each backend.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, size := range []struct{ backends, nodes int }{{10, 3}, {30, 100}, {200, 1250}} {
-		t := &balancer.Config{Seed: 1, Nodes: size.nodes, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, SlowStartShare: 0.3, SlowStartWindow: 8000,
+		config := &balancer.Config{Seed: 1, Nodes: size.nodes, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, SlowStartShare: 0.3, SlowStartWindow: 8000,
 			OverloadMultiple: 4, OverloadWindow: 2000, Classes: []balancer.Class{{LatencyObjective: 600, PriorityWeight: 1}}}
-		n := balancer.New(t, 1)
-		var lines []balancer.Endpoint
-		for k := range size.backends {
-			lines = append(lines, balancer.Endpoint{Backend: &balancer.Backend{ID: uint64(k)}, State: balancer.BackendReady, Zone: k % 3, Kind: k % 3, Weight: 1})
+		lb := balancer.New(config, 1)
+		var endpoints []balancer.Endpoint
+		for index := range size.backends {
+			endpoints = append(endpoints, balancer.Endpoint{Backend: &balancer.Backend{ID: uint64(index)}, State: balancer.BackendReady, Zone: index % 3, Kind: index % 3, Weight: 1})
 		}
-		n.EndpointsChanged(1, lines, true, false)
-		var open []*balancer.Request
+		lb.EndpointsChanged(1, endpoints, true, false)
+		var requests []*balancer.Request
 		var backends []*balancer.Backend
-		for _, l := range lines {
-			backends = append(backends, l.Backend)
+		for _, endpoint := range endpoints {
+			backends = append(backends, endpoint.Backend)
 		}
 		now := 1.0
-		for k := range 2000 + size.backends {
+		for index := range 2000 + size.backends {
 			now++
 			request := &balancer.Request{Deadline: now + 2000, CostHint: 30, HasCostHint: true}
-			n.RequestArrived(now, request)
-			for d, more := n.Next(); more; d, more = n.Next() {
-				if d.Kind == balancer.DoAttempt && k < 2000 {
-					n.AttemptEnded(now, d.Attempt, balancer.OutcomeAnswered, 3, true)
+			lb.RequestArrived(now, request)
+			for decision, more := lb.Next(); more; decision, more = lb.Next() {
+				if decision.Kind == balancer.DoAttempt && index < 2000 {
+					lb.AttemptEnded(now, decision.Attempt, balancer.OutcomeAnswered, 3, true)
 				}
 			}
-			if k >= 2000 && !request.IsDone() {
-				open = append(open, request)
+			if index >= 2000 && !request.IsDone() {
+				requests = append(requests, request)
 			}
 		}
 		take := func() []byte {
-			s, err := n.Snapshot(open, backends)
+			state, err := lb.Snapshot(requests, backends)
 			require.NoError(b, err)
-			return snapshot.Encode(s)
+			return snapshot.Encode(state)
 		}
 		b.Run(fmt.Sprintf("%d/taken", size.backends), func(b *testing.B) {
 			for b.Loop() {
@@ -97,9 +99,9 @@
 		data := take()
 		b.Run(fmt.Sprintf("%d/restored", size.backends), func(b *testing.B) {
 			for b.Loop() {
-				s, err := snapshot.Decode(data)
+				state, err := snapshot.Decode(data)
 				require.NoError(b, err)
-				_, _, _, err = balancer.Restore(t, s)
+				_, _, _, err = balancer.Restore(config, state)
 				require.NoError(b, err)
 			}
 		})
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -82,9 +82,18 @@
 
 // incidents maps the incidents of docs/incidents that the lab's model can express to an experiment with the same
 // faults.
-var incidents = map[string]string{"cold-fleet": "cold-rush", "cold-slow-machine": "crash-and-hang", "crowded-zone": "cut-in-a-burst",
-	"lost-zone": "zone-cut", "many-nodes": "metastable", "overdriven": "burst", "releases": "roll-in-a-shrink", "silent-list": "list-down",
-	"no-requests-no-list": "nodes", "one-category": "costly"}
+var incidents = map[string]string{
+	"cold-fleet":          "cold-rush",
+	"cold-slow-machine":   "crash-and-hang",
+	"crowded-zone":        "cut-in-a-burst",
+	"lost-zone":           "zone-cut",
+	"many-nodes":          "metastable",
+	"overdriven":          "burst",
+	"releases":            "roll-in-a-shrink",
+	"silent-list":         "list-down",
+	"no-requests-no-list": "nodes",
+	"one-category":        "costly",
+}
 
 // A replay takes the same decisions, bit for bit, each of a hundred times, with any number of processors.
 func TestReplayMatches(t *testing.T) {
@@ -129,7 +138,7 @@
 		r.MaxPendingMB, r.BlockKB = 0.05, 1
 		r.create = func(name string) (segment, error) {
 			f, err := os.Create(name)
-			return &disk{hold: hold, file: f}, err
+			return &disk{blocked: hold, file: f}, err
 		}
 	})
 	plain := play(nil)
@@ -174,7 +183,10 @@
 	config := &balancer.Config{Seed: 2, Nodes: 1, MaxAttempts: 3, AllowHedging: true, OverloadWindow: 100, Classes: []balancer.Class{
 		{Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupByZone, DedupWindow: 500, LatencyObjective: 1000, PriorityWeight: 1}}}
 	var records []Record
-	recorder, err := NewRecorder(balancer.New(config, 1000), 1000, Start{Config: config}, Options{SnapshotIntervalMs: 10, Sink: func(batch Batch) { records = append(records, decodeBatch(batch.Data)...) }})
+	recorder, err := NewRecorder(balancer.New(config, 1000), 1000, Start{Config: config}, Options{
+		SnapshotIntervalMs: 10,
+		Sink:               func(batch Batch) { records = append(records, decodeBatch(batch.Data)...) },
+	})
 	require.NoError(t, err)
 	var attempts []*balancer.Attempt
 	drain := func() {
@@ -324,43 +336,43 @@
 			continue
 		}
 		replayer := &Replayer{Skip: index, Strict: true}
-		for _, r := range records {
-			require.NoError(t, replayer.Feed(r))
+		for _, config := range records {
+			require.NoError(t, replayer.Feed(config))
 		}
 		assert.Equal(t, 1, replayer.Result.Restored)
 		snapshots++
 	}
 	assert.Greater(t, snapshots, 4)
-	w, r := newTestWriter(t, func(r *WriterConfig) { r.MaxTotalMB = 0.15 })
-	captureExperiment(t, "hung", 30, 0, Options{SnapshotIntervalMs: 1000, Sink: w.Put})
-	w.Close()
-	left, err := readRecordsOf(t, r.Dir)
+	writer, config := newTestWriter(t, func(config *WriterConfig) { config.MaxTotalMB = 0.15 })
+	captureExperiment(t, "hung", 30, 0, Options{SnapshotIntervalMs: 1000, Sink: writer.Put})
+	writer.Close()
+	left, err := readRecordsOf(t, config.Dir)
 	require.NoError(t, err)
-	claim, err := replayRecords(left)
+	result, err := replayRecords(left)
 	require.NoError(t, err)
-	assert.Zero(t, claim.Epochs)
-	assert.Equal(t, 1, claim.Restored)
-	assert.Greater(t, claim.Decisions, 100)
+	assert.Zero(t, result.Epochs)
+	assert.Equal(t, 1, result.Restored)
+	assert.Greater(t, result.Decisions, 100)
 }
 
-// What is secret is hashed, the same way each time, and the replay matches all the same.
+// With a key, request IDs are stored as hashes that depend on the key alone, and the capture can be replayed.
 func TestRequestIDsAreHashed(t *testing.T) {
-	refs := func(secret string) (all []uint64) {
+	hashedIDs := func(secret string) (ids []uint64) {
 		var records []Record
 		captureExperiment(t, "hung", 5, 0, Options{SnapshotIntervalMs: 50, HashKey: []byte(secret), Sink: func(b Batch) { records = append(records, decodeBatch(b.Data)...) }})
-		claim := &Replayer{Strict: true} // names in the snapshots are hashed as well
+		replayer := &Replayer{Strict: true} // names in the snapshots are hashed as well
 		for _, r := range records {
-			require.NoError(t, claim.Feed(r))
+			require.NoError(t, replayer.Feed(r))
 		}
 		for _, r := range records {
 			if r.Kind == RequestArrived {
-				all = append(all, r.ID)
+				ids = append(ids, r.ID)
 			}
 		}
-		return all
+		return ids
 	}
-	plain, a, b := refs(""), refs("one"), refs("two")
-	assert.Equal(t, a, refs("one"))
+	plain, a, b := hashedIDs(""), hashedIDs("one"), hashedIDs("two")
+	assert.Equal(t, a, hashedIDs("one"))
 	for i := range plain {
 		assert.NotEqual(t, plain[i], a[i])
 		assert.NotEqual(t, a[i], b[i])
@@ -370,17 +382,17 @@
 	assert.NotEqual(t, uint64(5), r.hashID(5))
 }
 
-// Why a request went where it went: every backend that the module looked at, with its reason, before the decision.
+// Explain prints every backend that the balancer considered for a request, with its reason, before the decision.
 func TestExplain(t *testing.T) {
-	all := captureRecords(t, "cold-rush", 25, 0)
+	records := captureRecords(t, "cold-rush", 25, 0)
 	reasons := map[string]int{}
 	for _, request := range []uint64{5, 200, 400, 500, 600, 700, 800} {
 		var out bytes.Buffer
-		e := &Explainer{RequestNumber: request, Out: &out}
-		for _, r := range all {
-			require.NoError(t, e.Feed(r), "listening changes nothing")
+		explainer := &Explainer{RequestNumber: request, Out: &out}
+		for _, r := range records {
+			require.NoError(t, explainer.Feed(r), "listening changes nothing")
 		}
-		require.True(t, e.Found())
+		require.True(t, explainer.Found())
 		text := out.String()
 		arrived, decided := bytes.Index(out.Bytes(), []byte("arrived request")), bytes.Index(out.Bytes(), []byte("decided: "))
 		looked := bytes.Index(out.Bytes(), []byte("    "))
@@ -395,29 +407,29 @@
 	assert.Positive(t, reasons[balancer.Eligible.String()])
 	assert.Greater(t, len(reasons), 1)
 	passed := 0
-	for name, n := range reasons {
+	for name, count := range reasons {
 		if name != balancer.Eligible.String() {
-			passed += n
+			passed += count
 		}
 	}
 	assert.Positive(t, passed, reasons)
-	e := &Explainer{RequestNumber: 1 << 40, Out: io.Discard}
-	for _, r := range all {
-		require.NoError(t, e.Feed(r))
+	explainer := &Explainer{RequestNumber: 1 << 40, Out: io.Discard}
+	for _, r := range records {
+		require.NoError(t, explainer.Feed(r))
 	}
-	assert.False(t, e.Found())
+	assert.False(t, explainer.Found())
 }
 
-// What came late stands where it came, and is marked.
+// Lists, answers and ends of attempts that arrive late are marked where they arrived.
 func TestLateNotes(t *testing.T) {
-	attempt := func(request, backend uint64, at float64) Record {
-		return Record{Kind: Decided, Decision: balancer.DoAttempt, Now: at, Request: request, Backend: backend}
+	attempt := func(request, backend uint64, now float64) Record {
+		return Record{Kind: Decided, Decision: balancer.DoAttempt, Now: now, Request: request, Backend: backend}
 	}
-	end := func(request uint64, at float64, flags uint64) Record {
-		return Record{Kind: AttemptEnded, Outcome: balancer.OutcomeAnswered, Now: at, Request: request, Flags: flags}
+	end := func(request uint64, now float64, flags uint64) Record {
+		return Record{Kind: AttemptEnded, Outcome: balancer.OutcomeAnswered, Now: now, Request: request, Flags: flags}
 	}
-	var n LateNotes
-	for _, c := range []struct {
+	var notes LateNotes
+	for _, test := range []struct {
 		r    Record
 		want string
 	}{
@@ -427,138 +439,149 @@
 		{end(1, 31, flagFinished), "overtaken by an answer to a later attempt"},
 		{attempt(3, 1, 40), ""}, {Record{Kind: Decided, Decision: balancer.DoReject, Request: 3, Now: 41}, ""}, {end(3, 45, 0), "after the request's final answer"},
 	} {
-		assert.Equal(t, c.want, n.Note(c.r), c.r)
+		assert.Equal(t, test.want, notes.Note(test.r), test.r)
 	}
-	assert.Empty(t, n.answered)
-	assert.Empty(t, n.inFlight)
+	assert.Empty(t, notes.answered)
+	assert.Empty(t, notes.inFlight)
 }
 
-// After a gap nothing is claimed until the next start.
+// Records are missing. Those after the gap are not verified until the next start.
 func TestGap(t *testing.T) {
-	all := captureRecords(t, "nodes", 30, 0)
-	whole, err := replayRecords(all)
+	records := captureRecords(t, "nodes", 30, 0)
+	whole, err := replayRecords(records)
 	require.NoError(t, err)
-	cut := append(append([]Record{}, all[:100]...), Record{Kind: Gap, Now: all[100].Now, Count: 50})
-	cut = append(cut, all[150:]...)
-	claim, err := replayRecords(cut)
+	cut := append(append([]Record{}, records[:100]...), Record{Kind: Gap, Now: records[100].Now, Count: 50})
+	cut = append(cut, records[150:]...)
+	result, err := replayRecords(cut)
 	require.NoError(t, err)
-	assert.Equal(t, uint64(50), claim.MissingRecords)
-	assert.Less(t, claim.Decisions, whole.Decisions)
-	assert.Equal(t, len(cut), claim.Records)
+	assert.Equal(t, uint64(50), result.MissingRecords)
+	assert.Less(t, result.Decisions, whole.Decisions)
+	assert.Equal(t, len(cut), result.Records)
 }
 
 func newTestWriter(t *testing.T, change func(*WriterConfig)) (*Writer, WriterConfig) {
 	t.Helper()
-	r := WriterConfig{Dir: t.TempDir(), NodeName: "n/1", SegmentMB: 0.05, MaxTotalMB: 100, FlushInterval: 5 * time.Millisecond, BlockKB: 8, MaxPendingMB: 64, Sync: SyncSegment,
-		Log: slog.New(slog.DiscardHandler), Now: func() float64 { return float64(time.Now().UnixMilli()) }}
+	config := WriterConfig{
+		Dir:           t.TempDir(),
+		NodeName:      "n/1",
+		SegmentMB:     0.05,
+		MaxTotalMB:    100,
+		FlushInterval: 5 * time.Millisecond,
+		BlockKB:       8,
+		MaxPendingMB:  64,
+		Sync:          SyncSegment,
+		Log:           slog.New(slog.DiscardHandler),
+		Now:           func() float64 { return float64(time.Now().UnixMilli()) },
+	}
 	if change != nil {
-		change(&r)
+		change(&config)
 	}
-	w, err := NewWriter(r)
+	writer, err := NewWriter(config)
 	require.NoError(t, err)
-	return w, r
+	return writer, config
 }
 
-func readRecordsOf(t *testing.T, path string) (all []Record, err error) {
+func readRecordsOf(t *testing.T, path string) (records []Record, err error) {
 	t.Helper()
 	files, err := Segments(path)
 	require.NoError(t, err)
-	for _, f := range files {
-		if err := Read(f, func(r Record) error { all = append(all, r); return nil }); err != nil {
-			return all, err
+	for _, file := range files {
+		if err := Read(file, func(r Record) error { records = append(records, r); return nil }); err != nil {
+			return records, err
 		}
 	}
-	return all, nil
+	return records, nil
 }
 
-// Through the writer and its segments, a capture is what it was.
+// A capture that was written to several segments is read back without a gap, and its replay matches.
 func TestWriterRoundTrip(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	w, r := newTestWriter(t, nil)
-	captureExperiment(t, "hung", 25, 0, Options{Sink: w.Put})
-	w.Close()
-	assert.Zero(t, w.Dropped())
-	files, err := Segments(r.Dir)
+	writer, config := newTestWriter(t, nil)
+	captureExperiment(t, "hung", 25, 0, Options{Sink: writer.Put})
+	writer.Close()
+	assert.Zero(t, writer.Dropped())
+	files, err := Segments(config.Dir)
 	require.NoError(t, err)
 	assert.Greater(t, len(files), 2)
-	all, err := readRecordsOf(t, r.Dir)
+	records, err := readRecordsOf(t, config.Dir)
 	require.NoError(t, err)
-	claim, err := replayRecords(all)
+	result, err := replayRecords(records)
 	require.NoError(t, err)
-	assert.Zero(t, claim.Gaps)
-	assert.Greater(t, claim.Decisions, 1000)
+	assert.Zero(t, result.Gaps)
+	assert.Greater(t, result.Decisions, 1000)
 }
 
-// Beyond its size the ring drops the oldest; what is left says nothing until a start stands in it.
+// Beyond the total size the oldest segments are removed. Without snapshots, what is left can't be verified.
 func TestWriterRemovesOldSegments(t *testing.T) {
-	w, r := newTestWriter(t, func(r *WriterConfig) { r.MaxTotalMB = 0.15 })
-	captureExperiment(t, "hung", 30, 0, Options{Sink: w.Put})
-	w.Close()
+	writer, r := newTestWriter(t, func(r *WriterConfig) { r.MaxTotalMB = 0.15 })
+	captureExperiment(t, "hung", 30, 0, Options{Sink: writer.Put})
+	writer.Close()
 	files, err := Segments(r.Dir)
 	require.NoError(t, err)
-	sum := int64(0)
-	for _, f := range files {
-		info, err := os.Stat(f)
+	total := int64(0)
+	for _, file := range files {
+		info, err := os.Stat(file)
 		require.NoError(t, err)
-		sum += info.Size()
+		total += info.Size()
 	}
-	assert.LessOrEqual(t, sum, int64(210_000))
-	all, err := readRecordsOf(t, r.Dir)
+	assert.LessOrEqual(t, total, int64(210_000))
+	records, err := readRecordsOf(t, r.Dir)
 	require.NoError(t, err)
-	claim, err := replayRecords(all)
+	result, err := replayRecords(records)
 	require.NoError(t, err)
-	assert.Equal(t, claim.Records, claim.Unverified, "its start is gone")
+	assert.Equal(t, result.Records, result.Unverified, "its start is gone")
 }
 
-// Cut at every byte, a segment is read up to its last whole record, and what was read replays.
+// A segment that is truncated at any byte is read up to its last complete record, and what was read can be
+// replayed. A segment with a flipped bit is never read without an error.
 func TestReadTruncatedAtEveryByte(t *testing.T) {
-	w, r := newTestWriter(t, func(r *WriterConfig) { r.SegmentMB, r.BlockKB = 100, 4 })
-	captureExperiment(t, "hung", 2, 0, Options{Sink: w.Put})
-	w.Close()
+	writer, r := newTestWriter(t, func(r *WriterConfig) { r.SegmentMB, r.BlockKB = 100, 4 })
+	captureExperiment(t, "hung", 2, 0, Options{Sink: writer.Put})
+	writer.Close()
 	files, err := Segments(r.Dir)
 	require.NoError(t, err)
 	require.Len(t, files, 1)
 	data, err := os.ReadFile(files[0])
 	require.NoError(t, err)
 	last := 0
-	for at := range len(data) + 1 { // the whole at last: on a busy machine all may stand in one block
-		var all []Record
-		err := ReadFrom("x", bytes.NewReader(data[:at]), func(r Record) error { all = append(all, r); return nil })
-		var cut *TruncatedError
+	for offset := range len(data) + 1 { // the whole at last: on a busy machine all may stand in one block
+		var records []Record
+		err := ReadFrom("x", bytes.NewReader(data[:offset]), func(r Record) error { records = append(records, r); return nil })
+		var truncated *TruncatedError
 		if err != nil {
-			require.ErrorAs(t, err, &cut, "at %d", at)
+			require.ErrorAs(t, err, &truncated, "at %d", offset)
 		}
-		require.GreaterOrEqual(t, len(all), last, "at %d", at)
-		last = len(all)
-		if at%50 == 0 {
-			_, err = replayRecords(all)
+		require.GreaterOrEqual(t, len(records), last, "at %d", offset)
+		last = len(records)
+		if offset%50 == 0 {
+			_, err = replayRecords(records)
 			require.NoError(t, err)
 		}
 	}
 	assert.Greater(t, last, 50)
-	for at := 0; at < len(data); at += 3 { // and one flipped is never taken for what was written
+	for offset := 0; offset < len(data); offset += 3 { // one bit flipped
 		flipped := bytes.Clone(data)
-		flipped[at] ^= 4
-		var all []Record
-		if err := ReadFrom("x", bytes.NewReader(flipped), func(r Record) error { all = append(all, r); return nil }); err == nil {
-			t.Fatalf("byte %d flipped and nothing found", at)
+		flipped[offset] ^= 4
+		var records []Record
+		if err := ReadFrom("x", bytes.NewReader(flipped), func(r Record) error { records = append(records, r); return nil }); err == nil {
+			t.Fatalf("byte %d flipped and nothing found", offset)
 		}
-		_, err = replayRecords(all)
+		_, err = replayRecords(records)
 		require.NoError(t, err, "what came before the damage is whole")
 	}
 }
 
-// disk is one that is full, slow, or both for a while.
+// disk is a disk that is full, or blocks writes.
 type disk struct {
-	mu   sync.Mutex
-	full bool
-	hold chan struct{} // writes wait here
-	file *os.File
+	mu      sync.Mutex
+	full    bool
+	blocked chan struct{} // writes wait here
+	file    *os.File
 }
 
 func (d *disk) Write(b []byte) (int, error) {
 	d.mu.Lock()
-	full, hold := d.full, d.hold
+	full, hold := d.full, d.blocked
 	d.mu.Unlock()
 	if hold != nil {
 		<-hold
@@ -573,23 +596,23 @@
 func (d *disk) Sync() error  { return nil }
 func (d *disk) Close() error { return d.file.Close() }
 
-// tally counts the records that are there, and those that are said to be missing.
-func countRecords(all []Record) (kept int, missing uint64) {
-	for _, x := range all {
-		if x.Kind == Gap {
-			missing += x.Count
+// countRecords counts records, and those that gaps say are missing.
+func countRecords(records []Record) (count int, missing uint64) {
+	for _, record := range records {
+		if record.Kind == Gap {
+			missing += record.Count
 		} else {
-			kept++
+			count++
 		}
 	}
-	return kept, missing
+	return count, missing
 }
 
-// A disk that is full for a while costs what came meanwhile, which stands as a gap; nobody waits.
+// The disk is full for a while. The records of that time are lost and recorded as a gap; Put never waits.
 func TestDiskFull(t *testing.T) {
 	var mu sync.Mutex
 	full := false
-	w, r := newTestWriter(t, func(r *WriterConfig) {
+	writer, r := newTestWriter(t, func(r *WriterConfig) {
 		r.SegmentMB, r.BlockKB, r.FlushInterval = 100, 1, time.Millisecond
 		r.create = func(name string) (segment, error) {
 			mu.Lock()
@@ -606,52 +629,53 @@
 	put := func(n int) {
 		for range n {
 			x := Record{Kind: TimerFired, Now: 1}
-			w.Put(Batch{Records: 1, Data: Frame(x)})
+			writer.Put(Batch{Records: 1, Data: Frame(x)})
 		}
 	}
 	set(true) // from the first segment on
 	put(1000)
-	require.Eventually(t, func() bool { return w.Dropped() > 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return writer.Dropped() > 0 }, 5*time.Second, time.Millisecond)
 	set(false)
 	<-time.After(diskRetryDelay + 100*time.Millisecond)
 	put(10)
-	w.Close()
+	writer.Close()
 	files, err := Segments(r.Dir)
 	require.NoError(t, err)
-	var all []Record
+	var records []Record
 	for _, f := range files {
-		_ = Read(f, func(r Record) error { all = append(all, r); return nil }) // the torn ones
+		_ = Read(f, func(r Record) error { records = append(records, r); return nil }) // the torn ones
 	}
-	kept, missing := countRecords(all)
-	assert.Equal(t, w.Dropped(), missing)
-	assert.GreaterOrEqual(t, kept+int(missing), 1010)
+	count, missing := countRecords(records)
+	assert.Equal(t, writer.Dropped(), missing)
+	assert.GreaterOrEqual(t, count+int(missing), 1010)
 }
 
-// A writer that stands still holds nobody up: its mailbox is bounded, and what does not fit is counted.
+// The disk blocks. Put does not wait: what exceeds the pending bytes is dropped and counted.
 func TestSlowDisk(t *testing.T) {
-	hold := make(chan struct{})
-	w, r := newTestWriter(t, func(r *WriterConfig) {
+	blocked := make(chan struct{})
+	writer, r := newTestWriter(t, func(r *WriterConfig) {
 		r.MaxPendingMB, r.BlockKB, r.SegmentMB = 0.01, 1, 100
 		r.create = func(name string) (segment, error) {
 			f, err := os.Create(name)
-			return &disk{hold: hold, file: f}, err
+			return &disk{blocked: blocked, file: f}, err
 		}
 	})
-	begun := time.Now()
+	startedAt := time.Now()
 	for range 20_000 {
 		x := Record{Kind: TimerFired, Now: 1}
-		w.Put(Batch{Records: 1, Data: Frame(x)})
+		writer.Put(Batch{Records: 1, Data: Frame(x)})
 	}
-	assert.Less(t, time.Since(begun), 5*time.Second)
-	assert.Greater(t, w.Dropped(), uint64(15_000))
-	close(hold)
-	w.Close()
-	all, err := readRecordsOf(t, r.Dir)
+	assert.Less(t, time.Since(startedAt), 5*time.Second)
+	assert.Greater(t, writer.Dropped(), uint64(15_000))
+	close(blocked)
+	writer.Close()
+	records, err := readRecordsOf(t, r.Dir)
 	require.NoError(t, err)
-	kept, missing := countRecords(all)
-	assert.Equal(t, uint64(20_000), uint64(kept)+missing, "all are there, or counted")
+	count, missing := countRecords(records)
+	assert.Equal(t, uint64(20_000), uint64(count)+missing, "all are there, or counted")
 }
 
+// A record is the same after encoding and decoding, also with a field that the decoder does not know.
 func TestRecordsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Record{Kind: Kind(rapid.IntRange(1, 15).Draw(t, "kind")), Now: rapid.Float64Range(0, 1e13).Draw(t, "now"), Request: rapid.Uint64().Draw(t, "request"),
@@ -673,6 +697,7 @@
 	})
 }
 
+// Reading arbitrary bytes does not panic.
 func FuzzReader(f *testing.F) {
 	var data bytes.Buffer
 	x := Record{Kind: TimerFired, Now: 3}
@@ -688,6 +713,7 @@
 	})
 }
 
+// Files that are no captures of this version are refused with the reason, as is a directory without captures.
 func TestReadRefusesOtherFiles(t *testing.T) {
 	for text, want := range map[string]string{"": "incomplete header", "nonsense and more": "not a capture", magic + "\x63": "version 99, this program reads 2"} {
 		err := ReadFrom("f", bytes.NewReader([]byte(text)), func(Record) error { return nil })
@@ -698,8 +724,8 @@
 	assert.Equal(t, "000000000001234-000007-a_b"+suffix, filepath.Base(Name("a/b", 1234, 7)))
 }
 
-// A report keeps what is not told apart from an idle backend's zeros; one of an earlier build told a service time
-// alone.
+// A load report keeps values that were not reported apart from the zeros of an idle backend. Earlier builds stored
+// the service time alone.
 func TestLoadReportsRoundTrip(t *testing.T) {
 	for _, load := range []balancer.LoadReport{{ServiceTime: 3, InFlight: balancer.NotReported, Queued: balancer.NotReported, Throughput: 7}, {ServiceTime: balancer.NotReported, InFlight: 0, Queued: 0}} {
 		r := Record{Kind: LoadReported, Now: 1, Backend: 2, Load: load}
@@ -714,9 +740,9 @@
 	assert.Equal(t, balancer.LoadReport{ServiceTime: 31.5, InFlight: balancer.NotReported, Queued: balancer.NotReported, Throughput: balancer.NotReported}, got.Load)
 }
 
-// A ban, a second process and new configuration are replayed as they came, also for a request that came under the
-// earlier configuration.
-func TestOperatorsReplayed(t *testing.T) {
+// A cordoned backend, a second process and a new configuration are replayed as they came, also for a request that
+// arrived under the earlier configuration.
+func TestOperatorsInputsAreReplayed(t *testing.T) {
 	configuration := func(effect balancer.Idempotency) *balancer.Config {
 		return &balancer.Config{Seed: 2, Nodes: 1, MaxAttempts: 2, OverloadWindow: 100, Classes: []balancer.Class{{Idempotency: effect, LatencyObjective: 100, PriorityWeight: 1}}}
 	}
@@ -724,34 +750,34 @@
 	var records []Record
 	r, err := NewRecorder(balancer.New(first, 1000), 1000, Start{Config: first}, Options{Sink: func(b Batch) { records = append(records, decodeBatch(b.Data)...) }})
 	require.NoError(t, err)
-	bs := []*balancer.Backend{{ID: 4}, {ID: 5}, {ID: 6}}
+	backends := []*balancer.Backend{{ID: 4}, {ID: 5}, {ID: 6}}
 	list := func(now float64, out bool) {
-		for _, b := range bs {
+		for _, b := range backends {
 			r.EndpointsChanged(now, []balancer.Endpoint{{Backend: b, State: balancer.BackendReady, Weight: 1, Cordoned: out && b.ID == 4}}, false, true)
 		}
 	}
-	finals := 0
-	ask := func(now float64, under *balancer.Config) {
-		r.RequestArrived(now, &balancer.Request{Deadline: now + 1000, HasCostHint: true, CostHint: 5, Config: under})
-		for d, more := r.Next(); more; d, more = r.Next() {
-			switch d.Kind {
+	answers := 0
+	requestArrives := func(now float64, config *balancer.Config) {
+		r.RequestArrived(now, &balancer.Request{Deadline: now + 1000, HasCostHint: true, CostHint: 5, Config: config})
+		for decision, more := r.Next(); more; decision, more = r.Next() {
+			switch decision.Kind {
 			case balancer.DoAttempt:
-				assert.NotEqual(t, uint64(4), d.Attempt.Backend.ID)
-				r.AttemptEnded(now+1, d.Attempt, balancer.OutcomeFailed, 1, false)
+				assert.NotEqual(t, uint64(4), decision.Attempt.Backend.ID)
+				r.AttemptEnded(now+1, decision.Attempt, balancer.OutcomeFailed, 1, false)
 			case balancer.DoReject, balancer.DoFail:
-				finals++
+				answers++
 			}
 		}
 	}
 	list(1000, true)
-	ask(1010, first)
+	requestArrives(1010, first)
 	r.ProcessesChanged(1020, 2)
 	r.ConfigChanged(1030, second, []int{0})
-	ask(1040, second)
-	ask(1050, first)
-	ask(1060, nil)
-	assert.GreaterOrEqual(t, finals, 2) // others wait for backends that have failed
-	claim, err := replayRecords(records)
+	requestArrives(1040, second)
+	requestArrives(1050, first)
+	requestArrives(1060, nil)
+	assert.GreaterOrEqual(t, answers, 2) // others wait for backends that have failed
+	result, err := replayRecords(records)
 	require.NoError(t, err)
-	assert.Greater(t, claim.Decisions, 8)
+	assert.Greater(t, result.Decisions, 8)
 }
