--- a/internal/lab/baselines/baselines.go
+++ b/internal/lab/baselines/baselines.go
@@ -1,299 +1,271 @@
-// Package baselines has the baselines that the module is measured against, in the lab only. They choose a backend on
-// arrival, push again after a failure where the category allows it, and know nothing of cold budgets, held ops or
-// nacks in time.
+// Package baselines holds the simple policies that the balancer is compared with, in the lab only. They choose a
+// backend as a request arrives and retry after a failure if the class allows it. They know nothing of slow start,
+// queueing or timely rejection. All times are in ms.
 package baselines
 
 import (
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"slices"
 
 	"pearknot/balancer"
 )
 
-// Sight tells what only an all-seeing policy knows: in what time a backend would be done with an op of this work, +Inf
-// where it never would.
-type Sight func(now float64, b *balancer.Backend, op *balancer.Request) float64
+const (
+	// rngStream separates the baselines' random draws from others with the same seed.
+	rngStream = 9
+	// rotationStarts bounds the position at which a node's rotation starts: a prime above the usual numbers of
+	// backends, so that nodes with different seeds start at different ones.
+	rotationStarts = 1009
+)
 
-// New makes a policy by its name; sight may be nil for all but all-seeing.
-func New(name string, t *balancer.Config, now float64, sight Sight) (balancer.Decider, error) {
+// New returns the policy of a name: the balancer itself for "cda", or a baseline. Estimate is used by "all-seeing"
+// alone, and may be nil for the others. It returns an error for an unknown name, and for "all-seeing" without an
+// estimate.
+func New(name string, config *balancer.Config, now float64, estimate CompletionEstimate) (balancer.Decider, error) {
 	if name == "cda" {
-		return balancer.New(t, now), nil
+		return balancer.New(config, now), nil
+	}
+	p := &policy{
+		config:   config,
+		rng:      rand.New(rand.NewPCG(config.Seed, rngStream)),
+		inFlight: map[*balancer.Backend]int{},
+		requests: map[*balancer.Request]*requestState{},
+		rotation: int(config.Seed % rotationStarts),
+		pollAt:   math.Inf(1),
 	}
-	p := &plain{t: t, rng: rand.New(rand.NewPCG(t.Seed, 9)), out: map[*balancer.Backend]int{}, ops: map[*balancer.Request]*state{},
-		turn: int(t.Seed % 1009), askAt: math.Inf(1)}
-	if t.PollEndpoints {
-		p.askAt = now
+	if config.PollEndpoints {
+		p.pollAt = now
 	}
 	switch name {
 	case "random":
-		p.pick = func(open []*balancer.Backend, _ *balancer.Request) *balancer.Backend {
-			return open[p.rng.IntN(len(open))]
-		}
+		p.pick = p.pickRandom
 	case "rotation":
-		p.pick = func(open []*balancer.Backend, _ *balancer.Request) *balancer.Backend {
-			p.turn++
-			return open[p.turn%len(open)]
-		}
+		p.pick = p.pickNext
 	case "fewest":
-		p.pick = func(open []*balancer.Backend, _ *balancer.Request) *balancer.Backend {
-			from := p.rng.IntN(len(open)) // equals by chance
-			best := open[from]
-			for k := range open {
-				if b := open[(from+k)%len(open)]; p.out[b] < p.out[best] {
-					best = b
-				}
-			}
-			return best
-		}
+		p.pick = p.pickFewestInFlight
 	case "two-choices":
-		p.pick = func(open []*balancer.Backend, _ *balancer.Request) *balancer.Backend {
-			a, b := open[p.rng.IntN(len(open))], open[p.rng.IntN(len(open))]
-			if p.out[b] < p.out[a] {
-				return b
-			}
-			return a
-		}
+		p.pick = p.pickOfTwo
 	case "all-seeing":
-		if sight == nil {
+		if estimate == nil {
 			return nil, fmt.Errorf("policy %s: only in virtual time", name)
 		}
-		p.pick = func(open []*balancer.Backend, op *balancer.Request) *balancer.Backend {
-			from := p.rng.IntN(len(open))
-			var best *balancer.Backend
-			least := math.Inf(1)
-			for k := range open {
-				b := open[(from+k)%len(open)]
-				if x := sight(p.now, b, op); x < least {
-					best, least = b, x
-				}
-			}
-			left := op.Deadline - p.now
-			if c := &p.t.Classes[op.Class]; c.LateWeight == 0 {
-				left = math.Min(left, op.ArrivedAt+c.LatencyObjective-p.now)
-			}
-			if least > left { // what would earn nothing is given up at once
-				return nil
-			}
-			return best
-		}
+		p.estimate = estimate
+		p.pick = p.pickByEstimate
 	default:
 		return nil, fmt.Errorf("unknown policy %q", name)
 	}
 	return p, nil
 }
 
-type plain struct {
-	t        *balancer.Config
+// policy is a baseline. It implements balancer.Decider, and is not safe for concurrent use.
+type policy struct {
+	config    *balancer.Config
+	now       float64 // of the latest input
+	decisions []balancer.Decision
+
 	rng      *rand.Rand
-	now      float64
+	pick     func(candidates []*balancer.Backend, request *balancer.Request) *balancer.Backend // nil if none is worth it
+	rotation int                                                                               // position of "rotation"
+	estimate CompletionEstimate                                                                // of "all-seeing"
+
 	backends []*balancer.Backend
-	out      map[*balancer.Backend]int // own pushes
-	ops      map[*balancer.Request]*state
-	turn     int
-	pick     func(open []*balancer.Backend, op *balancer.Request) *balancer.Backend
-	queue    []balancer.Decision
-	tracked  bool
-	askAt    float64
-	armed    float64
-	fails    int
+	inFlight map[*balancer.Backend]int // this node's attempts
+	requests map[*balancer.Request]*requestState
+
+	isWatching  bool // the endpoint list is being followed
+	pollAt      float64
+	timerAt     float64 // 0 if no timer is set
+	failedPolls int     // in a row
 }
 
-// state is what a baseline keeps of an op.
-type state struct {
-	out   map[*balancer.Attempt]bool
-	first *balancer.Attempt // the first that is not known never to have run
-	ended map[*balancer.Attempt]balancer.Outcome
+// requestState is what a baseline stores of a request that isn't answered.
+type requestState struct {
+	inFlight map[*balancer.Attempt]bool
+	outcomes map[*balancer.Attempt]balancer.Outcome
+	firstRun *balancer.Attempt // the first attempt that may have run; nil if none may have
 }
 
-func (p *plain) EndpointsChanged(now float64, lines []balancer.Endpoint, full, cached bool) {
+// RequestArrived starts a request's first attempt, or rejects it.
+func (p *policy) RequestArrived(now float64, request *balancer.Request) {
 	p.now = now
-	if !cached {
-		p.tracked, p.fails = true, 0
+	request.ArrivedAt = now
+	p.requests[request] = &requestState{
+		inFlight: map[*balancer.Attempt]bool{},
+		outcomes: map[*balancer.Attempt]balancer.Outcome{},
 	}
-	if full {
-		for _, b := range p.backends {
-			b.State = balancer.BackendRemoved
-		}
+	p.startAttempt(request)
+}
+
+// ClientGone ends a request whose client disconnected.
+func (p *policy) ClientGone(now float64, request *balancer.Request) {
+	p.now = now
+	p.endRequest(request)
+}
+
+// AttemptEnded ends a finished request, or retries one that has no attempt in flight.
+func (p *policy) AttemptEnded(now float64, attempt *balancer.Attempt, outcome balancer.Outcome, _ float64, finished bool) {
+	p.now = now
+	p.inFlight[attempt.Backend]--
+	state := p.requests[attempt.Request]
+	if state == nil {
+		return
 	}
-	for _, l := range lines {
-		b := l.Backend
-		known := false
-		for _, x := range p.backends {
-			known = known || x == b
-		}
-		if !known {
-			p.backends = append(p.backends, b)
-		}
-		b.State, b.Zone, b.Cell, b.Kind, b.Started, b.Weight = l.State, l.Zone, l.Cell, l.Kind, l.Started, l.Weight
-		if l.Cordoned {
-			b.State = min(b.State, balancer.BackendDraining)
-		}
+	delete(state.inFlight, attempt)
+	state.outcomes[attempt] = outcome
+	if outcome.NeverRan() && state.firstRun == attempt {
+		state.firstRun = firstThatMayHaveRun(attempt.Request, state)
+	}
+	if finished {
+		p.endRequest(attempt.Request)
+	} else if len(state.inFlight) == 0 {
+		p.startAttempt(attempt.Request)
 	}
 }
 
-func (p *plain) PollFailed(now float64) {
-	p.now, p.tracked, p.armed = now, false, 0 // the timer that is out may come too late
-	p.askAt = now + math.Min(500*math.Exp2(float64(p.fails)), 4e3)*(0.5+p.rng.Float64())
-	p.fails++
+// firstThatMayHaveRun returns a request's first attempt that isn't known never to have run, or nil.
+func firstThatMayHaveRun(request *balancer.Request, state *requestState) *balancer.Attempt {
+	for _, attempt := range request.Attempts {
+		if outcome, ended := state.outcomes[attempt]; !ended || !outcome.NeverRan() {
+			return attempt
+		}
+	}
+	return nil
 }
 
-// Retuned takes new terms, under which open ops go on too: a baseline keeps no more.
-func (p *plain) ConfigChanged(now float64, t *balancer.Config, _ []int) { p.now, p.t = now, t }
-
-// Sent says nothing to a baseline either.
-func (p *plain) RequestBodySent(now float64, _ *balancer.Attempt) { p.now = now }
+// ConfigChanged takes a new configuration, which applies to open requests, too.
+func (p *policy) ConfigChanged(now float64, config *balancer.Config, _ []int) {
+	p.now, p.config = now, config
+}
 
-// Split says nothing to a baseline.
-func (p *plain) ProcessesChanged(now float64, _ int) { p.now = now }
+// RequestBodySent has no effect on a baseline.
+func (p *policy) RequestBodySent(now float64, _ *balancer.Attempt) { p.now = now }
 
-func (p *plain) RequestArrived(now float64, op *balancer.Request) {
-	p.now = now
-	op.ArrivedAt = now
-	p.ops[op] = &state{out: map[*balancer.Attempt]bool{}, ended: map[*balancer.Attempt]balancer.Outcome{}}
-	p.place(op)
-}
+// ProcessesChanged has no effect on a baseline.
+func (p *policy) ProcessesChanged(now float64, _ int) { p.now = now }
 
-func (p *plain) ClientGone(now float64, op *balancer.Request) {
-	p.now = now
-	p.close(op)
-}
+// DeadlineShortened has no effect on a baseline: its host ends what is late.
+func (p *policy) DeadlineShortened(now float64, _ *balancer.Request) { p.now = now }
 
-// Shortened says nothing to a baseline: the host ends what is late.
-func (p *plain) DeadlineShortened(now float64, _ *balancer.Request) { p.now = now }
+// ResponseStarted has no effect on a baseline.
+func (p *policy) ResponseStarted(now float64, _ *balancer.Attempt) { p.now = now }
 
-func (p *plain) ResponseStarted(now float64, _ *balancer.Attempt) { p.now = now }
+// LoadReported has no effect on a baseline.
+func (p *policy) LoadReported(now float64, _ *balancer.Backend, _ balancer.LoadReport) { p.now = now }
 
-func (p *plain) LoadReported(now float64, _ *balancer.Backend, _ balancer.LoadReport) { p.now = now }
+// Next returns the next decision, if there is one.
+func (p *policy) Next() (balancer.Decision, bool) {
+	if len(p.decisions) > 0 {
+		next := p.decisions[0]
+		p.decisions = p.decisions[1:]
+		return next, true
+	}
+	return p.nextPoll()
+}
 
-func (p *plain) AttemptEnded(now float64, push *balancer.Attempt, how balancer.Outcome, _ float64, finished bool) {
-	p.now = now
-	p.out[push.Backend]--
-	s := p.ops[push.Request]
-	if s == nil {
+// startAttempt sends a request to a backend, preferably one that it wasn't sent to before. A request that can't be sent
+// is rejected or failed.
+func (p *policy) startAttempt(request *balancer.Request) {
+	state := p.requests[request]
+	backend := p.selectBackend(request, state)
+	if backend == nil {
+		p.giveFinalAnswer(request, state)
 		return
 	}
-	delete(s.out, push)
-	s.ended[push] = how
-	if how.NeverRan() && s.first == push {
-		s.first = nil
-		for _, q := range push.Request.Attempts {
-			if e, over := s.ended[q]; !over || !e.NeverRan() {
-				s.first = q
-				break
-			}
-		}
-	}
-	if finished {
-		p.close(push.Request)
-	} else if len(s.out) == 0 {
-		p.place(push.Request)
+	attempt := &balancer.Attempt{Request: request, Backend: backend, Number: len(request.Attempts), SentAt: p.now}
+	request.Attempts = append(request.Attempts, attempt)
+	state.inFlight[attempt] = true
+	if state.firstRun == nil {
+		state.firstRun = attempt
 	}
+	p.inFlight[backend]++
+	p.decisions = append(p.decisions, balancer.Decision{Kind: balancer.DoAttempt, Request: request, Attempt: attempt})
 }
 
-func (p *plain) TimerFired(now float64) { p.now = now; p.armed = 0 }
-
-func (p *plain) Next() (balancer.Decision, bool) {
-	if len(p.queue) > 0 {
-		d := p.queue[0]
-		p.queue = p.queue[1:]
-		return d, true
-	}
-	if !p.tracked && !math.IsInf(p.askAt, 1) {
-		if p.now >= p.askAt {
-			p.askAt = p.now + p.t.PollInterval/2
-			return balancer.Decision{Kind: balancer.DoPoll}, true
+// selectBackend returns the backend for a request's next attempt, or nil.
+func (p *policy) selectBackend(request *balancer.Request, state *requestState) *balancer.Backend {
+	var candidates, untried []*balancer.Backend
+	for _, backend := range p.backends {
+		if !p.isAllowed(request, state, backend) {
+			continue
 		}
-		if p.armed == 0 {
-			p.armed = p.askAt
-			return balancer.Decision{Kind: balancer.DoSetTimer, Wait: p.askAt - p.now}, true
+		candidates = append(candidates, backend)
+		wasTried := slices.ContainsFunc(request.Attempts, func(a *balancer.Attempt) bool { return a.Backend == backend })
+		if !wasTried {
+			untried = append(untried, backend)
 		}
 	}
-	return balancer.Decision{}, false
+	if len(untried) > 0 {
+		candidates = untried
+	}
+	if len(candidates) == 0 || len(request.Attempts) >= p.config.MaxAttempts {
+		return nil
+	}
+	return p.pick(candidates, request)
 }
 
-// may keeps the rules of repeats and drains; what a cold backend stands is not among what a baseline knows.
-func (p *plain) may(op *balancer.Request, s *state, b *balancer.Backend) bool {
-	if b.State != balancer.BackendReady || op.Deadline <= p.now {
+// isAllowed reports whether a request may be sent to a backend without breaking the rules on draining and on repeated
+// effects. A baseline doesn't know the rule on cold backends.
+func (p *policy) isAllowed(request *balancer.Request, state *requestState, backend *balancer.Backend) bool {
+	if backend.State != balancer.BackendReady || request.Deadline <= p.now {
 		return false
 	}
-	if s.first == nil {
+	if state.firstRun == nil {
 		return true
 	}
-	c := &p.t.Classes[op.Class]
-	switch c.Idempotency {
+	class := &p.config.Classes[request.Class]
+	switch class.Idempotency {
 	case balancer.AtMostOnce:
 		return false
 	case balancer.IdempotentWithKey:
-		return p.now-s.first.SentAt < c.DedupWindow && (c.DedupScope == balancer.DedupByAll ||
-			c.DedupScope == balancer.DedupByZone && b.Zone == s.first.Backend.Zone || c.DedupScope == balancer.DedupByCell && b.Cell == s.first.Backend.Cell)
+		return p.now-state.firstRun.SentAt < class.DedupWindow && isDeduplicated(class.DedupScope, state.firstRun.Backend, backend)
 	}
 	return true
 }
 
-func (p *plain) place(op *balancer.Request) {
-	s := p.ops[op]
-	var open, fresh []*balancer.Backend
-	for _, b := range p.backends {
-		if !p.may(op, s, b) {
-			continue
-		}
-		open = append(open, b)
-		tried := false
-		for _, q := range op.Attempts {
-			tried = tried || q.Backend == b
-		}
-		if !tried {
-			fresh = append(fresh, b)
-		}
-	}
-	if len(fresh) > 0 {
-		open = fresh
-	}
-	var b *balancer.Backend
-	if len(open) > 0 && len(op.Attempts) < p.t.MaxAttempts {
-		b = p.pick(open, op)
-	}
-	if b == nil {
-		p.giveUp(op, s)
-		return
-	}
-	push := &balancer.Attempt{Request: op, Backend: b, Number: len(op.Attempts), SentAt: p.now}
-	op.Attempts = append(op.Attempts, push)
-	s.out[push] = true
-	if s.first == nil {
-		s.first = push
+// isDeduplicated reports whether a backend recognizes the idempotency key of a request that ran on another one.
+func isDeduplicated(scope balancer.DedupScope, first, backend *balancer.Backend) bool {
+	switch scope {
+	case balancer.DedupByAll:
+		return true
+	case balancer.DedupByZone:
+		return backend.Zone == first.Zone
+	case balancer.DedupByCell:
+		return backend.Cell == first.Cell
 	}
-	p.out[b]++
-	p.queue = append(p.queue, balancer.Decision{Kind: balancer.DoAttempt, Request: op, Attempt: push})
+	return false
 }
 
-func (p *plain) giveUp(op *balancer.Request, s *state) {
-	c := &p.t.Classes[op.Class]
-	kind := balancer.DoFail
-	if s.first == nil || c.Idempotency == balancer.Idempotent || c.Idempotency == balancer.IdempotentWithKey && c.DedupScope == balancer.DedupByAll {
-		kind = balancer.DoReject
-	}
-	d := balancer.Decision{Kind: kind, Request: op}
-	if kind == balancer.DoReject && p.t.SendRetryAfter {
-		d.Wait = math.Min(p.t.MaxRetryAfter, c.LatencyObjective) * (0.5 + 0.5*p.rng.Float64())
+// giveFinalAnswer rejects a request if the client may safely retry it, and fails it otherwise.
+func (p *policy) giveFinalAnswer(request *balancer.Request, state *requestState) {
+	class := &p.config.Classes[request.Class]
+	isRetryable := state.firstRun == nil || class.Idempotency == balancer.Idempotent ||
+		class.Idempotency == balancer.IdempotentWithKey && class.DedupScope == balancer.DedupByAll
+	answer := balancer.Decision{Kind: balancer.DoFail, Request: request}
+	if isRetryable {
+		answer.Kind = balancer.DoReject
+		if p.config.SendRetryAfter {
+			answer.Wait = math.Min(p.config.MaxRetryAfter, class.LatencyObjective) * (0.5 + 0.5*p.rng.Float64())
+		}
 	}
-	p.queue = append(p.queue, d)
-	p.close(op)
+	p.decisions = append(p.decisions, answer)
+	p.endRequest(request)
 }
 
-// close ends an op and calls off what is out.
-func (p *plain) close(op *balancer.Request) {
-	s := p.ops[op]
-	if s == nil {
+// endRequest forgets a request and cancels its attempts in flight, in the order in which they started.
+func (p *policy) endRequest(request *balancer.Request) {
+	state := p.requests[request]
+	if state == nil {
+		return
+	}
+	delete(p.requests, request)
+	if !p.config.CancelAttempts {
 		return
 	}
-	delete(p.ops, op)
-	if p.t.CancelAttempts {
-		for _, q := range op.Attempts {
-			if s.out[q] {
-				p.queue = append(p.queue, balancer.Decision{Kind: balancer.DoCancel, Request: op, Attempt: q})
-			}
+	for _, attempt := range request.Attempts {
+		if state.inFlight[attempt] {
+			p.decisions = append(p.decisions, balancer.Decision{Kind: balancer.DoCancel, Request: request, Attempt: attempt})
 		}
 	}
 }
--- a/internal/lab/baselines/baselines_test.go
+++ b/internal/lab/baselines/baselines_test.go
@@ -10,99 +10,122 @@
 	"pearknot/balancer"
 )
 
-func terms() *balancer.Config {
+// Classes of testConfig.
+const (
+	classIdempotent = iota
+	classAtMostOnce
+	classWithKey
+)
+
+// testConfig returns a configuration with a class of each kind of idempotency.
+func testConfig() *balancer.Config {
 	return &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 2, AllowHedging: true, CancelAttempts: true, PollEndpoints: true, PollInterval: 1000,
-		Classes: []balancer.Class{{LatencyObjective: 100}, {Idempotency: balancer.AtMostOnce, LatencyObjective: 100},
-			{Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupByZone, DedupWindow: 50, LatencyObjective: 100}}}
+		Classes: []balancer.Class{
+			classIdempotent: {LatencyObjective: 100},
+			classAtMostOnce: {Idempotency: balancer.AtMostOnce, LatencyObjective: 100},
+			classWithKey: {Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupByZone, DedupWindow: 50,
+				LatencyObjective: 100},
+		}}
 }
 
-func desk(t *testing.T, name string, sight Sight) (balancer.Decider, []*balancer.Backend) {
-	d, err := New(name, terms(), 0, sight)
+// newPolicy returns a policy with three ready backends.
+func newPolicy(t *testing.T, name string, estimate CompletionEstimate) (balancer.Decider, []*balancer.Backend) {
+	t.Helper()
+	decider, err := New(name, testConfig(), 0, estimate)
 	require.NoError(t, err)
-	all := []*balancer.Backend{{ID: 1}, {ID: 2}, {ID: 3}}
-	var lines []balancer.Endpoint
-	for k, b := range all {
-		lines = append(lines, balancer.Endpoint{Backend: b, State: balancer.BackendReady, Zone: k / 2, Weight: 1})
+	backends := []*balancer.Backend{{ID: 1}, {ID: 2}, {ID: 3}}
+	var endpoints []balancer.Endpoint
+	for i, backend := range backends {
+		endpoints = append(endpoints, balancer.Endpoint{Backend: backend, State: balancer.BackendReady, Zone: i / 2, Weight: 1})
 	}
-	d.EndpointsChanged(0, lines, true, false)
-	return d, all
+	decider.EndpointsChanged(0, endpoints, true, false)
+	return decider, backends
 }
 
-func kinds(d balancer.Decider) (all []balancer.Decision) {
-	for x, more := d.Next(); more; x, more = d.Next() {
-		all = append(all, x)
+// pullDecisions returns all decisions that a policy has made.
+func pullDecisions(decider balancer.Decider) (decisions []balancer.Decision) {
+	for decision, more := decider.Next(); more; decision, more = decider.Next() {
+		decisions = append(decisions, decision)
 	}
-	return all
+	return decisions
 }
 
-func TestBaselines(t *testing.T) {
+// A comparison with a baseline that spread load unevenly would flatter the balancer: with equal backends and one request
+// at a time each baseline gives every backend its share.
+func TestBaselinesSpreadEvenly(t *testing.T) {
 	for _, name := range []string{"random", "rotation", "fewest", "two-choices"} {
-		d, all := desk(t, name, nil)
-		count := map[*balancer.Backend]int{}
-		for k := range 300 {
-			op := &balancer.Request{ID: uint64(k), Deadline: 1e6}
-			d.RequestArrived(float64(k), op)
-			x := kinds(d)
-			require.Len(t, x, 1, name)
-			count[x[0].Attempt.Backend]++
-			d.AttemptEnded(float64(k), x[0].Attempt, balancer.OutcomeAnswered, 1, true)
-			assert.Empty(t, kinds(d), name)
+		decider, backends := newPolicy(t, name, nil)
+		attempts := map[*balancer.Backend]int{}
+		for i := range 300 {
+			request := &balancer.Request{ID: uint64(i), Deadline: 1e6}
+			decider.RequestArrived(float64(i), request)
+			decisions := pullDecisions(decider)
+			require.Len(t, decisions, 1, name)
+			attempts[decisions[0].Attempt.Backend]++
+			decider.AttemptEnded(float64(i), decisions[0].Attempt, balancer.OutcomeAnswered, 1, true)
+			assert.Empty(t, pullDecisions(decider), name)
 		}
-		for _, b := range all {
-			assert.InDelta(t, 100, count[b], 35, name)
+		for _, backend := range backends {
+			assert.InDelta(t, 100, attempts[backend], 35, name)
 		}
 	}
-	_, err := New("best", terms(), 0, nil)
+	_, err := New("best", testConfig(), 0, nil)
 	assert.Error(t, err)
-	_, err = New("all-seeing", terms(), 0, nil)
+	_, err = New("all-seeing", testConfig(), 0, nil)
 	assert.Error(t, err)
 }
 
-// Baselines keep what any program must: drains, and repeats only as the category allows.
-func TestBaselinesKeepRepeats(t *testing.T) {
-	for _, c := range []struct {
-		category int
-		how      balancer.Outcome
-		want     balancer.DecisionKind
-	}{{0, balancer.OutcomeConnectionReset, balancer.DoAttempt}, {1, balancer.OutcomeConnectionReset, balancer.DoFail}, {1, balancer.OutcomeRejected, balancer.DoAttempt},
-		{2, balancer.OutcomeTimedOut, balancer.DoFail}, {2, balancer.OutcomeNotSent, balancer.DoAttempt}} {
-		d, all := desk(t, "rotation", nil)
-		op := &balancer.Request{Class: c.category, Deadline: 1e6}
-		d.RequestArrived(0, op)
-		x := kinds(d)
-		d.AttemptEnded(60, x[0].Attempt, c.how, 60, false)
-		x = kinds(d)
-		require.Len(t, x, 1)
-		assert.Equal(t, c.want, x[0].Kind, "%+v", c)
-		var lines []balancer.Endpoint
-		for _, b := range all {
-			lines = append(lines, balancer.Endpoint{Backend: b, State: balancer.BackendDraining, Weight: 1})
+// A baseline is simple, not reckless: it sends nothing to draining backends, and retries only as the class allows.
+func TestBaselinesRetrySafely(t *testing.T) {
+	for name, c := range map[string]struct {
+		class   int
+		outcome balancer.Outcome
+		want    balancer.DecisionKind
+	}{
+		"idempotent":                 {classIdempotent, balancer.OutcomeConnectionReset, balancer.DoAttempt},
+		"may have run":               {classAtMostOnce, balancer.OutcomeConnectionReset, balancer.DoFail},
+		"never ran":                  {classAtMostOnce, balancer.OutcomeRejected, balancer.DoAttempt},
+		"after deduplication window": {classWithKey, balancer.OutcomeTimedOut, balancer.DoFail},
+		"with a key, but never ran":  {classWithKey, balancer.OutcomeNotSent, balancer.DoAttempt},
+	} {
+		decider, backends := newPolicy(t, "rotation", nil)
+		request := &balancer.Request{Class: c.class, Deadline: 1e6}
+		decider.RequestArrived(0, request)
+		decisions := pullDecisions(decider)
+		decider.AttemptEnded(60, decisions[0].Attempt, c.outcome, 60, false)
+		decisions = pullDecisions(decider)
+		require.Len(t, decisions, 1, name)
+		assert.Equal(t, c.want, decisions[0].Kind, name)
+		var draining []balancer.Endpoint
+		for _, backend := range backends {
+			draining = append(draining, balancer.Endpoint{Backend: backend, State: balancer.BackendDraining, Weight: 1})
 		}
-		d.EndpointsChanged(70, lines, false, false)
-		next := &balancer.Request{Deadline: 1e6}
-		d.RequestArrived(71, next)
-		assert.Equal(t, balancer.DoReject, kinds(d)[0].Kind)
+		decider.EndpointsChanged(70, draining, false, false)
+		decider.RequestArrived(71, &balancer.Request{Deadline: 1e6})
+		assert.Equal(t, balancer.DoReject, pullDecisions(decider)[0].Kind, name)
 	}
 }
 
+// The all-seeing policy bounds what any policy can reach: it takes the backend that completes first, and wastes no
+// capacity on a request that nobody completes in time.
 func TestAllSeeing(t *testing.T) {
-	d, all := desk(t, "all-seeing", func(_ float64, b *balancer.Backend, _ *balancer.Request) float64 {
-		return map[uint64]float64{1: 50, 2: 20, 3: math.Inf(1)}[b.ID]
+	decider, backends := newPolicy(t, "all-seeing", func(_ float64, backend *balancer.Backend, _ *balancer.Request) float64 {
+		return map[uint64]float64{1: 50, 2: 20, 3: math.Inf(1)}[backend.ID]
 	})
-	d.RequestArrived(0, &balancer.Request{Deadline: 100})
-	assert.Equal(t, all[1], kinds(d)[0].Attempt.Backend)
-	d.RequestArrived(0, &balancer.Request{Deadline: 10})
-	assert.Equal(t, balancer.DoReject, kinds(d)[0].Kind, "none could answer in time")
+	decider.RequestArrived(0, &balancer.Request{Deadline: 100})
+	assert.Equal(t, backends[1], pullDecisions(decider)[0].Attempt.Backend)
+	decider.RequestArrived(0, &balancer.Request{Deadline: 10})
+	assert.Equal(t, balancer.DoReject, pullDecisions(decider)[0].Kind, "no backend completes it in time")
 }
 
-// Where the list must be asked for, a failed call is made again after a growing wait.
-func TestAsks(t *testing.T) {
-	d, err := New("random", terms(), 5, nil)
+// While the discovery service is down, nodes must not poll it in a tight loop: a failed poll is repeated after a backoff.
+func TestFailedPollBacksOff(t *testing.T) {
+	decider, err := New("random", testConfig(), 5, nil)
 	require.NoError(t, err)
-	d.TimerFired(5)
-	assert.Equal(t, balancer.DoPoll, kinds(d)[0].Kind)
-	d.PollFailed(6)
-	x := kinds(d)
-	assert.Equal(t, balancer.DoSetTimer, x[0].Kind)
-	assert.Greater(t, x[0].Wait, 100.0)
+	decider.TimerFired(5)
+	assert.Equal(t, balancer.DoPoll, pullDecisions(decider)[0].Kind)
+	decider.PollFailed(6)
+	decisions := pullDecisions(decider)
+	assert.Equal(t, balancer.DoSetTimer, decisions[0].Kind)
+	assert.Greater(t, decisions[0].Wait, 100.0)
 }
--- a/internal/lab/virtual/nodes.go
+++ b/internal/lab/virtual/nodes.go
@@ -88,7 +88,7 @@
 
 // omniscientEstimate returns the function that tells the all-seeing baseline a request's true completion time on a
 // backend, in ms, infinite where it would not complete.
-func (s *simulation) omniscientEstimate(n *node) baselines.Sight {
+func (s *simulation) omniscientEstimate(n *node) baselines.CompletionEstimate {
 	return func(now float64, target *balancer.Backend, r *balancer.Request) float64 {
 		b := s.backends[target.ID]
 		if s.isUnreachable(n, b) {
