--- a/internal/lab/virtual/faults.go
+++ b/internal/lab/virtual/faults.go
@@ -10,41 +10,41 @@
 // the result.
 func (s *simulation) scheduleFaults() []metrics.Trouble {
 	var spans []metrics.Trouble
-	for _, change := range s.switches {
-		s.schedule(change.At, func() { s.switchFault(change) })
-		if !change.On {
+	for _, transition := range s.transitions {
+		s.schedule(transition.At, func() { s.applyTransition(transition) })
+		if !transition.On {
 			continue
 		}
-		fault := s.experiment.Trouble[change.Index]
-		spans = append(spans, metrics.Trouble{Kind: fault.Kind, From: fault.At * 1e3, To: fault.Ends(), Targets: change.Targets})
+		fault := s.experiment.Trouble[transition.Index]
+		spans = append(spans, metrics.Trouble{Kind: fault.Kind, From: fault.At * 1e3, To: fault.Ends(), Targets: transition.Targets})
 	}
 	return spans
 }
 
 // switchFault begins or ends a fault. Kinds that aren't named here act only through the state of faults, which the
 // workload and the network ask.
-func (s *simulation) switchFault(change faults.Transition) {
-	s.faults.Apply(change)
-	switch kind := s.experiment.Trouble[change.Index].Kind; kind {
+func (s *simulation) applyTransition(transition faults.Transition) {
+	s.faults.Apply(transition)
+	switch kind := s.experiment.Trouble[transition.Index].Kind; kind {
 	case experiment.Swallow, experiment.Errors, experiment.Slow, experiment.Pauses, experiment.Lies, experiment.Stuck,
 		experiment.Crash, experiment.Vanish, experiment.Shrink, experiment.Join:
-		for _, number := range change.Targets {
-			s.switchBackendFault(s.backends[number], kind, change.On)
+		for _, number := range transition.Targets {
+			s.applyBackendFault(s.backends[number], kind, transition.On)
 		}
 	case experiment.Nodes:
-		for _, number := range change.Targets {
-			if change.On {
+		for _, number := range transition.Targets {
+			if transition.On {
 				s.killNode(s.nodes[number])
 			} else {
 				s.restartNode(s.nodes[number])
 			}
 		}
 	case experiment.ListEmpty:
-		s.emptyList(change.On)
+		s.emptyList(transition.On)
 	case experiment.Squeeze:
-		s.closeIdleConnections(change.Targets)
+		s.closeIdleConnections(transition.Targets)
 	case experiment.ListDown:
-		if change.On {
+		if transition.On {
 			for _, n := range s.nodes {
 				s.breakWatch(n)
 			}
@@ -53,7 +53,7 @@
 }
 
 // switchBackendFault begins or ends a fault at one backend.
-func (s *simulation) switchBackendFault(b *backend, kind string, on bool) {
+func (s *simulation) applyBackendFault(b *backend, kind string, on bool) {
 	switch kind {
 	case experiment.Crash, experiment.Vanish:
 		if on {
--- a/internal/lab/virtual/simulation.go
+++ b/internal/lab/virtual/simulation.go
@@ -61,8 +61,8 @@
 	auditor  *invariants.Auditor
 	recorder *metrics.Recorder
 
-	faults   *faults.State
-	switches []faults.Transition
+	faults      *faults.State
+	transitions []faults.Transition
 
 	source    *workload.Source
 	discovery *discoverystub.Service
@@ -86,7 +86,7 @@
 		auditor:     e.Auditor(0),
 		recorder:    metrics.New(e, seed),
 		faults:      faults.NewState(e),
-		switches:    faults.Schedule(e, seed),
+		transitions: faults.Schedule(e, seed),
 		discovery:   discoverystub.New(e.List.LinesPerSecond),
 		nodesByZone: make([][]*node, zones),
 		nextNode:    make([]int, zones),
@@ -108,7 +108,7 @@
 
 // addBackends creates all backends and starts those that don't join later.
 func (s *simulation) addBackends() {
-	joining := faults.JoiningBackends(s.experiment, s.switches)
+	joining := faults.JoiningBackends(s.experiment, s.transitions)
 	for number := range s.experiment.Fleet.Backends {
 		rng := rand.New(rand.NewPCG(s.seed, uint64(number)+1000))
 		b := &backend{
