--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -16,11 +16,11 @@
 // The outcomes. Their numbers are stored.
 const (
 	OutcomeAnswered        Outcome = iota // the complete answer was received
-	OutcomeFailed                         // the answer is an error, or violates the protocol
+	OutcomeFailed                         // the backend answered with an error: a status other than 200 that does not prove that the request never ran
 	OutcomeRejected                       // the backend refused the request and stated that it did not run
 	OutcomeTimedOut                       // no answer within the attempt's time-out
 	OutcomeConnectFailed                  // no connection could be opened, or the request could not be written completely
-	OutcomeConnectionReset                // the connection ended after the request was sent and before the answer was complete
+	OutcomeConnectionReset                // the connection ended, or sent no valid response, after the request was sent and before the answer was complete
 	OutcomeCanceled                       // the balancer or the host canceled it
 	OutcomeNotSent                        // the host did not send it completely, for a reason other than the backend
 )
@@ -167,9 +167,9 @@
 	lb.concurrency.inFlight++
 	attempt.Backend.addInFlight(lb.now, attempt)
 	overrun := math.Min(math.Max(lb.retries.overrun.valueOr(unknownOverrun), minOverrun), maxOverrun)
-	patience := overdueBaseMs + attempt.expectedTime*overrun
-	if patience < lb.timeLeft(attempt.Request) {
-		lb.setTimer(timer{at: lb.now + patience, attempt: attempt})
+	overdueAfter := overdueBaseMs + attempt.expectedTime*overrun
+	if overdueAfter < lb.timeLeft(attempt.Request) {
+		lb.setTimer(timer{at: lb.now + overdueAfter, attempt: attempt})
 	}
 }
 
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -34,7 +34,7 @@
 	wasDrained   bool    // the list called it draining, and has not called it ready since
 	isCordoned   bool    // an operator has taken it out of service
 	cordonedAt   float64 // time at which that last happened
-	uncordonedAt float64 // time at which it was put back, if the list has announced no start since; see applyEndpoint
+	uncordonedAt float64 // time at which it was put back; 0 once the list has announced a start later than cordonedAt
 
 	// selection.go
 	rotationPass float64 // place in the rotation: the backend with the lowest has the next turn
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -4,13 +4,13 @@
 
 // Concurrency limits bound the number of attempts that this node has in flight: one limit for each backend and one for
 // all backends together. Both follow additive increase and multiplicative decrease: a limit rises by about one for as many
-// answers as it allows attempts, while answers show no queue, and falls by a fifth when an answer was queued, timed out or
-// was rejected. A node sees only its own attempts in flight, so that work of other nodes shows only in answer times. While
+// answers as it allows attempts, while answers show no queue, and falls by a fifth when an answer shows a queue or a backend
+// rejects an attempt. A time-out lowers the limit of its backend only. A node sees only its own attempts in flight, so that work of other nodes shows only in answer times. While
 // a limit is reached, requests are queued.
 
 const (
-	// initialInFlight is the limit of attempts in flight at a backend of which nothing is known, for all nodes together and
-	// beyond one attempt of each node.
+	// initialInFlight is divided between all nodes. The limit of attempts in flight at a backend of which nothing is known is
+	// one attempt for each node, plus the node's share of this.
 	initialInFlight = 3.0
 	// minInFlightPerBackend is a number of attempts in flight, of all nodes together, that no backend is overloaded by.
 	minInFlightPerBackend = 7.0
@@ -27,9 +27,9 @@
 	paceTolerance = 1.5
 	// limitDecrease is the factor by which a limit falls.
 	limitDecrease = 0.8
-	// maxLimitGrowth bounds the rise of a limit by one answer to a fourth of the limit, so that a limit of 1 does not double
-	// by a single answer.
-	maxLimitGrowth = 4
+	// limitGrowthDivisor bounds the rise of a limit by one answer to the limit divided by this, so that a limit of 1 does not
+	// double by a single answer.
+	limitGrowthDivisor = 4
 	// maxRoundingUp bounds what is added to a limit before it is rounded down. It is just below 1, so that a whole number is
 	// not raised.
 	maxRoundingUp = 0.99
@@ -81,13 +81,13 @@
 	if queueing > tolerance*objective {
 		lb.lowerBackendLimit(backend, elapsed)
 	} else if float64(len(backend.inFlight)+1) >= backend.maxInFlight {
-		backend.maxInFlight += math.Min(backend.maxInFlight/maxLimitGrowth, 1/backend.maxInFlight)
+		backend.maxInFlight += math.Min(backend.maxInFlight/limitGrowthDivisor, 1/backend.maxInFlight)
 	}
 }
 
 // lowerBackendLimit lowers a backend's limit after an attempt that took elapsed ms. A limit below 1 means one attempt at a
-// time with a pause after each, of 1/limit - 1 times the answer time: 0.25 means one attempt, then a pause of three answer
-// times. This is needed where nodes are many: one attempt of each at all times can be more than a backend can serve.
+// time. Each time the limit is lowered to such a value, a pause of 1/limit - 1 times the answer time begins: with 0.25, three
+// answer times. An answer that does not lower the limit starts no pause. This is needed where nodes are many: one attempt of each at all times can be more than a backend can serve.
 func (lb *Balancer) lowerBackendLimit(backend *Backend, elapsed float64) {
 	backend.maxInFlight = math.Max(backend.maxInFlight*limitDecrease, math.Min(1, lb.perNodeShare(initialInFlight)))
 	if backend.maxInFlight < 1 {
@@ -105,7 +105,7 @@
 	case wasQueued:
 		lb.concurrency.limit = math.Max(minLimit, limitDecrease*math.Min(lb.concurrency.limit, float64(lb.concurrency.inFlight+1)))
 	case float64(lb.concurrency.inFlight+1) >= lb.concurrency.limit:
-		lb.concurrency.limit += math.Min(lb.concurrency.limit/maxLimitGrowth, 1/lb.concurrency.limit)
+		lb.concurrency.limit += math.Min(lb.concurrency.limit/limitGrowthDivisor, 1/lb.concurrency.limit)
 	}
 }
 
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -70,7 +70,7 @@
 	AllowHedging   bool    `json:"SecondCopies"`
 	CancelAttempts bool    `json:"Cancel"`   // the host can cancel attempts in flight
 	SendRetryAfter bool    `json:"ComeBack"` // rejections carry Retry-After
-	// MaxRetryAfter is the longest Retry-After, in ms, that a client follows. The balancer states no longer one. If it is
+	// MaxRetryAfter is the longest Retry-After, in ms, that a client follows. The balancer never states a longer one. If it is
 	// 0, because the deployment leaves it out, the balancer states 0, and package server puts a wait of its own in place
 	// of that: 0 is neither "no maximum" here nor a request to return at once.
 	MaxRetryAfter float64 `json:"MaxComeBack"`
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -4,13 +4,15 @@
 
 // Ejection keeps requests away from backends that fail. Each backend has a suspicion: each fault adds to it, each answer
 // in time lowers it, and it halves every suspicionHalfLifeMs. Suspicion that three quarters of the backends share does not
-// count, since its cause must lie elsewhere. After two clear faults in a row a backend is ejected until its suspicion has
-// decayed again, which takes seconds. Requests that may have crashed a backend (poison requests) are not sent to another.
+// count, since its cause must lie elsewhere. After about three clear faults within a few seconds a backend is ejected until
+// its suspicion has decayed again, which takes seconds. Requests that may have crashed a backend (poison requests) are not sent to another.
 
 const (
 	// suspicionHalfLifeMs is short enough that an ejected backend is tried again within seconds.
 	suspicionHalfLifeMs = 4e3
-	// ejectionThreshold is the suspicion from which on a backend is ejected: that of two clear faults in a row.
+	// ejectionThreshold is the suspicion from which on a backend is ejected. Since suspicion decays between faults, two clear
+	// faults at different times stay just below it: it takes a third fault, or an overdue attempt as well, within a few
+	// seconds.
 	ejectionThreshold = 2.0
 	// atMostOnceThreshold is the lower threshold for AtMostOnce requests, which can't be retried if the backend fails: one
 	// clear fault within the last three seconds reaches it.
@@ -80,8 +82,8 @@
 }
 
 // reviewOutliers compares the usable backends with each other. It computes the common suspicion, and raises the suspicion of
-// each backend whose answer ratio is more than outlierRatio times the median: in proportion to the excess, up to the
-// ejection threshold.
+// each backend whose answer ratio is more than outlierRatio times the median, to at least the multiple of the median divided
+// by outlierRatio and at most ejectionThreshold: to 1 at 4 times the median, to ejection from 8 times on.
 func (lb *Balancer) reviewOutliers() {
 	suspicions := make([]float64, 0, len(lb.backends))
 	ratios := make([]float64, 0, len(lb.backends))
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -61,8 +61,8 @@
 }
 
 // EndpointsChanged records entries of the endpoint list. With full, they are the whole list, and a backend that is not among
-// them is removed; else they are changes. cached says that they come from the host's stored copy and not from the
-// discovery service: then the list still counts as not watched.
+// them is removed; else they are changes. cached says that they come from the host (its stored copy, or a cordon)
+// and not from the discovery service: then whether the list counts as watched does not change.
 func (lb *Balancer) EndpointsChanged(now float64, endpoints []Endpoint, full, cached bool) {
 	lb.now = now
 	if !cached {
@@ -82,7 +82,7 @@
 
 // applyEndpoint records one entry of the list.
 //
-// Four times decide from when on a backend counts as started, for slow start. Started is the start that the list
+// Three times decide from when on a backend counts as started, for slow start. Started is the start that the list
 // announces. cordonedAt and uncordonedAt are when an operator took the backend out of service and put it back. A backend is
 // usually restarted while it is out of service, but the list reports that late or never. Therefore uncordonedAt stands in
 // for the start until the list announces one later than cordonedAt. removedAt does not concern the start: it is when the
--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -39,7 +39,7 @@
 
 // estimates holds the estimates that concern more than one backend.
 type estimates struct {
-	priority    runningMean // mean priority weight of the requests; see priorityOf
+	priority    runningMean // mean priority of the requests, as priorityOf computes it
 	work        runningMean // mean work of the requests
 	serviceTime runningMean // mean of the service times that backends report, in ms
 	paces       paceTable
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -36,7 +36,8 @@
 	ReasonNoHedging
 	// ReasonMayHaveRun (rule 2) means that an earlier attempt may have run, and the class does not allow another one there.
 	ReasonMayHaveRun
-	// ReasonNotReady (rule 3) means that the endpoint list calls the backend draining or has removed it.
+	// ReasonNotReady (rule 3) means that the endpoint list calls the backend draining or has removed it, or that an operator has
+	// cordoned it; see isUsable.
 	ReasonNotReady
 	// ReasonSlowStartBudget (rule 4) means that the backend warms up and this node has used up its share of what it can serve.
 	ReasonSlowStartBudget
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -179,8 +179,8 @@
 }
 
 // advanceRotation counts a turn of a backend: its rotation pass rises by one over its rotation share. A backend that was
-// passed over for some time takes its next turn soon, but does not make up for all the turns that it missed: its pass is
-// first raised to at most one below the position.
+// passed over for some time takes its next turn soon, but does not make up for all the turns that it missed: if its
+// pass is more than one below the position, it is first raised to one below it.
 func (lb *Balancer) advanceRotation(backend *Backend) {
 	lb.rotation.position = math.Max(lb.rotation.position, backend.rotationPass)
 	backend.rotationPass = math.Max(backend.rotationPass, lb.rotation.position-1) + 1/lb.rotationShare(backend)
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -19,15 +19,15 @@
 	// maxDrawShare is the largest part of the bound that one request sent after a win may take, so that only many winners in
 	// the same window could exceed the bound.
 	maxDrawShare = 1. / 16
-	// unknownSlowness is the pace that is assumed of a kind of machine before it is known, for a backend of mean weight: half
-	// as fast as a standard core.
-	unknownSlowness = 2
+	// unknownKindPace is the pace, in ms for a unit of work, that is assumed of a kind of machine before it is known, for a
+	// backend of mean weight: twice that of a standard core, so half as fast.
+	unknownKindPace = 2
 )
 
 // slowStartState holds what a node's share of the bound is computed from.
 type slowStartState struct {
 	usageByZone byPlace[zoneUsage]
-	processes   int     // the most processes that this node lately consisted of; 2 during a hot restart
+	processes   int     // the most processes that this node has consisted of; it counts only until splitUntil
 	splitUntil  float64 // time until which the node's share is divided between them
 }
 
@@ -93,11 +93,11 @@
 	return spent == 0 && lb.winsSlowStartDraw(backend, work, budget)
 }
 
-// slowStartKindPace returns the pace of a backend's kind of machine. Before it is known it is unknownSlowness for a backend of
+// slowStartKindPace returns the pace of a backend's kind of machine. Before it is known it is unknownKindPace for a backend of
 // mean weight, and in inverse proportion for other weights.
 func (lb *Balancer) slowStartKindPace(backend *Backend) float64 {
 	knownWork := pacePriorRequests * math.Max(lb.estimates.work.value, 1)
-	assumedPace := unknownSlowness * lb.rotation.meanWeight / backend.Weight
+	assumedPace := unknownKindPace * lb.rotation.meanWeight / backend.Weight
 	return lb.estimates.paces.byKind.at(backend.Kind).blend(assumedPace, knownWork)
 }
 
--- a/cmd/pearknot/capture_test.go
+++ b/cmd/pearknot/capture_test.go
@@ -163,7 +163,7 @@
 	for k, flip := range []struct{ file, right, wrong string }{
 		{"selection.go", "candidates == nil || rank > bestRank", "candidates == nil || rank < bestRank"},
 		{"selection.go", "steps < nextSteps", "steps > nextSteps"},
-		{"attempt.go", "if patience < lb.timeLeft(attempt.Request) {", "if patience > lb.timeLeft(attempt.Request) {"},
+		{"attempt.go", "if overdueAfter < lb.timeLeft(attempt.Request) {", "if overdueAfter > lb.timeLeft(attempt.Request) {"},
 		{"request.go", "request.isLong = request.CostHint > lb.cutoff", "request.isLong = request.CostHint < lb.cutoff"},
 	} {
 		source, err := filepath.Abs(filepath.Join("../../balancer", flip.file))
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -34,7 +34,8 @@
 	OnPoint           func(name string) // called at the named points of a change, see Points; nil but in tests
 }
 
-// Agent is an actor: the goroutine of Run alone uses the fields below mailbox. Others reach it by onActor.
+// Agent is an actor: the goroutine of Run alone uses the fields from store to writeError. Others reach it by onActor; done and
+// probes may be used by any goroutine.
 type Agent struct {
 	options Options
 	clock   *clock.Clock
@@ -136,7 +137,7 @@
 	}
 }
 
-// onActor runs f on the actor's goroutine and waits for it.
+// onActor runs the task on the actor's goroutine, and waits until it has run, the agent has ended or ctx is done.
 func (a *Agent) onActor(ctx context.Context, task func()) error {
 	done := make(chan struct{})
 	a.mailbox.Put(func() { task(); close(done) })
--- a/internal/capture/memory.go
+++ b/internal/capture/memory.go
@@ -38,13 +38,6 @@
 	m.batches = append([]Batch(nil), m.batches[first:]...)
 }
 
-// Size returns the bytes in the ring, and how many records were dropped from it.
-func (m *MemoryRing) Size() (bytes int, dropped uint64) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.bytes, m.dropped
-}
-
 // WriteTo writes the ring's content as a segment file of that name.
 func (m *MemoryRing) WriteTo(name string) error {
 	m.mu.Lock()
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/json"
 	"fmt"
 	"math"
 
@@ -210,27 +209,6 @@
 	return nil
 }
 
-// RestoreFromOwnState replaces the decider by one restored from its own snapshot, so that tests see whether both
-// decide alike from there on.
-func (r *Replayer) RestoreFromOwnState(start Start) error {
-	state, err := r.encodedState()
-	if err != nil {
-		return err
-	}
-	startJSON, err := json.Marshal(start)
-	if err != nil {
-		return err
-	}
-	record := Record{Kind: Snapshot, Data: startJSON, State: state}
-	for _, request := range inNumberOrder(r.requestNumbers) {
-		record.Requests = append(record.Requests, r.requestNumbers[request])
-	}
-	for _, backend := range inNumberOrder(r.backendNumbers) {
-		record.Backends = append(record.Backends, r.backendNumbers[backend])
-	}
-	return r.restore(record)
-}
-
 // applyInput passes a recorded input to the decider.
 func (r *Replayer) applyInput(record Record) error {
 	request, attempt, err := r.subjects(record)
--- a/internal/controlplane/follower_frames.go
+++ b/internal/controlplane/follower_frames.go
@@ -95,7 +95,7 @@
 		return errMalformedFrame
 	}
 	// A document that compression doesn't make smaller is sent as it is, with one byte before it, so the size that is announced may
-	// be slightly above the limit for documents.
+	// be slightly above the limit for documents. maxReasonBytes is only a convenient margin for that byte.
 	if b.Size == 0 || b.Size > MaxDocumentBytes+maxReasonBytes || b.TextBytes > MaxDocumentBytes {
 		return errMalformedFrame
 	}
--- a/internal/node/cordon.go
+++ b/internal/node/cordon.go
@@ -72,6 +72,7 @@
 	}
 	if b := n.backends[name]; b != nil {
 		n.setEndpoint(b, b.endpoint)
+		// cached: the entry does not come from discovery, so it is no sign that the list is watched.
 		const complete, cached = false, true
 		n.decider.EndpointsChanged(n.now, []balancer.Endpoint{n.balancerEndpoint(b)}, complete, cached)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -137,7 +137,7 @@
 
 // Status is a node's state, as operators and health checks see it.
 type Status struct {
-	HasEndpoints bool   // the node is ready
+	HasEndpoints bool   // the node is ready (isReady): while a watch is awaited, a cached list alone does not set it
 	Version      uint64 // of the endpoint list
 	Digest       string // of the endpoint list
 	Backends     int    // on the endpoint list
--- a/internal/requestlog/doc.go
+++ b/internal/requestlog/doc.go
@@ -6,7 +6,9 @@
 // member owns the request. Each log is a raft group (go.etcd.io/raft/v3) whose replicas lie on some of the members.
 //
 // The package does no I/O and starts no goroutine. Time, links and frames come in as method calls on Member; frames to send,
-// replies and takeovers are pulled with Member.Next. All times are in ms of the member's own clock.
+// replies and takeovers are pulled with Member.Next. Times are Unix ms by the clock of the
+// member that took them. Those in records (Deadline, StartedAt, LeaderTime) are compared with other members' clocks after a
+// takeover; takeover.go says what depends on that.
 //
 // docs/takeover.md describes the alternatives that were considered, and what is promised.
 package requestlog
--- a/internal/requestlog/record.go
+++ b/internal/requestlog/record.go
@@ -29,7 +29,7 @@
 const (
 	Unanswered AnswerStatus = iota // still in flight
 	Served
-	Rejected // with Retry-After, and the key is unused again
+	Rejected // the request may be repeated: the entry is removed and the key is unused again
 	Failed
 )
 
--- a/internal/requestlog/takeover.go
+++ b/internal/requestlog/takeover.go
@@ -115,7 +115,7 @@
 // The actions of a successor.
 const (
 	ContinueRequest TakeoverAction = iota // give it to the balancer with its remaining time and its attempts so far
-	RejectRequest                         // with Retry-After: the client may safely repeat it, see Entry.CanReject
+	RejectRequest                         // record a rejection, which frees the key: a client that comes back with it starts anew, see Entry.CanReject
 	FailRequest                           // an attempt may have run, and the request must not run again
 )
 
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	// maxShutdownQuiet is how long a node that shuts down waits for another request. It is also the least time that it goes
-	// on serving: until clients have noticed the failing health check, they still come.
-	maxShutdownQuiet = 500 * time.Millisecond
+	// minShutdownQuiet is how long a node that shuts down must have had no request before it stops serving, and the least time
+	// that it goes on serving: until clients have noticed the failing health check, they still come.
+	minShutdownQuiet = 500 * time.Millisecond
 
-	// listenerQuiet is how long a listener's queue must be empty before the listener closes.
+	// listenerQuiet is how long a listener's queue must be empty before the listener closes, and the interval at which a node
+	// that shuts down looks whether requests still come.
 	listenerQuiet = 50 * time.Millisecond
 )
 
@@ -23,7 +24,7 @@
 	start := time.Now()
 	for time.Since(start) < maxWait && !isHandedOff() {
 		sinceRequest := time.Since(time.UnixMilli(s.lastRequestAt.Load()))
-		if time.Since(start) > maxShutdownQuiet && sinceRequest > maxShutdownQuiet && s.openRequests.Load() == 0 {
+		if time.Since(start) > minShutdownQuiet && sinceRequest > minShutdownQuiet && s.openRequests.Load() == 0 {
 			break
 		}
 		time.Sleep(listenerQuiet)
--- a/internal/server/response.go
+++ b/internal/server/response.go
@@ -18,8 +18,8 @@
 	// rejected because of a queue but because backends refuse or break connections.
 	minRetryAfterMs = 1.0
 
-	// defaultRetryAfterMs is the wait where the balancer expects none, in ms: it reviews such backends every 100 ms, and
-	// decides the same until then.
+	// defaultRetryAfterMs, in ms, bounds the wait that is stated where the answer has none. It is the balancer's review
+	// interval: a client that returns sooner would probably meet the same decision.
 	defaultRetryAfterMs = 100.0
 
 	// streamBufferBytes is how much of a long response is read and written at a time.
@@ -66,12 +66,12 @@
 	w.Header().Set("Retry-After", strconv.FormatFloat(ms/1e3, 'f', 3, 64))
 }
 
-// retryAfterMs returns after how many ms a rejected client should come back: the answer's own time, or a random time of up
-// to defaultRetryAfterMs where that is too short to be stated. Clients that are rejected together get different times, so
+// retryAfterMs returns after how many ms a rejected client should come back: the answer's own time. Where that is too short
+// to be stated, it is a random time from half of defaultRetryAfterMs to all of it, at most MaxRetryAfter if that is set. Clients that are rejected together get different times, so
 // that they don't come back together.
 //
 // Where the deployment sends no Retry-After (bounds.retryAfter is off), it is 0, and the response has no such header. The
-// exception are rejections for the sake of the request log, in serveLogged: those have a time in any case, for a client that
+// exception is rejections for the sake of the request log, in serveLogged: those have a time in any case, for a client that
 // came back at once would meet the same log.
 //
 // A deployment may leave out bounds.maxRetryAfter, so that MaxRetryAfter is 0. That means no maximum here; the balancer and
