--- a/cmd/pearknot/pearknot_test.go
+++ b/cmd/pearknot/pearknot_test.go
@@ -31,7 +31,8 @@
 var nodeProgram string
 
 // otherBuild names a program of another build. Where it is set, tests of processes that speak with each other, or that
-// follow one another, start every second of them with it.
+// follow one another, start every second of them with it. The tests look for log messages: a build that logs others has to
+// be built with these in their place.
 var otherBuild = os.Getenv("PEARKNOT_OTHER_BUILD")
 
 var startedPrograms atomic.Int64
