--- a/internal/node/requestlogging.go
+++ b/internal/node/requestlogging.go
@@ -169,11 +169,9 @@
 // recordAttemptEnd records that an attempt never ran, so that a successor may send the request again. Other outcomes are
 // not recorded: to a successor, an attempt without a recorded end may have run.
 //
-// Known gap: nobody waits for this record. If it is lost with the link to the log's leader, it is sent again only after
-// requestlog's callRetryMs, and the next attempt's record may be committed before it. If this node dies in between, its
-// successor takes both attempts for uncertain and goes by the first one. For a class whose idempotency keys are recognized
-// only within one zone or cell, where the next attempt went to another one, the successor may then send the request to the
-// first attempt's zone or cell, where its key is not known.
+// Nobody waits for this record. If it is lost with the link to the log's leader, it is sent again only after requestlog's
+// callRetryMs, and the next attempt's record may be committed before it. If this node dies in between, its successor takes
+// both attempts for uncertain; Entry.TakeoverAction fails the request where no backend would recognize both.
 func (n *Node) recordAttemptEnd(request *Request, attempt *balancer.Attempt, outcome balancer.Outcome) {
 	if request.Logged == nil || !request.Logged.hasRecord || !outcome.NeverRan() {
 		return
--- a/internal/requestlog/record.go
+++ b/internal/requestlog/record.go
@@ -59,6 +59,9 @@
 	Outcome    balancer.Outcome // valid if Ended
 }
 
+// mayHaveRun reports whether the attempt may have run on its backend: the log does not say that it never did.
+func (a *Attempt) mayHaveRun() bool { return !a.Ended || !a.Outcome.NeverRan() }
+
 // FinalAnswer is the final answer of a request.
 type FinalAnswer struct {
 	Status     AnswerStatus
@@ -128,7 +131,7 @@
 // UncertainAttempt returns the first attempt that may have run on its backend, or nil if none has.
 func (e *Entry) UncertainAttempt() *Attempt {
 	for i := range e.Attempts {
-		if attempt := &e.Attempts[i]; !attempt.Ended || !attempt.Outcome.NeverRan() {
+		if attempt := &e.Attempts[i]; attempt.mayHaveRun() {
 			return attempt
 		}
 	}
--- a/internal/requestlog/takeover.go
+++ b/internal/requestlog/takeover.go
@@ -16,7 +16,8 @@
 //   - The record comes before OwnerChanged. The successor then knows of the attempt, and takes it for one that may have run
 //     unless AttemptEnded says that it never did. A request that is not idempotent is failed and not sent again. One with an
 //     idempotency key is sent again only where and while the backends still recognize the key, and the former owner, too,
-//     sends the attempt only within that time (node's latestStart). An idempotent one may run any number of times.
+//     sends the attempt only within that time (node's latestStart). If attempts may have run on backends that do not share
+//     their keys, there is no such place, and it is failed. An idempotent one may run any number of times.
 //   - The record comes after OwnerChanged. The ledger refuses it, since the request belongs to another incarnation by then
 //     (fencing), and the former owner does not send the attempt.
 //
@@ -133,10 +134,39 @@
 	case uncertain != nil && e.Request.Idempotency == balancer.IdempotentWithKey && now-uncertain.StartedAt >= e.Request.DedupWindow:
 		// Backends may have forgotten the idempotency key of the first attempt: a second one could run as if it were new.
 		return e.rejectOrFail(), "an attempt may have run and its deduplication window is over"
+	case e.Request.Idempotency == balancer.IdempotentWithKey && !e.uncertainAttemptsShareKeys():
+		return FailRequest, "attempts may have run on backends that do not share their idempotency keys"
 	}
 	return ContinueRequest, "taken over"
 }
 
+// uncertainAttemptsShareKeys reports whether all attempts that may have run went to backends of one DedupScope, so that a
+// further attempt there is recognized whichever of them ran.
+//
+// An owner sends no attempt outside the scope of one that may have run. But nobody waits for AttemptEnded records: if one is
+// lost with the link to the log's leader, the next attempt's record can be committed before it is sent again. If the owner
+// dies then, an attempt that never ran looks uncertain beside one in another scope that may have run.
+func (e *Entry) uncertainAttemptsShareKeys() bool {
+	first := e.UncertainAttempt()
+	for i := range e.Attempts {
+		attempt := &e.Attempts[i]
+		if !attempt.mayHaveRun() {
+			continue
+		}
+		switch e.Request.DedupScope {
+		case balancer.DedupByZone:
+			if attempt.Zone != first.Zone {
+				return false
+			}
+		case balancer.DedupByCell:
+			if attempt.Cell != first.Cell {
+				return false
+			}
+		}
+	}
+	return true
+}
+
 func (e *Entry) rejectOrFail() TakeoverAction {
 	if e.CanReject() {
 		return RejectRequest
--- a/internal/requestlog/takeover_test.go
+++ b/internal/requestlog/takeover_test.go
@@ -46,3 +46,31 @@
 		require.Equal(t, c.want, action, "%s: %s", name, reason)
 	}
 }
+
+// A request with an idempotency key whose attempts may have run in two places is continued only if one place recognizes the
+// key of both.
+func TestTakeoverActionByDedupScope(t *testing.T) {
+	first := Attempt{Backend: "b", Zone: 0, Cell: 0, StartedAt: 1000}
+	otherCell := Attempt{Number: 1, Backend: "c", Zone: 0, Cell: 1, StartedAt: 1100}
+	otherZone := Attempt{Number: 1, Backend: "d", Zone: 1, Cell: 2, StartedAt: 1100}
+	neverRan := Attempt{Number: 1, Backend: "d", Zone: 1, Cell: 2, StartedAt: 1100, Ended: true, Outcome: balancer.OutcomeConnectFailed}
+	for name, c := range map[string]struct {
+		scope  balancer.DedupScope
+		second Attempt
+		want   TakeoverAction
+	}{
+		"all, another zone":             {balancer.DedupByAll, otherZone, ContinueRequest},
+		"zone, another cell":            {balancer.DedupByZone, otherCell, ContinueRequest},
+		"zone, another zone":            {balancer.DedupByZone, otherZone, FailRequest},
+		"cell, another cell":            {balancer.DedupByCell, otherCell, FailRequest},
+		"cell, another one, never ran":  {balancer.DedupByCell, neverRan, ContinueRequest},
+		"zone, another zone, never ran": {balancer.DedupByZone, neverRan, ContinueRequest},
+	} {
+		entry := Entry{
+			Request:  Request{Idempotency: balancer.IdempotentWithKey, DedupScope: c.scope, DedupWindow: 800, Deadline: 5000},
+			Attempts: []Attempt{first, c.second},
+		}
+		action, reason := entry.TakeoverAction(1500)
+		require.Equal(t, c.want, action, "%s: %s", name, reason)
+	}
+}
