--- a/cmd/pearknot-lab/demo.go
+++ b/cmd/pearknot-lab/demo.go
@@ -37,9 +37,9 @@
 			}
 			stretch := seconds / demoSeconds
 			e.Seconds = seconds
-			for i := range e.Trouble {
-				e.Trouble[i].At *= stretch
-				e.Trouble[i].For *= stretch
+			for i := range e.Faults {
+				e.Faults[i].StartSeconds *= stretch
+				e.Faults[i].DurationSeconds *= stretch
 			}
 			out := c.OutOrStdout()
 			if p.tls && len(p.renew) == 0 {
@@ -51,7 +51,7 @@
 			}
 			r, err := p.sockets(c.Context(), e, loopback.Options{Live: row, Started: func() {
 				fmt.Fprintf(out, "%d nodes, %d backends in %s, %.0f ops a second\n", e.Fleet.Nodes, e.Fleet.Backends,
-					strings.Join(e.Fleet.Zones, ", "), e.Rate())
+					strings.Join(e.Fleet.Zones, ", "), e.RequestsPerSecond())
 				fmt.Fprintf(out, "%4s %7s %7s %7s %6s %6s %7s %7s  %-6s %-12s %s\n", "s", "ops", "acked", "in time", "nacked", "dead", "pushes", "broken", "nodes",
 					"backends", "troubles")
 			}}, out)
--- a/cmd/pearknot-lab/fleet.go
+++ b/cmd/pearknot-lab/fleet.go
@@ -33,7 +33,7 @@
 			if err != nil {
 				return cli.UsageIfNotExist(err)
 			}
-			e.Fleet.Nodes, e.Seconds, e.Seeds, e.Trouble = instances, seconds, e.Seeds[:1], nil
+			e.Fleet.Nodes, e.Seconds, e.Seeds, e.Faults = instances, seconds, e.Seeds[:1], nil
 			start, clean, err := p.command(c.Context(), "cda")
 			if err != nil {
 				return err
--- a/cmd/pearknot-lab/fleet_test.go
+++ b/cmd/pearknot-lab/fleet_test.go
@@ -25,9 +25,9 @@
 	e.Fleet.Nodes, e.Seconds = 20, 12
 	r, took, err := roll(t.Context(), e, bin, 5)
 	require.NoError(t, err)
-	assert.True(t, r.run.Rules.Kept, r.run.Rules.Breaches)
+	assert.True(t, r.run.Verdict.Kept, r.run.Verdict.Evidence)
 	assert.Greater(t, r.run.Service, 0.97)
-	assert.Greater(t, r.run.Ops, 800)
+	assert.Greater(t, r.run.Requests, 800)
 	t.Logf("changed in %v, service %.3f", took, r.run.Service)
 	left, err := filepath.Glob(filepath.Join(tmp, "pkfleet*"))
 	require.NoError(t, err)
--- a/cmd/pearknot-lab/play.go
+++ b/cmd/pearknot-lab/play.go
@@ -227,22 +227,22 @@
 func verdict(out io.Writer, r metrics.Result) error {
 	fmt.Fprintf(out, "%s, %s, %s: service %s\n", r.Experiment, r.Policy, r.Host, r.Service)
 	for _, run := range r.Runs {
-		fmt.Fprintln(out, " ", run.Line())
-		for _, t := range run.Troubles {
+		fmt.Fprintln(out, " ", run.Summary())
+		for _, t := range run.Faults {
 			after := "never"
-			if t.After >= 0 {
-				after = fmt.Sprintf("after %.1f s", t.After)
+			if t.RecoverySeconds >= 0 {
+				after = fmt.Sprintf("after %.1f s", t.RecoverySeconds)
 			}
 			fmt.Fprintf(out, "    %s %.0f to %.0f s: service %.3f before, %.3f at worst, recovered %s, benefit lost %.0f\n", t.Kind,
-				t.From, t.To, t.Before, t.Worst, after, t.Lost)
+				t.From, t.To, t.ServiceBefore, t.WorstService, after, t.LostWeight)
 		}
-		if run.Loop != nil {
-			fmt.Fprintf(out, "    loop of service over load: area %.3f\n", run.Loop.Area)
+		if run.Hysteresis != nil {
+			fmt.Fprintf(out, "    loop of service over load: area %.3f\n", run.Hysteresis.Area)
 		}
-		for _, b := range run.Rules.Breaches[:min(3, len(run.Rules.Breaches))] {
+		for _, b := range run.Verdict.Evidence[:min(3, len(run.Verdict.Evidence))] {
 			fmt.Fprintln(out, "   ", strings.ReplaceAll(b, "\n", "\n    "))
 		}
-		fmt.Fprintln(out, "   ", run.Rules.Text)
+		fmt.Fprintln(out, "   ", run.Verdict.Text)
 	}
 	if !runner.Kept(r) {
 		return &cli.Error{Status: cli.StatusCheckFailed, Err: errBroken, Silent: true}
@@ -342,10 +342,10 @@
 				r[1].Experiment, r[1].Policy, r[1].Host, r[1].Service)
 			for i, d := range diffs {
 				word := "differs"
-				if d.Noise() {
+				if d.IncludesZero() {
 					word = "within noise"
 				}
-				fmt.Fprintf(out, "  %-16s B - A %+.3f +- %.3f over %d seeds: %s\n", names[i], d.Mean, d.Half, d.N, word)
+				fmt.Fprintf(out, "  %-16s B - A %+.3f +- %.3f over %d seeds: %s\n", names[i], d.Mean, d.HalfWidth, d.N, word)
 			}
 			return nil
 		}}
@@ -368,9 +368,9 @@
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d experiments played: service %.3f without troubles, %.3f with the worst schedule, %.3f with the %d troubles that are left of it\n",
-				f.Played, f.Calm, f.Service, f.Shrunk, len(f.Experiment.Trouble))
-			for _, t := range f.Experiment.Trouble {
-				fmt.Fprintf(c.OutOrStdout(), "  %s at %.1f s for %.1f s, share %.2f, factor %.2f, chance %.2f %s%s\n", t.Kind, t.At, t.For, t.Share, t.Factor, t.Chance, t.Zone, t.Category)
+				f.Played, f.Calm, f.Service, f.Shrunk, len(f.Experiment.Faults))
+			for _, t := range f.Experiment.Faults {
+				fmt.Fprintf(c.OutOrStdout(), "  %s at %.1f s for %.1f s, share %.2f, factor %.2f, chance %.2f %s%s\n", t.Kind, t.StartSeconds, t.DurationSeconds, t.Share, t.Factor, t.Chance, t.Zone, t.Class)
 			}
 			if out != "" {
 				text, err := search.Text(f.Experiment)
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -42,7 +42,7 @@
 		return recorder
 	}})
 	require.NoError(t, err)
-	require.True(t, run.Rules.Kept)
+	require.True(t, run.Verdict.Kept)
 }
 
 // captureRecords returns the records of a node of an experiment.
@@ -273,11 +273,11 @@
 			t.Fatal(err)
 		}
 		e.Seconds = 3
-		for i := range e.Trouble {
-			e.Trouble[i].At, e.Trouble[i].For = rapid.Float64Range(0.1, 1).Draw(t, "at"), rapid.Float64Range(0.1, 2).Draw(t, "for")
+		for i := range e.Faults {
+			e.Faults[i].StartSeconds, e.Faults[i].DurationSeconds = rapid.Float64Range(0.1, 1).Draw(t, "at"), rapid.Float64Range(0.1, 2).Draw(t, "for")
 		}
 		e.Clients.Load = rapid.Float64Range(0.2, 1.2).Draw(t, "load")
-		e.Backend.CrowdQueue = 3
+		e.Backend.CongestionQueue = 3
 		p := &Replayer{Strict: true}
 		var start Start
 		_, err = virtual.Run(e, rapid.Uint64().Draw(t, "seed"), virtual.Options{Wrap: func(n, life int, d balancer.Decider, config *balancer.Config, now float64) balancer.Decider {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -28,8 +28,8 @@
 func TestDecode(t *testing.T) {
 	e, err := Decode("e.toml", []byte(small))
 	require.NoError(t, err)
-	assert.InDelta(t, 250, e.Rate(), 1e-9, "half of ten standard cores in ops of 20 ms")
-	assert.Equal(t, 3, e.Terms(0, 1).Nodes)
+	assert.InDelta(t, 250, e.RequestsPerSecond(), 1e-9, "half of ten standard cores in ops of 20 ms")
+	assert.Equal(t, 3, e.BalancerConfig(0, 1).Nodes)
 }
 
 // Whatever can't be is one line that names the place.
@@ -63,7 +63,7 @@
 	for at, want := range map[float64]float64{0: 1, 2e3: 2, 4e3: 3, 7e3: 1.5, 9e3: 1} {
 		assert.InDelta(t, want, e.Multiple(at), 1e-9)
 	}
-	assert.InDelta(t, 3, e.MostMultiple(), 1e-9)
+	assert.InDelta(t, 3, e.MaxMultiple(), 1e-9)
 	count := [2]int{}
 	for b := range 8 {
 		count[e.MachineOf(b)]++
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -105,7 +105,7 @@
 `)
 	state := NewState(e)
 	assert.Equal(t, backendmodel.Faults{}, state.BackendFaults(1))
-	for i := range e.Trouble {
+	for i := range e.Faults {
 		state.Apply(Transition{On: true, Index: i, Targets: []int{1}})
 	}
 	assert.Equal(t, backendmodel.Faults{Slowdown: 6, ErrorShare: 0.5}, state.BackendFaults(1))
@@ -144,7 +144,7 @@
 	joining := JoiningBackends(e, schedule)
 	for _, transition := range schedule {
 		for _, backend := range transition.Targets {
-			if e.Trouble[transition.Index].Kind == experiment.Join {
+			if e.Faults[transition.Index].Kind == experiment.FaultScaleUp {
 				assert.True(t, joining[backend], backend)
 			}
 		}
--- a/internal/lab/faults/schedule.go
+++ b/internal/lab/faults/schedule.go
@@ -21,11 +21,11 @@
 // Schedule selects the targets of each fault by the seed, and returns all transitions in the order of time.
 func Schedule(e *experiment.Experiment, seed uint64) []Transition {
 	var transitions []Transition
-	for i, fault := range e.Trouble {
+	for i, fault := range e.Faults {
 		targets := selectTargets(e, fault, rand.New(rand.NewPCG(seed, uint64(i)+77)))
 		transitions = append(transitions,
-			Transition{At: fault.At * 1e3, On: true, Index: i, Targets: targets},
-			Transition{At: fault.Ends(), On: false, Index: i, Targets: targets})
+			Transition{At: fault.StartSeconds * 1e3, On: true, Index: i, Targets: targets},
+			Transition{At: fault.EndMs(), On: false, Index: i, Targets: targets})
 	}
 	slices.SortStableFunc(transitions, compare)
 	return transitions
@@ -47,9 +47,9 @@
 
 // selectTargets draws a fault's targets among the nodes or backends in its zone and with its kind of machine, and
 // returns them in ascending order.
-func selectTargets(e *experiment.Experiment, fault experiment.Trouble, rng *rand.Rand) []int {
+func selectTargets(e *experiment.Experiment, fault experiment.Fault, rng *rand.Rand) []int {
 	population, zone := e.Fleet.Backends, slices.Index(e.Fleet.Zones, fault.Zone)
-	if fault.Kind == experiment.Nodes || fault.Kind == experiment.Quiesce || fault.Kind == experiment.Upgrade {
+	if fault.Kind == experiment.FaultNodeCrash || fault.Kind == experiment.FaultQuiesce || fault.Kind == experiment.FaultUpgrade {
 		population = e.Fleet.Nodes
 	}
 	var candidates []int
@@ -66,7 +66,7 @@
 }
 
 // targetCount returns how many of the candidates a fault hits: its count, or its share rounded, at least one.
-func targetCount(fault experiment.Trouble, candidates int) int {
+func targetCount(fault experiment.Fault, candidates int) int {
 	if fault.Count != 0 {
 		return fault.Count
 	}
@@ -81,7 +81,7 @@
 func JoiningBackends(e *experiment.Experiment, schedule []Transition) map[int]bool {
 	joining := map[int]bool{}
 	for _, transition := range schedule {
-		if e.Trouble[transition.Index].Kind != experiment.Join {
+		if e.Faults[transition.Index].Kind != experiment.FaultScaleUp {
 			continue
 		}
 		for _, backend := range transition.Targets {
--- a/internal/lab/faults/state.go
+++ b/internal/lab/faults/state.go
@@ -29,8 +29,8 @@
 
 // forEach calls a function for each active fault of a kind, in the order of the experiment, so that products of
 // factors are rounded alike on every run.
-func (s *State) forEach(kind string, visit func(fault experiment.Trouble, targets []int)) {
-	for i, fault := range s.experiment.Trouble {
+func (s *State) forEach(kind string, visit func(fault experiment.Fault, targets []int)) {
+	for i, fault := range s.experiment.Faults {
 		if targets, active := s.active[i]; active && fault.Kind == kind {
 			visit(fault, targets)
 		}
@@ -39,40 +39,40 @@
 
 // isActive reports whether a fault of a kind is active.
 func (s *State) isActive(kind string) (active bool) {
-	s.forEach(kind, func(experiment.Trouble, []int) { active = true })
+	s.forEach(kind, func(experiment.Fault, []int) { active = true })
 	return active
 }
 
 // BackendFaults returns all that is active at one backend's machine, combined.
 func (s *State) BackendFaults(backend int) (combined backendmodel.Faults) {
-	combine := func(kind string, add func(fault experiment.Trouble)) {
-		s.forEach(kind, func(fault experiment.Trouble, targets []int) {
+	combine := func(kind string, add func(fault experiment.Fault)) {
+		s.forEach(kind, func(fault experiment.Fault, targets []int) {
 			if slices.Contains(targets, backend) {
 				add(fault)
 			}
 		})
 	}
-	combine(experiment.Swallow, func(experiment.Trouble) { combined.NoResponse = true })
-	combine(experiment.Errors, func(fault experiment.Trouble) {
+	combine(experiment.FaultSwallow, func(experiment.Fault) { combined.NoResponse = true })
+	combine(experiment.FaultErrors, func(fault experiment.Fault) {
 		combined.ErrorShare = 1 - (1-combined.ErrorShare)*(1-fault.Chance)
 	})
-	combine(experiment.Slow, func(fault experiment.Trouble) {
+	combine(experiment.FaultSlow, func(fault experiment.Fault) {
 		combined.Slowdown = max(combined.Slowdown, 1) * fault.Factor
 	})
-	combine(experiment.Stuck, func(fault experiment.Trouble) {
+	combine(experiment.FaultStuckReports, func(fault experiment.Fault) {
 		combined.Slowdown = max(combined.Slowdown, 1) * fault.Factor
 		combined.ReportFrozen = true
 	})
-	combine(experiment.Pauses, func(fault experiment.Trouble) {
+	combine(experiment.FaultPauses, func(fault experiment.Fault) {
 		combined.PauseInterval, combined.PauseDuration = fault.EveryMs, fault.PauseMs
 	})
-	combine(experiment.Lies, func(fault experiment.Trouble) { combined.ReportFactor = fault.Factor })
+	combine(experiment.FaultWrongReports, func(fault experiment.Fault) { combined.ReportFactor = fault.Factor })
 	return combined
 }
 
 // MaxConnections returns the number of connections that a backend accepts, or 0 without a limit.
 func (s *State) MaxConnections(backend int) (limit int) {
-	s.forEach(experiment.Squeeze, func(fault experiment.Trouble, targets []int) {
+	s.forEach(experiment.FaultConnectionLimit, func(fault experiment.Fault, targets []int) {
 		if slices.Contains(targets, backend) {
 			limit = max(int(fault.Factor), 1)
 		}
@@ -83,15 +83,15 @@
 // LoadFactor returns the factor of the active bursts on the rate of requests.
 func (s *State) LoadFactor() float64 {
 	factor := 1.0
-	s.forEach(experiment.Burst, func(fault experiment.Trouble, _ []int) { factor *= fault.Factor })
+	s.forEach(experiment.FaultBurst, func(fault experiment.Fault, _ []int) { factor *= fault.Factor })
 	return factor
 }
 
 // MaxLoadFactor returns an upper bound of LoadFactor over the whole experiment.
 func MaxLoadFactor(e *experiment.Experiment) float64 {
 	factor := 1.0
-	for _, fault := range e.Trouble {
-		if fault.Kind == experiment.Burst && fault.Factor > 1 {
+	for _, fault := range e.Faults {
+		if fault.Kind == experiment.FaultBurst && fault.Factor > 1 {
 			factor *= fault.Factor
 		}
 	}
@@ -100,8 +100,8 @@
 
 // CostIncrease returns the probability that a request of a class costs more than its hint foresees, and the factor.
 func (s *State) CostIncrease(class int) (chance, factor float64) {
-	s.forEach(experiment.Costly, func(fault experiment.Trouble, _ []int) {
-		if s.experiment.Category[class].Name == fault.Category {
+	s.forEach(experiment.FaultCostly, func(fault experiment.Fault, _ []int) {
+		if s.experiment.Classes[class].Name == fault.Class {
 			chance, factor = fault.Chance, fault.Factor
 		}
 	})
@@ -110,8 +110,8 @@
 
 // PoisonChance returns the probability that a request of a class crashes the backend that starts it.
 func (s *State) PoisonChance(class int) (chance float64) {
-	s.forEach(experiment.Fell, func(fault experiment.Trouble, _ []int) {
-		if s.experiment.Category[class].Name == fault.Category {
+	s.forEach(experiment.FaultPoisonRequests, func(fault experiment.Fault, _ []int) {
+		if s.experiment.Classes[class].Name == fault.Class {
 			chance = fault.Chance
 		}
 	})
@@ -121,8 +121,8 @@
 // PoisonDowntime returns how long a backend stays down after a poison request, in ms. It doesn't ask whether the fault
 // is active: a poison request may be retried after the fault has ended.
 func (s *State) PoisonDowntime() (downtime float64) {
-	for _, fault := range s.experiment.Trouble {
-		if fault.Kind == experiment.Fell {
+	for _, fault := range s.experiment.Faults {
+		if fault.Kind == experiment.FaultPoisonRequests {
 			downtime = fault.PauseMs
 		}
 	}
@@ -134,7 +134,7 @@
 	if a == b {
 		return false
 	}
-	s.forEach(experiment.Cut, func(fault experiment.Trouble, _ []int) {
+	s.forEach(experiment.FaultZonePartition, func(fault experiment.Fault, _ []int) {
 		zone := slices.Index(s.experiment.Fleet.Zones, fault.Zone)
 		partitioned = partitioned || a == zone || b == zone
 	})
@@ -142,14 +142,14 @@
 }
 
 // ListEmpty reports whether the endpoint list wrongly lists every backend as removed.
-func (s *State) ListEmpty() bool { return s.isActive(experiment.ListEmpty) }
+func (s *State) ListEmpty() bool { return s.isActive(experiment.FaultListEmpty) }
 
 // ListDown reports whether the discovery service is down.
-func (s *State) ListDown() bool { return s.isActive(experiment.ListDown) }
+func (s *State) ListDown() bool { return s.isActive(experiment.FaultListDown) }
 
 // ListLag returns how far the endpoint list lags behind the truth, in ms.
 func (s *State) ListLag() float64 {
-	lag := s.experiment.List.LagMs
-	s.forEach(experiment.ListLate, func(fault experiment.Trouble, _ []int) { lag *= fault.Factor })
+	lag := s.experiment.EndpointList.LagMs
+	s.forEach(experiment.FaultListDelay, func(fault experiment.Fault, _ []int) { lag *= fault.Factor })
 	return lag
 }
--- a/internal/lab/loopback/backend.go
+++ b/internal/lab/loopback/backend.go
@@ -75,7 +75,7 @@
 	if zone == b.zone {
 		return 0
 	}
-	return time.Duration(b.hub.e.Fleet.DelayMs * float64(time.Millisecond))
+	return time.Duration(b.hub.e.Fleet.CrossZoneDelayMs * float64(time.Millisecond))
 }
 
 // turn carries out what the model has done, and looks again when more will be.
@@ -407,7 +407,7 @@
 	}
 	ended(balancer.OutcomeAnswered)
 	r, head := d.b.report(), ""
-	if d.b.hub.e.Backend.Report {
+	if d.b.hub.e.Backend.SendsReports {
 		head = fmt.Sprintf("Endpoint-Load-Metrics: TEXT mean_ms=%.3f, inflight=%d\r\n", r.Service, r.InFlight)
 	}
 	return d.write(c, "200 OK", head, answerTo(try))
--- a/internal/lab/loopback/clients.go
+++ b/internal/lab/loopback/clients.go
@@ -52,7 +52,7 @@
 			device.CloseIdleConnections()
 		}
 	}()
-	for c.source.NextArrival() < c.hub.e.Length() && ctx.Err() == nil {
+	for c.source.NextArrival() < c.hub.e.LengthMs() && ctx.Err() == nil {
 		wait(ctx, time.Until(c.hub.time(c.source.NextArrival())))
 		if ctx.Err() != nil {
 			break
@@ -60,7 +60,7 @@
 		c.hub.mu.Lock()
 		op := c.source.Arrive()
 		if op != nil {
-			c.hub.rec.Asked(op)
+			c.hub.rec.RequestArrived(op)
 			c.hub.live.Ops++
 		}
 		c.hub.mu.Unlock()
@@ -83,20 +83,20 @@
 		switch how {
 		case workload.OutcomeServed:
 			now := c.hub.now()
-			c.hub.rec.Served(op, now)
+			c.hub.rec.RequestServed(op, now)
 			c.hub.live.Acked++
-			if now-op.ArrivesAt <= c.hub.e.Category[op.Class].TargetMs {
+			if now-op.ArrivesAt <= c.hub.e.Classes[op.Class].LatencyObjectiveMs {
 				c.hub.live.InTime++
 			}
 		case workload.OutcomeUnreachable:
-			c.hub.rec.Unreached()
+			c.hub.rec.NodeUnreachable()
 		}
 		again, wants := 0.0, false
 		if how != workload.OutcomeServed && !left {
 			again, wants = c.source.Retry(op, number, how, comeBack)
 		}
 		if how != workload.OutcomeServed && !wants {
-			c.hub.rec.Over(op)
+			c.hub.rec.RequestEnded(op)
 			c.hub.live.Lost++
 		}
 		c.hub.mu.Unlock()
@@ -128,7 +128,7 @@
 func (c *crowd) try(ctx context.Context, op *workload.Request, number int) (how workload.Outcome, comeBack float64, left bool) {
 	h := c.hub
 	h.mu.Lock()
-	h.rec.Tried()
+	h.rec.RequestSent()
 	told := c.source.Behavior(op, number)
 	h.mu.Unlock()
 	n := c.front(op.Zone)
@@ -136,7 +136,7 @@
 		return workload.OutcomeUnreachable, 0, false
 	}
 	id := workload.TryID(op.ID, number)
-	k := h.e.Category[op.Class]
+	k := h.e.Classes[op.Class]
 	sent := h.now()
 	stay := told.Timeout + slackMs
 	if told.DisconnectAfter > 0 {
@@ -153,7 +153,7 @@
 		}
 	}})
 	method, body := http.MethodGet, []byte(nil)
-	if k.Effect != "redeliverable" {
+	if k.Idempotency != "redeliverable" {
 		method, body = http.MethodPost, []byte("lab")
 	}
 	target := "http://" + n.address + "/api"
@@ -189,7 +189,7 @@
 		return workload.OutcomeLost, 0, true
 	case err != nil && ctx.Err() != nil: // the auditor tells whether an answer was owed
 		h.mu.Lock()
-		h.rec.GaveUp()
+		h.rec.ClientTimedOut()
 		h.mu.Unlock()
 		return workload.OutcomeLost, 0, false
 	case err != nil && !taken:
@@ -208,7 +208,7 @@
 		e.Attempt = -2 // nobody's
 	}
 	h.told(e)
-	h.rec.Final(h.now(), f)
+	h.rec.NodeAnswered(h.now(), f)
 	switch f {
 	case invariants.Rejected:
 		h.live.Nacked++
--- a/internal/lab/loopback/hub.go
+++ b/internal/lab/loopback/hub.go
@@ -88,7 +88,7 @@
 	t.pushes++
 	h.tries[try] = t
 	h.live.Pushes++
-	h.rec.Pushed(h.now(), backend, crossing)
+	h.rec.AttemptStarted(h.now(), backend, crossing)
 	h.told(invariants.Event{Kind: invariants.AttemptStarted, Node: t.node, Request: try, Attempt: number, Backend: backend, Work: t.work})
 	return number, t.work, true
 }
--- a/internal/lab/loopback/list.go
+++ b/internal/lab/loopback/list.go
@@ -48,7 +48,7 @@
 }
 
 func newList(h *hub, backends []*backend, joining map[int]bool) *list {
-	l := &list{hub: h, backends: backends, roll: discoverystub.New(h.e.List.LinesPerSecond), news: make(chan struct{})}
+	l := &list{hub: h, backends: backends, roll: discoverystub.New(h.e.EndpointList.UpdatesPerSecond), news: make(chan struct{})}
 	l.timer = time.AfterFunc(time.Hour, l.publish)
 	for _, b := range backends {
 		if !joining[b.number] {
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -80,7 +80,7 @@
 
 // Run plays one seed. It returns when the experiment is over, ctx ends, or something of the lab's own failed.
 func Run(ctx context.Context, e *experiment.Experiment, seed uint64, o Options) (run metrics.Run, err error) {
-	if e.Modelled() {
+	if e.NeedsVirtualTime() {
 		return run, errors.New("a list that empties, reports that stand still, ops that fell backends and squeezed connections: only in virtual time")
 	}
 	c := clock.New()
@@ -104,7 +104,7 @@
 		for _, n := range w.nodes {
 			spent += n.cpu
 		}
-		run.NodeCPU = float64(spent.Microseconds()) / float64(max(run.Ops, 1))
+		run.NodeCPUPerRequest = float64(spent.Microseconds()) / float64(max(run.Requests, 1))
 	}()
 	defer cancel()
 	if err = w.build(ctx); err != nil {
@@ -147,7 +147,7 @@
 func (w *world) build(ctx context.Context) error {
 	joining := faults.JoiningBackends(w.e, w.switches)
 	for k := range w.e.Fleet.Backends {
-		m := backendmodel.New(w.e.MachineKind(k), rand.New(rand.NewPCG(w.random, uint64(k)+1000)))
+		m := backendmodel.New(w.e.BackendSpec(k), rand.New(rand.NewPCG(w.random, uint64(k)+1000)))
 		b, err := newBackend(w.hub, k, k%len(w.e.Fleet.Zones), w.e.MachineOf(k), len(w.e.Fleet.Zones), m)
 		if err != nil {
 			return err
@@ -193,7 +193,7 @@
 				return err
 			}
 		}
-		if w.e.Operated() {
+		if w.e.NeedsOperator() {
 			if n.control, err = freeAddress(w.home); err != nil {
 				return err
 			}
@@ -264,7 +264,7 @@
 func (w *world) look(ctx context.Context) {
 	worked := make([]float64, len(w.backends))
 	for tick := 1; ; tick++ {
-		wait(ctx, time.Until(w.time(float64(tick)*metrics.Look)))
+		wait(ctx, time.Until(w.time(float64(tick)*metrics.LoadInterval)))
 		if ctx.Err() != nil {
 			return
 		}
@@ -274,7 +274,7 @@
 			b.turn()
 			b.mu.Lock()
 			all, _ := b.m.WorkDone()
-			busy[k] = (all - worked[k]) / (b.m.Capacity() * metrics.Look)
+			busy[k] = (all - worked[k]) / (b.m.Capacity() * metrics.LoadInterval)
 			worked[k] = all
 			switch {
 			case b.silent:
@@ -294,12 +294,12 @@
 			nodes[k] = n.letter()
 		}
 		w.mu.Lock()
-		w.rec.Load(w.now(), busy)
+		w.rec.RecordLoad(w.now(), busy)
 		w.live.Second, w.live.Nodes, w.live.Backends = int(w.now()/1e3), string(nodes), string(letters)
 		w.live.Breaches = len(w.auditor.Violations())
 		w.live.Troubles = w.live.Troubles[:0]
-		for _, t := range w.e.Trouble {
-			if s := w.now() / 1e3; s >= t.At && s < t.At+t.For {
+		for _, t := range w.e.Faults {
+			if s := w.now() / 1e3; s >= t.StartSeconds && s < t.StartSeconds+t.DurationSeconds {
 				w.live.Troubles = append(w.live.Troubles, t.Kind)
 			}
 		}
@@ -333,37 +333,37 @@
 	w.mu.Lock()
 	w.state.Apply(s)
 	w.mu.Unlock()
-	t := w.e.Trouble[s.Index]
+	t := w.e.Faults[s.Index]
 	for _, k := range s.Targets {
 		var err error
 		switch t.Kind {
-		case experiment.Swallow, experiment.Errors, experiment.Slow, experiment.Pauses, experiment.Lies:
+		case experiment.FaultSwallow, experiment.FaultErrors, experiment.FaultSlow, experiment.FaultPauses, experiment.FaultWrongReports:
 			w.backends[k].trouble()
-		case experiment.Crash, experiment.Vanish:
-			err = w.crash(w.backends[k], s.On, t.Kind == experiment.Vanish)
-		case experiment.Shrink:
+		case experiment.FaultCrash, experiment.FaultMachineLoss:
+			err = w.crash(w.backends[k], s.On, t.Kind == experiment.FaultMachineLoss)
+		case experiment.FaultScaleDown:
 			err = w.shrink(ctx, w.backends[k], s.On)
-		case experiment.Join:
+		case experiment.FaultScaleUp:
 			if s.On {
 				err = w.crash(w.backends[k], false, false)
 			}
-		case experiment.Nodes:
+		case experiment.FaultNodeCrash:
 			n := w.nodes[k]
 			if s.On {
 				n.kill()
 			} else if n.letter() == '-' {
-				listAt := n.deadAt - w.e.List.OldByMs
+				listAt := n.deadAt - w.e.EndpointList.StaleByMs
 				w.wg.Go(func() {
 					if err := n.start(listAt); err != nil && ctx.Err() == nil {
 						n.crashed(err)
 					}
 				})
 			}
-		case experiment.Cordon:
+		case experiment.FaultCordon:
 			err = w.cordon(w.backends[k], s.On)
-		case experiment.Quiesce:
+		case experiment.FaultQuiesce:
 			err = w.nodes[k].send(s.On)
-		case experiment.Upgrade:
+		case experiment.FaultUpgrade:
 			if s.On {
 				err = w.nodes[k].upgrade()
 			}
@@ -373,7 +373,7 @@
 		}
 	}
 	switch t.Kind {
-	case experiment.Cut:
+	case experiment.FaultZonePartition:
 		for _, b := range w.backends {
 			for _, d := range b.doors {
 				w.mu.Lock()
@@ -386,7 +386,7 @@
 				}
 			}
 		}
-	case experiment.ListDown:
+	case experiment.FaultListDown:
 		w.list.wake()
 	}
 	return nil
@@ -451,7 +451,7 @@
 	}
 	w.list.set(b, balancer.BackendDraining)
 	w.wg.Go(func() {
-		wait(ctx, time.Duration(w.e.List.DrainNoticeMs*float64(time.Millisecond)))
+		wait(ctx, time.Duration(w.e.EndpointList.DrainNoticeMs*float64(time.Millisecond)))
 		b.mu.Lock()
 		still := b.m.Up() && b.m.Draining()
 		b.mu.Unlock()
@@ -472,10 +472,10 @@
 		b.mu.Unlock()
 		worked += all
 	}
-	var spans []metrics.Trouble
+	var spans []metrics.FaultSpan
 	for _, s := range w.switches {
-		if t := w.e.Trouble[s.Index]; s.On {
-			spans = append(spans, metrics.Trouble{Kind: t.Kind, From: t.At * 1e3, To: t.Ends(), Targets: s.Targets})
+		if t := w.e.Faults[s.Index]; s.On {
+			spans = append(spans, metrics.FaultSpan{Kind: t.Kind, From: t.StartSeconds * 1e3, To: t.EndMs(), Targets: s.Targets})
 		}
 	}
 	w.mu.Lock()
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -41,10 +41,10 @@
 	os.Exit(status)
 }
 
-func small(t *testing.T, seconds float64, troubles ...experiment.Trouble) *experiment.Experiment {
+func small(t *testing.T, seconds float64, troubles ...experiment.Fault) *experiment.Experiment {
 	e, err := experiment.Read("../../../experiments/calm.toml")
 	require.NoError(t, err)
-	e.Seconds, e.Trouble, e.Clients.Load, e.List.LagMs, e.List.DrainNoticeMs = seconds, troubles, 0.3, 200, 1000
+	e.Seconds, e.Faults, e.Clients.Load, e.EndpointList.LagMs, e.EndpointList.DrainNoticeMs = seconds, troubles, 0.3, 200, 1000
 	return e
 }
 
@@ -85,21 +85,21 @@
 // A few seconds with one of nearly everything: the rules are kept, ops are served, and nothing stays.
 func TestRun(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	e := small(t, 6, experiment.Trouble{Kind: experiment.Crash, At: 1, For: 1, Count: 1},
-		experiment.Trouble{Kind: experiment.Cut, At: 2, For: 1.5, Zone: "hill"},
-		experiment.Trouble{Kind: experiment.Nodes, At: 1.5, For: 1, Count: 1},
-		experiment.Trouble{Kind: experiment.Vanish, At: 3, For: 1, Count: 1},
-		experiment.Trouble{Kind: experiment.Shrink, At: 1, For: 3, Count: 2},
-		experiment.Trouble{Kind: experiment.Errors, At: 3, For: 1, Count: 1, Chance: 0.8})
+	e := small(t, 6, experiment.Fault{Kind: experiment.FaultCrash, StartSeconds: 1, DurationSeconds: 1, Count: 1},
+		experiment.Fault{Kind: experiment.FaultZonePartition, StartSeconds: 2, DurationSeconds: 1.5, Zone: "hill"},
+		experiment.Fault{Kind: experiment.FaultNodeCrash, StartSeconds: 1.5, DurationSeconds: 1, Count: 1},
+		experiment.Fault{Kind: experiment.FaultMachineLoss, StartSeconds: 3, DurationSeconds: 1, Count: 1},
+		experiment.Fault{Kind: experiment.FaultScaleDown, StartSeconds: 1, DurationSeconds: 3, Count: 2},
+		experiment.Fault{Kind: experiment.FaultErrors, StartSeconds: 3, DurationSeconds: 1, Count: 1, Chance: 0.8})
 	dir := t.TempDir()
 	kinds := map[invariants.Kind]int{}
 	run, err := Run(t.Context(), e, 1, Options{Command: []string{nodeProgram, "serve"}, Dir: dir,
 		Watch: func(e invariants.Event) { kinds[e.Kind]++ }})
 	require.NoError(t, err)
-	assert.True(t, run.Rules.Kept, run.Rules.Breaches)
+	assert.True(t, run.Verdict.Kept, run.Verdict.Evidence)
 	assert.Greater(t, run.Service, 0.6)
-	assert.Greater(t, run.Ops, 150)
-	assert.Len(t, run.Troubles, 6)
+	assert.Greater(t, run.Requests, 150)
+	assert.Len(t, run.Faults, 6)
 	for k := invariants.RequestAccepted; k <= invariants.NodeKilled; k++ {
 		if k != invariants.BackendRetired && k != invariants.ClientGone {
 			assert.Positive(t, kinds[k], k)
@@ -112,12 +112,12 @@
 // lost, and nobody's handshake fails.
 func TestSwapUnderLoad(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	e := small(t, 7, experiment.Trouble{Kind: experiment.Nodes, At: 2.5, For: 1, Count: 1})
+	e := small(t, 7, experiment.Fault{Kind: experiment.FaultNodeCrash, StartSeconds: 2.5, DurationSeconds: 1, Count: 1})
 	var told Swaps
 	run, err := Run(t.Context(), e, 1, Options{Command: []string{nodeProgram, "serve"}, Dir: t.TempDir(),
 		TLS: &TLS{Renew: []float64{1, 5}, Resume: true, Told: func(s Swaps) { told = s }}})
 	require.NoError(t, err)
-	assert.True(t, run.Rules.Kept, run.Rules.Breaches)
+	assert.True(t, run.Verdict.Kept, run.Verdict.Evidence)
 	assert.Greater(t, run.Service, 0.8)
 	assert.Equal(t, 2, told.Asked)
 	assert.Zero(t, told.Refused)
@@ -151,10 +151,10 @@
 				}
 			}})
 			require.ErrorContains(t, err, c.want)
-			assert.Positive(t, run.Ops)
+			assert.Positive(t, run.Requests)
 			assert.Empty(t, left(t, dir))
 			if name == "interrupted" { // nothing is owed; what a crashed node had taken is
-				assert.True(t, run.Rules.Kept, run.Rules.Breaches)
+				assert.True(t, run.Verdict.Kept, run.Verdict.Evidence)
 			}
 		})
 	}
@@ -219,9 +219,9 @@
 // op lost, none run twice, and nothing new at a backend that was taken out.
 func TestOperated(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	e := small(t, 7, experiment.Trouble{Kind: experiment.Cordon, At: 1, For: 3, Count: 2},
-		experiment.Trouble{Kind: experiment.Upgrade, At: 2, Count: 1}, experiment.Trouble{Kind: experiment.Upgrade, At: 2.5, Count: 3},
-		experiment.Trouble{Kind: experiment.Quiesce, At: 4, For: 2, Count: 1}, experiment.Trouble{Kind: experiment.Upgrade, At: 5, Count: 3})
+	e := small(t, 7, experiment.Fault{Kind: experiment.FaultCordon, StartSeconds: 1, DurationSeconds: 3, Count: 2},
+		experiment.Fault{Kind: experiment.FaultUpgrade, StartSeconds: 2, Count: 1}, experiment.Fault{Kind: experiment.FaultUpgrade, StartSeconds: 2.5, Count: 3},
+		experiment.Fault{Kind: experiment.FaultQuiesce, StartSeconds: 4, DurationSeconds: 2, Count: 1}, experiment.Fault{Kind: experiment.FaultUpgrade, StartSeconds: 5, Count: 3})
 	dir := t.TempDir()
 	drained := 0
 	run, err := Run(t.Context(), e, 1, Options{Command: []string{nodeProgram, "serve"}, Dir: dir,
@@ -231,10 +231,10 @@
 			}
 		}})
 	require.NoError(t, err)
-	assert.True(t, run.Rules.Kept, run.Rules.Breaches)
+	assert.True(t, run.Verdict.Kept, run.Verdict.Evidence)
 	assert.Equal(t, 6, drained)
 	assert.Greater(t, run.Service, 0.9)
-	assert.Greater(t, run.Ops, 150)
+	assert.Greater(t, run.Requests, 150)
 	for k := range 3 {
 		log, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf("n%d.log", k)))
 		require.NoError(t, err)
--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -64,13 +64,13 @@
 func Settings(e *experiment.Experiment, zone int) map[string]any {
 	effects := map[string]string{"redeliverable": "pure", "deduplicated": "token", "at-most-once": "side_effect"}
 	var categories []map[string]any
-	for _, c := range e.Category {
-		k := map[string]any{"name": c.Name, "idempotency": effects[c.Effect], "targetLatency": c.TargetMs, "ttl": c.TTLMs,
-			"benefit": c.Benefit, "overdueBenefit": c.Late}
-		if c.Effect == "deduplicated" {
-			k["keyTtl"] = c.RememberMs
-			if c.Group != "" {
-				k["dedupScope"] = c.Group
+	for _, c := range e.Classes {
+		k := map[string]any{"name": c.Name, "idempotency": effects[c.Idempotency], "targetLatency": c.LatencyObjectiveMs, "ttl": c.DeadlineMs,
+			"benefit": c.PriorityWeight, "overdueBenefit": c.LateWeight}
+		if c.Idempotency == "deduplicated" {
+			k["keyTtl"] = c.DedupWindowMs
+			if c.DedupScope != "" {
+				k["dedupScope"] = c.DedupScope
 			}
 		}
 		categories = append(categories, k)
@@ -80,20 +80,20 @@
 		kinds = append(kinds, m.Name)
 	}
 	by, mode := "request", "automatic"
-	if e.Rules.BenefitByWork {
+	if e.Rules.WeightByWork {
 		by = "work"
 	}
-	if e.List.MustAsk {
+	if e.EndpointList.PollOnly {
 		mode = "subscribe"
 	}
 	return map[string]any{"az": zone, "balancers": e.Fleet.Nodes, "benefitBy": by, "categories": categories, "kinds": kinds,
-		"zones": e.Fleet.Zones, "tenants": []string{}, "registryMode": mode, "prices": map[string]any{"crossZone": e.Fleet.CrossPrice},
+		"zones": e.Fleet.Zones, "tenants": []string{}, "registryMode": mode, "prices": map[string]any{"crossZone": e.Fleet.CrossZoneCost},
 		"loadReport": map[string]any{"fields": []string{"mean_ms", "inflight"}, "via": "inline"},
-		"bounds": map[string]any{"cancel": e.Rules.Cancel, "connIdle": e.Fleet.IdleMs, "connectTimeout": e.Fleet.ConnectMs,
-			"mostHeld": 20000, "mostPushes": e.Rules.MaxPushes, "retryAfter": e.Rules.ComeBack, "maxRetryAfter": e.Rules.MaxComeBackMs,
-			"secondCopies": e.Rules.SecondCopies},
-		"rules": map[string]any{"askWithin": e.Fleet.AskWithinMs, "coldFrom": e.Backend.ColdFrom, "drainGrace": e.Rules.DrainGraceMs,
-			"fallMultiple": e.Backend.FallMultiple, "overloadFor": e.Backend.OverloadForMs, "warmWithin": e.Backend.WarmWithinMs}}
+		"bounds": map[string]any{"cancel": e.Rules.CancelAttempts, "connIdle": e.Fleet.IdleTimeoutMs, "connectTimeout": e.Fleet.ConnectTimeoutMs,
+			"mostHeld": 20000, "mostPushes": e.Rules.MaxAttempts, "retryAfter": e.Rules.SendRetryAfter, "maxRetryAfter": e.Rules.MaxRetryAfterMs,
+			"secondCopies": e.Rules.AllowHedging},
+		"rules": map[string]any{"askWithin": e.Fleet.PollIntervalMs, "coldFrom": e.Backend.ColdSpeedShare, "drainGrace": e.Rules.DrainGraceMs,
+			"fallMultiple": e.Backend.OverloadMultiple, "overloadFor": e.Backend.OverloadWindowMs, "warmWithin": e.Backend.WarmupMs}}
 }
 
 // config is the text of the node's configuration, with the list as it was at a time.
@@ -102,7 +102,7 @@
 	e := n.hub.e
 	seed := strconv.FormatUint(uint64(n.number)*7919+uint64(n.life)*104729+n.hub.seed()*31+12345, 16)
 	data, err := json.MarshalIndent(map[string]any{"name": fmt.Sprintf("n%d", n.number), "listen": n.address, "discovery": n.from, "control": n.control,
-		"seed": seed, "limits": map[string]any{"cores": e.Fleet.NodeCores, "memory_mb": e.Fleet.NodeMemory, "sockets": e.Fleet.NodeSockets},
+		"seed": seed, "limits": map[string]any{"cores": e.Fleet.NodeCores, "memory_mb": e.Fleet.NodeMemoryMB, "sockets": e.Fleet.NodeDescriptors},
 		"known": n.list.known(listAt, n.zone), "settings": Settings(e, n.zone)}, "", " ")
 	return string(data), err
 }
--- a/internal/lab/metrics/metrics.go
+++ b/internal/lab/metrics/metrics.go
@@ -28,66 +28,66 @@
 
 // Result is all runs of an experiment under one policy.
 type Result struct {
-	Version    int     `json:"version"`
-	Experiment string  `json:"experiment"`
-	About      string  `json:"about,omitempty"`
-	Policy     string  `json:"policy"`
-	Host       string  `json:"host"` // virtual or loopback
-	Seconds    float64 `json:"seconds"`
-	Nodes      int     `json:"nodes"`
-	Backends   int     `json:"backends"`
-	Service    Spread  `json:"service"`
-	Runs       []Run   `json:"runs"`
+	Version    int      `json:"version"`
+	Experiment string   `json:"experiment"`
+	About      string   `json:"about,omitempty"`
+	Policy     string   `json:"policy"`
+	Host       string   `json:"host"` // virtual or loopback
+	Seconds    float64  `json:"seconds"`
+	Nodes      int      `json:"nodes"`
+	Backends   int      `json:"backends"`
+	Service    Estimate `json:"service"`
+	Runs       []Run    `json:"runs"`
 }
 
 // Run is one seed's.
 type Run struct {
-	Seed         uint64     `json:"seed"`
-	Service      float64    `json:"service"`    // benefit earned over benefit asked for
-	Worst10      float64    `json:"worst_10_s"` // of any 10 s
-	Ops          int        `json:"ops"`
-	PushesPerOp  float64    `json:"pushes_per_op"`
-	TriesPerOp   float64    `json:"tries_per_op"`
-	CrossingsPer float64    `json:"crossings_per_op"`
-	Nacks        int        `json:"nacks"`
-	DeadLetters  int        `json:"dead_letters"`
-	Unreached    int        `json:"unreached"` // tries that no node took
-	GivenUp      int        `json:"given_up"`  // tries whose client waited in vain
-	Wasted       float64    `json:"work_wasted"`
-	Herding      float64    `json:"herding"`     // most pushes a backend got in 100 ms over its even share
-	Herding99    float64    `json:"herding_p99"` // the same, of 99 in 100 such spans
-	Fallen       int        `json:"backends_fallen"`
-	Categories   []Category `json:"categories"`
-	Troubles     []Recovery `json:"troubles,omitempty"`
-	Loop         *Loop      `json:"loop,omitempty"`
-	Rules        Verdict    `json:"rules"`
-	Windows      []Window   `json:"windows"`
-	NodeCPU      float64    `json:"node_cpu_us_per_op,omitempty"` // on sockets: of all nodes, from start to end
-	Events       uint64     `json:"events,omitempty"`             // of the event loop
+	Seed                uint64        `json:"seed"`
+	Service             float64       `json:"service"`    // benefit earned over benefit asked for
+	Worst10             float64       `json:"worst_10_s"` // of any 10 s
+	Requests            int           `json:"ops"`
+	AttemptsPerRequest  float64       `json:"pushes_per_op"`
+	SendsPerRequest     float64       `json:"tries_per_op"`
+	CrossZonePerRequest float64       `json:"crossings_per_op"`
+	Rejected            int           `json:"nacks"`
+	Failed              int           `json:"dead_letters"`
+	Unreached           int           `json:"unreached"` // tries that no node took
+	ClientTimeouts      int           `json:"given_up"`  // tries whose client waited in vain
+	WastedWork          float64       `json:"work_wasted"`
+	Herding             float64       `json:"herding"`     // most pushes a backend got in 100 ms over its even share
+	HerdingP99          float64       `json:"herding_p99"` // the same, of 99 in 100 such spans
+	BackendCrashes      int           `json:"backends_fallen"`
+	Classes             []ClassResult `json:"categories"`
+	Faults              []Recovery    `json:"troubles,omitempty"`
+	Hysteresis          *Hysteresis   `json:"loop,omitempty"`
+	Verdict             Verdict       `json:"rules"`
+	Windows             []Window      `json:"windows"`
+	NodeCPUPerRequest   float64       `json:"node_cpu_us_per_op,omitempty"` // on sockets: of all nodes, from start to end
+	Events              uint64        `json:"events,omitempty"`             // of the event loop
 }
 
-// Category is one category's part.
-type Category struct {
-	Name    string     `json:"name"`
-	Ops     int        `json:"ops"`
-	Service float64    `json:"service"`
-	Times   [4]float64 `json:"answer_ms_50_90_99_999"`
+// ServiceByClass is one category's part.
+type ClassResult struct {
+	Name      string     `json:"name"`
+	Requests  int        `json:"ops"`
+	Service   float64    `json:"service"`
+	Latencies [4]float64 `json:"answer_ms_50_90_99_999"`
 }
 
 // Recovery is how one trouble went.
 type Recovery struct {
-	Kind    string  `json:"kind"`
-	From    float64 `json:"from_s"`
-	To      float64 `json:"to_s"`
-	Before  float64 `json:"service_before"`
-	Worst   float64 `json:"service_worst"`
-	After   float64 `json:"recovery_s"` // from its end until service is within 5% of before; -1 never
-	Lost    float64 `json:"benefit_lost"`
-	Targets []int   `json:"targets,omitempty"`
+	Kind            string  `json:"kind"`
+	From            float64 `json:"from_s"`
+	To              float64 `json:"to_s"`
+	ServiceBefore   float64 `json:"service_before"`
+	WorstService    float64 `json:"service_worst"`
+	RecoverySeconds float64 `json:"recovery_s"` // from its end until service is within 5% of before; -1 never
+	LostWeight      float64 `json:"benefit_lost"`
+	Targets         []int   `json:"targets,omitempty"`
 }
 
-// Loop is service against offered load, on the way up and down.
-type Loop struct {
+// Hysteresis is service against offered load, on the way up and down.
+type Hysteresis struct {
 	Multiple []float64 `json:"multiple"`
 	Up       []float64 `json:"service_up"`
 	Down     []float64 `json:"service_down"`
@@ -96,24 +96,24 @@
 
 // Verdict is the auditor's.
 type Verdict struct {
-	Kept     bool     `json:"kept"`
-	Counts   [6]int   `json:"breaches"` // by rule
-	Breaches []string `json:"evidence,omitempty"`
-	Text     string   `json:"verdict"`
+	Kept       bool     `json:"kept"`
+	Violations [6]int   `json:"breaches"` // by rule
+	Evidence   []string `json:"evidence,omitempty"`
+	Text       string   `json:"verdict"`
 }
 
 // Window is half a second.
 type Window struct {
-	At        float64    `json:"at_s"`
-	Asked     float64    `json:"asked"`
-	Earned    float64    `json:"earned"`
-	Category  []float64  `json:"service_by_category"` // NaN-free: -1 where none was asked for
-	Ops       int        `json:"ops"`
-	Pushes    int        `json:"pushes"`
-	Crossings int        `json:"crossings"`
-	Nacks     int        `json:"nacks"`
-	Times     [3]float64 `json:"answer_ms_50_99_max"`
-	Load      []float64  `json:"load,omitempty"` // busy share of each backend
+	At             float64    `json:"at_s"`
+	Offered        float64    `json:"asked"`
+	Earned         float64    `json:"earned"`
+	ServiceByClass []float64  `json:"service_by_category"` // NaN-free: -1 where none was asked for
+	Requests       int        `json:"ops"`
+	Attempts       int        `json:"pushes"`
+	CrossZone      int        `json:"crossings"`
+	Rejected       int        `json:"nacks"`
+	Latencies      [3]float64 `json:"answer_ms_50_99_max"`
+	BusyShares     []float64  `json:"load,omitempty"` // busy share of each backend
 
 	asked, earned []float64
 	hist          *hdrhistogram.Histogram
@@ -141,8 +141,8 @@
 
 // New makes a recorder.
 func New(e *experiment.Experiment, seed uint64) *Recorder {
-	n := len(e.Category)
-	r := &Recorder{e: e, cats: e.Categories(), counts: make([]int, n), asked: make([]float64, n), earned: make([]float64, n),
+	n := len(e.Classes)
+	r := &Recorder{e: e, cats: e.BalancerClasses(), counts: make([]int, n), asked: make([]float64, n), earned: make([]float64, n),
 		herd: make([]int, e.Fleet.Backends), open: map[uint64]bool{}}
 	r.run.Seed = seed
 	for range n {
@@ -156,7 +156,7 @@
 func (r *Recorder) at(ms float64) *Window {
 	k := max(int(ms/window), 0)
 	for len(r.windows) <= k {
-		n := len(r.e.Category)
+		n := len(r.e.Classes)
 		r.windows = append(r.windows, Window{At: float64(len(r.windows)) * window / 1e3, asked: make([]float64, n),
 			earned: make([]float64, n), hist: histogram1()})
 	}
@@ -168,31 +168,31 @@
 
 func (r *Recorder) benefit(op *workload.Request) float64 {
 	b := r.cats[op.Class].PriorityWeight
-	if r.e.Rules.BenefitByWork {
+	if r.e.Rules.WeightByWork {
 		b *= op.Work
 	}
 	return b
 }
 
-// Asked tells of an op that a client wants.
-func (r *Recorder) Asked(op *workload.Request) {
+// RequestArrived tells of an op that a client wants.
+func (r *Recorder) RequestArrived(op *workload.Request) {
 	w, b := r.at(op.ArrivesAt), r.benefit(op)
-	w.Ops++
+	w.Requests++
 	w.asked[op.Class] += b
 	r.asked[op.Class] += b
 	r.counts[op.Class]++
-	r.run.Ops++
+	r.run.Requests++
 	r.open[op.ID] = true
 }
 
-// Served tells that the op's client has its answer. Work is what the answer cost.
-func (r *Recorder) Served(op *workload.Request, now float64) {
+// RequestServed tells that the op's client has its answer. Work is what the answer cost.
+func (r *Recorder) RequestServed(op *workload.Request, now float64) {
 	if !r.open[op.ID] {
 		return
 	}
 	delete(r.open, op.ID)
 	elapsed := math.Max(now-op.ArrivesAt, 0)
-	share := workload.EarnedShare(&r.cats[op.Class], elapsed, r.e.Category[op.Class].TTLMs)
+	share := workload.EarnedShare(&r.cats[op.Class], elapsed, r.e.Classes[op.Class].DeadlineMs)
 	w, b := r.at(op.ArrivesAt), r.benefit(op)*share
 	w.earned[op.Class] += b
 	r.earned[op.Class] += b
@@ -202,25 +202,25 @@
 	r.useful += op.Work
 }
 
-// Over tells that no try follows and nobody served the op.
-func (r *Recorder) Over(op *workload.Request) { delete(r.open, op.ID) }
+// RequestEnded tells that no try follows and nobody served the op.
+func (r *Recorder) RequestEnded(op *workload.Request) { delete(r.open, op.ID) }
 
-// Tried counts a sending, Unreached one that no node took, GaveUp one that waited in vain.
-func (r *Recorder) Tried() { r.tries++ }
+// RequestSent counts a sending, NodeUnreachable one that no node took, ClientTimedOut one that waited in vain.
+func (r *Recorder) RequestSent() { r.tries++ }
 
-// Unreached counts a client that reached no node.
-func (r *Recorder) Unreached() { r.run.Unreached++ }
+// NodeUnreachable counts a client that reached no node.
+func (r *Recorder) NodeUnreachable() { r.run.Unreached++ }
 
-// GaveUp counts a client that gave up on its request.
-func (r *Recorder) GaveUp() { r.run.GivenUp++ }
+// ClientTimedOut counts a client that gave up on its request.
+func (r *Recorder) ClientTimedOut() { r.run.ClientTimeouts++ }
 
-// Pushed counts a push.
-func (r *Recorder) Pushed(now float64, backend int, crossing bool) {
+// AttemptStarted counts a push.
+func (r *Recorder) AttemptStarted(now float64, backend int, crossing bool) {
 	w := r.at(now)
-	w.Pushes++
+	w.Attempts++
 	r.pushes++
 	if crossing {
-		w.Crossings++
+		w.CrossZone++
 		r.cross++
 	}
 	if now >= r.herdAt+herdSpan {
@@ -242,84 +242,84 @@
 	clear(r.herd)
 }
 
-// Final counts an answer of a node's own.
-func (r *Recorder) Final(now float64, f invariants.Answer) {
+// NodeAnswered counts an answer of a node's own.
+func (r *Recorder) NodeAnswered(now float64, f invariants.Answer) {
 	switch f {
 	case invariants.Rejected:
-		r.run.Nacks++
-		r.at(now).Nacks++
+		r.run.Rejected++
+		r.at(now).Rejected++
 	case invariants.Failed:
-		r.run.DeadLetters++
+		r.run.Failed++
 	}
 }
 
-// Load tells the busy share of each backend in the window that ends now.
-func (r *Recorder) Load(now float64, busy []float64) { r.at(now - window/2).Load = busy }
+// RecordLoad tells the busy share of each backend in the window that ends now.
+func (r *Recorder) RecordLoad(now float64, busy []float64) { r.at(now - window/2).BusyShares = busy }
 
-// Look is how often Load is to be told, in ms.
-const Look = window
+// LoadInterval is how often RecordLoad is to be told, in ms.
+const LoadInterval = window
 
-// Open is the number of ops that are neither served nor over.
-func (r *Recorder) Open() int { return len(r.open) }
+// OpenRequests is the number of ops that are neither served nor over.
+func (r *Recorder) OpenRequests() int { return len(r.open) }
 
-// Trouble is one span of the schedule, for Finish.
-type Trouble struct {
+// FaultSpan is one span of the schedule, for Finish.
+type FaultSpan struct {
 	Kind     string
 	From, To float64
 	Targets  []int
 }
 
 // Finish gives the run's figures. Worked is all work that backends did.
-func (r *Recorder) Finish(a *invariants.Auditor, worked float64, fallen int, troubles []Trouble) Run {
+func (r *Recorder) Finish(a *invariants.Auditor, worked float64, fallen int, troubles []FaultSpan) Run {
 	r.endSpan()
 	run := &r.run
-	n := float64(max(run.Ops, 1))
-	run.PushesPerOp, run.TriesPerOp, run.CrossingsPer = float64(r.pushes)/n, float64(r.tries)/n, float64(r.cross)/n
-	run.Fallen = fallen
+	n := float64(max(run.Requests, 1))
+	run.AttemptsPerRequest, run.SendsPerRequest, run.CrossZonePerRequest = float64(r.pushes)/n, float64(r.tries)/n, float64(r.cross)/n
+	run.BackendCrashes = fallen
 	if worked > 0 {
-		run.Wasted = math.Max(0, 1-r.useful/worked)
+		run.WastedWork = math.Max(0, 1-r.useful/worked)
 	}
 	sum, got := 0.0, 0.0
-	for k, c := range r.e.Category {
+	for k, c := range r.e.Classes {
 		sum, got = sum+r.asked[k], got+r.earned[k]
 		h := r.hists[k]
-		run.Categories = append(run.Categories, Category{c.Name, r.counts[k], ratio(r.earned[k], r.asked[k]),
+		run.Classes = append(run.Classes, ClassResult{c.Name, r.counts[k], ratio(r.earned[k], r.asked[k]),
 			[4]float64{ms(h, 50), ms(h, 90), ms(h, 99), ms(h, 99.9)}})
 	}
 	run.Service = ratio(got, sum)
 	if len(r.spans) > 0 {
 		slices.Sort(r.spans)
-		run.Herding, run.Herding99 = r.spans[len(r.spans)-1], r.spans[len(r.spans)*99/100]
+		run.Herding, run.HerdingP99 = r.spans[len(r.spans)-1], r.spans[len(r.spans)*99/100]
 	}
-	for len(r.windows) > 0 && r.windows[len(r.windows)-1].At*1e3 >= r.e.Length() { // what came after the end
+	for len(r.windows) > 0 && r.windows[len(r.windows)-1].At*1e3 >= r.e.LengthMs() { // what came after the end
 		r.windows = r.windows[:len(r.windows)-1]
 	}
 	for i := range r.windows {
 		w := &r.windows[i]
 		for k := range w.asked {
-			w.Asked, w.Earned = w.Asked+w.asked[k], w.Earned+w.earned[k]
+			w.Offered, w.Earned = w.Offered+w.asked[k], w.Earned+w.earned[k]
 			s := -1.0
 			if w.asked[k] > 0 {
 				s = w.earned[k] / w.asked[k]
 			}
-			w.Category = append(w.Category, s)
+			w.ServiceByClass = append(w.ServiceByClass, s)
 		}
-		w.Times = [3]float64{ms(w.hist, 50), ms(w.hist, 99), ms(w.hist, 100)}
+		w.Latencies = [3]float64{ms(w.hist, 50), ms(w.hist, 99), ms(w.hist, 100)}
 	}
 	run.Windows = r.windows
 	run.Worst10 = worst(r.windows, 20)
 	for _, t := range troubles {
-		run.Troubles = append(run.Troubles, recovery(r.windows, t))
+		run.Faults = append(run.Faults, recovery(r.windows, t))
 	}
 	if len(r.e.Clients.Ramp) > 2 {
-		run.Loop = r.loop()
+		run.Hysteresis = r.loop()
 	}
-	run.Rules = Verdict{Kept: a.AllKept(), Text: a.Verdict()}
-	for k := range run.Rules.Counts {
-		run.Rules.Counts[k] = a.Count(invariants.Rule(k + 1))
+	run.Verdict = Verdict{Kept: a.AllKept(), Text: a.Verdict()}
+	for k := range run.Verdict.Violations {
+		run.Verdict.Violations[k] = a.Count(invariants.Rule(k + 1))
 	}
 	for _, b := range a.Violations()[:min(len(a.Violations()), 10)] {
-		run.Rules.Breaches = append(run.Rules.Breaches, b.String())
+		run.Verdict.Evidence = append(run.Verdict.Evidence, b.String())
 	}
 	return *run
 }
@@ -341,7 +341,7 @@
 	for i := 0; i+span <= len(w) || i == 0; i++ {
 		asked, earned := 0.0, 0.0
 		for _, x := range w[i:min(i+span, len(w))] {
-			asked, earned = asked+x.Asked, earned+x.Earned
+			asked, earned = asked+x.Offered, earned+x.Earned
 		}
 		least = math.Min(least, ratio(earned, asked))
 	}
@@ -349,39 +349,39 @@
 }
 
 // recovery looks at service before, during and after a trouble.
-func recovery(all []Window, t Trouble) Recovery {
-	r := Recovery{Kind: t.Kind, From: t.From / 1e3, To: t.To / 1e3, After: -1, Worst: 1, Targets: t.Targets}
+func recovery(all []Window, t FaultSpan) Recovery {
+	r := Recovery{Kind: t.Kind, From: t.From / 1e3, To: t.To / 1e3, RecoverySeconds: -1, WorstService: 1, Targets: t.Targets}
 	asked, earned := 0.0, 0.0
 	from, to := int(t.From/window), int(math.Ceil(t.To/window))
 	for i := max(0, from-20); i < min(from, len(all)); i++ {
-		asked, earned = asked+all[i].Asked, earned+all[i].Earned
+		asked, earned = asked+all[i].Offered, earned+all[i].Earned
 	}
-	r.Before = ratio(earned, asked)
+	r.ServiceBefore = ratio(earned, asked)
 	good := func(i int) bool { // over a second: a window of few ops says little
 		asked, earned := 0.0, 0.0
 		for _, w := range all[i:min(i+2, len(all))] {
-			asked, earned = asked+w.Asked, earned+w.Earned
+			asked, earned = asked+w.Offered, earned+w.Earned
 		}
-		return ratio(earned, asked) >= recovered*r.Before
+		return ratio(earned, asked) >= recovered*r.ServiceBefore
 	}
 	end := len(all)
 	for i := to; i < len(all); i++ {
 		if good(i) && (i+1 >= len(all) || good(i+1)) {
-			r.After, end = math.Max(0, all[i].At-r.To), i
+			r.RecoverySeconds, end = math.Max(0, all[i].At-r.To), i
 			break
 		}
 	}
 	for i := min(from, len(all)); i < end; i++ {
-		r.Lost += math.Max(0, r.Before*all[i].Asked-all[i].Earned)
-		if all[i].Asked > 0 {
-			r.Worst = math.Min(r.Worst, all[i].Earned/all[i].Asked)
+		r.LostWeight += math.Max(0, r.ServiceBefore*all[i].Offered-all[i].Earned)
+		if all[i].Offered > 0 {
+			r.WorstService = math.Min(r.WorstService, all[i].Earned/all[i].Offered)
 		}
 	}
 	return r
 }
 
 // loop puts the windows into bins of offered load, before and after the ramp's top.
-func (r *Recorder) loop() *Loop {
+func (r *Recorder) loop() *Hysteresis {
 	top := r.e.Clients.Ramp[0]
 	for _, p := range r.e.Clients.Ramp {
 		if p[1] > top[1] {
@@ -397,9 +397,9 @@
 		}
 		k := int(math.Round(r.e.Multiple(w.At*1e3+window/2) / loopBin))
 		s := side[k]
-		side[k] = sum{s.asked + w.Asked, s.earned + w.Earned}
+		side[k] = sum{s.asked + w.Offered, s.earned + w.Earned}
 	}
-	l := &Loop{}
+	l := &Hysteresis{}
 	var bins []int
 	for k := range up {
 		if _, both := down[k]; both {
@@ -415,12 +415,12 @@
 	return l
 }
 
-// Line is a run's figures in one line.
-func (r Run) Line() string {
+// Summary is a run's figures in one line.
+func (r Run) Summary() string {
 	rule := "kept"
-	if !r.Rules.Kept {
-		rule = fmt.Sprintf("BROKEN %v", r.Rules.Counts)
+	if !r.Verdict.Kept {
+		rule = fmt.Sprintf("BROKEN %v", r.Verdict.Violations)
 	}
 	return fmt.Sprintf("seed %d: service %.3f, worst 10 s %.3f, pushes an op %.2f, tries %.2f, crossings %.2f, wasted %.2f, herding %.1f, rules %s",
-		r.Seed, r.Service, r.Worst10, r.PushesPerOp, r.TriesPerOp, r.CrossingsPer, r.Wasted, r.Herding99, rule)
+		r.Seed, r.Service, r.Worst10, r.AttemptsPerRequest, r.SendsPerRequest, r.CrossZonePerRequest, r.WastedWork, r.HerdingP99, rule)
 }
--- a/internal/lab/metrics/metrics_test.go
+++ b/internal/lab/metrics/metrics_test.go
@@ -35,18 +35,18 @@
 }
 
 // play has ten ops a second, each served after a time that hangs on when it came; below 0 never.
-func play(e *experiment.Experiment, after func(at float64) float64, troubles ...Trouble) Run {
+func play(e *experiment.Experiment, after func(at float64) float64, troubles ...FaultSpan) Run {
 	r := New(e, 1)
 	for k := range int(e.Seconds * 10) {
 		op := &workload.Request{ID: uint64(k) + 1, ArrivesAt: float64(k) * 100, Work: 10}
-		r.Asked(op)
-		r.Tried()
-		r.Pushed(op.ArrivesAt, k%2, k%4 == 0)
+		r.RequestArrived(op)
+		r.RequestSent()
+		r.AttemptStarted(op.ArrivesAt, k%2, k%4 == 0)
 		if d := after(op.ArrivesAt); d >= 0 {
-			r.Served(op, op.ArrivesAt+d)
-			r.Served(op, op.ArrivesAt+d+1) // a second answer changes nothing
+			r.RequestServed(op, op.ArrivesAt+d)
+			r.RequestServed(op, op.ArrivesAt+d+1) // a second answer changes nothing
 		}
-		r.Over(op)
+		r.RequestEnded(op)
 	}
 	return r.Finish(e.Auditor(0), 8000, 0, troubles)
 }
@@ -65,12 +65,12 @@
 	})
 	assert.InDelta(t, 0.375, run.Service, 1e-9)
 	assert.InDelta(t, 0, run.Worst10, 1e-9)
-	assert.Equal(t, 400, run.Ops)
-	assert.InDelta(t, 0.25, run.CrossingsPer, 1e-9)
-	assert.InDelta(t, 1-3000.0/8000, run.Wasted, 1e-9)
-	assert.InDelta(t, 500, run.Categories[0].Times[0], 5, "half of those answered")
+	assert.Equal(t, 400, run.Requests)
+	assert.InDelta(t, 0.25, run.CrossZonePerRequest, 1e-9)
+	assert.InDelta(t, 1-3000.0/8000, run.WastedWork, 1e-9)
+	assert.InDelta(t, 500, run.Classes[0].Latencies[0], 5, "half of those answered")
 	assert.Len(t, run.Windows, 80)
-	assert.Contains(t, run.Line(), "service 0.375")
+	assert.Contains(t, run.Summary(), "service 0.375")
 }
 
 // Recovery counts from the trouble's end until service is as before; what was lost counts until then.
@@ -91,10 +91,10 @@
 		"at once": {bad(10e3, 15e3), 0, 100}, "after five seconds": {bad(10e3, 20e3), 5, 200}, "never": {bad(10e3, 41e3), -1, 600},
 		"untouched": {bad(50e3, 60e3), 0, 0},
 	} {
-		r := play(text(""), c.after, Trouble{Kind: "slow", From: 10e3, To: 15e3}).Troubles[0]
-		assert.InDelta(t, c.want, r.After, 1e-9, name)
-		assert.InDelta(t, c.lost, r.Lost, 1e-6, name)
-		assert.InDelta(t, 1, r.Before, 1e-9, name)
+		r := play(text(""), c.after, FaultSpan{Kind: "slow", From: 10e3, To: 15e3}).Faults[0]
+		assert.InDelta(t, c.want, r.RecoverySeconds, 1e-9, name)
+		assert.InDelta(t, c.lost, r.LostWeight, 1e-6, name)
+		assert.InDelta(t, 1, r.ServiceBefore, 1e-9, name)
 	}
 }
 
@@ -107,31 +107,31 @@
 		}
 		return 10
 	})
-	require.NotNil(t, run.Loop)
-	assert.InDelta(t, 0.5, run.Loop.Area, 0.06, "half of the way down at nothing")
-	assert.InDelta(t, 0, play(e, func(float64) float64 { return 10 }).Loop.Area, 1e-9)
+	require.NotNil(t, run.Hysteresis)
+	assert.InDelta(t, 0.5, run.Hysteresis.Area, 0.06, "half of the way down at nothing")
+	assert.InDelta(t, 0, play(e, func(float64) float64 { return 10 }).Hysteresis.Area, 1e-9)
 }
 
 func TestHerding(t *testing.T) {
 	e := text("")
 	r := New(e, 1)
 	for range 8 {
-		r.Pushed(5, 0, false)
+		r.AttemptStarted(5, 0, false)
 	}
-	r.Pushed(205, 0, false)
-	r.Pushed(205, 1, false)
+	r.AttemptStarted(205, 0, false)
+	r.AttemptStarted(205, 1, false)
 	run := r.Finish(e.Auditor(0), 0, 0, nil)
 	assert.InDelta(t, 2, run.Herding, 1e-9, "eight to one of two is twice the even share")
 }
 
 func TestSpread(t *testing.T) {
-	s := NewSpread([]float64{2, 3, 4})
+	s := NewEstimate([]float64{2, 3, 4})
 	assert.InDelta(t, 3, s.Mean, 1e-9)
-	assert.InDelta(t, 2.484, s.Half, 1e-3, "4.303 over the root of three")
-	assert.False(t, s.Noise())
-	assert.True(t, NewSpread([]float64{-1, 2, -1.5}).Noise())
-	assert.True(t, NewSpread([]float64{5}).Noise(), "of one nothing is known")
-	assert.False(t, math.IsNaN(NewSpread(nil).Mean))
+	assert.InDelta(t, 2.484, s.HalfWidth, 1e-3, "4.303 over the root of three")
+	assert.False(t, s.IncludesZero())
+	assert.True(t, NewEstimate([]float64{-1, 2, -1.5}).IncludesZero())
+	assert.True(t, NewEstimate([]float64{5}).IncludesZero(), "of one nothing is known")
+	assert.False(t, math.IsNaN(NewEstimate(nil).Mean))
 }
 
 func TestCompare(t *testing.T) {
@@ -142,7 +142,7 @@
 	assert.Equal(t, "service", names[0])
 	assert.InDelta(t, 0.105, diffs[0].Mean, 1e-9)
 	assert.Equal(t, 2, diffs[0].N)
-	assert.False(t, diffs[0].Noise())
+	assert.False(t, diffs[0].IncludesZero())
 	_, _, err = Compare(a, Result{Runs: []Run{{Seed: 5}}})
 	assert.Error(t, err)
 }
--- a/internal/lab/metrics/stats.go
+++ b/internal/lab/metrics/stats.go
@@ -8,18 +8,18 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Spread is a mean with its 95% confidence interval by Student's t; of one sample the interval is unknown, and zero
-// wide with Known false.
-type Spread struct {
-	Mean  float64 `json:"mean"`
-	Half  float64 `json:"half_95"` // half of the interval's width
-	N     int     `json:"n"`
-	Known bool    `json:"known"`
+// Estimate is a mean with its 95% confidence interval by Student's t; of one sample the interval is unknown, and zero
+// wide with HasInterval false.
+type Estimate struct {
+	Mean        float64 `json:"mean"`
+	HalfWidth   float64 `json:"half_95"` // half of the interval's width
+	N           int     `json:"n"`
+	HasInterval bool    `json:"known"`
 }
 
-// NewSpread is that of some samples.
-func NewSpread(x []float64) Spread {
-	s := Spread{N: len(x)}
+// NewEstimate is that of some samples.
+func NewEstimate(x []float64) Estimate {
+	s := Estimate{N: len(x)}
 	if len(x) == 0 {
 		return s
 	}
@@ -27,38 +27,38 @@
 	s.Mean = mean
 	if len(x) > 1 {
 		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(x) - 1)}.Quantile(0.975)
-		s.Half, s.Known = t*dev/math.Sqrt(float64(len(x))), true
+		s.HalfWidth, s.HasInterval = t*dev/math.Sqrt(float64(len(x))), true
 	}
 	return s
 }
 
-func (s Spread) String() string {
-	if !s.Known {
+func (s Estimate) String() string {
+	if !s.HasInterval {
 		return fmt.Sprintf("%.3f", s.Mean)
 	}
-	return fmt.Sprintf("%.3f +- %.3f", s.Mean, s.Half)
+	return fmt.Sprintf("%.3f +- %.3f", s.Mean, s.HalfWidth)
 }
 
-// Noise tells whether zero lies within the interval, so that a mean difference may be chance.
-func (s Spread) Noise() bool { return !s.Known || math.Abs(s.Mean) <= s.Half }
+// IncludesZero tells whether zero lies within the interval, so that a mean difference may be chance.
+func (s Estimate) IncludesZero() bool { return !s.HasInterval || math.Abs(s.Mean) <= s.HalfWidth }
 
 // Compare gives the mean differences b - a of the figures over the seeds that both have, in a fixed order.
-func Compare(a, b Result) (names []string, diffs []Spread, err error) {
+func Compare(a, b Result) (names []string, diffs []Estimate, err error) {
 	figures := []struct {
 		name string
 		of   func(Run) float64
 	}{
 		{"service", func(r Run) float64 { return r.Service }},
 		{"worst 10 s", func(r Run) float64 { return r.Worst10 }},
-		{"pushes an op", func(r Run) float64 { return r.PushesPerOp }},
-		{"tries an op", func(r Run) float64 { return r.TriesPerOp }},
-		{"crossings an op", func(r Run) float64 { return r.CrossingsPer }},
-		{"work wasted", func(r Run) float64 { return r.Wasted }},
-		{"herding, 99th", func(r Run) float64 { return r.Herding99 }},
+		{"pushes an op", func(r Run) float64 { return r.AttemptsPerRequest }},
+		{"tries an op", func(r Run) float64 { return r.SendsPerRequest }},
+		{"crossings an op", func(r Run) float64 { return r.CrossZonePerRequest }},
+		{"work wasted", func(r Run) float64 { return r.WastedWork }},
+		{"herding, 99th", func(r Run) float64 { return r.HerdingP99 }},
 		{"benefit lost", func(r Run) float64 {
 			lost := 0.0
-			for _, t := range r.Troubles {
-				lost += t.Lost
+			for _, t := range r.Faults {
+				lost += t.LostWeight
 			}
 			return lost
 		}},
@@ -77,7 +77,7 @@
 		if len(d) == 0 {
 			return nil, nil, fmt.Errorf("no seed is in both results")
 		}
-		names, diffs = append(names, f.name), append(diffs, NewSpread(d))
+		names, diffs = append(names, f.name), append(diffs, NewEstimate(d))
 	}
 	return names, diffs, nil
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -100,7 +100,7 @@
 }
 
 func kept(r metrics.Result) bool {
-	return !slices.ContainsFunc(r.Runs, func(r metrics.Run) bool { return !r.Rules.Kept })
+	return !slices.ContainsFunc(r.Runs, func(r metrics.Run) bool { return !r.Verdict.Kept })
 }
 
 type titled struct {
@@ -149,47 +149,47 @@
 		return l
 	}
 	service := []line{series("all", func(w metrics.Window) float64 {
-		if w.Asked == 0 {
+		if w.Offered == 0 {
 			return -1
 		}
-		return w.Earned / w.Asked
+		return w.Earned / w.Offered
 	})}
-	for k, c := range run.Categories {
+	for k, c := range run.Classes {
 		service = append(service, series(c.Name, func(w metrics.Window) float64 {
-			if k >= len(w.Category) {
+			if k >= len(w.ServiceByClass) {
 				return -1
 			}
-			return w.Category[k]
+			return w.ServiceByClass[k]
 		}))
 	}
 	add("Service by category", "service", service, 1.05)
-	times := []line{series("50 of 100", func(w metrics.Window) float64 { return w.Times[0] }),
-		series("99 of 100", func(w metrics.Window) float64 { return w.Times[1] })}
+	times := []line{series("50 of 100", func(w metrics.Window) float64 { return w.Latencies[0] }),
+		series("99 of 100", func(w metrics.Window) float64 { return w.Latencies[1] })}
 	add("Answer times, from the intended sending", "ms", times, highest(times))
 	perOp := func(of func(metrics.Window) int) func(metrics.Window) float64 {
 		return func(w metrics.Window) float64 {
-			if w.Ops == 0 {
+			if w.Requests == 0 {
 				return -1
 			}
-			return float64(of(w)) / float64(w.Ops)
+			return float64(of(w)) / float64(w.Requests)
 		}
 	}
-	pushes := []line{series("pushes", perOp(func(w metrics.Window) int { return w.Pushes })),
-		series("crossings", perOp(func(w metrics.Window) int { return w.Crossings })),
-		series("nacks", perOp(func(w metrics.Window) int { return w.Nacks }))}
+	pushes := []line{series("pushes", perOp(func(w metrics.Window) int { return w.Attempts })),
+		series("crossings", perOp(func(w metrics.Window) int { return w.CrossZone })),
+		series("nacks", perOp(func(w metrics.Window) int { return w.Rejected }))}
 	add("Pushes, crossings and nacks an op", "an op", pushes, highest(pushes))
 	load := func(share float64) func(metrics.Window) float64 {
 		return func(w metrics.Window) float64 {
-			if len(w.Load) == 0 {
+			if len(w.BusyShares) == 0 {
 				return -1
 			}
-			x := slices.Sorted(slices.Values(w.Load))
+			x := slices.Sorted(slices.Values(w.BusyShares))
 			return x[int(share*float64(len(x)-1))]
 		}
 	}
 	add("Backends' load: least, middle, most", "busy share", []line{series("least", load(0)), series("middle", load(0.5)),
 		series("most", load(1))}, 1.1)
-	if l := run.Loop; l != nil && len(l.Multiple) > 1 {
+	if l := run.Hysteresis; l != nil && len(l.Multiple) > 1 {
 		p := plot.New()
 		p.X.Label.Text, p.Y.Label.Text = "offered load, multiple", "service"
 		for i, side := range [][]float64{l.Up, l.Down} {
@@ -227,7 +227,7 @@
 
 // shade marks the troubles' spans.
 func shade(p *plot.Plot, run metrics.Run, top float64) {
-	for _, t := range run.Troubles {
+	for _, t := range run.Faults {
 		box, err := plotter.NewPolygon(plotter.XYs{{X: t.From, Y: 0}, {X: t.To, Y: 0}, {X: t.To, Y: top}, {X: t.From, Y: top}})
 		if err != nil {
 			continue
@@ -262,12 +262,12 @@
 <p>{{.R.Nodes}} nodes, {{.R.Backends}} backends, {{.R.Seconds}} s; service {{.R.Service}} over {{.R.Service.N}} seeds (mean, 95% interval).
 Backends, clients and list are stand-ins. <span {{if not .Kept}}class="broken"{{end}}>{{if .Kept}}All rules kept.{{else}}Rules broken.{{end}}</span></p>
 {{range .Sections}}<h2>Seed {{.Run.Seed}}</h2>
-<table><tr><th>service</th><th>worst 10 s</th><th>ops</th><th>pushes an op</th><th>tries an op</th><th>crossings an op</th><th>work wasted</th><th>herding</th></tr>
-<tr><td>{{pct .Run.Service}}</td><td>{{pct .Run.Worst10}}</td><td>{{.Run.Ops}}</td><td>{{pct .Run.PushesPerOp}}</td><td>{{pct .Run.TriesPerOp}}</td><td>{{pct .Run.CrossingsPer}}</td><td>{{pct .Run.Wasted}}</td><td>{{pct .Run.Herding99}}</td></tr></table>
-<table><tr><th>category</th><th>ops</th><th>service</th><th>50%, ms</th><th>90%</th><th>99%</th><th>99.9%</th></tr>
-{{range .Run.Categories}}<tr><td>{{.Name}}</td><td>{{.Ops}}</td><td>{{pct .Service}}</td>{{range .Times}}<td>{{ms .}}</td>{{end}}</tr>{{end}}</table>
-{{if .Run.Troubles}}<table><tr><th>trouble</th><th>from, s</th><th>to</th><th>service before</th><th>worst</th><th>recovered after, s</th><th>benefit lost</th></tr>
-{{range .Run.Troubles}}<tr><td>{{.Kind}}</td><td>{{.From}}</td><td>{{.To}}</td><td>{{pct .Before}}</td><td>{{pct .Worst}}</td><td>{{if lt .After 0.0}}never{{else}}{{pct .After}}{{end}}</td><td>{{ms .Lost}}</td></tr>{{end}}</table>{{end}}
-<p {{if not .Run.Rules.Kept}}class="broken"{{end}}>{{.Run.Rules.Text}}</p>{{range .Run.Rules.Breaches}}<pre>{{.}}</pre>{{end}}
+<table><tr><th>service</th><th>worst 10 s</th><th>requests</th><th>attempts per request</th><th>sends per request</th><th>cross-zone attempts per request</th><th>wasted work</th><th>herding</th></tr>
+<tr><td>{{pct .Run.Service}}</td><td>{{pct .Run.Worst10}}</td><td>{{.Run.Requests}}</td><td>{{pct .Run.AttemptsPerRequest}}</td><td>{{pct .Run.SendsPerRequest}}</td><td>{{pct .Run.CrossZonePerRequest}}</td><td>{{pct .Run.WastedWork}}</td><td>{{pct .Run.HerdingP99}}</td></tr></table>
+<table><tr><th>class</th><th>requests</th><th>service</th><th>50%, ms</th><th>90%</th><th>99%</th><th>99.9%</th></tr>
+{{range .Run.Classes}}<tr><td>{{.Name}}</td><td>{{.Requests}}</td><td>{{pct .Service}}</td>{{range .Latencies}}<td>{{ms .}}</td>{{end}}</tr>{{end}}</table>
+{{if .Run.Faults}}<table><tr><th>fault</th><th>from, s</th><th>to</th><th>service before</th><th>worst</th><th>recovered after, s</th><th>lost weight</th></tr>
+{{range .Run.Faults}}<tr><td>{{.Kind}}</td><td>{{.From}}</td><td>{{.To}}</td><td>{{pct .ServiceBefore}}</td><td>{{pct .WorstService}}</td><td>{{if lt .RecoverySeconds 0.0}}never{{else}}{{pct .RecoverySeconds}}{{end}}</td><td>{{ms .LostWeight}}</td></tr>{{end}}</table>{{end}}
+<p {{if not .Run.Verdict.Kept}}class="broken"{{end}}>{{.Run.Verdict.Text}}</p>{{range .Run.Verdict.Evidence}}<pre>{{.}}</pre>{{end}}
 {{range .Figures}}<h3>{{.Title}}</h3>{{.SVG}}{{end}}{{end}}</body></html>
 `))
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -48,13 +48,13 @@
 	for _, run := range r.Runs {
 		s = append(s, run.Service)
 	}
-	r.Service = metrics.NewSpread(s)
+	r.Service = metrics.NewEstimate(s)
 }
 
 // Kept tells whether no run broke a rule.
 func Kept(r metrics.Result) bool {
 	for _, run := range r.Runs {
-		if !run.Rules.Kept {
+		if !run.Verdict.Kept {
 			return false
 		}
 	}
--- a/internal/lab/scale/document.go
+++ b/internal/lab/scale/document.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e.Fleet.Nodes, e.Seconds, e.Clients.OpsPerSecond = max(real, 1), seconds, 5*float64(max(real, 1))
+	e.Fleet.Nodes, e.Seconds, e.Clients.RequestsPerSecond = max(real, 1), seconds, 5*float64(max(real, 1))
 	return e, nil
 }
 
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -246,9 +246,9 @@
 			not(l == 0 || h < (1-fairWithin)*l || h > (1+fairWithin)*l, "no fair copy: a hollow node takes %.2f %s a second, a real one %.2f", h, what, l)
 		}
 	}
-	if r.Load.Ops > 0 {
-		not(!r.Load.Rules.Kept, "the real nodes broke a rule: %s", r.Load.Rules.Text)
-		for _, b := range r.Load.Rules.Breaches[:min(len(r.Load.Rules.Breaches), 3)] {
+	if r.Load.Requests > 0 {
+		not(!r.Load.Verdict.Kept, "the real nodes broke a rule: %s", r.Load.Verdict.Text)
+		for _, b := range r.Load.Verdict.Evidence[:min(len(r.Load.Verdict.Evidence), 3)] {
 			not(true, "  %s", strings.ReplaceAll(b, "\n", "; "))
 		}
 	}
@@ -321,8 +321,8 @@
 		fmt.Fprintf(w, "%d nodes were cut off; from when they could be reached to in force, %d changes at nodes: %s\n", f.CutNodes, f.Cut.Pairs, percentiles(f.Cut))
 	}
 	fmt.Fprintf(w, "%d of %d nodes at the last version at the end\n", e.Nodes-f.Behind, e.Nodes)
-	if r.Load.Ops > 0 {
-		fmt.Fprintf(w, "load of the real nodes: %d requests, service %.3f, %s\n", r.Load.Ops, r.Load.Service, r.Load.Rules.Text)
+	if r.Load.Requests > 0 {
+		fmt.Fprintf(w, "load of the real nodes: %d requests, service %.3f, %s\n", r.Load.Requests, r.Load.Service, r.Load.Verdict.Text)
 	}
 	for _, b := range r.Broken[:min(len(r.Broken), 12)] {
 		fmt.Fprintln(w, "BROKEN:", b)
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -147,7 +147,7 @@
 	for _, b := range r.Broken { // the load's rules are the loopback's own tests
 		assert.Contains(t, b, "the real nodes broke a rule", b)
 	}
-	assert.Positive(t, r.Load.Ops)
+	assert.Positive(t, r.Load.Requests)
 	assert.Len(t, r.Middle, 2)
 }
 
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -40,11 +40,11 @@
 func Worst(ctx context.Context, e *experiment.Experiment, o Options) (Found, error) {
 	rng := rand.New(rand.NewPCG(o.Seed, 21))
 	base := *e
-	base.Trouble = nil
+	base.Faults = nil
 	f := Found{}
-	score := func(troubles []experiment.Trouble) (float64, bool, error) {
+	score := func(troubles []experiment.Fault) (float64, bool, error) {
 		x := base
-		x.Trouble = troubles
+		x.Faults = troubles
 		f.Played++
 		r, err := runner.Virtual(ctx, &x, virtual.Options{})
 		if err != nil {
@@ -59,7 +59,7 @@
 	if f.Calm, _, err = score(nil); err != nil {
 		return f, err
 	}
-	worst, least := e.Trouble, math.Inf(1)
+	worst, least := e.Faults, math.Inf(1)
 	if len(worst) > 0 {
 		if least, f.Broken, err = score(worst); err != nil {
 			return f, err
@@ -67,7 +67,7 @@
 	}
 	for k := range o.Rounds {
 		// Half of the draws change the worst so far, the others begin anew.
-		var next []experiment.Trouble
+		var next []experiment.Fault
 		if len(worst) > 0 && rng.IntN(2) == 0 {
 			next = slices.Clone(worst)
 			next[rng.IntN(len(next))] = draw(e, rng)
@@ -88,17 +88,17 @@
 	f.Service = least
 	worst, f.Shrunk, err = shrink(worst, least, f.Calm, f.Broken, o, score)
 	x := base
-	x.Trouble = worst
+	x.Faults = worst
 	f.Experiment = &x
 	return f, err
 }
 
 // shrink takes troubles out one by one, then halves what is left of each, as long as most of the loss stays.
-func shrink(t []experiment.Trouble, least, calm float64, broken bool, o Options,
-	score func([]experiment.Trouble) (float64, bool, error)) ([]experiment.Trouble, float64, error) {
+func shrink(t []experiment.Fault, least, calm float64, broken bool, o Options,
+	score func([]experiment.Fault) (float64, bool, error)) ([]experiment.Fault, float64, error) {
 	bound := calm - o.Keep*(calm-least)
 	now := least
-	try := func(next []experiment.Trouble) (bool, error) {
+	try := func(next []experiment.Fault) (bool, error) {
 		s, b, err := score(next)
 		if err != nil || (broken && !b) || (!broken && s > bound) {
 			return false, err
@@ -119,7 +119,7 @@
 	}
 	for i := range t {
 		next := slices.Clone(t)
-		next[i].For = math.Ceil(next[i].For / 2)
+		next[i].DurationSeconds = math.Ceil(next[i].DurationSeconds / 2)
 		if _, err := try(next); err != nil {
 			return t, now, err
 		}
@@ -128,32 +128,32 @@
 }
 
 // draw makes one trouble somewhere in the middle of the experiment.
-func draw(e *experiment.Experiment, rng *rand.Rand) experiment.Trouble {
-	t := experiment.Trouble{Kind: experiment.Kinds[rng.IntN(len(experiment.Kinds))]}
-	for t.Kind == experiment.Cut && len(e.Fleet.Zones) < 2 {
-		t.Kind = experiment.Kinds[rng.IntN(len(experiment.Kinds))]
+func draw(e *experiment.Experiment, rng *rand.Rand) experiment.Fault {
+	t := experiment.Fault{Kind: experiment.FaultKinds[rng.IntN(len(experiment.FaultKinds))]}
+	for t.Kind == experiment.FaultZonePartition && len(e.Fleet.Zones) < 2 {
+		t.Kind = experiment.FaultKinds[rng.IntN(len(experiment.FaultKinds))]
 	}
 	round := func(from, to float64) float64 { return math.Round((from+(to-from)*rng.Float64())*100) / 100 }
-	t.At = round(0.1*e.Seconds, 0.6*e.Seconds)
-	t.For = round(2, 0.35*e.Seconds)
+	t.StartSeconds = round(0.1*e.Seconds, 0.6*e.Seconds)
+	t.DurationSeconds = round(2, 0.35*e.Seconds)
 	t.Share = round(0.1, 0.5)
 	t.Factor = 1
 	switch t.Kind {
-	case experiment.Errors:
+	case experiment.FaultErrors:
 		t.Chance = round(0.3, 0.9)
-	case experiment.Slow:
+	case experiment.FaultSlow:
 		t.Factor = round(2, 8)
-	case experiment.Burst:
+	case experiment.FaultBurst:
 		t.Factor = round(1.2, 2.5)
-	case experiment.Lies:
+	case experiment.FaultWrongReports:
 		t.Factor = round(0.1, 5)
-	case experiment.ListLate:
+	case experiment.FaultListDelay:
 		t.Factor = round(3, 12)
-	case experiment.Pauses:
+	case experiment.FaultPauses:
 		t.EveryMs, t.PauseMs = round(1000, 4000), round(100, 500)
-	case experiment.Costly:
-		t.Category, t.Chance, t.Factor = e.Category[rng.IntN(len(e.Category))].Name, round(0.005, 0.03), round(5, 25)
-	case experiment.Cut:
+	case experiment.FaultCostly:
+		t.Class, t.Chance, t.Factor = e.Classes[rng.IntN(len(e.Classes))].Name, round(0.005, 0.03), round(5, 25)
+	case experiment.FaultZonePartition:
 		t.Zone = e.Fleet.Zones[rng.IntN(len(e.Fleet.Zones))]
 	}
 	return t
--- a/internal/lab/virtual/attempts.go
+++ b/internal/lab/virtual/attempts.go
@@ -76,7 +76,7 @@
 
 // isUsable reports whether an idle connection leads to the backend's current process and is young enough.
 func (s *simulation) isUsable(connection idleConnection, b *backend) bool {
-	return s.now-connection.since < idleTimeoutShare*s.experiment.Fleet.IdleMs && connection.incarnation == b.incarnation
+	return s.now-connection.since < idleTimeoutShare*s.experiment.Fleet.IdleTimeoutMs && connection.incarnation == b.incarnation
 }
 
 // connect establishes a new connection for an attempt, and sends the request when it is up.
@@ -86,7 +86,7 @@
 	roundTrip := 2 * s.oneWayDelay(n.zone, target.zone)
 	switch {
 	case s.isUnreachable(n, target):
-		s.schedule(s.now+s.experiment.Fleet.ConnectMs, func() { s.endAttempt(a, balancer.OutcomeConnectFailed) })
+		s.schedule(s.now+s.experiment.Fleet.ConnectTimeoutMs, func() { s.endAttempt(a, balancer.OutcomeConnectFailed) })
 	case !target.Up():
 		s.schedule(s.now+roundTrip, func() { s.endAttempt(a, balancer.OutcomeConnectFailed) })
 	default:
@@ -137,7 +137,7 @@
 		return
 	}
 	a.sent = true
-	s.recorder.Pushed(s.now, target.number, n.zone != target.zone)
+	s.recorder.AttemptStarted(s.now, target.number, n.zone != target.zone)
 	s.recordEvent(invariants.Event{Kind: invariants.AttemptStarted, Node: n.number, Request: a.request.ID, Attempt: a.decided.Number,
 		Backend: target.number, Work: a.request.try.request.Work})
 	if s.isUnreachable(n, target) {
--- a/internal/lab/virtual/backends.go
+++ b/internal/lab/virtual/backends.go
@@ -97,7 +97,7 @@
 		if n.incarnation != incarnation || a.ended {
 			return
 		}
-		if s.experiment.Backend.Report && outcome == balancer.OutcomeAnswered && report.ServiceTime > 0 {
+		if s.experiment.Backend.SendsReports && outcome == balancer.OutcomeAnswered && report.ServiceTime > 0 {
 			n.decider.LoadReported(s.now, a.decided.Backend, report)
 		}
 		s.endAttempt(a, outcome)
@@ -152,7 +152,7 @@
 	b.Drain(s.now)
 	s.updateList(b, balancer.BackendDraining)
 	incarnation := b.incarnation
-	s.schedule(s.now+s.experiment.List.DrainNoticeMs, func() {
+	s.schedule(s.now+s.experiment.EndpointList.DrainNoticeMs, func() {
 		if b.incarnation == incarnation && b.Draining() {
 			s.stopBackend(b, false)
 			s.updateList(b, balancer.BackendRemoved)
--- a/internal/lab/virtual/clients.go
+++ b/internal/lab/virtual/clients.go
@@ -19,11 +19,11 @@
 
 // requestArrives takes the next request from the workload, and schedules the one after it.
 func (s *simulation) requestArrives() {
-	if request := s.source.Arrive(); request != nil && request.ArrivesAt < s.experiment.Length() {
-		s.recorder.Asked(request)
+	if request := s.source.Arrive(); request != nil && request.ArrivesAt < s.experiment.LengthMs() {
+		s.recorder.RequestArrived(request)
 		s.sendRequest(request, 0)
 	}
-	if next := s.source.NextArrival(); next < s.experiment.Length() {
+	if next := s.source.NextArrival(); next < s.experiment.LengthMs() {
 		s.schedule(next, s.requestArrives)
 	}
 }
@@ -44,9 +44,9 @@
 
 // sendRequest has a client send its request, number counting its tries from 0.
 func (s *simulation) sendRequest(request *workload.Request, number int) {
-	s.recorder.Tried()
+	s.recorder.RequestSent()
 	try := &clientTry{request: request, number: number, node: s.pickNode(request.Zone)}
-	nearMs := s.experiment.Fleet.NearMs
+	nearMs := s.experiment.Fleet.LocalDelayMs
 	if try.node == nil {
 		s.schedule(s.now+nearMs, func() { s.finishTry(try, workload.OutcomeUnreachable, 0) })
 		return
@@ -66,7 +66,7 @@
 		return
 	}
 	try.closed = true
-	s.recorder.Over(try.request)
+	s.recorder.RequestEnded(try.request)
 	s.recordEvent(invariants.Event{Kind: invariants.ClientGone, Request: workload.TryID(try.request.ID, try.number)})
 	s.closeClientConnection(try)
 }
@@ -76,14 +76,14 @@
 	if try.closed {
 		return
 	}
-	s.recorder.GaveUp()
+	s.recorder.ClientTimedOut()
 	s.closeClientConnection(try)
 	s.finishTry(try, workload.OutcomeLost, 0)
 }
 
 // closeClientConnection lets the node notice, one network delay later, that its client is gone.
 func (s *simulation) closeClientConnection(try *clientTry) {
-	s.schedule(s.now+s.experiment.Fleet.NearMs, func() {
+	s.schedule(s.now+s.experiment.Fleet.LocalDelayMs, func() {
 		request := try.handled
 		if request == nil || request.answered || request.node.requests[request.ID] != request {
 			return
@@ -104,16 +104,16 @@
 	try.closed = true
 	switch outcome {
 	case workload.OutcomeServed:
-		s.recorder.Served(try.request, s.now)
+		s.recorder.RequestServed(try.request, s.now)
 		return
 	case workload.OutcomeUnreachable:
-		s.recorder.Unreached()
+		s.recorder.NodeUnreachable()
 	}
 	if wait, again := s.source.Retry(try.request, try.number, outcome, retryAfter); again {
 		s.schedule(s.now+wait, func() { s.sendRequest(try.request, try.number+1) })
 		return
 	}
-	s.recorder.Over(try.request)
+	s.recorder.RequestEnded(try.request)
 }
 
 // receiveRequest has a node accept a request that was sent at sentAt by a client with a timeout of patience ms.
@@ -123,7 +123,7 @@
 		return
 	}
 	if !n.alive {
-		s.schedule(s.now+s.experiment.Fleet.NearMs, func() { s.finishTry(try, workload.OutcomeUnreachable, 0) })
+		s.schedule(s.now+s.experiment.Fleet.LocalDelayMs, func() { s.finishTry(try, workload.OutcomeUnreachable, 0) })
 		return
 	}
 	sent := try.request
--- a/internal/lab/virtual/discovery.go
+++ b/internal/lab/virtual/discovery.go
@@ -45,7 +45,7 @@
 // go on using a backend that disappears while it is ready, since a list that is wrongly empty must not cause an outage;
 // then the adapter doesn't stand in its way.
 func (s *simulation) setListedState(n *node, backendNumber int, state balancer.BackendState, started float64) {
-	isDoubtful := state == balancer.BackendRemoved && n.listed[backendNumber] == balancer.BackendReady && s.experiment.Rules.RemovalNotBinding
+	isDoubtful := state == balancer.BackendRemoved && n.listed[backendNumber] == balancer.BackendReady && s.experiment.Rules.RemovalIsHint
 	if !isDoubtful {
 		n.listed[backendNumber] = state
 	}
@@ -63,7 +63,7 @@
 	}
 	n.polling = true
 	incarnation := n.incarnation
-	s.schedule(s.now+s.experiment.Fleet.NearMs, func() {
+	s.schedule(s.now+s.experiment.Fleet.LocalDelayMs, func() {
 		if n.incarnation != incarnation || !n.alive {
 			return
 		}
@@ -71,7 +71,7 @@
 		if s.faults.ListDown() {
 			done, ok = s.now+failedPollMs, false
 		}
-		s.schedule(done+s.experiment.Fleet.NearMs, func() {
+		s.schedule(done+s.experiment.Fleet.LocalDelayMs, func() {
 			if n.incarnation == incarnation && n.alive {
 				s.pollEnded(n, ok)
 			}
@@ -126,7 +126,7 @@
 		}
 		incarnation := n.incarnation
 		done, ok := s.callDiscovery(n)
-		s.schedule(done+s.experiment.Fleet.NearMs, func() {
+		s.schedule(done+s.experiment.Fleet.LocalDelayMs, func() {
 			if n.incarnation == incarnation && n.watching {
 				s.watchEvent(n, ok)
 			}
@@ -152,7 +152,7 @@
 	}
 	n.watching = false
 	incarnation := n.incarnation
-	s.schedule(s.now+s.experiment.Fleet.NearMs, func() {
+	s.schedule(s.now+s.experiment.Fleet.LocalDelayMs, func() {
 		if n.incarnation == incarnation && n.alive {
 			n.decider.PollFailed(s.now)
 			s.carryOutDecisions(n)
--- a/internal/lab/virtual/events.go
+++ b/internal/lab/virtual/events.go
@@ -44,7 +44,7 @@
 func (s *simulation) processEvents() {
 	for len(s.events) > 0 {
 		next := heap.Pop(&s.events).(event)
-		if next.at > s.experiment.Length() && s.recorder.Open() == 0 {
+		if next.at > s.experiment.LengthMs() && s.recorder.OpenRequests() == 0 {
 			return
 		}
 		s.now = next.at
--- a/internal/lab/virtual/faults.go
+++ b/internal/lab/virtual/faults.go
@@ -8,15 +8,15 @@
 
 // scheduleFaults schedules the beginning and the end of each of the experiment's faults, and returns their spans for
 // the result.
-func (s *simulation) scheduleFaults() []metrics.Trouble {
-	var spans []metrics.Trouble
+func (s *simulation) scheduleFaults() []metrics.FaultSpan {
+	var spans []metrics.FaultSpan
 	for _, transition := range s.transitions {
 		s.schedule(transition.At, func() { s.applyTransition(transition) })
 		if !transition.On {
 			continue
 		}
-		fault := s.experiment.Trouble[transition.Index]
-		spans = append(spans, metrics.Trouble{Kind: fault.Kind, From: fault.At * 1e3, To: fault.Ends(), Targets: transition.Targets})
+		fault := s.experiment.Faults[transition.Index]
+		spans = append(spans, metrics.FaultSpan{Kind: fault.Kind, From: fault.StartSeconds * 1e3, To: fault.EndMs(), Targets: transition.Targets})
 	}
 	return spans
 }
@@ -25,13 +25,13 @@
 // workload and the network ask.
 func (s *simulation) applyTransition(transition faults.Transition) {
 	s.faults.Apply(transition)
-	switch kind := s.experiment.Trouble[transition.Index].Kind; kind {
-	case experiment.Swallow, experiment.Errors, experiment.Slow, experiment.Pauses, experiment.Lies, experiment.Stuck,
-		experiment.Crash, experiment.Vanish, experiment.Shrink, experiment.Join:
+	switch kind := s.experiment.Faults[transition.Index].Kind; kind {
+	case experiment.FaultSwallow, experiment.FaultErrors, experiment.FaultSlow, experiment.FaultPauses, experiment.FaultWrongReports, experiment.FaultStuckReports,
+		experiment.FaultCrash, experiment.FaultMachineLoss, experiment.FaultScaleDown, experiment.FaultScaleUp:
 		for _, number := range transition.Targets {
 			s.applyBackendFault(s.backends[number], kind, transition.On)
 		}
-	case experiment.Nodes:
+	case experiment.FaultNodeCrash:
 		for _, number := range transition.Targets {
 			if transition.On {
 				s.killNode(s.nodes[number])
@@ -39,11 +39,11 @@
 				s.restartNode(s.nodes[number])
 			}
 		}
-	case experiment.ListEmpty:
+	case experiment.FaultListEmpty:
 		s.emptyList(transition.On)
-	case experiment.Squeeze:
+	case experiment.FaultConnectionLimit:
 		s.closeIdleConnections(transition.Targets)
-	case experiment.ListDown:
+	case experiment.FaultListDown:
 		if transition.On {
 			for _, n := range s.nodes {
 				s.breakWatch(n)
@@ -55,19 +55,19 @@
 // switchBackendFault begins or ends a fault at one backend.
 func (s *simulation) applyBackendFault(b *backend, kind string, on bool) {
 	switch kind {
-	case experiment.Crash, experiment.Vanish:
+	case experiment.FaultCrash, experiment.FaultMachineLoss:
 		if on {
-			s.crashBackend(b, kind == experiment.Vanish)
+			s.crashBackend(b, kind == experiment.FaultMachineLoss)
 		} else {
 			s.restartBackend(b)
 		}
-	case experiment.Shrink:
+	case experiment.FaultScaleDown:
 		if on {
 			s.drainBackend(b)
 		} else {
 			s.restartBackend(b)
 		}
-	case experiment.Join:
+	case experiment.FaultScaleUp:
 		if on {
 			s.restartBackend(b)
 		}
--- a/internal/lab/virtual/nodes.go
+++ b/internal/lab/virtual/nodes.go
@@ -68,7 +68,7 @@
 	n.requests = map[uint64]*request{}
 	n.version = version
 	seed := rand.New(rand.NewPCG(s.seed, uint64(n.number)<<20+uint64(n.incarnation)+5)).Uint64()
-	config := s.experiment.Terms(n.zone, seed)
+	config := s.experiment.BalancerConfig(n.zone, seed)
 	config.NodeIndex = n.number
 	decider, err := baselines.New(s.experiment.Policy, config, s.now, s.omniscientEstimate(n))
 	if err != nil {
@@ -79,7 +79,7 @@
 		n.decider = s.options.Wrap(n.number, n.incarnation, n.decider, config, s.now)
 	}
 	s.applyEndpoints(n, cached, true, true)
-	if !s.experiment.List.MustAsk {
+	if !s.experiment.EndpointList.PollOnly {
 		s.pollEndpoints(n)
 	}
 	s.carryOutDecisions(n)
@@ -100,7 +100,7 @@
 		}
 		estimate := b.Backlog(now) + work/b.CoreRate() + 2*s.oneWayDelay(n.zone, b.zone)
 		if n.zone != b.zone { // cross-zone traffic costs money: its price in terms of the latency objective
-			estimate += s.experiment.Fleet.CrossPrice * s.experiment.Category[r.Class].TargetMs
+			estimate += s.experiment.Fleet.CrossZoneCost * s.experiment.Classes[r.Class].LatencyObjectiveMs
 		}
 		return estimate
 	}
@@ -129,7 +129,7 @@
 			}
 		}
 		if !lost.answered {
-			s.schedule(s.now+s.experiment.Fleet.NearMs, func() { s.finishTry(lost.try, workload.OutcomeLost, 0) })
+			s.schedule(s.now+s.experiment.Fleet.LocalDelayMs, func() { s.finishTry(lost.try, workload.OutcomeLost, 0) })
 		}
 	}
 	n.requests = map[uint64]*request{}
@@ -141,7 +141,7 @@
 	if n.alive {
 		return
 	}
-	cached, version := s.discovery.ListAt(n.diedAt - s.experiment.List.OldByMs)
+	cached, version := s.discovery.ListAt(n.diedAt - s.experiment.EndpointList.StaleByMs)
 	if version == 0 {
 		cached, version = s.discovery.ListAt(0)
 	}
@@ -195,9 +195,9 @@
 		return
 	}
 	r.answered = true
-	s.recorder.Final(s.now, answer)
+	s.recorder.NodeAnswered(s.now, answer)
 	s.recordEvent(invariants.Event{Kind: invariants.RequestAnswered, Node: r.node.number, Request: r.ID, Answer: answer, Attempt: invariants.AnyAttempt})
-	s.schedule(s.now+s.experiment.Fleet.NearMs, func() { s.finishTry(r.try, clientOutcomes[answer], retryAfter) })
+	s.schedule(s.now+s.experiment.Fleet.LocalDelayMs, func() { s.finishTry(r.try, clientOutcomes[answer], retryAfter) })
 	s.removeFinished(r)
 }
 
--- a/internal/lab/virtual/simulation.go
+++ b/internal/lab/virtual/simulation.go
@@ -37,7 +37,7 @@
 // Run runs an experiment on one seed. It returns ErrOperated for an experiment that needs real processes, and an
 // error if the experiment's policy can't be built.
 func Run(e *experiment.Experiment, seed uint64, options Options) (metrics.Run, error) {
-	if e.Operated() {
+	if e.NeedsOperator() {
 		return metrics.Run{}, ErrOperated
 	}
 	s, err := newSimulation(e, seed, options)
@@ -87,7 +87,7 @@
 		recorder:    metrics.New(e, seed),
 		faults:      faults.NewState(e),
 		transitions: faults.Schedule(e, seed),
-		discovery:   discoverystub.New(e.List.LinesPerSecond),
+		discovery:   discoverystub.New(e.EndpointList.UpdatesPerSecond),
 		nodesByZone: make([][]*node, zones),
 		nextNode:    make([]int, zones),
 		sampledWork: make([]float64, e.Fleet.Backends),
@@ -112,7 +112,7 @@
 	for number := range s.experiment.Fleet.Backends {
 		rng := rand.New(rand.NewPCG(s.seed, uint64(number)+1000))
 		b := &backend{
-			Machine:  backendmodel.New(s.experiment.MachineKind(number), rng),
+			Machine:  backendmodel.New(s.experiment.BackendSpec(number), rng),
 			number:   number,
 			zone:     number % len(s.experiment.Fleet.Zones),
 			kind:     s.experiment.MachineOf(number),
@@ -132,7 +132,7 @@
 func (s *simulation) run() metrics.Run {
 	spans := s.scheduleFaults()
 	s.schedule(s.source.NextArrival(), s.requestArrives)
-	s.schedule(metrics.Look, s.sampleLoad)
+	s.schedule(metrics.LoadInterval, s.sampleLoad)
 	s.processEvents()
 	s.auditor.Finish(s.now + requestsSettledMs)
 	worked := 0.0
@@ -160,21 +160,21 @@
 	for number, b := range s.backends {
 		s.advanceBackend(b) // its work is accounted up to its latest event, which may be long ago
 		all, _ := b.WorkDone()
-		busy[number] = math.Round((all-s.sampledWork[number])/(b.Capacity()*metrics.Look)*1e3) / 1e3
+		busy[number] = math.Round((all-s.sampledWork[number])/(b.Capacity()*metrics.LoadInterval)*1e3) / 1e3
 		s.sampledWork[number] = all
 	}
-	s.recorder.Load(s.now, busy)
-	if s.now+metrics.Look <= s.experiment.Length() {
-		s.schedule(s.now+metrics.Look, s.sampleLoad)
+	s.recorder.RecordLoad(s.now, busy)
+	if s.now+metrics.LoadInterval <= s.experiment.LengthMs() {
+		s.schedule(s.now+metrics.LoadInterval, s.sampleLoad)
 	}
 }
 
 // oneWayDelay returns the network delay from one zone to another, in ms.
 func (s *simulation) oneWayDelay(from, to int) float64 {
 	if from == to {
-		return s.experiment.Fleet.NearMs
+		return s.experiment.Fleet.LocalDelayMs
 	}
-	return s.experiment.Fleet.DelayMs
+	return s.experiment.Fleet.CrossZoneDelayMs
 }
 
 // isUnreachable reports whether packets between a node and a backend get lost without an error.
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -38,7 +38,7 @@
 	for _, file := range files {
 		e, err := experiment.Read(file)
 		require.NoError(t, err)
-		if e.Operated() { // run on sockets by the tests of internal/lab/loopback
+		if e.NeedsOperator() { // run on sockets by the tests of internal/lab/loopback
 			_, err := Run(e, 1, Options{})
 			assert.ErrorIs(t, err, ErrOperated)
 			assert.ErrorContains(t, err, "only on sockets")
@@ -51,9 +51,9 @@
 			t.Parallel()
 			run, err := Run(e, 1, Options{})
 			require.NoError(t, err)
-			assert.True(t, run.Rules.Kept, run.Rules.Breaches)
+			assert.True(t, run.Verdict.Kept, run.Verdict.Evidence)
 			assert.Greater(t, run.Service, 0.85)
-			assert.Greater(t, run.Ops, 1000)
+			assert.Greater(t, run.Requests, 1000)
 		})
 	}
 }
@@ -116,14 +116,14 @@
 func TestBaselineBreaksSlowStart(t *testing.T) {
 	e := readShipped(t, "cold-rush")
 	e.Policy = "fewest"
-	e.Backend.FallMultiple = 1.2
+	e.Backend.OverloadMultiple = 1.2
 	run, err := Run(e, 1, Options{})
 	require.NoError(t, err)
-	assert.Positive(t, run.Rules.Counts[invariants.SlowStartPerNode-1])
-	assert.Positive(t, run.Fallen)
-	assert.Zero(t, run.Rules.Counts[invariants.NoRequestLost-1], run.Rules.Breaches)
-	assert.Zero(t, run.Rules.Counts[invariants.NoEffectTwice-1], run.Rules.Breaches)
-	assert.Zero(t, run.Rules.Counts[invariants.DrainRespected-1], run.Rules.Breaches)
+	assert.Positive(t, run.Verdict.Violations[invariants.SlowStartPerNode-1])
+	assert.Positive(t, run.BackendCrashes)
+	assert.Zero(t, run.Verdict.Violations[invariants.NoRequestLost-1], run.Verdict.Evidence)
+	assert.Zero(t, run.Verdict.Violations[invariants.NoEffectTwice-1], run.Verdict.Evidence)
+	assert.Zero(t, run.Verdict.Violations[invariants.DrainRespected-1], run.Verdict.Evidence)
 }
 
 // The policies must rank as expected, or the model is wrong: the balancer serves more than the simple baselines, and
@@ -152,41 +152,41 @@
 			t.Fatal(err)
 		}
 		e.Seconds = 8
-		e.List.DrainNoticeMs = 1000
+		e.EndpointList.DrainNoticeMs = 1000
 		e.Clients.Load = rapid.Float64Range(0.2, 1.3).Draw(t, "load")
 		for range rapid.IntRange(1, 4).Draw(t, "faults") {
-			e.Trouble = append(e.Trouble, drawFault(t, e.Fleet.Zones))
+			e.Faults = append(e.Faults, drawFault(t, e.Fleet.Zones))
 		}
 		run, err := Run(e, rapid.Uint64().Draw(t, "seed"), Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !run.Rules.Kept {
-			t.Fatalf("%v", run.Rules.Breaches[0])
+		if !run.Verdict.Kept {
+			t.Fatalf("%v", run.Verdict.Evidence[0])
 		}
 		requests := 0
-		for _, class := range run.Categories {
-			requests += class.Ops
+		for _, class := range run.Classes {
+			requests += class.Requests
 		}
-		if requests != run.Ops || run.Service < 0 || run.Service > 1+1e-9 {
-			t.Fatalf("%d requests by class of %d, service %v", requests, run.Ops, run.Service)
+		if requests != run.Requests || run.Service < 0 || run.Service > 1+1e-9 {
+			t.Fatalf("%d requests by class of %d, service %v", requests, run.Requests, run.Service)
 		}
 	})
 }
 
 // drawFault draws a fault of any kind.
-func drawFault(t *rapid.T, zones []string) experiment.Trouble {
-	return experiment.Trouble{
-		Kind:     rapid.SampledFrom(experiment.Kinds).Draw(t, "kind"),
-		At:       rapid.Float64Range(0, 5).Draw(t, "at"),
-		For:      rapid.Float64Range(0.1, 4).Draw(t, "for"),
-		Share:    rapid.Float64Range(0.1, 1).Draw(t, "share"),
-		Factor:   rapid.Float64Range(1, 6).Draw(t, "factor"),
-		Chance:   0.5,
-		EveryMs:  700,
-		PauseMs:  200,
-		Zone:     rapid.SampledFrom(zones).Draw(t, "zone"),
-		Category: "pay",
+func drawFault(t *rapid.T, zones []string) experiment.Fault {
+	return experiment.Fault{
+		Kind:            rapid.SampledFrom(experiment.FaultKinds).Draw(t, "kind"),
+		StartSeconds:    rapid.Float64Range(0, 5).Draw(t, "at"),
+		DurationSeconds: rapid.Float64Range(0.1, 4).Draw(t, "for"),
+		Share:           rapid.Float64Range(0.1, 1).Draw(t, "share"),
+		Factor:          rapid.Float64Range(1, 6).Draw(t, "factor"),
+		Chance:          0.5,
+		EveryMs:         700,
+		PauseMs:         200,
+		Zone:            rapid.SampledFrom(zones).Draw(t, "zone"),
+		Class:           "pay",
 	}
 }
 
@@ -199,7 +199,7 @@
 	for range b.N {
 		run, err := Run(e, 1, Options{})
 		require.NoError(b, err)
-		requests, events = requests+run.Ops, events+run.Events
+		requests, events = requests+run.Requests, events+run.Events
 	}
 	b.ReportMetric(float64(requests)/b.Elapsed().Seconds(), "ops/s")
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(events), "ns/event")
@@ -216,7 +216,7 @@
 	require.NoError(t, err)
 	sum := 0.0
 	for _, window := range run.Windows {
-		for _, utilization := range window.Load {
+		for _, utilization := range window.BusyShares {
 			assert.LessOrEqual(t, utilization, 1.001)
 			sum += utilization
 		}
@@ -228,11 +228,11 @@
 // policy that knows nothing of keys is found to break it.
 func TestAuditorJudgesOrder(t *testing.T) {
 	e := readShipped(t, "list-empty")
-	e.Seconds, e.Clients.Keys, e.Policy, e.Trouble = 10, 20, "random", nil
+	e.Seconds, e.Clients.Keys, e.Policy, e.Faults = 10, 20, "random", nil
 	run, err := Run(e, 1, Options{})
 	require.NoError(t, err)
-	require.False(t, run.Rules.Kept)
-	assert.Contains(t, fmt.Sprint(run.Rules.Breaches), "order kept")
+	require.False(t, run.Verdict.Kept)
+	assert.Contains(t, fmt.Sprint(run.Verdict.Evidence), "order kept")
 }
 
 // Many nodes that know nothing of one another must together stay within a cold backend's slow start, when backends join
@@ -252,15 +252,15 @@
 					case invariants.AttemptStarted:
 						from, started := startedAt[event.Backend]
 						assert.True(t, started, "backend %d before it joined", event.Backend)
-						if from > 0 && event.At < from+e.Backend.WarmWithinMs {
+						if from > 0 && event.At < from+e.Backend.WarmupMs {
 							attemptsToCold++
 						}
 					}
 				}
 				run, err := Run(e, seed, Options{Watch: watch})
 				require.NoError(t, err)
-				assert.True(t, run.Rules.Kept, run.Rules.Breaches)
-				assert.Zero(t, run.Fallen)
+				assert.True(t, run.Verdict.Kept, run.Verdict.Evidence)
+				assert.Zero(t, run.BackendCrashes)
 				assert.Len(t, startedAt, e.Fleet.Backends, "all have joined")
 				assert.Greater(t, attemptsToCold, 300)
 			})
@@ -276,20 +276,20 @@
 			t.Parallel()
 			e := readShipped(t, "cold-ramp-30")
 			e.Fleet.Zones, e.Fleet.Backends = []string{"east", "hill", "west"}, 10
-			e.List.LagMs = 3000
+			e.EndpointList.LagMs = 3000
 			e.Clients.Hints, e.Clients.Retries = "misleading", 0
-			e.Backend.ColdFrom, e.Backend.WarmWithinMs, e.Backend.OverloadForMs = 0.35, 20e3, 500
-			for class := range e.Category {
-				e.Category[class].TargetMs, e.Category[class].TTLMs = 8000, 16000
+			e.Backend.ColdSpeedShare, e.Backend.WarmupMs, e.Backend.OverloadWindowMs = 0.35, 20e3, 500
+			for class := range e.Classes {
+				e.Classes[class].LatencyObjectiveMs, e.Classes[class].DeadlineMs = 8000, 16000
 			}
 			for i, share := range []float64{0.29, 0.33, 0} {
-				e.Trouble[i].Share = share
+				e.Faults[i].Share = share
 			}
-			e.Trouble[2].Factor = 1.92
+			e.Faults[2].Factor = 1.92
 			run, err := Run(e, seed+1, Options{})
 			require.NoError(t, err)
-			assert.Zero(t, run.Rules.Counts[invariants.SlowStartFleetwide-1], run.Rules.Breaches)
-			assert.Zero(t, run.Fallen)
+			assert.Zero(t, run.Verdict.Violations[invariants.SlowStartFleetwide-1], run.Verdict.Evidence)
+			assert.Zero(t, run.BackendCrashes)
 		})
 	}
 }
--- a/internal/lab/workload/client.go
+++ b/internal/lab/workload/client.go
@@ -34,10 +34,10 @@
 func (s *Source) Behavior(request *Request, number int) Behavior {
 	rng := rand.New(rand.NewPCG(s.seed, request.ID<<8+1+uint64(number)))
 	clients := s.experiment.Clients
-	from, to := clients.GiveUp[0], clients.GiveUp[1]
-	ttl := s.experiment.Category[request.Class].TTLMs
+	from, to := clients.TimeoutShare[0], clients.TimeoutShare[1]
+	ttl := s.experiment.Classes[request.Class].DeadlineMs
 	behavior := Behavior{Timeout: math.Max(1, math.Floor(ttl*(from+(to-from)*rng.Float64())))}
-	if rng.Float64() < clients.Leave {
+	if rng.Float64() < clients.LeaveShare {
 		behavior.DisconnectAfter = behavior.Timeout * rng.Float64()
 	}
 	return behavior
@@ -50,14 +50,14 @@
 	if number >= clients.Retries || outcome == OutcomeServed {
 		return 0, false
 	}
-	if outcome == OutcomeLost && s.experiment.Category[request.Class].Effect != "redeliverable" {
+	if outcome == OutcomeLost && s.experiment.Classes[request.Class].Idempotency != "redeliverable" {
 		return 0, false
 	}
 	rng := rand.New(rand.NewPCG(s.seed, request.ID<<8+101+uint64(number)))
-	if outcome == OutcomeRejected && clients.HeedsWait && retryAfter > 0 {
+	if outcome == OutcomeRejected && clients.HonorRetryAfter && retryAfter > 0 {
 		return retryAfter, true
 	}
-	return clients.RetryWaitMs * (0.5 + rng.Float64()), true
+	return clients.RetryBackoffMs * (0.5 + rng.Float64()), true
 }
 
 // EarnedShare returns the share of its priority weight that a request earns when it is served after so long.
--- a/internal/lab/workload/source.go
+++ b/internal/lab/workload/source.go
@@ -51,19 +51,19 @@
 
 // New returns a source. It asks the state for the bursts, and for the requests that are costly or poison.
 func New(e *experiment.Experiment, state *faults.State, seed uint64) *Source {
-	s := &Source{experiment: e, faults: state, rng: rand.New(rand.NewPCG(seed, 1)), seed: seed, rate: e.Rate() / 1e3}
-	s.peak = s.rate * e.MostMultiple() * faults.MaxLoadFactor(e)
+	s := &Source{experiment: e, faults: state, rng: rand.New(rand.NewPCG(seed, 1)), seed: seed, rate: e.RequestsPerSecond() / 1e3}
+	s.peak = s.rate * e.MaxMultiple() * faults.MaxLoadFactor(e)
 	for zone := range e.Fleet.Zones {
 		weight := 1.0
-		if len(e.Fleet.NodeWeights) > 0 {
-			weight = e.Fleet.NodeWeights[zone]
+		if len(e.Fleet.ZoneTraffic) > 0 {
+			weight = e.Fleet.ZoneTraffic[zone]
 		}
 		if zone >= e.Fleet.Nodes { // the zone has no node, so its clients are in other zones
 			weight = 0
 		}
 		s.zoneWeights = append(s.zoneWeights, weight)
 	}
-	for _, class := range e.Category {
+	for _, class := range e.Classes {
 		s.classWeights = append(s.classWeights, class.Share)
 	}
 	s.drawNextArrival()
@@ -96,8 +96,8 @@
 	request := &Request{ID: id, ArrivesAt: at}
 	request.Zone = choose(rng, s.zoneWeights)
 	request.Class = choose(rng, s.classWeights)
-	class := s.experiment.Category[request.Class]
-	request.Work = logNormal(rng, class.WorkMs, class.Spread)
+	class := s.experiment.Classes[request.Class]
+	request.Work = logNormal(rng, class.WorkMs, class.WorkSpread)
 	hintNoise := rng.NormFloat64()
 	otherWork := logNormal(rng, class.WorkMs, otherSpread)
 	costDraw := rng.Float64()
--- a/internal/lab/workload/workload_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -65,7 +65,7 @@
 
 // generate returns all requests of an experiment.
 func generate(s *Source, e *experiment.Experiment) (requests []*Request) {
-	for s.NextArrival() < e.Length() {
+	for s.NextArrival() < e.LengthMs() {
 		if request := s.Arrive(); request != nil {
 			requests = append(requests, request)
 		}
