--- a/internal/lab/metrics/metrics.go
+++ b/internal/lab/metrics/metrics.go
@@ -66,7 +66,7 @@
 	Events              uint64        `json:"events,omitempty"`             // of the event loop
 }
 
-// ServiceByClass is one category's part.
+// ClassResult is the part of one class of requests.
 type ClassResult struct {
 	Name      string     `json:"name"`
 	Requests  int        `json:"ops"`
