--- a/cmd/pearknot/call.go
+++ b/cmd/pearknot/call.go
@@ -19,7 +19,7 @@
 	var timeout time.Duration
 	command := &cobra.Command{
 		Use:   "call ADDRESS health|cordon ID|uncordon ID|quiesce|resume",
-		Short: "Make a call at a node's second address; 3 where the answer is no, 1 where there is none",
+		Short: "Make a call at a node's admin address; 3 where the answer is no, 1 where there is none",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			return makeCall(command, args[0], strings.Join(args[1:], " "), timeout)
--- a/cmd/pearknot/configchange.go
+++ b/cmd/pearknot/configchange.go
@@ -87,6 +87,23 @@
 	if _, err := controlplane.Parse(text); err != nil {
 		return wrongSettings(file, err)
 	}
+	return t.makeVersion(command, change, func(ctx context.Context, controlPlane *client.ControlPlane, base uint64) (uint64, error) {
+		version, err := controlPlane.Apply(ctx, base, text, change.by, change.reason)
+		var invalid *client.InvalidError
+		if errors.As(err, &invalid) {
+			line, column := settingPlace(text, invalid.Detail)
+			err = &tomlfile.Error{File: file, Line: line, Column: column, What: invalid.Detail}
+		}
+		return version, err
+	})
+}
+
+// makeVersion makes a new version by a call of the control plane, which gets the version that the change is based on, and
+// prints it.
+func (t *configTool) makeVersion(
+	command *cobra.Command, change *changeFlags,
+	call func(ctx context.Context, controlPlane *client.ControlPlane, base uint64) (uint64, error),
+) error {
 	controlPlane, ctx, cancel, err := t.controlPlane(command)
 	if err != nil {
 		return err
@@ -96,12 +113,7 @@
 	if err != nil {
 		return err
 	}
-	version, err := controlPlane.Apply(ctx, base, text, change.by, change.reason)
-	var invalid *client.InvalidError
-	if errors.As(err, &invalid) {
-		line, column := settingPlace(text, invalid.Detail)
-		return &tomlfile.Error{File: file, Line: line, Column: column, What: invalid.Detail}
-	}
+	version, err := call(ctx, controlPlane, base)
 	return t.printVersion(command, version, err)
 }
 
@@ -122,21 +134,14 @@
 }
 
 func (t *configTool) rollback(command *cobra.Command, to uint64, change *changeFlags) error {
-	controlPlane, ctx, cancel, err := t.controlPlane(command)
-	if err != nil {
-		return err
-	}
-	defer cancel()
-	base, err := change.baseVersion(ctx, command, controlPlane)
-	if err != nil {
-		return err
-	}
 	if change.reason == "" {
 		change.reason = fmt.Sprintf("back to version %d", to)
 	}
-	version, err := controlPlane.Rollback(ctx, to, base, change.by, change.reason)
-	if errors.Is(err, client.ErrVersionNotFound) {
-		err = cli.UsageError(fmt.Errorf("version %d: %w", to, err))
-	}
-	return t.printVersion(command, version, err)
+	return t.makeVersion(command, change, func(ctx context.Context, controlPlane *client.ControlPlane, base uint64) (uint64, error) {
+		version, err := controlPlane.Rollback(ctx, to, base, change.by, change.reason)
+		if errors.Is(err, client.ErrVersionNotFound) {
+			err = cli.UsageError(fmt.Errorf("version %d: %w", to, err))
+		}
+		return version, err
+	})
 }
--- a/cmd/pearknot/configstatus.go
+++ b/cmd/pearknot/configstatus.go
@@ -69,8 +69,15 @@
 	}
 	fmt.Fprintf(out, "version %d, digest %.12s, leader %s\n", report.Version, report.Digest, leader)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	printMembers(table, report.Members)
+	printRegions(table, report.Regions)
+	printNodesBehind(table, report.Behind)
+	return table.Flush()
+}
+
+func printMembers(table io.Writer, members []client.ReportMember) {
 	fmt.Fprintln(table, "member\tregion\trole\thead\tage\tnodes\tfollows")
-	for _, member := range report.Members {
+	for _, member := range members {
 		role := "relay"
 		if member.Voter {
 			role = "voter"
@@ -83,15 +90,21 @@
 		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%d\t%s\n", member.Name, member.Region, role,
 			member.Head, formatSeconds(member.StalenessMs), member.Nodes, member.Follows)
 	}
+}
+
+func printRegions(table io.Writer, regions []client.ReportRegion) {
 	fmt.Fprintln(table, "region\tnodes\tbehind\tworst")
-	for _, region := range report.Regions {
+	for _, region := range regions {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%s\n",
 			region.Region, region.Nodes, region.Behind, formatSeconds(&region.WorstBehindMs))
 	}
-	if len(report.Behind) > 0 {
-		fmt.Fprintln(table, "node behind\tregion\tin force\theld\tfor\tmember\trefuses")
+}
+
+func printNodesBehind(table io.Writer, nodes []client.ReportNode) {
+	if len(nodes) > 0 {
+		fmt.Fprintln(table, "node behind\tregion\tin force\tstored\tfor\tmember\trefuses")
 	}
-	for _, node := range report.Behind {
+	for _, node := range nodes {
 		rejection := ""
 		if node.RejectedVersion > node.AppliedVersion {
 			rejection = fmt.Sprintf("%d: %s", node.RejectedVersion, node.RejectReason)
@@ -99,7 +112,6 @@
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%s\t%s\t%s\n", node.Name, node.Region,
 			node.AppliedVersion, node.StoredVersion, formatSeconds(&node.BehindMs), node.Member, rejection)
 	}
-	return table.Flush()
 }
 
 // formatSeconds returns a number of ms as seconds, for a table.
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -261,14 +261,4 @@
 }
 
 // Next returns the next decision; false if there is none.
-func (s *Server) Next() (ServerOutput, bool) {
-	if len(s.outputs) == 0 {
-		return ServerOutput{}, false
-	}
-	output := s.outputs[0]
-	s.outputs[0] = ServerOutput{} // the frame is not kept alive by the backing array
-	if s.outputs = s.outputs[1:]; len(s.outputs) == 0 {
-		s.outputs = nil
-	}
-	return output, true
-}
+func (s *Server) Next() (ServerOutput, bool) { return popFirst(&s.outputs) }
--- a/internal/controlplane/voter.go
+++ b/internal/controlplane/voter.go
@@ -4,8 +4,6 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"io"
-	stdlog "log"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -13,6 +11,8 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"pearknot/internal/raftlogger"
 )
 
 // TickIntervalMs is how often Tick of voters, servers and followers is due.
@@ -81,24 +81,6 @@
 	answered bool
 }
 
-// silentLogger drops what a raft node logs, since the process itself logs what concerns operators. It keeps the panics of the logger
-// that it wraps: a raft node panics when its state is broken, and must not go on. Package requestlog has the same type: the cores of
-// the fleet's parts don't import each other.
-type silentLogger struct{ raft.Logger }
-
-func (silentLogger) Debug(...any)            {}
-func (silentLogger) Debugf(string, ...any)   {}
-func (silentLogger) Info(...any)             {}
-func (silentLogger) Infof(string, ...any)    {}
-func (silentLogger) Warning(...any)          {}
-func (silentLogger) Warningf(string, ...any) {}
-func (silentLogger) Error(...any)            {}
-func (silentLogger) Errorf(string, ...any)   {}
-
-func newSilentLogger() raft.Logger {
-	return silentLogger{&raft.DefaultLogger{Logger: stdlog.New(io.Discard, "", 0)}}
-}
-
 // NewVoter returns a voter that continues from a stored state.
 func NewVoter(config VoterConfig, stored *StoredState, now float64) (*Voter, error) {
 	if !slices.Contains(config.Voters, config.ID) {
@@ -139,7 +121,7 @@
 		CheckQuorum:               true,
 		PreVote:                   true,
 		DisableProposalForwarding: true,
-		Logger:                    newSilentLogger(),
+		Logger:                    raftlogger.NewSilent(),
 	})
 	if err != nil {
 		return nil, fmt.Errorf("voter's store: %w", err)
@@ -231,16 +213,20 @@
 }
 
 // Next returns the next output; false if there is none.
-func (v *Voter) Next() (VoterOutput, bool) {
-	if len(v.outputs) == 0 {
-		return VoterOutput{}, false
+func (v *Voter) Next() (VoterOutput, bool) { return popFirst(&v.outputs) }
+
+// popFirst removes the first element of a queue and returns it; false if the queue is empty.
+func popFirst[T any](queue *[]T) (T, bool) {
+	var zero T
+	if len(*queue) == 0 {
+		return zero, false
 	}
-	output := v.outputs[0]
-	v.outputs[0] = VoterOutput{} // the content is not kept alive by the backing array
-	if v.outputs = v.outputs[1:]; len(v.outputs) == 0 {
-		v.outputs = nil
+	first := (*queue)[0]
+	(*queue)[0] = zero // so that the backing array keeps nothing of it alive
+	if *queue = (*queue)[1:]; len(*queue) == 0 {
+		*queue = nil
 	}
-	return output, true
+	return first, true
 }
 
 // History returns what has been applied. It is updated in place, but a Restored output replaces it.
--- a/internal/requestlog/replica.go
+++ b/internal/requestlog/replica.go
@@ -1,8 +1,6 @@
 package requestlog
 
 import (
-	"io"
-	stdlog "log"
 	"math/rand/v2"
 	"slices"
 
@@ -10,6 +8,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"pearknot/internal/raftlogger"
 	"pearknot/internal/snapshot"
 )
 
@@ -122,7 +121,7 @@
 		PreVote:                   true,
 		DisableProposalForwarding: true,
 		StepDownOnRemoval:         true,
-		Logger:                    silentLogger{fatalLogger},
+		Logger:                    raftlogger.NewSilent(),
 	})
 	if err == nil {
 		r.resetElectionTimeout()
@@ -130,22 +129,6 @@
 	return err
 }
 
-// silentLogger drops what a raft node logs; Member itself logs what operators need. Fatal and Panic keep their effect: they
-// end the process where a raft node finds its state corrupt. internal/controlplane has a logger of the same name for its own
-// raft node; the cores do not import each other.
-type silentLogger struct{ raft.Logger }
-
-var fatalLogger = raft.Logger(&raft.DefaultLogger{Logger: stdlog.New(io.Discard, "", 0)})
-
-func (silentLogger) Debug(...any)            {}
-func (silentLogger) Debugf(string, ...any)   {}
-func (silentLogger) Info(...any)             {}
-func (silentLogger) Infof(string, ...any)    {}
-func (silentLogger) Warning(...any)          {}
-func (silentLogger) Warningf(string, ...any) {}
-func (silentLogger) Error(...any)            {}
-func (silentLogger) Errorf(string, ...any)   {}
-
 // tick lets one tick pass. A raft node draws its election timeouts from a global random source, by which a test's seed would
 // not give the same history twice. So the node of a follower only counts its ticks, and the replica itself campaigns by a
 // timeout from its own source.
