--- a/cmd/pearknot-lab/fleet.go
+++ b/cmd/pearknot-lab/fleet.go
@@ -20,7 +20,6 @@
 	"pearknot/internal/lab/experiment"
 	"pearknot/internal/lab/loopback"
 	"pearknot/internal/lab/metrics"
-	"pearknot/internal/lab/runner"
 )
 
 // fleetCommand plays an experiment over nodes that an agent looks after, with a rolling change of all of them on the way.
@@ -43,13 +42,11 @@
 			if err != nil {
 				return err
 			}
-			res := runner.Empty(e, "loopback")
-			res.Runs = append(res.Runs, r.run)
-			runner.Sum(&res)
+			result := metrics.NewResult(e, metrics.HostLoopback, []metrics.Run{r.run})
 			out := c.OutOrStdout()
 			fmt.Fprintf(out, "apply of %d instances converged in %.2f s, rolling change of all, %d at once, in %.2f s\n", instances, r.first.Seconds(),
 				atOnce, took.Seconds())
-			return verdict(out, res)
+			return verdict(out, result)
 		}}
 	c.Flags().StringVar(&file, "file", "experiments/calm.toml", "the experiment")
 	c.Flags().IntVar(&instances, "instances", instances, "nodes")
--- a/cmd/pearknot-lab/play.go
+++ b/cmd/pearknot-lab/play.go
@@ -129,7 +129,7 @@
 			defer w.Close()
 			o.Wrap = wrap(w)
 		}
-		r, err = runner.Virtual(ctx, e, o)
+		r, err = runner.RunVirtual(ctx, e, o)
 	} else {
 		r, err = p.sockets(ctx, e, loopback.Options{Watch: watch}, out)
 	}
@@ -163,10 +163,9 @@
 
 // sockets plays the seeds one after the other with real processes.
 func (p *plan) sockets(ctx context.Context, e *experiment.Experiment, o loopback.Options, out io.Writer) (metrics.Result, error) {
-	r := runner.Empty(e, "loopback")
 	start, clean, err := p.command(ctx, e.Policy)
 	if err != nil {
-		return r, err
+		return metrics.Result{}, err
 	}
 	defer clean()
 	o.Command = slices.Concat(start, p.nodeArgs)
@@ -177,15 +176,15 @@
 				s.Issued, s.Handshakes, s.Resumed, s.Failed)
 		}}
 	}
+	var runs []metrics.Run
 	for _, seed := range e.Seeds {
 		run, err := loopback.Run(ctx, e, seed, o)
 		if err != nil {
-			return r, err
+			return metrics.Result{}, err
 		}
-		r.Runs = append(r.Runs, run)
+		runs = append(runs, run)
 	}
-	runner.Sum(&r)
-	return r, nil
+	return metrics.NewResult(e, metrics.HostLoopback, runs), nil
 }
 
 // command is what starts a node: the real program, or for a baseline this program in its place.
@@ -244,7 +243,7 @@
 		}
 		fmt.Fprintln(out, "   ", run.Verdict.Text)
 	}
-	if !runner.Kept(r) {
+	if !r.AllRulesKept() {
 		return &cli.Error{Status: cli.StatusCheckFailed, Err: errBroken, Silent: true}
 	}
 	return nil
@@ -333,19 +332,19 @@
 					return cli.UsageError(err)
 				}
 			}
-			names, diffs, err := metrics.Compare(r[0], r[1])
+			differences, err := metrics.Compare(r[0], r[1])
 			if err != nil {
 				return cli.UsageError(err)
 			}
 			out := c.OutOrStdout()
 			fmt.Fprintf(out, "A: %s, %s, %s: service %s\nB: %s, %s, %s: service %s\n", r[0].Experiment, r[0].Policy, r[0].Host, r[0].Service,
 				r[1].Experiment, r[1].Policy, r[1].Host, r[1].Service)
-			for i, d := range diffs {
+			for _, d := range differences {
 				word := "differs"
 				if d.IncludesZero() {
 					word = "within noise"
 				}
-				fmt.Fprintf(out, "  %-16s B - A %+.3f +- %.3f over %d seeds: %s\n", names[i], d.Mean, d.HalfWidth, d.N, word)
+				fmt.Fprintf(out, "  %-16s B - A %+.3f +- %.3f over %d seeds: %s\n", d.Metric, d.Mean, d.HalfWidth, d.N, word)
 			}
 			return nil
 		}}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -95,14 +95,10 @@
 		sections = append(sections, s)
 	}
 	var out bytes.Buffer
-	err := page.Execute(&out, map[string]any{"R": r, "Sections": sections, "Kept": kept(r)})
+	err := page.Execute(&out, map[string]any{"R": r, "Sections": sections, "Kept": r.AllRulesKept()})
 	return out.Bytes(), err
 }
 
-func kept(r metrics.Result) bool {
-	return !slices.ContainsFunc(r.Runs, func(r metrics.Run) bool { return !r.Verdict.Kept })
-}
-
 type titled struct {
 	title string
 	plot  *plot.Plot
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -21,9 +21,9 @@
 	require.NoError(t, err)
 	e.Seconds, e.Seeds = 15, []uint64{1, 2}
 	e.Clients.Ramp = [][]float64{{0, 0.5}, {8, 1.2}, {15, 0.5}}
-	r, err := runner.Virtual(t.Context(), e, virtual.Options{})
+	r, err := runner.RunVirtual(t.Context(), e, virtual.Options{})
 	require.NoError(t, err)
-	assert.True(t, runner.Kept(r))
+	assert.True(t, r.AllRulesKept())
 	dir := filepath.Join(t.TempDir(), "new")
 	require.NoError(t, Write(dir, r))
 	require.NoError(t, Page(dir, r))
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -1,4 +1,4 @@
-// Package runner runs an experiment over its seeds and puts the runs together.
+// Package runner runs an experiment on all its seeds in virtual time.
 package runner
 
 import (
@@ -13,50 +13,28 @@
 	"pearknot/internal/lab/virtual"
 )
 
-// Virtual plays all seeds in virtual time, so many at once as there are processors; each run is one seed's alone, and
-// their order in the result is the file's.
-func Virtual(ctx context.Context, e *experiment.Experiment, o virtual.Options) (metrics.Result, error) {
-	r := Empty(e, "virtual")
-	r.Runs = make([]metrics.Run, len(e.Seeds))
-	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(runtime.GOMAXPROCS(0))
+// RunVirtual runs an experiment on each of its seeds, as many at once as there are processors. A run depends on its seed
+// alone. The runs of the result are in the order of the experiment's seeds. The first error, or the end of the context,
+// keeps further runs from starting.
+func RunVirtual(ctx context.Context, e *experiment.Experiment, options virtual.Options) (metrics.Result, error) {
+	runs := make([]metrics.Run, len(e.Seeds))
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(runtime.GOMAXPROCS(0))
 	for i, seed := range e.Seeds {
-		g.Go(func() (err error) {
-			if ctx.Err() != nil {
-				return ctx.Err()
+		group.Go(func() error {
+			if err := ctx.Err(); err != nil {
+				return err
 			}
-			if r.Runs[i], err = virtual.Run(e, seed, o); err != nil {
+			run, err := virtual.Run(e, seed, options)
+			if err != nil {
 				return fmt.Errorf("%s, seed %d: %w", e.Name, seed, err)
 			}
+			runs[i] = run
 			return nil
 		})
 	}
-	err := g.Wait()
-	Sum(&r)
-	return r, err
-}
-
-// Empty is a result without runs.
-func Empty(e *experiment.Experiment, host string) metrics.Result {
-	return metrics.Result{Version: metrics.Version, Experiment: e.Name, About: e.About, Policy: e.Policy, Host: host,
-		Seconds: e.Seconds, Nodes: e.Fleet.Nodes, Backends: e.Fleet.Backends}
-}
-
-// Sum brings the result's means up to its runs.
-func Sum(r *metrics.Result) {
-	var s []float64
-	for _, run := range r.Runs {
-		s = append(s, run.Service)
-	}
-	r.Service = metrics.NewEstimate(s)
-}
-
-// Kept tells whether no run broke a rule.
-func Kept(r metrics.Result) bool {
-	for _, run := range r.Runs {
-		if !run.Verdict.Kept {
-			return false
-		}
+	if err := group.Wait(); err != nil {
+		return metrics.Result{}, err
 	}
-	return true
+	return metrics.NewResult(e, metrics.HostVirtual, runs), nil
 }
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -46,11 +46,11 @@
 		x := base
 		x.Faults = troubles
 		f.Played++
-		r, err := runner.Virtual(ctx, &x, virtual.Options{})
+		r, err := runner.RunVirtual(ctx, &x, virtual.Options{})
 		if err != nil {
 			return 0, false, err
 		}
-		if !runner.Kept(r) {
+		if !r.AllRulesKept() {
 			return r.Service.Mean - 1, true, nil
 		}
 		return r.Service.Mean, false, nil
--- a/internal/lab/virtual/simulation.go
+++ b/internal/lab/virtual/simulation.go
@@ -84,7 +84,7 @@
 		options:     options,
 		seed:        seed,
 		auditor:     e.Auditor(0),
-		recorder:    metrics.New(e, seed),
+		recorder:    metrics.NewRecorder(e, seed),
 		faults:      faults.NewState(e),
 		transitions: faults.Schedule(e, seed),
 		discovery:   discoverystub.New(e.EndpointList.UpdatesPerSecond),
