--- a/cmd/pearknot-lab/demo.go
+++ b/cmd/pearknot-lab/demo.go
@@ -45,11 +45,11 @@
 			if p.tls && len(p.renew) == 0 {
 				p.renew = []float64{seconds / 4, seconds / 2, seconds * 3 / 4}
 			}
-			row := func(l loopback.Live) {
-				fmt.Fprintf(out, "%4d %7d %7d %7d %6d %6d %7d %7d  %-6s %-12s %s\n", l.Second, l.Ops, l.Acked, l.InTime, l.Nacked, l.Dead, l.Pushes,
-					l.Breaches, l.Nodes, l.Backends, strings.Join(l.Troubles, ", "))
+			row := func(l loopback.Progress) {
+				fmt.Fprintf(out, "%4d %7d %7d %7d %6d %6d %7d %7d  %-6s %-12s %s\n", l.Second, l.Requests, l.Served, l.InTime, l.Rejected, l.Failed, l.Attempts,
+					l.Violations, l.Nodes, l.Backends, strings.Join(l.Faults, ", "))
 			}
-			r, err := p.sockets(c.Context(), e, loopback.Options{Live: row, Started: func() {
+			r, err := p.sockets(c.Context(), e, loopback.Options{OnProgress: row, OnLoadStarted: func() {
 				fmt.Fprintf(out, "%d nodes, %d backends in %s, %.0f ops a second\n", e.Fleet.Nodes, e.Fleet.Backends,
 					strings.Join(e.Fleet.Zones, ", "), e.RequestsPerSecond())
 				fmt.Fprintf(out, "%4s %7s %7s %7s %6s %6s %7s %7s  %-6s %-12s %s\n", "s", "ops", "acked", "in time", "nacked", "dead", "pushes", "broken", "nodes",
--- a/cmd/pearknot-lab/fleet.go
+++ b/cmd/pearknot-lab/fleet.go
@@ -129,7 +129,7 @@
 	w := agent.Write{Command: "apply", Configs: map[string]string{}, Options: &fleet.Options{MaxUnavailable: 1 << 20}}
 	changed := make(chan error, 1)
 	opts := loopback.Options{
-		External: func(nodes []loopback.External) error {
+		StartNodes: func(nodes []loopback.ExternalNode) error {
 			for _, n := range nodes {
 				text, listen, list, err := agent.Configure([]byte(n.Config), nil, nil)
 				if err != nil {
@@ -146,7 +146,7 @@
 			r.first = time.Since(begun)
 			return err
 		},
-		Started: func() {
+		OnLoadStarted: func() {
 			go func() { // a few seconds into the load
 				select {
 				case <-time.After(time.Duration(0.2 * e.Seconds * float64(time.Second))):
--- a/cmd/pearknot-lab/play.go
+++ b/cmd/pearknot-lab/play.go
@@ -172,9 +172,9 @@
 	o.Command = slices.Concat(start, p.nodeArgs)
 	o.Devices = p.devices
 	if p.tls {
-		o.TLS = &loopback.TLS{Renew: p.renew, Resume: true, Told: func(s loopback.Swaps) {
-			fmt.Fprintf(out, "TLS: %d renewals asked for, %d not taken, %d certificates issued; %d handshakes, %d of them resumed, %d failed\n", s.Asked, s.Refused,
-				s.Issued, s.Handshakes, s.Resumed, s.Failed)
+		o.TLS = &loopback.TLS{RenewAtSeconds: p.renew, ResumeSessions: true, OnFinished: func(s loopback.TLSStats) {
+			fmt.Fprintf(out, "TLS: %d renewals asked for, %d not taken, %d certificates issued; %d handshakes, %d of them resumed, %d failed\n", s.RenewalsRequested, s.RenewalsRefused,
+				s.CertificatesIssued, s.Handshakes, s.Resumed, s.Failed)
 		}}
 	}
 	for _, seed := range e.Seeds {
--- a/cmd/pearknot-lab/schedules.go
+++ b/cmd/pearknot-lab/schedules.go
@@ -24,14 +24,14 @@
 			if copies != 3 && copies != 5 || members < copies || members > 64 || seeds < 1 {
 				return cli.UsageError(fmt.Errorf("%d seeds of %d members with %d copies: give one at least, 3 or 5 copies, and as many members or up to 64", seeds, members, copies))
 			}
-			sum, err := simcluster.Many(c.Context(), from, seeds, members, copies)
+			sum, err := simcluster.RunSchedules(c.Context(), from, seeds, members, copies)
 			fmt.Fprintf(c.OutOrStdout(), "%d schedules, %d ops taken over, %d of %d logs served at the end, %d broken\n",
-				sum.Schedules, sum.TookOver, sum.Served, sum.Logs, len(sum.Broken))
-			for _, b := range sum.Broken {
+				sum.Schedules, sum.TakenOver, sum.ServedLogs, sum.Logs, len(sum.Violating))
+			for _, b := range sum.Violating {
 				fmt.Fprintln(c.OutOrStdout(), b)
 			}
-			if err == nil && len(sum.Broken) > 0 {
-				return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d of %d schedules break a promise", len(sum.Broken), sum.Schedules), Silent: true}
+			if err == nil && len(sum.Violating) > 0 {
+				return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d of %d schedules break a promise", len(sum.Violating), sum.Schedules), Silent: true}
 			}
 			return err
 		}}
--- a/cmd/pearknot/cluster_test.go
+++ b/cmd/pearknot/cluster_test.go
@@ -27,9 +27,9 @@
 	pairs := func(a int, others []int, f faultproxy.Fault, both bool) {
 		for _, b := range others {
 			if a != b {
-				c.proxies[a][b].Set(f)
+				c.proxies[a][b].SetFault(f)
 				if both {
-					c.proxies[b][a].Set(f)
+					c.proxies[b][a].SetFault(f)
 				}
 			}
 		}
@@ -68,11 +68,11 @@
 			time.Sleep(last)
 			_ = p.Signal(syscall.SIGCONT)
 		case 3, 4:
-			pairs(a, some, faultproxy.Fault{Drop: true}, kind == 3)
+			pairs(a, some, faultproxy.Fault{Stalled: true}, kind == 3)
 			time.Sleep(last)
 			pairs(a, some, faultproxy.Fault{}, true)
 		case 5:
-			pairs(a, some, faultproxy.Fault{Rate: 1024}, true)
+			pairs(a, some, faultproxy.Fault{BytesPerSecond: 1024}, true)
 			time.Sleep(last)
 			pairs(a, some, faultproxy.Fault{}, true)
 		case 6:
@@ -83,9 +83,9 @@
 			for end := time.Now().Add(last); time.Now().Before(end); time.Sleep(150 * time.Millisecond) {
 				for _, b := range some {
 					if a != b {
-						c.proxies[a][b].Reset()
+						c.proxies[a][b].ResetConnections()
 						if kind == 8 {
-							c.proxies[b][a].Reset()
+							c.proxies[b][a].ResetConnections()
 						}
 					}
 				}
@@ -249,7 +249,7 @@
 	for _, row := range c.proxies {
 		for _, w := range row {
 			if w != nil {
-				w.Set(faultproxy.Fault{Delay: 300 * time.Millisecond, Odd: 0.005})
+				w.SetFault(faultproxy.Fault{Delay: 300 * time.Millisecond, DelayedShare: 0.005})
 			}
 		}
 	}
--- a/cmd/pearknot/controlplane_test.go
+++ b/cmd/pearknot/controlplane_test.go
@@ -36,7 +36,7 @@
 	dir       string
 	discovery string
 	members   []client.Member
-	wires     map[string]map[string]*faultproxy.Wire // from a process, to a member
+	wires     map[string]map[string]*faultproxy.Proxy // from a process, to a member
 	processes map[string]*planeProcess
 	operators *client.ControlPlane
 	file      string // the operators'
@@ -68,7 +68,7 @@
 
 // newPlane starts members, given as name:region or name:region:voter, and waits until one leads.
 func newPlane(t *testing.T, members ...string) *plane {
-	p := &plane{t: t, dir: memoryDir(t), wires: map[string]map[string]*faultproxy.Wire{}, processes: map[string]*planeProcess{}}
+	p := &plane{t: t, dir: memoryDir(t), wires: map[string]map[string]*faultproxy.Proxy{}, processes: map[string]*planeProcess{}}
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	t.Cleanup(silent.Close)
 	p.discovery = silent.Listener.Addr().String()
@@ -107,7 +107,7 @@
 // config writes a process's own file, in which all other members are at relays.
 func (p *plane) config(process, region string) string {
 	if p.wires[process] == nil {
-		p.wires[process] = map[string]*faultproxy.Wire{}
+		p.wires[process] = map[string]*faultproxy.Proxy{}
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "fleet = %q\nkey_file = \"control-plane.key\"\nregion = %q\nstate_dir = \"state\"\n", "plane "+p.members[0].Address, region)
@@ -288,9 +288,9 @@
 func (p *plane) cut(f faultproxy.Fault, one, other []string) {
 	for _, a := range one {
 		for _, b := range other {
-			for _, w := range []*faultproxy.Wire{p.wires[a][b], p.wires[b][a]} {
+			for _, w := range []*faultproxy.Proxy{p.wires[a][b], p.wires[b][a]} {
 				if w != nil {
-					w.Set(f)
+					w.SetFault(f)
 				}
 			}
 		}
@@ -490,13 +490,13 @@
 	leader := p.leader()
 	version, at := p.apply(tenants(20, 4001))
 	for _, w := range p.wires[leader] {
-		w.Set(faultproxy.Fault{Drop: true})
+		w.SetFault(faultproxy.Fault{Stalled: true})
 	}
 	p.everywhere(version, at, "n1", "n2")
 	version, at = p.apply(tenants(20, 4002))
 	p.everywhere(version, at, "n1", "n2")
 	for _, w := range p.wires[leader] {
-		w.Set(faultproxy.Fault{})
+		w.SetFault(faultproxy.Fault{})
 	}
 	version, at = p.apply(tenants(20, 4003))
 	p.everywhere(version, at, "n1", "n2")
@@ -516,9 +516,9 @@
 		return err == nil && s.AgeMs != nil
 	})
 	east, rest := []string{"c1", "c4", "n1"}, []string{"c2", "c3", "n2", "operators"}
-	p.cut(faultproxy.Fault{Drop: true, Refuse: true}, east, rest)
+	p.cut(faultproxy.Fault{Stalled: true, RefuseConnections: true}, east, rest)
 	for _, m := range []string{"c1", "c4"} {
-		p.wires["operators"][m].Reset()
+		p.wires["operators"][m].ResetConnections()
 	}
 	next, at := p.apply(tenants(20, 4002))
 	p.everywhere(next, at, "n2")
@@ -629,7 +629,7 @@
 	version, at := p.apply(tenants(1000, 4000))
 	p.everywhere(version, at, "n1", "n2")
 	for _, w := range p.wires["n1"] {
-		w.Set(faultproxy.Fault{Rate: 1 << 10})
+		w.SetFault(faultproxy.Fault{BytesPerSecond: 1 << 10})
 	}
 	for k := range 3 {
 		version, at = p.apply(tenants(1000, 4001+k))
@@ -637,7 +637,7 @@
 	p.everywhere(version, at, "n1", "n2")
 	p.config("n3", "east")
 	for _, w := range p.wires["n3"] {
-		w.Set(faultproxy.Fault{Rate: 1 << 10})
+		w.SetFault(faultproxy.Fault{BytesPerSecond: 1 << 10})
 	}
 	p.node("n3", "east", settings)
 	p.within(20*time.Second, "n3 has the whole", func() bool {
--- a/cmd/pearknot/peers_test.go
+++ b/cmd/pearknot/peers_test.go
@@ -37,7 +37,7 @@
 	discovery string
 	list      string
 	ports     []string
-	proxies   [][]*faultproxy.Wire // from, to
+	proxies   [][]*faultproxy.Proxy // from, to
 	nodes     []*clusterNode
 
 	mu           sync.Mutex
@@ -115,7 +115,7 @@
 		c.ports = append(c.ports, freePort(t))
 	}
 	for from := range size {
-		c.proxies = append(c.proxies, make([]*faultproxy.Wire, size))
+		c.proxies = append(c.proxies, make([]*faultproxy.Proxy, size))
 		for to := range size {
 			if to != from {
 				w, err := faultproxy.Open(c.ports[to])
@@ -398,8 +398,8 @@
 	}()
 	<-begun
 	for k := 1; k < 3; k++ {
-		c.proxies[0][k].Set(faultproxy.Fault{Drop: true})
-		c.proxies[k][0].Set(faultproxy.Fault{Drop: true})
+		c.proxies[0][k].SetFault(faultproxy.Fault{Stalled: true})
+		c.proxies[k][0].SetFault(faultproxy.Fault{Stalled: true})
 	}
 	status, text := c.ask(1, "pay", "pay-cut", "4500", "x")
 	require.Equal(t, 502, status, text)
@@ -419,8 +419,8 @@
 		return status == 200
 	}, 10*time.Second, 50*time.Millisecond)
 	for k := 1; k < 3; k++ {
-		c.proxies[0][k].Set(faultproxy.Fault{})
-		c.proxies[k][0].Set(faultproxy.Fault{})
+		c.proxies[0][k].SetFault(faultproxy.Fault{})
+		c.proxies[k][0].SetFault(faultproxy.Fault{})
 	}
 	c.whole()
 	require.Eventually(t, func() bool {
@@ -474,7 +474,7 @@
 		slow := faultproxy.Fault{Delay: 200 * time.Millisecond}
 		c.setLinksOfNode0(slow)
 		keys := c.sendUntilTaken(name, func(conns []net.Conn) {
-			c.setLinksOfNode0(faultproxy.Fault{Delay: slow.Delay, Drop: way.cut})
+			c.setLinksOfNode0(faultproxy.Fault{Delay: slow.Delay, Stalled: way.cut})
 			for _, conn := range conns {
 				way.leave(conn)
 			}
@@ -495,8 +495,8 @@
 // setLinksOfNode0 sets a fault on all links from and to node 0.
 func (c *cluster) setLinksOfNode0(fault faultproxy.Fault) {
 	for k := 1; k < len(c.nodes); k++ {
-		c.proxies[0][k].Set(fault)
-		c.proxies[k][0].Set(fault)
+		c.proxies[0][k].SetFault(fault)
+		c.proxies[k][0].SetFault(fault)
 	}
 }
 
--- a/internal/lab/capacity/rig_links.go
+++ b/internal/lab/capacity/rig_links.go
@@ -20,13 +20,13 @@
 		},
 		open: func(_ context.Context, _ *Bench, size float64) (*rig, error) {
 			f := simcluster.New(1, int(size), 3)
-			f.Up()
-			f.Pass(settled)
+			f.Start()
+			f.Advance(settled)
 			return &rig{run: func(context.Context) ([]float64, error) {
-				bytes, frames, cpu := f.Bytes, f.Frames, spent()
-				f.Pass(span)
+				bytes, frames, cpu := f.BytesSent, f.FramesSent, spent()
+				f.Advance(span)
 				a := size * span / 1e3
-				return []float64{float64(f.Bytes-bytes) / a, float64(f.Frames-frames) / a, (spent() - cpu) / a}, nil
+				return []float64{float64(f.BytesSent-bytes) / a, float64(f.FramesSent-frames) / a, (spent() - cpu) / a}, nil
 			}}, nil
 		}}}
 }
@@ -42,15 +42,15 @@
 		open: func(_ context.Context, _ *Bench, size float64) (*rig, error) {
 			return &rig{run: func(context.Context) ([]float64, error) {
 				f := simcluster.New(1, members, 3)
-				f.Up()
-				f.Pass(settled)
-				before, bytes, cpu, over := heap(), f.Bytes, spent(), size/rate*1e3
-				f.Keep(0, int(size), over, body)
-				f.Pass(over + 500)
-				cpu, bytes = spent()-cpu, f.Bytes-bytes
+				f.Start()
+				f.Advance(settled)
+				before, bytes, cpu, over := heap(), f.BytesSent, spent(), size/rate*1e3
+				f.LogRequests(0, int(size), over, body)
+				f.Advance(over + 500)
+				cpu, bytes = spent()-cpu, f.BytesSent-bytes
 				after := heap()
-				if f.Finals != int(size) {
-					return nil, fmt.Errorf("%d of %g requests kept: the logs are full", f.Finals, size)
+				if f.LoggedAnswers != int(size) {
+					return nil, fmt.Errorf("%d of %g requests kept: the logs are full", f.LoggedAnswers, size)
 				}
 				runtime.KeepAlive(f)
 				return []float64{max(after-before, 0) / members, cpu / members, float64(bytes) / members}, nil
--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -13,22 +13,22 @@
 
 // Fault is what is wrong with a wire; zero is nothing.
 type Fault struct {
-	Drop   bool          // nothing goes through
-	Way    Way           // that Drop is about; new connections don't come up whichever it is
-	Refuse bool          // new connections are closed at once
-	Delay  time.Duration // each piece, one way
-	Jitter time.Duration // on top, at most
-	Odd    float64       // share of the pieces that are delayed; 0 is all
-	Rate   int           // bytes a second; 0 is any
-	After  int           // a connection is reset after so many bytes; 0 is never
+	Stalled           bool          // nothing goes through
+	Direction         Direction     // that Stalled is about; new connections don't come up whichever it is
+	RefuseConnections bool          // new connections are closed at once
+	Delay             time.Duration // each piece, one way
+	Jitter            time.Duration // on top, at most
+	DelayedShare      float64       // share of the pieces that are delayed; 0 is all
+	BytesPerSecond    int           // bytes a second; 0 is any
+	ResetAfterBytes   int           // a connection is reset after so many bytes; 0 is never
 }
 
-// Way is a direction of what goes through.
-type Way int
+// Direction is a direction of what goes through.
+type Direction int
 
 // Directions that a fault hits.
 const (
-	BothWays Way = iota
+	BothDirections Direction = iota
 	ToTarget
 	FromTarget
 )
@@ -40,8 +40,8 @@
 	mostHeld = 512
 )
 
-// Wire is one relay.
-type Wire struct {
+// Proxy is one relay.
+type Proxy struct {
 	listener net.Listener
 	target   string
 	wg       sync.WaitGroup
@@ -55,22 +55,22 @@
 }
 
 // Open listens on an address of this machine and passes on to a target.
-func Open(target string) (*Wire, error) {
+func Open(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &Wire{listener: l, target: target, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
+	w := &Proxy{listener: l, target: target, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 	w.wg.Add(1)
 	go w.run()
 	return w, nil
 }
 
 // Address is where to connect in the target's place.
-func (w *Wire) Address() string { return w.listener.Addr().String() }
+func (w *Proxy) Address() string { return w.listener.Addr().String() }
 
-// Set puts a fault in place of the one before.
-func (w *Wire) Set(f Fault) {
+// SetFault puts a fault in place of the one before.
+func (w *Proxy) SetFault(f Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault = f
@@ -78,8 +78,8 @@
 	w.changed = make(chan struct{})
 }
 
-// Reset breaks all connections that are up.
-func (w *Wire) Reset() {
+// ResetConnections breaks all connections that are up.
+func (w *Proxy) ResetConnections() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for c := range w.conns {
@@ -87,15 +87,15 @@
 	}
 }
 
-// Bytes is how much has been passed on.
-func (w *Wire) Bytes() int64 {
+// BytesForwarded is how much has been passed on.
+func (w *Proxy) BytesForwarded() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.bytes
 }
 
 // Close ends the relay.
-func (w *Wire) Close() {
+func (w *Proxy) Close() {
 	w.mu.Lock()
 	w.closed = true
 	for c := range w.conns {
@@ -117,7 +117,7 @@
 }
 
 // keep has a connection ended with the relay; false tells that this is so already.
-func (w *Wire) keep(c net.Conn) bool {
+func (w *Proxy) keep(c net.Conn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.closed {
@@ -126,7 +126,7 @@
 	return !w.closed
 }
 
-func (w *Wire) run() {
+func (w *Proxy) run() {
 	defer w.wg.Done()
 	for {
 		from, err := w.listener.Accept()
@@ -135,7 +135,7 @@
 		} else if err != nil {
 			continue
 		}
-		if f, _ := w.now(); f.Refuse || !w.keep(from) {
+		if f, _ := w.now(); f.RefuseConnections || !w.keep(from) {
 			reset(from)
 			continue
 		}
@@ -144,17 +144,17 @@
 	}
 }
 
-func (w *Wire) now() (Fault, chan struct{}) {
+func (w *Proxy) now() (Fault, chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.fault, w.changed
 }
 
 // pass waits until nothing is dropped on a way; false tells that the connection ended meanwhile.
-func (w *Wire) pass(way Way, gone <-chan struct{}) (Fault, bool) {
+func (w *Proxy) pass(way Direction, gone <-chan struct{}) (Fault, bool) {
 	for {
 		f, changed := w.now()
-		if !f.Drop || way != BothWays && f.Way != BothWays && f.Way != way {
+		if !f.Stalled || way != BothDirections && f.Direction != BothDirections && f.Direction != way {
 			return f, true
 		}
 		select {
@@ -165,12 +165,12 @@
 	}
 }
 
-func (w *Wire) carry(from net.Conn) {
+func (w *Proxy) carry(from net.Conn) {
 	defer w.wg.Done()
 	gone := make(chan struct{})
 	once := sync.OnceFunc(func() { close(gone) })
 	defer once()
-	if _, ok := w.pass(BothWays, gone); !ok {
+	if _, ok := w.pass(BothDirections, gone); !ok {
 		return
 	}
 	to, err := net.DialTimeout("tcp", w.target, time.Second)
@@ -180,7 +180,7 @@
 	}
 	var both sync.WaitGroup
 	both.Add(2)
-	for way, ends := range map[Way][2]net.Conn{ToTarget: {from, to}, FromTarget: {to, from}} {
+	for way, ends := range map[Direction][2]net.Conn{ToTarget: {from, to}, FromTarget: {to, from}} {
 		go func() {
 			defer both.Done()
 			w.copy(way, ends[1], ends[0], gone)
@@ -209,7 +209,7 @@
 	}
 }
 
-func (w *Wire) copy(way Way, to, from net.Conn, gone <-chan struct{}) {
+func (w *Proxy) copy(way Direction, to, from net.Conn, gone <-chan struct{}) {
 	type part struct {
 		data []byte
 		at   time.Time
@@ -227,11 +227,11 @@
 			if !hold(time.Until(p.at), gone) {
 				return
 			}
-			for slice := max(f.Rate/10, 1); f.Rate > 0 && len(p.data) > slice; { // as it would come, not all at its end
-				if !hold(time.Duration(slice)*time.Second/time.Duration(f.Rate), gone) {
+			for slice := max(f.BytesPerSecond/10, 1); f.BytesPerSecond > 0 && len(p.data) > slice; { // as it would come, not all at its end
+				if !hold(time.Duration(slice)*time.Second/time.Duration(f.BytesPerSecond), gone) {
 					return
 				}
-				if f.After > 0 && sent+slice >= f.After {
+				if f.ResetAfterBytes > 0 && sent+slice >= f.ResetAfterBytes {
 					break
 				}
 				if _, err := to.Write(p.data[:slice]); err != nil {
@@ -243,12 +243,12 @@
 				w.bytes += int64(slice)
 				w.mu.Unlock()
 			}
-			if f.Rate > 0 && !hold(time.Duration(len(p.data))*time.Second/time.Duration(f.Rate), gone) {
+			if f.BytesPerSecond > 0 && !hold(time.Duration(len(p.data))*time.Second/time.Duration(f.BytesPerSecond), gone) {
 				return
 			}
-			cut := f.After > 0 && sent+len(p.data) >= f.After
+			cut := f.ResetAfterBytes > 0 && sent+len(p.data) >= f.ResetAfterBytes
 			if cut {
-				p.data = p.data[:max(f.After-sent, 0)]
+				p.data = p.data[:max(f.ResetAfterBytes-sent, 0)]
 			}
 			if _, err := to.Write(p.data); err != nil {
 				return
@@ -270,7 +270,7 @@
 		if n > 0 {
 			f, _ := w.now()
 			at := time.Now()
-			if f.Odd == 0 || rand.Float64() < f.Odd {
+			if f.DelayedShare == 0 || rand.Float64() < f.DelayedShare {
 				at = at.Add(f.Delay)
 				if f.Jitter > 0 {
 					at = at.Add(rand.N(f.Jitter))
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -39,37 +39,37 @@
 		return err
 	}
 	require.NoError(t, echo("one", 5*time.Second))
-	w.Set(Fault{Drop: true})
+	w.SetFault(Fault{Stalled: true})
 	require.Error(t, echo("two", 50*time.Millisecond))
-	w.Set(Fault{})
+	w.SetFault(Fault{})
 	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	_, err = io.ReadFull(conn, make([]byte, 3))
 	require.NoError(t, err, "what was held comes")
 	passed := func(want int64) {
-		require.Eventually(t, func() bool { return w.Bytes() == want }, 5*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return w.BytesForwarded() == want }, 5*time.Second, time.Millisecond)
 	}
 	passed(12)
 	for _, c := range []struct {
-		way          Way
+		way          Direction
 		text         string
 		during, past int64
 	}{{ToTarget, "there", 12, 22}, {FromTarget, "back", 26, 30}} {
-		w.Set(Fault{Drop: true, Way: c.way})
+		w.SetFault(Fault{Stalled: true, Direction: c.way})
 		require.Error(t, echo(c.text, 50*time.Millisecond))
 		passed(c.during) // the other way it goes through
-		w.Set(Fault{})
+		w.SetFault(Fault{})
 		_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 		_, err = io.ReadFull(conn, make([]byte, len(c.text)))
 		require.NoError(t, err, "what was held comes")
 		passed(c.past)
 	}
-	w.Set(Fault{Delay: 40 * time.Millisecond})
+	w.SetFault(Fault{Delay: 40 * time.Millisecond})
 	begun := time.Now()
 	require.NoError(t, echo("late", 5*time.Second))
 	require.GreaterOrEqual(t, time.Since(begun), 80*time.Millisecond, "each way")
-	w.Set(Fault{After: 10})
+	w.SetFault(Fault{ResetAfterBytes: 10})
 	require.Error(t, echo("more than ten bytes", 5*time.Second))
-	w.Set(Fault{Refuse: true})
+	w.SetFault(Fault{RefuseConnections: true})
 	again, err := net.Dial("tcp", w.Address())
 	if err == nil { // the reset may come before the dialler has looked
 		_ = again.SetReadDeadline(time.Now().Add(5 * time.Second))
--- a/internal/lab/loopback/clients.go
+++ b/internal/lab/loopback/clients.go
@@ -61,7 +61,7 @@
 		op := c.source.Arrive()
 		if op != nil {
 			c.hub.rec.RequestArrived(op)
-			c.hub.live.Ops++
+			c.hub.live.Requests++
 		}
 		c.hub.mu.Unlock()
 		if op != nil {
@@ -84,7 +84,7 @@
 		case workload.OutcomeServed:
 			now := c.hub.now()
 			c.hub.rec.RequestServed(op, now)
-			c.hub.live.Acked++
+			c.hub.live.Served++
 			if now-op.ArrivesAt <= c.hub.e.Classes[op.Class].LatencyObjectiveMs {
 				c.hub.live.InTime++
 			}
@@ -211,11 +211,11 @@
 	h.rec.NodeAnswered(h.now(), f)
 	switch f {
 	case invariants.Rejected:
-		h.live.Nacked++
+		h.live.Rejected++
 		s, _ := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64)
 		return workload.OutcomeRejected, s * 1e3, false
 	case invariants.Failed:
-		h.live.Dead++
+		h.live.Failed++
 		return workload.OutcomeLost, 0, false
 	}
 	if late {
--- a/internal/lab/loopback/hub.go
+++ b/internal/lab/loopback/hub.go
@@ -28,7 +28,7 @@
 	tries   map[uint64]known // by id, until their time is over
 	watch   func(invariants.Event)
 	fallen  int
-	live    Live
+	live    Progress
 }
 
 // known is what the stand-ins know of a try that comes to a backend.
@@ -39,14 +39,14 @@
 	until  float64
 }
 
-// Live is a moment's counts, for a table that refreshes.
-type Live struct {
-	Second                                 int
-	Ops, Acked, Nacked, Dead, Lost, Pushes int
-	InTime                                 int
-	Breaches                               int
-	Nodes, Backends                        string // a letter each: what it is
-	Troubles                               []string
+// Progress is a moment's counts, for a table that refreshes.
+type Progress struct {
+	Second                                             int
+	Requests, Served, Rejected, Failed, Lost, Attempts int
+	InTime                                             int
+	Violations                                         int
+	Nodes, Backends                                    string // a letter each: what it is
+	Faults                                             []string
 }
 
 // now is ms since the run's start.
@@ -87,7 +87,7 @@
 	number = t.pushes
 	t.pushes++
 	h.tries[try] = t
-	h.live.Pushes++
+	h.live.Attempts++
 	h.rec.AttemptStarted(h.now(), backend, crossing)
 	h.told(invariants.Event{Kind: invariants.AttemptStarted, Node: t.node, Request: try, Attempt: number, Backend: backend, Work: t.work})
 	return number, t.work, true
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -27,21 +27,21 @@
 
 // Options are how a run is played.
 type Options struct {
-	Command []string               // starts a node; -config FILE is added
-	Dir     string                 // for the nodes' files; a temporary one, removed, where empty
-	Watch   func(invariants.Event) // is told every event that the auditor is
-	Live    func(Live)             // is told once a second
-	Started func()                 // called when all is up and load begins
+	Command       []string               // starts a node; -config FILE is added
+	Dir           string                 // for the nodes' files; a temporary one, removed, where empty
+	Watch         func(invariants.Event) // is told every event that the auditor is
+	OnProgress    func(Progress)         // is told once a second
+	OnLoadStarted func()                 // called when all is up and load begins
 
 	TLS     *TLS // nil is plain
 	Devices int  // that clients are spread over, each with connections of its own; 0 is one
 
-	// External, where given, starts the nodes in the lab's place and returns when they serve. It ends them too.
-	External func([]External) error
+	// StartNodes, where given, starts the nodes in the lab's place and returns when they serve. It ends them too.
+	StartNodes func([]ExternalNode) error
 }
 
-// External is a node that somebody else starts and ends.
-type External struct {
+// ExternalNode is a node that somebody else starts and ends.
+type ExternalNode struct {
 	Name    string
 	Address string
 	Config  string // its text
@@ -163,7 +163,7 @@
 	}
 	var wg sync.WaitGroup
 	errs := make(chan error, w.e.Fleet.Nodes)
-	var external []External
+	var external []ExternalNode
 	var all []*node
 	for k := range w.e.Fleet.Nodes {
 		n := &node{hub: w.hub, number: k, zone: k % len(w.e.Fleet.Zones), dir: w.dir, command: w.o.Command, list: w.list, deadAt: -1,
@@ -202,17 +202,17 @@
 			}
 		}
 		w.nodes = append(w.nodes, n)
-		if w.o.External != nil {
+		if w.o.StartNodes != nil {
 			config, err := n.config(w.now())
 			if err != nil {
 				return err
 			}
-			external = append(external, External{fmt.Sprintf("n%d", n.number), n.address, config})
+			external = append(external, ExternalNode{fmt.Sprintf("n%d", n.number), n.address, config})
 			continue
 		}
 	}
-	if w.o.External != nil {
-		return w.o.External(external)
+	if w.o.StartNodes != nil {
+		return w.o.StartNodes(external)
 	}
 	for _, n := range w.nodes {
 		wg.Go(func() { errs <- n.start(w.now()) })
@@ -243,12 +243,12 @@
 		}
 	}
 	w.crowd = newCrowd(w.hub, workload.New(w.e, w.state, w.random), w.nodes, w.secure, w.o.Devices)
-	if w.o.Started != nil {
-		w.o.Started()
+	if w.o.OnLoadStarted != nil {
+		w.o.OnLoadStarted()
 	}
-	if w.o.External != nil {
+	if w.o.StartNodes != nil {
 		for _, n := range w.nodes {
-			n.ready = true // External said so
+			n.ready = true // StartNodes said so
 			w.wg.Go(func() { n.follow(ctx) })
 		}
 	}
@@ -296,18 +296,18 @@
 		w.mu.Lock()
 		w.rec.RecordLoad(w.now(), busy)
 		w.live.Second, w.live.Nodes, w.live.Backends = int(w.now()/1e3), string(nodes), string(letters)
-		w.live.Breaches = len(w.auditor.Violations())
-		w.live.Troubles = w.live.Troubles[:0]
+		w.live.Violations = len(w.auditor.Violations())
+		w.live.Faults = w.live.Faults[:0]
 		for _, t := range w.e.Faults {
 			if s := w.now() / 1e3; s >= t.StartSeconds && s < t.StartSeconds+t.DurationSeconds {
-				w.live.Troubles = append(w.live.Troubles, t.Kind)
+				w.live.Faults = append(w.live.Faults, t.Kind)
 			}
 		}
 		live := w.live
-		live.Troubles = slices.Clone(live.Troubles)
+		live.Faults = slices.Clone(live.Faults)
 		w.mu.Unlock()
-		if w.o.Live != nil && tick%2 == 0 {
-			w.o.Live(live)
+		if w.o.OnProgress != nil && tick%2 == 0 {
+			w.o.OnProgress(live)
 		}
 	}
 }
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -113,15 +113,15 @@
 func TestSwapUnderLoad(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	e := small(t, 7, experiment.Fault{Kind: experiment.FaultNodeCrash, StartSeconds: 2.5, DurationSeconds: 1, Count: 1})
-	var told Swaps
+	var told TLSStats
 	run, err := Run(t.Context(), e, 1, Options{Command: []string{nodeProgram, "serve"}, Dir: t.TempDir(),
-		TLS: &TLS{Renew: []float64{1, 5}, Resume: true, Told: func(s Swaps) { told = s }}})
+		TLS: &TLS{RenewAtSeconds: []float64{1, 5}, ResumeSessions: true, OnFinished: func(s TLSStats) { told = s }}})
 	require.NoError(t, err)
 	assert.True(t, run.Verdict.Kept, run.Verdict.Evidence)
 	assert.Greater(t, run.Service, 0.8)
-	assert.Equal(t, 2, told.Asked)
-	assert.Zero(t, told.Refused)
-	assert.Equal(t, 3, told.Issued)
+	assert.Equal(t, 2, told.RenewalsRequested)
+	assert.Zero(t, told.RenewalsRefused)
+	assert.Equal(t, 3, told.CertificatesIssued)
 	assert.Zero(t, told.Failed)
 	assert.Positive(t, told.Handshakes)
 }
@@ -145,7 +145,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			dir := t.TempDir()
-			run, err := Run(ctx, small(t, 60), 1, Options{Command: []string{nodeProgram, "serve"}, Dir: dir, Live: func(l Live) {
+			run, err := Run(ctx, small(t, 60), 1, Options{Command: []string{nodeProgram, "serve"}, Dir: dir, OnProgress: func(l Progress) {
 				if l.Second == 1 {
 					c.end(cancel, dir)
 				}
@@ -187,7 +187,7 @@
 	e := small(t, 5)
 	e.Fleet.Nodes = 600
 	done := errors.New("seen")
-	_, err := Run(t.Context(), e, 1, Options{External: func(all []External) error {
+	_, err := Run(t.Context(), e, 1, Options{StartNodes: func(all []ExternalNode) error {
 		require.Len(t, all, 600)
 		for _, n := range all {
 			l, err := net.Listen("tcp", n.Address)
--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -60,8 +60,8 @@
 	expect bool          // its end is our doing
 }
 
-// Settings are those of the configuration, in the deployment's own form.
-func Settings(e *experiment.Experiment, zone int) map[string]any {
+// DeploymentSettings are those of the configuration, in the deployment's own form.
+func DeploymentSettings(e *experiment.Experiment, zone int) map[string]any {
 	effects := map[string]string{"redeliverable": "pure", "deduplicated": "token", "at-most-once": "side_effect"}
 	var categories []map[string]any
 	for _, c := range e.Classes {
@@ -103,7 +103,7 @@
 	seed := strconv.FormatUint(uint64(n.number)*7919+uint64(n.life)*104729+n.hub.seed()*31+12345, 16)
 	data, err := json.MarshalIndent(map[string]any{"name": fmt.Sprintf("n%d", n.number), "listen": n.address, "discovery": n.from, "control": n.control,
 		"seed": seed, "limits": map[string]any{"cores": e.Fleet.NodeCores, "memory_mb": e.Fleet.NodeMemoryMB, "sockets": e.Fleet.NodeDescriptors},
-		"known": n.list.known(listAt, n.zone), "settings": Settings(e, n.zone)}, "", " ")
+		"known": n.list.known(listAt, n.zone), "settings": DeploymentSettings(e, n.zone)}, "", " ")
 	return string(data), err
 }
 
--- a/internal/lab/loopback/secure.go
+++ b/internal/lab/loopback/secure.go
@@ -21,18 +21,18 @@
 // TLS has clients speak TLS with the nodes, whose certificates come from a stand-in authority. All nodes share one
 // store, as the instances of a host do: one of them orders, the others follow and answer challenges too.
 type TLS struct {
-	Renew  []float64   // seconds at which the certificate is ordered anew
-	Told   func(Swaps) // at the end
-	Resume bool        // clients use session tickets
+	RenewAtSeconds []float64      // seconds at which the certificate is ordered anew
+	OnFinished     func(TLSStats) // at the end
+	ResumeSessions bool           // clients use session tickets
 }
 
-// Swaps is what became of them.
-type Swaps struct {
-	Asked, Refused int // renewals
-	Issued         int // certificates, the first among them
-	Handshakes     uint64
-	Resumed        uint64
-	Failed         uint64
+// TLSStats is what became of them.
+type TLSStats struct {
+	RenewalsRequested, RenewalsRefused int // renewals
+	CertificatesIssued                 int // certificates, the first among them
+	Handshakes                         uint64
+	Resumed                            uint64
+	Failed                             uint64
 }
 
 const (
@@ -71,7 +71,7 @@
 	s.server = httptest.NewServer(s.authority)
 	s.server.Config.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)
 	s.config = &tls.Config{ServerName: secureName, RootCAs: s.authority.Roots(), MinVersion: tls.VersionTLS12}
-	if o.Resume {
+	if o.ResumeSessions {
 		s.config.ClientSessionCache = tls.NewLRUClientSessionCache(0)
 	}
 	return s, os.WriteFile(filepath.Join(w.dir, "roots.pem"), s.authority.RootPEM(), 0o600)
@@ -107,7 +107,7 @@
 
 // renew has the certificate ordered anew at the times given, by whichever node orders.
 func (s *secure) renew(ctx context.Context) {
-	for _, at := range s.o.Renew {
+	for _, at := range s.o.RenewAtSeconds {
 		wait(ctx, time.Until(s.w.time(at*1e3)))
 		if ctx.Err() != nil {
 			return
@@ -141,14 +141,14 @@
 
 // look sums what was counted since the start, at which there was nothing to serve yet; those of killed processes are gone.
 func (s *secure) look(ctx context.Context) {
-	told := Swaps{Asked: s.asked, Refused: s.refused, Issued: s.authority.Issued()}
+	told := TLSStats{RenewalsRequested: s.asked, RenewalsRefused: s.refused, CertificatesIssued: s.authority.Issued()}
 	for pid, h := range s.counts(ctx) {
 		was := s.before[pid]
 		told.Handshakes += h.Done - was.Done
 		told.Resumed += h.Resumed - was.Resumed
 		told.Failed += h.Failed + h.Evicted - was.Failed - was.Evicted
 	}
-	if s.o.Told != nil {
-		s.o.Told(told)
+	if s.o.OnFinished != nil {
+		s.o.OnFinished(told)
 	}
 }
--- a/internal/lab/scale/document.go
+++ b/internal/lab/scale/document.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &document{loopback.Settings(l, 0), make([]int, e.Tenants), rand.New(rand.NewPCG(1, uint64(e.Nodes)))}
+	d := &document{loopback.DeploymentSettings(l, 0), make([]int, e.Tenants), rand.New(rand.NewPCG(1, uint64(e.Nodes)))}
 	for k := range d.quotas {
 		d.quotas[k] = 100 + d.chance.IntN(900)
 	}
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -16,7 +16,7 @@
 
 // way is a relay from the nodes of one kind in one zone, or from one member, to a member.
 type way struct {
-	*faultproxy.Wire
+	*faultproxy.Proxy
 	kind     string // of whoever calls: hollow, real, member
 	from, to int    // zones
 	caller   int    // of a member its number
@@ -175,7 +175,7 @@
 // set puts on all links what the faults that are on make of them.
 func (s *site) set(on []Fault) {
 	for _, w := range s.ways {
-		w.Set(w.fault(s.e, on))
+		w.SetFault(w.fault(s.e, on))
 	}
 }
 
@@ -186,7 +186,7 @@
 		switch x.Kind {
 		case Cut:
 			if from != to {
-				f = dropped(f, faultproxy.BothWays)
+				f = dropped(f, faultproxy.BothDirections)
 			}
 		case CutIn, CutOut:
 			if from == to {
@@ -199,10 +199,10 @@
 			}
 		case Slow:
 			if from || w.kind == memberKind && to {
-				f.Rate, f.Delay = x.Rate, clock.Duration(x.Delay)
+				f.BytesPerSecond, f.Delay = x.Rate, clock.Duration(x.Delay)
 			}
 		case Lose:
-			f.Refuse = f.Refuse || w.kind != memberKind && from && to
+			f.RefuseConnections = f.RefuseConnections || w.kind != memberKind && from && to
 		case Deaf:
 			switch x.Member {
 			case memberName(w.member):
@@ -215,11 +215,11 @@
 	return f
 }
 
-func dropped(f faultproxy.Fault, on faultproxy.Way) faultproxy.Fault {
-	if f.Drop && f.Way != on {
-		on = faultproxy.BothWays
+func dropped(f faultproxy.Fault, on faultproxy.Direction) faultproxy.Fault {
+	if f.Stalled && f.Direction != on {
+		on = faultproxy.BothDirections
 	}
-	f.Drop, f.Way = true, on
+	f.Stalled, f.Direction = true, on
 	return f
 }
 
@@ -227,7 +227,7 @@
 func (s *site) lose(x Fault) {
 	for _, w := range s.ways {
 		if w.kind != memberKind && x.at(s.e, w.from) && x.at(s.e, w.to) {
-			w.Reset()
+			w.ResetConnections()
 		}
 	}
 }
@@ -236,7 +236,7 @@
 func (s *site) bytes(kind string) (sum int64) {
 	for _, w := range s.ways {
 		if w.kind == kind {
-			sum += w.Bytes()
+			sum += w.BytesForwarded()
 		}
 	}
 	return sum
@@ -246,7 +246,7 @@
 func (s *site) memberBytes(k int) (sum int64) {
 	for _, w := range s.ways {
 		if w.member == k || w.caller == k {
-			sum += w.Bytes()
+			sum += w.BytesForwarded()
 		}
 	}
 	return sum
--- a/internal/lab/scale/fleet_test.go
+++ b/internal/lab/scale/fleet_test.go
@@ -18,10 +18,10 @@
 	outward := &way{kind: memberKind, from: 0, to: 1, caller: 0, member: 1}   // m1 in r1 to m2 in r2
 	inward := &way{kind: realKind, from: 1, to: 0, caller: -1, member: 0}     // r2 to m1 in r1
 	elsewhere := &way{kind: memberKind, from: 1, to: 2, caller: 1, member: 2} // m2 in r2 to m3 in r3
-	toDrop := faultproxy.Fault{Drop: true, Way: faultproxy.ToTarget}
-	fromDrop := faultproxy.Fault{Drop: true, Way: faultproxy.FromTarget}
-	drop := faultproxy.Fault{Drop: true}
-	slow := faultproxy.Fault{Rate: 9, Delay: 7 * time.Millisecond}
+	toDrop := faultproxy.Fault{Stalled: true, Direction: faultproxy.ToTarget}
+	fromDrop := faultproxy.Fault{Stalled: true, Direction: faultproxy.FromTarget}
+	drop := faultproxy.Fault{Stalled: true}
+	slow := faultproxy.Fault{BytesPerSecond: 9, Delay: 7 * time.Millisecond}
 	none := faultproxy.Fault{}
 	for name, c := range map[string]struct {
 		on                                 []Fault
@@ -37,7 +37,7 @@
 		"another deaf":   {[]Fault{{Kind: Deaf, Member: "m2"}}, none, toDrop, none, fromDrop},
 		"slow":           {[]Fault{{Kind: Slow, Region: "r1", Rate: 9, Delay: 7}}, slow, slow, none, none},
 		"slow, of all":   {[]Fault{{Kind: Slow, Region: "r2", Rate: 9, Delay: 7}}, none, slow, slow, slow},
-		"nodes lose it":  {[]Fault{{Kind: Lose, Region: "r1"}}, faultproxy.Fault{Refuse: true}, none, none, none},
+		"nodes lose it":  {[]Fault{{Kind: Lose, Region: "r1"}}, faultproxy.Fault{RefuseConnections: true}, none, none, none},
 		"member's alone": {[]Fault{{Kind: Kill, Member: "m1"}, {Kind: Freeze, Member: "m2"}}, none, none, none, none},
 	} {
 		assert.Equal(t, c.within, within.fault(e, c.on), name)
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -234,8 +234,8 @@
 	over := make(chan error, 1)
 	begun := false
 	world, err := loopback.Run(ctx, l, 1, loopback.Options{Dir: filepath.Join(r.site.dir, "load"),
-		External: func(nodes []loopback.External) error { return r.startNodes(ctx, nodes) },
-		Started: func() {
+		StartNodes: func(nodes []loopback.ExternalNode) error { return r.startNodes(ctx, nodes) },
+		OnLoadStarted: func() {
 			begun = true
 			go func() { over <- r.timeline(ctx) }()
 		}})
@@ -250,7 +250,7 @@
 }
 
 // startNodes starts all nodes, and waits until each has the first version in force.
-func (r *run) startNodes(ctx context.Context, real []loopback.External) error {
+func (r *run) startNodes(ctx context.Context, real []loopback.ExternalNode) error {
 	r.mu.Lock()
 	for _, n := range r.site.nodes {
 		r.judge.Node(n.name, r.clock.Now())
--- a/internal/lab/simcluster/many.go
+++ b/internal/lab/simcluster/many.go
@@ -11,25 +11,25 @@
 	"pearknot/internal/invariants"
 )
 
-// Sum is what many schedules came to.
-type Sum struct {
-	Schedules int
-	TookOver  int
-	Served    int // logs at the end, of Logs
-	Logs      int
-	Broken    []Broken
+// Totals is what many schedules came to.
+type Totals struct {
+	Schedules  int
+	TakenOver  int
+	ServedLogs int // logs at the end, of Logs
+	Logs       int
+	Violating  []ViolatingSchedule
 }
 
-// Broken is a schedule in which a promise was broken, with as few faults as still break one.
-type Broken struct {
-	Seed     uint64
-	Harsh    bool
-	Breaches []invariants.Violation
-	Faults   []Fault
+// ViolatingSchedule is a schedule in which a promise was broken, with as few faults as still break one.
+type ViolatingSchedule struct {
+	Seed       uint64
+	Harsh      bool
+	Violations []invariants.Violation
+	Faults     []Fault
 }
 
-func (b Broken) String() string {
-	text := fmt.Sprintf("seed %d, harsh %t: %s", b.Seed, b.Harsh, b.Breaches[0])
+func (b ViolatingSchedule) String() string {
+	text := fmt.Sprintf("seed %d, harsh %t: %s", b.Seed, b.Harsh, b.Violations[0])
 	for _, f := range b.Faults {
 		text += fmt.Sprintf("\n    %+v", f)
 	}
@@ -39,8 +39,8 @@
 // length is a schedule's, in ms; several faults and their ends lie within it.
 const length = 24e3
 
-// Many plays two schedules for each of some seeds, a mild one and a harsh one, so many at once as there are processors.
-func Many(ctx context.Context, from, seeds uint64, members, copies int) (sum Sum, err error) {
+// RunSchedules plays two schedules for each of some seeds, a mild one and a harsh one, so many at once as there are processors.
+func RunSchedules(ctx context.Context, from, seeds uint64, members, copies int) (sum Totals, err error) {
 	var mu sync.Mutex
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(runtime.GOMAXPROCS(0))
@@ -59,11 +59,11 @@
 				mu.Lock()
 				defer mu.Unlock()
 				sum.Schedules++
-				sum.TookOver += f.TookOver
-				sum.Served += f.Served()
+				sum.TakenOver += f.TakenOver
+				sum.ServedLogs += f.ServedLogs()
 				sum.Logs += members
 				if len(wrong) > 0 {
-					sum.Broken = append(sum.Broken, Broken{seed, harsh, wrong, faults})
+					sum.Violating = append(sum.Violating, ViolatingSchedule{seed, harsh, wrong, faults})
 				}
 				return nil
 			})
--- a/internal/lab/simcluster/quiet.go
+++ b/internal/lab/simcluster/quiet.go
@@ -8,15 +8,15 @@
 	"pearknot/internal/requestlog"
 )
 
-// Up starts all processes, with nothing to do. Pass plays on.
-func (s *Fleet) Up() {
+// Start starts all processes, with nothing to do. Advance plays on.
+func (s *Cluster) Start() {
 	for k := range s.procs {
 		s.after(float64(k)*3, func() { s.start(k) })
 	}
 }
 
-// Pass plays for so many ms.
-func (s *Fleet) Pass(ms float64) {
+// Advance plays for so many ms.
+func (s *Cluster) Advance(ms float64) {
 	until := s.now + ms
 	for len(s.events) > 0 && s.events[0].at <= until {
 		e := heap.Pop(&s.events).(event)
@@ -26,9 +26,9 @@
 	s.now = until
 }
 
-// Keep has a process take so many requests over so many ms, each with its record at the start and one outcome of so many bytes
-// that is kept. What no log would take is not tried again; Finals counts the others.
-func (s *Fleet) Keep(k, requests int, over float64, body int) {
+// LogRequests has a process take so many requests over so many ms, each with its record at the start and one outcome of so many bytes
+// that is kept. What no log would take is not tried again; LoggedAnswers counts the others.
+func (s *Cluster) LogRequests(k, requests int, over float64, body int) {
 	life := s.procs[k].life
 	for range requests {
 		s.kept++
@@ -44,7 +44,7 @@
 					s.write(k, requestlog.Record{Kind: requestlog.RequestAnswered, Key: key, Answer: requestlog.FinalAnswer{Status: requestlog.Served, Body: make([]byte, body)}},
 						s.now+1500, func(r requestlog.Reply) {
 							if r.Result == requestlog.Committed {
-								s.Finals++
+								s.LoggedAnswers++
 							}
 						})
 				})
--- a/internal/lab/simcluster/quiet_test.go
+++ b/internal/lab/simcluster/quiet_test.go
@@ -10,12 +10,12 @@
 func TestQuiet(t *testing.T) {
 	each := func(members int) (bytes, frames float64) {
 		f := New(1, members, 3)
-		f.Up()
-		f.Pass(3500)
-		assert.Equal(t, members, f.Served())
-		before, count := f.Bytes, f.Frames
-		f.Pass(1000)
-		return float64(f.Bytes-before) / float64(members), float64(f.Frames-count) / float64(members)
+		f.Start()
+		f.Advance(3500)
+		assert.Equal(t, members, f.ServedLogs())
+		before, count := f.BytesSent, f.FramesSent
+		f.Advance(1000)
+		return float64(f.BytesSent-before) / float64(members), float64(f.FramesSent-count) / float64(members)
 	}
 	few, fewFrames := each(3)
 	many, manyFrames := each(6)
@@ -24,9 +24,9 @@
 	assert.Greater(t, manyFrames, fewFrames)
 
 	f := New(1, 3, 3)
-	f.Up()
-	f.Pass(3500)
-	f.Keep(0, 100, 500, 200)
-	f.Pass(1500)
-	assert.Equal(t, 100, f.Finals)
+	f.Start()
+	f.Advance(3500)
+	f.LogRequests(0, 100, 500, 200)
+	f.Advance(1500)
+	assert.Equal(t, 100, f.LoggedAnswers)
 }
--- a/internal/lab/simcluster/simcluster.go
+++ b/internal/lab/simcluster/simcluster.go
@@ -17,9 +17,9 @@
 // Fault is one thing that goes wrong, in ms from the start. Kinds are kill, freeze, cut (a link, both ways), oneway, alone (all
 // links of a process), slow and flap.
 type Fault struct {
-	At, Until float64
-	Kind      string
-	A, B      int // processes
+	Start, End    float64
+	Kind          string
+	Process, Peer int // processes
 }
 
 type event struct {
@@ -58,21 +58,21 @@
 	giveUp float64
 }
 
-// Fleet is the processes, their links and their backends.
-type Fleet struct {
+// Cluster is the processes, their links and their backends.
+type Cluster struct {
 	Trace func(format string, args ...any) // is told what happens; nil is nobody
 
 	// Parts left out on purpose, by which tests show that what is judged notices.
-	Flaw     requestlog.InjectedBug
-	Early    bool // pushes begin before their record is written
-	SameLife bool // a process that is started again goes by its old life
+	InjectedBug           requestlog.InjectedBug
+	AttemptsBeforeRecords bool // pushes begin before their record is written
+	KeepsIncarnation      bool // a process that is started again goes by its old life
 
-	Finals   int // outcomes that were written
-	TookOver int // ops
-	Frames   int // that links have carried
-	Bytes    int // of these
+	LoggedAnswers int // outcomes that were written
+	TakenOver     int // ops
+	FramesSent    int // that links have carried
+	BytesSent     int // of these
 
-	kept    int // requests that Keep has made
+	kept    int // requests that LogRequests has made
 	now     float64
 	seq     int
 	events  events
@@ -88,8 +88,8 @@
 }
 
 // New makes a fleet whose load, delays and backends follow from a seed.
-func New(seed uint64, members, copies int) *Fleet {
-	s := &Fleet{rng: rand.New(rand.NewPCG(seed, 17)), copies: copies, keys: invariants.NewKeyAuditor(), marks: map[string]float64{}, now: 1e6}
+func New(seed uint64, members, copies int) *Cluster {
+	s := &Cluster{rng: rand.New(rand.NewPCG(seed, 17)), copies: copies, keys: invariants.NewKeyAuditor(), marks: map[string]float64{}, now: 1e6}
 	for range members {
 		s.procs = append(s.procs, &proc{})
 		s.down = append(s.down, make([]bool, members))
@@ -100,19 +100,19 @@
 	return s
 }
 
-func (s *Fleet) trace(format string, args ...any) {
+func (s *Cluster) trace(format string, args ...any) {
 	if s.Trace != nil {
 		s.Trace(format, args...)
 	}
 }
 
-func (s *Fleet) after(ms float64, do func()) {
+func (s *Cluster) after(ms float64, do func()) {
 	s.seq++
 	heap.Push(&s.events, event{s.now + ms, s.seq, do})
 }
 
 // in runs something in a process, when it can run.
-func (s *Fleet) in(k int, life uint64, do func()) {
+func (s *Cluster) in(k int, life uint64, do func()) {
 	p := s.procs[k]
 	switch {
 	case !p.up || p.life != life:
@@ -124,10 +124,10 @@
 	}
 }
 
-func (s *Fleet) start(k int) {
+func (s *Cluster) start(k int) {
 	p := s.procs[k]
 	life := uint64(s.now)
-	if s.SameLife && p.life != 0 {
+	if s.KeepsIncarnation && p.life != 0 {
 		life = p.life
 	}
 	var names []string
@@ -135,7 +135,7 @@
 		names = append(names, fmt.Sprintf("n%d", m))
 	}
 	*p = proc{life: life, up: true, waits: map[uint64]func(requestlog.Reply){},
-		house: requestlog.New(requestlog.Config{Members: names, Self: k, Incarnation: life, Replicas: s.copies, Seed: s.rng.Uint64(), MaxLogBytes: 1 << 20, AnswerTTL: 60e3, InjectedBug: s.Flaw}, s.now)}
+		house: requestlog.New(requestlog.Config{Members: names, Self: k, Incarnation: life, Replicas: s.copies, Seed: s.rng.Uint64(), MaxLogBytes: 1 << 20, AnswerTTL: 60e3, InjectedBug: s.InjectedBug}, s.now)}
 	for m := range s.procs {
 		if m != k {
 			s.after(20+s.rng.Float64()*20, func() { s.relink(k, m) })
@@ -144,7 +144,7 @@
 	s.tick(k, life)
 }
 
-func (s *Fleet) tick(k int, life uint64) {
+func (s *Cluster) tick(k int, life uint64) {
 	p := s.procs[k]
 	if !p.up || p.life != life {
 		return
@@ -154,7 +154,7 @@
 }
 
 // relink brings a link up both ways, if nothing is in its way.
-func (s *Fleet) relink(a, b int) {
+func (s *Cluster) relink(a, b int) {
 	pa, pb := s.procs[a], s.procs[b]
 	if !pa.up || !pb.up || pa.frozen || pb.frozen || s.down[a][b] || s.down[b][a] {
 		return
@@ -167,7 +167,7 @@
 	}
 }
 
-func (s *Fleet) unlink(a, b int) {
+func (s *Cluster) unlink(a, b int) {
 	for _, x := range [2][2]int{{a, b}, {b, a}} {
 		k, m := x[0], x[1]
 		if s.linked[k][m] {
@@ -177,7 +177,7 @@
 	}
 }
 
-func (s *Fleet) pull(k int) {
+func (s *Cluster) pull(k int) {
 	p := s.procs[k]
 	for {
 		o, more := p.house.Next()
@@ -193,7 +193,7 @@
 				f(*o.Reply)
 			}
 		case o.TakenOver != nil:
-			s.TookOver++
+			s.TakenOver++
 			s.inherit(k, o.TakenOver)
 		case o.Event != nil:
 			s.trace("%.0f n%d %s %v", s.now, k, o.Event.Message, o.Event.Attrs())
@@ -201,12 +201,12 @@
 	}
 }
 
-func (s *Fleet) carry(from, to int, frame []byte) {
+func (s *Cluster) carry(from, to int, frame []byte) {
 	if s.down[from][to] || !s.linked[from][to] {
 		return
 	}
-	s.Frames++
-	s.Bytes += len(frame)
+	s.FramesSent++
+	s.BytesSent += len(frame)
 	life, sender := s.procs[to].life, s.procs[from].life
 	at := max(s.now+0.1+s.rng.Float64()*0.4+s.delay[from][to]*s.rng.Float64(), s.arrives[from][to])
 	s.arrives[from][to] = at
@@ -221,7 +221,7 @@
 	})
 }
 
-func (s *Fleet) write(k int, r requestlog.Record, until float64, f func(requestlog.Reply)) {
+func (s *Cluster) write(k int, r requestlog.Record, until float64, f func(requestlog.Reply)) {
 	p := s.procs[k]
 	p.ids++
 	p.waits[p.ids] = f
@@ -229,7 +229,7 @@
 }
 
 // come is a client's try at a node.
-func (s *Fleet) come(k int, c client) {
+func (s *Cluster) come(k int, c client) {
 	p := s.procs[k]
 	life := p.life
 	s.in(k, life, func() {
@@ -250,11 +250,11 @@
 	})
 }
 
-func (s *Fleet) given(key string, o requestlog.FinalAnswer) {
+func (s *Cluster) given(key string, o requestlog.FinalAnswer) {
 	s.keys.OutcomeReported(s.now, key, fmt.Sprint(o.Status, string(o.Body)))
 }
 
-func (s *Fleet) take(k int, c client) {
+func (s *Cluster) take(k int, c client) {
 	op := requestlog.Request{Fingerprint: 1, Idempotency: c.effect, DedupWindow: 800, Deadline: c.giveUp, EncodedMessage: []byte("op " + c.key)}
 	s.push(k, c.key, op, nil, func(code requestlog.Result) {
 		if code == requestlog.KeyInFlight {
@@ -264,7 +264,7 @@
 }
 
 // push begins one as a node does: its record first.
-func (s *Fleet) push(k int, key string, op requestlog.Request, before []requestlog.Attempt, refused func(requestlog.Result)) {
+func (s *Cluster) push(k int, key string, op requestlog.Request, before []requestlog.Attempt, refused func(requestlog.Result)) {
 	number := len(before)
 	p := s.procs[k]
 	life := p.life
@@ -300,7 +300,7 @@
 			})
 		})
 	}
-	if s.Early {
+	if s.AttemptsBeforeRecords {
 		run(b)
 	}
 	s.write(k, requestlog.Record{Kind: requestlog.AttemptStarted, Key: key, Request: op, Attempt: is}, min(op.Deadline, s.now+500), func(r requestlog.Reply) {
@@ -316,7 +316,7 @@
 			if number == 0 {
 				s.keys.RequestStored(s.now, key, op.Idempotency, op.Deadline)
 			}
-			if !s.Early {
+			if !s.AttemptsBeforeRecords {
 				// It may be frozen right between its look at the clock and the write; a mark that is forgotten meanwhile helps no more.
 				if op.Idempotency != balancer.IdempotentWithKey && s.rng.Float64() < 0.05 {
 					s.after(0.2, func() { s.in(k, life, func() { run(b) }) })
@@ -338,7 +338,7 @@
 }
 
 // effect is what a push does at a backend; marks are shared by all and kept for a while.
-func (s *Fleet) effect(key string, op requestlog.Request) {
+func (s *Cluster) effect(key string, op requestlog.Request) {
 	if op.Idempotency == balancer.IdempotentWithKey {
 		if at, marked := s.marks[key]; marked && s.now-at < op.DedupWindow+requestlog.PeerTimeoutMs {
 			return
@@ -349,11 +349,11 @@
 	s.trace("%.0f effect of %s", s.now, key)
 }
 
-func (s *Fleet) finish(k int, key string, o requestlog.FinalAnswer) {
+func (s *Cluster) finish(k int, key string, o requestlog.FinalAnswer) {
 	s.write(k, requestlog.Record{Kind: requestlog.RequestAnswered, Key: key, Answer: o}, s.now+1500, func(r requestlog.Reply) {
 		s.trace("%.0f n%d finish %s %v: %v", s.now, k, key, o.Status, r.Result)
 		if r.Result == requestlog.Committed && o.Status != requestlog.Rejected {
-			s.Finals++
+			s.LoggedAnswers++
 			s.given(key, o)
 		}
 		if r.Result == requestlog.KeyAnswered {
@@ -362,7 +362,7 @@
 	})
 }
 
-func (s *Fleet) inherit(k int, e *requestlog.Entry) {
+func (s *Cluster) inherit(k int, e *requestlog.Entry) {
 	s.trace("%.0f n%d inherits %s", s.now, k, e.Key)
 	switch duty, _ := e.TakeoverAction(s.now); duty {
 	case requestlog.RejectRequest:
@@ -388,21 +388,21 @@
 	kinds := []string{"kill", "freeze", "cut", "oneway", "slow", "flap", "alone"}
 	at := 3500.0
 	for range n {
-		f := Fault{At: at, Kind: kinds[rng.IntN(len(kinds))], A: rng.IntN(members)}
-		f.B = (f.A + 1 + rng.IntN(members-1)) % members
-		f.Until = f.At + 100 + rng.Float64()*3000
+		f := Fault{Start: at, Kind: kinds[rng.IntN(len(kinds))], Process: rng.IntN(members)}
+		f.Peer = (f.Process + 1 + rng.IntN(members-1)) % members
+		f.End = f.Start + 100 + rng.Float64()*3000
 		if harsh {
 			at += rng.Float64() * 1500
 		} else {
 			f.Kind = kinds[rng.IntN(2)]
-			at = f.Until + 4000
+			at = f.End + 4000
 		}
 		all = append(all, f)
 	}
 	return all
 }
 
-func (s *Fleet) fault(f Fault) {
+func (s *Cluster) fault(f Fault) {
 	cut := func(pairs [][2]int, both, on bool) {
 		for _, x := range pairs {
 			a, b := x[0], x[1]
@@ -430,8 +430,8 @@
 		}
 		return all
 	}
-	end := func(do func()) { s.after(f.Until-f.At, do) }
-	p := s.procs[f.A]
+	end := func(do func()) { s.after(f.End-f.Start, do) }
+	p := s.procs[f.Process]
 	switch f.Kind {
 	case "kill":
 		if !p.up {
@@ -439,13 +439,13 @@
 		}
 		p.up, p.frozen = false, false
 		for m := range s.procs {
-			if m != f.A {
-				s.unlink(f.A, m)
+			if m != f.Process {
+				s.unlink(f.Process, m)
 			}
 		}
 		end(func() {
 			if !p.up {
-				s.start(f.A)
+				s.start(f.Process)
 			}
 		})
 	case "freeze":
@@ -456,8 +456,8 @@
 		p.frozen = true
 		s.after(600, func() { // peers end a silent link
 			for m := range s.procs {
-				if m != f.A && p.frozen && p.life == life {
-					s.unlink(f.A, m)
+				if m != f.Process && p.frozen && p.life == life {
+					s.unlink(f.Process, m)
 				}
 			}
 		})
@@ -468,36 +468,36 @@
 			p.frozen = false
 			for _, do := range p.queue {
 				do()
-				s.pull(f.A)
+				s.pull(f.Process)
 			}
 			p.queue = nil
 			for m := range s.procs {
-				if m != f.A && !s.linked[f.A][m] {
-					s.after(20, func() { s.relink(f.A, m) })
+				if m != f.Process && !s.linked[f.Process][m] {
+					s.after(20, func() { s.relink(f.Process, m) })
 				}
 			}
 		})
 	case "cut":
-		cut([][2]int{{f.A, f.B}}, true, true)
-		end(func() { cut([][2]int{{f.A, f.B}}, true, false) })
+		cut([][2]int{{f.Process, f.Peer}}, true, true)
+		end(func() { cut([][2]int{{f.Process, f.Peer}}, true, false) })
 	case "oneway":
-		cut([][2]int{{f.A, f.B}}, false, true)
-		end(func() { cut([][2]int{{f.A, f.B}}, false, false) })
+		cut([][2]int{{f.Process, f.Peer}}, false, true)
+		end(func() { cut([][2]int{{f.Process, f.Peer}}, false, false) })
 	case "alone":
-		cut(others(f.A), true, true)
-		end(func() { cut(others(f.A), true, false) })
+		cut(others(f.Process), true, true)
+		end(func() { cut(others(f.Process), true, false) })
 	case "slow":
 		for m := range s.procs {
-			s.delay[f.A][m] = 800
+			s.delay[f.Process][m] = 800
 		}
 		end(func() {
 			for m := range s.procs {
-				s.delay[f.A][m] = 0
+				s.delay[f.Process][m] = 0
 			}
 		})
 	case "flap":
-		for at := f.At; at < f.Until; at += 250 {
-			s.after(at-f.At, func() { s.unlink(f.A, f.B); s.after(120, func() { s.relink(f.A, f.B) }) })
+		for at := f.Start; at < f.End; at += 250 {
+			s.after(at-f.Start, func() { s.unlink(f.Process, f.Peer); s.after(120, func() { s.relink(f.Process, f.Peer) }) })
 		}
 	}
 }
@@ -521,13 +521,13 @@
 	grace    = 3000.0 // past its time, within which an op has its final state
 )
 
-// Run plays faults over a load for so many ms, and tells what was broken. At the end each key is asked for at some process that
-// can answer; a log that nobody leads by then tells nothing, and Served counts it.
-func (s *Fleet) Run(faults []Fault, until float64) []invariants.Violation {
+// Run plays faults over a load for so many ms, and tells what was broken. Start the end each key is asked for at some process that
+// can answer; a log that nobody leads by then tells nothing, and ServedLogs counts it.
+func (s *Cluster) Run(faults []Fault, until float64) []invariants.Violation {
 	base, keys := s.now, 0
-	s.Up()
+	s.Start()
 	for _, f := range faults {
-		s.after(f.At, func() { s.fault(f) })
+		s.after(f.Start, func() { s.fault(f) })
 	}
 	var load func()
 	load = func() {
@@ -557,7 +557,7 @@
 }
 
 // ask tells the judge whether a key's op is over.
-func (s *Fleet) ask(key string) {
+func (s *Cluster) ask(key string) {
 	for k, p := range s.procs {
 		if !p.up || p.frozen {
 			continue
@@ -575,8 +575,8 @@
 	}
 }
 
-// Served tells how many logs have a leader that serves them, by its own word.
-func (s *Fleet) Served() (n int) {
+// ServedLogs tells how many logs have a leader that serves them, by its own word.
+func (s *Cluster) ServedLogs() (n int) {
 	for _, p := range s.procs {
 		if p.up {
 			x := p.house.Status()
--- a/internal/lab/simcluster/simcluster_test.go
+++ b/internal/lab/simcluster/simcluster_test.go
@@ -12,9 +12,9 @@
 func TestCalm(t *testing.T) {
 	s := New(1, 5, 3)
 	require.Empty(t, s.Run(nil, 12e3))
-	require.Equal(t, 5, s.Served())
-	require.Zero(t, s.TookOver, "nobody is taken for lost")
-	require.Greater(t, s.Finals, 100)
+	require.Equal(t, 5, s.ServedLogs())
+	require.Zero(t, s.TakenOver, "nobody is taken for lost")
+	require.Greater(t, s.LoggedAnswers, 100)
 }
 
 // Schedules of kills, freezes, cuts one way and both, slow and flapping links, drawn by seed and played over a load in which
@@ -22,12 +22,12 @@
 // played by pearknot-lab schedules.
 func TestSchedules(t *testing.T) {
 	for _, copies := range []int{3, 5} {
-		sum, err := Many(t.Context(), 0, 16, 5, copies)
+		sum, err := RunSchedules(t.Context(), 0, 16, 5, copies)
 		require.NoError(t, err)
-		require.Empty(t, sum.Broken)
+		require.Empty(t, sum.Violating)
 		require.Equal(t, 32, sum.Schedules)
-		require.Greater(t, sum.TookOver, 50)
-		require.GreaterOrEqual(t, sum.Served, sum.Logs*95/100)
+		require.Greater(t, sum.TakenOver, 50)
+		require.GreaterOrEqual(t, sum.ServedLogs, sum.Logs*95/100)
 	}
 }
 
@@ -41,15 +41,15 @@
 	require.Equal(t, play(), play())
 }
 
-// A build with a part left out must be caught by the same schedules: else the checks show nothing.
+// Process build with a part left out must be caught by the same schedules: else the checks show nothing.
 func TestFlawsAreCaught(t *testing.T) {
-	for name, spoil := range map[string]func(*Fleet){
-		"fence left out":                    func(s *Fleet) { s.Flaw = requestlog.BugNoFencing },
-		"nobody takes over":                 func(s *Fleet) { s.Flaw = requestlog.BugNoTakeover },
-		"keys given out twice":              func(s *Fleet) { s.Flaw = requestlog.BugNoKeyCheck },
-		"heirs not told of pushes":          func(s *Fleet) { s.Flaw = requestlog.BugForgottenAttempts },
-		"pushes before their record":        func(s *Fleet) { s.Early = true },
-		"a follower rejoins under its name": func(s *Fleet) { s.SameLife = true },
+	for name, spoil := range map[string]func(*Cluster){
+		"fence left out":                    func(s *Cluster) { s.InjectedBug = requestlog.BugNoFencing },
+		"nobody takes over":                 func(s *Cluster) { s.InjectedBug = requestlog.BugNoTakeover },
+		"keys given out twice":              func(s *Cluster) { s.InjectedBug = requestlog.BugNoKeyCheck },
+		"heirs not told of pushes":          func(s *Cluster) { s.InjectedBug = requestlog.BugForgottenAttempts },
+		"pushes before their record":        func(s *Cluster) { s.AttemptsBeforeRecords = true },
+		"a follower rejoins under its name": func(s *Cluster) { s.KeepsIncarnation = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -67,7 +67,7 @@
 }
 
 // caught plays a schedule; a log that finds itself broken counts as well.
-func caught(s *Fleet, faults []Fault) (wrong string) {
+func caught(s *Cluster, faults []Fault) (wrong string) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			wrong = fmt.Sprint(fault)
@@ -80,21 +80,21 @@
 }
 
 // Two of three copies lost at once take what the log held with them, which nothing can help; but the log must be served again,
-// by its own member alone, and only once nobody can have a majority of it. A log whose member still held a copy never was.
+// by its own member alone, and only once nobody can have a majority of it. Process log whose member still held a copy never was.
 func TestAMajorityLostIsFoundedAnew(t *testing.T) {
 	for name, faults := range map[string][]Fault{
-		"two":           {{At: 3500, Until: 5000, Kind: "kill", A: 1}, {At: 3500, Until: 5000, Kind: "kill", A: 2}},
-		"two others":    {{At: 3500, Until: 4000, Kind: "kill", A: 4}, {At: 3500, Until: 6000, Kind: "kill", A: 2}},
-		"three":         {{At: 3500, Until: 5000, Kind: "kill", A: 0}, {At: 3500, Until: 5500, Kind: "kill", A: 2}, {At: 3501, Until: 5000, Kind: "kill", A: 3}},
-		"all":           {{At: 3500, Until: 5000, Kind: "kill", A: 0}, {At: 3500, Until: 5500, Kind: "kill", A: 1}, {At: 3500, Until: 5100, Kind: "kill", A: 2}, {At: 3500, Until: 5000, Kind: "kill", A: 3}, {At: 3500, Until: 5000, Kind: "kill", A: 4}},
-		"all, in turn":  {{At: 3500, Until: 3700, Kind: "kill", A: 0}, {At: 5500, Until: 5700, Kind: "kill", A: 1}, {At: 7500, Until: 7700, Kind: "kill", A: 2}, {At: 9500, Until: 9700, Kind: "kill", A: 3}, {At: 11500, Until: 11700, Kind: "kill", A: 4}},
-		"two, one dead": {{At: 3500, Until: 5000, Kind: "kill", A: 1}, {At: 3500, Until: 5000, Kind: "kill", A: 2}, {At: 9500, Until: 90000, Kind: "kill", A: 3}},
+		"two":           {{Start: 3500, End: 5000, Kind: "kill", Process: 1}, {Start: 3500, End: 5000, Kind: "kill", Process: 2}},
+		"two others":    {{Start: 3500, End: 4000, Kind: "kill", Process: 4}, {Start: 3500, End: 6000, Kind: "kill", Process: 2}},
+		"three":         {{Start: 3500, End: 5000, Kind: "kill", Process: 0}, {Start: 3500, End: 5500, Kind: "kill", Process: 2}, {Start: 3501, End: 5000, Kind: "kill", Process: 3}},
+		"all":           {{Start: 3500, End: 5000, Kind: "kill", Process: 0}, {Start: 3500, End: 5500, Kind: "kill", Process: 1}, {Start: 3500, End: 5100, Kind: "kill", Process: 2}, {Start: 3500, End: 5000, Kind: "kill", Process: 3}, {Start: 3500, End: 5000, Kind: "kill", Process: 4}},
+		"all, in turn":  {{Start: 3500, End: 3700, Kind: "kill", Process: 0}, {Start: 5500, End: 5700, Kind: "kill", Process: 1}, {Start: 7500, End: 7700, Kind: "kill", Process: 2}, {Start: 9500, End: 9700, Kind: "kill", Process: 3}, {Start: 11500, End: 11700, Kind: "kill", Process: 4}},
+		"two, one dead": {{Start: 3500, End: 5000, Kind: "kill", Process: 1}, {Start: 3500, End: 5000, Kind: "kill", Process: 2}, {Start: 9500, End: 90000, Kind: "kill", Process: 3}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := New(5, 5, 3)
 			wrong := s.Run(faults, 24e3)
-			require.Equal(t, 5, s.Served())
+			require.Equal(t, 5, s.ServedLogs())
 			if name == "all, in turn" {
 				require.Empty(t, wrong)
 			}
--- a/internal/server/client_gone_logged_test.go
+++ b/internal/server/client_gone_logged_test.go
@@ -38,7 +38,7 @@
 	for range 3 {
 		addresses = append(addresses, unusedAddress(t))
 	}
-	var proxies []*faultproxy.Wire
+	var proxies []*faultproxy.Proxy
 	startProxy := func(to string) string {
 		proxy, err := faultproxy.Open(to)
 		require.NoError(t, err)
@@ -64,7 +64,7 @@
 	}
 	return first, func(delay time.Duration) {
 		for _, proxy := range proxies {
-			proxy.Set(faultproxy.Fault{Delay: delay})
+			proxy.SetFault(faultproxy.Fault{Delay: delay})
 		}
 	}
 }
