--- a/cmd/pearknot-lab/fleet.go
+++ b/cmd/pearknot-lab/fleet.go
@@ -20,7 +20,6 @@
 	"pearknot/internal/lab/experiment"
 	"pearknot/internal/lab/loopback"
 	"pearknot/internal/lab/metrics"
-	"pearknot/internal/lab/runner"
 )
 
 // fleetCommand plays an experiment over nodes that an agent looks after, with a rolling change of all of them on the way.
@@ -43,13 +42,11 @@
 			if err != nil {
 				return err
 			}
-			res := runner.Empty(e, "loopback")
-			res.Runs = append(res.Runs, r.run)
-			runner.Sum(&res)
+			result := metrics.NewResult(e, metrics.HostLoopback, []metrics.Run{r.run})
 			out := c.OutOrStdout()
 			fmt.Fprintf(out, "apply of %d instances converged in %.2f s, rolling change of all, %d at once, in %.2f s\n", instances, r.first.Seconds(),
 				atOnce, took.Seconds())
-			return verdict(out, res)
+			return verdict(out, result)
 		}}
 	c.Flags().StringVar(&file, "file", "experiments/calm.toml", "the experiment")
 	c.Flags().IntVar(&instances, "instances", instances, "nodes")
@@ -129,7 +126,7 @@
 	w := agent.Write{Command: "apply", Configs: map[string]string{}, Options: &fleet.Options{MaxUnavailable: 1 << 20}}
 	changed := make(chan error, 1)
 	opts := loopback.Options{
-		External: func(nodes []loopback.External) error {
+		StartNodes: func(nodes []loopback.ExternalNode) error {
 			for _, n := range nodes {
 				text, listen, list, err := agent.Configure([]byte(n.Config), nil, nil)
 				if err != nil {
@@ -146,7 +143,7 @@
 			r.first = time.Since(begun)
 			return err
 		},
-		Started: func() {
+		OnLoadStarted: func() {
 			go func() { // a few seconds into the load
 				select {
 				case <-time.After(time.Duration(0.2 * e.Seconds * float64(time.Second))):
