--- a/cmd/pearknot/call_test.go
+++ b/cmd/pearknot/call_test.go
@@ -19,40 +19,46 @@
 	"github.com/stretchr/testify/require"
 )
 
-// operated is a running node with a second address, and a backend s-1 that answers.
-func operated(t *testing.T) (w *world, second string) {
+// startOperatedNode starts a node with an admin address and one backend, s-1, that always responds.
+func startOperatedNode(t *testing.T) (node *testNode, adminAddress string) {
 	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	t.Cleanup(backend.Close)
-	list := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
+	list := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() }))
 	t.Cleanup(list.Close)
-	file := writeConfig(t, list.Listener.Addr(), 64, 128, entry(backend.Listener.Addr().String(), "up"), settings)
-	withControl(t, file)
+	file := writeConfig(t, list.Listener.Addr(), 64, 128, endpointEntry(backend.Listener.Addr().String(), "up"), settings)
+	addAdminAddress(t, file)
 	process := exec.Command(nodeProgram, "serve", "-config", file)
-	w = &world{t: t, process: process, file: file, ended: make(chan error, 1)}
+	node = &testNode{t: t, process: process, file: file, ended: make(chan error, 1)}
 	r, err := process.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, process.Start())
 	t.Cleanup(func() { _ = process.Process.Kill() })
 	lines, serving := bufio.NewScanner(r), regexp.MustCompile(`msg=serving .*address=(\S+) control=(\S+)`)
-	for second == "" && lines.Scan() {
+	for adminAddress == "" && lines.Scan() {
 		if m := serving.FindStringSubmatch(lines.Text()); m != nil {
-			w.address, second = m[1], m[2]
+			node.address, adminAddress = m[1], m[2]
 		}
 	}
-	require.NotEmpty(t, second)
+	require.NotEmpty(t, adminAddress)
 	go func() {
 		_, _ = io.Copy(io.Discard, r)
-		w.ended <- process.Wait()
+		node.ended <- process.Wait()
 	}()
-	return w, second
+	// The log line comes a moment before the node answers calls.
+	require.Eventually(t, func() bool {
+		status, _ := runProgram("call", adminAddress, "health")
+		return status == 0
+	}, 5*time.Second, time.Millisecond)
+	return node, adminAddress
 }
 
-// Each call once, as an operator makes it.
-func TestCalls(t *testing.T) {
-	w, second := operated(t)
+// An operator makes each call of the admin address. The answer, the exit status, and what clients get afterwards are as
+// documented.
+func TestAdminCalls(t *testing.T) {
+	node, adminAddress := startOperatedNode(t)
 	for _, c := range []struct {
 		args          []string
-		says          string
+		output        string
 		status        int
 		requestStatus int // what a request gets after it
 	}{
@@ -69,35 +75,36 @@
 		{[]string{"health"}, "YES ready\n", 0, 200},
 		{[]string{"cordon"}, "pearknot: cordon needs a backend's id\n", 2, 200},
 	} {
-		status, says := call(append([]string{"call", second}, c.args...)...)
-		assert.Equal(t, c.says, says, c.args)
+		status, output := runProgram(append([]string{"call", adminAddress}, c.args...)...)
+		assert.Equal(t, c.output, output, c.args)
 		assert.Equal(t, c.status, status, c.args)
-		got, _, _, err := w.ask(fresh(), "GET", fmt.Sprint(c.args), "check", "2000")
+		got, _, _, err := node.send(newClient(), "GET", fmt.Sprint(c.args), "check", "2000")
 		require.NoError(t, err)
 		assert.Equal(t, c.requestStatus, got, c.args)
 	}
-	status, _ := call("call", "127.0.0.1:1", "health")
+	status, _ := runProgram("call", "127.0.0.1:1", "health")
 	assert.Equal(t, 1, status, "nobody there")
 }
 
-// Clients are sent away: the health check says no at once, connections are let go of in the order that costs least, and
-// four seconds after the call none is held.
-func TestSentAway(t *testing.T) {
-	w, second := operated(t)
+// An operator sends the clients of a node away (quiesce). The health check fails at once. Idle connections are closed, a
+// connection in use is asked to close with a response and never cut off, and a client in the middle of a request head is still
+// served. After four seconds requests are rejected. Resume takes clients again.
+func TestQuiesceSendsClientsAway(t *testing.T) {
+	node, adminAddress := startOperatedNode(t)
 	healthy := func() bool {
-		answer, err := fresh().Get("http://" + w.address + "/_health")
+		answer, err := newClient().Get("http://" + node.address + "/_health")
 		require.NoError(t, err)
 		defer answer.Body.Close()
 		return answer.StatusCode == http.StatusOK
 	}
-	slow, err := net.Dial("tcp", w.address) // one that takes its time for a head, and is not idle
+	slow, err := net.Dial("tcp", node.address) // one that takes its time for a head, and is not idle
 	require.NoError(t, err)
 	defer slow.Close()
 	closed := make(chan time.Time, 1)
-	idle, err := net.Dial("tcp", w.address)
+	idle, err := net.Dial("tcp", node.address)
 	require.NoError(t, err)
 	defer idle.Close()
-	busy, err := net.Dial("tcp", w.address)
+	busy, err := net.Dial("tcp", node.address)
 	require.NoError(t, err)
 	defer busy.Close()
 	go func() {
@@ -115,9 +122,9 @@
 	}
 	require.False(t, ask("a").Close)
 	require.True(t, healthy())
-	begun := time.Now()
-	yes, _ := call("call", second, "quiesce")
-	require.Zero(t, yes)
+	startedAt := time.Now()
+	status, _ := runProgram("call", adminAddress, "quiesce")
+	require.Zero(t, status)
 	assert.False(t, healthy())
 	_, err = io.WriteString(slow, "GET /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: slow\r\nX-Qos: check\r\n")
 	require.NoError(t, err)
@@ -138,61 +145,61 @@
 		if answer.Close {
 			break
 		}
-		require.Less(t, time.Since(begun), 3*time.Second)
+		require.Less(t, time.Since(startedAt), 3*time.Second)
 		<-pace.C
 	}
 	assert.Equal(t, 200, <-statusOf)
-	assert.Less(t, (<-closed).Sub(begun), 3500*time.Millisecond)
+	assert.Less(t, (<-closed).Sub(startedAt), 3500*time.Millisecond)
 	require.Eventually(t, func() bool { // what comes later could not be gone in time
-		status, _, _, err := w.ask(fresh(), "GET", fmt.Sprint(time.Now()), "check", "2000")
+		status, _, _, err := node.send(newClient(), "GET", fmt.Sprint(time.Now()), "check", "2000")
 		return err == nil && status == 503
 	}, 3*time.Second, 20*time.Millisecond)
-	yes, _ = call("call", second, "resume")
-	require.Zero(t, yes)
+	status, _ = runProgram("call", adminAddress, "resume")
+	require.Zero(t, status)
 	assert.True(t, healthy())
-	status, _, _, err := w.ask(fresh(), "GET", "c", "check", "2000")
+	status, _, _, err = node.send(newClient(), "GET", "c", "check", "2000")
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
 }
 
-// SIGHUP takes new settings whole or not at all: classes come, go and change their effect, and a request that is open keeps
-// what it came under.
-func TestNewSettings(t *testing.T) {
-	inHand, answer := make(chan bool, 9), make(chan bool)
-	w := start(t, 1024, func(rw http.ResponseWriter, r *http.Request) {
-		if strings.HasPrefix(r.Header.Get("X-Trace-Id"), "slow") {
-			inHand <- true
+// A reload (SIGHUP) puts new settings in force completely or not at all. Classes are added, removed and change their
+// idempotency; a request in flight keeps the class that it arrived with.
+func TestReloadChangesSettingsWholeOrNotAtAll(t *testing.T) {
+	inFlight, answer := make(chan bool, 9), make(chan bool)
+	node := startNode(t, 1024, func(rw http.ResponseWriter, request *http.Request) {
+		if strings.HasPrefix(request.Header.Get("X-Trace-Id"), "slow") {
+			inFlight <- true
 			<-answer
 			panic(http.ErrAbortHandler) // it may have run
 		}
 	})
-	status := func(id, category string) int {
-		status, _, _, err := w.ask(fresh(), "GET", id, category, "6000")
+	status := func(id, class string) int {
+		status, _, _, err := node.send(newClient(), "GET", id, class, "6000")
 		require.NoError(t, err)
 		return status
 	}
 	slow := make(chan int, 1)
 	go func() {
-		status, _, _, _ := w.ask(fresh(), "GET", "slow", "check", "6000")
+		status, _, _, _ := node.send(newClient(), "GET", "slow", "check", "6000")
 		slow <- status
 	}()
-	<-inHand
-	whole, err := os.ReadFile(w.file)
+	<-inFlight
+	config, err := os.ReadFile(node.file)
 	require.NoError(t, err)
-	change := func(pairs ...string) []byte { return []byte(strings.NewReplacer(pairs...).Replace(string(whole))) }
+	change := func(pairs ...string) []byte { return []byte(strings.NewReplacer(pairs...).Replace(string(config))) }
 	reload := func(text []byte) {
-		require.NoError(t, os.WriteFile(w.file, text, 0o600))
-		require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
+		require.NoError(t, os.WriteFile(node.file, text, 0o600))
+		require.NoError(t, node.process.Process.Signal(syscall.SIGHUP))
 	}
-	for _, bad := range [][]byte{nil, whole[:len(whole)-2], change(`"name":"n1",`, ``, `"name":"pay"`, `"name":"new"`),
+	for _, bad := range [][]byte{nil, config[:len(config)-2], change(`"name":"n1",`, ``, `"name":"pay"`, `"name":"new"`),
 		change(`"limits"`, `"no"`, `"name":"pay"`, `"name":"new"`), change(`"ttl":4000`, `"ttl":-1`, `"name":"pay"`, `"name":"new"`)} {
 		reload(bad)
 	}
 	reload(change(`"name":"check"`, `"name":"look"`, `"name":"pay"`, `"name":"check"`, `"mostPushes":3`, `"mostPushes":1`))
 	require.Eventually(t, func() bool { return status("a", "look") == 200 }, 10*time.Second, 10*time.Millisecond)
-	assert.Equal(t, 400, status("b", "new"), "of none of the bad files anything was taken")
+	assert.Equal(t, 400, status("b", "new"), "nothing of the invalid files was put in force")
 	assert.Equal(t, 400, status("c", "pay"), "dropped")
 	close(answer)
 	assert.Equal(t, 503, <-slow, "idempotent, as it arrived: rejected")
-	assert.Equal(t, 502, status("slow-2", "check"), "at-most-once now: a dead letter")
+	assert.Equal(t, 502, status("slow-2", "check"), "at-most-once now: it fails")
 }
--- a/cmd/pearknot/capture_test.go
+++ b/cmd/pearknot/capture_test.go
@@ -21,15 +21,15 @@
 	"pearknot/internal/lab/program"
 )
 
-// A node on sockets captures what its module is told; after a SIGKILL, and a second life that ends by SIGTERM, both replay
-// bit for bit.
-func TestCaptureOfANode(t *testing.T) {
+// A node writes a capture. It is killed, started again, and ends by SIGTERM. The captures of both incarnations replay with the
+// same decisions.
+func TestCaptureOfANodeReplays(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "capture.toml")
 	out := filepath.Join(dir, "captures")
 	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "dir = %q\nevery_ms = 5\nblock_kb = 1\n", out), 0o600))
-	handler := func(w http.ResponseWriter, r *http.Request) {
-		if strings.HasPrefix(r.Header.Get("X-Trace-Id"), "bad") {
+	handler := func(w http.ResponseWriter, request *http.Request) {
+		if strings.HasPrefix(request.Header.Get("X-Trace-Id"), "bad") {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
@@ -53,22 +53,22 @@
 		}
 		return requests, starts
 	}
-	for life := range 2 {
-		w := start(t, 256, handler, "--capture", file)
-		client := fresh()
+	for incarnation := range 2 {
+		node := startNode(t, 256, handler, "--capture", file)
+		client := newClient()
 		for k := range 60 {
-			id := fmt.Sprintf("%s%d-%d", map[bool]string{true: "bad"}[k%7 == 0], life, k)
-			_, _, _, err := w.ask(client, map[bool]string{true: "GET", false: "POST"}[k%3 > 0], id, map[bool]string{true: "check", false: "pay"}[k%3 > 0], "2000")
+			id := fmt.Sprintf("%s%d-%d", map[bool]string{true: "bad"}[k%7 == 0], incarnation, k)
+			_, _, _, err := node.send(client, map[bool]string{true: "GET", false: "POST"}[k%3 > 0], id, map[bool]string{true: "check", false: "pay"}[k%3 > 0], "2000")
 			require.NoError(t, err)
 		}
 		client.CloseIdleConnections()
-		if life == 0 {
+		if incarnation == 0 {
 			require.Eventually(t, func() bool { requests, _ := count(); return requests == 60 }, 5*time.Second, 5*time.Millisecond)
-			require.NoError(t, w.process.Process.Kill())
-			require.Error(t, <-w.ended, "killed")
+			require.NoError(t, node.process.Process.Kill())
+			require.Error(t, <-node.ended, "killed")
 		} else {
-			require.NoError(t, w.process.Process.Signal(os.Interrupt))
-			require.NoError(t, <-w.ended, "ended by itself")
+			require.NoError(t, node.process.Process.Signal(os.Interrupt))
+			require.NoError(t, <-node.ended, "ended by itself")
 		}
 	}
 	requests, starts := count()
@@ -81,7 +81,7 @@
 	for _, c := range []struct {
 		args   []string
 		status int
-		says   string
+		output string
 	}{
 		{[]string{"capture", "ls", out}, 0, "records"}, {[]string{"capture", "cat", out}, 0, "request arrived request 1"},
 		{[]string{"capture", "verify", out}, 0, "0 damaged segments"}, {[]string{"replay", "/nowhere"}, 2, "no such file"},
@@ -90,27 +90,27 @@
 	} {
 		var stdout, stderr bytes.Buffer
 		assert.Equal(t, c.status, run(c.args, &stdout, &stderr), c.args)
-		assert.Contains(t, stdout.String()+stderr.String(), c.says, c.args)
+		assert.Contains(t, stdout.String()+stderr.String(), c.output, c.args)
 	}
 }
 
-// Where no disk lasts, the ring in memory is written out by a signal or by the control socket; what is written can be
-// played from its first snapshot, explained, and cut.
-func TestCaptureInMemory(t *testing.T) {
+// A capture is kept in memory, where no disk is durable. It is written to a file by a signal or a call of the control socket.
+// The file can be replayed from its first snapshot, explained and cut.
+func TestCaptureInMemoryIsDumped(t *testing.T) {
 	dir, err := os.MkdirTemp("", "pk") // short: a socket's path is bounded
 	require.NoError(t, err)
 	defer os.RemoveAll(dir)
 	file, dumps, socket := filepath.Join(dir, "capture.toml"), filepath.Join(dir, "dumps"), filepath.Join(dir, "s")
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "key"), []byte("sixteen bytes it is"), 0o600))
 	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "dir = %q\nmemory_mb = 0.05\nsnapshot_s = 0.02\nredact_key_file = %q\n", dumps, filepath.Join(dir, "key")), 0o600))
-	w := start(t, 256, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "done") }, "--capture", file, "--control", socket)
-	client := fresh()
+	node := startNode(t, 256, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "done") }, "--capture", file, "--control", socket)
+	client := newClient()
 	for k := range 400 {
-		_, _, _, err := w.ask(client, "GET", fmt.Sprint("op", k), "check", "2000")
+		_, _, _, err := node.send(client, "GET", fmt.Sprint("op", k), "check", "2000")
 		require.NoError(t, err)
 	}
 	client.CloseIdleConnections()
-	require.NoError(t, w.process.Process.Signal(syscall.SIGUSR1))
+	require.NoError(t, node.process.Process.Signal(syscall.SIGUSR1))
 	require.Eventually(t, func() bool { files, err := capture.Segments(dumps); return err == nil && len(files) == 1 }, 5*time.Second, time.Millisecond)
 	call := func(status int, args ...string) string {
 		var stdout, stderr bytes.Buffer
@@ -147,10 +147,11 @@
 	assert.Contains(t, call(2, "explain", second, "y"), "neither a number nor x and an ID")
 	assert.Contains(t, call(2, "capture", "cut", second, "--to", "1", "--out", part), "nothing from")
 	require.NoError(t, os.WriteFile(file, []byte("dir = 'x'\nmost_mb = 3\n"), 0o600))
-	assert.Contains(t, call(2, "serve", "--config", w.file, "--capture", file), "capture.toml:2:1: most_mb: 3 is less than two segments")
+	assert.Contains(t, call(2, "serve", "--config", node.file, "--capture", file), "capture.toml:2:1: most_mb: 3 is less than two segments")
 }
 
-// A build of the program whose module has one comparison flipped is caught by a replay of what the right one decided.
+// One comparison in the balancer is inverted, in a build of its own. A replay against that build notices, since its decisions
+// differ from the captured ones.
 func TestFlippedComparisonIsCaught(t *testing.T) {
 	dir := t.TempDir()
 	captures := filepath.Join(dir, "captures")
--- a/cmd/pearknot/deploy_test.go
+++ b/cmd/pearknot/deploy_test.go
@@ -16,23 +16,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ignored is what stands before the program in run: nothing else may.
-const ignored = "trap '' HUP; "
+// ignoreHangup is the only thing that may precede the program in the deploy file's run line.
+const ignoreHangup = "trap '' HUP; "
 
-// A SIGHUP comes as run's shell becomes the program, which takes 4 ms and more to hear signals: it ended the process. The configuration is
-// read after, so that nothing is lost with it; one that comes later is heard.
-func TestSIGHUPBeforeTheProgramHearsIt(t *testing.T) {
-	first, asked := list(t)
-	second, askedSecond := list(t)
-	whole, err := os.ReadFile(writeConfig(t, &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1}, 192, 256, "", settings))
+// SIGHUP comes while the run line's shell becomes the program, which takes 4 ms or more until it handles signals. Without
+// ignoreHangup it would end the process. The configuration is read after that, so nothing is lost with the signal; a later one
+// is handled.
+func TestHangupBeforeTheProgramHandlesIt(t *testing.T) {
+	first, asked := newRecordedDiscovery(t)
+	second, askedSecond := newRecordedDiscovery(t)
+	config, err := os.ReadFile(writeConfig(t, &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1}, 192, 256, "", settings))
 	require.NoError(t, err)
 	file := filepath.Join(t.TempDir(), "config.json")
 	write := func(discovery string) {
-		require.NoError(t, os.WriteFile(file, discoveryKey.ReplaceAll(whole, fmt.Appendf(nil, `"discovery":%q`, discovery)), 0o600))
+		require.NoError(t, os.WriteFile(file, discoveryKey.ReplaceAll(config, fmt.Appendf(nil, `"discovery":%q`, discovery)), 0o600))
 	}
 	write(first)
-	// The shell sends it to itself right before it becomes the program.
-	process := exec.Command("sh", "-c", ignored+"kill -HUP $$; exec "+nodeProgram+" serve -config "+file)
+	// The shell sends the signal to itself right before it becomes the program.
+	process := exec.Command("sh", "-c", ignoreHangup+"kill -HUP $$; exec "+nodeProgram+" serve -config "+file)
 	require.NoError(t, process.Start())
 	t.Cleanup(func() { _ = process.Process.Kill(); _ = process.Wait() })
 	assert.Equal(t, "from=41&hold_ms=1", <-asked)
@@ -41,15 +42,15 @@
 	assert.Equal(t, "", <-askedSecond)
 }
 
-// The large fleet's bench starts a node with a library of its own in the process: that takes a program linked against the C
-// library, and one process that run ends in. A static or a wrapped node plays no such day.
+// The benchmark of large fleets preloads a library into the node. That takes a program that is linked against the C library
+// dynamically, and a run line that ends in that one process.
 func TestDeployedNodeIsOneDynamicProcess(t *testing.T) {
 	data, err := os.ReadFile("../../deploy/balancer.toml")
 	require.NoError(t, err)
 	var deploy struct{ Build, Run string }
 	require.NoError(t, toml.Unmarshal(data, &deploy))
 
-	run, ok := strings.CutPrefix(deploy.Run, ignored+"exec ")
+	run, ok := strings.CutPrefix(deploy.Run, ignoreHangup+"exec ")
 	require.True(t, ok, "run ends by exec: %s", deploy.Run)
 	assert.False(t, strings.ContainsAny(run, "|&;<>()`$\n"), "and starts nothing beside: %s", run)
 
@@ -68,7 +69,7 @@
 	assert.Contains(t, strings.Join(libraries, " "), "libc.so")
 }
 
-// The deploy file names all packages of the real node, and no other.
+// The deploy file names all packages of the node, and no others.
 func TestDeployNamesTheNodesPackages(t *testing.T) {
 	data, err := os.ReadFile("../../deploy/balancer.toml")
 	require.NoError(t, err)
--- a/cmd/pearknot/discovery_test.go
+++ b/cmd/pearknot/discovery_test.go
@@ -18,14 +18,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Where a whole fleet starts at once or is replaced in bulk, its one list service turns callers away, breaks off, or tells what
-// nobody expects. The node goes on with what it holds, answers each request it takes, and comes back with the list.
-func TestOddDiscovery(t *testing.T) {
+// When a whole fleet restarts, discovery is overloaded: it rejects calls, breaks responses off, or answers something
+// unexpected. The node goes on with its list, answers each request that it takes, and follows the list again once discovery is
+// well.
+func TestFaultyDiscoveryAnswers(t *testing.T) {
 	refuse := func(rw http.ResponseWriter, _, _ string) { rw.WriteHeader(http.StatusServiceUnavailable) }
 	for name, c := range map[string]struct {
-		odd  func(rw http.ResponseWriter, old, fresh string)
-		want []int // statuses that requests may have meanwhile
-		now  bool  // a rejection is at once, not when the request's time is over
+		serve func(rw http.ResponseWriter, old, fresh string)
+		want  []int // statuses that requests may have meanwhile
+		now   bool  // a rejection is at once, not when the request's time is over
 	}{
 		"turned away": {refuse, []int{200}, false},
 		"half a list": {func(rw http.ResponseWriter, old, _ string) {
@@ -42,16 +43,16 @@
 		t.Run(name, func(t *testing.T) {
 			backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 			t.Cleanup(backend.Close)
-			up := entry(backend.Listener.Addr().String(), "up")
+			up := endpointEntry(backend.Listener.Addr().String(), "up")
 			old := fmt.Sprintf(`{"rev":60,"all":true,"targets":[%s]}`, up)
 			fresh := strings.ReplaceAll(strings.Replace(old, "60", "50", 1), "s-1", "s-2")
 			var mu sync.Mutex
-			odd, told := true, 0
+			isFaulty, calls := true, 0
 			discovery := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
 				mu.Lock()
 				defer mu.Unlock()
-				if told++; odd {
-					c.odd(rw, old, fresh)
+				if calls++; isFaulty {
+					c.serve(rw, old, fresh)
 					return
 				}
 				_, _ = io.WriteString(rw, old)
@@ -60,46 +61,47 @@
 			file := writeConfig(t, discovery.Listener.Addr(), 64, 128, up, settings)
 			process, address, log := launch(t, "serve", "-config", file)
 			go func() { _, _ = io.Copy(io.Discard, log) }()
-			w := &world{t: t, process: process, address: address}
+			node := &testNode{t: t, process: process, address: address}
 			client := &http.Client{Transport: &http.Transport{}}
 			require.Eventually(t, func() bool {
 				mu.Lock()
 				defer mu.Unlock()
-				return told > 1 // it has taken in the first answer and asked again
+				return calls > 1 // it has taken in the first answer and asked again
 			}, 10*time.Second, time.Millisecond)
 			for k := range 20 {
-				begun := time.Now()
-				status, _, _, err := w.ask(client, "GET", fmt.Sprint("a", k), "check", "6000")
+				startedAt := time.Now()
+				status, _, _, err := node.send(client, "GET", fmt.Sprint("a", k), "check", "6000")
 				require.NoError(t, err)
 				assert.Contains(t, c.want, status)
 				if c.now {
-					assert.Less(t, time.Since(begun), 3*time.Second)
+					assert.Less(t, time.Since(startedAt), 3*time.Second)
 				}
 			}
 			mu.Lock()
-			odd = false
+			isFaulty = false
 			mu.Unlock()
 			require.Eventually(t, func() bool {
-				status, _, _, err := w.ask(client, "GET", "b", "check", "6000")
+				status, _, _, err := node.send(client, "GET", "b", "check", "6000")
 				return err == nil && status == http.StatusOK
 			}, 10*time.Second, 10*time.Millisecond, "it comes back with the list")
 		})
 	}
 }
 
-// A configuration whose known list holds changes alone: a watch that went on from its version would never tell of the rest.
+// The known list in a configuration is a delta only. It is not used: a watch that continued from its version would never learn
+// of the other backends.
 func TestKnownChangesAloneAreNoList(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	file := writeConfig(t, l.Addr(), 192, 256, entry("127.0.0.1:1", "up"), settings)
+	file := writeConfig(t, l.Addr(), 192, 256, endpointEntry("127.0.0.1:1", "up"), settings)
 	for all, want := range map[string]string{`"all":true`: ", 1 known backends", `"all":false`: ", 0 known backends"} {
 		text, err := os.ReadFile(file)
 		require.NoError(t, err)
 		require.NoError(t, os.WriteFile(file, bytes.Replace(text, []byte(`"all":true`), []byte(all), 1), 0o600))
-		said, err := exec.Command(nodeProgram, "check", "-config", file).Output()
+		output, err := exec.Command(nodeProgram, "check", "-config", file).Output()
 		require.NoError(t, err)
-		assert.Contains(t, string(said), want)
+		assert.Contains(t, string(output), want)
 		require.NoError(t, os.WriteFile(file, text, 0o600))
 	}
 }
--- a/cmd/pearknot/edge_test.go
+++ b/cmd/pearknot/edge_test.go
@@ -25,53 +25,9 @@
 	"pearknot/internal/server"
 )
 
-// from is a dialer whose connections come from an address of 127.0.0.0/8.
-func from(address string) *net.Dialer {
-	return &net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(address)}}
-}
-
-// abuse is one way to be a nuisance, with so many connections a second from so many addresses.
-type abuse struct {
-	name      string
-	rate      rate.Limit
-	addresses int
-	says      string
-	stays     time.Duration
-}
-
-// flood goes on until ctx ends, with no more than so many connections open at once.
-func (a abuse) flood(ctx context.Context, to string) *sync.WaitGroup {
-	var all sync.WaitGroup
-	slots := make(chan struct{}, 400)
-	pace := rate.NewLimiter(a.rate, 10)
-	all.Go(func() {
-		for k := 0; pace.Wait(ctx) == nil; k++ {
-			select {
-			case slots <- struct{}{}:
-			case <-ctx.Done():
-				return
-			}
-			all.Go(func() {
-				defer func() { <-slots }()
-				c, err := from(fmt.Sprintf("127.0.%d.%d", 1+k%a.addresses/200, 1+k%a.addresses%200)).DialContext(ctx, "tcp", to)
-				if err != nil {
-					return
-				}
-				defer c.Close()
-				_, _ = io.WriteString(c, a.says)
-				_ = c.SetReadDeadline(time.Now().Add(a.stays))
-				stop := context.AfterFunc(ctx, func() { _ = c.SetReadDeadline(time.Now()) })
-				defer stop()
-				_, _ = io.Copy(io.Discard, io.LimitReader(c, 1<<16))
-			})
-		}
-	})
-	return &all
-}
-
-// Whoever floods in whatever way: known clients get in within 100 ms, all but one in a hundred; each request that is taken has
-// its answer; the node takes new limits up meanwhile, stays up, and is back to normal within 5 s.
-func TestFloodsAtTheEdge(t *testing.T) {
+// Abusive clients flood the node in several ways. Known clients get their responses within 100 ms, all but one in a hundred;
+// each request that is taken gets its answer; new limits can be loaded meanwhile; and the node is back to normal within 5 s.
+func TestKnownClientsDuringFloods(t *testing.T) {
 	dir, err := os.MkdirTemp("", "pk") // short: a socket's path is bounded
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
@@ -82,24 +38,24 @@
 	if without {
 		args = args[2:]
 	}
-	w := start(t, 300, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "done") }, args...)
+	node := startNode(t, 300, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "done") }, args...)
 	var asked, quick, answered atomic.Int64
 	ask := func(k int) {
-		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: from(fmt.Sprintf("127.9.0.%d", 1+k%50)).DialContext}}
-		begun := time.Now()
-		q, err := http.NewRequest("POST", "http://"+w.address+"/api", strings.NewReader("paid"))
+		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialerFrom(fmt.Sprintf("127.9.0.%d", 1+k%50)).DialContext}}
+		startedAt := time.Now()
+		request, err := http.NewRequest("POST", "http://"+node.address+"/api", strings.NewReader("paid"))
 		if err != nil {
 			panic(err) // plain values
 		}
-		q.Header = http.Header{"X-Trace-Id": {fmt.Sprint("k", asked.Add(1))}, "X-Qos": {"pay"}, "X-Expires-In-Ms": {"2000"}}
-		a, err := client.Do(q)
+		request.Header = http.Header{"X-Trace-Id": {fmt.Sprint("k", asked.Add(1))}, "X-Qos": {"pay"}, "X-Expires-In-Ms": {"2000"}}
+		answer, err := client.Do(request)
 		if err != nil {
 			return
 		}
-		_, _ = io.Copy(io.Discard, a.Body)
-		_ = a.Body.Close()
+		_, _ = io.Copy(io.Discard, answer.Body)
+		_ = answer.Body.Close()
 		answered.Add(1)
-		if time.Since(begun) < 100*time.Millisecond {
+		if time.Since(startedAt) < 100*time.Millisecond {
 			quick.Add(1)
 		}
 	}
@@ -112,7 +68,7 @@
 		return c
 	}
 	garbage := strings.Repeat("GET /api HTTP/1.1\r\nHost: x\r\n\r\n", 20)
-	for _, a := range []abuse{
+	for _, flood := range []floodKind{
 		{"one address", 800, 1, "", time.Second},
 		{"200 addresses", 800, 200, "", time.Second},
 		{"silent", 200, 100, "POST /api HT", 5 * time.Second},
@@ -122,7 +78,7 @@
 		quick.Store(0)
 		answered.Store(0)
 		ctx, cancel := context.WithCancel(t.Context())
-		nuisance := a.flood(ctx, w.address)
+		nuisance := flood.start(ctx, node.address)
 		var clients sync.WaitGroup
 		pace := rate.NewLimiter(100, 1)
 		for k := range 200 {
@@ -130,45 +86,46 @@
 			clients.Go(func() { ask(k) })
 			if k == 100 {
 				require.NoError(t, os.WriteFile(file, []byte("known_half_s = 600\nunproven = 12\n"), 0o600))
-				require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
+				require.NoError(t, node.process.Process.Signal(syscall.SIGHUP))
 			}
 		}
 		clients.Wait()
 		cancel()
 		nuisance.Wait()
 		if without {
-			t.Logf("%s: %d of %d within 100 ms, %d answered", a.name, quick.Load(), asked.Load(), answered.Load())
+			t.Logf("%s: %d of %d within 100 ms, %d answered", flood.name, quick.Load(), asked.Load(), answered.Load())
 			continue
 		}
 		// 198 is what is wanted, and what an idle machine gives; without admission it is 25. Other tests may run beside.
-		assert.GreaterOrEqual(t, quick.Load(), int64(180), a.name)
-		assert.GreaterOrEqual(t, answered.Load(), int64(198), a.name)
+		assert.GreaterOrEqual(t, quick.Load(), int64(180), flood.name)
+		assert.GreaterOrEqual(t, answered.Load(), int64(198), flood.name)
 		c := look()
-		t.Logf("%s: %d of %d within 100 ms, %d answered; refused %v, let go %v", a.name, quick.Load(), asked.Load(), answered.Load(), c.Refused, c.Evicted)
-		require.Eventually(t, func() bool { c := look(); return !c.UnderPressure && c.Open < 60 }, 5*time.Second, 20*time.Millisecond, a.name)
+		t.Logf("%s: %d of %d within 100 ms, %d answered; refused %v, let go %v", flood.name, quick.Load(), asked.Load(), answered.Load(), c.Refused, c.Evicted)
+		require.Eventually(t, func() bool { c := look(); return !c.UnderPressure && c.Open < 60 }, 5*time.Second, 20*time.Millisecond, flood.name)
 	}
 	if without {
 		return
 	}
-	status, text := call("clients", socket)
+	status, text := runProgram("clients", socket)
 	assert.Equal(t, 0, status, text)
 	assert.Contains(t, text, "refused: ")
 	assert.Contains(t, text, "calm")
 	data, err := json.Marshal(look())
 	require.NoError(t, err)
 	assert.Less(t, len(data), 64<<10)
-	require.NoError(t, w.process.Process.Signal(os.Interrupt))
-	require.NoError(t, <-w.ended)
+	require.NoError(t, node.process.Process.Signal(os.Interrupt))
+	require.NoError(t, <-node.ended)
 }
 
-// A hundred and fifty members behind one address beside fifty with one each, as many as there is room for; one of the
-// members sends nothing but malformed requests, on a connection for each: only those pay.
-func TestMembersBehindOneAddress(t *testing.T) {
+// A hundred and fifty clients share one address, beside fifty with an address each, with as many connections as the node has
+// room for. One of the hundred and fifty sends malformed requests only, each on a connection of its own: only that one is
+// disadvantaged.
+func TestClientsBehindOneAddress(t *testing.T) {
 	dir, err := os.MkdirTemp("", "pk")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
 	socket := filepath.Join(dir, "s")
-	w := start(t, 300, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "done") }, "--edge", "../../deploy/edge.toml", "--control", socket)
+	node := startNode(t, 300, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "done") }, "--edge", "../../deploy/edge.toml", "--control", socket)
 	ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 	defer cancel()
 	var asked, served [2]atomic.Int64
@@ -179,24 +136,24 @@
 			group, address = 1, fmt.Sprintf("127.6.0.%d", k-149)
 		}
 		all.Go(func() {
-			client := &http.Client{Transport: &http.Transport{DialContext: from(address).DialContext}}
+			client := &http.Client{Transport: &http.Transport{DialContext: dialerFrom(address).DialContext}}
 			defer client.CloseIdleConnections()
 			pace := rate.NewLimiter(2, 1)
 			time.Sleep(time.Duration(k) * 2 * time.Millisecond) // members come one after the other
 			for n := 0; pace.Wait(ctx) == nil; n++ {
-				q, err := http.NewRequest("GET", "http://"+w.address+"/api", nil)
+				request, err := http.NewRequest("GET", "http://"+node.address+"/api", nil)
 				if err != nil {
 					panic(err) // plain values
 				}
-				q.Header = http.Header{"X-Trace-Id": {fmt.Sprint(k, "-", n)}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"2000"}}
+				request.Header = http.Header{"X-Trace-Id": {fmt.Sprint(k, "-", n)}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"2000"}}
 				asked[group].Add(1)
-				a, err := client.Do(q)
+				answer, err := client.Do(request)
 				if err != nil {
 					continue
 				}
-				_, _ = io.Copy(io.Discard, a.Body)
-				_ = a.Body.Close()
-				if a.StatusCode == http.StatusOK {
+				_, _ = io.Copy(io.Discard, answer.Body)
+				_ = answer.Body.Close()
+				if answer.StatusCode == http.StatusOK {
 					served[group].Add(1)
 				}
 			}
@@ -205,7 +162,7 @@
 	all.Go(func() {
 		pace := rate.NewLimiter(100, 1)
 		for pace.Wait(ctx) == nil {
-			if c, err := from("127.5.0.1").DialContext(ctx, "tcp", w.address); err == nil {
+			if c, err := dialerFrom("127.5.0.1").DialContext(ctx, "tcp", node.address); err == nil {
 				_, _ = io.WriteString(c, "GET /api HTTP/1.1\r\nHost: x\r\n\r\n")
 				_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 				_, _ = io.Copy(io.Discard, c)
@@ -223,14 +180,15 @@
 	assert.Greater(t, share[0], 0.95)
 }
 
-// Five hundred clients trickle heads, bodies and reads; known clients go on as without them.
-func TestTrickles(t *testing.T) {
+// Five hundred clients send heads and bodies, or read responses, at ten bytes per second. Known clients are served as fast as
+// without them.
+func TestKnownClientsBesideSlowOnes(t *testing.T) {
 	dir, err := os.MkdirTemp("", "pk")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
 	socket := filepath.Join(dir, "s")
-	w := start(t, 300, func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get("X-Qos") == "check" {
+	node := startNode(t, 300, func(w http.ResponseWriter, request *http.Request) {
+		if request.Header.Get("X-Qos") == "check" {
 			_, _ = w.Write(make([]byte, 60_000)) // what slow readers ask for
 			return
 		}
@@ -245,36 +203,36 @@
 			require.NoError(t, pace.Wait(t.Context()))
 			all.Go(func() {
 				client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: from(k).DialContext}}
-				begun := time.Now()
-				status, _, _, err := w.ask(client, "POST", fmt.Sprint(k, begun.UnixNano()), "pay", "2000")
+				startedAt := time.Now()
+				status, _, _, err := node.send(client, "POST", fmt.Sprint(k, startedAt.UnixNano()), "pay", "2000")
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil || status != 200 {
 					failed++
 					why[fmt.Sprint(status, err != nil)]++
 				}
-				times = append(times, time.Since(begun))
+				times = append(times, time.Since(startedAt))
 			})
 		}
 		all.Wait()
 		slices.Sort(times)
 		return times, failed
 	}
-	known := func(k int) *net.Dialer { return from(fmt.Sprintf("127.9.0.%d", 1+k%50)) }
+	known := func(k int) *net.Dialer { return dialerFrom(fmt.Sprintf("127.9.0.%d", 1+k%50)) }
 	quiet, failed := run(known)
 	require.Zero(t, failed)
 	ctx, cancel := context.WithCancel(t.Context())
 	var all sync.WaitGroup
-	says := []string{"POST /api HTTP/1.1\r\nHost: members.example\r\nX-Trace-Id: ", "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t%d\r\nX-Qos: pay\r\nX-Expires-In-Ms: 2000\r\nContent-Length: 4000\r\n\r\n",
+	sends := []string{"POST /api HTTP/1.1\r\nHost: members.example\r\nX-Trace-Id: ", "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t%d\r\nX-Qos: pay\r\nX-Expires-In-Ms: 2000\r\nContent-Length: 4000\r\n\r\n",
 		"GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: s%d\r\nX-Qos: check\r\nX-Expires-In-Ms: 2000\r\n\r\n"}
 	for k := range 500 {
 		all.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				c, err := from(fmt.Sprintf("127.7.%d.%d", 1+k/200, 1+k%200)).DialContext(ctx, "tcp", w.address)
+				c, err := dialerFrom(fmt.Sprintf("127.7.%d.%d", 1+k/200, 1+k%200)).DialContext(ctx, "tcp", node.address)
 				if err != nil {
 					return
 				}
-				text := says[k%3]
+				text := sends[k%3]
 				if strings.Contains(text, "%d") {
 					text = fmt.Sprintf(text, k*1000+n)
 				}
@@ -296,7 +254,7 @@
 	}
 	pauseFor(ctx, 500*time.Millisecond)
 	beside, failed := run(known)
-	_, table := call("clients", socket, "--most", "5")
+	_, table := runProgram("clients", socket, "--most", "5")
 	t.Log(table)
 	cancel()
 	all.Wait()
@@ -309,26 +267,19 @@
 	assert.Less(t, at(beside, 0.99), 100*time.Millisecond)
 }
 
-func pauseFor(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
-	}
-}
-
-// The operator's file is read strictly, by the check too.
-func TestEdgeFile(t *testing.T) {
+// Errors in the admission file are found by `pearknot check` and named with their place.
+func TestAdmissionFileErrors(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "edge.toml")
-	w := start(t, 64, func(http.ResponseWriter, *http.Request) {})
-	for text, says := range map[string]string{"reserve = 2": ":1:1: reserve: 2 is not 0 to 0.9", "pressed_at = 0.5\ncalm_at = 0.6": ":2:1: calm_at: 0.6 is not",
+	node := startNode(t, 64, func(http.ResponseWriter, *http.Request) {})
+	for text, sends := range map[string]string{"reserve = 2": ":1:1: reserve: 2 is not 0 to 0.9", "pressed_at = 0.5\ncalm_at = 0.6": ":2:1: calm_at: 0.6 is not",
 		"known = ['x']": ":1:1: known: \"x\" is no network", "reserved = 1": ":1:1: unknown key reserved", "addresses = 1.5": ":1:"} {
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
-		status, said := call("check", "--config", w.file, "--edge", file)
+		status, output := runProgram("check", "--config", node.file, "--edge", file)
 		assert.Equal(t, 2, status, text)
-		assert.Contains(t, said, "edge.toml"+says)
+		assert.Contains(t, output, "edge.toml"+sends)
 	}
-	status, said := call("check", "--config", w.file, "--edge", "../../deploy/edge.toml")
-	assert.Equal(t, 0, status, said)
-	status, said = call("clients", filepath.Join(t.TempDir(), "s"))
-	assert.Equal(t, 1, status, said)
+	status, output := runProgram("check", "--config", node.file, "--edge", "../../deploy/edge.toml")
+	assert.Equal(t, 0, status, output)
+	status, output = runProgram("clients", filepath.Join(t.TempDir(), "s"))
+	assert.Equal(t, 1, status, output)
 }
--- a/cmd/pearknot/bulk_test.go
+++ b/cmd/pearknot/framing_test.go
@@ -20,13 +20,13 @@
 
 const bulk = 24 << 20 // bytes, of which three are over the memory limit of the node below
 
-// Bodies and answers that together are far over the node's memory pass through at their clients' pace, whole, and nobody
-// else waits for them.
-func TestBulk(t *testing.T) {
+// Request bodies and responses that together are far larger than the node's memory limit pass through it complete, at their
+// clients' pace, and other clients do not wait for them.
+func TestLongBodiesPassInLittleMemory(t *testing.T) {
 	block := bytes.Repeat([]byte("0123456789abcdef"), 4<<10)
-	w := start(t, 256, func(rw http.ResponseWriter, r *http.Request) {
-		if strings.HasPrefix(r.Header.Get("X-Trace-Id"), "down") {
-			if r.Header.Get("X-Trace-Id") != "down-0" { // that one in chunks
+	node := startNode(t, 256, func(rw http.ResponseWriter, request *http.Request) {
+		if strings.HasPrefix(request.Header.Get("X-Trace-Id"), "down") {
+			if request.Header.Get("X-Trace-Id") != "down-0" { // that one in chunks
 				rw.Header().Set("Content-Length", strconv.Itoa(bulk))
 			}
 			for range bulk / len(block) {
@@ -34,11 +34,11 @@
 			}
 			return
 		}
-		n, _ := io.Copy(io.Discard, r.Body)
+		n, _ := io.Copy(io.Discard, request.Body)
 		fmt.Fprint(rw, n)
 	})
 	memory := func() int { // in kB
-		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", w.process.Process.Pid))
+		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", node.process.Process.Pid))
 		require.NoError(t, err)
 		_, rest, _ := strings.Cut(string(text), "VmHWM:")
 		kB, err := strconv.Atoi(strings.Fields(rest)[0])
@@ -50,9 +50,9 @@
 	for k := range 6 {
 		begins <- struct{}{} // one after the other, so that none is rejected for the others
 		all.Go(func() {
-			r, _ := http.NewRequest("GET", "http://"+w.address+"/api", nil)
-			r.Header = http.Header{"X-Trace-Id": {fmt.Sprint("down-", k)}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"1500"}}
-			answer, err := fresh().Do(r)
+			request, _ := http.NewRequest("GET", "http://"+node.address+"/api", nil)
+			request.Header = http.Header{"X-Trace-Id": {fmt.Sprint("down-", k)}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"1500"}}
+			answer, err := newClient().Do(request)
 			if !assert.NoError(t, err) {
 				return
 			}
@@ -67,24 +67,24 @@
 			assert.Equal(t, int64(bulk-1000), n)
 		})
 		all.Go(func() {
-			r, _ := http.NewRequest("POST", "http://"+w.address+"/api", io.LimitReader(endless{}, bulk))
-			if r.ContentLength = bulk; k%2 == 0 {
-				r.ContentLength = -1
+			request, _ := http.NewRequest("POST", "http://"+node.address+"/api", io.LimitReader(endlessReader{}, bulk))
+			if request.ContentLength = bulk; k%2 == 0 {
+				request.ContentLength = -1
 			}
-			r.Header = http.Header{"X-Trace-Id": {fmt.Sprint("up-", k)}, "X-Qos": {"pay"}, "X-Expires-In-Ms": {"4000"}}
-			answer, err := fresh().Do(r)
+			request.Header = http.Header{"X-Trace-Id": {fmt.Sprint("up-", k)}, "X-Qos": {"pay"}, "X-Expires-In-Ms": {"4000"}}
+			answer, err := newClient().Do(request)
 			if !assert.NoError(t, err) {
 				return
 			}
 			defer answer.Body.Close()
-			said, _ := io.ReadAll(answer.Body)
-			assert.Equal(t, strconv.Itoa(bulk), string(said))
+			output, _ := io.ReadAll(answer.Body)
+			assert.Equal(t, strconv.Itoa(bulk), string(output))
 		})
 	}
-	client, begun, served, k := fresh(), time.Now(), 0, 0
-	for ; time.Since(begun) < 2*time.Second; k++ {
+	client, startedAt, served, k := newClient(), time.Now(), 0, 0
+	for ; time.Since(startedAt) < 2*time.Second; k++ {
 		asked := time.Now()
-		status, _, _, err := w.ask(client, "GET", fmt.Sprint("small-", k), "check", "2000")
+		status, _, _, err := node.send(client, "GET", fmt.Sprint("small-", k), "check", "2000")
 		require.NoError(t, err)
 		if status == 200 {
 			served++
@@ -97,14 +97,15 @@
 	assert.Less(t, memory(), 64<<10, "of %d MB that went through", 12*bulk>>20)
 }
 
-type endless struct{}
+type endlessReader struct{}
 
-func (endless) Read(b []byte) (int, error) { return len(b), nil }
+func (endlessReader) Read(b []byte) (int, error) { return len(b), nil }
 
-// All forms that a request may have: those of one request are taken, whatever the pieces; those that may hide another are not.
-func TestFormsOfOps(t *testing.T) {
-	w := start(t, 256, func(rw http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body)
+// Requests are framed in all valid ways, however their bytes are split, and are served. A request that could hide another one
+// (request smuggling) is refused.
+func TestRequestFramings(t *testing.T) {
+	node := startNode(t, 256, func(rw http.ResponseWriter, request *http.Request) {
+		body, _ := io.ReadAll(request.Body)
 		fmt.Fprintf(rw, "%d", len(body))
 	})
 	const head = "POST /api HTTP/1.1\r\nHost: s\r\nX-Qos: pay\r\nX-Expires-In-Ms: 4000\r\n"
@@ -132,7 +133,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			to, err := net.Dial("tcp", w.address)
+			to, err := net.Dial("tcp", node.address)
 			require.NoError(t, err)
 			defer to.Close()
 			sent := strings.Replace(c.sent, "\r\n", "\r\nX-Trace-Id: "+strings.ReplaceAll(name, " ", "-")+"\r\n", 1)
@@ -151,20 +152,21 @@
 				answer, err = http.ReadResponse(from, nil)
 			}
 			require.NoError(t, err)
-			said, err := io.ReadAll(answer.Body)
+			output, err := io.ReadAll(answer.Body)
 			require.NoError(t, err)
 			assert.Equal(t, c.status, answer.StatusCode)
 			if c.status == 200 {
-				assert.Equal(t, c.body, string(said))
+				assert.Equal(t, c.body, string(output))
 			}
 		})
 	}
 }
 
-// An answer that its backend does not finish is told as not whole; it is the client's by then, and is not sent again.
-func TestBrokenOff(t *testing.T) {
+// A backend breaks off its response after it has begun. The client sees that the response is incomplete, and the request is
+// not sent again.
+func TestBackendBreaksOffItsResponse(t *testing.T) {
 	for name, chunked := range map[string]bool{"a length": false, "chunks": true} {
-		w := start(t, 256, func(rw http.ResponseWriter, _ *http.Request) {
+		node := startNode(t, 256, func(rw http.ResponseWriter, _ *http.Request) {
 			if !chunked {
 				rw.Header().Set("Content-Length", "1000000")
 			}
@@ -172,13 +174,13 @@
 			_ = http.NewResponseController(rw).Flush()
 			panic(http.ErrAbortHandler)
 		})
-		r, _ := http.NewRequest("GET", "http://"+w.address+"/api", nil)
-		r.Header = http.Header{"X-Trace-Id": {"a"}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"2000"}}
-		answer, err := fresh().Do(r)
+		request, _ := http.NewRequest("GET", "http://"+node.address+"/api", nil)
+		request.Header = http.Header{"X-Trace-Id": {"a"}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"2000"}}
+		answer, err := newClient().Do(request)
 		require.NoError(t, err, name)
 		_, err = io.Copy(io.Discard, answer.Body)
 		assert.Error(t, err, name)
 		_ = answer.Body.Close()
-		assert.Equal(t, 1, w.times("a"), name)
+		assert.Equal(t, 1, node.attemptsOf("a"), name)
 	}
 }
--- a/cmd/pearknot/peersfile_test.go
+++ b/cmd/pearknot/peersfile_test.go
@@ -10,17 +10,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What is wrong in the file or with the keys is one line that names its place, and exit status 2; so is deploy/peers.toml read.
+// Errors in the peers file or the key file are one line that names the place, with exit status 2. deploy/peers.toml itself is
+// read without an error.
 func TestPeersFileIsStrict(t *testing.T) {
-	whole, err := os.ReadFile("../../deploy/peers.toml")
+	text, err := os.ReadFile("../../deploy/peers.toml")
 	require.NoError(t, err)
-	try := func(spoil func(text, dir string) string) (int, string) {
+	readPeersFile := func(spoil func(text, dir string) string) (int, string) {
 		dir := t.TempDir()
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "peers.key"), []byte(strings.Repeat("0f", 32)+"\n"), 0o600))
 		config := filepath.Join(dir, "node.json")
 		require.NoError(t, os.WriteFile(config, []byte(`{"name":"n9","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":`+settings+`}`), 0o600))
 		file := filepath.Join(dir, "peers.toml")
-		require.NoError(t, os.WriteFile(file, []byte(spoil(string(whole), dir)), 0o600))
+		require.NoError(t, os.WriteFile(file, []byte(spoil(string(text), dir)), 0o600))
 		var out, errs bytes.Buffer
 		status := run([]string{"serve", "-config", config, "--peers", file}, &out, &errs)
 		return status, strings.ReplaceAll(errs.String(), file, "peers.toml")
@@ -42,12 +43,12 @@
 			return text
 		},
 	} {
-		status, said := try(spoil)
-		require.Equal(t, 2, status, said)
-		require.Contains(t, said, want)
-		require.Equal(t, 1, strings.Count(said, "\n"), said)
+		status, output := readPeersFile(spoil)
+		require.Equal(t, 2, status, output)
+		require.Contains(t, output, want)
+		require.Equal(t, 1, strings.Count(output, "\n"), output)
 	}
-	status, said := try(replace("", "")) // read, but the node is no member
+	status, output := readPeersFile(replace("", "")) // read, but the node is no member
 	require.Equal(t, 2, status)
-	require.Contains(t, said, `none is called "n9"`)
+	require.Contains(t, output, `none is called "n9"`)
 }
--- a/cmd/pearknot/settingplace_test.go
+++ b/cmd/pearknot/settingplace_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The key that a fault names is found in the operator's text, or the nearest that holds it.
+// The place of the setting that an error names is found in the operator's text, or that of the nearest object that should
+// contain it.
 func TestSettingPlace(t *testing.T) {
 	text := []byte("{\"az\": 1, \"bounds\": {\"x\": [1, 2]},\n \"categories\": [\n  {\"name\": \"a\\\"b\", \"ttl\": 1},\n  {\"name\": \"b\"}]}")
 	for why, want := range map[string][2]int{
--- /dev/null
+++ b/cmd/pearknot/upgrade_rig_test.go
@@ -0,0 +1,178 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"golang.org/x/sys/unix"
+)
+
+// upgradeRig is a node whose processes succeed each other at one address, with two backends and clients that never stop.
+type upgradeRig struct {
+	t            *testing.T
+	dir          string // TMPDIR of all its processes
+	address      string
+	file         string
+	backends     [2]atomic.Int64 // attempts
+	mu           sync.Mutex
+	attempts     map[string]int // by id
+	clientErrors []string       // what clients met
+	rejected     []string       // ids
+	asked        atomic.Int64
+}
+
+func newUpgradeRig(t *testing.T) *upgradeRig {
+	dir, err := os.MkdirTemp("", "pk") // short: a socket's path is bounded
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = os.RemoveAll(dir) })
+	rig := &upgradeRig{t: t, dir: dir, attempts: map[string]int{}, address: reserveAddress(t)}
+	list := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() }))
+	t.Cleanup(list.Close)
+	var entries []string
+	for k := range 2 {
+		s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
+			rig.backends[k].Add(1)
+			rig.mu.Lock()
+			defer rig.mu.Unlock()
+			rig.attempts[request.Header.Get("X-Trace-Id")]++
+		}))
+		t.Cleanup(s.Close)
+		entries = append(entries, strings.Replace(endpointEntry(s.Listener.Addr().String(), "up"), "s-1", fmt.Sprint("s-", k+1), 1))
+	}
+	rig.file = writeConfig(t, list.Listener.Addr(), 64, 256, strings.Join(entries, ","), settings)
+	text, err := os.ReadFile(rig.file)
+	require.NoError(t, err)
+	text = bytes.Replace(text, []byte(`"listen":"127.0.0.1:0"`), fmt.Appendf(nil, `"control":"127.0.0.1:0","listen":%q`, rig.address), 1)
+	require.NoError(t, os.WriteFile(rig.file, text, 0o600))
+	return rig
+}
+
+// reserveAddress returns an address that nobody else gets until the test's end: a socket is bound to it, but does not listen.
+func reserveAddress(t testing.TB) string {
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = unix.Close(fd) })
+	require.NoError(t, unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1))
+	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
+	name, err := unix.Getsockname(fd)
+	require.NoError(t, err)
+	return fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port)
+}
+
+// upgradeProcess is one process of the node.
+type upgradeProcess struct {
+	*exec.Cmd
+	adminAddress string
+	ended        chan struct{}
+	mu           sync.Mutex
+	output       bytes.Buffer
+}
+
+func (process *upgradeProcess) log() string {
+	process.mu.Lock()
+	defer process.mu.Unlock()
+	return process.output.String()
+}
+
+// startProcess starts a process. If serves is set it waits until the process is ready.
+func (rig *upgradeRig) startProcess(serves bool) *upgradeProcess {
+	process := &upgradeProcess{Cmd: exec.Command(nextProgram(), "serve", "-config", rig.file), ended: make(chan struct{})}
+	process.Env = append(os.Environ(), "TMPDIR="+rig.dir)
+	stderr, err := process.StderrPipe()
+	require.NoError(rig.t, err)
+	require.NoError(rig.t, process.Start())
+	serving := make(chan string, 1)
+	go func() {
+		defer close(process.ended)
+		for lines := bufio.NewScanner(stderr); lines.Scan(); {
+			process.mu.Lock()
+			process.output.WriteString(lines.Text() + "\n")
+			process.mu.Unlock()
+			if _, after, ok := strings.Cut(lines.Text(), "control="); ok && strings.Contains(lines.Text(), "msg=serving") {
+				serving <- strings.Fields(after)[0]
+			}
+		}
+		_ = process.Wait()
+	}()
+	rig.t.Cleanup(func() { _ = process.Process.Kill(); <-process.ended })
+	if serves {
+		select {
+		case process.adminAddress = <-serving:
+		case <-time.After(20 * time.Second):
+			rig.t.Fatal("never served: " + process.log())
+		}
+		require.Eventually(rig.t, func() bool { status, _ := runProgram("call", process.adminAddress, "health"); return status == 0 }, 10*time.Second, 5*time.Millisecond)
+	}
+	return process
+}
+
+// startLoad starts clients that send requests until stop is called. Anything but an answer is an error.
+func (rig *upgradeRig) startLoad(clients int) (stop func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	var all sync.WaitGroup
+	for c := range clients {
+		all.Go(func() {
+			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: c%3 == 0}, Timeout: 10 * time.Second}
+			defer client.CloseIdleConnections()
+			pace := time.NewTicker(time.Duration(3+c) * time.Millisecond)
+			defer pace.Stop()
+			for k := 0; ctx.Err() == nil; k++ {
+				<-pace.C
+				id := fmt.Sprintf("%d-%d", c, k)
+				request, _ := http.NewRequest("POST", "http://"+rig.address+"/api", strings.NewReader("paid"))
+				request.Header = http.Header{"X-Trace-Id": {id}, "X-Qos": {"pay"}, "X-Expires-In-Ms": {"4000"}}
+				answer, err := client.Do(request)
+				if err == nil {
+					_, err = io.Copy(io.Discard, answer.Body)
+					_ = answer.Body.Close()
+					if answer.StatusCode == http.StatusServiceUnavailable {
+						rig.mu.Lock()
+						rig.rejected = append(rig.rejected, id)
+						rig.mu.Unlock()
+					} else if answer.StatusCode != http.StatusOK {
+						err = fmt.Errorf("status %d", answer.StatusCode)
+					}
+				}
+				rig.asked.Add(1)
+				if err != nil {
+					rig.mu.Lock()
+					rig.clientErrors = append(rig.clientErrors, id+": "+err.Error())
+					rig.mu.Unlock()
+				}
+			}
+		})
+	}
+	return func() { cancel(); all.Wait() }
+}
+
+// waitForRequests waits until clients have sent so many more requests.
+func (rig *upgradeRig) waitForRequests(asks int64) {
+	until := rig.asked.Load() + asks
+	require.Eventually(rig.t, func() bool { return rig.asked.Load() >= until }, 30*time.Second, time.Millisecond)
+}
+
+// stop ends a process by SIGTERM, in the time that the platform allows.
+func (rig *upgradeRig) stop(process *upgradeProcess) {
+	require.NoError(rig.t, process.Process.Signal(syscall.SIGTERM))
+	select {
+	case <-process.ended:
+	case <-time.After(3700 * time.Millisecond):
+		rig.t.Fatal("SIGKILL would have come: " + process.log())
+	}
+	assert.Contains(rig.t, process.log(), `msg="node stopped" unanswered=0`)
+}
