--- a/cmd/pearknot-lab/authority.go
+++ b/cmd/pearknot-lab/authority.go
@@ -32,7 +32,7 @@
 }
 
 // schedule reads a file of troubles; they count from begun on.
-func schedule(name string, begun time.Time) (all []acmestub.Trouble, err error) {
+func schedule(name string, begun time.Time) (all []acmestub.ScheduledFault, err error) {
 	var f authorityFile
 	at, err := tomlfile.Read(name, &f)
 	if err != nil {
@@ -42,14 +42,14 @@
 	for k, t := range f.Trouble {
 		key := fmt.Sprintf("trouble.%d.", k)
 		kind := acmestub.Fault(t.Kind)
-		if !kind.Known() {
-			return nil, at.Errorf(key+"kind", "%q is none of %s", t.Kind, strings.Join(acmestub.Faults(), ", "))
+		if !kind.IsKnown() {
+			return nil, at.Errorf(key+"kind", "%q is none of %s", t.Kind, strings.Join(acmestub.FaultNames(), ", "))
 		}
 		if t.At < 0 || !(t.For > 0) || t.Delay < 0 || t.AfterS < 0 {
 			return nil, at.Errorf(key+"for_s", "a span that is none")
 		}
-		all = append(all, acmestub.Trouble{Fault: kind, From: begun.Add(seconds(t.At)), To: begun.Add(seconds(t.At + t.For)), Name: t.Name,
-			Delay: seconds(t.Delay / 1e3), After: seconds(t.AfterS)})
+		all = append(all, acmestub.ScheduledFault{Fault: kind, Start: begun.Add(seconds(t.At)), End: begun.Add(seconds(t.At + t.For)), Name: t.Name,
+			Delay: seconds(t.Delay / 1e3), RetryAfter: seconds(t.AfterS)})
 	}
 	return all, nil
 }
@@ -63,7 +63,7 @@
 challenge is looked up at the two addresses given: names need not resolve. Troubles come on a schedule:
 
     [[trouble]]
-    kind = "unreachable"   # ` + strings.Join(acmestub.Faults(), ", ") + `
+    kind = "unreachable"   # ` + strings.Join(acmestub.FaultNames(), ", ") + `
     at_s = 60              # from its start on
     for_s = 3600
     # name = "one.example" # only for it: reject
@@ -79,7 +79,7 @@
 			if valid := life > 0 && window >= 0 && window < 1; !valid { // NaN is refused too
 				return cli.UsageError(errors.New("--life or --window is none"))
 			}
-			a, err := acmestub.New(acmestub.Options{Life: life, Window: window, HTTP: func(string) string { return http1 }, TLS: func(string) string { return alpn }})
+			a, err := acmestub.New(acmestub.Options{CertificateLifetime: life, RenewalWindowStart: window, HTTPChallengeAddress: func(string) string { return http1 }, TLSChallengeAddress: func(string) string { return alpn }})
 			if err != nil {
 				return err
 			}
@@ -88,7 +88,7 @@
 				if err != nil {
 					return cli.UsageError(err)
 				}
-				a.Put(all...)
+				a.ScheduleFaults(all...)
 			}
 			root := filepath.Join(dir, "roots.pem")
 			if err := os.WriteFile(root, a.RootPEM(), 0o644); err != nil {
--- a/cmd/pearknot/tls_test.go
+++ b/cmd/pearknot/tls_test.go
@@ -47,7 +47,7 @@
 	require.NoError(t, err)
 	r := &secureRig{t: t, dir: dir}
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	r.a, err = acmestub.New(acmestub.Options{Window: 0.7, TLS: func(string) string { return *r.alpn.Load() }})
+	r.a, err = acmestub.New(acmestub.Options{RenewalWindowStart: 0.7, TLSChallengeAddress: func(string) string { return *r.alpn.Load() }})
 	require.NoError(t, err)
 	s := httptest.NewServer(r.a)
 	t.Cleanup(s.Close)
@@ -329,7 +329,7 @@
 		return strings.Count(text, "fine, 90.0 d") == 2
 	}, 10*time.Second,
 		50*time.Millisecond, text)
-	assert.Equal(t, 1, r.a.Orders())
+	assert.Equal(t, 1, r.a.OrderCount())
 	put("fleet.toml", "[[instance]]\nname = 'i1'\nconfig = 'node.json'\ntls_listen = 'x'\n")
 	status, text = call("fleet", "--socket", socket, "apply", fleetFile, "--reason", "odd")
 	assert.Equal(t, 2, status, text)
--- a/internal/acme/keeper_test.go
+++ b/internal/acme/keeper_test.go
@@ -82,7 +82,7 @@
 		}
 	}()
 	w.httpAddress, w.tlsAddress = httpServer.Listener.Addr().String(), tlsListener.Addr().String()
-	o := acmestub.Options{Now: w.clock, HTTP: func(string) string { return w.httpAddress }, TLS: func(string) string { return w.tlsAddress }, Window: 0.7}
+	o := acmestub.Options{Now: w.clock, HTTPChallengeAddress: func(string) string { return w.httpAddress }, TLSChallengeAddress: func(string) string { return w.tlsAddress }, RenewalWindowStart: 0.7}
 	if change != nil {
 		change(&o)
 	}
@@ -168,11 +168,11 @@
 		first := w.leaf(keeper, "pay.example.org")
 		from := first.NotBefore.Add(50 * 24 * time.Hour)
 		back := first.NotAfter.Add(after)
-		w.authority.Put(acmestub.Trouble{Fault: acmestub.Unreachable, From: from, To: back})
+		w.authority.ScheduleFaults(acmestub.ScheduledFault{Fault: acmestub.FaultUnreachable, Start: from, End: back})
 		w.runUntil(keeper, back)
 		assert.Equal(t, first.SerialNumber, w.leaf(keeper, "pay.example.org").SerialNumber, name)
 		days := back.Sub(from).Hours() / 24
-		assert.Less(t, float64(w.authority.Calls(from, back)), 30*days+60, "%s: about one call in half an hour at most, and the first few", name)
+		assert.Less(t, float64(w.authority.RequestCount(from, back)), 30*days+60, "%s: about one call in half an hour at most, and the first few", name)
 		w.runUntil(keeper, back.Add(2*time.Hour))
 		assert.NotEqual(t, first.SerialNumber, w.leaf(keeper, "pay.example.org").SerialNumber, name)
 		if after > 0 {
@@ -187,9 +187,9 @@
 	w := newTestWorld(t, nil)
 	keeper := w.openKeeper(w.options("pay.example.org"))
 	start := w.clock()
-	w.authority.Put(acmestub.Trouble{Fault: acmestub.TooMany, From: start, To: start.Add(5 * time.Hour), After: 2 * time.Hour})
+	w.authority.ScheduleFaults(acmestub.ScheduledFault{Fault: acmestub.FaultRateLimited, Start: start, End: start.Add(5 * time.Hour), RetryAfter: 2 * time.Hour})
 	w.runUntil(keeper, start.Add(5*time.Hour))
-	assert.LessOrEqual(t, w.authority.Calls(start, start.Add(5*time.Hour)), 12, "three times, a few calls each")
+	assert.LessOrEqual(t, w.authority.RequestCount(start, start.Add(5*time.Hour)), 12, "three times, a few calls each")
 	w.runUntil(keeper, start.Add(8*time.Hour))
 	w.leaf(keeper, "pay.example.org")
 }
@@ -199,7 +199,7 @@
 	w := newTestWorld(t, nil)
 	keeper := w.openKeeper(w.options("a.example.org", "b.example.org", "c.example.org"))
 	start := w.clock()
-	w.authority.Put(acmestub.Trouble{Fault: acmestub.Reject, From: start, To: start.Add(24 * time.Hour), Name: "b.example.org"})
+	w.authority.ScheduleFaults(acmestub.ScheduledFault{Fault: acmestub.FaultRejectedChallenge, Start: start, End: start.Add(24 * time.Hour), Name: "b.example.org"})
 	w.runUntil(keeper, start.Add(3*time.Hour))
 	w.leaf(keeper, "a.example.org")
 	w.leaf(keeper, "c.example.org")
@@ -213,12 +213,12 @@
 // A certificate that does not match its key, its names, the time or a trusted root is never served. Once the authority issues one that
 // does, that is served.
 func TestUnusableCertificateIsNotServed(t *testing.T) {
-	for fault, reason := range map[acmestub.Fault]string{acmestub.OtherKey: "issued for another key", acmestub.OtherName: "issued for other names",
-		acmestub.Outdated: "expired at", acmestub.TooEarly: "not valid before", acmestub.WrongChain: "signed by unknown authority"} {
+	for fault, reason := range map[acmestub.Fault]string{acmestub.FaultOtherKey: "issued for another key", acmestub.FaultOtherName: "issued for other names",
+		acmestub.FaultExpired: "expired at", acmestub.FaultNotYetValid: "not valid before", acmestub.FaultWrongChain: "signed by unknown authority"} {
 		w := newTestWorld(t, nil)
 		keeper := w.openKeeper(w.options("pay.example.org"))
 		start := w.clock()
-		w.authority.Put(acmestub.Trouble{Fault: fault, From: start, To: start.Add(6 * time.Hour)})
+		w.authority.ScheduleFaults(acmestub.ScheduledFault{Fault: fault, Start: start, End: start.Add(6 * time.Hour)})
 		w.runUntil(keeper, start.Add(5*time.Hour))
 		_, err := keeper.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org"})
 		require.Error(t, err, fault)
@@ -231,13 +231,13 @@
 // Other faults of the authority: each step ends within its time and memory and leaves a one-line reason. Once the fault is over there
 // is a certificate.
 func TestOtherAuthorityFaults(t *testing.T) {
-	for _, fault := range []acmestub.Fault{acmestub.Broken, acmestub.BadNonce, acmestub.Garbage, acmestub.Huge, acmestub.Slow, acmestub.Stuck} {
+	for _, fault := range []acmestub.Fault{acmestub.FaultInternalError, acmestub.FaultBadNonce, acmestub.FaultGarbage, acmestub.FaultEndlessResponse, acmestub.FaultSlow, acmestub.FaultStuckOrder} {
 		w := newTestWorld(t, nil)
 		options := w.options("pay.example.org")
 		options.StepTimeout = 300 * time.Millisecond
 		keeper := w.openKeeper(options)
 		start := w.clock()
-		w.authority.Put(acmestub.Trouble{Fault: fault, From: start, To: start.Add(time.Minute), Delay: time.Second})
+		w.authority.ScheduleFaults(acmestub.ScheduledFault{Fault: fault, Start: start, End: start.Add(time.Minute), Delay: time.Second})
 		for keeper.Step(t.Context()) == 0 {
 		}
 		_, err := keeper.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org"})
@@ -313,7 +313,7 @@
 // revoked, and then renewed at once.
 func TestAccountKeysAndRevocation(t *testing.T) {
 	secret := []byte("0123456789abcdef0123456789abcdef")
-	w := newTestWorld(t, func(options *acmestub.Options) { options.Binding = map[string][]byte{"kid-1": secret} })
+	w := newTestWorld(t, func(options *acmestub.Options) { options.ExternalAccountKeys = map[string][]byte{"kid-1": secret} })
 	options := w.options("pay.example.org")
 	keeper := w.openKeeper(options)
 	w.runUntil(keeper, w.clock().Add(time.Minute))
@@ -325,14 +325,14 @@
 	first := w.leaf(keeper, "pay.example.org")
 	require.NoError(t, keeper.Rollover(t.Context(), 0))
 	require.NoError(t, keeper.Revoke(t.Context(), "pay.example.org"))
-	assert.True(t, w.authority.Revoked(first.SerialNumber))
+	assert.True(t, w.authority.IsRevoked(first.SerialNumber))
 	w.runUntil(keeper, w.clock().Add(24*time.Hour))
 	assert.NotEqual(t, first.SerialNumber, w.leaf(keeper, "pay.example.org").SerialNumber, "under the new key")
 }
 
 // A hundred instances over a year, with an outage of a day: there is never a burst of calls, neither during it nor right after.
 func TestHundredInstances(t *testing.T) {
-	w := newTestWorld(t, func(o *acmestub.Options) { o.Window = 0 })
+	w := newTestWorld(t, func(o *acmestub.Options) { o.RenewalWindowStart = 0 })
 	start := w.clock()
 	var schedulers []*certs.Scheduler
 	calls := map[int]int{} // by minute
--- a/internal/acme/process_test.go
+++ b/internal/acme/process_test.go
@@ -110,7 +110,7 @@
 	require.NoError(t, free.Close())
 	w = newTestWorld(t, func(o *acmestub.Options) {
 		o.Now = time.Now
-		o.HTTP = func(string) string { return address }
+		o.HTTPChallengeAddress = func(string) string { return address }
 	})
 	dir = filepath.Join(w.dir, "store")
 	require.NoError(t, os.WriteFile(filepath.Join(w.dir, "roots.pem"), w.authority.RootPEM(), 0o600))
@@ -139,7 +139,7 @@
 			if step == "ordered" { // its URL is lost with the process: the authority alone knows of that order
 				maxOrders = 2
 			}
-			assert.LessOrEqual(t, w.authority.Orders(), maxOrders)
+			assert.LessOrEqual(t, w.authority.OrderCount(), maxOrders)
 			certificate, err := (&store{dir: dir}).loadCertificate("pay")
 			require.NoError(t, err)
 			require.NotNil(t, certificate)
@@ -157,13 +157,13 @@
 		require.Error(t, err, maxFileSize)
 		assert.Contains(t, text, "file too large", maxFileSize)
 		assert.Contains(t, text, "nothing came of it", "%s: it keeps running", maxFileSize)
-		assert.LessOrEqual(t, w.authority.Orders(), 1, maxFileSize)
+		assert.LessOrEqual(t, w.authority.OrderCount(), 1, maxFileSize)
 		certificate, err := (&store{dir: dir}).loadCertificate("pay")
 		require.NoError(t, err, maxFileSize)
 		assert.Nil(t, certificate, maxFileSize)
 		text, err = run()
 		require.NoError(t, err, text)
-		assert.LessOrEqual(t, w.authority.Orders(), 2, maxFileSize)
+		assert.LessOrEqual(t, w.authority.OrderCount(), 2, maxFileSize)
 	}
 }
 
--- a/internal/lab/acmestub/jws.go
+++ b/internal/lab/acmestub/jws.go
@@ -14,127 +14,166 @@
 	"math/big"
 )
 
-// signed is a body in JSON Web Signature (RFC 7515, 7.2.2), as RFC 8555, 6.2 has it.
-type signed struct {
-	Protected string `json:"protected"`
-	Payload   string `json:"payload"`
-	Signature string `json:"signature"`
-}
+// Signature algorithms (RFC 7518, 3.1).
+const (
+	algorithmES256 = "ES256"
+	algorithmRS256 = "RS256"
+	algorithmHS256 = "HS256"
+)
+
+// p256Bytes is the size of a coordinate of the curve P-256, and of each half of an ES256 signature.
+const p256Bytes = 32
+
+// base64URL is the encoding of binary values in ACME (RFC 8555, 6.1).
+var base64URL = base64.RawURLEncoding
 
-// head is what is protected.
-type head struct {
-	Alg   string          `json:"alg"`
-	Nonce string          `json:"nonce"`
-	URL   string          `json:"url"`
-	KID   string          `json:"kid"`
-	JWK   json.RawMessage `json:"jwk"`
+// jws is a message in the flattened JSON serialization of JSON Web Signature (RFC 7515, 7.2.2), as RFC 8555, 6.2 asks
+// for. It is parsed; whether its signature holds is up to publicKey.verify or verifyMAC.
+type jws struct {
+	header    protectedHeader
+	payload   []byte
+	signature string // still encoded
+	signed    string // what the signature is over
 }
 
-var raw64 = base64.RawURLEncoding
+// protectedHeader is the part of a message's header that is signed.
+type protectedHeader struct {
+	Algorithm string          `json:"alg"`
+	Nonce     string          `json:"nonce"`
+	URL       string          `json:"url"`
+	KeyID     string          `json:"kid"`
+	Key       json.RawMessage `json:"jwk"`
+}
 
-// parse takes a body apart; the signature is not checked yet.
-func parse(data []byte) (s signed, h head, payload []byte, err error) {
-	if err := json.Unmarshal(data, &s); err != nil {
-		return s, h, nil, err
+func parseJWS(data []byte) (*jws, error) {
+	var encoded struct {
+		Protected string `json:"protected"`
+		Payload   string `json:"payload"`
+		Signature string `json:"signature"`
+	}
+	if err := json.Unmarshal(data, &encoded); err != nil {
+		return nil, err
 	}
-	protected, err := raw64.DecodeString(s.Protected)
+	message := &jws{signature: encoded.Signature, signed: encoded.Protected + "." + encoded.Payload}
+	protected, err := base64URL.DecodeString(encoded.Protected)
 	if err != nil {
-		return s, h, nil, err
+		return nil, err
 	}
-	if err := json.Unmarshal(protected, &h); err != nil {
-		return s, h, nil, err
+	if err := json.Unmarshal(protected, &message.header); err != nil {
+		return nil, err
 	}
-	payload, err = raw64.DecodeString(s.Payload)
-	return s, h, payload, err
+	message.payload, err = base64URL.DecodeString(encoded.Payload)
+	return message, err
 }
 
-// key is a JSON Web Key (RFC 7517) of the two kinds that accounts have here.
-type key struct {
-	public crypto.PublicKey
-	thumb  string // RFC 7638
+// publicKey is a JSON Web Key (RFC 7517) of one of the two types that accounts may have here.
+type publicKey struct {
+	key        crypto.PublicKey // *ecdsa.PublicKey on P-256, or *rsa.PublicKey
+	thumbprint string           // RFC 7638
 }
 
-func parseKey(data []byte) (k key, err error) {
-	var j struct{ Kty, Crv, X, Y, N, E string }
-	if err := json.Unmarshal(data, &j); err != nil {
-		return k, err
+func parsePublicKey(data []byte) (publicKey, error) {
+	var jwk struct {
+		Type     string `json:"kty"`
+		Curve    string `json:"crv"`
+		X        string `json:"x"`
+		Y        string `json:"y"`
+		Modulus  string `json:"n"`
+		Exponent string `json:"e"`
 	}
-	number := func(s string) *big.Int {
-		b, e := raw64.DecodeString(s)
-		if e != nil && err == nil {
-			err = e
-		}
-		return new(big.Int).SetBytes(b)
+	if err := json.Unmarshal(data, &jwk); err != nil {
+		return publicKey{}, err
 	}
-	var text string
 	switch {
-	case j.Kty == "EC" && j.Crv == "P-256":
-		x, y := number(j.X), number(j.Y)
+	case jwk.Type == "EC" && jwk.Curve == "P-256":
+		x, y, err := decodeNumbers(jwk.X, jwk.Y)
 		if err != nil {
-			return k, err
+			return publicKey{}, err
 		}
-		if k.public, err = p256Key(x, y); err != nil {
-			return k, err
+		key, err := newP256Key(x, y)
+		if err != nil {
+			return publicKey{}, err
 		}
-		text = fmt.Sprintf(`{"crv":"P-256","kty":"EC","x":%q,"y":%q}`, j.X, j.Y)
-	case j.Kty == "RSA":
-		k.public = &rsa.PublicKey{N: number(j.N), E: int(number(j.E).Int64())}
-		text = fmt.Sprintf(`{"e":%q,"kty":"RSA","n":%q}`, j.E, j.N)
+		return publicKey{key, thumbprint(fmt.Sprintf(`{"crv":"P-256","kty":"EC","x":%q,"y":%q}`, jwk.X, jwk.Y))}, nil
+	case jwk.Type == "RSA":
+		modulus, exponent, err := decodeNumbers(jwk.Modulus, jwk.Exponent)
+		if err != nil {
+			return publicKey{}, err
+		}
+		key := &rsa.PublicKey{N: modulus, E: int(exponent.Int64())}
+		return publicKey{key, thumbprint(fmt.Sprintf(`{"e":%q,"kty":"RSA","n":%q}`, jwk.Exponent, jwk.Modulus))}, nil
 	default:
-		return k, fmt.Errorf("key of kind %q %q", j.Kty, j.Crv)
+		return publicKey{}, fmt.Errorf("unsupported key type %q, curve %q", jwk.Type, jwk.Curve)
+	}
+}
+
+// decodeNumbers decodes a key's two big-endian numbers.
+func decodeNumbers(first, second string) (a, b *big.Int, err error) {
+	firstBytes, err := base64URL.DecodeString(first)
+	if err != nil {
+		return nil, nil, err
+	}
+	secondBytes, err := base64URL.DecodeString(second)
+	if err != nil {
+		return nil, nil, err
 	}
-	sum := sha256.Sum256([]byte(text))
-	k.thumb = raw64.EncodeToString(sum[:])
-	return k, err
+	return new(big.Int).SetBytes(firstBytes), new(big.Int).SetBytes(secondBytes), nil
+}
+
+// thumbprint is the digest of a key's required members in lexicographic order (RFC 7638, 3).
+func thumbprint(members string) string {
+	digest := sha256.Sum256([]byte(members))
+	return base64URL.EncodeToString(digest[:])
 }
 
-// verify checks a signature by a key.
-func (k key) verify(s signed, alg string) error {
-	sig, err := raw64.DecodeString(s.Signature)
+// newP256Key makes a key of a point's coordinates, which must lie on the curve P-256.
+func newP256Key(x, y *big.Int) (*ecdsa.PublicKey, error) {
+	if x.BitLen() > 8*p256Bytes || y.BitLen() > 8*p256Bytes {
+		return nil, errors.New("coordinate of a P-256 key is too long")
+	}
+	point := make([]byte, 1+2*p256Bytes)
+	point[0] = 4 // uncompressed
+	x.FillBytes(point[1 : 1+p256Bytes])
+	y.FillBytes(point[1+p256Bytes:])
+	return ecdsa.ParseUncompressedPublicKey(elliptic.P256(), point)
+}
+
+// verify checks that a message was signed with this key.
+func (k publicKey) verify(message *jws) error {
+	signature, err := base64URL.DecodeString(message.signature)
 	if err != nil {
 		return err
 	}
-	sum := sha256.Sum256([]byte(s.Protected + "." + s.Payload))
-	switch p := k.public.(type) {
+	digest := sha256.Sum256([]byte(message.signed))
+	switch key := k.key.(type) {
 	case *ecdsa.PublicKey:
-		if alg != "ES256" || len(sig) != 64 {
+		if message.header.Algorithm != algorithmES256 || len(signature) != 2*p256Bytes {
 			return errors.New("not an ES256 signature")
 		}
-		if !ecdsa.Verify(p, sum[:], new(big.Int).SetBytes(sig[:32]), new(big.Int).SetBytes(sig[32:])) {
-			return errors.New("signature does not hold")
+		r := new(big.Int).SetBytes(signature[:p256Bytes])
+		s := new(big.Int).SetBytes(signature[p256Bytes:])
+		if !ecdsa.Verify(key, digest[:], r, s) {
+			return errors.New("signature does not verify")
 		}
 	case *rsa.PublicKey:
-		if alg != "RS256" {
+		if message.header.Algorithm != algorithmRS256 {
 			return errors.New("not an RS256 signature")
 		}
-		return rsa.VerifyPKCS1v15(p, crypto.SHA256, sum[:], sig)
+		return rsa.VerifyPKCS1v15(key, crypto.SHA256, digest[:], signature)
 	}
 	return nil
 }
 
-// verifyMAC checks an external account binding (RFC 8555, 7.3.4).
-func verifyMAC(secret []byte, s signed) error {
-	sig, err := raw64.DecodeString(s.Signature)
+// verifyMAC checks the signature of an external account binding (RFC 8555, 7.3.4).
+func verifyMAC(secret []byte, message *jws) error {
+	signature, err := base64URL.DecodeString(message.signature)
 	if err != nil {
 		return err
 	}
-	m := hmac.New(sha256.New, secret)
-	_, _ = m.Write([]byte(s.Protected + "." + s.Payload))
-	if !hmac.Equal(sig, m.Sum(nil)) {
-		return errors.New("binding does not hold")
+	mac := hmac.New(sha256.New, secret)
+	_, _ = mac.Write([]byte(message.signed)) // never fails
+	if !hmac.Equal(signature, mac.Sum(nil)) {
+		return errors.New("MAC does not verify")
 	}
 	return nil
 }
-
-// p256Key makes a key of a point's coordinates, which must lie on the curve P-256.
-func p256Key(x, y *big.Int) (*ecdsa.PublicKey, error) {
-	const size = 32 // bytes of a coordinate
-	if x.BitLen() > 8*size || y.BitLen() > 8*size {
-		return nil, errors.New("coordinate of a P-256 key is too long")
-	}
-	point := make([]byte, 1+2*size)
-	point[0] = 4 // uncompressed
-	x.FillBytes(point[1 : 1+size])
-	y.FillBytes(point[1+size:])
-	return ecdsa.ParseUncompressedPublicKey(elliptic.P256(), point)
-}
--- a/internal/lab/loopback/secure.go
+++ b/internal/lab/loopback/secure.go
@@ -57,7 +57,7 @@
 func (w *world) newSecure(o TLS) (*secure, error) {
 	s := &secure{o: o, w: w}
 	var err error
-	s.authority, err = acmestub.New(acmestub.Options{Window: 0.7, TLS: func(string) string {
+	s.authority, err = acmestub.New(acmestub.Options{RenewalWindowStart: 0.7, TLSChallengeAddress: func(string) string {
 		for _, n := range slices.Backward(w.nodes) {
 			if n.letter() == 'U' {
 				return n.secure
@@ -141,7 +141,7 @@
 
 // look sums what was counted since the start, at which there was nothing to serve yet; those of killed processes are gone.
 func (s *secure) look(ctx context.Context) {
-	told := Swaps{Asked: s.asked, Refused: s.refused, Issued: s.authority.Issued()}
+	told := Swaps{Asked: s.asked, Refused: s.refused, Issued: s.authority.IssuedCount()}
 	for pid, h := range s.counts(ctx) {
 		was := s.before[pid]
 		told.Handshakes += h.Done - was.Done
