--- a/cmd/pearknot-lab/capacity.go
+++ b/cmd/pearknot-lab/capacity.go
@@ -26,7 +26,7 @@
 			if update != "" && (quick || from != "" || out != "") {
 				return cli.UsageError(errors.New("--update goes with neither --quick nor --from nor --out"))
 			}
-			t, err := capacity.Read(target)
+			t, err := capacity.ReadTarget(target)
 			if err != nil {
 				return cli.UsageIfNotExist(err)
 			}
@@ -44,13 +44,13 @@
 				return err
 			}
 			if stood != nil {
-				if err := stood.Update(r); err != nil {
+				if err := stood.Merge(r); err != nil {
 					return cli.UsageError(err)
 				}
 				r, out = stood, update
 			}
 			if out != "" {
-				if err := os.WriteFile(out, r.Text(), 0o644); err != nil {
+				if err := os.WriteFile(out, r.Encode(), 0o644); err != nil {
 					return err
 				}
 			}
@@ -61,7 +61,7 @@
 					return cli.UsageError(err)
 				}
 			}
-			if over := capacity.Ranked(capacity.Costs(r.Slopes, t)); len(over) > 0 {
+			if over := capacity.OverLimit(capacity.Costs(r.Slopes, t)); len(over) > 0 {
 				return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d costs pass their limits", len(over)), Silent: true}
 			}
 			return nil
@@ -87,16 +87,16 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &capacity.Bench{Node: start, Lab: []string{self}, Span: 1500 * time.Millisecond, Runs: 5, Out: c.ErrOrStderr()}
+	b := &capacity.Bench{NodeCommand: start, LabCommand: []string{self}, RunDuration: 1500 * time.Millisecond, Runs: 5, Progress: c.ErrOrStderr()}
 	if quick {
-		b.Span, b.Runs, b.Quick = 150*time.Millisecond, 1, true
+		b.RunDuration, b.Runs, b.IsQuick = 150*time.Millisecond, 1, true
 	}
 	begun := time.Now()
 	r, err := capacity.Measure(c.Context(), b, only)
-	if errors.Is(err, capacity.ErrUnknown) {
+	if errors.Is(err, capacity.ErrUnknownRow) {
 		return nil, cli.UsageError(err)
 	}
-	own, child := capacity.Peak()
+	own, child := capacity.PeakMemory()
 	fmt.Fprintf(c.ErrOrStderr(), "%.0f s; most memory held: %.0f MB here, %.0f MB in a process of the program\n", time.Since(begun).Seconds(), own, child)
 	return r, err
 }
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	changed, _, err := capacity.Page(string(data), text)
+	changed, _, err := capacity.ReplaceTables(string(data), text)
 	if err != nil {
 		return fmt.Errorf("%s: %w", page, err)
 	}
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Point is what was measured at a size: the median of some runs and the least and most of them.
+// Point is what was measured at one size: the median, least and greatest value of some runs.
 type Point struct {
 	Size   float64 `json:"size"`
 	Median float64 `json:"median"`
@@ -16,167 +16,179 @@
 	Runs   int     `json:"runs"`
 }
 
-// digits that a figure is kept with; more would be noise.
-const digits = 4
+// pointDigits are the significant digits of a stored value; more would be noise.
+const pointDigits = 4
 
-// newPoint sums runs up.
+// newPoint summarizes the values of some runs.
 func newPoint(size float64, runs []float64) Point {
-	all := slices.Sorted(slices.Values(runs))
-	return Point{size, rounded(all[len(all)/2]), rounded(all[0]), rounded(all[len(all)-1]), len(all)}
+	sorted := slices.Sorted(slices.Values(runs))
+	return Point{
+		Size:   size,
+		Median: roundDigits(sorted[len(sorted)/2], pointDigits),
+		Low:    roundDigits(sorted[0], pointDigits),
+		High:   roundDigits(sorted[len(sorted)-1], pointDigits),
+		Runs:   len(sorted),
+	}
 }
 
-func rounded(x float64) float64 {
-	x, _ = strconv.ParseFloat(strconv.FormatFloat(x, 'g', digits, 64), 64)
+// roundDigits rounds to a number of significant digits.
+func roundDigits(x float64, digits int) float64 {
+	x, _ = strconv.ParseFloat(strconv.FormatFloat(x, 'g', digits, 64), 64) // of a number's own text
 	return x
 }
 
-// Shape is how a cost grows.
+// Slope is one cost measured at several sizes.
+type Slope struct {
+	Key         string  `json:"key"`
+	Description string  `json:"what"`
+	Unit        string  `json:"unit"`
+	SizeName    string  `json:"by"`             // what the sizes count
+	IsWallClock bool    `json:"wall,omitempty"` // the machine's other work shows in it
+	Points      []Point `json:"points"`
+}
+
+// MaxSize is the largest size measured.
+func (s *Slope) MaxSize() float64 {
+	largest := 0.0
+	for _, p := range s.Points {
+		largest = max(largest, p.Size)
+	}
+	return largest
+}
+
+// Shape is how a cost grows with the size.
 type Shape int
 
-// Shapes of a cost over the size.
+// Shapes, simplest first.
 const (
-	Constant Shape = iota
-	Linear
-	LogLinear
-	Square
+	ShapeConstant Shape = iota
+	ShapeLinear
+	ShapeLogLinear
+	ShapeSquare
 )
 
 func (s Shape) String() string { return [...]string{"constant", "linear", "n log n", "square"}[s] }
 
-func (s Shape) of(n float64) float64 {
+// formula is the text of what basis computes.
+func (s Shape) formula() string { return [...]string{"0", "n", "n log2 n", "n^2"}[s] }
+
+// basis is the function of the size that a curve of this shape multiplies by its slope.
+func (s Shape) basis(n float64) float64 {
 	switch s {
-	case Linear:
+	case ShapeLinear:
 		return n
-	case LogLinear:
+	case ShapeLogLinear:
 		return n * math.Log2(max(n, 1))
-	case Square:
+	case ShapeSquare:
 		return n * n
 	default:
 		return 0
 	}
 }
 
-// Fit is a curve through points: Base + Slope x what its shape makes of the size.
+// Fit is a curve through points: Base + Slope x basis(size).
 type Fit struct {
 	Shape    Shape
 	Base     float64
 	Slope    float64
-	Residual float64 // root mean square of what is left, as a share of the points
+	Residual float64 // root mean square of the differences, each as a share of its point
 }
 
 // At is the curve's value.
-func (f Fit) At(n float64) float64 { return f.Base + f.Slope*f.Shape.of(n) }
+func (f Fit) At(n float64) float64 { return f.Base + f.Slope*f.Shape.basis(n) }
 
 func (f Fit) String() string {
-	if f.Shape == Constant {
+	switch {
+	case f.Shape == ShapeConstant:
 		return fmt.Sprintf("%.3g", f.Base)
+	case f.Base == 0:
+		return fmt.Sprintf("%.3g %s", f.Slope, f.Shape.formula())
+	default:
+		return fmt.Sprintf("%.3g + %.3g %s", f.Base, f.Slope, f.Shape.formula())
 	}
-	n := map[Shape]string{Linear: "n", LogLinear: "n log2 n", Square: "n^2"}[f.Shape]
-	if f.Base == 0 {
-		return fmt.Sprintf("%.3g %s", f.Slope, n)
-	}
-	return fmt.Sprintf("%.3g + %.3g %s", f.Base, f.Slope, n)
 }
 
 const (
-	// nearBest is how much more a simpler shape may leave than the best one and still be taken: an exponent that the points
-	// don't show must not decide what they cost at a hundred times the size.
-	nearBest = 1.25
-	// alike is a residual below which a shape fits as well as any: runs on a shared machine are spread by more.
-	alike = 0.03
+	// simplerShapeTolerance is how many times the best shape's residual a simpler shape may have and still be preferred:
+	// an exponent that the points don't show must not decide what they cost at a hundred times the size.
+	simplerShapeTolerance = 1.25
+	// noiseResidual is a residual below which a shape fits as well as any: runs on a shared machine vary by more.
+	noiseResidual = 0.03
 )
 
-// FitOf takes the simplest shape that leaves hardly more than the best. What is left counts as a share of each point, so that
-// small sizes weigh as much as large ones; neither base nor slope is below 0, since no cost is.
-func FitOf(points []Point) Fit {
-	fits := make([]Fit, 0, 4)
+// FitPoints fits the simplest shape whose residual is hardly larger than the best one's. Differences count as shares of
+// each point, so that small sizes weigh as much as large ones; neither base nor slope is below 0, since no cost is.
+func FitPoints(points []Point) Fit {
+	var fits []Fit
 	best := math.Inf(1)
-	for s := Constant; s <= Square; s++ {
-		f := fitted(s, points)
-		fits = append(fits, f)
-		best = min(best, f.Residual)
+	for shape := ShapeConstant; shape <= ShapeSquare; shape++ {
+		fit := leastSquares(shape, points)
+		fits = append(fits, fit)
+		best = min(best, fit.Residual)
 	}
-	for _, f := range fits {
-		if f.Residual <= max(best*nearBest, alike) {
-			return f
+	for _, fit := range fits {
+		if fit.Residual <= max(best*simplerShapeTolerance, noiseResidual) {
+			return fit
 		}
 	}
 	return fits[0]
 }
 
-// fitted is the weighted least squares of one shape.
-func fitted(s Shape, points []Point) Fit {
-	weight := weights(points)
-	var w, wx, wy, wxx, wxy float64
+// leastSquares fits one shape by weighted least squares.
+func leastSquares(shape Shape, points []Point) Fit {
+	weights := pointWeights(points)
+	var sumW, sumX, sumY, sumXX, sumXY float64 // weighted sums
 	for i, p := range points {
-		k := weight[i]
-		x := s.of(p.Size)
-		w, wx, wy, wxx, wxy = w+k, wx+k*x, wy+k*p.Median, wxx+k*x*x, wxy+k*x*p.Median
+		w, x, y := weights[i], shape.basis(p.Size), p.Median
+		sumW += w
+		sumX += w * x
+		sumY += w * y
+		sumXX += w * x * x
+		sumXY += w * x * y
 	}
-	f := Fit{Shape: s}
-	if w == 0 {
-		return f
+	fit := Fit{Shape: shape}
+	if sumW == 0 {
+		return fit
 	}
-	f.Base = wy / w
-	if d := w*wxx - wx*wx; s != Constant && d > 0 {
-		f.Slope = (w*wxy - wx*wy) / d
-		f.Base = (wy - f.Slope*wx) / w
+	fit.Base = sumY / sumW
+	if determinant := sumW*sumXX - sumX*sumX; shape != ShapeConstant && determinant > 0 {
+		fit.Slope = (sumW*sumXY - sumX*sumY) / determinant
+		fit.Base = (sumY - fit.Slope*sumX) / sumW
 		switch {
-		case f.Slope < 0:
-			f.Base, f.Slope = wy/w, 0
-		case f.Base < 0:
-			f.Base, f.Slope = 0, wxy/wxx
+		case fit.Slope < 0:
+			fit.Base, fit.Slope = sumY/sumW, 0
+		case fit.Base < 0:
+			fit.Base, fit.Slope = 0, sumXY/sumXX
 		}
 	}
-	left := 0.0
+	squares := 0.0
 	for i, p := range points {
-		d := f.At(p.Size) - p.Median
-		left += weight[i] * d * d
+		difference := fit.At(p.Size) - p.Median
+		squares += weights[i] * difference * difference
 	}
-	f.Residual = math.Sqrt(left / float64(len(points)))
-	return f
+	fit.Residual = math.Sqrt(squares / float64(len(points)))
+	return fit
 }
 
-// leastSeen is the part of the largest point that one of nothing is weighed as: that there was nothing says something.
-const leastSeen = 0.05
+// zeroPointShare is the share of the largest point by which a point of 0 is weighed. Its own value would give it no
+// finite weight, and to leave it out would lose that nothing was spent at its size.
+const zeroPointShare = 0.05
 
-// weights make what is left at each point a share of it.
-func weights(points []Point) []float64 {
-	most := 0.0
+// pointWeights make the difference at each point count as a share of the point.
+func pointWeights(points []Point) []float64 {
+	largest := 0.0
 	for _, p := range points {
-		most = max(most, p.Median)
+		largest = max(largest, p.Median)
 	}
-	all := make([]float64, len(points))
+	weights := make([]float64, len(points))
 	for i, p := range points {
-		of := p.Median
-		if of <= 0 {
-			of = leastSeen * most
+		scale := p.Median
+		if scale <= 0 {
+			scale = zeroPointShare * largest
 		}
-		if of > 0 {
-			all[i] = 1 / (of * of)
+		if scale > 0 {
+			weights[i] = 1 / (scale * scale)
 		}
 	}
-	return all
+	return weights
 }
-
-// Slope is one cost by one size.
-type Slope struct {
-	Key    string  `json:"key"`
-	What   string  `json:"what"`
-	Unit   string  `json:"unit"`
-	By     string  `json:"by"`
-	Wall   bool    `json:"wall,omitempty"` // time on the wall
-	Points []Point `json:"points"`
-}
-
-// Most is the largest size measured.
-func (s *Slope) Most() float64 {
-	most := 0.0
-	for _, p := range s.Points {
-		most = max(most, p.Size)
-	}
-	return most
-}
-
-// far is the extrapolation from which a table says so.
-const far = 10.0
--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -2,279 +2,205 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"os"
 	"runtime"
 	"slices"
-	"strconv"
 	"strings"
 	"sync"
-	"syscall"
 	"time"
-
-	"golang.org/x/sys/unix"
 )
 
-// Result is what was measured.
-type Result struct {
-	Machine string   `json:"machine"`
-	Quick   bool     `json:"quick,omitempty"`
-	Part    string   `json:"part,omitempty"` // rows that were asked for; empty is all
-	Load    Load     `json:"load"`
-	Slopes  []*Slope `json:"slopes"`
-}
-
-// Load is the least and most of the machine's load, in processes that run or want to, as rows ended: this one's and others' work.
-type Load struct{ Least, Most float64 }
-
-func (l *Load) look() {
-	text, err := os.ReadFile("/proc/loadavg")
-	if err != nil {
-		return
-	}
-	first, _, _ := strings.Cut(string(text), " ")
-	now, err := strconv.ParseFloat(first, 64)
-	if err != nil {
-		return
-	}
-	if l.Least == 0 || now < l.Least {
-		l.Least = now
-	}
-	l.Most = max(l.Most, now)
-}
-
-// ReadResult reads a result that was written.
-func ReadResult(name string) (*Result, error) {
-	data, err := os.ReadFile(name)
-	if err != nil {
-		return nil, err
-	}
-	r := &Result{}
-	if err := json.Unmarshal(data, r); err != nil {
-		return nil, fmt.Errorf("%s: %w", name, err)
-	}
-	for _, s := range r.Slopes {
-		if s == nil || s.Key == "" || len(s.Points) == 0 {
-			return nil, fmt.Errorf("%s: a slope without its key or points", name)
-		}
-	}
-	return r, nil
-}
-
-// Update puts what was measured again in the place of what stood.
-func (r *Result) Update(with *Result) error {
-	if with.Machine != r.Machine || with.Quick != r.Quick {
-		return fmt.Errorf("measured on %s, and what stood on %s: they don't go into one table", with.Machine, r.Machine)
-	}
-	for _, s := range with.Slopes {
-		if k := slices.IndexFunc(r.Slopes, func(x *Slope) bool { return x.Key == s.Key }); k >= 0 {
-			r.Slopes[k] = s
-		} else {
-			r.Slopes = append(r.Slopes, s)
-		}
-	}
-	r.Load = Load{min(r.Load.Least, with.Load.Least), max(r.Load.Most, with.Load.Most)}
-	return nil
-}
-
-// Text is the result as it is written.
-func (r *Result) Text() []byte {
-	data, err := json.MarshalIndent(r, "", " ")
-	if err != nil {
-		panic(err) // plain values
-	}
-	return append(data, '\n')
-}
-
-// Bench is where rigs stand.
+// Bench holds the settings of a series of measurements.
 type Bench struct {
-	Node  []string      // starts the program
-	Lab   []string      // starts the lab's
-	Span  time.Duration // how long a run of what takes its time lasts
-	Runs  int
-	Quick bool
-	Out   io.Writer // is told what goes on
+	NodeCommand []string      // starts the program; arguments are appended
+	LabCommand  []string      // starts the lab's program; arguments are appended
+	RunDuration time.Duration // of a run that measures something over time
+	Runs        int           // for each size
+	IsQuick     bool          // small sizes, to see whether the rigs work
+	Progress    io.Writer     // gets a line for each row
 }
 
-// metric is one of those that a run gives.
+// metric is one of the values that a run gives.
 type metric struct {
-	key, what, unit string
-	wall            bool // time on the wall, in which the machine's other work shows
+	key         string // of the slope that it becomes
+	description string
+	unit        string
+	isWallClock bool // the machine's other work shows in it
 }
 
-// rig is what stands at one size.
+// rig is what is set up to measure one size.
 type rig struct {
 	run   func(ctx context.Context) ([]float64, error) // a value for each metric
-	close func()
-}
-
-// probe measures some costs by one size.
-type probe struct {
-	name     string
-	by       string
-	sizes    []float64
-	quick    []float64
-	metrics  []metric
-	together bool // its rigs stand beside each other: what they measure is no matter of who else runs
-	alone    bool // they mostly wait, and stand beside each other where nothing is measured
-	open     func(ctx context.Context, b *Bench, size float64) (*rig, error)
-}
-
-// probes are all, most important first.
-func probes() []probe {
-	return slices.Concat(linkProbes(), moduleProbes(), termsProbes(), startProbes(), listProbes(), waitingProbes(), addedProbes(),
-		agentProbes(), captureProbes(), keptProbes())
-}
-
-// Rows are the names of what can be measured alone.
-func Rows() (names []string) {
-	for _, p := range probes() {
-		names = append(names, p.name)
+	close func()                                       // nil where nothing is to be closed
+}
+
+// rigFunc sets a rig up for a size.
+type rigFunc func(ctx context.Context, bench *Bench, size float64) (*rig, error)
+
+// measurement is a row: costs that are measured together by one size.
+type measurement struct {
+	name       string
+	sizeName   string // what the sizes count
+	sizes      []float64
+	quickSizes []float64 // of a quick bench; nil is sizes
+	metrics    []metric
+	// runsTogether has the rigs of all sizes run at once, where their metrics don't depend on the machine's other work.
+	// runsTogetherIfQuick does so on a quick bench alone, for rigs that mostly wait.
+	runsTogether        bool
+	runsTogetherIfQuick bool
+	newRig              rigFunc
+}
+
+// allMeasurements lists all rows, most important first.
+func allMeasurements() []measurement {
+	return slices.Concat(
+		linkMeasurements(),
+		moduleMeasurements(),
+		settingsMeasurements(),
+		startMeasurements(),
+		discoveryMeasurements(),
+		memoryMeasurements(),
+		addedLatencyMeasurements(),
+		agentMeasurements(),
+		captureMeasurements(),
+		takeoverMeasurements(),
+	)
+}
+
+// RowNames are the names of the rows that can be measured alone.
+func RowNames() (names []string) {
+	for _, m := range allMeasurements() {
+		names = append(names, m.name)
 	}
 	return names
 }
 
-// ErrUnknown is a row that isn't there.
-var ErrUnknown = errors.New("no such row")
+// ErrUnknownRow is the error of Measure where no row's name has the prefix.
+var ErrUnknownRow = errors.New("no such row")
 
-// Measure runs all rows, or those whose name begins with only.
-func Measure(ctx context.Context, b *Bench, only string) (*Result, error) {
-	r := &Result{Machine: fmt.Sprintf("%d shared cores, %s, %s/%s", runtime.NumCPU(), runtime.Version(), runtime.GOOS, runtime.GOARCH), Quick: b.Quick, Part: only}
-	for _, p := range probes() {
-		if !strings.HasPrefix(p.name, only) {
+// Measure measures all rows whose names have a prefix.
+func Measure(ctx context.Context, bench *Bench, rowPrefix string) (*Result, error) {
+	result := &Result{
+		Machine:   fmt.Sprintf("%d shared cores, %s, %s/%s", runtime.NumCPU(), runtime.Version(), runtime.GOOS, runtime.GOARCH),
+		IsQuick:   bench.IsQuick,
+		RowPrefix: rowPrefix,
+	}
+	for _, m := range allMeasurements() {
+		if !strings.HasPrefix(m.name, rowPrefix) {
 			continue
 		}
-		begun := time.Now()
-		slopes, err := p.measure(ctx, b)
+		started := time.Now()
+		slopes, err := m.measure(ctx, bench)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", p.name, err)
+			return nil, fmt.Errorf("%s: %w", m.name, err)
 		}
-		r.Slopes = append(r.Slopes, slopes...)
-		r.Load.look()
-		if err := bounded(Peak()); err != nil {
-			return nil, fmt.Errorf("%s: %w", p.name, err)
+		result.Slopes = append(result.Slopes, slopes...)
+		result.Load.observe()
+		if err := checkMemory(PeakMemory()); err != nil {
+			return nil, fmt.Errorf("%s: %w", m.name, err)
 		}
-		fmt.Fprintf(b.Out, "%-28s %5.1f s\n", p.name, time.Since(begun).Seconds())
+		fmt.Fprintf(bench.Progress, "%-28s %5.1f s\n", m.name, time.Since(started).Seconds())
 	}
-	if len(r.Slopes) == 0 {
-		return nil, fmt.Errorf("%w: %q; there are %s", ErrUnknown, only, strings.Join(Rows(), ", "))
+	if len(result.Slopes) == 0 {
+		return nil, fmt.Errorf("%w: %q; there are %s", ErrUnknownRow, rowPrefix, strings.Join(RowNames(), ", "))
 	}
-	return r, nil
+	return result, nil
 }
 
-func (p *probe) measure(ctx context.Context, b *Bench) ([]*Slope, error) {
-	sizes := p.sizes
-	if b.Quick && p.quick != nil {
-		sizes = p.quick
+// measure measures all sizes and gives a slope for each metric.
+func (m *measurement) measure(ctx context.Context, bench *Bench) ([]*Slope, error) {
+	sizes := m.sizes
+	if bench.IsQuick && m.quickSizes != nil {
+		sizes = m.quickSizes
 	}
-	points := make([][]Point, len(sizes)) // by size and metric
-	errs := make([]error, len(sizes))
-	var wg sync.WaitGroup
-	for k, size := range sizes {
-		together := p.together || p.alone && b.Quick
-		one := func() { points[k], errs[k] = p.at(ctx, b, size) }
-		if together {
-			wg.Go(one)
-		} else if one(); errs[k] != nil {
-			break
-		}
-	}
-	wg.Wait()
-	if err := errors.Join(errs...); err != nil {
+	pointsBySize, err := m.measureSizes(ctx, bench, sizes)
+	if err != nil {
 		return nil, err
 	}
 	var slopes []*Slope
-	for m, x := range p.metrics {
-		s := &Slope{Key: x.key, What: x.what, Unit: x.unit, By: p.by, Wall: x.wall}
-		for k := range sizes {
-			s.Points = append(s.Points, points[k][m])
+	for i, metric := range m.metrics {
+		slope := &Slope{
+			Key:         metric.key,
+			Description: metric.description,
+			Unit:        metric.unit,
+			SizeName:    m.sizeName,
+			IsWallClock: metric.isWallClock,
 		}
-		slopes = append(slopes, s)
+		for _, points := range pointsBySize {
+			slope.Points = append(slope.Points, points[i])
+		}
+		slopes = append(slopes, slope)
 	}
 	return slopes, nil
 }
 
-func (p *probe) at(ctx context.Context, b *Bench, size float64) ([]Point, error) {
-	r, err := p.open(ctx, b, size)
+// measureSizes gives the points of each size, by metric. One after the other, it ends at the first size that fails.
+func (m *measurement) measureSizes(ctx context.Context, bench *Bench, sizes []float64) ([][]Point, error) {
+	points := make([][]Point, len(sizes))
+	errs := make([]error, len(sizes))
+	isParallel := m.runsTogether || m.runsTogetherIfQuick && bench.IsQuick
+	var running sync.WaitGroup
+	for i, size := range sizes {
+		if isParallel {
+			running.Go(func() { points[i], errs[i] = m.measureAt(ctx, bench, size) })
+			continue
+		}
+		if points[i], errs[i] = m.measureAt(ctx, bench, size); errs[i] != nil {
+			break
+		}
+	}
+	running.Wait()
+	return points, errors.Join(errs...)
+}
+
+// measureAt measures one size, and gives a point for each metric.
+func (m *measurement) measureAt(ctx context.Context, bench *Bench, size float64) ([]Point, error) {
+	rig, err := m.newRig(ctx, bench, size)
 	if err != nil {
-		return nil, fmt.Errorf("%s %g: %w", p.by, size, err)
+		return nil, fmt.Errorf("%s %g: %w", m.sizeName, size, err)
 	}
-	if r.close != nil {
-		defer r.close()
+	if rig.close != nil {
+		defer rig.close()
 	}
 	runtime.GC()
-	runs := make([][]float64, len(p.metrics))
-	for range b.Runs {
+	valuesByMetric := make([][]float64, len(m.metrics))
+	for range bench.Runs {
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
-		values, err := r.run(ctx)
+		values, err := rig.run(ctx)
 		if err != nil {
-			return nil, fmt.Errorf("%s %g: %w", p.by, size, err)
+			return nil, fmt.Errorf("%s %g: %w", m.sizeName, size, err)
 		}
-		for m, v := range values {
-			runs[m] = append(runs[m], v)
+		for i, value := range values {
+			valuesByMetric[i] = append(valuesByMetric[i], value)
 		}
 	}
 	var points []Point
-	for _, all := range runs {
-		points = append(points, newPoint(size, all))
+	for _, values := range valuesByMetric {
+		points = append(points, newPoint(size, values))
 	}
 	return points, nil
 }
 
-// spent is the processor time of this process, in ms: what others on the machine do shows in it as little as can be.
-func spent() float64 { return clockMs(unix.CLOCK_PROCESS_CPUTIME_ID) }
-
-// spentBy is another process's, by its clock's number.
-func spentBy(pid int) float64 { return clockMs(int32(^pid<<3 | 2)) }
-
-func clockMs(id int32) float64 {
-	var t unix.Timespec
-	if err := unix.ClockGettime(id, &t); err != nil {
-		return 0 // it has ended
-	}
-	return float64(t.Nano()) / 1e6
+// fixedSize is a size function for rigs in which something doesn't grow, and variableSize for what does.
+func fixedSize(n float64) func(size float64) float64 {
+	return func(float64) float64 { return n }
 }
 
-// heap is what is in use after a collection, in bytes.
-func heap() float64 {
-	var m runtime.MemStats
-	runtime.GC()
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc)
-}
-
-// made counts what this process has allocated, in objects and bytes.
-func made() (objects, bytes float64) {
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return float64(m.Mallocs), float64(m.TotalAlloc)
-}
+func variableSize(size float64) float64 { return size }
 
-// bounded refuses to go on where this process and one of the program have held more than half of the machine's memory, in MB.
-func bounded(self, child float64) error {
-	var s unix.Sysinfo_t
-	if err := unix.Sysinfo(&s); err != nil {
-		return err
-	}
-	if all := float64(s.Totalram) * float64(s.Unit) / (1 << 20); self+child > all/2 {
-		return fmt.Errorf("%.0f MB held, over half of the machine's %.0f", self+child, all)
+// sleep waits for a while, or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-ctx.Done():
 	}
-	return nil
 }
 
-// Peak is the most memory that this process, and the largest of those that it started, have held, in MB.
-func Peak() (self, child float64) {
-	most := func(who int) float64 {
-		var u syscall.Rusage
-		if err := syscall.Getrusage(who, &u); err != nil {
-			return 0
-		}
-		return float64(u.Maxrss) / 1024
-	}
-	return most(syscall.RUSAGE_SELF), most(syscall.RUSAGE_CHILDREN)
-}
+// milliseconds of a duration, to the microsecond.
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1e3 }
--- a/internal/lab/capacity/table.go
+++ b/internal/lab/capacity/table.go
@@ -8,157 +8,215 @@
 	"strings"
 )
 
-// Number writes a figure with three digits and its thousands apart.
-func Number(x float64) string {
+const (
+	notMeasured   = "not measured"
+	noLimitStated = "none stated"
+
+	// tableDigits are the significant digits of a figure in a table.
+	tableDigits = 3
+	// farExtrapolation is the extrapolation, as a multiple of the largest size measured, above which a table says so.
+	farExtrapolation = 10.0
+)
+
+// FormatNumber writes a figure with three significant digits and separated thousands.
+func FormatNumber(x float64) string {
 	if math.IsNaN(x) {
-		return "not measured"
+		return notMeasured
 	}
-	if x = short(x); math.Abs(x) < 1000 {
+	if x = roundDigits(x, tableDigits); math.Abs(x) < 1000 {
 		return strconv.FormatFloat(x, 'f', -1, 64)
 	}
-	return apart(strconv.FormatFloat(x, 'f', 0, 64))
+	return groupThousands(strconv.FormatFloat(x, 'f', 0, 64))
 }
 
-// apart sets a whole number's thousands apart.
-func apart(text string) string {
-	for k := len(text) - 3; k > 0 && text[k-1] != '-'; k -= 3 {
-		text = text[:k] + "," + text[k:]
+// groupThousands separates the thousands of a whole number.
+func groupThousands(digits string) string {
+	for i := len(digits) - 3; i > 0 && digits[i-1] != '-'; i -= 3 {
+		digits = digits[:i] + "," + digits[i:]
 	}
-	return text
-}
-
-func short(x float64) float64 {
-	x, _ = strconv.ParseFloat(strconv.FormatFloat(x, 'g', 3, 64), 64)
-	return x
+	return digits
 }
 
-// table writes rows as a page's table.
-func table(b *strings.Builder, heads []string, rows [][]string) {
-	row := func(cells []string) {
+// writeTable writes a table in Markdown.
+func writeTable(b *strings.Builder, header []string, rows [][]string) {
+	writeRow := func(cells []string) {
 		b.WriteString("| " + strings.Join(cells, " | ") + " |\n")
 	}
-	row(heads)
-	rule := make([]string, len(heads))
-	for k := range rule {
-		rule[k] = "---"
+	writeRow(header)
+	rule := make([]string, len(header))
+	for i := range rule {
+		rule[i] = "---"
 	}
-	row(rule)
-	for _, r := range rows {
-		row(r)
+	writeRow(rule)
+	for _, row := range rows {
+		writeRow(row)
 	}
 	b.WriteString("\n")
 }
 
-// Render writes a result and what it means for a target, as the page has it.
-func Render(r *Result, t *Target) string {
+// Render writes a result and what it means for a target in Markdown, as docs/CAPACITY.md has it.
+func Render(result *Result, target *Target) string {
 	b := &strings.Builder{}
+	writeIntroduction(b, result)
+	writeSlopes(b, result.Slopes)
+	writeTarget(b, target)
+	costs := Costs(result.Slopes, target)
+	writeCosts(b, costs, result.RowPrefix != "")
+	writeOverLimit(b, costs)
+	return b.String()
+}
+
+func writeIntroduction(b *strings.Builder, result *Result) {
 	kind := "Medians of five runs"
-	if r.Quick {
+	if result.IsQuick {
 		kind = "A quick look, no measurement: few runs at small sizes"
 	}
 	fmt.Fprintf(b, "%s, least and most in brackets; %s, with other work: a load of %s to %s while it ran; all servers simulated.\n"+
 		"Costs of processors are processor time. What is marked \"wall\" is time on the wall, in which the machine's other work shows.\n\n",
-		kind, r.Machine, Number(r.Load.Least), Number(r.Load.Most))
+		kind, result.Machine, FormatNumber(result.Load.Min), FormatNumber(result.Load.Max))
+}
+
+func writeSlopes(b *strings.Builder, slopes []*Slope) {
 	b.WriteString("### Slopes\n\n")
 	var rows [][]string
-	for _, s := range r.Slopes {
+	for _, slope := range slopes {
 		var sizes, values []string
-		for _, p := range s.Points {
-			sizes = append(sizes, Number(p.Size))
-			values = append(values, fmt.Sprintf("%s (%s-%s)", Number(p.Median), Number(p.Low), Number(p.High)))
+		for _, p := range slope.Points {
+			sizes = append(sizes, FormatNumber(p.Size))
+			values = append(values, fmt.Sprintf("%s (%s-%s)", FormatNumber(p.Median), FormatNumber(p.Low), FormatNumber(p.High)))
 		}
-		f, what := FitOf(s.Points), s.What
-		if s.Wall {
-			what += " (wall)"
+		description := slope.Description
+		if slope.IsWallClock {
+			description += " (wall)"
 		}
-		rows = append(rows, []string{s.Key, what, s.Unit, s.By + " " + strings.Join(sizes, "; "), strings.Join(values, "; "), f.Shape.String(),
-			f.String(), fmt.Sprintf("%.0f%%", f.Residual*100)})
-	}
-	table(b, []string{"slope", "what", "unit", "at", "measured", "fitted", "curve", "residual"}, rows)
+		fit := FitPoints(slope.Points)
+		rows = append(rows, []string{
+			slope.Key,
+			description,
+			slope.Unit,
+			slope.SizeName + " " + strings.Join(sizes, "; "),
+			strings.Join(values, "; "),
+			fit.Shape.String(),
+			fit.String(),
+			fmt.Sprintf("%.0f%%", fit.Residual*100),
+		})
+	}
+	writeTable(b, []string{"slope", "what", "unit", "at", "measured", "fitted", "curve", "residual"}, rows)
+}
 
+func writeTarget(b *strings.Builder, target *Target) {
 	b.WriteString("### The target\n\n")
 	var figures []string
-	for _, x := range t.figures() {
-		figures = append(figures, fmt.Sprintf("%s = %s", x.key, strconv.FormatFloat(x.value, 'f', -1, 64)))
+	for _, f := range target.figures() {
+		figures = append(figures, fmt.Sprintf("%s = %s", f.key, strconv.FormatFloat(f.value, 'f', -1, 64)))
 	}
 	b.WriteString(strings.Join(figures, ", ") + "\n\n")
+}
 
+// writeCosts writes all costs. Of a partial result, those that were not measured are left out.
+func writeCosts(b *strings.Builder, costs []Cost, isPartial bool) {
 	b.WriteString("### Roles at the target\n\n")
-	costs := Costs(r.Slopes, t)
-	rows = nil
+	var rows [][]string
 	for _, c := range costs {
-		if r.Part != "" && math.IsNaN(c.Value) {
+		if isPartial && math.IsNaN(c.Value) {
 			continue
 		}
-		limit, share := notPlanned, ""
+		limit, share := noLimitStated, ""
 		if c.Limit > 0 {
-			limit, share = limitText(c), shareText(c)
+			limit, share = c.formatLimit(), c.formatShare()
 		}
-		rows = append(rows, []string{c.Role, c.Event, c.What, withUnit(c), limit, share, factorText(c), c.From, c.Mechanism})
-	}
-	for _, c := range Missing(t) {
-		rows = append(rows, []string{c.Role, c.Event, c.What, "-", "-", "", "", "", c.Mechanism})
-	}
-	table(b, []string{"role", "event", "what", "at the target", "limit", "share", "extrapolated", "from", "carried by"}, rows)
-
-	for _, wall := range []bool{false, true} {
-		b.WriteString(map[bool]string{false: "### What passes its limit\n\n",
-			true: "### What passes its limit on the wall\n\nNo verdict where the machine has other work.\n\n"}[wall])
-		rows = nil
-		for _, c := range Ranked(costs) {
-			if c.Wall == wall {
-				rows = append(rows, []string{strconv.Itoa(len(rows) + 1), c.Role, c.Event, c.What, withUnit(c), limitText(c), Number(c.Share()) + " x",
-					factorText(c), c.Mechanism})
-			}
-		}
-		if len(rows) == 0 {
-			b.WriteString("Nothing that was measured.\n\n")
-		} else {
-			table(b, []string{"", "role", "event", "what", "at the target", "limit", "times", "extrapolated", "carried by"}, rows)
+		rows = append(rows, []string{
+			c.Role,
+			c.Event,
+			c.Description,
+			c.formatValue(),
+			limit,
+			share,
+			c.formatExtrapolation(),
+			c.SlopeKeys,
+			c.Mechanism,
+		})
+	}
+	for _, c := range MissingParts() {
+		rows = append(rows, []string{c.Role, c.Event, c.Description, "-", "-", "", "", "", c.Mechanism})
+	}
+	writeTable(b, []string{"role", "event", "what", "at the target", "limit", "share", "extrapolated", "from", "carried by"}, rows)
+}
+
+// writeOverLimit writes the costs that exceed their limits, those of wall-clock time in a table of their own.
+func writeOverLimit(b *strings.Builder, costs []Cost) {
+	over := OverLimit(costs)
+	b.WriteString("### What passes its limit\n\n")
+	writeRanking(b, over, false)
+	b.WriteString("### What passes its limit on the wall\n\nNo verdict where the machine has other work.\n\n")
+	writeRanking(b, over, true)
+}
+
+// writeRanking numbers the costs that are, or are not, of wall-clock time.
+func writeRanking(b *strings.Builder, costs []Cost, isWallClock bool) {
+	var rows [][]string
+	for _, c := range costs {
+		if c.IsWallClock != isWallClock {
+			continue
 		}
-	}
-	return b.String()
+		rows = append(rows, []string{
+			strconv.Itoa(len(rows) + 1),
+			c.Role,
+			c.Event,
+			c.Description,
+			c.formatValue(),
+			c.formatLimit(),
+			FormatNumber(c.LimitShare()) + " x",
+			c.formatExtrapolation(),
+			c.Mechanism,
+		})
+	}
+	if len(rows) == 0 {
+		b.WriteString("Nothing that was measured.\n\n")
+		return
+	}
+	writeTable(b, []string{"", "role", "event", "what", "at the target", "limit", "times", "extrapolated", "carried by"}, rows)
 }
 
-// limitText is a limit as it was stated.
-func limitText(c Cost) string {
-	whole, rest, cut := strings.Cut(strconv.FormatFloat(c.Limit, 'f', -1, 64), ".")
-	whole = apart(whole)
-	if cut {
-		whole += "." + rest
-	}
-	return whole + " " + c.Unit
+// formatLimit writes the limit as it was stated, with all its digits.
+func (c Cost) formatLimit() string {
+	integer, fraction, hasFraction := strings.Cut(strconv.FormatFloat(c.Limit, 'f', -1, 64), ".")
+	text := groupThousands(integer)
+	if hasFraction {
+		text += "." + fraction
+	}
+	return text + " " + c.Unit
 }
 
-func withUnit(c Cost) string {
+func (c Cost) formatValue() string {
 	if math.IsNaN(c.Value) {
-		return "not measured"
+		return notMeasured
 	}
-	return Number(c.Value) + " " + c.Unit
+	return FormatNumber(c.Value) + " " + c.Unit
 }
 
-func shareText(c Cost) string {
+func (c Cost) formatShare() string {
 	if math.IsNaN(c.Value) {
-		return "not measured"
+		return notMeasured
 	}
-	if c.Passes() {
-		return "**" + Number(c.Share()) + " x**"
+	if c.ExceedsLimit() {
+		return "**" + FormatNumber(c.LimitShare()) + " x**"
 	}
-	return Number(c.Share()*100) + "%"
+	return FormatNumber(c.LimitShare()*100) + "%"
 }
 
-// factorText tells how far beyond what was measured the target lies.
-func factorText(c Cost) string {
+// formatExtrapolation tells how far beyond what was measured the target lies.
+func (c Cost) formatExtrapolation() string {
 	text := "no"
 	switch {
 	case math.IsNaN(c.Value):
 		return ""
-	case c.Factor > far:
-		text = fmt.Sprintf("%.3g x: over 10 times", c.Factor)
-	case c.Factor > 1:
-		text = fmt.Sprintf("%.3g x", c.Factor)
+	case c.Extrapolation > farExtrapolation:
+		text = fmt.Sprintf("%.3g x: over 10 times", c.Extrapolation)
+	case c.Extrapolation > 1:
+		text = fmt.Sprintf("%.3g x", c.Extrapolation)
 	}
-	if c.Wall {
+	if c.IsWallClock {
 		text += "; wall"
 	}
 	return text
@@ -166,16 +224,16 @@
 
 // Marks between which a page holds what Render writes.
 const (
-	pageFrom = "<!-- capacity: as `pearknot-lab capacity --from docs/capacity.json` prints it -->\n"
-	pageTo   = "<!-- capacity: end -->\n"
+	tablesBegin = "<!-- capacity: as `pearknot-lab capacity --from docs/capacity.json` prints it -->\n"
+	tablesEnd   = "<!-- capacity: end -->\n"
 )
 
-// Page puts a text between the marks of a page, and gives what stood there.
-func Page(page, text string) (changed, stood string, err error) {
-	before, rest, ok := strings.Cut(page, pageFrom)
-	stood, after, also := strings.Cut(rest, pageTo)
-	if !ok || !also {
+// ReplaceTables puts a text between the marks of a page, and also gives what was there before.
+func ReplaceTables(page, text string) (changed, previous string, err error) {
+	before, rest, hasBegin := strings.Cut(page, tablesBegin)
+	previous, after, hasEnd := strings.Cut(rest, tablesEnd)
+	if !hasBegin || !hasEnd {
 		return "", "", errors.New("the page lacks the marks between which the tables stand")
 	}
-	return before + pageFrom + text + pageTo + after, stood, nil
+	return before + tablesBegin + text + tablesEnd + after, previous, nil
 }
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -1,6 +1,6 @@
-// Package capacity tells what a fleet of a size would cost: slopes, each measured at several sizes with the program's own
-// code, are fitted as what they are, and a target's figures put into them, role by role, beside each limit. Fits, costs and
-// tables are pure; the rigs that measure stand in files of their own.
+// Package capacity estimates what a fleet of a planned size would cost. It measures slopes, each at several sizes with
+// the program's own code, fits a curve to each, and puts a target's figures into the curves, role by role, beside each
+// limit. Fits, costs and tables are pure; the rigs that measure are in files of their own.
 package capacity
 
 import (
@@ -10,80 +10,105 @@
 	"pearknot/internal/tomlfile"
 )
 
-// Target is a size that is planned.
+// Target is a planned fleet.
 type Target struct {
-	Nodes    float64 `toml:"nodes"`
-	Backends float64 `toml:"backends"`
-	Services float64 `toml:"services"`
-	Requests float64 `toml:"requests_per_second"`
-	Routes   float64 `toml:"routes"`
-	Tenants  float64 `toml:"tenants"`
-	Regions  float64 `toml:"regions"`
-	Zones    float64 `toml:"zones"`
-	Limit    struct {
-		AddedMs  float64 `toml:"added_ms"`
-		InForce  float64 `toml:"in_force_s"`
-		Ready    float64 `toml:"ready_s"`
-		Core     float64 `toml:"node_core_share"`
-		MemoryMB float64 `toml:"node_memory_mb"`
-		Bytes    float64 `toml:"node_bytes_per_second"`
-		Machines float64 `toml:"control_machines"`
-	} `toml:"limit"`
-	Day struct {
-		Changes  float64 `toml:"changes"`
-		Failures float64 `toml:"failures"`
-		Restarts float64 `toml:"restarts"`
-	} `toml:"day"`
-	Assumed struct {
-		Rack         float64 `toml:"rack_machines"`
-		FailureLines float64 `toml:"lines_per_failure"`
-		RestartLines float64 `toml:"lines_per_restart"`
-	} `toml:"assumed"`
+	Nodes             float64 `toml:"nodes"`
+	Backends          float64 `toml:"backends"`
+	Services          float64 `toml:"services"`
+	RequestsPerSecond float64 `toml:"requests_per_second"` // of all nodes at the peak
+	Routes            float64 `toml:"routes"`
+	Tenants           float64 `toml:"tenants"`
+	Regions           float64 `toml:"regions"`
+	Zones             float64 `toml:"zones"`
+	Limit             Limits  `toml:"limit"`
+	Day               Day     `toml:"day"`
+	Assumed           Assumed `toml:"assumed"`
 }
 
-// Read reads a target's file.
-func Read(name string) (*Target, error) {
+// Limits are what a role may cost at most.
+type Limits struct {
+	AddedMs            float64 `toml:"added_ms"`              // added to a request, for 99 in 100
+	InForceSeconds     float64 `toml:"in_force_s"`            // from a change of configuration until every node applies it
+	ReadySeconds       float64 `toml:"ready_s"`               // from a process's start, for nine in ten
+	NodeCoreShare      float64 `toml:"node_core_share"`       // of one core, that a node spends on control
+	NodeMemoryMB       float64 `toml:"node_memory_mb"`        // likewise
+	NodeBytesPerSecond float64 `toml:"node_bytes_per_second"` // likewise, sent or received
+	ControlMachines    float64 `toml:"control_machines"`      // set aside for control
+}
+
+// Day counts the events of a day.
+type Day struct {
+	ConfigChanges float64 `toml:"changes"`
+	Failures      float64 `toml:"failures"` // of machines
+	Restarts      float64 `toml:"restarts"` // machines restarted or replaced
+}
+
+// Assumed are figures that the operators have not stated.
+type Assumed struct {
+	RackMachines    float64 `toml:"rack_machines"`     // that fail together with a rack or a switch
+	LinesPerFailure float64 `toml:"lines_per_failure"` // changes of the endpoint list
+	LinesPerRestart float64 `toml:"lines_per_restart"`
+}
+
+// ReadTarget reads a target's file.
+func ReadTarget(name string) (*Target, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
 	}
-	return Decode(name, data)
+	return DecodeTarget(name, data)
 }
 
-// Decode is Read for a text; name stands in errors.
-func Decode(name string, data []byte) (*Target, error) {
-	t := &Target{}
-	f, err := tomlfile.Decode(name, data, t)
+// DecodeTarget is ReadTarget for a text; name is that of its file in errors.
+func DecodeTarget(name string, data []byte) (*Target, error) {
+	target := &Target{}
+	file, err := tomlfile.Decode(name, data, target)
 	if err != nil {
 		return nil, err
 	}
-	return t, t.check(f)
+	return target, target.check(file)
 }
 
-// figure is one of a target's, with its key.
+// figure is a number of a target's file.
 type figure struct {
-	key   string
+	key   string // with its table's name
 	value float64
 }
 
-// figures are all of them, in the file's order.
+// figures are all numbers of a target, in the file's order.
 func (t *Target) figures() []figure {
-	return []figure{{"nodes", t.Nodes}, {"backends", t.Backends}, {"services", t.Services}, {"requests_per_second", t.Requests},
-		{"routes", t.Routes}, {"tenants", t.Tenants}, {"regions", t.Regions}, {"zones", t.Zones},
-		{"limit.added_ms", t.Limit.AddedMs}, {"limit.in_force_s", t.Limit.InForce}, {"limit.ready_s", t.Limit.Ready},
-		{"limit.node_core_share", t.Limit.Core}, {"limit.node_memory_mb", t.Limit.MemoryMB}, {"limit.node_bytes_per_second", t.Limit.Bytes},
-		{"limit.control_machines", t.Limit.Machines}, {"day.changes", t.Day.Changes}, {"day.failures", t.Day.Failures},
-		{"day.restarts", t.Day.Restarts}, {"assumed.rack_machines", t.Assumed.Rack},
-		{"assumed.lines_per_failure", t.Assumed.FailureLines}, {"assumed.lines_per_restart", t.Assumed.RestartLines}}
+	return []figure{
+		{"nodes", t.Nodes},
+		{"backends", t.Backends},
+		{"services", t.Services},
+		{"requests_per_second", t.RequestsPerSecond},
+		{"routes", t.Routes},
+		{"tenants", t.Tenants},
+		{"regions", t.Regions},
+		{"zones", t.Zones},
+		{"limit.added_ms", t.Limit.AddedMs},
+		{"limit.in_force_s", t.Limit.InForceSeconds},
+		{"limit.ready_s", t.Limit.ReadySeconds},
+		{"limit.node_core_share", t.Limit.NodeCoreShare},
+		{"limit.node_memory_mb", t.Limit.NodeMemoryMB},
+		{"limit.node_bytes_per_second", t.Limit.NodeBytesPerSecond},
+		{"limit.control_machines", t.Limit.ControlMachines},
+		{"day.changes", t.Day.ConfigChanges},
+		{"day.failures", t.Day.Failures},
+		{"day.restarts", t.Day.Restarts},
+		{"assumed.rack_machines", t.Assumed.RackMachines},
+		{"assumed.lines_per_failure", t.Assumed.LinesPerFailure},
+		{"assumed.lines_per_restart", t.Assumed.LinesPerRestart},
+	}
 }
 
-// mostFigure is beyond any fleet, and far from where a square of it would be no number any more.
-const mostFigure = 1e12
+// maxFigure is beyond any fleet, and far below where its square would overflow.
+const maxFigure = 1e12
 
-func (t *Target) check(f *tomlfile.File) error {
-	for _, x := range t.figures() {
-		if !(x.value > 0 && x.value <= mostFigure) || math.IsNaN(x.value) {
-			return f.Errorf(x.key, "%v is not above 0 and at most %g", x.value, mostFigure)
+func (t *Target) check(file *tomlfile.File) error {
+	for _, f := range t.figures() {
+		if !(f.value > 0 && f.value <= maxFigure) || math.IsNaN(f.value) {
+			return file.Errorf(f.key, "%v is not above 0 and at most %g", f.value, maxFigure)
 		}
 	}
 	return nil
