--- a/cmd/pearknot-lab/play.go
+++ b/cmd/pearknot-lab/play.go
@@ -372,7 +372,7 @@
 				fmt.Fprintf(c.OutOrStdout(), "  %s at %.1f s for %.1f s, share %.2f, factor %.2f, chance %.2f %s%s\n", t.Kind, t.StartSeconds, t.DurationSeconds, t.Share, t.Factor, t.Chance, t.Zone, t.Class)
 			}
 			if out != "" {
-				text, err := search.Text(f.Experiment)
+				text, err := f.Experiment.Encode()
 				if err != nil {
 					return err
 				}
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -10,8 +10,6 @@
 	"math/rand/v2"
 	"slices"
 
-	"github.com/pelletier/go-toml/v2"
-
 	"pearknot/internal/lab/experiment"
 	"pearknot/internal/lab/runner"
 	"pearknot/internal/lab/virtual"
@@ -158,6 +156,3 @@
 	}
 	return t
 }
-
-// Text is the experiment as a file that can be read again.
-func Text(e *experiment.Experiment) ([]byte, error) { return toml.Marshal(e) }
--- a/internal/lab/search/search_test.go
+++ b/internal/lab/search/search_test.go
@@ -22,7 +22,7 @@
 	assert.LessOrEqual(t, f.Shrunk, f.Calm-0.7*(f.Calm-f.Service)+1e-9)
 	assert.NotEmpty(t, f.Experiment.Faults)
 	assert.LessOrEqual(t, len(f.Experiment.Faults), 4)
-	text, err := Text(f.Experiment)
+	text, err := f.Experiment.Encode()
 	require.NoError(t, err)
 	again, err := experiment.Decode("found.toml", text)
 	require.NoError(t, err, string(text))
