--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -10,8 +10,6 @@
 	"math/rand/v2"
 	"slices"
 
-	"github.com/pelletier/go-toml/v2"
-
 	"pearknot/internal/lab/experiment"
 	"pearknot/internal/lab/runner"
 	"pearknot/internal/lab/virtual"
@@ -46,11 +44,11 @@
 		x := base
 		x.Faults = troubles
 		f.Played++
-		r, err := runner.Virtual(ctx, &x, virtual.Options{})
+		r, err := runner.RunVirtual(ctx, &x, virtual.Options{})
 		if err != nil {
 			return 0, false, err
 		}
-		if !runner.Kept(r) {
+		if !r.AllRulesKept() {
 			return r.Service.Mean - 1, true, nil
 		}
 		return r.Service.Mean, false, nil
@@ -158,6 +156,3 @@
 	}
 	return t
 }
-
-// Text is the experiment as a file that can be read again.
-func Text(e *experiment.Experiment) ([]byte, error) { return toml.Marshal(e) }
