--- a/cmd/pearknot/tls_rig_test.go
+++ b/cmd/pearknot/tls_rig_test.go
@@ -32,7 +32,7 @@
 	require.NoError(t, err)
 	rig := &tlsRig{t: t, dir: dir}
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	rig.authority, err = acmestub.New(acmestub.Options{Window: 0.7, TLS: func(string) string { return *rig.alpn.Load() }})
+	rig.authority, err = acmestub.New(acmestub.Options{RenewalWindowStart: 0.7, TLSChallengeAddress: func(string) string { return *rig.alpn.Load() }})
 	require.NoError(t, err)
 	s := httptest.NewServer(rig.authority)
 	t.Cleanup(s.Close)
