--- a/internal/lab/scale/auditor.go
+++ b/internal/lab/scale/auditor.go
@@ -148,7 +148,7 @@
 		a.violation("99 in 100 changes were in force after %.2f s, over %.2f s", findings.Reachable.P99/1e3, a.p99BoundMs/1e3)
 	}
 	if findings.Changes == 0 {
-		a.violation("no change was judged")
+		a.violation("no change was checked")
 	}
 	findings.Violations = slices.Sorted(slices.Values(a.violations))
 	return findings
--- a/internal/lab/scale/auditor_test.go
+++ b/internal/lab/scale/auditor_test.go
@@ -117,7 +117,7 @@
 			report(auditNode, 3, "digest 3", 3e3), cutOffUntil20s, "",
 		},
 		"nothing acknowledged": {
-			func(a *Auditor) { clear(a.acknowledgedAt) }, reachable, "no change was judged",
+			func(a *Auditor) { clear(a.acknowledgedAt) }, reachable, "no change was checked",
 		},
 	} {
 		a := healthyAuditor()
--- a/internal/lab/simcontrolplane/connection.go
+++ b/internal/lab/simcontrolplane/connection.go
@@ -7,6 +7,16 @@
 	partIntervalMs = 1000.0 // between the parts of a frame on a throttled link
 )
 
+// What happens to mangled frames, as upper ends of ranges of a number drawn between 0 and 1.
+const (
+	lostBelow       = 0.01
+	duplicatedBelow = 0.02
+	corruptedBelow  = 0.03
+	overtakenBelow  = 0.05 // only what a member sends
+
+	minOvertakenMs, overtakenSpreadMs = 1.0, 30.0
+)
+
 // side is an end of a connection.
 type side int
 
@@ -32,63 +42,72 @@
 	delayed     []func() // arrivals of what this end has sent, while the link is cut
 }
 
+// dialAttempt is a follower's dial of a member.
+type dialAttempt struct {
+	follower    *process
+	incarnation int // of the follower
+	number      int // among the follower's dials
+	member      *process
+	memberIndex int
+}
+
+// isCurrent reports whether the follower has neither dialed again nor given up since.
+func (d *dialAttempt) isCurrent() bool { return d.follower.dials == d.number }
+
 // dial opens a connection to a member by a handshake. On a cut link nothing comes back, and the follower times out.
 func (c *Cluster) dial(p *process, memberIndex int) {
 	p.dials++
-	dial, incarnation, member := p.dials, p.incarnation, c.processes[memberIndex]
-	isCurrent := func() bool { return p.dials == dial }
+	member := c.processes[memberIndex]
+	d := &dialAttempt{follower: p, incarnation: p.incarnation, number: p.dials, member: member, memberIndex: memberIndex}
 	c.after(c.transferMs(p, member, handshakeBytes), func() {
-		if c.isCut(p, member) {
-			return
-		}
-		if !member.isUp {
-			c.refuse(member, p, incarnation, isCurrent)
-			return
-		}
-		c.runIn(member, member.incarnation, func() {
-			conn := c.accept(member, p, incarnation)
-			c.after(c.transferMs(member, p, handshakeBytes), func() {
-				if c.isCut(member, p) {
-					return
-				}
-				c.runIn(p, incarnation, func() {
-					if !isCurrent() {
-						c.closeConn(conn, followerSide)
-						return
-					}
-					p.conn = conn
-					p.follower.Connected(c.clock(p), memberIndex)
-				})
+		switch {
+		case c.isCut(p, member):
+		case !member.isUp:
+			c.replyToDial(d, func() { c.dialRefused(d) })
+		default:
+			c.runIn(member, member.incarnation, func() {
+				conn := c.accept(d)
+				c.replyToDial(d, func() { c.dialAccepted(d, conn) })
 			})
-		})
+		}
 	})
 }
 
-// refuse answers a dial of a member that is down.
-func (c *Cluster) refuse(member, p *process, incarnation int, isCurrent func() bool) {
-	c.after(c.transferMs(member, p, handshakeBytes), func() {
-		if c.isCut(member, p) {
-			return
+// replyToDial carries a member's side of the handshake to the follower.
+func (c *Cluster) replyToDial(d *dialAttempt, receive func()) {
+	c.after(c.transferMs(d.member, d.follower, handshakeBytes), func() {
+		if !c.isCut(d.member, d.follower) {
+			c.runIn(d.follower, d.incarnation, receive)
 		}
-		c.runIn(p, incarnation, func() {
-			if isCurrent() {
-				p.follower.Disconnected(c.clock(p))
-			}
-		})
 	})
 }
 
 // accept adds a connection at its member.
-func (c *Cluster) accept(member, follower *process, incarnation int) *connection {
+func (c *Cluster) accept(d *dialAttempt) *connection {
 	c.lastConn++
 	conn := &connection{id: c.lastConn}
-	conn.ends[followerSide] = connEnd{process: follower, incarnation: incarnation, isOpen: true}
-	conn.ends[serverSide] = connEnd{process: member, incarnation: member.incarnation, isOpen: true}
+	conn.ends[followerSide] = connEnd{process: d.follower, incarnation: d.incarnation, isOpen: true}
+	conn.ends[serverSide] = connEnd{process: d.member, incarnation: d.member.incarnation, isOpen: true}
 	c.conns = append(c.conns, conn)
-	member.server.AddConnection(c.clock(member), conn.id, follower.name)
+	d.member.server.AddConnection(c.clock(d.member), conn.id, d.follower.name)
 	return conn
 }
 
+func (c *Cluster) dialAccepted(d *dialAttempt, conn *connection) {
+	if !d.isCurrent() {
+		c.closeConn(conn, followerSide)
+		return
+	}
+	d.follower.conn = conn
+	d.follower.follower.Connected(c.clock(d.follower), d.memberIndex)
+}
+
+func (c *Cluster) dialRefused(d *dialAttempt) {
+	if d.isCurrent() {
+		d.follower.follower.Disconnected(c.clock(d.follower))
+	}
+}
+
 func (c *Cluster) connByID(id uint64) *connection {
 	for _, conn := range c.conns {
 		if conn.id == id {
@@ -162,16 +181,16 @@
 	bytes := len(frame)
 	if c.MangleFrames && !c.isWindingDown {
 		switch draw := c.rng.Float64(); {
-		case draw < 0.01: // lost, which the sender doesn't notice
+		case draw < lostBelow: // which the sender doesn't notice
 			end := conn.ends[sender]
 			c.runIn(end.process, end.incarnation, func() { c.frameWritten(conn, sender, bytes) })
 			return
-		case draw < 0.02:
+		case draw < duplicatedBelow:
 			c.deliver(conn, sender, frame, bytes)
-		case draw < 0.03:
+		case draw < corruptedBelow:
 			frame = c.corrupt(frame, sender)
-		case draw < 0.05 && sender == serverSide:
-			c.after(1+c.rng.Float64()*30, func() { c.deliver(conn, sender, frame, bytes) })
+		case draw < overtakenBelow && sender == serverSide:
+			c.after(c.drawMs(minOvertakenMs, overtakenSpreadMs), func() { c.deliver(conn, sender, frame, bytes) })
 			return
 		}
 	}
--- a/internal/lab/simcontrolplane/link.go
+++ b/internal/lab/simcontrolplane/link.go
@@ -25,9 +25,9 @@
 
 // transferMs draws how long some bytes take from one process to another.
 func (c *Cluster) transferMs(from, to *process, bytes int) float64 {
-	ms := minLocalMs + c.rng.Float64()*localSpreadMs
+	ms := c.drawMs(minLocalMs, localSpreadMs)
 	if from.region != to.region {
-		ms = minRemoteMs + c.rng.Float64()*remoteSpreadMs
+		ms = c.drawMs(minRemoteMs, remoteSpreadMs)
 	}
 	link := c.link(from, to)
 	ms += link.extraDelayMs
--- a/internal/lab/simcontrolplane/operators.go
+++ b/internal/lab/simcontrolplane/operators.go
@@ -10,18 +10,30 @@
 
 const (
 	operators          = 3
-	replyTimeoutMs     = 4000.0 // for which an operator waits for a voter's answer
+	operatorsStopMs    = lengthMs - windDownMs + 2000 // from the start of the schedule
+	replyTimeoutMs     = 4000.0                       // for which an operator waits for a voter's answer
 	maxProposeAttempts = 6
+	anyMemberOneIn     = 5 // reads go to any member once in so many, else to a voter
+)
+
+// How long operators take, in ms.
+const (
+	minFirstEditMs, firstEditSpreadMs = 500.0, 1500.0
+	minPauseMs, pauseSpreadMs         = 50.0, 1500.0 // between two changes
+	minCallMs, callSpreadMs           = 1.0, 20.0    // from an operator to a member
+	minEditMs, editSpreadMs           = 5.0, 100.0
+	minRedirectMs, redirectSpreadMs   = 100.0, 200.0 // after the answer of a voter that doesn't lead
+	unreachableRetryMs, busyRetryMs   = 100.0, 200.0
 )
 
 // operate is an operator's next change: it reads a version from a member, which may be behind, edits the document and proposes that.
 func (c *Cluster) operate() {
-	if c.elapsed() > lengthMs-windDownMs+2000 {
+	if c.elapsed() > operatorsStopMs {
 		return
 	}
-	operateAgain := func() { c.after(50+c.rng.Float64()*1500, c.operate) }
+	operateAgain := func() { c.after(c.drawMs(minPauseMs, pauseSpreadMs), c.operate) }
 	p := c.processes[c.rng.IntN(c.config.Voters)]
-	if c.rng.IntN(5) == 0 {
+	if c.rng.IntN(anyMemberOneIn) == 0 {
 		p = c.processes[c.rng.IntN(c.config.members())]
 	}
 	incarnation := p.incarnation
@@ -29,10 +41,10 @@
 		operateAgain()
 		return
 	}
-	c.after(1+c.rng.Float64()*20, func() {
+	c.after(c.drawMs(minCallMs, callSpreadMs), func() {
 		c.runIn(p, incarnation, func() {
 			version, doc := p.history().Head()
-			c.after(5+c.rng.Float64()*100, func() { c.editAndPropose(version, doc) })
+			c.after(c.drawMs(minEditMs, editSpreadMs), func() { c.editAndPropose(version, doc) })
 		})
 	})
 	operateAgain()
@@ -102,9 +114,9 @@
 	c := call.cluster
 	p := c.processes[call.voter]
 	c.after(replyTimeoutMs, func() { call.retry(call.otherVoter(), 0) })
-	c.after(1+c.rng.Float64()*20, func() {
+	c.after(c.drawMs(minCallMs, callSpreadMs), func() {
 		if !p.isUp {
-			call.retry(call.otherVoter(), 100)
+			call.retry(call.otherVoter(), unreachableRetryMs)
 			return
 		}
 		c.runIn(p, p.incarnation, func() {
@@ -128,9 +140,9 @@
 		if result.Leader > 0 {
 			voter = int(result.Leader - 1)
 		}
-		call.retry(voter, 100+c.rng.Float64()*200)
+		call.retry(voter, c.drawMs(minRedirectMs, redirectSpreadMs))
 	case controlplane.CodeBusy:
-		call.retry(call.voter, 200)
+		call.retry(call.voter, busyRetryMs)
 	default:
 		call.isOver = true
 	}
--- a/internal/lab/simcontrolplane/process.go
+++ b/internal/lab/simcontrolplane/process.go
@@ -297,7 +297,7 @@
 	}
 	p.isApplying = true
 	incarnation := p.incarnation
-	c.after(minApplyMs+c.rng.Float64()*applySpreadMs, func() {
+	c.after(c.drawMs(minApplyMs, applySpreadMs), func() {
 		c.runIn(p, incarnation, func() {
 			p.stored = controlplane.VersionedDocument{Version: update.Version, Document: update.Document}
 			c.auditor.versionApplied(p, p.stored)
--- a/internal/lab/simcontrolplane/simcontrolplane.go
+++ b/internal/lab/simcontrolplane/simcontrolplane.go
@@ -113,7 +113,7 @@
 		c.after(c.rng.Float64()*processStartSpreadMs, func() { c.start(p) })
 	}
 	for range operators {
-		c.after(500+c.rng.Float64()*1500, c.operate)
+		c.after(c.drawMs(minFirstEditMs, firstEditSpreadMs), c.operate)
 	}
 	for _, fault := range faults {
 		c.after(fault.At, func() { c.inject(fault) })
@@ -136,6 +136,9 @@
 // elapsed is the time since the start of the schedule, in ms.
 func (c *Cluster) elapsed() float64 { return c.now - c.auditor.startedAt }
 
+// drawMs draws a duration of at least minMs, and at most spreadMs longer.
+func (c *Cluster) drawMs(minMs, spreadMs float64) float64 { return minMs + c.rng.Float64()*spreadMs }
+
 func (c *Cluster) trace(format string, args ...any) {
 	if c.Trace != nil {
 		c.Trace("%.0f "+format, append([]any{c.now}, args...)...)
