--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -11,72 +11,138 @@
 	"go.uber.org/goleak"
 )
 
-// A wire does what its fault says and nothing else: what is held comes when the fault is over.
-func TestFaults(t *testing.T) {
-	defer goleak.VerifyNone(t)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// patience is longer than anything in these tests takes on a busy machine.
+const patience = 5 * time.Second
+
+// echoLink is a client's connection through a proxy to a server that sends back what it gets.
+type echoLink struct {
+	t     *testing.T
+	proxy *Proxy
+	conn  net.Conn
+}
+
+func newEchoLink(t *testing.T) *echoLink {
+	t.Helper()
+	t.Cleanup(func() { goleak.VerifyNone(t) })
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() { _, _ = io.Copy(c, c); _ = c.Close() }()
+			go func() {
+				_, _ = io.Copy(conn, conn)
+				_ = conn.Close()
+			}()
 		}
 	}()
-	w, err := Open(l.Addr().String())
+	proxy, err := Open(listener.Addr().String())
 	require.NoError(t, err)
-	defer w.Close()
-	conn, err := net.Dial("tcp", w.Address())
+	t.Cleanup(proxy.Close)
+	conn, err := net.Dial("tcp", proxy.Address())
 	require.NoError(t, err)
-	echo := func(text string, within time.Duration) error {
-		_, err := conn.Write([]byte(text))
-		require.NoError(t, err)
-		_ = conn.SetReadDeadline(time.Now().Add(within))
-		_, err = io.ReadFull(conn, make([]byte, len(text)))
-		return err
-	}
-	require.NoError(t, echo("one", 5*time.Second))
-	w.SetFault(Fault{Stalled: true})
-	require.Error(t, echo("two", 50*time.Millisecond))
-	w.SetFault(Fault{})
-	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	_, err = io.ReadFull(conn, make([]byte, 3))
-	require.NoError(t, err, "what was held comes")
-	passed := func(want int64) {
-		require.Eventually(t, func() bool { return w.BytesForwarded() == want }, 5*time.Second, time.Millisecond)
-	}
-	passed(12)
-	for _, c := range []struct {
-		way          Direction
-		text         string
-		during, past int64
-	}{{ToTarget, "there", 12, 22}, {FromTarget, "back", 26, 30}} {
-		w.SetFault(Fault{Stalled: true, Direction: c.way})
-		require.Error(t, echo(c.text, 50*time.Millisecond))
-		passed(c.during) // the other way it goes through
-		w.SetFault(Fault{})
-		_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-		_, err = io.ReadFull(conn, make([]byte, len(c.text)))
-		require.NoError(t, err, "what was held comes")
-		passed(c.past)
+	t.Cleanup(func() { conn.Close() })
+	link := &echoLink{t: t, proxy: proxy, conn: conn}
+	require.NoError(t, link.echo("up", patience)) // Dial alone says only that the proxy's listener is there
+	return link
+}
+
+// read reads so many bytes, or returns an error if they don't come in time.
+func (l *echoLink) read(bytes int, timeout time.Duration) error {
+	l.t.Helper()
+	require.NoError(l.t, l.conn.SetReadDeadline(time.Now().Add(timeout)))
+	_, err := io.ReadFull(l.conn, make([]byte, bytes))
+	return err
+}
+
+// echo sends a text and reads it back.
+func (l *echoLink) echo(text string, timeout time.Duration) error {
+	l.t.Helper()
+	_, err := l.conn.Write([]byte(text))
+	require.NoError(l.t, err)
+	return l.read(len(text), timeout)
+}
+
+// requireForwarded waits until the proxy has forwarded so many bytes since a count.
+func (l *echoLink) requireForwarded(since, bytes int64) {
+	l.t.Helper()
+	require.Eventually(l.t, func() bool { return l.proxy.BytesForwarded()-since == bytes }, patience, time.Millisecond)
+}
+
+// What is sent on a stalled link arrives when the stall ends. In a direction that isn't stalled it arrives before that.
+func TestStalledLink(t *testing.T) {
+	for name, test := range map[string]struct {
+		direction           Direction
+		forwardedWhileStall int64
+	}{
+		"both directions": {BothDirections, 0},
+		"to target":       {ToTarget, 0},
+		"from target":     {FromTarget, 4},
+	} {
+		t.Run(name, func(t *testing.T) {
+			link := newEchoLink(t)
+			link.requireForwarded(0, 4)
+			link.proxy.SetFault(Fault{Stalled: true, Direction: test.direction})
+			require.Error(t, link.echo("text", 50*time.Millisecond))
+			link.requireForwarded(4, test.forwardedWhileStall)
+			link.proxy.SetFault(Fault{})
+			require.NoError(t, link.read(len("text"), patience), "what was queued arrives")
+			link.requireForwarded(4, 8)
+		})
 	}
-	w.SetFault(Fault{Delay: 40 * time.Millisecond})
+}
+
+func TestDelay(t *testing.T) {
+	link := newEchoLink(t)
+	link.proxy.SetFault(Fault{Delay: 40 * time.Millisecond})
 	begun := time.Now()
-	require.NoError(t, echo("late", 5*time.Second))
-	require.GreaterOrEqual(t, time.Since(begun), 80*time.Millisecond, "each way")
-	w.SetFault(Fault{ResetAfterBytes: 10})
-	require.Error(t, echo("more than ten bytes", 5*time.Second))
-	w.SetFault(Fault{RefuseConnections: true})
-	again, err := net.Dial("tcp", w.Address())
-	if err == nil { // the reset may come before the dialler has looked
-		_ = again.SetReadDeadline(time.Now().Add(5 * time.Second))
-		_, err = again.Read(make([]byte, 1))
-		_ = again.Close()
+	require.NoError(t, link.echo("late", patience))
+	require.GreaterOrEqual(t, time.Since(begun), 80*time.Millisecond, "in each direction")
+}
+
+func TestBytesPerSecond(t *testing.T) {
+	link := newEchoLink(t)
+	link.proxy.SetFault(Fault{BytesPerSecond: 1000})
+	begun := time.Now()
+	require.NoError(t, link.echo(string(make([]byte, 150)), patience))
+	// All of it takes 150 ms to the target. Of the way back, which overlaps with that, at least the last slice comes on top.
+	require.GreaterOrEqual(t, time.Since(begun), 200*time.Millisecond)
+}
+
+func TestResetAfterBytes(t *testing.T) {
+	link := newEchoLink(t)
+	link.proxy.SetFault(Fault{ResetAfterBytes: 10})
+	err := link.echo("more than ten bytes", patience)
+	require.Error(t, err)
+	require.NotErrorIs(t, err, os.ErrDeadlineExceeded)
+}
+
+func TestRefuseConnections(t *testing.T) {
+	link := newEchoLink(t)
+	link.proxy.SetFault(Fault{RefuseConnections: true})
+	conn, err := net.Dial("tcp", link.proxy.Address())
+	if err == nil { // the reset may come only after the dialer has returned
+		_ = conn.SetReadDeadline(time.Now().Add(patience))
+		_, err = conn.Read(make([]byte, 1))
+		_ = conn.Close()
 	}
 	require.Error(t, err)
 	require.NotErrorIs(t, err, os.ErrDeadlineExceeded)
-	_ = conn.Close()
+	require.NoError(t, link.echo("still up", patience), "connections that were up go on")
+}
+
+// Connections that are up are reset; a new one comes up at once.
+func TestResetConnections(t *testing.T) {
+	link := newEchoLink(t)
+	link.proxy.ResetConnections()
+	err := link.read(1, patience)
+	require.Error(t, err)
+	require.NotErrorIs(t, err, os.ErrDeadlineExceeded)
+	link.conn, err = net.Dial("tcp", link.proxy.Address())
+	require.NoError(t, err)
+	defer link.conn.Close()
+	require.NoError(t, link.echo("anew", patience))
 }
