--- a/cmd/pearknot-lab/play.go
+++ b/cmd/pearknot-lab/play.go
@@ -140,7 +140,7 @@
 		if err := report.Write(p.out, r); err != nil {
 			return r, err
 		}
-		if err := report.Page(p.out, r); err != nil {
+		if err := report.WritePage(p.out, r); err != nil {
 			return r, err
 		}
 	}
@@ -401,7 +401,7 @@
 			if err != nil {
 				return cli.UsageError(err)
 			}
-			if err := report.Page(args[0], r); err != nil {
+			if err := report.WritePage(args[0], r); err != nil {
 				return err
 			}
 			fmt.Fprintln(c.OutOrStdout(), filepath.Join(args[0], report.PageFile))
