--- a/cmd/pearknot/tls_test.go
+++ b/cmd/pearknot/tls_test.go
@@ -263,7 +263,7 @@
 		return strings.Count(text, "fine, 90.0 d") == 2
 	}, 10*time.Second,
 		50*time.Millisecond, text)
-	assert.Equal(t, 1, rig.authority.Orders())
+	assert.Equal(t, 1, rig.authority.OrderCount())
 	put("fleet.toml", "[[instance]]\nname = 'i1'\nconfig = 'node.json'\ntls_listen = 'x'\n")
 	status, text = runProgram("fleet", "--socket", socket, "apply", fleetFile, "--reason", "odd")
 	assert.Equal(t, 2, status, text)
