--- a/cmd/pearknot-lab/play.go
+++ b/cmd/pearknot-lab/play.go
@@ -351,7 +351,7 @@
 }
 
 func searchCommand() *cobra.Command {
-	o, out, policy := search.Options{Keep: 0.7}, "", ""
+	o, out, policy := search.Options{MinLossShare: 0.7}, "", ""
 	c := &cobra.Command{Use: "search FILE", Short: "Look for the schedule of troubles on which service is worst, and shrink it", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := experiment.Read(args[0])
@@ -362,12 +362,12 @@
 				return err
 			}
 			o.Log = c.ErrOrStderr()
-			f, err := search.Worst(c.Context(), e, o)
+			f, err := search.FindWorst(c.Context(), e, o)
 			if err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d experiments played: service %.3f without troubles, %.3f with the worst schedule, %.3f with the %d troubles that are left of it\n",
-				f.Played, f.Calm, f.Service, f.Shrunk, len(f.Experiment.Faults))
+				f.Played, f.CalmService, f.WorstService, f.ShrunkService, len(f.Experiment.Faults))
 			for _, t := range f.Experiment.Faults {
 				fmt.Fprintf(c.OutOrStdout(), "  %s at %.1f s for %.1f s, share %.2f, factor %.2f, chance %.2f %s%s\n", t.Kind, t.StartSeconds, t.DurationSeconds, t.Share, t.Factor, t.Chance, t.Zone, t.Class)
 			}
@@ -380,14 +380,14 @@
 					return err
 				}
 			}
-			if f.Broken {
+			if f.RuleBroken {
 				fmt.Fprintln(c.OutOrStdout(), "a rule was broken: run the file that --out writes")
 				return &cli.Error{Status: cli.StatusCheckFailed, Err: errBroken, Silent: true}
 			}
 			return nil
 		}}
 	c.Flags().IntVar(&o.Rounds, "rounds", 40, "schedules drawn")
-	c.Flags().IntVar(&o.Most, "most", 4, "troubles in one schedule")
+	c.Flags().IntVar(&o.MaxFaults, "most", 4, "troubles in one schedule")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "of the search")
 	c.Flags().StringVar(&out, "out", "", "file for the experiment that was found")
 	c.Flags().StringVar(&policy, "policy", "", "who decides")
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -1,5 +1,5 @@
-// Package search looks for the schedule of troubles on which a policy does worst, and shrinks it to the fewest troubles
-// that still show it. It draws by seed, so that a search can be had again.
+// Package search looks for the schedule of faults on which a policy does worst, and shrinks it to the few faults that
+// matter. Everything it draws comes from a seed, so that a search can be repeated.
 package search
 
 import (
@@ -15,144 +15,130 @@
 	"pearknot/internal/lab/virtual"
 )
 
+const (
+	// randomStream distinguishes the search's random numbers from those that a run draws from the same seed.
+	randomStream = 21
+	// brokenRulePenalty is subtracted from the service of a schedule that breaks a rule, so that it is worse than any
+	// schedule that breaks none.
+	brokenRulePenalty = 1
+)
+
 // Options bound a search.
 type Options struct {
-	Rounds int // schedules drawn
-	Most   int // troubles in one
-	Seed   uint64
-	Keep   float64 // share of the loss that a shrunk schedule must still show
-	Log    io.Writer
+	Rounds       int       // schedules drawn
+	MaxFaults    int       // in one schedule
+	Seed         uint64    // of what is drawn; the runs have the seeds of the experiment
+	MinLossShare float64   // share of the loss of service, 0 to 1, that a shrunk schedule must still show
+	Log          io.Writer // receives a line for each step that finds something
 }
 
-// Found is the worst schedule.
-type Found struct {
-	Experiment *experiment.Experiment
-	Calm       float64 // service without troubles
-	Service    float64 // with the worst schedule, before it was shrunk
-	Shrunk     float64 // and after
-	Broken     bool    // a rule broke: that outweighs any service
-	Played     int
+// Result is the worst schedule that a search found. Service is a mean over the experiment's seeds; where a rule was
+// broken it is lowered by 1, also below 0.
+type Result struct {
+	Experiment    *experiment.Experiment // with the schedule, shrunk
+	CalmService   float64                // without faults
+	WorstService  float64                // with the worst schedule, before it was shrunk
+	ShrunkService float64                // with the shrunk schedule
+	RuleBroken    bool                   // the worst schedule, before it was shrunk, broke a rule
+	Played        int                    // schedules played
 }
 
-// Worst draws schedules, keeps the worst and shrinks it. A broken rule counts as worse than any service.
-func Worst(ctx context.Context, e *experiment.Experiment, o Options) (Found, error) {
-	rng := rand.New(rand.NewPCG(o.Seed, 21))
-	base := *e
-	base.Faults = nil
-	f := Found{}
-	score := func(troubles []experiment.Fault) (float64, bool, error) {
-		x := base
-		x.Faults = troubles
-		f.Played++
-		r, err := runner.RunVirtual(ctx, &x, virtual.Options{})
-		if err != nil {
-			return 0, false, err
-		}
-		if !r.AllRulesKept() {
-			return r.Service.Mean - 1, true, nil
-		}
-		return r.Service.Mean, false, nil
+// FindWorst draws schedules of faults for an experiment and returns the worst, shrunk. The search begins with the
+// experiment's own faults, if it has any.
+func FindWorst(ctx context.Context, e *experiment.Experiment, options Options) (Result, error) {
+	s := &searcher{experiment: e, options: options, rng: rand.New(rand.NewPCG(options.Seed, randomStream))}
+	calm, err := s.play(ctx, nil)
+	if err != nil {
+		return Result{}, err
 	}
-	var err error
-	if f.Calm, _, err = score(nil); err != nil {
-		return f, err
+	worst, err := s.findWorst(ctx)
+	if err != nil {
+		return Result{}, err
 	}
-	worst, least := e.Faults, math.Inf(1)
-	if len(worst) > 0 {
-		if least, f.Broken, err = score(worst); err != nil {
-			return f, err
-		}
+	shrunk, err := s.shrink(ctx, worst, calm)
+	if err != nil {
+		return Result{}, err
 	}
-	for k := range o.Rounds {
-		// Half of the draws change the worst so far, the others begin anew.
-		var next []experiment.Fault
-		if len(worst) > 0 && rng.IntN(2) == 0 {
-			next = slices.Clone(worst)
-			next[rng.IntN(len(next))] = draw(e, rng)
-		} else {
-			for range 1 + rng.IntN(max(o.Most, 1)) {
-				next = append(next, draw(e, rng))
-			}
-		}
-		s, broken, err := score(next)
-		if err != nil {
-			return f, err
-		}
-		if s < least {
-			worst, least, f.Broken = next, s, broken
-			fmt.Fprintf(o.Log, "round %d: %.3f with %d troubles\n", k+1, s, len(next))
-		}
+	return Result{
+		Experiment:    s.withFaults(shrunk.faults),
+		CalmService:   calm.service,
+		WorstService:  worst.service,
+		ShrunkService: shrunk.service,
+		RuleBroken:    worst.ruleBroken,
+		Played:        s.played,
+	}, nil
+}
+
+// searcher is one search.
+type searcher struct {
+	experiment *experiment.Experiment
+	options    Options
+	rng        *rand.Rand
+	played     int // schedules
+}
+
+// schedule is a schedule of faults that was played.
+type schedule struct {
+	faults     []experiment.Fault
+	service    float64 // lowered by brokenRulePenalty if a rule was broken
+	ruleBroken bool
+}
+
+// withFaults returns the experiment with other faults.
+func (s *searcher) withFaults(faults []experiment.Fault) *experiment.Experiment {
+	e := *s.experiment
+	e.Faults = faults
+	return &e
+}
+
+// play runs the experiment with some faults on all its seeds.
+func (s *searcher) play(ctx context.Context, faults []experiment.Fault) (schedule, error) {
+	s.played++
+	result, err := runner.RunVirtual(ctx, s.withFaults(faults), virtual.Options{})
+	if err != nil {
+		return schedule{}, err
+	}
+	played := schedule{faults: faults, service: result.Service.Mean, ruleBroken: !result.AllRulesKept()}
+	if played.ruleBroken {
+		played.service -= brokenRulePenalty
 	}
-	f.Service = least
-	worst, f.Shrunk, err = shrink(worst, least, f.Calm, f.Broken, o, score)
-	x := base
-	x.Faults = worst
-	f.Experiment = &x
-	return f, err
+	return played, nil
 }
 
-// shrink takes troubles out one by one, then halves what is left of each, as long as most of the loss stays.
-func shrink(t []experiment.Fault, least, calm float64, broken bool, o Options,
-	score func([]experiment.Fault) (float64, bool, error)) ([]experiment.Fault, float64, error) {
-	bound := calm - o.Keep*(calm-least)
-	now := least
-	try := func(next []experiment.Fault) (bool, error) {
-		s, b, err := score(next)
-		if err != nil || (broken && !b) || (!broken && s > bound) {
-			return false, err
+// findWorst draws and plays schedules, and returns the worst.
+func (s *searcher) findWorst(ctx context.Context) (schedule, error) {
+	worst := schedule{service: math.Inf(1)}
+	if len(s.experiment.Faults) > 0 {
+		own, err := s.play(ctx, s.experiment.Faults)
+		if err != nil {
+			return schedule{}, err
 		}
-		t, now = next, s
-		return true, nil
+		worst = own
 	}
-	for i := 0; i < len(t) && len(t) > 1; {
-		gone, err := try(slices.Delete(slices.Clone(t), i, i+1))
+	for round := range s.options.Rounds {
+		next, err := s.play(ctx, s.drawSchedule(worst.faults))
 		if err != nil {
-			return t, now, err
+			return schedule{}, err
 		}
-		if !gone {
-			i++
-		} else {
-			fmt.Fprintf(o.Log, "shrunk to %d troubles: %.3f\n", len(t), now)
-		}
-	}
-	for i := range t {
-		next := slices.Clone(t)
-		next[i].DurationSeconds = math.Ceil(next[i].DurationSeconds / 2)
-		if _, err := try(next); err != nil {
-			return t, now, err
+		if next.service < worst.service {
+			worst = next
+			fmt.Fprintf(s.options.Log, "round %d: %.3f with %d faults\n", round+1, next.service, len(next.faults))
 		}
 	}
-	return t, now, nil
+	return worst, nil
 }
 
-// draw makes one trouble somewhere in the middle of the experiment.
-func draw(e *experiment.Experiment, rng *rand.Rand) experiment.Fault {
-	t := experiment.Fault{Kind: experiment.FaultKinds[rng.IntN(len(experiment.FaultKinds))]}
-	for t.Kind == experiment.FaultZonePartition && len(e.Fleet.Zones) < 2 {
-		t.Kind = experiment.FaultKinds[rng.IntN(len(experiment.FaultKinds))]
+// drawSchedule changes one fault of the worst schedule so far in half of the draws, and draws all faults anew in the
+// others.
+func (s *searcher) drawSchedule(worst []experiment.Fault) []experiment.Fault {
+	if len(worst) > 0 && s.rng.IntN(2) == 0 {
+		changed := slices.Clone(worst)
+		changed[s.rng.IntN(len(changed))] = s.drawFault()
+		return changed
 	}
-	round := func(from, to float64) float64 { return math.Round((from+(to-from)*rng.Float64())*100) / 100 }
-	t.StartSeconds = round(0.1*e.Seconds, 0.6*e.Seconds)
-	t.DurationSeconds = round(2, 0.35*e.Seconds)
-	t.Share = round(0.1, 0.5)
-	t.Factor = 1
-	switch t.Kind {
-	case experiment.FaultErrors:
-		t.Chance = round(0.3, 0.9)
-	case experiment.FaultSlow:
-		t.Factor = round(2, 8)
-	case experiment.FaultBurst:
-		t.Factor = round(1.2, 2.5)
-	case experiment.FaultWrongReports:
-		t.Factor = round(0.1, 5)
-	case experiment.FaultListDelay:
-		t.Factor = round(3, 12)
-	case experiment.FaultPauses:
-		t.EveryMs, t.PauseMs = round(1000, 4000), round(100, 500)
-	case experiment.FaultCostly:
-		t.Class, t.Chance, t.Factor = e.Classes[rng.IntN(len(e.Classes))].Name, round(0.005, 0.03), round(5, 25)
-	case experiment.FaultZonePartition:
-		t.Zone = e.Fleet.Zones[rng.IntN(len(e.Fleet.Zones))]
+	var faults []experiment.Fault
+	for range 1 + s.rng.IntN(max(s.options.MaxFaults, 1)) {
+		faults = append(faults, s.drawFault())
 	}
-	return t
+	return faults
 }
