--- a/cmd/pearknot-lab/count.go
+++ b/cmd/pearknot-lab/count.go
@@ -34,7 +34,7 @@
 					return err
 				}
 			}
-			count.Done()
+			count.ComputeWaits()
 			return count.Write(c.OutOrStdout())
 		}}
 }
--- a/internal/lab/logstats/logstats_test.go
+++ b/internal/lab/logstats/logstats_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const lines = `time=x level=INFO msg=serving name=n0
+const nodeLog = `time=x level=INFO msg=serving name=n0
 0.1 time=x level=DEBUG msg="dialing backend" backend=s-1 recently_used=0 calls=1
 time=x level=DEBUG msg="dialing backend" backend=s-1 recently_used=1 calls=1
 time=x level=DEBUG msg="dialing backend" backend=s-1 recently_used=0 calls=2
@@ -20,24 +20,24 @@
 time=x level=DEBUG msg="request not served" request=5 attempts=2 answer=rejected
 `
 
-func TestCount(t *testing.T) {
-	c := New()
-	require.NoError(t, c.Read("n0", strings.NewReader(lines)))
-	require.NoError(t, c.Read("n1", strings.NewReader(strings.ReplaceAll(lines, "backend=a", "backend=c"))))
-	c.Done()
-	assert.Equal(t, map[string]int{"answered": 8, "no connection": 2}, c.Pushes)
-	assert.Equal(t, map[string]int{"none open": 2, "all rest": 2, "all busy": 2}, c.Dials)
-	assert.Equal(t, map[string]int{"rejected after 2 attempts": 2}, c.GivenUp)
-	assert.Equal(t, 2, c.Further)
-	assert.Equal(t, Mean{Sum: 40, N: 2}, c.Waits[0], "sent 30 ms after an answer without a queue")
-	assert.Equal(t, Mean{Sum: 180, N: 6}, c.Unmet, "first ones, and one after an answer that met a queue")
+func TestStats(t *testing.T) {
+	stats := New()
+	require.NoError(t, stats.Read("n0", strings.NewReader(nodeLog)))
+	require.NoError(t, stats.Read("n1", strings.NewReader(strings.ReplaceAll(nodeLog, "backend=a", "backend=c"))))
+	stats.ComputeWaits()
+	assert.Equal(t, map[string]int{"answered": 8, "no connection": 2}, stats.AttemptOutcomes)
+	assert.Equal(t, map[string]int{"none open": 2, "all rest": 2, "all busy": 2}, stats.Dials)
+	assert.Equal(t, map[string]int{"rejected after 2 attempts": 2}, stats.NotServed)
+	assert.Equal(t, 2, stats.FurtherAttempts)
+	assert.Equal(t, Mean{Sum: 40, N: 2}, stats.WaitsAfterNoQueue[0], "sent 30 ms after an answer without a queue")
+	assert.Equal(t, Mean{Sum: 180, N: 6}, stats.OtherWaits, "first ones, and one after an answer that met a queue")
 	var out strings.Builder
-	require.NoError(t, c.Write(&out))
-	assert.Contains(t, out.String(), "under   50 ms    20.0         2 pushes")
+	require.NoError(t, stats.Write(&out))
+	assert.Contains(t, out.String(), "under   50 ms    20.0         2 attempts")
 }
 
-// A line that can't be counted is told with its place, not left out of the figures.
-func TestOddLine(t *testing.T) {
+// A line with an attribute that is no number is an error with its place, so that no figure silently lacks it.
+func TestReadMalformedLine(t *testing.T) {
 	err := New().Read("n0", strings.NewReader("msg=serving\nmsg=\"attempt ended\" attempt=0 outcome=answered at_ms=1 after_ms=x cost_hint=1\n"))
 	assert.EqualError(t, err, `n0:2: after_ms is no number: "x"`)
 }
