--- a/cmd/pearknot-lab/authority.go
+++ b/cmd/pearknot-lab/authority.go
@@ -19,48 +19,79 @@
 	"pearknot/internal/tomlfile"
 )
 
-// authorityFile is the schedule of an authority's troubles.
-type authorityFile struct {
-	Trouble []struct {
-		Kind   string  `toml:"kind"`
-		At     float64 `toml:"at_s"`
-		For    float64 `toml:"for_s"`
-		Name   string  `toml:"name"`
-		Delay  float64 `toml:"delay_ms"`
-		AfterS float64 `toml:"retry_after_s"`
-	} `toml:"trouble"`
+const (
+	defaultCertificateLifetime = 90 * 24 * time.Hour
+	// defaultRenewalWindow is the share of a certificate's lifetime after which its renewal is suggested.
+	defaultRenewalWindow = 0.7
+	// requestHeadTimeout bounds how long the authority waits for the head of a request.
+	requestHeadTimeout = 10 * time.Second
+)
+
+// authorityFaultFile is the file with a schedule of an authority's faults.
+type authorityFaultFile struct {
+	Faults []authorityFault `toml:"trouble"`
+}
+
+type authorityFault struct {
+	Kind              string  `toml:"kind"`
+	StartSeconds      float64 `toml:"at_s"`
+	DurationSeconds   float64 `toml:"for_s"`
+	Name              string  `toml:"name"`
+	DelayMs           float64 `toml:"delay_ms"`
+	RetryAfterSeconds float64 `toml:"retry_after_s"`
 }
 
-// schedule reads a file of troubles; they count from begun on.
-func schedule(name string, begun time.Time) (all []acmestub.ScheduledFault, err error) {
-	var f authorityFile
-	at, err := tomlfile.Read(name, &f)
+// readFaultSchedule reads a file of faults, whose times count from start.
+func readFaultSchedule(name string, start time.Time) ([]acmestub.ScheduledFault, error) {
+	var schedule authorityFaultFile
+	file, err := tomlfile.Read(name, &schedule)
 	if err != nil {
 		return nil, err
 	}
-	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-	for k, t := range f.Trouble {
-		key := fmt.Sprintf("trouble.%d.", k)
-		kind := acmestub.Fault(t.Kind)
+	var faults []acmestub.ScheduledFault
+	for i, fault := range schedule.Faults {
+		key := fmt.Sprintf("trouble.%d.", i)
+		kind := acmestub.Fault(fault.Kind)
 		if !kind.IsKnown() {
-			return nil, at.Errorf(key+"kind", "%q is none of %s", t.Kind, strings.Join(acmestub.FaultNames(), ", "))
+			return nil, file.Errorf(key+"kind", "%q is none of %s", fault.Kind, strings.Join(acmestub.FaultNames(), ", "))
 		}
-		if t.At < 0 || !(t.For > 0) || t.Delay < 0 || t.AfterS < 0 {
-			return nil, at.Errorf(key+"for_s", "a span that is none")
+		isSpan := fault.StartSeconds >= 0 && fault.DurationSeconds > 0 && fault.DelayMs >= 0 && fault.RetryAfterSeconds >= 0
+		if !isSpan {
+			return nil, file.Errorf(key+"for_s", "a span that is none")
 		}
-		all = append(all, acmestub.ScheduledFault{Fault: kind, Start: begun.Add(seconds(t.At)), End: begun.Add(seconds(t.At + t.For)), Name: t.Name,
-			Delay: seconds(t.Delay / 1e3), RetryAfter: seconds(t.AfterS)})
+		faults = append(faults, acmestub.ScheduledFault{
+			Fault:      kind,
+			Start:      start.Add(seconds(fault.StartSeconds)),
+			End:        start.Add(seconds(fault.StartSeconds + fault.DurationSeconds)),
+			Name:       fault.Name,
+			Delay:      seconds(fault.DelayMs / 1e3),
+			RetryAfter: seconds(fault.RetryAfterSeconds),
+		})
 	}
-	return all, nil
+	return faults, nil
+}
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// authorityTool holds the flags of authority.
+type authorityTool struct {
+	listenAddress string
+	dir           string
+	httpAddress   string
+	tlsAddress    string
+	faultFile     string
+	lifetime      time.Duration
+	renewalWindow float64
 }
 
-// authorityCommand runs the stand-in until it is interrupted.
+// authorityCommand runs a stand-in for a certificate authority until it is interrupted.
 func authorityCommand() *cobra.Command {
-	var listen, dir, http1, alpn, troubles string
-	life, window := 90*24*time.Hour, 0.7
-	c := &cobra.Command{Use: "authority", Args: cobra.NoArgs, Short: "A stand-in for a certificate authority by RFC 8555, on loopback",
+	tool := &authorityTool{}
+	command := &cobra.Command{
+		Use:   "authority",
+		Short: "A stand-in for a certificate authority by RFC 8555, on loopback",
 		Long: `authority issues certificates by ACME, from a root of its own that nobody trusts and that ends with it. Whatever the name, a
-challenge is looked up at the two addresses given: names need not resolve. Troubles come on a schedule:
+challenge is looked up at the two addresses given: names need not resolve. Faults come on a schedule:
 
     [[trouble]]
     kind = "unreachable"   # ` + strings.Join(acmestub.FaultNames(), ", ") + `
@@ -69,50 +100,79 @@
     # name = "one.example" # only for it: reject
     # delay_ms = 2000      # slow
     # retry_after_s = 600  # rate-limited`,
-		RunE: func(c *cobra.Command, _ []string) error {
-			for what, address := range map[string]string{"--listen": listen, "--http": http1, "--tls": alpn} {
-				host, _, err := net.SplitHostPort(address)
-				if err != nil || !net.ParseIP(host).IsLoopback() {
-					return cli.UsageError(fmt.Errorf("%s %q is no loopback address with a port", what, address))
-				}
-			}
-			if valid := life > 0 && window >= 0 && window < 1; !valid { // NaN is refused too
-				return cli.UsageError(errors.New("--life or --window is none"))
-			}
-			a, err := acmestub.New(acmestub.Options{CertificateLifetime: life, RenewalWindowStart: window, HTTPChallengeAddress: func(string) string { return http1 }, TLSChallengeAddress: func(string) string { return alpn }})
-			if err != nil {
-				return err
-			}
-			if troubles != "" {
-				all, err := schedule(troubles, time.Now())
-				if err != nil {
-					return cli.UsageError(err)
-				}
-				a.ScheduleFaults(all...)
-			}
-			root := filepath.Join(dir, "roots.pem")
-			if err := os.WriteFile(root, a.RootPEM(), 0o644); err != nil {
-				return err
-			}
-			l, err := net.Listen("tcp", listen)
-			if err != nil {
-				return err
-			}
-			server := &http.Server{Handler: a, ReadHeaderTimeout: 10 * time.Second, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
-			fmt.Fprintf(c.OutOrStdout(), "directory http://%s/directory, root %s, challenges at %s and %s\n", l.Addr(), root, http1, alpn)
-			stop := context.AfterFunc(c.Context(), func() { _ = server.Close() })
-			defer stop()
-			if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-				return err
-			}
-			return nil
-		}}
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "where")
-	c.Flags().StringVar(&dir, "dir", ".", "where roots.pem is written")
-	c.Flags().StringVar(&http1, "http", "127.0.0.1:8080", "where http-01 is looked up")
-	c.Flags().StringVar(&alpn, "tls", "127.0.0.1:8443", "where tls-alpn-01 is looked up")
-	c.Flags().StringVar(&troubles, "troubles", "", "file with a schedule of troubles")
-	c.Flags().DurationVar(&life, "life", life, "of a certificate")
-	c.Flags().Float64Var(&window, "window", window, "renewal is suggested from this share of a life on; 0 offers no such information")
-	return c
+		Args: cobra.NoArgs,
+		RunE: tool.run,
+	}
+	flags := command.Flags()
+	flags.StringVar(&tool.listenAddress, "listen", "127.0.0.1:0", "where")
+	flags.StringVar(&tool.dir, "dir", ".", "where roots.pem is written")
+	flags.StringVar(&tool.httpAddress, "http", "127.0.0.1:8080", "where http-01 is looked up")
+	flags.StringVar(&tool.tlsAddress, "tls", "127.0.0.1:8443", "where tls-alpn-01 is looked up")
+	flags.StringVar(&tool.faultFile, "troubles", "", "file with a schedule of faults")
+	flags.DurationVar(&tool.lifetime, "life", defaultCertificateLifetime, "lifetime of a certificate")
+	flags.Float64Var(&tool.renewalWindow, "window", defaultRenewalWindow,
+		"renewal is suggested from this share of a lifetime on; 0 offers no such information")
+	return command
+}
+
+// check returns the first error in the flags.
+func (t *authorityTool) check() error {
+	for flag, address := range map[string]string{"--listen": t.listenAddress, "--http": t.httpAddress, "--tls": t.tlsAddress} {
+		host, _, err := net.SplitHostPort(address)
+		if err != nil || !net.ParseIP(host).IsLoopback() {
+			return fmt.Errorf("%s %q is no loopback address with a port", flag, address)
+		}
+	}
+	if isValid := t.lifetime > 0 && t.renewalWindow >= 0 && t.renewalWindow < 1; !isValid { // NaN is refused too
+		return errors.New("--life or --window is none")
+	}
+	return nil
+}
+
+func (t *authorityTool) run(command *cobra.Command, _ []string) error {
+	if err := t.check(); err != nil {
+		return cli.UsageError(err)
+	}
+	authority, err := acmestub.New(acmestub.Options{
+		CertificateLifetime:  t.lifetime,
+		RenewalWindowStart:   t.renewalWindow,
+		HTTPChallengeAddress: func(string) string { return t.httpAddress },
+		TLSChallengeAddress:  func(string) string { return t.tlsAddress },
+	})
+	if err != nil {
+		return err
+	}
+	if t.faultFile != "" {
+		faults, err := readFaultSchedule(t.faultFile, time.Now())
+		if err != nil {
+			return cli.UsageError(err)
+		}
+		authority.ScheduleFaults(faults...)
+	}
+	rootFile := filepath.Join(t.dir, "roots.pem")
+	if err := os.WriteFile(rootFile, authority.RootPEM(), 0o644); err != nil {
+		return err
+	}
+	listener, err := net.Listen("tcp", t.listenAddress)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(command.OutOrStdout(), "directory http://%s/directory, root %s, challenges at %s and %s\n",
+		listener.Addr(), rootFile, t.httpAddress, t.tlsAddress)
+	return serveUntilDone(command.Context(), listener, authority)
+}
+
+// serveUntilDone serves HTTP until ctx is done.
+func serveUntilDone(ctx context.Context, listener net.Listener, handler http.Handler) error {
+	server := &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: requestHeadTimeout,
+		ErrorLog:          slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
+	}
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
+	defer stop()
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		return err
+	}
+	return nil
 }
--- a/cmd/pearknot-lab/capacity_test.go
+++ b/cmd/pearknot-lab/capacity_test.go
@@ -13,7 +13,7 @@
 	"pearknot/internal/lab/program"
 )
 
-// TestMain stands for the lab's program where a rig starts it for its stand-in instances.
+// TestMain lets this test program stand for pearknot-lab, which a measurement starts for its stand-in instances.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "instances" {
 		os.Exit(run(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
@@ -21,8 +21,9 @@
 	os.Exit(m.Run())
 }
 
-// A row is measured, written, and told again from the file alone; a target that asks for less than it costs is status 3.
-func TestCapacity(t *testing.T) {
+// A row is measured and written to a file; the file alone gives the same tables. A target whose limits are below the costs is exit
+// status 3.
+func TestCapacityOfOneRow(t *testing.T) {
 	bin, err := program.Build(t.Context(), t.TempDir())
 	require.NoError(t, err)
 	tmp, err := os.MkdirTemp("", "pk") // short: a socket's path is bounded
@@ -36,12 +37,12 @@
 	require.NoError(t, os.WriteFile(generous, []byte(strings.Replace(string(data), "node_bytes_per_second = 16384", "node_bytes_per_second = 1e11", 1)), 0o600))
 	require.NoError(t, os.WriteFile(tight, []byte(strings.Replace(string(data), "node_bytes_per_second = 16384", "node_bytes_per_second = 1", 1)), 0o600))
 
-	status, out, errs := call(t, "capacity", "--quick", "--only", "agent", "--target", generous, "--out", file, "--pearknot", bin)
+	status, out, errs := runLab(t, "capacity", "--quick", "--only", "agent", "--target", generous, "--out", file, "--pearknot", bin)
 	require.Equal(t, 0, status, errs)
 	assert.Contains(t, out, "| agent.cpu | ")
 	assert.Contains(t, out, "Nothing that was measured.")
-	assert.Contains(t, errs, "most memory held")
-	status, again, errs := call(t, "capacity", "--target", generous, "--from", file)
+	assert.Contains(t, errs, "peak memory")
+	status, again, errs := runLab(t, "capacity", "--target", generous, "--from", file)
 	assert.Equal(t, 0, status, errs)
 	assert.Equal(t, out, again)
 	left, err := os.ReadDir(tmp)
@@ -50,9 +51,9 @@
 
 	require.NoError(t, os.WriteFile(file, []byte(`{"machine":"m","slopes":[{"key":"node.bytes","what":"w","unit":"B/s","by":"backends",
 "points":[{"size":30,"median":200,"low":200,"high":200,"runs":5}]}]}`), 0o600))
-	status, _, _ = call(t, "capacity", "--target", generous, "--from", file)
+	status, _, _ = runLab(t, "capacity", "--target", generous, "--from", file)
 	assert.Equal(t, 0, status)
-	status, out, errs = call(t, "capacity", "--target", tight, "--from", file)
+	status, out, errs = runLab(t, "capacity", "--target", tight, "--from", file)
 	assert.Equal(t, 3, status)
 	assert.Empty(t, errs)
 	assert.Contains(t, out, "| 1 | a node, control | quiet | watch on discovery, both ways | 200 B/s | 1 B/s | 200 x |")
--- a/cmd/pearknot-lab/demo.go
+++ b/cmd/pearknot-lab/demo.go
@@ -3,6 +3,7 @@
 import (
 	_ "embed"
 	"fmt"
+	"io"
 	"strings"
 
 	"github.com/spf13/cobra"
@@ -15,53 +16,83 @@
 //go:embed demo.toml
 var demoFile []byte
 
-// demoSeconds is how long the schedule in demo.toml is; --seconds stretches it.
-const demoSeconds = 20.0
+const (
+	// demoSeconds is how long the schedule in demo.toml is; --seconds stretches it.
+	demoSeconds = 20.0
+	// minDemoSeconds and maxDemoSeconds bound --seconds.
+	minDemoSeconds = 5
+	maxDemoSeconds = 3600
+)
+
+// demo holds the flags of demo.
+type demo struct {
+	playOptions
+	seconds float64
+}
 
+// demoCommand plays the experiment of demo.toml on loopback.
 func demoCommand() *cobra.Command {
-	p, seconds := &plan{}, demoSeconds
-	c := &cobra.Command{Use: "demo", Short: "Three nodes, ten backends, three zones, and things that go wrong; ends by itself", Args: cobra.NoArgs,
+	demo := &demo{}
+	command := &cobra.Command{
+		Use:   "demo",
+		Short: "Three nodes, ten backends, three zones, and things that go wrong; ends by itself",
 		Long: `demo starts three real nodes on loopback between stand-in backends, list and clients, kills things on the way, and ends
 with a verdict on the rules. A line a second: what the letters of the backends mean is the tenth of it that is busy,
 - for a dead one, d for one that drains, ? for one whose machine is gone.`,
-		RunE: func(c *cobra.Command, _ []string) error {
-			if seconds < 5 || seconds > 3600 {
-				return cli.UsageError(fmt.Errorf("--seconds %v is not 5 to 3600", seconds))
-			}
-			e, err := experiment.Decode("demo.toml", demoFile)
-			if err != nil {
-				return err
-			}
-			if err := p.apply(e); err != nil {
-				return err
-			}
-			stretch := seconds / demoSeconds
-			e.Seconds = seconds
-			for i := range e.Faults {
-				e.Faults[i].StartSeconds *= stretch
-				e.Faults[i].DurationSeconds *= stretch
-			}
-			out := c.OutOrStdout()
-			if p.tls && len(p.renew) == 0 {
-				p.renew = []float64{seconds / 4, seconds / 2, seconds * 3 / 4}
-			}
-			row := func(l loopback.Progress) {
-				fmt.Fprintf(out, "%4d %7d %7d %7d %6d %6d %7d %7d  %-6s %-12s %s\n", l.Second, l.Requests, l.Served, l.InTime, l.Rejected, l.Failed, l.Attempts,
-					l.Violations, l.Nodes, l.Backends, strings.Join(l.Faults, ", "))
-			}
-			r, err := p.sockets(c.Context(), e, loopback.Options{OnProgress: row, OnLoadStarted: func() {
-				fmt.Fprintf(out, "%d nodes, %d backends in %s, %.0f ops a second\n", e.Fleet.Nodes, e.Fleet.Backends,
-					strings.Join(e.Fleet.Zones, ", "), e.RequestsPerSecond())
-				fmt.Fprintf(out, "%4s %7s %7s %7s %6s %6s %7s %7s  %-6s %-12s %s\n", "s", "ops", "acked", "in time", "nacked", "dead", "pushes", "broken", "nodes",
-					"backends", "troubles")
-			}}, out)
-			if err != nil {
-				return err
-			}
-			return verdict(out, r)
-		}}
-	c.Flags().Float64Var(&seconds, "seconds", demoSeconds, "how long")
-	p.nodeFlags(c)
-	c.Flags().StringVar(&p.policy, "policy", "", "who decides")
-	return c
+		Args: cobra.NoArgs,
+		RunE: demo.run,
+	}
+	command.Flags().Float64Var(&demo.seconds, "seconds", demoSeconds, "how long")
+	command.Flags().StringVar(&demo.policy, "policy", "", "who decides")
+	demo.addNodeFlagsTo(command)
+	return command
+}
+
+func (d *demo) run(command *cobra.Command, _ []string) error {
+	if !(d.seconds >= minDemoSeconds && d.seconds <= maxDemoSeconds) { // NaN is refused too
+		return cli.UsageError(fmt.Errorf("--seconds %v is not %d to %d", d.seconds, minDemoSeconds, maxDemoSeconds))
+	}
+	e, err := experiment.Decode("demo.toml", demoFile)
+	if err != nil {
+		return err
+	}
+	if err := d.applyTo(e); err != nil {
+		return err
+	}
+	d.stretch(e)
+	if d.tls && len(d.renewAt) == 0 {
+		d.renewAt = []float64{d.seconds / 4, d.seconds / 2, d.seconds * 3 / 4}
+	}
+	out := command.OutOrStdout()
+	result, err := d.playOnSockets(command.Context(), e, loopback.Options{
+		OnLoadStarted: func() { printDemoHeader(out, e) },
+		OnProgress:    func(progress loopback.Progress) { printDemoLine(out, progress) },
+	}, out)
+	if err != nil {
+		return err
+	}
+	return printResult(out, result)
+}
+
+// stretch brings the experiment, and the times of its faults, to the length that --seconds gives.
+func (d *demo) stretch(e *experiment.Experiment) {
+	factor := d.seconds / demoSeconds
+	e.Seconds = d.seconds
+	for i := range e.Faults {
+		e.Faults[i].StartSeconds *= factor
+		e.Faults[i].DurationSeconds *= factor
+	}
+}
+
+func printDemoHeader(out io.Writer, e *experiment.Experiment) {
+	fmt.Fprintf(out, "%d nodes, %d backends in %s, %.0f requests a second\n",
+		e.Fleet.Nodes, e.Fleet.Backends, strings.Join(e.Fleet.Zones, ", "), e.RequestsPerSecond())
+	fmt.Fprintf(out, "%4s %8s %7s %7s %8s %6s %8s %6s  %-6s %-12s %s\n",
+		"s", "requests", "served", "in time", "rejected", "failed", "attempts", "broken", "nodes", "backends", "faults")
+}
+
+func printDemoLine(out io.Writer, progress loopback.Progress) {
+	fmt.Fprintf(out, "%4d %8d %7d %7d %8d %6d %8d %6d  %-6s %-12s %s\n",
+		progress.Second, progress.Requests, progress.Served, progress.InTime, progress.Rejected, progress.Failed,
+		progress.Attempts, progress.Violations, progress.Nodes, progress.Backends, strings.Join(progress.Faults, ", "))
 }
--- a/cmd/pearknot-lab/fleet_test.go
+++ b/cmd/pearknot-lab/fleet_test.go
@@ -12,8 +12,9 @@
 	"pearknot/internal/lab/program"
 )
 
-// Under steady load, a rolling change of all twenty nodes: no op lost, no effect twice, and service hardly the worse.
-func TestRollUnderLoad(t *testing.T) {
+// All twenty nodes are changed under a steady load, one after the other. No request is lost or runs twice, and service is hardly
+// worse.
+func TestRollingChangeUnderLoad(t *testing.T) {
 	bin, err := program.Build(t.Context(), t.TempDir())
 	require.NoError(t, err)
 	tmp, err := os.MkdirTemp("", "pk") // short: a socket's path is bounded
@@ -23,12 +24,12 @@
 	e, err := experiment.Read("../../experiments/calm.toml")
 	require.NoError(t, err)
 	e.Fleet.Nodes, e.Seconds = 20, 12
-	r, took, err := roll(t.Context(), e, bin, 5)
+	outcome, err := playRollingChange(t.Context(), e, bin, 5)
 	require.NoError(t, err)
-	assert.True(t, r.run.Verdict.Kept, r.run.Verdict.Evidence)
-	assert.Greater(t, r.run.Service, 0.97)
-	assert.Greater(t, r.run.Requests, 800)
-	t.Logf("changed in %v, service %.3f", took, r.run.Service)
+	assert.True(t, outcome.run.Verdict.Kept, outcome.run.Verdict.Evidence)
+	assert.Greater(t, outcome.run.Service, 0.97)
+	assert.Greater(t, outcome.run.Requests, 800)
+	t.Logf("changed in %v, service %.3f", outcome.changeTime, outcome.run.Service)
 	left, err := filepath.Glob(filepath.Join(tmp, "pkfleet*"))
 	require.NoError(t, err)
 	assert.Empty(t, left)
--- a/cmd/pearknot-lab/main.go
+++ b/cmd/pearknot-lab/main.go
@@ -1,5 +1,5 @@
-// Command pearknot-lab tries pearknot: it plays a fleet with its troubles, in virtual time or with real processes on
-// loopback, judges the rules, and measures how service comes back.
+// Command pearknot-lab is for trying and measuring pearknot: it plays a fleet with its faults, in virtual time or with real
+// processes on loopback, judges the rules, and measures how service recovers.
 package main
 
 import (
@@ -22,23 +22,44 @@
 	os.Exit(status)
 }
 
-// run gives the exit status.
+// run runs a command line and returns its exit status.
 func run(ctx context.Context, args []string, out, errs io.Writer) int {
-	root := &cobra.Command{Use: "pearknot-lab", Short: "Stand-in fleets, troubles on a schedule, and one judge of the rules",
-		Long: `pearknot-lab plays experiments: a fleet, its load and a schedule of troubles, from a TOML file (see experiments/).
+	root := &cobra.Command{
+		Use:   "pearknot-lab",
+		Short: "Simulated fleets, faults on a schedule, and one judge of the rules",
+		Long: `pearknot-lab plays experiments: a fleet, its load and a schedule of faults, from a TOML file (see experiments/).
 All backends, clients and lists are stand-ins; figures are no measurements of real machines.
 
 Exit status: 0 done and all rules kept, 1 failed or interrupted, 2 the command line or a file can't be read,
 3 a rule was broken.`,
-		SilenceUsage: true, SilenceErrors: true, Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
+		SilenceUsage:  true,
+		SilenceErrors: true,
+		Args:          cobra.NoArgs,
+		RunE:          func(command *cobra.Command, _ []string) error { return command.Help() },
+	}
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return cli.UsageError(err) })
-	root.AddCommand(schedulesCommand(), demoCommand(), runCommand(), sweepCommand(), compareCommand(), searchCommand(), reportCommand(), fleetCommand(), instancesCommand(), nodeCommand(), authorityCommand(), countCommand(), capacityCommand(), scaleCommand(), hollowCommand())
+	root.AddCommand(
+		schedulesCommand(),
+		demoCommand(),
+		runCommand(),
+		sweepCommand(),
+		compareCommand(),
+		searchCommand(),
+		reportCommand(),
+		fleetCommand(),
+		instancesCommand(),
+		nodeCommand(),
+		authorityCommand(),
+		countCommand(),
+		capacityCommand(),
+		scaleCommand(),
+		hollowCommand(),
+	)
 	return cli.Exit("pearknot-lab", root.ExecuteContext(ctx), errs)
 }
 
-// errBroken says nothing more than the report before it.
-var errBroken = errors.New("a rule was broken")
+// errRuleBroken ends a command whose output has said which rule or bound was broken.
+var errRuleBroken = &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New("a rule was broken"), Silent: true}
--- a/cmd/pearknot-lab/main_test.go
+++ b/cmd/pearknot-lab/main_test.go
@@ -13,13 +13,15 @@
 	"pearknot/internal/lab/experiment"
 )
 
-func call(t *testing.T, args ...string) (status int, out, errs string) {
-	var o, e bytes.Buffer
-	status = run(t.Context(), args, &o, &e)
-	return status, o.String(), e.String()
+// runLab runs the program within the test and returns its exit status and output.
+func runLab(t *testing.T, args ...string) (status int, out, errs string) {
+	t.Helper()
+	var stdout, stderr bytes.Buffer
+	status = run(t.Context(), args, &stdout, &stderr)
+	return status, stdout.String(), stderr.String()
 }
 
-// Exit statuses and one clear line for whatever is wrong.
+// Whatever is wrong with a command line gives the documented exit status and one line that names it.
 func TestCommandLine(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	require.NoError(t, os.WriteFile(bad, []byte("seconds = 5\n[fleet]\nnodez = 3\n"), 0o600))
@@ -50,7 +52,7 @@
 		{"schedules --control-plane --voters 4", 2, "3 or 5 voters"}, {"schedules --control-plane --seeds 0", 2, "give one at least"},
 		{"schedules --control-plane --seeds 1", 0, "3 schedules"},
 	} {
-		status, out, errs := call(t, strings.Fields(c.args)...)
+		status, out, errs := runLab(t, strings.Fields(c.args)...)
 		assert.Equal(t, c.status, status, c.args)
 		assert.Contains(t, out+errs, c.want, c.args)
 		if status != 0 {
@@ -59,8 +61,8 @@
 	}
 }
 
-// One experiment through run, sweep, compare and report; a broken rule is status 3, with its evidence.
-func TestPlay(t *testing.T) {
+// An experiment goes through run, sweep, compare and report. A broken rule is exit status 3, with its evidence.
+func TestRunSweepCompareReport(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "e.toml")
 	data, err := os.ReadFile("../../experiments/cold-rush.toml")
@@ -68,7 +70,7 @@
 	text := strings.Replace(string(data), "seconds = 40", "seconds = 16", 1)
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	a := filepath.Join(dir, "a")
-	status, out, errs := call(t, "run", file, "--virtual", "--out", a, "--events", "--seeds", "1")
+	status, out, errs := runLab(t, "run", file, "--virtual", "--out", a, "--events", "--seeds", "1")
 	require.Equal(t, 0, status, errs)
 	assert.Contains(t, out, "rules kept")
 	for _, f := range []string{"result.json", "report.html", "events.jsonl.zst"} {
@@ -76,41 +78,41 @@
 		require.NoError(t, err)
 		assert.Positive(t, info.Size())
 	}
-	status, out, _ = call(t, "sweep", file, "--virtual", "--over", "clients.load=0.3,0.5", "--out", filepath.Join(dir, "s"), "--seeds", "1,2")
+	status, out, _ = runLab(t, "sweep", file, "--virtual", "--over", "clients.load=0.3,0.5", "--out", filepath.Join(dir, "s"), "--seeds", "1,2")
 	require.Equal(t, 0, status)
 	assert.Contains(t, out, "clients.load = 0.5: cold-rush")
-	status, out, _ = call(t, "compare", filepath.Join(dir, "s", "0.3"), filepath.Join(dir, "s", "0.5"))
+	status, out, _ = runLab(t, "compare", filepath.Join(dir, "s", "0.3"), filepath.Join(dir, "s", "0.5"))
 	require.Equal(t, 0, status)
 	assert.Contains(t, out, "service          B - A")
-	status, out, _ = call(t, "report", a)
+	status, out, _ = runLab(t, "report", a)
 	require.Equal(t, 0, status)
 	assert.Contains(t, out, "report.html")
 	require.NoError(t, os.WriteFile(file, []byte(strings.Replace(text, "[backend]", "[backend]\nfall_multiple = 1.2", 1)), 0o600))
-	status, out, errs = call(t, "run", file, "--virtual", "--policy", "random", "--seeds", "1")
+	status, out, errs = runLab(t, "run", file, "--virtual", "--policy", "random", "--seeds", "1")
 	assert.Equal(t, 3, status)
 	assert.Empty(t, errs)
 	assert.Contains(t, out, "rule 4 (cold starts)")
 }
 
-// What demo plays is a sound experiment, whose schedule is as long as its name for it says.
+// The demo plays a valid experiment, whose schedule is as long as demoSeconds says.
 func TestDemoFile(t *testing.T) {
 	e, err := experiment.Decode("demo.toml", demoFile)
 	require.NoError(t, err)
 	assert.InDelta(t, demoSeconds, e.Seconds, 0)
 }
 
-func TestReplaced(t *testing.T) {
+func TestSetKey(t *testing.T) {
 	text := "a = 1\n[fleet]\nnodes = 3\n[[trouble]]\nkind = 'x'\n[[trouble]]\nkind = 'y'\n"
 	for _, c := range []struct{ key, value, want string }{
 		{"a", "2", "a = 2\n[fleet]"}, {"b", "z", "b = \"z\"\na = 1"}, {"fleet.nodes", "5", "[fleet]\nnodes = 5\n"},
 		{"fleet.memory_mb", "9", "[fleet]\nmemory_mb = 9\nnodes"}, {"trouble.1.kind", "q", "[[trouble]]\nkind = 'x'\n[[trouble]]\nkind = \"q\""},
 	} {
-		got, err := replaced([]byte(text), c.key, c.value)
+		got, err := setKey([]byte(text), c.key, c.value)
 		require.NoError(t, err)
 		assert.Contains(t, string(got), c.want)
 	}
 	for _, key := range []string{"list.lag", "trouble.2.kind", "trouble.x.kind", "a.1.c.d"} {
-		_, err := replaced([]byte(text), key, "1")
+		_, err := setKey([]byte(text), key, "1")
 		assert.Error(t, err, key)
 	}
 }
--- a/cmd/pearknot-lab/ramp_test.go
+++ b/cmd/pearknot-lab/ramp_test.go
@@ -15,9 +15,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A build of the module whose nodes each take a cold backend's whole budget for themselves is caught by the rule on ramps, with 20
-// and 30 nodes in virtual time and with 30 processes on sockets; the right one keeps it on the same days.
-func TestNodesWithoutTheirShareAreCaught(t *testing.T) {
+// In a build of its own, each node takes a warming backend's whole slow-start budget for itself. The checker of the rule on cold
+// backends notices, with 20 and 30 nodes in virtual time and with 30 processes on sockets. The right build keeps the rule on the
+// same seeds.
+func TestCheckerNoticesNodesThatIgnoreTheirShare(t *testing.T) {
 	dir := t.TempDir()
 	source, err := filepath.Abs("../../balancer/slowstart.go")
 	require.NoError(t, err)
--- a/cmd/pearknot-lab/schedules.go
+++ b/cmd/pearknot-lab/schedules.go
@@ -10,51 +10,78 @@
 	"pearknot/internal/lab/simcontrolplane"
 )
 
-// schedulesCommand looks for a broken promise among processes that keep each other's ops, in virtual time.
+// maxScheduleMembers bounds the members of a simulated cluster.
+const maxScheduleMembers = 64
+
+// schedulesTool holds the flags of schedules.
+type schedulesTool struct {
+	firstSeed    uint64
+	seeds        uint64
+	members      int
+	replicas     int
+	controlPlane bool
+	voters       int
+}
+
+// schedulesCommand looks for a violation among processes that log each other's requests, or in a control plane, in virtual
+// time.
 func schedulesCommand() *cobra.Command {
-	var from, seeds uint64
-	var members, copies, voters int
-	var plane bool
-	c := &cobra.Command{Use: "schedules", Args: cobra.NoArgs,
-		Short: "Play drawn schedules of kills, freezes and cut links among processes that keep each other's ops, or of a control plane; 3 where a promise is broken",
-		RunE: func(c *cobra.Command, _ []string) error {
-			if plane {
-				return planeSchedules(c, from, seeds, voters)
-			}
-			if copies != 3 && copies != 5 || members < copies || members > 64 || seeds < 1 {
-				return cli.UsageError(fmt.Errorf("%d seeds of %d members with %d copies: give one at least, 3 or 5 copies, and as many members or up to 64", seeds, members, copies))
-			}
-			sum, err := simcluster.RunSchedules(c.Context(), from, seeds, members, copies)
-			fmt.Fprintf(c.OutOrStdout(), "%d schedules, %d ops taken over, %d of %d logs served at the end, %d broken\n",
-				sum.Schedules, sum.TakenOver, sum.ServedLogs, sum.Logs, len(sum.Violating))
-			for _, b := range sum.Violating {
-				fmt.Fprintln(c.OutOrStdout(), b)
-			}
-			if err == nil && len(sum.Violating) > 0 {
-				return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d of %d schedules break a promise", len(sum.Violating), sum.Schedules), Silent: true}
-			}
-			return err
-		}}
-	c.Flags().Uint64Var(&from, "from", 0, "first seed")
-	c.Flags().Uint64Var(&seeds, "seeds", 100, "how many, two schedules each")
-	c.Flags().IntVar(&members, "members", 5, "processes")
-	c.Flags().IntVar(&copies, "copies", 3, "processes that hold each log: 3 or 5")
-	c.Flags().BoolVar(&plane, "control-plane", false, "of voters, relays and nodes that follow them: three schedules a seed")
-	c.Flags().IntVar(&voters, "voters", 3, "of the control plane: 3 or 5")
-	return c
+	tool := &schedulesTool{}
+	command := &cobra.Command{
+		Use: "schedules",
+		Short: "Play drawn schedules of kills, freezes and cut links among processes that log each other's requests, " +
+			"or of a control plane; 3 where a guarantee is broken",
+		Args: cobra.NoArgs,
+		RunE: tool.run,
+	}
+	flags := command.Flags()
+	flags.Uint64Var(&tool.firstSeed, "from", 0, "first seed")
+	flags.Uint64Var(&tool.seeds, "seeds", 100, "how many, two schedules each")
+	flags.IntVar(&tool.members, "members", 5, "processes")
+	flags.IntVar(&tool.replicas, "copies", 3, "processes that hold each log: 3 or 5")
+	flags.BoolVar(&tool.controlPlane, "control-plane", false,
+		"of voters, relays and nodes that follow them: three schedules a seed")
+	flags.IntVar(&tool.voters, "voters", 3, "of the control plane: 3 or 5")
+	return command
+}
+
+func (t *schedulesTool) run(command *cobra.Command, _ []string) error {
+	if t.controlPlane {
+		return t.playControlPlane(command)
+	}
+	return t.playCluster(command)
+}
+
+func (t *schedulesTool) playCluster(command *cobra.Command) error {
+	isValid := (t.replicas == 3 || t.replicas == 5) && t.members >= t.replicas && t.members <= maxScheduleMembers && t.seeds >= 1
+	if !isValid {
+		return cli.UsageError(fmt.Errorf("%d seeds of %d members with %d copies: give one at least, 3 or 5 copies, and as many members or up to %d",
+			t.seeds, t.members, t.replicas, maxScheduleMembers))
+	}
+	summary, err := simcluster.RunSchedules(command.Context(), t.firstSeed, t.seeds, t.members, t.replicas)
+	fmt.Fprintf(command.OutOrStdout(), "%d schedules, %d requests taken over, %d of %d logs served at the end, %d broken\n",
+		summary.Schedules, summary.TakenOver, summary.ServedLogs, summary.Logs, len(summary.Violating))
+	return printViolations(command, err, summary.Violating, summary.Schedules)
 }
 
-func planeSchedules(c *cobra.Command, from, seeds uint64, voters int) error {
-	if voters != 3 && voters != 5 || seeds < 1 {
-		return cli.UsageError(fmt.Errorf("%d seeds with %d voters: give one at least, and 3 or 5 voters", seeds, voters))
+func (t *schedulesTool) playControlPlane(command *cobra.Command) error {
+	if t.voters != 3 && t.voters != 5 || t.seeds < 1 {
+		return cli.UsageError(fmt.Errorf("%d seeds with %d voters: give one at least, and 3 or 5 voters", t.seeds, t.voters))
 	}
-	sum, err := simcontrolplane.PlayMany(c.Context(), from, seeds, simcontrolplane.StandardConfig(voters))
-	fmt.Fprintln(c.OutOrStdout(), sum)
-	for _, b := range sum.Violations {
-		fmt.Fprintln(c.OutOrStdout(), b)
+	config := simcontrolplane.StandardConfig(t.voters)
+	summary, err := simcontrolplane.PlayMany(command.Context(), t.firstSeed, t.seeds, config)
+	fmt.Fprintln(command.OutOrStdout(), summary)
+	return printViolations(command, err, summary.Violations, summary.Schedules)
+}
+
+// printViolations prints violations and returns the error that follows from them; err comes first.
+func printViolations[T any](command *cobra.Command, err error, violations []T, schedules int) error {
+	for _, violation := range violations {
+		fmt.Fprintln(command.OutOrStdout(), violation)
 	}
-	if err == nil && len(sum.Violations) > 0 {
-		return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d of %d schedules break a promise", len(sum.Violations), sum.Schedules), Silent: true}
+	if err == nil && len(violations) > 0 {
+		err = fmt.Errorf("%d of %d schedules break a guarantee", len(violations), schedules)
+		return &cli.Error{Status: cli.StatusCheckFailed, Err: err, Silent: true}
 	}
 	return err
 }
