--- a/cmd/pearknot-lab/schedules.go
+++ b/cmd/pearknot-lab/schedules.go
@@ -48,13 +48,13 @@
 	if voters != 3 && voters != 5 || seeds < 1 {
 		return cli.UsageError(fmt.Errorf("%d seeds with %d voters: give one at least, and 3 or 5 voters", seeds, voters))
 	}
-	sum, err := simcontrolplane.PlayMany(c.Context(), from, seeds, simcontrolplane.StandardConfig(voters))
+	sum, err := simcontrolplane.RunSchedules(c.Context(), from, seeds, simcontrolplane.StandardConfig(voters))
 	fmt.Fprintln(c.OutOrStdout(), sum)
-	for _, b := range sum.Violations {
+	for _, b := range sum.Violating {
 		fmt.Fprintln(c.OutOrStdout(), b)
 	}
-	if err == nil && len(sum.Violations) > 0 {
-		return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d of %d schedules break a promise", len(sum.Violations), sum.Schedules), Silent: true}
+	if err == nil && len(sum.Violating) > 0 {
+		return &cli.Error{Status: cli.StatusCheckFailed, Err: fmt.Errorf("%d of %d schedules break a promise", len(sum.Violating), sum.Schedules), Silent: true}
 	}
 	return err
 }
--- a/internal/lab/simcontrolplane/events.go
+++ b/internal/lab/simcontrolplane/events.go
@@ -4,9 +4,9 @@
 
 // event is work at a moment of virtual time.
 type event struct {
-	at  float64
-	seq int // orders events of the same moment as they were scheduled
-	do  func()
+	at       float64
+	sequence int // orders events of the same moment as they were scheduled
+	do       func()
 }
 
 // eventQueue is a heap of events, the earliest first.
@@ -15,7 +15,7 @@
 func (q eventQueue) Len() int      { return len(q) }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 func (q *eventQueue) Pop() any {
@@ -27,6 +27,6 @@
 
 // after schedules work some ms from now.
 func (c *Cluster) after(ms float64, do func()) {
-	c.eventSeq++
-	heap.Push(&c.events, event{c.now + ms, c.eventSeq, do})
+	c.sequence++
+	heap.Push(&c.events, event{c.now + ms, c.sequence, do})
 }
--- a/internal/lab/simcontrolplane/faults.go
+++ b/internal/lab/simcontrolplane/faults.go
@@ -33,15 +33,25 @@
 	throttledBytesPerMs = 1.0
 )
 
+// How schedules are drawn, in ms.
+const (
+	firstFaultSpreadMs              = 2000.0 // after startUpMs
+	minFaultMs, faultSpreadMs       = 200.0, 9000.0
+	overlapSpreadMs                 = 2500.0         // between the starts of overlapping faults
+	minRecoveryMs, recoverySpreadMs = 2000.0, 4000.0 // between faults one after the other
+	lastFaultEndMs                  = lengthMs - windDownMs
+	lastFaultStartMs                = lastFaultEndMs - 500
+)
+
 // Leader as a fault's process is the voter that leads when the fault begins.
 const Leader = -1
 
 // Fault is one thing that goes wrong for a while.
 type Fault struct {
-	At, Until float64 // ms from the start of the schedule
-	Kind      FaultKind
-	Process   int // voters come first, then relays, then nodes
-	Peer      int // the other process of FaultCut and FaultCutOneWay
+	Start, End float64 // ms from the start of the schedule
+	Kind       FaultKind
+	Process    int // voters come first, then relays, then nodes
+	Peer       int // the other process of FaultCut and FaultCutOneWay
 }
 
 // Schedule draws faults by a seed: one after the other or, if overlapping, several at once.
@@ -52,22 +62,22 @@
 	if overlapping {
 		count = 4 + rng.IntN(8)
 	}
-	at := startUpMs + rng.Float64()*2000
+	at := startUpMs + rng.Float64()*firstFaultSpreadMs
 	for range count {
-		fault := Fault{At: at, Kind: faultKinds[rng.IntN(len(faultKinds))], Process: rng.IntN(members)}
+		fault := Fault{Start: at, Kind: faultKinds[rng.IntN(len(faultKinds))], Process: rng.IntN(members)}
 		if rng.IntN(4) == 0 {
 			fault.Process = rng.IntN(config.processes())
 		}
 		if fault.Peer = rng.IntN(members); fault.Peer == fault.Process {
 			fault.Peer = (fault.Process + 1) % members
 		}
-		fault.Until = min(fault.At+200+rng.Float64()*rng.Float64()*9000, lengthMs-windDownMs)
+		fault.End = min(fault.Start+minFaultMs+rng.Float64()*rng.Float64()*faultSpreadMs, lastFaultEndMs)
 		if overlapping {
-			at += rng.Float64() * 2500
+			at += rng.Float64() * overlapSpreadMs
 		} else {
-			at = fault.Until + 2000 + rng.Float64()*4000
+			at = fault.End + minRecoveryMs + rng.Float64()*recoverySpreadMs
 		}
-		if fault.At < lengthMs-windDownMs-500 {
+		if fault.Start < lastFaultStartMs {
 			faults = append(faults, fault)
 		}
 	}
@@ -92,7 +102,7 @@
 		fault.Process = c.leaderOrFirst()
 	}
 	p := c.processes[fault.Process]
-	durationMs := fault.Until - fault.At
+	durationMs := fault.End - fault.Start
 	c.trace("%s %s %s until %.0f", fault.Kind, p.name, c.processes[fault.Peer].name, c.now+durationMs)
 	switch fault.Kind {
 	case FaultKill, FaultKillAndWipe:
--- a/internal/lab/simcontrolplane/reachability.go
+++ b/internal/lab/simcontrolplane/reachability.go
@@ -129,7 +129,7 @@
 func (a *auditor) quietParts(spans []span) (quiet []span) {
 	var changes []float64
 	for _, fault := range a.faults {
-		changes = append(changes, a.startedAt+fault.At, a.startedAt+fault.Until)
+		changes = append(changes, a.startedAt+fault.Start, a.startedAt+fault.End)
 	}
 	slices.Sort(changes)
 	from := a.startedAt
--- a/internal/lab/simcontrolplane/schedules.go
+++ b/internal/lab/simcontrolplane/schedules.go
@@ -31,47 +31,47 @@
 	return [...]FreshnessCheck{FreshnessByPath, FreshnessWhenQuiet, FreshnessAtEnd}[severity]
 }
 
-// Summary adds up many schedules.
-type Summary struct {
+// Totals adds up many schedules.
+type Totals struct {
 	Schedules, Acknowledged, Conflicts, Snapshots int
 
 	// Acknowledged versions at nodes in mild schedules: how many, those applied later than 2 s, and the latest in ms.
 	Pairs, LatePairs int
 	MaxLatenessMs    float64
 
-	Violations []Violation // in the order of their schedules
+	Violating []ViolatingSchedule // in the order of their schedules
 }
 
-func (s Summary) String() string {
+func (t Totals) String() string {
 	return fmt.Sprintf("%d schedules, %d changes acknowledged, %d rejected as of an older version, %d snapshots sent, %d with violations; "+
 		"one fault at a time: %d of %d versions at nodes later than 2 s, the latest %.1f s",
-		s.Schedules, s.Acknowledged, s.Conflicts, s.Snapshots, len(s.Violations), s.LatePairs, s.Pairs, s.MaxLatenessMs/1e3)
+		t.Schedules, t.Acknowledged, t.Conflicts, t.Snapshots, len(t.Violating), t.LatePairs, t.Pairs, t.MaxLatenessMs/1e3)
 }
 
-// Violation is a schedule in which a promise was broken, with as few faults as still break one.
-type Violation struct {
-	Seed     uint64
-	Severity Severity
-	Details  []string // what the auditor found with all of the schedule's faults
-	Faults   []Fault
+// ViolatingSchedule is a schedule in which a promise was broken, with as few faults as still break one.
+type ViolatingSchedule struct {
+	Seed       uint64
+	Severity   Severity
+	Violations []string // what the auditor found with all of the schedule's faults
+	Faults     []Fault
 }
 
-func (v Violation) String() string {
-	text := fmt.Sprintf("seed %d, %v: %s", v.Seed, v.Severity, v.Details[0])
+func (v ViolatingSchedule) String() string {
+	text := fmt.Sprintf("seed %d, %v: %s", v.Seed, v.Severity, v.Violations[0])
 	for _, fault := range v.Faults {
 		text += fmt.Sprintf("\n    %+v", fault)
 	}
 	return text
 }
 
-// compareSchedules orders violations as their schedules are played.
-func compareSchedules(a, b Violation) int {
-	schedule := func(v Violation) int { return int(v.Seed)*len(severities) + int(v.Severity) }
+// compareSchedules orders schedules as they are run.
+func compareSchedules(a, b ViolatingSchedule) int {
+	schedule := func(v ViolatingSchedule) int { return int(v.Seed)*len(severities) + int(v.Severity) }
 	return schedule(a) - schedule(b)
 }
 
-// play plays one schedule in a new cluster, which configure may change before.
-func play(seed uint64, config Config, severity Severity, faults []Fault, configure func(*Cluster)) (*Cluster, []string) {
+// runSchedule runs one schedule in a new cluster, which configure may change before.
+func runSchedule(seed uint64, config Config, severity Severity, faults []Fault, configure func(*Cluster)) (*Cluster, []string) {
 	c := New(seed, config)
 	c.MangleFrames = severity == SeverityMangled
 	if configure != nil {
@@ -80,8 +80,8 @@
 	return c, c.Run(faults, severity.freshnessCheck())
 }
 
-// PlayMany plays a schedule of each severity for each of some seeds, as many at once as there are processors.
-func PlayMany(ctx context.Context, firstSeed, seeds uint64, config Config) (summary Summary, err error) {
+// RunSchedules runs a schedule of each severity for each of some seeds, as many at once as there are processors.
+func RunSchedules(ctx context.Context, firstSeed, seeds uint64, config Config) (totals Totals, err error) {
 	var mu sync.Mutex
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.GOMAXPROCS(0))
@@ -91,44 +91,44 @@
 				if ctx.Err() != nil {
 					return ctx.Err()
 				}
-				c, violation := playDrawn(seed, config, severity)
+				c, violating := runDrawnSchedule(seed, config, severity)
 				mu.Lock()
 				defer mu.Unlock()
-				summary.add(c, severity, violation)
+				totals.add(c, severity, violating)
 				return nil
 			})
 		}
 	}
 	err = group.Wait()
-	slices.SortFunc(summary.Violations, compareSchedules)
-	return summary, err
+	slices.SortFunc(totals.Violating, compareSchedules)
+	return totals, err
 }
 
-// playDrawn plays the schedule of a seed. A violation, if not nil, has the faults shrunk.
-func playDrawn(seed uint64, config Config, severity Severity) (*Cluster, *Violation) {
+// runDrawnSchedule runs the schedule of a seed. It returns the cluster at its end, and the shrunk schedule if there were violations.
+func runDrawnSchedule(seed uint64, config Config, severity Severity) (*Cluster, *ViolatingSchedule) {
 	faults := Schedule(seed, config, severity != SeverityMild)
-	c, details := play(seed, config, severity, faults, nil)
-	if len(details) == 0 {
+	c, violations := runSchedule(seed, config, severity, faults, nil)
+	if len(violations) == 0 {
 		return c, nil
 	}
 	faults = Shrink(faults, func(fewer []Fault) bool {
-		_, details := play(seed, config, severity, fewer, nil)
-		return len(details) > 0
+		_, violations := runSchedule(seed, config, severity, fewer, nil)
+		return len(violations) > 0
 	})
-	return c, &Violation{Seed: seed, Severity: severity, Details: details, Faults: faults}
+	return c, &ViolatingSchedule{Seed: seed, Severity: severity, Violations: violations, Faults: faults}
 }
 
-func (s *Summary) add(c *Cluster, severity Severity, violation *Violation) {
-	s.Schedules++
-	s.Acknowledged += c.Acknowledged
-	s.Conflicts += c.Conflicts
-	s.Snapshots += c.Snapshots
+func (t *Totals) add(c *Cluster, severity Severity, violating *ViolatingSchedule) {
+	t.Schedules++
+	t.Acknowledged += c.Acknowledged
+	t.Conflicts += c.Conflicts
+	t.Snapshots += c.Snapshots
 	if severity == SeverityMild {
-		s.Pairs += c.auditor.pairs
-		s.LatePairs += c.auditor.latePairs
-		s.MaxLatenessMs = max(s.MaxLatenessMs, c.auditor.maxLatenessMs)
+		t.Pairs += c.auditor.pairs
+		t.LatePairs += c.auditor.latePairs
+		t.MaxLatenessMs = max(t.MaxLatenessMs, c.auditor.maxLatenessMs)
 	}
-	if violation != nil {
-		s.Violations = append(s.Violations, *violation)
+	if violating != nil {
+		t.Violating = append(t.Violating, *violating)
 	}
 }
--- a/internal/lab/simcontrolplane/simcontrolplane.go
+++ b/internal/lab/simcontrolplane/simcontrolplane.go
@@ -64,7 +64,7 @@
 
 	config    Config
 	now       float64 // ms
-	eventSeq  int
+	sequence  int
 	events    eventQueue
 	rng       *rand.Rand
 	processes []*process // voters, then relays, then nodes
@@ -116,7 +116,7 @@
 		c.after(c.drawMs(minFirstEditMs, firstEditSpreadMs), c.operate)
 	}
 	for _, fault := range faults {
-		c.after(fault.At, func() { c.inject(fault) })
+		c.after(fault.Start, func() { c.inject(fault) })
 	}
 	c.after(lengthMs-windDownMs, func() { c.isWindingDown = true })
 	c.after(auditAfterMs, c.auditRegularly)
--- a/internal/lab/simcontrolplane/simcontrolplane_test.go
+++ b/internal/lab/simcontrolplane/simcontrolplane_test.go
@@ -28,14 +28,14 @@
 // pearknot-lab schedules --control-plane.
 func TestDrawnSchedulesKeepPromises(t *testing.T) {
 	for voters, seeds := range map[int]uint64{3: 45, 5: 25} {
-		summary, err := PlayMany(t.Context(), 0, seeds, StandardConfig(voters))
+		totals, err := RunSchedules(t.Context(), 0, seeds, StandardConfig(voters))
 		require.NoError(t, err)
-		t.Log(summary)
-		require.Empty(t, summary.Violations)
-		require.Greater(t, summary.Acknowledged, 20*summary.Schedules)
-		require.Greater(t, summary.Conflicts, summary.Schedules)
-		require.Greater(t, summary.Snapshots, summary.Schedules)
-		require.Less(t, summary.LatePairs, summary.Pairs/100)
+		t.Log(totals)
+		require.Empty(t, totals.Violating)
+		require.Greater(t, totals.Acknowledged, 20*totals.Schedules)
+		require.Greater(t, totals.Conflicts, totals.Schedules)
+		require.Greater(t, totals.Snapshots, totals.Schedules)
+		require.Less(t, totals.LatePairs, totals.Pairs/100)
 	}
 }
 
@@ -69,7 +69,7 @@
 			bug:      controlplane.BugStayWithStaleServer,
 			severity: SeverityMild,
 			finding:  "could be reached",
-			faults:   []Fault{{At: 6000, Until: 15e3, Kind: FaultDeaf, Process: 1}},
+			faults:   []Fault{{Start: 6000, End: 15e3, Kind: FaultDeaf, Process: 1}},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 			found = fmt.Sprint(failure)
 		}
 	}()
-	_, violations := play(seed, smallConfig, severity, faults, func(c *Cluster) {
+	_, violations := runSchedule(seed, smallConfig, severity, faults, func(c *Cluster) {
 		c.InjectedBug, c.UnsyncedWrites = bug, bug == controlplane.NoInjectedBug
 	})
 	return strings.Join(violations, "; ")
@@ -106,7 +106,7 @@
 // faultsOn gives each of some processes the same fault.
 func faultsOn(kind FaultKind, untilMs float64, processes ...int) (faults []Fault) {
 	for _, process := range processes {
-		faults = append(faults, Fault{Until: untilMs, Kind: kind, Process: process})
+		faults = append(faults, Fault{End: untilMs, Kind: kind, Process: process})
 	}
 	return faults
 }
@@ -124,9 +124,9 @@
 		"the leader's region is cut off":    faultsOn(FaultCutRegion, 8000, Leader),
 		"the leader and a relay are killed": faultsOn(FaultKill, 4000, Leader, 6),
 		"all voters are killed": {
-			{Until: 1000, Kind: FaultKill, Process: 0},
-			{Until: 1200, Kind: FaultKill, Process: 1},
-			{Until: 1400, Kind: FaultKill, Process: 2},
+			{End: 1000, Kind: FaultKill, Process: 0},
+			{End: 1200, Kind: FaultKill, Process: 1},
+			{End: 1400, Kind: FaultKill, Process: 2},
 		},
 		"all members are killed, and three relays' copies lost": append(faultsOn(FaultKill, 1000, 0, 1, 2, 3), faultsOn(FaultKillAndWipe, 1000, 4, 5, 6)...),
 		"all members are frozen":                                faultsOn(FaultFreeze, 3000, 0, 1, 2, 3, 4, 5, 6),
@@ -154,8 +154,8 @@
 			return
 		}
 		for _, fault := range faults {
-			if fault.At = c.elapsed(); fault.Until < 60e3 {
-				fault.Until += fault.At
+			if fault.Start = c.elapsed(); fault.End < 60e3 {
+				fault.End += fault.Start
 			}
 			c.auditor.faults = append(c.auditor.faults, fault)
 			c.after(0, func() { c.inject(fault) })
@@ -178,7 +178,7 @@
 		{8, 5, SeverityHarsh, "a node that was mute for longer than its lease, on a connection that stayed open, was known again without its region"},
 	} {
 		config := StandardConfig(test.voters)
-		_, violations := play(test.seed, config, test.severity, Schedule(test.seed, config, test.severity != SeverityMild), nil)
+		_, violations := runSchedule(test.seed, config, test.severity, Schedule(test.seed, config, test.severity != SeverityMild), nil)
 		require.Empty(t, violations, test.story)
 	}
 }
@@ -195,8 +195,8 @@
 		var dials int
 		c.after(5000, func() { dials = c.processes[node].dials })
 		violations := c.Run([]Fault{
-			{At: 4000, Until: untilMs, Kind: FaultThrottle, Process: node},
-			{At: 4500, Until: 4600, Kind: FaultKillAndWipe, Process: node},
+			{Start: 4000, End: untilMs, Kind: FaultThrottle, Process: node},
+			{Start: 4500, End: 4600, Kind: FaultKillAndWipe, Process: node},
 		}, FreshnessWhenQuiet)
 		require.Empty(t, violations, "seed %d", seed)
 		require.LessOrEqual(t, c.processes[node].dials-dials, 1, "seed %d: it keeps its connection", seed)
