--- a/cmd/pearknot-lab/schedules.go
+++ b/cmd/pearknot-lab/schedules.go
@@ -69,9 +69,9 @@
 		return cli.UsageError(fmt.Errorf("%d seeds with %d voters: give one at least, and 3 or 5 voters", t.seeds, t.voters))
 	}
 	config := simcontrolplane.StandardConfig(t.voters)
-	summary, err := simcontrolplane.PlayMany(command.Context(), t.firstSeed, t.seeds, config)
+	summary, err := simcontrolplane.RunSchedules(command.Context(), t.firstSeed, t.seeds, config)
 	fmt.Fprintln(command.OutOrStdout(), summary)
-	return printViolations(command, err, summary.Violations, summary.Schedules)
+	return printViolations(command, err, summary.Violating, summary.Schedules)
 }
 
 // printViolations prints violations and returns the error that follows from them; err comes first.
