--- a/internal/lab/capacity/cost_node.go
+++ b/internal/lab/capacity/cost_node.go
@@ -3,7 +3,6 @@
 const (
 	linkGroupSize      = 5.0  // processes that link to each other in place of all
 	recordsKeptSeconds = 60.0 // for which takeover keeps the records of requests
-
 )
 
 // listChangesPerDay counts the changes of the endpoint list in a day.
@@ -28,11 +27,14 @@
 	s.begin(roleNodeControl, eventQuiet)
 	memory := s.slopes.at("start.backends.rss", t.Backends).plus(s.slopes.increase("start.tenants.rss", t.Tenants))
 	s.add("memory: backends, tenants", memory, "MB", t.Limit.NodeMemoryMB, mechanismProcess)
-	s.add("watch on discovery, both ways", s.slopes.at("node.bytes", t.Backends), "B/s", t.Limit.NodeBytesPerSecond, mechanismWatch)
+	s.add("watch on discovery, both ways", s.slopes.at("node.bytes", t.Backends),
+		"B/s", t.Limit.NodeBytesPerSecond, mechanismWatch)
 	s.add("watch on discovery, processor time", s.slopes.at("node.cpu", t.Backends), "ms/s", core, mechanismWatch)
-	s.add("links to all other members, sent", s.slopes.at("links.bytes", t.Nodes), "B/s", t.Limit.NodeBytesPerSecond, mechanismMesh)
+	s.add("links to all other members, sent", s.slopes.at("links.bytes", t.Nodes),
+		"B/s", t.Limit.NodeBytesPerSecond, mechanismMesh)
 	s.add("links to all other members, processor time", s.slopes.at("links.cpu", t.Nodes), "ms/s", core, mechanismMesh)
-	s.add("links within a group of 5, sent", s.slopes.at("links.bytes", linkGroupSize), "B/s", t.Limit.NodeBytesPerSecond, mechanismMesh)
+	s.add("links within a group of 5, sent", s.slopes.at("links.bytes", linkGroupSize),
+		"B/s", t.Limit.NodeBytesPerSecond, mechanismMesh)
 }
 
 // addNodeChanges adds what a node spends on changes of its configuration and of the endpoint list.
@@ -48,24 +50,27 @@
 	s.begin(roleNodeControl, eventConfigChange)
 	s.add("seconds on the wire at the node's rate", settings.times(1/rate), "s", inForce, mechanismFile)
 	s.add("seconds of reading at the node's share of a core", reading.times(1/core), "s", inForce, mechanismFile)
-	s.add("processor time of a real node for it, seconds at its share of a core", s.slopes.at("reload.cpu", t.Tenants).times(1/core),
-		"s", inForce, mechanismFile)
+	s.add("processor time of a real node for it, seconds at its share of a core",
+		s.slopes.at("reload.cpu", t.Tenants).times(1/core), "s", inForce, mechanismFile)
 	peak := s.slopes.at("start.backends.rss", t.Backends).plus(s.slopes.increase("reload.peak", t.Tenants))
 	s.add("most memory of a real node meanwhile", peak, "MB", t.Limit.NodeMemoryMB, mechanismFile)
 
 	s.begin(roleNodeControl, eventDayOfFailures)
 	changesPerSecond := t.listChangesPerDay() * t.backendShare() / secondsPerDay
-	s.add("changes of the list, got", s.slopes.at("node.change.bytes", t.Backends).times(changesPerSecond), "B/s", rate, mechanismWatch)
-	s.add("changes of the list, processor time", s.slopes.at("node.change.cpu", t.Backends).times(changesPerSecond), "ms/s", core, mechanismWatch)
+	s.add("changes of the list, got", s.slopes.at("node.change.bytes", t.Backends).times(changesPerSecond),
+		"B/s", rate, mechanismWatch)
+	s.add("changes of the list, processor time", s.slopes.at("node.change.cpu", t.Backends).times(changesPerSecond),
+		"ms/s", core, mechanismWatch)
 
 	s.begin(roleNodeControl, "a rack goes")
-	s.add("seconds to hear of it at the node's rate", s.slopes.at("list.bytes", t.Assumed.RackMachines).times(1/rate), "s", inForce, mechanismWatch)
+	s.add("seconds to hear of it at the node's rate", s.slopes.at("list.bytes", t.Assumed.RackMachines).times(1/rate),
+		"s", inForce, mechanismWatch)
 
 	s.begin(roleNodeControl, eventZoneFails)
 	s.add("seconds to hear of it at the node's rate", s.slopes.at("node.zone.bytes", t.Backends).times(zoneFraction/t.Zones/rate),
 		"s", inForce, mechanismWatch)
-	s.add("processor time for it, seconds at the node's share of a core", s.slopes.at("node.zone.cpu", t.Backends).times(zoneFraction/t.Zones/core),
-		"s", inForce, mechanismWatch)
+	s.add("processor time for it, seconds at the node's share of a core",
+		s.slopes.at("node.zone.cpu", t.Backends).times(zoneFraction/t.Zones/core), "s", inForce, mechanismWatch)
 }
 
 // addNodeStart adds what a node spends to become ready, and to catch up after its region was cut off.
@@ -90,14 +95,17 @@
 	t, limit := s.target, s.target.Limit.AddedMs
 	s.begin(roleNodeRequests, "peak")
 	s.addAddedLatency("added.64.")
-	s.add("a request decided, all backends in one list", s.slopes.at("module.backends.decided", t.Backends).times(msPerUs), "ms", limit, mechanismScan)
+	s.add("a request decided, all backends in one list", s.slopes.at("module.backends.decided", t.Backends).times(msPerUs),
+		"ms", limit, mechanismScan)
 	s.add("a request decided, by tenants (200 backends)", s.slopes.at("module.tenants.decided", t.Tenants).times(msPerUs),
 		"ms", limit, mechanismTenantSums)
 	perSecond := t.nodeRequestRate() * msPerUs
-	s.add("processor time, all backends in one list", s.slopes.at("added.64.backends.cpu", t.Backends).times(perSecond), "ms/s", 0, mechanismScan)
-	s.add("processor time, by tenants", s.slopes.at("added.64.tenants.cpu", t.Tenants).times(perSecond), "ms/s", 0, mechanismTenantSums)
-	s.add("processor time, one service's backends, few tenants", s.slopes.at("added.64.backends.cpu", t.backendsPerService()).times(perSecond),
+	s.add("processor time, all backends in one list", s.slopes.at("added.64.backends.cpu", t.Backends).times(perSecond),
 		"ms/s", 0, mechanismScan)
+	s.add("processor time, by tenants", s.slopes.at("added.64.tenants.cpu", t.Tenants).times(perSecond),
+		"ms/s", 0, mechanismTenantSums)
+	s.add("processor time, one service's backends, few tenants",
+		s.slopes.at("added.64.backends.cpu", t.backendsPerService()).times(perSecond), "ms/s", 0, mechanismScan)
 	s.add("1,000 connections of clients, memory", s.slopes.increase("connections.rss", 1000), "MB", 0, mechanismProcess)
 	s.add("1,000 requests that wait, memory", s.slopes.increase("waiting.rss", 1000), "MB", 0, mechanismProcess)
 	s.begin(roleNodeRequests, "ten times the peak")
@@ -107,10 +115,11 @@
 // addAddedLatency adds the latency that a node adds to a request, by the slopes of one request rate.
 func (s *costSheet) addAddedLatency(keyPrefix string) {
 	t, limit := s.target, s.target.Limit.AddedMs
-	s.add("added for 99 in 100, all backends in one list", s.slopes.at(keyPrefix+"backends.99", t.Backends), "ms", limit, mechanismScan)
-	s.add("added for 99 in 100, by tenants", s.slopes.at(keyPrefix+"tenants.99", t.Tenants), "ms", limit, mechanismTenantSums)
-	s.add("added for 99 in 100, one service's backends, few tenants", s.slopes.at(keyPrefix+"backends.99", t.backendsPerService()),
+	s.add("added for 99 in 100, all backends in one list", s.slopes.at(keyPrefix+"backends.99", t.Backends),
 		"ms", limit, mechanismScan)
+	s.add("added for 99 in 100, by tenants", s.slopes.at(keyPrefix+"tenants.99", t.Tenants), "ms", limit, mechanismTenantSums)
+	s.add("added for 99 in 100, one service's backends, few tenants",
+		s.slopes.at(keyPrefix+"backends.99", t.backendsPerService()), "ms", limit, mechanismScan)
 }
 
 // addNodeRecords adds what a node keeps of its requests, in captures and for takeover.
--- a/internal/lab/capacity/result_test.go
+++ b/internal/lab/capacity/result_test.go
@@ -10,7 +10,13 @@
 )
 
 func TestReadResult(t *testing.T) {
-	result := &Result{Machine: "a machine", Load: Load{Min: 3, Max: 9}, RowPrefix: "links", IsQuick: true, Slopes: []*Slope{newLinksSlope()}}
+	result := &Result{
+		Machine:   "a machine",
+		IsQuick:   true,
+		RowPrefix: "links",
+		Load:      Load{Min: 3, Max: 9},
+		Slopes:    []*Slope{newLinksSlope()},
+	}
 	file := filepath.Join(t.TempDir(), "r.json")
 	require.NoError(t, os.WriteFile(file, result.Encode(), 0o600))
 	read, err := ReadResult(file)
--- a/internal/lab/knownred/main_test.go
+++ b/internal/lab/knownred/main_test.go
@@ -267,8 +267,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			known := cmp.Or(c.known, "red TestA/b: it is red (issue 51)\n")
 			m.write(t, "KNOWN-RED.txt", known)
-			text, err := format.Source([]byte("package red\n\nimport (\n\"os\"\n\"testing\"\n)\n\nvar _ = os.Exit\n\nfunc TestA(t *testing.T) {\n" +
-				c.body + "\n}\n\n" + c.more))
+			const head = "package red\n\nimport (\n\"os\"\n\"testing\"\n)\n\nvar _ = os.Exit\n\n"
+			text, err := format.Source([]byte(head + "func TestA(t *testing.T) {\n" + c.body + "\n}\n\n" + c.more))
 			require.NoError(t, err)
 			m.write(t, "red_test.go", string(text))
 			m.write(t, "other/other.go", "package other\n")
--- a/internal/lab/logstats/logstats_test.go
+++ b/internal/lab/logstats/logstats_test.go
@@ -38,6 +38,7 @@
 
 // A line with an attribute that is no number is an error with its place, so that no figure silently lacks it.
 func TestReadMalformedLine(t *testing.T) {
-	err := New().Read("n0", strings.NewReader("msg=serving\nmsg=\"attempt ended\" attempt=0 outcome=answered at_ms=1 after_ms=x cost_hint=1\n"))
+	const malformedLog = "msg=serving\nmsg=\"attempt ended\" attempt=0 outcome=answered at_ms=1 after_ms=x cost_hint=1\n"
+	err := New().Read("n0", strings.NewReader(malformedLog))
 	assert.EqualError(t, err, `n0:2: after_ms is no number: "x"`)
 }
