--- a/internal/lab/simcontrolplane/simcontrolplane.go
+++ b/internal/lab/simcontrolplane/simcontrolplane.go
@@ -64,7 +64,7 @@
 
 	config    Config
 	now       float64 // ms
-	eventSeq  int
+	sequence  int
 	events    eventQueue
 	rng       *rand.Rand
 	processes []*process // voters, then relays, then nodes
@@ -113,10 +113,10 @@
 		c.after(c.rng.Float64()*processStartSpreadMs, func() { c.start(p) })
 	}
 	for range operators {
-		c.after(500+c.rng.Float64()*1500, c.operate)
+		c.after(c.drawMs(minFirstEditMs, firstEditSpreadMs), c.operate)
 	}
 	for _, fault := range faults {
-		c.after(fault.At, func() { c.inject(fault) })
+		c.after(fault.Start, func() { c.inject(fault) })
 	}
 	c.after(lengthMs-windDownMs, func() { c.isWindingDown = true })
 	c.after(auditAfterMs, c.auditRegularly)
@@ -136,6 +136,9 @@
 // elapsed is the time since the start of the schedule, in ms.
 func (c *Cluster) elapsed() float64 { return c.now - c.auditor.startedAt }
 
+// drawMs draws a duration of at least minMs, and at most spreadMs longer.
+func (c *Cluster) drawMs(minMs, spreadMs float64) float64 { return minMs + c.rng.Float64()*spreadMs }
+
 func (c *Cluster) trace(format string, args ...any) {
 	if c.Trace != nil {
 		c.Trace("%.0f "+format, append([]any{c.now}, args...)...)
