--- a/cmd/pearknot/cluster_rig_test.go
+++ b/cmd/pearknot/cluster_rig_test.go
@@ -27,6 +27,7 @@
 	"pearknot/internal/invariants"
 	"pearknot/internal/lab/faultproxy"
 	"pearknot/internal/requestlog"
+	"pearknot/internal/testlog"
 )
 
 // cluster is several real processes that log each other's requests. Each directed link between two of them goes through a
@@ -46,7 +47,7 @@
 	started      map[string]chan struct{}
 	blocked      map[string]chan struct{} // backends answer once it is closed
 	keys         *invariants.KeyAuditor
-	logs         []*lockedBuffer // of all incarnations
+	logs         []*testlog.Buffer // of all incarnations
 	incarnations int
 	served       int
 	failed       int
@@ -59,24 +60,7 @@
 	ended   chan struct{}
 	address string
 	control string
-	log     *lockedBuffer
-}
-
-type lockedBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
-}
-
-func (l *lockedBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.Write(p)
-}
-
-func (l *lockedBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.String()
+	log     *testlog.Buffer
 }
 
 const clusterSettings = `{"az":0,"balancers":3,"benefitBy":"request","bounds":{"cancel":true,"connIdle":15000,"connectTimeout":250,
@@ -154,7 +138,7 @@
 	require.NoError(c.t, os.WriteFile(config, fmt.Appendf(nil, `{"name":"n%d","listen":"%s","discovery":%q,"seed":"8c1%d",
 "limits":{"cores":1,"memory_mb":192,"sockets":512},"known":{"rev":41,"all":true,"targets":[%s]},"settings":%s}`, k, listen, c.discovery, k, c.list, clusterSettings), 0o600))
 	c.incarnations++
-	n := &clusterNode{control: filepath.Join(c.dir, fmt.Sprintf("n%d-%d.sock", k, c.incarnations)), log: &lockedBuffer{}, ended: make(chan struct{})}
+	n := &clusterNode{control: filepath.Join(c.dir, fmt.Sprintf("n%d-%d.sock", k, c.incarnations)), log: &testlog.Buffer{}, ended: make(chan struct{})}
 	process, address, stderr := launchProgram(c.t, nextProgram(), "serve", "-config", config, "--peers", file, "--control", n.control)
 	n.cmd, n.address = process, address
 	go func() {
--- a/cmd/pearknot/controlplane_rig_test.go
+++ b/cmd/pearknot/controlplane_rig_test.go
@@ -24,6 +24,7 @@
 	"pearknot/internal/controlplane/client"
 	"pearknot/internal/controlsocket"
 	"pearknot/internal/lab/faultproxy"
+	"pearknot/internal/testlog"
 )
 
 // controlPlaneRig is a control plane of real processes. Each link from a process to a member goes through a fault-injecting
@@ -42,7 +43,7 @@
 type rigProcess struct {
 	cmd     *exec.Cmd
 	ended   chan struct{}
-	log     *lockedBuffer
+	log     *testlog.Buffer
 	control string
 	address string // of a node
 }
@@ -131,7 +132,7 @@
 
 // startProcess starts a process and waits until it logs that it is ready. It is killed at the test's end.
 func (rig *controlPlaneRig) startProcess(name, ready string, args ...string) *rigProcess {
-	process := &rigProcess{cmd: exec.Command(nextProgram(), args...), ended: make(chan struct{}), log: &lockedBuffer{}}
+	process := &rigProcess{cmd: exec.Command(nextProgram(), args...), ended: make(chan struct{}), log: &testlog.Buffer{}}
 	stderr, err := process.cmd.StderrPipe()
 	require.NoError(rig.t, err)
 	require.NoError(rig.t, process.cmd.Start())
--- a/cmd/pearknot/idleclients_test.go
+++ b/cmd/pearknot/idleclients_test.go
@@ -133,7 +133,7 @@
 		<-time.After(2 * pressureInterval) // the pace at which requests come
 	}
 	list.setMode(discoveryRefusing)
-	require.Eventually(t, func() bool { return log.count(`msg="endpoint list poll failed"`) >= 1 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return log.Count(`msg="endpoint list poll failed"`) >= 1 }, 20*time.Second, time.Millisecond)
 	ask()
 	assert.GreaterOrEqual(t, served[0].Load()-before, int64(4))
 	assert.LessOrEqual(t, dials[0].Load()-dialled, int64(2), "the node keeps its connections to backends")
--- a/cmd/pearknot/node_rig_test.go
+++ b/cmd/pearknot/node_rig_test.go
@@ -22,6 +22,7 @@
 	"github.com/stretchr/testify/require"
 
 	"pearknot/internal/lab/program"
+	"pearknot/internal/testlog"
 )
 
 var nodeProgram string
@@ -209,8 +210,7 @@
 
 // logLines collects the log of a process.
 type logLines struct {
-	mu    sync.Mutex
-	text  strings.Builder
+	testlog.Buffer
 	ended chan struct{}
 }
 
@@ -220,27 +220,18 @@
 	go func() {
 		defer close(lines.ended)
 		for scan := bufio.NewScanner(from); scan.Scan(); {
-			lines.mu.Lock()
-			lines.text.WriteString(scan.Text() + "\n")
-			lines.mu.Unlock()
+			fmt.Fprintln(lines, scan.Text())
 		}
 	}()
 	t.Cleanup(func() {
 		if t.Failed() {
-			lines.mu.Lock()
-			defer lines.mu.Unlock()
-			t.Log(lines.text.String())
+			t.Log(lines.String())
 		}
 	})
 	return lines
 }
 
-func (lines *logLines) count(text string) int {
-	lines.mu.Lock()
-	defer lines.mu.Unlock()
-	return strings.Count(lines.text.String(), text)
-}
-
+// hasEnded reports whether the log has ended, and with it the process.
 func (lines *logLines) hasEnded() bool {
 	select {
 	case <-lines.ended:
@@ -257,8 +248,7 @@
 	return status, stdout.String() + stderr.String()
 }
 
-func (lines *logLines) find(what *regexp.Regexp) string {
-	lines.mu.Lock()
-	defer lines.mu.Unlock()
-	return what.FindStringSubmatch(lines.text.String())[1]
+// find returns the first submatch of a pattern in the log.
+func (lines *logLines) find(pattern *regexp.Regexp) string {
+	return pattern.FindStringSubmatch(lines.String())[1]
 }
--- a/cmd/pearknot/ready_rig_test.go
+++ b/cmd/pearknot/ready_rig_test.go
@@ -41,7 +41,7 @@
 		node.replaceInConfig(`"known":{"rev":41,"all":true,"targets":[`+entry+`]},`, "")
 	}
 	node.start()
-	require.Eventually(t, func() bool { return node.log.count("msg=serving") > 0 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return node.log.Count("msg=serving") > 0 }, 20*time.Second, time.Millisecond)
 	node.address = node.log.find(servingLine)
 	node.replaceInConfig(`.1:0"`, `.1:`+node.address[strings.LastIndexByte(node.address, ':')+1:]+`"`)
 	node.waitUntilReady()
@@ -83,7 +83,7 @@
 	since := node.begun
 	if !known && !startModes[mode] {
 		require.Eventually(node.t, func() bool {
-			return node.log.count(`msg="endpoint list poll failed"`) > 0 && node.log.count("msg=serving") > 0
+			return node.log.Count(`msg="endpoint list poll failed"`) > 0 && node.log.Count("msg=serving") > 0
 		},
 			20*time.Second, time.Millisecond)
 		require.Equal(node.t, http.StatusServiceUnavailable, node.health())
--- a/cmd/pearknot/upgrade_rig_test.go
+++ b/cmd/pearknot/upgrade_rig_test.go
@@ -17,6 +17,8 @@
 	"testing"
 	"time"
 
+	"pearknot/internal/testlog"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
@@ -79,14 +81,7 @@
 	*exec.Cmd
 	adminAddress string
 	ended        chan struct{}
-	mu           sync.Mutex
-	output       bytes.Buffer
-}
-
-func (process *upgradeProcess) log() string {
-	process.mu.Lock()
-	defer process.mu.Unlock()
-	return process.output.String()
+	log          testlog.Buffer
 }
 
 // startProcess starts a process. If serves is set it waits until the process is ready.
@@ -100,9 +95,7 @@
 	go func() {
 		defer close(process.ended)
 		for lines := bufio.NewScanner(stderr); lines.Scan(); {
-			process.mu.Lock()
-			process.output.WriteString(lines.Text() + "\n")
-			process.mu.Unlock()
+			fmt.Fprintln(&process.log, lines.Text())
 			if _, after, ok := strings.Cut(lines.Text(), "control="); ok && strings.Contains(lines.Text(), "msg=serving") {
 				serving <- strings.Fields(after)[0]
 			}
@@ -114,7 +107,7 @@
 		select {
 		case process.adminAddress = <-serving:
 		case <-time.After(20 * time.Second):
-			rig.t.Fatal("never served: " + process.log())
+			rig.t.Fatal("never served: " + process.log.String())
 		}
 		require.Eventually(rig.t, func() bool { status, _ := runProgram("call", process.adminAddress, "health"); return status == 0 }, 10*time.Second, 5*time.Millisecond)
 	}
@@ -172,7 +165,7 @@
 	select {
 	case <-process.ended:
 	case <-time.After(3700 * time.Millisecond):
-		rig.t.Fatal("SIGKILL would have come: " + process.log())
+		rig.t.Fatal("SIGKILL would have come: " + process.log.String())
 	}
-	assert.Contains(rig.t, process.log(), `msg="node stopped" unanswered=0`)
+	assert.Contains(rig.t, process.log.String(), `msg="node stopped" unanswered=0`)
 }
--- a/cmd/pearknot/upgrade_test.go
+++ b/cmd/pearknot/upgrade_test.go
@@ -30,7 +30,7 @@
 	out := rig.backends[1].Load()
 	for range 3 {
 		next := rig.startProcess(true)
-		assert.Contains(t, next.log(), "cordoned=1")
+		assert.Contains(t, next.log.String(), "cordoned=1")
 		rig.waitForRequests(100)
 		rig.stop(now)
 		rig.waitForRequests(100)
@@ -63,9 +63,9 @@
 
 	// The new process is killed before it is ready: the old one serves on.
 	early := rig.startProcess(false)
-	require.Eventually(t, func() bool { return strings.Contains(older.log(), "successor process connected") }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(older.log.String(), "successor process connected") }, 10*time.Second, time.Millisecond)
 	require.NoError(t, early.Process.Kill())
-	require.Eventually(t, func() bool { return strings.Contains(older.log(), "this one continues") }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(older.log.String(), "this one continues") }, 10*time.Second, time.Millisecond)
 	rig.waitForRequests(50)
 
 	// The new process is killed after it was ready. The connections that the kernel had queued there, and those of its
@@ -74,7 +74,7 @@
 	rig.waitForRequests(50)
 	require.NoError(t, late.Process.Kill())
 	<-late.ended
-	require.Eventually(t, func() bool { return strings.Count(older.log(), "this one continues") == 2 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Count(older.log.String(), "this one continues") == 2 }, 10*time.Second, time.Millisecond)
 	rig.waitForRequests(50)
 	stop()
 	rig.mu.Lock()
@@ -87,7 +87,7 @@
 	stop()
 	require.NoError(t, older.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, older.Process.Kill())
-	require.Eventually(t, func() bool { return strings.Contains(newer.log(), "predecessor process ended") }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(newer.log.String(), "predecessor process ended") }, 10*time.Second, time.Millisecond)
 	stop = rig.startLoad(4)
 	rig.waitForRequests(50)
 	last := rig.startProcess(true)
@@ -95,7 +95,7 @@
 	rig.waitForRequests(50)
 	stop()
 	assert.Empty(t, rig.clientErrors)
-	assert.Contains(t, last.log(), "state taken over from the predecessor process")
+	assert.Contains(t, last.log.String(), "state taken over from the predecessor process")
 }
 
 // An operator's calls at either process take effect at both. A new process takes over a node that is quiesced as it is.
@@ -151,7 +151,7 @@
 		require.NoError(t, os.WriteFile(rig.file, bad, 0o600))
 		process := rig.startProcess(false)
 		<-process.ended
-		assert.Equal(t, 1, process.ProcessState.ExitCode(), process.log())
+		assert.Equal(t, 1, process.ProcessState.ExitCode(), process.log.String())
 	}
 	require.NoError(t, os.WriteFile(rig.file, text, 0o600))
 	status, output := runProgram("call", older.adminAddress, "health")
@@ -185,15 +185,17 @@
 	gateOfDiscovery.Store(&gate)
 	stop := rig.startLoad(8)
 	next := rig.startProcess(false)
-	require.Eventually(t, func() bool { return strings.Contains(next.log(), "state taken over from the predecessor process") }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool {
+		return strings.Contains(next.log.String(), "state taken over from the predecessor process")
+	}, 10*time.Second, time.Millisecond)
 	require.NoError(t, older.Process.Signal(syscall.SIGTERM))
-	require.Eventually(t, func() bool { return strings.Contains(older.log(), "msg=draining") }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(older.log.String(), "msg=draining") }, 10*time.Second, time.Millisecond)
 	close(gate)
 	<-older.ended
 	rig.waitForRequests(50)
 	stop()
-	assert.Contains(t, older.log(), "handing off to the successor process")
-	assert.Contains(t, older.log(), `msg="node stopped" unanswered=0`)
+	assert.Contains(t, older.log.String(), "handing off to the successor process")
+	assert.Contains(t, older.log.String(), `msg="node stopped" unanswered=0`)
 	assert.Empty(t, rig.clientErrors)
 	for id, times := range rig.attempts {
 		assert.Equal(t, 1, times, id)
--- a/internal/controlplane/client/client_test.go
+++ b/internal/controlplane/client/client_test.go
@@ -9,7 +9,6 @@
 	"os"
 	"path/filepath"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -20,27 +19,11 @@
 
 	"pearknot/internal/clock"
 	"pearknot/internal/controlplane"
+	"pearknot/internal/testlog"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type logBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
-}
-
-func (l *logBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.Write(p)
-}
-
-func (l *logBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.String()
-}
-
 // Whatever is wrong in the file, or with the keys, is one line with its place. deploy/control-plane.toml can be read as it is.
 func TestFileErrorsNameTheirPlace(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/control-plane.toml")
@@ -130,7 +113,7 @@
 // A second process starts beside the one that writes the copy. It reads the copy, can't write it, and writes once the first has ended.
 // A damaged copy is set aside with one line in the log.
 func TestCopyStoreHasOneWriter(t *testing.T) {
-	file, log := filepath.Join(t.TempDir(), "state", "n1.copy"), &logBuffer{}
+	file, log := filepath.Join(t.TempDir(), "state", "n1.copy"), &testlog.Buffer{}
 	logger := slog.New(slog.NewTextHandler(log, nil))
 	first, stored, err := OpenCopyStore(file, "f", logger)
 	require.NoError(t, err)
--- a/internal/controlplane/member/member_test.go
+++ b/internal/controlplane/member/member_test.go
@@ -10,7 +10,6 @@
 	"os"
 	"path/filepath"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -25,27 +24,11 @@
 	"pearknot/internal/controlplane/client"
 	"pearknot/internal/peers/transport"
 	"pearknot/internal/snapshot"
+	"pearknot/internal/testlog"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type logBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
-}
-
-func (l *logBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.Write(p)
-}
-
-func (l *logBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.String()
-}
-
 func testEntry(index, term uint64) *pb.Entry {
 	return &pb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Type: pb.EntryNormal.Enum(), Data: fmt.Appendf(nil, "%d of %d", index, term)}
 }
@@ -183,9 +166,9 @@
 }
 
 // startMember runs a member until the test's end, and returns its log.
-func startMember(t *testing.T, plane *client.ControlPlane, name string, options Options) *logBuffer {
+func startMember(t *testing.T, plane *client.ControlPlane, name string, options Options) *testlog.Buffer {
 	t.Helper()
-	log, ended := &logBuffer{}, make(chan error, 1)
+	log, ended := &testlog.Buffer{}, make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { ended <- Run(ctx, plane, name, options, slog.New(slog.NewTextHandler(log, nil))) }()
 	t.Cleanup(func() {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -8,7 +8,6 @@
 	"log/slog"
 	"net"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -19,30 +18,13 @@
 	"pearknot/internal/peers/transport"
 	"pearknot/internal/requestlog"
 	"pearknot/internal/snapshot"
+	"pearknot/internal/testlog"
 )
 
 var testKey, otherKey = bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)
 
-// logBuffer holds log lines that several goroutines write.
-type logBuffer struct {
-	mu     sync.Mutex
-	buffer bytes.Buffer
-}
-
-func (l *logBuffer) Write(data []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.buffer.Write(data)
-}
-
-func (l *logBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.buffer.String()
-}
-
-// rejections counts the logged lines of rejected connections.
-func (l *logBuffer) rejections() int { return strings.Count(l.String(), "peer connection rejected") }
+// countRejections counts the logged lines of rejected connections.
+func countRejections(log *testlog.Buffer) int { return log.Count("peer connection rejected") }
 
 func freeAddress(t *testing.T) string {
 	t.Helper()
@@ -63,10 +45,10 @@
 }
 
 // startFleet starts the three members of a fleet. changeLast changes the configuration of the last one; nil is no change.
-func startFleet(t *testing.T, config Config, changeLast func(*Config)) (fleet []*Peers, logs []*logBuffer) {
+func startFleet(t *testing.T, config Config, changeLast func(*Config)) (fleet []*Peers, logs []*testlog.Buffer) {
 	t.Helper()
 	for self := range config.Members {
-		own, log := config, &logBuffer{}
+		own, log := config, &testlog.Buffer{}
 		own.Self = self
 		if self == 2 && changeLast != nil {
 			changeLast(&own)
@@ -166,7 +148,7 @@
 				return isLogged && connectedPeers(t, fleet[0]) == 1 && connectedPeers(t, fleet[1]) == 1
 			}, 10*time.Second, 10*time.Millisecond)
 			require.Zero(t, connectedPeers(t, fleet[2]))
-			require.Less(t, logs[0].rejections(), 15)
+			require.Less(t, countRejections(logs[0]), 15)
 		})
 	}
 	// A key is changed without a gap: both keys are accepted, whichever is used to prove.
@@ -211,7 +193,7 @@
 	}
 	require.Eventually(t, func() bool { return connectedPeers(t, fleet[0]) == 2 }, 10*time.Second, 10*time.Millisecond,
 		"the real member connects again")
-	require.Less(t, logs[0].rejections(), 15)
+	require.Less(t, countRejections(logs[0]), 15)
 	require.NotContains(t, logs[0].String(), "panic")
 }
 
--- /dev/null
+++ b/internal/testlog/testlog.go
@@ -0,0 +1,31 @@
+// Package testlog collects what a process or a component logs while a test runs.
+package testlog
+
+import (
+	"bytes"
+	"strings"
+	"sync"
+)
+
+// Buffer collects log lines. It may be written by several goroutines, and read while they write. The zero value is empty.
+type Buffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
+}
+
+// Write appends to the buffer. It never fails.
+func (b *Buffer) Write(data []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buffer.Write(data)
+}
+
+// String returns all that was written so far.
+func (b *Buffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buffer.String()
+}
+
+// Count returns how often a text was written so far.
+func (b *Buffer) Count(text string) int { return strings.Count(b.String(), text) }
