--- a/internal/server/client_gone_logged_test.go
+++ b/internal/server/client_gone_logged_test.go
@@ -1,11 +1,13 @@
 package server
 
 import (
+	"bufio"
 	"bytes"
 	"fmt"
 	"io"
 	"log/slog"
 	"net"
+	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -168,3 +170,22 @@
 	delayPeers(0)
 	waitForOpenRequests(t, srv, 0)
 }
+
+// The client of a logged request closes its sending side while an attempt is in flight, and still reads. The attempt goes on, so
+// its outcome is not known: the client is told to ask again with the key. Once it got the 200 with an empty body that net/http
+// sends for a handler that writes nothing, which says that the request was served.
+func TestHalfClosedClientOfALoggedRequestIsToldToAskAgain(t *testing.T) {
+	backends := newAttemptRecorder(t, 1)
+	srv, _ := startLoggingServer(t, backends, newPausingDecider(-1))
+	conn := connectAndSend(t, srv, withKey(requestWithCostHint("a", 1)))
+	<-backends.began
+	require.NoError(t, conn.(*net.TCPConn).CloseWrite())
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(10*time.Second)))
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	require.NoError(t, err)
+	require.Equal(t, http.StatusConflict, response.StatusCode)
+	require.NotEmpty(t, response.Header.Get("Retry-After"))
+	require.NoError(t, response.Body.Close())
+	backends.responses <- serverErrorResponse
+	waitForOpenRequests(t, srv, 0)
+}
--- a/internal/server/requestlogging.go
+++ b/internal/server/requestlogging.go
@@ -175,6 +175,9 @@
 	case <-conn.gone:
 	}
 	s.node.Cancel(request) // an attempt that has begun continues, for a client that asks again with the key
+	// A client that has closed only its sending side may still read. Without an answer net/http would send it an empty 200, which
+	// says that the request was served.
+	s.writeAnswer(w, conn, node.Answer{Status: node.RetryLater, RetryAfter: requestlog.PeerTimeoutMs})
 	return true
 }
 
