--- a/internal/lab/simcluster/faults.go
+++ b/internal/lab/simcluster/faults.go
@@ -31,7 +31,7 @@
 	flapIntervalMs      = 250.0
 	flapDowntimeMs      = 120.0
 	frozenPeerTimeoutMs = 600.0 // after which peers close their connections to a frozen process
-	thawedReconnectMs   = 20.0
+	resumedReconnectMs  = 20.0
 	firstFaultMs        = 3500.0 // by then all logs have a leader
 	maxHarshIntervalMs  = 1500.0 // between the starts of faults in a harsh schedule
 	mildRecoveryMs      = 4000.0 // from the end of one fault to the start of the next in a mild schedule
@@ -154,7 +154,7 @@
 	p.deferred = nil
 	for _, peer := range c.peersOf(p) {
 		if !c.link(p, peer).isConnected {
-			c.after(thawedReconnectMs, func() { c.connect(p, peer) })
+			c.after(resumedReconnectMs, func() { c.connect(p, peer) })
 		}
 	}
 }
