--- a/internal/lab/experiment/balancerconfig.go
+++ b/internal/lab/experiment/balancerconfig.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Auditor returns an auditor for one run. Tolerance is how late, in ms, the host may observe an event.
-func (e *Experiment) Auditor(tolerance float64) *invariants.Auditor {
+// NewAuditor returns an auditor for one run. Tolerance is how late, in ms, the host may observe an event.
+func (e *Experiment) NewAuditor(tolerance float64) *invariants.Auditor {
 	return invariants.New(invariants.Config{
 		Classes:           e.BalancerClasses(),
 		MaxAttempts:       e.Rules.MaxAttempts,
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -101,9 +101,9 @@
 func TestMultipleFollowsTheRamp(t *testing.T) {
 	e := decode(t, withLine("ramp = [[0,1],[4,3],[8,1]]"))
 	for ms, want := range map[float64]float64{0: 1, 2e3: 2, 4e3: 3, 7e3: 1.5, 9e3: 1} {
-		assert.InDelta(t, want, e.Multiple(ms), 1e-9)
+		assert.InDelta(t, want, e.LoadMultiple(ms), 1e-9)
 	}
-	assert.InDelta(t, 3, e.MaxMultiple(), 1e-9)
+	assert.InDelta(t, 3, e.MaxLoadMultiple(), 1e-9)
 }
 
 func TestMachinesAreDealtByTheirShares(t *testing.T) {
--- a/internal/lab/experiment/load.go
+++ b/internal/lab/experiment/load.go
@@ -12,7 +12,7 @@
 	return work / shares
 }
 
-// RequestsPerSecond returns the rate of requests, before Multiple and bursts.
+// RequestsPerSecond returns the rate of requests, before LoadMultiple and bursts.
 func (e *Experiment) RequestsPerSecond() float64 {
 	if e.Clients.RequestsPerSecond > 0 {
 		return e.Clients.RequestsPerSecond
@@ -20,8 +20,8 @@
 	return e.Clients.Load * e.Capacity() / e.MeanWork() * msPerSecond
 }
 
-// Multiple returns the factor of the ramp and of the day on the rate of requests, at a time in ms.
-func (e *Experiment) Multiple(at float64) float64 {
+// LoadMultiple returns the factor of the ramp and of the day on the rate of requests, at a time in ms.
+func (e *Experiment) LoadMultiple(at float64) float64 {
 	multiple := 1.0
 	if e.Clients.DaySeconds > 0 {
 		multiple += e.Clients.DayAmplitude * math.Sin(2*math.Pi*at/msPerSecond/e.Clients.DaySeconds)
@@ -48,8 +48,8 @@
 	return ramp[len(ramp)-1][1]
 }
 
-// MaxMultiple returns an upper bound of Multiple over the whole experiment.
-func (e *Experiment) MaxMultiple() float64 {
+// MaxLoadMultiple returns an upper bound of LoadMultiple over the whole experiment.
+func (e *Experiment) MaxLoadMultiple() float64 {
 	highest := 1.0
 	for i, point := range e.Clients.Ramp {
 		if i == 0 || point[1] > highest {
--- a/internal/lab/experiment/validatefault.go
+++ b/internal/lab/experiment/validatefault.go
@@ -46,7 +46,8 @@
 	case FaultSlow, FaultBurst, FaultCostly, FaultWrongReports, FaultListDelay, FaultStuckReports, FaultConnectionLimit:
 		v.require(fault.Factor > 0, prefix+"factor", wanted)
 	case FaultPauses:
-		v.require(fault.EveryMs > 0 && fault.PauseMs > 0 && fault.PauseMs < fault.EveryMs, prefix+"pause_ms", "give it and a longer every_ms")
+		hasBoth := fault.EveryMs > 0 && fault.PauseMs > 0
+		v.require(hasBoth && fault.PauseMs < fault.EveryMs, prefix+"pause_ms", "give it and a longer every_ms")
 	case FaultScaleUp:
 		v.require(fault.StartSeconds > 0, prefix+"at_s", wanted)
 	case FaultPoisonRequests:
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -86,7 +86,7 @@
 	c := clock.New()
 	// Until the load begins all times are long before the run's: nothing of the start counts in it.
 	w := &world{o: o, random: seed, dir: o.Dir, failed: make(chan error, 64), switches: faults.Schedule(e, seed),
-		hub: &hub{e: e, clock: c, auditor: e.Auditor(slackMs), rec: metrics.NewRecorder(e, seed),
+		hub: &hub{e: e, clock: c, auditor: e.NewAuditor(slackMs), rec: metrics.NewRecorder(e, seed),
 			state: faults.NewState(e), home: home(), tries: map[uint64]known{}, watch: o.Watch}}
 	w.startAt(c.Now() + startUp)
 	if w.dir == "" {
--- a/internal/lab/metrics/compare.go
+++ b/internal/lab/metrics/compare.go
@@ -14,7 +14,7 @@
 	value func(Run) float64
 }{
 	{"service", func(r Run) float64 { return r.Service }},
-	{"worst 10 s", func(r Run) float64 { return r.Worst10 }},
+	{"worst 10 s", func(r Run) float64 { return r.WorstTenSeconds }},
 	{"attempts/req.", func(r Run) float64 { return r.AttemptsPerRequest }},
 	{"sends/req.", func(r Run) float64 { return r.SendsPerRequest }},
 	{"cross-zone/req.", func(r Run) float64 { return r.CrossZonePerRequest }},
--- a/internal/lab/metrics/finish.go
+++ b/internal/lab/metrics/finish.go
@@ -25,7 +25,7 @@
 	run.Service = r.service()
 	run.Herding, run.HerdingP99 = r.herding.finish()
 	run.Windows = r.finishedWindows()
-	run.Worst10 = worstService(run.Windows, worstSpanWindows)
+	run.WorstTenSeconds = worstService(run.Windows, worstSpanWindows)
 	for _, fault := range faults {
 		run.Faults = append(run.Faults, newRecovery(run.Windows, fault))
 	}
--- a/internal/lab/metrics/hysteresis.go
+++ b/internal/lab/metrics/hysteresis.go
@@ -29,7 +29,7 @@
 			bins = down
 		}
 		middleMs := window.At*1e3 + windowMs/2
-		level := int(math.Round(e.Multiple(middleMs) / loadBinWidth))
+		level := int(math.Round(e.LoadMultiple(middleMs) / loadBinWidth))
 		bin := bins[level]
 		bins[level] = loadBin{bin.offered + window.Offered, bin.earned + window.Earned}
 	}
--- a/internal/lab/metrics/result.go
+++ b/internal/lab/metrics/result.go
@@ -68,7 +68,7 @@
 type Run struct {
 	Seed                uint64  `json:"seed"`
 	Service             float64 `json:"service"`
-	Worst10             float64 `json:"worst_10_s"`       // least service of any 10 s
+	WorstTenSeconds     float64 `json:"worst_10_s"`       // least service of any 10 s
 	Requests            int     `json:"ops"`              // requests that arrived, client retries not counted
 	AttemptsPerRequest  float64 `json:"pushes_per_op"`    // attempts sent by the nodes
 	SendsPerRequest     float64 `json:"tries_per_op"`     // sends by the clients, which are 1 without client retries
@@ -103,7 +103,7 @@
 	}
 	return fmt.Sprintf("seed %d: service %.3f, worst 10 s %.3f, per request %.2f attempts, %.2f sends, %.2f cross-zone attempts, "+
 		"wasted work %.2f, herding %.1f, rules %s",
-		r.Seed, r.Service, r.Worst10, r.AttemptsPerRequest, r.SendsPerRequest, r.CrossZonePerRequest, r.WastedWork, r.HerdingP99, rules)
+		r.Seed, r.Service, r.WorstTenSeconds, r.AttemptsPerRequest, r.SendsPerRequest, r.CrossZonePerRequest, r.WastedWork, r.HerdingP99, rules)
 }
 
 // ClassResult holds the metrics of one class of requests.
--- a/internal/lab/virtual/simulation.go
+++ b/internal/lab/virtual/simulation.go
@@ -83,7 +83,7 @@
 		experiment:  e,
 		options:     options,
 		seed:        seed,
-		auditor:     e.Auditor(0),
+		auditor:     e.NewAuditor(0),
 		recorder:    metrics.NewRecorder(e, seed),
 		faults:      faults.NewState(e),
 		transitions: faults.Schedule(e, seed),
--- a/internal/lab/workload/source.go
+++ b/internal/lab/workload/source.go
@@ -52,7 +52,7 @@
 // New returns a source. It asks the state for the bursts, and for the requests that are costly or poison.
 func New(e *experiment.Experiment, state *faults.State, seed uint64) *Source {
 	s := &Source{experiment: e, faults: state, rng: rand.New(rand.NewPCG(seed, 1)), seed: seed, rate: e.RequestsPerSecond() / 1e3}
-	s.peak = s.rate * e.MaxMultiple() * faults.MaxLoadFactor(e)
+	s.peak = s.rate * e.MaxLoadMultiple() * faults.MaxLoadFactor(e)
 	for zone := range e.Fleet.Zones {
 		weight := 1.0
 		if len(e.Fleet.ZoneTraffic) > 0 {
@@ -80,7 +80,7 @@
 // to the rate of the moment.
 func (s *Source) Arrive() *Request {
 	at := s.next
-	isKept := s.rng.Float64()*s.peak <= s.rate*s.experiment.Multiple(at)*s.faults.LoadFactor()
+	isKept := s.rng.Float64()*s.peak <= s.rate*s.experiment.LoadMultiple(at)*s.faults.LoadFactor()
 	s.drawNextArrival()
 	if !isKept {
 		return nil
