--- a/internal/lab/loopback/testbed.go
+++ b/internal/lab/loopback/testbed.go
@@ -45,7 +45,7 @@
 			ip:         newRunIP(),
 			clock:      clock.New(),
 			watch:      options.Watch,
-			auditor:    e.Auditor(slackMs),
+			auditor:    e.NewAuditor(slackMs),
 			recorder:   metrics.NewRecorder(e, seed),
 			faults:     faults.NewState(e),
 			tries:      map[uint64]acceptedTry{},
