--- a/balancer/admission_tenants_test.go
+++ b/balancer/admission_tenants_test.go
@@ -60,7 +60,7 @@
 			beyond++
 		}
 		maxDifference = math.Max(maxDifference, math.Abs(excess-request.overQuota))
-		n.ClientGone(h.now, request)
+		n.RequestAbandoned(h.now, request)
 		for _, more := n.Next(); more; _, more = n.Next() {
 		}
 	}
--- a/balancer/attempt_test.go
+++ b/balancer/attempt_test.go
@@ -47,7 +47,7 @@
 		"draining":                     {0, func(h *harness, _ *Request) { h.setState(BackendDraining, 0, h.backends[1]) }, false},
 		"gone":                         {0, func(h *harness, _ *Request) { h.setState(BackendRemoved, 0, h.backends[1]) }, false},
 		"deadline passed":              {0, func(h *harness, _ *Request) { h.now += 4000; h.balancer.now = h.now }, false},
-		"client gone":                  {0, func(h *harness, request *Request) { h.balancer.ClientGone(h.now, request) }, false},
+		"client gone":                  {0, func(h *harness, request *Request) { h.balancer.RequestAbandoned(h.now, request) }, false},
 		"stream begun":                 {0, func(h *harness, request *Request) { h.balancer.ResponseStarted(h.now, request.Attempts[0]) }, false},
 		"hedging not allowed":          {0, func(h *harness, _ *Request) { h.balancer.config.AllowHedging = false }, false},
 		"attempts used up":             {0, func(h *harness, _ *Request) { h.balancer.config.MaxAttempts = 1 }, false},
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -17,7 +17,7 @@
 	EndpointsChanged(now float64, endpoints []Endpoint, full, cached bool)
 	PollFailed(now float64)
 	RequestArrived(now float64, request *Request)
-	ClientGone(now float64, request *Request)
+	RequestAbandoned(now float64, request *Request)
 	DeadlineShortened(now float64, request *Request)
 	ResponseStarted(now float64, attempt *Attempt)
 	RequestBodySent(now float64, attempt *Attempt)
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Concurrency limits bound the number of attempts that this node has in flight: one limit for each backend and one for
-// all backends together. Both follow additive increase and multiplicative decrease: a limit rises by about one for as many
-// answers as it allows attempts, while answers show no queue, and falls by a fifth when an answer shows a queue or a backend
-// rejects an attempt. A time-out lowers the limit of its backend only. A node sees only its own attempts in flight, so that work of other nodes shows only in answer times. While
-// a limit is reached, requests are queued.
+// Concurrency limits bound the number of attempts that this node has in flight: one limit for each backend and one for all
+// backends together. Both follow additive increase and multiplicative decrease: a limit rises by about one for as many
+// answers as it allows attempts, while answers show no queue, and falls by a fifth when an answer shows a queue or a
+// backend rejects an attempt. A time-out lowers the limit of its backend only. A node sees only its own attempts in flight,
+// so that work of other nodes shows only in answer times. While a limit is reached, requests are queued.
 
 const (
 	// initialInFlight is divided between all nodes. The limit of attempts in flight at a backend of which nothing is known is
@@ -86,8 +86,9 @@
 }
 
 // lowerBackendLimit lowers a backend's limit after an attempt that took elapsed ms. A limit below 1 means one attempt at a
-// time. Each time the limit is lowered to such a value, a pause of 1/limit - 1 times the answer time begins: with 0.25, three
-// answer times. An answer that does not lower the limit starts no pause. This is needed where nodes are many: one attempt of each at all times can be more than a backend can serve.
+// time. Each time the limit is lowered to such a value, a pause of 1/limit - 1 times the answer time begins: with 0.25,
+// three answer times. An answer that does not lower the limit starts no pause. This is needed where nodes are many: one
+// attempt of each at all times can be more than a backend can serve.
 func (lb *Balancer) lowerBackendLimit(backend *Backend, elapsed float64) {
 	backend.maxInFlight = math.Max(backend.maxInFlight*limitDecrease, math.Min(1, lb.perNodeShare(initialInFlight)))
 	if backend.maxInFlight < 1 {
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -2,10 +2,11 @@
 
 import "math"
 
-// Ejection keeps requests away from backends that fail. Each backend has a suspicion: each fault adds to it, each answer
-// in time lowers it, and it halves every suspicionHalfLifeMs. Suspicion that three quarters of the backends share does not
+// Ejection keeps requests away from backends that fail. Each backend has a suspicion: each fault adds to it, each answer in
+// time lowers it, and it halves every suspicionHalfLifeMs. Suspicion that three quarters of the backends share does not
 // count, since its cause must lie elsewhere. After about three clear faults within a few seconds a backend is ejected until
-// its suspicion has decayed again, which takes seconds. Requests that may have crashed a backend (poison requests) are not sent to another.
+// its suspicion has decayed again, which takes seconds. Requests that may have crashed a backend (poison requests) are not
+// sent to another.
 
 const (
 	// suspicionHalfLifeMs is short enough that an ejected backend is tried again within seconds.
--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -139,7 +139,7 @@
 	if backend == nil {
 		return lb.estimates.paces.all.blend(1, priorWork) // before any answer 1, the pace of a standard core
 	}
-	kindPace := lb.estimates.paces.byKind.at(backend.Kind).blend(lb.paceOf(nil), priorWork)
+	kindPace := lb.estimates.paces.byKind.entry(backend.Kind).blend(lb.paceOf(nil), priorWork)
 	return backend.pace.blend(kindPace, priorWork)
 }
 
@@ -197,7 +197,7 @@
 // the mean over all zones counts.
 func (lb *Balancer) zoneWait(zone int) float64 {
 	usual := unknownZoneWait * lb.estimates.waits.all.mean(lb.now, 0, zoneWaitPrior)
-	return lb.estimates.waits.byZone.at(zone).mean(lb.now, usual, zoneWaitPrior)
+	return lb.estimates.waits.byZone.entry(zone).mean(lb.now, usual, zoneWaitPrior)
 }
 
 // expectedWait returns the wait in ms that is expected at a backend, where zoneWait is the mean wait in its zone. It moves
@@ -295,13 +295,13 @@
 // paceTable holds the pace of all backends together, and that of each kind of machine.
 type paceTable struct {
 	all    paceEstimate
-	byKind byPlace[paceEstimate]
+	byKind byIndex[paceEstimate]
 }
 
 // add records that a backend took the time, in ms, for the work.
 func (t *paceTable) add(backend *Backend, time, work float64) {
 	backend.pace.add(time, work)
-	t.byKind.at(backend.Kind).add(time, work)
+	t.byKind.entry(backend.Kind).add(time, work)
 	t.all.add(time, work)
 }
 
@@ -321,14 +321,14 @@
 }
 
 // advance counts the time since the last call, with isBusy as time with an attempt in flight, and decays both sums.
-func (d *completionRateEstimate) advance(now float64, isBusy bool) {
-	decay := decayFactor(d.at, now, completionHalfLifeMs)
+func (e *completionRateEstimate) advance(now float64, isBusy bool) {
+	decay := decayFactor(e.at, now, completionHalfLifeMs)
 	if isBusy {
-		d.busyTime += now - d.at
+		e.busyTime += now - e.at
 	}
-	d.done *= decay
-	d.busyTime *= decay
-	d.at = now
+	e.done *= decay
+	e.busyTime *= decay
+	e.at = now
 }
 
 // rate returns the work completed in a ms of busy time, where usual is the rate that is assumed before anything is measured.
@@ -380,12 +380,12 @@
 // waitTable holds the mean wait of the latest attempts, in all zones together and in each zone.
 type waitTable struct {
 	all    decayingMean
-	byZone byPlace[decayingMean]
+	byZone byIndex[decayingMean]
 }
 
 func (t *waitTable) add(backend *Backend, now, wait float64) {
 	t.all.add(now, wait)
-	t.byZone.at(backend.Zone).add(now, wait)
+	t.byZone.entry(backend.Zone).add(now, wait)
 	backend.waits.add(now, wait)
 }
 
@@ -408,10 +408,10 @@
 	}
 }
 
-// byPlace is a table with an entry for each zone, or for each kind of machine, by its number.
-type byPlace[T any] []T
+// byIndex is a table with an entry for each zone, or for each kind of machine, by its number.
+type byIndex[T any] []T
 
-func (p *byPlace[T]) at(place int) *T {
+func (p *byIndex[T]) entry(place int) *T {
 	for len(*p) <= place {
 		*p = append(*p, *new(T))
 	}
--- a/balancer/ordering_test.go
+++ b/balancer/ordering_test.go
@@ -71,9 +71,9 @@
 	b := h.requestWithKey(7, "b", 2) // all that keep order share their keys
 	c := h.requestWithKey(7, "c", 3)
 	require.Equal(t, "attempt:a", h.decisions())
-	h.balancer.ClientGone(h.now, b) // leaves the queue of the key before its turn
+	h.balancer.RequestAbandoned(h.now, b) // leaves the queue of the key before its turn
 	require.Empty(t, h.decisions())
-	h.balancer.ClientGone(h.now, a) // a's attempt outlives it and isOrdered the key
+	h.balancer.RequestAbandoned(h.now, a) // a's attempt outlives it and orders the key
 	require.Equal(t, "cancel:a", h.decisions())
 	require.Empty(t, h.advance(100).decisions())
 	h.endAttempt(a.Attempts[0], OutcomeCanceled)
@@ -180,7 +180,7 @@
 			case step < 8:
 				end(one(), rapid.SampledFrom(endings).Draw(r, "how"))
 			case step == 8:
-				n.ClientGone(now, one())
+				n.RequestAbandoned(now, one())
 			default:
 				pull()
 				s, err := n.Snapshot(requests, backends)
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -238,6 +238,9 @@
 // requests, so that both a lower suspicion (longSuspicion) and warming up exclude a backend here. With many nodes, a
 // backend without attempts of this node may still have a queue of other nodes' requests. Therefore the predicted answer
 // time counts as well.
+//
+// Unlike whyUnfit it does not ask isAtCapacity: the node's limit, a pause and the period's cross-zone share do not hold a long
+// request back, and a backend without attempts of this node is below its own limit. Of mayUse only the subset counts.
 func (lb *Balancer) whyUnfitForLong(request *Request, backend *Backend, patience float64) Reason {
 	switch {
 	case lb.config.ConnectionCost > 0 && !backend.inSubset:
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -26,7 +26,7 @@
 
 // slowStartState holds what a node's share of the bound is computed from.
 type slowStartState struct {
-	usageByZone byPlace[zoneUsage]
+	usageByZone byIndex[zoneUsage]
 	processes   int     // the most processes that this node has consisted of; it counts only until splitUntil
 	splitUntil  float64 // time until which the node's share is divided between them
 }
@@ -80,7 +80,7 @@
 	budget := windowTime / math.Max(lb.slowStartKindPace(backend), 1)
 
 	share := slowStartSafety * lb.perNodeShare(budget) / lb.activeProcesses() // the equal share
-	if usage := lb.slowStart.usageByZone.at(backend.Zone); usage.speed > 0 {
+	if usage := lb.slowStart.usageByZone.entry(backend.Zone); usage.speed > 0 {
 		// The backend's own pace, since a slow machine can take less than a fast one.
 		usageShare := slowStartSafety * windowTime * usage.work / usage.speed * backend.Weight / lb.paceOf(backend) / lb.activeProcesses()
 		share = math.Max(share, usageShare)
@@ -98,7 +98,7 @@
 func (lb *Balancer) slowStartKindPace(backend *Backend) float64 {
 	knownWork := pacePriorRequests * math.Max(lb.estimates.work.value, 1)
 	assumedPace := unknownKindPace * lb.rotation.meanWeight / backend.Weight
-	return lb.estimates.paces.byKind.at(backend.Kind).blend(assumedPace, knownWork)
+	return lb.estimates.paces.byKind.entry(backend.Kind).blend(assumedPace, knownWork)
 }
 
 // winsSlowStartDraw reports whether this node's draw for the backend in the present OverloadWindow allows it one request of
@@ -120,7 +120,7 @@
 		if !lb.isUsable(backend) {
 			continue
 		}
-		usage := lb.slowStart.usageByZone.at(backend.Zone)
+		usage := lb.slowStart.usageByZone.entry(backend.Zone)
 		if lb.slowStartFactor(backend) == 1 {
 			usage.work += backend.completionRate.throughput(lb.now)
 			usage.speed += backend.Weight / lb.paceOf(backend)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -53,8 +53,8 @@
 		h.learnHints()
 		h.backends[0].Kind = kind
 		h.setState(BackendReady, h.now, h.backends[0])
-		*h.balancer.estimates.paces.byKind.at(0), *h.balancer.estimates.paces.byKind.at(1) = paceEstimate{1e5, 1e5}, paceEstimate{3e5, 1e5}
-		*h.balancer.slowStart.usageByZone.at(0) = zoneUsage{work: 1, speed: 2}
+		*h.balancer.estimates.paces.byKind.entry(0), *h.balancer.estimates.paces.byKind.entry(1) = paceEstimate{1e5, 1e5}, paceEstimate{3e5, 1e5}
+		*h.balancer.slowStart.usageByZone.entry(0) = zoneUsage{work: 1, speed: 2}
 		for h.balancer.hasSlowStartBudget(h.backends[0], spent+10) {
 			spent += 10
 		}
@@ -79,7 +79,7 @@
 			h := newHarness(t, config, backends)
 			h.setState(BackendReady, h.now, h.backends...)
 			h.balancer.estimates.work = runningMean{25, 50}
-			*h.balancer.estimates.paces.byKind.at(0) = paceEstimate{2e5, 1e5} // half a standard core
+			*h.balancer.estimates.paces.byKind.entry(0) = paceEstimate{2e5, 1e5} // half a standard core
 			balancers, backendsOf = append(balancers, h.balancer), append(backendsOf, h.backends)
 		}
 		for now := 1000.0; now < 7000; now += 5 {
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -25,7 +25,7 @@
 	EndpointsChanged
 	PollFailed
 	RequestArrived
-	// ClientGone is recorded for every request that the node abandons, also where its client is still there.
+	// RequestAbandoned is recorded for every request that the node abandons, also where its client is still there.
 	ClientGone
 	// ResponseStarted is not recorded by nodes, which do not stream responses; simulators pass it on.
 	ResponseStarted
@@ -89,7 +89,7 @@
 	Kind Kind
 	Now  float64 // when the input was passed on or the decision taken
 
-	// Request is the request's number, counted from 1 in order of arrival: RequestArrived, EarlierAttempt, ClientGone,
+	// Request is the request's number, counted from 1 in order of arrival: RequestArrived, EarlierAttempt, RequestAbandoned,
 	// DeadlineShortened, ResponseStarted, RequestBodySent, AttemptEnded, and Decided about a request.
 	Request uint64
 	// ID is the host's ID of the request, hashed if Options.HashKey is set: RequestArrived.
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -224,10 +224,10 @@
 	})
 }
 
-// ClientGone implements balancer.Decider.
-func (r *Recorder) ClientGone(now float64, request *balancer.Request) {
+// RequestAbandoned implements balancer.Decider.
+func (r *Recorder) RequestAbandoned(now float64, request *balancer.Request) {
 	r.record(&Record{Kind: ClientGone, Now: now, Request: r.requests[request]})
-	r.inner.ClientGone(now, request)
+	r.inner.RequestAbandoned(now, request)
 	r.forgetIfDone(request)
 }
 
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -232,7 +232,7 @@
 		}
 		r.decider.RequestArrived(record.Now, request)
 	case ClientGone:
-		r.decider.ClientGone(record.Now, request)
+		r.decider.RequestAbandoned(record.Now, request)
 	case DeadlineShortened:
 		request.Deadline = record.Value
 		r.decider.DeadlineShortened(record.Now, request)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,40 +13,40 @@
 // Weights and costs are in the unit that the deployment's priority weights have.
 //
 //	setting                 values                     default   term, field
-//	az                      index in zones             required  the node's zone: Balancer.Zone
-//	me                      index from 0               0 (a)     index of the node: Balancer.NodeIndex
-//	balancers               1 and more                 required  number of nodes: Balancer.Nodes
+//	az                      index in zones             required  the node's zone: BalancerConfig.Zone
+//	me                      index from 0               0 (a)     index of the node: BalancerConfig.NodeIndex
+//	balancers               1 and more                 required  number of nodes: BalancerConfig.Nodes
 //	domainType              proxy, mesh                proxy     topology, pool or sidecar: Topology
 //	zones, kinds            lists of names             empty     zones, kinds of machine: Zones, Kinds
-//	registryMode            automatic, subscribe       required  endpoint list, pushed or polled: Balancer.PollEndpoints
+//	registryMode            automatic, subscribe       required  endpoint list, pushed or polled: BalancerConfig.PollEndpoints
 //	benefitBy               work, or another word      required  priority weight for each unit of work, or for each
-//	                                                             request: Balancer.WeightByWork
-//	excessBenefit           share, 0 to 1              1         weight left over quota: Balancer.OverQuotaWeight
-//	prices.crossZone        cost                       0         cost of crossing zones: Balancer.CrossZoneCost
-//	prices.connection       cost, 0 and more           0         cost of open connections: Balancer.ConnectionCost
-//	bounds.mostPushes       1 to 65535                 required  maximum of attempts for a request: Balancer.MaxAttempts
-//	bounds.secondCopies     true, false                required  hedging allowed: Balancer.AllowHedging
-//	bounds.cancel           true, false                required  attempts can be canceled: Balancer.CancelAttempts
-//	bounds.retryAfter       true, false                required  rejections carry Retry-After: Balancer.SendRetryAfter
-//	bounds.maxRetryAfter    ms                         0         its maximum: Balancer.MaxRetryAfter, which defines 0
+//	                                                             request: BalancerConfig.WeightByWork
+//	excessBenefit           share, 0 to 1              1         weight left over quota: BalancerConfig.OverQuotaWeight
+//	prices.crossZone        cost                       0         cost of crossing zones: BalancerConfig.CrossZoneCost
+//	prices.connection       cost, 0 and more           0         cost of open connections: BalancerConfig.ConnectionCost
+//	bounds.mostPushes       1 to 65535                 required  maximum of attempts for a request: BalancerConfig.MaxAttempts
+//	bounds.secondCopies     true, false                required  hedging allowed: BalancerConfig.AllowHedging
+//	bounds.cancel           true, false                required  attempts can be canceled: BalancerConfig.CancelAttempts
+//	bounds.retryAfter       true, false                required  rejections carry Retry-After: BalancerConfig.SendRetryAfter
+//	bounds.maxRetryAfter    ms                         0         its maximum: BalancerConfig.MaxRetryAfter, which defines 0
 //	bounds.connectTimeout   ms                         250       connect timeout: ConnectTimeout
 //	bounds.connIdle         ms                         15000     idle timeout of backends' connections:
 //	                                                             ConnectionIdleTimeout
 //	bounds.mostHeld         requests; 0 is no limit    0         maximum of open requests: MaxOpenRequests
-//	rules.askWithin         ms, 1 and more             required  poll interval of the endpoint list: Balancer.PollInterval
-//	rules.coldFrom          share of the capacity      required  slow start, at first: Balancer.SlowStartShare
-//	rules.warmWithin        ms                         required  slow start, duration: Balancer.SlowStartWindow
-//	rules.fallMultiple      multiple of the capacity   required  overload: Balancer.OverloadMultiple
-//	rules.overloadFor       ms                         required  overload, window: Balancer.OverloadWindow
-//	rules.settleAfterDoubt  ms, 0 and more             0         cooldown of a key: Balancer.UncertainCooldown
-//	rules.removalNotBinding true, false                false     removal is a hint: Balancer.RemovalIsHint
-//	familyInfo.warmKeys     true, false                false     key affinity: Balancer.KeyAffinity
+//	rules.askWithin         ms, 1 and more             required  poll interval of the endpoint list: BalancerConfig.PollInterval
+//	rules.coldFrom          share of the capacity      required  slow start, at first: BalancerConfig.SlowStartShare
+//	rules.warmWithin        ms                         required  slow start, duration: BalancerConfig.SlowStartWindow
+//	rules.fallMultiple      multiple of the capacity   required  overload: BalancerConfig.OverloadMultiple
+//	rules.overloadFor       ms                         required  overload, window: BalancerConfig.OverloadWindow
+//	rules.settleAfterDoubt  ms, 0 and more             0         cooldown of a key: BalancerConfig.UncertainCooldown
+//	rules.removalNotBinding true, false                false     removal is a hint: BalancerConfig.RemovalIsHint
+//	familyInfo.warmKeys     true, false                false     key affinity: BalancerConfig.KeyAffinity
 //	loadReport.fields       list of mean_ms (service   empty     values of a load report: LoadReportFields
 //	                        time), concurrent (in
 //	                        flight), depth (queued),
 //	                        tps (throughput); others
 //	                        are ignored
-//	categories.N            a list of objects                    class: Balancer.Classes[N]
+//	categories.N            a list of objects                    class: BalancerConfig.Classes[N]
 //	  .name                 distinct names             (b)       its name: Classes[N]
 //	  .idempotency          pure, token, side_effect   required  idempotent, with a key, at most once: .Idempotency
 //	  .dedupScope           all, zone, cell            all       scope of deduplication: .DedupScope
@@ -58,7 +58,7 @@
 //	  .ttl                  ms, above 0                required  deadline: MaxDeadline is the longest of all classes
 //	tenants.N               a list, or nothing         empty     tenant
 //	  .name                 a name                     empty     its name: Tenants[N]
-//	  .quotaPerS            requests a second, of all  0         quota: Balancer.Tenants[N].Quota
+//	  .quotaPerS            requests a second, of all  0         quota: BalancerConfig.Tenants[N].Quota
 //	                        nodes; 0 is no limit
 //
 // (a) Required where prices.connection is above 0.
@@ -76,7 +76,7 @@
 // Deployment is the configuration of a node: the balancer's part and the host's own.
 type Deployment struct {
 	Topology         Topology
-	Balancer         *balancer.Config
+	BalancerConfig   *balancer.Config
 	Classes          []string // names, by index
 	Tenants          []string // names, by index
 	Zones            []string
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -61,8 +61,8 @@
 	assert.Equal(t, a, b)
 	assert.Equal(t, []string{"first_come", "second"}, a.Classes)
 	assert.Equal(t, 3000.0, a.MaxDeadline)
-	assert.Equal(t, balancer.DedupByCell, a.Balancer.Classes[1].DedupScope)
-	assert.Equal(t, 20.0, a.Balancer.Tenants[0].Quota)
+	assert.Equal(t, balancer.DedupByCell, a.BalancerConfig.Classes[1].DedupScope)
+	assert.Equal(t, 20.0, a.BalancerConfig.Tenants[0].Quota)
 	assert.Equal(t, 250.0, a.ConnectTimeout, "the default")
 }
 
@@ -127,9 +127,9 @@
 	d, err := ParseLines([]byte(lineSettings + "categories.1.keepOrder=true\nrules.settleAfterDoubt=200.0\nrules.removalNotBinding=true\n" +
 		"me=2\nfamilyInfo.warmKeys=true\nprices.connection=0.06\ngoal.nines=0.2\ngoal.ninesWanted=3.0\n"))
 	require.NoError(t, err)
-	assert.True(t, d.Balancer.Classes[1].Ordered && d.Balancer.RemovalIsHint && d.Balancer.KeyAffinity)
-	assert.False(t, d.Balancer.Classes[0].Ordered)
-	assert.Equal(t, []float64{200, 2, 0.06}, []float64{d.Balancer.UncertainCooldown, float64(d.Balancer.NodeIndex), d.Balancer.ConnectionCost})
+	assert.True(t, d.BalancerConfig.Classes[1].Ordered && d.BalancerConfig.RemovalIsHint && d.BalancerConfig.KeyAffinity)
+	assert.False(t, d.BalancerConfig.Classes[0].Ordered)
+	assert.Equal(t, []float64{200, 2, 0.06}, []float64{d.BalancerConfig.UncertainCooldown, float64(d.BalancerConfig.NodeIndex), d.BalancerConfig.ConnectionCost})
 	for line, want := range map[string]string{
 		"categories.1.keepOrder=si\n":       `setting categories.1.keepOrder is neither true nor false: "si"`,
 		"prices.connection=0.06\n":          "setting me is missing",
@@ -163,7 +163,7 @@
 			continue
 		}
 		assert.Equal(t, []string{"one", "two_words", "", "", ""}, d.Tenants)
-		assert.Equal(t, []balancer.Tenant{{Quota: 20}, {}, {Quota: 0.5}, {}, {}}, d.Balancer.Tenants)
+		assert.Equal(t, []balancer.Tenant{{Quota: 20}, {}, {Quota: 0.5}, {}, {}}, d.BalancerConfig.Tenants)
 	}
 	// A count in lines can't be above the number of values.
 	_, err := ParseLines([]byte(lineSettings + "tenants.count=1000000000\n"))
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -23,7 +23,7 @@
 func (s *settings) deployment() (*Deployment, error) {
 	config := s.balancerConfig()
 	d := &Deployment{
-		Balancer:              config,
+		BalancerConfig:        config,
 		Zones:                 s.list("zones"),
 		Kinds:                 s.list("kinds"),
 		LoadReportFields:      s.list("loadReport.fields"),
@@ -94,7 +94,7 @@
 	}
 	for k := range s.count("tenants") {
 		tenant := s.tenant(k)
-		d.Balancer.Tenants = append(d.Balancer.Tenants, balancer.Tenant{Quota: s.quota(k, tenant.quota)})
+		d.BalancerConfig.Tenants = append(d.BalancerConfig.Tenants, balancer.Tenant{Quota: s.quota(k, tenant.quota)})
 		d.Tenants = append(d.Tenants, tenant.name)
 	}
 	d.TenantIndex("") // sorts them here, and not while a request waits
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -51,14 +51,14 @@
 	if own == nil {
 		tree["az"], tree["me"] = number(0), number(0)
 	} else {
-		tree["az"] = number(own.Balancer.Zone)
+		tree["az"] = number(own.BalancerConfig.Zone)
 		if own.present.plain["me"] {
-			tree["me"] = number(own.Balancer.NodeIndex)
+			tree["me"] = number(own.BalancerConfig.NodeIndex)
 		}
 	}
 	d, err := parseTree(tree)
 	if err == nil && own != nil {
-		d.Balancer.Seed = own.Balancer.Seed
+		d.BalancerConfig.Seed = own.BalancerConfig.Seed
 	}
 	return d, err
 }
--- a/internal/config/replace_test.go
+++ b/internal/config/replace_test.go
@@ -86,19 +86,19 @@
 func TestParseShared(t *testing.T) {
 	own, err := ParseJSON([]byte(strings.NewReplacer(`"az":1`, `"az":1,"me":7`).Replace(jsonSettings)))
 	require.NoError(t, err)
-	own.Balancer.Seed = 99
-	require.Equal(t, []int{1, 7}, []int{own.Balancer.Zone, own.Balancer.NodeIndex})
+	own.BalancerConfig.Seed = 99
+	require.Equal(t, []int{1, 7}, []int{own.BalancerConfig.Zone, own.BalancerConfig.NodeIndex})
 	for _, text := range []string{strings.Replace(jsonSettings, `"az":1`, `"az":0,"me":3`, 1), strings.Replace(jsonSettings, `"az":1,`, ``, 1)} {
 		d, err := ParseShared([]byte(text), own)
 		require.NoError(t, err)
-		require.Equal(t, own.Balancer, d.Balancer)
+		require.Equal(t, own.BalancerConfig, d.BalancerConfig)
 		require.NoError(t, d.CheckReplaces(own))
 	}
 	without, err := ParseJSON([]byte(jsonSettings))
 	require.NoError(t, err)
 	d, err := ParseShared([]byte(strings.Replace(jsonSettings, `"az":1`, `"az":1,"me":3`, 1)), without)
 	require.NoError(t, err)
-	require.Zero(t, d.Balancer.NodeIndex, "another node's")
+	require.Zero(t, d.BalancerConfig.NodeIndex, "another node's")
 	require.NoError(t, d.CheckReplaces(without))
 	_, err = ParseShared([]byte(strings.Replace(jsonSettings, `"az":1,`, ``, 1)), nil)
 	require.NoError(t, err)
--- a/internal/config/topology.go
+++ b/internal/config/topology.go
@@ -30,12 +30,12 @@
 		s.fail(path, "is %v, which is not of domainType %s (%s)", value, topologyWords[topology], topology)
 	}
 	switch {
-	case d.Balancer.AllowHedging:
-		misfit("bounds.secondCopies", d.Balancer.AllowHedging)
+	case d.BalancerConfig.AllowHedging:
+		misfit("bounds.secondCopies", d.BalancerConfig.AllowHedging)
 	case len(d.Zones) != 1:
 		misfit("zones", d.Zones)
-	case d.Balancer.CrossZoneCost != 0:
-		misfit("prices.crossZone", d.Balancer.CrossZoneCost)
+	case d.BalancerConfig.CrossZoneCost != 0:
+		misfit("prices.crossZone", d.BalancerConfig.CrossZoneCost)
 	}
 	return topology
 }
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -5,14 +5,12 @@
 	"errors"
 	"log/slog"
 	"sync"
-	"sync/atomic"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"pearknot/internal/clock"
 	"pearknot/internal/controlplane"
 	"pearknot/internal/mailbox"
+	"pearknot/internal/throttledlog"
 )
 
 // MaxDescriptors is the largest number of file descriptors that a node's link uses: the connection, the next one that is dialed while
@@ -44,19 +42,18 @@
 // Client follows the control plane for a node. Its actor, the goroutine of runActor, owns the follower link. Another goroutine applies
 // versions, one at a time and the newest only; a third writes the applied one to disk.
 type Client struct {
-	clock                 *clock.Clock
-	log                   *slog.Logger
-	apply                 func(version uint64, text []byte) error
-	copyStore             *CopyStore // nil if no copy is kept
-	initial               controlplane.VersionedDocument
-	rejectedLog           rate.Sometimes
-	rejectedSinceLastLine atomic.Int64
-	ctx                   context.Context // from New to Stop
-	cancel                context.CancelFunc
-	goroutines            sync.WaitGroup
-	mailbox               *mailbox.Box[func()]
-	link                  *FollowerLink                       // the actor's own
-	nextToApply           chan controlplane.VersionedDocument // holds one at most
+	clock       *clock.Clock
+	log         *slog.Logger
+	apply       func(version uint64, text []byte) error
+	copyStore   *CopyStore // nil if no copy is kept
+	initial     controlplane.VersionedDocument
+	rejectedLog *throttledlog.Throttle
+	ctx         context.Context // from New to Stop
+	cancel      context.CancelFunc
+	goroutines  sync.WaitGroup
+	mailbox     *mailbox.Box[func()]
+	link        *FollowerLink                       // the actor's own
+	nextToApply chan controlplane.VersionedDocument // holds one at most
 }
 
 // New returns a client, and reads the stored copy. apply puts a version in force. If it returns an error, which says why the version
@@ -66,7 +63,7 @@
 		clock:       clock,
 		log:         log,
 		apply:       apply,
-		rejectedLog: rate.Sometimes{Interval: RejectedLogInterval},
+		rejectedLog: throttledlog.New(RejectedLogInterval),
 		mailbox:     mailbox.New[func()](),
 		nextToApply: make(chan controlplane.VersionedDocument, 1),
 	}
@@ -161,13 +158,13 @@
 }
 
 // LogMemberChange logs that a follower is connected to another member than before; empty is none.
-func LogMemberChange(log *slog.Logger, before, now string) {
-	switch now {
-	case before:
+func LogMemberChange(log *slog.Logger, previous, current string) {
+	switch current {
+	case previous:
 	case "":
-		log.Warn("control plane connection lost", "member", before)
+		log.Warn("control plane connection lost", "member", previous)
 	default:
-		log.Info("control plane connection established", "member", now)
+		log.Info("control plane connection established", "member", current)
 	}
 }
 
@@ -217,8 +214,7 @@
 // logRejected logs a member that does not prove the key, at most once in RejectedLogInterval, with the number of rejections since the
 // last line.
 func (c *Client) logRejected(member string, err error) {
-	c.rejectedSinceLastLine.Add(1)
-	c.rejectedLog.Do(func() {
-		c.log.Warn("control plane member rejected", "member", member, "error", err, "since_last", c.rejectedSinceLastLine.Swap(0))
+	c.rejectedLog.Event(func(sinceLast int64) {
+		c.log.Warn("control plane member rejected", "member", member, "error", err, "since_last", sinceLast)
 	})
 }
--- a/internal/controlplane/follower_frames.go
+++ b/internal/controlplane/follower_frames.go
@@ -94,9 +94,7 @@
 	if snapshot.ReadStruct(body, &b) != nil || b.Version == 0 || len(b.Digest) != len(Digest{}) {
 		return errMalformedFrame
 	}
-	// A document that compression doesn't make smaller is sent as it is, with one byte before it, so the size that is announced may
-	// be slightly above the limit for documents. maxReasonBytes is only a convenient margin for that byte.
-	if b.Size == 0 || b.Size > MaxDocumentBytes+maxReasonBytes || b.TextBytes > MaxDocumentBytes {
+	if b.Size == 0 || b.Size > MaxDocumentBytes+packingMargin || b.TextBytes > MaxDocumentBytes {
 		return errMalformedFrame
 	}
 	f.incoming = &packedDocument{version: b.Version, digest: Digest(b.Digest), size: int(b.Size), textBytes: int(b.TextBytes)}
--- a/internal/controlplane/member/member.go
+++ b/internal/controlplane/member/member.go
@@ -15,15 +15,13 @@
 	"net"
 	"os"
 	"sync"
-	"sync/atomic"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"pearknot/internal/clock"
 	"pearknot/internal/controlplane"
 	"pearknot/internal/controlplane/client"
 	"pearknot/internal/mailbox"
+	"pearknot/internal/throttledlog"
 )
 
 // Options configures a member beyond what the control plane's file says.
@@ -35,18 +33,17 @@
 
 // Member is one process of the control plane.
 type Member struct {
-	controlPlane          *client.ControlPlane
-	self                  client.Member
-	options               Options
-	clock                 *clock.Clock
-	log                   *slog.Logger
-	rejectedLog           rate.Sometimes
-	rejectedSinceLastLine atomic.Int64
-	stop                  context.CancelCauseFunc
-	goroutines            sync.WaitGroup
-	callSlots             chan struct{} // a token for each call under way
-	validator             validator
-	mailbox               *mailbox.Box[func()]
+	controlPlane *client.ControlPlane
+	self         client.Member
+	options      Options
+	clock        *clock.Clock
+	log          *slog.Logger
+	rejectedLog  *throttledlog.Throttle
+	stop         context.CancelCauseFunc
+	goroutines   sync.WaitGroup
+	callSlots    chan struct{} // a token for each call under way
+	validator    validator
+	mailbox      *mailbox.Box[func()]
 
 	// The fields below are the actor's own.
 
@@ -78,7 +75,7 @@
 		options:      options,
 		clock:        clock.New(),
 		log:          log,
-		rejectedLog:  rate.Sometimes{Interval: client.RejectedLogInterval},
+		rejectedLog:  throttledlog.New(client.RejectedLogInterval),
 		callSlots:    make(chan struct{}, maxCalls),
 		mailbox:      mailbox.New[func()](),
 		followers:    map[uint64]*followerConn{},
@@ -154,9 +151,8 @@
 
 // logRejected logs a rejected connection, at most once in client.RejectedLogInterval, with the number of rejections since the last line.
 func (m *Member) logRejected(peer string, err error) {
-	m.rejectedSinceLastLine.Add(1)
-	m.rejectedLog.Do(func() {
-		m.log.Warn("connection rejected", "peer", peer, "error", err, "since_last", m.rejectedSinceLastLine.Swap(0))
+	m.rejectedLog.Event(func(sinceLast int64) {
+		m.log.Warn("connection rejected", "peer", peer, "error", err, "since_last", sinceLast)
 	})
 }
 
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -19,6 +19,7 @@
 	maxSnapshotBytes = 96 << 20 // of a history snapshot before compression: a document, the changes and their inverses
 	maxProposalBytes = MaxDocumentBytes + 1<<20
 	maxReasonBytes   = 512 // of an author, a reason, an explanation
+	packingMargin    = 512 // a document that compression doesn't shorten is sent as it is behind one byte; followers accept this much
 	maxNameBytes     = 64  // of a region
 	maxSplices       = 64 << 10
 )
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -89,7 +89,7 @@
 }
 
 // A watch polls for the complete list, then for changes from each version it has, over a connection that the service
-// closes once. A refusal, a reset and a malformed answer each end the session, and nothing is polled until Poll is called.
+// closes once. A refusal, a reset and a malformed answer each end the session, and nothing is polled until StartSession is called.
 func TestWatch(t *testing.T) {
 	queries, answers := make(chan string), make(chan string)
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -114,7 +114,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	watch.Start(ctx)
-	watch.Poll()
+	watch.StartSession()
 	assert.Equal(t, "", <-queries, "the complete list, since there is none yet")
 	answers <- `{"rev":41,"all":true,"targets":[` + validEntry + `]}`
 	assert.Equal(t, uint64(41), (<-lists).Version)
@@ -134,7 +134,7 @@
 			t.Error("polled again before Poll was called")
 		case <-time.After(50 * time.Millisecond):
 		}
-		watch.Poll()
+		watch.StartSession()
 	}
 	<-queries
 	cancel()
@@ -170,7 +170,7 @@
 	defer close(release)
 	defer cancel()
 	watch.Start(ctx)
-	watch.Poll()
+	watch.StartSession()
 	assert.Equal(t, "old ", <-queries)
 	assert.Equal(t, uint64(41), (<-lists).Version)
 	assert.Equal(t, "old from=41&hold_ms=1200", <-queries)
@@ -217,7 +217,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	watch.Start(ctx)
-	watch.Poll()
+	watch.StartSession()
 	assert.Equal(t, "", <-queries)
 	for range 2 {
 		assert.Equal(t, "from=7&hold_ms=1", <-queries)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -58,7 +58,7 @@
 )
 
 // Watch follows the endpoint list of a discovery service. It is an actor that has one poll in flight at a time, on one
-// connection. Poll starts a session of polls, which goes on until one fails; the owner then decides when to call Poll
+// connection. StartSession starts a session of polls, which goes on until one fails; the owner then decides when to call StartSession
 // again, by a backoff of its own. The exported fields must be set before Start.
 type Watch struct {
 	Address     string          // of the discovery service, host:port
@@ -79,15 +79,15 @@
 	failing    bool                 // no answer has come since the latest failure
 	restarted  bool                 // the service restarted at a lower version, and no change has come since
 
-	pollRequested chan struct{}
-	mu            sync.Mutex
-	nextAddress   *string            // set by SetAddress, nil once the actor has taken it; guarded by mu
-	cancelSession context.CancelFunc // of the session that goes on; guarded by mu
+	sessionRequested chan struct{}
+	mu               sync.Mutex
+	nextAddress      *string            // set by SetAddress, nil once the actor has taken it; guarded by mu
+	cancelSession    context.CancelFunc // of the session that goes on; guarded by mu
 }
 
-// Start runs the watch until ctx ends. The first poll waits for a call of Poll.
+// Start runs the watch until ctx ends. The first poll waits for a call of StartSession.
 func (w *Watch) Start(ctx context.Context) {
-	w.pollRequested = make(chan struct{}, 1)
+	w.sessionRequested = make(chan struct{}, 1)
 	w.cancelSession = func() {}
 	w.lastLogged = map[string]time.Time{}
 	w.longPollWait = cmp.Or(w.longPollWait, longPollWait)
@@ -100,10 +100,10 @@
 	go w.run(ctx)
 }
 
-// Poll starts a session of polls. It has no effect while one goes on.
-func (w *Watch) Poll() {
+// StartSession starts a session of polls. It has no effect while one goes on.
+func (w *Watch) StartSession() {
 	select {
-	case w.pollRequested <- struct{}{}:
+	case w.sessionRequested <- struct{}{}:
 	default:
 	}
 }
@@ -114,7 +114,7 @@
 	defer w.mu.Unlock()
 	w.nextAddress = &address
 	w.cancelSession()
-	w.Poll()
+	w.StartSession()
 }
 
 func (w *Watch) run(ctx context.Context) {
@@ -122,7 +122,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.pollRequested:
+		case <-w.sessionRequested:
 		}
 		session, cancel := w.beginSession(ctx)
 		err := w.pollUntilFailure(session)
@@ -147,9 +147,9 @@
 	w.failing = true
 	switch {
 	case w.LocalSource: // what it lists counts as known to this node as soon as it answers again
-		time.AfterFunc(w.minPollInterval, w.Poll)
+		time.AfterFunc(w.minPollInterval, w.StartSession)
 	case isTimeout(err):
-		time.AfterFunc(rand.N(w.maxTimeoutBackoff), w.Poll)
+		time.AfterFunc(rand.N(w.maxTimeoutBackoff), w.StartSession)
 	}
 }
 
@@ -182,7 +182,7 @@
 		return true
 	}
 	select {
-	case <-w.pollRequested:
+	case <-w.sessionRequested:
 	default:
 	}
 	return false
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -152,7 +152,7 @@
 }
 
 func (m *watchModel) startPolling() {
-	m.watch.Poll()
+	m.watch.StartSession()
 	m.answered, m.longPoll, m.silentFor = false, false, 0
 	m.expectPoll(true)
 }
@@ -282,7 +282,7 @@
 			}
 		}
 		rt.Repeat(map[string]func(*rapid.T){
-			"Poll while polling": whilePolling(m.watch.Poll), // has no effect
+			"Poll while polling": whilePolling(m.watch.StartSession), // has no effect
 			"list": whilePolling(func() {
 				list, body := m.drawList()
 				m.pending.answer(body, "")
@@ -333,7 +333,7 @@
 	})
 }
 
-// The address changes just as the next poll sets its deadline. The cancelled session has set a deadline in the past; if
+// The address changes just as the next poll sets its deadline. The canceled session has set a deadline in the past; if
 // the poll's deadline replaced that, the old service's long poll would run to its end before the new one is polled.
 func TestSetAddressAsAPollBegins(t *testing.T) {
 	events := make(chan event, 9)
@@ -351,7 +351,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	watch.Start(ctx)
-	watch.Poll()
+	watch.StartSession()
 	(<-events).poll.answer(`{"rev":41,"all":true,"targets":[]}`, "")
 	assert.Equal(t, uint64(41), (<-events).list.Version)
 	select {
@@ -396,7 +396,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	watch.Start(ctx)
-	watch.Poll()
+	watch.StartSession()
 	request := (<-events).poll
 	go func() {
 		defer close(writerDone)
@@ -446,7 +446,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	watch.Start(ctx)
-	watch.Poll() // only once: the watch itself polls again
+	watch.StartSession() // only once: the watch itself polls again
 	for range 2 {
 		for range 5 {
 			(<-polls) <- ""
@@ -487,7 +487,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	watch.Start(ctx)
-	watch.Poll()
+	watch.StartSession()
 	assert.Equal(t, uint64(90), (<-lists).Version)
 	assert.Equal(t, uint64(3), (<-lists).Version)
 	assert.Equal(t, "", <-queries)
--- a/internal/lab/baselines/baselines.go
+++ b/internal/lab/baselines/baselines.go
@@ -98,8 +98,8 @@
 	p.startAttempt(request)
 }
 
-// ClientGone ends a request whose client disconnected.
-func (p *policy) ClientGone(now float64, request *balancer.Request) {
+// RequestAbandoned ends a request whose client disconnected.
+func (p *policy) RequestAbandoned(now float64, request *balancer.Request) {
 	p.now = now
 	p.endRequest(request)
 }
--- a/internal/lab/capacity/rig_discovery.go
+++ b/internal/lab/capacity/rig_discovery.go
@@ -233,9 +233,9 @@
 				listsReceived.Add(1)
 			}
 		}
-		watch.OnFailure = watch.Poll
+		watch.OnFailure = watch.StartSession
 		watch.Start(ctx)
-		watch.Poll()
+		watch.StartSession()
 		sleep(ctx, pollHoldTime/time.Duration(count))
 	}
 }
--- a/internal/lab/virtual/clients.go
+++ b/internal/lab/virtual/clients.go
@@ -89,7 +89,7 @@
 			return
 		}
 		request.answered = true
-		request.node.decider.ClientGone(s.now, &request.Request)
+		request.node.decider.RequestAbandoned(s.now, &request.Request)
 		s.removeFinished(request)
 		s.carryOutDecisions(request.node)
 	})
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -22,7 +22,7 @@
 	for name, ordered := range map[string]bool{"for room": false, "for its turn": true} {
 		silent := startSilentBackend(t)
 		c, log := clock.New(), slog.New(slog.DiscardHandler)
-		deployment := &config.Deployment{Balancer: &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 1, OverloadMultiple: 3, OverloadWindow: 1000, SendRetryAfter: true,
+		deployment := &config.Deployment{BalancerConfig: &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 1, OverloadMultiple: 3, OverloadWindow: 1000, SendRetryAfter: true,
 			MaxRetryAfter: 2000, Classes: []balancer.Class{{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1, Ordered: ordered}}}}
 		peers := &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}
 		peers.ConnectTimeout.Set(time.Second)
@@ -58,7 +58,7 @@
 // node became ready. The version of a list that is there must not get lost either.
 func TestBalancerPanicMakesNoEndpointList(t *testing.T) {
 	c, log := clock.New(), slog.New(slog.DiscardHandler)
-	deployment := &config.Deployment{Balancer: &balancer.Config{Seed: 1, Nodes: 1, PollEndpoints: true, Classes: []balancer.Class{{LatencyObjective: 1}}}}
+	deployment := &config.Deployment{BalancerConfig: &balancer.Config{Seed: 1, Nodes: 1, PollEndpoints: true, Classes: []balancer.Class{{LatencyObjective: 1}}}}
 	n := New(deployment, NewBalancer, c, &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}, func() {}, log)
 	n.Start(nil)
 	defer n.Stop()
@@ -68,9 +68,9 @@
 		assert.NoError(t, err)
 		return status
 	}
-	assert.False(t, panicAndLook().HasEndpoints)
+	assert.False(t, panicAndLook().Ready)
 	n.EndpointsChanged(&discovery.List{Version: 7, Complete: true})
-	assert.Equal(t, Status{HasEndpoints: true, Version: 7, Digest: discovery.Digest(nil)}, panicAndLook())
+	assert.Equal(t, Status{Ready: true, Version: 7, Digest: discovery.Digest(nil)}, panicAndLook())
 }
 
 // The client of a logged request leaves. With an attempt begun the request continues, so that whoever asks with its key
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -54,7 +54,7 @@
 	n.log.Debug("endpoint list applied", "version", list.Version, "complete", list.Complete, "endpoints", len(changes))
 	// A watch reports the current state as soon as it is connected. A backend that is ready by the cached list may be
 	// draining by now, so a node with a watch is ready only once the watch has reported, or has failed (PollFailed).
-	if source == fromDiscovery || n.deployment.Balancer.PollEndpoints {
+	if source == fromDiscovery || n.deployment.BalancerConfig.PollEndpoints {
 		n.markReady()
 	}
 }
@@ -158,7 +158,7 @@
 			b.upstream = upstream.NewBackend(endpoint.Name, n.upstreamConfig)
 		}
 		b.upstream.Update(endpoint.Address, endpoint.State == balancer.BackendReady && !n.cordons.cordoned[endpoint.Name])
-	case b.State == balancer.BackendDraining || !n.deployment.Balancer.RemovalIsHint:
+	case b.State == balancer.BackendDraining || !n.deployment.BalancerConfig.RemovalIsHint:
 		b.closeUpstream()
 	}
 }
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -129,17 +129,17 @@
 		"polling":                       {true, true, changed, true, true},
 		"polling fails without a cache": {true, false, (*Node).PollFailed, false, false},
 	} {
-		n := New(&config.Deployment{Balancer: &balancer.Config{Nodes: 1, PollEndpoints: test.polls, PollInterval: 1e4, Classes: []balancer.Class{{LatencyObjective: 1}}}},
+		n := New(&config.Deployment{BalancerConfig: &balancer.Config{Nodes: 1, PollEndpoints: test.polls, PollInterval: 1e4, Classes: []balancer.Class{{LatencyObjective: 1}}}},
 			NewBalancer, clock.New(), &upstream.Config{Budget: descriptors.New(64, func() {}), Log: slog.New(slog.DiscardHandler)}, func() {}, slog.New(slog.DiscardHandler))
 		ready := func() bool {
 			status, err := n.Status(t.Context())
 			require.NoError(t, err)
 			select {
 			case <-n.Ready():
-				assert.True(t, status.HasEndpoints, name)
+				assert.True(t, status.Ready, name)
 				return true
 			default:
-				assert.False(t, status.HasEndpoints, name)
+				assert.False(t, status.Ready, name)
 				return false
 			}
 		}
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -86,7 +86,7 @@
 		return fmt.Errorf("read balancer snapshot: %w", err)
 	}
 	handoff.Now = n.clock.Now()
-	decider, _, backends, err := balancer.Restore(n.deployment.Balancer, handoff)
+	decider, _, backends, err := balancer.Restore(n.deployment.BalancerConfig, handoff)
 	if err != nil {
 		return fmt.Errorf("restore balancer: %w", err)
 	}
@@ -112,7 +112,7 @@
 			formerClasses[i] = slices.Index(n.deployment.Classes, name)
 		}
 		n.deployment = deployment
-		n.decider.ConfigChanged(n.now, deployment.Balancer, formerClasses)
+		n.decider.ConfigChanged(n.now, deployment.BalancerConfig, formerClasses)
 		done <- nil
 	})
 	return n.wait(ctx, done)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -89,12 +89,12 @@
 func (n *Node) Start(cached *discovery.List) {
 	n.now = n.clock.Now()
 	if n.decider == nil { // Restore has not set one
-		n.decider = n.newDecider(n.deployment.Balancer, n.now)
+		n.decider = n.newDecider(n.deployment.BalancerConfig, n.now)
 	}
 	if cached != nil {
 		n.applyEndpoints(cached, fromCache)
 	}
-	if !n.deployment.Balancer.PollEndpoints { // the balancer never asks for a poll: the list is watched
+	if !n.deployment.BalancerConfig.PollEndpoints { // the balancer never asks for a poll: the list is watched
 		n.pollEndpoints()
 	}
 	n.mailbox.Put(func() {}) // so that the balancer's first decisions are pulled before any event
@@ -128,7 +128,7 @@
 	n.mailbox.Put(func() {
 		if n.requests[request.ID] == request && !request.answered && !n.continuesWithoutClient(request) {
 			n.abandonRequest(request)
-			n.decider.ClientGone(n.now, &request.Request)
+			n.decider.RequestAbandoned(n.now, &request.Request)
 			n.forgetIfOver(request)
 		}
 		request.discardAnswer()
@@ -137,7 +137,7 @@
 
 // Status is a node's state, as operators and health checks see it.
 type Status struct {
-	HasEndpoints bool   // the node is ready (isReady): while a watch is awaited, a cached list alone does not set it
+	Ready        bool   // the node is ready (isReady): while a watch is awaited, a cached list alone does not set it
 	Version      uint64 // of the endpoint list
 	Digest       string // of the endpoint list
 	Backends     int    // on the endpoint list
@@ -156,7 +156,7 @@
 			}
 		}
 		status = Status{
-			HasEndpoints: n.isReady,
+			Ready:        n.isReady,
 			Version:      n.endpointsVersion,
 			Digest:       discovery.Digest(states),
 			Backends:     len(states),
@@ -212,11 +212,11 @@
 }
 
 // failOpenRequests fails the requests that the balancer has left open when the node ends. Their clients may still be
-// there: as in withdraw, ClientGone only tells the balancer that the requests are over.
+// there, as in withdraw.
 func (n *Node) failOpenRequests() {
 	for _, request := range n.requests {
 		n.finish(request, Answer{Status: Failed})
-		n.decider.ClientGone(n.now, &request.Request)
+		n.decider.RequestAbandoned(n.now, &request.Request)
 		n.forgetIfOver(request)
 	}
 }
@@ -271,7 +271,7 @@
 // otherwise end the process and leave every client without an answer. All open requests are failed, which says that
 // they may have run: the old balancer's state can't be trusted.
 func (n *Node) restartDecider() {
-	n.decider = n.newDecider(n.deployment.Balancer, n.now)
+	n.decider = n.newDecider(n.deployment.BalancerConfig, n.now)
 	for id, request := range n.requests {
 		n.finish(request, Answer{Status: Failed})
 		for _, call := range request.calls {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -23,7 +23,7 @@
 func startNode(t *testing.T, address string) (*Node, *clock.Clock) {
 	t.Helper()
 	c, log := clock.New(), slog.New(slog.DiscardHandler)
-	deployment := &config.Deployment{Balancer: &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 1, CancelAttempts: true, OverloadMultiple: 3,
+	deployment := &config.Deployment{BalancerConfig: &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 1, CancelAttempts: true, OverloadMultiple: 3,
 		OverloadWindow: 1000, Classes: []balancer.Class{
 			{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1},
 			{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1, Idempotency: balancer.AtMostOnce}}}}
@@ -122,7 +122,7 @@
 // forgets it. One that was draining does not.
 func TestRemovalHintClosesNoConnections(t *testing.T) {
 	n, _ := startNode(t, "127.0.0.1:1")
-	n.mailbox.Put(func() { n.deployment.Balancer.RemovalIsHint = true })
+	n.mailbox.Put(func() { n.deployment.BalancerConfig.RemovalIsHint = true })
 	drained := discovery.Endpoint{Name: "drained", Address: "127.0.0.1:1", State: balancer.BackendReady, Weight: 1}
 	n.EndpointsChanged(&discovery.List{Endpoints: []discovery.Endpoint{drained}})
 	drained.State = balancer.BackendDraining
--- a/internal/node/polling_test.go
+++ b/internal/node/polling_test.go
@@ -126,12 +126,12 @@
 
 	c, log := clock.New(), slog.New(slog.DiscardHandler)
 	watch := &discovery.Watch{Address: listener.Addr().String(), Deployment: discovery.DeploymentNames{Zones: []string{"a"}, Kinds: []string{"m"}}, Version: 1, HasList: true, Log: log}
-	deployment := &config.Deployment{Balancer: &balancer.Config{Seed: longBackoffSeed, Nodes: 1, MaxAttempts: 1, PollEndpoints: true, PollInterval: 60e3, OverloadMultiple: 3, OverloadWindow: 1000,
+	deployment := &config.Deployment{BalancerConfig: &balancer.Config{Seed: longBackoffSeed, Nodes: 1, MaxAttempts: 1, PollEndpoints: true, PollInterval: 60e3, OverloadMultiple: 3, OverloadWindow: 1000,
 		Classes: []balancer.Class{{LatencyObjective: 1000, PriorityWeight: 1, LateWeight: 1}}}}
 	peers := &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}
 	peers.ConnectTimeout.Set(time.Second)
 	peers.IdleTimeout.Set(time.Minute)
-	n := New(deployment, NewBalancer, c, peers, watch.Poll, log)
+	n := New(deployment, NewBalancer, c, peers, watch.StartSession, log)
 	watch.OnList, watch.OnFailure = n.EndpointsChanged, n.PollFailed
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
@@ -141,7 +141,7 @@
 	for range 5 {
 		n.PollFailed()
 	}
-	watch.Poll()
+	watch.StartSession()
 	begun := <-recovered
 	require.Eventually(t, func() bool { _, state := backendState(n, "x"); return state != balancer.BackendReady }, 30*time.Second, time.Millisecond)
 	assert.Less(t, time.Since(begun), maxNotificationDelay)
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -64,6 +64,14 @@
 // Answer delivers the request's one final answer. Nothing comes after Node.Cancel.
 func (r *Request) Answer() <-chan Answer { return r.answer }
 
+// A request ends in one of these ways:
+//   - Node.finish: the balancer has decided on the answer, or a backend has given it. The answer of a logged request is
+//     committed to the request log before it is delivered.
+//   - Node.withdraw: the node answers itself, because the request log does not let an attempt start. Nothing is committed.
+//   - Node.abandonRequest: the client is gone, and no answer is delivered. A logged request frees its key.
+//
+// All three call markAnswered, by which no further attempt starts. Request.finish and deliver are their last steps.
+
 // finish gives the final answer unless there is one. Nothing is sent for the request after its answer: an
 // attempt whose connection is still being opened is withheld first.
 func (r *Request) finish(answer Answer) {
--- a/internal/node/requestlogging.go
+++ b/internal/node/requestlogging.go
@@ -156,12 +156,10 @@
 }
 
 // withdraw ends a request, because an attempt of it may not be sent. The client is still there and gets the answer.
-// balancer.Decider.ClientGone tells the balancer that the request is over; it is also the input for that where the
-// client is not gone but the node itself answers.
 func (n *Node) withdraw(request *Request, call *upstream.Call, answer Answer) {
 	if !request.answered {
 		request.finish(answer)
-		n.decider.ClientGone(n.now, &request.Request)
+		n.decider.RequestAbandoned(n.now, &request.Request)
 	}
 	call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 }
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -60,7 +60,7 @@
 		takenOver:      true,
 		hasRecord:      true,
 	}
-	request.Config = n.deployment.Balancer
+	request.Config = n.deployment.BalancerConfig
 	request.Class = class
 	request.Tenant = max(n.deployment.TenantIndex(logged.Tenant), 0)
 	request.CostHint, request.HasCostHint = logged.CostHint, logged.HasCostHint
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -10,14 +10,12 @@
 	"log/slog"
 	"math/rand/v2"
 	"sync"
-	"sync/atomic"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"pearknot/internal/clock"
 	"pearknot/internal/mailbox"
 	"pearknot/internal/requestlog"
+	"pearknot/internal/throttledlog"
 )
 
 // Member is one process of the fleet.
@@ -67,8 +65,7 @@
 	cancel      context.CancelFunc
 	wg          sync.WaitGroup
 
-	rejectionLog       rate.Sometimes
-	unloggedRejections atomic.Int64
+	rejectionLog *throttledlog.Throttle
 
 	// The actor's own.
 	member    *requestlog.Member
@@ -94,7 +91,7 @@
 		takeOver:     takeOver,
 		mailbox:      mailbox.New[func()](),
 		listening:    make(chan struct{}),
-		rejectionLog: rate.Sometimes{Interval: rejectionLogInterval},
+		rejectionLog: throttledlog.New(rejectionLogInterval),
 		member: requestlog.New(requestlog.Config{
 			Members:     names,
 			Self:        config.Self,
@@ -236,8 +233,7 @@
 
 // logRejection logs a connection that was rejected, or closed for what came on it.
 func (p *Peers) logRejection(remote string, err error) {
-	p.unloggedRejections.Add(1)
-	p.rejectionLog.Do(func() {
-		p.log.Warn("peer connection rejected", "remote", remote, "error", err, "since_last", p.unloggedRejections.Swap(0))
+	p.rejectionLog.Event(func(sinceLast int64) {
+		p.log.Warn("peer connection rejected", "remote", remote, "error", err, "since_last", sinceLast)
 	})
 }
--- a/internal/requestlog/bootstrap.go
+++ b/internal/requestlog/bootstrap.go
@@ -26,8 +26,8 @@
 //     long out of date; such ones once led to a second generation beside one that was alive.
 func (m *Member) maybeBootstrap() {
 	own := m.config.Self
-	log := m.replicas[own]
-	if m.shuttingDown || log != nil && (log.isLeader || log.leader() != 0) {
+	replica := m.replicas[own]
+	if m.shuttingDown || replica != nil && (replica.isLeader || replica.leader() != 0) {
 		m.bootstrapDigestSince = m.now
 		return
 	}
@@ -50,7 +50,7 @@
 		return
 	}
 	m.logEvent(Event{Message: "request log lost its quorum, bootstrapping a new generation", Log: m.config.Members[own]})
-	if log != nil {
+	if replica != nil {
 		m.dropReplica(own)
 	}
 	m.bootstrap()
@@ -123,11 +123,11 @@
 func (m *Member) bootstrap() {
 	own := m.config.Self
 	generation := max(m.knownGenerations[own]+1, uint64(m.now))
-	log, err := bootstrapReplica(&m.config, own, generation, m.voterIDs[own])
+	replica, err := bootstrapReplica(&m.config, own, generation, m.voterIDs[own])
 	if err != nil {
 		m.logEvent(Event{Message: "request log bootstrap failed", Log: m.config.Members[own], Err: err})
 		return
 	}
-	m.replicas[own] = log
+	m.replicas[own] = replica
 	m.knownGenerations[own] = generation
 }
--- a/internal/requestlog/calls.go
+++ b/internal/requestlog/calls.go
@@ -85,11 +85,11 @@
 
 // leaderOf returns the member that leads a log, as far as is known.
 func (m *Member) leaderOf(logIndex int) (member int, known bool) {
-	if log := m.replicas[logIndex]; log != nil {
-		if log.canServe(m.config.Replicas) {
+	if replica := m.replicas[logIndex]; replica != nil {
+		if replica.canServe(m.config.Replicas) {
 			return m.config.Self, true
 		}
-		if voterID := log.leader(); voterID != 0 {
+		if voterID := replica.leader(); voterID != 0 {
 			leader := incarnationOf(voterID).Member()
 			if leader != m.config.Self && m.peers[leader].connected {
 				return leader, true
@@ -142,19 +142,19 @@
 // serveCall serves a call of an incarnation, which may be this one, if this member leads the log. A record's reply goes out
 // once it is applied.
 func (m *Member) serveCall(caller Incarnation, logIndex int, call Call) {
-	log := m.replicas[logIndex]
+	replica := m.replicas[logIndex]
 	switch {
-	case log == nil || !log.canServe(m.config.Replicas):
+	case replica == nil || !replica.canServe(m.config.Replicas):
 		m.replyTo(caller, CallReply{Seq: call.Seq, Result: NotLeader})
 	case call.Lookup:
-		result, answer := log.ledger.lookup(call.Record.Key, call.Record.Request.Fingerprint)
+		result, answer := replica.ledger.lookup(call.Record.Key, call.Record.Request.Fingerprint)
 		m.replyTo(caller, CallReply{call.Seq, result, answer})
 	case call.Record.Owner != caller || call.Record.Kind == 0 || call.Record.Kind > RequestAnswered:
 		m.replyTo(caller, CallReply{Seq: call.Seq, Result: InvalidRecord})
 	default:
 		record := call.Record
 		record.LeaderTime, record.Caller, record.CallSeq = m.now, caller, call.Seq
-		if err := log.node.Propose(snapshot.AppendStruct(nil, &record)); err != nil {
+		if err := replica.node.Propose(snapshot.AppendStruct(nil, &record)); err != nil {
 			// A transfer of the leadership is under way, or too many bytes are uncommitted. Neither lasts, so the reply makes
 			// the caller try again; LogFull would make it give up.
 			m.replyTo(caller, CallReply{Seq: call.Seq, Result: NotLeader})
--- a/internal/requestlog/heartbeat.go
+++ b/internal/requestlog/heartbeat.go
@@ -75,16 +75,16 @@
 // logStatus returns this member's part in a log.
 func (m *Member) logStatus(logIndex int) LogStatus {
 	status := LogStatus{Log: logIndex, KnownGeneration: m.knownGenerations[logIndex], VoterID: m.voterIDs[logIndex]}
-	log := m.replicas[logIndex]
-	if log == nil {
+	replica := m.replicas[logIndex]
+	if replica == nil {
 		return status
 	}
-	status.Generation, status.HasReplica = log.generation, true
-	status.IsLeader = log.isLeader && log.readyTerm > 0
-	status.Term = log.term()
-	status.Voters, status.OutgoingVoters = log.confState.GetVoters(), log.confState.GetVotersOutgoing()
-	status.Applied = log.appliedIndex
-	status.Complete = log.canServe(m.config.Replicas) && len(status.OutgoingVoters) == 0
+	status.Generation, status.HasReplica = replica.generation, true
+	status.IsLeader = replica.isLeader && replica.readyTerm > 0
+	status.Term = replica.term()
+	status.Voters, status.OutgoingVoters = replica.confState.GetVoters(), replica.confState.GetVotersOutgoing()
+	status.Applied = replica.appliedIndex
+	status.Complete = replica.canServe(m.config.Replicas) && len(status.OutgoingVoters) == 0
 	for _, voterID := range status.Voters {
 		member := incarnationOf(voterID).Member()
 		status.Complete = status.Complete && m.isAvailable(member) && m.voterIDOf(member, logIndex) == voterID
@@ -116,19 +116,19 @@
 // voters is committed. If the leader dies just then, they still go by the joint configuration, in which they need this vote:
 // without it the log would never have a leader again.
 func (m *Member) dropIfRemoved(leader *LogStatus) {
-	log := m.replicas[leader.Log]
-	if log == nil || !leader.IsLeader {
+	replica := m.replicas[leader.Log]
+	if replica == nil || !leader.IsLeader {
 		return
 	}
-	isOutdated := leader.Generation < log.generation || leader.Generation == log.generation && leader.Term < log.term()
+	isOutdated := leader.Generation < replica.generation || leader.Generation == replica.generation && leader.Term < replica.term()
 	switch {
-	case leader.Generation > log.generation:
+	case leader.Generation > replica.generation:
 		m.dropReplica(leader.Log)
-	case isOutdated, log.isLeader, leader.isVoter(log.voterID), !leader.Complete:
-		log.removedSince = 0
-	case log.removedSince == 0:
-		log.removedSince = m.now
-	case m.now-log.removedSince > removedReplicaLingerMs:
+	case isOutdated, replica.isLeader, leader.isVoter(replica.voterID), !leader.Complete:
+		replica.removedSince = 0
+	case replica.removedSince == 0:
+		replica.removedSince = m.now
+	case m.now-replica.removedSince > removedReplicaLingerMs:
 		m.dropReplica(leader.Log)
 	}
 }
--- a/internal/requestlog/ledger_test.go
+++ b/internal/requestlog/ledger_test.go
@@ -22,7 +22,7 @@
 			record := drawRecord(t, now)
 			before := ledger.entries[record.Key]
 			var ownerBefore Incarnation
-			var statusBefore AnswerStatus
+			var statusBefore FinalStatus
 			if before != nil {
 				ownerBefore, statusBefore = before.Owner, before.Answer.Status
 			}
@@ -61,7 +61,7 @@
 			EncodedMessage: make([]byte, rapid.IntRange(0, 9000).Draw(t, "size")),
 		},
 		Attempt: Attempt{Number: rapid.IntRange(0, 2).Draw(t, "attempt")},
-		Answer:  FinalAnswer{Status: rapid.SampledFrom([]AnswerStatus{Served, Rejected, Failed}).Draw(t, "status")},
+		Answer:  FinalAnswer{Status: rapid.SampledFrom([]FinalStatus{Served, Rejected, Failed}).Draw(t, "status")},
 	}
 }
 
--- a/internal/requestlog/member.go
+++ b/internal/requestlog/member.go
@@ -178,8 +178,8 @@
 		m.reconfigureLogs()
 	}
 	if m.config.InjectedBug != BugNoTakeover {
-		for _, log := range m.servableReplicas() {
-			m.proposeTakeovers(log)
+		for _, replica := range m.servableReplicas() {
+			m.proposeTakeovers(replica)
 		}
 	}
 	if now >= m.nextExpiryAt {
@@ -205,9 +205,9 @@
 }
 
 func (m *Member) tickReplicas() {
-	for _, log := range m.replicas {
-		if log != nil {
-			log.tick()
+	for _, replica := range m.replicas {
+		if replica != nil {
+			replica.tick()
 		}
 	}
 }
@@ -225,8 +225,8 @@
 
 func (m *Member) proposeExpiry() {
 	record := snapshot.AppendStruct(nil, &Record{Kind: AnswersExpired, LeaderTime: m.now})
-	for _, log := range m.servableReplicas() {
-		_ = log.node.Propose(record) // proposed again after expiryIntervalMs
+	for _, replica := range m.servableReplicas() {
+		_ = replica.node.Propose(record) // proposed again after expiryIntervalMs
 	}
 }
 
--- a/internal/requestlog/raftmessages.go
+++ b/internal/requestlog/raftmessages.go
@@ -17,25 +17,25 @@
 	if incarnationOf(message.GetFrom()) != peer.incarnation {
 		return fmt.Errorf("%w: raft message of another incarnation", ErrMalformedFrame)
 	}
-	log := m.replicas[frame.Log]
-	if log != nil && frame.Generation > log.generation {
+	replica := m.replicas[frame.Log]
+	if replica != nil && frame.Generation > replica.generation {
 		m.dropReplica(frame.Log)
-		log = nil
+		replica = nil
 	}
 	isForEarlierReplica := message.GetTo() != m.voterIDs[frame.Log]
-	isOfEarlierGeneration := log != nil && frame.Generation < log.generation
+	isOfEarlierGeneration := replica != nil && frame.Generation < replica.generation
 	if isForEarlierReplica || isOfEarlierGeneration {
 		return nil
 	}
-	if log == nil {
+	if replica == nil {
 		var err error
-		if log, err = newReplica(&m.config, frame.Log, frame.Generation, m.voterIDs[frame.Log]); err != nil {
+		if replica, err = newReplica(&m.config, frame.Log, frame.Generation, m.voterIDs[frame.Log]); err != nil {
 			return nil // raft refuses the configuration; the sender is not to blame
 		}
-		m.replicas[frame.Log] = log
+		m.replicas[frame.Log] = replica
 		m.knownGenerations[frame.Log] = max(m.knownGenerations[frame.Log], frame.Generation)
 	}
-	log.step(message)
+	replica.step(message)
 	return nil
 }
 
@@ -61,17 +61,19 @@
 func (m *Member) processReplicas() {
 	for again := true; again; {
 		again = false
-		for _, log := range m.replicas {
-			if log == nil || !log.node.HasReady() {
+		for _, replica := range m.replicas {
+			if replica == nil || !replica.node.HasReady() {
 				continue
 			}
 			again = true
-			wasLeader := log.isLeader
-			log.processReady(
-				func(message *pb.Message) { m.sendRaftMessage(log, message) },
-				func(record *Record, result Result, answer FinalAnswer) { m.recordApplied(log, record, result, answer) })
-			if log.isLeader != wasLeader {
-				m.leadershipChanged(log)
+			wasLeader := replica.isLeader
+			replica.processReady(
+				func(message *pb.Message) { m.sendRaftMessage(replica, message) },
+				func(record *Record, result Result, answer FinalAnswer) {
+					m.recordApplied(replica, record, result, answer)
+				})
+			if replica.isLeader != wasLeader {
+				m.leadershipChanged(replica)
 			}
 		}
 	}
--- a/internal/requestlog/reconfiguration.go
+++ b/internal/requestlog/reconfiguration.go
@@ -19,19 +19,19 @@
 // reconfigureLogs works on the logs that this member leads: each should have as many available voters as configured, and
 // once it has them, its own member as the leader. It changes a log's voters one step at a time.
 func (m *Member) reconfigureLogs() {
-	for logIndex, log := range m.replicas {
-		if log == nil || !log.isLeader || log.readyTerm == 0 {
+	for logIndex, replica := range m.replicas {
+		if replica == nil || !replica.isLeader || replica.readyTerm == 0 {
 			continue
 		}
-		isJoint := len(log.confState.GetVotersOutgoing()) > 0
-		isPending := log.confChangeProposedAt > 0 && m.now-log.confChangeProposedAt < confChangeTimeoutMs
+		isJoint := len(replica.confState.GetVotersOutgoing()) > 0
+		isPending := replica.confChangeProposedAt > 0 && m.now-replica.confChangeProposedAt < confChangeTimeoutMs
 		if isJoint || isPending {
 			continue
 		}
-		if changes := m.voterChanges(logIndex, log); len(changes) > 0 {
-			m.proposeVoterChanges(log, changes)
+		if changes := m.voterChanges(logIndex, replica); len(changes) > 0 {
+			m.proposeVoterChanges(replica, changes)
 		} else {
-			m.transferLeadership(logIndex, log)
+			m.transferLeadership(logIndex, replica)
 		}
 	}
 }
--- a/internal/requestlog/record.go
+++ b/internal/requestlog/record.go
@@ -22,12 +22,12 @@
 	AnswersExpired                        // answers older than their TTL are removed
 )
 
-// AnswerStatus tells how a request was answered.
-type AnswerStatus uint8
+// FinalStatus tells how a request was answered.
+type FinalStatus uint8
 
 // The states of an answer.
 const (
-	Unanswered AnswerStatus = iota // still in flight
+	Unanswered FinalStatus = iota // still in flight
 	Served
 	Rejected // the request may be repeated: the entry is removed and the key is unused again
 	Failed
@@ -64,7 +64,7 @@
 
 // FinalAnswer is the final answer of a request.
 type FinalAnswer struct {
-	Status     AnswerStatus
+	Status     FinalStatus
 	HTTPStatus int
 	Header     []byte
 	Body       []byte
--- a/internal/requestlog/status.go
+++ b/internal/requestlog/status.go
@@ -61,22 +61,22 @@
 		state.Leader = m.config.Members[leader]
 		state.Complete = m.isCompleteBy(leader, logIndex)
 	}
-	log := m.replicas[logIndex]
-	if log == nil {
+	replica := m.replicas[logIndex]
+	if replica == nil {
 		return state
 	}
-	state.HasReplica, state.Term = true, log.term()
-	for _, voterID := range log.confState.GetVoters() {
+	state.HasReplica, state.Term = true, replica.term()
+	for _, voterID := range replica.confState.GetVoters() {
 		state.Voters = append(state.Voters, m.config.Members[incarnationOf(voterID).Member()])
 	}
-	if last, err := log.storage.LastIndex(); err == nil && last > log.appliedIndex {
-		state.Lag = last - log.appliedIndex
+	if last, err := replica.storage.LastIndex(); err == nil && last > replica.appliedIndex {
+		state.Lag = last - replica.appliedIndex
 	}
-	state.InFlight = len(log.ledger.unanswered)
-	state.Records = len(log.ledger.entries)
-	state.Bytes = log.ledger.bytes
-	state.MemoryBytes = log.ledger.bytes + log.bytesSinceSnapshot
-	if stored, err := log.storage.Snapshot(); err == nil {
+	state.InFlight = len(replica.ledger.unanswered)
+	state.Records = len(replica.ledger.entries)
+	state.Bytes = replica.ledger.bytes
+	state.MemoryBytes = replica.ledger.bytes + replica.bytesSinceSnapshot
+	if stored, err := replica.storage.Snapshot(); err == nil {
 		state.MemoryBytes += len(stored.GetData())
 	}
 	return state
--- a/internal/serve/config.go
+++ b/internal/serve/config.go
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	if deployment.Balancer.Seed, err = strconv.ParseUint(content.Seed, 16, 64); err != nil {
+	if deployment.BalancerConfig.Seed, err = strconv.ParseUint(content.Seed, 16, 64); err != nil {
 		return fmt.Errorf("seed: %w", err)
 	}
 	c.deployment = deployment
@@ -212,5 +212,5 @@
 	}
 	return fmt.Sprintf("%s on %s, list at %s: %s, reports of %v, %d categories, %d known backends, %d nodes; %g cores, %d MB, %d sockets",
 		c.name, c.address, c.discoveryAddress, c.deployment.Topology, c.deployment.LoadReportFields, len(c.deployment.Classes), cached,
-		c.deployment.Balancer.Nodes, c.cores, c.memoryBytes>>20, c.maxDescriptors)
+		c.deployment.BalancerConfig.Nodes, c.cores, c.memoryBytes>>20, c.maxDescriptors)
 }
--- a/internal/serve/controlplane.go
+++ b/internal/serve/controlplane.go
@@ -56,7 +56,7 @@
 		log:            log,
 	}
 	s.inForce.Store(&settingsVersion{})
-	if s.client, err = client.New(clientConfig, s.apply, nodeClock, log); err != nil {
+	if s.client, err = client.New(clientConfig, s.submitVersion, nodeClock, log); err != nil {
 		return nil, err
 	}
 	s.useStoredCopy()
@@ -93,7 +93,7 @@
 // apply puts a version in force and returns why that was not possible. It decodes the version on the control plane client's
 // goroutine, so that the one that puts settings in force (handleEvents) is not held up by a large document, and waits for
 // that one's result. After stop it returns context.Canceled, which says nothing about the version.
-func (s *controlPlaneSettings) apply(version uint64, text []byte) error {
+func (s *controlPlaneSettings) submitVersion(version uint64, text []byte) error {
 	if version == s.inForce.Load().version { // the node started with it
 		return nil
 	}
@@ -116,7 +116,7 @@
 }
 
 // put puts a version in force. After an error the previous version is in force as a whole.
-func (s *controlPlaneSettings) put(update settingsUpdate, reconfigure func(*config.Deployment) error) error {
+func (s *controlPlaneSettings) activate(update settingsUpdate, reconfigure func(*config.Deployment) error) error {
 	if err := update.deployment.CheckReplaces(s.config.deployment); err != nil {
 		return err
 	}
--- a/internal/serve/controlsocket.go
+++ b/internal/serve/controlsocket.go
@@ -80,7 +80,7 @@
 		ListVersion:  nodeStatus.Version,
 		ListDigest:   nodeStatus.Digest,
 		Backends:     nodeStatus.Backends,
-		Ready:        nodeStatus.HasEndpoints,
+		Ready:        nodeStatus.Ready,
 		InService:    inService,
 		Draining:     shuttingDown,
 		OpenRequests: int64(nodeStatus.OpenRequests),
--- a/internal/serve/process.go
+++ b/internal/serve/process.go
@@ -148,7 +148,7 @@
 	p.watch = &discovery.Watch{
 		Address:     p.config.discoveryAddress,
 		Deployment:  p.config.deploymentNames,
-		LocalSource: !p.config.deployment.Balancer.PollEndpoints,
+		LocalSource: !p.config.deployment.BalancerConfig.PollEndpoints,
 		Log:         p.log,
 	}
 	if cached := p.config.cachedEndpoints; cached != nil {
@@ -156,7 +156,7 @@
 	}
 	p.upstreamConfig = &upstream.Config{SetReportValue: config.SetReportValue, Budget: p.budget, Log: p.log}
 	p.useDeployment(p.config.deployment)
-	p.node = node.New(p.config.deployment, p.options.NewDecider, p.clock, p.upstreamConfig, p.watch.Poll, p.log)
+	p.node = node.New(p.config.deployment, p.options.NewDecider, p.clock, p.upstreamConfig, p.watch.StartSession, p.log)
 	p.watch.OnList, p.watch.OnFailure = p.node.EndpointsChanged, p.node.PollFailed
 	p.server = server.New(p.node, p.config.deployment, p.clock, p.budget, p.log)
 	if err := p.enableAdmission(); err != nil {
@@ -314,7 +314,7 @@
 			case <-lifetime.Done():
 				return
 			case update := <-updates:
-				update.result <- p.settings.put(update, reconfigure)
+				update.result <- p.settings.activate(update, reconfigure)
 			case <-p.reload:
 				p.config.reload(p.watch.SetAddress, reconfigure, p.log)
 				p.reloadAdmission()
--- a/internal/server/decode.go
+++ b/internal/server/decode.go
@@ -74,7 +74,7 @@
 	}
 	now := s.clock.Now()
 	request := node.NewRequest(upstream.NewMessage(r.Method, r.RequestURI, r.Host, r.Header, body, streamed))
-	request.Config = deployment.Balancer
+	request.Config = deployment.BalancerConfig
 	request.Class = header.class
 	request.Tenant = tenantIndex(deployment, r)
 	request.IsClientRetry = r.Header.Get(clientRetryHeader) == "1"
--- a/internal/server/handler.go
+++ b/internal/server/handler.go
@@ -87,9 +87,8 @@
 
 // logMalformed logs malformed requests at most once in malformedLogInterval, with their number since the last line.
 func (s *Server) logMalformed(reason string) {
-	s.malformedUnlogged.Add(1)
-	s.malformedLog.Do(func() {
-		s.log.Warn("malformed request", "error", reason, "since_last", s.malformedUnlogged.Swap(0))
+	s.malformedLog.Event(func(sinceLast int64) {
+		s.log.Warn("malformed request", "error", reason, "since_last", sinceLast)
 	})
 }
 
@@ -115,8 +114,8 @@
 	maxOpen := int64(deployment.MaxOpenRequests)
 	if maxOpen > 0 && openRequests > maxOpen || s.quiesce.rejecting.Load() {
 		rejection := node.Answer{Status: node.Rejected}
-		if deployment.Balancer.SendRetryAfter { // a node that is that full stays full for a while
-			rejection.RetryAfter = deployment.Balancer.MaxRetryAfter
+		if deployment.BalancerConfig.SendRetryAfter { // a node that is that full stays full for a while
+			rejection.RetryAfter = deployment.BalancerConfig.MaxRetryAfter
 		}
 		s.writeAnswer(w, conn, rejection)
 		return
--- a/internal/server/response.go
+++ b/internal/server/response.go
@@ -67,8 +67,8 @@
 }
 
 // retryAfterMs returns after how many ms a rejected client should come back: the answer's own time. Where that is too short
-// to be stated, it is a random time from half of defaultRetryAfterMs to all of it, at most MaxRetryAfter if that is set. Clients that are rejected together get different times, so
-// that they don't come back together.
+// to be stated, it is a random time from half of defaultRetryAfterMs to all of it, at most MaxRetryAfter if that is set.
+// Clients that are rejected together get different times, so that they don't come back together.
 //
 // Where the deployment sends no Retry-After (bounds.retryAfter is off), it is 0, and the response has no such header. The
 // exception is rejections for the sake of the request log, in serveLogged: those have a time in any case, for a client that
@@ -78,7 +78,7 @@
 // the node's rejections for the request log take the minimum with it and so state no wait, for which this function then
 // puts one in.
 func (s *Server) retryAfterMs(answer node.Answer) float64 {
-	config := s.deployment.Load().Balancer
+	config := s.deployment.Load().BalancerConfig
 	if answer.RetryAfter >= minRetryAfterMs || !config.SendRetryAfter {
 		return answer.RetryAfter
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -18,19 +18,18 @@
 	"sync/atomic"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"pearknot/internal/admission"
 	"pearknot/internal/clock"
 	"pearknot/internal/config"
 	"pearknot/internal/descriptors"
 	"pearknot/internal/node"
+	"pearknot/internal/throttledlog"
 )
 
 const (
 	// readTimeout is for reading a request, from its first byte or from the start of the connection. By the operators'
 	// contract a client that sends no complete request gets a 4xx or the end of its connection within 3 s (docs/oncall.md,
-	// "Odd clients"); the rest of that time is for a connection that waits for a file descriptor before it is accepted.
+	// "Misbehaving clients"); the rest of that time is for a connection that waits for a file descriptor before it is accepted.
 	readTimeout = 2200 * time.Millisecond
 
 	// writeTimeout is for writing a response, and restarts with each part of a long one.
@@ -78,8 +77,7 @@
 	idleConns map[net.Conn]time.Time // connections without a request, and since when
 	openIDs   map[string]struct{}    // of the open requests
 
-	malformedLog      rate.Sometimes
-	malformedUnlogged atomic.Int64 // malformed requests since the last log line
+	malformedLog *throttledlog.Throttle
 }
 
 // New makes a server that passes requests to n.
@@ -92,7 +90,7 @@
 		serveDone:    make(chan struct{}),
 		idleConns:    map[net.Conn]time.Time{},
 		openIDs:      map[string]struct{}{},
-		malformedLog: rate.Sometimes{Interval: malformedLogInterval},
+		malformedLog: throttledlog.New(malformedLogInterval),
 	}
 	s.deployment.Store(deployment)
 	s.httpServer = http.Server{
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -179,7 +179,7 @@
 // A node with as many open requests as it may have rejects the next one, and says when to come back.
 func TestMaxOpenRequests(t *testing.T) {
 	srv := &Server{budget: descriptors.New(64, func() {})}
-	srv.deployment.Store(&config.Deployment{MaxOpenRequests: 1, Balancer: &balancer.Config{SendRetryAfter: true, MaxRetryAfter: 1500}})
+	srv.deployment.Store(&config.Deployment{MaxOpenRequests: 1, BalancerConfig: &balancer.Config{SendRetryAfter: true, MaxRetryAfter: 1500}})
 	srv.openRequests.Store(1)
 	recorder := httptest.NewRecorder()
 	conn, _ := connPair(t)
@@ -228,7 +228,7 @@
 		assert.LessOrEqual(t, wait*1e3, test.last, name)
 	}
 	srv := &Server{}
-	srv.deployment.Store(&config.Deployment{Balancer: &balancer.Config{SendRetryAfter: true, MaxRetryAfter: 2000}})
+	srv.deployment.Store(&config.Deployment{BalancerConfig: &balancer.Config{SendRetryAfter: true, MaxRetryAfter: 2000}})
 	assert.NotEqual(t, srv.retryAfterMs(node.Answer{}), srv.retryAfterMs(node.Answer{}), "spread")
 	assert.Equal(t, 7.0, srv.retryAfterMs(node.Answer{RetryAfter: 7}), "as foreseen")
 	assert.Less(t, 49.0, srv.retryAfterMs(node.Answer{RetryAfter: 0.4}), "which Retry-After would state as 0.000")
--- a/internal/server/tlslistener_test.go
+++ b/internal/server/tlslistener_test.go
@@ -60,7 +60,7 @@
 	certificate.Store(newCertificate(t, "members.example"))
 	budget = descriptors.New(limit, func() {})
 	nodeClock, log := clock.New(), slog.New(slog.DiscardHandler)
-	deployment := &config.Deployment{Classes: []string{"check"}, Balancer: options}
+	deployment := &config.Deployment{Classes: []string{"check"}, BalancerConfig: options}
 	upstreamConfig := &upstream.Config{Budget: budget, Log: log}
 	upstreamConfig.ConnectTimeout.Set(30 * time.Second)
 	upstreamConfig.IdleTimeout.Set(time.Minute)
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -112,7 +112,7 @@
 		r.err = err
 		return
 	}
-	deployment.Balancer.Seed = seed
+	deployment.BalancerConfig.Seed = seed
 	if former := h.instances[number]; former != nil {
 		former.stopped = true
 	}
@@ -121,9 +121,9 @@
 	h.instances[number] = i
 	h.touch(i)
 	h.recoverFrom(i, func() {
-		i.decider = balancer.New(deployment.Balancer, h.now)
+		i.decider = balancer.New(deployment.BalancerConfig, h.now)
 		if h.Wrap != nil {
-			i.decider = h.Wrap(number, i.decider, deployment.Balancer, h.now)
+			i.decider = h.Wrap(number, i.decider, deployment.BalancerConfig, h.now)
 		}
 	})
 }
@@ -165,7 +165,7 @@
 	id := r.u64()
 	h.input(r, i, func() {
 		if request := i.requests[id]; request != nil {
-			i.decider.ClientGone(h.now, request)
+			i.decider.RequestAbandoned(h.now, request)
 			i.forgetIfDone(request)
 		}
 	})
--- /dev/null
+++ b/internal/throttledlog/throttledlog_test.go
@@ -0,0 +1,23 @@
+package throttledlog
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Ten events come at once, and one after the interval. Two lines are logged, and each says how many events it stands for.
+func TestOneLineInEachInterval(t *testing.T) {
+	const interval = 50 * time.Millisecond
+	throttle := New(interval)
+	var lines []int64
+	record := func(sinceLast int64) { lines = append(lines, sinceLast) }
+	for range 10 {
+		throttle.Event(record)
+	}
+	require.Equal(t, []int64{1}, lines)
+	time.Sleep(interval)
+	throttle.Event(record)
+	require.Equal(t, []int64{1, 10}, lines)
+}
--- a/internal/upstream/backend.go
+++ b/internal/upstream/backend.go
@@ -97,10 +97,10 @@
 }
 
 // runExchange sends the call on a connection, in a goroutine of its own.
-func (b *Backend) runExchange(call *Call, on *conn) {
+func (b *Backend) runExchange(call *Call, c *conn) {
 	go func() {
-		result, state := b.exchange(call, on)
-		b.mailbox.Put(func() { b.exchangeFinished(call, on, result, state) })
+		result, state := b.exchange(call, c)
+		b.mailbox.Put(func() { b.exchangeFinished(call, c, result, state) })
 	}()
 }
 
@@ -109,25 +109,25 @@
 //
 // After a failed write the request never arrived complete, so it can't have run and may be sent again. Only one further
 // connection is tried, and only after a reused one: if a fresh one fails, that is the backend's fault.
-func (b *Backend) exchangeFinished(call *Call, on *conn, result Result, state connState) {
-	if on.reused {
+func (b *Backend) exchangeFinished(call *Call, c *conn, result Result, state connState) {
+	if c.reused {
 		broke := state == connWriteFailed || result.Outcome == balancer.OutcomeConnectionReset
-		b.breakage.record(on.idleBefore, broke)
+		b.breakage.record(c.idleBefore, broke)
 	}
-	if state == connWriteFailed && on.reused && !call.retriedOnFresh {
-		b.closeConn(on)
+	if state == connWriteFailed && c.reused && !call.retriedOnFresh {
+		b.closeConn(c)
 		call.retriedOnFresh = true
 		b.dial(call)
 		return
 	}
-	b.finishCall(call, on, result, state)
+	b.finishCall(call, c, result, state)
 }
 
 // finishCall ends a call. on is nil if the call had no connection. The connection of a streamed response is taken back
 // later, when the stream is closed.
-func (b *Backend) finishCall(call *Call, on *conn, result Result, state connState) {
+func (b *Backend) finishCall(call *Call, c *conn, result Result, state connState) {
 	if state != connStreaming {
-		b.takeBackConn(on, state == connReusable)
+		b.takeBackConn(c, state == connReusable)
 	}
 	call.OnDone(result)
 }
@@ -140,12 +140,12 @@
 		b.finishCall(call, nil, Result{Outcome: dialOutcome(err)}, connClosed)
 		return
 	}
-	on := newConn(netConn, address)
+	c := newConn(netConn, address)
 	// The endpoint list has given the backend another address meanwhile. Whoever listens at the old one may be another
 	// process by now, and must not get the request.
 	if address != b.address {
-		b.finishCall(call, on, Result{Outcome: balancer.OutcomeNotSent}, connClosed)
+		b.finishCall(call, c, Result{Outcome: balancer.OutcomeNotSent}, connClosed)
 		return
 	}
-	b.runExchange(call, on)
+	b.runExchange(call, c)
 }
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -191,7 +191,7 @@
 }
 
 // beginResponseTimeout sets the deadline for the response of a request whose body is complete. It reports false if the call
-// has been cancelled.
+// has been canceled.
 func (c *Call) beginResponseTimeout(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -209,7 +209,7 @@
 	return true
 }
 
-// release detaches the call from its connection and reports whether it was cancelled.
+// release detaches the call from its connection and reports whether it was canceled.
 func (c *Call) release() (wasCanceled bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -10,29 +10,29 @@
 )
 
 // exchange writes a call's request and reads the response. It has the connection to itself and does not close it.
-func (b *Backend) exchange(call *Call, on *conn) (Result, connState) {
+func (b *Backend) exchange(call *Call, c *conn) (Result, connState) {
 	if !b.acceptsAttempts.Load() { // a drain came while the connection was established
 		return Result{Outcome: balancer.OutcomeNotSent}, connReusable
 	}
-	timeout, ok := call.start(on)
+	timeout, ok := call.start(c)
 	if !ok {
 		return Result{Outcome: balancer.OutcomeNotSent}, connReusable
 	}
-	if failed, state := b.writeMessage(call, on, timeout); failed != nil {
+	if failed, state := b.writeMessage(call, c, timeout); failed != nil {
 		return *failed, state
 	}
-	firstByteAt := on.reader.waitFirstByte()
-	response, rest, reusable, err := ReadReply(on.reader, call.Message.isHead, MaxBody, MaxBufferedBody)
+	firstByteAt := c.reader.waitFirstByte()
+	response, rest, reusable, err := ReadReply(c.reader, call.Message.isHead, MaxBody, MaxBufferedBody)
 	wasCanceled := call.release()
 	if err != nil {
-		return b.readFailed(on, err, wasCanceled), connClosed
+		return b.readFailed(c, err, wasCanceled), connClosed
 	}
 
 	report := b.loadReport(response)
 	state := connClosed
 	switch {
 	case response.Stream != nil:
-		b.attachStream(response, on, rest, reusable)
+		b.attachStream(response, c, rest, reusable)
 		state = connStreaming
 	case reusable:
 		state = connReusable
@@ -42,12 +42,12 @@
 
 // writeMessage writes the call's request, including the body that is still to come from the client. It returns nil if all of
 // it was written, and otherwise the call's result and what can be done with the connection.
-func (b *Backend) writeMessage(call *Call, on *conn, timeout time.Duration) (failed *Result, state connState) {
+func (b *Backend) writeMessage(call *Call, c *conn, timeout time.Duration) (failed *Result, state connState) {
 	message := call.Message.buffers(float64(timeout.Microseconds()) / 1e3)
-	written, err := message.WriteTo(on.Conn)
+	written, err := message.WriteTo(c.Conn)
 	if err == nil && call.Message.IsStreamed() {
 		var readErr error
-		readErr, err = call.sendBody(on)
+		readErr, err = call.sendBody(c)
 		if readErr != nil { // the client's fault. The backend never got the whole request, so it did not run it.
 			call.release()
 			b.config.Log.Debug("client request body read failed", "backend", b.name, "error", readErr)
@@ -78,15 +78,15 @@
 }
 
 // readFailed returns the result of a call whose response could not be read.
-func (b *Backend) readFailed(on *conn, err error, wasCanceled bool) Result {
+func (b *Backend) readFailed(c *conn, err error, wasCanceled bool) Result {
 	switch {
 	case wasCanceled:
 		return Result{Outcome: balancer.OutcomeCanceled}
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return Result{Outcome: balancer.OutcomeTimedOut}
 	}
-	b.config.Log.Debug("backend response read failed", "backend", b.name, "error", err, "reused", on.reused,
-		"idle_ms", on.idleBefore.Milliseconds())
+	b.config.Log.Debug("backend response read failed", "backend", b.name, "error", err, "reused", c.reused,
+		"idle_ms", c.idleBefore.Milliseconds())
 	return Result{Outcome: balancer.OutcomeConnectionReset}
 }
 
@@ -104,10 +104,10 @@
 
 // attachStream connects the response's stream to the connection, to read the rest of the body. The call's deadline no longer
 // applies, since the first bytes came in time; from here on each read has a timeout of its own.
-func (b *Backend) attachStream(response *Reply, on *conn, rest io.Reader, reusable bool) {
+func (b *Backend) attachStream(response *Reply, c *conn, rest io.Reader, reusable bool) {
 	stream := response.Stream
-	stream.body, stream.conn, stream.reusable = rest, on, reusable
+	stream.body, stream.conn, stream.reusable = rest, c, reusable
 	stream.remaining = MaxBody - int64(len(response.Body))
-	stream.giveBack = func(reusable bool) { b.mailbox.Put(func() { b.takeBackConn(on, reusable) }) }
-	_ = on.SetDeadline(time.Time{})
+	stream.giveBack = func(reusable bool) { b.mailbox.Put(func() { b.takeBackConn(c, reusable) }) }
+	_ = c.SetDeadline(time.Time{})
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -22,20 +22,20 @@
 func (b *Backend) assignConn(call *Call) {
 	tooRecent, wait := 0, minIdle
 	for k := len(b.idle) - 1; k >= 0; k-- {
-		on := b.idle[k]
-		idle := time.Since(on.idleSince)
+		c := b.idle[k]
+		idle := time.Since(c.idleSince)
 		if idle < minIdle {
 			tooRecent++
 			wait = min(wait, minIdle-idle)
 			continue
 		}
 		b.idle = slices.Delete(b.idle, k, k+1)
-		if idle < b.config.IdleTimeout.Get() && !b.breakage.isLikelyBroken(idle) && on.isUsable() {
-			on.idleBefore = idle
-			b.runExchange(call, on)
+		if idle < b.config.IdleTimeout.Get() && !b.breakage.isLikelyBroken(idle) && c.isUsable() {
+			c.idleBefore = idle
+			b.runExchange(call, c)
 			return
 		}
-		b.closeConn(on)
+		b.closeConn(c)
 	}
 	if tooRecent > b.waitingForIdle { // there is one that no other call waits for
 		b.waitForIdle(call, wait)
@@ -87,20 +87,20 @@
 
 // takeBackConn takes the connection of a call that has ended; nil means that it had none. The connection becomes idle if it
 // is reusable and the backend still has that address and accepts attempts. Otherwise it is closed.
-func (b *Backend) takeBackConn(on *conn, reusable bool) {
+func (b *Backend) takeBackConn(c *conn, reusable bool) {
 	b.activeCalls--
-	if on == nil {
+	if c == nil {
 		return
 	}
-	if !reusable || !b.acceptsAttempts.Load() || on.address != b.address {
-		b.closeConn(on)
+	if !reusable || !b.acceptsAttempts.Load() || c.address != b.address {
+		b.closeConn(c)
 		return
 	}
-	on.reused, on.idleSince = true, time.Now()
+	c.reused, c.idleSince = true, time.Now()
 	if len(b.idle) == 0 {
 		b.idleTimer.Reset(b.config.IdleTimeout.Get())
 	}
-	b.idle = append(b.idle, on)
+	b.idle = append(b.idle, c)
 }
 
 // closeIdleLongerThan closes the connections that have been idle for at least that time.
@@ -115,7 +115,7 @@
 }
 
 // closeConn closes a connection and returns its descriptor to the budget. Connections are closed nowhere else.
-func (b *Backend) closeConn(on *conn) {
-	_ = on.Close()
+func (b *Backend) closeConn(c *conn) {
+	_ = c.Close()
 	b.config.Budget.ReleaseBackend()
 }
--- a/internal/upstream/races_test.go
+++ b/internal/upstream/races_test.go
@@ -30,7 +30,7 @@
 // the backend has closed. The attempt must not be sent again on a fresh connection. It once was, because PreventStart had
 // no effect on a call that had started.
 func TestNoRetryForAFinishedRequest(t *testing.T) {
-	for name, finish := range map[string]func(*Call){"answered, or client gone": (*Call).PreventStart, "cancelled": (*Call).Cancel} {
+	for name, finish := range map[string]func(*Call){"answered, or client gone": (*Call).PreventStart, "canceled": (*Call).Cancel} {
 		stub := newStubBackend(t, okHead+"\r\nhi", okHead+"\r\nhi")
 		backend, _ := newTestBackend(t, stub.Addr().String())
 		require.Equal(t, balancer.OutcomeAnswered, (<-send(backend, 10*time.Second)).Outcome, name)
@@ -45,7 +45,7 @@
 	}
 }
 
-// A call is cancelled in the middle of its write on a fresh connection. That says nothing about the backend. It once counted
+// A call is canceled in the middle of its write on a fresh connection. That says nothing about the backend. It once counted
 // as a failed connection, for which a backend is ejected.
 func TestCancelDuringWriteIsNotTheBackendsFault(t *testing.T) {
 	near, far := net.Pipe()
@@ -90,7 +90,7 @@
 	return c.Conn.Write(b)
 }
 
-// A streamed request is cancelled while its last bytes wait for a backend that reads no more. Cancel must not wait for
+// A streamed request is canceled while its last bytes wait for a backend that reads no more. Cancel must not wait for
 // them: the node's actor calls it, and every request of the node once waited with it.
 func TestCancelDoesNotWaitForAWrite(t *testing.T) {
 	near, far := net.Pipe()
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -99,8 +99,8 @@
 func ageIdleConns(backend *Backend) {
 	done := make(chan bool)
 	backend.mailbox.Put(func() {
-		for _, on := range backend.idle {
-			on.idleSince = on.idleSince.Add(-minIdle)
+		for _, c := range backend.idle {
+			c.idleSince = c.idleSince.Add(-minIdle)
 		}
 		close(done)
 	})
@@ -190,10 +190,10 @@
 		configure func(*Call)
 		want      balancer.Outcome
 	}{
-		"connection refused":    {refusing.Addr().String(), time.Second, nil, nil, balancer.OutcomeConnectFailed},
-		"cancelled before Send": {stub.Addr().String(), time.Second, nil, (*Call).Cancel, balancer.OutcomeNotSent},
-		"deadline exceeded":     {stub.Addr().String(), -time.Second, nil, nil, balancer.OutcomeConnectFailed},
-		"draining":              {stub.Addr().String(), time.Second, func(b *Backend) { b.Update(stub.Addr().String(), false) }, nil, balancer.OutcomeNotSent},
+		"connection refused":   {refusing.Addr().String(), time.Second, nil, nil, balancer.OutcomeConnectFailed},
+		"canceled before Send": {stub.Addr().String(), time.Second, nil, (*Call).Cancel, balancer.OutcomeNotSent},
+		"deadline exceeded":    {stub.Addr().String(), -time.Second, nil, nil, balancer.OutcomeConnectFailed},
+		"draining":             {stub.Addr().String(), time.Second, func(b *Backend) { b.Update(stub.Addr().String(), false) }, nil, balancer.OutcomeNotSent},
 	} {
 		backend, _ := newTestBackend(t, c.address)
 		if c.prepare != nil {
@@ -216,7 +216,7 @@
 func TestCheckedAgainBeforeTheFirstByte(t *testing.T) {
 	for name, change := range map[string]func(*Backend, *Call){
 		"draining":  func(backend *Backend, _ *Call) { backend.acceptsAttempts.Store(false) },
-		"cancelled": func(_ *Backend, call *Call) { call.Cancel() },
+		"canceled":  func(_ *Backend, call *Call) { call.Cancel() },
 		"answered":  func(_ *Backend, call *Call) { call.PreventStart() },
 		"timed out": func(_ *Backend, call *Call) { call.ShortenDeadline(time.Now()) },
 	} {
@@ -237,7 +237,7 @@
 	}
 }
 
-// A call that waits for its response is cancelled, or its deadline is brought forward. It ends at once, and its connection
+// A call that waits for its response is canceled, or its deadline is brought forward. It ends at once, and its connection
 // is closed, which is how the backend learns of it.
 func TestCancelAndShortenDeadline(t *testing.T) {
 	stub := newStubBackend(t, "", "")
@@ -417,8 +417,8 @@
 		balancer.OutcomeAnswered, balancer.OutcomeAnswered} {
 		assert.Equal(t, want, (<-send(backend, 10*time.Second)).Outcome, k)
 		backend.mailbox.Put(func() {
-			for _, on := range backend.idle {
-				on.idleSince = on.idleSince.Add(-200 * time.Millisecond)
+			for _, c := range backend.idle {
+				c.idleSince = c.idleSince.Add(-200 * time.Millisecond)
 			}
 		})
 	}
@@ -470,7 +470,7 @@
 	assert.Len(t, stub.conns, 2)
 }
 
-// A request is cancelled, times out, or its backend drains while it waits for a connection. It is never sent, and its
+// A request is canceled, times out, or its backend drains while it waits for a connection. It is never sent, and its
 // descriptor is given back.
 func TestCancelWhileWaitingForAConnection(t *testing.T) {
 	stub := newStubBackend(t, okHead+"\r\nhi")
