--- a/internal/lab/simcluster/run.go
+++ b/internal/lab/simcluster/run.go
@@ -30,7 +30,7 @@
 			c.checkClosed(keyOf(number))
 		}
 	})
-	for len(c.events) > 0 && c.now-start < duration {
+	for c.events.Len() > 0 && c.now-start < duration {
 		c.processNextEvent()
 	}
 	return c.auditor.Violations(c.now, settledAfterMs)
--- a/internal/lab/simcluster/simcluster.go
+++ b/internal/lab/simcluster/simcluster.go
@@ -11,6 +11,7 @@
 	"math/rand/v2"
 
 	"pearknot/internal/invariants"
+	"pearknot/internal/lab/eventqueue"
 	"pearknot/internal/requestlog"
 )
 
@@ -33,10 +34,9 @@
 	FramesSent    int // on all links
 	BytesSent     int // in these frames
 
-	now      float64
-	sequence int // of the event scheduled last
-	events   eventQueue
-	rng      *rand.Rand
+	now    float64
+	events eventqueue.Queue
+	rng    *rand.Rand
 
 	processes []*process
 	links     [][]*link // by the index of the sender, then of the receiver
--- a/internal/lab/simcontrolplane/simcontrolplane.go
+++ b/internal/lab/simcontrolplane/simcontrolplane.go
@@ -7,11 +7,11 @@
 package simcontrolplane
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 
 	"pearknot/internal/controlplane"
+	"pearknot/internal/lab/eventqueue"
 )
 
 // The phases of a schedule, in ms.
@@ -64,8 +64,7 @@
 
 	config    Config
 	now       float64 // ms
-	sequence  int
-	events    eventQueue
+	events    eventqueue.Queue
 	rng       *rand.Rand
 	processes []*process // voters, then relays, then nodes
 	links     [][]link   // from, to
@@ -120,10 +119,10 @@
 	}
 	c.after(lengthMs-windDownMs, func() { c.isWindingDown = true })
 	c.after(auditAfterMs, c.auditRegularly)
-	for len(c.events) > 0 && c.elapsed() < lengthMs && len(c.auditor.violations) == 0 {
-		next := heap.Pop(&c.events).(event)
-		c.now = next.at
-		next.do()
+	for c.events.Len() > 0 && c.elapsed() < lengthMs && len(c.auditor.violations) == 0 {
+		next := c.events.Take()
+		c.now = next.At
+		next.Handle()
 	}
 	return c.auditor.finish()
 }
--- a/internal/lab/virtual/simulation.go
+++ b/internal/lab/virtual/simulation.go
@@ -13,6 +13,7 @@
 	"pearknot/internal/invariants"
 	"pearknot/internal/lab/backendmodel"
 	"pearknot/internal/lab/discoverystub"
+	"pearknot/internal/lab/eventqueue"
 	"pearknot/internal/lab/experiment"
 	"pearknot/internal/lab/faults"
 	"pearknot/internal/lab/metrics"
@@ -54,8 +55,7 @@
 	seed       uint64
 
 	now             float64
-	events          eventQueue
-	lastSequence    uint64 // of the event scheduled last
+	events          eventqueue.Queue
 	eventsProcessed uint64
 
 	auditor  *invariants.Auditor
