--- a/cmd/pearknot-lab/authority.go
+++ b/cmd/pearknot-lab/authority.go
@@ -57,7 +57,7 @@
 		}
 		isSpan := fault.StartSeconds >= 0 && fault.DurationSeconds > 0 && fault.DelayMs >= 0 && fault.RetryAfterSeconds >= 0
 		if !isSpan {
-			return nil, file.Errorf(key+"for_s", "a span that is none")
+			return nil, file.Errorf(key+"for_s", "give it above 0, and at_s, delay_ms and retry_after_s not below 0")
 		}
 		faults = append(faults, acmestub.ScheduledFault{
 			Fault:      kind,
@@ -124,7 +124,7 @@
 		}
 	}
 	if isValid := t.lifetime > 0 && t.renewalWindow >= 0 && t.renewalWindow < 1; !isValid { // NaN is refused too
-		return errors.New("--life or --window is none")
+		return errors.New("--life must be above 0, and --window from 0 to below 1")
 	}
 	return nil
 }
--- a/cmd/pearknot-lab/demo.go
+++ b/cmd/pearknot-lab/demo.go
@@ -37,8 +37,8 @@
 		Use:   "demo",
 		Short: "Three nodes, ten backends, three zones, and things that go wrong; ends by itself",
 		Long: `demo starts three real nodes on loopback between stand-in backends, list and clients, kills things on the way, and ends
-with a verdict on the rules. A line a second: what the letters of the backends mean is the tenth of it that is busy,
-- for a dead one, d for one that drains, ? for one whose machine is gone.`,
+with a verdict on the rules. It prints a line a second, with a character for each backend: a digit for the tenths of it that are
+busy, - for a dead one, d for one that drains, ? for one whose machine is gone.`,
 		Args: cobra.NoArgs,
 		RunE: demo.run,
 	}
--- a/cmd/pearknot-lab/fleet_test.go
+++ b/cmd/pearknot-lab/fleet_test.go
@@ -12,7 +12,7 @@
 	"pearknot/internal/lab/program"
 )
 
-// All twenty nodes are changed under a steady load, one after the other. No request is lost or runs twice, and service is hardly
+// All twenty nodes are changed under a steady load, at most five at a time. No request is lost or runs twice, and service is hardly
 // worse.
 func TestRollingChangeUnderLoad(t *testing.T) {
 	bin, err := program.Build(t.Context(), t.TempDir())
--- a/cmd/pearknot-lab/play.go
+++ b/cmd/pearknot-lab/play.go
@@ -81,17 +81,17 @@
 	return runner.RunVirtual(ctx, e, options)
 }
 
-// newCaptureWriter opens a capture that holds all of a run: nothing is dropped for its size.
+// newCaptureWriter opens a capture, which holds up to 1 GB.
 func (o *playOptions) newCaptureWriter() (*capture.Writer, error) {
-	const unlimitedMB = 1 << 10
+	const maxCaptureMB = 1 << 10
 	return capture.NewWriter(capture.WriterConfig{
 		Dir:           o.captureDir,
 		NodeName:      "n0",
 		SegmentMB:     16,
-		MaxTotalMB:    unlimitedMB,
+		MaxTotalMB:    maxCaptureMB,
 		FlushInterval: time.Second,
 		BlockKB:       64,
-		MaxPendingMB:  unlimitedMB,
+		MaxPendingMB:  maxCaptureMB,
 		Sync:          capture.SyncSegment,
 		Log:           slog.Default(),
 		Now:           func() float64 { return float64(time.Now().UnixMilli()) },
--- a/cmd/pearknot/cluster_rig_test.go
+++ b/cmd/pearknot/cluster_rig_test.go
@@ -33,14 +33,14 @@
 // cluster is several real processes that log each other's requests. Each directed link between two of them goes through a
 // fault-injecting proxy. Backends count what runs, and an auditor checks the outcomes that clients get.
 type cluster struct {
-	t         *testing.T
-	replicas  int
-	dir       string
-	discovery string
-	list      string
-	ports     []string
-	proxies   [][]*faultproxy.Proxy // from, to
-	nodes     []*clusterNode
+	t               *testing.T
+	replicas        int
+	dir             string
+	discovery       string
+	list            string
+	memberAddresses []string
+	proxies         [][]*faultproxy.Proxy // from, to
+	nodes           []*clusterNode
 
 	mu           sync.Mutex
 	ran          map[string]int // effects by key
@@ -97,13 +97,13 @@
 	c.discovery = discovery.Listener.Addr().String()
 	require.NoError(t, os.WriteFile(filepath.Join(c.dir, "peers.key"), []byte(strings.Repeat("5a", 32)+"\n"), 0o600))
 	for range size {
-		c.ports = append(c.ports, freeAddress(t))
+		c.memberAddresses = append(c.memberAddresses, freeAddress(t))
 	}
 	for from := range size {
 		c.proxies = append(c.proxies, make([]*faultproxy.Proxy, size))
 		for to := range size {
 			if to != from {
-				w, err := faultproxy.Open(c.ports[to])
+				w, err := faultproxy.Open(c.memberAddresses[to])
 				require.NoError(t, err)
 				t.Cleanup(w.Close)
 				c.proxies[from][to] = w
@@ -121,8 +121,8 @@
 // start starts a process of node k, or the next incarnation of it.
 func (c *cluster) start(k int) {
 	var peers strings.Builder
-	fmt.Fprintf(&peers, "fleet = %q\nkey_file = \"peers.key\"\ncopies = %d\n", "cluster "+c.ports[0], c.replicas)
-	for m, port := range c.ports {
+	fmt.Fprintf(&peers, "fleet = %q\nkey_file = \"peers.key\"\ncopies = %d\n", "cluster "+c.memberAddresses[0], c.replicas)
+	for m, port := range c.memberAddresses {
 		if m != k {
 			port = c.proxies[k][m].Address()
 		}
@@ -192,7 +192,7 @@
 	if begun != nil && n == 1 {
 		close(begun)
 	}
-	if unblock != nil && n == 1 { // only the first is unblock
+	if unblock != nil && n == 1 { // only the first attempt is blocked
 		select {
 		case <-unblock:
 		case <-request.Context().Done():
@@ -211,7 +211,7 @@
 	fmt.Fprintf(w, "run %d of %s %s", n, key, body)
 }
 
-// blockFirstAttempt makes backends block the first attempt of a key until the channel held is closed. begun is closed once the
+// blockFirstAttempt makes backends block the first attempt of a key until unblock is closed. begun is closed once the
 // attempt is there.
 func (c *cluster) blockFirstAttempt(key string) (begun, unblock chan struct{}) {
 	begun, unblock = make(chan struct{}), make(chan struct{})
@@ -382,7 +382,7 @@
 // in time.
 func (c *cluster) sendUntilAnswered(key, class, ttl string, rng *rand.Rand, within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); {
-		status, _ := c.send(rng.IntN(len(c.ports)), class, key, ttl, "x")
+		status, _ := c.send(rng.IntN(len(c.memberAddresses)), class, key, ttl, "x")
 		if status == 200 || status == 502 {
 			return true
 		}
--- a/cmd/pearknot/clusterfaults_test.go
+++ b/cmd/pearknot/clusterfaults_test.go
@@ -30,7 +30,7 @@
 	if n, err := strconv.ParseUint(os.Getenv("PEARKNOT_CLUSTER_SEED"), 10, 64); err == nil {
 		seed = n
 	}
-	cluster := newCluster(t, 5, 3+2*int(seed%2)) // two killed at once are node majority of three
+	cluster := newCluster(t, 5, 3+2*int(seed%2)) // two killed at once are a majority of three replicas
 	cluster.maxDelay = 300 * time.Millisecond
 	defer cluster.checkOutcomes()
 	until := time.Now().Add(time.Duration(seconds) * time.Second)
@@ -110,7 +110,7 @@
 	var times []time.Duration
 	var mu sync.Mutex
 	for round := range 10 {
-		const open = 5 // fewer than node node with few answers may have out
+		const open = 5 // fewer than a node that has seen few answers may have in flight
 		var unblock []chan struct{}
 		var keys []string
 		for n := range open {
@@ -225,7 +225,7 @@
 // A new process of a node starts beside the running one. The old process stays the member until it has ended; then the new one
 // joins as another incarnation. Requests in flight meanwhile have one outcome each, and none is lost.
 func TestHotRestartOfAPeer(t *testing.T) {
-	dir, err := os.MkdirTemp("", "pk") // short: node socket's path is bounded
+	dir, err := os.MkdirTemp("", "pk") // short: a socket's path is bounded
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
 	t.Setenv("TMPDIR", dir)
@@ -264,15 +264,15 @@
 			}
 		}
 	}
-	times := make([]int, size)
-	for k := range times {
-		times[k] = k
+	allNodes := make([]int, size)
+	for k := range allNodes {
+		allNodes[k] = k
 	}
 	for time.Now().Before(until) {
 		node := rng.IntN(size)
 		peers := []int{(node + 1 + rng.IntN(size-1)) % size}
 		if rng.IntN(2) == 0 {
-			peers = times
+			peers = allNodes
 		}
 		duration := time.Duration(200+rng.IntN(1800)) * time.Millisecond
 		kind := rng.IntN(9)
--- a/cmd/pearknot/faultydiscovery_test.go
+++ b/cmd/pearknot/faultydiscovery_test.go
@@ -38,10 +38,10 @@
 	mu              sync.Mutex
 	mode            discoveryMode
 	list            string               // the list, without its version
-	delta           string               // what changed delta the version before
+	delta           string               // what changed since the version before
 	version         uint64               // of both
 	changed         chan struct{}        // closed when the version moves on
-	calls           int                  // in this mood
+	calls           int                  // in this mode
 	firstCalledWith map[uint64]time.Time // when a call first came from a node that has this version
 	closeListener   func()               // of whatever listens
 }
@@ -191,7 +191,7 @@
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
 	startedAt := time.Now()
-	for k := range len(answer) { // each at its moment, so that a late one does not hold up the rest
+	for k := range len(answer) { // each at its own time, so that a late one does not delay the rest
 		select {
 		case <-time.After(time.Until(startedAt.Add(time.Duration(k) * time.Second / time.Duration(len(answer))))):
 		case <-request.Context().Done():
--- a/cmd/pearknot/pearknot_test.go
+++ b/cmd/pearknot/pearknot_test.go
@@ -61,7 +61,7 @@
 		{"GET", "c", "other", "2000", 400, "unknown category \"other\"\n", 0},
 		{"GET", "d", "check", "soon", 400, "odd X-Expires-In-Ms \"soon\"\n", 0},
 	} {
-		node := startNode(t, 1024, handler) // one that has seen no faults yet
+		node := startNode(t, 1024, handler) // a new node, which has seen no failures yet
 		startedAt := time.Now()
 		status, body, _, err := node.send(client, c.method, c.id, c.class, c.ttl)
 		require.NoError(t, err, c.id)
@@ -251,7 +251,7 @@
 		require.NoError(t, err)
 		_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 		_, _ = io.WriteString(conn, c.sends)
-		if c.status == "end" { // with nothing output, within the time that odd clients are owed
+		if c.status == "end" { // no answer, within the time that docs/oncall.md states
 			_ = conn.SetDeadline(time.Now().Add(3 * time.Second))
 			_, err := conn.Read(make([]byte, 1))
 			assert.ErrorIs(t, err, io.EOF, name)
--- a/cmd/pearknot/peers_test.go
+++ b/cmd/pearknot/peers_test.go
@@ -92,7 +92,7 @@
 	require.NoError(t, cluster.nodes[0].cmd.Process.Signal(syscall.SIGSTOP))
 	status, text := cluster.send(1, "pay", "pay-frozen", "6000", "x")
 	require.Equal(t, 502, status, text)
-	close(unblock) // its answer lies in the frozen one's socket
+	close(unblock) // its answer waits in the socket of the frozen process
 	require.NoError(t, cluster.nodes[0].cmd.Process.Signal(syscall.SIGCONT))
 	status = <-answers
 	require.Contains(t, []int{409, 502}, status, "asked to retry, or given what the successor has recorded")
@@ -130,7 +130,7 @@
 	require.Equal(t, 503, status)
 	require.Less(t, time.Since(begunAt), 2*time.Second, "answered at once, not queued")
 	require.Zero(t, cluster.attemptsOf("pay-alone"))
-	require.Eventually(t, func() bool { // once the module no longer takes the unblock request's time for a crowd
+	require.Eventually(t, func() bool { // once the balancer no longer takes the blocked request's time for congestion
 		status, _ := cluster.send(0, "check", "check-alone", "4000", "x")
 		return status == 200
 	}, 10*time.Second, 50*time.Millisecond)
--- a/cmd/pearknot/ready_rig_test.go
+++ b/cmd/pearknot/ready_rig_test.go
@@ -81,7 +81,7 @@
 	before := node.list.callCount()
 	node.start()
 	since := node.begun
-	if !known && !startModes[mode] {
+	if !known && !modesWithList[mode] {
 		require.Eventually(node.t, func() bool {
 			return node.log.Count(`msg="endpoint list poll failed"`) > 0 && node.log.Count("msg=serving") > 0
 		},
--- a/cmd/pearknot/ready_test.go
+++ b/cmd/pearknot/ready_test.go
@@ -10,21 +10,29 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// startModes are the modes in which a node may have to start, and whether it can get a list in them.
-var startModes = map[discoveryMode]bool{discoverySlow: true, discoveryTrickling: true, discoverySilent: false, discoveryOverloaded: false, discoveryRefusing: false, discoveryFull: false, discoveryClosing: false}
+// modesWithList are the modes in which a node may have to start, and whether it can get a list in them.
+var modesWithList = map[discoveryMode]bool{
+	discoverySlow:       true,
+	discoveryTrickling:  true,
+	discoverySilent:     false,
+	discoveryOverloaded: false,
+	discoveryRefusing:   false,
+	discoveryFull:       false,
+	discoveryClosing:    false,
+}
 
 // A node is stopped or killed and started again. It is ready within 10 s whatever state discovery is in: by its list if it has
 // one or can get one, otherwise 10 s after discovery has returned. Ready means that it serves a request.
 func TestReadyDespiteFaultyDiscovery(t *testing.T) {
-	for m := range startModes {
+	for m := range modesWithList {
 		for _, mode := range []string{"subscribe", "automatic"} {
 			for _, known := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%s/%s/known=%v", m, mode, known), func(t *testing.T) {
 					t.Parallel()
 					node := newRestartedNode(t, mode, known)
 					for _, how := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
-						times := node.restartTime(m, how, known)
-						assert.Less(t, times, 10*time.Second, how)
+						took := node.restartTime(m, how, known)
+						assert.Less(t, took, 10*time.Second, how)
 						node := &testNode{t: t, address: node.address}
 						node.sendUntilServed(newClient(), how.String())
 					}
--- a/internal/lab/capacity/cost_node.go
+++ b/internal/lab/capacity/cost_node.go
@@ -67,10 +67,10 @@
 		"s", inForce, mechanismWatch)
 
 	s.begin(roleNodeControl, eventZoneFails)
-	s.add("seconds to hear of it at the node's rate", s.slopes.at("node.zone.bytes", t.Backends).times(zoneFraction/t.Zones/rate),
+	s.add("seconds to hear of it at the node's rate", s.slopes.at("node.zone.bytes", t.Backends).times(zonesPerList/t.Zones/rate),
 		"s", inForce, mechanismWatch)
 	s.add("processor time for it, seconds at the node's share of a core",
-		s.slopes.at("node.zone.cpu", t.Backends).times(zoneFraction/t.Zones/core), "s", inForce, mechanismWatch)
+		s.slopes.at("node.zone.cpu", t.Backends).times(zonesPerList/t.Zones/core), "s", inForce, mechanismWatch)
 }
 
 // addNodeStart adds what a node spends to become ready, and to catch up after its region was cut off.
--- a/internal/lab/capacity/rig_discovery.go
+++ b/internal/lab/capacity/rig_discovery.go
@@ -20,8 +20,8 @@
 // change has synchronized would else count once more in some runs than in others.
 const pollHoldTime = 1200 * time.Millisecond
 
-// zoneFraction is the part of the backends, 1 in so many, that changes at once as when a zone fails.
-const zoneFraction = 12
+// zonesPerList is the part of the backends, 1 in so many, that changes at once as when a zone fails.
+const zonesPerList = 12
 
 func discoveryMeasurements() []measurement {
 	return []measurement{
@@ -146,7 +146,7 @@
 	}
 	sleep(ctx, bench.RunDuration) // until the node's start shows no more
 	server := site.discovery
-	zone := make([]int, max(int(size)/zoneFraction, 1))
+	zone := make([]int, max(int(size)/zonesPerList, 1))
 	for i := range zone {
 		zone[i] = i
 	}
--- a/internal/lab/experiment/fault.go
+++ b/internal/lab/experiment/fault.go
@@ -58,8 +58,8 @@
 	FaultConnectionLimit = "squeeze"    // backends close idle connections, and accept no more than Factor connections
 )
 
-// FaultKinds are the kinds that both hosts have. The search draws from them by their place, so that another order would
-// change what a seed of it finds.
+// FaultKinds are the kinds that both hosts have. The search draws from them by their place, so that another order
+// or length would change what a seed of it finds.
 var FaultKinds = []string{
 	FaultSwallow,
 	FaultErrors,
--- a/internal/lab/scale/auditor.go
+++ b/internal/lab/scale/auditor.go
@@ -57,7 +57,9 @@
 // version is no change to it.
 func (a *Auditor) NodeStarted(node string, at float64) {
 	a.startedAt[node] = at
-	a.applied[node] = append(a.applied[node], []appliedVersion{}...)
+	if _, isKnown := a.applied[node]; !isKnown {
+		a.applied[node] = nil // nothing applied yet, but checked
+	}
 }
 
 // VersionReported records a node's report of what it has applied, and since when. Version 0 is nothing.
--- a/internal/lab/scale/lateness.go
+++ b/internal/lab/scale/lateness.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	latenessInterval = 20 * time.Millisecond
-	summedLateness   = 250 * time.Millisecond // from which on lateness is added up
+	latenessInterval  = 20 * time.Millisecond
+	minSummedLateness = 250 * time.Millisecond // lateness up to this is not added up
 )
 
 // Lateness is how late a process's timers were.
 type Lateness struct {
 	MaxMs float64
-	SumMs float64 // of what was over summedLateness
+	SumMs float64 // the whole lateness of the timers that were later than minSummedLateness
 }
 
 // timerLateness measures how late a process's own timers are. While a process gets no processor, or is stopped, its figures say nothing
@@ -25,7 +25,7 @@
 func (l *timerLateness) watch(ctx context.Context) {
 	for last := time.Now(); wait(ctx, latenessInterval); last = time.Now() {
 		late := time.Since(last) - latenessInterval
-		if late > summedLateness {
+		if late > minSummedLateness {
 			l.sum.Add(int64(late))
 		}
 		if int64(late) > l.max.Load() {
--- a/internal/lab/scale/report_print.go
+++ b/internal/lab/scale/report_print.go
@@ -13,7 +13,7 @@
 // costFootnote says what the table's figures are of.
 const costFootnote = `
 Both ways. Bytes are counted on the links, and a member's are the busiest one's; messages by the nodes, and a member's are those with
-nodes, the mean. A hollow node's processor time and memory are its process's, divided by its nodes and less nothing; a real node's are
+nodes, the mean. A hollow node's processor time and memory are its process's, divided by its nodes; a real node's are
 all it does, its load among them. Memory is the largest RSS, of members and real nodes the largest one's.
 
 `
--- a/internal/lab/simcluster/logrequests.go
+++ b/internal/lab/simcluster/logrequests.go
@@ -14,8 +14,8 @@
 	p := c.processes[processIndex]
 	incarnation := p.incarnation
 	for range requests {
-		c.loggedRecords++
-		key := fmt.Sprintf("kept-%d", c.loggedRecords)
+		c.loggedRequests++
+		key := fmt.Sprintf("kept-%d", c.loggedRequests)
 		c.after(c.rng.Float64()*duration, func() {
 			c.runIn(p, incarnation, func() { c.logRequest(p, key, bodyBytes) })
 		})
--- a/internal/lab/simcluster/simcluster.go
+++ b/internal/lab/simcluster/simcluster.go
@@ -42,9 +42,9 @@
 	links     [][]*link // by the index of the sender, then of the receiver
 	replicas  int       // of each log
 
-	auditor       *invariants.KeyAuditor
-	effectAt      map[string]float64 // by idempotency key, when an effect ran that backends still recognize
-	loggedRecords int                // requests that LogRequests has made
+	auditor        *invariants.KeyAuditor
+	effectAt       map[string]float64 // by idempotency key, when an effect ran that backends still recognize
+	loggedRequests int                // requests that LogRequests has made
 }
 
 // New returns a cluster whose load, delays and backends are drawn by a seed. Its processes are not started.
--- a/internal/lab/simcontrolplane/simcontrolplane.go
+++ b/internal/lab/simcontrolplane/simcontrolplane.go
@@ -52,7 +52,7 @@
 	// Trace, if set, is called with each event of interest.
 	Trace func(format string, args ...any)
 
-	// InjectedBug is left out in voters, and in nodes as followers; not in relays, whose own History would not be consistent.
+	// InjectedBug is given to voters, and to nodes as followers. Relays don't get it: their own History would not be consistent.
 	InjectedBug controlplane.InjectedBug
 	// MangleFrames loses, duplicates, reorders and corrupts frames, which TCP doesn't: digests, versions and heartbeats must notice.
 	MangleFrames bool
--- a/internal/lab/virtual/faults.go
+++ b/internal/lab/virtual/faults.go
@@ -21,7 +21,7 @@
 	return spans
 }
 
-// switchFault begins or ends a fault. Kinds that aren't named here act only through the state of faults, which the
+// applyTransition begins or ends a fault. Kinds that aren't named here act only through the state of faults, which the
 // workload and the network ask.
 func (s *simulation) applyTransition(transition faults.Transition) {
 	s.faults.Apply(transition)
@@ -52,7 +52,7 @@
 	}
 }
 
-// switchBackendFault begins or ends a fault at one backend.
+// applyBackendFault begins or ends a fault at one backend.
 func (s *simulation) applyBackendFault(b *backend, kind string, on bool) {
 	switch kind {
 	case experiment.FaultCrash, experiment.FaultMachineLoss:
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -26,7 +26,7 @@
 	return e
 }
 
-// Operators rely on the five rules during any incident. Each experiment in the experiments directory plays one or
+// Operators rely on the rules during any incident. Each experiment in the experiments directory plays one or
 // several faults, some at the same time; no rule may be broken in any of them, and most requests must be served.
 func TestShippedExperimentsKeepRules(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/*.toml")
