--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -4,7 +4,7 @@
 // the control plane (package controlplane, for the configuration of all nodes).
 //
 // command.go parses lines and formats answers without any I/O; server.go and client.go have the sockets. The verbs, the
-// answers and the times are a contract with callers, in docs/operations.md ("The second address").
+// answers and the times are a contract with callers, in docs/operations.md ("The admin address").
 package admin
 
 import (
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -19,7 +19,7 @@
 	// lineTimeout is how long a caller may take from connecting to the end of its line, as in the contract.
 	lineTimeout = 5 * time.Second
 	// commandTimeout is how long a command may take from the end of its line. The contract with callers, in
-	// docs/operations.md ("The second address"), is that the answer comes within a second however busy the node is; the
+	// docs/operations.md ("The admin address"), is that the answer comes within a second however busy the node is; the
 	// rest of that second is for the connection and the two lines.
 	commandTimeout = 900 * time.Millisecond
 	// writeTimeout is how long the caller may take to read the answer.
--- a/internal/server/disconnect.go
+++ b/internal/server/disconnect.go
@@ -13,7 +13,7 @@
 // while the request's body is unread, and it stops once a byte has come behind the request. No attempt may begin for a
 // client that has gone, so in these two cases disconnectWatch looks for the end of the connection.
 //
-// That rule is a term of the operators' contract, see "A client that leaves" in docs/design.md: from 0.1 s after a client
+// That rule is a term of the operators' contract, see "A client that disconnects" in docs/design.md: from 0.1 s after a client
 // has closed its connection, no attempt begins for its request.
 const (
 	// disconnectCheckInterval is a quarter of the contract's 0.1 s.
