--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -1,7 +1,7 @@
 package agent
 
 import (
-	"errors"
+	"context"
 	"fmt"
 	"math/rand/v2"
 	"net/http"
@@ -19,137 +19,190 @@
 	"pearknot/internal/mailbox"
 )
 
-// call and answer are one operation of an operator.
+// call is an operator's read or write.
 type call struct {
 	write    bool
-	revision uint64 // that a write was made from
+	revision uint64 // from which a write was made
 	value    string
 }
 
+// answer is the agent's response to a call.
 type answer struct {
-	taken    bool
+	accepted bool // a write; a refused one has no other fields
 	revision uint64
 	value    string
 }
 
+// register is the state of the model.
 type register struct {
 	revision uint64
 	value    string
 }
 
-// model is a register with a revision: a write is taken if it was made from the present one.
+// model is a register with a revision: a write is accepted if it was made from the current revision.
 var model = porcupine.Model{
 	Init: func() any { return register{} },
 	Step: func(state, input, output any) (bool, any) {
-		s, in, out := state.(register), input.(call), output.(answer)
-		if !in.write {
-			return out.revision == s.revision && out.value == s.value, s
+		current, called, answered := state.(register), input.(call), output.(answer)
+		if !called.write {
+			return answered.revision == current.revision && answered.value == current.value, current
 		}
-		if !out.taken {
-			return in.revision != s.revision, s // told so only where something else came first
+		if !answered.accepted { // only if another write came first
+			return called.revision != current.revision, current
 		}
-		return in.revision == s.revision && out.revision == s.revision+1, register{out.revision, in.value}
+		isNext := called.revision == current.revision && answered.revision == current.revision+1
+		return isNext, register{answered.revision, called.value}
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Several operators at once, hundreds of interleavings over the real API: there is one order in which all of it makes
-// sense.
+// Several operators read and write at the same time, in hundreds of interleavings over the real API. Each history is
+// linearizable: there is one order of all operations that agrees with every answer.
 func TestOperatorsAreLinearizable(t *testing.T) {
 	for round := range 25 {
-		dir := t.TempDir()
-		s, state, _, err := openStore(dir, discard)
-		require.NoError(t, err)
-		a := &Agent{options: Options{Dir: dir, Socket: dir + "/s", OnPoint: func(string) {}, BusyInterval: time.Hour, IdleInterval: time.Hour}, clock: clock.New(), log: discard,
-			mailbox: mailbox.New[func()](), done: make(chan struct{}), changed: make(chan struct{}), nextRound: time.NewTimer(time.Hour), store: s,
-			fleet: fleet.New(state, fleet.DefaultTiming())}
-		// A stopped fleet: a change over it is over with the next look, so that writes follow each other.
-		over := func() {
-			for _, name := range a.fleet.Names() {
-				a.fleet.Observe(name, fleet.Observation{Phase: fleet.PhaseDown, ObservedAt: a.now()})
-			}
-			a.fleet.Plan(a.now())
-		}
-		served := make(chan struct{})
-		go func() {
-			defer close(served)
-			for {
-				select {
-				case <-a.done:
-					return
-				case <-a.mailbox.Ready():
-					for _, f := range a.mailbox.TakeAll(nil) {
-						f()
-						over()
-					}
-				}
-			}
-		}()
-		l, err := controlsocket.Listen(a.options.Socket)
-		require.NoError(t, err)
-		server := controlsocket.NewServer(a.api())
-		go func() { _ = server.Serve(l) }()
-		require.NoError(t, makeDirectories(dir))
-
+		agent := serveStoppedFleet(t)
 		var mu sync.Mutex
 		var history []porcupine.Operation
-		begun := time.Now()
-		var wg sync.WaitGroup
+		startedAt := time.Now()
+		var operators sync.WaitGroup
 		for operator := range 4 {
-			wg.Go(func() {
+			operators.Go(func() {
 				rng := rand.New(rand.NewPCG(uint64(round), uint64(operator)))
-				c := controlsocket.NewClient(a.options.Socket, 10*time.Second)
+				client := controlsocket.NewClient(agent.options.Socket, 10*time.Second)
 				seen := uint64(0)
-				for k := range 6 {
-					in := call{write: rng.IntN(3) > 0, revision: seen, value: fmt.Sprintf("%d-%d", operator, k)}
-					at := time.Since(begun)
-					var out answer
-					if in.write {
-						var done Written
-						err := c.Call(t.Context(), http.MethodPost, WritePath, Write{Command: "apply", Reason: in.value, Revision: in.revision,
-							Instances: []fleet.Instance{{Name: "n", Listen: "127.0.0.1:1", Desired: fleet.Stopped}},
-							Configs:   map[string]string{"n": in.value}}, &done)
-						var refused *controlsocket.ResponseError
-						switch {
-						case err == nil:
-							out = answer{taken: true, revision: done.Revision}
-							seen = done.Revision
-						case errors.As(err, &refused) && refused.Status == http.StatusConflict:
-						default:
-							t.Errorf("write: %v", err)
-						}
-					} else {
-						var v View
-						if err := c.Call(t.Context(), http.MethodGet, FleetPath, nil, &v); err != nil {
-							t.Errorf("read: %v", err)
+				for index := range 6 {
+					input := call{write: rng.IntN(3) > 0, revision: seen, value: fmt.Sprintf("%d-%d", operator, index)}
+					calledAt := time.Since(startedAt)
+					output, err := callAgent(t.Context(), client, input)
+					if err != nil {
+						t.Errorf("%+v: %v", input, err)
+						if !input.write { // a read without an answer is no part of the history
 							continue
 						}
-						out = answer{revision: v.Revision}
-						if v.Change != nil {
-							out.value = v.Change.Reason
-						}
-						seen = v.Revision
+					}
+					if output.accepted || !input.write {
+						seen = output.revision
 					}
 					mu.Lock()
-					history = append(history, porcupine.Operation{ClientId: operator, Input: in, Call: at.Nanoseconds(), Output: out,
-						Return: time.Since(begun).Nanoseconds()})
+					history = append(history, porcupine.Operation{
+						ClientId: operator,
+						Input:    input,
+						Call:     calledAt.Nanoseconds(),
+						Output:   output,
+						Return:   time.Since(startedAt).Nanoseconds(),
+					})
 					mu.Unlock()
 				}
 			})
 		}
-		wg.Wait()
-		close(a.done)
+		operators.Wait()
+		agent.shutDown()
+		assert.True(t, porcupine.CheckOperations(model, history), "round %d: %v", round, history)
+	}
+}
+
+// servedAgent is an agent that answers on its socket but takes no steps.
+type servedAgent struct {
+	*Agent
+	shutDown func() // ends the server and closes the store
+}
+
+// serveStoppedFleet serves an agent whose instances are all stopped. It observes them after each call, so that a
+// change has ended before the next one is proposed.
+func serveStoppedFleet(t *testing.T) servedAgent {
+	t.Helper()
+	dir := t.TempDir()
+	stateStore, state, _, err := openStore(dir, discard)
+	require.NoError(t, err)
+	require.NoError(t, makeDirectories(dir))
+	agent := &Agent{
+		options: Options{
+			Dir:          dir,
+			Socket:       dir + "/s",
+			OnPoint:      func(string) {},
+			BusyInterval: time.Hour,
+			IdleInterval: time.Hour,
+		},
+		clock:     clock.New(),
+		log:       discard,
+		mailbox:   mailbox.New[func()](),
+		done:      make(chan struct{}),
+		changed:   make(chan struct{}),
+		nextRound: time.NewTimer(time.Hour),
+		store:     stateStore,
+		fleet:     fleet.New(state, fleet.DefaultTiming()),
+	}
+	served := make(chan struct{})
+	go func() {
+		defer close(served)
+		for {
+			select {
+			case <-agent.done:
+				return
+			case <-agent.mailbox.Ready():
+				for _, deliver := range agent.mailbox.TakeAll(nil) {
+					deliver()
+					endChange(agent)
+				}
+			}
+		}
+	}()
+	listener, err := controlsocket.Listen(agent.options.Socket)
+	require.NoError(t, err)
+	server := controlsocket.NewServer(agent.api())
+	go func() { _ = server.Serve(listener) }()
+	return servedAgent{Agent: agent, shutDown: func() {
+		t.Helper()
+		close(agent.done)
 		<-served
 		require.NoError(t, server.Close())
-		require.NoError(t, s.close())
-		assert.True(t, porcupine.CheckOperations(model, history), "round %d: %v", round, history)
+		require.NoError(t, stateStore.close())
+	}}
+}
+
+// endChange lets the agent's fleet see that all instances are stopped, with which a change to stopped instances ends.
+func endChange(agent *Agent) {
+	for _, name := range agent.fleet.Names() {
+		agent.fleet.Observe(name, fleet.Observation{Phase: fleet.PhaseDown, ObservedAt: agent.now()})
+	}
+	agent.fleet.Plan(agent.now())
+}
+
+// callAgent sends an operator's call. A write that is refused for its revision is an answer and no error.
+func callAgent(ctx context.Context, client *controlsocket.Client, input call) (answer, error) {
+	if !input.write {
+		var view View
+		if err := client.Call(ctx, http.MethodGet, FleetPath, nil, &view); err != nil {
+			return answer{}, err
+		}
+		output := answer{revision: view.Revision}
+		if view.Change != nil {
+			output.value = view.Change.Reason
+		}
+		return output, nil
+	}
+	write := Write{
+		Command:   "apply",
+		Reason:    input.value,
+		Revision:  input.revision,
+		Instances: []fleet.Instance{{Name: "n", Listen: "127.0.0.1:1", Desired: fleet.Stopped}},
+		Configs:   map[string]string{"n": input.value},
+	}
+	var written Written
+	err := client.Call(ctx, http.MethodPost, WritePath, write, &written)
+	if statusOf(err) == http.StatusConflict {
+		return answer{}, nil
+	}
+	if err != nil {
+		return answer{}, err
 	}
+	return answer{accepted: true, revision: written.Revision}, nil
 }
 
-// The check itself finds a history that makes no sense: two writes taken from one revision.
+// The model itself refuses a history that is not linearizable: two writes accepted from one revision.
 func TestModelFindsLostWrites(t *testing.T) {
 	assert.False(t, porcupine.CheckOperations(model, []porcupine.Operation{
-		{ClientId: 0, Input: call{write: true, value: "a"}, Call: 0, Output: answer{taken: true, revision: 1}, Return: 10},
-		{ClientId: 1, Input: call{write: true, value: "b"}, Call: 0, Output: answer{taken: true, revision: 1}, Return: 10},
+		{ClientId: 0, Input: call{write: true, value: "a"}, Call: 0, Output: answer{accepted: true, revision: 1}, Return: 10},
+		{ClientId: 1, Input: call{write: true, value: "b"}, Call: 0, Output: answer{accepted: true, revision: 1}, Return: 10},
 	}))
 }
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -36,18 +36,18 @@
 	case len(os.Args) > 1 && os.Args[1] == "serve":
 		os.Exit(simulatedInstance(os.Args[2:]))
 	case len(os.Args) > 2 && os.Args[1] == "agent":
-		o, err := ReadOptions(os.Args[2])
+		options, err := ReadOptions(os.Args[2])
 		if err == nil {
-			o.OnPoint, err = KillAt(os.Getenv(KillVariable))
+			options.OnPoint, err = KillAt(os.Getenv(KillVariable))
 		}
-		signal.Ignore(syscall.SIGXFSZ) // a file's bound is to be an error of the write, as a full disk is
-		var a *Agent
+		signal.Ignore(syscall.SIGXFSZ) // so that a write beyond the file size limit fails, as on a full disk
+		var agent *Agent
 		if err == nil {
-			a, err = New(o, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+			agent, err = New(options, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 		}
 		if err == nil {
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
-			err = a.Run(ctx)
+			err = agent.Run(ctx)
 			stop()
 		}
 		if err != nil {
@@ -115,17 +115,29 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	server := controlsocket.NewServer(controlsocket.NewNodeHandler(controlsocket.NodeCalls{Status: func(context.Context) (controlsocket.Status, error) {
-		mu.Lock()
-		defer mu.Unlock()
-		return controlsocket.Status{Token: os.Getenv(serve.TokenVariable), PID: os.Getpid(), Name: config.Name, Listen: config.Listen, Digest: Digest(string(data)),
-			Epoch: epoch, ListAddress: list, Ready: config.Behaviour != "never ready", InService: isInService}, nil
-	}, SetService: func(server controlsocket.Service) error {
-		mu.Lock()
-		defer mu.Unlock()
-		isInService = server.InService
-		return nil
-	}}))
+	server := controlsocket.NewServer(controlsocket.NewNodeHandler(controlsocket.NodeCalls{
+		Status: func(context.Context) (controlsocket.Status, error) {
+			mu.Lock()
+			defer mu.Unlock()
+			return controlsocket.Status{
+				Token:       os.Getenv(serve.TokenVariable),
+				PID:         os.Getpid(),
+				Name:        config.Name,
+				Listen:      config.Listen,
+				Digest:      Digest(string(data)),
+				Epoch:       epoch,
+				ListAddress: list,
+				Ready:       config.Behaviour != "never ready",
+				InService:   isInService,
+			}, nil
+		},
+		SetService: func(service controlsocket.Service) error {
+			mu.Lock()
+			defer mu.Unlock()
+			isInService = service.InService
+			return nil
+		},
+	}))
 	go func() { _ = server.Serve(listener) }()
 	if config.Behaviour == "dies" {
 		time.AfterFunc(300*time.Millisecond, func() { os.Exit(9) })
@@ -137,8 +149,8 @@
 	return 0
 }
 
-// rig is an agent's directory with the agent as a process of its own.
-type rig struct {
+// agentRig is an agent's directory with the agent as a process of its own.
+type agentRig struct {
 	t         *testing.T
 	dir       string
 	file      string
@@ -149,12 +161,17 @@
 }
 
 // newRig returns a rig whose agent runs a program as its instances; extra is added to the agent's file.
-func newRig(t *testing.T, binary, extra string) *rig {
+func newRig(t *testing.T, binary, extra string) *agentRig {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "pk") // short: a socket's path is bounded
 	require.NoError(t, err)
-	r := &rig{t: t, dir: dir, file: filepath.Join(dir, "agent.toml"), client: controlsocket.NewClient(filepath.Join(dir, "agent.sock"), 20*time.Second)}
-	require.NoError(t, os.WriteFile(r.file, fmt.Appendf(nil, `dir = %q
+	rig := &agentRig{
+		t:      t,
+		dir:    dir,
+		file:   filepath.Join(dir, "agent.toml"),
+		client: controlsocket.NewClient(filepath.Join(dir, "agent.sock"), 20*time.Second),
+	}
+	require.NoError(t, os.WriteFile(rig.file, fmt.Appendf(nil, `dir = %q
 binary = [%q]
 [rolling]
 health_ms = 100
@@ -165,13 +182,13 @@
 start_within_ms = 3000
 %s`, dir, binary, extra), 0o600))
 	t.Cleanup(func() {
-		r.stop()
-		for _, pid := range r.processIDs("") {
+		rig.stop()
+		for _, pid := range rig.processIDs("") {
 			_ = syscall.Kill(pid, syscall.SIGKILL)
 		}
 		_ = os.RemoveAll(dir)
 	})
-	return r
+	return rig
 }
 
 // testProgram returns the path of the test's own program, see TestMain.
@@ -183,7 +200,8 @@
 }
 
 // start starts the agent, to be killed at a point if one is given, and waits until it answers.
-func (r *rig) start(killAt string) {
+func (r *agentRig) start(killAt string) {
+	r.t.Helper()
 	r.agent = exec.Command(testProgram(r.t), "agent", r.file)
 	r.agent.Env = append(os.Environ(), KillVariable+"="+killAt)
 	log, err := os.OpenFile(filepath.Join(r.dir, "agent.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -193,7 +211,7 @@
 	require.NoError(r.t, r.agent.Start())
 	ended := make(chan error, 1)
 	r.exited = ended
-	go func(c *exec.Cmd) { ended <- c.Wait() }(r.agent)
+	go func(command *exec.Cmd) { ended <- command.Wait() }(r.agent)
 	require.Eventually(r.t, func() bool {
 		_, err := r.view()
 		return err == nil
@@ -201,7 +219,7 @@
 }
 
 // stop ends the agent, if it runs, and waits for it.
-func (r *rig) stop() {
+func (r *agentRig) stop() {
 	if r.agent != nil {
 		_ = r.agent.Process.Signal(syscall.SIGTERM)
 		if err := <-r.exited; err != nil {
@@ -212,57 +230,57 @@
 }
 
 // view asks the agent for the fleet.
-func (r *rig) view() (v View, err error) {
+func (r *agentRig) view() (view View, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	err = r.client.Call(ctx, http.MethodGet, FleetPath, nil, &v)
-	return v, err
+	err = r.client.Call(ctx, http.MethodGet, FleetPath, nil, &view)
+	return view, err
 }
 
 // write sends a change, from the current revision and with a reason if it has none.
-func (r *rig) write(w Write) (Written, error) {
-	if w.Revision == 0 {
-		v, err := r.view()
+func (r *agentRig) write(write Write) (Written, error) {
+	if write.Revision == 0 {
+		view, err := r.view()
 		if err != nil {
 			return Written{}, err
 		}
-		w.Revision = v.Revision
+		write.Revision = view.Revision
 	}
-	if w.Reason == "" {
-		w.Reason = "test"
+	if write.Reason == "" {
+		write.Reason = "test"
 	}
-	var out Written
-	err := r.client.Call(r.t.Context(), http.MethodPost, WritePath, w, &out)
-	return out, err
+	var written Written
+	err := r.client.Call(r.t.Context(), http.MethodPost, WritePath, write, &written)
+	return written, err
 }
 
 // waitFor returns the first view for which a condition holds, and fails the test after a time.
-func (r *rig) waitFor(timeout time.Duration, condition string, holds func(View) bool) (v View) {
+func (r *agentRig) waitFor(timeout time.Duration, condition string, holds func(View) bool) (view View) {
 	r.t.Helper()
-	ok := false
-	for begun := time.Now(); time.Since(begun) < timeout; {
+	hasHeld := false
+	for startedAt := time.Now(); time.Since(startedAt) < timeout; {
 		var err error
-		if v, err = r.view(); err == nil && holds(v) {
-			ok = true
+		if view, err = r.view(); err == nil && holds(view) {
+			hasHeld = true
 			break
 		}
 		<-time.After(10 * time.Millisecond)
 	}
-	if !ok {
-		data, _ := json.MarshalIndent(v, "", " ")
+	if !hasHeld {
+		data, _ := json.MarshalIndent(view, "", " ")
 		log, _ := tail(filepath.Join(r.dir, "agent.log"), 40)
 		r.t.Fatalf("not within %v: %s\n%s\n%s", timeout, condition, data, strings.Join(log, "\n"))
 	}
-	return v
+	return view
 }
 
 // isSettled reports whether no change is in progress and all instances are as declared.
-func isSettled(v View) bool {
-	if v.Change != nil && !v.Change.Status.IsFinal() {
+func isSettled(view View) bool {
+	if view.Change != nil && !view.Change.Status.IsFinal() {
 		return false
 	}
-	for _, i := range v.Instances {
-		if i.Verdict != fleet.VerdictAsDeclared {
+	for _, instance := range view.Instances {
+		if instance.Verdict != fleet.VerdictAsDeclared {
 			return false
 		}
 	}
@@ -271,7 +289,7 @@
 
 // processIDs returns the ids of an instance's processes, found by their command lines; of all instances if name is
 // empty.
-func (r *rig) processIDs(name string) (ids []int) {
+func (r *agentRig) processIDs(name string) (ids []int) {
 	want := filepath.Join(r.dir, "run", name)
 	if name != "" {
 		want += ".sock"
@@ -287,7 +305,7 @@
 }
 
 // processCounts returns how many processes each instance has now.
-func (r *rig) processCounts() map[string]int {
+func (r *agentRig) processCounts() map[string]int {
 	counts := map[string]int{}
 	paths, _ := filepath.Glob("/proc/[0-9]*/cmdline")
 	run := filepath.Join(r.dir, "run") + "/"
@@ -304,26 +322,59 @@
 	return counts
 }
 
+// watchForDoubleStarts watches, until the function that it returns is called, for instances that have more than one
+// process. That function returns their names.
+func (r *agentRig) watchForDoubleStarts() (end func() map[string]bool) {
+	done := make(chan struct{})
+	var watcher sync.WaitGroup
+	startedTwice := map[string]bool{}
+	watcher.Go(func() {
+		for {
+			for name, count := range r.processCounts() {
+				if count > 1 {
+					startedTwice[name] = true
+				}
+			}
+			select {
+			case <-done:
+				return
+			case <-time.After(100 * time.Millisecond):
+			}
+		}
+	})
+	return func() map[string]bool {
+		close(done)
+		watcher.Wait()
+		return startedTwice
+	}
+}
+
 // applyOf returns a write that declares simulated instances with a behaviour each. The mark makes configurations
 // differ.
 func applyOf(names []string, behaviour func(string) string, mark string) Write {
 	write := Write{Command: "apply", Configs: map[string]string{}}
 	for index, name := range names {
-		instance := fleet.Instance{Name: name, Listen: fmt.Sprintf("127.0.0.1:%d", 1000+index), Discovery: "127.0.0.1:1", Desired: fleet.Running}
+		instance := fleet.Instance{
+			Name:      name,
+			Listen:    fmt.Sprintf("127.0.0.1:%d", 1000+index),
+			Discovery: "127.0.0.1:1",
+			Desired:   fleet.Running,
+		}
 		write.Instances = append(write.Instances, instance)
-		write.Configs[name] = fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"behaviour":%q,"mark":%q}`, name, instance.Listen, instance.Discovery, behaviour(name), mark)
+		write.Configs[name] = fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"behaviour":%q,"mark":%q}`,
+			name, instance.Listen, instance.Discovery, behaviour(name), mark)
 	}
 	return write
 }
 
 // newRunningRig returns a rig whose agent runs count instances.
-func newRunningRig(t *testing.T, n int, extra string) (*rig, View) {
+func newRunningRig(t *testing.T, count int, extra string) (*agentRig, View) {
 	t.Helper()
-	r := newRig(t, testProgram(t), extra)
-	r.start("")
-	_, err := r.write(applyOf(instanceNames(n), wellBehaved, "a"))
+	rig := newRig(t, testProgram(t), extra)
+	rig.start("")
+	_, err := rig.write(applyOf(instanceNames(count), wellBehaved, "a"))
 	require.NoError(t, err)
-	return r, r.waitFor(10*time.Second, "all run", isSettled)
+	return rig, rig.waitFor(10*time.Second, "all run", isSettled)
 }
 
 // wellBehaved is the behaviour of instances that serve until SIGTERM.
@@ -338,38 +389,47 @@
 }
 
 // realNodes declares instances that run the real nodeProgram, each at an address of its own, and a list for them.
-func (r *rig) realNodes(names []string) Write {
+func (r *agentRig) realNodes(names []string) Write {
 	t := r.t
-	server := httptest.NewServer(http.HandlerFunc(func(write http.ResponseWriter, request *http.Request) {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		if request.URL.Query().Get("from") != "" {
 			select {
 			case <-request.Context().Done():
 			case <-time.After(3 * time.Second):
 			}
-			fmt.Fprint(write, `{"rev":41,"all":false,"targets":[]}`)
+			fmt.Fprint(response, `{"rev":41,"all":false,"targets":[]}`)
 			return
 		}
 		uid := "s-1"
 		if r.otherList.Load() && request.UserAgent() != "" { // an agent's call: nodes have no such header
 			uid = "s-2"
 		}
-		fmt.Fprintf(write, `{"rev":41,"all":true,"targets":[{"uid":%q,"endpoint":"127.0.0.1:1","az":"a","model":"m","pod_group":0,"state":"up","capacity_hint":1,"boot_ms":0}]}`, uid)
+		fmt.Fprintf(response, `{"rev":41,"all":true,"targets":[{"uid":%q,"endpoint":"127.0.0.1:1","az":"a","model":"m",`+
+			`"pod_group":0,"state":"up","capacity_hint":1,"boot_ms":0}]}`, uid)
 	}))
 	t.Cleanup(server.Close)
 	write := Write{Command: "apply", Configs: map[string]string{}}
 	for index, name := range names {
-		// An address that no outgoing connection is given, so that the port stays free between two lives.
+		// An address that no outgoing connection is given, so that the port stays free between two runs.
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 100+os.Getpid()%100, os.Getpid()/100%250, index+1))
 		require.NoError(t, err)
 		require.NoError(t, listener.Close())
-		instance := fleet.Instance{Name: name, Listen: listener.Addr().String(), Discovery: server.Listener.Addr().String(), Desired: fleet.Running}
+		instance := fleet.Instance{
+			Name:      name,
+			Listen:    listener.Addr().String(),
+			Discovery: server.Listener.Addr().String(),
+			Desired:   fleet.Running,
+		}
 		write.Instances = append(write.Instances, instance)
-		write.Configs[name] = fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"mark":"0","seed":"8c1f","limits":{"cores":1,"memory_mb":64,"sockets":128},"settings":%s}`,
+		write.Configs[name] = fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"mark":"0","seed":"8c1f",`+
+			`"limits":{"cores":1,"memory_mb":64,"sockets":128},"settings":%s}`,
 			name, instance.Listen, instance.Discovery, settings)
 	}
 	return write
 }
 
+// settings are the settings of the real nodes.
 const settings = `{"az":0,"balancers":1,"benefitBy":"request","bounds":{"cancel":true,"connIdle":15000,"connectTimeout":250,
 "mostHeld":20000,"mostPushes":3,"retryAfter":true,"maxRetryAfter":2000,"secondCopies":true},"categories":[
 {"benefit":1,"idempotency":"pure","name":"check","overdueBenefit":0.2,"targetLatency":500,"ttl":1000}],
--- a/internal/agent/store_test.go
+++ b/internal/agent/store_test.go
@@ -15,105 +15,112 @@
 	"pearknot/internal/fleet"
 )
 
+// discard is a log that nobody reads.
 var discard = slog.New(slog.DiscardHandler)
 
-func sample() fleet.State {
-	f := fleet.New(fleet.State{}, fleet.DefaultTiming())
+// sampleState returns the state of a fleet of five instances whose starts are pending.
+func sampleState() fleet.State {
+	fleetState := fleet.New(fleet.State{}, fleet.DefaultTiming())
 	set := fleet.Set{}
-	for k := range 5 {
-		n := fmt.Sprintf("n%d", k)
-		set[n] = fleet.Instance{Name: n, Listen: fmt.Sprintf("127.0.0.1:%d", k+1), Digest: "d", Desired: fleet.Running}
+	for index := range 5 {
+		name := fmt.Sprintf("n%d", index)
+		set[name] = fleet.Instance{Name: name, Listen: fmt.Sprintf("127.0.0.1:%d", index+1), Digest: "d", Desired: fleet.Running}
 	}
-	if _, err := f.Propose(1, 0, set, fleet.Change{Author: "a", Reason: "r", Command: "apply", Options: fleet.Options{MaxUnavailable: 3}}); err != nil {
+	change := fleet.Change{Author: "a", Reason: "r", Command: "apply", Options: fleet.Options{MaxUnavailable: 3}}
+	if _, err := fleetState.Propose(1, 0, set, change); err != nil {
 		panic(err)
 	}
-	for n := range set {
-		f.StepStarted(2, fleet.Action{Step: fleet.StepStart, Name: n, Instance: set[n]}, "t"+n)
+	for name := range set {
+		fleetState.StepStarted(2, fleet.Action{Step: fleet.StepStart, Name: name, Instance: set[name]}, "t"+name)
 	}
-	return f.State
+	return fleetState.State
 }
 
-func TestStoreKeeps(t *testing.T) {
+// A stored state is read back as it was, also after a record was removed from it.
+func TestStoreKeepsState(t *testing.T) {
 	dir := t.TempDir()
-	s, state, recovered, err := openStore(dir, discard)
+	stateStore, state, recovered, err := openStore(dir, discard)
 	require.NoError(t, err)
 	assert.False(t, recovered)
 	assert.Zero(t, state.Revision)
-	want := sample()
-	require.NoError(t, s.save(want))
+	want := sampleState()
+	require.NoError(t, stateStore.save(want))
 	delete(want.Records, "n3")
-	require.NoError(t, s.save(want))
-	require.NoError(t, s.close())
-	s, state, recovered, err = openStore(dir, discard)
+	require.NoError(t, stateStore.save(want))
+	require.NoError(t, stateStore.close())
+	stateStore, state, recovered, err = openStore(dir, discard)
 	require.NoError(t, err)
 	assert.False(t, recovered)
-	assert.JSONEq(t, text(want), text(state))
-	require.NoError(t, s.close())
+	assert.JSONEq(t, jsonText(want), jsonText(state))
+	require.NoError(t, stateStore.close())
 }
 
-func text(v any) string {
-	data, err := json.Marshal(v)
+// jsonText returns a value as JSON.
+func jsonText(value any) string {
+	data, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
 	}
 	return string(data)
 }
 
-// At whatever byte a state file is flipped or cut, it is read as it was, or known to be damaged: never as something
-// else, and never with a panic.
-func TestEveryByte(t *testing.T) {
+// A state file has a flipped bit at some byte, or is truncated at some byte. It is read as it was written, or
+// reported as damaged: never read as another state, and never with a panic.
+func TestStateDamagedAtEveryByteIsFound(t *testing.T) {
 	dir := t.TempDir()
-	s, _, _, err := openStore(dir, discard)
+	stateStore, _, _, err := openStore(dir, discard)
 	require.NoError(t, err)
-	want := sample()
-	require.NoError(t, s.save(want))
-	require.NoError(t, s.close())
-	whole, err := os.ReadFile(filepath.Join(dir, stateFile))
+	want := sampleState()
+	require.NoError(t, stateStore.save(want))
+	require.NoError(t, stateStore.close())
+	complete, err := os.ReadFile(filepath.Join(dir, stateFile))
 	require.NoError(t, err)
 	path := filepath.Join(dir, "copy")
-	damaged, same := 0, 0
-	try := func(data []byte, what string) {
+	damaged, readAsWritten := 0, 0
+	checkRead := func(data []byte, damage string) {
 		require.NoError(t, os.WriteFile(path, data, 0o600))
-		kept, err := readState(path)
+		stored, err := readState(path)
 		if err != nil {
-			assert.True(t, errors.Is(err, errDamaged) || errors.Is(err, errSchema), "%s: %v", what, err)
+			assert.True(t, errors.Is(err, errDamaged) || errors.Is(err, errSchema), "%s: %v", damage, err)
 			damaged++
 			return
 		}
-		got, err := decode(kept)
-		require.NoError(t, err, what)
-		require.JSONEq(t, text(want), text(got), what)
-		same++
+		got, err := decode(stored)
+		require.NoError(t, err, damage)
+		require.JSONEq(t, jsonText(want), jsonText(got), damage)
+		readAsWritten++
 	}
-	for at := 0; at < len(whole); at += 7 {
-		flipped := append([]byte{}, whole...)
-		flipped[at] ^= byte(1 << (at % 8))
-		try(flipped, fmt.Sprintf("byte %d flipped", at))
+	for offset := 0; offset < len(complete); offset += 7 {
+		flipped := append([]byte{}, complete...)
+		flipped[offset] ^= byte(1 << (offset % 8))
+		checkRead(flipped, fmt.Sprintf("byte %d flipped", offset))
 	}
-	for at := 0; at < len(whole); at += 509 {
-		try(whole[:at], fmt.Sprintf("cut at %d", at))
+	for offset := 0; offset < len(complete); offset += 509 {
+		checkRead(complete[:offset], fmt.Sprintf("cut at %d", offset))
 	}
 	assert.Positive(t, damaged)
-	assert.Positive(t, same, "pages that hold nothing")
+	assert.Positive(t, readAsWritten, "damage in pages that are not in use")
 }
 
-// One directory has one agent: a second one is told so, and sets nothing aside.
-func TestSecondAgent(t *testing.T) {
+// An agent is started in a directory where one runs already. The second is refused, and the first continues to
+// store its state.
+func TestSecondAgentInOneDirectoryIsRefused(t *testing.T) {
 	dir := t.TempDir()
-	s, _, _, err := openStore(dir, discard)
+	stateStore, _, _, err := openStore(dir, discard)
 	require.NoError(t, err)
 	_, _, _, err = openStore(dir, discard)
 	assert.ErrorIs(t, err, errLocked)
-	require.NoError(t, s.save(sample()), "the first goes on")
-	require.NoError(t, s.close())
+	require.NoError(t, stateStore.save(sampleState()), "the first continues")
+	require.NoError(t, stateStore.close())
 }
 
-func TestAnotherSchema(t *testing.T) {
+// A state file has a schema that this build does not know. It is refused and left where it is.
+func TestStateOfAnotherSchemaIsRefused(t *testing.T) {
 	dir := t.TempDir()
-	s, _, _, err := openStore(dir, discard)
+	stateStore, _, _, err := openStore(dir, discard)
 	require.NoError(t, err)
-	require.NoError(t, s.write(map[string]string{"schema": "99"}, nil))
-	require.NoError(t, s.close())
+	require.NoError(t, stateStore.write(map[string]string{"schema": "99"}, nil))
+	require.NoError(t, stateStore.close())
 	_, _, _, err = openStore(dir, discard)
 	assert.ErrorIs(t, err, errSchema, "refused, and left where it is")
 	_, err = os.Stat(filepath.Join(dir, stateFile))
