--- a/internal/capture/bench_test.go
+++ b/internal/capture/bench_test.go
@@ -10,16 +10,49 @@
 	"pearknot/internal/snapshot"
 )
 
+// benchmarkSizes are the sizes of cluster that are measured.
+var benchmarkSizes = []struct{ backends, nodes int }{{10, 3}, {30, 100}, {200, 1250}}
+
+// benchmarkConfig returns the configuration of a node among others.
+func benchmarkConfig(nodes int) *balancer.Config {
+	return &balancer.Config{
+		Seed:             1,
+		Nodes:            nodes,
+		MaxAttempts:      3,
+		AllowHedging:     true,
+		CancelAttempts:   true,
+		SlowStartShare:   0.3,
+		SlowStartWindow:  8000,
+		OverloadMultiple: 4,
+		OverloadWindow:   2000,
+		Classes:          []balancer.Class{{LatencyObjective: 600, PriorityWeight: 1}},
+	}
+}
+
+// benchmarkEndpoints returns ready backends of three zones and kinds.
+func benchmarkEndpoints(backends int) (endpoints []balancer.Endpoint) {
+	for index := range backends {
+		endpoints = append(endpoints, balancer.Endpoint{
+			Backend: &balancer.Backend{ID: uint64(index)},
+			State:   balancer.BackendReady,
+			Zone:    index % 3,
+			Kind:    index % 3,
+			Weight:  1,
+		})
+	}
+	return endpoints
+}
+
 // BenchmarkDecision measures a request from its arrival to its answer among a number of backends, without a capture
 // and with one whose batches are discarded.
 func BenchmarkDecision(b *testing.B) {
-	for _, size := range []struct{ backends, nodes int }{{10, 3}, {30, 100}, {200, 1250}} {
-		config := &balancer.Config{Seed: 1, Nodes: size.nodes, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, SlowStartShare: 0.3, SlowStartWindow: 8000,
-			OverloadMultiple: 4, OverloadWindow: 2000, Classes: []balancer.Class{{LatencyObjective: 600, PriorityWeight: 1}}}
+	for _, size := range benchmarkSizes {
+		config := benchmarkConfig(size.nodes)
 		b.Run(fmt.Sprintf("%d/off", size.backends), func(b *testing.B) { decide(b, balancer.New(config, 1), size.backends) })
 		b.Run(fmt.Sprintf("%d/on", size.backends), func(b *testing.B) {
 			bytes := 0
-			recorder, err := NewRecorder(balancer.New(config, 1), 1, Start{Name: "n", Config: config}, Options{SnapshotIntervalMs: 10e3, Sink: func(b Batch) { bytes += len(b.Data) }})
+			options := Options{SnapshotIntervalMs: 10e3, Sink: func(batch Batch) { bytes += len(batch.Data) }}
+			recorder, err := NewRecorder(balancer.New(config, 1), 1, Start{Name: "n", Config: config}, options)
 			require.NoError(b, err)
 			decide(b, recorder, size.backends)
 			b.ReportMetric(float64(bytes)/float64(b.N), "bytes/request-unpacked")
@@ -29,10 +62,7 @@
 
 // decide has a decider serve b.N requests.
 func decide(b *testing.B, decider balancer.Decider, backends int) {
-	var endpoints []balancer.Endpoint
-	for index := range backends {
-		endpoints = append(endpoints, balancer.Endpoint{Backend: &balancer.Backend{ID: uint64(index)}, State: balancer.BackendReady, Zone: index % 3, Kind: index % 3, Weight: 1})
-	}
+	endpoints := benchmarkEndpoints(backends)
 	decider.EndpointsChanged(1, endpoints, true, false)
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -57,14 +87,10 @@
 // BenchmarkSnapshot measures a snapshot of a node that has served two thousand requests and has one in flight for
 // each backend.
 func BenchmarkSnapshot(b *testing.B) {
-	for _, size := range []struct{ backends, nodes int }{{10, 3}, {30, 100}, {200, 1250}} {
-		config := &balancer.Config{Seed: 1, Nodes: size.nodes, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, SlowStartShare: 0.3, SlowStartWindow: 8000,
-			OverloadMultiple: 4, OverloadWindow: 2000, Classes: []balancer.Class{{LatencyObjective: 600, PriorityWeight: 1}}}
+	for _, size := range benchmarkSizes {
+		config := benchmarkConfig(size.nodes)
 		lb := balancer.New(config, 1)
-		var endpoints []balancer.Endpoint
-		for index := range size.backends {
-			endpoints = append(endpoints, balancer.Endpoint{Backend: &balancer.Backend{ID: uint64(index)}, State: balancer.BackendReady, Zone: index % 3, Kind: index % 3, Weight: 1})
-		}
+		endpoints := benchmarkEndpoints(size.backends)
 		lb.EndpointsChanged(1, endpoints, true, false)
 		var requests []*balancer.Request
 		var backends []*balancer.Backend
@@ -85,18 +111,18 @@
 				requests = append(requests, request)
 			}
 		}
-		take := func() []byte {
+		takeSnapshot := func() []byte {
 			state, err := lb.Snapshot(requests, backends)
 			require.NoError(b, err)
 			return snapshot.Encode(state)
 		}
 		b.Run(fmt.Sprintf("%d/taken", size.backends), func(b *testing.B) {
 			for b.Loop() {
-				take()
+				takeSnapshot()
 			}
-			b.ReportMetric(float64(len(take())), "bytes")
+			b.ReportMetric(float64(len(takeSnapshot())), "bytes")
 		})
-		data := take()
+		data := takeSnapshot()
 		b.Run(fmt.Sprintf("%d/restored", size.backends), func(b *testing.B) {
 			for b.Loop() {
 				state, err := snapshot.Decode(data)
--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -11,41 +11,88 @@
 	"pearknot/internal/goldentest"
 )
 
-func TestStartForm(t *testing.T) { goldentest.JSON(t, "start.json", &Start{}) }
+// The start of a capture is stored as JSON, whose keys stay.
+func TestStartRecordJSON(t *testing.T) { goldentest.JSON(t, "start.json", &Start{}) }
 
-// Captures, snapshots and frames hold these numbers.
-func TestStoredNumbers(t *testing.T) {
+// Captures, snapshots and frames store these numbers, so they stay as they are.
+func TestStoredNumbersStay(t *testing.T) {
 	text := ""
 	put := func(name string, values ...any) {
-		for _, v := range values {
-			text += fmt.Sprintln(name, reflect.ValueOf(v).Uint())
+		for _, value := range values {
+			text += fmt.Sprintln(name, reflect.ValueOf(value).Uint())
 		}
 	}
-	put("record", Begin, EndpointsChanged, PollFailed, RequestArrived, ClientGone, ResponseStarted, AttemptEnded, LoadReported, TimerFired, DeadlineShortened, Decided, BatchEnd, Gap, Snapshot, BackendForgotten, ProcessesChanged, RequestBodySent,
-		ConfigChanged, EarlierAttempt)
+	put("record",
+		Begin,
+		EndpointsChanged,
+		PollFailed,
+		RequestArrived,
+		ClientGone,
+		ResponseStarted,
+		AttemptEnded,
+		LoadReported,
+		TimerFired,
+		DeadlineShortened,
+		Decided,
+		BatchEnd,
+		Gap,
+		Snapshot,
+		BackendForgotten,
+		ProcessesChanged,
+		RequestBodySent,
+		ConfigChanged,
+		EarlierAttempt,
+	)
 	put("effect", balancer.Idempotent, balancer.IdempotentWithKey, balancer.AtMostOnce)
 	put("group", balancer.DedupByAll, balancer.DedupByZone, balancer.DedupByCell)
 	put("state", balancer.BackendRemoved, balancer.BackendDraining, balancer.BackendReady)
-	put("outcome", balancer.OutcomeAnswered, balancer.OutcomeFailed, balancer.OutcomeRejected, balancer.OutcomeTimedOut, balancer.OutcomeConnectFailed, balancer.OutcomeConnectionReset, balancer.OutcomeCanceled, balancer.OutcomeNotSent)
-	put("decision", balancer.DoAttempt, balancer.DoReject, balancer.DoFail, balancer.DoCancel, balancer.DoPoll, balancer.DoSetTimer, balancer.DoLog)
+	put("outcome",
+		balancer.OutcomeAnswered,
+		balancer.OutcomeFailed,
+		balancer.OutcomeRejected,
+		balancer.OutcomeTimedOut,
+		balancer.OutcomeConnectFailed,
+		balancer.OutcomeConnectionReset,
+		balancer.OutcomeCanceled,
+		balancer.OutcomeNotSent,
+	)
+	put("decision",
+		balancer.DoAttempt,
+		balancer.DoReject,
+		balancer.DoFail,
+		balancer.DoCancel,
+		balancer.DoPoll,
+		balancer.DoSetTimer,
+		balancer.DoLog,
+	)
 	goldentest.Equal(t, "numbers.txt", []byte(text))
 }
 
-// A capture that an earlier build wrote is played again, state for state and decision for decision.
-func TestEarlierCapture(t *testing.T) {
-	all, err := readRecordsOf(t, "testdata/earlier.pkcap")
+// A capture that an earlier build wrote is replayed. It has the same states and the same decisions.
+func TestCaptureOfEarlierBuildIsReplayed(t *testing.T) {
+	records, err := readRecordsOf(t, "testdata/earlier.pkcap")
 	require.NoError(t, err)
-	claim, err := replayRecords(all)
+	result, err := replayRecords(records)
 	require.NoError(t, err)
-	require.Greater(t, claim.Decisions, 500)
+	require.Greater(t, result.Decisions, 500)
 	kinds := map[Kind]bool{}
-	for _, r := range all {
-		kinds[r.Kind] = true
-		data, err := Decode(r.Append(nil))
+	for _, record := range records {
+		kinds[record.Kind] = true
+		decoded, err := Decode(record.Append(nil))
 		require.NoError(t, err)
-		require.Equal(t, r, data)
+		require.Equal(t, record, decoded)
 	}
-	for _, k := range []Kind{Begin, EndpointsChanged, RequestArrived, AttemptEnded, LoadReported, TimerFired, Decided, BatchEnd, Snapshot} {
-		require.True(t, kinds[k], k)
+	for _, kind := range []Kind{
+		Begin,
+		EndpointsChanged,
+		RequestArrived,
+		AttemptEnded,
+		LoadReported,
+		TimerFired,
+		Decided,
+		BatchEnd,
+		Snapshot,
+	} {
+		require.True(t, kinds[kind], kind)
 	}
 }
