--- a/internal/capture/replay_test.go
+++ b/internal/capture/replay_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// Capturing changes no decision: not while the disk stands still and records are dropped, nor with a sink that
+// Capturing changes no decision: not while the disk blocks and records are dropped, nor with a sink that
 // ignores all.
 func TestCapturingChangesNothing(t *testing.T) {
 	play := func(options *Options) string {
@@ -80,7 +80,7 @@
 		}
 	})
 	plain := play(nil)
-	assert.Equal(t, plain, play(&Options{SnapshotIntervalMs: 500, Sink: writer.Put}), "a disk that stands still")
+	assert.Equal(t, plain, play(&Options{SnapshotIntervalMs: 500, Sink: writer.Put}), "a disk that blocks")
 	assert.Positive(t, writer.Dropped())
 	close(blocked)
 	writer.Close()
--- a/internal/fleet/verdict_test.go
+++ b/internal/fleet/verdict_test.go
@@ -7,22 +7,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each observation has its verdict, reason and step: what can't be observed is unknown and left alone, a wrong list
-// is shown with both digests and taken out of service.
-func TestVerdictOfEachObservation(t *testing.T) {
+// verdictCase is an observation of an instance, and what the fleet makes of it.
+type verdictCase struct {
+	observation Observation
+	wantVerdict InstanceVerdict
+	wantReason  string
+	wantStep    Step // empty: none
+}
+
+// verdictCases returns the cases of TestVerdictOfEachObservation by name.
+func verdictCases() map[string]verdictCase {
 	base := Observation{Phase: PhaseReady, Digest: "a", Discovery: "list:1", ListVersion: 7, ListDigest: "good", InService: true}
 	with := func(change func(*Observation)) Observation {
 		observation := base
 		change(&observation)
 		return observation
 	}
-	for name, test := range map[string]struct {
-		observation Observation
-		wantVerdict InstanceVerdict
-		wantReason  string
-		wantStep    Step // empty: none
-	}{
-		"as wanted": {
+	return map[string]verdictCase{
+		"as declared": {
 			observation: base,
 			wantVerdict: VerdictAsDeclared,
 		},
@@ -31,7 +33,7 @@
 			wantVerdict: VerdictUnknown,
 			wantReason:  "no answer",
 		},
-		"alien": {
+		"foreign process": {
 			observation: Observation{Phase: PhaseForeign, Reason: "token"},
 			wantVerdict: VerdictForeign,
 			wantReason:  "token",
@@ -53,14 +55,14 @@
 			wantReason:  "declared good, holds bad at version 7 of list:1",
 			wantStep:    StepWithdraw,
 		},
-		"another version": {
+		"another version of the list": {
 			observation: with(func(observation *Observation) {
 				observation.ListDigest = "bad"
 				observation.ListVersion = 6
 			}),
 			wantVerdict: VerdictAsDeclared,
 		},
-		"wrong, out": {
+		"wrong source, out of service": {
 			observation: with(func(observation *Observation) {
 				observation.Discovery = "list:2"
 				observation.InService = false
@@ -74,13 +76,13 @@
 			wantReason:  "out of service",
 			wantStep:    StepAdmit,
 		},
-		"configuration": {
+		"wrong configuration": {
 			observation: with(func(observation *Observation) { observation.Digest = "z" }),
 			wantVerdict: VerdictWrongConfig,
 			wantReason:  "declared a, runs z",
 			wantStep:    StepWithdraw,
 		},
-		"configuration, out": {
+		"wrong configuration, out of service": {
 			observation: with(func(observation *Observation) {
 				observation.Digest = "z"
 				observation.InService = false
@@ -93,12 +95,18 @@
 			wantVerdict: VerdictInProgress,
 			wantReason:  "starting",
 		},
-		"ended while it was wanted": {
+		"shutting down": {
 			observation: Observation{Phase: PhaseShuttingDown},
 			wantVerdict: VerdictInProgress,
 			wantReason:  "ending",
 		},
-	} {
+	}
+}
+
+// Each observation has its verdict, reason and step: what can't be observed is unknown and left alone, a wrong list
+// is shown with both digests and taken out of service.
+func TestVerdictOfEachObservation(t *testing.T) {
+	for name, test := range verdictCases() {
 		fleet := New(State{
 			Generations: []Generation{{1, Set{"n1": newInstance("n1", "a")}}},
 			Records:     map[string]Record{"n1": {Name: "n1", Digest: "a", StartedAt: 1000}},
