--- a/cmd/pearknot/controlplane_test.go
+++ b/cmd/pearknot/controlplane_test.go
@@ -396,11 +396,11 @@
 		require.Contains(t, errs.String(), output)
 		require.Equal(t, 1, strings.Count(errs.String(), "\n"), errs.String())
 	}
-	requireError(2, "c1.toml:1:1: member: none is called \"c7\"", "control-plane", file, "--name", "c7")
+	requireError(2, "c1.toml:1:1: member: no member is named \"c7\"", "control-plane", file, "--name", "c7")
 	requireError(2, "required flag", "control-plane", file)
 	requireError(2, "no such file", "control-plane", file+"x", "--name", "c1")
 	requireError(2, "no such file", "config", "--file", file+"x", "status")
-	requireError(1, "there is a store already", "control-plane", file, "--name", "c1", "--bootstrap")
+	requireError(1, "store already exists", "control-plane", file, "--name", "c1", "--bootstrap")
 	store := filepath.Join(rig.dir, "state", "c1.db")
 	complete, err := os.ReadFile(store)
 	require.NoError(t, err)
@@ -409,9 +409,9 @@
 	require.NoError(t, os.Remove(store))
 	requireError(1, "must not vote", "control-plane", file, "--name", "c1")
 	bad := rig.writeFile("bad.toml", "fleet = \"f\"\n")
-	requireError(2, "bad.toml:1:1: member: none is a voter", "config", "--file", bad, "status")
+	requireError(2, "bad.toml:1:1: member: no member is a voter", "config", "--file", bad, "status")
 	node := rig.writeFile("n.json", `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":`+settings+`}`)
-	requireError(2, "bad.toml:1:1: member: none is a voter", "serve", "-config", node, "--control-plane", bad)
+	requireError(2, "bad.toml:1:1: member: no member is a voter", "serve", "-config", node, "--control-plane", bad)
 }
 
 // A voter's store is replaced by an earlier copy of itself, which lacks what it has acknowledged to the leader. The voter ends
--- a/internal/controlplane/client/call.go
+++ b/internal/controlplane/client/call.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// callTimeout bounds a call of one member, a change's commit included.
+	// callTimeout bounds a call to one member, including the commit of a change.
 	callTimeout = 5 * time.Second
 	// statusTimeout bounds a call that needs no commit.
 	statusTimeout = 2 * time.Second
-	// retryInterval is the time between two calls of voters that say that they don't lead.
+	// retryInterval is the time between two calls to voters that report that they are not the leader.
 	retryInterval = 200 * time.Millisecond
-	// failureRetryInterval follows a call without an answer. It is shorter, because that call has taken time itself.
+	// failureRetryInterval is the time after a call without a response. It is shorter because the failed call has already taken time.
 	failureRetryInterval = retryInterval / 4
-	// redirectDelay follows the answer that another voter leads, which is called next.
+	// redirectDelay is the time after a response that names another voter as the leader, which is called next.
 	redirectDelay = retryInterval / 20
 	// operatorName is the caller's name in the handshake.
 	operatorName = "operator"
 )
 
-// ConflictError is returned for a change that was not made from the head.
+// ConflictError is returned for a change whose base version is not the head.
 type ConflictError struct{ Base, Head uint64 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("made from version %d, and the head is %d: another change came first", e.Base, e.Head)
+	return fmt.Sprintf("change is based on version %d, but the head is version %d: another change was committed first", e.Base, e.Head)
 }
 
 // InvalidError is returned for a configuration that nodes can't apply.
@@ -39,10 +39,10 @@
 
 func (e *InvalidError) Error() string { return e.Detail }
 
-// ErrVersionNotFound is returned for a version that none of the members that answered has.
+// ErrVersionNotFound is returned for a version that no responding member has.
 var ErrVersionNotFound = errors.New("no such version is retained")
 
-// callMember makes one call of one member.
+// callMember makes one call to one member.
 func (p *ControlPlane) callMember(
 	ctx context.Context, member Member, timeout time.Duration, request *CallRequest, text []byte,
 ) (response *CallResponse, responseText []byte, err error) {
@@ -76,13 +76,13 @@
 		conn.Close()
 	}, nil)
 	if response == nil {
-		return nil, nil, fmt.Errorf("%s: no answer: %w", member.Name, cmp.Or(ctx.Err(), err))
+		return nil, nil, fmt.Errorf("%s: no response: %w", member.Name, cmp.Or(ctx.Err(), err))
 	}
 	return response, responseText, nil
 }
 
-// callLeader calls voters until the leader has answered or ctx ends. A call whose answer was lost is made again. That is safe for a
-// change too, because a change takes effect only once for its ID.
+// callLeader calls voters until the leader has responded or ctx ends. A call whose response was lost is retried. This is safe for a
+// change too, because a change ID takes effect only once.
 func (p *ControlPlane) callLeader(ctx context.Context, request *CallRequest, text []byte) (*CallResponse, error) {
 	voters := p.Voters()
 	next := p.findLeader(ctx, voters)
@@ -113,14 +113,14 @@
 		case <-time.After(delay):
 		case <-ctx.Done():
 			if mayHaveTakenEffect {
-				return nil, fmt.Errorf("change %016x may have been committed or may still be, see the log: %w", request.ID, failure)
+				return nil, fmt.Errorf("change %016x may have been committed or may still be committed, see the log: %w", request.ID, failure)
 			}
 			return nil, failure
 		}
 	}
 }
 
-// isLeaderResponse reports whether a response settles a call of the leader.
+// isLeaderResponse reports whether a response is the leader's final response to a call.
 func isLeaderResponse(response *CallResponse) bool {
 	switch response.Code {
 	case controlplane.CodeNotLeader, controlplane.CodeLeadershipLost, controlplane.CodeBusy:
@@ -129,7 +129,7 @@
 	return true
 }
 
-// responseError says why a response doesn't settle a call of the leader.
+// responseError returns why a response is not the leader's final one, or nil if it is.
 func responseError(voter Member, response *CallResponse) error {
 	if response == nil {
 		return nil
@@ -149,9 +149,9 @@
 	return slices.IndexFunc(members, func(m Member) bool { return m.Name == name })
 }
 
-// findLeader returns the index of the voter that is probably the leader: the one that answered the latest call of the leader, or else
-// the first that reports that it leads. All voters are asked at once, so that a frozen one delays nothing. If none reports it, the
-// result is a random one.
+// findLeader returns the index of the voter that is probably the leader: the one that responded to the latest leader call, or else the
+// first that reports that it leads. All voters are queried concurrently, so that a frozen one causes no delay. If no voter reports that
+// it leads, a random index is returned.
 func (p *ControlPlane) findLeader(ctx context.Context, voters []Member) int {
 	if last := p.lastLeader.Load(); last != nil {
 		return max(indexOf(voters, *last), 0)
--- a/internal/controlplane/client/call_freshest.go
+++ b/internal/controlplane/client/call_freshest.go
@@ -10,12 +10,12 @@
 	"pearknot/internal/controlplane"
 )
 
-// hedgeDelay is how long one member may take before the next is asked beside it.
+// hedgeDelay is the time without a response after which the next member is called concurrently.
 const hedgeDelay = 250 * time.Millisecond
 
-// callFreshest asks members until an answer contains everything that had been acknowledged when callFreshest was called. That holds
-// for a version that is asked for by its number, since versions never change, and for an answer whose staleness is at most the time
-// since the call. Without a majority of voters no member can give such an answer; after statusTimeout the freshest one is returned.
+// callFreshest calls members until a response contains everything that had been acknowledged when callFreshest was called. That holds
+// for a version that is requested by its number, since versions never change, and for a response whose staleness is at most the time
+// since the call. Without a majority of voters no member can give such a response; after statusTimeout the freshest one is returned.
 func (p *ControlPlane) callFreshest(ctx context.Context, request *CallRequest) (*CallResponse, []byte, error) {
 	start := time.Now()
 	isFreshEnough := func(response *CallResponse) bool {
@@ -34,10 +34,11 @@
 	return best.response, best.text, nil
 }
 
-// callFreshestUntil repeats rounds of calls until one is fresh enough, time is up or ctx ends. It returns the last round's best answer.
+// callFreshestUntil repeats rounds of calls until a response is fresh enough, statusTimeout has passed or ctx ends. It returns the last
+// round's best result.
 func (p *ControlPlane) callFreshestUntil(
 	ctx context.Context, request *CallRequest, start time.Time, isFreshEnough func(*CallResponse) bool,
-) (*answer, error) {
+) (*callResult, error) {
 	for {
 		best, err := p.callRound(ctx, request, isFreshEnough)
 		if best != nil {
@@ -54,33 +55,33 @@
 	}
 }
 
-// answer is a member's response, or the error of the call.
-type answer struct {
+// callResult is a member's response, or the error of the call.
+type callResult struct {
 	response *CallResponse
 	text     []byte
 	err      error
 }
 
-// isBetterThan prefers an answer to none, a success to a failure, and then the fresher one.
-func (a *answer) isBetterThan(best *answer) bool {
+// isBetterThan prefers a response to none, a success to a failure, and then the fresher response.
+func (r *callResult) isBetterThan(best *callResult) bool {
 	switch {
 	case best == nil:
 		return true
-	case a.response.Code == best.response.Code:
-		return stalenessMs(a.response) < stalenessMs(best.response)
+	case r.response.Code == best.response.Code:
+		return stalenessMs(r.response) < stalenessMs(best.response)
 	}
-	return best.response.Code != controlplane.CodeDone && a.response.Code == controlplane.CodeDone
+	return best.response.Code != controlplane.CodeDone && r.response.Code == controlplane.CodeDone
 }
 
-// callRound asks each member once until an answer is fresh enough, and returns the best one; the error is that of the last call that
-// failed. Voters are asked first, in random order, and relays only if none of the voters has answered.
-func (p *ControlPlane) callRound(ctx context.Context, request *CallRequest, isFreshEnough func(*CallResponse) bool) (best *answer, err error) {
+// callRound calls each member at most once until a response is fresh enough, and returns the best one; the error is that of the last
+// call that failed. Voters are called first, in random order, and relays only if no voter has responded.
+func (p *ControlPlane) callRound(ctx context.Context, request *CallRequest, isFreshEnough func(*CallResponse) bool) (best *callResult, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	voters, relays := p.Voters(), p.relays()
 	rand.Shuffle(len(voters), func(i, j int) { voters[i], voters[j] = voters[j], voters[i] })
 	order := slices.Concat(voters, relays)
-	answers := make(chan *answer, len(order))
+	results := make(chan *callResult, len(order))
 	called, outstanding := 0, 0
 	for {
 		mayCall := called < len(voters) || called < len(order) && best == nil
@@ -90,20 +91,20 @@
 			outstanding++
 			go func() {
 				response, text, err := p.callMember(ctx, member, statusTimeout, request, nil)
-				answers <- &answer{response, text, err}
+				results <- &callResult{response, text, err}
 			}()
 		} else if outstanding == 0 {
 			return best, err
 		}
 		select {
-		case a := <-answers:
+		case result := <-results:
 			outstanding--
-			if a.err != nil {
-				err = a.err
+			if result.err != nil {
+				err = result.err
 				continue
 			}
-			if a.isBetterThan(best) {
-				best = a
+			if result.isBetterThan(best) {
+				best = result
 			}
 			if isFreshEnough(best.response) {
 				return best, nil
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -13,15 +13,15 @@
 	"pearknot/internal/throttledlog"
 )
 
-// MaxDescriptors is the largest number of file descriptors that a node's link uses: the connection, the next one that is dialed while
-// the former is being closed, the lock, and the copy while it is written.
+// MaxDescriptors is the maximum number of file descriptors that a node's link uses: the connection, a new one that is dialed while the
+// previous one is being closed, the lock, and the copy while it is written.
 const MaxDescriptors = 4
 
-// RejectedLogInterval is the least time between two log lines about rejected connections, here of members that don't prove the
-// key and in package member of whoever connects: a stranger who connects in a loop must not fill the log.
+// RejectedLogInterval is the minimum time between two log lines about rejected connections: to members that don't prove the key, and
+// in package member from any peer. It keeps an unauthenticated peer that connects in a loop from filling the log.
 const RejectedLogInterval = time.Second
 
-// errStopped is what State returns once the client has stopped.
+// errStopped is returned by State once the client has stopped.
 var errStopped = errors.New("control plane client has stopped")
 
 // Config configures a follower of the control plane.
@@ -29,7 +29,7 @@
 	Fleet, Name, Region string
 	Members             []Member
 	Keys                [][]byte // the first is proven to members, all are accepted
-	CopyFile            string   // where the last applied version is stored; empty stores none
+	CopyFile            string   // path of the last applied version's copy; empty stores none
 	Kind                string   // controlplane.KindNode by default
 }
 
@@ -39,25 +39,25 @@
 	Counters
 }
 
-// Client follows the control plane for a node. Its actor, the goroutine of runActor, owns the follower link. Another goroutine applies
-// versions, one at a time and the newest only; a third writes the applied one to disk.
+// Client follows the control plane for a node. Its actor, the goroutine of runActor, owns the follower link. A second goroutine applies
+// versions, one at a time and only the newest; a third writes the applied version to disk.
 type Client struct {
 	clock       *clock.Clock
 	log         *slog.Logger
 	apply       func(version uint64, text []byte) error
-	copyStore   *CopyStore // nil if no copy is kept
+	copyStore   *CopyStore // nil if no copy is stored
 	initial     controlplane.VersionedDocument
 	rejectedLog *throttledlog.Throttle
 	ctx         context.Context // from New to Stop
 	cancel      context.CancelFunc
 	goroutines  sync.WaitGroup
 	mailbox     *mailbox.Box[func()]
-	link        *FollowerLink                       // the actor's own
-	nextToApply chan controlplane.VersionedDocument // holds one at most
+	link        *FollowerLink                       // accessed only by the actor
+	nextToApply chan controlplane.VersionedDocument // holds at most one
 }
 
-// New returns a client, and reads the stored copy. apply puts a version in force. If it returns an error, which says why the version
-// can't be applied, the version before must still be in force as a whole.
+// New returns a client, and reads the stored copy. apply applies a version. If it returns an error, which states why the version can't
+// be applied, the previous version must still be applied in full.
 func New(config Config, apply func(version uint64, text []byte) error, clock *clock.Clock, log *slog.Logger) (*Client, error) {
 	c := &Client{
 		clock:       clock,
@@ -87,7 +87,7 @@
 	return c, nil
 }
 
-// StoredCopy returns the version that was on disk at New; false if there was none.
+// StoredCopy returns the version that was on disk when New was called; ok is false if there was none.
 func (c *Client) StoredCopy() (version uint64, text []byte, ok bool) {
 	if c.initial.Version == 0 {
 		return 0, nil, false
@@ -95,7 +95,7 @@
 	return c.initial.Version, c.initial.Document.Text(), true
 }
 
-// Start follows the control plane until Stop. The stored copy is applied first, as any other version.
+// Start follows the control plane until Stop. The stored copy is applied first, like any other version.
 func (c *Client) Start() {
 	if c.initial.Version > 0 {
 		c.queueForApply(c.initial)
@@ -107,7 +107,7 @@
 	}
 }
 
-// Stop closes the link and waits for all goroutines, and so for an apply that is under way.
+// Stop closes the link and waits for all goroutines, including an apply in progress.
 func (c *Client) Stop() {
 	c.cancel()
 	c.goroutines.Wait()
@@ -116,7 +116,7 @@
 	}
 }
 
-// State returns the client's state. It waits for the actor, which is an error after Stop or once ctx ends.
+// State returns the client's state. It waits for the actor, and returns an error after Stop or once ctx ends.
 func (c *Client) State(ctx context.Context) (State, error) {
 	states := make(chan State, 1)
 	c.mailbox.PutFirst(func() {
@@ -157,7 +157,7 @@
 	}
 }
 
-// LogMemberChange logs that a follower is connected to another member than before; empty is none.
+// LogMemberChange logs a change of the member that a follower is connected to; empty is none.
 func LogMemberChange(log *slog.Logger, previous, current string) {
 	switch current {
 	case previous:
@@ -172,7 +172,7 @@
 	c.queueForApply(controlplane.VersionedDocument{Version: update.Version, Document: update.Document})
 }
 
-// queueForApply has a version applied, in the place of one that waits for it. Only the actor calls it once it runs.
+// queueForApply queues a version to be applied, replacing one that is queued. Once the actor runs, only the actor calls it.
 func (c *Client) queueForApply(next controlplane.VersionedDocument) {
 	select {
 	case <-c.nextToApply:
@@ -182,7 +182,7 @@
 }
 
 // applyVersions applies the queued versions until the client stops. It doesn't run on the actor, because parsing a configuration may
-// take a second, in which no heartbeat would be answered.
+// take a second, during which no heartbeat would be answered.
 func (c *Client) applyVersions() {
 	for {
 		select {
@@ -198,7 +198,7 @@
 	}
 }
 
-// reportApplied tells the follower, and the copy store, what became of a version.
+// reportApplied reports to the follower whether a version was applied or rejected, and queues an applied one for the copy store.
 func (c *Client) reportApplied(applied controlplane.VersionedDocument, err error) {
 	if err != nil {
 		c.log.Error("configuration version rejected, previous version stays applied", "version", applied.Version, "error", err)
@@ -211,7 +211,7 @@
 	}
 }
 
-// logRejected logs a member that does not prove the key, at most once in RejectedLogInterval, with the number of rejections since the
+// logRejected logs a member that does not prove the key, at most once per RejectedLogInterval, with the number of rejections since the
 // last line.
 func (c *Client) logRejected(member string, err error) {
 	c.rejectedLog.Event(func(sinceLast int64) {
--- a/internal/controlplane/client/client_test.go
+++ b/internal/controlplane/client/client_test.go
@@ -24,8 +24,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Whatever is wrong in the file, or with the keys, is one line with its place. deploy/control-plane.toml can be read as it is.
-func TestFileErrorsNameTheirPlace(t *testing.T) {
+// An error in the file or in the keys is reported in one line with its position. deploy/control-plane.toml is valid as it is.
+func TestFileErrorsIncludePosition(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/control-plane.toml")
 	require.NoError(t, err)
 	example := string(text)
@@ -47,9 +47,9 @@
 	require.NoError(t, err)
 	require.Equal(t, "n1.copy", filepath.Base(nodeConfig.CopyFile))
 	_, err = plane.NodeConfig("../n1")
-	require.ErrorContains(t, err, "can't have a file there")
+	require.ErrorContains(t, err, `node name "../n1" is not valid in a file name`)
 	_, err = plane.FindMember("c9")
-	require.ErrorContains(t, err, `none is called "c9"`)
+	require.ErrorContains(t, err, `no member is named "c9"`)
 
 	replace := func(pairs ...string) string { return strings.NewReplacer(pairs...).Replace(example) }
 	withMembers := func(count int, voter bool) string {
@@ -63,14 +63,14 @@
 		"unknown key":        {"extra = 1\n" + example, "c.toml:1:1: unknown key extra"},
 		"no fleet":           {replace(`"bank-east"  `, `""  `), "c.toml:5:1: fleet: "},
 		"unknown region":     {replace(`region = "east"                `, `region = "south" `), `c.toml:7:1: region: "south" has no member`},
-		"no voter":           {replace("voter = true", "voter = false"), "none is a voter"},
+		"no voter":           {replace("voter = true", "voter = false"), "no member is a voter"},
 		"two voters":         {strings.Replace(example, "voter = true", "voter = false", 1), "2 voters: an even number"},
 		"four voters":        {withMembers(1, true), "4 voters: an even number"},
-		"six voters":         {withMembers(3, true), "6 voters, 5 at most"},
-		"22 members":         {withMembers(18, false), "22 members, 21 at most"},
-		"name twice":         {replace(`"c2"`, `"c1"`), `member.1.name: "c1" is no name of letters, digits, dots and dashes, or another's`},
-		"name with a path":   {replace(`"c2"`, `"../c2"`), `member.1.name: "../c2" is no name`},
-		"address twice":      {replace(`7302`, `7301`), `member.1.address: "127.0.0.1:7301" is another's`},
+		"six voters":         {withMembers(3, true), "6 voters, at most 5 are allowed"},
+		"22 members":         {withMembers(18, false), "22 members, at most 21 are allowed"},
+		"name twice":         {replace(`"c2"`, `"c1"`), `member.1.name: "c1" is not a valid name (letters, digits, dots and dashes) or is the name of another member`},
+		"name with a path":   {replace(`"c2"`, `"../c2"`), `member.1.name: "../c2" is not a valid name`},
+		"address twice":      {replace(`7302`, `7301`), `member.1.address: "127.0.0.1:7301" is the address of another member`},
 		"no port":            {replace(`127.0.0.1:7302`, `127.0.0.1`), "member.1.address: "},
 		"port 0":             {replace(`127.0.0.1:7302`, `127.0.0.1:0`), "member.1.address: "},
 		"no region":          {replace(`region = "north"`, `region = ""`), "member.1.region: "},
@@ -89,7 +89,7 @@
 	require.ErrorContains(t, err, "no 32 bytes in hexadecimal")
 }
 
-// A stored copy that is cut anywhere, has any byte flipped or is of another fleet is refused.
+// A stored copy that is truncated anywhere, has any byte flipped or belongs to another fleet is rejected.
 func TestDamagedCopyIsRefused(t *testing.T) {
 	doc, err := controlplane.Parse([]byte(`{"a":[1,2,3],"b":{"c":"d"}}`))
 	require.NoError(t, err)
@@ -107,11 +107,11 @@
 		require.Error(t, err, "byte %d", i)
 	}
 	_, err = decodeCopy(encoded, "two")
-	require.ErrorContains(t, err, "of fleet")
+	require.ErrorContains(t, err, "belongs to fleet")
 }
 
-// A second process starts beside the one that writes the copy. It reads the copy, can't write it, and writes once the first has ended.
-// A damaged copy is set aside with one line in the log.
+// A second process starts while another one holds the copy's lock. It can read the copy but not write it until the first has ended. A
+// damaged copy is set aside with one line in the log.
 func TestCopyStoreHasOneWriter(t *testing.T) {
 	file, log := filepath.Join(t.TempDir(), "state", "n1.copy"), &testlog.Buffer{}
 	logger := slog.New(slog.NewTextHandler(log, nil))
@@ -151,7 +151,7 @@
 	require.Len(t, aside, 1)
 }
 
-// No member answers. The client applies the stored copy, and stops at once when it is told to.
+// No member is reachable. The client applies the stored copy, and stops promptly.
 func TestClientWithoutMembers(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "n1.copy")
 	copyStore, _, err := OpenCopyStore(file, "f", slog.New(slog.DiscardHandler))
@@ -177,7 +177,7 @@
 	require.Error(t, err)
 }
 
-// Versions arrive while one is being applied. Only the newest of them is applied next; it fails, and is reported as rejected.
+// Several versions arrive while one is being applied. Only the newest is applied next; its apply fails and is reported as rejected.
 func TestOnlyTheNewestVersionIsApplied(t *testing.T) {
 	started, proceed, applied := make(chan bool, 1), make(chan bool), make(chan uint64, 10)
 	c, err := New(Config{Fleet: "f", Name: "n1", Region: "r"}, func(version uint64, _ []byte) error {
@@ -215,7 +215,7 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-// A message survives its way through fragments. What is no message is an error, without a panic.
+// A message is unchanged after it is split into fragments and assembled. Malformed input is an error and causes no panic.
 func TestMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := CallRequest{Method: rapid.String().Draw(t, "method"), Version: rapid.Uint64().Draw(t, "version")}
@@ -245,12 +245,12 @@
 	var assembler MessageAssembler
 	assembler.data = make([]byte, MaxMessageBytes)
 	_, err := assembler.AddFrame([]byte{fragmentMore, 1})
-	require.ErrorContains(t, err, "message of over")
+	require.ErrorContains(t, err, "message is longer than")
 }
 
-// Two members both know a node, one of them by an older status, and both take themselves for the leader, one of them with a stale copy.
-// The report has the highest head, the latest status of each node and the leader that is not stale. A member that doesn't answer and a
-// node that rejects a version are problems.
+// Two members know the same node, one of them from an older status, and both report that they lead, one of them with a stale copy. The
+// report has the highest head, the latest status of each node and the leader that is not stale. A member that doesn't respond and a node
+// that rejects a version are problems.
 func TestReport(t *testing.T) {
 	pointer := func(x float64) *float64 { return &x }
 	node := func(name string, applied uint64, behind, staleness, lastSeen float64) FollowerStatus {
--- a/internal/controlplane/client/copystore.go
+++ b/internal/controlplane/client/copystore.go
@@ -20,19 +20,19 @@
 	"pearknot/internal/controlplane"
 )
 
-// copyFormat identifies the format of the file: a line with copyFormat, the checksum of all that follows the checksum, the version and
-// the fleet; then the document's text.
+// copyFormat identifies the format of the file: a line with copyFormat, the SHA-256 checksum of everything after the checksum, the
+// version and the fleet; then the document's text.
 const copyFormat = "pearknot-copy-1"
 
-// errLocked is returned if another process writes the copy, such as the one that this process is replacing.
+// errLocked is returned if another process holds the lock, such as the one that this process is replacing.
 var errLocked = errors.New("locked by another process")
 
-// CopyStore is the file in which a process keeps the last version that it has applied. One process writes; others may read.
+// CopyStore is the file that stores the last version that a process has applied. One process writes it; others may read it.
 type CopyStore struct {
 	file, fleet   string
-	lock          *os.File // nil until this process has it
+	lock          *os.File // nil until this process holds the lock
 	storedVersion uint64
-	nextToWrite   chan controlplane.VersionedDocument // holds one at most
+	nextToWrite   chan controlplane.VersionedDocument // holds at most one
 	log           *slog.Logger
 }
 
@@ -71,7 +71,7 @@
 	return stored, nil
 }
 
-// setAside renames a damaged copy, so that operators can look at it and the next copy does not overwrite it.
+// setAside renames a damaged copy, so that operators can inspect it and the next copy does not overwrite it.
 func (s *CopyStore) setAside(damage error) error {
 	aside := fmt.Sprintf("%s.damaged-%d", s.file, time.Now().UnixNano())
 	if err := os.Rename(s.file, aside); err != nil {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// acquireLock takes the lock, unless this process has it. The error wraps errLocked if another process does.
+// acquireLock acquires the lock unless this process holds it. The error wraps errLocked if another process holds it.
 func (s *CopyStore) acquireLock() error {
 	if s.lock != nil {
 		return nil
@@ -98,10 +98,10 @@
 	return nil
 }
 
-// HasLock reports whether this process is the one that writes.
+// HasLock reports whether this process holds the lock, and so may write.
 func (s *CopyStore) HasLock() bool { return s.lock != nil }
 
-// Write writes a version, as a whole or not at all. It is durable when Write returns.
+// Write writes a version atomically. It is durable when Write returns.
 func (s *CopyStore) Write(version uint64, text []byte) error {
 	if err := s.acquireLock(); err != nil {
 		return err
@@ -109,8 +109,8 @@
 	return renameio.WriteFile(s.file, encodeCopy(version, s.fleet, text), 0o600)
 }
 
-// QueueWrite has Run write a version, in the place of one that waits to be written. It doesn't block, so that a slow disk delays
-// nothing else. Only one goroutine may call it.
+// QueueWrite queues a version for Run to write, replacing one that is queued. It doesn't block, so that a slow disk delays nothing
+// else. Only one goroutine may call it.
 func (s *CopyStore) QueueWrite(next controlplane.VersionedDocument) {
 	select {
 	case <-s.nextToWrite:
@@ -119,7 +119,7 @@
 	s.nextToWrite <- next
 }
 
-// Run writes the queued versions until ctx ends, and then the one that still waits.
+// Run writes the queued versions until ctx ends, and then the one that is still queued.
 func (s *CopyStore) Run(ctx context.Context) {
 	var lockedLogged bool // another process's lock is logged once, not with every version
 	for {
@@ -138,7 +138,7 @@
 	}
 }
 
-// writeQueued writes a version unless it is stored, and returns whether the log has a line that another process has the lock.
+// writeQueued writes a version unless it is stored, and returns whether another process's lock has been logged.
 func (s *CopyStore) writeQueued(next controlplane.VersionedDocument, lockedLogged bool) bool {
 	if next.Version == s.storedVersion {
 		return lockedLogged
@@ -172,11 +172,11 @@
 	var none controlplane.VersionedDocument
 	format, rest, _ := bytes.Cut(data, []byte(" "))
 	if string(format) != copyFormat {
-		return none, fmt.Errorf("not a stored copy: begins with %.20q", format)
+		return none, fmt.Errorf("not a stored copy: starts with %.20q", format)
 	}
 	wantChecksum, content, _ := bytes.Cut(rest, []byte(" "))
 	if checksum := sha256.Sum256(content); hex.EncodeToString(checksum[:]) != string(wantChecksum) {
-		return none, errors.New("checksum is wrong")
+		return none, errors.New("checksum mismatch")
 	}
 	line, text, _ := bytes.Cut(content, []byte("\n"))
 	number, quotedFleet, _ := bytes.Cut(line, []byte(" "))
@@ -185,7 +185,7 @@
 		return none, fmt.Errorf("invalid version %.20q", number)
 	}
 	if storedFleet, err := strconv.Unquote(string(quotedFleet)); err != nil || storedFleet != fleet {
-		return none, fmt.Errorf("of fleet %.80s, not %q", quotedFleet, fleet)
+		return none, fmt.Errorf("stored copy belongs to fleet %.80s, not %q", quotedFleet, fleet)
 	}
 	doc, err := controlplane.Parse(text)
 	if err != nil {
--- a/internal/controlplane/client/file.go
+++ b/internal/controlplane/client/file.go
@@ -1,5 +1,5 @@
-// Package client is the control plane as its users see it: the file that describes it, a node's link to it with the stored copy, and
-// the calls of operators.
+// Package client provides access to the control plane: the file that describes it, a node's link to it with the stored copy, and the
+// calls of operators.
 package client
 
 import (
@@ -15,10 +15,10 @@
 )
 
 const (
-	// maxMembers is the number of machines that a fleet sets aside for control.
+	// maxMembers is the number of machines that a fleet reserves for control.
 	maxMembers = 21
 
-	// maxVoters voters survive the loss of two. With more, every commit would wait for more disks.
+	// maxVoters is the maximum number of voters: five survive the loss of two. With more, every commit would wait for more disks.
 	maxVoters = 5
 
 	maxNameBytes = 64
@@ -30,8 +30,8 @@
 	Voter                 bool
 }
 
-// ControlPlane is a control plane as its file describes it. Members, nodes and operators read the same file, except that the region
-// in it is that of the node that reads it.
+// ControlPlane is the control plane that a file describes. Members, nodes and operators read the same file, except that its region is
+// that of the node that reads it.
 type ControlPlane struct {
 	Fleet      string
 	Region     string // of a node that reads the file
@@ -39,19 +39,19 @@
 	Keys       [][]byte // the first is proven to members, all are accepted
 	StateDir   string
 	source     *tomlfile.File
-	lastLeader atomic.Pointer[string] // the voter that answered the latest call of the leader; nil is unknown
+	lastLeader atomic.Pointer[string] // the voter that responded to the latest leader call; nil is unknown
 }
 
-// controlPlaneFile is deploy/control-plane.toml. fleet, key_file and member are required.
+// controlPlaneFile holds the keys of a file such as deploy/control-plane.toml. fleet, key_file and member are required.
 type controlPlaneFile struct {
 	Fleet    string        `toml:"fleet"`     // name, 1 to 64 bytes; processes of another fleet are rejected
 	KeyFile  string        `toml:"key_file"`  // path, relative to this file
-	Region   string        `toml:"region"`    // of the node that reads the file; one that a member has
+	Region   string        `toml:"region"`    // of the node that reads the file; at least one member is in it
 	StateDir string        `toml:"state_dir"` // of stores and stored copies, relative to this file; default control-plane
 	Members  []memberEntry `toml:"member"`    // at most 21, of which 1, 3 or 5 are voters
 }
 
-// memberEntry is one member; all keys but voter are required.
+// memberEntry holds the keys of one member; all but voter are required.
 type memberEntry struct {
 	Name    string `toml:"name"`    // letters, digits, dots and dashes, distinct
 	Region  string `toml:"region"`  // 1 to 64 bytes
@@ -59,8 +59,8 @@
 	Voter   bool   `toml:"voter"`   // default false: the member relays
 }
 
-// ReadFile reads a control plane's file, and the keys that it names. Paths in it are relative to its directory. An error names the
-// file, line and column.
+// ReadFile reads a control plane's file and its key file. Paths in it are relative to its directory. An error includes the file, line
+// and column.
 func ReadFile(name string) (*ControlPlane, error) {
 	file := controlPlaneFile{StateDir: "control-plane"}
 	source, err := tomlfile.Read(name, &file)
@@ -69,11 +69,11 @@
 	}
 	switch {
 	case file.Fleet == "" || len(file.Fleet) > maxNameBytes:
-		return nil, source.Errorf("fleet", "a name of up to %d bytes is wanted", maxNameBytes)
+		return nil, source.Errorf("fleet", "must be a name of 1 to %d bytes", maxNameBytes)
 	case file.StateDir == "":
-		return nil, source.Errorf("state_dir", "a directory is wanted")
+		return nil, source.Errorf("state_dir", "must be a directory path")
 	case len(file.Members) > maxMembers:
-		return nil, source.Errorf("member", "%d members, %d at most", len(file.Members), maxMembers)
+		return nil, source.Errorf("member", "%d members, at most %d are allowed", len(file.Members), maxMembers)
 	}
 	if err := checkMembers(source, &file); err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 	return p, nil
 }
 
-// checkMembers checks each member, then what they have to be together.
+// checkMembers checks each member, and then the set of members as a whole.
 func checkMembers(source *tomlfile.File, file *controlPlaneFile) error {
 	names, addresses := map[string]bool{}, map[string]bool{}
 	voters, hasLocalMember := 0, false
@@ -96,11 +96,11 @@
 		key := fmt.Sprintf("member.%d.", i)
 		switch {
 		case !isFileName(member.Name) || names[member.Name]:
-			return source.Errorf(key+"name", "%q is no name of letters, digits, dots and dashes, or another's", member.Name)
+			return source.Errorf(key+"name", "%q is not a valid name (letters, digits, dots and dashes) or is the name of another member", member.Name)
 		case member.Region == "" || len(member.Region) > maxNameBytes:
-			return source.Errorf(key+"region", "a name of up to %d bytes is wanted", maxNameBytes)
+			return source.Errorf(key+"region", "must be a name of 1 to %d bytes", maxNameBytes)
 		case addresses[member.Address]:
-			return source.Errorf(key+"address", "%q is another's", member.Address)
+			return source.Errorf(key+"address", "%q is the address of another member", member.Address)
 		}
 		if err := checkAddress(source, key+"address", member.Address); err != nil {
 			return err
@@ -109,15 +109,15 @@
 		hasLocalMember = hasLocalMember || member.Region == file.Region
 		if member.Voter {
 			if voters++; voters > maxVoters {
-				return source.Errorf(key+"voter", "%d voters, %d at most", voters, maxVoters)
+				return source.Errorf(key+"voter", "%d voters, at most %d are allowed", voters, maxVoters)
 			}
 		}
 	}
 	switch {
 	case voters == 0:
-		return source.Errorf("member", "none is a voter")
+		return source.Errorf("member", "no member is a voter")
 	case voters%2 == 0:
-		return source.Errorf("member", "%d voters: an even number outlives no more losses than one less", voters)
+		return source.Errorf("member", "%d voters: an even number tolerates no more failures than one voter fewer", voters)
 	case !hasLocalMember:
 		return source.Errorf("region", "%q has no member", file.Region)
 	}
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// resolvePath returns a path that a file names, relative to the file's directory.
+// resolvePath resolves a path in a file relative to the file's directory.
 func resolvePath(file, path string) string {
 	if filepath.IsAbs(path) {
 		return path
@@ -143,7 +143,7 @@
 	return filepath.Join(filepath.Dir(file), path)
 }
 
-// isFileName reports whether a name may be a part of a file's name: it can't lead to another directory.
+// isFileName reports whether a name can be used as part of a file name without referring to another directory.
 func isFileName(name string) bool {
 	if name == "" || len(name) > maxNameBytes || name == "." || name == ".." {
 		return false
@@ -159,18 +159,18 @@
 	return r == '-' || r == '_' || r == '.'
 }
 
-// FindMember returns the member that has the name.
+// FindMember returns the member with a name, or an error if there is none.
 func (p *ControlPlane) FindMember(name string) (Member, error) {
 	if i := indexOf(p.Members, name); i >= 0 {
 		return p.Members[i], nil
 	}
-	return Member{}, p.source.Errorf("member", "none is called %q", name)
+	return Member{}, p.source.Errorf("member", "no member is named %q", name)
 }
 
-// Voters returns the members with a vote, in the order of the file.
+// Voters returns the members that vote, in the order of the file.
 func (p *ControlPlane) Voters() []Member { return p.membersWhere(true) }
 
-// relays returns the members without a vote, in the order of the file.
+// relays returns the members that don't vote, in the order of the file.
 func (p *ControlPlane) relays() []Member { return p.membersWhere(false) }
 
 func (p *ControlPlane) membersWhere(voter bool) []Member {
@@ -183,10 +183,10 @@
 	return members
 }
 
-// NodeConfig returns the configuration of a node's client, which keeps its copy in the state directory.
+// NodeConfig returns the configuration of a node's client, which stores its copy in the state directory.
 func (p *ControlPlane) NodeConfig(name string) (Config, error) {
 	if !isFileName(name) {
-		return Config{}, p.source.Errorf("state_dir", "a node called %q can't have a file there: letters, digits, dots and dashes", name)
+		return Config{}, p.source.Errorf("state_dir", "node name %q is not valid in a file name: use only letters, digits, dots and dashes", name)
 	}
 	return Config{
 		Fleet:    p.Fleet,
--- a/internal/controlplane/client/follower_link.go
+++ b/internal/controlplane/client/follower_link.go
@@ -9,38 +9,38 @@
 	"pearknot/internal/peers/transport"
 )
 
-// maxQueuedFrames bounds the frames of the connection in the actor's mailbox; the next one is read when there is room.
+// maxQueuedFrames bounds the frames of the connection in the actor's mailbox; reading pauses while it is reached.
 const maxQueuedFrames = 16
 
-// FollowerLink is a follower and its connection. It belongs to an actor, which calls all methods, and CarryOutDecisions after each of
-// its steps.
+// FollowerLink holds a follower and its connection. It belongs to an actor, which calls all methods, and calls CarryOutDecisions after
+// each of its steps.
 type FollowerLink struct {
 	*controlplane.Follower
-	Counters // without those of the present connection
+	Counters // excluding the current connection
 
 	config     Config
-	ctx        context.Context // bounds the dials and connections, which decisions of the follower start
+	ctx        context.Context // bounds the dials and connections that the follower's decisions start
 	host       FollowerLinkHost
-	generation uint64 // counts dials and disconnections: what an earlier connection still posts is ignored
+	generation uint64 // incremented by dials and disconnections; functions posted by an earlier connection are ignored
 	cancel     context.CancelFunc
 	conn       *transport.FrameConn // nil if there is none
 }
 
-// FollowerLinkHost is the actor that a link belongs to.
+// FollowerLinkHost provides the functions of the actor that a link belongs to.
 type FollowerLinkHost struct {
-	Now        func() float64                    // its clock, in ms
-	Post       func(func())                      // has the actor run a function; may be called from any goroutine
-	Go         func(func())                      // runs a goroutine; ends with the link's context, and the actor waits for it
+	Now        func() float64                    // the actor's clock, in ms
+	Post       func(func())                      // queues a function to run on the actor; may be called from any goroutine
+	Go         func(func())                      // starts a goroutine, which ends with the link's context; the actor waits for it
 	OnUpdate   func(controlplane.DocumentUpdate) // called by CarryOutDecisions
-	OnRejected func(member string, err error)    // a handshake has failed for a wrong key; called from any goroutine
+	OnRejected func(member string, err error)    // called from any goroutine after a handshake failed because of a wrong key
 }
 
-// Counters are what a link has cost since its start.
+// Counters counts a link's bytes, frames and dials since its start.
 type Counters struct {
 	BytesIn, BytesOut, FramesIn, FramesOut, Dials int64
 }
 
-// NewFollowerLink returns a link that continues from a stored version, or from none.
+// NewFollowerLink returns a link that continues from a stored version, or from none if its version is 0.
 func NewFollowerLink(ctx context.Context, config Config, stored controlplane.VersionedDocument, host FollowerLinkHost) *FollowerLink {
 	targets := make([]controlplane.Target, len(config.Members))
 	for i, member := range config.Members {
@@ -56,7 +56,7 @@
 	return &FollowerLink{Follower: follower, config: config, ctx: ctx, host: host}
 }
 
-// CarryOutDecisions carries out what the follower has decided.
+// CarryOutDecisions carries out the follower's decisions.
 func (l *FollowerLink) CarryOutDecisions() {
 	for output, ok := l.Next(); ok; output, ok = l.Next() {
 		switch {
@@ -74,7 +74,7 @@
 	}
 }
 
-// TotalCounters returns the counters, with those of the present connection.
+// TotalCounters returns the counters, including the current connection.
 func (l *FollowerLink) TotalCounters() Counters {
 	total := l.Counters
 	total.add(l.conn)
@@ -92,7 +92,7 @@
 	c.FramesOut += framesOut
 }
 
-// Disconnect closes the connection, or stops the dial.
+// Disconnect closes the connection, or cancels the dial.
 func (l *FollowerLink) Disconnect() {
 	l.generation++
 	if l.cancel != nil {
@@ -125,7 +125,7 @@
 	})
 }
 
-// post has the actor run a function, unless the connection of the generation has been given up by then.
+// post queues a function to run on the actor, unless the generation's connection has been replaced or closed by then.
 func (l *FollowerLink) post(generation uint64, run func()) {
 	l.host.Post(func() {
 		if l.generation == generation {
@@ -155,7 +155,7 @@
 		l.post(generation, func() { l.BytesReceived(l.host.Now()) })
 	})
 	slots := make(chan struct{}, maxQueuedFrames)
-	_ = conn.Run(controlplane.MaxFrameBytes, 0, func(frame []byte) { // however it ends, another connection follows
+	_ = conn.Run(controlplane.MaxFrameBytes, 0, func(frame []byte) { // the error is ignored: another connection follows in any case
 		select {
 		case slots <- struct{}{}:
 		case <-ctx.Done():
--- a/internal/controlplane/client/link.go
+++ b/internal/controlplane/client/link.go
@@ -12,44 +12,44 @@
 	"pearknot/internal/snapshot"
 )
 
-// ProtocolVersion is the version of what is sent on a link after the handshake.
+// ProtocolVersion is the version of the protocol on a link after the handshake.
 const ProtocolVersion = 1
 
-// The purposes of a link, which its caller names in the header. They are sent as they are written here.
+// The purposes of a link, which the dialing side sends in the header with these values.
 const (
 	PurposeFollow = "follow" // a node or a relay follows the member
 	PurposeVote   = "vote"   // another voter's messages
 	PurposeCall   = "call"   // an operator's call
 )
 
-// dialTimeout bounds the connection to a member, without the handshake. A follower waits as long for the end of a dial:
-// dialTimeoutMs in package controlplane.
+// dialTimeout bounds connecting to a member, excluding the handshake. A follower waits as long for a dial to end: dialTimeoutMs in
+// package controlplane.
 const dialTimeout = time.Second
 
-// LinkHeader is a link's first frame. It is encoded by the order of its fields, which doesn't change.
+// LinkHeader is a link's first frame. It is encoded in the order of its fields, which must not change.
 type LinkHeader struct {
 	Version int
 	Purpose string
 }
 
-// DecodeLinkHeader returns the purpose of a link. A header of another version may mean anything and is an error.
+// DecodeLinkHeader returns the purpose of a link. A header of another version can't be interpreted and is an error.
 func DecodeLinkHeader(data []byte) (purpose string, err error) {
 	header := &LinkHeader{}
 	if err := snapshot.ReadStruct(data, header); err != nil {
 		return "", err
 	}
 	if header.Version != ProtocolVersion {
-		return "", fmt.Errorf("protocol of version %d, this build has %d", header.Version, ProtocolVersion)
+		return "", fmt.Errorf("protocol version %d is not supported, this build supports version %d", header.Version, ProtocolVersion)
 	}
 	return header.Purpose, nil
 }
 
-// HandshakeFleet is the fleet's name in the handshakes of the control plane. It differs from that of peers, so that a key that both
-// use doesn't let a peer in here.
+// HandshakeFleet returns the fleet's name in the handshakes of the control plane. It differs from that of peers, so that a key that
+// both use doesn't admit a peer here.
 func HandshakeFleet(fleet string) string { return fleet + " control plane" }
 
-// OpenLink connects to a member, proves the key to it as from, and sends the header. The error wraps transport.ErrWrongKey if one of
-// the two doesn't have the other's key.
+// OpenLink connects to a member, authenticates to it with the key under the name from, and sends the header. The error wraps
+// transport.ErrWrongKey if either side doesn't have the other's key.
 func OpenLink(ctx context.Context, fleet string, keys [][]byte, from string, to Member, purpose string) (*transport.FrameConn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", to.Address)
--- a/internal/controlplane/client/operations.go
+++ b/internal/controlplane/client/operations.go
@@ -9,7 +9,7 @@
 	"pearknot/internal/controlplane"
 )
 
-// HeadVersion asks the leader for the head's version.
+// HeadVersion returns the head's version from the leader.
 func (p *ControlPlane) HeadVersion(ctx context.Context) (uint64, error) {
 	response, err := p.callLeader(ctx, &CallRequest{Method: MethodHead}, nil)
 	if err != nil {
@@ -18,9 +18,9 @@
 	return response.Version, nil
 }
 
-// Apply makes the next version from a base. When it returns without an error, a majority of the voters has stored the change. The
-// error is a *ConflictError if the base is not the head, and an *InvalidError if nodes can't apply the text; after any other the
-// change may still be committed.
+// Apply creates the next version, based on a given one. When it returns without an error, a majority of the voters has stored the
+// change. The error is a *ConflictError if base is not the head, and an *InvalidError if nodes can't apply the text; after any other
+// error the change may still be committed.
 func (p *ControlPlane) Apply(ctx context.Context, base uint64, text []byte, by, reason string) (uint64, error) {
 	request := &CallRequest{Method: MethodApply, Base: base, ID: max(rand.Uint64(), 1), By: by, Reason: reason}
 	response, err := p.callLeader(ctx, request, text)
@@ -36,8 +36,8 @@
 	return 0, &InvalidError{Detail: response.Detail}
 }
 
-// GetVersion returns a version and its text, the head's if version is 0, with an upper bound of the answer's staleness in ms; nil is
-// unknown. The error is ErrVersionNotFound if no member that answered has the version.
+// GetVersion returns a version and its text, the head's if version is 0, with an upper bound of the response's staleness in ms; nil is
+// unknown. The error is ErrVersionNotFound if no responding member has the version.
 func (p *ControlPlane) GetVersion(ctx context.Context, version uint64) (found uint64, text []byte, staleness *float64, err error) {
 	response, text, err := p.callFreshest(ctx, &CallRequest{Method: MethodGet, Version: version})
 	if err != nil {
@@ -46,8 +46,8 @@
 	return response.Version, text, response.StalenessMs, nil
 }
 
-// RecentChanges returns the latest changes, at most limit and newest first, with an upper bound of the answer's staleness in ms; nil is
-// unknown.
+// RecentChanges returns the latest changes, at most limit and newest first, with an upper bound of the response's staleness in ms; nil
+// is unknown.
 func (p *ControlPlane) RecentChanges(ctx context.Context, limit int) ([]LogEntry, *float64, error) {
 	response, _, err := p.callFreshest(ctx, &CallRequest{Method: MethodLog, Limit: limit})
 	if err != nil {
@@ -56,7 +56,7 @@
 	return response.Log, response.StalenessMs, nil
 }
 
-// Rollback makes a next version, from a base, that has an earlier one's text. Its errors are those of GetVersion and Apply.
+// Rollback creates the next version, based on base, with the text of an earlier one. Its errors are those of GetVersion and Apply.
 func (p *ControlPlane) Rollback(ctx context.Context, to, base uint64, by, reason string) (uint64, error) {
 	_, text, _, err := p.GetVersion(ctx, to)
 	if err != nil {
@@ -72,7 +72,7 @@
 	Err    error
 }
 
-// MemberStatuses asks all members at once. The results are in the order of the members.
+// MemberStatuses requests the status of all members concurrently. The results are in the order of the members.
 func (p *ControlPlane) MemberStatuses(ctx context.Context) []StatusResult {
 	results := make([]StatusResult, len(p.Members))
 	var calls sync.WaitGroup
--- a/internal/controlplane/client/report.go
+++ b/internal/controlplane/client/report.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	// MaxBehindMs is how long a node may be behind the head before a status check fails: the bound that the control plane promises.
+	// MaxBehindMs is the time that a node may be behind the head before a status check fails: the bound that the control plane
+	// guarantees.
 	MaxBehindMs = 6000.0
 
-	// maxLeaderStalenessMs is the staleness below which a member is believed that it leads. A leader that was deposed and doesn't know
+	// maxLeaderStalenessMs is the staleness below which a member's report that it leads is trusted. A deposed leader that doesn't know
 	// it yet is staler.
 	maxLeaderStalenessMs = 2000.0
 )
 
-// Report is the state of the control plane, from all members' statuses. Its tags are what --json prints.
+// Report is the state of the control plane, from all members' statuses. Its JSON form is the output of --json.
 type Report struct {
 	Version uint64         `json:"version"`
 	Digest  string         `json:"digest,omitempty"`
 	Leader  string         `json:"leader,omitempty"`
 	Members []ReportMember `json:"members"`
 	Regions []ReportRegion `json:"regions"`
-	Behind  []ReportNode   `json:"behind"` // nodes that have not applied Version, the one that is behind for longest first
+	Behind  []ReportNode   `json:"behind"` // nodes that have not applied Version, the one that has been behind longest first
 }
 
-// ReportMember is a member.
+// ReportMember is the state of a member.
 type ReportMember struct {
 	Name              string   `json:"name"`
 	Region            string   `json:"region"`
 	Voter             bool     `json:"voter"`
-	UnreachableReason string   `json:"unknown,omitempty"` // why it has not answered; the fields below are then unknown
+	UnreachableReason string   `json:"unknown,omitempty"` // why it has not responded; the fields below are then unknown
 	Head              uint64   `json:"head"`
 	StalenessMs       *float64 `json:"age_ms,omitempty"`
 	Follows           string   `json:"follows,omitempty"`
 	Nodes             int      `json:"nodes"`
 }
 
-// ReportRegion is the nodes of a region.
+// ReportRegion counts the nodes of a region.
 type ReportRegion struct {
 	Region        string  `json:"region"`
 	Nodes         int     `json:"nodes"`
@@ -47,13 +48,13 @@
 	WorstBehindMs float64 `json:"worst_ms"`
 }
 
-// ReportNode is a node, with the member that it follows.
+// ReportNode is the state of a node, with the member that it follows.
 type ReportNode struct {
 	FollowerStatus
 	Member string `json:"member"`
 }
 
-// NewReport puts the members' statuses together. Of a node that several members know, the latest status counts.
+// NewReport combines the members' statuses. For a node that several members know, the latest status is used.
 func NewReport(results []StatusResult) *Report {
 	r := &Report{Members: []ReportMember{}, Regions: []ReportRegion{}, Behind: []ReportNode{}}
 	nodes := map[string]ReportNode{}
@@ -90,7 +91,7 @@
 	if status.Head >= r.Version {
 		r.Version, r.Digest = status.Head, status.Digest
 	}
-	if status.Leader == status.Name { // a member knows best whether it leads itself
+	if status.Leader == status.Name { // a member knows best whether it is the leader itself
 		isFresh := status.StalenessMs != nil && *status.StalenessMs < maxLeaderStalenessMs
 		if r.Leader == "" || isFresh {
 			r.Leader = status.Leader
@@ -108,7 +109,7 @@
 	r.Members = append(r.Members, member)
 }
 
-// addNode counts a node in its region, and adds it to Behind if it is behind. All members have been added before.
+// addNode counts a node in its region, and adds it to Behind if it is behind. All members must have been added before.
 func (r *Report) addNode(region *ReportRegion, node ReportNode) {
 	region.Nodes++
 	if node.AppliedVersion >= r.Version {
@@ -116,8 +117,8 @@
 	}
 	i := slices.IndexFunc(r.Members, func(m ReportMember) bool { return m.Name == node.Member })
 	if member := r.Members[i]; member.Head < r.Version && member.StalenessMs != nil {
-		// The node's member lacks the version too. It knows only of the versions before, so the node is behind for as long as the
-		// member may be.
+		// The node's member lacks the version too. It knows only earlier versions, so the node may be behind for as long as the member
+		// may be.
 		node.BehindMs = max(node.BehindMs, *member.StalenessMs)
 	}
 	region.Behind++
@@ -125,7 +126,7 @@
 	r.Behind = append(r.Behind, node)
 }
 
-// FirstProblem returns the first reason for which a status check fails, or an empty string.
+// FirstProblem returns the first reason why a status check fails, or an empty string.
 func (r *Report) FirstProblem() string {
 	for _, member := range r.Members {
 		if member.UnreachableReason != "" {
--- a/internal/controlplane/member/calls.go
+++ b/internal/controlplane/member/calls.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// maxCalls bounds the operators' calls at one time, because each may send and receive a whole document.
+	// maxCalls bounds the operators' concurrent calls, because each may send and receive a whole document.
 	maxCalls = 16
-	// callIdleTimeout ends a call whose connection carries nothing.
+	// callIdleTimeout is the time without traffic after which a call's connection is closed.
 	callIdleTimeout = 30 * time.Second
-	// proposalTimeout is how long a call waits for a majority to store the change. The caller then makes the call again with the same
-	// change ID, by which it takes effect only once.
+	// proposalTimeout bounds the wait for a majority to store a call's change. The caller then retries the call with the same change ID,
+	// which takes effect only once.
 	proposalTimeout = 4 * time.Second
-	// maxAuthorBytes bounds each of a call's author and reason.
+	// maxAuthorBytes bounds a call's author and reason, each separately.
 	maxAuthorBytes = 1 << 10
-	// maxLogEntries bounds the changes in a response: as many as are retained.
+	// maxLogEntries bounds the changes in a response; it is the number of changes that are retained.
 	maxLogEntries = 4096
 )
 
-var errTooManyCalls = errors.New("too many calls at once")
+var errTooManyCalls = errors.New("too many concurrent calls")
 
 // serveCall serves one call of an operator.
 func (m *Member) serveCall(ctx context.Context, conn *transport.FrameConn) error {
@@ -52,7 +52,7 @@
 		}
 		if isLast {
 			complete = true
-			// The call is answered by another goroutine, so that this one notices meanwhile when the caller closes the connection.
+			// The call is handled by another goroutine, so that this one still notices when the caller closes the connection.
 			m.goroutines.Go(func() { m.answerCall(ctx, conn, &assembler) })
 		}
 	}, nil)
@@ -66,7 +66,7 @@
 	request := &client.CallRequest{}
 	text, err := assembler.Decode(request)
 	if err != nil {
-		m.logRejected("a caller", err)
+		m.logRejected("operator call", err)
 		conn.Close()
 		return
 	}
@@ -82,7 +82,7 @@
 	}
 }
 
-// handleCall returns the response to a call, with the text that follows it.
+// handleCall returns the response to a call and the text that follows it.
 func (m *Member) handleCall(ctx context.Context, request *client.CallRequest, text []byte) (*client.CallResponse, []byte) {
 	switch request.Method {
 	case client.MethodStatus:
@@ -103,7 +103,7 @@
 	return &client.CallResponse{Code: controlplane.CodeInvalid, Detail: fmt.Sprintf(format, args...)}
 }
 
-// respondOnActor has the actor make a response.
+// respondOnActor runs respond on the actor and returns its response.
 func (m *Member) respondOnActor(ctx context.Context, respond func() *client.CallResponse) *client.CallResponse {
 	responses := make(chan *client.CallResponse, 1)
 	if !m.runOnActor(ctx, func() { responses <- respond() }) {
@@ -169,7 +169,7 @@
 	})
 }
 
-// notLeaderResponse is the response of a member that doesn't lead; nil if this one leads.
+// notLeaderResponse returns the response of a member that is not the leader, or nil if this member is the leader.
 func (m *Member) notLeaderResponse() *client.CallResponse {
 	switch {
 	case !m.isVoter():
@@ -180,24 +180,24 @@
 	return nil
 }
 
-// handleApply proposes a configuration, after a check that nodes can apply it.
+// handleApply proposes a configuration after checking that nodes can apply it.
 func (m *Member) handleApply(ctx context.Context, request *client.CallRequest, text []byte) *client.CallResponse {
 	if len(request.By) > maxAuthorBytes || len(request.Reason) > maxAuthorBytes {
 		return invalidResponse("by and reason: %d bytes at most", maxAuthorBytes)
 	}
 	var (
-		settled *client.CallResponse
-		version uint64
-		head    *controlplane.Document
+		immediateResponse *client.CallResponse
+		version           uint64
+		head              *controlplane.Document
 	)
 	if !m.runOnActor(ctx, func() {
 		version, head = m.history().Head()
-		settled = m.settleApply(request)
+		immediateResponse = m.applyResponseWithoutProposal(request)
 	}) {
 		return leadershipLostResponse("the member ends")
 	}
-	if settled != nil {
-		return settled
+	if immediateResponse != nil {
+		return immediateResponse
 	}
 	doc, err := controlplane.Parse(text)
 	if err != nil {
@@ -218,12 +218,12 @@
 	return &client.CallResponse{Code: controlplane.CodeLeadershipLost, Detail: detail}
 }
 
-// settleApply returns the response to a call that needs no proposal, or nil if a proposal has to be made.
-func (m *Member) settleApply(request *client.CallRequest) *client.CallResponse {
+// applyResponseWithoutProposal returns the response to a call that needs no proposal, or nil if a proposal is needed.
+func (m *Member) applyResponseWithoutProposal(request *client.CallRequest) *client.CallResponse {
 	if response := m.notLeaderResponse(); response != nil {
 		return response
 	}
-	if version, known := m.history().FindProposal(request.ID); known { // a repetition: the first response was lost
+	if version, known := m.history().FindProposal(request.ID); known { // a retry: the first response was lost
 		return &client.CallResponse{Code: controlplane.CodeDone, Version: version}
 	}
 	if head, _ := m.history().Head(); head != request.Base {
--- a/internal/controlplane/member/connections.go
+++ b/internal/controlplane/member/connections.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	// maxUnauthenticated bounds the connections that have not proven the key yet, so that strangers can't use up the descriptors. Such
-	// connections end after the handshake's timeout; further ones wait in the kernel's queue until then.
+	// maxUnauthenticated bounds the connections that have not proven the key yet, so that unauthenticated peers can't exhaust the file
+	// descriptors. Such connections end after the handshake's timeout; further ones wait in the kernel's queue until then.
 	maxUnauthenticated = 64
-	// acceptRetryDelay is the pause after a failed accept, such as one for want of descriptors.
+	// acceptRetryDelay is the pause after a failed accept, for example when no file descriptor is free.
 	acceptRetryDelay = 50 * time.Millisecond
-	// headerTimeout and maxHeaderBytes bound the frame by which a connection says what it is for.
+	// headerTimeout and maxHeaderBytes bound the frame that states a connection's purpose.
 	headerTimeout  = 2 * time.Second
 	maxHeaderBytes = 1 << 10
-	// maxFollowers bounds the followers of one member. It is over twice the number of nodes of the largest fleet.
+	// maxFollowers bounds the followers of one member. It is more than twice the number of nodes of the largest fleet.
 	maxFollowers = 4096
-	// maxQueuedFrames bounds the frames of one connection in the actor's mailbox; the next one is read when there is room.
+	// maxQueuedFrames bounds the frames of one connection in the actor's mailbox; reading pauses while it is reached.
 	maxQueuedFrames = 16
 )
 
 var errTooManyFollowers = errors.New("too many followers")
 
-// followerConn is a follower's connection.
+// followerConn holds a follower's connection and name.
 type followerConn struct {
 	conn *transport.FrameConn
 	name string
 }
 
 func (m *Member) acceptConnections(ctx context.Context, listener net.Listener) {
-	unauthenticated := make(chan struct{}, maxUnauthenticated) // a token for each
+	unauthenticated := make(chan struct{}, maxUnauthenticated) // a token for each connection
 	for {
 		select {
 		case unauthenticated <- struct{}{}:
@@ -63,7 +63,7 @@
 	}
 }
 
-// serveConnection serves a connection until it or ctx ends. authenticated is called once it has proven the key, or has failed to.
+// serveConnection serves a connection until it or ctx ends. authenticated is called once it has proven the key or failed to do so.
 func (m *Member) serveConnection(ctx context.Context, netConn net.Conn, authenticated func()) {
 	defer authenticated()
 	defer netConn.Close()
@@ -77,7 +77,7 @@
 	}
 	authenticated()
 	if errors.Is(err, io.EOF) {
-		return // closed on purpose: an operator's command that has its answer from another member
+		return // closed on purpose, such as by an operator's command that has a response from another member
 	}
 	if err == nil {
 		err = m.serveLink(ctx, conn, from, purpose)
@@ -87,7 +87,7 @@
 	}
 }
 
-// receiveHeader carries out the handshake and receives the link's header. The name is empty if the handshake has failed.
+// receiveHeader performs the handshake and receives the link's header. from is empty if the handshake has failed.
 func (m *Member) receiveHeader(netConn net.Conn, conn *transport.FrameConn) (from, purpose string, err error) {
 	fleet := client.HandshakeFleet(m.controlPlane.Fleet)
 	from, _, err = transport.ServerHandshake(netConn, conn.Reader(), m.controlPlane.Keys, fleet, m.self.Name, m.incarnation())
@@ -116,8 +116,8 @@
 	return fmt.Errorf("unknown link purpose %.20q", purpose)
 }
 
-// postFrames returns a callback that has the actor handle each frame of a connection. It blocks while maxQueuedFrames of them wait, so
-// that a fast sender is slowed down by its own connection.
+// postFrames returns a callback that queues each frame of a connection for the actor to handle. It blocks while maxQueuedFrames of them
+// are queued, so that a fast sender is slowed down by backpressure on its own connection.
 func (m *Member) postFrames(ctx context.Context, handle func(frame []byte)) func(frame []byte) {
 	slots := make(chan struct{}, maxQueuedFrames)
 	return func(frame []byte) {
@@ -133,13 +133,13 @@
 	}
 }
 
-// serveFollower serves a follower until its connection ends. It returns an error only for an end that a sound follower doesn't cause.
+// serveFollower serves a follower until its connection ends. It returns an error only for an end that no correct follower causes.
 func (m *Member) serveFollower(ctx context.Context, conn *transport.FrameConn, name string) error {
 	id, err := m.addFollower(ctx, conn, name)
 	if err != nil || id == 0 {
 		return err
 	}
-	malformed := make(chan error, 1) // at most one: the follower is removed with it
+	malformed := make(chan error, 1) // at most one: the follower is removed with the first
 	handleFrame := func(frame []byte) {
 		if m.followers[id] == nil {
 			return
@@ -168,7 +168,7 @@
 	}
 }
 
-// addFollower has the server serve a connection, and returns its ID. Once ctx has ended, the ID is 0.
+// addFollower adds a connection to the server and returns its ID. If ctx has ended, the ID is 0.
 func (m *Member) addFollower(ctx context.Context, conn *transport.FrameConn, name string) (id uint64, err error) {
 	added := make(chan uint64, 1)
 	m.mailbox.Put(func() {
@@ -202,8 +202,8 @@
 	}
 }
 
-// ignoreExpectedClose returns the error of a connection's end if no sound peer causes it: a frame that is too long. A connection that
-// is closed or cut is none.
+// ignoreExpectedClose returns the error with which a connection has ended only if no correct peer causes it: a frame that is too long.
+// For a connection that was closed or lost it returns nil.
 func ignoreExpectedClose(err error) error {
 	var tooLong *transport.FrameTooLongError
 	if errors.As(err, &tooLong) {
--- a/internal/controlplane/member/golden_test.go
+++ b/internal/controlplane/member/golden_test.go
@@ -11,15 +11,15 @@
 	"pearknot/internal/controlplane"
 )
 
-func appendEntries(n uint64) (all []*pb.Entry) {
+func testEntries(n uint64) (all []*pb.Entry) {
 	for k := range n {
 		all = append(all, testEntry(controlplane.Bootstrap([]uint64{1, 2, 3}).Snapshot.GetMetadata().GetIndex()+1+k, 1))
 	}
 	return all
 }
 
-// A voter is started again with another build: the store that the earlier one left is read whole.
-func TestEarlierStore(t *testing.T) {
+// A voter is restarted with another build, which reads the complete store of the earlier one.
+func TestStoreOfEarlierBuild(t *testing.T) {
 	data, err := os.ReadFile("testdata/voter.db")
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "c1.db")
@@ -30,7 +30,7 @@
 	want := controlplane.Bootstrap([]uint64{1, 2, 3})
 	require.Equal(t, want.HardState.String(), state.HardState.String())
 	require.Equal(t, want.Snapshot.String(), state.Snapshot.String())
-	entries := appendEntries(5)
+	entries := testEntries(5)
 	require.Len(t, state.Entries, len(entries))
 	for k, e := range entries {
 		require.Equal(t, e.String(), state.Entries[k].String())
--- a/internal/controlplane/member/member.go
+++ b/internal/controlplane/member/member.go
@@ -1,8 +1,8 @@
 // Package member runs one process of the control plane: a voter, or a relay without a vote.
 //
 // An actor, the goroutine of runActor, owns the core's parts: the voter or the follower link, and the server of the followers. Every
-// connection has its own goroutines, which put what they receive into the actor's mailbox. An incoming connection says in its first
-// frame whether it is a follower's, another voter's or an operator's call.
+// connection has its own goroutines, which put received frames into the actor's mailbox. The first frame of an incoming connection
+// states whether it is from a follower, from another voter or an operator's call.
 package member
 
 import (
@@ -24,10 +24,10 @@
 	"pearknot/internal/throttledlog"
 )
 
-// Options configures a member beyond what the control plane's file says.
+// Options configures a member beyond the control plane's file.
 type Options struct {
-	Bootstrap bool   // this is a voter's first start: it begins an empty store
-	Control   string // path of the control socket; empty is none
+	Bootstrap bool   // this is a voter's first start: it creates an empty store
+	Control   string // path of the control socket; empty for none
 	Version   string // of the build, for display
 }
 
@@ -41,14 +41,14 @@
 	rejectedLog  *throttledlog.Throttle
 	stop         context.CancelCauseFunc
 	goroutines   sync.WaitGroup
-	callSlots    chan struct{} // a token for each call under way
+	callSlots    chan struct{} // a token for each call in progress
 	validator    validator
 	mailbox      *mailbox.Box[func()]
 
-	// The fields below are the actor's own.
+	// The fields below are accessed only by the actor.
 
 	server *controlplane.Server
-	served struct { // what the server was last told
+	served struct { // history that was last passed to the server
 		version   uint64
 		freshAsOf float64
 	}
@@ -60,7 +60,7 @@
 	relayRole // zero in a voter
 }
 
-// isVoter reports which of the two roles this member has.
+// isVoter reports whether this member is a voter rather than a relay.
 func (m *Member) isVoter() bool { return m.voter != nil }
 
 // Run runs a member until ctx ends or its store fails. It returns nil after ctx has ended.
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// openState opens the member's durable state, in its role.
+// openState opens the durable state of the member's role.
 func (m *Member) openState(ctx context.Context) error {
 	if err := os.MkdirAll(m.controlPlane.StateDir, 0o700); err != nil {
 		return err
@@ -145,18 +145,18 @@
 
 func closeAll(closers ...io.Closer) {
 	for _, c := range closers {
-		_ = c.Close() // of a listener: nothing is lost
+		_ = c.Close() // closing a listener or socket loses no data
 	}
 }
 
-// logRejected logs a rejected connection, at most once in client.RejectedLogInterval, with the number of rejections since the last line.
+// logRejected logs a rejected connection, at most once per client.RejectedLogInterval, with the number of rejections since the last line.
 func (m *Member) logRejected(peer string, err error) {
 	m.rejectedLog.Event(func(sinceLast int64) {
 		m.log.Warn("connection rejected", "peer", peer, "error", err, "since_last", sinceLast)
 	})
 }
 
-// incarnation is what handshakes exchange so that processes of one name can be told apart. Nothing in the control plane looks at it.
+// incarnation returns the value in handshakes that distinguishes processes of the same name. The control plane doesn't use it.
 func (m *Member) incarnation() uint64 { return max(uint64(m.clock.Now()), 1) }
 
 // runActor runs the actor until ctx ends.
@@ -205,7 +205,7 @@
 	}
 }
 
-// runOnActor runs a function on the actor and waits for its end. It returns false if the member stops before.
+// runOnActor runs a function on the actor and waits until it returns. It returns false if the member stops first.
 func (m *Member) runOnActor(ctx context.Context, run func()) bool {
 	done := make(chan struct{})
 	m.mailbox.Put(func() {
@@ -220,8 +220,8 @@
 	}
 }
 
-// carryOutDecisions carries out what the core has decided, in its order: first the role's decisions, which may change the history,
-// then the server's.
+// carryOutDecisions carries out the core's decisions in their order: first the role's, which may change the history, then the
+// server's.
 func (m *Member) carryOutDecisions() {
 	if m.isVoter() {
 		if err := m.carryOutVoterDecisions(); err != nil {
@@ -243,7 +243,7 @@
 	for output, ok := m.server.Next(); ok; output, ok = m.server.Next() {
 		follower := m.followers[output.Conn]
 		switch {
-		case follower == nil: // its connection has ended meanwhile
+		case follower == nil: // its connection has ended in the meantime
 		case output.Disconnect:
 			m.log.Info("follower disconnected", "name", follower.name, "reason", output.DisconnectReason)
 			follower.conn.Close()
@@ -261,7 +261,7 @@
 	return m.followerLink.History()
 }
 
-// freshAsOf is the time by the member's clock, in ms, as of which its history contains every acknowledged change.
+// freshAsOf returns the time by the member's clock, in ms, as of which its history contains every acknowledged change.
 func (m *Member) freshAsOf() float64 {
 	if m.isVoter() {
 		return m.voter.FreshAsOf()
--- a/internal/controlplane/member/member_test.go
+++ b/internal/controlplane/member/member_test.go
@@ -33,7 +33,7 @@
 	return &pb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Type: pb.EntryNormal.Enum(), Data: fmt.Appendf(nil, "%d of %d", index, term)}
 }
 
-// Writes of all kinds in random order are stored as StoredState.ApplyPersist, the core's model of a store, has them, over restarts too.
+// Random sequences of writes of all kinds are stored as in StoredState.ApplyPersist, the core's model of a store, also across restarts.
 func TestStoreMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "store")
@@ -90,8 +90,8 @@
 	})
 }
 
-// A store is cut short anywhere, or any of its bytes is flipped. It is refused in one line, or has all its content; nothing panics and
-// nothing is set aside. A store that is missing, of another voter, locked, or there at a bootstrap is refused too.
+// A store is truncated, or has a byte flipped, at many positions. It is rejected with a one-line error, or is read in full; there is no
+// panic and no file is set aside. A store that is missing, belongs to another voter, is locked or exists at a bootstrap is rejected too.
 func TestDamagedStoreIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "c1.db")
@@ -105,12 +105,12 @@
 	}
 	require.NoError(t, store.persist(&controlplane.Persist{HardState: &pb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(9)}, Entries: storedEntries}))
 	_, _, err = openVoterStore(path, "f/c1", nil)
-	require.ErrorContains(t, err, "another process has it")
+	require.ErrorContains(t, err, "locked by another process")
 	require.NoError(t, store.close())
 	_, _, err = openVoterStore(path, "f/c2", nil)
-	require.ErrorContains(t, err, "the store of f/c1, not of f/c2")
+	require.ErrorContains(t, err, "store belongs to f/c1, not to f/c2")
 	_, _, err = openVoterStore(path, "f/c1", controlplane.Bootstrap([]uint64{1, 2, 3}))
-	require.ErrorContains(t, err, "there is a store already")
+	require.ErrorContains(t, err, "store already exists")
 	intact, err := os.ReadFile(path)
 	require.NoError(t, err)
 	want, err := readVoterStore(path, "f/c1")
@@ -137,16 +137,16 @@
 		require.NoError(t, os.WriteFile(damagedPath, flipped, 0o600))
 		requireRefusedOrEqual("byte", i)
 	}
-	// The last entry is lost, with all checksums right.
+	// The last entry is missing, and all checksums are valid.
 	db, err := bbolt.Open(path, 0o600, nil)
 	require.NoError(t, err)
 	require.NoError(t, db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(entriesBucket).Delete([]byte(entryKey(41))) }))
 	require.NoError(t, db.Close())
 	_, _, err = openVoterStore(path, "f/c1", nil)
-	require.ErrorContains(t, err, "entries end before 41")
+	require.ErrorContains(t, err, "entries end before index 41")
 }
 
-// testControlPlane writes the file of a control plane of one voter, c1, and one relay, c2, and reads it.
+// testControlPlane writes and reads the file of a control plane with one voter, c1, and one relay, c2.
 func testControlPlane(t *testing.T) *client.ControlPlane {
 	t.Helper()
 	dir := t.TempDir()
@@ -165,7 +165,7 @@
 	return plane
 }
 
-// startMember runs a member until the test's end, and returns its log.
+// startMember runs a member until the end of the test and returns its log.
 func startMember(t *testing.T, plane *client.ControlPlane, name string, options Options) *testlog.Buffer {
 	t.Helper()
 	log, ended := &testlog.Buffer{}, make(chan error, 1)
@@ -177,15 +177,15 @@
 		case err := <-ended:
 			require.NoError(t, err)
 		case <-time.After(10 * time.Second):
-			t.Error("the member doesn't stop")
+			t.Error("the member does not stop")
 		}
 	})
 	require.Eventually(t, func() bool { return strings.Contains(log.String(), "control plane member started") }, 10*time.Second, time.Millisecond, log)
 	return log
 }
 
-// Strangers connect and send garbage, a wrong key, an unknown version or a frame that is too long, before and after the handshake. Each
-// connection ends, the log gets few lines, and a follower beside them goes on.
+// Clients connect and send malformed data, a wrong key, an unknown version or a frame that is too long, before and after the handshake.
+// Each connection is closed, few lines are logged, and a follower that is connected meanwhile is not affected.
 func TestMalformedConnectionsAreRejected(t *testing.T) {
 	plane := testControlPlane(t)
 	log := startMember(t, plane, "c1", Options{Bootstrap: true, Control: filepath.Join(t.TempDir(), "s")})
@@ -218,7 +218,7 @@
 	require.ErrorIs(t, err, transport.ErrWrongKey)
 	requireClosed(conn)
 	conn = dial()
-	_, err = transport.ClientHandshake(conn, plane.Keys, "f", "n1", "c1", 1) // as a peer of that name would
+	_, err = transport.ClientHandshake(conn, plane.Keys, "f", "n1", "c1", 1) // with the fleet name that peers use
 	require.Error(t, err)
 	requireClosed(conn)
 	header := func(version int, purpose string) []byte {
@@ -260,8 +260,8 @@
 	}, 10*time.Second, 10*time.Millisecond, "the relay still follows")
 }
 
-// 200 connections are opened that send nothing. They occupy the places of connections without a handshake until its timeout, and an
-// operator's call behind them is answered.
+// 200 connections are opened that send nothing. They occupy the slots of unauthenticated connections until the handshake's timeout. An
+// operator's call that is queued behind them still succeeds.
 func TestSilentConnectionsDontBlockCalls(t *testing.T) {
 	plane := testControlPlane(t)
 	startMember(t, plane, "c1", Options{Bootstrap: true})
@@ -275,19 +275,19 @@
 	}, 15*time.Second, 10*time.Millisecond)
 }
 
-// Starts with the wrong options, without a store or beside another process each fail with one line.
+// A start with the wrong options, without a store or while another process holds the state fails with a one-line error.
 func TestInvalidStarts(t *testing.T) {
 	plane := testControlPlane(t)
 	run := func(name string, options Options) error {
 		return Run(t.Context(), plane, name, options, slog.New(slog.DiscardHandler))
 	}
-	require.ErrorContains(t, run("c9", Options{}), `none is called "c9"`)
-	require.ErrorContains(t, run("c1", Options{}), "no store: a voter's first start takes --bootstrap")
-	require.ErrorContains(t, run("c2", Options{Bootstrap: true}), "is no voter")
+	require.ErrorContains(t, run("c9", Options{}), `no member is named "c9"`)
+	require.ErrorContains(t, run("c1", Options{}), "store does not exist: use --bootstrap for a voter's first start")
+	require.ErrorContains(t, run("c2", Options{Bootstrap: true}), "is not a voter")
 	startMember(t, plane, "c1", Options{Bootstrap: true})
-	require.ErrorContains(t, run("c1", Options{}), "another process has it")
+	require.ErrorContains(t, run("c1", Options{}), "locked by another process")
 	startMember(t, plane, "c2", Options{})
-	require.ErrorContains(t, run("c2", Options{}), "another process has its state")
+	require.ErrorContains(t, run("c2", Options{}), "control-plane is locked by another process")
 }
 
 const testSettings = `{"az":0,"balancers":1,"benefitBy":"request","bounds":{"cancel":true,"connIdle":15000,"connectTimeout":250,
@@ -296,7 +296,7 @@
 "kinds":["m"],"loadReport":{"fields":["mean_ms"],"via":"inline"},"registryMode":"subscribe","rules":{"askWithin":10000,
 "coldFrom":0.3,"drainGrace":500,"fallMultiple":4,"overloadFor":2000,"warmWithin":9000},"tenants":[],"zones":["a"]}`
 
-// A configuration is compared with the head, whichever others were parsed in between.
+// A configuration is compared with the head, regardless of which others were parsed in between.
 func TestValidator(t *testing.T) {
 	doc := func(pairs ...string) *controlplane.Document {
 		d, err := controlplane.Parse([]byte(strings.NewReplacer(pairs...).Replace(testSettings)))
--- a/internal/controlplane/member/relay.go
+++ b/internal/controlplane/member/relay.go
@@ -9,16 +9,16 @@
 	"pearknot/internal/controlplane/client"
 )
 
-// relayRole is what only a member without a vote has. It belongs to the actor.
+// relayRole holds the state of a member that doesn't vote. It belongs to the actor.
 type relayRole struct {
 	followerLink   *client.FollowerLink // to one of the voters
 	copyStore      *client.CopyStore
-	followedMember string // that the log last spoke of; empty is none
+	followedMember string // member that was last logged as followed; empty is none
 }
 
 func (m *Member) openRelay(ctx context.Context) error {
 	if m.options.Bootstrap {
-		return fmt.Errorf("%s is no voter: nothing to bootstrap", m.self.Name)
+		return fmt.Errorf("%s is not a voter: there is nothing to bootstrap", m.self.Name)
 	}
 	file := filepath.Join(m.controlPlane.StateDir, m.self.Name+".copy")
 	copyStore, stored, err := client.OpenCopyStore(file, m.controlPlane.Fleet, m.log)
@@ -26,7 +26,7 @@
 		return err
 	}
 	if !copyStore.HasLock() {
-		return fmt.Errorf("%s: another process has its state in %s", m.self.Name, m.controlPlane.StateDir)
+		return fmt.Errorf("%s: the state in %s is locked by another process", m.self.Name, m.controlPlane.StateDir)
 	}
 	m.copyStore = copyStore
 	config := client.Config{
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// storeUpdate keeps a version on disk. A relay applies no configuration: what it has stored counts as applied.
+// storeUpdate stores a version on disk. A relay applies no configuration: a version counts as applied when it is queued to be stored.
 func (m *Member) storeUpdate(update controlplane.DocumentUpdate) {
 	m.followerLink.VersionApplied(m.clock.Now(), update.Version)
 	m.copyStore.QueueWrite(controlplane.VersionedDocument{Version: update.Version, Document: update.Document})
--- a/internal/controlplane/member/status.go
+++ b/internal/controlplane/member/status.go
@@ -12,13 +12,13 @@
 	"pearknot/internal/controlsocket"
 )
 
-// Paths of a member's control socket.
+// The HTTP paths of a member's control socket.
 const (
 	StatusPath = "/v1/control-plane"
 	LogPath    = "/v1/control-plane/log"
 )
 
-// stalenessMs is the upper bound of the staleness of the member's history; nil is unknown.
+// stalenessMs returns an upper bound of the staleness of the member's history; nil is unknown.
 func (m *Member) stalenessMs() *float64 {
 	return client.FiniteOrNil(m.clock.Now() - m.freshAsOf())
 }
@@ -65,7 +65,7 @@
 	return s
 }
 
-// noControlSocket stands for the control socket of a member that has none.
+// noControlSocket is the closer that is used when no control socket is configured.
 type noControlSocket struct{}
 
 func (noControlSocket) Close() error { return nil }
@@ -87,10 +87,10 @@
 	return server, nil
 }
 
-// controlSocketHandler answers by a call's response. The parameter n limits the entries of a log.
+// controlSocketHandler serves the response to a call. The query parameter n limits the entries of a log.
 func (m *Member) controlSocketHandler(ctx context.Context, method string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		limit, _ := strconv.Atoi(r.URL.Query().Get("n")) // 0 if it is missing or no number
+		limit, _ := strconv.Atoi(r.URL.Query().Get("n")) // 0 if it is missing or not a number
 		response, _ := m.handleCall(ctx, &client.CallRequest{Method: method, Limit: max(limit, 1)}, nil)
 		switch {
 		case response.Status != nil:
--- a/internal/controlplane/member/store.go
+++ b/internal/controlplane/member/store.go
@@ -19,13 +19,13 @@
 	"pearknot/internal/controlplane"
 )
 
-// schemaVersion is the version of the store's form. A store of another version is refused.
+// schemaVersion is the version of the store's schema. A store of another version is rejected.
 const schemaVersion = "1"
 
-// openTimeout bounds the wait for bbolt's own lock on a file.
+// openTimeout bounds the wait for bbolt's lock on a file.
 const openTimeout = time.Second
 
-// The buckets and keys of the store. They are on disk: the names don't change.
+// The buckets and keys of the store. The names are stored on disk and must not change.
 var (
 	voterBucket   = []byte("voter")
 	entriesBucket = []byte("entries") // keys: see entryKey
@@ -39,16 +39,16 @@
 	lastIndexKey = "last"
 )
 
-// voterStore is a voter's durable state. It has one writer. Every value carries a checksum, and the index of the last entry is stored
-// too, so that a missing entry at the end is noticed.
+// voterStore is a voter's durable state. It has one writer. Every value has a checksum, and the index of the last entry is stored too,
+// so that a missing entry at the end is detected.
 type voterStore struct {
 	db        *bbolt.DB
 	lock      *os.File
 	lastIndex uint64 // of the last entry; 0 is none
 }
 
-// openVoterStore opens a voter's store, or begins it with the initial state if one is given. A voter that has lost what it voted for
-// must not vote again, because it may have voted otherwise: whatever is missing or damaged is an error, and nothing is set aside.
+// openVoterStore opens a voter's store, or creates it with the initial state if one is given. A voter that has lost its votes must not
+// vote again, because it may have voted differently: missing or damaged data is an error, and no file is set aside.
 func openVoterStore(path, owner string, initial *controlplane.StoredState) (s *voterStore, state *controlplane.StoredState, err error) {
 	lock, err := lockStore(path)
 	if err != nil {
@@ -62,13 +62,13 @@
 	state, err = readVoterStore(path, owner)
 	switch {
 	case errors.Is(err, fs.ErrNotExist) && initial == nil:
-		return nil, nil, fmt.Errorf("%s: no store: a voter's first start takes --bootstrap, and one that has lost its store must not vote", path)
+		return nil, nil, fmt.Errorf("%s: store does not exist: use --bootstrap for a voter's first start; a voter that has lost its store must not vote", path)
 	case errors.Is(err, fs.ErrNotExist):
 		state = initial
 	case err != nil:
 		return nil, nil, err
 	case initial != nil:
-		return nil, nil, fmt.Errorf("%s: there is a store already: --bootstrap is for a voter's first start", path)
+		return nil, nil, fmt.Errorf("%s: store already exists: --bootstrap is only for a voter's first start", path)
 	}
 	s, err = rewriteStore(path, owner, state, lock)
 	if err != nil {
@@ -84,13 +84,13 @@
 	}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		_ = lock.Close()
-		return nil, fmt.Errorf("%s: another process has it", path)
+		return nil, fmt.Errorf("%s: locked by another process", path)
 	}
 	return lock, nil
 }
 
-// rewriteStore writes the state that was read to a fresh file, which replaces the earlier one. Damage in a part of the file that the
-// read didn't touch ends here, rather than at a later write.
+// rewriteStore writes the state that was read to a new file, which replaces the earlier one. This removes damage in parts of the file
+// that were not read, which would otherwise surface at a later write.
 func rewriteStore(path, owner string, state *controlplane.StoredState, lock *os.File) (*voterStore, error) {
 	fresh := path + ".new"
 	if err := os.Remove(fresh); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -139,7 +139,7 @@
 	})
 }
 
-// persist makes a voter's write durable, as a whole.
+// persist stores a voter's write atomically and durably.
 func (s *voterStore) persist(p *controlplane.Persist) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if err := s.deleteReplaced(tx.Bucket(entriesBucket), p); err != nil {
@@ -152,7 +152,7 @@
 	})
 }
 
-// deleteReplaced deletes the entries that a snapshot or other entries replace.
+// deleteReplaced deletes the entries that a write's snapshot or entries replace.
 func (s *voterStore) deleteReplaced(entries *bbolt.Bucket, p *controlplane.Persist) error {
 	lastIndex := s.lastIndex
 	if p.Snapshot != nil {
@@ -173,7 +173,7 @@
 	return deleteEntries(entries, p.Entries[0].GetIndex(), lastIndex)
 }
 
-// deleteEntries deletes the entries from first to last, both included.
+// deleteEntries deletes the entries from first to last, inclusive.
 func deleteEntries(entries *bbolt.Bucket, first, last uint64) error {
 	cursor := entries.Cursor()
 	seek := func() []byte {
@@ -188,7 +188,7 @@
 	return nil
 }
 
-// raftMessage is what is stored of raft.
+// raftMessage is a raft message that is stored.
 type raftMessage interface {
 	*pb.HardState | *pb.Snapshot | *pb.Entry
 	proto.Message
@@ -206,7 +206,7 @@
 	return bucket.Put([]byte(key), boltfile.EncodeValue(string(data)))
 }
 
-// entryKey is the key of an entry: its index, big-endian, so that entries are in order.
+// entryKey returns the key of an entry: its index, big-endian, so that entries are ordered by index.
 func entryKey(index uint64) string { return string(binary.BigEndian.AppendUint64(nil, index)) }
 
 func (s *voterStore) putState(tx *bbolt.Tx, hard *pb.HardState, snapshot *pb.Snapshot, entries []*pb.Entry) error {
--- a/internal/controlplane/member/store_read.go
+++ b/internal/controlplane/member/store_read.go
@@ -16,11 +16,11 @@
 	"pearknot/internal/controlplane"
 )
 
-// maxEntriesRead ends the read of a damaged file whose pages point at each other in a ring.
+// maxEntriesRead bounds the read of a damaged file whose page references form a cycle.
 const maxEntriesRead = 10_000_000
 
-// readVoterStore reads a store completely, and trusts nothing in it without a checksum. What is damaged is an error that wraps
-// boltfile.ErrDamaged; a file that is not there, fs.ErrNotExist.
+// readVoterStore reads a store completely and verifies all values by their checksums. The error wraps boltfile.ErrDamaged for damaged
+// data, and fs.ErrNotExist for a missing file.
 func readVoterStore(path, owner string) (state *controlplane.StoredState, err error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
@@ -29,12 +29,12 @@
 		return nil, err
 	}
 	r := &storeReader{path: path}
-	// bbolt maps the file into memory. One that was cut short is mapped beyond its end, and one with flipped bytes may send the reader
-	// anywhere: a memory fault becomes a panic, and any panic an error.
+	// bbolt maps the file into memory. A truncated file is mapped beyond its end, and flipped bytes may direct the reader to any address:
+	// a memory fault is turned into a panic, and any panic into an error.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if fault := recover(); fault != nil {
-			state, err = nil, r.damaged("%v", fault)
+			state, err = nil, r.damagedErrorf("%v", fault)
 		}
 	}()
 	db, err := r.open()
@@ -54,7 +54,7 @@
 	state controlplane.StoredState
 }
 
-func (r *storeReader) damaged(format string, args ...any) error {
+func (r *storeReader) damagedErrorf(format string, args ...any) error {
 	return fmt.Errorf("%s: %w: %s", r.path, boltfile.ErrDamaged, fmt.Sprintf(format, args...))
 }
 
@@ -62,11 +62,11 @@
 	db, err := bbolt.Open(r.path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: openTimeout})
 	switch {
 	case errors.Is(err, berrors.ErrTimeout):
-		return nil, fmt.Errorf("%s: another process has it", r.path)
+		return nil, fmt.Errorf("%s: locked by another process", r.path)
 	case errors.Is(err, os.ErrPermission):
 		return nil, err
 	case err != nil:
-		return nil, r.damaged("%v", err)
+		return nil, r.damagedErrorf("%v", err)
 	}
 	return db, nil
 }
@@ -74,18 +74,18 @@
 func (r *storeReader) read(tx *bbolt.Tx, owner string) error {
 	voter, entries := tx.Bucket(voterBucket), tx.Bucket(entriesBucket)
 	if voter == nil || entries == nil {
-		return r.damaged("no buckets")
+		return r.damagedErrorf("buckets are missing")
 	}
 	if err := r.checkIdentity(voter, owner); err != nil {
 		return err
 	}
-	lastIndexText, err := r.value(voter, lastIndexKey)
+	lastIndexText, err := r.readValue(voter, lastIndexKey)
 	if err != nil {
 		return err
 	}
 	lastIndex, err := strconv.ParseUint(lastIndexText, 10, 64)
 	if err != nil {
-		return r.damaged("last")
+		return r.damagedErrorf("last")
 	}
 	r.state.HardState, r.state.Snapshot = &pb.HardState{}, &pb.Snapshot{}
 	if err := r.readMessage(voter, hardStateKey, r.state.HardState); err != nil {
@@ -101,62 +101,62 @@
 	return r.checkComplete(lastIndex)
 }
 
-// value returns a value whose checksum is right.
-func (r *storeReader) value(bucket *bbolt.Bucket, key string) (string, error) {
+// readValue returns a value after verifying its checksum.
+func (r *storeReader) readValue(bucket *bbolt.Bucket, key string) (string, error) {
 	v, err := boltfile.DecodeValue(bucket.Get([]byte(key)))
 	if err != nil {
-		return "", r.damaged("%s", key)
+		return "", r.damagedErrorf("%s", key)
 	}
 	return v, nil
 }
 
-// checkIdentity returns an error if the store is of another schema or of another voter.
+// checkIdentity returns an error if the store has another schema version or belongs to another voter.
 func (r *storeReader) checkIdentity(voter *bbolt.Bucket, owner string) error {
-	schema, err := r.value(voter, schemaKey)
+	schema, err := r.readValue(voter, schemaKey)
 	if err != nil {
 		return err
 	}
 	if schema != schemaVersion {
-		return fmt.Errorf("%s: schema %s, this build has %s", r.path, schema, schemaVersion)
+		return fmt.Errorf("%s: schema version %s is not supported, this build supports version %s", r.path, schema, schemaVersion)
 	}
-	storedOwner, err := r.value(voter, ownerKey)
+	storedOwner, err := r.readValue(voter, ownerKey)
 	if err != nil {
 		return err
 	}
 	if storedOwner != owner {
-		return fmt.Errorf("%s: the store of %s, not of %s", r.path, storedOwner, owner)
+		return fmt.Errorf("%s: store belongs to %s, not to %s", r.path, storedOwner, owner)
 	}
 	return nil
 }
 
 func (r *storeReader) readMessage(bucket *bbolt.Bucket, key string, message proto.Message) error {
-	data, err := r.value(bucket, key)
+	data, err := r.readValue(bucket, key)
 	if err != nil {
 		return err
 	}
 	if err := proto.Unmarshal([]byte(data), message); err != nil {
-		return r.damaged("%s: %v", key, err)
+		return r.damagedErrorf("%s: %v", key, err)
 	}
 	return nil
 }
 
-// readEntries reads the entries, which follow on each other without gaps.
+// readEntries reads the entries, whose indexes must be contiguous.
 func (r *storeReader) readEntries(bucket *bbolt.Bucket) error {
 	cursor, count := bucket.Cursor(), 0
 	for key, value := cursor.First(); key != nil; key, value = cursor.Next() {
 		if count++; count > maxEntriesRead {
-			return r.damaged("pages in a ring")
+			return r.damagedErrorf("page references form a cycle")
 		}
 		data, err := boltfile.DecodeValue(value)
 		if err != nil {
-			return r.damaged("entry %x", key)
+			return r.damagedErrorf("entry %x", key)
 		}
 		entry := &pb.Entry{}
 		if err := proto.Unmarshal([]byte(data), entry); err != nil {
-			return r.damaged("entry %x: %v", key, err)
+			return r.damagedErrorf("entry %x: %v", key, err)
 		}
 		if entryKey(entry.GetIndex()) != string(key) || !r.followsLastEntry(entry) {
-			return r.damaged("entry %d out of place", entry.GetIndex())
+			return r.damagedErrorf("entry %d is out of sequence", entry.GetIndex())
 		}
 		r.state.Entries = append(r.state.Entries, entry)
 	}
@@ -175,11 +175,11 @@
 	snapshotIndex := r.state.Snapshot.GetMetadata().GetIndex()
 	switch n := len(entries); {
 	case n == 0 && lastIndex != 0, n > 0 && entries[n-1].GetIndex() != lastIndex:
-		return r.damaged("entries end before %d", lastIndex)
+		return r.damagedErrorf("entries end before index %d", lastIndex)
 	case n > 0 && entries[0].GetIndex() > snapshotIndex+1:
-		return r.damaged("entries begin at %d, the snapshot ends at %d", entries[0].GetIndex(), snapshotIndex)
+		return r.damagedErrorf("entries begin at index %d, but the snapshot ends at index %d", entries[0].GetIndex(), snapshotIndex)
 	case r.state.HardState.GetCommit() > max(lastIndex, snapshotIndex):
-		return r.damaged("%d are committed, %d there", r.state.HardState.GetCommit(), max(lastIndex, snapshotIndex))
+		return r.damagedErrorf("commit index is %d, but the last stored index is %d", r.state.HardState.GetCommit(), max(lastIndex, snapshotIndex))
 	}
 	return nil
 }
--- a/internal/controlplane/member/validator.go
+++ b/internal/controlplane/member/validator.go
@@ -9,13 +9,13 @@
 )
 
 // validator checks whether nodes that have the head can apply a proposed configuration. It caches the two configurations that it
-// parsed last: the next head is mostly the one that it has just accepted, and parsing 140,000 tenants takes a second.
+// parsed last: the next head is usually the one that it has just accepted, and parsing 140,000 tenants takes a second.
 type validator struct {
 	mu    sync.Mutex
 	cache []parsedConfiguration // newest first
 }
 
-// parsedCacheSize has room for the head and the proposed configuration.
+// parsedCacheSize is the number of cached configurations: the head and the proposed one.
 const parsedCacheSize = 2
 
 type parsedConfiguration struct {
@@ -23,8 +23,8 @@
 	deployment *config.Deployment
 }
 
-// check returns an error if nodes that have the head's document can't apply the proposed one. As the first version, any valid
-// configuration is accepted.
+// check returns an error if nodes that have the head's document can't apply the proposed one. Any valid configuration is accepted as
+// the first version.
 func (v *validator) check(proposed *controlplane.Document, version uint64, head *controlplane.Document) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/controlplane/member/voter.go
+++ b/internal/controlplane/member/voter.go
@@ -11,11 +11,11 @@
 	"pearknot/internal/controlplane"
 )
 
-// slowPersistThreshold is the duration from which a write to the store is logged as slow. The actor waits for the write, so its
+// slowPersistThreshold is the duration above which a write to the store is logged as slow. The actor waits for the write, so its
 // followers get no heartbeats meanwhile, and after 2.5 s (heartbeatTimeoutMs in package controlplane) they connect to another member.
 const slowPersistThreshold = time.Second
 
-// voterRole is what only a voter has. All but the links' outbound connections belongs to the actor.
+// voterRole holds the state of a voter. It belongs to the actor, except for the links' outbound connections.
 type voterRole struct {
 	voter           *controlplane.Voter
 	store           *voterStore
@@ -23,10 +23,10 @@
 	voterIDs        map[string]uint64 // of all voters, by name
 	voterLinks      map[uint64]*voterLink
 	proposalReplies map[uint64]chan<- controlplane.Result // by the proposal's ID
-	leader          uint64                                // that the log last spoke of; 0 is none
+	leader          uint64                                // leader that was last logged; 0 is none
 }
 
-// voterID derives a voter's ID from its name alone, so that the order of the file may change. An ID is never 0.
+// voterID derives a voter's ID from its name only, so that the order of the file may change. An ID is never 0.
 func voterID(name string) uint64 { return max(xxhash.Sum64String(name), 1) }
 
 func (m *Member) openVoter() error {
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// carryOutVoterDecisions carries out the voter's decisions in their order. After an error the voter must not go on, because the core
-// assumes that everything it decided so far is durable: a later message could acknowledge what is not on the disk.
+// carryOutVoterDecisions carries out the voter's decisions in their order. After an error the voter must not continue, because the core
+// assumes that all its decisions so far are durable: a later message could acknowledge data that is not on disk.
 func (m *Member) carryOutVoterDecisions() error {
 	for output, ok := m.voter.Next(); ok; output, ok = m.voter.Next() {
 		switch {
@@ -107,8 +107,8 @@
 
 // deliverReply passes a proposal's result to the call that waits for it, if there still is one.
 func (m *Member) deliverReply(reply *controlplane.Reply) {
-	if waiting := m.proposalReplies[reply.ID]; waiting != nil {
+	if results := m.proposalReplies[reply.ID]; results != nil {
 		delete(m.proposalReplies, reply.ID)
-		waiting <- reply.Result
+		results <- reply.Result
 	}
 }
--- a/internal/controlplane/member/voter_link.go
+++ b/internal/controlplane/member/voter_link.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// maxVoterQueueBytes bounds what waits to be sent to another voter. More is dropped: raft takes lost messages into account, and a
-	// voter that is frozen must not take this one's memory.
+	// maxVoterQueueBytes bounds the bytes queued for another voter. Further messages are dropped: raft tolerates lost messages, and a
+	// frozen voter must not use up this one's memory.
 	maxVoterQueueBytes = 64 << 20
-	// The time between two dials of another voter grows from min to max.
+	// The time between two dials of another voter grows from minRedialBackoff to maxRedialBackoff.
 	minRedialBackoff = 50 * time.Millisecond
 	maxRedialBackoff = time.Second
-	// voterIdleTimeout ends a connection to another voter that carries nothing. After a long network cut the kernel would retransmit
-	// only minutes later, so a new connection is faster.
+	// voterIdleTimeout is the time without traffic after which a connection to another voter is closed. After a long network partition
+	// the kernel would retransmit only minutes later, so a new connection is faster.
 	voterIdleTimeout = 3 * time.Second
-	// voterKeepaliveInterval is how often the receiving voter sends an empty frame, by which the sender sees that the connection works.
+	// voterKeepaliveInterval is the time between the empty frames by which the receiving voter shows the sender that the connection works.
 	voterKeepaliveInterval = time.Second
 )
 
-// voterLink is the connections with another voter, one for each direction: each voter dials all others and sends on the connections
+// voterLink holds the connections with another voter, one for each direction: each voter dials all others and sends on the connections
 // that it dialed.
 type voterLink struct {
 	peer    client.Member
-	inbound *transport.FrameConn // the actor's own
+	inbound *transport.FrameConn // accessed only by the actor
 
 	mu       sync.Mutex // guards outbound
 	outbound *transport.FrameConn
@@ -53,7 +53,7 @@
 	l.outbound = conn
 }
 
-// maintainVoterLink dials another voter again and again until ctx ends.
+// maintainVoterLink keeps a connection to another voter open, redialing it until ctx ends.
 func (m *Member) maintainVoterLink(ctx context.Context, link *voterLink) {
 	backoff := minRedialBackoff
 	for ctx.Err() == nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// runOutbound sends on a connection until it or ctx ends.
+// runOutbound makes a connection the link's outbound one until it or ctx ends.
 func runOutbound(ctx context.Context, link *voterLink, conn *transport.FrameConn) error {
 	link.setOutbound(conn)
 	defer link.setOutbound(nil)
