--- a/internal/controlplane/compress.go
+++ b/internal/controlplane/compress.go
@@ -2,16 +2,16 @@
 
 import "github.com/klauspost/compress/zstd"
 
-// minCompressedBytes is the size below which data is sent as it is: a zstd frame would save little or nothing.
+// minCompressedBytes is the size below which data is not compressed: a zstd frame would save little or nothing.
 const minCompressedBytes = 1 << 10
 
-// The first byte of what compress returns.
+// The encodings, written in the first byte of what compress returns.
 const (
 	encodingPlain = 0
 	encodingZstd  = 1
 )
 
-// compress returns the data with a leading byte that tells its encoding, compressed if that makes it smaller.
+// compress returns the data, compressed if that makes it smaller, after a byte that names the encoding.
 func compress(data []byte) []byte {
 	if len(data) >= minCompressedBytes {
 		encoder, err := zstd.NewWriter(nil,
@@ -19,16 +19,16 @@
 			zstd.WithLowerEncoderMem(true),
 			zstd.WithAllLitEntropyCompression(true))
 		if err == nil {
-			if small := encoder.EncodeAll(data, []byte{encodingZstd}); len(small) < len(data) {
-				return small
+			if compressed := encoder.EncodeAll(data, []byte{encodingZstd}); len(compressed) < len(data) {
+				return compressed
 			}
 		}
 	}
 	return append([]byte{encodingPlain}, data...)
 }
 
-// decompress reverses compress. Data from another process may claim any decompressed size. A claim above limit bytes is rejected
-// before memory is allocated for it, and so is a frame without a claim.
+// decompress reverses compress. Data from another process may declare any decompressed size. A size above limit bytes is rejected
+// before memory is allocated for it, and so is a frame that declares none.
 func decompress(data []byte, limit int) ([]byte, error) {
 	switch {
 	case len(data) == 0:
--- a/internal/controlplane/diff.go
+++ b/internal/controlplane/diff.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// maxDiffDepth bounds how often a range is divided again at lines that occur once in it. Beyond it the range is replaced whole, so
-// that no text makes the recursion deep.
+// maxDiffDepth bounds the recursion that divides a range at lines that occur once in it. A range at this depth is replaced as a whole,
+// so that no text makes the recursion deep.
 const maxDiffDepth = 64
 
-// Diff returns the splices that lead from one document to another, by the patience algorithm: lines that the two ends of a range have
-// in common are left out, and what is between them is divided at the lines that occur exactly once in both documents.
+// Diff returns the splices that turn one document into another, by the patience diff algorithm: common lines at the start and at the
+// end of a range are skipped, and the rest is divided at the lines that occur exactly once in both documents.
 func Diff(from, to *Document) []Splice {
 	d := diffBuilder{from: from, to: to}
 	d.diffRange(lineRange{0, from.LineCount()}, lineRange{0, to.LineCount()}, 0)
-	if n := len(d.splices); n > maxSplices { // nearly all is new: one splice from the first difference to the last
+	if n := len(d.splices); n > maxSplices { // too many differences: one splice from the first to the last
 		first, last := d.splices[0], d.splices[n-1]
 		end := last.Line + last.Delete
 		endInTo := to.LineCount() - from.LineCount() + int(end)
@@ -20,12 +20,12 @@
 	return d.splices
 }
 
-// lineRange is the lines from start up to, not including, end.
+// lineRange is the half-open range of lines from start to end.
 type lineRange struct{ start, end int }
 
 func (r lineRange) isEmpty() bool { return r.start >= r.end }
 
-// linePair is a line that both documents have.
+// linePair holds the line numbers of one line that both documents contain.
 type linePair struct{ from, to int }
 
 type diffBuilder struct {
@@ -67,7 +67,7 @@
 	d.diffRange(from, to, depth+1)
 }
 
-// uniqueCommonLines returns the lines that occur exactly once in each range, in the order of the first.
+// uniqueCommonLines returns the lines that occur exactly once in each range, in the order of the first range.
 func (d *diffBuilder) uniqueCommonLines(from, to lineRange) []linePair {
 	type occurrence struct{ inFrom, inTo, countFrom, countTo int }
 	occurrences := make(map[string]occurrence, from.end-from.start)
@@ -94,11 +94,11 @@
 }
 
 // longestAscending returns the longest subsequence of the pairs, which ascend by their first line, that ascends by their second line
-// too. It is patience sorting: pileTops[n] is the index of the pair with the lowest second line among those that end an ascending
+// too. It uses patience sorting: pileTops[n] is the index of the pair with the lowest second line among those that end an ascending
 // subsequence of n+1 pairs.
 func longestAscending(pairs []linePair) []linePair {
 	var pileTops []int
-	previous := make([]int, len(pairs)) // index of the pair before, in the subsequence that ends with this pair; -1 is none
+	previous := make([]int, len(pairs)) // index of the preceding pair in the subsequence that ends with this pair; -1 if there is none
 	for i, pair := range pairs {
 		pile, _ := slices.BinarySearchFunc(pileTops, pair.to, func(top, line int) int { return pairs[top].to - line })
 		previous[i] = -1
--- a/internal/controlplane/document.go
+++ b/internal/controlplane/document.go
@@ -11,33 +11,33 @@
 	"unicode/utf8"
 )
 
-// MaxDocumentBytes bounds a document's text: six times what a configuration of 140,000 tenants takes.
+// MaxDocumentBytes bounds a document's text. It is six times the size of a configuration of 140,000 tenants.
 const MaxDocumentBytes = 32 << 20
 
-// maxDocumentLines bounds the line index, which takes 4 bytes a line.
+// maxDocumentLines bounds the line index, which takes 4 bytes per line.
 const maxDocumentLines = 2 << 20
 
-// A voter sends these texts in Result.Detail to the proposer of a change that it rejects, who may be of another build, so
-// they keep their earlier words. They mean: malformed document text, invalid splices, digest mismatch.
+// A voter sends these texts in Result.Detail to the proposer of a change that it rejects. The proposer may be of another build, so
+// the texts stay the same in all builds. They mean: malformed document text, invalid splices, digest mismatch.
 var (
 	errMalformedText  = errors.New("odd text of a document")
 	errInvalidSplices = errors.New("odd splices")
 	errDigestMismatch = errors.New("digest differs")
 )
 
-// Document is the canonical text of a JSON object: without blanks, with a line for each member at depth 1 and each element at depth
-// 2, the order and the spelling of values as they were given. A tenant is a line, so that a change of one tenant is a splice of one
-// line. A Document is immutable.
+// Document is the canonical text of a JSON object: without whitespace but the line ends, one line for each member at depth 1 and each
+// element at depth 2, with the order and the spelling of the values unchanged. A tenant is a line, so that a change of one tenant is
+// a splice of one line. A Document is immutable.
 type Document struct {
 	text       string
-	lineStarts []uint32 // offset of each line, and at the end the text's length
+	lineStarts []uint32 // offset of each line, followed by the length of the text
 	digest     Digest
 }
 
-// Parse returns the canonical form of a JSON object. The error's text begins with line:column.
+// Parse returns the canonical form of a JSON object. The text of an error begins with line:column.
 func Parse(text []byte) (*Document, error) {
 	if len(text) > MaxDocumentBytes {
-		return nil, fmt.Errorf("1:1: %d bytes, %d at most", len(text), MaxDocumentBytes)
+		return nil, fmt.Errorf("1:1: document has %d bytes, %d at most", len(text), MaxDocumentBytes)
 	}
 	if err := checkObject(text); err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// canonicalText lays out a valid JSON object in lines.
+// canonicalText returns the canonical text of a valid JSON object.
 func canonicalText(text []byte) string {
 	out := make([]byte, 0, len(text)+64)
 	depth, quoted := 0, false
@@ -109,7 +109,7 @@
 	return string(append(out, '\n'))
 }
 
-// invalidUTF8Offset returns the offset of the first byte that is not UTF-8, or -1.
+// invalidUTF8Offset returns the offset of the first byte that is not valid UTF-8, or -1 if there is none.
 func invalidUTF8Offset(text []byte) int {
 	if utf8.Valid(text) {
 		return -1
@@ -131,8 +131,8 @@
 	return fmt.Errorf("%d:%d: %s", line, column, message)
 }
 
-// newDocument indexes a text that is laid out in lines already. It doesn't check that the text is JSON: a text from another process
-// is proven by its digest.
+// newDocument returns the document of a canonical text. It doesn't check that the text is JSON: a text from another process is
+// verified by its digest.
 func newDocument(text string) (*Document, error) {
 	if len(text) == 0 || len(text) > MaxDocumentBytes || text[len(text)-1] != '\n' {
 		return nil, errMalformedText
@@ -149,7 +149,7 @@
 	return d, nil
 }
 
-// digestOf hashes a text in blocks of 32 KiB, because a copy of the whole string to bytes would cost more than the hash.
+// digestOf hashes a text in blocks of 32 KiB, because converting the whole string to a byte slice would cost more than the hash.
 func digestOf(text string) (d Digest) {
 	const blockBytes = 32 << 10
 	hash, block := sha256.New(), make([]byte, min(len(text), blockBytes))
@@ -168,7 +168,7 @@
 	return d
 }
 
-// zeroLineDocument has no lines at all. It is no valid document, but the base from which one is assembled line by line.
+// zeroLineDocument returns a document without lines. It is not valid itself, but a base to which splices can add lines.
 func zeroLineDocument() *Document { return &Document{lineStarts: []uint32{0}} }
 
 // Text returns a copy of the canonical text.
@@ -180,13 +180,13 @@
 // LineCount returns the number of lines.
 func (d *Document) LineCount() int { return len(d.lineStarts) - 1 }
 
-// prefix is enough of a digest to notice that two documents differ.
+// prefix returns the first 8 bytes of a digest, which are enough to detect that two documents differ.
 func (d Digest) prefix() uint64 { return binary.BigEndian.Uint64(d[:]) }
 
-// line returns a line without its end. It shares the document's memory.
+// line returns a line without its line end. The string shares the document's memory.
 func (d *Document) line(i int) string { return d.text[d.lineStarts[i] : d.lineStarts[i+1]-1] }
 
-// copyLines copies the lines from..to, so that a retained change doesn't retain the memory of the document's text.
+// copyLines copies the lines from from up to, not including, to. A retained change thus doesn't keep the document's text in memory.
 func (d *Document) copyLines(from, to int) []string {
 	var lines []string
 	for i := from; i < to; i++ {
@@ -195,8 +195,8 @@
 	return lines
 }
 
-// Apply returns the document that the splices lead to. It is an error if they don't fit this document or if the result has another
-// digest than want.
+// Apply returns the document with the splices applied. It returns an error if they are invalid for this document or if the digest of
+// the result is not want.
 func (d *Document) Apply(splices []Splice, want Digest) (*Document, error) {
 	next, err := d.applySplices(splices)
 	if err != nil {
@@ -228,8 +228,8 @@
 	return newDocument(text.String())
 }
 
-// sizeAfter returns the number of bytes that the document has after the splices. It is an error if they overlap, reach beyond the
-// document, or put in a line with a line end or more than a document may have.
+// sizeAfter returns the document's size in bytes after the splices. It returns an error if they overlap, reach beyond the document,
+// insert a line that contains a line end, or make the document larger than MaxDocumentBytes.
 func (d *Document) sizeAfter(splices []Splice) (int, error) {
 	size, end, lines := len(d.text), uint64(0), uint64(d.LineCount())
 	for _, s := range splices {
@@ -247,10 +247,10 @@
 	return size, nil
 }
 
-// inverseSplices returns what leads back to this document from where the splices lead. They have to fit.
+// inverseSplices returns the splices that undo the given ones, which must be valid for this document.
 func (d *Document) inverseSplices(splices []Splice) []Splice {
 	var inverse []Splice
-	shift := uint64(0) // lines inserted less lines deleted so far; it wraps below 0, and the addition wraps it back
+	shift := uint64(0) // lines inserted minus lines deleted so far; a negative value wraps, and the addition wraps it back
 	for _, s := range splices {
 		inverse = append(inverse, Splice{
 			Line:   s.Line + shift,
--- a/internal/controlplane/document_test.go
+++ b/internal/controlplane/document_test.go
@@ -20,7 +20,7 @@
 	return d
 }
 
-// Texts come to one canonical form, and errors tell the line and column.
+// Differently formatted texts have one canonical form, and errors contain the line and column.
 func TestParse(t *testing.T) {
 	for text, want := range map[string]string{
 		`{}`:                                "{}\n",
@@ -50,7 +50,7 @@
 	}
 }
 
-// tenantConfiguration is shaped like an operator's configuration. The core doesn't know what is in it.
+// tenantConfiguration returns a document with the structure of an operator's configuration. The package doesn't interpret its content.
 func tenantConfiguration(tenants int) []byte {
 	var b bytes.Buffer
 	b.WriteString(`{"deadline":1500,"classes":[{"name":"a","floor":0.5},{"name":"b"}],"tenants":[`)
@@ -64,7 +64,7 @@
 	return b.Bytes()
 }
 
-// drawDocument draws documents of few different lines, so that two of them have something in common.
+// drawDocument generates a document from few different lines, so that two of them have lines in common.
 func drawDocument(t *rapid.T, label string) *Document {
 	lines := rapid.SliceOfN(rapid.SampledFrom([]string{"", "a", "b", "c", "d", "e,", "f,", "g,", "h,", "i,", "j,", "k", "[", "]"}), 1, 40).Draw(t, label)
 	d, err := newDocument(strings.Join(lines, "\n") + "\n")
@@ -72,7 +72,8 @@
 	return d
 }
 
-// The splices of a difference lead to the other document, their inverse leads back, and both survive their wire form.
+// The splices of a diff turn one document into the other, their inverse undoes them, and they are unchanged after being encoded and
+// decoded.
 func TestDiffApplyUndo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawDocument(t, "from"), drawDocument(t, "to")
@@ -96,7 +97,7 @@
 	})
 }
 
-// Splices are altered at random. They are refused, or lead to the right text all the same.
+// Randomly altered splices are rejected, or still produce the right text.
 func TestApplyRejectsInvalidSplices(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawDocument(t, "from"), drawDocument(t, "to")
@@ -146,7 +147,7 @@
 	require.NoError(t, err)
 }
 
-// A tenant changed among 140,000 is a frame of under 300 bytes, whatever the size of the rest.
+// A change of one tenant of 140,000 is encoded in a frame of under 300 bytes, independent of the size of the document.
 func TestChangeOfOneTenantIsSmall(t *testing.T) {
 	text := tenantConfiguration(140_000)
 	from := mustParse(t, string(text))
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -12,17 +12,18 @@
 	// statusIntervalMs is the time between two statuses of a follower. Its lease (LeaseDurationMs) covers two that are lost.
 	statusIntervalMs = 2000.0
 	// minStatusIntervalMs is the least time between two statuses if more than the time has changed, so that a burst of versions
-	// isn't answered by as many statuses.
+	// doesn't cause as many statuses.
 	minStatusIntervalMs = 250.0
-	// minHelloIntervalMs is the least time between two hellos on one connection, each of which makes the member begin anew from what
-	// is stored. Frames that the member sent before it received the first one still look like gaps and must not cause a second one.
+	// minHelloIntervalMs is the least time between two hellos on one connection. Each hello makes the member start again from the
+	// stored version. Frames that the member sent before it received a hello still look like gaps and must not cause a second hello.
 	minHelloIntervalMs = 500.0
-	// maxDigestMismatches is how many wrong digests are taken from one member before another member is tried.
+	// maxDigestMismatches is the number of wrong digests on one connection after which the next one closes it, and another member is
+	// tried.
 	maxDigestMismatches = 3
 )
 
 // Follower keeps the newest version of the document for a node or for a relay. It holds one connection at a time, to a member that it
-// selects, and keeps what it has stored whatever becomes of the connection.
+// selects, and keeps its stored copy when the connection fails.
 //
 // The caller carries out what Next returns. Follower is not safe for concurrent use.
 type Follower struct {
@@ -30,12 +31,12 @@
 	rng    *rand.Rand
 
 	// Selection of the member: follower_members.go.
-	memberOrder           []int // indices in config.Members: those of the own region first, each group in the order of its hash scores
-	localMembers          int   // number of members in the own region
+	memberOrder           []int // indices in config.Members: members of the own region first, each group in the order of its hash scores
+	localMemberCount      int   // number of members in the own region
 	current               int   // index in memberOrder of the member that is connected, dialed or to be dialed
 	staleSearchIntervalMs float64
-	staleMembersTried     int // members left since a fresh one was last connected
-	remoteAttempts        int // members of other regions selected so far
+	staleMembersTried     int // number of stale members left since the last connection to a fresh one
+	remoteAttempts        int // number of selections of members of other regions
 	tryingRemote          bool
 	nextStaleSearchAt     float64 // earliest time to leave a stale member; 0 if the member is fresh
 	localRetryIntervalMs  float64
@@ -51,8 +52,8 @@
 
 	// The copy: follower_frames.go.
 	history             *History
-	incoming            *packedDocument // the snapshot that is under way
-	digestMismatches    int             // on this connection
+	incomingSnapshot    *compressedDocument // the snapshot that is being received
+	digestMismatches    int                 // on this connection
 	lastHelloAt         float64
 	freshAsOf           float64
 	pendingHeartbeat    heartbeat // proves freshness once its head version is stored
@@ -68,8 +69,8 @@
 	outputs []FollowerOutput
 }
 
-// NewFollower returns a follower that has a stored copy, or none. The copy is not returned as an update again: the caller applies it
-// by itself.
+// NewFollower returns a follower that starts from a stored copy, or from none. Next doesn't return this copy as an update: the caller
+// applies it.
 func NewFollower(config FollowerConfig, stored VersionedDocument, now float64) *Follower {
 	retainedChanges := 0
 	if config.Kind == KindMember {
@@ -88,12 +89,12 @@
 	if stored.Version > 0 && stored.Document != nil {
 		f.history.resetTo(stored.Version, stored.Document)
 	}
-	f.memberOrder, f.localMembers = orderMembers(config)
+	f.memberOrder, f.localMemberCount = orderMembers(config)
 	f.nextDialAt = now + f.rng.Float64()*minBackoffMs
 	return f
 }
 
-// Tick advances the time to now. It is due each TickIntervalMs.
+// Tick advances the time to now. The caller calls it each TickIntervalMs.
 func (f *Follower) Tick(now float64) {
 	if len(f.memberOrder) == 0 {
 		return
@@ -133,7 +134,7 @@
 	}
 }
 
-// VersionRejected records that the caller can't apply a version, and why. The version applied before stays in use.
+// VersionRejected records that the caller can't apply a version, and why. The version applied before it stays in use.
 func (f *Follower) VersionRejected(_ float64, version uint64, reason string) {
 	if len(reason) > maxReasonBytes {
 		reason = reason[:maxReasonBytes]
@@ -141,12 +142,12 @@
 	f.rejectedVersion, f.rejectReason, f.statusChanged = version, reason, true
 }
 
-// Next returns the next decision; false if there is none. An update comes after all other decisions and is the newest only: versions
-// that arrive together are applied once.
+// Next returns the next decision; false if there is none. An update comes after all other decisions and holds the newest version
+// only, so that versions that arrive together are applied once.
 func (f *Follower) Next() (FollowerOutput, bool) {
 	if len(f.outputs) > 0 {
 		output := f.outputs[0]
-		f.outputs[0] = FollowerOutput{} // the frame is not kept alive by the backing array
+		f.outputs[0] = FollowerOutput{} // so that the backing array doesn't keep the frame in memory
 		if f.outputs = f.outputs[1:]; len(f.outputs) == 0 {
 			f.outputs = nil
 		}
@@ -177,7 +178,7 @@
 	return s
 }
 
-// History returns the stored copy and, of a follower of KindMember, the changes received: what the relay's own Server serves. It is
+// History returns the stored copy and, for a follower of KindMember, the changes received, which the relay's own Server serves. It is
 // updated in place.
 func (f *Follower) History() *History { return f.history }
 
--- a/internal/controlplane/follower_connection.go
+++ b/internal/controlplane/follower_connection.go
@@ -1,19 +1,21 @@
 package controlplane
 
-// The connection of a follower goes through three states:
+// The states of a follower's connection:
 //
 //	idle --nextDialAt--> dialing --Connected--> up
 //
-// From the latter two it goes back to idle when it fails (another member follows, after a backoff) or when the follower leaves the
-// member for a better one (which is dialed at once).
+// A connection that is dialing or up goes back to idle when it fails (the next member is dialed after a backoff) or when the follower
+// switches to a better member (which is dialed at once).
 
 const (
-	// heartbeatTimeoutMs is how long a member may send nothing before another is tried. It covers two lost heartbeats and some delay.
+	// heartbeatTimeoutMs is the time without data from a member after which another is tried. It covers two lost heartbeats and some
+	// delay.
 	heartbeatTimeoutMs = 2500.0
 	// dialTimeoutMs bounds a dial. The adapter's own limit (dialTimeout in package client) is as long; this one holds even if the
 	// adapter never reports the end of the dial.
 	dialTimeoutMs = 1000.0
-	// minBackoffMs and maxBackoffMs bound the time over which the next dial is spread. It doubles each time all members have failed.
+	// minBackoffMs and maxBackoffMs bound the interval in which the next dial is made at a random time. It doubles each time all
+	// members have failed.
 	minBackoffMs = 200.0
 	maxBackoffMs = 2000.0
 )
@@ -26,7 +28,7 @@
 	connectionUp
 )
 
-// Connected records that a dial has succeeded, with the member's proof of its identity.
+// Connected records that a dial has succeeded and that the member has proven its identity.
 func (f *Follower) Connected(now float64, member int) {
 	if f.state != connectionDialing || member != f.currentMember() {
 		return
@@ -51,13 +53,13 @@
 	}
 }
 
-// disconnectAndRetry closes the connection or stops the dial, and has the next member tried.
+// disconnectAndRetry closes the connection or stops the dial, and schedules a dial of the next member.
 func (f *Follower) disconnectAndRetry(now float64) {
 	f.outputs = append(f.outputs, FollowerOutput{Disconnect: true})
 	f.connectionFailed(now)
 }
 
-// switchMember leaves a member that works for another one, given by its index in memberOrder.
+// switchMember disconnects from a working member to dial another one, given by its index in memberOrder.
 func (f *Follower) switchMember(now float64, index int) {
 	f.outputs = append(f.outputs, FollowerOutput{Disconnect: true})
 	f.resetConnection(now)
@@ -66,15 +68,15 @@
 
 func (f *Follower) resetConnection(now float64) {
 	f.state, f.stateSince = connectionIdle, now
-	f.incoming, f.hasPendingHeartbeat = nil, false
+	f.incomingSnapshot, f.hasPendingHeartbeat = nil, false
 }
 
 func (f *Follower) connectionFailed(now float64) {
 	f.resetConnection(now)
 	f.failedDials++
 	f.selectAfterFailure()
-	// All followers of a member lose it at the same time. Each dials at a random time within the backoff, so that they don't reach the
-	// next member all at once.
+	// All followers of a member lose it at the same time. Each dials at a random time within the backoff, so that they don't all dial
+	// the next member at once.
 	f.nextDialAt = now + f.rng.Float64()*f.backoffMs
 	if f.failedDials%len(f.memberOrder) == 0 {
 		f.backoffMs = min(2*f.backoffMs, maxBackoffMs)
@@ -83,9 +85,9 @@
 
 func (f *Follower) resetBackoff() { f.failedDials, f.backoffMs = 0, minBackoffMs }
 
-// sendHello reports what is stored. The server then begins anew from there.
+// sendHello reports the stored version, from which the server then starts again.
 func (f *Follower) sendHello(now float64) {
-	f.incoming, f.hasPendingHeartbeat = nil, false
+	f.incomingSnapshot, f.hasPendingHeartbeat = nil, false
 	f.lastHelloAt = now
 	f.sendStatus(now, frameHello)
 }
@@ -101,8 +103,8 @@
 		RejectReason:    f.rejectReason,
 		StalenessMs:     f.staleness(now),
 	}
-	if f.incoming != nil {
-		s.SnapshotReceived = uint64(len(f.incoming.data))
+	if f.incomingSnapshot != nil {
+		s.SnapshotReceived = uint64(len(f.incomingSnapshot.data))
 	}
 	if kind == frameHello {
 		s.Digest, s.Region, s.Kind = doc.digest[:], f.config.Region, f.config.Kind
--- a/internal/controlplane/follower_frames.go
+++ b/internal/controlplane/follower_frames.go
@@ -2,7 +2,7 @@
 
 import "pearknot/internal/snapshot"
 
-// HandleFrame handles a frame of the member. A malformed one ends the connection.
+// HandleFrame handles a frame from the member. A malformed frame ends the connection.
 func (f *Follower) HandleFrame(now float64, data []byte) {
 	if f.state != connectionUp {
 		return
@@ -43,7 +43,7 @@
 	switch {
 	case change.Version == version+1, f.config.InjectedBug == BugOutOfOrderChange:
 	case change.Version <= version:
-		return nil // a repetition
+		return nil // a duplicate
 	default:
 		f.requestResync(now)
 		return nil
@@ -55,7 +55,7 @@
 	if err != nil {
 		return f.handleDigestMismatch(now)
 	}
-	f.incoming = nil
+	f.incomingSnapshot = nil
 	f.history.appendChange(change, next)
 	f.statusChanged = true
 	f.addToUpdate(change, next)
@@ -73,7 +73,8 @@
 	f.pendingUpdate.Version, f.pendingUpdate.Document = change.Version, doc
 }
 
-// handleDigestMismatch asks for a snapshot after content with a wrong digest. A member that sends such content repeatedly is left.
+// handleDigestMismatch requests a snapshot after content with a wrong digest. It returns an error, which ends the connection, after
+// more than maxDigestMismatches of them.
 func (f *Follower) handleDigestMismatch(now float64) error {
 	if f.digestMismatches++; f.digestMismatches > maxDigestMismatches {
 		return errDigestMismatch
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// requestResync sends a hello after a gap, so that the server sends what is missing.
+// requestResync sends a hello after a gap, so that the server sends the missing frames.
 func (f *Follower) requestResync(now float64) {
 	if now-f.lastHelloAt >= minHelloIntervalMs {
 		f.sendHello(now)
@@ -94,10 +95,10 @@
 	if snapshot.ReadStruct(body, &b) != nil || b.Version == 0 || len(b.Digest) != len(Digest{}) {
 		return errMalformedFrame
 	}
-	if b.Size == 0 || b.Size > MaxDocumentBytes+packingMargin || b.TextBytes > MaxDocumentBytes {
+	if b.Size == 0 || b.Size > MaxDocumentBytes+compressionMargin || b.TextBytes > MaxDocumentBytes {
 		return errMalformedFrame
 	}
-	f.incoming = &packedDocument{version: b.Version, digest: Digest(b.Digest), size: int(b.Size), textBytes: int(b.TextBytes)}
+	f.incomingSnapshot = &compressedDocument{version: b.Version, digest: Digest(b.Digest), size: int(b.Size), textBytes: int(b.TextBytes)}
 	return nil
 }
 
@@ -106,22 +107,22 @@
 	if snapshot.ReadStruct(body, &c) != nil || len(c.Data) == 0 {
 		return errMalformedFrame
 	}
-	in := f.incoming
+	in := f.incomingSnapshot
 	if in == nil || c.Offset != uint64(len(in.data)) || len(in.data)+len(c.Data) > in.size {
-		f.requestResync(now) // an earlier chunk was lost, or the chunk belongs to a snapshot that was given up
+		f.requestResync(now) // an earlier chunk was lost, or the chunk belongs to an abandoned snapshot
 		return nil
 	}
 	in.data = append(in.data, c.Data...)
-	f.sendStatus(now, frameStatus) // tells how much has arrived, by which the server paces the next chunk
+	f.sendStatus(now, frameStatus) // reports the bytes received, on which the server bases the size and time of the next chunk
 	if len(in.data) < in.size {
 		return nil
 	}
-	f.incoming = nil
+	f.incomingSnapshot = nil
 	return f.installSnapshot(now, in)
 }
 
-// installSnapshot replaces the stored copy by a snapshot that has arrived completely.
-func (f *Follower) installSnapshot(now float64, in *packedDocument) error {
+// installSnapshot replaces the stored copy by a completely received snapshot.
+func (f *Follower) installSnapshot(now float64, in *compressedDocument) error {
 	text, err := decompress(in.data, in.textBytes)
 	if err != nil {
 		return f.handleDigestMismatch(now)
@@ -133,7 +134,7 @@
 	f.digestMismatches = 0
 	version, stored := f.history.Head()
 	if in.version < version || in.version == version && stored.digest == doc.digest {
-		return nil // a version never goes back
+		return nil // the stored version never decreases
 	}
 	f.history.resetTo(in.version, doc)
 	f.statusChanged = true
@@ -162,19 +163,19 @@
 	return nil
 }
 
-// hasGap reports whether frames are missing that the server, by its heartbeat, sent earlier on this connection.
+// hasGap reports whether frames are missing that the server, according to its heartbeat, sent earlier on this connection.
 func (f *Follower) hasGap(version uint64, h heartbeat) bool {
 	lostChange := h.SentVersion > version && h.SentVersion <= h.HeadVersion
-	lostBegin := f.incoming == nil && h.SnapshotSent > 0
-	lostChunk := f.incoming != nil && h.SnapshotSent > uint64(len(f.incoming.data))
+	lostBegin := f.incomingSnapshot == nil && h.SnapshotSent > 0
+	lostChunk := f.incomingSnapshot != nil && h.SnapshotSent > uint64(len(f.incomingSnapshot.data))
 	return lostChange || lostBegin || lostChunk
 }
 
-// updateFreshness sets freshAsOf to what the last heartbeat has proven, once the head version that it named is stored.
+// updateFreshness sets freshAsOf to the time that the last heartbeat proves, once the head version that it named is stored.
 //
 // StatusSentAt is a time by this process's clock, and FreshnessOffset a difference of two times by the server's. Their sum is not later
-// than the moment at which the server's copy was complete, because the server received the status after it was sent. However long
-// the heartbeat was under way, freshness is therefore never overstated.
+// than the moment at which the server's copy was complete, because the server received the status after it was sent. Freshness is
+// therefore never overstated, however long the heartbeat was delayed.
 func (f *Follower) updateFreshness(now float64) {
 	if version, _ := f.history.Head(); !f.hasPendingHeartbeat || version < f.pendingHeartbeat.HeadVersion {
 		return
--- a/internal/controlplane/follower_test.go
+++ b/internal/controlplane/follower_test.go
@@ -16,7 +16,7 @@
 	first, second := map[int]int{}, map[[2]int]int{}
 	for i := range 4000 {
 		f := NewFollower(FollowerConfig{Name: fmt.Sprintf("node-%d", i), Region: "east", Members: members}, VersionedDocument{}, 0)
-		require.Equal(t, 4, f.localMembers)
+		require.Equal(t, 4, f.localMemberCount)
 		for _, member := range f.memberOrder[:4] {
 			require.Equal(t, "east", members[member].Region)
 		}
@@ -33,7 +33,7 @@
 	}
 }
 
-// dialOutcome is what becomes of a dial in a test.
+// dialOutcome is the result of a dial in a test.
 type dialOutcome int
 
 const (
@@ -42,7 +42,8 @@
 	dialConnected // to a member that then sends nothing
 )
 
-// recordDials lets a follower run for some time with one outcome of all its dials, and returns which members it dialed, and when.
+// recordDials runs a follower for some time with the same outcome for all its dials, and returns the members that it dialed and the
+// times.
 func recordDials(f *Follower, ms float64, outcome dialOutcome) (members []int, dialedAt []float64) {
 	for now := 0.0; now < ms; now += TickIntervalMs {
 		f.Tick(now)
@@ -62,7 +63,7 @@
 	return members, dialedAt
 }
 
-// A member is down, or frozen so that dials time out, or accepts connections and sends nothing. Each time the follower tries the next
+// A member is down, or hangs so that dials time out, or accepts connections and sends nothing. In each case the follower tries the next
 // member within 2 s, the members of other regions last.
 func TestNextMemberIsDialedWithin2s(t *testing.T) {
 	members := []Target{{"a", "east"}, {"b", "east"}, {"x", "west"}}
@@ -85,10 +86,10 @@
 	}
 }
 
-// isHeartbeatDue is true once a second.
+// isHeartbeatDue returns true at one tick per second.
 func isHeartbeatDue(now float64) bool { return int(now/TickIntervalMs)%20 == 0 }
 
-// deliverHeartbeat hands a follower the heartbeat of a server that has the same head, and whose copy is stale by so many ms.
+// deliverHeartbeat passes a follower a heartbeat of a server that has the same head, and whose copy has the given staleness in ms.
 func deliverHeartbeat(f *Follower, now, staleness float64) {
 	_, doc := f.history.Head()
 	f.HandleFrame(now, encodeFrame(frameHeartbeat, &heartbeat{
@@ -99,8 +100,8 @@
 	}))
 }
 
-// The members of a region are cut off from the voters, so that their copies are stale. A follower looks for a fresher member, first in
-// its own region and then in others, but less and less often while it finds none. A follower that ended up with a member of another
+// The members of a region are partitioned from the voters, so that their copies are stale. A follower looks for a fresher member, first
+// in its own region and then in others, at growing intervals while it finds none. A follower that is connected to a member of another
 // region, because its own was down, tries its own region again from time to time.
 func TestStaleMembersAndLocalRetry(t *testing.T) {
 	f := NewFollower(FollowerConfig{Name: "n", Region: "east", Members: []Target{{"a", "east"}, {"b", "east"}}}, VersionedDocument{}, 0)
@@ -208,8 +209,9 @@
 	})
 }
 
-// The only member of the follower's region is down, and all members of other regions but one have stale copies. The follower tries one
-// after the other and reaches the fresh one within 4 s; it once returned to the same stale member after each try of its own region.
+// The only member of the follower's region is down, and all members of other regions but one have stale copies. The follower has to
+// try them in turn and reach the fresh one within 4 s. The test guards against a return to the same stale member after each try of the
+// own region.
 func TestStaleRemoteMemberWhileLocalIsDown(t *testing.T) {
 	all := []Target{{"a", "east"}, {"c", "west"}, {"d", "west"}, {"e", "north"}}
 	for seed := range uint64(50) {
@@ -241,10 +243,10 @@
 	}
 }
 
-// A follower leaves a stale member and meets a second stale one, such as a leader that was deposed and doesn't know it yet. It once
-// stayed there for 5 to 7.5 s, and a change that was acknowledged meanwhile arrived later than the stated 6 s. It has to leave the
-// second one within 3 s.
-func TestTwoStaleMembersInARow(t *testing.T) {
+// A follower leaves a stale member and connects to a second stale one, such as a deposed leader that doesn't know it yet. It has to
+// leave the second one within 3 s. If it stays there for 5 to 7.5 s, as it once did, a change that is acknowledged meanwhile arrives
+// later than the documented bound of 6 s.
+func TestTwoConsecutiveStaleMembers(t *testing.T) {
 	members := []Target{{"a", "east"}, {"b", "east"}, {"c", "east"}}
 	for seed := range uint64(20) {
 		f := NewFollower(FollowerConfig{Name: "n", Region: "east", Members: members, Seed: seed}, VersionedDocument{}, 0)
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -6,8 +6,8 @@
 	"pearknot/internal/goldentest"
 )
 
-// An earlier build wrote the files: frames and stored records that this build must read and write alike.
-func TestBinaryForms(t *testing.T) {
+// This build must read and write frames and stored records exactly as in the files, which an earlier build wrote.
+func TestEncodingsMatchGoldenFiles(t *testing.T) {
 	for file, v := range map[string]any{
 		"status.bin": &status{SentAt: 2.5,
 			StoredVersion:    0x3,
--- a/internal/controlplane/history.go
+++ b/internal/controlplane/history.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// defaultRetainedChanges is three days of 1,300 changes a day: how long a relay may be away and still catch up by changes.
+	// defaultRetainedChanges is three days of 1,300 changes a day. A relay that was away for longer catches up by a snapshot.
 	defaultRetainedChanges = 4096
 	// maxRetainedBytes bounds the memory of the retained changes and their inverses, however large each of them is.
 	maxRetainedBytes = 16 << 20
@@ -17,7 +17,7 @@
 
 var errMalformedSnapshot = errors.New("malformed history snapshot")
 
-// History is the replicated state: the head document, and the latest changes that led to it with their inverses.
+// History holds the replicated state: the head document, and the latest changes that led to it with their inverses.
 type History struct {
 	headVersion       uint64
 	headDocument      *Document
@@ -30,7 +30,7 @@
 type retainedChange struct {
 	change      Change
 	inverse     []Splice
-	frame       []byte // for followers; nil if the change is too large for a frame
+	frame       []byte // the change encoded for followers; nil if it is too large for a frame
 	memoryBytes int
 }
 
@@ -38,10 +38,10 @@
 	return &History{headVersion: version, headDocument: doc, versionByProposal: map[uint64]uint64{}, maxChanges: maxChanges}
 }
 
-// Head returns the newest version and its document. Before the first change that is version 0 and an empty object.
+// Head returns the newest version and its document. Before the first change these are version 0 and an empty object.
 func (h *History) Head() (version uint64, doc *Document) { return h.headVersion, h.headDocument }
 
-// oldestVersion is the version before the first retained change: the oldest one that DocumentAt can restore.
+// oldestVersion returns the version before the first retained change: the oldest one that DocumentAt can restore.
 func (h *History) oldestVersion() uint64 { return h.headVersion - uint64(len(h.changes)) }
 
 // covers reports whether all changes from a version to the head are retained.
@@ -67,7 +67,7 @@
 		lines = append(lines, h.headDocument.line(i))
 	}
 	for _, retained := range slices.Backward(h.changesSince(version)) {
-		for _, s := range slices.Backward(retained.inverse) { // from the end, so that the line numbers of the others still fit
+		for _, s := range slices.Backward(retained.inverse) { // from the end, so that the line numbers of the others stay valid
 			if count := uint64(len(lines)); s.Line > count || s.Delete > count-s.Line {
 				return nil, false
 			}
@@ -121,13 +121,13 @@
 	return changes
 }
 
-// FindProposal returns the version that a proposal has made, if its change is retained.
+// FindProposal returns the version that a proposal has created, if its change is retained.
 func (h *History) FindProposal(id uint64) (version uint64, ok bool) {
 	version, ok = h.versionByProposal[id]
 	return version, ok
 }
 
-// appendChange makes next the head. The change has been applied to the head before.
+// appendChange makes next the head. The caller has applied the change to the previous head to get next.
 func (h *History) appendChange(c Change, next *Document) {
 	if h.maxChanges > 0 {
 		h.retain(c, h.headDocument.inverseSplices(c.Splices))
@@ -135,7 +135,7 @@
 	h.headVersion, h.headDocument = c.Version, next
 }
 
-// retain keeps a change, and drops the oldest ones beyond the limits of number and memory.
+// retain stores a change, and drops the oldest ones beyond the limits of count and memory.
 func (h *History) retain(c Change, inverse []Splice) {
 	retained := retainedChange{change: c, inverse: inverse, frame: encodeChange(&c)}
 	retained.memoryBytes = retained.memorySize()
@@ -153,7 +153,7 @@
 	if h.versionByProposal[oldest.change.ID] == oldest.change.Version {
 		delete(h.versionByProposal, oldest.change.ID)
 	}
-	h.changes[0] = retainedChange{} // the backing array lives on until append reallocates it: free the content now
+	h.changes[0] = retainedChange{} // the backing array stays until append reallocates it: release the content now
 	h.changes = h.changes[1:]
 }
 
@@ -183,7 +183,7 @@
 	clear(h.versionByProposal)
 }
 
-// encodeSnapshot returns the history in the form of a voter's raft snapshot.
+// encodeSnapshot returns the history encoded as the data of a raft snapshot.
 func (h *History) encodeSnapshot() []byte {
 	s := historySnapshot{FormatVersion: historySnapshotFormat, Version: h.headVersion, Text: h.headDocument.text}
 	for _, retained := range h.changes {
@@ -192,7 +192,7 @@
 	return compress(snapshot.AppendStruct(nil, &s))
 }
 
-// decodeHistorySnapshot returns the history of a snapshot. maxChanges 0 is the default.
+// decodeHistorySnapshot decodes a history from the data of a raft snapshot. maxChanges 0 means defaultRetainedChanges.
 func decodeHistorySnapshot(data []byte, maxChanges int) (*History, error) {
 	data, err := decompress(data, maxSnapshotBytes)
 	if err != nil {
--- a/internal/controlplane/history_test.go
+++ b/internal/controlplane/history_test.go
@@ -50,7 +50,7 @@
 	require.Greater(t, len(big.changes), 5)
 }
 
-// A snapshot with some bytes flipped, or cut short, is refused, or is read as a history that can be used.
+// A snapshot that is truncated or has some bytes altered is rejected, or decoded as a history that can be used.
 func TestMalformedHistorySnapshots(t *testing.T) {
 	h := newHistory(0, emptyDocument(), 20)
 	growHistory(t, h, 30, 25)
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -12,39 +12,38 @@
 	// followers see its staleness on top of their own.
 	HeartbeatIntervalMs = 1000.0
 
-	// statusTimeoutMs is how long a connection may bring no status before it is closed: five statuses have been lost by
-	// then.
+	// statusTimeoutMs is the time without a status after which a connection is closed: five statuses have been lost by then.
 	statusTimeoutMs = 10e3
-	// maxUnwrittenBytes is how much may wait to be written to a follower before the follower is disconnected. Without it, followers
-	// that read too slowly would use up the server's memory.
+	// maxUnwrittenBytes bounds the bytes that wait to be written to a follower. A follower above it is disconnected, because followers
+	// that read too slowly would otherwise exhaust the server's memory.
 	maxUnwrittenBytes = 1 << 20
 )
 
-// Server serves a history to the followers of a member: changes as they are committed, to each follower what it misses, and
-// heartbeats that bound the staleness of all of it.
+// Server serves a history to the followers of a member. It sends each change when it is committed, the changes or the snapshot that a
+// follower lacks, and heartbeats that bound the staleness of the followers' copies.
 //
 // The caller carries out what Next returns. Server is not safe for concurrent use.
 type Server struct {
 	rng         *rand.Rand
 	history     *History
-	headVersion uint64 // of history, when it was last set
+	headVersion uint64 // head of history as of the last SetHistory
 	freshAsOf   float64
 	conns       map[uint64]*followerConn
-	connOrder   []*followerConn // in the order of their arrival
+	connOrder   []*followerConn // in the order in which they were added
 	lastTickAt  float64
 	outputs     []ServerOutput
 
 	// Catching up: server_catchup.go.
 	nextConn       int     // index in connOrder of the connection whose turn is next
 	byteCredit     float64 // bytes that may be sent to all followers together
-	cachedSnapshot *packedDocument
+	cachedSnapshot *compressedDocument
 
 	// Leases: server_leases.go.
 	leases   map[string]*Lease // by follower's name
-	arrivals []float64         // when the latest versions arrived here, up to the head
+	arrivals []float64         // times at which the latest versions, up to the head, arrived here
 }
 
-// followerConn is a connection of a follower.
+// followerConn is the state of a follower's connection.
 type followerConn struct {
 	id            uint64
 	name          string
@@ -52,12 +51,12 @@
 	region        string
 	kind          string
 
-	sentVersion      uint64 // all changes up to it were sent; noVersion if the copy can't be continued from
-	caughtUp         bool   // the head was sent: later changes are sent at once
-	snapshot         *packedDocument
+	sentVersion      uint64 // all changes up to it were sent; noVersion if changes can't be applied to the follower's copy
+	caughtUp         bool   // the head was sent: later changes are sent without rate limits
+	snapshot         *compressedDocument
 	snapshotSent     int // bytes
-	snapshotReceived int // bytes, by the follower's statuses
-	chunkWindow      int // bytes that may be under way
+	snapshotReceived int // bytes, according to the follower's statuses
+	chunkWindow      int // bytes of the snapshot that may be in flight
 	chunkSentAt      float64
 	byteCredit       float64 // bytes that may be sent to this follower
 	unwrittenBytes   int
@@ -82,7 +81,7 @@
 	}
 }
 
-// SetHistory sets what is to be served. The caller calls it whenever the head has changed, and whenever freshAsOf has: the time as of
+// SetHistory sets the history to serve. The caller calls it whenever the head has changed, and whenever freshAsOf has: the time as of
 // which the history contains every acknowledged change. The history may be updated in place between calls.
 func (s *Server) SetHistory(now float64, history *History, freshAsOf float64) {
 	s.freshAsOf = max(s.freshAsOf, freshAsOf)
@@ -94,18 +93,18 @@
 		s.history, s.cachedSnapshot = history, nil
 	}
 	s.recordArrivals(now, head)
-	for _, c := range slices.Clone(s.connOrder) { // a follower that reads too slowly is removed on the way
+	for _, c := range slices.Clone(s.connOrder) { // sendMissingChanges removes a follower that reads too slowly
 		if c.caughtUp {
 			s.sendMissingChanges(c, true)
 		}
 	}
 }
 
-// AddConnection adds a connection whose other end has proven that it has this name. An earlier connection of the same name is closed.
+// AddConnection adds a connection of a follower that has proven its name. An earlier connection of the same name is closed.
 func (s *Server) AddConnection(now float64, id uint64, name string) {
 	for _, c := range s.connOrder {
 		if c.name == name {
-			s.disconnect(c, "it has come again")
+			s.disconnect(c, "replaced by a newer connection of the same name")
 			break
 		}
 	}
@@ -141,7 +140,7 @@
 	s.outputs = append(s.outputs, ServerOutput{Conn: c.id, Disconnect: true, DisconnectReason: reason})
 }
 
-// BytesWritten records that so many bytes of frames have been written to a connection.
+// BytesWritten records the number of bytes of frames that have been written to a connection.
 func (s *Server) BytesWritten(_ float64, id uint64, bytes int) {
 	if c := s.conns[id]; c != nil {
 		c.unwrittenBytes = max(c.unwrittenBytes-bytes, 0)
@@ -155,15 +154,15 @@
 
 func (s *Server) disconnectSlowReader(c *followerConn) {
 	if c.unwrittenBytes > maxUnwrittenBytes {
-		s.disconnect(c, fmt.Sprintf("it has left %d bytes unread", c.unwrittenBytes))
+		s.disconnect(c, fmt.Sprintf("slow reader: %d bytes unread", c.unwrittenBytes))
 	}
 }
 
-// HandleFrame handles a frame of a follower. After an error the connection is removed and the caller closes it.
+// HandleFrame handles a frame from a follower. After an error the connection is removed, and the caller closes it.
 func (s *Server) HandleFrame(now float64, id uint64, data []byte) error {
 	c := s.conns[id]
 	if c == nil {
-		return nil // a Disconnect is under way
+		return nil // the connection was removed, and the caller has yet to close it
 	}
 	err := s.handleStatus(now, c, data)
 	if err != nil {
@@ -198,17 +197,17 @@
 	return nil
 }
 
-// handleHello starts serving the follower from the version that it has stored, also in the middle of a connection.
+// handleHello starts to serve the follower from the version that it has stored. A hello may come at any time on a connection.
 func (s *Server) handleHello(now float64, c *followerConn, st *status) error {
 	if st.Kind != KindNode && st.Kind != KindMember || len(st.Region) > maxNameBytes || len(st.Digest) != len(Digest{}) {
-		return fmt.Errorf("%w: hello of unknown follower kind %.20q", errMalformedFrame, st.Kind)
+		return fmt.Errorf("%w: invalid hello of follower kind %.20q", errMalformedFrame, st.Kind)
 	}
 	c.region, c.kind, c.helloReceived = st.Region, st.Kind, true
 	c.caughtUp, c.snapshot = false, nil
 	c.snapshotSent, c.snapshotReceived, c.chunkSentAt = 0, 0, 0
 	c.sentVersion = st.StoredVersion
-	// A version with another digest comes from another history, such as that of a fleet that was bootstrapped again: changes would not
-	// fit it.
+	// A version with another digest comes from another history, such as that of a fleet that was bootstrapped again: changes can't be
+	// applied to it.
 	if digest, known := s.history.digestAt(st.StoredVersion); st.NeedsSnapshot || known && digest != Digest(st.Digest) {
 		c.sentVersion = noVersion
 	}
@@ -217,18 +216,18 @@
 	return nil
 }
 
-// Tick advances the time to now: it sends heartbeats, ends connections that have timed out, and sends what is sent at a limited
-// rate. It is due each TickIntervalMs.
+// Tick advances the time to now: it sends heartbeats, closes connections that have timed out, and sends the data whose rate is
+// limited. The caller calls it each TickIntervalMs.
 func (s *Server) Tick(now float64) {
 	elapsed := max(now-s.lastTickAt, 0)
 	s.lastTickAt = now
-	s.byteCredit = min(s.byteCredit+elapsed*totalRate, 2*TickIntervalMs*totalRate)
+	s.byteCredit = min(s.byteCredit+elapsed*totalBytesPerMs, 2*TickIntervalMs*totalBytesPerMs)
 	for _, c := range slices.Clone(s.connOrder) {
 		if now-c.statusReceivedAt > statusTimeoutMs {
-			s.disconnect(c, "it is silent")
+			s.disconnect(c, "status timeout")
 			continue
 		}
-		c.byteCredit = min(c.byteCredit+elapsed*followerRate, 2*maxChunkBytes)
+		c.byteCredit = min(c.byteCredit+elapsed*followerBytesPerMs, 2*maxChunkBytes)
 		if c.helloReceived && now >= c.nextHeartbeatAt {
 			interval := HeartbeatIntervalMs
 			if c.kind == KindMember {
@@ -238,7 +237,7 @@
 			s.sendHeartbeat(now, c)
 		}
 	}
-	s.sendPaced(now)
+	s.sendRateLimited(now)
 	s.expireLeases(now)
 }
 
--- a/internal/controlplane/server_catchup.go
+++ b/internal/controlplane/server_catchup.go
@@ -1,42 +1,42 @@
 package controlplane
 
-// How a follower catches up with the head.
+// Catch-up of followers with the head.
 //
-// A follower that has the head gets each change at once. One that misses changes gets them, or a snapshot of the document if they are
-// no longer retained or larger than a snapshot, at a limited rate: a region whose followers all come back at once must not delay the
-// changes and heartbeats of the others. The chunks of a snapshot are paced by the follower's statuses besides, so that on a slow link
-// no more is under way than the link carries between two heartbeats.
+// A follower that has the head gets each change at once. One that lacks changes gets them, or a snapshot of the document if they are
+// no longer retained or larger than a snapshot, at a limited rate: a region whose followers all reconnect at once must not delay the
+// changes and heartbeats of the others. The follower's statuses limit the chunks of a snapshot further, so that on a slow link no more
+// bytes are in flight than the link carries between two heartbeats.
 
 const (
-	// followerRate limits what one follower gets while it catches up, in bytes per ms: 128 KB/s.
-	followerRate = 128.0
-	// totalRate limits what all of them get together, in bytes per ms: 2 MB/s, a fifth of a slow network card.
-	totalRate = 2048.0
-	// maxChunkBytes bounds a chunk: a change to the same follower waits behind one at most.
+	// followerBytesPerMs limits the rate to one follower that catches up: 128 KB/s.
+	followerBytesPerMs = 128.0
+	// totalBytesPerMs limits the rate to all of them together: 2 MB/s, a fifth of a slow network card.
+	totalBytesPerMs = 2048.0
+	// maxChunkBytes bounds a chunk. A change to the same follower waits for one chunk at most.
 	maxChunkBytes = 16 << 10
-	// minChunkBytes takes half a second on a link of 1 KB/s, so that heartbeats are in time even there.
+	// minChunkBytes takes half a second on a link of 1 KB/s, so that heartbeats arrive in time even there.
 	minChunkBytes = 512
-	// maxCatchUpBytes is how much of the missed changes may wait to be written to one follower.
+	// maxCatchUpBytes bounds the bytes of missing changes that wait to be written to one follower.
 	maxCatchUpBytes = 64 << 10
 	// A chunk that was received within fastChunkMs doubles the window, one that took longer than slowChunkMs halves it.
 	fastChunkMs = 600.0
 	slowChunkMs = 1200.0
-	// maxSnapshotLagBytes is how many bytes of changes a cached snapshot may be behind the head before it is made anew.
+	// maxSnapshotLagBytes bounds the changes between a cached snapshot and the head. Beyond it a new snapshot is made.
 	maxSnapshotLagBytes = 256 << 10
 )
 
-// packedDocument is a compressed document on its way as a snapshot.
-type packedDocument struct {
+// compressedDocument is a compressed document that is sent or received as a snapshot.
+type compressedDocument struct {
 	version   uint64
 	digest    Digest
 	textBytes int
 	size      int    // bytes of data, once it is complete
-	data      []byte // at a follower: what has arrived
+	data      []byte // at a follower: the part received so far
 }
 
-// sendMissingChanges sends a follower the changes that it lacks, or begins a snapshot. atOnce is set for a change that was just
-// committed: a follower that has all earlier ones then gets it without regard to the rate limits.
-func (s *Server) sendMissingChanges(c *followerConn, atOnce bool) {
+// sendMissingChanges sends a follower the changes that it lacks, or begins a snapshot. ignoreRateLimits is set for a change that was
+// just committed: a follower that has all earlier ones then gets it without rate limits.
+func (s *Server) sendMissingChanges(c *followerConn, ignoreRateLimits bool) {
 	head, _ := s.history.Head()
 	if !c.helloReceived || c.snapshot != nil || head == 0 { // version 0 has no snapshot
 		return
@@ -56,7 +56,7 @@
 		return
 	}
 	for _, m := range missing {
-		if !c.caughtUp || !atOnce {
+		if !c.caughtUp || !ignoreRateLimits {
 			if c.byteCredit <= 0 || s.byteCredit <= 0 || c.unwrittenBytes > maxCatchUpBytes {
 				c.caughtUp = false
 				return
@@ -94,7 +94,7 @@
 func (s *Server) beginSnapshot(c *followerConn) {
 	if !s.isCachedSnapshotUsable() {
 		head, doc := s.history.Head()
-		s.cachedSnapshot = &packedDocument{
+		s.cachedSnapshot = &compressedDocument{
 			version:   head,
 			digest:    doc.digest,
 			textBytes: len(doc.text),
@@ -113,7 +113,7 @@
 	}))
 }
 
-// isCachedSnapshotUsable reports whether the changes since the cached snapshot are retained and few enough to be sent after it.
+// isCachedSnapshotUsable reports whether the changes since the cached snapshot are retained and small enough to be sent after it.
 func (s *Server) isCachedSnapshotUsable() bool {
 	p := s.cachedSnapshot
 	if p == nil || !s.history.covers(p.version) {
@@ -124,9 +124,9 @@
 	return sendable && bytes <= maxLag
 }
 
-// sendPaced gives the connections turns to send what they have at a limited rate, until none has anything or the credit is spent.
-func (s *Server) sendPaced(now float64) {
-	withoutSending := 0 // connections in a row
+// sendRateLimited sends the data whose rate is limited to the connections in turn, until nothing is left to send or the credit is spent.
+func (s *Server) sendRateLimited(now float64) {
+	withoutSending := 0 // number of consecutive connections to which nothing was sent
 	for withoutSending < len(s.connOrder) && s.byteCredit > 0 {
 		if s.nextConn >= len(s.connOrder) {
 			s.nextConn = 0
@@ -140,7 +140,8 @@
 	}
 }
 
-// sendNextChunk sends a follower the next part of what it misses, if the rates allow, and reports whether anything was sent.
+// sendNextChunk sends a follower the next part of the data that it lacks, if the rate limits allow it, and reports whether it sent
+// anything.
 func (s *Server) sendNextChunk(now float64, c *followerConn) bool {
 	if c.snapshot == nil {
 		before := c.sentVersion
@@ -149,22 +150,22 @@
 		}
 		return c.sentVersion != before
 	}
-	left := len(c.snapshot.data) - c.snapshotSent
-	if left == 0 {
+	remaining := len(c.snapshot.data) - c.snapshotSent
+	if remaining == 0 {
 		if c.snapshotReceived != c.snapshotSent {
 			return false
 		}
-		// The follower has the snapshot. The changes since are next.
+		// The follower has the complete snapshot. Continue with the changes since.
 		c.sentVersion, c.snapshot = c.snapshot.version, nil
 		s.sendMissingChanges(c, false)
 		return true
 	}
-	underWay := c.snapshotSent - c.snapshotReceived
-	size := min(left, c.chunkWindow-underWay, maxChunkBytes, max(c.chunkWindow/2, minChunkBytes))
-	if size <= 0 || size < min(left, minChunkBytes) || c.byteCredit < float64(size) {
+	inFlight := c.snapshotSent - c.snapshotReceived
+	size := min(remaining, c.chunkWindow-inFlight, maxChunkBytes, max(c.chunkWindow/2, minChunkBytes))
+	if size <= 0 || size < min(remaining, minChunkBytes) || c.byteCredit < float64(size) {
 		return false
 	}
-	if c.chunkSentAt == 0 || underWay == 0 {
+	if c.chunkSentAt == 0 || inFlight == 0 {
 		c.chunkSentAt = now
 	}
 	s.spendCredit(c, size)
@@ -176,15 +177,15 @@
 	return true
 }
 
-// recordSnapshotProgress reads from a status how much of the snapshot has arrived, and adapts the window to how long that took.
+// recordSnapshotProgress records how much of the snapshot a status reports as received, and adapts the window to the time that took.
 func (c *followerConn) recordSnapshotProgress(now float64, st *status) {
 	if c.snapshot == nil || int(min(st.SnapshotReceived, uint64(c.snapshotSent))) <= c.snapshotReceived {
 		return
 	}
-	switch took := now - c.chunkSentAt; {
-	case took <= fastChunkMs:
+	switch elapsed := now - c.chunkSentAt; {
+	case elapsed <= fastChunkMs:
 		c.chunkWindow = min(2*c.chunkWindow, 2*maxChunkBytes)
-	case took > slowChunkMs:
+	case elapsed > slowChunkMs:
 		c.chunkWindow = max(c.chunkWindow/2, minChunkBytes)
 	}
 	c.snapshotReceived, c.chunkSentAt = int(st.SnapshotReceived), now
--- a/internal/controlplane/server_leases.go
+++ b/internal/controlplane/server_leases.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// LeaseDurationMs is how long a follower is reported after its last status. It covers two lost statuses and some delay.
+	// LeaseDurationMs is the time after its last status for which a follower is reported. It covers two lost statuses and some delay.
 	LeaseDurationMs = 6000.0
 
-	// maxLeases bounds the number of followers that are remembered, to ten times the largest fleet.
+	// maxLeases bounds the number of leases: ten times the largest fleet.
 	maxLeases = 16 << 10
-	// maxArrivals bounds the number of versions whose time of arrival is remembered. It is the number of changes that are retained.
+	// maxArrivals bounds the number of versions whose time of arrival is recorded. It equals defaultRetainedChanges.
 	maxArrivals = 4096
 )
 
@@ -22,7 +22,7 @@
 	lease := s.leases[c.name]
 	if lease == nil {
 		if len(s.leases) >= maxLeases {
-			return fmt.Errorf("more than %d followers", maxLeases)
+			return fmt.Errorf("too many followers, %d at most", maxLeases)
 		}
 		lease = &Lease{}
 		s.leases[c.name] = lease
@@ -51,7 +51,7 @@
 	}
 }
 
-// Leases returns the followers that were heard of within LeaseDurationMs, by name.
+// Leases returns the leases that have not expired, sorted by the followers' names.
 func (s *Server) Leases(now float64) []Lease {
 	var leases []Lease
 	for _, lease := range s.leases {
@@ -69,7 +69,7 @@
 	return leases
 }
 
-// recordArrivals records now as the time of arrival of each version since the last call, up to the new head.
+// recordArrivals records now as the time of arrival of each version after the last call's head, up to the new head.
 func (s *Server) recordArrivals(now float64, head uint64) {
 	if head > maxArrivals {
 		s.headVersion = max(s.headVersion, head-maxArrivals)
@@ -82,7 +82,8 @@
 	}
 }
 
-// arrivalOf returns when a version arrived here. For one that is too old, it is the time of the oldest that is known.
+// arrivalOf returns the time at which a version arrived here. For a version before the oldest recorded one it returns the time of that
+// one.
 func (s *Server) arrivalOf(version uint64) float64 {
 	i := int(version) - int(s.headVersion) + len(s.arrivals) - 1
 	return s.arrivals[max(i, 0)]
--- a/internal/controlplane/server_test.go
+++ b/internal/controlplane/server_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// Followers get the head as a snapshot and then each change, and report what they have applied.
+// Followers get the head as a snapshot and then each change, and report the applied version.
 func TestFollowersApplyServedVersions(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	growHistory(t, fleet.history, 100, 1)
@@ -36,7 +36,7 @@
 	require.Equal(t, Lease{Name: "n0", Region: "r", Kind: KindNode, StoredVersion: 5, AppliedVersion: 5, StalenessMs: leases[0].StalenessMs, LastSeenAt: leases[0].LastSeenAt}, leases[0])
 }
 
-// A node can't apply a version. Its lease tells the version, the reason, and since when the node is behind.
+// A node can't apply a version. Its lease contains the version, the reason, and the time for which the node has been behind.
 func TestRejectedVersionIsReported(t *testing.T) {
 	fleet := newTestFleet(t, 1)
 	growHistory(t, fleet.history, 10, 2)
@@ -60,9 +60,9 @@
 	require.Empty(t, fleet.server.Leases(fleet.now+LeaseDurationMs+1), "a lease ends with the statuses")
 }
 
-// A follower reports nothing for longer than its lease, on a connection that stays up, and then reports again. Statuses carry neither
-// region nor kind, which only the hello did: the new lease has them all the same.
-func TestLeaseIsGrantedAgain(t *testing.T) {
+// A follower sends no status for longer than its lease, on a connection that stays up, and then sends one again. Only the hello contains
+// the region and the kind, and the new lease must have them too.
+func TestExpiredLeaseIsRenewed(t *testing.T) {
 	fleet := newTestFleet(t, 1)
 	growHistory(t, fleet.history, 10, 2)
 	fleet.advance(1000)
@@ -107,8 +107,8 @@
 	}
 }
 
-// Frames are lost, repeated, reordered or altered on the way. A follower notices, never applies a document that the history doesn't
-// have, and gets every version that is the head for long enough.
+// Frames are lost, repeated, reordered or altered on the way. A follower detects it, never applies a document that is not in the
+// history, and gets every version that is the head for long enough.
 func TestTamperedFrames(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fleet := newTestFleet(t, 2)
@@ -159,9 +159,9 @@
 	})
 }
 
-// Forty followers need a snapshot at the same time. The snapshots are sent at their limited rates, to each follower and to all, and
-// don't delay the changes of a follower that is up to date.
-func TestSnapshotsArePaced(t *testing.T) {
+// Forty followers need a snapshot at the same time. The rates to each follower and to all together stay within their limits, and the
+// snapshots don't delay the changes to a follower that is up to date.
+func TestSnapshotsAreRateLimited(t *testing.T) {
 	fleet := newTestFleet(t, 40)
 	fleet.history = newHistory(0, emptyDocument(), 10)
 	appendSplices(t, fleet.history, Splice{Insert: incompressibleLines(9000)})
@@ -179,18 +179,18 @@
 	total := 0
 	for i := range 40 {
 		got := fleet.bytesToFollower[i] - before[i]
-		require.LessOrEqual(t, got, int(1000*followerRate)+2*maxChunkBytes+4096)
+		require.LessOrEqual(t, got, int(1000*followerBytesPerMs)+2*maxChunkBytes+4096)
 		total += got
 	}
-	require.LessOrEqual(t, total, int(1100*totalRate)+40*4096)
-	require.Greater(t, total, int(700*totalRate), "and the rate is used")
+	require.LessOrEqual(t, total, int(1100*totalBytesPerMs)+40*4096)
+	require.Greater(t, total, int(700*totalBytesPerMs), "and the rate is used")
 	started := fleet.now
 	for fleet.now-started < 60e3 && fleet.followers[0].State(fleet.now).StoredVersion == 0 {
 		fleet.advance(1000)
 	}
 	fleet.advance(1000)
 	t.Logf("the first of 40 had the snapshot after %.0f ms", fleet.now-started)
-	fleet.advance(float64(40*size)/totalRate + 5000)
+	fleet.advance(float64(40*size)/totalBytesPerMs + 5000)
 	for i := range 40 {
 		fleet.requireInSync(i)
 	}
@@ -229,7 +229,7 @@
 	require.Nil(t, fleet.updates[0][1].Changes)
 }
 
-// What an idle follower sends and gets in a second doesn't depend on the size of the fleet.
+// The traffic from and to an idle follower doesn't depend on the size of the fleet.
 func TestIdleTrafficPerFollower(t *testing.T) {
 	for _, n := range []int{1, 300} {
 		fleet := newTestFleet(t, n)
@@ -244,7 +244,8 @@
 	}
 }
 
-// A connection ends after a malformed frame, a second connection of its name or a long silence, and leaves nothing behind.
+// A connection is removed after a malformed frame, after a second connection with its name, and after the status timeout. Nothing of it
+// is left.
 func TestServerRejectsMalformedFrames(t *testing.T) {
 	hello := status{SentAt: 1, Digest: make([]byte, 32), Region: "r", Kind: KindNode}
 	for name, f := range map[string][]byte{
@@ -272,7 +273,7 @@
 	s.AddConnection(0, 2, "n")
 	o, ok := s.Next()
 	require.True(t, ok)
-	require.Equal(t, ServerOutput{Conn: 1, Disconnect: true, DisconnectReason: "it has come again"}, o)
+	require.Equal(t, ServerOutput{Conn: 1, Disconnect: true, DisconnectReason: "replaced by a newer connection of the same name"}, o)
 	s.AddConnection(0, 3, "silent")
 	s.Tick(statusTimeoutMs + 1)
 	require.Empty(t, s.conns)
--- a/internal/controlplane/stored_state.go
+++ b/internal/controlplane/stored_state.go
@@ -9,20 +9,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bootstrap returns the state of a voter's first start. It is the same for all voters of one list.
+// Bootstrap returns the initial state of a voter's store. It is the same for all voters of one list.
 func Bootstrap(voters []uint64) *StoredState {
-	conf := &pb.ConfState{Voters: slices.Sorted(slices.Values(voters))}
+	confState := &pb.ConfState{Voters: slices.Sorted(slices.Values(voters))}
 	return &StoredState{
 		HardState: &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)},
-		ConfState: conf,
+		ConfState: confState,
 		Snapshot: &pb.Snapshot{
 			Data:     newHistory(0, emptyDocument(), defaultRetainedChanges).encodeSnapshot(),
-			Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)},
+			Metadata: &pb.SnapshotMetadata{ConfState: confState, Index: proto.Uint64(1), Term: proto.Uint64(1)},
 		},
 	}
 }
 
-// ApplyPersist changes the state as a durable store has to at a Persist. It is the model that stores are tested against.
+// ApplyPersist applies a Persist to the state, as a durable store has to. It is the reference model that stores are tested against.
 func (s *StoredState) ApplyPersist(p *Persist) {
 	if p.Snapshot != nil {
 		s.Snapshot, s.ConfState = p.Snapshot, p.Snapshot.GetMetadata().GetConfState()
@@ -41,31 +41,32 @@
 	}
 }
 
-// validate returns an error if a voter can't continue from the state. A raft node would panic, or vote by a log that it doesn't have.
+// validate returns an error if a voter can't continue from the state. A raft node would panic, or vote without a part of its log.
 func (s *StoredState) validate(config *VoterConfig) error {
 	if s == nil || s.Snapshot == nil || s.HardState == nil {
-		return errors.New("no store")
+		return errors.New("missing or incomplete state")
 	}
 	metadata := s.Snapshot.GetMetadata()
 	storedVoters := metadata.GetConfState().GetVoters()
 	if !slices.Equal(slices.Sorted(slices.Values(storedVoters)), slices.Sorted(slices.Values(config.Voters))) {
-		return fmt.Errorf("its voters are %d, the file's %d", storedVoters, config.Voters)
+		return fmt.Errorf("stored voters %d differ from configured voters %d", storedVoters, config.Voters)
 	}
 	lastIndex, lastTerm := metadata.GetIndex(), metadata.GetTerm()
 	if lastIndex == 0 || lastTerm == 0 {
-		return errors.New("snapshot without an index")
+		return errors.New("snapshot has no index or no term")
 	}
 	for _, e := range s.Entries {
 		if e == nil || e.GetIndex() <= metadata.GetIndex() {
 			continue
 		}
 		if e.GetIndex() != lastIndex+1 || e.GetTerm() < lastTerm || e.GetType() != pb.EntryNormal {
-			return fmt.Errorf("entry %d of term %d after %d of term %d", e.GetIndex(), e.GetTerm(), lastIndex, lastTerm)
+			return fmt.Errorf("entry %d of term %d follows entry %d of term %d", e.GetIndex(), e.GetTerm(), lastIndex, lastTerm)
 		}
 		lastIndex, lastTerm = e.GetIndex(), e.GetTerm()
 	}
 	if commit := s.HardState.GetCommit(); commit > lastIndex || s.HardState.GetTerm() < lastTerm {
-		return fmt.Errorf("committed %d of term %d, its entries end at %d of term %d", commit, s.HardState.GetTerm(), lastIndex, lastTerm)
+		return fmt.Errorf("hard state with commit index %d of term %d, last entry is %d of term %d",
+			commit, s.HardState.GetTerm(), lastIndex, lastTerm)
 	}
 	return nil
 }
--- a/internal/controlplane/testfleet_test.go
+++ b/internal/controlplane/testfleet_test.go
@@ -44,7 +44,7 @@
 	return lines
 }
 
-// testFleet is a server and followers. Frames between them arrive at once; time passes by ticks.
+// testFleet connects a server with followers in memory. Frames arrive at once, and the time advances by ticks.
 type testFleet struct {
 	t                 *testing.T
 	now               float64
@@ -56,7 +56,7 @@
 	bytesToServer     []int                                     // by follower
 	bytesToFollower   []int                                     // by follower
 	framesBlocked     bool                                      // frames to followers are neither delivered nor reported as written
-	tamper            func(follower int, frame []byte) [][]byte // what arrives at the follower in place of a frame
+	tamper            func(follower int, frame []byte) [][]byte // returns the frames that arrive at the follower instead of a frame
 	disconnectReasons []string
 }
 
@@ -90,7 +90,7 @@
 	return len(fleet.followers) - 1
 }
 
-// deliverFrames carries out all decisions, until there are none.
+// deliverFrames carries out all decisions of the server and the followers, until there are none.
 func (fleet *testFleet) deliverFrames() {
 	for more := true; more; {
 		more = false
@@ -150,7 +150,7 @@
 	return ran
 }
 
-// advance lets time pass.
+// advance advances the time by ms, in ticks.
 func (fleet *testFleet) advance(ms float64) {
 	for end := fleet.now + ms; fleet.now < end; {
 		fleet.now += TickIntervalMs
--- a/internal/controlplane/voter_apply.go
+++ b/internal/controlplane/voter_apply.go
@@ -10,16 +10,16 @@
 const (
 	// minSnapshotThreshold is the least number of bytes of log entries between two snapshots.
 	minSnapshotThreshold = 1 << 20
-	// entryApplyDivisor: each entry counts for this part of the document besides its own bytes. At a start it is applied again, which
-	// costs in proportion to the document.
+	// entryApplyDivisor divides the document's size. An entry counts its own bytes and this part of the document towards the snapshot
+	// threshold, because it is applied again at a start, at a cost in proportion to the document.
 	entryApplyDivisor = 256
-	// retainedEntries is how many entries before a snapshot stay in memory, so that a voter that lags a little doesn't need the
-	// snapshot. It is small because each entry may hold a whole document.
+	// retainedEntries is the number of entries before a snapshot that stay in memory, so that a voter that lags a little doesn't need
+	// the snapshot. It is small because each entry may hold a whole document.
 	retainedEntries = 64
 )
 
-// processReady queues what the raft node wants done. What is to be persisted is queued before the messages that rely on it: a vote or
-// an acknowledgement that was sent and then lost with the process could elect a second leader or lose a committed entry.
+// processReady queues the outputs of the raft node. State to persist is queued before the messages that rely on it: a vote or an
+// acknowledgement that was sent but is not in the store after a crash could elect a second leader or lose a committed entry.
 func (v *Voter) processReady(now float64) {
 	for v.node.HasReady() {
 		ready := v.node.Ready()
@@ -42,12 +42,12 @@
 	}
 }
 
-// persistReady queues a Persist of the node's state and takes the state into the memory log.
+// persistReady queues a Persist of the node's state and copies the state to the memory log.
 func (v *Voter) persistReady(ready *raft.Ready) {
 	var p Persist
 	if ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState) {
 		p.HardState = ready.HardState
-		_ = v.memoryLog.SetHardState(ready.HardState) // a memory log has no error
+		_ = v.memoryLog.SetHardState(ready.HardState) // a memory log returns no error
 	}
 	if ready.Snapshot != nil && !raft.IsEmptySnap(ready.Snapshot) {
 		p.Snapshot, p.Restored = ready.Snapshot, true
@@ -55,7 +55,7 @@
 	if len(ready.Entries) > 0 {
 		p.Entries = ready.Entries
 	}
-	if ready.MustSync || p.Snapshot != nil { // a commit index alone need not be durable: the leader sends it again
+	if ready.MustSync || p.Snapshot != nil { // a commit index alone needn't be durable: the leader sends it again
 		v.outputs = append(v.outputs, VoterOutput{Persist: &p})
 	}
 	if p.Snapshot != nil {
@@ -64,7 +64,7 @@
 	_ = v.memoryLog.Append(ready.Entries)
 }
 
-// restoreSnapshot replaces the history by another voter's. The snapshot was decoded before the node took it, by isSafeMessage.
+// restoreSnapshot replaces the history by that of another voter. isSafeMessage has checked that the snapshot can be decoded.
 func (v *Voter) restoreSnapshot(s *pb.Snapshot) {
 	history, err := decodeHistorySnapshot(s.GetData(), v.config.RetainedChanges)
 	if err != nil || v.memoryLog.ApplySnapshot(s) != nil {
@@ -75,12 +75,12 @@
 	v.outputs = append(v.outputs, VoterOutput{Restored: true})
 }
 
-// applyEntry applies a committed entry to the history. It depends on the entry and the history alone, so that all voters come to the
-// same history.
+// applyEntry applies a committed entry to the history. It depends on the entry and the history alone, so that all voters have the same
+// history.
 func (v *Voter) applyEntry(e *pb.Entry) {
 	v.appliedIndex = e.GetIndex()
 	if len(e.GetData()) == 0 {
-		return // the entry with which a leader begins its term
+		return // the empty entry that a leader appends at the start of its term
 	}
 	v.bytesSinceSnapshot += len(e.GetData()) + len(v.history.headDocument.text)/entryApplyDivisor
 	base, change, err := decodeLogEntry(e.GetData())
@@ -107,8 +107,8 @@
 	return entry.Base, change, err
 }
 
-// applyChange makes a change the next version. The checks of appendProposal are repeated: two proposals with one base may both be in
-// the log, and so may one proposal twice, by two leaders.
+// applyChange applies a change as the next version. It repeats the checks of appendProposal: the log may contain two proposals with the
+// same base, and one proposal twice, from two leaders.
 func (v *Voter) applyChange(base uint64, change Change) Result {
 	head, doc := v.history.Head()
 	if version, known := v.history.FindProposal(change.ID); known {
@@ -134,7 +134,7 @@
 	return Result{Code: CodeDone, Version: change.Version}
 }
 
-// snapshotThreshold returns how many bytes of entries are kept before a snapshot replaces them.
+// snapshotThreshold returns the number of bytes of entries after which a snapshot replaces them.
 func (v *Voter) snapshotThreshold() int {
 	if v.config.SnapshotThreshold > 0 {
 		return v.config.SnapshotThreshold
@@ -151,6 +151,6 @@
 	v.bytesSinceSnapshot = 0
 	v.outputs = append(v.outputs, VoterOutput{Persist: &Persist{Snapshot: s}})
 	if v.appliedIndex > retainedEntries {
-		_ = v.memoryLog.Compact(v.appliedIndex - retainedEntries) // fails if that much is compacted already
+		_ = v.memoryLog.Compact(v.appliedIndex - retainedEntries) // fails if the log is compacted up to there already
 	}
 }
--- a/internal/controlplane/voter_messages.go
+++ b/internal/controlplane/voter_messages.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// fragmentBytes is the size of the fragments in which a raft message is sent. With its flags it fits a frame.
+	// fragmentBytes bounds the fragments in which a raft message is sent. A fragment with its flags fits a frame.
 	fragmentBytes = 256 << 10
-	// maxMessageBytes bounds a raft message that is put together from fragments: a snapshot, the largest one, and some metadata.
+	// maxMessageBytes bounds a raft message assembled from fragments: the largest snapshot and some metadata.
 	maxMessageBytes = maxSnapshotBytes + 1<<20
-	// maxReadContextBytes bounds the context of a read index message. This build's have 24.
+	// maxReadContextBytes bounds the context of a read index message. The context of this build has 24 bytes.
 	maxReadContextBytes = 64
-	// maxSafeNumber bounds indices and terms: a raft node adds to them, and must not wrap.
+	// maxSafeNumber bounds indices and terms: a raft node adds to them, and the sums must not wrap.
 	maxSafeNumber = math.MaxUint64 / 2
 )
 
@@ -45,13 +45,13 @@
 		v.outputs = append(v.outputs, VoterOutput{Send: &VoterMessage{To: m.GetTo(), Data: fragment}})
 	}
 	if m.GetType() == pb.MsgSnap {
-		// Whether the snapshot arrived is seen by the answers to what follows it, because a link keeps the order. Without the report
-		// the raft node would send that voter nothing more.
+		// The answers to later messages show whether the snapshot arrived, because a link keeps the order. Without this report the
+		// raft node would send that voter nothing more.
 		v.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 }
 
-// HandleMessage handles a message of another voter. A malformed one is dropped, which raft takes for lost.
+// HandleMessage handles a message from another voter. A malformed one is dropped, which raft tolerates like a lost message.
 func (v *Voter) HandleMessage(now float64, from uint64, data []byte) {
 	if len(data) < 1 || len(data) > MaxFrameBytes || from == v.config.ID || !slices.Contains(v.config.Voters, from) {
 		return
@@ -67,11 +67,11 @@
 	if isFromLeader(m) && m.GetTerm() >= v.term() {
 		v.ticksSinceLeader = 0
 	}
-	_ = v.node.Step(m) // an error is a message that the node has no use for
+	_ = v.node.Step(m) // an error means that the node ignores the message
 	v.processReady(now)
 }
 
-// assembleMessage adds a fragment to the message that is under way from a voter, and returns the message if it is complete.
+// assembleMessage adds a fragment to the partial message from a voter, and returns the message if it is complete.
 func (v *Voter) assembleMessage(from uint64, flags byte, fragment []byte) (message []byte, complete bool) {
 	if flags == fragmentFirst|fragmentLast {
 		delete(v.partialMessages, from)
@@ -80,7 +80,7 @@
 	if flags&fragmentFirst != 0 {
 		v.partialMessages[from] = nil
 	} else if len(v.partialMessages[from]) == 0 {
-		return nil, false // its beginning was lost
+		return nil, false // the first fragment was lost
 	}
 	v.partialMessages[from] = append(v.partialMessages[from], fragment...)
 	message = v.partialMessages[from]
@@ -103,16 +103,16 @@
 	return false
 }
 
-// isSafeMessage reports whether a raft node can take a message. A node panics at some messages that no sound voter sends, such as a
-// commit index beyond its log: one damaged voter, or another build, must not end this process.
+// isSafeMessage reports whether a message can be passed to the raft node. A node panics at some messages that a correct voter never
+// sends, such as a commit index beyond its log: one faulty voter, or another build, must not end this process.
 func (v *Voter) isSafeMessage(m *pb.Message) bool {
 	if m.GetTo() != v.config.ID || m.GetTerm() > maxSafeNumber {
 		return false
 	}
-	if (m.GetTerm() == 0) != (m.GetType() == pb.MsgReadIndex) { // of all messages that voters send, only this one has no term
+	if (m.GetTerm() == 0) != (m.GetType() == pb.MsgReadIndex) { // of all messages between voters, only this one has no term
 		return false
 	}
-	lastIndex, _ := v.memoryLog.LastIndex() // a memory log has no error
+	lastIndex, _ := v.memoryLog.LastIndex() // a memory log returns no error
 	switch m.GetType() {
 	case pb.MsgApp:
 		return hasSafeEntries(m)
@@ -131,7 +131,7 @@
 	return false
 }
 
-// hasSafeEntries reports whether the entries follow on each other without gaps, with terms that don't fall.
+// hasSafeEntries reports whether the indices of the entries are consecutive and their terms don't decrease.
 func hasSafeEntries(m *pb.Message) bool {
 	index, term := m.GetIndex(), m.GetLogTerm()
 	if index > maxSafeNumber {
@@ -147,13 +147,13 @@
 	return true
 }
 
-// hasSafeCommit reports whether a heartbeat's commit index is in the log. A leader never sends a voter a higher one than that voter
-// has acknowledged: if it is not there, the store has lost entries.
+// hasSafeCommit reports whether a heartbeat's commit index is in the log, and sets storeFault if it is not. A leader never sends a voter
+// a higher commit index than that voter has acknowledged, so a log that ends before it has lost entries.
 func (v *Voter) hasSafeCommit(m *pb.Message, lastIndex uint64) bool {
 	if m.GetCommit() <= lastIndex {
 		return true
 	}
-	v.storeFault = fmt.Sprintf("voter %d knows that entry %d was written here, the store ends with %d: it has lost what it had",
+	v.storeFault = fmt.Sprintf("voter %d reports that entry %d was acknowledged, the store ends at entry %d: acknowledged entries are lost",
 		m.GetFrom(), m.GetCommit(), lastIndex)
 	return false
 }
--- a/internal/controlplane/voter_proposals.go
+++ b/internal/controlplane/voter_proposals.go
@@ -8,7 +8,7 @@
 	"pearknot/internal/snapshot"
 )
 
-// maxPendingProposals bounds the proposals that are queued or in the log and not applied yet.
+// maxPendingProposals bounds the number of proposals that are queued, or in the log and not applied yet.
 const maxPendingProposals = 64
 
 type queuedProposal struct {
@@ -17,15 +17,17 @@
 }
 
 // Propose proposes a change. The proposer chooses the ID, which must not be 0, and a Reply with this ID follows. A proposer whose reply
-// was lost makes the proposal again with the same ID; it takes effect only once.
+// was lost repeats the proposal with the same ID; it takes effect only once.
 func (v *Voter) Propose(now float64, id uint64, p Proposal) {
 	switch {
 	case id == 0 || p.Document == nil || len(p.By) > maxReasonBytes || len(p.Reason) > maxReasonBytes:
+		// The text goes to the proposer, who may be of another build, so it stays the same in all builds. It means: missing ID or
+		// document, or author or reason too long.
 		detail := fmt.Sprintf("no id, no text, or words of over %d bytes", maxReasonBytes)
 		v.queueReply(id, Result{Code: CodeInvalid, Detail: detail})
 	case !v.IsLeader():
 		v.queueReply(id, Result{Code: CodeNotLeader, Leader: v.Leader()})
-	case v.pendingProposals[id]: // a repetition: the reply to the first answers both
+	case v.pendingProposals[id]: // a duplicate: the reply to the first answers both
 	case len(v.queuedProposals)+len(v.pendingProposals) >= maxPendingProposals:
 		v.queueReply(id, Result{Code: CodeBusy})
 	case !v.leadershipReady:
@@ -36,7 +38,7 @@
 	v.processReady(now)
 }
 
-// appendProposal appends a proposal to the log, unless it is already known that the change can't be applied.
+// appendProposal appends a proposal to the log, unless the current history shows that it can't be applied.
 func (v *Voter) appendProposal(now float64, id uint64, p Proposal) {
 	head, doc := v.history.Head()
 	if version, known := v.history.FindProposal(id); known {
@@ -60,7 +62,7 @@
 		v.queueReply(id, Result{Code: CodeBusy})
 		return
 	}
-	if v.config.InjectedBug == BugReplyBeforeCommit && len(v.pendingProposals) == 0 { // only the majority is missing
+	if v.config.InjectedBug == BugReplyBeforeCommit && len(v.pendingProposals) == 0 { // the majority has not stored it yet
 		v.queueReply(id, Result{Code: CodeDone, Version: head + 1})
 	}
 	v.pendingProposals[id] = true
@@ -70,7 +72,7 @@
 	v.outputs = append(v.outputs, VoterOutput{Reply: &Reply{ID: id, Result: result}})
 }
 
-// trackLeadership answers the proposals of a term that has ended, and takes up the queued ones once a new term is ready.
+// trackLeadership answers the proposals of a term that has ended, and appends the queued ones once this voter is ready to lead.
 func (v *Voter) trackLeadership(now float64) {
 	term := uint64(0)
 	if v.IsLeader() {
@@ -82,7 +84,7 @@
 	}
 	if term > 0 && !v.leadershipReady {
 		// A new leader may have committed entries that it has not applied. It checks a proposal's base against the head, so it waits
-		// until the first entry of its own term, which is behind all of those, is applied.
+		// until the first entry of its own term, which comes after all of those, is applied.
 		if appliedTerm, err := v.memoryLog.Term(v.appliedIndex); err == nil && appliedTerm == term {
 			v.leadershipReady = true
 			v.appendQueuedProposals(now)
--- a/internal/controlplane/voter_test.go
+++ b/internal/controlplane/voter_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// testVoters are voters whose messages to each other arrive at once, unless one of them is isolated.
-type testVoters struct {
+// testCluster connects voters in memory. Their messages to each other arrive at once, unless one of them is isolated.
+type testCluster struct {
 	t                  require.TestingT
 	now                float64
 	config             VoterConfig
@@ -23,14 +23,14 @@
 	stores             map[uint64]*StoredState
 	isolated           map[uint64]bool
 	replies            map[uint64][]Result
-	fragmentedMessages int // sent in more than one fragment
+	fragmentedMessages int // number of messages sent in more than one fragment
 	persistsOfVoter1   []*Persist
 }
 
-// newTestVoters starts three voters, with the IDs 1 to 3.
-func newTestVoters(t require.TestingT, config VoterConfig) *testVoters {
+// newTestCluster starts three voters, with the IDs 1 to 3.
+func newTestCluster(t require.TestingT, config VoterConfig) *testCluster {
 	config.Voters = []uint64{1, 2, 3}
-	c := &testVoters{
+	c := &testCluster{
 		t:        t,
 		now:      1e6,
 		config:   config,
@@ -46,8 +46,8 @@
 	return c
 }
 
-// start starts a voter from its store, in the place of the one that ran before.
-func (c *testVoters) start(id uint64) {
+// start starts a voter from its store. It replaces the running one with this ID.
+func (c *testCluster) start(id uint64) {
 	config := c.config
 	config.ID = id
 	v, err := NewVoter(config, c.stores[id], c.now)
@@ -56,8 +56,8 @@
 	c.deliverMessages()
 }
 
-// deliverMessages carries out all outputs, until there are none.
-func (c *testVoters) deliverMessages() {
+// deliverMessages carries out all outputs of the voters, until there are none.
+func (c *testCluster) deliverMessages() {
 	for more := true; more; {
 		more = false
 		for _, id := range c.config.Voters {
@@ -66,7 +66,7 @@
 	}
 }
 
-func (c *testVoters) runVoter(id uint64) (ran bool) {
+func (c *testCluster) runVoter(id uint64) (ran bool) {
 	v := c.byID[id]
 	if v == nil {
 		return false
@@ -88,7 +88,7 @@
 	return ran
 }
 
-func (c *testVoters) deliver(from uint64, message *VoterMessage) {
+func (c *testCluster) deliver(from uint64, message *VoterMessage) {
 	require.LessOrEqual(c.t, len(message.Data), MaxFrameBytes)
 	if message.Data[0] == fragmentFirst {
 		c.fragmentedMessages++
@@ -98,8 +98,8 @@
 	}
 }
 
-// advance lets time pass.
-func (c *testVoters) advance(ms float64) {
+// advance advances the time by ms, in ticks.
+func (c *testCluster) advance(ms float64) {
 	for end := c.now + ms; c.now < end; {
 		c.now += TickIntervalMs
 		for _, id := range c.config.Voters {
@@ -111,8 +111,8 @@
 	}
 }
 
-// waitForLeader lets time pass until a voter that is not isolated leads.
-func (c *testVoters) waitForLeader() (uint64, *Voter) {
+// waitForLeader advances the time until a voter that is not isolated is ready to lead.
+func (c *testCluster) waitForLeader() (uint64, *Voter) {
 	for range 200 {
 		for _, id := range c.config.Voters {
 			if v := c.byID[id]; v != nil && v.IsLeader() && v.leadershipReady && !c.isolated[id] {
@@ -121,12 +121,12 @@
 		}
 		c.advance(TickIntervalMs)
 	}
-	require.FailNow(c.t, "nobody leads")
+	require.FailNow(c.t, "no voter became leader")
 	return 0, nil
 }
 
 // propose makes a proposal and returns the latest reply to its ID.
-func (c *testVoters) propose(v *Voter, id, base uint64, text string) Result {
+func (c *testCluster) propose(v *Voter, id, base uint64, text string) Result {
 	v.Propose(c.now, id, Proposal{Base: base, Document: mustParse(c.t, text), By: "b", Reason: "r"})
 	c.deliverMessages()
 	if replies := c.replies[id]; len(replies) > 0 {
@@ -135,17 +135,17 @@
 	return Result{}
 }
 
-// numberDocument is a small document, another one for each number.
+// numberDocument returns a small document, a different one for each number.
 func numberDocument(n int) string { return fmt.Sprintf(`{"n":%d}`, n) }
 
-// Proposals of a stale base are refused, a repeated one has one effect, and only the leader takes any.
+// A proposal with a stale base is rejected, a repeated one takes effect once, and only the leader accepts any.
 func TestProposals(t *testing.T) {
-	c := newTestVoters(t, VoterConfig{Seed: 1})
+	c := newTestCluster(t, VoterConfig{Seed: 1})
 	id, leader := c.waitForLeader()
 	require.Equal(t, Result{Code: CodeDone, Version: 1}, c.propose(leader, 11, 0, numberDocument(1)))
 	require.Equal(t, Result{Code: CodeConflict, Version: 1}, c.propose(leader, 12, 0, numberDocument(2)), "the second of two with one base")
 	require.Equal(t, Result{Code: CodeConflict, Version: 1}, c.propose(leader, 13, 7, numberDocument(2)), "a base that doesn't exist")
-	require.Equal(t, Result{Code: CodeDone, Version: 2}, c.propose(leader, 12, 1, numberDocument(2)), "made again from the head")
+	require.Equal(t, Result{Code: CodeDone, Version: 2}, c.propose(leader, 12, 1, numberDocument(2)), "repeated with the head as its base")
 	require.Equal(t, Result{Code: CodeDone, Version: 1}, c.propose(leader, 11, 0, numberDocument(1)), "repeated: the same reply, no second effect")
 	require.Equal(t, CodeInvalid, c.propose(leader, 0, 2, numberDocument(3)).Code)
 	version, doc := leader.History().Head()
@@ -169,14 +169,14 @@
 	for _, v := range c.byID {
 		head, _ := v.History().Head()
 		require.EqualValues(t, 3, head)
-		require.Less(t, c.now-v.FreshAsOf(), readIndexIntervalMs+TickIntervalMs, "as fresh as its latest question to the leader")
+		require.Less(t, c.now-v.FreshAsOf(), readIndexIntervalMs+TickIntervalMs, "as fresh as its latest read index request")
 	}
 }
 
-// A leader is isolated with a proposal in its log. It can't commit it and can't know whether others have: it replies that the
-// leadership is lost. The proposer asks the next leader, with the same ID, and the change is made once.
+// A leader is isolated with a proposal in its log. It can't commit the proposal and can't know whether others have: it replies that the
+// leadership is lost. The proposer repeats it at the next leader, with the same ID, and the change is applied once.
 func TestIsolatedLeader(t *testing.T) {
-	c := newTestVoters(t, VoterConfig{Seed: 2})
+	c := newTestCluster(t, VoterConfig{Seed: 2})
 	id, leader := c.waitForLeader()
 	require.Equal(t, CodeDone, c.propose(leader, 1, 0, numberDocument(1)).Code)
 	c.advance(1000)
@@ -201,9 +201,9 @@
 	require.EqualValues(t, 2, version)
 }
 
-// An isolated leader takes a limited number of proposals, and replies to each of them when it loses its term.
+// An isolated leader accepts a limited number of proposals, and replies to each of them when it is deposed.
 func TestTooManyProposals(t *testing.T) {
-	c := newTestVoters(t, VoterConfig{Seed: 3})
+	c := newTestCluster(t, VoterConfig{Seed: 3})
 	id, leader := c.waitForLeader()
 	c.isolated[id] = true
 	for n := range maxPendingProposals + 2 {
@@ -217,37 +217,37 @@
 	}
 }
 
-// A voter was isolated for so long that the leader has dropped the entries it lacks. It gets a snapshot, in fragments that fit a
+// A voter was isolated for so long that the leader has compacted the entries that it lacks. It gets a snapshot, in fragments that fit a
 // frame, and continues from it, also after a restart.
 func TestSnapshotInFragments(t *testing.T) {
-	c := newTestVoters(t, VoterConfig{Seed: 4, SnapshotThreshold: 2000})
+	c := newTestCluster(t, VoterConfig{Seed: 4, SnapshotThreshold: 2000})
 	id, leader := c.waitForLeader()
-	away := id%3 + 1
-	c.isolated[away] = true
+	isolatedID := id%3 + 1
+	c.isolated[isolatedID] = true
 	text := `{"a":["` + strings.Join(incompressibleLines(30_000), `","`) + `",`
 	for n := range retainedEntries + 10 {
 		require.Equal(t, CodeDone, c.propose(leader, uint64(n+1), uint64(n), numberDocument(n)).Code)
 	}
 	require.Equal(t, CodeDone, c.propose(leader, 9999, retainedEntries+10, text+`0]}`).Code)
-	c.isolated[away] = false
+	c.isolated[isolatedID] = false
 	c.advance(5000)
 	require.Positive(t, c.fragmentedMessages)
 	version, doc := leader.History().Head()
 	for range 2 {
-		v, theirs := c.byID[away].History().Head()
+		v, restoredDoc := c.byID[isolatedID].History().Head()
 		require.Equal(t, version, v)
-		require.Equal(t, doc.Digest(), theirs.Digest())
-		old, ok := c.byID[away].History().DocumentAt(1)
+		require.Equal(t, doc.Digest(), restoredDoc.Digest())
+		old, ok := c.byID[isolatedID].History().DocumentAt(1)
 		require.True(t, ok)
 		require.Equal(t, mustParse(t, numberDocument(0)).Digest(), old.Digest())
-		c.start(away)
+		c.start(isolatedID)
 		c.advance(3000)
 	}
 }
 
-// A voter is killed between two writes to its store. Whichever two these are, it starts from what was written.
+// A voter is killed between any two writes to its store. It starts from the state that was written.
 func TestRestartAfterAnyWrite(t *testing.T) {
-	c := newTestVoters(t, VoterConfig{Seed: 5, SnapshotThreshold: 300})
+	c := newTestCluster(t, VoterConfig{Seed: 5, SnapshotThreshold: 300})
 	for n := range 40 {
 		if n%13 == 12 {
 			c.isolated = map[uint64]bool{uint64(n%3 + 1): true}
@@ -279,9 +279,9 @@
 	require.Positive(t, snapshots)
 }
 
-// A store is incomplete, damaged or of other voters: the voter refuses to start, and says why.
+// A voter whose store is incomplete, damaged or written for other voters returns an error that says why.
 func TestDamagedStores(t *testing.T) {
-	c := newTestVoters(t, VoterConfig{Seed: 6})
+	c := newTestCluster(t, VoterConfig{Seed: 6})
 	_, leader := c.waitForLeader()
 	for n := range 5 {
 		c.propose(leader, uint64(n+1), uint64(n), numberDocument(n))
@@ -289,15 +289,15 @@
 	config := c.config
 	config.ID = 1
 	for want, damage := range map[string]func(s *StoredState) *StoredState{
-		"voter's store: no store":                                 func(*StoredState) *StoredState { return nil },
-		"voter's store: its voters are [1 2 3], the file's [1 2]": func(s *StoredState) *StoredState { config.Voters = []uint64{1, 2}; return s },
+		"voter's store: missing or incomplete state":                               func(*StoredState) *StoredState { return nil },
+		"voter's store: stored voters [1 2 3] differ from configured voters [1 2]": func(s *StoredState) *StoredState { config.Voters = []uint64{1, 2}; return s },
 		"voter's store: malformed history snapshot": func(s *StoredState) *StoredState {
 			s.Snapshot = proto.Clone(s.Snapshot).(*pb.Snapshot)
 			s.Snapshot.Data = s.Snapshot.Data[:len(s.Snapshot.Data)/2]
 			return s
 		},
-		"voter's store: entry 4 of term 2 after 2 of term 2": func(s *StoredState) *StoredState { s.Entries = slices.Delete(s.Entries, 1, 2); return s },
-		"voter's store: committed 99 of term 2, its entries end at 7 of term 2": func(s *StoredState) *StoredState {
+		"voter's store: entry 4 of term 2 follows entry 2 of term 2": func(s *StoredState) *StoredState { s.Entries = slices.Delete(s.Entries, 1, 2); return s },
+		"voter's store: hard state with commit index 99 of term 2, last entry is 7 of term 2": func(s *StoredState) *StoredState {
 			s.HardState = &pb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(99)}
 			return s
 		},
@@ -313,28 +313,28 @@
 	require.Error(t, err)
 }
 
-// A voter's store is replaced by an older copy, so that it lacks entries that the voter has acknowledged. It notices by the leader's
-// commit index and reports a fault, rather than vote by a log that is too short.
-func TestStoreRollbackIsNoticed(t *testing.T) {
-	c := newTestVoters(t, VoterConfig{Seed: 7})
+// A voter's store is replaced by an older copy, so that it lacks entries that the voter has acknowledged. The voter detects it by the
+// leader's commit index and reports a fault, instead of voting with an incomplete log.
+func TestStoreRollbackIsDetected(t *testing.T) {
+	c := newTestCluster(t, VoterConfig{Seed: 7})
 	id, leader := c.waitForLeader()
 	old := Bootstrap(c.config.Voters)
 	for n := range 5 {
 		c.propose(leader, uint64(n+1), uint64(n), numberDocument(n))
 	}
 	c.advance(1000)
-	back := id%3 + 1
-	require.Empty(t, c.byID[back].StoreFault())
-	c.stores[back] = old
-	c.start(back)
+	rolledBackID := id%3 + 1
+	require.Empty(t, c.byID[rolledBackID].StoreFault())
+	c.stores[rolledBackID] = old
+	c.start(rolledBackID)
 	c.advance(1000)
-	require.Contains(t, c.byID[back].StoreFault(), "it has lost what it had")
+	require.Contains(t, c.byID[rolledBackID].StoreFault(), "acknowledged entries are lost")
 }
 
-// A voter gets messages that no sound voter sends, at some of which a raft node panics. They are dropped.
+// A voter gets messages that a correct voter never sends, some of which make a raft node panic. They are dropped.
 func TestMalformedMessages(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		c := newTestVoters(rt, VoterConfig{Seed: rapid.Uint64Range(0, 9).Draw(rt, "seed")})
+		c := newTestCluster(rt, VoterConfig{Seed: rapid.Uint64Range(0, 9).Draw(rt, "seed")})
 		_, leader := c.waitForLeader()
 		for n := range 3 {
 			c.propose(leader, uint64(n+1), uint64(n), numberDocument(n))
@@ -365,9 +365,9 @@
 		}
 		c.advance(500)
 	})
-	c := newTestVoters(t, VoterConfig{Seed: 1})
+	c := newTestCluster(t, VoterConfig{Seed: 1})
 	id, _ := c.waitForLeader()
-	// A read index question with a term, which the random messages above contain about once in a hundred runs.
+	// A read index request with a term, which the random messages above contain about once in a hundred runs.
 	withTerm := &pb.Message{Type: pb.MsgReadIndex.Enum(), From: proto.Uint64(id), To: proto.Uint64(id%3 + 1), Term: proto.Uint64(2), Entries: []*pb.Entry{{}}}
 	data, err := proto.Marshal(withTerm)
 	require.NoError(t, err)
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -12,16 +12,16 @@
 // MaxFrameBytes bounds a frame, in either direction.
 const MaxFrameBytes = 320 << 10
 
-// Limits of what a frame, a raft log entry or a raft snapshot may contain. What comes from another process is checked against them
-// before memory is allocated for it.
+// Limits of the content of a frame, a raft log entry or a raft snapshot. Data from another process is checked against them before
+// memory is allocated for it.
 const (
-	maxChangeBytes   = 1 << 20  // of a change before compression; followers get a larger one as a snapshot
-	maxSnapshotBytes = 96 << 20 // of a history snapshot before compression: a document, the changes and their inverses
-	maxProposalBytes = MaxDocumentBytes + 1<<20
-	maxReasonBytes   = 512 // of an author, a reason, an explanation
-	packingMargin    = 512 // a document that compression doesn't shorten is sent as it is behind one byte; followers accept this much
-	maxNameBytes     = 64  // of a region
-	maxSplices       = 64 << 10
+	maxChangeBytes    = 1 << 20  // size of a change before compression; followers get a larger one as a snapshot
+	maxSnapshotBytes  = 96 << 20 // size of a history snapshot before compression: a document, the changes and their inverses
+	maxProposalBytes  = MaxDocumentBytes + 1<<20
+	maxReasonBytes    = 512 // length of an author, a reason or a reject reason
+	compressionMargin = 512 // accepted beyond the document's size: what compression doesn't shorten is sent plain after one byte
+	maxNameBytes      = 64  // length of a region's name
+	maxSplices        = 64 << 10
 )
 
 // protocolVersion is the version of the frames.
@@ -34,18 +34,18 @@
 
 // The kinds of frames: the second byte of each, after the protocol version.
 const (
-	frameHello         = iota + 1 // from a follower: status, asks the server to begin anew from StoredVersion
+	frameHello         = iota + 1 // from a follower: status, asks the server to start again from StoredVersion
 	frameStatus                   // from a follower: status
 	frameChange                   // from a server: compressed wireChange
 	frameHeartbeat                // from a server: heartbeat
-	frameSnapshotBegin            // from a server: snapshotBegin, the document follows in chunks
+	frameSnapshotBegin            // from a server: snapshotBegin, followed by the document in chunks
 	frameSnapshotChunk            // from a server: snapshotChunk
 )
 
 // The structs below are encoded by the order and the types of their fields, not by their names (package snapshot). Fields may be
 // renamed, and new ones added at the end; never reorder or remove one, or change its type.
 
-// status is what a follower reports: in its hello, then each statusIntervalMs.
+// status holds a follower's report. It is sent in the hello, and then each statusIntervalMs.
 type status struct {
 	SentAt           float64 // by the follower's clock; heartbeats return it
 	StoredVersion    uint64
@@ -53,19 +53,19 @@
 	RejectedVersion  uint64
 	RejectReason     string
 	StalenessMs      float64
-	SnapshotReceived uint64 // bytes of the snapshot that is under way
+	SnapshotReceived uint64 // bytes received of the current snapshot
 	Digest           []byte // of StoredVersion; this and the fields below are set in a hello only
 	Region, Kind     string
-	NeedsSnapshot    bool // what is stored can't be continued from: a digest differed
+	NeedsSnapshot    bool // changes can't be applied to the stored copy: a digest differed
 }
 
-// heartbeat is what a server sends each HeartbeatIntervalMs, once it has received a status.
+// heartbeat is sent by a server each HeartbeatIntervalMs, once it has received a status.
 type heartbeat struct {
 	HeadVersion      uint64
 	StalenessMs      float64 // of the server's copy, at the time of sending
 	StatusSentAt     float64 // SentAt of the latest status
 	FreshnessOffset  float64 // ms from the receipt of that status to when the server's copy was known to be complete; by the server's clock
-	SentVersion      uint64  // all changes up to it were sent on this connection; 0 while a snapshot is under way
+	SentVersion      uint64  // all changes up to it were sent on this connection; 0 while a snapshot is being sent
 	SnapshotSent     uint64  // bytes of the snapshot sent
 	HeadDigestPrefix uint64
 }
@@ -84,13 +84,13 @@
 	Data   []byte
 }
 
-// wireSplice is a Splice, with the inserted lines as one text in which each has its line end.
+// wireSplice is the encoded form of a Splice, with the inserted lines as one text in which each line has its line end.
 type wireSplice struct {
 	Line, Delete uint64
 	Insert       string
 }
 
-// wireChange is a Change.
+// wireChange is the encoded form of a Change.
 type wireChange struct {
 	Version      uint64
 	ID           uint64
@@ -100,13 +100,14 @@
 	ProposedAtMs float64
 }
 
-// logEntry is a proposal in the raft log. The change's Version is 0: it is known once the entry is applied.
+// logEntry is the encoded form of a proposal in the raft log. The change's Version is 0, because it is known only once the entry is
+// applied.
 type logEntry struct {
 	Base   uint64
 	Change wireChange
 }
 
-// historySnapshot is a History in a raft snapshot.
+// historySnapshot is the encoded form of a History in a raft snapshot.
 type historySnapshot struct {
 	FormatVersion uint64
 	Version       uint64
@@ -129,7 +130,7 @@
 		return 0, nil, errMalformedFrame
 	}
 	if data[0] != protocolVersion {
-		return 0, nil, fmt.Errorf("protocol of version %d, this build has %d", data[0], protocolVersion)
+		return 0, nil, fmt.Errorf("unsupported protocol version %d, this build has %d", data[0], protocolVersion)
 	}
 	return data[1], data[2:], nil
 }
