--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -209,7 +209,7 @@
 	lb.now = now
 	request := attempt.Request
 	backend := attempt.Backend
-	lb.review.hasNews = true
+	lb.review.isPending = true
 	backend.removeInFlight(now, attempt)
 	counted := attempt.countedInFlight()
 	attempt.inFlight = false
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Backend is a server of the endpoint list, with what this node has learned of it. The exported fields hold what the list
-// says. The unexported fields belong to the rule whose file is named above them. Times are in ms.
+// Backend is a server of the endpoint list, with this node's measurements of it. The exported fields hold the values of the
+// list. The unexported fields belong to the rule whose file is named above them. Times are in ms.
 type Backend struct {
 	ID      uint64 // identifier given by the host, the same at all nodes
 	Zone    int
@@ -22,7 +22,7 @@
 
 	// estimators.go
 	pace           paceEstimate
-	bestPace       float64 // the lowest pace seen, slowly forgotten
+	bestPace       float64 // the lowest pace seen, rising slowly so that an old one expires
 	completionRate completionRateEstimate
 	waits          decayingMean // ms that attempts there waited behind other work
 	lastWait       latestWait
@@ -38,7 +38,7 @@
 
 	// selection.go
 	rotationPass float64 // place in the rotation: the backend with the lowest has the next turn
-	isConnected  bool    // the latest attempt there shows that a connection to it works
+	isConnected  bool    // the latest attempt there showed that a connection to it works
 	inSubset     bool    // it is one of the backends that this node connects to, if connections cost
 	refusals     float64 // failed connects in a row, at most maxConnectRefusals
 
@@ -55,7 +55,7 @@
 	recentWork slidingSum // work sent to it, by slowStartCost, within the last Config.OverloadWindow
 }
 
-// IsTracked reports whether the balancer still tracks the backend. When it no longer does, the host may forget it too.
+// IsTracked reports whether the balancer still tracks the backend. When it no longer does, the host may discard it too.
 func (b *Backend) IsTracked() bool { return b.tracked }
 
 // addInFlight counts an attempt as in flight at the backend.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -21,15 +21,15 @@
 	DeadlineShortened(now float64, request *Request)
 	ResponseStarted(now float64, attempt *Attempt)
 	RequestBodySent(now float64, attempt *Attempt)
-	AttemptEnded(now float64, attempt *Attempt, how Outcome, elapsed float64, finished bool)
+	AttemptEnded(now float64, attempt *Attempt, outcome Outcome, elapsed float64, finished bool)
 	LoadReported(now float64, backend *Backend, report LoadReport)
 	ProcessesChanged(now float64, processes int)
-	ConfigChanged(now float64, config *Config, from []int)
+	ConfigChanged(now float64, config *Config, oldIndexes []int)
 	TimerFired(now float64)
 	Next() (Decision, bool)
 }
 
-// DecisionKind is what a decision asks the host to do.
+// DecisionKind specifies the action that a decision asks of the host.
 type DecisionKind uint8
 
 // The kinds of decision. Their numbers are stored.
@@ -43,7 +43,7 @@
 	DoLog                          // log the event
 )
 
-// Decision is one thing for the host to do.
+// Decision is one action for the host to carry out.
 type Decision struct {
 	Kind    DecisionKind
 	Request *Request
@@ -54,7 +54,7 @@
 	Event Event // of DoLog
 }
 
-// EventKind says what an Event reports.
+// EventKind identifies the kind of an Event.
 type EventKind uint8
 
 // The kinds of event.
@@ -63,7 +63,7 @@
 	EventPollFailed                          // a poll of the endpoint list failed; Count is the failures in a row
 )
 
-// Event is something to log. Its kind says which of the other fields are set.
+// Event is an occurrence for the host to log. Its kind determines which of the other fields are set.
 type Event struct {
 	Kind    EventKind
 	Backend uint64 // the backend's ID
@@ -80,8 +80,8 @@
 	return fmt.Sprintf("event %d", uint8(e.Kind))
 }
 
-// Balancer decides for one node. Nodes exchange nothing: what a balancer must know of the other nodes it computes from
-// the configuration and from the answers that it sees itself. All fields belong to the goroutine that calls the methods.
+// Balancer makes the decisions of one node. Nodes exchange no messages: a balancer accounts for the other nodes by the
+// configuration and by the answers that it receives itself. All fields belong to the goroutine that calls the methods.
 type Balancer struct {
 	config    *Config
 	now       float64 // time of the latest input
@@ -91,7 +91,7 @@
 	decisions []Decision // decisions that Next has not returned yet
 	review    reviewSchedule
 
-	cutoff      hintWindow // the latest cost hints, which place the cutoff between short and long requests
+	cutoff      hintWindow // the latest cost hints, which determine the cutoff between short and long requests
 	endpoints   endpointState
 	rotation    rotationState
 	queue       requestQueue
@@ -108,10 +108,10 @@
 	OnConsidered func(request *Request, backend *Backend, reason Reason)
 }
 
-// reviewSchedule says when reviewBackends runs next.
+// reviewSchedule determines when reviewBackends runs next.
 type reviewSchedule struct {
-	at      float64 // earliest time of the next review
-	hasNews bool    // there was an input since the last review; without one no review runs, so that an idle node uses no CPU
+	at        float64 // earliest time of the next review
+	isPending bool    // an input came since the last review, or requests are queued; else none runs, so that an idle node uses no CPU
 }
 
 // New returns a balancer that starts at the time now, without any backends.
@@ -155,7 +155,7 @@
 	return decision, true
 }
 
-// step does the first thing that is due, and reports whether anything was due. Requests that must be decided on come
+// step carries out the first action that is due, and reports whether any was due. Requests that must be decided on come
 // before timers, and both come before freed capacity is offered to the queue. Replays depend on this order.
 func (lb *Balancer) step() bool {
 	switch {
@@ -171,7 +171,7 @@
 	case lb.queue.hasFreedCapacity:
 		lb.queue.hasFreedCapacity = false
 		lb.placeQueued()
-	case lb.review.hasNews && lb.now >= lb.review.at:
+	case lb.review.isPending && lb.now >= lb.review.at:
 		lb.review.at = lb.now + reviewIntervalMs
 		lb.reviewBackends()
 	default:
@@ -180,10 +180,10 @@
 	return true
 }
 
-// reviewBackends forgets the backends that are gone for good, and updates everything that is computed over all backends.
-// It runs every reviewIntervalMs while there is news, and after each change of the endpoint list.
+// reviewBackends stops tracking the backends that are gone for good, and updates everything that is computed over all
+// backends. It runs every reviewIntervalMs while reviewSchedule.isPending, and after each change of the endpoint list.
 func (lb *Balancer) reviewBackends() {
-	lb.backends = slices.DeleteFunc(lb.backends, func(b *Backend) bool { return b.forgetIfGone(lb.now, lb.config) })
+	lb.backends = slices.DeleteFunc(lb.backends, func(b *Backend) bool { return b.untrackIfGone(lb.now, lb.config) })
 	// Without a limit, nodes that all start at the same time could overload the backends before the first answers show it.
 	if math.IsInf(lb.concurrency.limit, 1) && len(lb.backends) > 0 {
 		lb.concurrency.limit = lb.minInFlightLimit()
@@ -192,7 +192,7 @@
 	if lb.config.ConnectionCost > 0 {
 		lb.chooseSubset()
 	}
-	lb.review.hasNews = len(lb.queue.requests) > 0
+	lb.review.isPending = len(lb.queue.requests) > 0
 	lb.reviewZoneUsage()
 	lb.reviewOutliers()
 	lb.reviewMeanWeight()
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The same events lead to the same decisions; another seed draws otherwise.
+// Checks that the same inputs and seed lead to the same decisions, and that another seed leads to different ones.
 func TestDeterminism(t *testing.T) {
 	run := func(seed uint64) (trace string) {
 		config := testConfig()
@@ -16,10 +16,10 @@
 		for k := range 300 {
 			request := h.requestArrives("a", k%4, float64(k*31%97)+1)
 			trace += h.decisions()
-			for _, p := range request.Attempts {
-				trace += fmt.Sprint(p.Backend.ID)
-				if p.inFlight {
-					h.advance(float64(k%7)).endAttempt(p, []Outcome{OutcomeAnswered, OutcomeFailed, OutcomeRejected, OutcomeTimedOut}[k*k%4])
+			for _, attempt := range request.Attempts {
+				trace += fmt.Sprint(attempt.Backend.ID)
+				if attempt.inFlight {
+					h.advance(float64(k%7)).endAttempt(attempt, []Outcome{OutcomeAnswered, OutcomeFailed, OutcomeRejected, OutcomeTimedOut}[k*k%4])
 				}
 			}
 		}
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -9,10 +9,10 @@
 // so that work of other nodes shows only in answer times. While a limit is reached, requests are queued.
 
 const (
-	// initialInFlight is divided between all nodes. The limit of attempts in flight at a backend of which nothing is known is
-	// one attempt for each node, plus the node's share of this.
+	// initialInFlight is a number of attempts in flight that is divided between all nodes. Each node's initial limit for a
+	// backend is one attempt plus the node's share of this.
 	initialInFlight = 3.0
-	// minInFlightPerBackend is a number of attempts in flight, of all nodes together, that no backend is overloaded by.
+	// minInFlightPerBackend is a number of attempts in flight, of all nodes together, that overloads no backend.
 	minInFlightPerBackend = 7.0
 	// toleratedWaitShare is the wait that affordableInFlight allows for each answer, as a share of the latency objective.
 	toleratedWaitShare = 0.4
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -70,9 +70,9 @@
 	AllowHedging   bool    `json:"SecondCopies"`
 	CancelAttempts bool    `json:"Cancel"`   // the host can cancel attempts in flight
 	SendRetryAfter bool    `json:"ComeBack"` // rejections carry Retry-After
-	// MaxRetryAfter is the longest Retry-After, in ms, that a client follows. The balancer never states a longer one. If it is
-	// 0, because the deployment leaves it out, the balancer states 0, and package server puts a wait of its own in place
-	// of that: 0 is neither "no maximum" here nor a request to return at once.
+	// MaxRetryAfter is the longest Retry-After, in ms, that a client follows. The balancer never sends a longer one. If it is
+	// 0, because the deployment leaves it out, the balancer sets 0, and package server replaces that with a wait of its own:
+	// here 0 means neither "no maximum" nor "retry immediately".
 	MaxRetryAfter float64 `json:"MaxComeBack"`
 
 	PollEndpoints    bool    `json:"MustAsk"`      // the endpoint list must be polled, since it is not watched
@@ -109,11 +109,11 @@
 	return 0
 }
 
-// ConfigChanged replaces the configuration. For each class of the new one, from holds the index of the same class in the old
-// one, or -1 if it is new, so that what was learned of the class is kept. Requests keep the configuration under which they
-// arrived.
-func (lb *Balancer) ConfigChanged(now float64, config *Config, from []int) {
-	for index, oldIndex := range from {
+// ConfigChanged replaces the configuration. For each class of the new one, oldIndexes holds the index of the same class
+// in the old one, or -1 if it is new, so that the estimates of the class are kept. Requests keep the configuration under
+// which they arrived.
+func (lb *Balancer) ConfigChanged(now float64, config *Config, oldIndexes []int) {
+	for index, oldIndex := range oldIndexes {
 		if oldIndex >= 0 && oldIndex < len(lb.config.Classes) && index < len(config.Classes) {
 			config.Classes[index].meanWork = lb.config.Classes[oldIndex].meanWork
 		}
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -23,18 +23,18 @@
 //   - rotation: the order in which backends take turns for short requests, in proportion to their rotation shares.
 //   - estimate: the value by which queued requests are ordered, the smallest first.
 //   - patience: the longest wait in ms behind other work for which a request is accepted and not rejected.
-//   - fault: an event that speaks against a backend, such as an error or a time-out.
+//   - fault: an event that indicates that a backend fails, such as an error or a time-out.
 //   - suspicion: a backend's decaying count of faults. A backend is ejected while it lies at or above a threshold.
 //   - poison request: a request that crashes the backend that runs it. It must not be sent to one backend after another.
-//   - doubted endpoint list: a list that lacks so many backends that it is more likely wrong than they are gone.
+//   - doubted endpoint list: a list that has removed so many backends that an error in it is more likely than their failure.
 //   - near backend: one in the node's own zone, or any backend where crossing zones costs nothing.
 //   - slot draw: a pseudo-random number for a backend and a time slot, hashed from the node's seed.
 //   - uncertain attempt: an attempt that may have run, or may still run, at its backend.
 //
 // # The algorithm
 //
-// Without faults or overload the package follows CDA(c), Class Dependent Assignment with cutoff c, by Ungureanu, Melamed
-// and Katehakis ("Performance Comparison of Size-based Scheduling Policies in Clustered Web Servers"). Its idea: short
+// Without faults or overload the package follows CDA(c), Class Dependent Assignment with cutoff c, by Ungureanu,
+// Melamed and Katehakis ("Performance Comparison of Size-based Scheduling Policies in Clustered Web Servers"). Short
 // requests are sent at once, in rotation over the backends; a long request is sent only to an idle backend, and the
 // rotation passes over that backend meanwhile, so that no short request waits behind a long one. Comments that speak of
 // the paper mean this one. docs/design.md lists where the package departs from it, and why.
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -42,8 +42,8 @@
 	// outlierRatio is the multiple of the backends' median answer ratio above which a backend is an outlier. Differences
 	// between kinds of machine are smaller than that.
 	outlierRatio = 4
-	// answerRatioReversion draws a backend's answer ratio back to the median of the backends at each review, so that
-	// slowness that is not seen again is forgotten within seconds: ratio becomes ratio * (median/ratio)^answerRatioReversion.
+	// answerRatioReversion moves a backend's answer ratio toward the median of the backends at each review, so that
+	// slowness that is not seen again expires within seconds: ratio becomes ratio * (median/ratio)^answerRatioReversion.
 	answerRatioReversion = 0.03
 
 	// poisonWindowMs is how long after a reset the balancer acts as if a request had caused it. Within that time a backend
@@ -61,9 +61,9 @@
 	AtMostOnce:        atMostOnceThreshold,
 }
 
-// ejectionState holds what concerns the faults of all backends together.
+// ejectionState holds the state of ejection that concerns all backends together.
 type ejectionState struct {
-	commonSuspicion      float64 // the suspicion that three quarters of the backends have at least
+	commonSuspicion      float64 // the suspicion that at least three quarters of the backends have
 	lastResetAt          float64 // time of the last reset of a connection, at any backend
 	answeredAfterResetAt float64 // time of the last answer that proved that a reset was not a crash; see recordAnswerAfterReset
 }
@@ -93,14 +93,14 @@
 			continue
 		}
 		suspicions = append(suspicions, backend.suspicion.get(lb.now, suspicionHalfLifeMs))
-		if backend.answerRatio.seen > minAnswerRatios {
+		if backend.answerRatio.samples > minAnswerRatios {
 			ratios = append(ratios, backend.answerRatio.value)
 		}
 	}
-	lb.ejection.commonSuspicion = valueAtShare(suspicions, commonSuspicionQuantile)
-	median := valueAtShare(ratios, 0.5)
+	lb.ejection.commonSuspicion = quantileOf(suspicions, commonSuspicionQuantile)
+	median := quantileOf(ratios, 0.5)
 	for _, backend := range lb.backends {
-		if backend.answerRatio.seen <= minAnswerRatios || median == 0 {
+		if backend.answerRatio.samples <= minAnswerRatios || median == 0 {
 			continue
 		}
 		if multiple := backend.answerRatio.value / median; multiple > outlierRatio {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// The endpoint list says which backends exist and which of them may be sent requests. The host either watches the list and
-// passes on its changes, or polls it when the balancer decides DoPoll. Failed polls are repeated with a random backoff that
-// grows; until a new list comes, the old one is used.
+// The endpoint list specifies which backends exist and which of them may be sent requests. The host either watches the
+// list and passes on its changes, or polls it when the balancer decides DoPoll. Failed polls are repeated with a random
+// backoff that grows; until a new list comes, the old one is used.
 //
 // If the removal of a backend that did not drain is only a hint (Config.RemovalIsHint), a list that has lately removed more
 // than half of the backends is doubted: the removed ones are still used, and those that are really gone are ejected by
 // their failed connects.
 
 const (
-	// removedRetentionMs is how long a backend that was removed without draining is remembered, if the list may be wrong. An
+	// removedRetentionMs is how long a backend that was removed without draining is kept, if the list may be wrong. An
 	// error that lasts longer is corrected by operators. The time is bounded so that memory does not grow with all backends
 	// that ever existed.
 	removedRetentionMs = 60e3
@@ -28,13 +28,13 @@
 	pollBackoffDivisor = 3
 )
 
-// BackendState is what the endpoint list says of a backend.
+// BackendState is the state of a backend in the endpoint list.
 type BackendState uint8
 
 const (
-	// BackendRemoved means that the list no longer names the backend.
+	// BackendRemoved means that the list no longer contains the backend.
 	BackendRemoved BackendState = iota
-	// BackendDraining means that the backend finishes its requests and must not be sent further ones.
+	// BackendDraining means that the backend completes its requests and must not be sent further ones.
 	BackendDraining
 	// BackendReady means that the backend may be sent requests.
 	BackendReady
@@ -52,7 +52,7 @@
 	Cordoned bool    // an operator has taken it out of service: it counts as draining even if State is BackendReady
 }
 
-// endpointState holds what the balancer knows of the endpoint list itself.
+// endpointState holds the state of the endpoint list itself.
 type endpointState struct {
 	isDoubted    bool    // it has removed more backends than can have failed; see reviewEndpointList
 	isWatched    bool    // the host receives the list's changes, so that no poll is needed
@@ -86,7 +86,7 @@
 // announces. cordonedAt and uncordonedAt are when an operator took the backend out of service and put it back. A backend is
 // usually restarted while it is out of service, but the list reports that late or never. Therefore uncordonedAt stands in
 // for the start until the list announces one later than cordonedAt. removedAt does not concern the start: it is when the
-// list stopped naming the backend.
+// list stopped containing the backend.
 func (lb *Balancer) applyEndpoint(endpoint Endpoint) {
 	backend := endpoint.Backend
 	if !backend.tracked {
@@ -106,7 +106,7 @@
 		backend.uncordonedAt = lb.now
 	}
 	if endpoint.Started > backend.Started || wasUncordoned {
-		lb.forgetFormerProcess(backend)
+		lb.resetAfterRestart(backend)
 	}
 	if endpoint.State == BackendRemoved {
 		backend.markRemoved(lb.now)
@@ -127,9 +127,9 @@
 	}
 }
 
-// forgetFormerProcess discards what was learned of a backend's former process after a restart. What concerns the machine, such
-// as its pace, is kept.
-func (lb *Balancer) forgetFormerProcess(backend *Backend) {
+// resetAfterRestart discards, after a restart, the measurements of a backend's former process. Measurements of the machine,
+// such as its pace, are kept.
+func (lb *Balancer) resetAfterRestart(backend *Backend) {
 	backend.completionRate = completionRateEstimate{}
 	backend.maxInFlight = 1 + lb.perNodeShare(initialInFlight)
 	backend.suspicion = decayingCounter{}
@@ -137,7 +137,7 @@
 	backend.pausedUntil = 0
 }
 
-// markRemoved records that the list has removed a backend, either by an entry that says so or by no longer naming it.
+// markRemoved records that the list has removed a backend, either by an entry in state BackendRemoved or by omitting it.
 func (b *Backend) markRemoved(now float64) {
 	if b.State != BackendRemoved {
 		b.State = BackendRemoved
@@ -145,16 +145,16 @@
 	}
 }
 
-// forgetIfGone stops tracking a backend that is gone for good, and reports whether it did. Without that, each decision would
-// look at all backends that ever existed. A removed backend is kept while it has attempts in flight, while work that it was
-// sent within Config.OverloadWindow would count if it came back, and for the retention after a removal.
-func (b *Backend) forgetIfGone(now float64, config *Config) bool {
+// untrackIfGone stops tracking a backend that is gone for good, and reports whether it did. Without that, each decision
+// would examine all backends that ever existed. A removed backend is kept while it has attempts in flight, while work
+// that it was sent within Config.OverloadWindow would count if it came back, and for the retention after a removal.
+func (b *Backend) untrackIfGone(now float64, config *Config) bool {
 	b.tracked = b.State != BackendRemoved || len(b.inFlight) > 0 || b.recentWork.sumWithin(now, config.OverloadWindow) > 0 ||
 		now-b.removedAt < config.retentionAfterRemoval()
 	return !b.tracked
 }
 
-// PollFailed records that a poll of the endpoint list failed, or that its watch ended; the old list is used further. The next
+// PollFailed records that a poll of the endpoint list failed, or that its watch ended; the old list stays in use. The next
 // poll follows after a backoff that grows and is spread randomly, so that the polls of all nodes do not overload the
 // discovery service.
 func (lb *Balancer) PollFailed(now float64) {
--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -9,18 +9,18 @@
 // for a unit of work (its pace), the work that it completes for this node in a ms (its completion rate), and the time that
 // attempts spend behind other work there (its wait). Times are in ms. Work is in ms on a standard core.
 //
-// In a large fleet a node receives an answer of a given backend only about once a minute. For what it has not seen of a
-// backend, the estimate for the backend's kind of machine or its zone stands in, and before that is known, a standard core.
+// In a large fleet a node receives an answer of a given backend only about once a minute. Where it has no measurements of a
+// backend, it uses the estimate for the backend's kind of machine or its zone, and before that is known, a standard core.
 
 const (
 	// pacePriorRequests is how many requests of mean work the pace of a backend's kind weighs against the answers of the
 	// backend itself.
 	pacePriorRequests = 3.0
 	// queuedSampleShare is the weight of an answer that is slower than the known pace. Queues of other nodes' requests make
-	// answers slower and nothing makes them faster, so that slow answers say less about the backend.
+	// answers slower and nothing makes them faster, so that slow answers are weaker evidence of the backend's pace.
 	queuedSampleShare = 0.25
-	// bestPaceGrowth is the factor by which the best pace seen rises with each answer: it is forgotten within about a thousand
-	// answers.
+	// bestPaceGrowth is the factor by which the best pace seen rises with each answer: an old one expires within about a
+	// thousand answers.
 	bestPaceGrowth = 1.001
 	// minAnswerTimeMs is the shortest answer time that is used in ratios, since clocks may round a shorter one to 0.
 	minAnswerTimeMs = 0.1
@@ -69,26 +69,26 @@
 // LoadReported records a backend's load report. Its values are better than this node's own measurements: the service time
 // contains no waits, and the queue is that of all nodes.
 //
-// The wait is the queued work at the backend's pace, divided by the number of cores seen at work. If the queue is not
-// reported, it is guessed: the requests in flight, less those that the throughput keeps at work by Little's law. Such a
-// guess is recorded for this backend only and not for its zone.
+// The wait is the queued work at the backend's pace, divided by the largest number of cores seen in use. If the queue is
+// not reported, it is inferred: the requests in flight, less those that the throughput keeps running by Little's law. An
+// inferred wait is recorded for this backend only and not for its zone.
 func (lb *Balancer) LoadReported(now float64, backend *Backend, report LoadReport) {
 	lb.now = now
 	work := &lb.estimates.work
 	if report.ServiceTime > 0 {
 		lb.estimates.serviceTime.add(report.ServiceTime)
-		meanWork := (work.value*work.seen + reportedWorkPrior*lb.estimates.serviceTime.value) / (work.seen + reportedWorkPrior)
+		meanWork := (work.value*work.samples + reportedWorkPrior*lb.estimates.serviceTime.value) / (work.samples + reportedWorkPrior)
 		lb.estimates.paces.add(backend, report.ServiceTime, meanWork)
 	}
 	hasQueue := report.InFlight >= 0 && report.Queued >= 0
-	canGuessQueue := report.InFlight >= 0 && report.Throughput >= 0 && report.ServiceTime >= 0
+	canInferQueue := report.InFlight >= 0 && report.Throughput >= 0 && report.ServiceTime >= 0
 	switch {
 	case hasQueue:
 		running := report.InFlight - report.Queued
 		backend.maxCoresSeen = math.Max(backend.maxCoresSeen, running)
 		wait := report.Queued * work.value * lb.paceOf(backend) / math.Max(backend.maxCoresSeen, 1)
 		lb.estimates.waits.add(backend, now, wait)
-	case canGuessQueue:
+	case canInferQueue:
 		running := report.Throughput * report.ServiceTime / 1e3 // 1e3 since the throughput is per second
 		backend.maxCoresSeen = math.Max(backend.maxCoresSeen, math.Max(1, running))
 		queued := math.Max(0, report.InFlight-backend.maxCoresSeen)
@@ -147,7 +147,7 @@
 // this node measures their queue and not the pace, and is left out. Once backends report service times, which contain no
 // waits, this node's own measurements are no longer used.
 func (lb *Balancer) recordPace(attempt *Attempt, elapsed float64) {
-	if !attempt.wasAlone || lb.estimates.serviceTime.seen > 0 {
+	if !attempt.wasAlone || lb.estimates.serviceTime.samples > 0 {
 		return
 	}
 	work := attempt.Request.work
@@ -159,7 +159,7 @@
 }
 
 // updateBestPace updates the best pace seen by the present one. The best pace rises a little with each answer, so that one
-// that is not reached any more is forgotten.
+// that is not reached any more expires.
 func (b *Backend) updateBestPace(pace float64) {
 	if b.bestPace == 0 || pace < b.bestPace {
 		b.bestPace = pace
@@ -210,8 +210,8 @@
 // decayFactor returns the factor by which a value decays between the times at and now, by its half-life in ms.
 func decayFactor(at, now, halfLife float64) float64 { return math.Exp2((at - now) / halfLife) }
 
-// negligible is the sum below which a decaying counter is set to 0, so that its decay need not be computed any more.
-const negligible = 1e-3
+// negligibleSum is the sum below which a decaying counter is set to 0, so that its decay need not be computed any more.
+const negligibleSum = 1e-3
 
 // decayingCounter is a sum that decays exponentially with time. sum is its value at the time at.
 type decayingCounter struct{ sum, at float64 }
@@ -221,7 +221,7 @@
 		return c.sum
 	}
 	decayed := c.sum * decayFactor(c.at, now, halfLife)
-	if decayed < negligible {
+	if decayed < negligibleSum {
 		c.sum = 0
 		return 0
 	}
@@ -233,58 +233,58 @@
 	c.at = now
 }
 
-// maxMeanSamples is over how many samples a running mean forgets: enough for a steady mean, and few enough to follow changes
-// in the course of a day.
+// maxMeanSamples is the number of samples that a running mean averages over: enough for a steady mean, and few enough to
+// follow changes in the course of a day.
 const maxMeanSamples = 50
 
 // runningMean is the mean of the first maxMeanSamples samples, and from then on an exponentially weighted mean in which each
 // new sample has the weight 1/maxMeanSamples.
-type runningMean struct{ value, seen float64 }
+type runningMean struct{ value, samples float64 }
 
 func (m *runningMean) add(x float64) {
-	m.seen = math.Min(m.seen+1, maxMeanSamples)
-	m.value += (x - m.value) / m.seen
+	m.samples = math.Min(m.samples+1, maxMeanSamples)
+	m.value += (x - m.value) / m.samples
 }
 
 // quantileEstimate follows one quantile of a stream of ratios. Each sample moves the estimate by a factor, up if the sample
 // lies above it and else down, such that the two balance when the wanted share of the samples lies below.
 type quantileEstimate struct {
-	value float64
-	seen  int
+	value   float64
+	samples int
 }
 
 // add records a sample x. quantile, from 0 to 1, is the one to follow; step is the relative size of a step. The first
 // samples take larger steps, of 1 over their number.
 func (q *quantileEstimate) add(x, quantile, step float64) {
-	q.seen++
+	q.samples++
 	switch {
-	case q.seen == 1:
+	case q.samples == 1:
 		q.value = x
 	case x > q.value:
-		q.value *= math.Exp(math.Max(step, 1/float64(q.seen)) * quantile)
+		q.value *= math.Exp(math.Max(step, 1/float64(q.samples)) * quantile)
 	default:
-		q.value *= math.Exp(-math.Max(step, 1/float64(q.seen)) * (1 - quantile))
+		q.value *= math.Exp(-math.Max(step, 1/float64(q.samples)) * (1 - quantile))
 	}
 }
 
 func (q *quantileEstimate) valueOr(unknown float64) float64 {
-	if q.seen == 0 {
+	if q.samples == 0 {
 		return unknown
 	}
 	return q.value
 }
 
-// paceMemory is the factor by which each sample lowers the weight of the earlier ones: a pace follows the latest thirty or
-// so.
-const paceMemory = 0.97
+// paceDecayFactor is the factor by which each sample lowers the weight of the earlier ones: a pace follows about the latest
+// thirty samples.
+const paceDecayFactor = 0.97
 
 // paceEstimate estimates a pace as a decaying sum of times divided by one of work. Each sample thereby has its work as its
-// weight, since the ratio of a small request says little.
+// weight, since the ratio of a small request is imprecise.
 type paceEstimate struct{ time, work float64 }
 
 func (p *paceEstimate) add(time, work float64) {
-	p.time = paceMemory*p.time + time
-	p.work = paceMemory*p.work + work
+	p.time = paceDecayFactor*p.time + time
+	p.work = paceDecayFactor*p.work + work
 }
 
 // blend returns the pace, where the prior pace counts like a sample of priorWork.
@@ -333,28 +333,28 @@
 
 // rate returns the work completed in a ms of busy time, where usual is the rate that is assumed before anything is measured.
 // isBusy says whether an attempt is in flight now.
-func (d completionRateEstimate) rate(now float64, isBusy bool, usual float64) float64 {
-	if d.at == 0 { // in a large fleet most backends are new to a node: this saves the computation for them
+func (e completionRateEstimate) rate(now float64, isBusy bool, usual float64) float64 {
+	if e.at == 0 { // in a large fleet most backends are new to a node: this saves the computation for them
 		return usual
 	}
-	d.advance(now, isBusy)
-	return (d.done + completionPriorMs*usual) / (d.busyTime + completionPriorMs)
+	e.advance(now, isBusy)
+	return (e.done + completionPriorMs*usual) / (e.busyTime + completionPriorMs)
 }
 
 // priorShare returns the part of the estimated rate that is assumed and not measured: completionPriorMs, divided by
 // completionPriorMs and the decayed busy time. It is 1 for a backend without recent attempts, and approaches a small value
 // for one that is always busy.
-func (d completionRateEstimate) priorShare(now float64) float64 {
-	return completionPriorMs / (completionPriorMs + d.busyTime*decayFactor(d.at, now, completionHalfLifeMs))
+func (e completionRateEstimate) priorShare(now float64) float64 {
+	return completionPriorMs / (completionPriorMs + e.busyTime*decayFactor(e.at, now, completionHalfLifeMs))
 }
 
 // throughput returns the work completed in a ms of all time, busy or not. Decayed work of a steady rate adds up to the rate
 // times the half-life divided by ln 2.
-func (d completionRateEstimate) throughput(now float64) float64 {
-	if d.done == 0 {
+func (e completionRateEstimate) throughput(now float64) float64 {
+	if e.done == 0 {
 		return 0
 	}
-	return d.done * decayFactor(d.at, now, completionHalfLifeMs) * math.Ln2 / completionHalfLifeMs
+	return e.done * decayFactor(e.at, now, completionHalfLifeMs) * math.Ln2 / completionHalfLifeMs
 }
 
 // waitHalfLifeMs is the half-life of mean waits. It is a little longer than that of completion rates, since a crowded zone
@@ -411,11 +411,11 @@
 // byIndex is a table with an entry for each zone, or for each kind of machine, by its number.
 type byIndex[T any] []T
 
-func (p *byIndex[T]) entry(place int) *T {
-	for len(*p) <= place {
-		*p = append(*p, *new(T))
+func (t *byIndex[T]) entry(index int) *T {
+	for len(*t) <= index {
+		*t = append(*t, *new(T))
 	}
-	return &(*p)[place]
+	return &(*t)[index]
 }
 
 // slidingSum is a sum over a time window that ends now. at and amount have an entry for each addition, oldest first.
@@ -439,8 +439,8 @@
 	return sum
 }
 
-// hintWindowSize is the number of latest cost hints that place the cutoff. Twenty of them lie above it, which is enough to
-// place it steadily.
+// hintWindowSize is the number of latest cost hints that determine the cutoff. Twenty of them lie above it, which is enough
+// for a stable cutoff.
 const hintWindowSize = 500
 
 // hintWindow holds the latest hintWindowSize cost hints.
@@ -470,11 +470,11 @@
 	return w.sorted[max(i, 0)]
 }
 
-// valueAtShare sorts the values in place, and returns the one below which the given share of them lies; 0 if there are none.
-func valueAtShare(values []float64, share float64) float64 {
+// quantileOf sorts the values in place and returns the given quantile of them, from 0 to less than 1; 0 if there are none.
+func quantileOf(values []float64, quantile float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
 	sort.Float64s(values)
-	return values[int(share*float64(len(values)))]
+	return values[int(quantile*float64(len(values)))]
 }
--- a/balancer/estimators_test.go
+++ b/balancer/estimators_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Waits in a zone count for a backend there of which this node has seen nothing, and are forgotten in time.
-func TestWaitsOfAZoneArePredicted(t *testing.T) {
+// Waits in a zone count for a backend there of which this node has no measurements, and decay with time.
+func TestZoneWaitIsPredicted(t *testing.T) {
 	h := newHarness(t, testConfig(), 3)
 	fresh := h.backends[2]
 	quiet := h.balancer.predictAnswerTime(fresh, &Request{class: &h.balancer.config.Classes[0], work: 10})
@@ -20,12 +20,13 @@
 	assert.Greater(t, h.balancer.predictAnswerTime(fresh, request), quiet+300)
 	assert.Greater(t, h.balancer.queueTime(request, false), 300.0)
 	h.advance(60e3)
-	assert.InDelta(t, quiet, h.balancer.predictAnswerTime(fresh, request), 50, "and is forgotten")
+	assert.InDelta(t, quiet, h.balancer.predictAnswerTime(fresh, request), 50, "the waits have decayed")
 	h.balancer.estimates.waits.add(fresh, h.now, 1000)
-	assert.InDelta(t, 100, h.balancer.zoneWait(1), 2, "a zone never used counts for half of the wait in all")
+	assert.InDelta(t, 100, h.balancer.zoneWait(1), 2, "a zone that was never used counts with half of the mean wait")
 }
 
-// A node of few requests must not take its first hints for the mean: reported service times would seem tenfold.
+// A node with few requests must not take its first cost hints for the mean work: reported service times would make backends
+// appear ten times slower.
 func TestReportedServiceTimes(t *testing.T) {
 	h := newHarness(t, testConfig(), 1)
 	h.requestArrives("a", 0, 5)
@@ -35,8 +36,8 @@
 	assert.Less(t, h.balancer.paceOf(nil), 2.0)
 }
 
-// What a backend reports to be queued there is known before any attempt of this node is queued: the rotation avoids it, and
-// comes back once it reports none.
+// The queue that a backend reports is known before any attempt of this node is queued there. The rotation avoids the
+// backend, and uses it again once the reported queue has decayed.
 func TestRotationFollowsReportedQueues(t *testing.T) {
 	h := newHarness(t, testConfig(), 2)
 	h.balancer.estimates.work = runningMean{50, 50}
@@ -54,19 +55,19 @@
 	}
 	fresh := &Backend{}
 	h.balancer.LoadReported(h.now, fresh, LoadReport{ServiceTime: NotReported, InFlight: 14, Queued: 12})
-	assert.InDelta(t, 300, fresh.waits.mean(h.now, 0, 0), 60, "two at work, twelve of 50 ms wait")
+	assert.InDelta(t, 300, fresh.waits.mean(h.now, 0, 0), 60, "two requests running, twelve of 50 ms queued")
 	assert.InDelta(t, 10, placeRound(), 3)
 	for range 3 {
 		h.balancer.LoadReported(h.now, h.backends[0], LoadReport{ServiceTime: NotReported, InFlight: 14, Queued: 12})
 	}
 	assert.Less(t, placeRound(), 8)
 	h.advance(60e3)
-	assert.InDelta(t, 10, placeRound(), 3, "and is forgotten")
+	assert.InDelta(t, 10, placeRound(), 3, "the report has decayed")
 }
 
-// One silent backend's time-out says nothing of the waits elsewhere. Counted whole, and again for being overdue, it had
-// nodes reject for seconds while all but a few backends were idle.
-func TestSilenceCountsOnceAndForTheObjectiveAtMost(t *testing.T) {
+// The time-out of one backend that does not answer is no evidence of waits elsewhere. Counted in full, and once more for
+// being overdue, it made nodes reject requests for seconds while all but a few backends were idle.
+func TestTimeOutWaitCountsOnceAndAtMostTheObjective(t *testing.T) {
 	h := newHarness(t, testConfig(), 4)
 	request := h.requestArrives("a", 1, 10)
 	h.decisions()
@@ -80,28 +81,28 @@
 	late := h.requestArrives("b", 1, 10)
 	h.decisions()
 	before := h.balancer.estimates.waits.all
-	p := late.Attempts[0]
-	p.isOverdue = true // so that the answer alone is looked at
-	h.advance(3500).endAttempt(p, OutcomeAnswered)
-	left := decayFactor(before.at, h.now, waitHalfLifeMs)
-	assert.InDelta(t, before.sum*left+1000, h.balancer.estimates.waits.all.sum, 1e-6, "a wait counts for the objective at most")
+	attempt := late.Attempts[0]
+	attempt.isOverdue = true // so that only the answer records a wait
+	h.advance(3500).endAttempt(attempt, OutcomeAnswered)
+	decay := decayFactor(before.at, h.now, waitHalfLifeMs)
+	assert.InDelta(t, before.sum*decay+1000, h.balancer.estimates.waits.all.sum, 1e-6, "a wait counts for the objective at most")
 }
 
-// Queues behind heavy requests come and go within a second: of two backends, the one that was just found without a queue
-// goes first, also for a small request, and that is soon forgotten.
-func TestLatestWaitCountsMost(t *testing.T) {
+// Queues behind heavy requests form and dissolve within a second. Of two backends, the one whose latest attempt met no
+// queue is preferred, also for a small request. The preference decays within seconds.
+func TestLatestWaitOutweighsMeanWait(t *testing.T) {
 	h := newHarness(t, testConfig(), 2)
 	a, b := h.backends[0], h.backends[1]
-	for k, x := range []*Backend{a, b} { // the usual waits are the other way round
+	for k, x := range []*Backend{a, b} { // the mean waits suggest the opposite order
 		for range 10 {
 			x.waits.add(h.now, 200*float64(k))
 		}
 	}
-	pa, pb := h.sendShort(a), h.sendShort(b)
+	attemptA, attemptB := h.sendShort(a), h.sendShort(b)
 	h.now += 20
 	h.balancer.now = h.now
-	h.balancer.recordWait(pa, 600)
-	h.balancer.recordWait(pb, 0)
+	h.balancer.recordWait(attemptA, 600)
+	h.balancer.recordWait(attemptB, 0)
 	request := h.requestArrives("a", 0, 10)
 	assert.Greater(t, h.balancer.timeSteps(a, request), h.balancer.timeSteps(b, request))
 	h.now += 3000
@@ -109,16 +110,16 @@
 	assert.Less(t, h.balancer.timeSteps(a, request), h.balancer.timeSteps(b, request))
 	before := b.lastWait
 	h.balancer.recordWait(&Attempt{Request: request, Backend: b, SentAt: before.at - 1}, 400)
-	assert.Equal(t, before, b.lastWait, "one sent earlier tells nothing new")
+	assert.Equal(t, before, b.lastWait, "an attempt that was sent earlier does not replace the latest wait")
 }
 
-// What a report says is in flight beyond what its throughput keeps at work waits there.
-func TestQueueGuessedFromThroughput(t *testing.T) {
+// Requests in flight beyond those that the reported throughput keeps running are queued at the backend.
+func TestQueueInferredFromThroughput(t *testing.T) {
 	h := newHarness(t, testConfig(), 2)
 	h.learnHints()
 	h.balancer.LoadReported(h.now, h.backends[0], LoadReport{ServiceTime: 50, InFlight: 9, Queued: NotReported, Throughput: 20})
 	h.balancer.LoadReported(h.now, h.backends[1], LoadReport{ServiceTime: 50, InFlight: 1, Queued: NotReported, Throughput: 20})
 	assert.Greater(t, h.backends[0].expectedWait(h.now, 0), 100.0)
 	assert.Zero(t, h.backends[1].expectedWait(h.now, 0))
-	assert.Zero(t, h.balancer.zoneWait(0), "a guess of one says nothing of the others")
+	assert.Zero(t, h.balancer.zoneWait(0), "an inferred queue of one backend does not count for its zone")
 }
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Explanations show why a backend was passed over for a request, and what the balancer's estimates of the backend were at
-// that moment. Decisions do not depend on them. `pearknot explain` sets Balancer.OnConsidered on a replayed balancer.
+// Explanations show why a backend was passed over for a request, and the balancer's estimates of the backend at that
+// moment. Decisions do not depend on them. `pearknot explain` sets Balancer.OnConsidered on a replayed balancer.
 
 // Reason is why a backend was passed over for a request.
 type Reason uint8
@@ -26,7 +26,7 @@
 	ReasonBusy
 	// ReasonWarmingUp means that the request is long and the backend has not warmed up.
 	ReasonWarmingUp
-	// ReasonCrossZoneCost means that the request is long and its value does not pay for crossing zones.
+	// ReasonCrossZoneCost means that the request is long and its value does not justify the cost of crossing zones.
 	ReasonCrossZoneCost
 	// ReasonTooSlow means that the answer is expected too late, or the wait to be longer than the request's patience.
 	ReasonTooSlow
@@ -36,7 +36,7 @@
 	ReasonNoHedging
 	// ReasonMayHaveRun (rule 2) means that an earlier attempt may have run, and the class does not allow another one there.
 	ReasonMayHaveRun
-	// ReasonNotReady (rule 3) means that the endpoint list calls the backend draining or has removed it, or that an operator has
+	// ReasonNotReady (rule 3) means that the backend is draining in the endpoint list or removed from it, or that an operator has
 	// cordoned it; see isUsable.
 	ReasonNotReady
 	// ReasonSlowStartBudget (rule 4) means that the backend warms up and this node has used up its share of what it can serve.
@@ -80,8 +80,8 @@
 	return reason
 }
 
-// Belief holds the balancer's estimates of a backend for a request. Times are in ms.
-type Belief struct {
+// BackendEstimates holds the balancer's estimates of a backend for a request. Times are in ms.
+type BackendEstimates struct {
 	IsNear          bool    // it is in the node's own zone, or crossing zones costs nothing
 	AnswerTime      float64 // predicted answer time
 	Alone           float64 // answer time without any wait
@@ -94,13 +94,13 @@
 	RotationPass    float64 // place in the rotation, relative to its position: the lowest has the next turn
 }
 
-// Belief returns the estimates as of the latest input.
-func (lb *Balancer) Belief(request *Request, backend *Backend) Belief {
+// BackendEstimates returns the balancer's estimates of a backend for a request, as of the latest input.
+func (lb *Balancer) BackendEstimates(request *Request, backend *Backend) BackendEstimates {
 	answeredAgo := -1.0
 	if backend.lastAnsweredSentAt > 0 {
 		answeredAgo = lb.now - backend.lastAnsweredSentAt
 	}
-	return Belief{
+	return BackendEstimates{
 		IsNear:          lb.isNear(backend),
 		AnswerTime:      lb.predictAnswerTime(backend, request),
 		Alone:           request.work * lb.paceOf(backend),
--- a/balancer/random.go
+++ b/balancer/random.go
@@ -31,10 +31,10 @@
 // nextBelow returns the next random integer, in [0, n).
 func (m *multiplyWithCarry) nextBelow(n int) int { return int(m.nextUnit() * float64(n)) }
 
-// hashUnit hashes a key together with a reference, such as a backend's ID, to a number in [0, 1). It is the same at every
+// hashUnit hashes a key together with an ID, such as a backend's, to a number in [0, 1). It is the same at every
 // node, so that a key stays with its backend while other backends are added and removed.
-func hashUnit(key, ref uint64) float64 {
-	x := (key ^ ref*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
+func hashUnit(key, id uint64) float64 {
+	x := (key ^ id*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>31) * 0x94d049bb133111eb
 	return float64((x^x>>29)>>11) / (1 << 53)
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -120,7 +120,7 @@
 	request.ArrivedAt = now
 	lb.estimateWork(request)
 	lb.estimateOverQuota(request)
-	lb.review.hasNews = true
+	lb.review.isPending = true
 	lb.estimates.priority.add(lb.priorityOf(request))
 	lb.estimates.work.add(request.work)
 	lb.retries.tokens = math.Min(lb.retries.tokens+retryTokensPerRequest, maxRetryTokens)
--- a/balancer/restore.go
+++ b/balancer/restore.go
@@ -21,7 +21,7 @@
 func Restore(config *Config, s *Snapshot) (*Balancer, []*Request, []*Backend, error) {
 	if len(s.Classes) != len(config.Classes) || len(s.Tenants) != len(config.Tenants) || len(s.Hints) > hintWindowSize ||
 		s.HintNext < 0 || s.HintNext >= hintWindowSize {
-		return nil, nil, nil, errors.New("snapshot of another configuration")
+		return nil, nil, nil, errors.New("snapshot: classes, tenants or cost hints do not fit the configuration")
 	}
 	r := &snapshotReader{lb: New(config, s.Now), snapshot: s}
 	r.readRules()
@@ -48,11 +48,11 @@
 	lb, s := r.lb, r.snapshot
 	lb.timers.armedFor = s.ArmedFor
 	lb.timers.seq = s.Seq
-	lb.review = reviewSchedule{at: s.ReviewAt, hasNews: s.HasNews}
+	lb.review = reviewSchedule{at: s.ReviewAt, isPending: s.IsReviewPending}
 	lb.rotation = rotationState{position: s.RotationPosition, meanWeight: s.MeanWeight}
 	lb.retries = retryState{
 		tokens:               s.RetryTokens,
-		overrun:              quantileEstimate{s.Overrun.Value, s.Overrun.Seen},
+		overrun:              quantileEstimate{s.Overrun.Value, s.Overrun.Samples},
 		latestAnsweredSentAt: s.LatestAnsweredSentAt,
 	}
 	lb.ejection = ejectionState{
@@ -75,9 +75,9 @@
 	lb, s := r.lb, r.snapshot
 	lb.cutoff = hintWindow{ring: slices.Clone(s.Hints), sorted: slices.Clone(s.Hints), next: s.HintNext}
 	sort.Float64s(lb.cutoff.sorted)
-	lb.estimates.priority = runningMean{s.Priority.Value, s.Priority.Seen}
-	lb.estimates.work = runningMean{s.Work.Value, s.Work.Seen}
-	lb.estimates.serviceTime = runningMean{s.ServiceTime.Value, s.ServiceTime.Seen}
+	lb.estimates.priority = runningMean{s.Priority.Value, s.Priority.Samples}
+	lb.estimates.work = runningMean{s.Work.Value, s.Work.Samples}
+	lb.estimates.serviceTime = runningMean{s.ServiceTime.Value, s.ServiceTime.Samples}
 	lb.estimates.paces.all = paceEstimate{s.PaceAll[0], s.PaceAll[1]}
 	for _, pace := range s.PaceKinds {
 		lb.estimates.paces.byKind = append(lb.estimates.paces.byKind, paceEstimate{pace[0], pace[1]})
@@ -90,7 +90,7 @@
 		lb.slowStart.usageByZone = append(lb.slowStart.usageByZone, zoneUsage{usage[0], usage[1]})
 	}
 	for i, class := range s.Classes {
-		lb.config.Classes[i].meanWork = runningMean{class.Value, class.Seen}
+		lb.config.Classes[i].meanWork = runningMean{class.Value, class.Samples}
 	}
 }
 
@@ -116,7 +116,7 @@
 	for _, x := range r.snapshot.Backends {
 		if len(x.RecentWorkAt) != len(x.RecentWork) || len(x.InFlight)%2 != 0 ||
 			x.Zone < 0 || x.Kind < 0 || x.Zone > maxZoneOrKind || x.Kind > maxZoneOrKind {
-			return errors.New("snapshot with an invalid backend")
+			return errors.New("snapshot: invalid backend")
 		}
 		r.backends = append(r.backends, x.restore())
 	}
@@ -143,8 +143,8 @@
 		pausedUntil:        x.PausedUntil,
 		rotationPass:       x.RotationPass,
 		pace:               paceEstimate{x.Pace[0], x.Pace[1]},
-		answerRatio:        quantileEstimate{x.AnswerRatio.Value, x.AnswerRatio.Seen},
-		completionRate:     completionRateEstimate{x.Drain[0], x.Drain[1], x.Drain[2]},
+		answerRatio:        quantileEstimate{x.AnswerRatio.Value, x.AnswerRatio.Samples},
+		completionRate:     completionRateEstimate{x.CompletionRate[0], x.CompletionRate[1], x.CompletionRate[2]},
 		suspicion:          decayingCounter{x.Suspicion[0], x.Suspicion[1]},
 		recentWork:         slidingSum{slices.Clone(x.RecentWorkAt), slices.Clone(x.RecentWork)},
 		waits:              decayingMean{x.Waits[0], x.Waits[1], x.Waits[2]},
@@ -166,12 +166,12 @@
 	config := r.lb.config
 	for _, x := range r.snapshot.Requests {
 		if x.Class < 0 || x.Class >= len(config.Classes) || x.Stage < 0 || x.Stage > int(stageEnded) {
-			return errors.New("snapshot with an invalid request")
+			return errors.New("snapshot: invalid request")
 		}
 		request := x.restore(config)
 		for number, attempt := range x.Attempts {
 			if attempt.Backend < 0 || attempt.Backend >= len(r.backends) {
-				return errors.New("snapshot with an attempt at an unknown backend")
+				return errors.New("snapshot: attempt at an unknown backend")
 			}
 			request.Attempts = append(request.Attempts, &Attempt{
 				Request:      request,
@@ -221,12 +221,12 @@
 func (r *snapshotReader) readKeyQueues() error {
 	for _, x := range r.snapshot.KeyQueues {
 		queue := &keyQueue{key: x.Key, cooldownUntil: x.CooldownUntil}
-		for _, at := range x.Requests {
-			if at < 0 || at >= len(r.requests) || r.requests[at].keyQueue != nil {
-				return errors.New("snapshot with an invalid queue of a key")
+		for _, index := range x.Requests {
+			if index < 0 || index >= len(r.requests) || r.requests[index].keyQueue != nil {
+				return errors.New("snapshot: invalid key queue")
 			}
-			queue.requests = append(queue.requests, r.requests[at])
-			r.requests[at].keyQueue = queue
+			queue.requests = append(queue.requests, r.requests[index])
+			r.requests[index].keyQueue = queue
 		}
 		r.keyQueues = append(r.keyQueues, queue)
 		r.lb.keyQueues[x.Key] = queue
@@ -237,7 +237,7 @@
 // attempt returns a request's attempt, by the index of the request in the snapshot and the number of the attempt.
 func (r *snapshotReader) attempt(request, number int) (*Attempt, error) {
 	if request < 0 || request >= len(r.requests) || number < 0 || number >= len(r.requests[request].Attempts) {
-		return nil, errors.New("snapshot refers to an unknown attempt")
+		return nil, errors.New("snapshot: unknown attempt")
 	}
 	return r.requests[request].Attempts[number], nil
 }
@@ -257,17 +257,17 @@
 
 // readOrder restores the tracked backends and the queue, both in their order.
 func (r *snapshotReader) readOrder() error {
-	for _, at := range r.snapshot.Order {
-		if at < 0 || at >= len(r.backends) {
-			return errors.New("snapshot refers to an unknown backend")
+	for _, index := range r.snapshot.Order {
+		if index < 0 || index >= len(r.backends) {
+			return errors.New("snapshot: unknown backend in the order of tracked backends")
 		}
-		r.lb.backends = append(r.lb.backends, r.backends[at])
+		r.lb.backends = append(r.lb.backends, r.backends[index])
 	}
-	for _, at := range r.snapshot.Queued {
-		if at < 0 || at >= len(r.requests) {
-			return errors.New("snapshot refers to an unknown request")
+	for _, index := range r.snapshot.Queued {
+		if index < 0 || index >= len(r.requests) {
+			return errors.New("snapshot: unknown request in the queue")
 		}
-		r.lb.queue.requests = append(r.lb.queue.requests, r.requests[at])
+		r.lb.queue.requests = append(r.lb.queue.requests, r.requests[index])
 	}
 	return nil
 }
@@ -280,7 +280,7 @@
 		}
 		switch {
 		case math.IsNaN(x.At) || x.Request >= len(r.requests) || x.KeyQueue < 0 || x.KeyQueue > len(r.keyQueues):
-			return errors.New("snapshot with an invalid timer")
+			return errors.New("snapshot: invalid timer")
 		case x.KeyQueue > 0:
 			t.keyQueue = r.keyQueues[x.KeyQueue-1]
 		case x.Request >= 0 && x.Attempt >= 0:
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -5,14 +5,14 @@
 // Slow start bounds the work that a backend receives while it warms up. After its announced start its capacity grows
 // linearly from Config.SlowStartShare to 1 within Config.SlowStartWindow. Within any Config.OverloadWindow, all nodes
 // together may send it at most Config.OverloadMultiple times what it can do in that window: the bound. Each node keeps to
-// its own share of the bound, which it computes without messages, so that the bound holds even if no node hears of the
+// its own share of the bound, which it computes without messages, so that the bound holds even if no node learns of the
 // others.
 
 const (
 	// slowStartSafety is the part of the bound that the nodes' shares use. The rest covers cost hints that are too low, and
 	// the work of opening connections.
 	slowStartSafety = 0.6
-	// drawBudgetShare is the part of the bound that is given out, on average, by the lottery for nodes whose share is less
+	// drawBudgetShare is the part of the bound that is allotted, on average, by random draws to nodes whose share is less
 	// than one request: each node draws once for each backend and window (slotDraw), and a winner may send one request. By
 	// chance the winners of one window may take about three times this part.
 	drawBudgetShare = 0.3
@@ -24,7 +24,7 @@
 	unknownKindPace = 2
 )
 
-// slowStartState holds what a node's share of the bound is computed from.
+// slowStartState holds the values from which a node's share of the bound is computed.
 type slowStartState struct {
 	usageByZone byIndex[zoneUsage]
 	processes   int     // the most processes that this node has consisted of; it counts only until splitUntil
@@ -60,15 +60,15 @@
 // within the OverloadWindow that ends now. A backend that has warmed up has no such bound.
 //
 // The bound is what the backend can do in the window, by the pace of its kind of machine. Until that pace is known the kind
-// is assumed to be half as fast as a standard core, and it never counts as faster than one: an estimate that says so
-// may be wrong.
+// is assumed to be half as fast as a standard core, and it never counts as faster than one: such an estimate may be
+// wrong.
 //
 // This node's share is the larger of two, each of which adds up to slowStartSafety of the bound over all nodes:
 //   - an equal share: slowStartSafety of the bound, divided by the number of nodes;
 //   - a usage share: slowStartSafety of the part of the zone's warmed-up backends that this node lately used, applied to
 //     this backend. A node that carries much traffic thereby has a larger share.
 //
-// With many nodes the share is less than one request. Then a hash lottery for each node, backend and window decides: a node
+// With many nodes the share is less than one request. Then a hashed draw for each node, backend and window decides: a node
 // that has spent nothing in the window may send one request if it wins (see winsSlowStartDraw).
 func (lb *Balancer) hasSlowStartBudget(backend *Backend, work float64) bool {
 	factor := lb.slowStartFactor(backend)
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -16,12 +16,12 @@
 // Snapshots are stored, and sent from one process to the next, by the ORDER of their fields (see internal/snapshot). A field
 // may be renamed, and a new one added at the end of a struct. No field may be moved or removed, or change its type.
 
-// ErrMidBatch is returned for a snapshot while decisions are due: the host must call Next until it returns false before.
-var ErrMidBatch = errors.New("snapshot in the middle of a batch")
+// ErrMidBatch is returned for a snapshot while decisions are due: the host must first call Next until it returns false.
+var ErrMidBatch = errors.New("snapshot: decisions of the present batch are still due")
 
 // ErrEarlierConfig is returned for a snapshot with a request that arrived under an earlier configuration, since its class
 // may have no index in the present one.
-var ErrEarlierConfig = errors.New("snapshot with a request under an earlier configuration")
+var ErrEarlierConfig = errors.New("snapshot: request arrived under an earlier configuration")
 
 // Snapshot is the state of a balancer. Its fields are those of the balancer and its rules' states, under similar names.
 type Snapshot struct {
@@ -36,7 +36,7 @@
 	InFlightLimit        float64
 	LatestAnsweredSentAt float64
 	IsWatched            bool
-	HasNews              bool
+	IsReviewPending      bool
 	HasFreedCapacity     bool
 	PollFailures         int
 	Seq                  uint64
@@ -74,12 +74,12 @@
 
 // QuantileSnapshot is the state of a quantileEstimate.
 type QuantileSnapshot struct {
-	Value float64
-	Seen  int
+	Value   float64
+	Samples int
 }
 
 // MeanSnapshot is the state of a runningMean.
-type MeanSnapshot struct{ Value, Seen float64 }
+type MeanSnapshot struct{ Value, Samples float64 }
 
 // BackendSnapshot is the state of a backend.
 type BackendSnapshot struct {
@@ -101,7 +101,7 @@
 	RotationPass       float64
 	Pace               [2]float64
 	AnswerRatio        QuantileSnapshot
-	Drain              [3]float64 // completion rate: work done, busy time, and the time as of which both hold
+	CompletionRate     [3]float64 // completion rate: work done, busy time, and the time as of which both hold
 	Suspicion          [2]float64
 	RecentWorkAt       []float64
 	RecentWork         []float64
@@ -153,8 +153,8 @@
 	HasStarted   bool
 }
 
-// TimerSnapshot is a timer. It concerns a request, an attempt of a request, a key queue or abandoned work; or nothing, if what
-// it was set for is done.
+// TimerSnapshot is the state of a timer. It concerns a request, an attempt of a request, a key queue or abandoned work; or
+// nothing, if its request or attempt is done.
 type TimerSnapshot struct {
 	At       float64
 	Seq      uint64
@@ -188,21 +188,21 @@
 	if err := w.writeRequests(requests); err != nil {
 		return nil, err
 	}
-	keyQueueAt, err := w.writeKeyQueues(true)
+	keyQueueIndex, err := w.writeKeyQueues(true)
 	if err != nil {
 		return nil, err
 	}
 	if err := w.writeQueue(); err != nil {
 		return nil, err
 	}
-	w.writeTimers(keyQueueAt)
+	w.writeTimers(keyQueueIndex)
 	return w.snapshot, nil
 }
 
 // HandoffSnapshot returns a state for another process to start with, as in a hot restart: what was learned, and the budgets
 // that were spent. Requests, timers and the state of the random generator are not in it, since they stay with this process.
-// The other one polls the endpoint list at once. Cooldowns of keys are in it, since the other process can't know which
-// attempts may still run.
+// The other one polls the endpoint list at once. Cooldowns of keys are in it, since the other process has no record of
+// the attempts that may still run.
 func (lb *Balancer) HandoffSnapshot(backends []*Backend) (*Snapshot, error) {
 	w := newSnapshotWriter(lb, nil, backends)
 	if err := w.writeLearned(backends, false); err != nil {
@@ -216,7 +216,7 @@
 		s.Timers = append(s.Timers, TimerSnapshot{At: queue.CooldownUntil, Request: -1, Attempt: -1, KeyQueue: i + 1})
 	}
 	s.HasFreedCapacity = false
-	s.HasNews = true
+	s.IsReviewPending = true
 	s.Random = [2]uint64{} // Restore then draws from the seed of its own configuration
 	s.ArmedFor = math.Inf(1)
 	s.ReviewAt = s.Now
@@ -232,25 +232,25 @@
 
 // snapshotWriter fills a snapshot part by part.
 type snapshotWriter struct {
-	lb        *Balancer
-	snapshot  *Snapshot
-	requestAt map[*Request]int // index of each request that the host named
-	backendAt map[*Backend]int // index of each backend that the host named
+	lb           *Balancer
+	snapshot     *Snapshot
+	requestIndex map[*Request]int // index of each request in the host's list
+	backendIndex map[*Backend]int // index of each backend in the host's list
 }
 
 func newSnapshotWriter(lb *Balancer, requests []*Request, backends []*Backend) *snapshotWriter {
-	w := &snapshotWriter{lb: lb, requestAt: make(map[*Request]int, len(requests)), backendAt: make(map[*Backend]int, len(backends))}
+	w := &snapshotWriter{lb: lb, requestIndex: make(map[*Request]int, len(requests)), backendIndex: make(map[*Backend]int, len(backends))}
 	for i, request := range requests {
-		w.requestAt[request] = i
+		w.requestIndex[request] = i
 	}
 	for i, backend := range backends {
-		w.backendAt[backend] = i
+		w.backendIndex[backend] = i
 	}
 	return w
 }
 
-// writeLearned starts the snapshot with all that does not belong to single requests; withInFlight adds the attempts in flight
-// at each backend.
+// writeLearned creates the snapshot, with all state that does not belong to single requests; withInFlight adds the attempts
+// in flight at each backend.
 func (w *snapshotWriter) writeLearned(backends []*Backend, withInFlight bool) error {
 	lb := w.lb
 	if len(lb.pending) > 0 || len(lb.decisions) > 0 {
@@ -262,21 +262,21 @@
 		x := backend.snapshot()
 		if withInFlight {
 			for _, attempt := range backend.inFlight {
-				at, named := w.requestAt[attempt.Request]
-				if !named {
-					return fmt.Errorf("snapshot: backend %x has an attempt of request %d, which the host did not name", backend.ID, attempt.Request.ID)
+				index, ok := w.requestIndex[attempt.Request]
+				if !ok {
+					return fmt.Errorf("snapshot: backend %x has an attempt of request %d, which is missing from the given requests", backend.ID, attempt.Request.ID)
 				}
-				x.InFlight = append(x.InFlight, at, attempt.Number)
+				x.InFlight = append(x.InFlight, index, attempt.Number)
 			}
 		}
 		w.snapshot.Backends = append(w.snapshot.Backends, x)
 	}
 	for _, backend := range lb.backends {
-		at, named := w.backendAt[backend]
-		if !named {
-			return fmt.Errorf("snapshot: backend %x was not named by the host", backend.ID)
+		index, ok := w.backendIndex[backend]
+		if !ok {
+			return fmt.Errorf("snapshot: tracked backend %x is missing from the given backends", backend.ID)
 		}
-		w.snapshot.Order = append(w.snapshot.Order, at)
+		w.snapshot.Order = append(w.snapshot.Order, index)
 	}
 	return nil
 }
@@ -295,7 +295,7 @@
 		InFlightLimit:        lb.concurrency.limit,
 		LatestAnsweredSentAt: lb.retries.latestAnsweredSentAt,
 		IsWatched:            lb.endpoints.isWatched,
-		HasNews:              lb.review.hasNews,
+		IsReviewPending:      lb.review.isPending,
 		HasFreedCapacity:     lb.queue.hasFreedCapacity,
 		PollFailures:         lb.endpoints.pollFailures,
 		Processes:            lb.slowStart.processes,
@@ -314,10 +314,10 @@
 	known := &lb.estimates
 	s.TenantRate = [2]float64{lb.config.tenantRate.sum, lb.config.tenantRate.at}
 	s.Hints, s.HintNext = slices.Clone(lb.cutoff.ring), lb.cutoff.next
-	s.Overrun = QuantileSnapshot{lb.retries.overrun.value, lb.retries.overrun.seen}
-	s.Priority = MeanSnapshot{known.priority.value, known.priority.seen}
-	s.Work = MeanSnapshot{known.work.value, known.work.seen}
-	s.ServiceTime = MeanSnapshot{known.serviceTime.value, known.serviceTime.seen}
+	s.Overrun = QuantileSnapshot{lb.retries.overrun.value, lb.retries.overrun.samples}
+	s.Priority = MeanSnapshot{known.priority.value, known.priority.samples}
+	s.Work = MeanSnapshot{known.work.value, known.work.samples}
+	s.ServiceTime = MeanSnapshot{known.serviceTime.value, known.serviceTime.samples}
 	s.PaceAll = [2]float64{known.paces.all.time, known.paces.all.work}
 	s.WaitsAll = [3]float64{known.waits.all.sum, known.waits.all.count, known.waits.all.at}
 	for _, pace := range known.paces.byKind {
@@ -330,7 +330,7 @@
 		s.UsageByZone = append(s.UsageByZone, [2]float64{usage.work, usage.speed})
 	}
 	for _, class := range lb.config.Classes {
-		s.Classes = append(s.Classes, MeanSnapshot{class.meanWork.value, class.meanWork.seen})
+		s.Classes = append(s.Classes, MeanSnapshot{class.meanWork.value, class.meanWork.samples})
 	}
 	for _, tenant := range lb.config.Tenants {
 		s.Tenants = append(s.Tenants, [2]float64{tenant.rate.sum, tenant.rate.at})
@@ -357,8 +357,8 @@
 		PausedUntil:        b.pausedUntil,
 		RotationPass:       b.rotationPass,
 		Pace:               [2]float64{b.pace.time, b.pace.work},
-		AnswerRatio:        QuantileSnapshot{b.answerRatio.value, b.answerRatio.seen},
-		Drain:              [3]float64{b.completionRate.done, b.completionRate.busyTime, b.completionRate.at},
+		AnswerRatio:        QuantileSnapshot{b.answerRatio.value, b.answerRatio.samples},
+		CompletionRate:     [3]float64{b.completionRate.done, b.completionRate.busyTime, b.completionRate.at},
 		Suspicion:          [2]float64{b.suspicion.sum, b.suspicion.at},
 		RecentWorkAt:       slices.Clone(b.recentWork.at),
 		RecentWork:         slices.Clone(b.recentWork.amount),
@@ -397,12 +397,12 @@
 			Key:           r.Key,
 		}
 		for _, a := range r.Attempts {
-			at, named := w.backendAt[a.Backend]
-			if !named {
-				return fmt.Errorf("snapshot: request %d was sent to backend %x, which the host did not name", r.ID, a.Backend.ID)
+			index, ok := w.backendIndex[a.Backend]
+			if !ok {
+				return fmt.Errorf("snapshot: request %d has an attempt at backend %x, which is missing from the given backends", r.ID, a.Backend.ID)
 			}
 			x.Attempts = append(x.Attempts, AttemptSnapshot{
-				Backend:      at,
+				Backend:      index,
 				SentAt:       a.SentAt,
 				ExpectedTime: a.expectedTime,
 				InFlight:     a.inFlight,
@@ -421,49 +421,49 @@
 // writeKeyQueues writes the key queues in the order of their keys, and returns the position of each, from 1 on. Without
 // withRequests, only keys whose cooldown runs are written.
 func (w *snapshotWriter) writeKeyQueues(withRequests bool) (map[*keyQueue]int, error) {
-	keyQueueAt := map[*keyQueue]int{}
+	keyQueueIndex := map[*keyQueue]int{}
 	for _, key := range slices.Sorted(maps.Keys(w.lb.keyQueues)) {
 		queue := w.lb.keyQueues[key]
 		x := KeyQueueSnapshot{Key: key, CooldownUntil: queue.cooldownUntil}
 		if withRequests {
 			for _, request := range queue.requests {
-				at, named := w.requestAt[request]
-				if !named {
-					return nil, fmt.Errorf("snapshot: request %d in the queue of its key was not named by the host", request.ID)
+				index, ok := w.requestIndex[request]
+				if !ok {
+					return nil, fmt.Errorf("snapshot: request %d in its key queue is missing from the given requests", request.ID)
 				}
-				x.Requests = append(x.Requests, at)
+				x.Requests = append(x.Requests, index)
 			}
 		}
 		if withRequests || queue.cooldownUntil > w.lb.now {
 			w.snapshot.KeyQueues = append(w.snapshot.KeyQueues, x)
-			keyQueueAt[queue] = len(w.snapshot.KeyQueues)
+			keyQueueIndex[queue] = len(w.snapshot.KeyQueues)
 		}
 	}
-	return keyQueueAt, nil
+	return keyQueueIndex, nil
 }
 
 func (w *snapshotWriter) writeQueue() error {
 	for _, request := range w.lb.queue.requests {
-		at, named := w.requestAt[request]
-		if !named {
-			return fmt.Errorf("snapshot: queued request %d was not named by the host", request.ID)
+		index, ok := w.requestIndex[request]
+		if !ok {
+			return fmt.Errorf("snapshot: queued request %d is missing from the given requests", request.ID)
 		}
-		w.snapshot.Queued = append(w.snapshot.Queued, at)
+		w.snapshot.Queued = append(w.snapshot.Queued, index)
 	}
 	return nil
 }
 
-func (w *snapshotWriter) writeTimers(keyQueueAt map[*keyQueue]int) {
+func (w *snapshotWriter) writeTimers(keyQueueIndex map[*keyQueue]int) {
 	for _, t := range w.lb.timers.entries {
-		x := TimerSnapshot{At: t.at, Seq: t.seq, Request: -1, Attempt: -1, KeyQueue: keyQueueAt[t.keyQueue], IsWorkAbandoned: t.isWorkAbandoned}
+		x := TimerSnapshot{At: t.at, Seq: t.seq, Request: -1, Attempt: -1, KeyQueue: keyQueueIndex[t.keyQueue], IsWorkAbandoned: t.isWorkAbandoned}
 		switch {
 		case t.request != nil && !t.request.IsDone():
-			if at, named := w.requestAt[t.request]; named {
-				x.Request = at
+			if index, ok := w.requestIndex[t.request]; ok {
+				x.Request = index
 			}
 		case t.attempt != nil && !t.attempt.Request.IsDone():
-			if at, named := w.requestAt[t.attempt.Request]; named {
-				x.Request, x.Attempt = at, t.attempt.Number
+			if index, ok := w.requestIndex[t.attempt.Request]; ok {
+				x.Request, x.Attempt = index, t.attempt.Number
 			}
 		}
 		w.snapshot.Timers = append(w.snapshot.Timers, x)
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A snapshot that another process goes on from holds what was learned, and nothing that the first still has in flight.
+// A snapshot for another process holds the estimates, and nothing that the first process still has in flight.
 func TestHandoffSnapshot(t *testing.T) {
 	h := newHarness(t, testConfig(), 2)
 	h.learnHints()
@@ -17,19 +17,19 @@
 	h.decisions()
 	s, err := h.balancer.HandoffSnapshot(h.backends)
 	require.NoError(t, err)
-	n, requests, backends, err := Restore(testConfig(), s)
+	restored, requests, backends, err := Restore(testConfig(), s)
 	require.NoError(t, err)
 	assert.Empty(t, requests)
-	assert.Zero(t, n.concurrency.inFlight)
-	assert.Len(t, n.cutoff.ring, 101)
-	assert.Equal(t, h.balancer.suspicionOf(h.backends[0]), n.suspicionOf(backends[0]))
+	assert.Zero(t, restored.concurrency.inFlight)
+	assert.Len(t, restored.cutoff.ring, 101)
+	assert.Equal(t, h.balancer.suspicionOf(h.backends[0]), restored.suspicionOf(backends[0]))
 	for k, b := range backends {
 		assert.Empty(t, b.inFlight)
 		assert.Zero(t, b.workInFlight)
-		assert.Equal(t, h.backends[k].recentWork.sumWithin(h.now, 2000), b.recentWork.sumWithin(h.now, 2000), "what was spent counts for both")
+		assert.Equal(t, h.backends[k].recentWork.sumWithin(h.now, 2000), b.recentWork.sumWithin(h.now, 2000), "the spent budget counts for both processes")
 	}
-	n.RequestArrived(h.now, &Request{CostHint: 10, HasCostHint: true, Deadline: h.now + 4000})
-	x, more := n.Next()
+	restored.RequestArrived(h.now, &Request{CostHint: 10, HasCostHint: true, Deadline: h.now + 4000})
+	decision, more := restored.Next()
 	require.True(t, more)
-	assert.Equal(t, DoAttempt, x.Kind)
+	assert.Equal(t, DoAttempt, decision.Kind)
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -7,50 +7,51 @@
 	"github.com/stretchr/testify/require"
 )
 
-// configWithConnectionCost is testConfig where open connections cost.
-func configWithConnectionCost(number, nodes int) *Config {
-	t := testConfig()
-	t.NodeIndex, t.Nodes, t.ConnectionCost, t.CrossZoneCost = number, nodes, 0.06, 0.08
-	return t
+// configWithConnectionCost returns testConfig with a cost of open connections, for one of several nodes.
+func configWithConnectionCost(index, nodes int) *Config {
+	config := testConfig()
+	config.NodeIndex, config.Nodes, config.ConnectionCost, config.CrossZoneCost = index, nodes, 0.06, 0.08
+	return config
 }
 
-// subset is the backends that the node connects to.
-func (h *harness) subset() (own []*Backend) {
+// subset returns the backends that the node connects to.
+func (h *harness) subset() (members []*Backend) {
 	for _, b := range h.backends {
 		if b.inSubset {
-			own = append(own, b)
+			members = append(members, b)
 		}
 	}
-	return own
+	return members
 }
 
-// Reported: 332 nodes and 244 backends of 22 connections each: seven in ten attempts got none. Each node has its
-// subset, and the subsets spread evenly, also over every second node.
+// Guards against a reported fault: with 332 nodes and 244 backends that accept 22 connections each, seven in ten attempts
+// got no connection. Each node connects to a subset only, and the subsets spread evenly over the backends, also if only
+// every second node is in the zone.
 func TestSubsetsSpreadEvenly(t *testing.T) {
 	for _, zones := range []int{1, 2} {
-		at := map[uint64]int{}
-		for number := range 300 {
-			if number%zones > 0 {
+		nodesOf := map[uint64]int{}
+		for index := range 300 {
+			if index%zones > 0 {
 				continue
 			}
-			h := newHarness(t, configWithConnectionCost(number, 300), 200)
+			h := newHarness(t, configWithConnectionCost(index, 300), 200)
 			require.Len(t, h.subset(), subsetSizeOwnZone)
 			for _, b := range h.subset() {
-				at[b.ID]++
+				nodesOf[b.ID]++
 			}
 		}
 		mean := 300.0 / float64(zones) * subsetSizeOwnZone / 200
-		for ref := range uint64(200) {
-			assert.InDelta(t, mean, at[ref], 0.5*mean+1, "backend %d", ref)
+		for id := range uint64(200) {
+			assert.InDelta(t, mean, nodesOf[id], 0.5*mean+1, "backend %d", id)
 		}
 	}
 	h := newHarness(t, testConfig(), 200)
-	assert.Empty(t, h.subset(), "without a cost all are used")
+	assert.Empty(t, h.subset(), "no subset without a connection cost")
 	assert.True(t, h.balancer.mayUse(h.backends[0]))
 }
 
-// A backend that refuses connections is replaced by the next on the ring for as long as it does, is tried again later and
-// later, and does not make others' requests look too slow.
+// A backend that refuses connections is replaced in the subset by the next one on the ring for as long as it does. It is
+// tried again at growing intervals, and does not make requests to other backends appear too slow.
 func TestRefusingBackendIsReplacedInTheSubset(t *testing.T) {
 	h := newHarness(t, configWithConnectionCost(3, 300), 200)
 	own := h.subset()
@@ -78,7 +79,7 @@
 	require.ElementsMatch(t, own, h.subset())
 }
 
-// Long requests keep to the subset too: each backend outside it is one more connection.
+// Long requests stay within the subset too, since each backend outside it would need one more connection.
 func TestLongRequestsKeepToTheSubset(t *testing.T) {
 	h := newHarness(t, configWithConnectionCost(3, 300), 200)
 	h.learnHints()
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -12,14 +12,14 @@
 // clockResolutionMs is how much earlier than asked for the host's timer may fire, since hosts round their clocks.
 const clockResolutionMs = 1e-3
 
-// timer is one entry of the heap. At most one of request, attempt, keyQueue and isWorkAbandoned is set: it says what the timer
-// is for.
+// timer is one entry of the heap. At most one of request, attempt, keyQueue and isWorkAbandoned is set, and determines the
+// purpose of the timer.
 type timer struct {
 	at              float64   // time in ms
 	seq             uint64    // order in which timers were set
-	request         *Request  // its late send if it is queued; the end of its wait for its key's turn if it is new
-	attempt         *Attempt  // it is overdue then
-	keyQueue        *keyQueue // its cooldown ends then
+	request         *Request  // its late send if it is queued; the end of its wait for its turn in its key queue if it is new
+	attempt         *Attempt  // it becomes overdue
+	keyQueue        *keyQueue // its cooldown ends
 	isWorkAbandoned bool      // an attempt that timed out or was canceled is assumed to have stopped running
 }
 
@@ -65,7 +65,7 @@
 // nextWakeUp returns the earliest time at which there is something to do without a further input; infinite for never.
 func (lb *Balancer) nextWakeUp() float64 {
 	at := math.Inf(1)
-	if lb.review.hasNews {
+	if lb.review.isPending {
 		at = lb.review.at
 	}
 	if len(lb.timers.entries) > 0 {
@@ -77,12 +77,12 @@
 	return at
 }
 
-// handleTimer does what a timer was set for, unless that has been settled in the meantime.
+// handleTimer carries out the action of a timer, unless it is no longer needed.
 func (lb *Balancer) handleTimer(t timer) {
 	switch {
 	case t.keyQueue != nil:
 		lb.wakeKeyQueue(t.keyQueue)
-	case t.request != nil && t.request.stage == stageNew: // its turn among the requests of its key has not come in time
+	case t.request != nil && t.request.stage == stageNew: // its turn in its key queue has not come in time
 		lb.rejectOrFail(t.request)
 	case t.request != nil && t.request.stage == stageQueued:
 		lb.sendLate(t.request)
--- a/internal/capture/explain.go
+++ b/internal/capture/explain.go
@@ -72,7 +72,7 @@
 		e.considered = append(e.considered, text)
 		return
 	}
-	belief, backendNumber := core.Belief(request, backend), e.backendNumbers[backend]
+	belief, backendNumber := core.BackendEstimates(request, backend), e.backendNumbers[backend]
 	line := fmt.Sprintf("    backend %d (%x): %s; %.1f ms expected (%.1f when idle), ",
 		backendNumber, backend.ID, reason, belief.AnswerTime, belief.Alone)
 	line += fmt.Sprintf("%d of %.1f attempts in flight, suspicion %.2f, slow start %.2f, rotation %.2f",
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -22,7 +22,7 @@
 		Random:       [2]uint64{1, math.MaxUint64},
 		Hints:        []float64{1, 0, math.Copysign(0, -1)},
 		PaceKinds:    [][2]float64{{0, 0}, {1, 2}},
-		Classes:      []balancer.MeanSnapshot{{}, {Value: 1, Seen: 2}},
+		Classes:      []balancer.MeanSnapshot{{}, {Value: 1, Samples: 2}},
 		Backends: []balancer.BackendSnapshot{
 			{ID: 9, State: balancer.BackendReady, InFlight: []int{0, 1, 2, -1}, Suspicion: [2]float64{0, 7}},
 			{},
