--- a/balancer/config.go
+++ b/balancer/config.go
@@ -9,7 +9,7 @@
 // The JSON names are those under which captures store a configuration. They stay as they are, so that older
 // captures can still be read.
 
-// Idempotency says whether a request of a class may be sent again after an attempt that may have run.
+// Idempotency specifies whether a request of a class may be sent again after an attempt that may have run.
 type Idempotency uint8
 
 const (
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -3,7 +3,7 @@
 //
 // The package is pure: it does no I/O, starts no goroutines and reads no clock. A host, such as internal/node, starts a
 // Balancer with a Config and reports what happens through the input methods (RequestArrived, AttemptEnded and so on).
-// An input only updates what is known. After each batch of inputs the host calls Next until it returns false, and
+// An input only updates the balancer's state. After each batch of inputs the host calls Next until it returns false, and
 // carries out each decision that it returns. No two methods may be called concurrently.
 //
 // # Units
--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// recordAnswer records an answer, elapsed ms after its attempt was sent, for all rules that learn from answers.
+// recordAnswer records an answer, elapsed ms after its attempt was sent, for all rules that evaluate answers.
 func (lb *Balancer) recordAnswer(backend *Backend, attempt *Attempt, elapsed float64) {
 	work := attempt.Request.work
 	backend.releaseOvertaken(lb.now, attempt)
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -182,7 +182,7 @@
 		}
 	}
 	w := newSnapshotWriter(lb, requests, backends)
-	if err := w.writeLearned(backends, true); err != nil {
+	if err := w.writeBalancerState(backends, true); err != nil {
 		return nil, err
 	}
 	if err := w.writeRequests(requests); err != nil {
@@ -199,13 +199,13 @@
 	return w.snapshot, nil
 }
 
-// HandoffSnapshot returns a state for another process to start with, as in a hot restart: what was learned, and the budgets
+// HandoffSnapshot returns a state for another process to start with, as in a hot restart: the estimates, and the budgets
 // that were spent. Requests, timers and the state of the random generator are not in it, since they stay with this process.
 // The other one polls the endpoint list at once. Cooldowns of keys are in it, since the other process has no record of
 // the attempts that may still run.
 func (lb *Balancer) HandoffSnapshot(backends []*Backend) (*Snapshot, error) {
 	w := newSnapshotWriter(lb, nil, backends)
-	if err := w.writeLearned(backends, false); err != nil {
+	if err := w.writeBalancerState(backends, false); err != nil {
 		return nil, err
 	}
 	if _, err := w.writeKeyQueues(false); err != nil {
@@ -249,9 +249,9 @@
 	return w
 }
 
-// writeLearned creates the snapshot, with all state that does not belong to single requests; withInFlight adds the attempts
-// in flight at each backend.
-func (w *snapshotWriter) writeLearned(backends []*Backend, withInFlight bool) error {
+// writeBalancerState creates the snapshot, with all state that does not belong to single requests; withInFlight adds the
+// attempts in flight at each backend.
+func (w *snapshotWriter) writeBalancerState(backends []*Backend, withInFlight bool) error {
 	lb := w.lb
 	if len(lb.pending) > 0 || len(lb.decisions) > 0 {
 		return ErrMidBatch
