--- a/internal/invariants/auditor.go
+++ b/internal/invariants/auditor.go
@@ -1,9 +1,9 @@
-// Package invariants checks from outside whether the program kept its rules: no request is lost, no effect happens twice, a
-// draining backend gets nothing new after its grace, a cold backend is not overloaded, neither by the nodes that were
-// notified of its start nor by all together, and the requests of one key run in order if their class asks for it.
+// Package invariants checks the program's rules from outside: no request is lost, no effect happens twice, a draining backend
+// gets no new attempts after the drain grace, a cold backend is not overloaded, neither by the nodes that were notified of
+// its start nor by all nodes together, and the requests of one key run in order if their class requires it.
 //
-// It does no I/O and knows nothing of the program under test. A test or the lab reports what it observes, event by event,
-// and gets violations, each with the events that prove it. docs/lab.md has the rules' wording.
+// The package does no I/O and is independent of the program under test. A test or the lab reports each event that it
+// observes and gets violations, each with the events that prove it. docs/lab.md has the rules' wording.
 package invariants
 
 import (
@@ -15,40 +15,40 @@
 )
 
 const (
-	// maxViolations is how many violations are stored with their evidence. Further ones are counted.
+	// maxViolations is the number of violations that are stored with their evidence. Further ones are only counted.
 	maxViolations = 50
 
-	// maxEvidence is how many events and attempts are stored of one request, so that a program that sends attempts without
-	// end does not fill the memory.
+	// maxEvidence limits the events and attempts that are stored for one request, so that a program that sends attempts
+	// without end does not exhaust the memory.
 	maxEvidence = 48
 
-	// sweepInterval is after how many accepted requests unused key queues are removed.
+	// sweepInterval is the number of accepted requests between two removals of unused key queues.
 	sweepInterval = 1024
 
-	// ruleCount is the number of the Auditor's rules, and one more since they count from 1.
+	// ruleCount is the number of the Auditor's rules plus one, since the rules are numbered from 1.
 	ruleCount = 7
 )
 
-// Config holds the figures of the rules. Times are milliseconds.
+// Config holds the parameters of the rules. Times are in milliseconds.
 type Config struct {
 	Classes      []balancer.Class
-	MaxAttempts  int     // of one request; 0 means no limit
-	AllowHedging bool    // an attempt may start while another one of its request is in flight
+	MaxAttempts  int     // per request; 0 means no limit
+	AllowHedging bool    // an attempt may start while another attempt of its request is in flight
 	DrainGrace   float64 // after a node was notified of a drain
 
-	ColdCapacity   float64 // the share of its capacity that a backend starts with
-	WarmUp         float64 // after that time a backend has its full capacity
-	OverloadFactor float64 // a cold backend is overloaded by this multiple of what it can do
-	OverloadWindow float64 // the time over which its work is added up
-	MeanWork       float64 // of a request, in ms of a standard core, for the allowance for chance; 0 means no allowance
+	ColdCapacity   float64 // share of its full capacity that a backend starts with
+	WarmUp         float64 // time after which a backend has its full capacity
+	OverloadFactor float64 // multiple of its current capacity by which a cold backend is overloaded
+	OverloadWindow float64 // time over which its work is added up
+	MeanWork       float64 // mean work of a request, in ms of a standard core, for the chance allowance; 0 means no allowance
 
-	KeyCooldown       float64 // how long a key pauses after an attempt that may still run
-	RemovalNotBinding bool    // only a drain binds nodes, a removal without one does not
+	KeyCooldown       float64 // pause of a key after an attempt that may still run
+	RemovalNotBinding bool    // a removal without a drain does not oblige nodes to stop sending
 
-	Tolerance float64 // for events that are observed late; 0 in virtual time
+	Tolerance float64 // allowance for events that are observed late; 0 in virtual time
 }
 
-// Auditor judges events, in the order of time. It stores what is in flight, and of each request what happened until its
+// Auditor checks events in the order of time. It stores what is in flight, and for each request its events until its
 // deadline. Its memory is therefore bounded by the rate of requests times the longest deadline, whatever the length of the
 // run. It is not safe for concurrent use.
 type Auditor struct {
@@ -57,17 +57,17 @@
 	requests     map[uint64]*request
 	deadlines    deadlineQueue
 	backends     map[int]*backend
-	drainNotices map[nodeBackend]Event // of backends that drain or are removed: the first notice that the node got
+	drainNotices map[nodeBackend]Event // first notice that a node got of a backend's drain or removal
 	keyQueues    map[nodeKey]*keyQueue
 	violations   []Violation
 	counts       [ruleCount]int // by rule
-	judged       int
+	requestCount int
 }
 
 // nodeBackend identifies a backend as one node knows it.
 type nodeBackend struct{ node, backend int }
 
-// backend is what the rules need to know of a backend's process.
+// backend holds the properties of a backend's process that the rules need.
 type backend struct {
 	started float64
 	speed   float64
@@ -76,7 +76,7 @@
 	slowStartState
 }
 
-// New returns an auditor that has seen nothing yet.
+// New returns an auditor that has recorded no events.
 func New(config Config) *Auditor {
 	return &Auditor{
 		config:       config,
@@ -88,8 +88,8 @@
 	}
 }
 
-// Record judges an event. One that is older than the latest is judged as it stands, but turns no clock back. Events of
-// unknown kinds are ignored.
+// Record checks an event. An event that is older than the latest one is checked with its own time, but does not set the clock
+// back. Events of unknown kinds are ignored.
 func (a *Auditor) Record(e Event) {
 	a.advance(e.At)
 	switch e.Kind {
@@ -126,7 +126,8 @@
 	}
 }
 
-// nodeKilled forgets what a node had accepted and was notified of. Its successor knows only what it is notified of itself.
+// nodeKilled discards the requests that a node had accepted and the notices that it got. Its successor knows only the notices
+// that it gets itself.
 func (a *Auditor) nodeKilled(e Event) {
 	for _, r := range a.requests {
 		if r.node == e.Node {
@@ -152,7 +153,7 @@
 	}
 }
 
-// Finish ends the audit: no event comes any more, and each request without an answer is lost.
+// Finish ends the audit: no further events are expected, and each request without an answer counts as lost.
 func (a *Auditor) Finish(now float64) {
 	a.advance(now)
 	for len(a.deadlines) > 0 {
@@ -163,30 +164,30 @@
 // Violations returns the first maxViolations violations.
 func (a *Auditor) Violations() []Violation { return a.violations }
 
-// Count returns how often a rule was broken.
+// Count returns the number of violations of a rule.
 func (a *Auditor) Count(r Rule) int { return a.counts[r] }
 
 // AllKept reports whether no rule was broken.
 func (a *Auditor) AllKept() bool { return a.counts == [ruleCount]int{} }
 
-// RequestsJudged returns the number of requests that were accepted.
-func (a *Auditor) RequestsJudged() int { return a.judged }
+// RequestsChecked returns the number of requests that were accepted.
+func (a *Auditor) RequestsChecked() int { return a.requestCount }
 
 // OpenRequests returns the number of requests in memory.
 func (a *Auditor) OpenRequests() int { return len(a.requests) }
 
-// Verdict returns one line for a result.
+// Verdict returns the result of the audit in one line.
 func (a *Auditor) Verdict() string {
 	if a.AllKept() {
-		return fmt.Sprintf("rules kept: %d ops judged", a.judged)
+		return fmt.Sprintf("rules kept: %d ops judged", a.requestCount)
 	}
 	return fmt.Sprintf("rules broken: no op lost %d, no effect twice %d, drains kept %d, cold starts %d, order kept %d, ramps kept %d, of %d ops judged",
 		a.counts[NoRequestLost], a.counts[NoEffectTwice], a.counts[DrainRespected], a.counts[SlowStartPerNode], a.counts[KeyOrder],
-		a.counts[SlowStartFleetwide], a.judged)
+		a.counts[SlowStartFleetwide], a.requestCount)
 }
 
-// violation counts a violation, and stores it if there are not too many.
-func (a *Auditor) violation(rule Rule, evidence []Event, format string, args ...any) {
+// addViolation counts a violation, and stores it if fewer than maxViolations are stored.
+func (a *Auditor) addViolation(rule Rule, evidence []Event, format string, args ...any) {
 	a.counts[rule]++
 	if len(a.violations) >= maxViolations {
 		return
@@ -194,12 +195,12 @@
 	a.violations = append(a.violations, Violation{
 		Rule:     rule,
 		At:       a.now,
-		What:     fmt.Sprintf(format, args...),
+		Message:  fmt.Sprintf(format, args...),
 		Evidence: append([]Event{}, evidence...),
 	})
 }
 
-// advance moves the clock and ends the requests whose deadline has passed.
+// advance sets the clock forward and ends the requests whose deadline has passed.
 func (a *Auditor) advance(now float64) {
 	a.now = math.Max(a.now, now)
 	for len(a.deadlines) > 0 && a.deadlines[0].deadline+a.config.Tolerance < a.now {
--- a/internal/invariants/drain.go
+++ b/internal/invariants/drain.go
@@ -3,10 +3,10 @@
 import "pearknot/balancer"
 
 // The rule DrainRespected: a node that was notified of a drain or a removal starts no attempt at that backend after the
-// drain grace. A backend that never started or is retired gets none at all.
+// drain grace. A backend that never started or is retired gets no attempts at all.
 
-// drainNotified records from when on a node must respect a drain. A further notice gives no new grace. A removal without
-// a drain before it binds nobody where Config says so.
+// drainNotified records the time from which a node must respect a drain. A further notice does not extend the grace. With
+// Config.RemovalNotBinding, a removal without a preceding drain is not recorded.
 func (a *Auditor) drainNotified(e Event) {
 	id := nodeBackend{e.Node, e.Backend}
 	if e.State == balancer.BackendReady {
@@ -24,7 +24,7 @@
 func (a *Auditor) checkDrain(e Event) {
 	notice, notified := a.drainNotices[nodeBackend{e.Node, e.Backend}]
 	if notified && e.At > notice.At+a.config.DrainGrace+a.config.Tolerance {
-		a.violation(DrainRespected, []Event{notice, e}, "backend %d got a push from node %d %.1f ms after that node was told", e.Backend,
+		a.addViolation(DrainRespected, []Event{notice, e}, "backend %d got a push from node %d %.1f ms after that node was notified", e.Backend,
 			e.Node, e.At-notice.At)
 	}
 }
--- a/internal/invariants/effects.go
+++ b/internal/invariants/effects.go
@@ -4,31 +4,31 @@
 
 // The rule NoEffectTwice: a request whose effect must not happen twice is not sent again after an attempt that may have
 // run, except where an idempotency key makes backends drop the repetition: within the deduplication window, and to a
-// backend that shares the first one's record of keys. It is not rejected after such an attempt either, because its client
-// would send it again. No request has more attempts than allowed.
+// backend that shares its record of keys with the first one. It is not rejected after such an attempt either, because its
+// client would send it again. No request has more attempts than allowed.
 
-// checkAttemptCount judges the number of attempts, of which one starts now.
+// checkAttemptCount checks the number of attempts, including the one that starts now.
 func (a *Auditor) checkAttemptCount(r *request) {
 	if a.config.MaxAttempts > 0 && len(r.attempts) >= a.config.MaxAttempts {
-		a.violation(NoEffectTwice, r.events, "op %d pushed %d times, %d allowed", r.id, len(r.attempts)+1, a.config.MaxAttempts)
+		a.addViolation(NoEffectTwice, r.events, "op %d pushed %d times, %d allowed", r.id, len(r.attempts)+1, a.config.MaxAttempts)
 	}
 }
 
-// checkRetry judges an attempt that starts now by what the earlier ones may have done.
+// checkRetry checks whether an attempt may start, given that earlier attempts may have run.
 func (a *Auditor) checkRetry(r *request, e Event) {
-	first := r.firstThatMayHaveRun()
+	first := r.firstUncertainAttempt()
 	if first == nil {
 		return
 	}
 	class := &a.config.Classes[r.class]
 	if class.Idempotency == balancer.AtMostOnce {
-		a.violation(NoEffectTwice, r.events, "at-most-once op %d pushed again, though push %d may have run", r.id, first.number)
+		a.addViolation(NoEffectTwice, r.events, "at-most-once op %d pushed again, though push %d may have run", r.id, first.number)
 		return
 	}
 	if !a.config.AllowHedging {
 		for _, t := range r.attempts {
 			if t.inFlight {
-				a.violation(NoEffectTwice, r.events, "op %d pushed while push %d is out, where no second copies are allowed", r.id, t.number)
+				a.addViolation(NoEffectTwice, r.events, "op %d pushed while push %d is in flight, although hedging is not allowed", r.id, t.number)
 				return
 			}
 		}
@@ -38,11 +38,11 @@
 	}
 }
 
-// checkDedup judges a retry that relies on backends to recognize the request's idempotency key.
+// checkDedup checks a retry that relies on backends to recognize the request's idempotency key.
 func (a *Auditor) checkDedup(r *request, class *balancer.Class, first *attempt, e Event) {
 	sinceFirst := e.At - first.started
 	if sinceFirst >= class.DedupWindow+a.config.Tolerance {
-		a.violation(NoEffectTwice, r.events, "deduplicated op %d pushed again after %.1f ms, its mark is kept for %.1f", r.id, sinceFirst, class.DedupWindow)
+		a.addViolation(NoEffectTwice, r.events, "deduplicated op %d pushed again after %.1f ms, its idempotency key is stored for %.1f ms", r.id, sinceFirst, class.DedupWindow)
 		return
 	}
 	if class.DedupScope == balancer.DedupByAll {
@@ -50,29 +50,29 @@
 	}
 	from, to := a.backends[first.backend], a.backends[e.Backend]
 	if from == nil || to == nil {
-		a.violation(NoEffectTwice, r.events, "deduplicated op %d pushed again to a backend of an unknown group", r.id)
+		a.addViolation(NoEffectTwice, r.events, "deduplicated op %d pushed again, but the deduplication scope of a backend is unknown", r.id)
 		return
 	}
 	otherZone := class.DedupScope == balancer.DedupByZone && from.zone != to.zone
 	otherCell := class.DedupScope == balancer.DedupByCell && from.cell != to.cell
 	if otherZone || otherCell {
-		a.violation(NoEffectTwice, r.events, "deduplicated op %d pushed again outside its group", r.id)
+		a.addViolation(NoEffectTwice, r.events, "deduplicated op %d pushed again outside its deduplication scope", r.id)
 	}
 }
 
-// checkRejectable judges a rejection, after which the client sends the request again.
+// checkRejectable checks a rejection, after which the client sends the request again.
 func (a *Auditor) checkRejectable(r *request) {
-	if r.firstThatMayHaveRun() == nil {
+	if r.firstUncertainAttempt() == nil {
 		return
 	}
 	class := &a.config.Classes[r.class]
 	recognized := class.Idempotency == balancer.IdempotentWithKey && class.DedupScope == balancer.DedupByAll
 	if class.Idempotency != balancer.Idempotent && !recognized {
-		a.violation(NoEffectTwice, r.events, "op %d nacked after a push that may have run: its client would send it again", r.id)
+		a.addViolation(NoEffectTwice, r.events, "op %d nacked after a push that may have run: its client would send it again", r.id)
 	}
 }
 
-// attemptRan counts what really happened: the effect itself, whatever proofs the node had.
+// attemptRan counts the effects that really happened, whatever the node concluded from the attempts' outcomes.
 func (a *Auditor) attemptRan(e Event) {
 	r := a.requests[e.Request]
 	if r == nil {
@@ -81,6 +81,6 @@
 	r.addEvent(e)
 	r.runs++
 	if r.runs > 1 && a.config.Classes[r.class].Idempotency == balancer.AtMostOnce {
-		a.violation(NoEffectTwice, r.events, "at-most-once op %d ran %d times", e.Request, r.runs)
+		a.addViolation(NoEffectTwice, r.events, "at-most-once op %d ran %d times", e.Request, r.runs)
 	}
 }
--- a/internal/invariants/event.go
+++ b/internal/invariants/event.go
@@ -7,7 +7,7 @@
 	"pearknot/balancer"
 )
 
-// Kind says what an event reports. Each kind names the fields of Event that it uses, beside At.
+// Kind is the kind of an event. The comment on each kind lists the fields of Event that it uses, besides At.
 type Kind uint8
 
 const (
@@ -15,26 +15,26 @@
 	RequestAccepted Kind = iota
 	// RequestAnswered reports a request's final answer: Node, Request, Answer; if served, Attempt or AnyAttempt.
 	RequestAnswered
-	// ClientGone reports that a request's client has disconnected, and no answer is owed any more: Request.
+	// ClientGone reports that a request's client has disconnected and no answer is required any more: Request.
 	ClientGone
 	// AttemptStarted reports that an attempt's first byte arrived at a backend: Node, Request, Attempt, Backend, Work.
 	AttemptStarted
 	// AttemptEnded reports an attempt's outcome: Request, Attempt, Outcome.
 	AttemptEnded
-	// AttemptRan reports that a backend has begun the work, whatever became of the response: Request, Attempt, Backend.
+	// AttemptRan reports that a backend has begun the work, whether or not its response arrived: Request, Attempt, Backend.
 	AttemptRan
 	// EndpointNotified reports that a node was notified of a backend's state: Node, Backend, State, Started as the endpoint list has it.
 	EndpointNotified
 	// BackendStarted reports that a backend's process has started: Backend, Started, Speed, Zone, Cell.
 	BackendStarted
-	// BackendRetired reports that a backend will never be listed again, and its number not be reused: Backend.
+	// BackendRetired reports that a backend will never be listed again and its number will not be reused: Backend.
 	BackendRetired
 	// NodeKilled reports that a node's process ended without warning, and lost the requests that it had accepted: Node.
 	NodeKilled
 )
 
-// The texts of events, answers and rules stand in results and event logs that others read, so they keep the words of the
-// operators' pages: op, push, acked, nacked, dead-lettered, told, list.
+// The names of events, answers and rules are part of results and event logs that scripts and operators read. They therefore
+// keep the terms of the operators' pages: op, push, acked, nacked, dead-lettered, told, list.
 var kindNames = [...]string{"op taken", "op answered", "op left", "push begun", "push ended", "push ran", "list told",
 	"backend started", "backend retired", "node killed"}
 
@@ -63,11 +63,12 @@
 // String returns the answer's name in results.
 func (a Answer) String() string { return answerNames[a] }
 
-// AnyAttempt is the attempt of a served request if the event's source can't tell which attempt the response came from.
+// AnyAttempt is the attempt number of a served request if the event's source can't determine which attempt the response came
+// from.
 const AnyAttempt = -1
 
-// Event is something that was observed from outside the program. Times are milliseconds on one clock. Nodes, backends and
-// requests have the same numbers through the whole run.
+// Event is an observation from outside the program. Times are in milliseconds on one clock. Nodes, backends and requests keep
+// their numbers during the whole run.
 type Event struct {
 	At       float64
 	Kind     Kind
@@ -76,16 +77,16 @@
 	State    balancer.BackendState
 	Node     int
 	Backend  int
-	Attempt  int // counts from 0 in each request
+	Attempt  int // number within its request, from 0
 	Class    int
 	Zone     int
 	Cell     int
 	Request  uint64
-	Key      uint64  // what the request is about, for the order of its key; 0 means none
-	Deadline float64 // of the request
-	Work     float64 // in ms of a standard core
-	Started  float64 // when the backend's process started; 0 means long ago
-	Speed    float64 // of all cores of a warm backend together, in standard cores
+	Key      uint64  // ordering key of the request; 0 means none
+	Deadline float64 // deadline of the request
+	Work     float64 // work of the attempt, in ms of a standard core
+	Started  float64 // start time of the backend's process; 0 means long ago
+	Speed    float64 // total speed of a warm backend's cores, in standard cores
 }
 
 // String returns the event as a line of evidence.
--- a/internal/invariants/invariants_test.go
+++ b/internal/invariants/invariants_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// eventSource reports events to an auditor as a test or the lab would. Backends 0, 1 and 2 are in zone 0 and 3 in zone 1,
-// all long warm. Its methods return it, so that events can be chained; after is the time since the previous event.
+// eventSource reports events to an auditor as a test or the lab would. Backends 0, 1 and 2 are in zone 0 and 3 in zone 1;
+// all are warm. Its methods return it, so that events can be chained; after is the time since the previous event.
 type eventSource struct {
 	*Auditor
 	now        float64
@@ -43,81 +43,81 @@
 func newEventSource(config Config) *eventSource {
 	s := &eventSource{Auditor: New(config), now: 10e3}
 	for backend, zone := range []int{0, 0, 0, 1} {
-		s.at(0, Event{Kind: BackendStarted, Backend: backend, Zone: zone, Cell: backend, Speed: 1})
+		s.recordAfter(0, Event{Kind: BackendStarted, Backend: backend, Zone: zone, Cell: backend, Speed: 1})
 	}
 	return s
 }
 
-func (s *eventSource) at(after float64, e Event) *eventSource {
+func (s *eventSource) recordAfter(after float64, e Event) *eventSource {
 	s.now += after
 	e.At = s.now
 	s.Record(e)
 	return s
 }
 
-// accept reports a request that has 1000 ms.
+// accept reports a request whose deadline is in 1000 ms.
 func (s *eventSource) accept(id uint64, class int) *eventSource {
-	return s.at(0, Event{Kind: RequestAccepted, Request: id, Class: class, Deadline: s.now + 1000})
+	return s.recordAfter(0, Event{Kind: RequestAccepted, Request: id, Class: class, Deadline: s.now + 1000})
 }
 
-// acceptOrdered reports a request of a class that keeps the order of keys.
+// acceptOrdered reports a request of a class that is ordered by key, with a deadline in 1000 ms.
 func (s *eventSource) acceptOrdered(id, key uint64) *eventSource {
 	s.config.Classes = append(s.config.Classes[:0:0], s.config.Classes...)
 	s.config.Classes[keyedByAll].Ordered, s.config.KeyCooldown = true, 200
-	s.at(0, Event{Kind: RequestAccepted, Request: id, Class: keyedByAll, Key: key, Deadline: s.now + 1000})
+	s.recordAfter(0, Event{Kind: RequestAccepted, Request: id, Class: keyedByAll, Key: key, Deadline: s.now + 1000})
 	s.unanswered = append(s.unanswered, id)
 	return s
 }
 
 func (s *eventSource) start(after float64, id uint64, attempt, backend int) *eventSource {
-	return s.at(after, Event{Kind: AttemptStarted, Request: id, Attempt: attempt, Backend: backend, Work: 10})
+	return s.recordAfter(after, Event{Kind: AttemptStarted, Request: id, Attempt: attempt, Backend: backend, Work: 10})
 }
 
 func (s *eventSource) endAttempt(after float64, id uint64, attempt int, outcome balancer.Outcome) *eventSource {
-	return s.at(after, Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Outcome: outcome})
+	return s.recordAfter(after, Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Outcome: outcome})
 }
 
 func (s *eventSource) answer(after float64, id uint64, answer Answer) *eventSource {
-	return s.at(after, Event{Kind: RequestAnswered, Request: id, Answer: answer, Attempt: AnyAttempt})
+	return s.recordAfter(after, Event{Kind: RequestAnswered, Request: id, Answer: answer, Attempt: AnyAttempt})
 }
 
 // notify reports that node 0 was notified of a backend's state.
 func (s *eventSource) notify(after float64, backend int, state balancer.BackendState) *eventSource {
-	return s.at(after, Event{Kind: EndpointNotified, Backend: backend, State: state})
+	return s.recordAfter(after, Event{Kind: EndpointNotified, Backend: backend, State: state})
 }
 
 // finish ends the audit long after the last event and returns the counts of violations by rule.
 func (s *eventSource) finish() [ruleCount]int {
 	for _, id := range s.unanswered {
-		s.at(0, Event{Kind: ClientGone, Request: id})
+		s.recordAfter(0, Event{Kind: ClientGone, Request: id})
 	}
 	s.now += 1e5
 	s.Finish(s.now)
 	return s.counts
 }
 
-// flood starts backend 1 and has each of the nodes send it one attempt of that work, after notifying it of the start if
-// notified is true.
+// flood starts backend 1 and has each of the nodes send it one attempt of the given work. If notified is true, each node is
+// notified of the start before it sends.
 func flood(s *eventSource, nodes int, work float64, notified bool) {
 	start := s.now
-	s.at(0, Event{Kind: BackendStarted, Backend: 1, Started: s.now, Speed: 1})
+	s.recordAfter(0, Event{Kind: BackendStarted, Backend: 1, Started: s.now, Speed: 1})
 	for n := range nodes {
 		id := uint64(n + 1)
 		if notified {
-			s.at(0, Event{Kind: EndpointNotified, Node: n, Backend: 1, State: balancer.BackendReady, Started: start})
+			s.recordAfter(0, Event{Kind: EndpointNotified, Node: n, Backend: 1, State: balancer.BackendReady, Started: start})
 		}
-		s.accept(id, idempotent).at(0.01, Event{Kind: AttemptStarted, Request: id, Node: n, Backend: 1, Work: work})
+		s.accept(id, idempotent).recordAfter(0.01, Event{Kind: AttemptStarted, Request: id, Node: n, Backend: 1, Work: work})
 		s.endAttempt(0, id, 0, balancer.OutcomeAnswered).answer(0, id, Served)
 	}
 }
 
-// ruleCases has for each rule what breaks it, in a way that a balancer might be tempted to, and a sound counterpart that
-// does nearly the same and breaks no rule.
+// ruleCases holds, for each rule, event sequences of plausible balancer faults that violate it, each with a conforming
+// counterpart that is nearly the same and violates no rule.
 var ruleCases = []struct {
-	name   string
-	rule   Rule
-	faulty func(*eventSource)
-	sound  func(*eventSource)
+	name       string
+	rule       Rule
+	violating  func(*eventSource)
+	conforming func(*eventSource)
 }{
 	{"answered late", NoRequestLost,
 		func(s *eventSource) {
@@ -131,14 +131,14 @@
 			s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeAnswered)
 		},
 		func(s *eventSource) {
-			s.accept(1, idempotent).start(0, 1, 0, 1).at(5, Event{Kind: ClientGone, Request: 1})
+			s.accept(1, idempotent).start(0, 1, 0, 1).recordAfter(5, Event{Kind: ClientGone, Request: 1})
 		}},
 	{"attempt out of order", KeyOrder,
 		func(s *eventSource) {
-			s.acceptOrdered(1, 7).acceptOrdered(2, 7).start(0, 2, 0, 1).at(5, Event{Kind: ClientGone, Request: 1})
+			s.acceptOrdered(1, 7).acceptOrdered(2, 7).start(0, 2, 0, 1).recordAfter(5, Event{Kind: ClientGone, Request: 1})
 		},
 		func(s *eventSource) {
-			s.acceptOrdered(1, 7).acceptOrdered(2, 8).start(0, 2, 0, 1).at(5, Event{Kind: ClientGone, Request: 1})
+			s.acceptOrdered(1, 7).acceptOrdered(2, 8).start(0, 2, 0, 1).recordAfter(5, Event{Kind: ClientGone, Request: 1})
 		}},
 	{"attempt while an answered request still has one in flight", KeyOrder,
 		func(s *eventSource) {
@@ -162,8 +162,8 @@
 			s.acceptOrdered(1, 7).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeConnectionReset).start(50, 1, 1, 2)
 		}},
 	{"node killed elsewhere", NoRequestLost,
-		func(s *eventSource) { s.accept(1, idempotent).at(5, Event{Kind: NodeKilled, Node: 1}) },
-		func(s *eventSource) { s.accept(1, idempotent).at(5, Event{Kind: NodeKilled, Node: 0}) }},
+		func(s *eventSource) { s.accept(1, idempotent).recordAfter(5, Event{Kind: NodeKilled, Node: 1}) },
+		func(s *eventSource) { s.accept(1, idempotent).recordAfter(5, Event{Kind: NodeKilled, Node: 0}) }},
 	{"two answers", NoRequestLost,
 		func(s *eventSource) {
 			s.accept(1, idempotent).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeAnswered).answer(0, 1, Served).answer(3, 1, Rejected)
@@ -194,10 +194,10 @@
 		}},
 	{"attempt after the deadline", NoRequestLost,
 		func(s *eventSource) {
-			s.accept(1, idempotent).at(990, Event{Kind: ClientGone, Request: 1}).start(20, 1, 0, 1)
+			s.accept(1, idempotent).recordAfter(990, Event{Kind: ClientGone, Request: 1}).start(20, 1, 0, 1)
 		},
 		func(s *eventSource) {
-			s.accept(1, idempotent).at(90, Event{Kind: ClientGone, Request: 1}).start(1, 1, 0, 1)
+			s.accept(1, idempotent).recordAfter(90, Event{Kind: ClientGone, Request: 1}).start(1, 1, 0, 1)
 		}},
 	{"at-most-once retried after a reset", NoEffectTwice,
 		func(s *eventSource) {
@@ -215,12 +215,12 @@
 		}},
 	{"at-most-once ran twice, whatever was proven", NoEffectTwice,
 		func(s *eventSource) {
-			s.accept(1, atMostOnce).start(0, 1, 0, 1).at(0, Event{Kind: AttemptRan, Request: 1}).endAttempt(5, 1, 0, balancer.OutcomeRejected)
-			s.start(0, 1, 1, 2).at(0, Event{Kind: AttemptRan, Request: 1, Attempt: 1}).endAttempt(5, 1, 1, balancer.OutcomeAnswered).answer(0, 1, Served)
+			s.accept(1, atMostOnce).start(0, 1, 0, 1).recordAfter(0, Event{Kind: AttemptRan, Request: 1}).endAttempt(5, 1, 0, balancer.OutcomeRejected)
+			s.start(0, 1, 1, 2).recordAfter(0, Event{Kind: AttemptRan, Request: 1, Attempt: 1}).endAttempt(5, 1, 1, balancer.OutcomeAnswered).answer(0, 1, Served)
 		},
 		func(s *eventSource) {
 			s.accept(1, atMostOnce).start(0, 1, 0, 1).endAttempt(5, 1, 0, balancer.OutcomeRejected)
-			s.start(0, 1, 1, 2).at(0, Event{Kind: AttemptRan, Request: 1, Attempt: 1}).endAttempt(5, 1, 1, balancer.OutcomeAnswered).answer(0, 1, Served)
+			s.start(0, 1, 1, 2).recordAfter(0, Event{Kind: AttemptRan, Request: 1, Attempt: 1}).endAttempt(5, 1, 1, balancer.OutcomeAnswered).answer(0, 1, Served)
 		}},
 	{"rejected after an attempt that may have run", NoEffectTwice,
 		func(s *eventSource) {
@@ -272,44 +272,44 @@
 			s.notify(0, 1, balancer.BackendRemoved).accept(1, idempotent).start(600, 1, 0, 1).answer(0, 1, Rejected)
 		},
 		func(s *eventSource) {
-			s.notify(0, 1, balancer.BackendRemoved).at(1, Event{Kind: NodeKilled}).accept(1, idempotent).start(600, 1, 0, 1).answer(0, 1, Rejected)
+			s.notify(0, 1, balancer.BackendRemoved).recordAfter(1, Event{Kind: NodeKilled}).accept(1, idempotent).start(600, 1, 0, 1).answer(0, 1, Rejected)
 		}},
 	{"retired backend", DrainRespected,
 		func(s *eventSource) {
-			s.at(0, Event{Kind: BackendRetired, Backend: 1}).accept(1, idempotent).start(0, 1, 0, 1).answer(0, 1, Rejected)
+			s.recordAfter(0, Event{Kind: BackendRetired, Backend: 1}).accept(1, idempotent).start(0, 1, 0, 1).answer(0, 1, Rejected)
 		},
 		func(s *eventSource) {
-			s.at(0, Event{Kind: BackendRetired, Backend: 1}).accept(1, idempotent).start(0, 1, 0, 2).answer(0, 1, Rejected)
+			s.recordAfter(0, Event{Kind: BackendRetired, Backend: 1}).accept(1, idempotent).start(0, 1, 0, 2).answer(0, 1, Rejected)
 		}},
-	// A cold backend can take 4 x 0.25 x 2000 = 2000 ms of work: one request of 30 ms from each node is too much.
+	// The limit of a cold backend is 4 x 0.25 x 2000 = 2000 ms of work: one request of 30 ms from each of 100 nodes exceeds it.
 	{"one request from each node", SlowStartPerNode,
 		func(s *eventSource) { flood(s, 100, 30, true) }, func(s *eventSource) { flood(s, 100, 15, true) }},
 	{"notified of the start or not", SlowStartPerNode,
 		func(s *eventSource) { flood(s, 70, 30, true) }, func(s *eventSource) { flood(s, 70, 30, false) }},
 }
 
-// Each rule is noticed to be broken in the ways of ruleCases, with evidence, and their sound counterparts are not reported.
-func TestEachRuleIsNoticed(t *testing.T) {
+// The auditor reports each violating sequence of ruleCases with evidence, and none of the conforming ones.
+func TestAuditorDetectsEachViolation(t *testing.T) {
 	for _, c := range ruleCases {
 		t.Run(c.name, func(t *testing.T) {
 			s := newEventSource(testConfig())
-			c.faulty(s)
+			c.violating(s)
 			counts := s.finish()
-			assert.Positive(t, counts[c.rule], "not caught")
+			assert.Positive(t, counts[c.rule], "violation not detected")
 			require.NotEmpty(t, s.Violations())
 			violation := s.Violations()[0]
 			assert.Equal(t, c.rule, violation.Rule, violation)
 			assert.NotEmpty(t, violation.Evidence)
 			assert.Contains(t, s.Verdict(), "broken")
 			s = newEventSource(testConfig())
-			c.sound(s)
+			c.conforming(s)
 			assert.Equal(t, [ruleCount]int{}, s.finish(), s.Violations())
 			assert.Contains(t, s.Verdict(), "kept")
 		})
 	}
 }
 
-// A violation's text has the request's events as evidence, the oldest first. Results have these texts.
+// A violation's text lists the request's events as evidence, oldest first. These texts are part of results.
 func TestViolationText(t *testing.T) {
 	s := newEventSource(testConfig())
 	s.accept(7, atMostOnce).start(0, 7, 0, 1).endAttempt(5, 7, 0, balancer.OutcomeConnectionReset).start(0, 7, 1, 2)
@@ -321,8 +321,8 @@
     10005.0 push begun op 7 push 1 node 0 backend 2 work 10.0`, s.Violations()[0].String())
 }
 
-// After many requests only those before their deadline are in memory, and a program that sends attempts without end uses no
-// more than the bounds.
+// After many requests only those before their deadline are in memory, and a program that sends attempts without end does not
+// exceed the bounds.
 func TestBoundedMemory(t *testing.T) {
 	s := newEventSource(testConfig())
 	for k := range uint64(300_000) {
@@ -342,8 +342,8 @@
 	assert.Equal(t, 10_000-3, s.Count(NoEffectTwice))
 }
 
-// A program that keeps the rules has no violations, whatever the outcomes of its attempts. With one fault injected it
-// always has some.
+// A program that keeps the rules has no violations, whatever the outcomes of its attempts. With one fault injected there is
+// always a violation.
 func TestRandomRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newEventSource(testConfig())
@@ -409,7 +409,7 @@
 		}
 		s.finish()
 		if faults > 0 && s.AllKept() {
-			t.Fatalf("fault %q not noticed", fault)
+			t.Fatalf("fault %q not detected", fault)
 		}
 		if faults == 0 && !s.AllKept() {
 			t.Fatalf("violations without a fault: %v", s.Violations())
@@ -417,7 +417,7 @@
 	})
 }
 
-// An event that is reported late turns no clock back, and an invalid one is a violation or ignored, never a panic.
+// An event that is reported late does not set the clock back. An invalid one is a violation or ignored, and never panics.
 func TestLateAndInvalidEvents(t *testing.T) {
 	s := newEventSource(testConfig())
 	s.accept(1, idempotent).accept(1, idempotent)
@@ -442,7 +442,7 @@
 }
 
 // An attempt that was sent just before the answer is observed just after it. That is a violation in virtual time and beyond
-// the tolerance, and none within it.
+// the tolerance, but not within the tolerance.
 func TestAttemptObservedLate(t *testing.T) {
 	for _, c := range []struct {
 		tolerance, after float64
@@ -456,8 +456,8 @@
 	}
 }
 
-// Where removal is not binding, a removed backend may get attempts, unless it drained before.
-func TestRemovalWithoutADrain(t *testing.T) {
+// With RemovalNotBinding a removed backend may get attempts, unless it was draining before.
+func TestRemovalWithoutDrain(t *testing.T) {
 	for binding, want := range map[bool]int{true: 1, false: 0} {
 		config := testConfig()
 		config.RemovalNotBinding = !binding
--- a/internal/invariants/keyaudit_test.go
+++ b/internal/invariants/keyaudit_test.go
@@ -8,7 +8,7 @@
 	"pearknot/balancer"
 )
 
-// Each rule on stored requests is violations by what it is there for, and by nothing else.
+// Each rule on stored requests is violated by exactly the cases that it is meant to detect.
 func TestKeyAuditor(t *testing.T) {
 	for name, c := range map[string]struct {
 		report func(*KeyAuditor)
--- a/internal/invariants/keyorder.go
+++ b/internal/invariants/keyorder.go
@@ -7,9 +7,9 @@
 	"pearknot/balancer"
 )
 
-// The rule KeyOrder: the requests of one key at one node, in classes that ask for order, are sent one after the other, as
-// they were accepted. After an attempt that may still run the key pauses for a cooldown; that binds the requests behind it,
-// while the request itself may be retried at once.
+// The rule KeyOrder: the requests of one key at one node, in classes that require ordering, are sent one after the other, in
+// the order in which they were accepted. After an attempt that may still run the key pauses for a cooldown. The cooldown
+// applies to the requests behind it, while the request itself may be retried at once.
 
 // nodeKey identifies a key at one node.
 type nodeKey struct {
@@ -17,7 +17,7 @@
 	key  uint64
 }
 
-// keyQueue holds a key's requests at one node that are not over, in the order in which they were accepted.
+// keyQueue holds a key's unfinished requests at one node, in the order in which they were accepted.
 type keyQueue struct {
 	requests      []*request
 	cooldownUntil float64
@@ -32,7 +32,7 @@
 	r.queue.requests = append(r.queue.requests, r)
 }
 
-// leaveQueueIfOver lets the next request of the key go on if this one is over: closed, with nothing in flight.
+// leaveQueueIfOver removes the request from its key's queue if it is over, which means closed with no attempt in flight.
 func (r *request) leaveQueueIfOver() {
 	if r.closed && !r.hasAttemptInFlight() {
 		r.leaveQueue()
@@ -47,19 +47,19 @@
 	r.queue = nil
 }
 
-// checkKeyOrder judges an attempt by the requests of its key that were accepted earlier.
+// checkKeyOrder checks an attempt against the requests of its key that were accepted earlier.
 func (a *Auditor) checkKeyOrder(r *request, e Event) {
 	if r.queue == nil {
 		return
 	}
 	if first := r.queue.requests[0]; first != r {
-		a.violation(KeyOrder, append(slices.Clone(first.events), r.events...), "op %d pushed while op %d of its key, taken earlier, is not over",
+		a.addViolation(KeyOrder, append(slices.Clone(first.events), r.events...), "op %d pushed while op %d of its key, taken earlier, is not over",
 			r.id, first.id)
 		return
 	}
 	isRetry := len(r.attempts) > 0
 	if !isRetry && e.At < r.queue.cooldownUntil-a.config.Tolerance {
-		a.violation(KeyOrder, r.events, "op %d pushed %.1f ms before the end of its key's rest", r.id, r.queue.cooldownUntil-e.At)
+		a.addViolation(KeyOrder, r.events, "op %d pushed %.1f ms before the end of its key's cooldown", r.id, r.queue.cooldownUntil-e.At)
 	}
 }
 
--- a/internal/invariants/requests.go
+++ b/internal/invariants/requests.go
@@ -7,42 +7,42 @@
 )
 
 // The rule NoRequestLost: each request that a node accepts has exactly one final answer, by its deadline. A served one has
-// a response that a backend made. Attempts start only while the request is open. An answer of the node's own is given when
-// it is due, and not withheld until the deadline is near.
+// a response that a backend made. Attempts start only while the request is open. A node sends a rejection or failure of its
+// own as soon as it is due, and does not withhold it until the deadline is near.
 
-// An answer of the node's own counts as withheld if it comes in the last tenth of the request's time, and more than a tenth
-// of that time after the last attempt ended. Last attempts start at three quarters of the time at the latest, so a request
-// that rightly waits for one has its answer earlier.
+// A rejection or failure counts as withheld if it comes in the last tenth of the request's time, and more than a tenth of
+// that time after the last attempt ended. Last attempts start at three quarters of the time at the latest, so a request that
+// correctly waits for one is answered earlier.
 const (
 	withheldAfterShare = 0.9
 	withheldIdleShare  = 0.1
 )
 
-// request is what is known of a request until its deadline.
+// request holds the state of a request until its deadline.
 type request struct {
 	id         uint64
 	node       int
 	class      int
 	accepted   float64
 	deadline   float64
-	closed     bool // no answer is owed: it has one, or its client or node is gone
+	closed     bool // no answer is required: it has one, or its client or node is gone
 	answered   bool
 	answeredAt float64
 	clientGone bool
 	runs       int     // how often a backend began its work
-	quietSince float64 // when the latest attempt ended, or the request was accepted
+	idleSince  float64 // when the latest attempt ended or the request was accepted
 	attempts   []attempt
 	events     []Event
-	queue      *keyQueue // nil if it keeps no order, or is over
+	queue      *keyQueue // nil if its class is not ordered or it is over
 }
 
-// attempt is what is known of an attempt.
+// attempt holds the state of an attempt.
 type attempt struct {
 	number   int
 	backend  int
 	started  float64
 	inFlight bool
-	outcome  balancer.Outcome // once it is no longer in flight
+	outcome  balancer.Outcome // valid once it is no longer in flight
 }
 
 func (t attempt) mayHaveRun() bool { return t.inFlight || !t.outcome.NeverRan() }
@@ -53,8 +53,8 @@
 	}
 }
 
-// firstThatMayHaveRun returns the first attempt that is not proven never to have run, or nil.
-func (r *request) firstThatMayHaveRun() *attempt {
+// firstUncertainAttempt returns the first attempt that is not proven never to have run, or nil.
+func (r *request) firstUncertainAttempt() *attempt {
 	for i := range r.attempts {
 		if r.attempts[i].mayHaveRun() {
 			return &r.attempts[i]
@@ -72,11 +72,11 @@
 	return false
 }
 
-// hasResponse reports whether a backend answered the attempt of that number, or any one if it is AnyAttempt.
+// hasResponse reports whether a backend answered the attempt with that number, or any attempt if it is AnyAttempt.
 func (r *request) hasResponse(number int) bool {
 	for _, t := range r.attempts {
-		isMeant := number == AnyAttempt || number == t.number
-		if isMeant && !t.inFlight && t.outcome == balancer.OutcomeAnswered {
+		isSelected := number == AnyAttempt || number == t.number
+		if isSelected && !t.inFlight && t.outcome == balancer.OutcomeAnswered {
 			return true
 		}
 	}
@@ -85,18 +85,18 @@
 
 func (a *Auditor) requestAccepted(e Event) {
 	if earlier := a.requests[e.Request]; earlier != nil {
-		a.violation(NoRequestLost, append(earlier.events, e), "op %d taken twice", e.Request)
+		a.addViolation(NoRequestLost, append(earlier.events, e), "op %d taken twice", e.Request)
 		return
 	}
 	if e.Class < 0 || e.Class >= len(a.config.Classes) {
-		a.violation(NoRequestLost, []Event{e}, "op %d of category %d, which the terms don't name", e.Request, e.Class)
+		a.addViolation(NoRequestLost, []Event{e}, "op %d of class %d, which is not configured", e.Request, e.Class)
 		return
 	}
-	a.judged++
-	if a.judged%sweepInterval == 0 {
+	a.requestCount++
+	if a.requestCount%sweepInterval == 0 {
 		a.sweepKeyQueues()
 	}
-	r := &request{id: e.Request, node: e.Node, class: e.Class, accepted: e.At, quietSince: e.At, deadline: e.Deadline}
+	r := &request{id: e.Request, node: e.Node, class: e.Class, accepted: e.At, idleSince: e.At, deadline: e.Deadline}
 	r.addEvent(e)
 	a.requests[e.Request] = r
 	if a.config.Classes[e.Class].Ordered && e.Key != 0 {
@@ -108,25 +108,25 @@
 func (a *Auditor) requestAnswered(e Event) {
 	r := a.requests[e.Request]
 	if r == nil {
-		a.violation(NoRequestLost, []Event{e}, "op %d %s, though it is not open: answered before, never taken, or past its TTL", e.Request, e.Answer)
+		a.addViolation(NoRequestLost, []Event{e}, "op %d %s, though it is not open: answered before, never taken, or past its TTL", e.Request, e.Answer)
 		return
 	}
 	r.addEvent(e)
 	if r.answered {
-		a.violation(NoRequestLost, r.events, "op %d has a second final answer", e.Request)
+		a.addViolation(NoRequestLost, r.events, "op %d has a second final answer", e.Request)
 		return
 	}
-	if r.clientGone { // an answer that meets its client's or its node's end is nobody's
+	if r.clientGone { // answered while the client disconnected or the node was killed
 		return
 	}
 	r.closed, r.answered, r.answeredAt = true, true, e.At
 	defer r.leaveQueueIfOver()
 	if e.At > r.deadline+a.config.Tolerance {
-		a.violation(NoRequestLost, r.events, "op %d %s %.1f ms after its TTL's end", e.Request, e.Answer, e.At-r.deadline)
+		a.addViolation(NoRequestLost, r.events, "op %d %s %.1f ms after its TTL's end", e.Request, e.Answer, e.At-r.deadline)
 	}
 	if e.Answer == Served {
 		if !r.hasResponse(e.Attempt) {
-			a.violation(NoRequestLost, r.events, "op %d acked with an answer that no backend made", e.Request)
+			a.addViolation(NoRequestLost, r.events, "op %d acked with an answer that no backend made", e.Request)
 		}
 		return
 	}
@@ -136,15 +136,15 @@
 	}
 }
 
-// checkWithheld judges an answer of the node's own that comes late though no attempt was in flight.
+// checkWithheld checks for a rejection or failure that comes late although no attempt was in flight.
 func (a *Auditor) checkWithheld(r *request, e Event) {
 	if r.hasAttemptInFlight() {
 		return
 	}
-	total, waited := r.deadline-r.accepted, e.At-r.quietSince
+	total, waited := r.deadline-r.accepted, e.At-r.idleSince
 	isLate := e.At-r.accepted > withheldAfterShare*total
 	if isLate && waited > withheldIdleShare*total+a.config.Tolerance {
-		a.violation(NoRequestLost, r.events, "op %d %s %.1f ms after its last push ended: sat on until its TTL was near", e.Request,
+		a.addViolation(NoRequestLost, r.events, "op %d %s %.1f ms after its last push ended: withheld until its TTL was near", e.Request,
 			e.Answer, waited)
 	}
 }
@@ -164,16 +164,16 @@
 	a.checkSlowStart(e)
 	r := a.requests[e.Request]
 	if r == nil {
-		a.violation(NoRequestLost, []Event{e}, "op %d pushed to backend %d, though it is not open: past its TTL, or never taken", e.Request, e.Backend)
+		a.addViolation(NoRequestLost, []Event{e}, "op %d pushed to backend %d, though it is not open: past its TTL, or never taken", e.Request, e.Backend)
 		return
 	}
 	r.addEvent(e)
-	// An attempt that was sent just before the answer may be observed just after it, if others on another machine observe it.
+	// An attempt that was sent just before the answer may be observed just after it if another machine reports it.
 	if r.answered && e.At-r.answeredAt >= a.config.Tolerance {
-		a.violation(NoRequestLost, r.events, "op %d pushed to backend %d after its final answer", e.Request, e.Backend)
+		a.addViolation(NoRequestLost, r.events, "op %d pushed to backend %d after its final answer", e.Request, e.Backend)
 	}
 	if e.At > r.deadline+a.config.Tolerance {
-		a.violation(NoRequestLost, r.events, "op %d pushed to backend %d after its TTL's end", e.Request, e.Backend)
+		a.addViolation(NoRequestLost, r.events, "op %d pushed to backend %d after its TTL's end", e.Request, e.Backend)
 	}
 	a.checkAttemptCount(r)
 	a.checkRetry(r, e)
@@ -196,17 +196,17 @@
 			continue
 		}
 		t.inFlight, t.outcome = false, e.Outcome
-		r.quietSince = e.At
+		r.idleSince = e.At
 		a.beginKeyCooldown(r, e)
 		r.leaveQueueIfOver()
 		return
 	}
 }
 
-// expire ends a request at its deadline, by which it must have an answer, and forgets it.
+// expire ends a request at its deadline, by which it must have an answer, and discards it.
 func (a *Auditor) expire(r *request) {
 	if !r.closed {
-		a.violation(NoRequestLost, r.events, "op %d has no final answer by its TTL's end at %.1f", r.id, r.deadline)
+		a.addViolation(NoRequestLost, r.events, "op %d has no final answer by its TTL's end at %.1f", r.id, r.deadline)
 	}
 	r.leaveQueue() // attempts that are still in flight can't be followed any more
 	if a.requests[r.id] == r {
@@ -214,7 +214,7 @@
 	}
 }
 
-// deadlineQueue is a heap of requests by their deadlines.
+// deadlineQueue is a heap of requests ordered by deadline.
 type deadlineQueue []*request
 
 // Len implements heap.Interface.
--- a/internal/invariants/slowstart.go
+++ b/internal/invariants/slowstart.go
@@ -2,31 +2,31 @@
 
 import "math"
 
-// The rules on slow start. A backend that has just started can do a share of its work (Config.ColdCapacity), which grows to
-// all of it over Config.WarmUp. It fails if, within one Config.OverloadWindow, it gets more than Config.OverloadFactor
-// times the work that it can do.
+// The rules on slow start. A backend that has just started has a share of its capacity (Config.ColdCapacity), which grows to
+// the full capacity over Config.WarmUp. It fails if, within one Config.OverloadWindow, it gets more than
+// Config.OverloadFactor times the work that it has capacity for.
 //
-// SlowStartPerNode adds up the work from nodes that had been notified of the start: a node can't respect what it doesn't
-// know. SlowStartFleetwide adds up the work from all nodes and allows for chance, since they don't coordinate; it is broken
-// if the backend fails and most of that work came from nodes that had been notified.
+// SlowStartPerNode adds up the work from nodes that had been notified of the start, because a node can't respect a start
+// that it doesn't know of. SlowStartFleetwide adds up the work from all nodes and allows for chance, since they don't
+// coordinate; it is broken if the backend fails and most of that work came from nodes that had been notified.
 
-// slowStartState is what is known of a backend's process while it is cold.
+// slowStartState holds the work that a backend's process gets while it is cold.
 type slowStartState struct {
-	notifiedNodes map[int]bool // the nodes that were notified of this start; nil once the backend is warm
+	notifiedNodes map[int]bool // nodes that were notified of this start; nil once the backend is warm
 
-	// Attempts within the window of nodes in notifiedNodes, for SlowStartPerNode.
+	// Attempts within the window by nodes in notifiedNodes, for SlowStartPerNode.
 	notifiedAttempts []Event
 	notifiedWork     float64 // their sum
-	overloaded       bool    // that was reported, once for each start
+	overloaded       bool    // an overload was reported, once for each start
 
-	// Attempts within the window of all nodes, for SlowStartFleetwide.
+	// Attempts within the window by all nodes, for SlowStartFleetwide.
 	attempts         []coldAttempt
 	work             float64 // their sum
 	workFromNotified float64 // the sum of those that were fromNotified
-	failed           bool    // it got too much, and is down until its next start
+	failed           bool    // it was overloaded and is down until its next start
 }
 
-// coldAttempt is an attempt at a cold backend.
+// coldAttempt is an attempt that was sent to a cold backend.
 type coldAttempt struct {
 	Event
 	fromNotified bool // its node had been notified of the start when it started
@@ -34,7 +34,7 @@
 
 func newSlowStartState() slowStartState { return slowStartState{notifiedNodes: map[int]bool{}} }
 
-// startNotified records that a node knows of a backend's start.
+// startNotified records that a node was notified of a backend's start.
 func (a *Auditor) startNotified(e Event) {
 	b := a.backends[e.Backend]
 	if b != nil && b.started > 0 && e.Started >= b.started && b.notifiedNodes != nil {
@@ -45,7 +45,7 @@
 func (a *Auditor) checkSlowStart(e Event) {
 	b := a.backends[e.Backend]
 	if b == nil {
-		a.violation(DrainRespected, []Event{e}, "push to backend %d, which was never started or is retired", e.Backend)
+		a.addViolation(DrainRespected, []Event{e}, "push to backend %d, which was never started or is retired", e.Backend)
 		return
 	}
 	age := e.At - b.started
@@ -80,21 +80,21 @@
 	for _, attempt := range b.notifiedAttempts {
 		nodes[attempt.Node] = true
 	}
-	a.violation(SlowStartPerNode, b.notifiedAttempts[max(0, len(b.notifiedAttempts)-maxEvidence):],
-		"backend %d, started %.1f ms ago, was sent %.1f ms of work in %.1f ms by %d nodes, and stands %.1f", e.Backend, age,
+	a.addViolation(SlowStartPerNode, b.notifiedAttempts[max(0, len(b.notifiedAttempts)-maxEvidence):],
+		"backend %d, started %.1f ms ago, was sent %.1f ms of work in %.1f ms by %d nodes, and can take %.1f", e.Backend, age,
 		b.notifiedWork, a.config.OverloadWindow, len(nodes), allowed)
 }
 
-// OverloadThreshold returns the work in one window above which a cold backend fails, if the configuration allows that much
-// and requests have that mean work, all in ms of a standard core. Counted in such requests it is N + 2 sqrt(N) + 2, N being
-// what is allowed: the part beyond N is what nodes that don't coordinate may add by chance.
+// OverloadThreshold returns the work in one window above which a cold backend fails, given the allowed work and the mean work
+// of requests, all in ms of a standard core. Counted in requests of mean work it is N + 2 sqrt(N) + 2, where N is the
+// allowed number: the part beyond N is the excess that nodes may cause by chance since they don't coordinate.
 func OverloadThreshold(allowed, meanWork float64) float64 {
 	return allowed + 2*math.Sqrt(allowed*meanWork) + 2*meanWork
 }
 
 // checkSlowStartFleetwide adds an attempt to the work in the window that ends now. A backend that gets more than the
-// threshold fails, and what it gets until its next start is not judged. The rule is broken if over two thirds of the work
-// came from nodes that had been notified of the start.
+// threshold fails, and the attempts that it gets until its next start are not checked. The rule is broken if over two thirds
+// of the work came from nodes that had been notified of the start.
 func (a *Auditor) checkSlowStartFleetwide(b *backend, e Event, age, allowed float64) {
 	if b.failed {
 		return
@@ -121,11 +121,11 @@
 			evidence = append(evidence, attempt.Event)
 		}
 	}
-	a.violation(SlowStartFleetwide, evidence, "backend %d, started %.1f ms ago, fell: %.1f ms of work in %.1f ms by %d nodes, %.1f of it by those told of the "+
-		"start; it is allowed %.1f, and with chance %.1f", e.Backend, age, b.work, a.config.OverloadWindow, len(nodes), b.workFromNotified, allowed, threshold)
+	a.addViolation(SlowStartFleetwide, evidence, "backend %d, started %.1f ms ago, failed: %.1f ms of work in %.1f ms by %d nodes, %.1f of it by those notified of "+
+		"the start; the limit is %.1f, and with the chance allowance %.1f", e.Backend, age, b.work, a.config.OverloadWindow, len(nodes), b.workFromNotified, allowed, threshold)
 }
 
-// slideWindow removes the attempts up to the window's start.
+// slideWindow removes the attempts up to the start of the window.
 func (s *slowStartState) slideWindow(start float64) {
 	for len(s.attempts) > 0 && s.attempts[0].At <= start {
 		s.work -= s.attempts[0].Work
@@ -135,6 +135,6 @@
 		s.attempts = s.attempts[1:]
 	}
 	if len(s.attempts) == 0 {
-		s.work, s.workFromNotified = 0, 0 // removes what rounding left
+		s.work, s.workFromNotified = 0, 0 // removes accumulated rounding errors
 	}
 }
--- a/internal/invariants/slowstart_test.go
+++ b/internal/invariants/slowstart_test.go
@@ -11,10 +11,11 @@
 	"pearknot/balancer"
 )
 
-// meanWork is the mean work of requests in testConfig, in ms.
+// meanWork is the mean work of requests in testConfig, in ms of a standard core.
 const meanWork = 20
 
-// slowStartSource reports the start of backend 1 and what nodes send it. Times of its methods count from the start.
+// slowStartSource reports the start of backend 1 and the attempts that nodes send to it. Its methods take times relative to
+// the start.
 type slowStartSource struct {
 	*eventSource
 	startedAt   float64
@@ -28,44 +29,44 @@
 
 func (s *slowStartSource) restart(at, speed float64) *slowStartSource {
 	s.now, s.startedAt = s.startedAt+at, s.startedAt+at
-	s.at(0, Event{Kind: BackendStarted, Backend: 1, Started: s.now, Speed: speed})
+	s.recordAfter(0, Event{Kind: BackendStarted, Backend: 1, Started: s.now, Speed: speed})
 	return s
 }
 
-// notifyNodes notifies nodes from 0 on of the start.
+// notifyNodes reports that nodes 0 to nodes-1 were notified of the start.
 func (s *slowStartSource) notifyNodes(nodes int) *slowStartSource {
 	for n := range nodes {
-		s.at(0, Event{Kind: EndpointNotified, Node: n, Backend: 1, State: balancer.BackendReady, Started: s.startedAt})
+		s.recordAfter(0, Event{Kind: EndpointNotified, Node: n, Backend: 1, State: balancer.BackendReady, Started: s.startedAt})
 	}
 	return s
 }
 
-// send has nodes send attempts of mean work in turn.
+// send reports attempts of mean work, which the given number of nodes, from first on, send in turn.
 func (s *slowStartSource) send(at float64, first, nodes, attempts int) *slowStartSource {
 	return s.sendWork(at, first, nodes, attempts, meanWork)
 }
 
-// sendWork is send with attempts of that work.
+// sendWork is like send, with attempts of the given work.
 func (s *slowStartSource) sendWork(at float64, first, nodes, attempts int, work float64) *slowStartSource {
 	s.now = s.startedAt + at
 	for k := range attempts {
 		s.lastRequest++
-		s.at(0, Event{Kind: RequestAccepted, Request: s.lastRequest, Node: first + k%nodes, Deadline: s.now + 1e3})
-		s.at(0, Event{Kind: AttemptStarted, Request: s.lastRequest, Node: first + k%nodes, Backend: 1, Work: work})
-		s.at(0, Event{Kind: ClientGone, Request: s.lastRequest})
+		s.recordAfter(0, Event{Kind: RequestAccepted, Request: s.lastRequest, Node: first + k%nodes, Deadline: s.now + 1e3})
+		s.recordAfter(0, Event{Kind: AttemptStarted, Request: s.lastRequest, Node: first + k%nodes, Backend: 1, Work: work})
+		s.recordAfter(0, Event{Kind: ClientGone, Request: s.lastRequest})
 	}
 	return s
 }
 
-// A cold backend gets attempts from all nodes. It fails beyond N + 2 sqrt(N) + 2 in one window, N being 100 at the start, 175
-// after 2 s and 250 after 4 s, for twenty and thirty nodes alike. Nodes from 0 on were notified of the start, those from 50
-// on were not.
+// A cold backend gets attempts from all nodes. It fails beyond N + 2 sqrt(N) + 2 in one window, where N is 100 at the start,
+// 175 after 2 s and 250 after 4 s, for both twenty and thirty nodes. Nodes from 0 on were notified of the start, nodes from
+// 50 on were not.
 func TestSlowStartFleetwide(t *testing.T) {
 	for _, nodes := range []int{20, 30} {
 		for _, c := range []struct {
 			name string
 			want int
-			play func(s *slowStartSource)
+			run  func(s *slowStartSource)
 		}{
 			{"at the threshold", 0, func(s *slowStartSource) { s.send(0, 0, nodes, 122) }},
 			{"just above the threshold", 1, func(s *slowStartSource) { s.send(0, 0, nodes, 123) }},
@@ -89,12 +90,12 @@
 			{"notified of an earlier start", 0, func(s *slowStartSource) { s.restart(5, 1).send(0, 0, nodes, 123) }},
 			{"notified, then killed", 0, func(s *slowStartSource) {
 				for n := range nodes {
-					s.at(0, Event{Kind: NodeKilled, Node: n})
+					s.recordAfter(0, Event{Kind: NodeKilled, Node: n})
 				}
 				s.send(0, 0, nodes, 123)
 			}},
 			{"killed after it sent", 1, func(s *slowStartSource) {
-				s.send(0, 0, nodes, 122).at(0, Event{Kind: NodeKilled})
+				s.send(0, 0, nodes, 122).recordAfter(0, Event{Kind: NodeKilled})
 				s.send(0, 1, nodes-1, 1)
 			}},
 			{"failed by nodes that were not notified", 0, func(s *slowStartSource) { s.send(0, 50, nodes, 123).send(10, 0, nodes, 500) }},
@@ -118,7 +119,7 @@
 			{"one light request more", 1, func(s *slowStartSource) { s.sendWork(0, 0, nodes, 2441, 1) }},
 		} {
 			s := newSlowStartSource(1).notifyNodes(nodes)
-			c.play(s)
+			c.run(s)
 			name := fmt.Sprintf("%s, %d nodes", c.name, nodes)
 			assert.Equal(t, c.want, s.finish()[SlowStartFleetwide], name)
 			for _, violation := range s.Violations() {
@@ -132,7 +133,7 @@
 	}
 }
 
-// Whatever is sent when and by which node, the result is the one that adding up the whole history gives.
+// For random attempts the sliding window gives the same result as adding up the whole history.
 func TestSlowStartFleetwideAgainstModel(t *testing.T) {
 	type sentAttempt struct {
 		at, work     float64
@@ -172,7 +173,7 @@
 			}
 		}
 		if want != 0 {
-			s.send(at, 0, 30, 500) // it is down: this has no effect
+			s.send(at, 0, 30, 500) // the backend is down, so these have no effect
 		}
 		if got := s.finish()[SlowStartFleetwide]; got != max(want, 0) {
 			t.Fatalf("%d violations, %d by the whole history", got, want)
--- a/internal/invariants/violation.go
+++ b/internal/invariants/violation.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Rule is one of the rules that the program must keep. Results have its number.
+// Rule is the number of a rule that the program must keep. The numbers are part of results.
 type Rule uint8
 
-// The rules on what nodes do, judged by Auditor. See the file of each rule.
+// The rules on the behavior of nodes, checked by Auditor. Each is described in the file named beside it.
 const (
 	NoRequestLost      Rule = 1 // requests.go
 	NoEffectTwice      Rule = 2 // effects.go
@@ -18,11 +18,12 @@
 	SlowStartFleetwide Rule = 6 // slowstart.go
 )
 
-// The rules on requests that nodes store for each other, judged by KeyAuditor.
+// The rules on requests that nodes store for each other, checked by KeyAuditor.
 const (
-	// OneOutcome says that an effect that must not happen twice does not, and that a key has one outcome.
+	// OneOutcome requires that an effect that must not happen twice happens at most once, and that a key has one outcome.
 	OneOutcome Rule = 7
-	// OutcomeSurvives says that a stored request has a final state, if a majority of its log lived and could be reached.
+	// OutcomeSurvives requires that a stored request reaches a final state if a majority of its log's replicas was alive and
+	// reachable.
 	OutcomeSurvives Rule = 8
 )
 
@@ -31,17 +32,17 @@
 // String returns the rule's name in results.
 func (r Rule) String() string { return ruleNames[r] }
 
-// Violation is one rule broken once.
+// Violation is a single violation of a rule.
 type Violation struct {
 	Rule     Rule
 	At       float64 // ms
-	What     string
-	Evidence []Event // that prove it, the oldest first
+	Message  string
+	Evidence []Event // events that prove it, oldest first
 }
 
-// String returns the violation with its evidence, a line an event.
+// String returns the violation followed by its evidence, one event per line.
 func (v Violation) String() string {
-	lines := []string{fmt.Sprintf("rule %d (%s) at %.1f ms: %s", v.Rule, v.Rule, v.At, v.What)}
+	lines := []string{fmt.Sprintf("rule %d (%s) at %.1f ms: %s", v.Rule, v.Rule, v.At, v.Message)}
 	for _, event := range v.Evidence {
 		lines = append(lines, "    "+event.String())
 	}
