--- a/cmd/pearknot/peersfile_test.go
+++ b/cmd/pearknot/peersfile_test.go
@@ -38,7 +38,7 @@
 		`member.1.name: "n1" is no name, or another's`: replace(`name = "n2"`, `name = "n1"`),
 		`2 members for 3 copies`:                       replace("[[member]]\nname = \"n3\"\naddress = \"127.0.0.1:7103\"\n", ""),
 		`may be read by others`:                        func(text, dir string) string { _ = os.Chmod(filepath.Join(dir, "peers.key"), 0o644); return text },
-		`no 32 bytes in hexadecimal`: func(text, dir string) string {
+		`key must be 32 bytes in hexadecimal`: func(text, dir string) string {
 			_ = os.WriteFile(filepath.Join(dir, "peers.key"), []byte("abc\n"), 0o600)
 			return text
 		},
--- a/internal/controlplane/client/client_test.go
+++ b/internal/controlplane/client/client_test.go
@@ -86,7 +86,7 @@
 	_, err = read(t, example, 0o644, key)
 	require.ErrorContains(t, err, "may be read by others")
 	_, err = read(t, example, 0o600, "abc\n")
-	require.ErrorContains(t, err, "no 32 bytes in hexadecimal")
+	require.ErrorContains(t, err, "key must be 32 bytes in hexadecimal")
 }
 
 // A stored copy that is cut anywhere, has any byte flipped or is of another fleet is refused.
--- a/internal/invariants/keyaudit.go
+++ b/internal/invariants/keyaudit.go
@@ -61,9 +61,9 @@
 
 // OutcomeReported records that a client received an outcome: a response or a failure. A rejection, or an answer that asks the
 // client to try again, does not count as an outcome.
-func (k *KeyAuditor) OutcomeReported(at float64, key, what string) {
-	history := k.history(key, "%.1f outcome %.60q", at, what)
-	history.outcomes[what] = true
+func (k *KeyAuditor) OutcomeReported(at float64, key, outcome string) {
+	history := k.history(key, "%.1f outcome %.60q", at, outcome)
+	history.outcomes[outcome] = true
 	history.closed = true
 }
 
@@ -80,8 +80,8 @@
 func (k *KeyAuditor) Violations(now, grace float64) (violations []Violation) {
 	for _, key := range slices.Sorted(maps.Keys(k.keys)) {
 		history := k.keys[key]
-		add := func(rule Rule, what string) {
-			violations = append(violations, Violation{Rule: rule, At: now, Message: fmt.Sprintf("key %q: %s; %v", key, what, history.events)})
+		add := func(rule Rule, message string) {
+			violations = append(violations, Violation{Rule: rule, At: now, Message: fmt.Sprintf("key %q: %s; %v", key, message, history.events)})
 		}
 		switch {
 		case history.excluded:
--- a/internal/invariants/requests.go
+++ b/internal/invariants/requests.go
@@ -126,7 +126,7 @@
 	}
 	if e.Answer == Served {
 		if !r.hasResponse(e.Attempt) {
-			a.addViolation(NoRequestLost, r.events, "op %d acked with an answer that no backend made", e.Request)
+			a.addViolation(NoRequestLost, r.events, "op %d acked without a response from a backend", e.Request)
 		}
 		return
 	}
--- a/internal/peers/accept.go
+++ b/internal/peers/accept.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// maxHandshakes bounds the connections whose handshake is under way, so that a host without a key that opens many takes
-	// few descriptors.
+	// maxHandshakes bounds the connections whose handshake is in progress, so that a host without a key that opens many
+	// connections uses few file descriptors.
 	maxHandshakes = 8
-	// listenRetryInterval is how often the address is tried again while another process has it, and how long accepting pauses
-	// after an error, such as a lack of descriptors.
+	// listenRetryInterval is the time between two attempts to listen while another process uses the address, and the pause
+	// after an error of Accept, such as a lack of file descriptors.
 	listenRetryInterval = 50 * time.Millisecond
-	// inboundIdleTimeout ends a connection on which nothing comes: ten heartbeats.
+	// inboundIdleTimeout closes a connection on which nothing is received: ten heartbeat intervals.
 	inboundIdleTimeout = requestlog.PeerTimeoutMs * time.Millisecond
 )
 
-// listen accepts connections of other members. An address that a process before this one still has is waited for.
+// listen accepts connections from other members. It waits while a predecessor of this process still uses the address.
 func (p *Peers) listen(ctx context.Context) {
 	listener := p.bind(ctx)
 	if listener == nil {
@@ -68,8 +68,8 @@
 	}
 }
 
-// runInbound does the handshake of a connection that another process has opened, and hands its frames to the actor until it
-// ends. handshakeDone is called once.
+// runInbound performs the handshake on a connection that another process has opened, and passes its frames to the actor until
+// the connection ends. handshakeDone is called once.
 func (p *Peers) runInbound(ctx context.Context, conn net.Conn, handshakeDone func()) {
 	defer conn.Close()
 	handshakeDone = sync.OnceFunc(handshakeDone)
@@ -97,7 +97,7 @@
 	}
 }
 
-// acceptHandshake returns which member has opened a connection, and its incarnation.
+// acceptHandshake returns the index and the incarnation of the member that has opened a connection.
 func (p *Peers) acceptHandshake(conn net.Conn, reader *bufio.Reader) (member int, incarnation uint64, err error) {
 	self := p.config.Members[p.config.Self].Name
 	name, incarnation, err := transport.ServerHandshake(conn, reader, p.config.Keys, p.config.Fleet, self, p.incarnation)
--- a/internal/peers/dial.go
+++ b/internal/peers/dial.go
@@ -13,16 +13,16 @@
 
 const (
 	dialTimeout  = time.Second
-	writeTimeout = time.Second // of one frame
-	// minDialBackoff and maxDialBackoff bound the wait between two attempts to connect, which doubles with each.
+	writeTimeout = time.Second // for one frame
+	// minDialBackoff and maxDialBackoff bound the wait between two attempts to connect, which doubles after each attempt.
 	minDialBackoff = 50 * time.Millisecond
 	maxDialBackoff = time.Second
 	// connBufferBytes is the size of a connection's read or write buffer.
 	connBufferBytes = 64 << 10
 )
 
-// keepConnected keeps an outbound connection to a member. It does not begin before this process has its own address: until
-// then another process, which this one replaces, still speaks for this member.
+// keepConnected maintains an outbound connection to a member. It first waits until this process listens on its own address:
+// until then its predecessor still acts as this member.
 func (p *Peers) keepConnected(ctx context.Context, member int) {
 	select {
 	case <-p.listening:
@@ -40,7 +40,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(backoff/2 + rand.N(backoff)): // jitter, so that members that start together do not dial in step
+		case <-time.After(backoff/2 + rand.N(backoff)): // jitter, so that members that start together do not dial at the same times
 		}
 		backoff = min(2*backoff, maxDialBackoff)
 	}
@@ -62,7 +62,7 @@
 	return conn, incarnation, nil
 }
 
-// runOutbound hands a connection to the actor and writes its frames until it ends.
+// runOutbound passes a connection to the actor and writes its frames until it ends.
 func (p *Peers) runOutbound(ctx context.Context, member int, conn net.Conn, incarnation uint64) {
 	defer conn.Close()
 	outbound := newOutboundConn(conn, incarnation)
@@ -75,7 +75,7 @@
 		p.setOutbound(member, outbound)
 	})
 	p.wg.Go(func() {
-		// The other side sends nothing on this connection, so a read returns only when it ends.
+		// The other side sends nothing on this connection, so the read returns only when the connection ends.
 		var buffer [1]byte
 		_, _ = conn.Read(buffer[:])
 		p.mailbox.Put(func() { p.outboundEnded(member, outbound) })
@@ -85,7 +85,7 @@
 }
 
 // writeFrames writes the queued frames until the actor closes the queue. A failed write closes the connection; the goroutine
-// that reads from it then tells the actor.
+// that reads from it then notifies the actor.
 func (o *outboundConn) writeFrames(ctx context.Context) {
 	writer := bufio.NewWriterSize(o.conn, connBufferBytes)
 	for {
@@ -94,8 +94,8 @@
 		select {
 		case frame, ok = <-o.frames:
 		case <-ctx.Done():
-			// The actor may have ended before it learned of this connection, and then never closes its queue. A node once
-			// hung here at its shutdown until it was killed.
+			// If the actor ended before it got this connection it never closes the queue. Without this case a node could
+			// hang here at its shutdown until it was killed.
 		}
 		if !ok {
 			return
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -7,17 +7,17 @@
 	"pearknot/internal/requestlog"
 )
 
-// maxQueuedFrames bounds the frames that are queued to one member.
+// maxQueuedFrames bounds the frames that are queued for one member.
 const maxQueuedFrames = 4096
 
 // link is the pair of connections to one member, as the actor knows them. The member counts as connected while both are up
 // and belong to the same incarnation: only then does each process receive what the other sends.
 //
-// Each connection is closed by itself. When closing one closed the other too, two processes that reconnected at the same
-// time closed each other's new connections over and over, and stayed apart for long.
+// Each connection is closed separately. If closing one closed the other too, two processes that reconnect at the same time
+// would repeatedly close each other's new connections and stay disconnected for a long time.
 type link struct {
-	outbound           *outboundConn // nil is none
-	inbound            net.Conn      // nil is none
+	outbound           *outboundConn // nil if there is none
+	inbound            net.Conn      // nil if there is none
 	inboundIncarnation uint64
 }
 
@@ -25,7 +25,7 @@
 	return l.outbound != nil && l.inbound != nil && l.outbound.incarnation == l.inboundIncarnation
 }
 
-// outboundConn is a connection that this process has opened, and the queue of the frames to be sent on it.
+// outboundConn holds a connection that this process has opened and the queue of frames to send on it.
 type outboundConn struct {
 	conn        net.Conn
 	incarnation uint64 // of the other process
@@ -37,14 +37,14 @@
 	return &outboundConn{conn: conn, incarnation: incarnation, frames: make(chan []byte, maxQueuedFrames)}
 }
 
-// setOutbound takes a new outbound connection in the place of the one before.
+// setOutbound replaces the outbound connection to a member.
 func (p *Peers) setOutbound(member int, outbound *outboundConn) {
 	p.closeOutbound(member)
 	p.links[member].outbound = outbound
 	p.connectIfComplete(member)
 }
 
-// setInbound takes a new inbound connection in the place of the one before.
+// setInbound replaces the inbound connection from a member.
 func (p *Peers) setInbound(member int, inbound net.Conn, incarnation uint64) {
 	p.closeInbound(member)
 	p.links[member].inbound, p.links[member].inboundIncarnation = inbound, incarnation
@@ -60,8 +60,8 @@
 	p.log.Info("peer connected", "peer", p.config.Members[member].Name)
 }
 
-// sendFrame queues a frame to a member. A member that takes no frames for long, frozen or behind a slow network, loses its
-// connection, so that the queue is bounded; raft sends it anew what it lacks once it is connected again.
+// sendFrame queues a frame for a member. The connection to a member that does not read for a long time, because it is frozen
+// or its network is slow, is closed, so that the queue is bounded. Raft sends what the member lacks again once it reconnects.
 func (p *Peers) sendFrame(member int, frame []byte) {
 	outbound := p.links[member].outbound
 	if outbound == nil {
@@ -113,7 +113,7 @@
 	p.disconnected(member, link.outbound != nil)
 }
 
-// disconnected tells that a connection to a member was closed. It is logged for the first one of the two.
+// disconnected reports to the request logs that a connection to a member was closed. It logs the first of the two to close.
 func (p *Peers) disconnected(member int, isFirst bool) {
 	p.member.PeerDisconnected(p.clock.Now(), member)
 	if isFirst {
@@ -121,8 +121,8 @@
 	}
 }
 
-// receiveFrame takes a frame that came on an inbound connection. It is dropped unless the link is up in both directions: a
-// link with one connection counts as down at both ends, so nothing that comes on it may be acted on.
+// receiveFrame handles a frame from an inbound connection. The frame is dropped unless the link is up in both directions: a
+// link with one connection counts as down at both ends, so its frames must not be processed.
 func (p *Peers) receiveFrame(member int, inbound net.Conn, frame []byte) {
 	if link := &p.links[member]; link.inbound != inbound || link.outbound == nil {
 		return
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,8 +1,8 @@
 // Package peers connects the processes of a fleet that take over each other's requests. Peers is an actor that owns this
-// process's requestlog.Member, carries out what it decides, and keeps two connections to each other process: one that this
-// process opens, on which it sends frames, and one that the other opens, on which it receives.
+// process's requestlog.Member, processes its outputs, and keeps two connections to each other process: one that this process
+// opens, on which it sends frames, and one that the other process opens, on which it receives frames.
 //
-// Nothing of it runs unless the operator gives a file of peers.
+// It runs only if the operator configures a file of peers.
 package peers
 
 import (
@@ -29,28 +29,28 @@
 	Fleet       string
 	Members     []Member // the same in the same order at all members
 	Self        int      // this process's index among them
-	Replicas    int      // of each request log
-	Keys        [][]byte // shared secrets: this process authenticates itself with the first, and accepts each
-	MaxLogBytes int      // that the ledger of one request log may hold
-	AnswerTTL   float64  // ms for which an answer is stored
+	Replicas    int      // number of replicas of each request log
+	Keys        [][]byte // shared secrets: this process authenticates itself with the first and accepts any of them
+	MaxLogBytes int      // maximum size of the ledger of one request log
+	AnswerTTL   float64  // time for which an answer is stored, in ms
 }
 
-// frameReserveBytes is what a frame, or a queue of frames, may take beside the snapshot of a ledger.
+// frameReserveBytes is the size that a frame may have in addition to the snapshot of a ledger.
 const frameReserveBytes = 4 << 20
 
 // maxFrameBytes returns the size of the largest frame, which holds the snapshot of a full ledger.
 func (c *Config) maxFrameBytes() int { return c.MaxLogBytes + c.MaxLogBytes/4 + frameReserveBytes }
 
-// maxQueuedBytes returns how many bytes of frames to one member may be queued: two of the largest, as one snapshot may be
-// queued behind another.
+// maxQueuedBytes returns the limit of the bytes that are queued for one member: two of the largest frames, since one snapshot
+// may be queued behind another.
 func (c *Config) maxQueuedBytes() int64 { return 2 * int64(c.maxFrameBytes()) }
 
-// Descriptors returns the largest number of file descriptors that the links take: two for each member, one for the
-// listener, and those of the connections whose handshake is under way.
+// Descriptors returns the largest number of file descriptors that the links use: two for each member, one for the listener,
+// and those of the connections whose handshake is in progress.
 func (c *Config) Descriptors() int { return 2*len(c.Members) + 1 + maxHandshakes }
 
-// rejectionLogInterval is the least time between two log lines about rejected connections: a process with a wrong key tries
-// again and again.
+// rejectionLogInterval is the minimum time between two log lines about rejected connections, since a process with a wrong key
+// keeps retrying.
 const rejectionLogInterval = time.Second
 
 // Peers is this process's part of the fleet. Lookup, Append, State and Shutdown may be called from any goroutine.
@@ -59,25 +59,25 @@
 	incarnation uint64
 	clock       *clock.Clock
 	log         *slog.Logger
-	takeOver    func(requestlog.Entry)
+	onTakeover  func(requestlog.Entry)
 	mailbox     *mailbox.Box[func()]
-	listening   chan struct{} // closed once this process has its address
+	listening   chan struct{} // closed once this process listens on its address
 	cancel      context.CancelFunc
 	wg          sync.WaitGroup
 
 	rejectionLog *throttledlog.Throttle
 
-	// The actor's own.
+	// Used by the actor only.
 	member    *requestlog.Member
-	callbacks map[uint64]func(requestlog.Reply) // of calls without a reply, by ID
+	callbacks map[uint64]func(requestlog.Reply) // of calls without a reply, by call ID
 	lastID    uint64
-	links     []link // by member; the one of this process is not used
+	links     []link // by member index; this process's own entry is not used
 	takeovers uint64
 }
 
-// New returns a Peers that Start starts. takeOver is called with each request that this process has taken over; it must not
-// block.
-func New(config Config, c *clock.Clock, takeOver func(requestlog.Entry), log *slog.Logger) *Peers {
+// New returns a Peers that is not started yet. onTakeover is called with each request that this process has taken over; it
+// must not block.
+func New(config Config, c *clock.Clock, onTakeover func(requestlog.Entry), log *slog.Logger) *Peers {
 	names := make([]string, len(config.Members))
 	for i, member := range config.Members {
 		names[i] = member.Name
@@ -88,7 +88,7 @@
 		incarnation:  incarnation,
 		clock:        c,
 		log:          log,
-		takeOver:     takeOver,
+		onTakeover:   onTakeover,
 		mailbox:      mailbox.New[func()](),
 		listening:    make(chan struct{}),
 		rejectionLog: throttledlog.New(rejectionLogInterval),
@@ -119,28 +119,28 @@
 	}
 }
 
-// Shutdown begins a graceful shutdown: the request logs that this process leads get other leaders where they can.
+// Shutdown begins a graceful shutdown: the leadership of this process's request logs is transferred to others where possible.
 func (p *Peers) Shutdown() {
 	p.mailbox.Put(func() { p.member.Shutdown(p.clock.Now()) })
 }
 
-// Stop ends all links and waits for all goroutines. Calls without a reply get NoQuorum. It is called after Start; calling it
-// twice does nothing.
+// Stop closes all links and waits for all goroutines. Calls without a reply get NoQuorum. It must be called after Start;
+// further calls do nothing.
 func (p *Peers) Stop() {
 	p.cancel()
 	p.wg.Wait()
 }
 
-// Lookup asks what is known of a key, until a deadline in ms of the clock. The callback is called once with the result, by the
-// actor, and must not block.
+// Lookup looks up the state of a key, until a deadline in ms of the clock. The actor calls the callback once with the result;
+// the callback must not block.
 func (p *Peers) Lookup(key string, fingerprint uint64, deadline float64, callback func(requestlog.Reply)) {
 	p.mailbox.Put(func() {
 		p.member.Lookup(p.clock.Now(), p.registerCallback(callback), key, fingerprint, deadline)
 	})
 }
 
-// Append appends a record to the log of its key, until a deadline in ms of the clock. The callback is called once with the
-// result, by the actor, and must not block.
+// Append appends a record to the log of its key, until a deadline in ms of the clock. The actor calls the callback once with
+// the result; the callback must not block.
 func (p *Peers) Append(record requestlog.Record, deadline float64, callback func(requestlog.Reply)) {
 	p.mailbox.Put(func() {
 		p.member.Append(p.clock.Now(), p.registerCallback(callback), record, deadline)
@@ -169,7 +169,7 @@
 	}
 }
 
-// run is the actor.
+// run is the actor's main loop. It returns when the context ends.
 func (p *Peers) run(ctx context.Context) {
 	ticker := time.NewTicker(requestlog.TickMs * time.Millisecond)
 	defer ticker.Stop()
@@ -187,7 +187,7 @@
 		case <-ticker.C:
 			p.member.Tick(p.clock.Now())
 		}
-		p.carryOutDecisions(ctx)
+		p.processOutputs(ctx)
 	}
 }
 
@@ -201,8 +201,8 @@
 	}
 }
 
-// carryOutDecisions pulls the member's outputs and carries them out until there are none left.
-func (p *Peers) carryOutDecisions(ctx context.Context) {
+// processOutputs processes the member's outputs until there are none left.
+func (p *Peers) processOutputs(ctx context.Context) {
 	for {
 		output, ok := p.member.Next()
 		if !ok {
@@ -215,7 +215,7 @@
 			p.reply(*output.Reply)
 		case output.TakenOver != nil:
 			p.takeovers++
-			p.takeOver(*output.TakenOver)
+			p.onTakeover(*output.TakenOver)
 		case output.Event != nil:
 			p.log.LogAttrs(ctx, slog.LevelInfo, output.Event.Message, output.Event.Attrs()...)
 		}
@@ -231,7 +231,7 @@
 	callback(reply)
 }
 
-// logRejection logs a connection that was rejected, or closed for what came on it.
+// logRejection logs that a connection was rejected, or closed because of an invalid frame.
 func (p *Peers) logRejection(remote string, err error) {
 	p.rejectionLog.Event(func(sinceLast int64) {
 		p.log.Warn("peer connection rejected", "remote", remote, "error", err, "since_last", sinceLast)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -23,7 +23,7 @@
 
 var testKey, otherKey = bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)
 
-// countRejections counts the logged lines of rejected connections.
+// countRejections returns the number of log lines about rejected connections.
 func countRejections(log *testlog.Buffer) int { return log.Count("peer connection rejected") }
 
 func freeAddress(t *testing.T) string {
@@ -34,8 +34,8 @@
 	return listener.Addr().String()
 }
 
-// threeMembers returns the configuration of a fleet of a, b and c.
-func threeMembers(t *testing.T) Config {
+// threeMemberConfig returns the configuration of a fleet with the members a, b and c.
+func threeMemberConfig(t *testing.T) Config {
 	t.Helper()
 	config := Config{Fleet: "f", Replicas: 3, Keys: [][]byte{testKey}, MaxLogBytes: 1 << 20, AnswerTTL: 60e3}
 	for _, name := range []string{"a", "b", "c"} {
@@ -44,7 +44,7 @@
 	return config
 }
 
-// startFleet starts the three members of a fleet. changeLast changes the configuration of the last one; nil is no change.
+// startFleet starts the three members of a fleet. changeLast changes the configuration of the last one unless it is nil.
 func startFleet(t *testing.T, config Config, changeLast func(*Config)) (fleet []*Peers, logs []*testlog.Buffer) {
 	t.Helper()
 	for self := range config.Members {
@@ -69,12 +69,12 @@
 
 func state(t *testing.T, p *Peers) requestlog.Status {
 	t.Helper()
-	digest, err := p.State(t.Context())
+	status, err := p.State(t.Context())
 	require.NoError(t, err)
-	return digest
+	return status
 }
 
-// connectedPeers returns with how many others a member is connected.
+// connectedPeers returns the number of other members that a member is connected with.
 func connectedPeers(t *testing.T, p *Peers) (count int) {
 	t.Helper()
 	for _, peer := range state(t, p).Peers {
@@ -85,7 +85,7 @@
 	return count
 }
 
-// allLogsComplete reports whether a member knows of each log that as many live members as configured hold replicas.
+// allLogsComplete reports whether each log, as a member sees it, has replicas on as many live members as configured.
 func allLogsComplete(t *testing.T, p *Peers) bool {
 	t.Helper()
 	for _, log := range state(t, p).Logs {
@@ -102,11 +102,11 @@
 	return (<-replies).Result
 }
 
-// A record is appended at one member. The others know the request then: they can't start it again nor answer it, and its
-// answer, once there is one, is read at any member.
-func TestRecordsAreKnownToAllMembers(t *testing.T) {
+// A record that is appended at one member is known to the others: they can neither start the request again nor answer it,
+// and its final answer can be read at any member.
+func TestRecordsReachAllMembers(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	fleet, _ := startFleet(t, threeMembers(t), nil)
+	fleet, _ := startFleet(t, threeMemberConfig(t), nil)
 	request := requestlog.Request{Fingerprint: 7, Deadline: fleet[0].clock.Now() + 60e3}
 	started := requestlog.Record{Kind: requestlog.AttemptStarted, Key: "k", Request: request}
 	answered := func(body []byte) requestlog.Record {
@@ -130,19 +130,19 @@
 	}
 }
 
-// The third member has a wrong key, belongs to another fleet, or goes by a name that the others do not know. The others
-// reject it, with few log lines, and stay connected with each other.
-func TestStrangersAreRejected(t *testing.T) {
+// The third member has a wrong key, belongs to another fleet, or has a name that the others do not know. The others reject it
+// with few log lines and stay connected with each other.
+func TestUnauthorizedMembersAreRejected(t *testing.T) {
 	for message, changeLast := range map[string]func(*Config){
-		"wrong key": func(c *Config) { c.Keys = [][]byte{otherKey} },
-		"is not":    func(c *Config) { c.Fleet = "g" },
+		"wrong key":   func(c *Config) { c.Keys = [][]byte{otherKey} },
+		"wrong fleet": func(c *Config) { c.Fleet = "g" },
 		"is not a member of the fleet": func(c *Config) {
 			c.Members = append([]Member(nil), c.Members...)
 			c.Members[2].Name = "x"
 		},
 	} {
 		t.Run(message, func(t *testing.T) {
-			fleet, logs := startFleet(t, threeMembers(t), changeLast)
+			fleet, logs := startFleet(t, threeMemberConfig(t), changeLast)
 			require.Eventually(t, func() bool {
 				isLogged := strings.Contains(logs[0].String()+logs[1].String()+logs[2].String(), message)
 				return isLogged && connectedPeers(t, fleet[0]) == 1 && connectedPeers(t, fleet[1]) == 1
@@ -151,15 +151,15 @@
 			require.Less(t, countRejections(logs[0]), 15)
 		})
 	}
-	// A key is changed without a gap: both keys are accepted, whichever is used to prove.
-	fleet, _ := startFleet(t, threeMembers(t), func(c *Config) { c.Keys = [][]byte{testKey, otherKey} })
+	// During a key change both keys are accepted, whichever a process authenticates itself with.
+	fleet, _ := startFleet(t, threeMemberConfig(t), func(c *Config) { c.Keys = [][]byte{testKey, otherKey} })
 	require.Eventually(t, func() bool { return connectedPeers(t, fleet[2]) == 2 }, 10*time.Second, 10*time.Millisecond)
 }
 
-// Garbage, frames that are too long and unknown versions come before the handshake, and after it from a process that has the
-// key and another member's name. Each ends its own connection, and the real member connects again.
-func TestGarbageEndsItsConnection(t *testing.T) {
-	fleet, logs := startFleet(t, threeMembers(t), nil)
+// Garbage, frames that are too long and unknown versions arrive before the handshake, and after it from a process that has
+// the key and uses another member's name. Each closes its own connection only, and the real member connects again.
+func TestMalformedInputClosesOnlyItsConnection(t *testing.T) {
+	fleet, logs := startFleet(t, threeMemberConfig(t), nil)
 	require.Eventually(t, func() bool { return connectedPeers(t, fleet[0]) == 2 }, 10*time.Second, 10*time.Millisecond)
 	address := fleet[0].config.Members[0].Address
 
@@ -206,19 +206,19 @@
 	_ = conn.Close()
 }
 
-// A connection comes up while its process is told to stop. The actor that would close its queue may be gone by then, and a
-// node hung in Stop until it was killed. The connection has to end nevertheless.
-func TestConnectionThatComesUpDuringStopEnds(t *testing.T) {
+// A connection that is established while its process stops has to be closed, even though the actor that would close its
+// queue may have ended. Otherwise Stop would hang until the node is killed.
+func TestConnectionEstablishedDuringStopIsClosed(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	p := New(threeMembers(t), clock.New(), func(requestlog.Entry) {}, slog.New(slog.DiscardHandler))
+	p := New(threeMemberConfig(t), clock.New(), func(requestlog.Entry) {}, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel() // the actor has ended, or was never started
-	ours, theirs := net.Pipe()
-	defer theirs.Close()
+	local, remote := net.Pipe()
+	defer remote.Close()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		p.runOutbound(ctx, 1, ours, 7)
+		p.runOutbound(ctx, 1, local, 7)
 		p.wg.Wait()
 	}()
 	select {
@@ -228,16 +228,16 @@
 	}
 }
 
-// Ledgers are filled to their limit with records as large as they may be. The memory of a replica stays within its bound, and
-// a member that was restarted gets all three full ledgers. Records once piled up as only their number was bounded, and a
-// snapshot longer than the longest frame ended each connection that it was sent on.
-func TestFullLedgersStayWithinTheirMemory(t *testing.T) {
+// Ledgers are filled to their limit with large records. The memory of each replica stays within its bound, and a restarted
+// member gets all three full ledgers. Guards against records that pile up because only their number is bounded, and against
+// a snapshot that exceeds the largest frame and so closes each connection that it is sent on.
+func TestFullLedgersStayWithinMemoryBound(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	const (
 		maxLogBytes = 6 << 20
 		timeoutMs   = 3000
 	)
-	config := threeMembers(t)
+	config := threeMemberConfig(t)
 	config.MaxLogBytes = maxLogBytes
 	fleet, _ := startFleet(t, config, nil)
 	require.Eventually(t, func() bool { return allLogsComplete(t, fleet[0]) }, 10*time.Second, 10*time.Millisecond)
@@ -255,7 +255,7 @@
 		require.Equal(t, requestlog.Committed, appendRecord(fleet[0], rejected, timeoutMs))
 	}
 
-	// One log after the other becomes full.
+	// The logs fill up one after the other.
 	refused := 0
 	for i := 0; i < 2000 && refused < 50; i++ {
 		switch result := appendRecord(fleet[0], started(fmt.Sprint(i)), timeoutMs); result {
--- a/internal/peers/transport/doc.go
+++ b/internal/peers/transport/doc.go
@@ -1,4 +1,4 @@
 // Package transport carries frames between two processes of a fleet over one connection. Both sides first prove that they
-// have the fleet's key (ClientHandshake, ServerHandshake); then frames of bytes go over the connection, with a length before
-// each. The accepting process decides which other processes may connect, by the name in the handshake.
+// have the fleet's key (ClientHandshake, ServerHandshake); then they exchange length-prefixed frames of bytes. The accepting
+// process decides by the name in the handshake which processes may connect.
 package transport
--- a/internal/peers/transport/frame.go
+++ b/internal/peers/transport/frame.go
@@ -6,10 +6,10 @@
 	"io"
 )
 
-// headerBytes is the size of the length that goes before each frame, in network byte order.
+// headerBytes is the size of the length that precedes each frame, in network byte order.
 const headerBytes = 4
 
-// FrameTooLongError is a frame whose header announces more bytes than the receiver allows.
+// FrameTooLongError reports a frame whose header announces more bytes than the receiver allows.
 type FrameTooLongError struct{ Size, Max uint32 }
 
 func (e *FrameTooLongError) Error() string {
@@ -24,8 +24,8 @@
 	return err
 }
 
-// ReadFrame reads a frame. If its header announces more than maxBytes it returns a *FrameTooLongError and reads no further:
-// memory is allocated only for what is allowed.
+// ReadFrame reads a frame. If its header announces more than maxBytes it returns a *FrameTooLongError and reads no further, so
+// that no memory is allocated for it.
 func ReadFrame(r io.Reader, maxBytes uint32) ([]byte, error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/internal/peers/transport/frameconn.go
+++ b/internal/peers/transport/frameconn.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// writeChunkBytes is how much is written under one deadline, so that writeTimeout bounds a lack of progress and not the
-	// time of a long frame on a slow link.
+	// writeChunkBytes is the amount of data that is written under one deadline, so that writeTimeout limits the time without
+	// progress and not the total time of a long frame on a slow link.
 	writeChunkBytes = 4 << 10
 	writeTimeout    = 10 * time.Second
-	// progressInterval is the least time between two calls of OnProgress's function.
+	// progressInterval is the minimum time between two calls of the OnProgress callback.
 	progressInterval = 500 * time.Millisecond
 	readBufferBytes  = 16 << 10
 )
 
 // ErrClosed is the result of Run after Close.
-var ErrClosed = errors.New("link closed")
+var ErrClosed = errors.New("connection closed")
 
-// FrameConn carries frames both ways on an open connection. Send never blocks: frames wait in a queue without a limit. The
-// sender has to limit it, by the sizes that Send and QueuedBytes return and that Run's callback sent gets.
+// FrameConn carries frames in both directions on an open connection. Send never blocks: frames wait in an unbounded queue.
+// The caller has to limit it, by the sizes that Send and QueuedBytes return and that Run passes to onSent.
 //
 // Send, Close, QueuedBytes and Traffic may be called from any goroutine.
 type FrameConn struct {
@@ -41,12 +41,12 @@
 	// Set before Run, read by its goroutine.
 	idleTimeout    time.Duration
 	onProgress     func()
-	lastProgressAt time.Time // when onProgress was called
+	lastProgressAt time.Time // when onProgress was last called
 
 	bytesIn, bytesOut, framesIn, framesOut atomic.Int64
 }
 
-// NewFrameConn returns a FrameConn on a connection, which Run closes when it returns. Run must be called.
+// NewFrameConn returns a FrameConn that uses conn. Run must be called; it closes conn when it returns.
 func NewFrameConn(conn net.Conn) *FrameConn {
 	c := &FrameConn{conn: conn, queue: mailbox.New[[]byte](), stopped: make(chan struct{})}
 	c.reader = bufio.NewReaderSize(progressReader{c}, readBufferBytes)
@@ -57,26 +57,26 @@
 // bytes that come after the handshake.
 func (c *FrameConn) Reader() *bufio.Reader { return c.reader }
 
-// OnProgress sets a function that is called while bytes come, also those of a frame that is not complete yet, but at most
-// once in progressInterval. It must be called before Run.
+// OnProgress sets a function that is called when bytes are received, including those of an incomplete frame, at most once in
+// progressInterval. It must be called before Run.
 func (c *FrameConn) OnProgress(callback func()) { c.onProgress = callback }
 
-// Send queues a frame and returns how many bytes are queued with it. The frame must not be changed afterwards.
+// Send queues a frame and returns the number of queued bytes including it. The frame must not be changed afterwards.
 func (c *FrameConn) Send(frame []byte) (queuedBytes int64) {
 	queuedBytes = c.queuedBytes.Add(int64(len(frame)))
 	c.queue.Put(frame)
 	return queuedBytes
 }
 
-// QueuedBytes returns how many bytes of frames are queued.
+// QueuedBytes returns the total size of the queued frames.
 func (c *FrameConn) QueuedBytes() int64 { return c.queuedBytes.Load() }
 
-// Traffic returns how many bytes and frames have been received and sent. The bytes include the frames' headers.
+// Traffic returns the numbers of bytes and frames received and sent. The bytes include the frames' headers.
 func (c *FrameConn) Traffic() (bytesIn, bytesOut, framesIn, framesOut int64) {
 	return c.bytesIn.Load(), c.bytesOut.Load(), c.framesIn.Load(), c.framesOut.Load()
 }
 
-// Close closes the connection. Run returns ErrClosed. Closing twice does nothing.
+// Close closes the connection. Run then returns ErrClosed. Further calls do nothing.
 func (c *FrameConn) Close() {
 	c.wasClosed.Store(true)
 	c.stop()
@@ -89,21 +89,22 @@
 	})
 }
 
-// Run carries frames until the connection ends, and returns why: ErrClosed after Close, a *FrameTooLongError for a frame of
-// more than maxFrameBytes, a timeout if nothing came for idleTimeout (0 is no limit), or the error of the connection.
+// Run sends and receives frames until the connection ends, and returns the reason: ErrClosed after Close, a
+// *FrameTooLongError for a frame of more than maxFrameBytes, a timeout if nothing was received for idleTimeout (0 means no
+// limit), or the error of the connection.
 //
 // received is called with each frame that came. sent is called with the size of each frame that has left the queue, from
 // another goroutine; it may be nil.
-func (c *FrameConn) Run(maxFrameBytes uint32, idleTimeout time.Duration, received func(frame []byte), sent func(bytes int)) error {
+func (c *FrameConn) Run(maxFrameBytes uint32, idleTimeout time.Duration, onFrame func(frame []byte), onSent func(bytes int)) error {
 	var writer sync.WaitGroup
 	var writeErr error
 	writer.Go(func() {
-		if writeErr = c.writeFrames(sent); writeErr != nil {
+		if writeErr = c.writeFrames(onSent); writeErr != nil {
 			c.stop()
 		}
 	})
 	c.idleTimeout = idleTimeout
-	readErr := c.readFrames(maxFrameBytes, received)
+	readErr := c.readFrames(maxFrameBytes, onFrame)
 	c.stop()
 	writer.Wait()
 	switch {
@@ -115,7 +116,7 @@
 	return readErr
 }
 
-func (c *FrameConn) readFrames(maxFrameBytes uint32, received func([]byte)) error {
+func (c *FrameConn) readFrames(maxFrameBytes uint32, onFrame func([]byte)) error {
 	for {
 		frame, err := ReadFrame(c.reader, maxFrameBytes)
 		if err != nil {
@@ -123,11 +124,11 @@
 		}
 		c.bytesIn.Add(int64(headerBytes + len(frame)))
 		c.framesIn.Add(1)
-		received(frame)
+		onFrame(frame)
 	}
 }
 
-func (c *FrameConn) writeFrames(sent func(bytes int)) error {
+func (c *FrameConn) writeFrames(onSent func(bytes int)) error {
 	var frames [][]byte
 	for {
 		select {
@@ -143,15 +144,15 @@
 			c.queuedBytes.Add(-int64(len(frame)))
 			c.bytesOut.Add(int64(headerBytes + len(frame)))
 			c.framesOut.Add(1)
-			if sent != nil {
-				sent(len(frame))
+			if onSent != nil {
+				onSent(len(frame))
 			}
 		}
 	}
 }
 
 // progressReader reads from a FrameConn's connection with a new deadline for each read, so that a long frame on a slow link
-// is not taken for silence.
+// does not cause an idle timeout.
 type progressReader struct{ *FrameConn }
 
 func (r progressReader) Read(buffer []byte) (int, error) {
@@ -166,7 +167,7 @@
 	return n, err
 }
 
-// chunkWriter writes in chunks with a deadline for each.
+// chunkWriter writes to a connection in chunks, with a deadline for each.
 type chunkWriter struct{ net.Conn }
 
 func (w chunkWriter) Write(data []byte) (written int, err error) {
--- a/internal/peers/transport/golden_test.go
+++ b/internal/peers/transport/golden_test.go
@@ -6,7 +6,7 @@
 	"pearknot/internal/goldentest"
 )
 
-// An earlier build wrote the files: the first messages of a connection, which this build must read and write alike.
+// The files hold the handshake messages as written by an earlier build. This build must read and write the same encoding.
 func TestBinaryForms(t *testing.T) {
 	for file, v := range map[string]any{
 		"hello.bin": &Hello{Version: 2,
@@ -15,7 +15,7 @@
 			To:          "text f",
 			Incarnation: 0x6,
 			Nonce:       []byte{0x8}},
-		"proof.bin": &proof{Hello: Hello{Version: 3,
+		"proof.bin": &serverResponse{Hello: Hello{Version: 3,
 			Fleet:       "text e",
 			From:        "text f",
 			To:          "text g",
--- a/internal/peers/transport/handshake.go
+++ b/internal/peers/transport/handshake.go
@@ -21,30 +21,31 @@
 //  2. the server sends its own Hello and a MAC over both;
 //  3. the client checks that MAC, and sends a MAC of its own over both.
 //
-// A MAC is keyed with a key of the fleet and covers the side that sent it and the nonces of both, so that neither a MAC of an
-// earlier connection nor the other side's can be used in its place.
+// A MAC is keyed with a key of the fleet and covers the sender's side and both nonces, so that neither a MAC of an earlier
+// connection nor the other side's MAC can be replayed.
 
-// version is the version of the handshake. What travels on the connection afterwards has its own.
+// version is the version of the handshake. The frames that follow on the connection have a version of their own.
 const version = 1
 
 const (
 	// maxHelloBytes bounds the messages that are read from a process that has not authenticated itself.
 	maxHelloBytes = 1 << 10
-	// handshakeTimeout bounds the handshake, so that a process without a key occupies a file descriptor no longer.
+	// handshakeTimeout limits how long a process without a key can occupy a file descriptor.
 	handshakeTimeout = 2 * time.Second
 	nonceBytes       = 16
 )
 
-// The sides in a MAC, as they stand on the wire: the server, which has accepted the connection, and the client.
+// The names of the sides that are part of a MAC and so of the protocol: the server, which accepted the connection, and the
+// client.
 const (
 	serverSide = "taken"
 	clientSide = "calls"
 )
 
-// ErrWrongKey means that the other side's MAC was not made with a key that this process accepts.
+// ErrWrongKey means that the other side's MAC was not computed with a key that this process accepts.
 var ErrWrongKey = errors.New("wrong key")
 
-// errMalformedHello is a Hello without a nonce or an incarnation.
+// errMalformedHello is returned for a Hello without a valid nonce or incarnation.
 var errMalformedHello = errors.New("malformed hello")
 
 // Hello is each side's first message. It is encoded by the order of its fields.
@@ -52,12 +53,12 @@
 	Version     int
 	Fleet       string
 	From, To    string // names of processes
-	Incarnation uint64 // of the sender
+	Incarnation uint64 // incarnation of the sender
 	Nonce       []byte
 }
 
-// proof is the server's message, encoded by the order of its fields.
-type proof struct {
+// serverResponse is the server's message, encoded by the order of its fields.
+type serverResponse struct {
 	Hello Hello
 	MAC   []byte
 }
@@ -69,16 +70,16 @@
 	return hello
 }
 
-// check returns an error unless the Hello is of this version and fleet, and from and to the given names. An empty from
-// accepts any sender.
+// check returns an error unless the Hello has this build's version, the given fleet and the given sender and recipient. An
+// empty from accepts any sender.
 func (h *Hello) check(fleet, from, to string) error {
 	switch {
 	case h.Version != version:
-		return fmt.Errorf("handshake of version %d, this build has %d", h.Version, version)
+		return fmt.Errorf("unsupported handshake version: %d, this build supports %d", h.Version, version)
 	case h.Fleet != fleet:
-		return fmt.Errorf("fleet %.40q is not %.40q", h.Fleet, fleet)
+		return fmt.Errorf("wrong fleet %.40q, expected %.40q", h.Fleet, fleet)
 	case from != "" && h.From != from || h.To != to:
-		return fmt.Errorf("hello from %.40q to %.40q, wanted from %.40q to %.40q", h.From, h.To, from, to)
+		return fmt.Errorf("hello from %.40q to %.40q, expected from %.40q to %.40q", h.From, h.To, from, to)
 	case len(h.Nonce) != nonceBytes || h.Incarnation == 0:
 		return errMalformedHello
 	}
@@ -97,7 +98,7 @@
 	return mac.Sum(nil)
 }
 
-// isAuthentic reports whether a MAC was made with one of the keys.
+// isAuthentic reports whether a MAC was computed with one of the keys.
 func isAuthentic(keys [][]byte, side string, client, server *Hello, mac []byte) bool {
 	for _, key := range keys {
 		if hmac.Equal(mac, computeMAC(key, side, client, server)) {
@@ -107,9 +108,9 @@
 	return false
 }
 
-// ClientHandshake does the client's part of the handshake with the process named to, and returns that process's incarnation.
-// This side authenticates itself with the first key and accepts each of them. The error is ErrWrongKey if the server's key
-// is none of them.
+// ClientHandshake performs the client's part of the handshake with the process named to, and returns that process's
+// incarnation. The client authenticates itself with the first key and accepts any of them. The error is ErrWrongKey if the
+// server's key is none of them.
 func ClientHandshake(conn net.Conn, keys [][]byte, fleet, from, to string, incarnation uint64) (serverIncarnation uint64, err error) {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer func() { _ = conn.SetDeadline(time.Time{}) }()
@@ -121,7 +122,7 @@
 	if err != nil {
 		return 0, err
 	}
-	var server proof
+	var server serverResponse
 	if err := snapshot.ReadStruct(data, &server); err != nil {
 		return 0, err
 	}
@@ -134,9 +135,9 @@
 	return server.Hello.Incarnation, WriteFrame(conn, computeMAC(keys[0], clientSide, &client, &server.Hello))
 }
 
-// ServerHandshake does the server's part of the handshake and returns the client's name and incarnation. It reads through r,
-// which may have read further than the handshake. Any name is accepted, because a process with the key can give itself any;
-// the caller decides whether the name may connect. The error is ErrWrongKey if the client's key is none of the keys.
+// ServerHandshake performs the server's part of the handshake and returns the client's name and incarnation. It reads through
+// r, which may have buffered bytes that follow the handshake. Any name is accepted, because a process with the key can use any
+// name; the caller decides whether the name may connect. The error is ErrWrongKey if the client's key is none of the keys.
 func ServerHandshake(conn net.Conn, r *bufio.Reader, keys [][]byte, fleet, self string, incarnation uint64) (from string, clientIncarnation uint64, err error) {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer func() { _ = conn.SetDeadline(time.Time{}) }()
@@ -152,7 +153,7 @@
 		return "", 0, err
 	}
 	server := NewHello(fleet, self, client.From, incarnation)
-	answer := proof{Hello: server, MAC: computeMAC(keys[0], serverSide, &client, &server)}
+	answer := serverResponse{Hello: server, MAC: computeMAC(keys[0], serverSide, &client, &server)}
 	if err := WriteFrame(conn, snapshot.AppendStruct(nil, &answer)); err != nil {
 		return "", 0, err
 	}
--- a/internal/peers/transport/keys.go
+++ b/internal/peers/transport/keys.go
@@ -11,23 +11,23 @@
 // keyBytes is the size of a key of a fleet.
 const keyBytes = 32
 
-// ReadKeys reads a file of keys, one a line in hexadecimal; empty lines and those that begin with # are skipped. The file
-// must be readable by its owner alone.
+// ReadKeys reads a file of keys, one per line in hexadecimal; empty lines and lines that begin with # are skipped. The file
+// must be readable by its owner only.
 //
-// A process authenticates itself with the first key and accepts each of them. A key can thus be replaced without an
-// interruption: add the new one on all machines, then put it first on all machines, then remove the old one.
+// A process authenticates itself with the first key and accepts any of them. A key can thus be replaced without interruption:
+// add the new key on all machines, then put it first on all machines, then remove the old key.
 func ReadKeys(name string) (keys [][]byte, err error) {
 	file, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // only read from
+	defer func() { _ = file.Close() }() // opened for reading only
 	info, err := file.Stat()
 	if err != nil {
 		return nil, err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("%s may be read by others: mode %v, not 0600", name, info.Mode().Perm())
+		return nil, fmt.Errorf("%s: file may be read by others: mode %v, expected 0600", name, info.Mode().Perm())
 	}
 	lines := bufio.NewScanner(file)
 	for number := 1; lines.Scan(); number++ {
@@ -37,12 +37,12 @@
 		}
 		key, err := hex.DecodeString(text)
 		if err != nil || len(key) != keyBytes {
-			return nil, fmt.Errorf("%s:%d: no %d bytes in hexadecimal", name, number, keyBytes)
+			return nil, fmt.Errorf("%s:%d: key must be %d bytes in hexadecimal", name, number, keyBytes)
 		}
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 {
-		return nil, fmt.Errorf("%s: no key", name)
+		return nil, fmt.Errorf("%s: file has no key", name)
 	}
 	return keys, lines.Err()
 }
--- a/internal/peers/transport/transport_test.go
+++ b/internal/peers/transport/transport_test.go
@@ -33,9 +33,9 @@
 	return a, b
 }
 
-// A process that has the key connects under a name that nobody expects. The handshake hands the name to the accepting side,
-// which decides. The client's first frame comes right behind the handshake and must not be lost in its read buffer.
-func TestServerDecidesByName(t *testing.T) {
+// A process that has the key connects under an unknown name. The handshake returns the name to the server, which decides. The
+// client's first frame directly follows the handshake and must not be lost in the handshake's read buffer.
+func TestHandshakeReturnsClientName(t *testing.T) {
 	clientConn, serverConn := connPair(t)
 	clientDone := make(chan error, 1)
 	go func() {
@@ -54,11 +54,11 @@
 	server.Close()
 }
 
-// runningPair is two connected FrameConns, the first of which runs.
+// runningPair holds two connected FrameConns, the first of which is running.
 type runningPair struct {
 	first, second *FrameConn
-	received      chan []byte // by the first
-	sent          chan int    // by the first
+	received      chan []byte // frames received by the first
+	sent          chan int    // sizes of the frames sent by the first
 	ended         chan error  // results of Run
 }
 
@@ -79,8 +79,8 @@
 	return pair
 }
 
-// Frames go both ways, also empty ones, and are counted; the sender learns what has left its queue. A frame that is too
-// long, a silence and a Close end the connection, each with its own error.
+// Frames, including empty ones, are transferred in both directions and counted, and the sender is notified when a frame has
+// left its queue. A frame that is too long, an idle timeout and a Close end the connection, each with its own error.
 func TestFrameConn(t *testing.T) {
 	pair := startPair(t, 100, 0)
 	receivedBySecond := make(chan []byte, 100)
@@ -118,9 +118,9 @@
 	closed.first.Close()
 }
 
-// A long frame comes slowly, as over a link of little bandwidth. It is not silence: the receiver learns of the progress
-// before the frame is complete.
-func TestSlowFrameIsProgress(t *testing.T) {
+// A long frame arrives slowly, as over a link of low bandwidth. The receiver is notified of the progress before the frame is
+// complete.
+func TestIncompleteFrameCountsAsProgress(t *testing.T) {
 	a, b := connPair(t)
 	receiver := NewFrameConn(b)
 	progress, received := make(chan bool, 100), make(chan []byte, 1)
@@ -138,8 +138,8 @@
 	receiver.Close()
 }
 
-// The other side reads nothing, as a frozen process does. Whoever sends is not blocked, and Close ends a write that hangs.
-func TestPeerThatReadsNothing(t *testing.T) {
+// The other side reads nothing, as a frozen process does. Send does not block, and Close ends a write that hangs.
+func TestSendDoesNotBlockOnStalledPeer(t *testing.T) {
 	a, _ := connPair(t)
 	conn, ended := NewFrameConn(a), make(chan error, 1)
 	go func() { ended <- conn.Run(100, 0, func([]byte) {}, nil) }()
@@ -156,8 +156,9 @@
 	}
 }
 
-// A file of keys is read in its order, and refused where a key is malformed, where there is none, and where others may read it.
-func TestKeys(t *testing.T) {
+// The keys of a file are returned in its order. A file is refused if a key is malformed, if it has no key, or if others may
+// read it.
+func TestReadKeys(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "k")
 	write := func(text string, mode os.FileMode) {
 		require.NoError(t, os.WriteFile(name, []byte(text), mode))
@@ -168,7 +169,7 @@
 	keys, err := ReadKeys(name)
 	require.NoError(t, err)
 	require.Equal(t, [][]byte{bytes.Repeat([]byte{10}, 32), bytes.Repeat([]byte{11}, 32)}, keys)
-	for want, text := range map[string]string{"k:2: no 32 bytes": first + "\nabc\n", "no key": "# none\n"} {
+	for want, text := range map[string]string{"k:2: key must be 32 bytes in hexadecimal": first + "\nabc\n", "file has no key": "# none\n"} {
 		write(text, 0o600)
 		_, err = ReadKeys(name)
 		require.ErrorContains(t, err, want)
