--- a/internal/requestlog/bootstrap.go
+++ b/internal/requestlog/bootstrap.go
@@ -9,21 +9,21 @@
 	"pearknot/internal/snapshot"
 )
 
-// quorumLostAfterMs is how long the members' statuses must show unchanged that a log has lost its quorum before it is
-// bootstrapped again: several elections would have been over by then.
+// quorumLostAfterMs is the time for which the members' statuses must show, without a change, that a log has lost its quorum
+// before it is bootstrapped again: enough for several elections.
 const quorumLostAfterMs = 3000.0
 
 // maybeBootstrap bootstraps this member's own log, with its own replica as the only voter, if the log does not exist or has
 // lost its quorum for good. Each bootstrap begins a new generation of the log.
 //
-// Two generations at once would let two requests with one key run, so:
+// Two generations at once could let two requests with the same key run, so:
 //   - only the member itself bootstraps its log, so no two members do;
 //   - it does so for the first time only if the members whose state it does not know are too few to hold a majority of the
 //     log's replicas, and none of the others knows the log;
-//   - after that it must know the state of all members, and this must show, unchanged for quorumLostAfterMs, that nobody
+//   - after that it must know the state of all members, and this must show, unchanged for quorumLostAfterMs, that no member
 //     leads the log and that no majority of its replicas is left;
-//   - only heartbeats count that echo this process's current nonce. Heartbeats from before a pause of this process may be
-//     long out of date; such ones once led to a second generation beside one that was alive.
+//   - only heartbeats that echo this process's current nonce count. Heartbeats from before a pause of this process may be
+//     outdated; counting them led to a second generation while the first was still active.
 func (m *Member) maybeBootstrap() {
 	own := m.config.Self
 	replica := m.replicas[own]
@@ -33,12 +33,12 @@
 	}
 	evidence := m.collectBootstrapEvidence()
 	if m.knownGenerations[own] == 0 {
-		if evidence.unheard <= (m.config.Replicas-1)/2 {
+		if evidence.withoutHeartbeat <= (m.config.Replicas-1)/2 {
 			m.bootstrap()
 		}
 		return
 	}
-	if digest := evidence.digest(); evidence.unheard > 0 || evidence.hasLeader || digest != m.bootstrapDigest {
+	if digest := evidence.digest(); evidence.withoutHeartbeat > 0 || evidence.hasLeader || digest != m.bootstrapDigest {
 		m.bootstrapDigest, m.bootstrapDigestSince = digest, m.now
 		return
 	}
@@ -56,11 +56,11 @@
 	m.bootstrap()
 }
 
-// bootstrapEvidence is what the other members' heartbeats say of this member's own log.
+// bootstrapEvidence summarizes what the members' heartbeats report about this member's own log.
 type bootstrapEvidence struct {
-	unheard   int         // members without a heartbeat since this process started, was paused or lost its link to them
-	hasLeader bool        // a member says that it leads the log
-	statuses  []LogStatus // of the members with a replica
+	withoutHeartbeat int         // number of members without a heartbeat since this process started, was paused or lost its link to them
+	hasLeader        bool        // whether a member reports that it leads the log
+	statuses         []LogStatus // statuses of the members with a replica
 }
 
 func (m *Member) collectBootstrapEvidence() bootstrapEvidence {
@@ -75,7 +75,7 @@
 		}
 		peer := &m.peers[i]
 		if peer.heartbeat == nil || !peer.connected || peer.heartbeat.EchoedNonces[own] != m.nonce {
-			evidence.unheard++
+			evidence.withoutHeartbeat++
 			continue
 		}
 		for _, status := range peer.heartbeat.Logs {
@@ -92,34 +92,34 @@
 	return xxhash.Sum64(snapshot.AppendStruct(nil, &Heartbeat{Logs: e.statuses}))
 }
 
-// hasQuorum reports whether the replicas that are left can elect a leader. The replica that has applied most entries says
-// who the voters are: those that lag behind may still name the voters of before a change.
+// hasQuorum reports whether the remaining replicas can elect a leader. The voters are taken from the replica that has applied
+// most entries: replicas that lag behind may still have the voters from before a change.
 func (e *bootstrapEvidence) hasQuorum() bool {
 	if len(e.statuses) == 0 {
 		return false
 	}
 	latest := slices.MaxFunc(e.statuses, func(a, b LogStatus) int { return cmp.Compare(a.Applied, b.Applied) })
-	left := map[uint64]bool{}
+	remaining := map[uint64]bool{}
 	for _, status := range e.statuses {
-		left[status.VoterID] = true
+		remaining[status.VoterID] = true
 	}
 	isJoint := len(latest.OutgoingVoters) > 0
-	return isMajority(latest.Voters, left) && (!isJoint || isMajority(latest.OutgoingVoters, left))
+	return isMajority(latest.Voters, remaining) && (!isJoint || isMajority(latest.OutgoingVoters, remaining))
 }
 
-// isMajority reports whether a majority of the voters is left.
-func isMajority(voters []uint64, left map[uint64]bool) bool {
+// isMajority reports whether a majority of the voters remains.
+func isMajority(voters []uint64, remaining map[uint64]bool) bool {
 	count := 0
 	for _, voterID := range voters {
-		if left[voterID] {
+		if remaining[voterID] {
 			count++
 		}
 	}
 	return 2*count > len(voters)
 }
 
-// bootstrap begins a generation of this member's own log. Generations are numbered by time, so that a member that has
-// forgotten all of them, as has everybody else, does not use a number again.
+// bootstrap begins a new generation of this member's own log. Generations are numbered by time, so that a number is not reused
+// even if no member knows the earlier generations any more.
 func (m *Member) bootstrap() {
 	own := m.config.Self
 	generation := max(m.knownGenerations[own]+1, uint64(m.now))
--- a/internal/requestlog/calls.go
+++ b/internal/requestlog/calls.go
@@ -9,54 +9,53 @@
 )
 
 // Calls: a member looks up a key or appends a record by calling the leader of the key's log, which may be itself. A call
-// without a reply is sent again, to the member that leads the log by then, until its deadline.
+// without a reply is sent again, to the log's current leader, until its deadline.
 const (
-	// callRetryMs is how long a call waits for its reply before it is sent again: several round trips between regions.
+	// callRetryMs is the time that a call waits for its reply before it is sent again: several round trips between regions.
 	callRetryMs = 200.0
-	// notLeaderRetryMs is how long a call waits before it is sent again after a reply of NotLeader. The leader is known after
-	// the next heartbeat or raft message, so this is shorter than callRetryMs.
+	// notLeaderRetryMs is the time that a call waits before it is sent again after a NotLeader reply. It is shorter than
+	// callRetryMs, since the leader is known after the next heartbeat or raft message.
 	notLeaderRetryMs = 2 * TickMs
-	// startupGraceMs is how long after its start a process does not take itself for isolated: it may not have connected yet,
-	// and a process that it replaces may still have the member's address.
+	// startupGraceMs is the time after its start in which a process does not consider itself isolated: it may not have
+	// connected yet, and its predecessor may still use the member's address.
 	startupGraceMs = 2500.0
 )
 
-// Call is a remote procedure call to the leader of a log, which looks up a key or appends a record. It has nothing to do
-// with upstream.Call, which is an attempt on its way to a backend.
+// Call is a remote procedure call to the leader of a log, which looks up a key or appends a record. It is unrelated to
+// upstream.Call, which is an attempt at a backend.
 type Call struct {
 	Seq    uint64
 	Lookup bool
-	Record Record // of a lookup, Key and Request.Fingerprint alone
+	Record Record // for a lookup, only Key and Request.Fingerprint are set
 }
 
 // CallReply is a leader's reply to a call.
 type CallReply struct {
 	Seq    uint64
 	Result Result
-	Answer FinalAnswer // of KeyAnswered
+	Answer FinalAnswer // set for KeyAnswered
 }
 
 // Reply is the result of a Lookup or Append of this member.
 type Reply struct {
-	ID     uint64 // as given to Lookup or Append
+	ID     uint64 // as passed to Lookup or Append
 	Result Result
-	Answer FinalAnswer // of KeyAnswered
-	SentAt float64     // when the call that was replied to was sent; a lease counts from here
+	Answer FinalAnswer // set for KeyAnswered
+	SentAt float64     // when the call was sent that this replies to; a lease starts at this time
 }
 
 // pendingCall is a call of this member that has no reply yet.
 type pendingCall struct {
 	id       uint64
-	seq      uint64  // of the latest sending
-	sentAt   float64 // of the latest sending
+	seq      uint64  // sequence number of the latest transmission
+	sentAt   float64 // time of the latest transmission
 	deadline float64
 	logIndex int
 	isLookup bool
 	record   Record
 }
 
-// Lookup asks the key's log for the state of a key. The result comes as a Reply with the ID; after the deadline it is
-// NoQuorum.
+// Lookup looks up the state of a key in its log. The result is a Reply with the given ID; after the deadline it is NoQuorum.
 func (m *Member) Lookup(now float64, id uint64, key string, fingerprint uint64, deadline float64) {
 	m.now = now
 	m.sendCall(&pendingCall{
@@ -68,8 +67,8 @@
 	})
 }
 
-// Append appends a record to the log of its key. The result comes as a Reply with the ID: Committed once the record is on a
-// majority of the replicas. After the deadline it is NoQuorum, and the record may be committed nevertheless.
+// Append appends a record to the log of its key. The result is a Reply with the given ID: Committed once the record is on
+// a majority of the replicas. After the deadline it is NoQuorum, and the record may be committed nevertheless.
 func (m *Member) Append(now float64, id uint64, record Record, deadline float64) {
 	m.now = now
 	if record.Kind == AttemptStarted && record.Attempt.Number == 0 {
@@ -83,7 +82,7 @@
 	m.sendCall(&pendingCall{id: id, deadline: deadline, logIndex: m.LogOf(record.Key), record: record})
 }
 
-// leaderOf returns the member that leads a log, as far as is known.
+// leaderOf returns the member that leads a log, if it is known.
 func (m *Member) leaderOf(logIndex int) (member int, known bool) {
 	if replica := m.replicas[logIndex]; replica != nil {
 		if replica.canServe(m.config.Replicas) {
@@ -99,8 +98,8 @@
 	return m.leaderByHeartbeats(logIndex)
 }
 
-// leaderByHeartbeats returns the member that leads a log by its own heartbeats. A leader that was cut off may claim that for
-// a while after another was elected, so the claim of the latest generation and term counts.
+// leaderByHeartbeats returns the member that leads a log according to its own heartbeats. A leader that was cut off may report
+// that for a while after another was elected, so the report of the latest generation and term counts.
 func (m *Member) leaderByHeartbeats(logIndex int) (member int, known bool) {
 	var latest LogStatus
 	for i := range m.peers {
@@ -120,8 +119,8 @@
 	return member, known
 }
 
-// sendCall sends a call to the leader of its log under a new sequence number. If the leader is not known the call waits for
-// retryCalls.
+// sendCall sends a call to the leader of its log with a new sequence number. If the leader is not known, retryCalls sends the
+// call later.
 func (m *Member) sendCall(call *pendingCall) {
 	delete(m.pendingCalls, call.seq)
 	m.lastCallSeq++
@@ -139,8 +138,8 @@
 	m.sendFrame(leader, &Frame{Kind: frameCall, Log: call.logIndex, Call: request})
 }
 
-// serveCall serves a call of an incarnation, which may be this one, if this member leads the log. A record's reply goes out
-// once it is applied.
+// serveCall serves a call from an incarnation, which may be this one, if this member leads the log. The reply to an appended
+// record is sent once the record is applied.
 func (m *Member) serveCall(caller Incarnation, logIndex int, call Call) {
 	replica := m.replicas[logIndex]
 	switch {
@@ -155,8 +154,8 @@
 		record := call.Record
 		record.LeaderTime, record.Caller, record.CallSeq = m.now, caller, call.Seq
 		if err := replica.node.Propose(snapshot.AppendStruct(nil, &record)); err != nil {
-			// A transfer of the leadership is under way, or too many bytes are uncommitted. Neither lasts, so the reply makes
-			// the caller try again; LogFull would make it give up.
+			// A leadership transfer is in progress, or too many bytes are uncommitted. Both are temporary, so the reply makes
+			// the caller retry; LogFull would make it give up.
 			m.replyTo(caller, CallReply{Seq: call.Seq, Result: NotLeader})
 		}
 	}
@@ -170,8 +169,8 @@
 	}
 }
 
-// receiveReply takes a leader's reply. A reply to an earlier sending of a call is dropped: a lease counts from the time of
-// the sending that was replied to, and that time is known of the latest one only.
+// receiveReply handles a leader's reply. A reply to an earlier transmission of a call is dropped: a lease starts at the time
+// of the transmission that the reply belongs to, and only the time of the latest one is stored.
 func (m *Member) receiveReply(reply CallReply) {
 	call := m.pendingCalls[reply.Seq]
 	if call == nil {
@@ -195,8 +194,8 @@
 	m.outputs = append(m.outputs, Output{Reply: &Reply{ID: call.id, Result: result, Answer: answer, SentAt: call.sentAt}})
 }
 
-// retryCalls ends the calls whose deadline has passed, and sends those again, in their order, that have waited for
-// callRetryMs. While this member is isolated no call can succeed, so calls end within a tick instead of at their deadline.
+// retryCalls ends the calls whose deadline has passed, and resends, in their order, those that have waited for callRetryMs.
+// While this member is isolated no call can succeed, so calls end within a tick instead of at their deadline.
 func (m *Member) retryCalls() {
 	for _, seq := range slices.Sorted(maps.Keys(m.pendingCalls)) {
 		call := m.pendingCalls[seq]
@@ -211,8 +210,7 @@
 	}
 }
 
-// isIsolated reports whether this member is connected with so few others that they can't form a majority of any log's
-// replicas.
+// isIsolated reports whether this member is connected with too few others to form a majority of any log's replicas.
 func (m *Member) isIsolated() bool {
 	if m.now < m.startedAt+startupGraceMs {
 		return false
--- a/internal/requestlog/frame.go
+++ b/internal/requestlog/frame.go
@@ -18,19 +18,19 @@
 	frameHeartbeat
 )
 
-// Frame is what one member sends to another, encoded by the order of its fields.
+// Frame is a message from one member to another, encoded by the order of its fields.
 type Frame struct {
 	Version    int
 	Kind       int
-	Log        int       // index of the log; of a heartbeat, 0
-	Generation uint64    // of the log; of frameRaft
-	Raft       []byte    // a raftpb.Message; of frameRaft
-	Call       Call      // of frameCall
-	Reply      CallReply // of frameReply
-	Heartbeat  Heartbeat // of frameHeartbeat
+	Log        int       // index of the log; 0 for frameHeartbeat
+	Generation uint64    // generation of the log; for frameRaft
+	Raft       []byte    // encoded raftpb.Message; for frameRaft
+	Call       Call      // for frameCall
+	Reply      CallReply // for frameReply
+	Heartbeat  Heartbeat // for frameHeartbeat
 }
 
-// The errors of Receive. On either of them the caller should close the link to the sender.
+// The errors of Receive. On either of them the caller should close the link to the sending member.
 var (
 	ErrMalformedFrame = errors.New("malformed frame")
 	ErrFrameVersion   = errors.New("unsupported frame version")
@@ -45,7 +45,7 @@
 	m.outputs = append(m.outputs, Output{To: to, Frame: encodeFrame(frame)})
 }
 
-// Receive takes a frame of a connected member.
+// Receive handles a frame from a connected member.
 func (m *Member) Receive(now float64, from int, data []byte) error {
 	m.now = now
 	frame := &Frame{}
@@ -53,10 +53,10 @@
 		return fmt.Errorf("%w: %w", ErrMalformedFrame, err)
 	}
 	if frame.Version != Version {
-		return fmt.Errorf("%w: %d, this build reads %d", ErrFrameVersion, frame.Version, Version)
+		return fmt.Errorf("%w: %d, this build supports %d", ErrFrameVersion, frame.Version, Version)
 	}
 	if frame.Log < 0 || frame.Log >= len(m.replicas) {
-		return fmt.Errorf("%w: log %d of %d", ErrMalformedFrame, frame.Log, len(m.replicas))
+		return fmt.Errorf("%w: log index %d, fleet has %d logs", ErrMalformedFrame, frame.Log, len(m.replicas))
 	}
 	peer := &m.peers[from]
 	if peer.incarnation == 0 {
@@ -75,5 +75,5 @@
 	case frameHeartbeat:
 		return m.receiveHeartbeat(peer, &frame.Heartbeat)
 	}
-	return fmt.Errorf("%w: kind %d", ErrMalformedFrame, frame.Kind)
+	return fmt.Errorf("%w: unknown kind %d", ErrMalformedFrame, frame.Kind)
 }
--- a/internal/requestlog/golden_test.go
+++ b/internal/requestlog/golden_test.go
@@ -6,7 +6,7 @@
 	"pearknot/internal/goldentest"
 )
 
-// An earlier build wrote the files: frames and records of a log that this build must read and write alike.
+// The files hold frames and log records as written by an earlier build. This build must read and write the same encoding.
 func TestBinaryForms(t *testing.T) {
 	for file, v := range map[string]any{
 		"frame.bin": &Frame{Version: 2,
--- a/internal/requestlog/heartbeat.go
+++ b/internal/requestlog/heartbeat.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// heartbeatIntervalMs is how often a member sends heartbeats: ten in PeerTimeoutMs.
+	// heartbeatIntervalMs is the time between two heartbeats of a member: a tenth of PeerTimeoutMs.
 	heartbeatIntervalMs = 100.0
-	// removedReplicaLingerMs is how long a replica that was removed from its log's voters stays and still votes.
+	// removedReplicaLingerMs is the time for which a replica that was removed from its log's voters is kept and still votes.
 	removedReplicaLingerMs = 2000.0
 )
 
-// Heartbeat is a member's state, which it sends to all others every heartbeatIntervalMs.
+// Heartbeat is the state that a member sends to all others every heartbeatIntervalMs.
 type Heartbeat struct {
 	ShuttingDown bool
 	Nonce        uint64
-	EchoedNonces []uint64 // by member, the latest nonce that came from it
+	EchoedNonces []uint64 // by member, the latest nonce received from it
 	Logs         []LogStatus
 }
 
-// LogStatus is a member's part in one log.
+// LogStatus is the state of one log at a member.
 type LogStatus struct {
-	Log             int // its index
+	Log             int // index of the log
 	Generation      uint64
-	KnownGeneration uint64 // the latest generation of the log that the member has heard of
-	VoterID         uint64 // by which the member is in the log, or would join it
+	KnownGeneration uint64 // the latest generation of the log that the member knows of
+	VoterID         uint64 // ID with which the member is in the log, or would join it
 	HasReplica      bool
 	IsLeader        bool
 	Term            uint64
@@ -45,13 +45,13 @@
 	return slices.Contains(s.Voters, voterID) || slices.Contains(s.OutgoingVoters, voterID)
 }
 
-// peer is what is known of another member.
+// peer holds this member's knowledge of another member.
 type peer struct {
-	incarnation    Incarnation // 0 is unknown
+	incarnation    Incarnation // 0 if unknown
 	connected      bool
 	lastReceivedAt float64
 	disconnectedAt float64
-	heartbeat      *Heartbeat // the latest of this connection; nil is none
+	heartbeat      *Heartbeat // the latest on this connection; nil if there is none
 }
 
 func (m *Member) sendHeartbeats() {
@@ -72,7 +72,7 @@
 	}
 }
 
-// logStatus returns this member's part in a log.
+// logStatus returns this member's status of a log.
 func (m *Member) logStatus(logIndex int) LogStatus {
 	status := LogStatus{Log: logIndex, KnownGeneration: m.knownGenerations[logIndex], VoterID: m.voterIDs[logIndex]}
 	replica := m.replicas[logIndex]
@@ -94,11 +94,11 @@
 
 func (m *Member) receiveHeartbeat(peer *peer, heartbeat *Heartbeat) error {
 	if len(heartbeat.EchoedNonces) != len(m.peers) {
-		return fmt.Errorf("%w: heartbeat of a fleet of %d members", ErrMalformedFrame, len(heartbeat.EchoedNonces))
+		return fmt.Errorf("%w: heartbeat from a fleet of %d members", ErrMalformedFrame, len(heartbeat.EchoedNonces))
 	}
 	for _, status := range heartbeat.Logs {
 		if status.Log < 0 || status.Log >= len(m.replicas) {
-			return fmt.Errorf("%w: status of log %d", ErrMalformedFrame, status.Log)
+			return fmt.Errorf("%w: heartbeat with the status of unknown log %d", ErrMalformedFrame, status.Log)
 		}
 		m.knownGenerations[status.Log] = max(m.knownGenerations[status.Log], status.KnownGeneration)
 	}
@@ -112,8 +112,8 @@
 // dropIfRemoved drops this member's replica of a log if the log's leader has a later generation, or if the log has been
 // complete without this replica for removedReplicaLingerMs.
 //
-// A replica that was removed goes on voting for that time. The other voters may not have learned yet that the change of
-// voters is committed. If the leader dies just then, they still go by the joint configuration, in which they need this vote:
+// A replica that was removed keeps voting for that time, because the other voters may not know yet that the change of voters
+// is committed. If the leader fails at that moment, they still use the joint configuration, in which they need this vote:
 // without it the log would never have a leader again.
 func (m *Member) dropIfRemoved(leader *LogStatus) {
 	replica := m.replicas[leader.Log]
@@ -134,7 +134,7 @@
 }
 
 // dropReplica drops this member's replica of a log. The replica's votes and entries are lost, so its voter ID is never used
-// again: under the same ID the member could vote twice in a term, or lack entries that it has acknowledged.
+// again: with the same ID the member could vote twice in a term, or lack entries that it has acknowledged.
 func (m *Member) dropReplica(logIndex int) {
 	m.replicas[logIndex] = nil
 	m.voterIDs[logIndex]++
@@ -150,7 +150,7 @@
 	return peer.connected && peer.heartbeat != nil && !peer.heartbeat.ShuttingDown && m.now-peer.lastReceivedAt < PeerTimeoutMs
 }
 
-// voterIDOf returns the voter ID by which an available member is in a log, or would join it. 0 is unknown.
+// voterIDOf returns the voter ID with which an available member is in a log, or would join it. It returns 0 if unknown.
 func (m *Member) voterIDOf(member, logIndex int) uint64 {
 	if member == m.config.Self {
 		return m.voterIDs[logIndex]
--- a/internal/requestlog/ledger.go
+++ b/internal/requestlog/ledger.go
@@ -3,8 +3,8 @@
 import "pearknot/balancer"
 
 // Ledger is the replicated state machine of a log: the state that results from applying its records. The same records in
-// the same order give the same ledger on every replica, so nothing in it may depend on a clock, a random number or the
-// order of a map.
+// the same order must give the same ledger on every replica, so nothing in it may depend on a clock, a random number or the
+// iteration order of a map.
 type Ledger struct {
 	entries     map[string]*Entry
 	unanswered  map[string]*Entry // the entries without a final answer
@@ -14,17 +14,17 @@
 	injectedBug InjectedBug
 }
 
-// InjectedBug names a part of the protocol that is left out on purpose, so that tests can show that their checks notice.
+// InjectedBug names a part of the protocol that is disabled on purpose, so that tests can verify that their checks detect it.
 // internal/controlplane has a type of this name for its own protocol.
 type InjectedBug uint8
 
-// The parts that can be left out.
+// The parts that can be disabled.
 const (
 	NoInjectedBug        InjectedBug = iota
 	BugNoFencing                     // a record is applied whether or not its writer owns the request
-	BugNoKeyCheck                    // a key in flight is given to a second request
-	BugForgottenAttempts             // a successor does not learn of the attempts that have started
-	BugNoTakeover                    // nobody takes requests over
+	BugNoKeyCheck                    // a second request may use a key that is in flight
+	BugForgottenAttempts             // a successor does not know the attempts that have started
+	BugNoTakeover                    // no member takes requests over
 )
 
 func newLedger(maxBytes int, answerTTL float64, injectedBug InjectedBug) *Ledger {
@@ -37,7 +37,7 @@
 	}
 }
 
-// lookup returns what is known of a key, for a request with a fingerprint.
+// lookup returns the state of a key for a request with the given fingerprint.
 func (l *Ledger) lookup(key string, fingerprint uint64) (Result, FinalAnswer) {
 	switch entry := l.entries[key]; {
 	case entry == nil:
@@ -50,10 +50,10 @@
 	return KeyInFlight, FinalAnswer{}
 }
 
-// apply applies a committed record. A caller that had no reply sends its record again, so a record may be committed twice;
-// the second one changes nothing.
+// apply applies a committed record. A caller that got no reply sends its record again, so a record may be committed twice;
+// the second one has no effect.
 func (l *Ledger) apply(record *Record) (Result, FinalAnswer) {
-	if record.Kind == AnswersExpired { // concerns no single key
+	if record.Kind == AnswersExpired { // does not belong to a single key
 		l.removeExpired(record.LeaderTime)
 		return Committed, FinalAnswer{}
 	}
@@ -63,8 +63,8 @@
 	}
 	defer l.reindex(record.Key)
 
-	// Fencing: an owner that was taken for lost may still run and write records. Its successor owns the request since
-	// OwnerChanged was applied, so the former owner's records are refused here on every replica.
+	// Fencing: an owner that was considered lost may still run and write records. Its successor owns the request since
+	// OwnerChanged was applied, so every replica refuses the former owner's records here.
 	isFenced := entry != nil && entry.Owner != record.Owner && l.injectedBug != BugNoFencing
 	switch record.Kind {
 	case AttemptStarted:
@@ -79,7 +79,7 @@
 	return Committed, FinalAnswer{}
 }
 
-// reindex brings the size of the ledger and the unanswered entries up to date after the entry of a key has changed.
+// reindex updates the size of the ledger and the unanswered entries after the entry of a key has changed.
 func (l *Ledger) reindex(key string) {
 	delete(l.unanswered, key)
 	entry := l.entries[key]
@@ -135,16 +135,16 @@
 func (l *Ledger) applyRequestAnswered(entry *Entry, isFenced bool, record *Record) (Result, FinalAnswer) {
 	isRejection := record.Answer.Status == Rejected
 	switch {
-	case entry == nil && isRejection: // it never started, or the rejection comes for the second time
+	case entry == nil && isRejection: // the request never started, or the rejection is a duplicate
 	case entry == nil || isFenced:
 		return NotOwner, FinalAnswer{}
 	case entry.Answer.Status != Unanswered && l.injectedBug != BugNoFencing:
-		return KeyAnswered, entry.Answer // an owner may answer twice; the first answer holds
+		return KeyAnswered, entry.Answer // an owner may answer twice; the first answer remains valid
 	case isRejection: // the client may repeat the request, so the key becomes unused
 		delete(l.entries, record.Key)
 	default:
 		entry.Answer, entry.AnsweredAt = record.Answer, record.LeaderTime
-		entry.Request.EncodedMessage, entry.Attempts = nil, nil // nobody needs them any more
+		entry.Request.EncodedMessage, entry.Attempts = nil, nil // no longer needed
 	}
 	return Committed, FinalAnswer{}
 }
@@ -163,7 +163,7 @@
 	return Committed
 }
 
-// removeExpired removes the answers whose TTL has passed at a time of the leader's clock.
+// removeExpired removes the answers whose TTL has passed at leaderTime, in ms of the leader's clock.
 func (l *Ledger) removeExpired(leaderTime float64) {
 	for key, entry := range l.entries {
 		if entry.Answer.Status != Unanswered && entry.AnsweredAt+l.answerTTL < leaderTime {
@@ -173,7 +173,7 @@
 	}
 }
 
-// ledgerSnapshot is a whole ledger as it lies in a raft snapshot, encoded by the order of its fields.
+// ledgerSnapshot is a complete ledger as stored in a raft snapshot, encoded by the order of its fields.
 type ledgerSnapshot struct{ Entries []Entry }
 
 func (l *Ledger) snapshot() *ledgerSnapshot {
--- a/internal/requestlog/ledger_test.go
+++ b/internal/requestlog/ledger_test.go
@@ -9,10 +9,10 @@
 	"pearknot/internal/snapshot"
 )
 
-// Records of several incarnations come in any order, some of them twice, as they do when members are taken for lost while
-// they still run. Whatever comes: a request has one owner, which only OwnerChanged changes; only the owner's records are
-// applied; a final answer stays; a record that comes twice changes nothing; the ledger's size is the sum of its entries'; and
-// a snapshot restores the same ledger.
+// Records of several incarnations are applied in random order, some of them twice, as happens when members are considered
+// lost while they still run. In all cases a request has one owner, which only OwnerChanged changes; only the owner's records
+// are applied; a final answer remains; a duplicate record changes nothing; the ledger's size is the sum of its entries'
+// sizes; and a snapshot restores the same ledger.
 func TestLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ledger := newLedger(20e3, 500, NoInjectedBug)
@@ -32,7 +32,7 @@
 				require.Equal(t, ownerBefore, entry.Owner, "only OwnerChanged changes the owner")
 			}
 			if statusBefore != Unanswered && entry == before && entry != nil {
-				require.Equal(t, statusBefore, entry.Answer.Status, "a final answer stays")
+				require.Equal(t, statusBefore, entry.Answer.Status, "a final answer remains")
 			}
 			if result == Committed && before != nil && record.Kind != AnswersExpired {
 				require.Equal(t, ownerBefore, record.Owner, "only the owner's records are applied")
@@ -40,14 +40,14 @@
 			if record.Kind == AttemptStarted || record.Kind == AttemptEnded {
 				once := snapshot.AppendStruct(nil, ledger.snapshot())
 				_, _ = ledger.apply(record)
-				require.Equal(t, once, snapshot.AppendStruct(nil, ledger.snapshot()), "a record that comes twice changes nothing")
+				require.Equal(t, once, snapshot.AppendStruct(nil, ledger.snapshot()), "a duplicate record changes nothing")
 			}
 			requireConsistent(t, ledger)
 		}
 	})
 }
 
-// drawRecord draws a record of few keys and owners, so that they collide.
+// drawRecord draws a record from a small set of keys and owners, so that they collide.
 func drawRecord(t *rapid.T, now float64) *Record {
 	kinds := []RecordKind{AttemptStarted, AttemptStarted, AttemptEnded, RequestAnswered, OwnerChanged, AnswersExpired}
 	return &Record{
@@ -65,7 +65,7 @@
 	}
 }
 
-// requireConsistent requires that the ledger's size is right, and that a snapshot of it restores it.
+// requireConsistent requires that the ledger's size is correct and that its snapshot restores it.
 func requireConsistent(t *rapid.T, ledger *Ledger) {
 	sum := 0
 	for _, entry := range ledger.entries {
@@ -79,8 +79,8 @@
 	require.Equal(t, len(ledger.unanswered), len(restored.unanswered))
 }
 
-// A ledger refuses requests once it is full, and says so; an answer whose TTL has passed makes room. A record that removed
-// expired answers and named a key too once subtracted that key's bytes twice.
+// A full ledger refuses requests with LogFull until an answer's TTL has passed. The AnswersExpired record has a key, which
+// guards against subtracting the bytes of that key's entry twice.
 func TestLedgerIsBounded(t *testing.T) {
 	ledger := newLedger(10e3, 500, NoInjectedBug)
 	start := func(key string) Result {
--- a/internal/requestlog/lostend_test.go
+++ b/internal/requestlog/lostattemptend_test.go
@@ -8,12 +8,12 @@
 	"pearknot/balancer"
 )
 
-// testCluster is three members whose links deliver at once, or not at all.
+// testCluster holds three members whose links deliver frames at once if they are up, and drop them otherwise.
 type testCluster struct {
 	now       float64
 	members   [3]*Member
 	connected [3][3]bool
-	killed    int // -1 is none
+	killed    int // index of the killed member; -1 if there is none
 	takenOver []Entry
 }
 
@@ -30,7 +30,7 @@
 	return c
 }
 
-// connect brings the link between two members up, or takes it down.
+// connect sets the link between two members up or down.
 func (c *testCluster) connect(i, j int, up bool) {
 	for _, ends := range [][2]int{{i, j}, {j, i}} {
 		c.connected[ends[0]][ends[1]] = up
@@ -42,7 +42,7 @@
 	}
 }
 
-// run lets time pass, in ms.
+// run simulates the given time, in ms.
 func (c *testCluster) run(ms float64) {
 	const step = 5
 	for end := c.now + ms; c.now < end; c.now += step {
@@ -55,7 +55,7 @@
 	}
 }
 
-// deliver carries out all outputs until there are none.
+// deliver handles outputs until there are none left.
 func (c *testCluster) deliver() {
 	for more := true; more; {
 		more = false
@@ -66,13 +66,13 @@
 					break
 				}
 				more = true
-				c.carryOut(i, output)
+				c.handleOutput(i, output)
 			}
 		}
 	}
 }
 
-func (c *testCluster) carryOut(from int, output Output) {
+func (c *testCluster) handleOutput(from int, output Output) {
 	if output.Frame != nil && c.connected[from][output.To] && output.To != c.killed {
 		_ = c.members[output.To].Receive(c.now, from, output.Frame)
 	}
@@ -81,11 +81,11 @@
 	}
 }
 
-// A request's idempotency key is recognized within one cell only. Its first attempt, in cell 0, never ran: the connection
-// failed. The record of that is lost with the link to the log's leader. The link is back before the record is sent again, so
-// that the record of the second attempt, in cell 1, is committed first. Then the owner dies. Its successor must not send the
-// request to a cell where an attempt that has run is not recognized.
-func TestSuccessorAfterALostAttemptEnd(t *testing.T) {
+// A request's idempotency key is recognized within one cell only. Its first attempt, in cell 0, never ran because the
+// connection failed, but the AttemptEnded record is lost with the link to the log's leader. The link is up again before the
+// record is resent, so the record of the second attempt, in cell 1, is committed first. Then the owner fails. Its successor
+// must not send the request to a cell where an attempt that may have run is not recognized.
+func TestTakeoverAfterLostAttemptEndedRecord(t *testing.T) {
 	c := newTestCluster()
 	owner := c.members[0]
 	c.run(5000)
@@ -119,6 +119,6 @@
 	first := entry.UncertainAttempt()
 	for _, attempt := range entry.Attempts {
 		mayHaveRun := !attempt.Ended || !attempt.Outcome.NeverRan()
-		require.False(t, mayHaveRun && attempt.Cell != first.Cell, "goes on in cell %d, though attempt %d may have run in cell %d", first.Cell, attempt.Number, attempt.Cell)
+		require.False(t, mayHaveRun && attempt.Cell != first.Cell, "continues in cell %d, although attempt %d may have run in cell %d", first.Cell, attempt.Number, attempt.Cell)
 	}
 }
--- a/internal/requestlog/member.go
+++ b/internal/requestlog/member.go
@@ -13,40 +13,40 @@
 type Config struct {
 	Members     []string    // names, the same in the same order at all members
 	Self        int         // this member's index among them
-	Incarnation uint64      // the number of this run: above the numbers of all runs of the member before it
-	Replicas    int         // of each log
-	Seed        uint64      // of the election timeouts
-	MaxLogBytes int         // that the ledger of one log may hold
-	AnswerTTL   float64     // ms for which an answer is stored
+	Incarnation uint64      // number of this run, greater than the numbers of all earlier runs of the member
+	Replicas    int         // number of replicas of each log
+	Seed        uint64      // random seed of the election timeouts
+	MaxLogBytes int         // maximum size of the ledger of one log
+	AnswerTTL   float64     // time for which an answer is stored, in ms
 	InjectedBug InjectedBug // for tests
 }
 
 const (
-	// TickMs is the time of one tick of the logs, in ms.
+	// TickMs is the duration of one tick of the logs.
 	TickMs = 25.0
 
-	// pauseMs is a gap between two calls of Tick after which this process assumes that it was paused itself, rather than
-	// that all others fell silent: ten ticks.
+	// pauseMs is the gap between two calls of Tick after which this process assumes that it was paused itself, rather than
+	// that all other members stopped sending: ten ticks.
 	pauseMs = 250.0
-	// expiryIntervalMs is how often a leader has expired answers removed.
+	// expiryIntervalMs is the time between two proposals of a leader to remove expired answers.
 	expiryIntervalMs = 1000.0
 )
 
-// Member is this process's part in all logs: its replicas, its calls, and what it knows of the other members. It is not
-// safe for concurrent use.
+// Member holds this process's state of all logs: its replicas, its calls, and the last reported state of the other members. It
+// is not safe for concurrent use.
 type Member struct {
 	config Config
 	self   Incarnation
-	now    float64 // of the latest input
-	peers  []peer  // by member; the one of this member is not used
+	now    float64 // time of the latest input
+	peers  []peer  // by member; this member's own entry is not used
 
 	// By log. A replica is nil where this member has none.
 	replicas         []*replica
-	voterIDs         []uint64 // by which this member is in the log, or would join it
+	voterIDs         []uint64 // with which this member is in the log, or would join it
 	knownGenerations []uint64 // the latest generation that any member has reported
 
 	// Calls of this member.
-	pendingCalls map[uint64]*pendingCall // by the sequence number of the latest sending
+	pendingCalls map[uint64]*pendingCall // by the sequence number of the latest transmission
 	lastCallSeq  uint64
 	ownedKeys    map[string]bool // keys of the requests that this member has in flight
 
@@ -58,30 +58,31 @@
 	nextReconfigurationAt float64
 	nextExpiryAt          float64
 
-	nonce              uint64 // sent with heartbeats; a new one after each pause of this process
-	startedAt          float64
-	suspectNobodyUntil float64 // no member is taken for lost before: after a start or a pause none has sent anything yet
-	shuttingDown       bool
+	nonce             uint64 // sent with heartbeats; a new one after each pause of this process
+	startedAt         float64
+	presumeAliveUntil float64 // no member is considered lost before: after a start or a pause none has sent anything yet
+	shuttingDown      bool
 
-	// A digest of the members' statuses of this member's own log while nobody leads it, and since when it is unchanged.
+	// A digest of the members' statuses of this member's own log while it has no leader, and the time since when it is
+	// unchanged.
 	bootstrapDigest      uint64
 	bootstrapDigestSince float64
 }
 
-// Output is one thing for the host to do. Exactly one of Frame, Reply, TakenOver and Event is set; To belongs to Frame.
+// Output is one action for the host. Exactly one of Frame, Reply, TakenOver and Event is set; To belongs to Frame.
 type Output struct {
-	To        int    // the member that the frame is for
+	To        int    // index of the member that gets Frame
 	Frame     []byte // to be sent
 	Reply     *Reply // to a call of this member
 	TakenOver *Entry // a request that this member owns from now on
 	Event     *Event // to be logged
 }
 
-// Event is something that operators should know, for the process's log.
+// Event is an event for the process's log.
 type Event struct {
 	Message string
-	Log     string // the member whose log it is about
-	Term    uint64 // 0 is none
+	Log     string // name of the member whose log it concerns
+	Term    uint64 // 0 if there is none
 	Err     error
 }
 
@@ -97,7 +98,7 @@
 	return attrs
 }
 
-// New returns a member that is connected with nobody and has no replica of any log.
+// New returns a member that has no connection and no replica of any log.
 func New(config Config, now float64) *Member {
 	members := len(config.Members)
 	m := &Member{
@@ -116,7 +117,7 @@
 		nextExpiryAt:          now + expiryIntervalMs,
 		nonce:                 config.Incarnation,
 		startedAt:             now,
-		suspectNobodyUntil:    now + PeerTimeoutMs,
+		presumeAliveUntil:     now + PeerTimeoutMs,
 	}
 	for i := range m.voterIDs {
 		m.voterIDs[i] = m.self.firstVoterID()
@@ -132,7 +133,7 @@
 	return int(xxhash.Sum64String(key) % uint64(len(m.config.Members)))
 }
 
-// PeerConnected records that frames can be sent both ways between this member and an incarnation of another.
+// PeerConnected records that this member and an incarnation of another member can send frames to each other.
 func (m *Member) PeerConnected(now float64, member int, incarnation Incarnation) {
 	m.now = now
 	peer := &m.peers[member]
@@ -152,7 +153,7 @@
 	peer.heartbeat = nil
 }
 
-// Shutdown begins a graceful shutdown: this member hands the leadership of its logs to others, where there are any.
+// Shutdown begins a graceful shutdown: this member transfers the leadership of its logs to others if there are any.
 func (m *Member) Shutdown(now float64) {
 	m.now = now
 	m.shuttingDown = true
@@ -160,7 +161,7 @@
 	m.reconfigureLogs()
 }
 
-// Tick lets time pass. The host calls it about every TickMs.
+// Tick advances the time. The host calls it about every TickMs.
 func (m *Member) Tick(now float64) {
 	m.detectPause(now)
 	m.now = now
@@ -189,14 +190,14 @@
 }
 
 // detectPause detects that this process itself was paused, by a stop signal, a suspended machine or a lack of processor time.
-// To this process, all other members then seem to have fallen silent at once, and their last heartbeats are old. Therefore no
-// member is taken for lost until it has had time to send again, missed ticks are not made up for, and heartbeats must echo a
-// new nonce before they count as evidence for a bootstrap.
+// To this process, all other members then seem to have stopped sending at once, and their last heartbeats are old. Therefore
+// no member is considered lost until it has had time to send again, missed ticks are not made up for, and heartbeats must
+// echo a new nonce before they count as evidence for a bootstrap.
 func (m *Member) detectPause(now float64) {
 	if now-m.nextTickAt <= pauseMs && now-m.now <= pauseMs {
 		return
 	}
-	m.suspectNobodyUntil = now + PeerTimeoutMs
+	m.presumeAliveUntil = now + PeerTimeoutMs
 	m.nextTickAt, m.bootstrapDigestSince = now, now
 	m.nonce++
 	for i := range m.peers {
@@ -212,7 +213,7 @@
 	}
 }
 
-// servableReplicas returns the replicas of the logs that this member leads and can serve calls of.
+// servableReplicas returns the replicas of the logs that this member leads and can serve calls for.
 func (m *Member) servableReplicas() []*replica {
 	var servable []*replica
 	for _, log := range m.replicas {
@@ -230,8 +231,8 @@
 	}
 }
 
-// Next returns the next thing for the host to do, if there is one. The logs process their inputs here and not when these
-// arrive, so that the messages that answer a batch of inputs are sent together.
+// Next returns the next output for the host, if there is one. The logs process their inputs here and not on arrival, so that
+// the messages that answer a batch of inputs are sent together.
 func (m *Member) Next() (Output, bool) {
 	if len(m.outputs) == 0 {
 		m.processReplicas()
--- a/internal/requestlog/numbers_test.go
+++ b/internal/requestlog/numbers_test.go
@@ -8,7 +8,8 @@
 	"pearknot/internal/goldentest"
 )
 
-// Frames and logs hold these numbers, and members of two builds read each other's. The file was written by an earlier build.
+// These numbers are part of frames and logs, which members of different builds exchange. The file was written by an earlier
+// build.
 func TestWireNumbers(t *testing.T) {
 	text := ""
 	addLine := func(name string, values ...any) {
@@ -20,7 +21,7 @@
 			}
 		}
 	}
-	// The names at the left are the file's.
+	// The names in the first column are those of the file.
 	addLine("frame", frameRaft, frameCall, frameReply, frameHeartbeat)
 	addLine("record", AttemptStarted, AttemptEnded, RequestAnswered, OwnerChanged, AnswersExpired)
 	addLine("final", Unanswered, Served, Rejected, Failed)
--- a/internal/requestlog/raftmessages.go
+++ b/internal/requestlog/raftmessages.go
@@ -7,15 +7,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// receiveRaftMessage passes a raft message to the replica that it is for. A member that was added to a log's voters learns
-// that from the first message, and creates an empty replica then.
+// receiveRaftMessage passes a raft message to the replica that it is addressed to. A member that was added to a log's voters
+// creates an empty replica on the first message.
 func (m *Member) receiveRaftMessage(peer *peer, frame *Frame) error {
 	message := &pb.Message{}
 	if err := proto.Unmarshal(frame.Raft, message); err != nil {
 		return fmt.Errorf("%w: raft message: %w", ErrMalformedFrame, err)
 	}
 	if incarnationOf(message.GetFrom()) != peer.incarnation {
-		return fmt.Errorf("%w: raft message of another incarnation", ErrMalformedFrame)
+		return fmt.Errorf("%w: raft message from another incarnation", ErrMalformedFrame)
 	}
 	replica := m.replicas[frame.Log]
 	if replica != nil && frame.Generation > replica.generation {
@@ -30,7 +30,7 @@
 	if replica == nil {
 		var err error
 		if replica, err = newReplica(&m.config, frame.Log, frame.Generation, m.voterIDs[frame.Log]); err != nil {
-			return nil // raft refuses the configuration; the sender is not to blame
+			return nil // raft refuses the configuration, which is not the sender's fault
 		}
 		m.replicas[frame.Log] = replica
 		m.knownGenerations[frame.Log] = max(m.knownGenerations[frame.Log], frame.Generation)
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// sendRaftMessage sends a message of a replica if the incarnation that it is for is connected. Otherwise the message is
-// lost; raft sends it again.
+// sendRaftMessage sends a replica's message if the incarnation that it is addressed to is connected. Otherwise the message is
+// dropped; raft sends it again.
 func (m *Member) sendRaftMessage(log *replica, message *pb.Message) {
 	to := incarnationOf(message.GetTo())
 	peer := &m.peers[to.Member()]
@@ -56,8 +56,8 @@
 	log.reportSnapshot(message, true)
 }
 
-// processReplicas processes the replicas' raft state until none has anything left to do. Applying a record of one log may
-// give another log work.
+// processReplicas processes the replicas' raft state until none has work left. Applying a record of one log may create work
+// for another log.
 func (m *Member) processReplicas() {
 	for again := true; again; {
 		again = false
--- a/internal/requestlog/ready.go
+++ b/internal/requestlog/ready.go
@@ -8,15 +8,15 @@
 	"pearknot/internal/snapshot"
 )
 
-// processReady processes what the raft node's Ready returns, in the order that raft requires: store, send, apply, advance.
-// send is called with each message, applied with each record that was applied and its result.
+// processReady processes the raft node's Ready states, in the order that raft requires: store, send, apply, advance. send is
+// called with each message, applied with each applied record and its result.
 func (r *replica) processReady(send func(*pb.Message), applied func(*Record, Result, FinalAnswer)) {
 	for r.node.HasReady() {
 		ready := r.node.Ready()
 		if ready.Snapshot != nil && !raft.IsEmptySnap(ready.Snapshot) {
 			r.restoreSnapshot(ready.Snapshot)
 		}
-		_ = r.storage.Append(ready.Entries) // in memory: it has no error for what a raft node gives it
+		_ = r.storage.Append(ready.Entries) // storage in memory, which returns no error for the entries of a raft node
 		if ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState) {
 			_ = r.storage.SetHardState(ready.HardState)
 		}
@@ -39,7 +39,7 @@
 
 func (r *replica) restoreSnapshot(received *pb.Snapshot) {
 	if r.storage.ApplySnapshot(received) != nil {
-		return // older than what is here
+		return // older than the stored one
 	}
 	state := &ledgerSnapshot{}
 	if snapshot.ReadStruct(received.GetData(), state) == nil {
@@ -63,7 +63,7 @@
 		}
 		record := &Record{}
 		if snapshot.ReadStruct(entry.GetData(), record) != nil {
-			return // skipped by all replicas alike
+			return // every replica skips it
 		}
 		result, answer := r.ledger.apply(record)
 		applied(record, result, answer)
@@ -74,14 +74,14 @@
 	change := &pb.ConfChangeV2{}
 	if proto.Unmarshal(entry.GetData(), change) == nil {
 		r.confState = r.node.ApplyConfChange(change)
-		// A new voter starts from a snapshot, and raft has it ignore one that does not name it as a voter.
+		// A new voter starts from a snapshot, and ignores a snapshot that does not list it as a voter.
 		r.createSnapshot()
 	}
 	r.confChangeProposedAt = 0
 }
 
-// applyFirstOfTerm applies the empty entry with which each leader begins its term. All that was committed in earlier terms
-// lies before it, so this leader's ledger is up to date from here on.
+// applyFirstOfTerm applies the empty entry with which each leader begins its term. All entries committed in earlier terms
+// precede it, so this leader's ledger is up to date from here on.
 func (r *replica) applyFirstOfTerm(entry *pb.Entry) {
 	if r.isLeaderNow() && r.term() == entry.GetTerm() {
 		r.readyTerm = entry.GetTerm()
@@ -92,14 +92,14 @@
 func (r *replica) createSnapshot() {
 	data := snapshot.AppendStruct(nil, r.ledger.snapshot())
 	if _, err := r.storage.CreateSnapshot(r.appliedIndex, r.confState, data); err != nil {
-		return // there is one of this index already
+		return // a snapshot at this index already exists
 	}
 	_ = r.storage.Compact(r.appliedIndex)
 	r.bytesSinceSnapshot = 0
 }
 
-// reportSnapshot tells the raft node whether a message with a snapshot was sent; it sends nothing else to that voter until
-// then. A link keeps the order of its frames, so sent counts as received: if it is lost the voter asks again.
+// reportSnapshot reports to the raft node whether a message with a snapshot was sent; until then the node sends nothing else
+// to that voter. A link keeps the order of its frames, so sent counts as received: if it is lost the voter asks again.
 func (r *replica) reportSnapshot(message *pb.Message, wasSent bool) {
 	if message.GetType() != pb.MsgSnap {
 		return
--- a/internal/requestlog/reconfiguration.go
+++ b/internal/requestlog/reconfiguration.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// reconfigurationIntervalMs is how often a leader checks which members should have replicas of its logs, and which lead.
+	// reconfigurationIntervalMs is the time between two checks of a leader which members should have replicas of its logs and
+	// which should lead them.
 	reconfigurationIntervalMs = 200.0
-	// confChangeTimeoutMs is when a change of voters that was proposed and not applied may be proposed again.
+	// confChangeTimeoutMs is the time after which a change of voters that was proposed but not applied may be proposed again.
 	confChangeTimeoutMs = 1000.0
 )
 
-// reconfigureLogs works on the logs that this member leads: each should have as many available voters as configured, and
+// reconfigureLogs reconfigures the logs that this member leads: each should have as many available voters as configured and,
 // once it has them, its own member as the leader. It changes a log's voters one step at a time.
 func (m *Member) reconfigureLogs() {
 	for logIndex, replica := range m.replicas {
@@ -36,8 +37,8 @@
 	}
 }
 
-// voterChanges returns the changes that lead from the log's voters to the desired ones. A lost voter is removed only with or
-// after the addition of the one in its place, so the number of voters never falls below the configured one by a change.
+// voterChanges returns the changes from the log's voters to the desired ones. A lost voter is removed only with or after the
+// addition of its replacement, so no change reduces the number of voters below the configured one.
 func (m *Member) voterChanges(logIndex int, log *replica) []*pb.ConfChangeSingle {
 	voters := log.confState.GetVoters()
 	desired := m.desiredVoters(logIndex, log)
@@ -60,8 +61,8 @@
 	return changes
 }
 
-// desiredVoters returns the voter IDs that should have replicas of a log. Of the available members it prefers the log's own,
-// then those that are voters already, then others.
+// desiredVoters returns the voter IDs that should have replicas of a log. Of the available members it prefers the log's own
+// member, then current voters, then others.
 func (m *Member) desiredVoters(logIndex int, log *replica) []uint64 {
 	voters := log.confState.GetVoters()
 	preferences := []func(member int, voterID uint64) bool{
@@ -82,15 +83,15 @@
 			}
 		}
 	}
-	// The leader stays a voter until it has transferred the leadership: it can't commit its own removal and go on leading.
+	// The leader stays a voter until it has transferred the leadership: it can't commit its own removal and continue to lead.
 	if len(desired) > 0 && !slices.Contains(desired, log.voterID) && !m.shuttingDown {
 		desired[len(desired)-1] = log.voterID
 	}
 	return desired
 }
 
-// rankMembers orders the members for a log: the log's own member first, then by a hash, which is the same at all members and
-// spreads the replicas over them.
+// rankMembers orders the members for a log: the log's own member first, then by a hash that is the same at all members and
+// distributes the replicas over them.
 func (m *Member) rankMembers(logIndex int) []int {
 	members := m.config.Members
 	ranked := make([]int, len(members))
@@ -114,15 +115,15 @@
 }
 
 func (m *Member) proposeVoterChanges(log *replica, changes []*pb.ConfChangeSingle) {
-	// Auto: a joint configuration where more than one voter changes, which is left as soon as it is committed.
+	// Auto: uses a joint configuration if more than one voter changes, and leaves it as soon as it is committed.
 	transition := pb.ConfChangeTransition_ConfChangeTransitionAuto
 	if log.node.ProposeConfChange(&pb.ConfChangeV2{Transition: transition.Enum(), Changes: changes}) == nil {
 		log.confChangeProposedAt = m.now
 	}
 }
 
-// transferLeadership hands the leadership of a log to its own member once that is a voter, or to any voter if this member is
-// shutting down.
+// transferLeadership transfers the leadership of a log to its own member once that is a voter, or to any voter if this member
+// is shutting down.
 func (m *Member) transferLeadership(logIndex int, log *replica) {
 	candidates := m.rankMembers(logIndex)
 	if !m.shuttingDown {
--- a/internal/requestlog/record.go
+++ b/internal/requestlog/record.go
@@ -7,10 +7,10 @@
 	"pearknot/balancer"
 )
 
-// Records lie in logs and travel in frames, encoded by the order of their fields (internal/snapshot): a field is only ever
-// added at the end, and the numbers of the enumerations stay.
+// Records are stored in logs and sent in frames, encoded by the order of their fields (internal/snapshot): fields may only be
+// added at the end, and the values of the enumerations must not change.
 
-// RecordKind tells what a record says.
+// RecordKind is the kind of event that a record describes.
 type RecordKind uint8
 
 // The kinds of records.
@@ -18,11 +18,11 @@
 	AttemptStarted  RecordKind = iota + 1 // a request with its first attempt, or a further attempt, is about to start
 	AttemptEnded                          // an attempt has ended
 	RequestAnswered                       // the request has its final answer
-	OwnerChanged                          // another incarnation owns the request from now on
+	OwnerChanged                          // another incarnation owns the request from here on
 	AnswersExpired                        // answers older than their TTL are removed
 )
 
-// FinalStatus tells how a request was answered.
+// FinalStatus is the way in which a request was answered.
 type FinalStatus uint8
 
 // The states of an answer.
@@ -33,7 +33,7 @@
 	Failed
 )
 
-// Request is what a successor needs to continue a request.
+// Request holds the properties of a request that a successor needs to continue it.
 type Request struct {
 	Fingerprint    uint64 // hash of method, path and body
 	Class          string
@@ -49,9 +49,9 @@
 	EncodedMessage []byte
 }
 
-// Attempt is an attempt that has started, as far as the log knows.
+// Attempt is the log's state of an attempt that has started.
 type Attempt struct {
-	Number     int // counts from 0
+	Number     int // from 0
 	Backend    string
 	Zone, Cell int
 	StartedAt  float64
@@ -59,7 +59,7 @@
 	Outcome    balancer.Outcome // valid if Ended
 }
 
-// mayHaveRun reports whether the attempt may have run on its backend: the log does not say that it never did.
+// mayHaveRun reports whether the attempt may have run on its backend: the log does not record that it never did.
 func (a *Attempt) mayHaveRun() bool { return !a.Ended || !a.Outcome.NeverRan() }
 
 // FinalAnswer is the final answer of a request.
@@ -75,13 +75,13 @@
 type Record struct {
 	Kind       RecordKind
 	Key        string      // the tenant and the idempotency key that its client chose, see server.RequestLogging
-	Owner      Incarnation // the writer; in an OwnerChanged record, the owner until then
+	Owner      Incarnation // the writer; in an OwnerChanged record, the former owner
 	LeaderTime float64     // ms of the leader's clock at the proposal
-	Request    Request     // of AttemptStarted
-	Attempt    Attempt     // of AttemptStarted and AttemptEnded
-	Answer     FinalAnswer // of RequestAnswered
-	NewOwner   Incarnation // of OwnerChanged
-	Caller     Incarnation // gets the reply once the record is applied; 0 is nobody
+	Request    Request     // set for AttemptStarted
+	Attempt    Attempt     // set for AttemptStarted and AttemptEnded
+	Answer     FinalAnswer // set for RequestAnswered
+	NewOwner   Incarnation // set for OwnerChanged
+	Caller     Incarnation // gets the reply once the record is applied; 0 if no reply is needed
 	CallSeq    uint64      // the caller's sequence number of the call
 }
 
@@ -95,20 +95,20 @@
 	KeyInFlight                     // another incarnation owns a request with the key
 	KeyAnswered                     // the request with the key has its final answer
 	KeyMismatch                     // the key belongs to a request with another fingerprint
-	NotOwner                        // the caller does not own the request, or does not own it any more
-	LogFull                         // the log holds as many bytes as it may
+	NotOwner                        // the caller does not own the request, or no longer owns it
+	LogFull                         // the log has reached its maximum size
 	NotLeader                       // the called member does not lead the log
-	NoQuorum                        // no majority has answered before the deadline
-	InvalidRecord                   // the record is of a kind, or of an owner, that the caller may not append
+	NoQuorum                        // no majority answered before the deadline
+	InvalidRecord                   // the caller may not append a record of this kind or owner
 )
 
-// String names the result.
+// String returns the name of the result.
 func (r Result) String() string {
 	return [...]string{"", "committed", "key unused", "key in flight", "key answered", "key mismatch", "not owner",
 		"log full", "not leader", "no quorum", "invalid record"}[r]
 }
 
-// Entry is what a log knows of one request.
+// Entry is the log's state of one request.
 type Entry struct {
 	Key        string
 	Owner      Incarnation
@@ -116,10 +116,10 @@
 	Attempts   []Attempt
 	Answer     FinalAnswer
 	AnsweredAt float64 // ms of the leader's clock
-	Takeovers  int     // how often another incarnation has taken the request over
+	Takeovers  int     // how often another incarnation took the request over
 }
 
-// size estimates the bytes of memory that the entry takes.
+// size estimates the memory size of the entry, in bytes.
 func (e *Entry) size() int {
 	const (
 		entryBytes   = 200 // of the structure, its place in two maps and short strings
@@ -141,7 +141,7 @@
 // CanReject reports whether the request may be rejected, which tells the client that it may safely repeat it: no attempt has
 // run, or the request is idempotent.
 //
-// A rejection frees the key, and the client may come back with it long after the backends have forgotten the idempotency key
+// A rejection frees the key, and the client may repeat the request long after the backends have discarded the idempotency key
 // of the first attempt. A request with an idempotency key that may have run is therefore not rejected. That is stricter than
 // the rule for requests that are not logged, balancer's rejectOrFail, which rejects such a request where all backends share
 // their keys. The node's canRejectLogged is this rule on the owner's side; change the two together.
--- a/internal/requestlog/replica.go
+++ b/internal/requestlog/replica.go
@@ -13,39 +13,40 @@
 )
 
 const (
-	// raftHeartbeatTicks is how often a leader sends raft heartbeats: every 50 ms.
+	// raftHeartbeatTicks is the number of ticks between two raft heartbeats of a leader: 50 ms.
 	raftHeartbeatTicks = 2
 	// minElectionTicks is the shortest election timeout: 500 ms. The longest is twice that, see MaxElectionMs.
 	minElectionTicks = 20
-	// maxUncommittedBytes bounds the entries that a leader has proposed and a majority has not stored. More are refused. The
-	// control plane's log has a constant of the same meaning and another size, since its entries are whole documents.
+	// maxUncommittedBytes bounds the entries that a leader has proposed and a majority has not stored yet; further proposals
+	// are refused. The control plane's log has a constant of the same meaning but another size, since its entries are whole
+	// documents.
 	maxUncommittedBytes = 8 << 20
 	// maxMessageBytes bounds the entries in one raft message, unless it holds a single longer one.
 	maxMessageBytes = 256 << 10
-	// maxInflightMessages bounds the messages to one follower that it has not replied to.
+	// maxInflightMessages bounds the messages to one follower that it has not acknowledged.
 	maxInflightMessages = 64
-	// minSnapshotBytes is the least size of the records since the last snapshot that leads to the next one, so that a nearly
-	// empty ledger is not encoded again for each few records.
+	// minSnapshotBytes is the minimum size of the records between two snapshots, so that a nearly empty ledger is not encoded
+	// again after every few records.
 	minSnapshotBytes = 256 << 10
-	// recordOverheadBytes is what an entry of the raft log takes in memory beside its data.
+	// recordOverheadBytes is the memory size of an entry of the raft log in addition to its data.
 	recordOverheadBytes = 64
 
-	// MaxElectionMs is how long a log with a quorum is without a leader after it has lost one: the longest election timeout,
-	// 1 s, and half of that for the votes and for the messages by which the other members learn who leads. A caller that has
-	// waited that long may assume that there is no quorum.
+	// MaxElectionMs is the longest time that a log with a quorum has no leader after it has lost one: the longest election
+	// timeout, 1 s, and half of that for the votes and for the messages that inform the other members of the leader. A caller
+	// that has waited for this time may assume that there is no quorum.
 	MaxElectionMs = 3 * minElectionTicks * TickMs
 
-	// MemoryFactor is how much memory one replica takes at most, as a multiple of Config.MaxLogBytes: the ledger, its snapshot,
-	// and the records since then, which are dropped with a new snapshot once they come to a quarter. A follower that lags
-	// behind further than that gets the snapshot.
+	// MemoryFactor is the maximum memory of one replica, as a multiple of Config.MaxLogBytes: the ledger, its snapshot, and the
+	// records since then, which are dropped with a new snapshot once they reach a quarter of it. A follower that lags further
+	// behind gets the snapshot.
 	MemoryFactor = 2.5
 )
 
-// replica is this member's replica of one log: a raft node and the ledger that its records lead to. Nothing of it is stored
-// on disk.
+// replica is this member's replica of one log: a raft node and the ledger that results from its records. It is kept in memory
+// only.
 type replica struct {
 	logIndex   int
-	generation uint64 // which bootstrap of the log it stems from
+	generation uint64 // number of the log's bootstrap that it belongs to
 	voterID    uint64 // this replica's ID in the raft group
 	node       *raft.RawNode
 	storage    *raft.MemoryStorage
@@ -53,30 +54,30 @@
 	ledger     *Ledger
 
 	appliedIndex       uint64
-	bytesSinceSnapshot int    // of the records applied since the last snapshot
+	bytesSinceSnapshot int    // size of the records applied since the last snapshot
 	isLeader           bool   // as of the end of the last processReady
-	readyTerm          uint64 // the term in which it leads and has applied all that was committed before that; 0 is none
+	readyTerm          uint64 // the term in which it leads and has applied all entries of earlier terms; 0 if there is none
 
-	// The election timeout, which restarts with each message of the leader.
+	// The election timeout, which restarts with each message from the leader.
 	rng                  *rand.Rand
 	ticksWithoutLeader   int
 	electionTimeoutTicks int
 
-	// Of a leader.
+	// Used while it is the leader.
 	takeoverProposedAt   map[string]float64 // by key
-	confChangeProposedAt float64            // of a change of voters that is not applied yet; 0 is none
+	confChangeProposedAt float64            // time of a proposed change of voters that is not applied yet; 0 if there is none
 
-	// Of a replica that is no voter any more: when the leader first said that the log is complete. 0 is never.
+	// Used once it is no longer a voter: when the leader first reported that the log is complete; 0 if it has not.
 	removedSince float64
 }
 
-// newReplica returns a replica that knows nothing yet. The leader will send it what it lacks.
+// newReplica returns an empty replica. The leader will send it the missing entries.
 func newReplica(config *Config, logIndex int, generation, voterID uint64) (*replica, error) {
 	r := newReplicaWithoutNode(config, logIndex, generation, voterID)
 	return r, r.startNode()
 }
 
-// bootstrapReplica returns a replica that is the only voter of its log, and campaigns.
+// bootstrapReplica returns a replica that is the only voter of its log and has started its election.
 func bootstrapReplica(config *Config, logIndex int, generation, voterID uint64) (*replica, error) {
 	r := newReplicaWithoutNode(config, logIndex, generation, voterID)
 	r.confState = &pb.ConfState{Voters: []uint64{voterID}}
@@ -129,9 +130,9 @@
 	return err
 }
 
-// tick lets one tick pass. A raft node draws its election timeouts from a global random source, by which a test's seed would
-// not give the same history twice. So the node of a follower only counts its ticks, and the replica itself campaigns by a
-// timeout from its own source.
+// tick processes one tick. A raft node draws its election timeouts from a global random source, so a test could not be
+// reproduced from its seed. Therefore the node of a follower only counts its ticks, and the replica itself starts elections
+// by a timeout from its own random source.
 func (r *replica) tick() {
 	if r.isLeader {
 		r.node.Tick()
@@ -144,7 +145,7 @@
 	}
 	r.resetElectionTimeout()
 	if slices.Contains(r.confState.Voters, r.voterID) {
-		_ = r.node.Campaign() // refused while a change of voters is not applied: the next timeout tries again
+		_ = r.node.Campaign() // refused while a change of voters is not applied; retried at the next timeout
 	}
 }
 
@@ -153,7 +154,7 @@
 	r.electionTimeoutTicks = minElectionTicks + r.rng.IntN(minElectionTicks)
 }
 
-// step hands a message of another replica to the raft node.
+// step passes a message from another replica to the raft node.
 func (r *replica) step(message *pb.Message) {
 	switch message.GetType() {
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
@@ -161,21 +162,21 @@
 			r.ticksWithoutLeader = 0
 		}
 	case pb.MsgHup, pb.MsgBeat, pb.MsgUnreachable, pb.MsgSnapStatus, pb.MsgCheckQuorum, pb.MsgTransferLeader, pb.MsgProp:
-		return // a node's messages to itself: no other member may send them
+		return // local messages of a node, which other members may not send
 	}
-	_ = r.node.Step(message) // a message that raft refuses is as good as lost
+	_ = r.node.Step(message) // a message that raft refuses is treated as lost
 }
 
-// isLeaderNow reports whether it leads at this moment, also in the middle of processReady.
+// isLeaderNow reports whether the replica is the leader at this moment, including during processReady.
 func (r *replica) isLeaderNow() bool { return r.node.BasicStatus().RaftState == raft.StateLeader }
 
-// canServe reports whether it can serve calls: it leads, has applied all that was committed before its term, and has as many
-// voters as there should be replicas.
+// canServe reports whether the replica can serve calls: it is the leader, has applied all entries of earlier terms, and has
+// at least as many voters as configured replicas.
 func (r *replica) canServe(replicas int) bool {
 	return r.isLeader && r.readyTerm > 0 && len(r.confState.GetVoters()) >= replicas
 }
 
 func (r *replica) term() uint64 { return r.node.BasicStatus().GetTerm() }
 
-// leader returns the voter ID of the leader. 0 is unknown.
+// leader returns the voter ID of the leader, or 0 if it is unknown.
 func (r *replica) leader() uint64 { return r.node.BasicStatus().Lead }
--- a/internal/requestlog/status.go
+++ b/internal/requestlog/status.go
@@ -1,8 +1,8 @@
 package requestlog
 
 // Status is the state of a member and of all logs as the member sees them, for operators. Scripts read its JSON, so the
-// tags keep the words that they had first: "life" is an incarnation, "linked" connected, "whole" complete, "in_hand" in
-// flight, and "of" the member whose log it is.
+// tags keep their original terms: "life" is an incarnation, "linked" connected, "whole" complete, "in_hand" in flight, and
+// "of" the member whose log it is.
 type Status struct {
 	Self        string      `json:"self"`
 	Incarnation uint64      `json:"life"`
@@ -11,30 +11,30 @@
 	Takeovers   uint64      `json:"took_over"` // requests that this process has taken over; counted by the host
 }
 
-// PeerState is what is known of another member.
+// PeerState is the state of another member as this member sees it.
 type PeerState struct {
 	Name        string  `json:"name"`
-	Incarnation uint64  `json:"life"` // 0 is unknown
+	Incarnation uint64  `json:"life"` // 0 if unknown
 	Connected   bool    `json:"linked"`
-	SilentMs    float64 `json:"silent_ms"` // since its last frame
+	SilentMs    float64 `json:"silent_ms"` // time since its last frame
 }
 
-// LogState is one log as this member sees it. What follows Complete is of its own replica.
+// LogState is the state of one log as this member sees it. The fields after Complete describe this member's replica.
 type LogState struct {
-	Member      string   `json:"of"` // whose log it is
+	Member      string   `json:"of"` // name of the log's member
 	HasReplica  bool     `json:"holds"`
-	Leader      string   `json:"leader"` // empty is unknown
-	Complete    bool     `json:"whole"`  // its leader says that as many live members as configured hold replicas
+	Leader      string   `json:"leader"` // empty if unknown
+	Complete    bool     `json:"whole"`  // its leader reports that as many live members as configured have replicas
 	Term        uint64   `json:"term"`
 	Voters      []string `json:"voters"`
-	Lag         uint64   `json:"lag"` // entries that are stored and not applied
+	Lag         uint64   `json:"lag"` // number of entries that are stored but not applied
 	InFlight    int      `json:"in_hand"`
 	Records     int      `json:"records"`    // requests in the ledger, in flight or answered
-	Bytes       int      `json:"bytes"`      // of the ledger
-	MemoryBytes int      `json:"held_bytes"` // of the ledger, its snapshot and the records since
+	Bytes       int      `json:"bytes"`      // size of the ledger
+	MemoryBytes int      `json:"held_bytes"` // size of the ledger, its snapshot and the records since
 }
 
-// Status returns the member's status, without Takeovers, which the host counts.
+// Status returns the member's status. Takeovers is left 0, since the host counts it.
 func (m *Member) Status() Status {
 	status := Status{Self: m.config.Members[m.config.Self], Incarnation: m.config.Incarnation}
 	for i := range m.peers {
@@ -82,7 +82,7 @@
 	return state
 }
 
-// isCompleteBy reports whether a log's leader says that it is complete.
+// isCompleteBy reports whether the log's leader reports it as complete.
 func (m *Member) isCompleteBy(leader, logIndex int) bool {
 	if leader == m.config.Self {
 		return m.logStatus(logIndex).Complete
--- a/internal/requestlog/takeover_test.go
+++ b/internal/requestlog/takeover_test.go
@@ -8,9 +8,9 @@
 	"pearknot/balancer"
 )
 
-// A member dies with a request in flight, and its successor decides by the request's idempotency and by what the log says of
-// its attempts. A request that is not idempotent and may have run must not run again; one with an idempotency key may run
-// again within the deduplication window of its first attempt; one that never ran is continued whatever it is.
+// A member fails with a request in flight, and its successor decides by the request's idempotency and by the attempts in the
+// log. A request that is not idempotent and may have run must not run again; one with an idempotency key may run again within
+// the deduplication window of its first attempt; one that never ran is continued in any case.
 func TestTakeoverAction(t *testing.T) {
 	const (
 		attemptStartedAt = 1000.0
@@ -47,8 +47,8 @@
 	}
 }
 
-// A request with an idempotency key whose attempts may have run in two places is continued only if one place recognizes the
-// key of both.
+// A request with an idempotency key, of which attempts may have run on two backends, is continued only if the backends share
+// their keys within the request's deduplication scope.
 func TestTakeoverActionByDedupScope(t *testing.T) {
 	first := Attempt{Backend: "b", Zone: 0, Cell: 0, StartedAt: 1000}
 	otherCell := Attempt{Number: 1, Backend: "c", Zone: 0, Cell: 1, StartedAt: 1100}
