--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Admission here means one thing: how long a request may wait behind other work before the balancer rejects it. (The
-// limits by which the server accepts connections and requests at all are another admission, outside this package.)
+// Admission in this package decides how long a request may wait behind other work before the balancer rejects it. The
+// server's limits on connections and requests are outside this package.
 //
 // The longest accepted wait is the request's patience, in ms. It is a share of the time left until the latency objective:
 // a larger share for classes of higher priority weight, a smaller one for requests that are probably over their tenant's
@@ -17,8 +17,8 @@
 	// rateHalfLifeMs is the half-life of the counters of requests. Even a node that receives one request a second then
 	// notices a flood of requests within its first seconds.
 	rateHalfLifeMs = 3e3
-	// quotaMixPrior is a number of assumed requests, divided between the tenants in proportion to their quotas, that is added
-	// to those counted. A few counted requests alone would say little about who is over quota.
+	// quotaMixPrior is the number of assumed requests, divided between the tenants in proportion to their quotas, that are
+	// added to those counted. A few counted requests alone are too small a sample to tell which tenant is over quota.
 	quotaMixPrior = 8.0
 	// minRetryAfterShare and retryAfterSpread give the range of Retry-After: from a quarter to three quarters of the queue
 	// time, drawn evenly. On average clients come back when half of the queue is gone. Later could be too late for their
@@ -48,8 +48,8 @@
 //   - the odds of this tenant among the node's latest requests, divided by its odds among the quotas of all tenants;
 //   - the tenant's request rate at this node, divided by an equal share for each node of the tenant's quota.
 //
-// The second ratio alone would not do: nodes carry very different parts of the traffic, and a busy one would take every
-// tenant for over quota. Of a tenant that sends x times its quota, the share 1-1/x is over quota.
+// The second ratio alone is not enough: nodes carry very different parts of the traffic, and a busy one would consider
+// every tenant over quota. Of a tenant that sends x times its quota, the share 1-1/x is over quota.
 func (lb *Balancer) estimateOverQuota(request *Request) {
 	if request.Tenant >= len(lb.config.Tenants) {
 		return
@@ -65,10 +65,10 @@
 	ownRequests := tenant.rate.sum + quotaMixPrior*tenant.Quota/quotas
 	allRequests := lb.config.tenantRate.sum + quotaMixPrior
 	oddsRatio := ownRequests * (quotas - tenant.Quota) / math.Max((allRequests-ownRequests)*tenant.Quota, 1e-9)
-	if quotas == tenant.Quota { // it is the only tenant with a quota: the mix says nothing
+	if quotas == tenant.Quota { // the only tenant with a quota: the mix of tenants gives no information
 		oddsRatio = math.Inf(1)
 	}
-	// A decaying counter of steady requests holds rate * half-life / ln 2; 1e3 turns requests a ms into requests a second.
+	// A decaying counter of steady requests holds rate * half-life / ln 2; 1e3 converts requests per ms to requests per s.
 	rateRatio := tenant.rate.sum * 1e3 * math.Ln2 / rateHalfLifeMs * float64(lb.config.Nodes) / tenant.Quota
 	timesQuota := math.Min(oddsRatio, rateRatio)
 	request.overQuota = math.Max(0, 1-1/timesQuota)
@@ -113,7 +113,7 @@
 }
 
 // retryAfter returns the Retry-After of a rejection in ms: a random share of the queue time, or of the latency objective if
-// that is shorter, and at most Config.MaxRetryAfter, which has a special meaning if it is 0.
+// that is shorter, and at most Config.MaxRetryAfter (for the meaning of 0 see there).
 func (lb *Balancer) retryAfter(request *Request) float64 {
 	wait := math.Min(request.class.LatencyObjective, lb.queueTime(request, false))
 	wait *= minRetryAfterShare + retryAfterSpread*lb.random.nextUnit()
--- a/balancer/admission_tenants_test.go
+++ b/balancer/admission_tenants_test.go
@@ -9,81 +9,82 @@
 	"github.com/stretchr/testify/require"
 )
 
-// overQuotaBySumming is what estimateOverQuota would have by adding up all tenants anew for a request that just arrived.
-func (n *Balancer) overQuotaBySumming(request *Request) (excess, rates float64) {
-	w, quotas := n.config.Tenants[request.Tenant], 0.0
-	for _, o := range n.config.Tenants {
-		rates, quotas = rates+o.rate.get(n.now, rateHalfLifeMs), quotas+o.Quota
+// recomputeOverQuota returns the estimate of estimateOverQuota for a request that just arrived, with the sum of all
+// tenants' rates, both computed anew from the tenants' counters.
+func (lb *Balancer) recomputeOverQuota(request *Request) (overQuota, totalRate float64) {
+	tenant, quotas := lb.config.Tenants[request.Tenant], 0.0
+	for _, other := range lb.config.Tenants {
+		totalRate, quotas = totalRate+other.rate.get(lb.now, rateHalfLifeMs), quotas+other.Quota
 	}
-	if w.Quota == 0 {
-		return 0, rates
+	if tenant.Quota == 0 {
+		return 0, totalRate
 	}
-	own, all := w.rate.sum+quotaMixPrior*w.Quota/quotas, rates+quotaMixPrior
-	odds := own * (quotas - w.Quota) / math.Max((all-own)*w.Quota, 1e-9)
-	odds = math.Min(odds, w.rate.sum*1e3*math.Ln2/rateHalfLifeMs*float64(n.config.Nodes)/w.Quota)
-	return math.Max(0, 1-1/odds), rates
+	ownRequests, allRequests := tenant.rate.sum+quotaMixPrior*tenant.Quota/quotas, totalRate+quotaMixPrior
+	timesQuota := ownRequests * (quotas - tenant.Quota) / math.Max((allRequests-ownRequests)*tenant.Quota, 1e-9)
+	timesQuota = math.Min(timesQuota, tenant.rate.sum*1e3*math.Ln2/rateHalfLifeMs*float64(lb.config.Nodes)/tenant.Quota)
+	return math.Max(0, 1-1/timesQuota), totalRate
 }
 
-// The sum of all tenants' rates that is updated as requests arrive is theirs added up, but for what the tenants of half
-// a minute ago and earlier still have, less than a thousandth of a request each, which each by itself counts as
-// nothing. Another configuration begins anew, and a snapshot goes on where it was, one of a build that stored no sum
-// with the sum.
-func TestTenantRateIsTheSum(t *testing.T) {
+// The incrementally updated sum of all tenants' rates must equal the sum of the tenants' counters. It may differ by less
+// than a thousandth of a request for each tenant without requests for half a minute or more, whose own counter reads as
+// 0. A new configuration starts from 0. A snapshot restores the sum; for one of a build that stored no sum it is
+// computed.
+func TestTenantRateMatchesRecomputedSum(t *testing.T) {
 	const tenants = 40
 	config := func() *Config {
-		x := testConfig()
-		x.Nodes, x.OverQuotaWeight = 3, 0.2
+		newConfig := testConfig()
+		newConfig.Nodes, newConfig.OverQuotaWeight = 3, 0.2
 		for k := range tenants {
-			x.Tenants = append(x.Tenants, Tenant{Quota: float64(k % 4)})
+			newConfig.Tenants = append(newConfig.Tenants, Tenant{Quota: float64(k % 4)})
 		}
-		return x
+		return newConfig
 	}
 	h := newHarness(t, config(), 3)
-	chance := rand.New(rand.NewPCG(1, 2))
-	beyond, maxDifference := 0, 0.0
-	arrive := func(n *Balancer) {
-		h.now += 40 * chance.ExpFloat64()
-		if chance.IntN(500) == 0 {
-			h.now += 50e3 * chance.Float64()
+	rng := rand.New(rand.NewPCG(1, 2))
+	overQuotaCount, maxDifference := 0, 0.0
+	arrive := func(lb *Balancer) {
+		h.now += 40 * rng.ExpFloat64()
+		if rng.IntN(500) == 0 {
+			h.now += 50e3 * rng.Float64()
 		}
-		tenant := chance.IntN(tenants)
-		if chance.IntN(3) == 0 {
-			tenant = int(h.now/20e3) % tenants // one after the other goes over its quota
+		tenant := rng.IntN(tenants)
+		if rng.IntN(3) == 0 {
+			tenant = int(h.now/20e3) % tenants // the tenants exceed their quotas one after another
 		}
 		request := &Request{Tenant: tenant, CostHint: 10, HasCostHint: true, Deadline: h.now + 4000}
-		n.RequestArrived(h.now, request)
-		excess, rates := n.overQuotaBySumming(request)
-		require.GreaterOrEqual(t, n.config.tenantRate.sum, rates-1e-9)
-		require.LessOrEqual(t, n.config.tenantRate.sum, rates+1e-3*tenants)
-		require.InDelta(t, excess, request.overQuota, 1e-3)
-		if excess > 0.3 {
-			beyond++
+		lb.RequestArrived(h.now, request)
+		overQuota, totalRate := lb.recomputeOverQuota(request)
+		require.GreaterOrEqual(t, lb.config.tenantRate.sum, totalRate-1e-9)
+		require.LessOrEqual(t, lb.config.tenantRate.sum, totalRate+1e-3*tenants)
+		require.InDelta(t, overQuota, request.overQuota, 1e-3)
+		if overQuota > 0.3 {
+			overQuotaCount++
 		}
-		maxDifference = math.Max(maxDifference, math.Abs(excess-request.overQuota))
-		n.RequestAbandoned(h.now, request)
-		for _, more := n.Next(); more; _, more = n.Next() {
+		maxDifference = math.Max(maxDifference, math.Abs(overQuota-request.overQuota))
+		lb.RequestAbandoned(h.now, request)
+		for _, more := lb.Next(); more; _, more = lb.Next() {
 		}
 	}
 	for range 20_000 {
 		arrive(h.balancer)
 	}
-	assert.Greater(t, beyond, 1000)
-	t.Logf("differs by %.1e at most", maxDifference)
+	assert.Greater(t, overQuotaCount, 1000)
+	t.Logf("largest difference %.1e", maxDifference)
 
-	s, err := h.balancer.Snapshot(nil, h.backends)
+	snapshot, err := h.balancer.Snapshot(nil, h.backends)
 	require.NoError(t, err)
 	now := h.now
-	for _, with := range []bool{true, false} {
-		if !with {
-			s.TenantRate = [2]float64{}
+	for _, hasStoredSum := range []bool{true, false} {
+		if !hasStoredSum {
+			snapshot.TenantRate = [2]float64{}
 		}
-		again, _, _, err := Restore(config(), s)
+		restored, _, _, err := Restore(config(), snapshot)
 		require.NoError(t, err)
-		if with {
-			assert.Equal(t, h.balancer.config.tenantRate, again.config.tenantRate)
+		if hasStoredSum {
+			assert.Equal(t, h.balancer.config.tenantRate, restored.config.tenantRate)
 		}
 		h.now = now
-		arrive(again)
+		arrive(restored)
 	}
 
 	h.balancer.ConfigChanged(h.now, config(), []int{0, 1, 2, 3})
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -33,7 +33,7 @@
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
 	}
-	return fmt.Sprintf("ending %d", uint8(o))
+	return fmt.Sprintf("outcome %d", uint8(o))
 }
 
 // NeverRan reports whether the outcome proves that the backend did not run the request.
@@ -144,13 +144,13 @@
 	request.stage = stageInFlight
 	backend.recentWork.add(lb.now, lb.config.OverloadWindow, slowStartCost(request))
 	lb.advanceRotation(backend)
-	timeout := 0.0 // none: a late answer still has a value, or the client may take long to send the body
+	timeout := 0.0 // no time-out: a late answer still has a value, or the client may take long to send the body
 	if request.class.LateWeight == 0 && !request.Streamed {
 		timeout = math.Max(lb.timeLeft(request), minTimeoutMs)
 	}
 	lb.decisions = append(lb.decisions, Decision{Kind: DoAttempt, Request: request, Attempt: attempt, Wait: timeout})
-	// A streamed body takes as long as the client sends it, which says nothing of the backend. Such an attempt starts to
-	// count with RequestBodySent.
+	// The time to send a streamed body depends on the client and not on the backend. Such an attempt is counted in
+	// flight from RequestBodySent on.
 	if !request.Streamed {
 		lb.startAttempt(attempt)
 	}
@@ -203,9 +203,9 @@
 	}
 }
 
-// AttemptEnded records that an attempt ended with the outcome how, elapsed ms after it was sent. finished says that the
+// AttemptEnded records that an attempt ended with the outcome, elapsed ms after it was sent. finished says that the
 // request has ended, with this attempt or before it, and must not be decided on again.
-func (lb *Balancer) AttemptEnded(now float64, attempt *Attempt, how Outcome, elapsed float64, finished bool) {
+func (lb *Balancer) AttemptEnded(now float64, attempt *Attempt, outcome Outcome, elapsed float64, finished bool) {
 	lb.now = now
 	request := attempt.Request
 	backend := attempt.Backend
@@ -213,19 +213,19 @@
 	backend.removeInFlight(now, attempt)
 	counted := attempt.countedInFlight()
 	attempt.inFlight = false
-	attempt.outcome = how
-	if counted > 0 && how.mayStillRun() {
+	attempt.outcome = outcome
+	if counted > 0 && outcome.mayStillRun() {
 		lb.setTimer(timer{at: now + elapsed, isWorkAbandoned: true})
 	} else {
 		lb.concurrency.inFlight -= counted
 	}
-	lb.recordOutcomeWait(attempt, how, elapsed)
-	lb.recordOutcome(attempt, how, elapsed)
-	if how.mayStillRun() { // the backend does not count as idle until the work should be done
+	lb.recordOutcomeWait(attempt, outcome, elapsed)
+	lb.recordOutcome(attempt, outcome, elapsed)
+	if outcome.mayStillRun() { // the backend counts as busy until the work is expected to be done
 		backend.busyUntil = math.Max(backend.busyUntil, now+request.work*lb.paceOf(backend))
 	}
 	lb.queue.hasFreedCapacity = true
-	if request.keyQueue != nil && (how.mayStillRun() || how == OutcomeConnectionReset) {
+	if request.keyQueue != nil && (outcome.mayStillRun() || outcome == OutcomeConnectionReset) {
 		lb.startCooldown(request)
 	}
 	lb.removeFromKeyQueue(request)
@@ -236,14 +236,15 @@
 	}
 }
 
-// recordOutcome records what an outcome says of the backend: its speed, its faults, and whether it accepts connections.
-func (lb *Balancer) recordOutcome(attempt *Attempt, how Outcome, elapsed float64) {
+// recordOutcome updates what is known of the backend by an outcome: its speed, its faults, and whether it accepts
+// connections.
+func (lb *Balancer) recordOutcome(attempt *Attempt, outcome Outcome, elapsed float64) {
 	backend := attempt.Backend
-	switch how {
+	switch outcome {
 	case OutcomeAnswered:
 		lb.recordAnswer(backend, attempt, elapsed)
 	case OutcomeTimedOut:
-		if !attempt.isOvertaken() { // an overtaken attempt is the fault of its connection
+		if !attempt.isOvertaken() { // the connection of an overtaken attempt is at fault
 			lb.lowerBackendLimit(backend, 0)
 			lb.addSuspicion(backend, clearFault)
 		}
@@ -255,24 +256,24 @@
 	case OutcomeFailed:
 		lb.addSuspicion(backend, clearFault)
 	case OutcomeRejected:
-		// A rejection is a sign of load and not a fault. The pause keeps the backend, which looks idle after such a quick end,
-		// from drawing the next requests.
+		// A rejection is a sign of load and not a fault. The backend looks idle after such a quick end; the pause keeps
+		// it from being sent the next requests.
 		lb.lowerBackendLimit(backend, 0)
 		lb.adjustInFlightLimit(true)
 		backend.pausedUntil = lb.now + lb.estimates.work.value*lb.paceOf(backend)
 	}
-	backend.isConnected = how != OutcomeConnectFailed && how != OutcomeConnectionReset &&
-		(backend.isConnected || how == OutcomeAnswered || how == OutcomeRejected)
+	backend.isConnected = outcome != OutcomeConnectFailed && outcome != OutcomeConnectionReset &&
+		(backend.isConnected || outcome == OutcomeAnswered || outcome == OutcomeRejected)
 }
 
-// recordOutcomeWait records what an outcome says of how long the attempt waited behind other work at its backend.
-func (lb *Balancer) recordOutcomeWait(attempt *Attempt, how Outcome, elapsed float64) {
+// recordOutcomeWait records the wait behind other work at the backend that the attempt's outcome indicates.
+func (lb *Balancer) recordOutcomeWait(attempt *Attempt, outcome Outcome, elapsed float64) {
 	switch {
-	case how == OutcomeAnswered:
+	case outcome == OutcomeAnswered:
 		lb.recordWait(attempt, elapsed-attempt.Request.work*lb.paceOf(attempt.Backend))
-	case how == OutcomeTimedOut && !attempt.isOvertaken():
+	case outcome == OutcomeTimedOut && !attempt.isOvertaken():
 		lb.recordWait(attempt, elapsed)
-	case how == OutcomeRejected: // the backend is full: recordWait bounds this to the latency objective
+	case outcome == OutcomeRejected: // the backend is full: recordWait bounds this to the latency objective
 		lb.recordWait(attempt, math.Inf(1))
 	}
 }
--- a/balancer/attempt_test.go
+++ b/balancer/attempt_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An attempt has ended without an answer. Depending on its class and on whether it may have run, the request is
-// retried at another backend, rejected so that its client may send it again, or failed.
-func TestWhatFollowsAnOutcome(t *testing.T) {
+// After an attempt without an answer the request is retried at another backend, rejected so that its client may send it
+// again, or failed. That depends on the request's class and on whether the attempt may have run.
+func TestRetryRejectOrFailByOutcome(t *testing.T) {
 	const retried, rejected, failed = "attempt:a", "reject:a", "fail:a"
 	for _, c := range []struct {
 		class    int
-		how      Outcome
+		outcome  Outcome
 		backends int
 		want     string
 	}{
@@ -27,28 +27,28 @@
 		h := newHarness(t, testConfig(), c.backends)
 		request := h.requestArrives("a", c.class, 10)
 		require.Equal(t, retried, h.decisions())
-		h.advance(5).endAttempt(request.Attempts[0], c.how)
+		h.advance(5).endAttempt(request.Attempts[0], c.outcome)
 		assert.Equal(t, c.want, h.decisions(), "%+v", c)
 		assert.Equal(t, c.want != retried, request.IsDone(), "%+v", c)
 		if c.want != retried {
-			assert.Empty(t, h.advance(5000).decisions(), "after the final answer nothing is sent: %+v", c)
+			assert.Empty(t, h.advance(5000).decisions(), "no decision after the final answer: %+v", c)
 		}
 	}
 }
 
-// checkRules alone decides whether an attempt may go out, whatever picked the backend.
-func TestRulesOfEveryAttempt(t *testing.T) {
+// checkRules must decide whether an attempt may be sent, however its backend was selected.
+func TestCheckRules(t *testing.T) {
 	for name, c := range map[string]struct {
-		class  int
-		before func(*harness, *Request)
-		want   bool
+		class   int
+		prepare func(*harness, *Request)
+		want    bool
 	}{
 		"eligible":                     {0, func(*harness, *Request) {}, true},
 		"draining":                     {0, func(h *harness, _ *Request) { h.setState(BackendDraining, 0, h.backends[1]) }, false},
 		"gone":                         {0, func(h *harness, _ *Request) { h.setState(BackendRemoved, 0, h.backends[1]) }, false},
 		"deadline passed":              {0, func(h *harness, _ *Request) { h.now += 4000; h.balancer.now = h.now }, false},
-		"client gone":                  {0, func(h *harness, request *Request) { h.balancer.RequestAbandoned(h.now, request) }, false},
-		"stream begun":                 {0, func(h *harness, request *Request) { h.balancer.ResponseStarted(h.now, request.Attempts[0]) }, false},
+		"request abandoned":            {0, func(h *harness, request *Request) { h.balancer.RequestAbandoned(h.now, request) }, false},
+		"response started":             {0, func(h *harness, request *Request) { h.balancer.ResponseStarted(h.now, request.Attempts[0]) }, false},
 		"hedging not allowed":          {0, func(h *harness, _ *Request) { h.balancer.config.AllowHedging = false }, false},
 		"attempts used up":             {0, func(h *harness, _ *Request) { h.balancer.config.MaxAttempts = 1 }, false},
 		"at-most-once, in flight":      {1, func(*harness, *Request) {}, false},
@@ -77,7 +77,7 @@
 		if request.Attempts[0].Backend != h.backends[0] {
 			h.backends[0], h.backends[1] = h.backends[1], h.backends[0]
 		}
-		c.before(h, request)
+		c.prepare(h, request)
 		assert.Equal(t, c.want, h.balancer.checkRules(request, h.backends[1]) == Eligible, name)
 		if !c.want {
 			assert.False(t, h.balancer.sendAttempt(request, h.backends[1]), name)
@@ -85,7 +85,7 @@
 	}
 }
 
-// useUpSlowStartBudget restarts the second backend and sends it all that its slow start allows.
+// useUpSlowStartBudget restarts the second backend and sends it requests until its slow start budget is used up.
 func useUpSlowStartBudget(h *harness, _ *Request) {
 	h.setState(BackendReady, h.now, h.backends[1])
 	for range 1000 {
@@ -93,8 +93,9 @@
 	}
 }
 
-// A backend drains between the choice and the attempt; an attempt times out in the batch of its deadline.
-func TestEventsOfOneBatch(t *testing.T) {
+// Events of one batch: a backend drains after a request arrived and before its attempt is sent, and an attempt times out at
+// the request's deadline.
+func TestEventsInSameBatch(t *testing.T) {
 	h := newHarness(t, testConfig(), 1)
 	request := h.requestArrives("a", 0, 10)
 	h.setState(BackendDraining, 0, h.backends[0])
@@ -105,26 +106,26 @@
 	request = h.requestArrives("b", 1, 10)
 	h.decisions()
 	h.advance(4000).endAttempt(request.Attempts[0], OutcomeTimedOut)
-	assert.Equal(t, "fail:b", h.decisions(), "answered in the batch of its time-out")
+	assert.Equal(t, "fail:b", h.decisions(), "failed in the batch of its time-out")
 }
 
-// A streamed request is sent once. While it comes, no backend is blamed for its client's slowness; from its last byte
-// on its attempt is like any other.
+// A streamed request is sent at most once. While its body is received, a slow client must not raise the backend's suspicion
+// or use its capacity. After the last byte its attempt counts like any other.
 func TestStreamedRequests(t *testing.T) {
-	for how, want := range map[Outcome]string{OutcomeConnectFailed: "reject:a", OutcomeConnectionReset: "reject:a", OutcomeAnswered: ""} {
+	for outcome, want := range map[Outcome]string{OutcomeConnectFailed: "reject:a", OutcomeConnectionReset: "reject:a", OutcomeAnswered: ""} {
 		h := newHarness(t, testConfig(), 3)
 		request := &Request{CostHint: 10, HasCostHint: true, Deadline: h.now + 60e3, Streamed: true}
 		h.requests["a"] = request
 		h.balancer.RequestArrived(h.now, request)
 		require.Equal(t, "attempt:a", h.decisions())
 		assert.Empty(t, h.advance(5000).decisions(), "no hedge")
-		b := request.Attempts[0].Backend
-		assert.Zero(t, h.balancer.suspicionOf(b))
-		assert.Empty(t, b.inFlight, "nor are others kept from the backend")
+		backend := request.Attempts[0].Backend
+		assert.Zero(t, h.balancer.suspicionOf(backend))
+		assert.Empty(t, backend.inFlight, "the attempt uses no capacity of the backend")
 		assert.Zero(t, h.balancer.concurrency.inFlight)
-		if how == OutcomeConnectFailed { // before the last byte was sent
-			h.endAttempt(request.Attempts[0], how)
-			assert.Equal(t, want, h.decisions(), how)
+		if outcome == OutcomeConnectFailed { // before the last byte was sent
+			h.endAttempt(request.Attempts[0], outcome)
+			assert.Equal(t, want, h.decisions(), outcome)
 			assert.Zero(t, h.balancer.concurrency.inFlight)
 			continue
 		}
@@ -132,13 +133,13 @@
 		h.balancer.RequestBodySent(h.now, request.Attempts[0])
 		assert.Equal(t, 1, h.balancer.concurrency.inFlight)
 		assert.Empty(t, h.advance(10).decisions())
-		assert.Zero(t, h.balancer.suspicionOf(b))
-		if how == OutcomeConnectionReset {
+		assert.Zero(t, h.balancer.suspicionOf(backend))
+		if outcome == OutcomeConnectionReset {
 			assert.Empty(t, h.advance(1000).decisions(), "overdue, and it can't be hedged")
-			assert.Positive(t, h.balancer.suspicionOf(b))
+			assert.Positive(t, h.balancer.suspicionOf(backend))
 		}
-		h.endAttempt(request.Attempts[0], how)
-		assert.Equal(t, want, h.decisions(), how)
+		h.endAttempt(request.Attempts[0], outcome)
+		assert.Equal(t, want, h.decisions(), outcome)
 		assert.Zero(t, h.balancer.concurrency.inFlight)
 	}
 	h := newHarness(t, testConfig(), 2)
--- a/balancer/estimators_test.go
+++ b/balancer/estimators_test.go
@@ -103,10 +103,10 @@
 	h.balancer.recordWait(pa, 600)
 	h.balancer.recordWait(pb, 0)
 	request := h.requestArrives("a", 0, 10)
-	assert.Greater(t, h.balancer.timeSteps(a, request), h.balancer.timeSteps(b, request))
+	assert.Greater(t, h.balancer.expectedTimeSteps(a, request), h.balancer.expectedTimeSteps(b, request))
 	h.now += 3000
 	request = h.requestArrives("b", 0, 10)
-	assert.Less(t, h.balancer.timeSteps(a, request), h.balancer.timeSteps(b, request))
+	assert.Less(t, h.balancer.expectedTimeSteps(a, request), h.balancer.expectedTimeSteps(b, request))
 	before := b.lastWait
 	h.balancer.recordWait(&Attempt{Request: request, Backend: b, SentAt: before.at - 1}, 400)
 	assert.Equal(t, before, b.lastWait, "one sent earlier tells nothing new")
--- a/balancer/ordering.go
+++ b/balancer/ordering.go
@@ -30,7 +30,7 @@
 }
 
 // removeFromKeyQueue removes a request that is done (IsDone) from the queue of its key. If it was the first one, the next
-// one's turn has come, at once or after the cooldown.
+// request's turn begins at once or after the cooldown.
 func (lb *Balancer) removeFromKeyQueue(request *Request) {
 	queue := request.keyQueue
 	if queue == nil || !request.IsDone() {
@@ -47,8 +47,8 @@
 	}
 }
 
-// wakeKeyQueue schedules the first request of a key. A key without requests whose cooldown is over is deleted, so that the
-// table does not grow with all keys ever seen.
+// wakeKeyQueue schedules the first request of a key. A key without requests whose cooldown is over is deleted, so that
+// keyQueues does not grow with the number of keys ever seen.
 func (lb *Balancer) wakeKeyQueue(queue *keyQueue) {
 	switch {
 	case len(queue.requests) > 0:
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -17,7 +17,7 @@
 	// late send, as in the paper.
 	lateSendShare = 0.25
 	// maxPlacementMisses is the number of requests without an eligible backend after which a pass over the queue ends. If some
-	// of the smallest requests find no backend, the others rarely do, and each search costs CPU time.
+	// of the smallest requests have no eligible backend, the others rarely have one, and each search costs CPU time.
 	maxPlacementMisses = 4
 	// maxQueuedCrossZoneCost is the cost of crossing zones, as a share of the request's value, below which the backends of all
 	// zones count when its queue time is predicted. Above it, crossing zones is rarely worth it.
@@ -73,7 +73,7 @@
 	lb.queue.requests = remaining
 }
 
-// sendLate sends a queued request whose time runs out to the least loaded backend, or rejects or fails it.
+// sendLate sends a queued request to the least loaded backend when its late send is due, or rejects or fails it.
 func (lb *Balancer) sendLate(request *Request) {
 	lb.dequeue(request)
 	if backend := lb.leastLoaded(request); backend == nil || !lb.sendAttempt(request, backend) {
@@ -90,7 +90,8 @@
 		if !lb.isNear(backend) {
 			load += math.Min(lb.crossZoneCost(request), 1)
 		}
-		// Among equals the rotation decides. By the order of the list, the late sends of all nodes would go to one backend.
+		// The rotation decides between equal loads. In list order, the late sends of all nodes would go to the same
+		// backend.
 		if (load < minLoad || load == minLoad && backend.rotationPass < best.rotationPass) &&
 			lb.recordReason(request, backend, lb.whyUnfit(request, backend)) == Eligible {
 			best, minLoad = backend, load
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// A request is sent by a client to this node. It arrives, is queued or sent to backends, and ends with an answer, a
+// A client sends a request to this node. The request arrives, is queued or sent to backends, and ends with an answer, a
 // rejection or a failure. Its work is its cost hint, in ms on a standard core, or the mean work of its class if it has no
 // hint. It is long if its hint lies above the cutoff, which is a high quantile of the latest hints, and short otherwise.
 
@@ -12,8 +12,8 @@
 	cutoffQuantile = 0.96
 	// minHints is the number of hints that must have been seen before a request can be long, as docs/design.md requires.
 	minHints = 50
-	// unknownWorkDivisor is what the latency objective is divided by for the assumed work of a request, if nothing is known of
-	// its class.
+	// unknownWorkDivisor divides the latency objective to give the assumed work of a request whose class has no mean
+	// work yet.
 	unknownWorkDivisor = 20
 )
 
@@ -36,11 +36,11 @@
 	CostHint      float64 // expected work by the client, in ms on a standard core
 	HasCostHint   bool
 	IsClientRetry bool    // the client has sent the same request before
-	Key           uint64  // what it concerns, for affinity and order; 0 for none
+	Key           uint64  // key for affinity and order; 0 for none
 	ArrivedAt     float64 // time in ms; set by RequestArrived
 	Deadline      float64 // time in ms at which the client stops waiting
 	Attempts      []*Attempt
-	Config        *Config // under which it arrived; if nil, RequestArrived sets the present one
+	Config        *Config // configuration under which it arrived; if nil, RequestArrived sets the current one
 	Streamed      bool    // its body is passed on as it arrives and not stored, so that it can be sent only once
 
 	class     *Class
@@ -58,8 +58,8 @@
 
 // AddEarlierAttempt records an attempt that another node made, before a takeover. It must be called before RequestArrived. The
 // attempt counts as ended.
-func (r *Request) AddEarlierAttempt(backend *Backend, at float64, how Outcome) {
-	r.Attempts = append(r.Attempts, &Attempt{Request: r, Backend: backend, Number: len(r.Attempts), SentAt: at, outcome: how})
+func (r *Request) AddEarlierAttempt(backend *Backend, at float64, outcome Outcome) {
+	r.Attempts = append(r.Attempts, &Attempt{Request: r, Backend: backend, Number: len(r.Attempts), SentAt: at, outcome: outcome})
 }
 
 // IsDone reports whether the request has ended and has no attempt in flight, so that the host may forget it.
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A request counts as long where its hint lies above the cutoff, and only once enough hints are known.
-func TestShortAndLong(t *testing.T) {
+// A request is long if its cost hint is above the cutoff, and only after enough hints have been seen.
+func TestCutoffSeparatesShortAndLong(t *testing.T) {
 	for name, c := range map[string]struct {
-		hints int
-		hint  float64
-		long  bool
+		hints  int
+		hint   float64
+		isLong bool
 	}{
 		"below the cutoff": {100, 96, false}, "above": {100, 97, true}, "too few hints": {49, 1e6, false},
 		"no hint": {100, 0, false}, "not a number": {100, math.NaN(), false}, "infinite": {100, math.Inf(1), false},
@@ -22,6 +22,6 @@
 		for k := range c.hints {
 			h.balancer.cutoff.add(float64(k + 1))
 		}
-		assert.Equal(t, c.long, h.requestArrives("a", 0, c.hint).isLong, name)
+		assert.Equal(t, c.isLong, h.requestArrives("a", 0, c.hint).isLong, name)
 	}
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -26,8 +26,8 @@
 	overdueBaseMs = 20
 	// unknownOverrun is the overrun that is assumed before the first answer.
 	unknownOverrun = 4
-	// minOverrun and maxOverrun bound the learned overrun, so that unusual traffic makes the balancer neither hedge nearly
-	// everything nor nothing.
+	// minOverrun and maxOverrun bound the learned overrun, so that with unusual traffic the balancer neither hedges
+	// nearly every request nor stops hedging.
 	minOverrun = 2
 	maxOverrun = 8
 	// overrunQuantile is the quantile of the overruns that is learned: 95 of 100 answers come before they are overdue.
@@ -39,9 +39,9 @@
 	hedgeSuspicion = ejectionThreshold / 2
 )
 
-// retryState holds the retry budget, and what decides when an attempt is overdue.
+// retryState holds the retry budget and the estimates that determine when an attempt is overdue.
 type retryState struct {
-	tokens               float64          // of the budget
+	tokens               float64          // tokens left in the budget
 	overrun              quantileEstimate // the overrunQuantile of answer time over predicted answer time
 	latestAnsweredSentAt float64          // latest SentAt of all answered attempts
 }
@@ -49,7 +49,7 @@
 // retryOrEnd decides on a request whose attempts have all ended without an answer. It retries the request at another
 // backend, or ends it.
 //
-// A retry costs one token, but none if no attempt has run: then the attempts were no work for the backends. When many
+// A retry costs one token, but none if no attempt has run: then the attempts caused the backends no work. When many
 // backends are replaced at the same time, they reject many attempts, which must not use up the budget.
 //
 // A request of which an attempt was reset is not retried while suspectsPoisonRequest holds, even if it is idempotent. One
@@ -73,7 +73,7 @@
 }
 
 // handleOverdue records that an attempt is overdue, and decides whether to send its request to another backend. A missing
-// answer is the first sign of a backend that accepts requests and answers none; it shows long before the time-out.
+// answer is the first sign of a backend that accepts requests and answers none, long before the time-out.
 func (lb *Balancer) handleOverdue(attempt *Attempt) {
 	request := attempt.Request
 	backend := attempt.Backend
@@ -89,15 +89,15 @@
 		backend.lastWait.record(attempt.SentAt, lb.now-attempt.SentAt)
 		lb.addSuspicion(backend, overdueFault)
 	}
-	if lb.mayLeaveOverdue(attempt) {
+	if lb.mayHedgeOrMove(attempt) {
 		lb.hedgeOrMove(attempt)
 	}
 }
 
-// mayLeaveOverdue reports whether the request of an overdue attempt may be sent to another backend. Where hedging is not
+// mayHedgeOrMove reports whether the request of an overdue attempt may be sent to another backend. Where hedging is not
 // allowed, the first attempt must be canceled for that, while its backend goes on with the work. That is only worth it if
 // this backend alone is silent: a later attempt has been answered by some backend, and this one is suspected.
-func (lb *Balancer) mayLeaveOverdue(attempt *Attempt) bool {
+func (lb *Balancer) mayHedgeOrMove(attempt *Attempt) bool {
 	request := attempt.Request
 	if request.class.Idempotency == AtMostOnce || lb.retries.tokens < 1 || request.inFlightCount() > 1 {
 		return false
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -10,14 +10,14 @@
 // An overdue attempt is hedged at another backend, within the retry budget. The first answer cancels the other attempt.
 func TestOverdueAttempts(t *testing.T) {
 	for _, c := range []struct {
-		class int
-		extra float64
-		want  string
+		class  int
+		tokens float64
+		want   string
 	}{{0, 5, "attempt:a"}, {0, 0, ""}, {1, 5, ""}} {
 		h := newHarness(t, testConfig(), 2)
 		request := h.requestArrives("a", c.class, 10)
 		h.decisions()
-		h.balancer.retries.tokens = c.extra
+		h.balancer.retries.tokens = c.tokens
 		assert.Equal(t, c.want, h.advance(400).decisions(), "%+v", c)
 		if c.want != "" {
 			assert.NotEqual(t, request.Attempts[0].Backend, request.Attempts[1].Backend)
@@ -29,41 +29,41 @@
 	}
 }
 
-// A connection falls silent, or an answer stops short, while its backend goes on answering others. What later answers have
-// overtaken is no fault of the backend, and takes no capacity from others.
+// A connection stalls, or an answer is incomplete, while the backend goes on answering other attempts. An attempt
+// overtaken by later answers must not raise the backend's suspicion or use its capacity.
 func TestOvertakenAttempts(t *testing.T) {
 	for name, answered := range map[string]float64{"never": 0, "before it is overdue": 1, "after": 450} {
 		h := newHarness(t, testConfig(), 1)
 		h.learnHints()
-		b := h.backends[0]
-		b.maxInFlight = 2
+		backend := h.backends[0]
+		backend.maxInFlight = 2
 		request := h.requestArrives("lost", 1, 10)
 		require.Equal(t, "attempt:lost", h.decisions(), name)
 		h.advance(answered).decisions()
 		if answered > 0 {
-			h.endAttempt(h.sendShort(b), OutcomeAnswered)
+			h.endAttempt(h.sendShort(backend), OutcomeAnswered)
 		}
 		h.advance(500).decisions()
-		assert.Equal(t, answered == 0, len(b.inFlight) == 1, name)
-		before := b.suspicion.get(h.now, suspicionHalfLifeMs)
+		assert.Equal(t, answered == 0, len(backend.inFlight) == 1, name)
+		before := backend.suspicion.get(h.now, suspicionHalfLifeMs)
 		assert.Equal(t, answered == 1, before == 0, name)
 		h.endAttempt(request.Attempts[0], OutcomeTimedOut)
-		assert.Equal(t, answered == 0, b.suspicion.get(h.now, suspicionHalfLifeMs) > before, name)
-		assert.Empty(t, b.inFlight, name)
-		assert.Zero(t, b.workInFlight, name)
+		assert.Equal(t, answered == 0, backend.suspicion.get(h.now, suspicionHalfLifeMs) > before, name)
+		assert.Empty(t, backend.inFlight, name)
+		assert.Zero(t, backend.workInFlight, name)
 	}
 }
 
-// Hedging is not allowed, and a backend is silent while others answer. A request with an idempotency key leaves it: the
-// attempt is canceled, and another one sent within its scope only once that has ended. Requests of other classes stay, and
-// so do all where nobody answers.
-func TestRequestLeavesASilentBackend(t *testing.T) {
+// Hedging is not allowed, and one backend does not answer while others do. The attempt of a request with an idempotency
+// key is canceled, and another one is sent, within the key's scope and only after the first has ended. At-most-once
+// requests are not moved, and no request is if no backend answers.
+func TestOverdueRequestMovesFromSilentBackend(t *testing.T) {
 	for name, c := range map[string]struct {
-		class  int
-		others bool
-		want   string
+		class        int
+		othersAnswer bool
+		want         string
 	}{
-		"idempotency key": {2, true, "cancel:a"}, "at-most-once": {1, true, ""}, "nobody answers": {2, false, ""},
+		"idempotency key": {2, true, "cancel:a"}, "at-most-once": {1, true, ""}, "none answers": {2, false, ""},
 	} {
 		config := testConfig()
 		config.AllowHedging = false
@@ -72,12 +72,12 @@
 		h.decisions()
 		silent := request.Attempts[0].Backend
 		h.balancer.addSuspicion(silent, 1)
-		if c.others {
+		if c.othersAnswer {
 			h.advance(10).requestArrives("b", 1, 10)
 			h.decisions()
-			p := h.requests["b"].Attempts[0]
-			require.NotSame(t, silent, p.Backend)
-			h.advance(10).endAttempt(p, OutcomeAnswered)
+			attempt := h.requests["b"].Attempts[0]
+			require.NotSame(t, silent, attempt.Backend)
+			h.advance(10).endAttempt(attempt, OutcomeAnswered)
 			h.decisions()
 		}
 		got := ""
@@ -93,16 +93,16 @@
 	}
 }
 
-// Backends replaced in bulk refuse connections for as long as the list is late: a request that never ran is not given up
-// because hedges have used up the retry budget.
+// When many backends are replaced at the same time, they refuse connections until the endpoint list is updated. A
+// request that never ran must then be retried even if hedges have used up the retry budget.
 func TestAttemptsThatNeverRanCostNoBudget(t *testing.T) {
-	for how, want := range map[Outcome]string{OutcomeConnectFailed: "attempt:a", OutcomeRejected: "attempt:a", OutcomeFailed: "reject:a"} {
+	for outcome, want := range map[Outcome]string{OutcomeConnectFailed: "attempt:a", OutcomeRejected: "attempt:a", OutcomeFailed: "reject:a"} {
 		h := newHarness(t, testConfig(), 3)
 		h.balancer.retries.tokens = 0
 		request := h.requestArrives("a", 0, 10)
 		require.Equal(t, "attempt:a", h.decisions())
-		h.endAttempt(request.Attempts[0], how)
-		assert.Equal(t, want, h.decisions(), how)
-		assert.InDelta(t, 0.1, h.balancer.retries.tokens, 1e-9, "what the request itself earned remains: %v", how)
+		h.endAttempt(request.Attempts[0], outcome)
+		assert.Equal(t, want, h.decisions(), outcome)
+		assert.InDelta(t, 0.1, h.balancer.retries.tokens, 1e-9, "the token share of the request itself is left: %v", outcome)
 	}
 }
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -13,36 +13,37 @@
 // rotation and the treatment of long requests are those of the paper (see the package comment).
 
 const (
-	// skipMargin is the multiple of the mean load above which the rotation passes over a backend, as in the paper. The load
-	// of a backend is its attempts in flight divided by its rotation share.
-	skipMargin = 2.0
-	// behindLongLoad is added to the load of a backend that runs a long request, so that a short one is sent there last.
-	behindLongLoad = 2
+	// loadMarginFactor is the multiple of the mean load above which the rotation passes over a backend, as in the paper.
+	// The load of a backend is its attempts in flight divided by its rotation share.
+	loadMarginFactor = 2.0
+	// longRequestLoad is added to the load of a backend that runs a long request, so that a short one is sent there last.
+	longRequestLoad = 2
 
-	// timeStepsInAll is the number of time steps that the time left to the latency objective is divided into. Expected times
-	// are compared in whole steps, so that a small difference does not draw all nodes to the same backend.
-	timeStepsInAll = 32
+	// timeStepCount is the number of time steps that the time left to the latency objective is divided into. Expected times
+	// are compared in whole steps, so that a small difference does not make all nodes pick the same backend.
+	timeStepCount = 32
 	// affinityPenaltySteps is added for a backend other than the one that the request's key has affinity to, since it must do
 	// all of the work anew.
 	affinityPenaltySteps = 8
-	// connectPenaltySteps is added for a backend that a connection must be opened to, since a handshake costs both ends time.
+	// connectPenaltySteps is added for a backend without an open connection, since a handshake costs both ends time.
 	connectPenaltySteps = 2
-	// ownZoneSteps is the advantage of near backends for long requests, in half time steps, which is the unit of placeLong's
-	// rank. Four half steps are two of the 32 time steps: a backend of another zone must save a sixteenth of the time left.
-	ownZoneSteps = 4
+	// ownZoneHalfSteps is the advantage of near backends for long requests, in half time steps, the unit of placeLong's
+	// rank. Four half steps are two of the 32 time steps: a backend of another zone must save a sixteenth of the time
+	// left.
+	ownZoneHalfSteps = 4
 	// maxLongCrossZoneCost is the largest cost of crossing zones, as a share of the request's value, for a long request to be
 	// sent to another zone.
 	maxLongCrossZoneCost = 0.5
 	// longSuspicion is the suspicion from which on a backend receives no long request. It is lower than ejectionThreshold,
-	// since a backend that fails quickly is idle at once and would otherwise draw all long requests.
+	// since a backend that fails quickly is idle at once and would otherwise attract all long requests.
 	longSuspicion = ejectionThreshold / 2
 
-	// minRotationShare is the least rotation share of a backend. Any backend takes a turn now and then, so that a recovery is
-	// noticed.
+	// minRotationShare is the least rotation share of a backend. Every backend is sent a request from time to time, so
+	// that a recovery is noticed.
 	minRotationShare = 1e-3
 
-	// subsetPeriodMs is the time after which a node changes which backends of other zones it uses. It is long enough to see a
-	// few answers, and short enough to try all of them within half a minute.
+	// subsetPeriodMs is the time after which a node changes which backends of other zones it uses. It is long enough to
+	// receive a few answers, and short enough to try all of these backends within half a minute.
 	subsetPeriodMs = 4e3
 	// minCrossZoneShare is the least share of the other zones' backends that a node uses at a time.
 	minCrossZoneShare = 0.2
@@ -83,7 +84,7 @@
 
 // placeLong sends a long request to a backend with no attempt of this node in flight, and reports whether there was one. It
 // picks at random among the eligible backends of the highest rank. The rank is in half time steps: minus twice the
-// expected time steps, plus ownZoneSteps for a near backend.
+// expected time steps, plus ownZoneHalfSteps for a near backend.
 func (lb *Balancer) placeLong(request *Request) bool {
 	lb.findAffinity(request)
 	patience := lb.patienceOf(request)
@@ -93,9 +94,9 @@
 		if lb.recordReason(request, backend, lb.whyUnfitForLong(request, backend, patience)) != Eligible {
 			continue
 		}
-		rank := -2 * lb.timeSteps(backend, request)
+		rank := -2 * lb.expectedTimeSteps(backend, request)
 		if lb.isNear(backend) {
-			rank += ownZoneSteps
+			rank += ownZoneHalfSteps
 		}
 		if candidates == nil || rank > bestRank {
 			candidates, bestRank = candidates[:0], rank
@@ -110,8 +111,8 @@
 // selectByRotation picks a backend by the rotation; nil if none may take the request. It compares the best near backend
 // with the best one of the other zones, by the risk of missing the latency objective: the predicted answer time as a share
 // of the time left, at most 1. The other zone's is picked if it lowers the risk by more than the cost of crossing zones, as
-// a share of the request's value. If no near backend may take the request, staying means to be queued; if that would
-// take longer than the request's patience, staying means a rejection, which is a risk of 1.
+// a share of the request's value. If no near backend may take the request, the alternative is the queue; if its
+// wait would be longer than the request's patience, the alternative is a rejection, which is a risk of 1.
 func (lb *Balancer) selectByRotation(request *Request) *Backend {
 	lb.findAffinity(request)
 	patience := lb.patienceOf(request)
@@ -148,7 +149,7 @@
 		}
 		load := float64(len(backend.inFlight)) / lb.rotationShare(backend)
 		if backend.longInFlight > 0 {
-			load += behindLongLoad
+			load += longRequestLoad
 		}
 		if leastLoaded == nil || load < minLoad || load == minLoad && backend.rotationPass < leastLoaded.rotationPass {
 			leastLoaded, minLoad = backend, load
@@ -156,7 +157,7 @@
 		if backend.longInFlight > 0 {
 			continue
 		}
-		if steps := lb.timeSteps(backend, request); load <= margin &&
+		if steps := lb.expectedTimeSteps(backend, request); load <= margin &&
 			(next == nil || steps < nextSteps || steps == nextSteps && backend.rotationPass < next.rotationPass) {
 			next, nextSteps = backend, steps
 		}
@@ -164,8 +165,8 @@
 	return cmp.Or(next, leastLoaded)
 }
 
-// loadMargin returns the load above which the rotation passes over a near backend, or one of the others: skipMargin times
-// the attempts in flight at all of them, divided by the sum of their rotation shares.
+// loadMargin returns the load above which the rotation passes over a near backend, or one of the others: loadMarginFactor
+// times the attempts in flight at all of them, divided by the sum of their rotation shares.
 func (lb *Balancer) loadMargin(near bool) float64 {
 	inFlight := 0.0
 	shares := 0.0
@@ -175,7 +176,7 @@
 			shares += lb.rotationShare(backend)
 		}
 	}
-	return skipMargin * inFlight / shares
+	return loadMarginFactor * inFlight / shares
 }
 
 // advanceRotation counts a turn of a backend: its rotation pass rises by one over its rotation share. A backend that was
@@ -234,10 +235,10 @@
 
 // whyUnfitForLong returns why a backend may not be sent a long request, or Eligible.
 //
-// A backend that fails quickly is idle again at once, and one that has just started is idle too. Neither may draw the long
-// requests, so that both a lower suspicion (longSuspicion) and warming up exclude a backend here. With many nodes, a
-// backend without attempts of this node may still have a queue of other nodes' requests. Therefore the predicted answer
-// time counts as well.
+// A backend that fails quickly is idle again at once, and one that has just started is idle too. Neither may attract the
+// long requests, so that both a lower suspicion (longSuspicion) and warming up exclude a backend here. With many nodes,
+// a backend without attempts of this node may still have a queue of other nodes' requests. Therefore the predicted
+// answer time counts as well.
 //
 // Unlike whyUnfit it does not ask isAtCapacity: the node's limit, a pause and the period's cross-zone share do not hold a long
 // request back, and a backend without attempts of this node is below its own limit. Of mayUse only the subset counts.
@@ -286,11 +287,11 @@
 	return predicted > lb.timeLeft(request) || wait > patience
 }
 
-// timeSteps returns the time that a request is expected to take at a backend, in whole steps of the time left to its latency
-// objective divided by timeStepsInAll, and at most timeStepsInAll. The expected time is the request's work at the backend's
-// pace plus the expected wait; penalties for a new connection and for a lost affinity are added. The own time matters
-// most for heavy requests, which a slow machine might not complete in time.
-func (lb *Balancer) timeSteps(backend *Backend, request *Request) int {
+// expectedTimeSteps returns the time that a request is expected to take at a backend, in whole steps of the time left to
+// its latency objective divided by timeStepCount, and at most timeStepCount. The expected time is the request's work at
+// the backend's pace plus the expected wait; penalties for a new connection and for a lost affinity are added. The own
+// time matters most for heavy requests, which a slow machine might not complete in time.
+func (lb *Balancer) expectedTimeSteps(backend *Backend, request *Request) int {
 	penalty := 0.0
 	if lb.config.ConnectionCost > 0 && !backend.isConnected {
 		penalty = connectPenaltySteps
@@ -299,7 +300,7 @@
 		penalty += affinityPenaltySteps
 	}
 	expected := request.work*lb.paceOf(backend) + backend.expectedWait(lb.now, lb.zoneWait(backend.Zone))
-	return int(math.Min(penalty+timeStepsInAll*expected/lb.timeToObjective(request), timeStepsInAll))
+	return int(math.Min(penalty+timeStepCount*expected/lb.timeToObjective(request), timeStepCount))
 }
 
 // isNear reports whether a backend is in the node's own zone, or crossing zones costs nothing.
@@ -341,8 +342,8 @@
 	if lb.isNear(backend) {
 		return true
 	}
-	used := max(minCrossZoneShare, lb.perNodeShare(initialInFlight), backend.maxInFlight-1)
-	return lb.slotDraw(backend, subsetPeriodMs) <= used
+	usedShare := max(minCrossZoneShare, lb.perNodeShare(initialInFlight), backend.maxInFlight-1)
+	return lb.slotDraw(backend, subsetPeriodMs) <= usedShare
 }
 
 // chooseSubset picks the backends that this node connects to, if connections cost. Each node starts at a position on a hash
@@ -359,8 +360,8 @@
 	missing := size
 	ring := lb.hashRing(near)
 	for try := 0; missing > 0 && try < 2*len(ring); try++ {
-		_, at := math.Modf(float64(lb.config.NodeIndex)*subsetNodeStep + float64(try)*subsetTryStep)
-		backend := ring[int(at*float64(len(ring)))]
+		_, position := math.Modf(float64(lb.config.NodeIndex)*subsetNodeStep + float64(try)*subsetTryStep)
+		backend := ring[int(position*float64(len(ring)))]
 		isPaused := backend.refusals != 0 && backend.pausedUntil > lb.now
 		if !backend.inSubset && lb.isUsable(backend) && lb.suspicionOf(backend) < ejectionThreshold && !isPaused {
 			missing--
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -8,25 +8,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Hints that are constant, missing or unrelated to the work must leave plain rotation, without requests stuck in the queue.
-func TestMeaninglessHintsLeaveRotation(t *testing.T) {
+// With hints that are constant, missing or unrelated to the work, requests are sent by rotation and none stays queued.
+func TestUninformativeHintsKeepRotation(t *testing.T) {
 	for name, hint := range map[string]func(int) float64{
 		"constant": func(int) float64 { return 20 }, "none": func(int) float64 { return 0 },
 		"unrelated": func(k int) float64 { return float64(k*7919%997) + 1 },
 	} {
 		h := newHarness(t, testConfig(), 4)
-		count := map[*Backend]int{}
+		attemptCounts := map[*Backend]int{}
 		for k := range 400 {
 			request := h.requestArrives(fmt.Sprint(k), 0, hint(k))
 			h.decisions()
 			require.NotEmpty(t, request.Attempts, name)
-			count[request.Attempts[0].Backend]++
+			attemptCounts[request.Attempts[0].Backend]++
 			h.advance(20).endAttempt(request.Attempts[0], OutcomeAnswered)
 			h.decisions()
 			h.advance(20).decisions()
 		}
-		for _, b := range h.backends {
-			assert.InDelta(t, 100, count[b], 90, name) // the rotation goes by waits, which meaningless hints make up
+		for _, backend := range h.backends {
+			assert.InDelta(t, 100, attemptCounts[backend], 90, name) // such hints distort the waits that the rotation uses
 		}
 		assert.Empty(t, h.balancer.queue.requests, name)
 	}
@@ -49,9 +49,9 @@
 	assert.NotEqual(t, loaded, short.Attempts[0].Backend, "passes over a backend above the margin")
 }
 
-// Requests stay in the own zone, and cross to another where the own one is lost.
+// Requests stay in the node's own zone, and cross to another zone only if the own zone has no backend.
 func TestOwnZoneFirst(t *testing.T) {
-	for lost, name := range map[bool]string{false: "own zone first", true: "own zone lost"} {
+	for lost, name := range map[bool]string{false: "own zone usable", true: "own zone removed"} {
 		config := testConfig()
 		config.CrossZoneCost, config.Zone = 0.2, 1
 		h := newHarness(t, config, 4)
@@ -70,9 +70,9 @@
 	}
 }
 
-// All nodes cross zones at once in a burst: where they are many, each uses a share of the other zones' backends, others
-// in each period.
-func TestOtherZonesBackendsByPeriod(t *testing.T) {
+// In a burst all nodes cross zones at the same time. With many nodes, each may therefore use only a share of the other
+// zones' backends, and different ones in each period.
+func TestCrossZoneShareChangesByPeriod(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
 		zone  int
@@ -81,23 +81,23 @@
 		config := testConfig()
 		config.Nodes, config.CrossZoneCost, config.Zone = c.nodes, 0.2, c.zone
 		h := newHarness(t, config, 50)
-		opened, used := 0.0, map[*Backend]bool{}
+		usableCount, everUsable := 0.0, map[*Backend]bool{}
 		for range 40 {
 			for _, b := range h.backends {
 				if !h.balancer.isAtCapacity(b) {
-					opened, used[b] = opened+1, true
+					usableCount, everUsable[b] = usableCount+1, true
 				}
 			}
 			h.advance(subsetPeriodMs).decisions()
 		}
-		assert.InDelta(t, 50*c.share, opened/40, 4, "%+v", c)
-		assert.Greater(t, len(used), 47, "%+v", c)
+		assert.InDelta(t, 50*c.share, usableCount/40, 4, "%+v", c)
+		assert.Greater(t, len(everUsable), 47, "%+v", c)
 	}
 }
 
-// Kinds of one weight differ in speed. The rotation follows, also for backends never used, and a heavy request goes to
-// a fast machine though the slow one is next.
-func TestRotationFollowsTheKindsSpeed(t *testing.T) {
+// Kinds of machine with equal weight may differ in speed. The rotation share follows the speed, also for backends never
+// used, and a heavy request goes to a fast machine even if a slow one is next in the rotation.
+func TestRotationFollowsMachineSpeed(t *testing.T) {
 	h := newHarness(t, testConfig(), 2)
 	fast, slow := h.backends[0], h.backends[1]
 	slow.Kind, slow.rotationPass, fast.rotationPass = 1, 0, 1
@@ -109,9 +109,10 @@
 	}
 }
 
-// A request that is likely to come late is worth a part, more where it may still make it, and waits for that part of its
-// patience. All that were predicted past the objective were rejected, though half of them take less than that.
-func TestLateRequestsWaitLess(t *testing.T) {
+// A request predicted to miss its latency objective has only a part of its patience, the larger the more likely it still
+// is to be in time. Regression: all requests predicted to miss it were rejected, although half of them take less than
+// that.
+func TestLateRequestsHaveLessPatience(t *testing.T) {
 	h := newHarness(t, testConfig(), 1)
 	for range 20 {
 		h.balancer.estimates.waits.add(h.backends[0], h.now, 300)
@@ -122,8 +123,9 @@
 	}
 }
 
-// Where many nodes have one attempt in flight or none, each backend is idle of a node's own work, and long requests went to
-// them however long all waited there: most of an overloaded fleet's work was requests that came too late.
+// With many nodes, each has one attempt in flight or none, so that every backend looks idle to a node. Regression: long
+// requests were sent there however long the waits were, and most of an overloaded fleet's work was for requests answered
+// too late.
 func TestLongRequestsWaitNoLongerThanShortOnes(t *testing.T) {
 	h := newHarness(t, testConfig(), 3)
 	h.learnHints()
@@ -140,9 +142,9 @@
 	assert.Equal(t, "reject:b", h.decisions())
 }
 
-// What small requests took at a backend, with the set-up of connections, does not grow with the work: taken in proportion,
-// one slow answer of a small request had the long ones of a quiet fleet rejected.
-func TestWaitsDoNotGrowWithTheRequest(t *testing.T) {
+// The time of small requests includes a part, such as opening connections, that does not grow with the work. Regression:
+// when it was scaled with the work, one slow answer to a small request got the long requests of an idle fleet rejected.
+func TestWaitDoesNotScaleWithWork(t *testing.T) {
 	h := newHarness(t, testConfig(), 1)
 	h.learnHints()
 	small := h.requestArrives("small", 1, 10)
@@ -154,9 +156,9 @@
 	assert.Equal(t, "attempt:long", h.decisions())
 }
 
-// Long requests stay in their zone for half an eighth of their time left: a wait that is gone before the request is there
-// sent it across.
-func TestLongRequestsStayNearForALittle(t *testing.T) {
+// A backend of another zone must save a sixteenth of the time left for a long request to cross zones. Regression: a wait
+// that would have been over when the request arrived made it cross.
+func TestLongRequestsPreferOwnZone(t *testing.T) {
 	for wait, near := range map[float64]bool{50: true, 300: false} {
 		config := testConfig()
 		config.CrossZoneCost = 0.06
@@ -172,38 +174,38 @@
 	}
 }
 
-// A key's requests meet at one backend, the same at all nodes, while it serves and has capacity.
+// All requests of a key go to the same backend, from all nodes, while it is ready and has capacity.
 func TestKeyAffinity(t *testing.T) {
-	homes := map[uint64]map[uint64]bool{}
+	backendsByKey := map[uint64]map[uint64]bool{}
 	for seed := range uint64(5) {
 		config := testConfig()
 		config.Seed, config.KeyAffinity = seed, true
 		h := newHarness(t, config, 10)
 		for key := range uint64(20) {
-			request := h.requestWithKey(key+1, "request", 0)
+			request := h.requestWithKeyArrives(key+1, "request", 0)
 			h.decisions()
-			if homes[key] == nil {
-				homes[key] = map[uint64]bool{}
+			if backendsByKey[key] == nil {
+				backendsByKey[key] = map[uint64]bool{}
 			}
-			homes[key][request.Attempts[0].Backend.ID] = true
+			backendsByKey[key][request.Attempts[0].Backend.ID] = true
 			h.advance(5).endAttempt(request.Attempts[0], OutcomeAnswered)
 			h.decisions()
 		}
-		request := h.requestWithKey(3, "request", 0)
+		request := h.requestWithKeyArrives(3, "request", 0)
 		h.decisions()
-		home := request.Attempts[0].Backend
+		preferred := request.Attempts[0].Backend
 		h.endAttempt(request.Attempts[0], OutcomeAnswered)
-		h.setState(BackendDraining, 0, home)
-		request = h.requestWithKey(3, "request", 0)
+		h.setState(BackendDraining, 0, preferred)
+		request = h.requestWithKeyArrives(3, "request", 0)
 		h.decisions()
-		require.NotEqual(t, home, request.Attempts[0].Backend, "no affinity to a backend that drains")
+		require.NotEqual(t, preferred, request.Attempts[0].Backend, "no affinity to a draining backend")
 	}
-	all := map[uint64]bool{}
-	for key, at := range homes {
+	allBackends := map[uint64]bool{}
+	for key, at := range backendsByKey {
 		require.Len(t, at, 1, "key %d", key)
-		for ref := range at {
-			all[ref] = true
+		for id := range at {
+			allBackends[id] = true
 		}
 	}
-	require.Greater(t, len(all), 5, "keys spread")
+	require.Greater(t, len(allBackends), 5, "the keys are spread over the backends")
 }
