--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -10,7 +10,7 @@
 // timed out or was canceled may still run at its backend. It therefore counts toward the node's concurrency limit for as
 // long again as it took.
 
-// Outcome is how an attempt ended.
+// Outcome classifies the end of an attempt.
 type Outcome uint8
 
 // The outcomes. Their numbers are stored.
@@ -78,12 +78,12 @@
 // mayStillRun reports whether an attempt with this outcome may still be running at its backend.
 func (o Outcome) mayStillRun() bool { return o == OutcomeTimedOut || o == OutcomeCanceled }
 
-// checkRules checks the five rules that hold for every attempt. It returns the reason of a rule that forbids to send the
+// checkRules checks the five rules that hold for every attempt. It returns the reason of a rule that forbids sending the
 // request to the backend now, or Eligible:
 //  1. No attempt is sent after the request's end or deadline, nor more attempts than allowed, nor a hedge unless hedging is
 //     allowed.
 //  2. No attempt is sent after one that may have run, unless the request's class allows that at this backend.
-//  3. An attempt is only sent to a backend that the endpoint list calls ready. There is no grace period after a change.
+//  3. An attempt is only sent to a backend that the endpoint list reports as ready. There is no grace period after a change.
 //  4. A backend that warms up is sent no more than this node's share of what it can serve.
 //  5. If the class keeps order, no attempt is sent before the request's turn.
 func (lb *Balancer) checkRules(request *Request, backend *Backend) Reason {
@@ -106,7 +106,7 @@
 	return Eligible
 }
 
-// mayRepeat reports whether rule 2 allows to send the request to the backend. It always does if no attempt may have run, and
+// mayRepeat reports whether rule 2 allows sending the request to the backend. It always does if no attempt may have run, and
 // for Idempotent classes. For IdempotentWithKey classes it does while the backend recognizes the key: within DedupWindow of
 // the first attempt that may have run, and in the same DedupScope as that attempt's backend.
 func (lb *Balancer) mayRepeat(request *Request, backend *Backend) bool {
