--- a/balancer/estimators_test.go
+++ b/balancer/estimators_test.go
@@ -104,10 +104,10 @@
 	h.balancer.recordWait(attemptA, 600)
 	h.balancer.recordWait(attemptB, 0)
 	request := h.requestArrives("a", 0, 10)
-	assert.Greater(t, h.balancer.timeSteps(a, request), h.balancer.timeSteps(b, request))
+	assert.Greater(t, h.balancer.expectedTimeSteps(a, request), h.balancer.expectedTimeSteps(b, request))
 	h.now += 3000
 	request = h.requestArrives("b", 0, 10)
-	assert.Less(t, h.balancer.timeSteps(a, request), h.balancer.timeSteps(b, request))
+	assert.Less(t, h.balancer.expectedTimeSteps(a, request), h.balancer.expectedTimeSteps(b, request))
 	before := b.lastWait
 	h.balancer.recordWait(&Attempt{Request: request, Backend: b, SentAt: before.at - 1}, 400)
 	assert.Equal(t, before, b.lastWait, "an attempt that was sent earlier does not replace the latest wait")
