--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -13,55 +13,56 @@
 	"pearknot/internal/config"
 )
 
-// The names of the discovery service's JSON (rev, all, targets, uid, az, pod_group, ...) are mapped to ours in this file
-// and in ReadDigest.
+// This file and ReadDigest map the field names of the discovery service's JSON (rev, all, targets, uid, az, pod_group,
+// ...) to those of this package.
 
-// statesByName maps the list's names of backend states.
+// statesByName maps the state names in the list to backend states.
 var statesByName = map[string]balancer.BackendState{
 	"up":       balancer.BackendReady,
 	"draining": balancer.BackendDraining,
 	"removed":  balancer.BackendRemoved,
 }
 
-// maxLoggedEntry is how many bytes of an invalid entry a log line quotes: enough to find the entry, and no more, since
-// an entry may be as long as the list.
-const maxLoggedEntry = 400
+// maxLoggedEntryBytes limits how much of an invalid entry a log line quotes: enough to identify the entry, which may be as
+// long as the list.
+const maxLoggedEntryBytes = 400
 
-// defaultWeight is the weight of an endpoint whose entry gives none.
+// defaultWeight is the weight of an endpoint whose entry does not specify one.
 const defaultWeight = 1
 
-// DeploymentNames are the deployment's names of zones and of kinds of machines. The list refers to them by name, an
+// DeploymentNames holds the names of the deployment's zones and machine kinds. The list refers to them by name, an
 // Endpoint by index.
 type DeploymentNames struct{ Zones, Kinds []string }
 
-// Decode reads an encoded list. It fails if the list as a whole can't be read. Entries that are partly invalid are logged
-// and returned with their Invalid fields; entries without a name are logged and left out, so that they don't hide the others.
+// Decode decodes an encoded list. It fails if the list as a whole can't be decoded. Entries that are partly invalid are
+// logged and returned with their Invalid fields set; entries without a name are logged and omitted, so that they don't
+// invalidate the others.
 func (n DeploymentNames) Decode(data []byte, log *slog.Logger) (*List, error) {
 	return n.decode(data, log, func(string) bool { return true })
 }
 
-// decode is Decode with a filter of the log: shouldLog is called with the name of each invalid entry.
+// decode implements Decode. shouldLog is called with the name of each invalid entry and reports whether to log it.
 func (n DeploymentNames) decode(data []byte, log *slog.Logger, shouldLog func(name string) bool) (*List, error) {
-	var answer struct {
+	var response struct {
 		Rev     *uint64
 		All     bool
 		Targets []json.RawMessage
 	}
-	if err := json.Unmarshal(data, &answer); err != nil {
+	if err := json.Unmarshal(data, &response); err != nil {
 		return nil, fmt.Errorf("decode endpoint list: %w", err)
 	}
-	if answer.Rev == nil {
-		return nil, errors.New("endpoint list without a version")
+	if response.Rev == nil {
+		return nil, errors.New("endpoint list has no version")
 	}
-	// An empty list says so with an empty array. If a service loses the field, that must not remove every backend.
-	if answer.All && answer.Targets == nil {
-		return nil, errors.New("complete endpoint list without entries")
+	// An empty list has an empty array. A list that lacks the field must not remove every backend.
+	if response.All && response.Targets == nil {
+		return nil, errors.New("complete endpoint list has no targets field")
 	}
-	list := &List{Version: *answer.Rev, Complete: answer.All}
-	for _, entry := range answer.Targets {
+	list := &List{Version: *response.Rev, Complete: response.All}
+	for _, entry := range response.Targets {
 		endpoint, err := n.endpoint(entry)
 		if err != nil && shouldLog(endpoint.Name) {
-			log.Warn("endpoint list entry invalid", "entry", string(entry[:min(len(entry), maxLoggedEntry)]), "error", err)
+			log.Warn("endpoint list entry invalid", "entry", string(entry[:min(len(entry), maxLoggedEntryBytes)]), "error", err)
 		}
 		if endpoint.Name != "" {
 			list.Endpoints = append(list.Endpoints, endpoint)
@@ -71,7 +72,7 @@
 }
 
 // encodedEndpoint is one entry of the encoded list. Its fields are decoded one by one, so that an invalid one does not
-// hide the others, above all not the name and the state.
+// invalidate the others, most importantly the name and the state.
 type encodedEndpoint struct {
 	UID          json.RawMessage
 	Endpoint     json.RawMessage
@@ -83,8 +84,8 @@
 	BootMs       json.RawMessage `json:"boot_ms"`
 }
 
-// endpoint decodes an entry. The error joins what is wrong with the fields named by Invalid. An entry without a name
-// belongs to no backend: the endpoint is empty then.
+// endpoint decodes an entry. The error joins the errors of all fields in Invalid. For an entry without a name, which
+// identifies no backend, it returns an empty endpoint.
 func (n DeploymentNames) endpoint(data []byte) (Endpoint, error) {
 	var entry encodedEndpoint
 	if err := json.Unmarshal(data, &entry); err != nil {
@@ -92,7 +93,7 @@
 	}
 	name, err := readField[string](entry.UID)
 	if err != nil || name == "" {
-		return Endpoint{}, errors.Join(errors.New("entry without a uid"), err)
+		return Endpoint{}, errors.Join(errors.New("endpoint entry has no uid"), err)
 	}
 
 	endpoint := Endpoint{Name: name}
@@ -126,8 +127,9 @@
 	return endpoint, problems
 }
 
-// absentFields returns the optional fields that the entry lacks. In a valid entry their absence means the default. In an
-// invalid one they may have been lost together with the rest, and a known value must not be replaced by the default.
+// absentFields returns the optional fields that the entry lacks. In a valid entry an absent field has its default value.
+// In an invalid entry the field may be missing because of the same fault, and a known value must not be replaced by the
+// default.
 func (e *encodedEndpoint) absentFields() Fields {
 	absent := Fields(0)
 	if len(e.PodGroup) == 0 {
@@ -142,7 +144,7 @@
 	return absent
 }
 
-// readState decodes a backend's state. isRemoved is false for a state that is unknown.
+// readState decodes a backend's state. isRemoved is false for an unknown state.
 func readState(field json.RawMessage) (state balancer.BackendState, isRemoved bool, err error) {
 	name, err := readField[string](field)
 	state, known := statesByName[name]
@@ -152,7 +154,7 @@
 	return state, known && state == balancer.BackendRemoved, err
 }
 
-// readAddress decodes an address. The address is returned beside the error if it is a string but not host:port.
+// readAddress decodes an address. An address that is a string but not host:port is returned together with the error.
 func readAddress(field json.RawMessage) (string, error) {
 	address, err := readField[string](field)
 	if err == nil {
@@ -161,16 +163,16 @@
 	return address, err
 }
 
-// readCell decodes the number of a cell, which has to fit 16 bits.
+// readCell decodes a cell number, which must fit in 16 bits.
 func readCell(field json.RawMessage) (int, error) {
 	cell, err := readField[int](field)
 	if err == nil && (cell < 0 || cell > math.MaxUint16) {
-		err = fmt.Errorf("pod_group %d out of range", cell)
+		err = fmt.Errorf("pod_group %d is out of range [0, 65535]", cell)
 	}
 	return cell, err
 }
 
-// readWeight decodes a weight; defaultWeight stands for one that is absent or null.
+// readWeight decodes a weight. It returns defaultWeight if the field is absent or null.
 func readWeight(field json.RawMessage) (float64, error) {
 	weight, err := readField[*float64](field)
 	if weight == nil {
@@ -179,7 +181,7 @@
 	return *weight, err
 }
 
-// readField decodes one field. The value of an absent field is zero.
+// readField decodes one field. It returns the zero value if the field is absent.
 func readField[T any](field json.RawMessage) (value T, err error) {
 	if len(field) > 0 {
 		err = json.Unmarshal(field, &value)
@@ -187,13 +189,13 @@
 	return value, err
 }
 
-// indexOfName decodes a name and returns its index among the deployment's names, or -1 and an error that says what kind
-// of name is unknown.
-func indexOfName(field json.RawMessage, names []string, what string) (int, error) {
+// indexOfName decodes a name and returns its index in names. For an unknown name it returns -1 and an error that contains
+// nameType.
+func indexOfName(field json.RawMessage, names []string, nameType string) (int, error) {
 	name, err := readField[string](field)
 	index := slices.Index(names, config.NormalizeName(name))
 	if err == nil && index < 0 {
-		err = fmt.Errorf("unknown %s %.60q", what, name)
+		err = fmt.Errorf("unknown %s %.60q", nameType, name)
 	}
 	return index, err
 }
--- a/internal/discovery/digest.go
+++ b/internal/discovery/digest.go
@@ -12,8 +12,8 @@
 	"pearknot/balancer"
 )
 
-// Digest returns a hash of the backends that are not removed, by name and state. Two lists have the same digest if they
-// name the same backends in the same states, no matter where they were read or in which order.
+// Digest returns a hash of the names and states of the backends that are not removed. Two lists have the same digest if
+// they name the same backends in the same states, independent of their source and order.
 func Digest(states map[string]balancer.BackendState) string {
 	hash := sha256.New()
 	for _, name := range slices.Sorted(maps.Keys(states)) {
@@ -27,24 +27,24 @@
 // ReadDigest returns the version and the digest of an encoded list. Unlike Decode it needs no deployment names. It fails
 // if data is not a complete list or names an unknown state.
 func ReadDigest(data []byte) (version uint64, digest string, err error) {
-	var answer struct {
+	var response struct {
 		Rev     *uint64
 		All     bool
 		Targets []struct{ UID, State string }
 	}
-	if err := json.Unmarshal(data, &answer); err != nil {
+	if err := json.Unmarshal(data, &response); err != nil {
 		return 0, "", fmt.Errorf("decode endpoint list: %w", err)
 	}
-	if answer.Rev == nil || !answer.All {
-		return 0, "", errors.New("not a complete endpoint list")
+	if response.Rev == nil || !response.All {
+		return 0, "", errors.New("endpoint list has no version or is not complete")
 	}
 	states := map[string]balancer.BackendState{}
-	for _, target := range answer.Targets {
+	for _, target := range response.Targets {
 		state, known := statesByName[target.State]
 		if !known {
 			return 0, "", fmt.Errorf("unknown state %q", target.State)
 		}
 		states[target.UID] = state
 	}
-	return *answer.Rev, Digest(states), nil
+	return *response.Rev, Digest(states), nil
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -21,8 +21,8 @@
 
 const validEntry = `{"uid":"s","endpoint":"127.0.0.1:80","az":"b c","model":"m1","pod_group":3,"state":"up","boot_ms":7}`
 
-// A discovery service sends entries with missing, mistyped or unknown values among valid ones. The list must not be
-// lost over one of them, and neither must the valid fields of such an entry.
+// A discovery service sends entries with missing, mistyped or unknown values among valid ones. Such an entry must not
+// invalidate the list, nor its own valid fields.
 func TestDecode(t *testing.T) {
 	list, err := testNames.Decode([]byte(`{"rev":41,"all":true,"targets":[7,null,{},{"uid":""},{"uid":8,"state":"draining"},`+
 		`{"uid":"x","endpoint":"nowhere","az":"a","model":"m1","state":"up"},`+
@@ -35,24 +35,24 @@
 		`{"uid":"x","endpoint":7,"az":"z","model":"m1","state":"removed"},`+
 		validEntry+`,{"uid":"g","az":"a","model":"m1","state":"removed","capacity_hint":2.5}]}`), slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	const at, missing = "127.0.0.1:80", invalidCell | invalidWeight | invalidStarted
+	const address, missing = "127.0.0.1:80", invalidCell | invalidWeight | invalidStarted
 	assert.Equal(t, &List{Version: 41, Complete: true, Endpoints: []Endpoint{
 		{Name: "x", Address: "nowhere", State: balancer.BackendReady, Weight: 1, Invalid: invalidAddress | missing},
-		{Name: "x", Address: at, State: balancer.BackendReady, Zone: -1, Weight: 1, Invalid: invalidZone | missing},
-		{Name: "x", Address: at, State: balancer.BackendReady, Kind: -1, Weight: 1, Invalid: invalidKind | missing},
-		{Name: "x", Address: at, Weight: 1, Invalid: invalidState | missing},
-		{Name: "x", Address: at, State: balancer.BackendReady, Cell: -1, Weight: 1, Invalid: invalidCell | invalidWeight | invalidStarted},
-		{Name: "x", Address: at, State: balancer.BackendDraining, Zone: -1, Kind: -1, Invalid: invalidZone | invalidKind | invalidCell | invalidWeight | invalidStarted},
+		{Name: "x", Address: address, State: balancer.BackendReady, Zone: -1, Weight: 1, Invalid: invalidZone | missing},
+		{Name: "x", Address: address, State: balancer.BackendReady, Kind: -1, Weight: 1, Invalid: invalidKind | missing},
+		{Name: "x", Address: address, Weight: 1, Invalid: invalidState | missing},
+		{Name: "x", Address: address, State: balancer.BackendReady, Cell: -1, Weight: 1, Invalid: invalidCell | invalidWeight | invalidStarted},
+		{Name: "x", Address: address, State: balancer.BackendDraining, Zone: -1, Kind: -1, Invalid: invalidZone | invalidKind | invalidCell | invalidWeight | invalidStarted},
 		{Name: "x", Weight: 1, Started: 9, Invalid: invalidAddress | invalidState | invalidCell | invalidWeight},
 		{Name: "x", Zone: -1, Weight: 1, Invalid: invalidZone | missing},
-		{Name: "s", Address: at, State: balancer.BackendReady, Zone: 1, Cell: 3, Weight: 1, Started: 7},
+		{Name: "s", Address: address, State: balancer.BackendReady, Zone: 1, Cell: 3, Weight: 1, Started: 7},
 		{Name: "g", State: balancer.BackendRemoved, Weight: 2.5},
 	}}, list)
-	for _, bad := range []string{``, `[]`, `{"all":true,"targets":[]}`, `{"rev":-1}`, `{"rev":"4","targets":[]}`,
+	for _, malformed := range []string{``, `[]`, `{"all":true,"targets":[]}`, `{"rev":-1}`, `{"rev":"4","targets":[]}`,
 		`{"rev":4,"all":true,"targets":[` + validEntry + `]`, `{"rev":4,"all":true,"targets":[]}}`, `{"rev":4,"all":true,"targets":[]}{}`,
 		`{"rev":4,"all":true}`, `{"rev":4,"all":true,"targets":null}`, `{"rev":4,"all":true,"targets":{}}`} {
-		_, err := testNames.Decode([]byte(bad), slog.New(slog.DiscardHandler))
-		assert.Error(t, err, bad)
+		_, err := testNames.Decode([]byte(malformed), slog.New(slog.DiscardHandler))
+		assert.Error(t, err, malformed)
 	}
 	for _, empty := range []string{`{"rev":4,"all":true,"targets":[]}`, "{\n\t\"rev\": 4,\r\n\t\"all\": true,\n\t\"targets\": [\n\t]\n}\n"} {
 		list, err := testNames.Decode([]byte(empty), slog.New(slog.DiscardHandler))
@@ -61,8 +61,8 @@
 	}
 }
 
-// An entry for a known backend is partly invalid. Each valid field is taken, each invalid one keeps its known value, and
-// the entry takes the backend out of use but never back into use.
+// An entry for a known backend is partly invalid. Each valid field is applied, each invalid one keeps its known value,
+// and the entry may take the backend out of use but never back into use.
 func TestMergeInto(t *testing.T) {
 	known := Endpoint{"s", "old", balancer.BackendReady, 1, 2, 3, 4, 5, 0}
 	all := invalidAddress | invalidState | invalidZone | invalidCell | invalidKind | invalidWeight | invalidStarted
@@ -88,13 +88,14 @@
 	}
 }
 
-// A watch polls for the complete list, then for changes from each version it has, over a connection that the service
-// closes once. A refusal, a reset and a malformed answer each end the session, and nothing is polled until StartSession is called.
+// A watch polls for the complete list, then for changes since each version it has, over a connection that the service
+// closes once. A refusal, a reset and a malformed response each end the session, and nothing is polled until StartSession
+// is called.
 func TestWatch(t *testing.T) {
-	queries, answers := make(chan string), make(chan string)
+	queries, responses := make(chan string), make(chan string)
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		queries <- r.URL.RawQuery
-		switch body := <-answers; body {
+		switch body := <-responses; body {
 		case "down":
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case "reset":
@@ -115,30 +116,30 @@
 	defer cancel()
 	watch.Start(ctx)
 	watch.StartSession()
-	assert.Equal(t, "", <-queries, "the complete list, since there is none yet")
-	answers <- `{"rev":41,"all":true,"targets":[` + validEntry + `]}`
+	assert.Equal(t, "", <-queries, "requests the complete list, since there is none yet")
+	responses <- `{"rev":41,"all":true,"targets":[` + validEntry + `]}`
 	assert.Equal(t, uint64(41), (<-lists).Version)
 	assert.Equal(t, "from=41&hold_ms=1200", <-queries)
-	assert.Less(t, minPollInterval, 200*time.Millisecond, "the service expects the next poll by then")
-	answers <- `{"rev":43,"all":false,"targets":[]}`
+	assert.Less(t, minPollInterval, 200*time.Millisecond, "the service expects the next poll within 200 ms")
+	responses <- `{"rev":43,"all":false,"targets":[]}`
 	assert.False(t, (<-lists).Complete)
 	assert.Equal(t, "from=43&hold_ms=1200", <-queries)
-	answers <- "close" // no failure: the next poll takes another connection
+	responses <- "close" // not a failure: the next poll uses another connection
 	assert.Equal(t, uint64(44), (<-lists).Version)
 	for k, fault := range []string{"down", "reset", "{}"} {
 		assert.Equal(t, []string{"from=44&hold_ms=1200", "from=44&hold_ms=1", "from=44&hold_ms=1"}[k], <-queries, "from the latest version")
-		answers <- fault
+		responses <- fault
 		assert.True(t, <-failed)
 		select {
 		case <-queries:
-			t.Error("polled again before Poll was called")
+			t.Error("polled again before StartSession was called")
 		case <-time.After(50 * time.Millisecond):
 		}
 		watch.StartSession()
 	}
 	<-queries
 	cancel()
-	answers <- "{}"
+	responses <- "{}"
 }
 
 // The discovery address changes while the old service holds a long poll. The new service is polled at once for its
@@ -182,9 +183,9 @@
 	assert.Equal(t, "new from=7&hold_ms=1200", <-queries)
 }
 
-// A connection to the discovery service falls silent without being closed, while the service sends changes to other
-// nodes. Another connection is tried at once. If that one never answers, the session has failed.
-func TestSilentConnection(t *testing.T) {
+// A connection to the discovery service stalls without being closed, while the service sends changes to other nodes.
+// Another connection is tried at once. If it gets no response either, the session fails.
+func TestStalledConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -195,14 +196,14 @@
 			if err != nil {
 				return
 			}
-			go func(answers bool) { // the first poll of the first connection is answered, and no other
-				for r := bufio.NewReader(c); ; answers = false {
+			go func(responds bool) { // only the first poll of the first connection gets a response
+				for r := bufio.NewReader(c); ; responds = false {
 					request, err := http.ReadRequest(r)
 					if err != nil {
 						return
 					}
 					queries <- request.URL.RawQuery
-					if answers {
+					if responds {
 						const list = `{"rev":7,"all":true,"targets":[]}`
 						_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 					}
@@ -212,7 +213,7 @@
 	}()
 	failed := make(chan bool, 1)
 	watch := &Watch{Address: listener.Addr().String(), Deployment: testNames,
-		Log: slog.New(slog.DiscardHandler), longPollWait: time.Millisecond, answerTimeout: time.Second / 2,
+		Log: slog.New(slog.DiscardHandler), longPollWait: time.Millisecond, responseTimeout: time.Second / 2,
 		OnList: func(*List) {}, OnFailure: func() { failed <- true }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -1,12 +1,12 @@
-// Package discovery follows the endpoint list of a discovery service: it decodes the list's JSON and keeps a watch on it
-// by long polls.
+// Package discovery decodes the JSON endpoint list of a discovery service and watches the list by long polling.
 package discovery
 
 import "pearknot/balancer"
 
 // Endpoint is one entry of the endpoint list: a backend as the discovery service describes it.
 //
-// Endpoints are part of the state that a hot restart passes on. The tags hold the names of that form.
+// Endpoints are part of the state that a hot restart hands off to the new process. The tags fix their names in that
+// encoding.
 type Endpoint struct {
 	Name    string                `json:"Name"`    // identifies the backend, the same at every node
 	Address string                `json:"Address"` // host:port
@@ -14,12 +14,12 @@
 	Zone    int                   `json:"Zone"`    // index into DeploymentNames.Zones
 	Cell    int                   `json:"Cell"`    // group of backends that share hardware
 	Kind    int                   `json:"Kind"`    // index into DeploymentNames.Kinds
-	Weight  float64               `json:"Weight"`  // relative capacity; 1 if the list gives none
-	Started float64               `json:"Started"` // Unix time in milliseconds; 0 means long ago
-	Invalid Fields                `json:"Odd"`     // the fields above that could not be read
+	Weight  float64               `json:"Weight"`  // relative capacity; 1 if the list specifies none
+	Started float64               `json:"Started"` // Unix time in ms; 0 means long ago
+	Invalid Fields                `json:"Odd"`     // the fields above that could not be decoded
 }
 
-// Fields is a set of fields of an Endpoint, its name excluded.
+// Fields is a set of the fields of an Endpoint other than its name.
 type Fields uint8
 
 const (
@@ -35,9 +35,9 @@
 // MergeInto returns the endpoint as an update of the known endpoint: each invalid field keeps the known value, and no
 // field of the result is invalid.
 //
-// If the endpoint is complete, callers use it as it is. If it is not, it may take the backend further out of use, since a
-// drain or a removal counts whatever else is wrong with the entry. It never brings the backend back into use, because
-// that would mean trusting an entry that is partly unreadable.
+// Callers need not merge an endpoint without invalid fields. An endpoint with invalid fields may change the backend to
+// draining or removed, since that state is valid whatever else is wrong with the entry. It never brings the backend back
+// into use, because a partly invalid entry is not trusted for that.
 func (e Endpoint) MergeInto(known Endpoint) Endpoint {
 	if e.Invalid&invalidAddress != 0 {
 		e.Address = known.Address
@@ -64,7 +64,7 @@
 	return e
 }
 
-// List is one answer of the discovery service: either the complete endpoint list or the entries that changed since an
+// List is a response of the discovery service: either the complete endpoint list or the entries that changed since an
 // earlier version.
 type List struct {
 	Version   uint64     `json:"Version"`
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -11,96 +11,96 @@
 	"time"
 )
 
-// The times of the watch follow from one bound, which is a term of the platform's contract with nodes (docs/design.md, "The
-// endpoint list"; docs/hardening.md, "The renewed terms"): what the discovery service has listed counts as known to this node
-// 6 s later, whether or not it arrived. An attempt that is sent to a
-// backend some time after its removal is known breaks the contract.
+// The durations of the watch follow from one limit in the platform's contract with nodes (docs/design.md, "The endpoint
+// list"; docs/hardening.md, "The renewed terms"): a change that the discovery service has listed counts as known to this
+// node 6 s later, whether or not it has been received. An attempt that is sent to a backend some time after its removal
+// is known violates the contract.
 //
-// A connection may fall silent without being closed. Then
+// A connection may stall without being closed. Then
 //
-//	minPollInterval + longPollWait + answerTimeout = 3.5 s
+//	minPollInterval + longPollWait + responseTimeout = 3.5 s
 //
-// may pass before the silence is noticed, and another answerTimeout until a poll that does not wait for an event has been
-// answered. That makes 5.7 s, which leaves 0.3 s to connect. After a poll that timed out, answerTimeout +
-// maxTimeoutBackoff + answerTimeout = 5.6 s pass at most.
+// may pass before the stall is detected, and another responseTimeout until a poll that does not wait for an event gets
+// its response. The sum is 5.7 s, which leaves 0.3 s to connect. After a poll that timed out, at most responseTimeout +
+// maxTimeoutBackoff + responseTimeout = 5.6 s pass.
 const (
-	// answerTimeout is how long an answer may take beyond the time for which its poll asked the service to wait. The
-	// service handles polls in turn and fails those that have been queued for more than 2 s. Of the time that the bound
-	// allows, answerTimeout gets more than longPollWait, so that fewer polls are cancelled that are merely late: after a
-	// cancelled poll the service, which all nodes share, has to start another watch, while the next poll of a running
-	// watch costs it next to nothing.
-	answerTimeout = 2200 * time.Millisecond
-
-	// longPollWait is how long the service may hold a poll until there is a watch event.
+	// responseTimeout is how long a response may take beyond the time for which its poll asked the service to wait. The
+	// service handles polls in turn and fails those that have been queued for more than 2 s. responseTimeout gets a
+	// larger share of the limit than longPollWait, so that fewer polls are canceled that are only late: after a canceled
+	// poll the service, which all nodes share, has to start another watch, while the next poll of a running watch costs
+	// it almost nothing.
+	responseTimeout = 2200 * time.Millisecond
+
+	// longPollWait is how long the service may hold a poll while there is no watch event.
 	longPollWait = 1200 * time.Millisecond
 
-	// immediateWait is the wait of a poll that asks for what there is now. It is not zero because a service may read
-	// zero as no wait given, and use its own.
+	// immediateWait is the wait of a poll that requests the current changes. It is not zero because a service may treat
+	// zero as unset and use its own default.
 	immediateWait = time.Millisecond
 
-	// minPollInterval is the least time between the starts of two polls. It is half of the 200 ms within which
-	// the service expects the next poll of a watch.
+	// minPollInterval is the minimum time between the starts of two polls. It is half of the 200 ms within which the
+	// service expects the next poll of a watch.
 	minPollInterval = 100 * time.Millisecond
 
-	// maxTimeoutBackoff bounds the random backoff after a poll that timed out. Silence means a cut network rather than
-	// an overloaded service, which would refuse. The network may be back any moment, so this backoff is short; the
-	// backoff after a refused poll is the balancer's, and longer.
+	// maxTimeoutBackoff limits the random backoff after a poll that timed out. A timeout indicates a network partition
+	// rather than an overloaded service, which would refuse the poll. The network may recover at any moment, so this
+	// backoff is short; the backoff after a refused poll is the balancer's, and longer.
 	maxTimeoutBackoff = 1200 * time.Millisecond
 )
 
 const (
-	// relogInterval is the least time between two log lines about the same invalid entry. A list may come ten times a
-	// second, with the same entries each time.
+	// relogInterval is the minimum time between two log lines about the same invalid entry. A list may arrive ten times
+	// a second, with the same entries each time.
 	relogInterval = time.Minute
 
-	// maxLoggedNames bounds the names that relogInterval is kept for.
+	// maxLoggedNames limits the number of names for which the last log time is stored.
 	maxLoggedNames = 1000
 )
 
-// Watch follows the endpoint list of a discovery service. It is an actor that has one poll in flight at a time, on one
-// connection. StartSession starts a session of polls, which goes on until one fails; the owner then decides when to call StartSession
-// again, by a backoff of its own. The exported fields must be set before Start.
+// Watch watches the endpoint list of a discovery service. It is an actor that has one poll in flight at a time, on one
+// connection. StartSession starts a session of polls, which continues until a poll fails; the owner then decides when to
+// call StartSession again, by its own backoff. The exported fields must be set before Start.
 type Watch struct {
 	Address     string          // of the discovery service, host:port
-	Deployment  DeploymentNames // by which entries are decoded
+	Deployment  DeploymentNames // used to decode entries
 	Version     uint64          // of the list that the owner has at the start
 	HasList     bool            // whether the owner has a list at the start
 	Log         *slog.Logger
-	OnList      func(*List) // called with each list or change, in order; must not block
+	OnList      func(*List) // called with each complete list or list of changes, in order; must not block
 	OnFailure   func()      // called when a session has failed; must not block
 	LocalSource bool        // the service is this machine's own agent, which may be polled without backoff
 
 	// Tests set these; the defaults are the constants of the same names and a net.Dialer.
-	longPollWait, answerTimeout, minPollInterval, maxTimeoutBackoff time.Duration
-	dial                                                            func(ctx context.Context, network, address string) (net.Conn, error)
+	longPollWait, responseTimeout, minPollInterval, maxTimeoutBackoff time.Duration
+	dial                                                              func(ctx context.Context, network, address string) (net.Conn, error)
 
-	// The actor's own, with Version and HasList, and Address after Start.
+	// Only the actor uses the following fields, and Version and HasList; after Start, also Address.
 	lastLogged map[string]time.Time // when an invalid entry was last logged, by the endpoint's name
-	failing    bool                 // no answer has come since the latest failure
-	restarted  bool                 // the service restarted at a lower version, and no change has come since
+	failing    bool                 // no response has been received since the latest failure
+	restarted  bool                 // the service restarted at a lower version, and no changes have been received since
 
 	sessionRequested chan struct{}
 	mu               sync.Mutex
 	nextAddress      *string            // set by SetAddress, nil once the actor has taken it; guarded by mu
-	cancelSession    context.CancelFunc // of the session that goes on; guarded by mu
+	cancelSession    context.CancelFunc // of the current session; guarded by mu
 }
 
-// Start runs the watch until ctx ends. The first poll waits for a call of StartSession.
+// Start runs the watch until ctx is done. The first poll waits for a call of StartSession.
 func (w *Watch) Start(ctx context.Context) {
 	w.sessionRequested = make(chan struct{}, 1)
 	w.cancelSession = func() {}
 	w.lastLogged = map[string]time.Time{}
 	w.longPollWait = cmp.Or(w.longPollWait, longPollWait)
-	w.answerTimeout = cmp.Or(w.answerTimeout, answerTimeout)
+	w.responseTimeout = cmp.Or(w.responseTimeout, responseTimeout)
 	w.minPollInterval = cmp.Or(w.minPollInterval, minPollInterval)
 	w.maxTimeoutBackoff = cmp.Or(w.maxTimeoutBackoff, maxTimeoutBackoff)
 	if w.dial == nil {
-		w.dial = (&net.Dialer{Timeout: w.answerTimeout}).DialContext
+		w.dial = (&net.Dialer{Timeout: w.responseTimeout}).DialContext
 	}
 	go w.run(ctx)
 }
 
-// StartSession starts a session of polls. It has no effect while one goes on.
+// StartSession starts a session of polls. It has no effect during a session.
 func (w *Watch) StartSession() {
 	select {
 	case w.sessionRequested <- struct{}{}:
@@ -137,30 +137,30 @@
 	}
 }
 
-// sessionFailed reports the end of a session, and starts the next one where that is not left to the owner's backoff.
+// sessionFailed reports the failure of a session, and schedules the next one unless the owner's backoff does.
 func (w *Watch) sessionFailed(err error) {
-	// A local source is polled again every minPollInterval; the first failure in a row says enough.
+	// A local source is polled again every minPollInterval, so only the first of consecutive failures is reported.
 	if !w.LocalSource || !w.failing {
 		w.Log.Warn("endpoint list poll failed", "address", w.Address, "error", err)
 		w.OnFailure()
 	}
 	w.failing = true
 	switch {
-	case w.LocalSource: // what it lists counts as known to this node as soon as it answers again
+	case w.LocalSource: // its list counts as known to this node as soon as it responds again
 		time.AfterFunc(w.minPollInterval, w.StartSession)
 	case isTimeout(err):
 		time.AfterFunc(rand.N(w.maxTimeoutBackoff), w.StartSession)
 	}
 }
 
-// isTimeout reports whether this side ended a poll, or a connection was not established in time.
+// isTimeout reports whether err is a poll or connection timeout on this side.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// beginSession returns the context of a session and takes up an address that was set. Versions of two services are
-// unrelated, so the first poll of a new address asks for the complete list.
+// beginSession returns the context of a session and applies an address set by SetAddress. Versions of two services are
+// unrelated, so the first poll of a new address requests the complete list.
 func (w *Watch) beginSession(ctx context.Context) (context.Context, context.CancelFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -173,8 +173,8 @@
 	return session, cancel
 }
 
-// addressChanged reports whether a session ended because of SetAddress, which is no failure and has requested the next
-// session. If it did not, a poll that was requested during the session is void: the session has answered it.
+// addressChanged reports whether a session ended because of SetAddress, which is not a failure and has requested the next
+// session. Otherwise it drops a request for a session that was made during the one that ended, which has served it.
 func (w *Watch) addressChanged() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -188,7 +188,7 @@
 	return false
 }
 
-// shouldLog reports whether an invalid entry of that name is to be logged now, and takes it as logged if so.
+// shouldLog reports whether to log an invalid entry of that name now, and if so records that it is logged.
 func (w *Watch) shouldLog(name string) bool {
 	now := time.Now()
 	if last, logged := w.lastLogged[name]; logged && now.Sub(last) < relogInterval {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -23,7 +23,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// event is what the watch or the service observes: exactly one of a list passed on, a poll received, or a failed session.
+// event is an observation of the watch or the service: exactly one of a delivered list, a received poll or a failed
+// session.
 type event struct {
 	list   *List
 	poll   *poll
@@ -36,13 +37,13 @@
 	conn           *serviceConn
 }
 
-// serviceConn is the service's end of a connection.
+// serviceConn is the service's side of a connection.
 type serviceConn struct {
 	net.Conn
-	closed atomic.Bool // the test closes it: requests that still arrive are dropped
+	closed atomic.Bool // the test closes the connection: requests that still arrive are dropped
 }
 
-// startService listens as the discovery service would and reports each poll to events; the test answers it.
+// startService starts a fake discovery service that reports each poll to events; the test responds to it.
 func startService(events chan<- event) net.Listener {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,7 +71,7 @@
 	return listener
 }
 
-func (c *poll) answer(body, head string) {
+func (c *poll) respond(body, head string) {
 	_, _ = fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
 }
 
@@ -79,7 +80,8 @@
 	_ = c.conn.Close()
 }
 
-// deadlineConn is a connection whose deadline passes when the test says so. It records the timeouts that it was given.
+// deadlineConn is a connection whose deadline expires when the test calls expire. It records the timeout of the latest
+// poll.
 type deadlineConn struct {
 	net.Conn
 	timeout time.Duration // of the latest poll
@@ -92,12 +94,12 @@
 	return c.Conn.SetDeadline(until)
 }
 
-// expire lets the deadline of the current poll pass. The poll must have been received, since its deadline is set before
-// it is written.
+// expire makes the deadline of the current poll expire. The poll must have been received, since its deadline is set
+// before it is written.
 func (c *deadlineConn) expire() { _ = c.Conn.SetDeadline(time.Unix(1, 0)) }
 
-// watchModel is a model of the watch that runs beside a real one, on real connections. No time passes in it: deadlines
-// pass when the test says so, and the timeouts that polls were given are added up.
+// watchModel is a model of the watch that runs alongside a real one, on real connections. It does not use real time:
+// deadlines expire when the test calls expire, and the timeouts of the polls are added up.
 type watchModel struct {
 	*rapid.T
 	watch    *Watch
@@ -105,15 +107,15 @@
 	dialed   chan *deadlineConn
 	services []net.Listener
 
-	current    int
-	pending    *poll         // received and not answered; nil if there is none
-	clientConn *deadlineConn // the watch's end of its connection
-	version    uint64
-	hasList    bool
-	answered   bool // there was an answer since a connection last failed
-	longPoll   bool // the next poll waits for an event
-	restarted  bool
-	silentFor  time.Duration // since the connection of a long poll fell silent; 0 if a list came since
+	current     int
+	pending     *poll         // received, no response sent yet; nil if there is none
+	clientConn  *deadlineConn // the watch's side of its connection
+	version     uint64
+	hasList     bool
+	hadResponse bool // a response was received since a connection last failed
+	longPoll    bool // the next poll waits for an event
+	restarted   bool
+	stalledFor  time.Duration // since the connection of a long poll stalled; 0 if a list was received since
 }
 
 func (m *watchModel) nextEvent() event {
@@ -126,8 +128,8 @@
 	}
 }
 
-// expectPoll takes the next poll and checks its query, address and timeout. It must be the only event: no session failed
-// that the test did not make fail.
+// expectPoll receives the next poll and checks its query, address and timeout. The poll must be the next event: no session
+// may fail unless the test causes it.
 func (m *watchModel) expectPoll(freshConn bool) {
 	received := m.nextEvent()
 	require.NotNil(m, received.poll, "%+v", received)
@@ -135,60 +137,60 @@
 		m.clientConn = <-m.dialed
 	}
 	require.Empty(m, m.dialed)
-	want, within := "", answerTimeout
+	want, within := "", responseTimeout
 	if m.hasList && m.longPoll {
-		want, within = fmt.Sprintf("from=%d&hold_ms=1200", m.version), longPollWait+answerTimeout
+		want, within = fmt.Sprintf("from=%d&hold_ms=1200", m.version), longPollWait+responseTimeout
 	} else if m.hasList {
-		want, within = fmt.Sprintf("from=%d&hold_ms=1", m.version), answerTimeout+immediateWait
+		want, within = fmt.Sprintf("from=%d&hold_ms=1", m.version), responseTimeout+immediateWait
 	}
 	require.Equal(m, want, received.poll.query)
 	require.Equal(m, m.services[m.current].Addr().String(), received.poll.address)
 	require.InDelta(m, within.Seconds(), m.clientConn.timeout.Seconds(), 0.5)
 	m.pending = received.poll
-	// The list has to arrive within 6 s of the silence, of which 0.3 s are left to connect.
-	if m.silentFor > 0 {
-		require.LessOrEqual(m, m.silentFor+within, 6*time.Second-300*time.Millisecond+immediateWait)
+	// The list has to arrive within 6 s of the stall, of which 0.3 s are reserved for connecting.
+	if m.stalledFor > 0 {
+		require.LessOrEqual(m, m.stalledFor+within, 6*time.Second-300*time.Millisecond+immediateWait)
 	}
 }
 
 func (m *watchModel) startPolling() {
 	m.watch.StartSession()
-	m.answered, m.longPoll, m.silentFor = false, false, 0
+	m.hadResponse, m.longPoll, m.stalledFor = false, false, 0
 	m.expectPoll(true)
 }
 
 func (m *watchModel) setAddress() {
 	m.current = 1 - m.current
-	m.version, m.hasList, m.answered, m.longPoll, m.restarted, m.silentFor = 0, false, false, false, false, 0
+	m.version, m.hasList, m.hadResponse, m.longPoll, m.restarted, m.stalledFor = 0, false, false, false, false, 0
 	m.watch.SetAddress(m.services[m.current].Addr().String())
 	m.expectPoll(true)
 }
 
-// connectionFailed updates the model for a poll whose connection failed, and checks that the watch polls again or reports
-// a failed session. refused means that the service did answer, though with no list that can be used.
-func (m *watchModel) connectionFailed(silent, refused bool) {
-	retries := m.answered || silent && m.longPoll && m.hasList
+// connectionFailed updates the model for a poll that failed, and checks that the watch polls again or reports a failed
+// session. refused means that the service responded, but not with a usable list.
+func (m *watchModel) connectionFailed(timedOut, refused bool) {
+	retries := m.hadResponse || timedOut && m.longPoll && m.hasList
 	m.pending = nil
-	if m.silentFor = 0; silent {
-		m.silentFor = minPollInterval + longPollWait + answerTimeout
+	if m.stalledFor = 0; timedOut {
+		m.stalledFor = minPollInterval + longPollWait + responseTimeout
 		if !m.longPoll || !m.hasList {
-			m.silentFor = minPollInterval + answerTimeout
+			m.stalledFor = minPollInterval + responseTimeout
 		}
 	}
-	if m.answered, m.longPoll = false, !silent; retries && !refused {
+	if m.hadResponse, m.longPoll = false, !timedOut; retries && !refused {
 		m.expectPoll(true)
 		return
 	}
 	require.True(m, m.nextEvent().failed)
-	if silent { // the watch polls again by itself, after a short backoff
-		m.silentFor += maxTimeoutBackoff
+	if timedOut { // the watch polls again by itself, after a short backoff
+		m.stalledFor += maxTimeoutBackoff
 		m.expectPoll(true)
 	}
 }
 
-// listSent updates the model for a list that the service sent, and checks that the watch passes it on or refuses it.
-func (m *watchModel) listSent(list *List, fate connFate) {
-	m.silentFor = 0
+// listSent updates the model for a list that the service sent, and checks that the watch delivers or rejects it.
+func (m *watchModel) listSent(list *List, after connAfterResponse) {
+	m.stalledFor = 0
 	switch {
 	case !list.Complete && !m.hasList:
 		m.connectionFailed(false, true)
@@ -204,8 +206,8 @@
 		m.version, m.hasList = list.Version, true
 		require.Equal(m, list, m.nextEvent().list)
 	}
-	m.answered, m.longPoll = true, true
-	switch fate {
+	m.hadResponse, m.longPoll = true, true
+	switch after {
 	case connStaysOpen:
 		m.expectPoll(false)
 	case connCloseAnnounced:
@@ -215,16 +217,16 @@
 	}
 }
 
-// connFate is what becomes of a connection after an answer.
-type connFate int
+// connAfterResponse is the state of a connection after a response.
+type connAfterResponse int
 
 const (
-	connStaysOpen        connFate = iota
-	connCloseAnnounced            // closed, by a header of the answer
-	connCloseUnannounced          // closed without notice
+	connStaysOpen        connAfterResponse = iota
+	connCloseAnnounced                     // closed, as announced by a response header
+	connCloseUnannounced                   // closed without notice
 )
 
-// drawList draws a list and returns it with its encoded form.
+// drawList draws a list and returns it with its encoding.
 func (m *watchModel) drawList() (*List, string) {
 	list := &List{Version: rapid.Uint64Range(0, 9).Draw(m.T, "version"), Complete: rapid.Bool().Draw(m.T, "complete")}
 	targets := []any{}
@@ -244,9 +246,9 @@
 	return list, string(body)
 }
 
-// A discovery service answers, refuses, resets, truncates, falls silent or restarts, in any order, and its address
-// changes at any point. Each list is passed on once and in order, changes only if they follow the version that the owner
-// has, one poll is in flight at a time, and after a silence the next list can arrive in the time that the protocol gives.
+// A discovery service responds, refuses, resets, truncates, stalls or restarts, in any order, and its address changes at
+// any point. Each list is delivered once and in order, changes only if they follow the owner's version, one poll is in
+// flight at a time, and after a stall the next list can arrive within the protocol's time limit.
 func TestWatchAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &watchModel{T: rt, events: make(chan event, 16), dialed: make(chan *deadlineConn, 16)}
@@ -282,21 +284,21 @@
 			}
 		}
 		rt.Repeat(map[string]func(*rapid.T){
-			"Poll while polling": whilePolling(m.watch.StartSession), // has no effect
+			"StartSession while polling": whilePolling(m.watch.StartSession), // has no effect
 			"list": whilePolling(func() {
 				list, body := m.drawList()
-				m.pending.answer(body, "")
+				m.pending.respond(body, "")
 				m.listSent(list, connStaysOpen)
 			}),
 			"list, connection closed by a header": whilePolling(func() {
 				list, body := m.drawList()
-				m.pending.answer(body, "Connection: close\r\n")
+				m.pending.respond(body, "Connection: close\r\n")
 				m.listSent(list, connCloseAnnounced)
 			}),
 			"list, connection closed without notice": whilePolling(func() {
 				list, body := m.drawList()
 				m.pending.conn.closed.Store(true)
-				m.pending.answer(body, "")
+				m.pending.respond(body, "")
 				_ = m.pending.conn.Close()
 				m.listSent(list, connCloseUnannounced)
 			}),
@@ -316,43 +318,43 @@
 			}),
 			"malformed": whilePolling(func() {
 				_, body := m.drawList()
-				m.pending.answer(rapid.SampledFrom([]string{body + "}", body[1:], body[:len(body)-1], "", "null", "[]"}).Draw(m.T, "body"), "")
+				m.pending.respond(rapid.SampledFrom([]string{body + "}", body[1:], body[:len(body)-1], "", "null", "[]"}).Draw(m.T, "body"), "")
 				m.connectionFailed(false, false)
 			}),
 			"silent": whilePolling(func() {
-				silentPoll, conn := m.pending, m.clientConn
+				timedOutPoll, conn := m.pending, m.clientConn
 				_, body := m.drawList()
 				part := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 				part = part[:rapid.IntRange(0, len(part)-1).Draw(m.T, "received")]
-				_, _ = fmt.Fprint(silentPoll.conn, part)
+				_, _ = fmt.Fprint(timedOutPoll.conn, part)
 				conn.expire()
 				m.connectionFailed(true, false)
-				silentPoll.answer(body, "") // too late: its connection is closed
+				timedOutPoll.respond(body, "") // too late: the watch has closed the connection
 			}),
 		})
 	})
 }
 
 // The address changes just as the next poll sets its deadline. The canceled session has set a deadline in the past; if
-// the poll's deadline replaced that, the old service's long poll would run to its end before the new one is polled.
-func TestSetAddressAsAPollBegins(t *testing.T) {
+// the poll's deadline replaced it, the new service would not be polled until the old service's long poll had ended.
+func TestSetAddressAsPollStarts(t *testing.T) {
 	events := make(chan event, 9)
 	oldService, newService := startService(events), startService(events)
 	defer oldService.Close()
 	defer newService.Close()
 	watch := &Watch{Address: oldService.Addr().String(), Deployment: testNames,
 		Log: slog.New(slog.DiscardHandler), minPollInterval: time.Microsecond,
-		longPollWait: time.Hour, answerTimeout: time.Hour,
+		longPollWait: time.Hour, responseTimeout: time.Hour,
 		OnList: func(list *List) { events <- event{list: list} }, OnFailure: func() { events <- event{failed: true} }}
 	watch.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return &movingConn{Conn: c, canceled: make(chan bool), setAddress: func() { watch.SetAddress(newService.Addr().String()) }}, err
+		return &addressChangingConn{Conn: c, canceled: make(chan bool), setAddress: func() { watch.SetAddress(newService.Addr().String()) }}, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	watch.Start(ctx)
 	watch.StartSession()
-	(<-events).poll.answer(`{"rev":41,"all":true,"targets":[]}`, "")
+	(<-events).poll.respond(`{"rev":41,"all":true,"targets":[]}`, "")
 	assert.Equal(t, uint64(41), (<-events).list.Version)
 	select {
 	case next := <-events:
@@ -364,15 +366,16 @@
 	}
 }
 
-// movingConn is a connection that calls setAddress just before its second deadline is set, which is the second poll's.
-type movingConn struct {
+// addressChangingConn is a connection that calls setAddress just before its second deadline is set, which is that of the
+// second poll.
+type addressChangingConn struct {
 	net.Conn
 	deadlines  int
 	setAddress func()
 	canceled   chan bool
 }
 
-func (c *movingConn) SetDeadline(until time.Time) error {
+func (c *addressChangingConn) SetDeadline(until time.Time) error {
 	if time.Until(until) < 0 {
 		err := c.Conn.SetDeadline(until)
 		close(c.canceled)
@@ -385,13 +388,13 @@
 	return c.Conn.SetDeadline(until)
 }
 
-// An answer arrives a byte at a time and never ends. The poll fails at its deadline all the same.
-func TestAnswerThatTrickles(t *testing.T) {
+// A response arrives one byte at a time and never ends. The poll must still fail at its deadline.
+func TestTrickledResponseTimesOut(t *testing.T) {
 	events, writerDone := make(chan event, 9), make(chan bool)
 	service := startService(events)
 	defer service.Close()
 	watch := &Watch{Address: service.Addr().String(), Deployment: testNames,
-		Log: slog.New(slog.DiscardHandler), answerTimeout: 20 * time.Millisecond,
+		Log: slog.New(slog.DiscardHandler), responseTimeout: 20 * time.Millisecond,
 		OnList: func(list *List) { events <- event{list: list} }, OnFailure: func() { events <- event{failed: true} }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -401,14 +404,14 @@
 	go func() {
 		defer close(writerDone)
 		for _, err := fmt.Fprint(request.conn, "HTTP/1.1 200 OK\r\nX: "); err == nil; _, err = fmt.Fprint(request.conn, "x") {
-			time.Sleep(time.Millisecond) // a slow writer, until the reader hangs up
+			time.Sleep(time.Millisecond) // a slow writer, until the reader closes the connection
 		}
 	}()
 	assert.True(t, (<-events).failed)
 	<-writerDone
 }
 
-// A list comes ten times a second, with the same invalid entries each time. They are logged, but don't flood the log.
+// A list arrives ten times a second, with the same invalid entries each time. They are logged, but don't flood the log.
 func TestInvalidEntriesAreLoggedOnce(t *testing.T) {
 	var lines bytes.Buffer
 	watch := &Watch{Deployment: testNames, Log: slog.New(slog.NewTextHandler(&lines, nil)), lastLogged: map[string]time.Time{}}
@@ -417,22 +420,22 @@
 		require.NoError(t, err)
 	}
 	assert.Equal(t, 3, strings.Count(lines.String(), "endpoint list entry invalid"))
-	assert.Less(t, lines.Len(), 4*(maxLoggedEntry+400))
+	assert.Less(t, lines.Len(), 4*(maxLoggedEntryBytes+400))
 	for k := range 3 * maxLoggedNames {
 		watch.shouldLog(fmt.Sprint(k))
 	}
 	assert.LessOrEqual(t, len(watch.lastLogged), maxLoggedNames)
 }
 
-// The list comes from this machine's own agent, which restarts. What it has then counts as known to the node at once, so
-// the node polls it every minPollInterval. It once did so after the balancer's backoff of seconds. The balancer is
-// notified of the first failure in a row alone.
+// The list comes from this machine's own agent, which restarts. Its list then counts as known to the node at once, so the
+// node must poll it every minPollInterval and not only after the balancer's backoff of seconds. The balancer is notified
+// only of the first of consecutive failures.
 func TestLocalSourceIsPolledAgainAtOnce(t *testing.T) {
 	polls := make(chan chan string)
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answer := make(chan string)
-		polls <- answer
-		if body := <-answer; body != "" {
+		response := make(chan string)
+		polls <- response
+		if body := <-response; body != "" {
 			fmt.Fprint(w, body)
 			return
 		}
@@ -446,7 +449,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	watch.Start(ctx)
-	watch.StartSession() // only once: the watch itself polls again
+	watch.StartSession() // only once: the watch polls again by itself
 	for range 2 {
 		for range 5 {
 			(<-polls) <- ""
@@ -460,7 +463,7 @@
 	last <- ""
 }
 
-// The address changes while a list of the old service is being passed on. That list counts as received before the change,
+// The address changes while a list of the old service is being delivered. That list counts as received before the change,
 // and the next one is the new service's complete list, whatever version the old one had.
 func TestSetAddressDuringOnList(t *testing.T) {
 	startServer := func(version int) (*httptest.Server, chan string) {
@@ -478,7 +481,7 @@
 	newService, queries := startServer(3)
 	lists := make(chan *List, 9)
 	watch := &Watch{Address: oldService.Listener.Addr().String(), Deployment: testNames,
-		Log: slog.New(slog.DiscardHandler), OnFailure: func() { t.Error("a change of address is no failure") }}
+		Log: slog.New(slog.DiscardHandler), OnFailure: func() { t.Error("a change of address was reported as a failure") }}
 	watch.OnList = func(list *List) {
 		if lists <- list; list.Version == 90 {
 			watch.SetAddress(newService.Listener.Addr().String())
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -10,7 +10,7 @@
 	"pearknot/internal/upstream"
 )
 
-// startAttempt begins an attempt that the balancer decided on.
+// startAttempt starts an attempt that the balancer decided on.
 func (n *Node) startAttempt(decision balancer.Decision) {
 	request, attempt := n.requests[decision.Request.ID], decision.Attempt
 	deadline := request.Deadline
@@ -21,7 +21,7 @@
 	request.calls = append(request.calls, call)
 	request.attemptsInFlight++
 	switch {
-	case request.clientGone.Load(): // no connection or record is made; Cancel's message is on its way
+	case request.clientDisconnected.Load(): // no connection or record is made; the message from Cancel follows
 		call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 	case request.Logged != nil:
 		n.recordAttemptStart(request, attempt, call)
@@ -30,10 +30,10 @@
 	}
 }
 
-// newCall makes the call that carries the attempt to its backend. Its results are dropped if the balancer that decided
-// on the attempt has panicked meanwhile: the one in its place does not know the attempt.
+// newCall creates the upstream call for an attempt. Its results are dropped if the balancer that decided on the attempt
+// has panicked meanwhile, because its replacement does not know the attempt.
 //
-// balancer.Decider.ResponseStarted is never called here: a response that is streamed counts as ended with its first part.
+// balancer.Decider.ResponseStarted is never called here: a streamed response counts as ended with its first part.
 func (n *Node) newCall(request *Request, attempt *balancer.Attempt, deadline float64) *upstream.Call {
 	decider := n.decider
 	call := upstream.NewCall(request.Message, n.clock.Time(deadline), func(result upstream.Result) {
@@ -56,7 +56,7 @@
 			})
 		}
 	}
-	call.ClientGone = &request.clientGone
+	call.ClientGone = &request.clientDisconnected
 	return call
 }
 
@@ -69,7 +69,7 @@
 	call.OnDone(upstream.Result{Outcome: balancer.OutcomeNotSent})
 }
 
-// attemptEnded takes an attempt's result. The first response to a request is its answer.
+// attemptEnded handles the result of an attempt. The first response to a request is its answer.
 func (n *Node) attemptEnded(request *Request, attempt *balancer.Attempt, result upstream.Result) {
 	request.attemptsInFlight--
 	if result.Reply != nil && result.Report.HasValues() {
@@ -81,15 +81,16 @@
 		result.Reply.Release()
 		n.recordAttemptEnd(request, attempt, result.Outcome)
 	}
-	// A backend's work ends where its response begins: sending and reading a long response takes time as well.
+	// The backend's processing time ends where its response begins: sending and reading a long response takes additional
+	// time.
 	elapsed := max(n.now-attempt.SentAt-float64(result.SinceFirstByte.Microseconds())/1e3, 0)
 	n.decider.AttemptEnded(n.now, attempt, result.Outcome, elapsed, request.answered)
 	n.logAttempt(request, attempt, result)
-	n.forgetIfOver(request)
+	n.forgetIfComplete(request)
 }
 
-// logAttempt logs an attempt that has ended. `pearknot-lab count` reads these lines, and those of logUnserved, and adds
-// them up over a fleet: their messages, keys and values must not change.
+// logAttempt logs an attempt that has ended. `pearknot-lab count` reads these lines, and those of logUnserved, and sums
+// them over a fleet: their messages, keys and values must not change.
 func (n *Node) logAttempt(request *Request, attempt *balancer.Attempt, result upstream.Result) {
 	if !n.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
--- a/internal/node/cordon.go
+++ b/internal/node/cordon.go
@@ -8,27 +8,28 @@
 	"pearknot/balancer"
 )
 
-// maxKnownNames bounds the names that are remembered. A fleet has several hundred backends at a time, so this covers the
-// names of several days of replacements.
+// maxKnownNames limits the number of known backend names. A fleet has several hundred backends at a time, so this covers
+// the names of several days of replacements.
 const maxKnownNames = 4096
 
-// ErrNeverListed means that the endpoint list has never named a backend, or so long ago that it is forgotten.
+// ErrNeverListed means that a backend has never been on the endpoint list, or so long ago that its name is no longer
+// known.
 var ErrNeverListed = errors.New("never listed")
 
-// cordonedNames holds the names that the endpoint list has contained at some time, and those that operators have
+// cordonRegistry holds the backend names that the endpoint list has contained at some time, and those that operators have
 // cordoned.
-type cordonedNames struct {
+type cordonRegistry struct {
 	known          map[string]struct{}
-	byFirstListing []string // the known names
+	byFirstListing []string // the known names, in the order of their first listing
 	cordoned       map[string]bool
 }
 
-func newCordonedNames() cordonedNames {
-	return cordonedNames{known: map[string]struct{}{}, cordoned: map[string]bool{}}
+func newCordonRegistry() cordonRegistry {
+	return cordonRegistry{known: map[string]struct{}{}, cordoned: map[string]bool{}}
 }
 
-// add remembers a name. Beyond maxKnownNames it forgets the oldest one that is not cordoned.
-func (c *cordonedNames) add(name string) {
+// addKnown adds a known name. Above maxKnownNames it removes the oldest one that is not cordoned.
+func (c *cordonRegistry) addKnown(name string) {
 	if _, known := c.known[name]; known {
 		return
 	}
@@ -43,15 +44,15 @@
 	c.byFirstListing = append(c.byFirstListing, name)
 }
 
-// Cordon marks a backend as draining, whatever the endpoint list says of it, or ends that. It goes ahead of waiting
-// messages, returns once the balancer has the change, and may be repeated. isKnown says that the node's other process
-// knows the name, so that the backend need not have been listed here. For a name that is not known at all it returns
-// ErrNeverListed.
+// Cordon marks a backend as draining regardless of its state on the endpoint list, or removes that mark. The change is
+// processed before the messages in the mailbox. Cordon returns once the balancer has the change, and may be repeated.
+// isKnown says that the node's other process knows the name, so that the backend need not have been listed here. For a
+// name that neither process knows it returns ErrNeverListed.
 func (n *Node) Cordon(ctx context.Context, name string, cordoned, isKnown bool) error {
 	done := make(chan error, 1)
 	n.mailbox.PutFirst(func() {
 		if isKnown {
-			n.cordons.add(name)
+			n.cordons.addKnown(name)
 		}
 		done <- n.setCordoned(name, cordoned)
 	})
@@ -72,7 +73,7 @@
 	}
 	if b := n.backends[name]; b != nil {
 		n.setEndpoint(b, b.endpoint)
-		// cached: the entry does not come from discovery, so it is no sign that the list is watched.
+		// cached: the entry does not come from discovery, so it does not show that the list is watched.
 		const complete, cached = false, true
 		n.decider.EndpointsChanged(n.now, []balancer.Endpoint{n.balancerEndpoint(b)}, complete, cached)
 	}
--- a/internal/node/cordon_test.go
+++ b/internal/node/cordon_test.go
@@ -13,8 +13,8 @@
 	"pearknot/internal/discovery"
 )
 
-// A cordoned backend gets no requests, whatever the endpoint list and a panic of the balancer do meanwhile, until it is
-// uncordoned.
+// A cordoned backend gets no requests until it is uncordoned, regardless of endpoint list updates and balancer panics in
+// between.
 func TestCordon(t *testing.T) {
 	silent := startSilentBackend(t)
 	n, c := startNode(t, silent.address)
@@ -45,43 +45,43 @@
 	n.Submit(newTestRequest(c, 0))
 	<-silent.accepted
 
-	// A backend that the list named once and names no more may be cordoned, too.
+	// A backend that was listed earlier and no longer is may be cordoned, too.
 	n.EndpointsChanged(&discovery.List{Complete: true})
 	require.NoError(t, cordon("s", true))
 	assert.Equal(t, true, n.cordons.cordoned["s"])
 }
 
-// An operator's call waits for the batch at hand, not for all that is in the mailbox.
-func TestOperatorCallsGoAheadOfMailbox(t *testing.T) {
+// An operator's call waits for the current batch, not for all messages in the mailbox.
+func TestCordonPrecedesQueuedMessages(t *testing.T) {
 	n, _ := startNode(t, "127.0.0.1:1")
 	release, order := make(chan struct{}), make(chan bool, 1)
-	begun := make(chan struct{})
-	n.mailbox.Put(func() { close(begun); <-release })
-	<-begun
+	started := make(chan struct{})
+	n.mailbox.Put(func() { close(started); <-release })
+	<-started
 	n.mailbox.Put(func() { order <- n.cordons.cordoned["s"] })
 	done := make(chan error, 1)
 	go func() { done <- n.Cordon(t.Context(), "s", true, false) }()
 	require.Eventually(t, func() bool { return n.mailbox.Len() == 2 }, 10*time.Second, time.Millisecond)
 	close(release)
 	require.NoError(t, <-done)
-	assert.True(t, <-order, "a message from before the call runs after it")
+	assert.True(t, <-order, "a message that was queued before the call must run after it")
 
 	release = make(chan struct{})
 	defer close(release)
-	begun = make(chan struct{})
-	n.mailbox.Put(func() { close(begun); <-release })
-	<-begun
+	started = make(chan struct{})
+	n.mailbox.Put(func() { close(started); <-release })
+	<-started
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
 	assert.ErrorIs(t, n.Cordon(ctx, "s", false, false), context.DeadlineExceeded)
 }
 
-// The known names are bounded; cordoned ones are never forgotten.
+// The number of known names is limited; cordoned ones are never removed.
 func TestKnownNamesAreBounded(t *testing.T) {
-	names := newCordonedNames()
+	names := newCordonRegistry()
 	names.cordoned["s-0"] = true
 	for i := range maxKnownNames + 100 {
-		names.add(fmt.Sprint("s-", i))
+		names.addKnown(fmt.Sprint("s-", i))
 	}
 	assert.Len(t, names.known, maxKnownNames)
 	assert.Len(t, names.byFirstListing, maxKnownNames)
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -45,18 +45,18 @@
 	}
 }
 
-// finishUnserved ends a request that the balancer has rejected or failed.
-func (n *Node) finishUnserved(decided *balancer.Request, answer Answer) {
-	if request := n.requests[decided.ID]; request != nil {
+// finishUnserved finishes a request that the balancer has rejected or failed.
+func (n *Node) finishUnserved(balancerRequest *balancer.Request, answer Answer) {
+	if request := n.requests[balancerRequest.ID]; request != nil {
 		n.logUnserved(request, answer)
 		n.finish(request, answer)
-		n.forgetIfOver(request)
+		n.forgetIfComplete(request)
 	}
 }
 
-// forgetIfOver forgets a request that is answered and has no attempt in flight. The balancer's timers may refer to the
-// request until its deadline, so the message is dropped separately: bodies need not stay in memory as long.
-func (n *Node) forgetIfOver(request *Request) {
+// forgetIfComplete removes a request that is answered and has no attempt in flight. The balancer's timers may refer to the
+// request until its deadline, so the message is released separately: bodies need not stay in memory that long.
+func (n *Node) forgetIfComplete(request *Request) {
 	if request.answered && request.attemptsInFlight == 0 {
 		delete(n.requests, request.ID)
 		request.Message, request.calls = nil, nil
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -9,24 +9,25 @@
 	"pearknot/internal/upstream"
 )
 
-// backend is a backend that the endpoint list has named and that the balancer still tracks.
+// backend is a backend from the endpoint list that the balancer still tracks.
 type backend struct {
 	*balancer.Backend
 	endpoint discovery.Endpoint
 	upstream *upstream.Backend // its connections; nil once the endpoint is removed
 }
 
-// dropObserver is a decider that needs to know when the node forgets a backend, such as the recorder of a capture.
-type dropObserver interface {
+// forgottenBackendObserver is implemented by a decider that has to be notified when the node forgets a backend, such as
+// the recorder of a capture.
+type forgottenBackendObserver interface {
 	BackendForgotten(b *balancer.Backend)
 }
 
-// EndpointsChanged takes a new endpoint list, or changes to the one that the node has.
+// EndpointsChanged passes a new endpoint list, or changes to the current one, to the node.
 func (n *Node) EndpointsChanged(list *discovery.List) {
 	n.mailbox.Put(func() { n.applyEndpoints(list, fromDiscovery) })
 }
 
-// PollFailed takes a failed poll of the endpoint list. A node that has a cached list becomes ready by it.
+// PollFailed notifies the node of a failed poll of the endpoint list. A node that has a cached list becomes ready.
 func (n *Node) PollFailed() {
 	n.mailbox.Put(func() {
 		n.decider.PollFailed(n.now)
@@ -34,15 +35,15 @@
 	})
 }
 
-// listSource is where an endpoint list comes from.
+// listSource is the source of an endpoint list.
 type listSource bool
 
 const (
 	fromDiscovery listSource = false // a new list, or changes to one
-	fromCache     listSource = true  // the list that the node, or the process before it, has had before
+	fromCache     listSource = true  // an earlier list of the node or of the process before it
 )
 
-// applyEndpoints brings the backends in line with an endpoint list and passes it to the balancer.
+// applyEndpoints updates the backends from an endpoint list and passes the list to the balancer.
 func (n *Node) applyEndpoints(list *discovery.List, source listSource) {
 	changes, listed := n.applyListedEndpoints(list)
 	if list.Complete {
@@ -52,22 +53,22 @@
 	n.forgetRemovedBackends()
 	n.hasEndpoints, n.endpointsVersion = true, list.Version
 	n.log.Debug("endpoint list applied", "version", list.Version, "complete", list.Complete, "endpoints", len(changes))
-	// A watch reports the current state as soon as it is connected. A backend that is ready by the cached list may be
-	// draining by now, so a node with a watch is ready only once the watch has reported, or has failed (PollFailed).
+	// A watch reports the current state as soon as it is connected. A backend that is ready in the cached list may be
+	// draining by now, so a node with a watch becomes ready only when the watch has reported or failed (PollFailed).
 	if source == fromDiscovery || n.deployment.BalancerConfig.PollEndpoints {
 		n.markReady()
 	}
 }
 
-// applyListedEndpoints applies the list's entries in order. It returns them as the balancer gets them, and the
-// backends that they name.
+// applyListedEndpoints applies the list's entries in order. It returns them in the balancer's form, and the backends
+// that they name.
 func (n *Node) applyListedEndpoints(list *discovery.List) ([]balancer.Endpoint, map[*backend]bool) {
 	changes := make([]balancer.Endpoint, 0, len(list.Endpoints))
 	listed := map[*backend]bool{}
 	for _, endpoint := range list.Endpoints {
 		b := n.backends[endpoint.Name]
 		if b == nil && (endpoint.State == balancer.BackendRemoved || endpoint.Invalid != 0) {
-			continue // nothing to remove, or unknown and not completely readable
+			continue // not known, and either removed or partly invalid
 		}
 		if b == nil {
 			b = n.addBackend(endpoint)
@@ -76,13 +77,13 @@
 			endpoint = endpoint.MergeInto(b.endpoint)
 		}
 		if list.Complete && listed[b] {
-			// Entries of a list of changes are in order, and the last one counts. A complete list has no order:
-			// of two entries for a backend, neither may hide that the other calls it draining or newly started.
+			// In a list of changes the entries are ordered, and the last one applies. A complete list is unordered:
+			// of two entries for a backend, neither may override a draining state or a later start time in the other.
 			endpoint.State = min(endpoint.State, b.endpoint.State)
 			endpoint.Started = max(endpoint.Started, b.endpoint.Started)
 		}
 		listed[b] = true
-		n.cordons.add(endpoint.Name)
+		n.cordons.addKnown(endpoint.Name)
 		n.setEndpoint(b, endpoint)
 		changes = append(changes, n.balancerEndpoint(b))
 	}
@@ -97,7 +98,7 @@
 	return b
 }
 
-// removeUnlisted marks the backends that a complete list does not name as removed.
+// removeUnlisted marks the backends that are not in listed as removed.
 func (n *Node) removeUnlisted(listed map[*backend]bool) {
 	for _, b := range n.backends {
 		if !listed[b] {
@@ -108,7 +109,7 @@
 	}
 }
 
-// forgetRemovedBackends forgets removed backends once the balancer does not track them any more.
+// forgetRemovedBackends deletes the removed backends that the balancer no longer tracks.
 func (n *Node) forgetRemovedBackends() {
 	for name, b := range n.backends {
 		if b.IsTracked() || b.endpoint.State != balancer.BackendRemoved {
@@ -117,13 +118,13 @@
 		b.closeUpstream()
 		delete(n.backends, name)
 		delete(n.backendOf, b.Backend)
-		if observer, ok := n.decider.(dropObserver); ok {
+		if observer, ok := n.decider.(forgottenBackendObserver); ok {
 			observer.BackendForgotten(b.Backend)
 		}
 	}
 }
 
-// markReady lets requests be routed by the endpoint list, if there is one.
+// markReady marks the node as ready to route requests, if it has an endpoint list.
 func (n *Node) markReady() {
 	if n.hasEndpoints && !n.isReady {
 		n.isReady = true
@@ -131,8 +132,8 @@
 	}
 }
 
-// balancerEndpoint is a backend's entry as the balancer gets it: what the list says, and whether an operator
-// has cordoned it.
+// balancerEndpoint returns a backend's entry in the balancer's form: its listed endpoint and whether an operator has
+// cordoned it.
 func (n *Node) balancerEndpoint(b *backend) balancer.Endpoint {
 	endpoint := b.endpoint
 	return balancer.Endpoint{
@@ -147,8 +148,8 @@
 	}
 }
 
-// setEndpoint sets a backend's entry and opens or closes its connections. It is called before the balancer learns of the
-// entry, so b.State is the former state. Where a removal is only a hint, a removed backend keeps its connections until
+// setEndpoint sets a backend's entry and opens or closes its connections. It is called before the balancer is notified of
+// the entry, so b.State is the previous state. Where a removal is only a hint, a removed backend keeps its connections until
 // the balancer forgets it, unless it was draining.
 func (n *Node) setEndpoint(b *backend, endpoint discovery.Endpoint) {
 	b.endpoint = endpoint
@@ -171,7 +172,7 @@
 	}
 }
 
-// backendID is the number by which the balancer knows a backend. It is the same at every node.
+// backendID returns the number that identifies a backend in the balancer. It is the same at every node.
 func backendID(name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name))
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -25,22 +25,22 @@
 	return list
 }
 
-// backendState is the node's entry of a backend, and the state that the balancer has.
-func backendState(n *Node, name string) (m discovery.Endpoint, state balancer.BackendState) {
+// backendState returns the node's entry for a backend, and the backend's state in the balancer.
+func backendState(n *Node, name string) (endpoint discovery.Endpoint, state balancer.BackendState) {
 	done := make(chan bool)
 	n.mailbox.Put(func() {
 		defer close(done)
 		if b := n.backends[name]; b != nil {
-			m, state = b.endpoint, b.State
+			endpoint, state = b.endpoint, b.State
 		}
 	})
 	<-done
-	return m, state
+	return endpoint, state
 }
 
-// An entry for a known backend has fields that can't be read. The backend is listed, so it is not removed; a
-// draining or removed state counts; every other field keeps its last good value.
-func TestUnreadableEntryOfKnownBackend(t *testing.T) {
+// An entry for a known backend has invalid fields. The backend is listed, so it is not removed; a draining or removed
+// state is applied; every other invalid field keeps its last valid value.
+func TestInvalidEntryOfKnownBackend(t *testing.T) {
 	const good = `{"uid":"x","endpoint":"127.0.0.1:1","az":"b","model":"m","pod_group":2,"state":"up","capacity_hint":3,"boot_ms":4}`
 	for entry, want := range map[string]balancer.BackendState{
 		`{"uid":"x","endpoint":"127.0.0.1:1","az":"new","model":"m","pod_group":2,"state":"up","capacity_hint":3,"boot_ms":4}`:   balancer.BackendReady,
@@ -72,10 +72,9 @@
 	}
 }
 
-// An unreadable entry for an unknown backend is skipped, as its zone and kind are needed. One for a draining
-// backend does not make that ready again, but its start time counts: a cold backend must not be taken for a
-// warm one.
-func TestUnreadableEntryEnablesNoBackend(t *testing.T) {
+// An invalid entry for an unknown backend is skipped, because its zone and kind are needed. One for a draining backend
+// does not make it ready again, but its start time is applied: a cold backend must not be treated as a warm one.
+func TestInvalidEntryEnablesNoBackend(t *testing.T) {
 	n, _ := startNode(t, "127.0.0.1:1")
 	n.EndpointsChanged(decodeList(t, false, `{"uid":"x","endpoint":"127.0.0.1:1","az":"new","model":"m","state":"up"},`+
 		`{"uid":"y","endpoint":"127.0.0.1:1","az":"a","model":"m","state":"draining"}`))
@@ -88,8 +87,8 @@
 	assert.InDelta(t, 9, y.Started, 0)
 }
 
-// A list names a backend twice. In a list of changes the last entry counts; a complete list has no order, and
-// a draining state must not be hidden.
+// A list names a backend twice. In a list of changes the last entry applies; a complete list is unordered, and a draining
+// state must not be overridden.
 func TestBackendListedTwice(t *testing.T) {
 	const ready, draining = `{"uid":"x","endpoint":"127.0.0.1:1","az":"a","model":"m","state":"up"}`,
 		`{"uid":"x","endpoint":"127.0.0.1:1","az":"a","model":"m","state":"draining"}`
@@ -112,10 +111,9 @@
 	}
 }
 
-// A node starts with the endpoint list of the process before it. Where the list is watched, a backend may have
-// begun to drain meanwhile, so the node must not serve by the cached list before the watch has reported or has
-// failed.
-func TestReadyByCachedEndpoints(t *testing.T) {
+// A node starts with the cached endpoint list of the process before it. If the list is watched, a backend may have started
+// to drain meanwhile, so the node must not serve by the cached list before the watch has reported or failed.
+func TestReadinessWithCachedEndpoints(t *testing.T) {
 	const list = `{"uid":"x","endpoint":"127.0.0.1:1","az":"a","model":"m","state":"up"}`
 	changed := func(n *Node) { n.EndpointsChanged(decodeList(t, false, "")) }
 	for name, test := range map[string]struct {
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -12,23 +12,24 @@
 	"pearknot/internal/snapshot"
 )
 
-// LearnedState is what a node passes to the process that replaces it.
-type LearnedState struct {
+// HandoffState is the state that a node passes to the process that replaces it.
+type HandoffState struct {
 	Endpoints        discovery.List // a complete list
 	BackendNames     []string       // of the backends in BalancerSnapshot, in their order
-	BalancerSnapshot []byte         // empty where the decider has no state to pass on
-	KnownNames       []string       // all names that the endpoint list has had
+	BalancerSnapshot []byte         // empty if the decider has no state to hand off
+	KnownNames       []string       // backend names that the endpoint list has contained, oldest first
 	CordonedNames    []string       // names that operators have cordoned, known or not
 }
 
-// LearnedState asks the actor for its state, ahead of other messages. It fails once ctx is done, and after Stop.
-func (n *Node) LearnedState(ctx context.Context) (*LearnedState, error) {
-	var state *LearnedState
+// HandoffState gets the state from the actor, before the messages in the mailbox. It fails once ctx is done, and after
+// Stop.
+func (n *Node) HandoffState(ctx context.Context) (*HandoffState, error) {
+	var state *HandoffState
 	done := make(chan error, 1)
 	n.mailbox.PutFirst(func() {
-		n.afterBatch = append(n.afterBatch, func() { // the balancer gives no snapshot while decisions are left to pull
+		n.afterBatch = append(n.afterBatch, func() { // the balancer has no snapshot while decisions are pending
 			var err error
-			state, err = n.learnedState()
+			state, err = n.handoffState()
 			done <- err
 		})
 	})
@@ -38,8 +39,8 @@
 	return state, nil
 }
 
-func (n *Node) learnedState() (*LearnedState, error) {
-	state := &LearnedState{
+func (n *Node) handoffState() (*HandoffState, error) {
+	state := &HandoffState{
 		Endpoints:     discovery.List{Version: n.endpointsVersion, Complete: true},
 		KnownNames:    slices.Clone(n.cordons.byFirstListing),
 		CordonedNames: slices.Sorted(maps.Keys(n.cordons.cordoned)),
@@ -55,8 +56,8 @@
 	if !n.isReady {
 		return state, nil
 	}
-	// With a recorder around the balancer there is no snapshot: the recorder would not notice that the balancer inside it
-	// was restored.
+	// There is no snapshot if a recorder wraps the balancer: the recorder would not notice that the balancer inside it was
+	// restored.
 	decider, ok := n.decider.(*balancer.Balancer)
 	if !ok {
 		return state, nil
@@ -69,11 +70,11 @@
 	return state, nil
 }
 
-// Restore has the node begin with the state of the process before it. It is called before Start. After an error
-// the node has the names, and starts with a fresh balancer.
-func (n *Node) Restore(state *LearnedState) error {
+// Restore sets the state of the process before this one as the node's initial state. It is called before Start. After an
+// error the node has the known and cordoned names, and starts with a new balancer.
+func (n *Node) Restore(state *HandoffState) error {
 	for _, name := range state.KnownNames {
-		n.cordons.add(name)
+		n.cordons.addKnown(name)
 	}
 	for _, name := range state.CordonedNames {
 		n.cordons.cordoned[name] = true
@@ -83,7 +84,7 @@
 	}
 	handoff, err := snapshot.Decode(state.BalancerSnapshot)
 	if err != nil {
-		return fmt.Errorf("read balancer snapshot: %w", err)
+		return fmt.Errorf("decode balancer snapshot: %w", err)
 	}
 	handoff.Now = n.clock.Now()
 	decider, _, backends, err := balancer.Restore(n.deployment.BalancerConfig, handoff)
@@ -102,12 +103,12 @@
 	return nil
 }
 
-// Reconfigure puts another configuration in force. When it returns the balancer has it, and all requests that
-// come after get it. Requests that are open keep the one that they came under.
+// Reconfigure applies another configuration. When it returns, the balancer has it, and all requests that arrive later use
+// it. Open requests keep the configuration under which they arrived.
 func (n *Node) Reconfigure(ctx context.Context, deployment *config.Deployment) error {
 	done := make(chan error, 1)
 	n.mailbox.PutFirst(func() {
-		formerClasses := make([]int, len(deployment.Classes)) // each class's index before, -1 for a new one
+		formerClasses := make([]int, len(deployment.Classes)) // previous index of each class, -1 for a new one
 		for i, name := range deployment.Classes {
 			formerClasses[i] = slices.Index(n.deployment.Classes, name)
 		}
@@ -118,7 +119,7 @@
 	return n.wait(ctx, done)
 }
 
-// ProcessesChanged tells the balancer how many processes make up the node: two during a hot restart.
+// ProcessesChanged notifies the balancer of the number of processes of the node, which is two during a hot restart.
 func (n *Node) ProcessesChanged(count int) {
 	n.mailbox.Put(func() { n.decider.ProcessesChanged(n.now, count) })
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,6 @@
-// Package node runs the balancer on sockets. A single goroutine, the node's actor, calls the balancer: requests
-// from the server, results from the backends' connections, endpoint lists and the timer reach it through a
-// mailbox. After each batch of messages it pulls the balancer's decisions until there are none left and carries
-// them out.
+// Package node runs the balancer on sockets. A single goroutine, the node's actor, calls the balancer: requests from the
+// server, results from the backends' connections, endpoint lists and the timer reach it through a mailbox. After each
+// batch of messages it pulls the balancer's decisions until there are none left and carries them out.
 package node
 
 import (
@@ -21,16 +20,16 @@
 	"pearknot/internal/upstream"
 )
 
-// drainGraceMs is how long after the drain deadline the balancer may still answer requests itself, in ms: by then all
-// attempts have timed out. A request that the balancer has not answered by then is failed by the node.
+// drainGraceMs is the time after the drain deadline within which the balancer may still answer requests itself: by its end
+// all attempts have timed out. The node fails the requests that the balancer has not answered by then.
 const drainGraceMs = 50.0
 
-var errStopped = errors.New("the node has ended")
+var errStopped = errors.New("node is stopped")
 
-// NewDecider makes the decider of a node; now is the node's clock, in ms.
+// NewDecider creates the decider of a node; now is the time of the node's clock, in ms.
 type NewDecider func(config *balancer.Config, now float64) balancer.Decider
 
-// NewBalancer is the NewDecider of a node that serves.
+// NewBalancer is the NewDecider of a serving node.
 func NewBalancer(balancerConfig *balancer.Config, now float64) balancer.Decider {
 	return balancer.New(balancerConfig, now)
 }
@@ -40,31 +39,31 @@
 	clock          *clock.Clock
 	log            *slog.Logger
 	upstreamConfig *upstream.Config
-	pollEndpoints  func() // begins a poll of the endpoint list
+	pollEndpoints  func() // starts a poll of the endpoint list
 	newDecider     NewDecider
 	mailbox        *mailbox.Box[func()]
 	ready          chan struct{}
 	done           chan struct{} // closed once the actor stops
 
-	// The actor alone uses the following fields.
+	// Only the actor uses the following fields.
 	deployment       *config.Deployment
 	decider          balancer.Decider
-	now              float64 // when the current batch of messages began, in ms
+	now              float64 // start of the current batch of messages, in ms
 	requests         map[uint64]*Request
 	lastRequestID    uint64
 	backends         map[string]*backend            // by name
-	backendOf        map[*balancer.Backend]*backend // the same backends, by the balancer's part of them
-	cordons          cordonedNames
-	hasEndpoints     bool   // there is an endpoint list, which may be the cached one of an earlier process
-	isReady          bool   // requests may be routed by that list
+	backendOf        map[*balancer.Backend]*backend // the same backends, by their balancer.Backend
+	cordons          cordonRegistry
+	hasEndpoints     bool   // there is an endpoint list, possibly the cached one of an earlier process
+	isReady          bool   // the node may route requests by that list
 	endpointsVersion uint64 // of that list
 	timer            *time.Timer
 	drainDeadline    float64      // ms; 0 while the node is not draining
-	requestLog       *peers.Peers // nil where no request is logged
-	afterBatch       []func()     // runs once the batch is over
+	requestLog       *peers.Peers // nil if no requests are logged
+	afterBatch       []func()     // run after the current batch
 }
 
-// New makes a node. pollEndpoints begins a poll of the endpoint list and must not block.
+// New creates a node. pollEndpoints starts a poll of the endpoint list and must not block.
 func New(deployment *config.Deployment, newDecider NewDecider, nodeClock *clock.Clock, upstreamConfig *upstream.Config,
 	pollEndpoints func(), log *slog.Logger) *Node {
 	return &Node{
@@ -80,12 +79,12 @@
 		requests:       map[uint64]*Request{},
 		backends:       map[string]*backend{},
 		backendOf:      map[*balancer.Backend]*backend{},
-		cordons:        newCordonedNames(),
+		cordons:        newCordonRegistry(),
 		timer:          time.NewTimer(time.Hour),
 	}
 }
 
-// Start runs the actor. cached is the endpoint list that a process before this one had; nil is none.
+// Start runs the actor. cached is the endpoint list of the process before this one, or nil.
 func (n *Node) Start(cached *discovery.List) {
 	n.now = n.clock.Now()
 	if n.decider == nil { // Restore has not set one
@@ -94,17 +93,17 @@
 	if cached != nil {
 		n.applyEndpoints(cached, fromCache)
 	}
-	if !n.deployment.BalancerConfig.PollEndpoints { // the balancer never asks for a poll: the list is watched
+	if !n.deployment.BalancerConfig.PollEndpoints { // the balancer never requests a poll: the list is watched
 		n.pollEndpoints()
 	}
-	n.mailbox.Put(func() {}) // so that the balancer's first decisions are pulled before any event
+	n.mailbox.Put(func() {}) // pulls the balancer's first decisions before any event
 	go n.run()
 }
 
 // Ready is closed once the node has an endpoint list to route requests by.
 func (n *Node) Ready() <-chan struct{} { return n.ready }
 
-// Submit hands a request to the node. Its answer comes on request.Answer, unless Cancel is called.
+// Submit passes a request to the node. The answer is delivered on request.Answer, unless Cancel is called.
 func (n *Node) Submit(request *Request) {
 	n.mailbox.Put(func() {
 		n.addRequest(request)
@@ -121,30 +120,30 @@
 	n.requests[request.ID] = request
 }
 
-// Cancel tells the node that the request's client is gone: no answer will be read. No further attempt begins. A logged
-// request of which an attempt has begun continues all the same, since its client may ask for the answer with its key.
+// Cancel notifies the node that the request's client has disconnected and reads no answer. No further attempt starts. A
+// logged request of which an attempt has started still continues, since its client may request the answer with its key.
 func (n *Node) Cancel(request *Request) {
-	request.clientGone.Store(true) // takes effect at once: the actor may be in a long batch
+	request.clientDisconnected.Store(true) // takes effect at once: the actor may be in a long batch
 	n.mailbox.Put(func() {
 		if n.requests[request.ID] == request && !request.answered && !n.continuesWithoutClient(request) {
 			n.abandonRequest(request)
 			n.decider.RequestAbandoned(n.now, &request.Request)
-			n.forgetIfOver(request)
+			n.forgetIfComplete(request)
 		}
 		request.discardAnswer()
 	})
 }
 
-// Status is a node's state, as operators and health checks see it.
+// Status is a node's state as reported to operators and health checks.
 type Status struct {
-	Ready        bool   // the node is ready (isReady): while a watch is awaited, a cached list alone does not set it
+	Ready        bool   // requests are routed (isReady); while a watch is pending, a cached list alone does not set it
 	Version      uint64 // of the endpoint list
 	Digest       string // of the endpoint list
 	Backends     int    // on the endpoint list
 	OpenRequests int
 }
 
-// Status asks the actor for its state. It fails once ctx is done, and after Stop.
+// Status gets the state from the actor. It fails once ctx is done, and after Stop.
 func (n *Node) Status(ctx context.Context) (Status, error) {
 	var status Status
 	done := make(chan error, 1)
@@ -170,7 +169,7 @@
 	return status, nil
 }
 
-// wait waits until the actor has sent its result.
+// wait waits for a result of the actor. It fails once ctx is done, and after Stop.
 func (n *Node) wait(ctx context.Context, done <-chan error) error {
 	select {
 	case err := <-done:
@@ -178,7 +177,7 @@
 	case <-n.done:
 		return errStopped
 	case <-ctx.Done():
-		return fmt.Errorf("the node does not answer: %w", ctx.Err())
+		return fmt.Errorf("node did not respond: %w", ctx.Err())
 	}
 }
 
@@ -193,8 +192,7 @@
 	})
 }
 
-// Drain has every request answered by deadline, which is in ms of the node's clock, because the process is going to end
-// then.
+// Drain ensures that every request is answered by deadline, in ms of the node's clock, because the process exits then.
 func (n *Node) Drain(deadline float64) {
 	n.mailbox.Put(func() {
 		n.drainDeadline = deadline
@@ -211,22 +209,22 @@
 	})
 }
 
-// failOpenRequests fails the requests that the balancer has left open when the node ends. Their clients may still be
-// there, as in withdraw.
+// failOpenRequests fails the requests that the balancer has left open at the end of a drain. Their clients may still be
+// connected, as in abortRequest.
 func (n *Node) failOpenRequests() {
 	for _, request := range n.requests {
 		n.finish(request, Answer{Status: Failed})
 		n.decider.RequestAbandoned(n.now, &request.Request)
-		n.forgetIfOver(request)
+		n.forgetIfComplete(request)
 	}
 }
 
-// Stop ends the actor and closes the connections to all backends.
+// Stop stops the actor and closes the connections to all backends.
 func (n *Node) Stop() {
 	n.mailbox.Put(func() {
 		for _, b := range n.backends {
 			if b.upstream != nil {
-				b.upstream.Close() // and stays set: later messages of the batch must not open it again
+				b.upstream.Close() // not set to nil: later messages of the batch must not open it again
 			}
 		}
 		close(n.done)
@@ -246,30 +244,30 @@
 		}
 		n.now = n.clock.Now()
 		for _, message := range messages {
-			n.recoverFrom(message)
+			n.runWithRecovery(message)
 		}
-		n.recoverFrom(n.carryOutDecisions)
-		for _, call := range n.afterBatch {
-			call()
+		n.runWithRecovery(n.carryOutDecisions)
+		for _, callback := range n.afterBatch {
+			callback()
 		}
 		n.afterBatch = n.afterBatch[:0]
 	}
 }
 
-// recoverFrom runs step and restarts the balancer if it panics.
-func (n *Node) recoverFrom(step func()) {
+// runWithRecovery runs step, and restarts the balancer if step panics.
+func (n *Node) runWithRecovery(step func()) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			n.log.Error("balancer panicked, restarting it", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
+		if panicValue := recover(); panicValue != nil {
+			n.log.Error("balancer panicked, restarting it", "fault", fmt.Sprint(panicValue), "stack", string(debug.Stack()))
 			n.restartDecider()
 		}
 	}()
 	step()
 }
 
-// restartDecider replaces a balancer that has panicked by a new one, as a restart of the process would. The panic would
-// otherwise end the process and leave every client without an answer. All open requests are failed, which says that
-// they may have run: the old balancer's state can't be trusted.
+// restartDecider replaces a balancer that has panicked with a new one, as a restart of the process would. Otherwise the
+// panic would terminate the process and leave every client without an answer. All open requests are failed, which means
+// that they may have run, because the state of the old balancer can't be trusted.
 func (n *Node) restartDecider() {
 	n.decider = n.newDecider(n.deployment.BalancerConfig, n.now)
 	for id, request := range n.requests {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -19,7 +19,7 @@
 	"pearknot/internal/upstream"
 )
 
-// startNode runs a node with one backend, "s", at address.
+// startNode starts a node with one backend, "s", at address.
 func startNode(t *testing.T, address string) (*Node, *clock.Clock) {
 	t.Helper()
 	c, log := clock.New(), slog.New(slog.DiscardHandler)
@@ -27,16 +27,16 @@
 		OverloadWindow: 1000, Classes: []balancer.Class{
 			{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1},
 			{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1, Idempotency: balancer.AtMostOnce}}}}
-	peers := &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}
-	peers.ConnectTimeout.Set(time.Second)
-	peers.IdleTimeout.Set(time.Minute)
-	n := New(deployment, NewBalancer, c, peers, func() {}, log)
+	upstreamConfig := &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}
+	upstreamConfig.ConnectTimeout.Set(time.Second)
+	upstreamConfig.IdleTimeout.Set(time.Minute)
+	n := New(deployment, NewBalancer, c, upstreamConfig, func() {}, log)
 	n.Start(&discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{Name: "s", Address: address, State: balancer.BackendReady, Weight: 1}}})
 	t.Cleanup(n.Stop)
 	return n, c
 }
 
-// newTestRequest makes a request of a class with a minute's deadline.
+// newTestRequest creates a request of a class with a deadline in one minute.
 func newTestRequest(c *clock.Clock, class int) *Request {
 	request := NewRequest(upstream.NewMessage("GET", "/", "s", http.Header{}, nil, nil))
 	request.Class, request.Deadline = class, c.Now()+60e3
@@ -50,10 +50,10 @@
 		event func(*Node, *clock.Clock)
 		want  AnswerStatus
 	}{
-		// Attempts end with the drain, so that the balancer answers before the node ends.
+		// Attempts end with the drain, so that the balancer answers before the node stops.
 		"idempotent, draining":   {0, func(n *Node, c *clock.Clock) { n.Drain(c.Now() + 50) }, Rejected},
 		"at-most-once, draining": {1, func(n *Node, c *clock.Clock) { n.Drain(c.Now() + 50) }, Failed},
-		// A panic of the balancer must neither leave requests without an answer nor claim that they never ran.
+		// A panic of the balancer must neither leave requests without an answer nor report that they never ran.
 		"balancer panics": {0, func(n *Node, _ *clock.Clock) { n.mailbox.Put(func() { panic("fault") }) }, Failed},
 	} {
 		n, c := startNode(t, silent.address)
@@ -70,14 +70,14 @@
 	}
 }
 
-// The balancer has lost track of a request without an attempt. The node's drain answers it all the same.
+// The balancer no longer tracks a request that has no attempt. The node must still answer it when it drains.
 func TestForgottenRequestFailsAtDrain(t *testing.T) {
 	n, c := startNode(t, "127.0.0.1:1")
 	request := newTestRequest(c, 0)
 	n.mailbox.Put(func() {
 		n.addRequest(request)
 		n.decider.RequestArrived(n.now, &request.Request)
-		for _, more := n.decider.Next(); more; _, more = n.decider.Next() { // decisions that nobody carries out
+		for _, more := n.decider.Next(); more; _, more = n.decider.Next() { // decisions are dropped
 		}
 	})
 	n.Drain(c.Now() + 20)
@@ -90,7 +90,7 @@
 	request := newTestRequest(c, 1)
 	n.Submit(request)
 	conn := <-silent.accepted
-	_, err := conn.Read(make([]byte, 4096)) // the attempt has begun
+	_, err := conn.Read(make([]byte, 4096)) // the attempt has started
 	require.NoError(t, err)
 	n.Cancel(request)
 	for err == nil { // until the attempt is canceled and its connection closes
@@ -104,7 +104,7 @@
 	assert.Empty(t, request.Answer())
 }
 
-// Backends are replaced all day; nothing of the removed ones may stay.
+// Backends are replaced continuously; no state of removed ones may remain.
 func TestRemovedBackendsAreForgotten(t *testing.T) {
 	n, _ := startNode(t, "127.0.0.1:1")
 	for i := range 50 {
@@ -118,9 +118,9 @@
 	assert.Equal(t, []int{1, 1}, <-left)
 }
 
-// Where a removal is only a hint, a backend that the list no longer names keeps its connections until the balancer
-// forgets it. One that was draining does not.
-func TestRemovalHintClosesNoConnections(t *testing.T) {
+// If a removal is only a hint, a backend that is no longer listed keeps its connections until the balancer forgets it. A
+// backend that was draining does not.
+func TestRemovalHintKeepsConnections(t *testing.T) {
 	n, _ := startNode(t, "127.0.0.1:1")
 	n.mailbox.Put(func() { n.deployment.BalancerConfig.RemovalIsHint = true })
 	drained := discovery.Endpoint{Name: "drained", Address: "127.0.0.1:1", State: balancer.BackendReady, Weight: 1}
@@ -141,7 +141,7 @@
 	accepted chan net.Conn
 }
 
-// startSilentBackend accepts connections and never responds.
+// startSilentBackend starts a backend that accepts connections and never responds.
 func startSilentBackend(t *testing.T) *silentBackend {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/polling_test.go
+++ b/internal/node/polling_test.go
@@ -23,11 +23,11 @@
 	"pearknot/internal/upstream"
 )
 
-// maxNotificationDelay is within which time a node must have a change after a poll that failed, was refused or timed
-// out. It counts from when discovery has the change and can be reached.
+// maxNotificationDelay is the time within which a node must have a change after a poll that failed, was refused or timed
+// out, counted from when discovery has the change and can be reached.
 const maxNotificationDelay = 6 * time.Second
 
-// longBackoffSeed makes the balancer draw a backoff near the longest after the failed polls.
+// longBackoffSeed makes the balancer draw a backoff near the maximum after the failed polls.
 const longBackoffSeed = 22
 
 const (
@@ -36,10 +36,11 @@
 	listEmpty    = `{"rev":3,"all":true,"targets":[]}%.0s`
 )
 
-// fakeDiscovery handles polls one after the other by its behaviors, and all later ones by the last.
+// fakeDiscovery is a discovery service that handles each poll by the next of its behaviors, and all further polls by the
+// last one.
 type fakeDiscovery struct {
 	net.Listener
-	behaviors []func(c *net.TCPConn) // one a poll
+	behaviors []func(c *net.TCPConn) // one for each poll
 	polls     atomic.Int64
 }
 
@@ -62,7 +63,7 @@
 	}
 }
 
-// respondWith answers a poll with list after a delay.
+// respondWith returns a behavior that responds to a poll with list after a delay.
 func respondWith(list string, delay time.Duration) func(*net.TCPConn) {
 	return func(c *net.TCPConn) {
 		time.Sleep(delay)
@@ -70,12 +71,12 @@
 	}
 }
 
-// Many polls have failed in a row, so that the backoff is at its longest. Just after one more has failed, discovery can
-// be reached again; it has a change, and is slow to respond. The node must have the change in time all the same. With
-// every other delay at its longest, 1.2 s of that remain for this machine.
+// Many polls have failed in a row, so that the backoff is at its maximum. Just after one more has failed, discovery can be
+// reached again; it has a change, and is slow to respond. The node must still have the change in time. With every other
+// delay at its maximum, 1.2 s of that time remain for this machine.
 func TestNotifiedAfterFailedPoll(t *testing.T) {
 	for name, failures := range map[string][]func(*net.TCPConn){
-		"failed in the middle of its answer": {func(c *net.TCPConn) {
+		"failed in the middle of its response": {func(c *net.TCPConn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev\":")
 			_ = c.SetLinger(0)
 			_ = c.Close()
@@ -85,10 +86,10 @@
 		}},
 		"reset":     {func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }},
 		"times out": {func(*net.TCPConn) {}},
-		"times out in the middle of its answer": {func(c *net.TCPConn) {
+		"times out in the middle of its response": {func(c *net.TCPConn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev\":")
 		}},
-		"a watch that falls silent": {nil, func(*net.TCPConn) {}}, // nil: the list without a change
+		"a watch that stalls": {nil, func(*net.TCPConn) {}}, // nil: the list without a change
 	} {
 		for what, change := range map[string]string{"draining": listDraining, "a complete list without it": listEmpty} {
 			t.Run(name+", "+what, func(t *testing.T) {
@@ -99,7 +100,7 @@
 	}
 }
 
-// testNotifiedAfter plays failures, the last of which leaves the change to be polled.
+// testNotifiedAfter runs failures in order. The change can be polled after the last one.
 func testNotifiedAfter(t *testing.T, failures []func(*net.TCPConn), change string) {
 	t.Helper()
 	backend := startSilentBackend(t)
@@ -128,13 +129,13 @@
 	watch := &discovery.Watch{Address: listener.Addr().String(), Deployment: discovery.DeploymentNames{Zones: []string{"a"}, Kinds: []string{"m"}}, Version: 1, HasList: true, Log: log}
 	deployment := &config.Deployment{BalancerConfig: &balancer.Config{Seed: longBackoffSeed, Nodes: 1, MaxAttempts: 1, PollEndpoints: true, PollInterval: 60e3, OverloadMultiple: 3, OverloadWindow: 1000,
 		Classes: []balancer.Class{{LatencyObjective: 1000, PriorityWeight: 1, LateWeight: 1}}}}
-	peers := &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}
-	peers.ConnectTimeout.Set(time.Second)
-	peers.IdleTimeout.Set(time.Minute)
-	n := New(deployment, NewBalancer, c, peers, watch.StartSession, log)
+	upstreamConfig := &upstream.Config{Budget: descriptors.New(64, func() {}), Log: log}
+	upstreamConfig.ConnectTimeout.Set(time.Second)
+	upstreamConfig.IdleTimeout.Set(time.Minute)
+	n := New(deployment, NewBalancer, c, upstreamConfig, watch.StartSession, log)
 	watch.OnList, watch.OnFailure = n.EndpointsChanged, n.PollFailed
-	ctx, end := context.WithCancel(t.Context())
-	defer end()
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
 	watch.Start(ctx)
 	n.Start(&discovery.List{Complete: true, Version: 1, Endpoints: []discovery.Endpoint{{Name: "x", Address: backend.address, State: balancer.BackendReady, Weight: 1}}})
 	defer n.Stop()
@@ -142,12 +143,12 @@
 		n.PollFailed()
 	}
 	watch.StartSession()
-	begun := <-recovered
+	recoveredAt := <-recovered
 	require.Eventually(t, func() bool { _, state := backendState(n, "x"); return state != balancer.BackendReady }, 30*time.Second, time.Millisecond)
-	assert.Less(t, time.Since(begun), maxNotificationDelay)
+	assert.Less(t, time.Since(recoveredAt), maxNotificationDelay)
 	request := newTestRequest(c, 0)
 	request.Deadline = c.Now() + 100
 	n.Submit(request)
 	assert.Equal(t, Rejected, (<-request.Answer()).Status)
-	assert.Empty(t, backend.accepted, "no attempt goes to it")
+	assert.Empty(t, backend.accepted, "no attempt is sent to it")
 }
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -7,7 +7,7 @@
 	"pearknot/internal/upstream"
 )
 
-// AnswerStatus is the kind of a request's final answer.
+// AnswerStatus is the status of a request's final answer.
 type AnswerStatus uint8
 
 const (
@@ -19,11 +19,11 @@
 	Rejected
 	// Failed means that there is no response, and that the request may have run.
 	Failed
-	// RetryLater means that the outcome is not known here. Another node has the request, or no majority of the
-	// request log answers. A client that asks again with the same key gets the outcome.
+	// RetryLater means that the outcome is not known here. Another node has the request, or no majority of the request
+	// log responds. A client that sends the request again with the same key gets the outcome.
 	RetryLater
-	// KeyTaken means that the request log has another request or an answer under the request's key. The
-	// server looks that up; no client gets this status.
+	// KeyTaken means that the request log contains another request or an answer under the request's key. The server looks
+	// that up; no client gets this status.
 	KeyTaken
 )
 
@@ -34,46 +34,47 @@
 // Answer is a request's final answer.
 type Answer struct {
 	Status     AnswerStatus
-	Reply      *upstream.Reply // the backend's response, where Status is Served; whoever receives it releases it
-	RetryAfter float64         // ms after which the client should come back, where Status is Rejected or RetryLater; 0 is unknown
+	Reply      *upstream.Reply // the backend's response if Status is Served; the receiver must release it
+	RetryAfter float64         // ms until the client should retry, if Status is Rejected or RetryLater; 0 if unknown
 }
 
-// Request is a client's request together with the node's state of it.
+// Request is a client's request and its state at the node.
 type Request struct {
 	balancer.Request
 	Message *upstream.Message
-	Logged  *LoggedRequest // nil where the request is not in the request log
+	Logged  *LoggedRequest // nil if the request is not logged
 
-	answer     chan Answer
-	isUnread   atomic.Bool // nobody waits for the answer
-	clientGone atomic.Bool // the client has disconnected: no further attempt may begin
+	answer             chan Answer
+	answerDiscarded    atomic.Bool // no receiver waits for the answer
+	clientDisconnected atomic.Bool // no further attempt may start
 
-	// The node's actor alone uses the following fields.
-	answered         bool             // the answer is decided, or the client is gone
+	// Only the node's actor uses the following fields.
+	answered         bool             // the answer is decided, or the client has disconnected
 	calls            []*upstream.Call // one for each attempt, by the attempt's number
 	attemptsInFlight int              // attempts that have not ended
 }
 
-// NewRequest makes a request that sends message; the caller sets the balancer's fields.
+// NewRequest creates a request that sends message; the caller sets the balancer's fields.
 func NewRequest(message *upstream.Message) *Request {
 	request := &Request{Message: message, answer: make(chan Answer, 1)}
 	request.Streamed = message.IsStreamed()
 	return request
 }
 
-// Answer delivers the request's one final answer. Nothing comes after Node.Cancel.
+// Answer returns the channel on which the one final answer is delivered. After Node.Cancel nothing is delivered.
 func (r *Request) Answer() <-chan Answer { return r.answer }
 
 // A request ends in one of these ways:
-//   - Node.finish: the balancer has decided on the answer, or a backend has given it. The answer of a logged request is
+//   - Node.finish: the balancer has decided on the answer, or a backend has responded. The answer of a logged request is
 //     committed to the request log before it is delivered.
-//   - Node.withdraw: the node answers itself, because the request log does not let an attempt start. Nothing is committed.
-//   - Node.abandonRequest: the client is gone, and no answer is delivered. A logged request frees its key.
+//   - Node.abortRequest: the node itself answers, because an attempt must not start according to the request log. Nothing
+//     is committed.
+//   - Node.abandonRequest: the client has disconnected, and no answer is delivered. A logged request releases its key.
 //
-// All three call markAnswered, by which no further attempt starts. Request.finish and deliver are their last steps.
+// All three call markAnswered, which prevents further attempts. Request.finish and deliver are the last steps.
 
-// finish gives the final answer unless there is one. Nothing is sent for the request after its answer: an
-// attempt whose connection is still being opened is withheld first.
+// finish delivers the final answer unless the request has one. Nothing is sent for the request after its answer: an
+// attempt whose connection is still being opened is prevented from starting first.
 func (r *Request) finish(answer Answer) {
 	if !r.answered {
 		r.markAnswered()
@@ -81,17 +82,17 @@
 	}
 }
 
-// deliver passes the answer to the receiver of Answer, or releases it if there is none any more.
+// deliver passes the answer to the receiver of Answer, or releases it if there is no receiver any more.
 func (r *Request) deliver(answer Answer) {
 	r.answer <- answer
-	if r.isUnread.Load() {
+	if r.answerDiscarded.Load() {
 		r.discardAnswer()
 	}
 }
 
-// discardAnswer releases the answer, whether it is there already or comes later.
+// discardAnswer releases the answer, whether it has been delivered already or will be later.
 func (r *Request) discardAnswer() {
-	r.isUnread.Store(true)
+	r.answerDiscarded.Store(true)
 	select {
 	case answer := <-r.answer:
 		answer.Reply.Release()
@@ -99,7 +100,7 @@
 	}
 }
 
-// markAnswered records that no further answer will be given, and prevents the start of attempts that have not begun.
+// markAnswered records that the answer is final, and prevents the start of attempts that have not started.
 func (r *Request) markAnswered() {
 	r.answered = true
 	for _, call := range r.calls {
--- a/internal/node/requestlogging.go
+++ b/internal/node/requestlogging.go
@@ -15,41 +15,41 @@
 
 const (
 	// attemptRecordTimeoutMs is how long an attempt waits for its record to be committed. After that the request is
-	// treated as one whose log has no quorum. The server's lookupTimeoutMs is the same, for the same reason.
+	// handled as if the request log had no quorum. The server's lookupTimeoutMs is the same, for the same reason.
 	attemptRecordTimeoutMs = requestlog.MaxElectionMs
 
-	// answerRecordGraceMs is how long past its deadline a request waits for its answer to be committed. With
-	// answerRecordMs, by which the server brings the deadline forward, it leaves the response 10 ms to be written.
+	// answerRecordGraceMs is how long after its deadline a request waits for its answer to be committed. Together with
+	// answerRecordMs, by which the server shortens the deadline, it leaves 10 ms to write the response.
 	answerRecordGraceMs = 30.0
 )
 
-// truncatedAnswerHeader marks a served answer whose header and body are not in the request log, because they were too
-// long for it. Clients read the header and its value, so neither changes.
+// truncatedAnswerHeader marks a served answer whose header and body are not in the request log because they were too
+// long. Clients read this header and its value, so neither may change.
 const (
 	truncatedAnswerHeader = "Pearknot-Answer"
 	truncatedAnswerValue  = "not kept"
 )
 
-// LoggedRequest is the part of a request that the request log needs beside the request itself.
+// LoggedRequest holds the fields of a request that only the request log uses.
 type LoggedRequest struct {
-	IdempotencyKey       string // by which the log knows it, the tenant included; balancer.Request.Key is another key
+	IdempotencyKey       string // identifies the request in the log, includes the tenant; balancer.Request.Key is another key
 	Fingerprint          uint64 // of method, path and body
-	ProceedWithoutQuorum bool   // without a quorum the request goes on unlogged; otherwise it is rejected
-	MaxAnswerBytes       int    // bounds an answer's header and body in the log
+	ProceedWithoutQuorum bool   // without a quorum the request proceeds unlogged; otherwise it is rejected
+	MaxAnswerBytes       int    // limit for an answer's header and body in the log
 
-	// The node's actor alone uses the following fields.
-	takenOver bool // from another node
-	hasRecord bool // the log has a record of it
+	// Only the node's actor uses the following fields.
+	takenOver bool // taken over from another node
+	hasRecord bool // the log contains a record of the request
 }
 
-// LogRequests sets the request log, in which requests with a LoggedRequest are recorded. It is called before Start.
+// SetRequestLog sets the request log, in which requests with a LoggedRequest are recorded. It is called before Start.
 //
-// In this package record... means a record of the replicated request log, and log... a line of the process's own log
-// (slog).
-func (n *Node) LogRequests(log *peers.Peers) { n.requestLog = log }
+// In this package, functions named record... append records to the replicated request log, and functions named log...
+// write lines to the process's own log (slog).
+func (n *Node) SetRequestLog(log *peers.Peers) { n.requestLog = log }
 
-// recordAttemptStart appends the attempt's record to the request log. The attempt is sent only once the record is
-// committed, so that a successor knows of every attempt that may have run.
+// recordAttemptStart appends the attempt's record to the request log. The attempt is sent only after the record is
+// committed, so that a successor knows every attempt that may have run.
 func (n *Node) recordAttemptStart(request *Request, attempt *balancer.Attempt, call *upstream.Call) {
 	record := requestlog.Record{
 		Kind: requestlog.AttemptStarted,
@@ -63,7 +63,7 @@
 		},
 	}
 	if attempt.Number == 0 {
-		record.Request = n.loggedForm(request)
+		record.Request = n.requestForLog(request)
 	}
 	decider := n.decider
 	n.requestLog.Append(record, min(request.Deadline, n.now+attemptRecordTimeoutMs), func(reply requestlog.Reply) {
@@ -77,10 +77,10 @@
 	})
 }
 
-// loggedForm returns what a successor needs to continue the request.
-func (n *Node) loggedForm(request *Request) requestlog.Request {
+// requestForLog returns the request as the log stores it, with all that a successor needs to continue it.
+func (n *Node) requestForLog(request *Request) requestlog.Request {
 	class := request.Config.Classes[request.Class]
-	form := requestlog.Request{
+	logged := requestlog.Request{
 		Fingerprint:    request.Logged.Fingerprint,
 		Class:          n.deployment.Classes[request.Class],
 		Idempotency:    class.Idempotency,
@@ -94,17 +94,17 @@
 		EncodedMessage: request.Message.Encode(),
 	}
 	if request.Tenant < len(n.deployment.Tenants) {
-		form.Tenant = n.deployment.Tenants[request.Tenant]
+		logged.Tenant = n.deployment.Tenants[request.Tenant]
 	}
-	return form
+	return logged
 }
 
-// attemptStartRecorded takes the log's reply to an attempt's record, and sends the attempt if the record is committed.
+// attemptStartRecorded handles the log's reply to an attempt's record, and sends the attempt if the record is committed.
 //
-// A node that was paused or cut off may get the reply when a successor has the request already. That successor knows
-// of the attempt, since the record is committed. The attempt must still begin within the lease, counted from when the
-// record was sent, so that it does not begin long after the successor has ended the request. The comment on takeover
-// in package requestlog has the whole argument.
+// A node that was paused or partitioned may get the reply when a successor already has the request. The successor knows
+// the attempt, since the record is committed. The attempt must still start within the lease, counted from when the record
+// was sent, so that it does not start long after the successor has finished the request. The comment on takeover in
+// package requestlog contains the full argument.
 func (n *Node) attemptStartRecorded(request *Request, attempt *balancer.Attempt, call *upstream.Call, reply requestlog.Reply) {
 	logged := request.Logged
 	isFirst := attempt.Number == 0
@@ -120,7 +120,7 @@
 		return
 	case requestlog.KeyInFlight, requestlog.KeyAnswered, requestlog.KeyMismatch:
 		if isFirst {
-			n.withdraw(request, call, Answer{Status: KeyTaken})
+			n.abortRequest(request, call, Answer{Status: KeyTaken})
 			return
 		}
 	case requestlog.NoQuorum, requestlog.LogFull:
@@ -133,19 +133,19 @@
 			return
 		}
 		rejection := Answer{Status: Rejected}
-		if request.Config.SendRetryAfter { // without a maximum, 0, no time is stated here: the server then puts one in
+		if request.Config.SendRetryAfter { // 0 if there is no maximum: the server then sets a time
 			rejection.RetryAfter = min(request.Config.MaxRetryAfter, 2*requestlog.PeerTimeoutMs)
 		}
-		n.withdraw(request, call, rejection)
+		n.abortRequest(request, call, rejection)
 		return
 	}
-	// Another node has the request, or there is no quorum: this node must not state an outcome.
-	n.withdraw(request, call, Answer{Status: RetryLater, RetryAfter: requestlog.PeerTimeoutMs})
+	// Another node has the request, or there is no quorum: this node must not report an outcome.
+	n.abortRequest(request, call, Answer{Status: RetryLater, RetryAfter: requestlog.PeerTimeoutMs})
 }
 
-// latestStart returns the time, in ms of the node's clock, before which the attempt must begin: the end of the lease,
-// and of the time for which a backend recognizes a repeated idempotency key. An attempt that has not been sent by then
-// ends as one that never ran.
+// latestStart returns the time, in ms of the node's clock, before which the attempt must start: the end of the lease or
+// of the time for which a backend recognizes a repeated idempotency key, whichever is earlier. An attempt that has not
+// been sent by then ends as one that never ran.
 func (n *Node) latestStart(request *Request, reply requestlog.Reply) float64 {
 	latest := reply.SentAt + requestlog.LeaseMs
 	if class := request.Config.Classes[request.Class]; class.Idempotency == balancer.IdempotentWithKey {
@@ -155,8 +155,9 @@
 	return latest
 }
 
-// withdraw ends a request, because an attempt of it may not be sent. The client is still there and gets the answer.
-func (n *Node) withdraw(request *Request, call *upstream.Call, answer Answer) {
+// abortRequest ends a request because one of its attempts must not be sent. The client is still connected and gets the
+// answer.
+func (n *Node) abortRequest(request *Request, call *upstream.Call, answer Answer) {
 	if !request.answered {
 		request.finish(answer)
 		n.decider.RequestAbandoned(n.now, &request.Request)
@@ -165,11 +166,11 @@
 }
 
 // recordAttemptEnd records that an attempt never ran, so that a successor may send the request again. Other outcomes are
-// not recorded: to a successor, an attempt without a recorded end may have run.
+// not recorded: a successor assumes that an attempt without a recorded end may have run.
 //
-// Nobody waits for this record. If it is lost with the link to the log's leader, it is sent again only after requestlog's
-// callRetryMs, and the next attempt's record may be committed before it. If this node dies in between, its successor takes
-// both attempts for uncertain; Entry.TakeoverAction fails the request where no backend would recognize both.
+// Nothing waits for this record. If it is lost when the link to the log's leader fails, it is sent again only after
+// requestlog's callRetryMs, and the next attempt's record may be committed before it. If this node crashes in between, its
+// successor treats both attempts as uncertain; Entry.TakeoverAction fails the request if no backend would recognize both.
 func (n *Node) recordAttemptEnd(request *Request, attempt *balancer.Attempt, outcome balancer.Outcome) {
 	if request.Logged == nil || !request.Logged.hasRecord || !outcome.NeverRan() {
 		return
@@ -182,23 +183,23 @@
 	n.requestLog.Append(record, request.Deadline, func(requestlog.Reply) {})
 }
 
-// continuesWithoutClient reports whether a request goes on after its client has gone: it is logged, and one of its
-// attempts has begun. Attempts that have not begun are canceled.
+// continuesWithoutClient reports whether a request continues after its client has disconnected: it is logged, and one of
+// its attempts has started. Attempts that have not started are canceled.
 func (n *Node) continuesWithoutClient(request *Request) bool {
 	if request.Logged == nil {
 		return false
 	}
-	hasBegun := false
+	hasStarted := false
 	for _, call := range request.calls {
 		if !call.CancelIfNotStarted() {
-			hasBegun = true
+			hasStarted = true
 		}
 	}
-	return hasBegun
+	return hasStarted
 }
 
-// abandonRequest ends a request whose client is gone and that does not continue. If it is logged, no attempt of it has
-// begun, and its key becomes unused again.
+// abandonRequest ends a request whose client has disconnected and that does not continue. If it is logged, none of its
+// attempts has started, and its key becomes unused again.
 func (n *Node) abandonRequest(request *Request) {
 	request.markAnswered()
 	if request.Logged != nil && len(request.Attempts) > 0 {
@@ -206,8 +207,8 @@
 	}
 }
 
-// finish gives a request its final answer. For a logged request the answer is committed first, so that all who ask with
-// its key get the same one. A rejection of a logged request that must not be repeated becomes a failure here.
+// finish ends a request with its final answer. For a logged request the answer is committed first, so that all clients
+// that send its key get the same one. A rejection of a logged request that must not be repeated is changed to a failure.
 func (n *Node) finish(request *Request, answer Answer) {
 	if request.Logged == nil || request.answered || len(request.Attempts) == 0 { // without attempts the log has no record
 		request.finish(answer)
@@ -226,19 +227,19 @@
 	n.recordAnswer(request, answer, final)
 }
 
-// canRejectLogged reports whether a logged request may be rejected, which frees its key: no attempt has run, or the
+// canRejectLogged reports whether a logged request may be rejected, which releases its key: no attempt has run, or the
 // request is idempotent. A request with an idempotency key that may have run must fail instead, because the backends may
-// have forgotten the key when the client comes back.
+// no longer recognize the key when the client retries.
 //
-// This is stricter than the rule for all other requests, balancer's rejectOrFail. It is the owner's side of
-// requestlog.Entry.CanReject, by which a successor decides; change the two together.
+// This is stricter than the rule for all other requests, rejectOrFail in package balancer. It is the owner's counterpart
+// of requestlog.Entry.CanReject, which a successor uses; change the two together.
 func canRejectLogged(request *Request) bool {
 	return request.UncertainAttempt() == nil ||
 		request.Config.Classes[request.Class].Idempotency == balancer.Idempotent
 }
 
-// recordAnswer appends the final answer to the request log and delivers it once it is committed. If the log has another
-// answer already, that one is delivered. If neither is known by the deadline, the answer is RetryLater.
+// recordAnswer appends the final answer to the request log and delivers it once it is committed. If the log already
+// contains another answer, that one is delivered. If neither is known by the deadline, the answer is RetryLater.
 func (n *Node) recordAnswer(request *Request, answer Answer, final requestlog.FinalAnswer) {
 	record := requestlog.Record{Kind: requestlog.RequestAnswered, Key: request.Logged.IdempotencyKey, Answer: final}
 	deadline := math.Max(request.Deadline, n.now) + answerRecordGraceMs
@@ -271,7 +272,7 @@
 	return final
 }
 
-// AnswerFromLog returns a logged answer as a client gets it.
+// AnswerFromLog returns the answer to a client for a logged answer.
 func AnswerFromLog(final requestlog.FinalAnswer) Answer {
 	switch final.Status {
 	case requestlog.Served:
--- a/internal/serve/hotrestart.go
+++ b/internal/serve/hotrestart.go
@@ -118,7 +118,7 @@
 
 // restore has the node begin with its predecessor's state. A balancer's state that can't be read is left out and logged.
 func (r *restartCoordinator) restore(state *hotrestart.State) {
-	err := r.node.Restore(&node.LearnedState{
+	err := r.node.Restore(&node.HandoffState{
 		BackendNames:     state.BackendNames,
 		BalancerSnapshot: state.BalancerSnapshot,
 		KnownNames:       state.KnownNames,
@@ -197,7 +197,7 @@
 	r.budget.SetLimit(int(predecessorShare * float64(r.maxDescriptors)))
 	r.setMemoryLimit(2)
 	r.node.ProcessesChanged(2)
-	learned, err := r.node.LearnedState(ctx)
+	learned, err := r.node.HandoffState(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/serve/process.go
+++ b/internal/serve/process.go
@@ -165,7 +165,7 @@
 	p.restart.node, p.restart.server = p.node, p.server
 	if p.options.Peers != nil {
 		p.peers = peers.New(p.options.Peers.config, p.clock, p.node.TakeOver, p.log)
-		p.node.LogRequests(p.peers)
+		p.node.SetRequestLog(p.peers)
 		p.server.LogRequests(p.options.Peers.requestLogging(p.peers))
 	}
 	return nil
--- a/internal/server/client_gone_logged_test.go
+++ b/internal/server/client_gone_logged_test.go
@@ -99,7 +99,7 @@
 	srv, _, _ = startServer(t, 256, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3,
 		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, pausing.decide, endpoints,
 		func(srv *Server) {
-			srv.node.LogRequests(links)
+			srv.node.SetRequestLog(links)
 			srv.LogRequests(RequestLogging{Peers: links, KeyHeader: "Idempotency-Key", Classes: map[string]WithoutQuorum{"check": RejectWithoutQuorum}, MaxAnswerBytes: 1 << 10})
 		})
 	require.Eventually(t, func() bool { // a majority of the log answers
