--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// manyTenants are settings with so many tenants.
-func manyTenants(t testing.TB, n int) []byte {
+// settingsWithTenants returns settings as JSON with n tenants.
+func settingsWithTenants(t testing.TB, n int) []byte {
 	var tree map[string]any
 	require.NoError(t, json.Unmarshal([]byte(jsonSettings), &tree))
 	var tenants []map[string]any
@@ -25,7 +25,7 @@
 func BenchmarkParseJSON(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000, 140000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			text := manyTenants(b, n)
+			text := settingsWithTenants(b, n)
 			b.ReportAllocs()
 			for b.Loop() {
 				_, err := ParseJSON(text)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,15 +1,15 @@
-// Package config reads what a deployment tells a node when it starts, from nested JSON or from path=value lines, and checks
-// a configuration that is to replace the one in force. Times are in ms.
+// Package config parses the configuration that a deployment gives a node at start, from nested JSON or from path=value
+// lines, and checks whether a new configuration can replace the one in use. Times are in ms.
 //
-// The protocol gives the settings themed names. This package is the one place that maps the names of settings to the terms
-// that the rest of the code uses; the names stay as they are, since operators' files have them. Other names of the protocol
-// are mapped where they are read: the endpoint list's in package discovery, the requests' header fields in package server,
-// the keys of the operator's TOML files in package serve.
+// The protocol's names of settings differ from the terms that the rest of the code uses. This package is the only place that
+// maps them; the names stay as they are, since operators' files have them. Other names of the protocol are mapped where they
+// are read: the endpoint list's in package discovery, the requests' header fields in package server, the keys of the
+// operator's TOML files in package serve.
 //
 // # Settings
 //
-// "required" means that a configuration without the setting is rejected; any other entry under "default" is what holds
-// where the setting is absent. Settings that the table does not list have no effect: they concern the platform, not the node.
+// "required" means that a configuration without the setting is rejected; any other entry under "default" applies where the
+// setting is absent. Settings that the table does not list have no effect: they concern the platform, not the node.
 // Weights and costs are in the unit that the deployment's priority weights have.
 //
 //	setting                 values                     default   term, field
@@ -73,30 +73,30 @@
 	"pearknot/balancer"
 )
 
-// Deployment is the configuration of a node: the balancer's part and the host's own.
+// Deployment is the configuration of a node: the balancer's part, and the part of the process that hosts it.
 type Deployment struct {
 	Topology         Topology
 	BalancerConfig   *balancer.Config
 	Classes          []string // names, by index
 	Tenants          []string // names, by index
 	Zones            []string
-	Kinds            []string // of machine
+	Kinds            []string // kinds of machine
 	LoadReportFields []string // names of a load report's values, in their order
 
 	MaxDeadline           float64 // ms; the longest of any class
-	ConnectTimeout        float64 // ms; the dial of a connection that takes longer has failed
-	ConnectionIdleTimeout float64 // ms; a backend closes a connection that is idle for so long
-	MaxOpenRequests       int     // at a node; 0 is no limit
+	ConnectTimeout        float64 // ms; a dial that takes longer fails
+	ConnectionIdleTimeout float64 // ms; backends close connections that are idle for this long
+	MaxOpenRequests       int     // of a node; 0 is no limit
 
-	present presentSettings // for CheckReplaces
+	present presentSettings // used by CheckReplaces
 
-	sorted       sync.Once
+	sortOnce     sync.Once
 	tenantByName []int32 // indices of Tenants, in the order of their names
 }
 
 // TenantIndex returns the index of the first tenant of that name, or -1. It may be called from several goroutines.
 func (d *Deployment) TenantIndex(name string) int {
-	d.sorted.Do(d.sortTenants)
+	d.sortOnce.Do(d.sortTenants)
 	k, found := slices.BinarySearchFunc(d.tenantByName, name, func(at int32, name string) int {
 		return strings.Compare(d.Tenants[at], name)
 	})
@@ -115,8 +115,7 @@
 	slices.SortStableFunc(d.tenantByName, func(a, b int32) int { return strings.Compare(d.Tenants[a], d.Tenants[b]) })
 }
 
-// SetReportValue sets a value of a load report by its name in the protocol. Names that the balancer has no use for are
-// ignored.
+// SetReportValue sets a value of a load report by its name in the protocol. Names that the balancer does not use are ignored.
 func SetReportValue(report *balancer.LoadReport, name string, value float64) {
 	switch name {
 	case "mean_ms":
--- a/internal/config/config_tenants_test.go
+++ b/internal/config/config_tenants_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// The index is that of the first tenant of the name, whatever the order and however often the name is there.
+// TenantIndex returns the first tenant of the name, in any order of the names and with any number of duplicates.
 func TestTenantIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOf(rapid.StringMatching("[ab]{0,3}")).Draw(t, "names")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -52,7 +52,7 @@
 "tenants":[{"name":"one","quotaPerS":20}],"zones":["a","b"],"kinds":[],"more":{"unheard":null}}`
 
 // Lines and JSON with the same settings give the same configuration.
-func TestBothFormsReadAlike(t *testing.T) {
+func TestLinesAndJSONGiveSameDeployment(t *testing.T) {
 	a, err := ParseLines([]byte(lineSettings))
 	require.NoError(t, err)
 	b, err := ParseJSON([]byte(jsonSettings))
@@ -69,32 +69,32 @@
 // A fault in the settings is reported with the path of the setting.
 func TestSettingErrors(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
-		"missing":             {"az=1\n", "", "az is missing"},
-		"no number":           {"az=1\n", "az=x\n", "az is no number"},
-		"not finite":          {"az=1\n", "az=Inf\n", "az is no number"},
-		"no flag":             {"cancel=true", "cancel=yes", "neither true nor false"},
-		"unknown word":        {"idempotency=pure", "idempotency=odd", "unknown value"},
-		"count too high":      {"categories.count=2", "categories.count=2000", "can't be"},
-		"no nodes":            {"balancers=3", "balancers=0", "balancers is 0, not from 1"},
-		"polls for ever":      {"askWithin=10000.0", "askWithin=0", "rules.askWithin is 0, not from 1 to"},
-		"below 0":             {"askWithin=10000.0", "askWithin=-5", "rules.askWithin is -5, not from 1 to"},
-		"next to nothing":     {"askWithin=10000.0", "askWithin=1e-12", "rules.askWithin is 1e-12, not from 1 to"},
-		"quota below 0":       {"quotaPerS=20", "quotaPerS=-20", "tenants.0.quotaPerS is -20"},
-		"share above 1":       {"az=1\n", "az=1\nexcessBenefit=1.5\n", "excessBenefit is 1.5, not from 0 to 1"},
-		"late weight above 1": {"categories.0.benefit=3.0", "categories.0.benefit=3.0\ncategories.0.overdueBenefit=2", "categories.0.overdueBenefit is 2"},
+		"missing":               {"az=1\n", "", "az is missing"},
+		"no number":             {"az=1\n", "az=x\n", "az is no number"},
+		"not finite":            {"az=1\n", "az=Inf\n", "az is no number"},
+		"no flag":               {"cancel=true", "cancel=yes", "neither true nor false"},
+		"unknown value":         {"idempotency=pure", "idempotency=odd", "unknown value"},
+		"count too high":        {"categories.count=2", "categories.count=2000", "can't be"},
+		"no nodes":              {"balancers=3", "balancers=0", "balancers is 0, not from 1"},
+		"poll interval 0":       {"askWithin=10000.0", "askWithin=0", "rules.askWithin is 0, not from 1 to"},
+		"poll interval below 0": {"askWithin=10000.0", "askWithin=-5", "rules.askWithin is -5, not from 1 to"},
+		"poll interval near 0":  {"askWithin=10000.0", "askWithin=1e-12", "rules.askWithin is 1e-12, not from 1 to"},
+		"quota below 0":         {"quotaPerS=20", "quotaPerS=-20", "tenants.0.quotaPerS is -20"},
+		"share above 1":         {"az=1\n", "az=1\nexcessBenefit=1.5\n", "excessBenefit is 1.5, not from 0 to 1"},
+		"late weight above 1":   {"categories.0.benefit=3.0", "categories.0.benefit=3.0\ncategories.0.overdueBenefit=2", "categories.0.overdueBenefit is 2"},
 	} {
 		_, err := ParseLines([]byte(strings.Replace(lineSettings, c.from, c.to, 1)))
 		assert.ErrorContains(t, err, c.want, name)
-		var fault *SettingError
-		require.ErrorAs(t, err, &fault, name)
-		assert.Equal(t, "setting "+fault.Path+" "+fault.Problem, err.Error(), name)
+		var settingErr *SettingError
+		require.ErrorAs(t, err, &settingErr, name)
+		assert.Equal(t, "setting "+settingErr.Path+" "+settingErr.Problem, err.Error(), name)
 	}
 	_, err := ParseJSON([]byte(`[1]`))
 	assert.Error(t, err)
 }
 
-// An operator moves from one topology to the other and forgets a setting. Such settings are refused by the path of the
-// first one that does not fit. Without a word of the topology it is a pool, as before there were two.
+// An operator switches from one topology to the other and forgets a setting. The configuration is rejected with the path of
+// the first setting that does not fit. The default topology is a pool, the only one before there were two.
 func TestTopologies(t *testing.T) {
 	sidecar := strings.NewReplacer(`"az":1`, `"az":0,"domainType":"mesh"`, `"secondCopies":true`, `"secondCopies":false`, `"zones":["a","b"]`,
 		`"zones":["a"]`, `"registryMode":"subscribe"`, `"registryMode":"automatic"`, `["mean_ms","concurrent"]`, `["concurrent","depth"]`).Replace(jsonSettings)
@@ -122,7 +122,7 @@
 	}
 }
 
-// Settings that only some deployments have: order by key, a list that may be wrong, costs of connections.
+// Settings that only some deployments have: order by key, an endpoint list whose removals are hints, connection costs.
 func TestOptionalSettings(t *testing.T) {
 	d, err := ParseLines([]byte(lineSettings + "categories.1.keepOrder=true\nrules.settleAfterDoubt=200.0\nrules.removalNotBinding=true\n" +
 		"me=2\nfamilyInfo.warmKeys=true\nprices.connection=0.06\ngoal.nines=0.2\ngoal.ninesWanted=3.0\n"))
@@ -141,8 +141,9 @@
 	}
 }
 
-// Tenants in JSON are read without paths, and alike: a fault names the same path, and a quota that is absent is 0.
-func TestTenantsOfBothForms(t *testing.T) {
+// Tenants in JSON are read without a path for each, with the same result as in lines: an error names the same path, and an
+// absent quota is 0.
+func TestTenantsInLinesAndJSON(t *testing.T) {
 	for tenants, want := range map[string]string{
 		`[{"name":"one","quotaPerS":20},{"name":"two words"},{"quotaPerS":0.5},3,null]`: "",
 		`[{"name":"one","quotaPerS":-1}]`:                                               "tenants.0.quotaPerS is -1, not from 0",
@@ -165,7 +166,7 @@
 		assert.Equal(t, []string{"one", "two_words", "", "", ""}, d.Tenants)
 		assert.Equal(t, []balancer.Tenant{{Quota: 20}, {}, {Quota: 0.5}, {}, {}}, d.BalancerConfig.Tenants)
 	}
-	// A count in lines can't be above the number of values.
+	// A count in lines can't exceed the number of values.
 	_, err := ParseLines([]byte(lineSettings + "tenants.count=1000000000\n"))
 	assert.ErrorContains(t, err, "tenants.count")
 }
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -10,13 +10,13 @@
 const (
 	// maxNodes is the largest number of nodes that the simulator's protocol can express.
 	maxNodes = math.MaxUint32
-	// minPollInterval, in ms, is the step of the timers. The balancer polls the list again after a part of the interval. If that
-	// part were too small to advance its clock, it would go on polling forever without handling anything else.
+	// minPollInterval, in ms, is the resolution of the timers. The balancer polls the list again after a fraction of the
+	// interval. If that fraction were too small to advance its clock, it would poll forever without handling anything else.
 	minPollInterval = 1
-	// defaultConnectTimeout, in ms, is used if the settings have none. Connections within a site are established far sooner.
+	// defaultConnectTimeout, in ms, applies if the settings have none. Connections within a site are established much faster.
 	defaultConnectTimeout = 250
-	// defaultConnectionIdle, in ms, is the idle timeout that backends are assumed to have if the settings don't say.
-	defaultConnectionIdle = 15e3
+	// defaultConnectionIdleTimeout, in ms, is the idle timeout assumed for backends if the settings have none.
+	defaultConnectionIdleTimeout = 15e3
 )
 
 // deployment reads all settings. If several are wrong, the first one in the order of reading is reported.
@@ -28,7 +28,7 @@
 		Kinds:                 s.list("kinds"),
 		LoadReportFields:      s.list("loadReport.fields"),
 		ConnectTimeout:        optional(s, "bounds.connectTimeout", s.number, defaultConnectTimeout),
-		ConnectionIdleTimeout: optional(s, "bounds.connIdle", s.number, defaultConnectionIdle),
+		ConnectionIdleTimeout: optional(s, "bounds.connIdle", s.number, defaultConnectionIdleTimeout),
 		MaxOpenRequests:       int(optional(s, "bounds.mostHeld", s.number, 0)),
 	}
 	for k := range s.count("categories") {
@@ -41,7 +41,7 @@
 	return d, s.err
 }
 
-// balancerConfig reads the balancer's part but for classes and tenants.
+// balancerConfig reads the balancer's part except classes and tenants.
 func (s *settings) balancerConfig() *balancer.Config {
 	config := &balancer.Config{
 		Zone:             int(s.number("az")),
@@ -68,7 +68,7 @@
 		ConnectionCost:    optional(s, "prices.connection", s.numberWithin(0, math.MaxFloat64), 0),
 	}
 	if config.ConnectionCost > 0 {
-		s.text("me") // nodes that all took themselves for the first would all connect to the same backends
+		s.text("me") // with the default index on every node, all would connect to the same backends
 	}
 	return config
 }
@@ -97,5 +97,5 @@
 		d.BalancerConfig.Tenants = append(d.BalancerConfig.Tenants, balancer.Tenant{Quota: s.quota(k, tenant.quota)})
 		d.Tenants = append(d.Tenants, tenant.name)
 	}
-	d.TenantIndex("") // sorts them here, and not while a request waits
+	d.TenantIndex("") // sorts them now, so that no request waits for it
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -13,7 +13,7 @@
 // ErrNoObject is returned for a JSON text that is not an object.
 var ErrNoObject = errors.New("settings: no object")
 
-// ParseLines reads path=value lines, the simulator's form. Lines without a "=" are ignored. The error is a *SettingError.
+// ParseLines parses path=value lines, the simulator's format. Lines without a "=" are ignored. The error is a *SettingError.
 func ParseLines(data []byte) (*Deployment, error) {
 	s := &settings{values: map[string]string{}}
 	for line := range strings.Lines(string(data)) {
@@ -24,8 +24,8 @@
 	return s.deployment()
 }
 
-// ParseJSON reads nested settings, whose paths are those of the lines. The error is a *SettingError, ErrNoObject, or one of
-// the JSON decoder's.
+// ParseJSON parses nested settings, which have the same paths as in lines. The error is a *SettingError, ErrNoObject, or one
+// of the JSON decoder's.
 func ParseJSON(data []byte) (*Deployment, error) {
 	tree, err := decodeObject(data)
 	if err != nil {
@@ -37,9 +37,10 @@
 // nodeSettings are the settings that differ between the nodes of one deployment.
 var nodeSettings = []string{"az", "me"}
 
-// ParseShared reads settings that are the same for all nodes of a deployment, as the control plane distributes them. The zone,
-// the index and the seed are taken from own, whatever the shared text has for them. If own is nil, as for a check, they are 0.
-func ParseShared(data []byte, own *Deployment) (*Deployment, error) {
+// ParseShared parses settings that are the same for all nodes of a deployment, as the control plane distributes them. The
+// zone, the index and the seed are taken from local, whatever the shared text has for them. If local is nil, as for a check,
+// they are 0.
+func ParseShared(data []byte, local *Deployment) (*Deployment, error) {
 	tree, err := decodeObject(data)
 	if err != nil {
 		return nil, err
@@ -47,25 +48,25 @@
 	for _, key := range nodeSettings {
 		delete(tree, key)
 	}
-	number := func(x int) json.Number { return json.Number(strconv.Itoa(x)) }
-	if own == nil {
-		tree["az"], tree["me"] = number(0), number(0)
+	jsonNumber := func(x int) json.Number { return json.Number(strconv.Itoa(x)) }
+	if local == nil {
+		tree["az"], tree["me"] = jsonNumber(0), jsonNumber(0)
 	} else {
-		tree["az"] = number(own.BalancerConfig.Zone)
-		if own.present.plain["me"] {
-			tree["me"] = number(own.BalancerConfig.NodeIndex)
+		tree["az"] = jsonNumber(local.BalancerConfig.Zone)
+		if local.present.outsideLists["me"] {
+			tree["me"] = jsonNumber(local.BalancerConfig.NodeIndex)
 		}
 	}
 	d, err := parseTree(tree)
-	if err == nil && own != nil {
-		d.BalancerConfig.Seed = own.BalancerConfig.Seed
+	if err == nil && local != nil {
+		d.BalancerConfig.Seed = local.BalancerConfig.Seed
 	}
 	return d, err
 }
 
 func decodeObject(data []byte) (tree map[string]any, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
-	decoder.UseNumber() // a number keeps its text, so that both forms of a configuration are read alike
+	decoder.UseNumber() // numbers keep their text, so that JSON and lines are parsed alike
 	if err := decoder.Decode(&tree); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -84,7 +85,7 @@
 	}
 	d.Topology = s.topology(d)
 	d.present = s.present()
-	for k, name := range d.Classes { // requests name their class
+	for k, name := range d.Classes { // requests select their class by name
 		if name == "" || slices.Index(d.Classes, name) < k {
 			s.fail(fmt.Sprintf("categories.%d.name", k), "is missing or another's: %q", name)
 		}
@@ -92,12 +93,12 @@
 	return d, s.err
 }
 
-// flatten adds the values below path, each under its own path.
+// flatten adds the scalar values below path, each under its own path.
 func (s *settings) flatten(path string, value any) {
 	switch x := value.(type) {
 	case map[string]any:
 		for key, item := range x {
-			s.flatten(join(path, key), item)
+			s.flatten(joinPath(path, key), item)
 		}
 	case []any:
 		if path == "tenants" {
@@ -106,47 +107,48 @@
 		s.flattenList(path, x)
 	case nil:
 	default:
-		s.values[path] = plainText(x)
+		s.values[path] = scalarText(x)
 	}
 }
 
-// flattenList adds a list of plain values as one value, joined by commas, and a list of objects as the values of each object and
-// a count.
+// flattenList adds a list of scalars as one value, joined by commas, and a list of objects as the values of each object and a
+// count.
 func (s *settings) flattenList(path string, items []any) {
-	plain := make([]string, 0, len(items))
+	scalars := make([]string, 0, len(items))
 	for k, item := range items {
 		if _, isObject := item.(map[string]any); !isObject {
-			plain = append(plain, plainText(item))
+			scalars = append(scalars, scalarText(item))
 		} else if path != "tenants" {
-			s.flatten(join(path, strconv.Itoa(k)), item)
+			s.flatten(joinPath(path, strconv.Itoa(k)), item)
 		}
 	}
-	if len(plain) == len(items) {
-		s.values[path] = strings.Join(plain, ",")
+	if len(scalars) == len(items) {
+		s.values[path] = strings.Join(scalars, ",")
 	} else {
-		s.values[join(path, "count")] = strconv.Itoa(len(items))
+		s.values[joinPath(path, "count")] = strconv.Itoa(len(items))
 	}
 }
 
-// readTenantList records the tenants' names and quotas without a path for each. An item that is not an object is a tenant without
-// name and quota.
+// readTenantList stores the tenants' names and quotas without a path for each. An item that is not an object is a tenant
+// without name and quota.
 func (s *settings) readTenantList(items []any) {
 	s.tenants = make([]tenantSetting, len(items))
 	for k, item := range items {
 		if object, isObject := item.(map[string]any); isObject {
-			s.tenants[k] = tenantSetting{plainText(object["name"]), plainText(object["quotaPerS"])}
+			s.tenants[k] = tenantSetting{scalarText(object["name"]), scalarText(object["quotaPerS"])}
 		}
 	}
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-func plainText(value any) string {
+// scalarText returns the text of a scalar as in lines; that of nil is empty.
+func scalarText(value any) string {
 	switch x := value.(type) {
 	case string:
 		return NormalizeName(x)
@@ -157,8 +159,8 @@
 	}
 }
 
-// NormalizeName returns a name in the form that it has in lines, where blanks and commas separate values: with underscores in
-// their place.
+// NormalizeName returns a name as it is written in lines, where blanks and commas separate values: it replaces them with
+// underscores.
 func NormalizeName(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r == ' ' || r == ',' {
--- a/internal/config/replace.go
+++ b/internal/config/replace.go
@@ -8,10 +8,11 @@
 	"strings"
 )
 
-// presentSettings are the paths that are present in a configuration: the plain ones, and those of each class.
+// presentSettings holds the paths that are present in a configuration: those outside lists of objects, and those of each
+// class.
 type presentSettings struct {
-	plain   map[string]bool
-	classes []presentClassSettings
+	outsideLists map[string]bool
+	classes      []presentClassSettings
 }
 
 type presentClassSettings struct {
@@ -19,31 +20,32 @@
 	keys        map[string]bool
 }
 
+// listItemPath matches the path of a value in a list of objects: the list, the index of the item, and the key.
 var listItemPath = regexp.MustCompile(`^([^.]+)\.(\d+)\.(.+)$`)
 
 func (s *settings) present() presentSettings {
-	present := presentSettings{plain: map[string]bool{}}
-	byNumber := map[string]map[string]bool{}
+	present := presentSettings{outsideLists: map[string]bool{}}
+	keysByIndex := map[string]map[string]bool{}
 	for path := range s.values {
 		if match := listItemPath.FindStringSubmatch(path); match == nil {
-			present.plain[strings.TrimSuffix(path, ".count")] = true // an empty list has no count
+			present.outsideLists[strings.TrimSuffix(path, ".count")] = true // an empty list has no count
 		} else if match[1] == "categories" {
-			if byNumber[match[2]] == nil {
-				byNumber[match[2]] = map[string]bool{}
+			if keysByIndex[match[2]] == nil {
+				keysByIndex[match[2]] = map[string]bool{}
 			}
-			byNumber[match[2]][match[3]] = true
+			keysByIndex[match[2]][match[3]] = true
 		}
 	}
-	for _, number := range slices.Sorted(maps.Keys(byNumber)) {
-		idempotency := s.values["categories."+number+".idempotency"]
-		present.classes = append(present.classes, presentClassSettings{idempotency, byNumber[number]})
+	for _, index := range slices.Sorted(maps.Keys(keysByIndex)) {
+		idempotency := s.values["categories."+index+".idempotency"]
+		present.classes = append(present.classes, presentClassSettings{idempotency, keysByIndex[index]})
 	}
 	return present
 }
 
-// CheckReplaces returns an error if this configuration can't replace another while a node runs. That is so if it lacks a setting
-// that the other has: a file that is only half written must not put defaults in force. It is also so if its zones or kinds
-// differ, because the endpoint list that is in use refers to them by index. The error is a *SettingError.
+// CheckReplaces returns an error if this configuration can't replace old while a node runs. It can't if it lacks a setting that
+// old has: a partially written file must not bring defaults into effect. Nor can it if its zones or kinds differ, because the
+// endpoint list in use refers to them by index. The error is a *SettingError.
 func (d *Deployment) CheckReplaces(old *Deployment) error {
 	if err := d.checkPresent(old); err != nil {
 		return err
@@ -59,15 +61,15 @@
 	return nil
 }
 
-// checkPresent returns an error for the first setting that the other configuration has and this one lacks.
+// checkPresent returns an error for the first setting that old has and this configuration lacks.
 func (d *Deployment) checkPresent(old *Deployment) error {
-	for _, key := range slices.Sorted(maps.Keys(old.present.plain)) {
-		if !d.present.plain[key] {
+	for _, key := range slices.Sorted(maps.Keys(old.present.outsideLists)) {
+		if !d.present.outsideLists[key] {
 			return &SettingError{key, "is missing"}
 		}
 	}
 	for n, class := range d.present.classes {
-		for _, key := range slices.Sorted(maps.Keys(old.present.required(class.idempotency))) {
+		for _, key := range slices.Sorted(maps.Keys(old.present.requiredKeys(class.idempotency))) {
 			if !class.keys[key] {
 				return &SettingError{fmt.Sprintf("categories.%d.%s", n, key), "is missing"}
 			}
@@ -76,23 +78,23 @@
 	return nil
 }
 
-// dedupSettings have a meaning only for classes with an idempotency key, so other classes need not have them.
+// dedupSettings apply only to classes with an idempotency key, so other classes need not have them.
 var dedupSettings = []string{"keyTtl", "dedupScope"}
 
-// required returns the settings that a class of this idempotency must have in a configuration that replaces this one: those that
-// all classes have here, and those that all classes of its idempotency have here.
-func (p presentSettings) required(idempotency string) map[string]bool {
+// requiredKeys returns the settings that a class of this idempotency must have in a configuration that replaces this one: those
+// that all classes have here, and those that all classes of its idempotency have here.
+func (p presentSettings) requiredKeys(idempotency string) map[string]bool {
 	required := map[string]bool{}
-	maps.Copy(required, p.common(func(presentClassSettings) bool { return true }))
+	maps.Copy(required, p.commonKeys(func(presentClassSettings) bool { return true }))
 	for _, key := range dedupSettings {
 		delete(required, key)
 	}
-	maps.Copy(required, p.common(func(class presentClassSettings) bool { return class.idempotency == idempotency }))
+	maps.Copy(required, p.commonKeys(func(class presentClassSettings) bool { return class.idempotency == idempotency }))
 	return required
 }
 
-// common returns the settings that are present in every class for which include is true.
-func (p presentSettings) common(include func(presentClassSettings) bool) map[string]bool {
+// commonKeys returns the settings that are present in every class for which include is true.
+func (p presentSettings) commonKeys(include func(presentClassSettings) bool) map[string]bool {
 	var common map[string]bool
 	for _, class := range p.classes {
 		switch {
--- a/internal/config/replace_test.go
+++ b/internal/config/replace_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An operator changes the configuration of a running node. It is taken where it is whole, whatever classes come, go or mean
-// something else, and refused by the path of the setting that is missing or can't be.
+// An operator changes the configuration of a running node. A complete one is accepted, whichever classes it adds, removes or
+// changes. Otherwise it is rejected with the path of the setting that is missing or invalid.
 func TestCheckReplaces(t *testing.T) {
 	old, err := ParseJSON([]byte(jsonSettings))
 	require.NoError(t, err)
@@ -20,10 +20,10 @@
 	require.True(t, found)
 	noClasses := before + `"categories":[],"loadReport"` + after
 	change := func(pairs ...string) string { return strings.NewReplacer(pairs...).Replace(jsonSettings) }
-	for name, c := range map[string]struct{ text, why string }{
+	for name, c := range map[string]struct{ text, want string }{
 		"the same":            {jsonSettings, ""},
-		"one dropped":         {change(`{"idempotency":"pure","name":"first come","targetLatency":600.0,`+"\n"+`"ttl":1200.0,"benefit":3.0},`, ""), ""},
-		"one more":            {change(`"categories":[`, `"categories":[{"idempotency":"side_effect","name":"third","targetLatency":1,"ttl":2,"benefit":1},`), ""},
+		"a class removed":     {change(`{"idempotency":"pure","name":"first come","targetLatency":600.0,`+"\n"+`"ttl":1200.0,"benefit":3.0},`, ""), ""},
+		"a class added":       {change(`"categories":[`, `"categories":[{"idempotency":"side_effect","name":"third","targetLatency":1,"ttl":2,"benefit":1},`), ""},
 		"another idempotency": {change(`"pure"`, `"side_effect"`), ""},
 		"fewer attempts":      {change(`"mostPushes":3`, `"mostPushes":1`), ""},
 		"more keys":           {change(`"cancel":true`, `"cancel":true,"maxRetryAfter":9`), ""},
@@ -35,7 +35,7 @@
 		"deadline no number":  {change(`"ttl":3000.0`, `"ttl":null`), "categories.1.ttl"},
 		"objective 0":         {change(`"targetLatency":750.0`, `"targetLatency":0`), "categories.1.targetLatency"},
 		"objective below 0":   {change(`"targetLatency":750.0`, `"targetLatency":-1`), "categories.1.targetLatency"},
-		"polls for ever":      {change(`"askWithin":10000.0`, `"askWithin":0`), "rules.askWithin is 0"},
+		"poll interval 0":     {change(`"askWithin":10000.0`, `"askWithin":0`), "rules.askWithin is 0"},
 		"lacks a deadline":    {change(`"ttl":3000.0,`, ``), "categories.1.ttl"},
 		"lacks a scope":       {change(`"dedupScope":"cell",`, ``), "categories.1.dedupScope"},
 		"lacks a bound":       {change(`"connIdle":15000.0,`, ``), "bounds.connIdle"},
@@ -43,7 +43,7 @@
 		"lacks all rules":     {change(`"rules":{"askWithin":10000.0,"coldFrom":0.34,"fallMultiple":3.0,"overloadFor":3000.0,"warmWithin":9000.0},`, ``), "rules."},
 		"lacks the tenants":   {change(`"tenants":[{"name":"one","quotaPerS":20}],`, ``), "tenants"},
 		"no classes":          {noClasses, "categories"},
-		"a name twice":        {change(`"second"`, `"first come"`), "categories.1.name"},
+		"duplicate name":      {change(`"second"`, `"first come"`), "categories.1.name"},
 		"no name":             {change(`"name":"second",`, ``), "categories.1.name"},
 		"other zones":         {change(`["a","b"]`, `["a","c"]`), "zones"},
 	} {
@@ -51,18 +51,18 @@
 		if err == nil {
 			err = next.CheckReplaces(old)
 		}
-		if c.why == "" {
+		if c.want == "" {
 			assert.NoError(t, err, name)
 		} else {
-			assert.ErrorContains(t, err, c.why, name)
+			assert.ErrorContains(t, err, c.want, name)
 		}
 	}
 
-	// Without any one of the keys, and cut off at any byte.
+	// A configuration that lacks any one key, or is cut off at any byte, is rejected.
 	var tree map[string]any
 	require.NoError(t, json.Unmarshal([]byte(jsonSettings), &tree))
 	for key, value := range tree {
-		if key == "more" { // means nothing
+		if key == "more" { // has no effect
 			continue
 		}
 		delete(tree, key)
@@ -81,29 +81,29 @@
 	}
 }
 
-// The control plane gives all nodes the same settings. Each keeps its own zone, index and seed; for a check there need be
-// none.
+// The control plane gives all nodes the same settings. Each node keeps its own zone, index and seed; a check needs none of
+// them.
 func TestParseShared(t *testing.T) {
-	own, err := ParseJSON([]byte(strings.NewReplacer(`"az":1`, `"az":1,"me":7`).Replace(jsonSettings)))
+	local, err := ParseJSON([]byte(strings.NewReplacer(`"az":1`, `"az":1,"me":7`).Replace(jsonSettings)))
 	require.NoError(t, err)
-	own.BalancerConfig.Seed = 99
-	require.Equal(t, []int{1, 7}, []int{own.BalancerConfig.Zone, own.BalancerConfig.NodeIndex})
+	local.BalancerConfig.Seed = 99
+	require.Equal(t, []int{1, 7}, []int{local.BalancerConfig.Zone, local.BalancerConfig.NodeIndex})
 	for _, text := range []string{strings.Replace(jsonSettings, `"az":1`, `"az":0,"me":3`, 1), strings.Replace(jsonSettings, `"az":1,`, ``, 1)} {
-		d, err := ParseShared([]byte(text), own)
+		d, err := ParseShared([]byte(text), local)
 		require.NoError(t, err)
-		require.Equal(t, own.BalancerConfig, d.BalancerConfig)
-		require.NoError(t, d.CheckReplaces(own))
+		require.Equal(t, local.BalancerConfig, d.BalancerConfig)
+		require.NoError(t, d.CheckReplaces(local))
 	}
-	without, err := ParseJSON([]byte(jsonSettings))
+	withoutIndex, err := ParseJSON([]byte(jsonSettings))
 	require.NoError(t, err)
-	d, err := ParseShared([]byte(strings.Replace(jsonSettings, `"az":1`, `"az":1,"me":3`, 1)), without)
+	d, err := ParseShared([]byte(strings.Replace(jsonSettings, `"az":1`, `"az":1,"me":3`, 1)), withoutIndex)
 	require.NoError(t, err)
-	require.Zero(t, d.BalancerConfig.NodeIndex, "another node's")
-	require.NoError(t, d.CheckReplaces(without))
+	require.Zero(t, d.BalancerConfig.NodeIndex, "the index in the shared text is another node's")
+	require.NoError(t, d.CheckReplaces(withoutIndex))
 	_, err = ParseShared([]byte(strings.Replace(jsonSettings, `"az":1,`, ``, 1)), nil)
 	require.NoError(t, err)
-	for _, odd := range []string{`null`, `[]`, `{`, `1`} {
-		_, err = ParseShared([]byte(odd), own)
-		require.ErrorContains(t, err, "settings: ", odd)
+	for _, invalid := range []string{`null`, `[]`, `{`, `1`} {
+		_, err = ParseShared([]byte(invalid), local)
+		require.ErrorContains(t, err, "settings: ", invalid)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,8 +8,9 @@
 	"strings"
 )
 
-// SettingError says what is wrong with one setting. Operators see it in the output of pearknot check, in logs and as the reason
-// why a node rejected a version of the configuration. That reason is sent between builds, so the texts of problems stay.
+// SettingError describes a fault in one setting. Operators see it in the output of pearknot check, in logs and as the reason
+// why a node rejected a version of the configuration. Different builds exchange that reason, so the problem texts must not
+// change.
 type SettingError struct {
 	Path    string // of the setting, as in path=value lines
 	Problem string // such as "is missing"
@@ -17,17 +18,19 @@
 
 func (e *SettingError) Error() string { return "setting " + e.Path + " " + e.Problem }
 
-// settings are the values of a configuration by their paths, as text. Methods that read a value don't return an error, so that
-// a configuration can be read in one expression: the first error is kept in err, and what is read after it must not be used.
+// settings holds the values of a configuration by their paths, as text. Methods that read a value don't return an error, so
+// that a configuration can be read in one expression: the first error is kept in err, and values read after it must not be
+// used.
 type settings struct {
 	values  map[string]string
-	tenants []tenantSetting // of JSON, which may have very many: a path for each value costs several times as much
+	tenants []tenantSetting // from JSON, which may have very many: an entry in values for each would cost several times as much
 	err     error
 }
 
+// tenantSetting holds the settings of a tenant as text.
 type tenantSetting struct{ name, quota string }
 
-// fail sets err, unless it is set.
+// fail records the first error in err; later ones are ignored.
 func (s *settings) fail(path, problem string, args ...any) {
 	if s.err == nil {
 		s.err = &SettingError{Path: path, Problem: fmt.Sprintf(problem, args...)}
@@ -89,17 +92,17 @@
 	return value == "true"
 }
 
-// choice reads a value that must be one of words, and returns its index in words.
-func (s *settings) choice(path string, words ...string) int {
+// choice reads a value that must be one of choices, and returns its index in choices.
+func (s *settings) choice(path string, choices ...string) int {
 	value := s.text(path)
-	if k := slices.Index(words, value); k >= 0 {
+	if k := slices.Index(choices, value); k >= 0 {
 		return k
 	}
 	s.fail(path, "has an unknown value: %q", value)
 	return 0
 }
 
-// list reads the items of a list of plain values, which may be absent.
+// list reads the items of a list of scalars, which may be absent.
 func (s *settings) list(path string) []string {
 	if value := s.values[path]; value != "" {
 		return strings.Split(value, ",")
@@ -107,8 +110,8 @@
 	return nil
 }
 
-// count reads how many items a list of objects has. Each item needs a value of its own, so that no count can make the
-// reader allocate more than the text's own size.
+// count reads the number of items in a list of objects. Each item must have at least one value, so that a false count can't
+// make the reader allocate more than the size of the text.
 func (s *settings) count(path string) int {
 	n := s.number(path + ".count")
 	if n < 0 || n != math.Trunc(n) || int(n) > len(s.values)+len(s.tenants) {
@@ -120,7 +123,7 @@
 	return int(n)
 }
 
-// tenant returns the text of one tenant.
+// tenant returns the settings of tenant k as text.
 func (s *settings) tenant(k int) tenantSetting {
 	if s.tenants != nil {
 		return s.tenants[k]
@@ -129,8 +132,8 @@
 	return tenantSetting{s.values[path+"name"], s.values[path+"quotaPerS"]}
 }
 
-// quota reads the quota of tenant k, which may be absent. The setting's path is only built for an error, because there may be very
-// many tenants.
+// quota parses the quota of tenant k, which may be absent. The setting's path is built only for an error, because there may be
+// very many tenants.
 func (s *settings) quota(k int, value string) float64 {
 	if value == "" || s.err != nil {
 		return 0
@@ -142,10 +145,10 @@
 	return s.checkBounds(path, s.parseNumber(path, value), 0, math.MaxFloat64)
 }
 
-// optional reads a setting that may be absent or empty. Its default is unset.
-func optional[T any](s *settings, path string, read func(string) T, unset T) T {
+// optional reads a setting, and returns defaultValue if it is absent or empty.
+func optional[T any](s *settings, path string, read func(string) T, defaultValue T) T {
 	if value, found := s.values[path]; found && value != "" {
 		return read(path)
 	}
-	return unset
+	return defaultValue
 }
--- a/internal/config/topology.go
+++ b/internal/config/topology.go
@@ -1,7 +1,7 @@
 package config
 
-// Topology is how the nodes of a deployment are laid out. It only says how the settings must go together: what a node does
-// follows from each setting by itself.
+// Topology is the arrangement of a deployment's nodes. It only determines which settings are valid together; a node's behavior
+// follows from the individual settings.
 type Topology int
 
 const (
@@ -11,31 +11,31 @@
 	TopologySidecar
 )
 
-// topologyWords are the values of domainType, by topology.
-var topologyWords = [...]string{"proxy", "mesh"}
+// topologyValues holds the values of domainType by topology.
+var topologyValues = [...]string{"proxy", "mesh"}
 
 func (t Topology) String() string {
 	return [...]string{"a pool of nodes", "a node beside each client process"}[t]
 }
 
-// topology reads the topology, which is a pool by default. If it is a sidecar but another setting belongs to a pool, that setting
-// is an error: an operator who has changed only some of the settings would otherwise get a mixture that nobody intended.
+// topology reads the topology, which is a pool by default. In a sidecar, a setting that is valid only for a pool is an error:
+// an operator who has changed only some of the settings would otherwise get an unintended mixture of both.
 func (s *settings) topology(d *Deployment) Topology {
-	read := func(path string) int { return s.choice(path, topologyWords[:]...) }
+	read := func(path string) int { return s.choice(path, topologyValues[:]...) }
 	topology := Topology(optional(s, "domainType", read, int(TopologyPool)))
 	if s.err != nil || topology != TopologySidecar {
 		return topology
 	}
-	misfit := func(path string, value any) {
-		s.fail(path, "is %v, which is not of domainType %s (%s)", value, topologyWords[topology], topology)
+	rejectPoolSetting := func(path string, value any) {
+		s.fail(path, "is %v, which is not of domainType %s (%s)", value, topologyValues[topology], topology)
 	}
 	switch {
 	case d.BalancerConfig.AllowHedging:
-		misfit("bounds.secondCopies", d.BalancerConfig.AllowHedging)
+		rejectPoolSetting("bounds.secondCopies", d.BalancerConfig.AllowHedging)
 	case len(d.Zones) != 1:
-		misfit("zones", d.Zones)
+		rejectPoolSetting("zones", d.Zones)
 	case d.BalancerConfig.CrossZoneCost != 0:
-		misfit("prices.crossZone", d.BalancerConfig.CrossZoneCost)
+		rejectPoolSetting("prices.crossZone", d.BalancerConfig.CrossZoneCost)
 	}
 	return topology
 }
