--- a/internal/upstream/backend.go
+++ b/internal/upstream/backend.go
@@ -1,5 +1,5 @@
 // Package upstream sends requests to backends over HTTP/1.1. An actor for each backend owns its connections: it dials them,
-// keeps idle ones for the next request, and closes them.
+// keeps idle ones for later requests, and closes them.
 package upstream
 
 import (
@@ -13,43 +13,44 @@
 	"pearknot/internal/mailbox"
 )
 
-// invalidReportLogInterval is the least time between two log lines about one backend's invalid load reports, which may come
-// with every response.
+// invalidReportLogInterval is the minimum interval between two log lines about invalid load reports of one backend, which may
+// come with every response.
 const invalidReportLogInterval = 10 * time.Second
 
-// Backend is the actor of one backend. All methods may be called from any goroutine and don't block.
+// Backend is the actor that owns the connections to one backend. All methods may be called from any goroutine and don't
+// block.
 type Backend struct {
-	name             string
-	config           *Config
-	acceptsAttempts  atomic.Bool // attempts may start, see Update
-	invalidReportLog rate.Sometimes
-	mailbox          *mailbox.Box[func()]
+	name                    string
+	config                  *Config
+	acceptsAttempts         atomic.Bool // attempts may start; set by Update
+	invalidReportLogLimiter rate.Sometimes
+	mailbox                 *mailbox.Box[func()]
 
-	// The fields below are the actor's own.
+	// The fields below are used only by the actor's goroutine.
 	address        string
 	idle           []*conn // the most recently used last
 	activeCalls    int
-	waitingForIdle int // how many of activeCalls wait until an idle connection may be used again
+	waitingForIdle int // number of activeCalls that wait until an idle connection may be reused
 	closing        bool
 	idleTimer      *time.Timer // fires when the oldest idle connection reaches the idle timeout
-	breakage       idleBreakage
+	reuseStats     reuseStats
 }
 
-// NewBackend starts the actor of a backend. Calls are not sent before Update has allowed it.
+// NewBackend starts the actor of a backend. No call is sent before Update has allowed attempts.
 func NewBackend(name string, config *Config) *Backend {
 	b := &Backend{
-		name:             name,
-		config:           config,
-		mailbox:          mailbox.New[func()](),
-		idleTimer:        time.NewTimer(time.Hour),
-		invalidReportLog: rate.Sometimes{Interval: invalidReportLogInterval},
+		name:                    name,
+		config:                  config,
+		mailbox:                 mailbox.New[func()](),
+		idleTimer:               time.NewTimer(time.Hour),
+		invalidReportLogLimiter: rate.Sometimes{Interval: invalidReportLogInterval},
 	}
 	go b.run()
 	return b
 }
 
-// Update sets the backend's address and whether attempts may start, as the endpoint list says. The latter applies as soon as
-// Update returns, also to calls that were sent before.
+// Update sets the backend's address and whether attempts may start, from the endpoint list. The latter takes effect before
+// Update returns, also for calls passed to Send earlier.
 func (b *Backend) Update(address string, acceptsAttempts bool) {
 	b.acceptsAttempts.Store(acceptsAttempts)
 	b.mailbox.Put(func() {
@@ -68,10 +69,10 @@
 	})
 }
 
-// CloseIdle closes all idle connections, because their descriptors are needed elsewhere.
+// CloseIdle closes all idle connections, to free their descriptors.
 func (b *Backend) CloseIdle() { b.mailbox.Put(func() { b.closeIdleLongerThan(0) }) }
 
-// Close lets no further attempt start and ends the actor after its last call. Send must not be called afterwards.
+// Close prevents further attempts from starting and ends the actor after its last call. Send must not be called afterwards.
 func (b *Backend) Close() {
 	b.acceptsAttempts.Store(false)
 	b.mailbox.Put(func() {
@@ -108,31 +109,31 @@
 // probably just closing.
 //
 // After a failed write the request never arrived complete, so it can't have run and may be sent again. Only one further
-// connection is tried, and only after a reused one: if a fresh one fails, that is the backend's fault.
+// connection is tried, and only after a reused one: a failure on a new connection counts against the backend.
 func (b *Backend) exchangeFinished(call *Call, c *conn, result Result, state connState) {
 	if c.reused {
-		broke := state == connWriteFailed || result.Outcome == balancer.OutcomeConnectionReset
-		b.breakage.record(c.idleBefore, broke)
+		failed := state == connWriteFailed || result.Outcome == balancer.OutcomeConnectionReset
+		b.reuseStats.record(c.idleBefore, failed)
 	}
-	if state == connWriteFailed && c.reused && !call.retriedOnFresh {
+	if state == connWriteFailed && c.reused && !call.resentOnNewConn {
 		b.closeConn(c)
-		call.retriedOnFresh = true
+		call.resentOnNewConn = true
 		b.dial(call)
 		return
 	}
 	b.finishCall(call, c, result, state)
 }
 
-// finishCall ends a call. on is nil if the call had no connection. The connection of a streamed response is taken back
-// later, when the stream is closed.
+// finishCall ends a call. c is nil if the call had no connection. The connection of a streamed response is returned later,
+// when the stream is closed.
 func (b *Backend) finishCall(call *Call, c *conn, result Result, state connState) {
 	if state != connStreaming {
-		b.takeBackConn(c, state == connReusable)
+		b.returnConn(c, state == connReusable)
 	}
 	call.OnDone(result)
 }
 
-// dialFinished takes a connection, or the error of dialing it.
+// dialFinished handles a new connection, or the error of dialing it.
 func (b *Backend) dialFinished(call *Call, address string, netConn net.Conn, err error) {
 	if err != nil {
 		b.config.Budget.ReleaseBackend()
@@ -141,8 +142,8 @@
 		return
 	}
 	c := newConn(netConn, address)
-	// The endpoint list has given the backend another address meanwhile. Whoever listens at the old one may be another
-	// process by now, and must not get the request.
+	// The endpoint list has changed the backend's address during the dial. Another process may listen at the old one by
+	// now, and must not get the request.
 	if address != b.address {
 		b.finishCall(call, c, Result{Outcome: balancer.OutcomeNotSent}, connClosed)
 		return
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -11,16 +11,16 @@
 	"pearknot/balancer"
 )
 
-// Result is how a call ended.
+// Result holds the outcome of a call and its response.
 type Result struct {
 	Outcome        balancer.Outcome
 	SinceFirstByte time.Duration       // from the response's first byte until the call's end; 0 if there was no response
 	Reply          *Reply              // the response, nil if the backend sent none
-	Report         balancer.LoadReport // the load report that came with Reply; meaningless without one
+	Report         balancer.LoadReport // the load report of Reply; undefined if Reply is nil
 }
 
-// Call is the transport's side of one attempt: a message on its way to one backend, and what came back. The balancer's side
-// of the same attempt is balancer.Attempt. It has nothing to do with requestlog.Call, which is an RPC between members.
+// Call is the transport's state of one attempt: the message to one backend, its connection and deadline. The balancer's state
+// of the same attempt is balancer.Attempt. Call is unrelated to requestlog.Call, which is an RPC between members.
 //
 // Its methods may be called from any goroutine while the backend works on it: they cancel it, shorten its deadline, or
 // prevent it from starting. Whether its first byte may still be sent is decided in one place, start, under the call's lock.
@@ -29,19 +29,19 @@
 type Call struct {
 	Message     *Message
 	OnDone      func(Result)    // called once; must not block
-	StartBefore time.Time       // it must start before this time; zero means no limit
-	OnBodySent  func(time.Time) // called with the deadline once a streamed body is complete; must not block
+	StartBefore time.Time       // the call must start before this time; zero means no limit
+	OnBodySent  func(time.Time) // called with the deadline when a streamed body is complete; must not block
 	ClientGone  *atomic.Bool    // set as soon as the request's client has disconnected; nil if that can't happen
 
 	mu             sync.Mutex
 	deadline       time.Time
 	canceled       bool
 	started        bool
-	startPrevented bool               // it must not start, nor start again on another connection
+	startPrevented bool               // the call must not start, nor start again on another connection
 	conn           net.Conn           // the connection that carries it; nil before and after
 	cancelDial     context.CancelFunc // cancels the dialing of its connection
 
-	retriedOnFresh bool // it was sent again on a fresh connection after a failed write; only the backend's actor uses it
+	resentOnNewConn bool // the message was sent again on a new connection after a failed write; used only by the backend's actor
 }
 
 // NewCall returns a call that times out at the deadline.
@@ -50,7 +50,7 @@
 }
 
 // PreventStart prevents the call from starting, or from starting again after a write that is just failing. A call that has
-// started goes on. It is called before the request's final answer is given, so that nothing is sent after the answer.
+// started continues. It is called before the request's final answer is given, so that nothing is sent after the answer.
 func (c *Call) PreventStart() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +70,7 @@
 	return !c.started
 }
 
-// Cancel ends the call: it does not start any more, and a response is no longer waited for.
+// Cancel cancels the call: it no longer starts, and no longer waits for a response.
 func (c *Call) Cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// ShortenDeadline brings the deadline forward. A later deadline has no effect.
+// ShortenDeadline moves the deadline forward. A later deadline has no effect.
 func (c *Call) ShortenDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,7 +101,7 @@
 }
 
 // dialContext returns the context for dialing a connection, which ends after the timeout or at the call's deadline, and
-// whether a connection is wanted at all. The caller must call cancel in either case.
+// whether the call still needs a connection. The caller must call cancel in either case.
 func (c *Call) dialContext(timeout time.Duration) (ctx context.Context, cancel context.CancelFunc, wanted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,8 +114,8 @@
 	return ctx, cancel, !c.canceled && !c.startPrevented
 }
 
-// start is called right before the first byte is written. ok reports whether the call may be sent. timeout is the time left,
-// which the backend is told; for a streamed body it counts from the body's last byte.
+// start is called right before the first byte is written. ok reports whether the call may be sent. timeout is the remaining
+// time, which is sent to the backend; for a streamed body it counts from the body's last byte.
 func (c *Call) start(conn net.Conn) (timeout time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,7 +131,7 @@
 	return timeout, true
 }
 
-// mayStart must be called with the lock held.
+// mayStart reports whether the call may start. The lock must be held.
 func (c *Call) mayStart() bool {
 	clientGone := c.ClientGone != nil && c.ClientGone.Load()
 	tooLate := !c.StartBefore.IsZero() && !time.Now().Before(c.StartBefore)
@@ -176,7 +176,7 @@
 	return err
 }
 
-// finishBody ends a streamed body: the request's timeout begins, and a chunked body gets its last chunk.
+// finishBody ends a streamed body: it starts the request's timeout, and writes the last chunk of a chunked body.
 func (c *Call) finishBody(conn net.Conn) error {
 	if !c.beginResponseTimeout(conn) {
 		return net.ErrClosed
--- a/internal/upstream/config.go
+++ b/internal/upstream/config.go
@@ -9,7 +9,7 @@
 	"pearknot/internal/descriptors"
 )
 
-// AtomicDuration is a duration that may be changed while others read it.
+// AtomicDuration is a duration that can be read and changed concurrently.
 type AtomicDuration struct{ nanoseconds atomic.Int64 }
 
 // Get returns the duration.
@@ -18,13 +18,13 @@
 // Set changes the duration.
 func (d *AtomicDuration) Set(value time.Duration) { d.nanoseconds.Store(int64(value)) }
 
-// Config holds what all backends of a node have in common.
+// Config holds the settings and resources that all backends of a node share.
 type Config struct {
 	ConnectTimeout AtomicDuration      // for establishing a connection
 	IdleTimeout    AtomicDuration      // after which an idle connection is closed
 	Budget         *descriptors.Budget // of file descriptors; each connection takes one
 	Log            *slog.Logger
 
-	// SetReportValue puts a value of a load report, under the name that the deployment gives it, into its field.
+	// SetReportValue stores a value of a load report in the field for its name in the deployment's settings.
 	SetReportValue func(report *balancer.LoadReport, name string, value float64)
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -15,14 +15,14 @@
 	address    string // the address that was dialed
 	reused     bool   // it has carried a request before
 	idleSince  time.Time
-	idleBefore time.Duration // how long it was idle before its latest request
+	idleBefore time.Duration // idle time before its latest request
 }
 
 func newConn(netConn net.Conn, address string) *conn {
 	return &conn{Conn: netConn, reader: NewReader(netConn), address: address}
 }
 
-// connState is what can be done with a connection after an exchange.
+// connState tells how a connection may be used after an exchange.
 type connState uint8
 
 const (
@@ -33,7 +33,7 @@
 )
 
 // isUsable reports whether an idle connection is still open with nothing to read. The backend may have closed it, and a
-// request written after that ends as a reset, which doesn't tell whether it ran.
+// request written after that ends with a reset, which doesn't tell whether it ran.
 func (c *conn) isUsable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -50,7 +50,7 @@
 	err = rawConn.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		isOpen = errors.Is(err, syscall.EAGAIN) // neither data nor an end of it
+		isOpen = errors.Is(err, syscall.EAGAIN) // neither data nor end of file
 	})
 	return err == nil && isOpen
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -9,17 +9,17 @@
 	"pearknot/balancer"
 )
 
-// exchange writes a call's request and reads the response. It has the connection to itself and does not close it.
+// exchange writes a call's request and reads the response. It uses the connection exclusively and does not close it.
 func (b *Backend) exchange(call *Call, c *conn) (Result, connState) {
-	if !b.acceptsAttempts.Load() { // a drain came while the connection was established
+	if !b.acceptsAttempts.Load() { // a drain began while the connection was being established
 		return Result{Outcome: balancer.OutcomeNotSent}, connReusable
 	}
 	timeout, ok := call.start(c)
 	if !ok {
 		return Result{Outcome: balancer.OutcomeNotSent}, connReusable
 	}
-	if failed, state := b.writeMessage(call, c, timeout); failed != nil {
-		return *failed, state
+	if failure, state := b.writeMessage(call, c, timeout); failure != nil {
+		return *failure, state
 	}
 	firstByteAt := c.reader.waitFirstByte()
 	response, rest, reusable, err := ReadReply(c.reader, call.Message.isHead, MaxBody, MaxBufferedBody)
@@ -42,13 +42,13 @@
 
 // writeMessage writes the call's request, including the body that is still to come from the client. It returns nil if all of
 // it was written, and otherwise the call's result and what can be done with the connection.
-func (b *Backend) writeMessage(call *Call, c *conn, timeout time.Duration) (failed *Result, state connState) {
+func (b *Backend) writeMessage(call *Call, c *conn, timeout time.Duration) (failure *Result, state connState) {
 	message := call.Message.buffers(float64(timeout.Microseconds()) / 1e3)
 	written, err := message.WriteTo(c.Conn)
 	if err == nil && call.Message.IsStreamed() {
 		var readErr error
 		readErr, err = call.sendBody(c)
-		if readErr != nil { // the client's fault. The backend never got the whole request, so it did not run it.
+		if readErr != nil { // the client failed; the backend never got the complete request, so it did not run it
 			call.release()
 			b.config.Log.Debug("client request body read failed", "backend", b.name, "error", readErr)
 			return &Result{Outcome: balancer.OutcomeNotSent}, connClosed
@@ -62,18 +62,18 @@
 
 // writeFailed returns the result of a call whose request could not be written. A write reports an error only if bytes are
 // left, so the request never arrived complete and can't have run. The outcomes therefore are those of an attempt that never
-// ran: OutcomeNotSent, although a part may have been sent, where the backend is not to blame, and otherwise
+// ran: OutcomeNotSent, although a part may have been sent, if the failure was not the backend's, and otherwise
 // OutcomeConnectFailed.
 func (b *Backend) writeFailed(call *Call, written int64, err error) (*Result, connState) {
 	wasCanceled := call.release()
 	b.config.Log.Debug("backend request write failed", "backend", b.name, "written", written, "error", err)
 	switch {
-	case wasCanceled: // by this node, which says nothing about the backend
+	case wasCanceled: // by this node, so the failure was not the backend's
 		return &Result{Outcome: balancer.OutcomeNotSent}, connClosed
 	case !call.Message.IsStreamed():
 		return &Result{Outcome: balancer.OutcomeConnectFailed}, connWriteFailed
 	}
-	// What was sent of a streamed body is gone, so the request can't be written again.
+	// The part of a streamed body that was sent is no longer available, so the request can't be written again.
 	return &Result{Outcome: balancer.OutcomeConnectFailed}, connClosed
 }
 
@@ -90,11 +90,11 @@
 	return Result{Outcome: balancer.OutcomeConnectionReset}
 }
 
-// loadReport decodes the response's load report and removes its header, which is meant for this node and not the client.
+// loadReport decodes the response's load report and removes its header, which is meant for this node and not for the client.
 func (b *Backend) loadReport(response *Reply) balancer.LoadReport {
 	report, invalid := response.parseLoadReport(b.config.SetReportValue)
 	if invalid != "" {
-		b.invalidReportLog.Do(func() {
+		b.invalidReportLogLimiter.Do(func() {
 			b.config.Log.Warn("load report invalid, ignored", "backend", b.name, "report", invalid)
 		})
 	}
@@ -108,6 +108,6 @@
 	stream := response.Stream
 	stream.body, stream.conn, stream.reusable = rest, c, reusable
 	stream.remaining = MaxBody - int64(len(response.Body))
-	stream.giveBack = func(reusable bool) { b.mailbox.Put(func() { b.takeBackConn(c, reusable) }) }
+	stream.returnConn = func(reusable bool) { b.mailbox.Put(func() { b.returnConn(c, reusable) }) }
 	_ = c.SetDeadline(time.Time{})
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -11,26 +11,26 @@
 	"pearknot/balancer"
 )
 
-// minIdle is how long a connection must be idle before it is used again. Some backends close the connection right after a
-// response, or send surplus bytes behind it, and between machines that arrives a little later. If the connection were reused
-// before, the next request would be lost to the close, or get those bytes as its response.
-const minIdle = 10 * time.Millisecond
+// minReuseIdle is the minimum time for which a connection must be idle before it is reused. Some backends close the connection
+// right after a response, or send surplus bytes after it, and between machines that arrives a little later. On a connection
+// reused sooner, the next request would be lost with the close, or get those bytes as its response.
+const minReuseIdle = 10 * time.Millisecond
 
-// assignConn sends the call on the most recently used of the connections that have been idle for minIdle, and dials one if
-// there is none. If a connection will have been idle for minIdle soon, the call waits for that instead: dialing would take
-// as long, and cost the backend work and one of the connections that it accepts.
+// assignConn sends the call on the most recently used of the connections that have been idle for minReuseIdle, and dials one
+// if there is none. If a connection is idle for less, the call waits until it may be reused instead: dialing would take as
+// long, and cost the backend work and one of the connections that it accepts.
 func (b *Backend) assignConn(call *Call) {
-	tooRecent, wait := 0, minIdle
+	tooRecent, wait := 0, minReuseIdle
 	for k := len(b.idle) - 1; k >= 0; k-- {
 		c := b.idle[k]
 		idle := time.Since(c.idleSince)
-		if idle < minIdle {
+		if idle < minReuseIdle {
 			tooRecent++
-			wait = min(wait, minIdle-idle)
+			wait = min(wait, minReuseIdle-idle)
 			continue
 		}
 		b.idle = slices.Delete(b.idle, k, k+1)
-		if idle < b.config.IdleTimeout.Get() && !b.breakage.isLikelyBroken(idle) && c.isUsable() {
+		if idle < b.config.IdleTimeout.Get() && !b.reuseStats.isLikelyStale(idle) && c.isUsable() {
 			c.idleBefore = idle
 			b.runExchange(call, c)
 			return
@@ -57,7 +57,7 @@
 }
 
 // dial establishes a connection for the call. If the call must not start any more, the backend accepts no attempts, or there
-// is no file descriptor, the call ends with OutcomeNotSent.
+// is no free file descriptor, the call ends with OutcomeNotSent.
 func (b *Backend) dial(call *Call) {
 	ctx, cancel, wanted := call.dialContext(b.config.ConnectTimeout.Get())
 	if !wanted || !b.acceptsAttempts.Load() || !b.config.Budget.TryAcquireBackend() {
@@ -85,9 +85,9 @@
 	return balancer.OutcomeConnectFailed
 }
 
-// takeBackConn takes the connection of a call that has ended; nil means that it had none. The connection becomes idle if it
+// returnConn returns the connection of a call that has ended to the pool; nil means that it had none. It becomes idle if it
 // is reusable and the backend still has that address and accepts attempts. Otherwise it is closed.
-func (b *Backend) takeBackConn(c *conn, reusable bool) {
+func (b *Backend) returnConn(c *conn, reusable bool) {
 	b.activeCalls--
 	if c == nil {
 		return
--- a/internal/upstream/races_test.go
+++ b/internal/upstream/races_test.go
@@ -15,7 +15,7 @@
 	"pearknot/balancer"
 )
 
-// failingWriteConn is a connection on which writes fail with nothing written, right after beforeWrite was called.
+// failingWriteConn is a connection on which each write calls beforeWrite and then fails with nothing written.
 type failingWriteConn struct {
 	net.Conn
 	beforeWrite func()
@@ -27,9 +27,9 @@
 }
 
 // A request gets its final answer, or its client disconnects, just as the write of its attempt fails on a connection that
-// the backend has closed. The attempt must not be sent again on a fresh connection. It once was, because PreventStart had
+// the backend has closed. The attempt must not be sent again on a new connection. It once was, because PreventStart had
 // no effect on a call that had started.
-func TestNoRetryForAFinishedRequest(t *testing.T) {
+func TestFinishedRequestIsNotResent(t *testing.T) {
 	for name, finish := range map[string]func(*Call){"answered, or client gone": (*Call).PreventStart, "canceled": (*Call).Cancel} {
 		stub := newStubBackend(t, okHead+"\r\nhi", okHead+"\r\nhi")
 		backend, _ := newTestBackend(t, stub.Addr().String())
@@ -41,13 +41,13 @@
 		result := <-send(backend, 10*time.Second, func(c *Call) { call.Store(c) })
 		assert.Equal(t, balancer.OutcomeNotSent, result.Outcome, name)
 		assert.Empty(t, stub.requests, name)
-		assert.Len(t, stub.conns, 1, "%s: no connection is dialed either", name)
+		assert.Len(t, stub.conns, 1, "%s: no connection is dialed", name)
 	}
 }
 
-// A call is canceled in the middle of its write on a fresh connection. That says nothing about the backend. It once counted
+// A call is canceled in the middle of its write on a new connection. That must not count against the backend. It once counted
 // as a failed connection, for which a backend is ejected.
-func TestCancelDuringWriteIsNotTheBackendsFault(t *testing.T) {
+func TestCancelDuringWriteNotCountedAgainstBackend(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	backend, _ := newTestBackend(t, "127.0.0.1:1")
@@ -60,12 +60,12 @@
 // sent there, since another process may listen at the old address by then.
 func TestAddressChangesDuringDial(t *testing.T) {
 	oldStub, newStub := newStubBackend(t, okHead+"\r\nhi"), newStubBackend(t, okHead+"\r\nhi")
-	backend, common := newTestBackend(t, oldStub.Addr().String())
+	backend, sharedConfig := newTestBackend(t, oldStub.Addr().String())
 	results := make(chan Result, 1)
 	call := NewCall(NewMessage("GET", "/", "s", nil, nil, nil), time.Now().Add(10*time.Second), func(r Result) { results <- r })
 	netConn, err := net.Dial("tcp", oldStub.Addr().String())
 	require.NoError(t, err)
-	require.True(t, common.Budget.TryAcquireBackend())
+	require.True(t, sharedConfig.Budget.TryAcquireBackend())
 	backend.Update(newStub.Addr().String(), true)
 	backend.mailbox.Put(func() {
 		backend.activeCalls++
@@ -90,8 +90,8 @@
 	return c.Conn.Write(b)
 }
 
-// A streamed request is canceled while its last bytes wait for a backend that reads no more. Cancel must not wait for
-// them: the node's actor calls it, and every request of the node once waited with it.
+// A streamed request is canceled while the write of its last bytes blocks on a backend that has stopped reading. Cancel must
+// not wait for the write: the node's actor calls it, and every request of the node once waited for it.
 func TestCancelDoesNotWaitForAWrite(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -15,8 +15,8 @@
 
 // Limits on the bodies of requests and responses, in bytes.
 const (
-	MaxBufferedBody = 64 << 10 // a body up to this size is read completely before it is passed on
-	MaxBody         = 32 << 20 // a longer body, up to this size, is passed on as it comes
+	MaxBufferedBody = 64 << 10 // a body up to this size is read completely before it is forwarded
+	MaxBody         = 32 << 20 // a longer body, up to this size, is forwarded as it arrives
 )
 
 // Headers between a node and a backend.
@@ -26,12 +26,13 @@
 	loadReportHeader = "Endpoint-Load-Metrics" // a backend's load report
 )
 
-// Message is a request as its backends get it. It is encoded once, except for ExpiresHeader, which each attempt gets anew.
+// Message is a request in the form sent to backends. It is encoded once, except for ExpiresHeader, which is written for each
+// attempt.
 type Message struct {
 	head   []byte
 	body   []byte
 	isHead bool          // a HEAD request: its response has no body
-	stream *StreamedBody // the rest of a body that is passed on as it comes; nil if body is complete
+	stream *StreamedBody // the rest of a body that is forwarded as it arrives; nil if body is complete
 }
 
 // StreamedBody is the part of a long request body that the client has yet to send.
@@ -43,14 +44,14 @@
 
 func (s *StreamedBody) isChunked() bool { return s.Size < 0 }
 
-// IsStreamed reports whether the body is passed on as it comes. Such a message can be sent only once.
+// IsStreamed reports whether the body is forwarded as it arrives. Such a message can be sent only once.
 func (m *Message) IsStreamed() bool { return m.stream != nil }
 
 // hopByHopHeaders are the headers that concern a single connection, and those that this node sets itself in each message.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te",
 	"Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length", ExpiresHeader}
 
-// RemoveHopByHop removes the headers that a proxy must not pass on.
+// RemoveHopByHop removes the headers that a proxy must not forward.
 func RemoveHopByHop(header http.Header) {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
@@ -63,7 +64,7 @@
 }
 
 // NewMessage returns the message of a request. target is the path and query as the client wrote them; stream is nil if
-// body is complete. NewMessage takes header over and removes the hop-by-hop ones from it.
+// body is complete. NewMessage takes ownership of header and removes the hop-by-hop headers from it.
 func NewMessage(method, target, host string, header http.Header, body []byte, stream *StreamedBody) *Message {
 	RemoveHopByHop(header)
 	var head strings.Builder
@@ -81,8 +82,8 @@
 	return &Message{head: []byte(head.String()), body: body, isHead: method == http.MethodHead, stream: stream}
 }
 
-// storedMessage is the form in which members of a request log store a message. It is encoded by the order of its fields,
-// which must not change.
+// storedMessage is the form in which members of a request log store a message. Its fields are encoded in their order, which
+// must not change.
 type storedMessage struct {
 	Head, Body []byte
 	IsHead     bool
@@ -102,9 +103,9 @@
 	return &Message{head: stored.Head, body: stored.Body, isHead: stored.IsHead}
 }
 
-// buffers returns the message for a single write. timeoutMs, rounded down and at least 1, goes into ExpiresHeader.
+// buffers returns the message for a single write. timeoutMs, rounded down and at least 1, is the value of ExpiresHeader.
 func (m *Message) buffers(timeoutMs float64) net.Buffers {
-	const expiresLineSize = 40
+	const expiresLineSize = 40 // bytes
 	head := make([]byte, 0, len(m.head)+expiresLineSize)
 	head = append(head, m.head...)
 	head = append(head, ExpiresHeader+": "...)
@@ -116,7 +117,7 @@
 	return net.Buffers{head, m.body}
 }
 
-// chunkBuffers returns a part of a body as one chunk.
+// chunkBuffers returns a part of a body encoded as one chunk.
 func chunkBuffers(part []byte) net.Buffers {
 	return net.Buffers{fmt.Appendf(nil, "%x\r\n", len(part)), part, []byte("\r\n")}
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -18,12 +18,12 @@
 	// maxHeaderBytes bounds the head of a response together with the informational responses (1xx) before it.
 	maxHeaderBytes = 16 << 10
 
-	// responseBufferSize holds the head of most responses.
+	// responseBufferSize, in bytes, is enough for the head of most responses.
 	responseBufferSize = 2 << 10
 )
 
-// errResponseTooLong means that a response has more bytes than it may have.
-var errResponseTooLong = errors.New("response exceeds its limit")
+// errResponseTooLong is returned when a response exceeds the number of bytes that it may have.
+var errResponseTooLong = errors.New("response exceeds the size limit")
 
 // Reply is a backend's response: complete, or its head with the beginning of its body.
 type Reply struct {
@@ -33,18 +33,18 @@
 	Stream *Stream // the rest of the body; nil if Body is complete
 }
 
-// Release closes the response's stream, if it has one. Whoever has the response last must call it. r may be nil.
+// Release closes the response's stream, if it has one. The last user of the response must call it. r may be nil.
 func (r *Reply) Release() {
 	if r != nil && r.Stream != nil {
 		r.Stream.Close()
 	}
 }
 
-// Reader reads responses from a connection. It takes a limited number of bytes for each, so that a backend that never
-// stops sending fills no memory.
+// Reader reads responses from a connection. It reads a limited number of bytes for each, so that a backend that never stops
+// sending can't exhaust the memory.
 type Reader struct {
 	source    io.Reader
-	remaining int64 // bytes that the current response may still take from the source
+	remaining int64 // bytes that may still be read from the source for the current response
 	*bufio.Reader
 }
 
@@ -91,9 +91,9 @@
 	}
 	size := response.ContentLength
 	if !isHead && size > maxBody {
-		return nil, nil, false, fmt.Errorf("%w: %d bytes, at most %d", errBodyTooLong, size, maxBody)
+		return nil, nil, false, fmt.Errorf("%w: %d bytes, limit %d", errBodyTooLong, size, maxBody)
 	}
-	r.remaining = maxBody + 1 // the one more tells a body that is too long from one that just fits
+	r.remaining = maxBody + 1 // one byte more tells a body that is too long from one that just fits
 	if len(response.TransferEncoding) > 0 {
 		r.remaining = 2*maxBody + maxHeaderBytes // the lines between chunks count as well
 	}
@@ -115,7 +115,7 @@
 		return reply, nil, reusable && r.Buffered() == 0, nil
 	}
 	if firstPart > maxBody {
-		return nil, nil, false, fmt.Errorf("%w of %d bytes", errBodyTooLong, maxBody)
+		return nil, nil, false, fmt.Errorf("%w: more than %d bytes", errBodyTooLong, maxBody)
 	}
 	reply.Stream = &Stream{Size: size}
 	return reply, response.Body, reusable, nil
@@ -140,9 +140,9 @@
 	}
 }
 
-// outcome returns the attempt's outcome that follows from the response. The protocol knows one successful status, 200: any
+// outcome returns the attempt's outcome that follows from the response. The protocol has one successful status, 200: any
 // other, also of the 2xx and 3xx, is OutcomeFailed, except a rejection that proves that the attempt never ran. The server's
-// writeReply relies on that when it writes 200 for every response that it passes on.
+// writeReply relies on that when it writes 200 for every response that it forwards.
 func (r *Reply) outcome() balancer.Outcome {
 	switch r.Status {
 	case http.StatusOK:
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -22,12 +22,12 @@
 	"pearknot/internal/descriptors"
 )
 
-// stubBackend answers each request with the next of its scripts. A script is the text of the response; the suffix "END"
-// closes the connection after it.
+// stubBackend answers each request with the next of its scripts. A script is the text of the response; with the suffix "END"
+// the stub closes the connection after it.
 type stubBackend struct {
 	net.Listener
-	requests chan *http.Request // that were received
-	conns    chan net.Conn      // that were accepted
+	requests chan *http.Request // received
+	conns    chan net.Conn      // accepted
 }
 
 func newStubBackend(t *testing.T, scripts ...string) *stubBackend {
@@ -72,14 +72,14 @@
 
 func newTestBackend(t *testing.T, address string) (*Backend, *Config) {
 	t.Helper()
-	common := &Config{SetReportValue: config.SetReportValue,
+	sharedConfig := &Config{SetReportValue: config.SetReportValue,
 		Budget: descriptors.New(64, func() {}), Log: slog.New(slog.DiscardHandler)}
-	common.ConnectTimeout.Set(time.Second)
-	common.IdleTimeout.Set(time.Minute)
-	backend := NewBackend("s", common)
+	sharedConfig.ConnectTimeout.Set(time.Second)
+	sharedConfig.IdleTimeout.Set(time.Minute)
+	backend := NewBackend("s", sharedConfig)
 	backend.Update(address, true)
 	t.Cleanup(backend.Close)
-	return backend, common
+	return backend, sharedConfig
 }
 
 // send sends a call that times out after the timeout, and returns a channel for its result.
@@ -95,12 +95,12 @@
 	return results
 }
 
-// ageIdleConns makes the idle connections minIdle older, so that they may be used again.
+// ageIdleConns makes the idle connections minReuseIdle older, so that they may be reused.
 func ageIdleConns(backend *Backend) {
 	done := make(chan bool)
 	backend.mailbox.Put(func() {
 		for _, c := range backend.idle {
-			c.idleSince = c.idleSince.Add(-minIdle)
+			c.idleSince = c.idleSince.Add(-minReuseIdle)
 		}
 		close(done)
 	})
@@ -109,8 +109,8 @@
 
 const okHead = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
 
-// A backend answers well, badly, partly or not at all. Each response has the outcome that says what is known of the
-// attempt, and none is passed on unless it is complete.
+// A backend sends a valid, invalid or partial response, or none. The outcome of the attempt says what is known of it, and no
+// response is returned unless it is complete.
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		script string
@@ -155,9 +155,9 @@
 	}
 }
 
-// A request and its response pass with their hop-by-hop headers removed, and the load report is read and removed. An
-// invalid load report costs no response.
-func TestMessage(t *testing.T) {
+// A request is forwarded without its hop-by-hop headers, and the load report is read and removed from the response. The
+// response counts even if its load report is invalid.
+func TestHeadersAndLoadReport(t *testing.T) {
 	stub := newStubBackend(t, okHead+"Endpoint-Load-Metrics: TEXT mean_ms=31.5, concurrent=2\r\n\r\nhi",
 		okHead+"Endpoint-Load-Metrics: TEXT mean_ms=much\r\n\r\nhi")
 	backend, _ := newTestBackend(t, stub.Addr().String())
@@ -167,12 +167,12 @@
 	request := <-stub.requests
 	assert.Equal(t, []any{"POST", "/api?x=%20y", "service", "7", int64(4)},
 		[]any{request.Method, request.RequestURI, request.Host, request.Header.Get("X-Trace-Id"), request.ContentLength})
-	assert.Empty(t, request.Header.Get("X-Hop"), "hop-by-hop headers are not passed on")
+	assert.Empty(t, request.Header.Get("X-Hop"), "hop-by-hop headers are not forwarded")
 	assert.Len(t, request.Header[ExpiresHeader], 1)
 	assert.Regexp(t, `^(59\d\d\d|60000)$`, request.Header.Get(ExpiresHeader))
 	ageIdleConns(backend)
 	result = <-send(backend, time.Minute)
-	assert.Equal(t, balancer.OutcomeAnswered, result.Outcome, "an invalid report costs no response")
+	assert.Equal(t, balancer.OutcomeAnswered, result.Outcome, "the response counts despite an invalid load report")
 	assert.False(t, result.Report.HasValues())
 	assert.Len(t, stub.conns, 1, "the connection is reused")
 }
@@ -206,14 +206,14 @@
 		assert.Equal(t, c.want, (<-send(backend, c.timeout, configure...)).Outcome, name)
 		assert.Empty(t, stub.requests, name)
 	}
-	backend, common := newTestBackend(t, stub.Addr().String())
-	for common.Budget.TryAcquireBackend() {
+	backend, sharedConfig := newTestBackend(t, stub.Addr().String())
+	for sharedConfig.Budget.TryAcquireBackend() {
 	}
-	assert.Equal(t, balancer.OutcomeNotSent, (<-send(backend, 10*time.Second)).Outcome, "a lack of descriptors is not the backend's fault")
+	assert.Equal(t, balancer.OutcomeNotSent, (<-send(backend, 10*time.Second)).Outcome, "a lack of descriptors does not count against the backend")
 }
 
-// The endpoint list announces a drain, or the request ends, while its connection is being established. Nothing is written.
-func TestCheckedAgainBeforeTheFirstByte(t *testing.T) {
+// A drain is announced or the request ends while its connection is being established. Nothing is written.
+func TestStartConditionsCheckedBeforeFirstByte(t *testing.T) {
 	for name, change := range map[string]func(*Backend, *Call){
 		"draining":  func(backend *Backend, _ *Call) { backend.acceptsAttempts.Store(false) },
 		"canceled":  func(_ *Backend, call *Call) { call.Cancel() },
@@ -238,7 +238,7 @@
 }
 
 // A call that waits for its response is canceled, or its deadline is brought forward. It ends at once, and its connection
-// is closed, which is how the backend learns of it.
+// is closed, which tells the backend.
 func TestCancelAndShortenDeadline(t *testing.T) {
 	stub := newStubBackend(t, "", "")
 	backend, _ := newTestBackend(t, stub.Addr().String())
@@ -256,9 +256,9 @@
 	}
 }
 
-// A long response is passed on from its first bytes, is read no faster than its reader takes it, also beyond the request's
-// deadline, and its connection is reused after its last byte. One that breaks off is an error, and one that nobody reads
-// to its end gives its descriptor back.
+// A long response is forwarded from its first bytes, is read no faster than its reader reads it, also beyond the request's
+// deadline, and its connection is reused after its last byte. A truncated response is an error, and one that is released
+// before its end returns its descriptor.
 func TestStreamedResponses(t *testing.T) {
 	body := strings.Repeat("0123456789", 300_000)
 	length := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -290,20 +290,20 @@
 		assert.Equal(t, c.reused, len(stub.conns) == 1, "%s: whether the connection is reused", name)
 	}
 
-	// The first response breaks off, the second is released unread.
+	// The first response is truncated, the second is released unread.
 	stub := newStubBackend(t, length[:200_000]+"END", length)
-	backend, common := newTestBackend(t, stub.Addr().String())
+	backend, sharedConfig := newTestBackend(t, stub.Addr().String())
 	result := <-send(backend, 10*time.Second)
 	_, err := io.ReadAll(result.Reply.Stream)
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	result.Reply.Release()
 	result = <-send(backend, 10*time.Second)
 	result.Reply.Release()
-	require.Eventually(t, func() bool { return common.Budget.Used() == descriptors.New(64, nil).Used() }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return sharedConfig.Budget.Used() == descriptors.New(64, nil).Used() }, 10*time.Second, time.Millisecond)
 }
 
-// A body that is too large to buffer is sent once, as it comes from the client, and the request's timeout begins with its
-// last byte. If the client fails to send it, the backend is not to blame.
+// A body that is too large to buffer is sent once, as it arrives from the client, and the request's timeout begins with its
+// last byte. If the client fails to send it, that does not count against the backend.
 func TestStreamedBodies(t *testing.T) {
 	body := strings.Repeat("0123456789", 30_000)
 	for name, c := range map[string]struct {
@@ -363,9 +363,9 @@
 	return s.Reader.Read(b[:max(1, min(len(b), s.Len()/2))])
 }
 
-// A backend sends further bytes after a response, at once or a network delay later. They must never be taken for the next
+// A backend sends surplus bytes after a response, at once or a network delay later. They must never be read as the next
 // request's response.
-func TestBytesAfterAResponse(t *testing.T) {
+func TestSurplusBytesAfterResponse(t *testing.T) {
 	const secondResponse = okHead + "\r\nho"
 	for name, c := range map[string]struct {
 		extra string // sent with the response
@@ -394,22 +394,22 @@
 	}
 }
 
-// A backend's connections break when they are reused after some idle time. After a few breaks, connections are no longer
-// reused after so long, until the counts have decayed or other connections do well.
-func TestConnectionsThatBreakAfterIdling(t *testing.T) {
-	var breakage idleBreakage
-	for range 2 * minBreaks {
-		breakage.record(150*time.Millisecond, true)
+// A backend's connections break when they are reused after some idle time. After a few such failures, connections are no
+// longer reused after that idle time, until the counts have decayed or enough reuses have succeeded.
+func TestStaleConnectionsNotReused(t *testing.T) {
+	var stats reuseStats
+	for range 2 * minReuseFailures {
+		stats.record(150*time.Millisecond, true)
 	}
-	for idle, broken := range map[time.Duration]bool{20: false, 100: false, 130: true, 300: true, 20_000: true} {
-		assert.Equal(t, broken, breakage.isLikelyBroken(idle*time.Millisecond), idle)
+	for idle, stale := range map[time.Duration]bool{20: false, 100: false, 130: true, 300: true, 20_000: true} {
+		assert.Equal(t, stale, stats.isLikelyStale(idle*time.Millisecond), idle)
 	}
-	for range 100 { // the share of breaks is no longer unusual
-		breakage.record(150*time.Millisecond, false)
+	for range 100 { // the share of failures falls below the limit
+		stats.record(150*time.Millisecond, false)
 	}
-	assert.False(t, breakage.isLikelyBroken(150*time.Millisecond))
+	assert.False(t, stats.isLikelyStale(150*time.Millisecond))
 
-	// Twice, the second request on a connection meets a reset. From then on each request has a connection of its own.
+	// Twice, the second request on a connection ends with a reset. From then on each request has a connection of its own.
 	const hi = okHead + "\r\nhi"
 	stub := newStubBackend(t, hi, "END", hi, "END", hi, hi)
 	backend, _ := newTestBackend(t, stub.Addr().String())
@@ -425,11 +425,11 @@
 	assert.Len(t, stub.conns, 4)
 }
 
-// The backend closes a connection while it is idle. A request written to it would end as a reset, which may have run.
-// Therefore an idle connection is checked before it is used, and a write that fails all the same is repeated on a fresh one.
-func TestClosedWhileIdle(t *testing.T) {
+// The backend closes a connection while it is idle. A request written to it would end with a reset, and may have run.
+// Therefore an idle connection is checked before it is used, and a write that fails nevertheless is repeated on a new one.
+func TestConnectionClosedWhileIdle(t *testing.T) {
 	stub := newStubBackend(t, okHead+"\r\nhi", okHead+"\r\nhi", okHead+"\r\nhi")
-	backend, common := newTestBackend(t, stub.Addr().String())
+	backend, sharedConfig := newTestBackend(t, stub.Addr().String())
 	require.Equal(t, balancer.OutcomeAnswered, (<-send(backend, 10*time.Second)).Outcome)
 	idle := <-stub.conns
 	_ = idle.Close()
@@ -440,41 +440,41 @@
 	}, 10*time.Second, time.Millisecond)
 	ageIdleConns(backend)
 	assert.Equal(t, balancer.OutcomeAnswered, (<-send(backend, 10*time.Second)).Outcome)
-	<-stub.conns // a fresh one
+	<-stub.conns // a new one
 
-	// The write fails though the check found nothing wrong: nothing has run, so it is repeated on a fresh connection.
+	// The write fails although the check passed: nothing has run, so it is repeated on a new connection.
 	backend.mailbox.Put(func() { _ = backend.idle[0].Conn.(*net.TCPConn).CloseWrite() })
 	ageIdleConns(backend)
 	assert.Equal(t, balancer.OutcomeAnswered, (<-send(backend, 10*time.Second)).Outcome)
 	<-stub.conns
 
 	// A connection is closed at the idle timeout, before the backend would close it.
-	common.IdleTimeout.Set(0)
+	sharedConfig.IdleTimeout.Set(0)
 	backend.CloseIdle()
 	backend.mailbox.Put(func() { observed <- len(backend.idle) == 0 })
 	assert.True(t, <-observed)
 }
 
 // A request comes right after a response. It waits until the connection may be reused: a new connection for each such
-// request cost a backend of many nodes a handshake and a place. A second request, for which there is no other connection,
-// dials at once.
-func TestWaitsForARecentlyUsedConnection(t *testing.T) {
+// request cost a backend of many nodes a handshake and one of the connections that it accepts. A second request, for which
+// there is no other connection, dials at once.
+func TestCallWaitsForRecentlyUsedConnection(t *testing.T) {
 	stub := newStubBackend(t, okHead+"\r\nhi", okHead+"\r\nhi", okHead+"\r\nhi")
 	backend, _ := newTestBackend(t, stub.Addr().String())
 	require.Equal(t, balancer.OutcomeAnswered, (<-send(backend, time.Second)).Outcome)
 	answered := time.Now()
 	second, third := send(backend, time.Second), send(backend, time.Second)
 	require.Equal(t, balancer.OutcomeAnswered, (<-second).Outcome)
-	assert.GreaterOrEqual(t, time.Since(answered)+time.Millisecond, minIdle)
+	assert.GreaterOrEqual(t, time.Since(answered)+time.Millisecond, minReuseIdle)
 	require.Equal(t, balancer.OutcomeAnswered, (<-third).Outcome)
 	assert.Len(t, stub.conns, 2)
 }
 
 // A request is canceled, times out, or its backend drains while it waits for a connection. It is never sent, and its
-// descriptor is given back.
+// descriptor is returned.
 func TestCancelWhileWaitingForAConnection(t *testing.T) {
 	stub := newStubBackend(t, okHead+"\r\nhi")
-	backend, common := newTestBackend(t, stub.Addr().String())
+	backend, sharedConfig := newTestBackend(t, stub.Addr().String())
 	require.Equal(t, balancer.OutcomeAnswered, (<-send(backend, time.Second)).Outcome)
 	assert.Equal(t, balancer.OutcomeNotSent, (<-send(backend, time.Second, (*Call).Cancel)).Outcome)
 	assert.Equal(t, balancer.OutcomeNotSent, (<-send(backend, time.Millisecond)).Outcome)
@@ -483,5 +483,5 @@
 	assert.Equal(t, balancer.OutcomeNotSent, (<-second).Outcome)
 	<-stub.requests
 	assert.Empty(t, stub.requests)
-	assert.True(t, common.Budget.TryAcquireBackend())
+	assert.True(t, sharedConfig.Budget.TryAcquireBackend())
 }
