--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,11 +1,11 @@
 // Package admission decides which clients' connections a node accepts, and which it closes first when file descriptors
-// run short. Here "admission" is that of connections, by address; the balancer's admission.go decides on requests.
+// run short. Here "admission" means admission of connections, by address; the balancer's admission.go decides on requests.
 //
-// The rule: a client whose requests are answered is preferred to one that has shown nothing yet, and that one to a client
-// that misbehaves. What happens on the connections counts, not the address alone, since many clients may share an address.
+// A client whose requests are answered is preferred to one without an answered request, and that one to a client that
+// misbehaves. The behavior of each connection counts, not the address alone, since many clients may share an address.
 //
-// The package does no I/O and has no clock: events come in with their time in ms of any clock that does not go back,
-// and the same events give the same verdicts.
+// The package does no I/O and has no clock. The caller passes each event's time, in ms of any monotonic clock; the same
+// events give the same verdicts.
 package admission
 
 import (
@@ -14,24 +14,24 @@
 	"strings"
 )
 
-// Limits are a node's limits. Times are in ms.
+// Limits holds a node's connection limits. Times are in ms.
 type Limits struct {
-	MaxConnections      int            // of all clients
-	ReservedShare       float64        // of MaxConnections, for known clients alone
+	MaxConnections      int            // connections of all clients
+	ReservedShare       float64        // share of MaxConnections that only known clients may use
 	PressureStart       float64        // share of MaxConnections from which connections are limited by address
-	PressureEnd         float64        // and below which they no longer are
-	MaxUnproven         int            // connections without an answered request of one address under pressure; each one with an answered request allows another
-	MaxMisbehavior      float64        // misbehavior that one address may have beyond its answered requests
-	MisbehaviorHalfLife float64        // in which the count of misbehavior halves
-	KnownAfter          float64        // answered requests, decayed, from which an address is known
-	KnownHalfLife       float64        // in which the count of answered requests halves
-	SilentGrace         float64        // how long a connection without an answered request can't be evicted
-	IdleGrace           float64        // how long a connection can't be evicted after an answered request
-	MaxRemembered       int            // known addresses that are remembered without a connection
-	TrustedNetworks     []netip.Prefix // addresses that are known whatever they do
+	PressureEnd         float64        // share of MaxConnections below which that limit ends
+	MaxUnproven         int            // connections without an answered request per address under pressure; each one with an answered request allows another
+	MaxMisbehavior      float64        // decayed count of misbehavior that one address may have beyond its answered requests
+	MisbehaviorHalfLife float64        // half-life of the misbehavior count
+	KnownAfter          float64        // decayed count of answered requests from which an address is known
+	KnownHalfLife       float64        // half-life of the count of answered requests
+	SilentGrace         float64        // time during which a connection without an answered request can't be evicted
+	IdleGrace           float64        // time after an answered request during which a connection can't be evicted
+	MaxRemembered       int            // known addresses kept without an open connection
+	TrustedNetworks     []netip.Prefix // networks whose addresses are always known
 }
 
-// DefaultLimits are the limits of a node with maxConnections descriptors for clients.
+// DefaultLimits returns the limits of a node with maxConnections descriptors for clients.
 func DefaultLimits(maxConnections int) Limits {
 	return Limits{
 		MaxConnections:      maxConnections,
@@ -49,8 +49,8 @@
 	}
 }
 
-// Reason is why a connection is refused or evicted. The texts are keys of the JSON that the control socket returns
-// (docs/edge.md), so they keep their earlier words.
+// Reason says why a connection is refused or evicted. The texts are keys of the JSON that the control socket returns
+// (docs/edge.md), so they must not change.
 type Reason string
 
 // The reasons. Misbehaving, OverShare and Full refuse a connection, Silent and Idle evict one.
@@ -58,18 +58,18 @@
 	Admitted    Reason = ""
 	Misbehaving Reason = "too much that was odd came from there" // the address's misbehavior exceeds its limit
 	OverShare   Reason = "too many from there without an op"     // the address has too many connections without an answered request
-	Full        Reason = "full"                                  // all connections are taken and none may be evicted
-	Silent      Reason = "silent while others wait"              // had no answered request and made room for another
-	Idle        Reason = "idle while others wait"                // had answered requests, was idle and made room for another
+	Full        Reason = "full"                                  // MaxConnections is reached and no connection may be evicted
+	Silent      Reason = "silent while others wait"              // had no answered request and was evicted for another connection
+	Idle        Reason = "idle while others wait"                // had answered requests, was idle and was evicted for another connection
 )
 
 // Verdict is the decision on a new connection.
 type Verdict struct {
-	Reason    Reason     // Admitted, or why the connection is refused
-	Evictions []Eviction // connections to close for it
+	Reason    Reason     // Admitted, or the reason for the refusal
+	Evictions []Eviction // connections to close in its favor
 }
 
-// Eviction is a connection to close.
+// Eviction identifies a connection to close.
 type Eviction struct {
 	ID     uint64
 	Reason Reason
@@ -77,60 +77,60 @@
 
 // Controller decides on a node's connections. It is not safe for concurrent use.
 type Controller struct {
-	Refused map[Reason]uint64 // connections since the start
-	Evicted map[Reason]uint64 // connections since the start
-
-	limits          Limits
-	conns           map[uint64]*connection
-	order           []*connection // by arrival; some are closed already
-	closedInOrder   int           // of order
-	countByStanding [standingKnown + 1]int
-	underPressure   bool
-
-	sources      map[netip.Prefix]*source // with a connection, or remembered
-	remembered   []*source                // a ring of at most MaxRemembered
-	nextReplaced int                      // where in the ring the next replacement is looked for
-	forgotten    *countMinSketch          // misbehavior of sources that are not in sources
+	Refused map[Reason]uint64 // connections refused since the start
+	Evicted map[Reason]uint64 // connections evicted since the start
+
+	limits               Limits
+	conns                map[uint64]*connection
+	arrivalOrder         []*connection // may still contain closed connections
+	closedInArrivalOrder int           // closed connections in arrivalOrder
+	countByTier          [tierKnown + 1]int
+	underPressure        bool
+
+	sources              map[netip.Prefix]*source // those with a connection or in remembered
+	remembered           []*source                // ring buffer of at most MaxRemembered
+	replacementCursor    int                      // index in the ring where the next search for a replacement starts
+	forgottenMisbehavior *countMinSketch          // misbehavior of sources that are not in sources
 }
 
-// standing is what a connection was admitted as. A higher one is evicted later.
-type standing int
+// tier ranks a connection by its source at the time of admission. Higher tiers are evicted later.
+type tier int
 
 const (
-	standingUnknown   standing = iota // of an unknown source
-	standingOverShare                 // of a known source that has its part of the reserve already
-	standingKnown                     // of a known source; counts to the reserve
+	tierUnknown   tier = iota // unknown source
+	tierOverShare             // known source that has used up its part of the reserve
+	tierKnown                 // known source; counts towards the reserve
 )
 
-// connection is a client's connection.
+// connection holds the state of one client connection.
 type connection struct {
 	id            uint64
 	source        *source
-	since         float64 // when it arrived, or its latest request was answered
-	hasAnswered   bool    // a request was answered on it
+	since         float64 // ms; time of arrival or of the latest answered request
+	hasAnswered   bool    // at least one request was answered
 	hasRequest    bool    // a request is in flight
-	standing      standing
-	malformed     int // malformed requests
+	tier          tier
+	malformed     int // number of malformed requests
 	healthChecked bool
 	closed        bool
 }
 
-// New makes a controller.
+// New returns a controller with no connections.
 func New(limits Limits) *Controller {
 	return &Controller{
-		Refused:   map[Reason]uint64{},
-		Evicted:   map[Reason]uint64{},
-		limits:    limits,
-		conns:     map[uint64]*connection{},
-		sources:   map[netip.Prefix]*source{},
-		forgotten: newCountMinSketch(),
+		Refused:              map[Reason]uint64{},
+		Evicted:              map[Reason]uint64{},
+		limits:               limits,
+		conns:                map[uint64]*connection{},
+		sources:              map[netip.Prefix]*source{},
+		forgottenMisbehavior: newCountMinSketch(),
 	}
 }
 
-// MaxConnections is how many connections there may be.
+// MaxConnections returns the maximum number of connections.
 func (c *Controller) MaxConnections() int { return c.limits.MaxConnections }
 
-// SetLimits puts other limits in force, except MaxConnections. It closes no connection: connections beyond the new limits
+// SetLimits replaces the limits, except MaxConnections. It closes no connection: connections beyond the new limits
 // remain until they end or are evicted for others.
 func (c *Controller) SetLimits(limits Limits) {
 	limits.MaxConnections = c.limits.MaxConnections
@@ -138,13 +138,13 @@
 	c.updatePressure()
 }
 
-// OpenConnections is the number of connections.
+// OpenConnections returns the number of open connections.
 func (c *Controller) OpenConnections() int { return len(c.conns) }
 
 // UnderPressure reports whether connections are limited by address.
 func (c *Controller) UnderPressure() bool { return c.underPressure }
 
-// updatePressure begins and ends pressure at two different shares, so that it does not change with each connection.
+// updatePressure updates underPressure with hysteresis, so that it does not change with each connection.
 func (c *Controller) updatePressure() {
 	share := float64(len(c.conns)) / float64(c.limits.MaxConnections)
 	switch {
@@ -155,15 +155,15 @@
 	}
 }
 
-// Connect decides on a new connection. The caller gives it an id that is never used twice.
+// Connect decides on a new connection. The caller passes an id that is never reused.
 func (c *Controller) Connect(now float64, id uint64, from netip.Addr) Verdict {
 	prefix := SourceOf(from)
 	src := c.sources[prefix]
 	isKnown := c.IsKnown(now, from)
-	granted := c.standingFor(src, isKnown)
-	verdict := Verdict{Reason: c.judgeSource(now, prefix, src)}
+	granted := c.tierFor(src, isKnown)
+	verdict := Verdict{Reason: c.checkSource(now, prefix, src)}
 	if verdict.Reason == Admitted {
-		eviction, isFull := c.makeRoom(now, src, granted)
+		eviction, isFull := c.chooseEviction(now, src, granted)
 		if eviction != nil {
 			verdict.Evictions = append(verdict.Evictions, *eviction)
 		} else if isFull {
@@ -182,23 +182,23 @@
 	return verdict
 }
 
-// standingFor returns the standing that a new connection would be admitted with. A known source has standingKnown for at most
-// half the reserve's worth of connections. So an attacker who first has a few requests answered and then opens as many
-// connections as it can gets no more than that half.
-func (c *Controller) standingFor(src *source, isKnown bool) standing {
-	maxTrusted := c.limits.ReservedShare * float64(c.limits.MaxConnections) / 2
+// tierFor returns the tier that a new connection would be admitted with. A known source has tierKnown for at most half as
+// many connections as are reserved. This bounds an attacker who first has a few requests answered and then opens as many
+// connections as possible to half the reserve.
+func (c *Controller) tierFor(src *source, isKnown bool) tier {
+	maxTierKnown := c.limits.ReservedShare * float64(c.limits.MaxConnections) / 2
 	switch {
 	case !isKnown:
-		return standingUnknown
-	case src == nil || float64(src.trustedConns) < maxTrusted:
-		return standingKnown
+		return tierUnknown
+	case src == nil || float64(src.tierKnownConns) < maxTierKnown:
+		return tierKnown
 	default:
-		return standingOverShare
+		return tierOverShare
 	}
 }
 
-// judgeSource decides on a new connection by its source alone: Admitted, or why it is refused.
-func (c *Controller) judgeSource(now float64, prefix netip.Prefix, src *source) Reason {
+// checkSource decides on a new connection by its source alone. It returns Admitted or the reason for the refusal.
+func (c *Controller) checkSource(now float64, prefix netip.Prefix, src *source) Reason {
 	if c.isTrusted(prefix) {
 		return Admitted
 	}
@@ -209,11 +209,11 @@
 		misbehavior = src.misbehavior.get(now, c.limits.MisbehaviorHalfLife)
 		unproven, proven = src.unproven, src.conns-src.unproven
 	} else {
-		misbehavior = c.forgotten.get(now, c.limits.MisbehaviorHalfLife, prefix)
+		misbehavior = c.forgottenMisbehavior.get(now, c.limits.MisbehaviorHalfLife, prefix)
 	}
-	// Many clients may share an address. If the address has answered requests, misbehavior therefore does not shut it out:
-	// it may still have a few unproven connections at a time, which well-behaved clients turn into proven ones as soon as
-	// their requests are answered.
+	// Many clients may share an address. Misbehavior therefore does not block an address with answered requests: it may
+	// still have a few unproven connections at a time, which become proven as soon as the requests of well-behaved
+	// clients are answered.
 	if misbehavior > c.limits.MaxMisbehavior+answered &&
 		(answered < c.limits.KnownAfter || unproven >= c.limits.MaxUnproven/4) {
 		return Misbehaving
@@ -225,22 +225,22 @@
 }
 
 // add adds an admitted connection.
-func (c *Controller) add(now float64, id uint64, prefix netip.Prefix, granted standing) {
+func (c *Controller) add(now float64, id uint64, prefix netip.Prefix, granted tier) {
 	src := c.sources[prefix]
-	if src == nil { // never seen, or forgotten with its last connection, which may just have been evicted
-		misbehavior := c.forgotten.get(now, c.limits.MisbehaviorHalfLife, prefix)
+	if src == nil { // not seen before, or removed with its last connection, which may just have been evicted
+		misbehavior := c.forgottenMisbehavior.get(now, c.limits.MisbehaviorHalfLife, prefix)
 		src = &source{prefix: prefix, misbehavior: decayingCounter{misbehavior, now}}
 		c.sources[prefix] = src
 	}
 	src.conns++
 	src.unproven++
-	if granted == standingKnown {
-		src.trustedConns++
+	if granted == tierKnown {
+		src.tierKnownConns++
 	}
-	added := &connection{id: id, source: src, since: now, standing: granted}
+	added := &connection{id: id, source: src, since: now, tier: granted}
 	c.conns[id] = added
-	c.order = append(c.order, added)
-	c.countByStanding[granted]++
+	c.arrivalOrder = append(c.arrivalOrder, added)
+	c.countByTier[granted]++
 	c.updatePressure()
 }
 
@@ -255,7 +255,8 @@
 	return true
 }
 
-// RequestAnswered records that a connection's request has its response. That proves the connection and counts for its source.
+// RequestAnswered records that a connection's request has been answered. The connection is then proven, and the answer counts
+// for its source.
 func (c *Controller) RequestAnswered(now float64, id uint64) {
 	conn := c.conns[id]
 	if conn == nil {
@@ -269,8 +270,8 @@
 	conn.source.answered.add(now, c.limits.KnownHalfLife, 1)
 }
 
-// HealthChecked records that a connection was used for a health check. That does not prove the connection, but its end
-// without a request does not count as misbehavior.
+// HealthChecked records that a connection was used for a health check. The connection remains unproven, but does not count as
+// misbehavior if it ends without a request.
 func (c *Controller) HealthChecked(_ float64, id uint64) {
 	if conn := c.conns[id]; conn != nil {
 		conn.healthChecked = true
@@ -288,18 +289,19 @@
 	conn.source.misbehavior.add(now, c.limits.MisbehaviorHalfLife, 1)
 }
 
-// Closed records the end of a connection, by whichever side.
+// Closed records that a connection was closed, by either side.
 func (c *Controller) Closed(now float64, id uint64) {
 	if conn := c.conns[id]; conn != nil {
 		c.remove(now, conn, true)
 	}
 }
 
-// compactAfter is how many closed connections order may have before it is compacted.
+// compactAfter is the number of closed connections that arrivalOrder may hold before it is compacted.
 const compactAfter = 64
 
-// remove removes a connection. byItself is false for an eviction. A connection that ends by itself without an answered
-// request counts as misbehavior, unless a malformed request has been counted or it was for a health check.
+// remove removes a connection. byItself is false for an eviction. A connection that was not evicted and ends without an
+// answered request counts as misbehavior, unless one of its requests was already counted as malformed or it was used for a
+// health check.
 func (c *Controller) remove(now float64, removed *connection, byItself bool) {
 	src := removed.source
 	if !removed.hasAnswered {
@@ -309,16 +311,16 @@
 		}
 	}
 	src.conns--
-	if removed.standing == standingKnown {
-		src.trustedConns--
+	if removed.tier == tierKnown {
+		src.tierKnownConns--
 	}
-	c.countByStanding[removed.standing]--
+	c.countByTier[removed.tier]--
 	removed.closed = true
 	delete(c.conns, removed.id)
-	c.closedInOrder++
-	if c.closedInOrder > compactAfter && c.closedInOrder > len(c.order)/2 {
-		c.order = slices.DeleteFunc(c.order, func(other *connection) bool { return other.closed })
-		c.closedInOrder = 0
+	c.closedInArrivalOrder++
+	if c.closedInArrivalOrder > compactAfter && c.closedInArrivalOrder > len(c.arrivalOrder)/2 {
+		c.arrivalOrder = slices.DeleteFunc(c.arrivalOrder, func(other *connection) bool { return other.closed })
+		c.closedInArrivalOrder = 0
 	}
 	if src.conns == 0 {
 		c.remember(now, src)
@@ -326,14 +328,14 @@
 	c.updatePressure()
 }
 
-// AddressStats is what operators see of one address.
+// AddressStats holds the statistics of one address that operators see.
 type AddressStats struct {
 	Address     string  `json:"address"`
 	Known       bool    `json:"known"`
 	Connections int     `json:"connections"`
 	Unproven    int     `json:"unproven"` // connections without an answered request
-	Answered    float64 `json:"good"`     // requests, decayed
-	Misbehavior float64 `json:"odd"`      // decayed
+	Answered    float64 `json:"good"`     // decayed count of answered requests
+	Misbehavior float64 `json:"odd"`      // decayed count
 }
 
 // Addresses returns the addresses with connections, at most limit of them, in descending order of their connections.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// address is an IPv4 address, a different one for each number.
+// address returns an IPv4 address, a different one for each number.
 func address(number int) netip.Addr {
 	return netip.AddrFrom4([4]byte{10, byte(number >> 16), byte(number >> 8), byte(number)})
 }
 
-// fakeHost has connections as the controller says.
+// fakeHost keeps track of the connections that the controller admits and evicts.
 type fakeHost struct {
 	controller *Controller
 	now        float64
@@ -26,7 +26,7 @@
 	return &fakeHost{controller: New(limits), now: 1, open: map[uint64]netip.Addr{}}
 }
 
-// connect returns the connection's id, or the reason why it was refused.
+// connect returns the connection's id, or the reason for its refusal.
 func (h *fakeHost) connect(from netip.Addr) (uint64, Reason) {
 	h.lastID++
 	verdict := h.controller.Connect(h.now, h.lastID, from)
@@ -63,9 +63,9 @@
 	h.close(id)
 }
 
-// Clients flood the node with connections. A known client is admitted at once, and so is a new one, in the place of one of the
-// flood's.
-func TestFloods(t *testing.T) {
+// Clients flood the node with connections. A known client is admitted at once, and so is a new one, in place of one of the
+// flood's connections.
+func TestFloodDoesNotBlockOtherClients(t *testing.T) {
 	for name, flood := range map[string]func(i int) netip.Addr{
 		"one address":    func(int) netip.Addr { return address(9) },
 		"200 addresses":  func(i int) netip.Addr { return address(1000 + i%200) },
@@ -104,8 +104,8 @@
 	}
 }
 
-// Many clients share one address. As long as they are well-behaved they are admitted as clients with addresses of their own are,
-// also while one among them misbehaves.
+// Many clients share one address. As long as they are well-behaved they are admitted like clients with addresses of their own,
+// even while one of them misbehaves.
 func TestSharedAddress(t *testing.T) {
 	host := newFakeHost(DefaultLimits(192))
 	shared := address(7)
@@ -155,7 +155,7 @@
 		_, reason := host.connect(address(10 + i))
 		require.Equal(t, i < 6, reason == Admitted, "two of eight are reserved for known clients")
 	}
-	for i := range 4 { // the two reserved ones, and those of two unknown clients
+	for i := range 4 { // the two reserved places, and those of two unknown clients
 		_, reason := host.connect(address(i))
 		require.Equal(t, Admitted, reason)
 	}
@@ -163,7 +163,7 @@
 	assert.Equal(t, Full, reason)
 }
 
-// A request completes on a connection that was evicted at the same moment. It must not be taken.
+// A request completes on a connection that was evicted at the same moment. The request must not be accepted.
 func TestNoRequestOnEvictedConnection(t *testing.T) {
 	host := newFakeHost(DefaultLimits(8))
 	first, _ := host.connect(address(10))
@@ -174,7 +174,7 @@
 	require.True(t, host.controller.RequestBegan(first))
 	host.controller.RequestAnswered(host.now, first)
 	host.now += 3000
-	for i := range 6 { // each evicts one that has been quiet
+	for i := range 6 { // each evicts one that has been idle
 		_, reason := host.connect(address(20 + i))
 		require.Equal(t, Admitted, reason)
 	}
@@ -196,8 +196,8 @@
 	assert.False(t, host.controller.IsKnown(host.now+3600e3, address(1)), "the count decays")
 }
 
-// A client behaves well until it is known, and then floods. It gets no more than half the reserve by that, and unknown clients are
-// still admitted.
+// A client behaves well until it is known, and then floods. It must get no more than half the reserve, and unknown clients must
+// still be admitted.
 func TestKnownClientThatFloods(t *testing.T) {
 	host := newFakeHost(DefaultLimits(200))
 	host.makeKnown(address(1))
@@ -207,7 +207,7 @@
 			host.serveRequest(id)
 		}
 	}
-	assert.LessOrEqual(t, host.controller.sources[SourceOf(address(1))].trustedConns, 25)
+	assert.LessOrEqual(t, host.controller.sources[SourceOf(address(1))].tierKnownConns, 25)
 	admitted := 0
 	for i := range 100 {
 		host.now += 30
@@ -220,7 +220,7 @@
 	assert.Greater(t, admitted, 60, "once idle connections may be evicted, 2 s later, all are admitted")
 }
 
-// Ten million addresses come; the memory that they take is bounded.
+// Ten million addresses connect; the memory that they use is bounded.
 func TestMemoryIsBounded(t *testing.T) {
 	limits := DefaultLimits(128)
 	limits.MaxRemembered = 512
@@ -247,7 +247,7 @@
 	}
 	assert.LessOrEqual(t, len(host.controller.sources), 128+512)
 	assert.LessOrEqual(t, len(host.controller.remembered), 512)
-	assert.LessOrEqual(t, len(host.controller.order), 2*128+65)
+	assert.LessOrEqual(t, len(host.controller.arrivalOrder), 2*128+65)
 }
 
 // The sketch's counts are never too low, they decay, and they survive a change of scale.
@@ -266,20 +266,20 @@
 	assert.InDelta(t, 7, sketch.get(1e6, 100, SourceOf(address(5))), 1e-3)
 }
 
-// Whatever happens in whatever order: the counts match the connections, no connection with a request in flight is evicted, the
-// limit holds, the same events give the same verdicts, and a well-behaved client that comes back is admitted within 3 s as long as
-// connections without a request are left for it.
+// For any events in any order, the counts match the connections, no connection with a request in flight is evicted, the limit
+// holds, the same events give the same verdicts, and a well-behaved client that retries is admitted within 3 s as long as there
+// are connections without a request that can be evicted for it.
 func TestInvariantsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := DefaultLimits(rapid.IntRange(8, 40).Draw(t, "conns"))
 		limits.MaxRemembered = rapid.IntRange(1, 8).Draw(t, "addresses")
-		host, twin := newFakeHost(limits), New(limits)
+		host, duplicate := newFakeHost(limits), New(limits)
 		hasRequest := map[uint64]bool{}
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			host.now += rapid.SampledFrom([]float64{0, 1, 50, 300, 2500}).Draw(t, "passes")
 			ids := make([]uint64, 0, len(host.open))
 			for id := uint64(1); id <= host.lastID; id++ {
-				if _, there := host.open[id]; there {
+				if _, isOpen := host.open[id]; isOpen {
 					ids = append(ids, id)
 				}
 			}
@@ -287,18 +287,18 @@
 			if event == 0 || len(ids) == 0 {
 				from := address(rapid.IntRange(0, 12).Draw(t, "address"))
 				host.lastID++
-				verdict, twinVerdict := host.controller.Connect(host.now, host.lastID, from), twin.Connect(host.now, host.lastID, from)
-				require.Equal(t, verdict, twinVerdict)
-				for _, lost := range verdict.Evictions {
-					require.False(t, hasRequest[lost.ID])
-					delete(host.open, lost.ID)
+				verdict, duplicateVerdict := host.controller.Connect(host.now, host.lastID, from), duplicate.Connect(host.now, host.lastID, from)
+				require.Equal(t, verdict, duplicateVerdict)
+				for _, eviction := range verdict.Evictions {
+					require.False(t, hasRequest[eviction.ID])
+					delete(host.open, eviction.ID)
 				}
 				if verdict.Reason == Admitted {
 					host.open[host.lastID] = from
 				}
 			} else {
 				id := rapid.SampledFrom(ids).Draw(t, "id")
-				for _, controller := range []*Controller{host.controller, twin} {
+				for _, controller := range []*Controller{host.controller, duplicate} {
 					switch event {
 					case 1:
 						controller.RequestBegan(id)
@@ -320,13 +320,13 @@
 			conns, unproven, reserved := 0, 0, 0
 			for _, source := range host.controller.sources {
 				require.GreaterOrEqual(t, source.unproven, 0)
-				require.GreaterOrEqual(t, source.trustedConns, 0)
-				conns, unproven, reserved = conns+source.conns, unproven+source.unproven, reserved+source.trustedConns
+				require.GreaterOrEqual(t, source.tierKnownConns, 0)
+				conns, unproven, reserved = conns+source.conns, unproven+source.unproven, reserved+source.tierKnownConns
 			}
 			require.Equal(t, conns, host.controller.OpenConnections())
-			require.Equal(t, conns, host.controller.countByStanding[standingUnknown]+host.controller.countByStanding[standingOverShare]+host.controller.countByStanding[standingKnown])
+			require.Equal(t, conns, host.controller.countByTier[tierUnknown]+host.controller.countByTier[tierOverShare]+host.controller.countByTier[tierKnown])
 			require.LessOrEqual(t, unproven, conns)
-			require.Equal(t, reserved, host.controller.countByStanding[standingKnown])
+			require.Equal(t, reserved, host.controller.countByTier[tierKnown])
 			require.LessOrEqual(t, len(host.controller.sources), limits.MaxConnections+limits.MaxRemembered)
 		}
 		busy := 0
--- a/internal/admission/sketch.go
+++ b/internal/admission/sketch.go
@@ -11,7 +11,7 @@
 	sketchRows    = 4
 	sketchColumns = 4096
 
-	// maxSketchScale is the scale from which all cells are brought down, so that float32 holds them.
+	// maxSketchScale is the scale at which all cells are rescaled, so that they do not overflow float32.
 	maxSketchScale = 1e12
 )
 
@@ -19,8 +19,8 @@
 // improved data stream summary: the count-min sketch", 2005). A count is never too low. It is too high if each of the
 // source's cells is shared with another source.
 //
-// All counts decay alike, so the cells are kept as of one moment and the scale grows instead: a count of x now is stored
-// as x times the scale.
+// All counts decay at the same rate, so instead of updating all cells the scale grows: a count of x now is stored as x times
+// the scale.
 type countMinSketch struct {
 	cells    [sketchRows][sketchColumns]float32
 	scaledAt float64 // ms; when the scale was 1
@@ -28,8 +28,8 @@
 
 func newCountMinSketch() *countMinSketch { return &countMinSketch{} }
 
-// columns are a source's cells, one a row. One hash gives all of them (Kirsch and Mitzenmacher, "Less hashing, same
-// performance", 2006).
+// columns returns the columns of a source's cells, one per row. All are derived from one hash (Kirsch and Mitzenmacher, "Less
+// hashing, same performance", 2006).
 func (s *countMinSketch) columns(prefix netip.Prefix) (columns [sketchRows]int) {
 	address := prefix.Addr().As16()
 	hash := xxhash.Sum64(address[:])
@@ -40,7 +40,7 @@
 	return columns
 }
 
-// scale is the scale of now, after it has brought all cells down where it had grown too large.
+// scale returns the scale as of now. If it has reached maxSketchScale, scale first rescales all cells and restarts it at 1.
 func (s *countMinSketch) scale(now, halfLife float64) float64 {
 	scale := math.Exp2(math.Max(now-s.scaledAt, 0) / halfLife)
 	if scale < maxSketchScale {
@@ -55,7 +55,7 @@
 	return 1
 }
 
-// get is a source's count.
+// get returns a source's count.
 func (s *countMinSketch) get(now, halfLife float64, prefix netip.Prefix) float64 {
 	scale := s.scale(now, halfLife)
 	count := math.Inf(1)
@@ -65,7 +65,7 @@
 	return count
 }
 
-// raise sets a source's count to at least count. Callers pass a source's whole count, not what was added to it.
+// raise sets a source's count to at least count. Callers pass a source's total count, not an increment.
 func (s *countMinSketch) raise(now, halfLife float64, prefix netip.Prefix, count float64) {
 	scaled := float32(count * s.scale(now, halfLife))
 	for row, column := range s.columns(prefix) {
--- a/internal/admission/source.go
+++ b/internal/admission/source.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// source is where connections come from: an IPv4 address, or the /64 of an IPv6 address, which is one customer's
-// (RFC 6177).
+// source identifies where connections come from, by an IPv4 address or the /64 prefix of an IPv6 address, which belongs to
+// one customer (RFC 6177), and holds their counts.
 type source struct {
-	prefix       netip.Prefix
-	conns        int
-	unproven     int // connections without an answered request
-	trustedConns int // connections of standingKnown
-	answered     decayingCounter
-	misbehavior  decayingCounter
-	isRemembered bool
+	prefix         netip.Prefix
+	conns          int
+	unproven       int // connections without an answered request
+	tierKnownConns int // connections of tierKnown
+	answered       decayingCounter
+	misbehavior    decayingCounter
+	isRemembered   bool
 }
 
-// SourceOf is the source of an address.
+// SourceOf returns the prefix that identifies an address's source.
 func SourceOf(address netip.Addr) netip.Prefix {
 	address = address.Unmap()
 	bits := 32
@@ -33,7 +33,7 @@
 	return slices.ContainsFunc(c.limits.TrustedNetworks, func(network netip.Prefix) bool { return network.Contains(prefix.Addr()) })
 }
 
-// IsKnown reports whether an address is known: its requests were answered lately, or it is in a trusted network.
+// IsKnown reports whether an address is known: enough of its requests were answered recently, or it is in a trusted network.
 func (c *Controller) IsKnown(now float64, address netip.Addr) bool {
 	prefix := SourceOf(address)
 	src := c.sources[prefix]
@@ -41,16 +41,17 @@
 }
 
 const (
-	// minAnsweredToRemember remembers a source with a single answered request, whose count has decayed a little by the
-	// time its connection ends. Otherwise a client with a connection for each request would never become known.
+	// minAnsweredToRemember is the decayed count of answered requests from which a source is remembered. It is below 1,
+	// because the count of a single request has decayed a little by the time its connection ends. Otherwise a client with
+	// a connection for each request would never become known.
 	minAnsweredToRemember = 0.5
 
-	// replacementCandidates is among how many remembered sources the one to replace is chosen.
+	// replacementCandidates is the number of remembered sources among which the one to replace is chosen.
 	replacementCandidates = 8
 )
 
-// remember keeps what is known of a source whose last connection has ended: a source with answered requests in the ring, and
-// of any other only its misbehavior, in the sketch.
+// remember keeps the counts of a source whose last connection has ended. A source with answered requests is kept in the ring;
+// of any other only the misbehavior is kept, in the sketch.
 func (c *Controller) remember(now float64, src *source) {
 	answered := src.answered.get(now, c.limits.KnownHalfLife)
 	if answered < minAnsweredToRemember {
@@ -66,7 +67,7 @@
 		return
 	}
 	index, leastAnswered := c.leastAnswered(now)
-	c.nextReplaced = (c.nextReplaced + replacementCandidates) % len(c.remembered)
+	c.replacementCursor = (c.replacementCursor + replacementCandidates) % len(c.remembered)
 	if leastAnswered > answered {
 		src.isRemembered = false
 		c.forget(now, src)
@@ -85,7 +86,7 @@
 func (c *Controller) leastAnswered(now float64) (index int, answered float64) {
 	answered = math.Inf(1)
 	for offset := range min(replacementCandidates, len(c.remembered)) {
-		i := (c.nextReplaced + offset) % len(c.remembered)
+		i := (c.replacementCursor + offset) % len(c.remembered)
 		if count := c.remembered[i].answered.get(now, c.limits.KnownHalfLife); count < answered {
 			index, answered = i, count
 		}
@@ -97,11 +98,11 @@
 func (c *Controller) forget(now float64, src *source) {
 	delete(c.sources, src.prefix)
 	halfLife := c.limits.MisbehaviorHalfLife
-	c.forgotten.raise(now, halfLife, src.prefix, src.misbehavior.get(now, halfLife))
+	c.forgottenMisbehavior.raise(now, halfLife, src.prefix, src.misbehavior.get(now, halfLife))
 }
 
-// decayingCounter is a count that decays exponentially. Package balancer has a counter of its own, since the cores don't
-// import each other. Half-lives and times are in ms.
+// decayingCounter holds a count that decays exponentially. Package balancer has a counter of its own, since these packages
+// don't import each other. Half-lives and times are in ms.
 type decayingCounter struct {
 	count     float64 // as of updatedAt
 	updatedAt float64 // ms
--- a/internal/serve/peersfile.go
+++ b/internal/serve/peersfile.go
@@ -53,7 +53,7 @@
 	file           *tomlfile.File
 	keyHeader      string
 	maxAnswerBytes int
-	classes        map[string]server.WithoutQuorum // the logged classes, by name
+	classes        map[string]server.NoQuorumPolicy // the logged classes, by name
 }
 
 // ReadPeers reads the operator's file of peers, and the keys that it names.
@@ -71,7 +71,7 @@
 		file:           file,
 		keyHeader:      content.Header,
 		maxAnswerBytes: int(content.AnswersKB * 1024),
-		classes:        map[string]server.WithoutQuorum{},
+		classes:        map[string]server.NoQuorumPolicy{},
 		config: peers.Config{
 			Fleet:       content.Fleet,
 			Replicas:    content.Copies,
--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -8,15 +8,15 @@
 	"pearknot/internal/clock"
 )
 
-// refusalReserve is the number of the clients' descriptors that are reserved for connections about to be refused. In a flood
-// connections are thus closed at once and do not fill the listener's queue, in which known clients would wait as well.
+// refusalReserve is the number of the clients' descriptors that are reserved for connections about to be refused. During a
+// flood such connections are closed at once and do not fill the listener's queue, in which known clients would also wait.
 const refusalReserve = 4
 
-// maxStatsAddresses bounds the addresses in ClientStats.
+// maxStatsAddresses is the maximum number of addresses in ClientStats.
 const maxStatsAddresses = 200
 
-// connectionAdmitter applies the decisions of admission.Controller, which connections to admit and to evict, to the
-// connections. The listeners and handlers call it; no connection is closed under its lock.
+// connectionAdmitter admits and closes connections as admission.Controller decides. Listeners and handlers call it; no
+// connection is closed while its lock is held.
 type connectionAdmitter struct {
 	clock      *clock.Clock
 	onPressure func(underPressure bool) // called on each change
@@ -28,26 +28,26 @@
 	underPressure bool
 }
 
-// ClientStats is which clients are connected, and what was refused since the start. Scripts read its JSON, so the tags keep
-// earlier words: "pressed" is under pressure, "let_go" evicted.
+// ClientStats holds which clients are connected, and how many connections were refused and evicted since the start. Scripts
+// read its JSON, so the tags must not change: "pressed" means under pressure, "let_go" evicted.
 type ClientStats struct {
 	Open          int                      `json:"open"`
 	Limit         int                      `json:"limit"`
 	UnderPressure bool                     `json:"pressed"`
 	Refused       map[string]uint64        `json:"refused"`   // connections, by reason
 	Evicted       map[string]uint64        `json:"let_go"`    // connections, by reason
-	Addresses     []admission.AddressStats `json:"addresses"` // those with most connections first
+	Addresses     []admission.AddressStats `json:"addresses"` // in descending order of their connections
 }
 
-// admit decides on a new connection, closes those that are evicted for it, and reports whether it was admitted.
+// admit decides on a new connection, closes the connections that are evicted for it, and reports whether it was admitted.
 func (a *connectionAdmitter) admit(conn *clientConn) bool {
 	remote, err := netip.ParseAddrPort(conn.RemoteAddr().String())
-	if err != nil { // no address to judge by
+	if err != nil { // without an address there is nothing to decide by
 		return true
 	}
 	verdict, evicted := a.decide(conn, remote.Addr())
 	for _, other := range evicted {
-		_ = other.Close() // it has no request, and requestBegan refuses it one from now on
+		_ = other.Close() // it has no request, and requestBegan returns false for it from now on
 	}
 	return verdict.Reason == admission.Admitted
 }
@@ -57,11 +57,11 @@
 	defer a.mu.Unlock()
 	a.lastID++
 	verdict = a.controller.Connect(a.clock.Now(), a.lastID, address)
-	for _, loss := range verdict.Evictions {
-		if other := a.conns[loss.ID]; other != nil {
+	for _, eviction := range verdict.Evictions {
+		if other := a.conns[eviction.ID]; other != nil {
 			evicted = append(evicted, other)
 		}
-		delete(a.conns, loss.ID)
+		delete(a.conns, eviction.ID)
 	}
 	if verdict.Reason == admission.Admitted {
 		conn.admissionID = a.lastID
@@ -71,7 +71,7 @@
 	return verdict, evicted
 }
 
-// notifyPressure calls onPressure if connections have become scarce or suffice again. The lock must be held.
+// notifyPressure calls onPressure if pressure has begun or ended. The lock must be held.
 func (a *connectionAdmitter) notifyPressure() {
 	if underPressure := a.controller.UnderPressure(); underPressure != a.underPressure {
 		a.underPressure = underPressure
@@ -79,8 +79,8 @@
 	}
 }
 
-// requestBegan records that a complete request has come. It reports false if the connection has been evicted and is about to
-// be closed: then the request must not be taken.
+// requestBegan records that a complete request has arrived. It reports false if the connection has been evicted and is about
+// to be closed: then the request must not be accepted.
 func (a *connectionAdmitter) requestBegan(conn *clientConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -110,22 +110,22 @@
 		Open:          a.controller.OpenConnections(),
 		Limit:         a.controller.MaxConnections(),
 		UnderPressure: a.controller.UnderPressure(),
-		Refused:       countsByText(a.controller.Refused),
-		Evicted:       countsByText(a.controller.Evicted),
+		Refused:       countsByReason(a.controller.Refused),
+		Evicted:       countsByReason(a.controller.Evicted),
 		Addresses:     a.controller.Addresses(a.clock.Now(), maxStatsAddresses),
 	}
 }
 
-func countsByText(counts map[admission.Reason]uint64) map[string]uint64 {
-	byText := make(map[string]uint64, len(counts))
+func countsByReason(counts map[admission.Reason]uint64) map[string]uint64 {
+	byReason := make(map[string]uint64, len(counts))
 	for reason, count := range counts {
-		byText[string(reason)] = count
+		byReason[string(reason)] = count
 	}
-	return byText
+	return byReason
 }
 
-// reportToAdmission reports what became of a request on the connection, where connections are limited.
-func (c *clientConn) reportToAdmission(report func(core *admission.Controller, now float64, id uint64)) {
+// reportToAdmission reports the outcome of a request on the connection to the controller, if connections are limited.
+func (c *clientConn) reportToAdmission(report func(controller *admission.Controller, now float64, id uint64)) {
 	if c.admissionID == 0 {
 		return
 	}
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -15,7 +15,7 @@
 )
 
 // Many clients at once connect, check the health, send malformed requests, disconnect and are evicted, over plain HTTP and TLS,
-// while the limits change. The admitter must know exactly the connections that there are, and each descriptor must be returned
+// while the limits change. The admitter must know exactly the connections that exist, and each descriptor must be returned
 // once.
 func TestConnectionAdmission(t *testing.T) {
 	var mu sync.Mutex
@@ -23,10 +23,10 @@
 	srv, budget, _ := startTLSServer(t, 96, func(srv *Server) {
 		limits := admission.DefaultLimits(0)
 		limits.SilentGrace = 1
-		srv.EnableAdmission(limits, func(pressed bool) {
+		srv.EnableAdmission(limits, func(underPressure bool) {
 			mu.Lock()
 			defer mu.Unlock()
-			changes = append(changes, pressed)
+			changes = append(changes, underPressure)
 		})
 	})
 	require.Equal(t, (96-24)*3/4-refusalReserve, srv.ClientStats().Limit)
@@ -61,7 +61,7 @@
 		}
 	}
 	all.Wait()
-	// Each listener has one descriptor taken for whoever comes next.
+	// Each listener has acquired a descriptor for the next connection.
 	require.Eventually(t, func() bool { return srv.ClientStats().Open == 0 && budget.Clients() == 2 }, 10*time.Second, 5*time.Millisecond)
 	mu.Lock()
 	defer mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// A connection may be evicted while a request is coming in. The client sees it close, and nothing of the request is taken.
+// A connection may be evicted while a request is being received. The client sees it close, and the request is not accepted.
 func TestConnectionEvictedWithinRequest(t *testing.T) {
 	srv, _, _ := startTLSServer(t, 96, func(srv *Server) { srv.EnableAdmission(admission.DefaultLimits(0), func(bool) {}) })
 	client, err := net.Dial("tcp", srv.Address())
@@ -91,5 +91,5 @@
 	var netErr net.Error
 	assert.False(t, errors.As(err, &netErr) && netErr.Timeout(), "closed, not merely silent")
 	require.Eventually(t, func() bool { return srv.ClientStats().Open == 0 }, 5*time.Second, time.Millisecond)
-	assert.Zero(t, srv.openRequests.Load(), "nothing was taken")
+	assert.Zero(t, srv.openRequests.Load(), "no request was accepted")
 }
--- a/internal/server/body.go
+++ b/internal/server/body.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// minBodyRate is the least average rate of a request's body, in bytes a second: half the rate of the slowest clients
-	// that are known.
+	// minBodyRate is the minimum average rate of a request's body, in bytes per second: half the rate of the slowest known
+	// clients.
 	minBodyRate = 32 << 10
 
-	// bodyPause is how long a body may pause in addition.
-	bodyPause = 2 * time.Second
+	// bodyGracePeriod is the time that a body may take in addition to that.
+	bodyGracePeriod = 2 * time.Second
 
-	// maxBodyMs is how long the largest body takes at minBodyRate, in ms.
-	maxBodyMs = 1e3 * upstream.MaxBody / minBodyRate
+	// maxBodyTimeMs is the time that the largest body takes at minBodyRate, in ms.
+	maxBodyTimeMs = 1e3 * upstream.MaxBody / minBodyRate
 )
 
-// errClientGone is returned in place of the end of a body that came completely, if the client has disconnected since:
-// unread bytes had hidden the end of its connection. The backend does not get the body's end, and so never runs the request.
+// errClientGone is returned instead of io.EOF at the end of a completely received body if the client has disconnected
+// meanwhile, which unread bytes had hidden. The backend does not get the body's end, and so never runs the request.
 var errClientGone = errors.New("the client has disconnected")
 
-// bodyReader reads a client's body with a deadline that grows with the bytes that have come.
+// bodyReader reads a client's body with a deadline that grows with the bytes received.
 type bodyReader struct {
 	controller *http.ResponseController
 	source     io.Reader
@@ -35,12 +35,12 @@
 }
 
 func (b *bodyReader) Read(buffer []byte) (int, error) {
-	allowed := bodyPause + time.Duration(b.total)*time.Second/minBodyRate
+	allowed := bodyGracePeriod + time.Duration(b.total)*time.Second/minBodyRate
 	_ = b.controller.SetReadDeadline(b.start.Add(allowed))
 	n, err := b.source.Read(buffer)
 	b.total += int64(n)
-	if err == io.EOF { //nolint:errorlint // an io.Reader's end is io.EOF itself
-		// net/http reads on to notice a disconnect, and the deadline would end that.
+	if err == io.EOF { //nolint:errorlint // an io.Reader returns io.EOF itself
+		// net/http goes on reading to notice a disconnect, which the deadline would interrupt.
 		_ = b.controller.SetReadDeadline(time.Time{})
 		if b.conn != nil && b.conn.hasDisconnected() {
 			return 0, errClientGone
@@ -49,11 +49,10 @@
 	return n, err
 }
 
-// readBody reads a request's body, or of a longer one the first upstream.MaxBufferedBody+1 bytes; rest then reads what
-// follows.
+// readBody reads a request's body, but at most upstream.MaxBufferedBody+1 bytes of it; rest then reads the remaining bytes.
 func readBody(w http.ResponseWriter, r *http.Request) (body []byte, rest *bodyReader, malformed *requestError) {
 	tooLong := &requestError{http.StatusRequestEntityTooLarge, "body of more than 32 MiB"}
-	if r.ContentLength > upstream.MaxBody { // nothing of it is read
+	if r.ContentLength > upstream.MaxBody { // none of it is read
 		return nil, nil, tooLong
 	}
 	reader := &bodyReader{
@@ -61,8 +60,8 @@
 		source:     http.MaxBytesReader(w, r.Body, upstream.MaxBody),
 		start:      time.Now(),
 	}
-	// Without a body no deadline is set. If this process was paused, the deadline would have expired, which net/http takes
-	// for a client that has gone.
+	// Without a body no deadline is set. If this process was paused, the deadline would have expired, which net/http treats
+	// as a disconnect of the client.
 	if r.Body == http.NoBody {
 		return nil, reader, nil
 	}
--- a/internal/server/client_gone_logged_test.go
+++ b/internal/server/client_gone_logged_test.go
@@ -22,7 +22,7 @@
 	"pearknot/internal/requestlog"
 )
 
-// unused is an address for a member of a fleet, on a loopback address of its own.
+// unusedAddress returns an unused address for a member of a fleet, on a loopback address of its own.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.3:0")
@@ -31,8 +31,8 @@
 	return listener.Addr().String()
 }
 
-// startRequestLog starts the request log of three nodes and returns the first one's. Its links pass through proxies that delayPeers
-// makes slow.
+// startRequestLog starts the request log of three nodes and returns the first one's. Its links pass through proxies that
+// delayPeers slows down.
 func startRequestLog(t *testing.T) (first *peers.Peers, delayPeers func(time.Duration)) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -71,25 +71,25 @@
 	}
 }
 
-// The client of a logged request leaves while a retry or hedge waits for its record in the request log. The attempt that has begun
-// goes on, as whoever asks with the key wants its outcome, but no further one may begin, nor a retry of that retry. For a first
-// attempt see cmd/pearknot/peers_test.go.
+// The client of a logged request disconnects while a retry or hedge waits for its record in the request log. The attempt that has
+// begun goes on, because a later request with the key needs its outcome, but no further one may begin, nor a retry of that retry.
+// For a first attempt see cmd/pearknot/peers_test.go.
 func TestNoAttemptBeginsForLoggedRequestWhoseClientHasGone(t *testing.T) {
 	for kind, name := range map[int]string{retryAttempt: "retry", hedgeAttempt: "hedge"} {
-		for _, how := range departures {
-			t.Run(name+", "+how.name, func(t *testing.T) {
+		for _, method := range disconnectMethods {
+			t.Run(name+", "+method.name, func(t *testing.T) {
 				t.Parallel()
 				for done, round := false, 0; !done; round++ { // on a busy machine the first attempt's own record may take until a hedge is due
 					require.Less(t, round, 9)
-					t.Run(fmt.Sprint(round), func(t *testing.T) { done = goneBeforeRecord(t, kind, how) || t.Failed() })
+					t.Run(fmt.Sprint(round), func(t *testing.T) { done = goneBeforeRecord(t, kind, method) || t.Failed() })
 				}
 			})
 		}
 	}
 }
 
-// startLoggingServer starts a server whose requests are logged with two other nodes, before three backends.
-func startLoggingServer(t *testing.T, backends *attemptRecorder, pausing *pausingDecider) (srv *Server, delayPeers func(time.Duration)) {
+// startLoggingServer starts a server with three backends whose requests are logged with two other nodes.
+func startLoggingServer(t *testing.T, backends *attemptRecorder, decider *pausingDecider) (srv *Server, delayPeers func(time.Duration)) {
 	t.Helper()
 	links, delayPeers := startRequestLog(t)
 	endpoints := &discovery.List{Complete: true}
@@ -97,12 +97,12 @@
 		endpoints.Endpoints = append(endpoints.Endpoints, testEndpoint(i, backends.startBackend()))
 	}
 	srv, _, _ = startServer(t, 256, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3,
-		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, pausing.decide, endpoints,
+		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, decider.decide, endpoints,
 		func(srv *Server) {
 			srv.node.LogRequests(links)
-			srv.LogRequests(RequestLogging{Peers: links, KeyHeader: "Idempotency-Key", Classes: map[string]WithoutQuorum{"check": RejectWithoutQuorum}, MaxAnswerBytes: 1 << 10})
+			srv.LogRequests(RequestLogging{Peers: links, KeyHeader: "Idempotency-Key", Classes: map[string]NoQuorumPolicy{"check": RejectWithoutQuorum}, MaxAnswerBytes: 1 << 10})
 		})
-	require.Eventually(t, func() bool { // a majority of the log answers
+	require.Eventually(t, func() bool { // a majority of the log's nodes answers
 		results := make(chan requestlog.Result, 1)
 		now := srv.clock.Now()
 		links.Lookup("x", 1, now+1000, func(reply requestlog.Reply) { results <- reply.Result })
@@ -116,21 +116,21 @@
 	return strings.Replace(text, "X-Qos", "Idempotency-Key: k\r\nX-Qos", 1)
 }
 
-// goneBeforeRecord reports whether the attempt came at the moment that the test is about.
-func goneBeforeRecord(t *testing.T, kind int, how departure) bool {
+// goneBeforeRecord runs one round, and reports whether the attempt began at the moment that the test is about.
+func goneBeforeRecord(t *testing.T, kind int, method disconnectMethod) bool {
 	t.Helper()
 	backends := newAttemptRecorder(t, 1)
-	pausing := newPausingDecider(1)
-	pausing.isExpected = backends.hasAny
-	srv, delayPeers := startLoggingServer(t, backends, pausing)
+	decider := newPausingDecider(1)
+	decider.isExpected = backends.hasAny
+	srv, delayPeers := startLoggingServer(t, backends, decider)
 	text := requestWithCostHint("a", map[int]int{retryAttempt: 2000, hedgeAttempt: 300}[kind])
-	leave := how.begin(t, srv, withKey(text))
+	leave := method.begin(t, srv, withKey(text))
 	<-backends.began
 	if kind == retryAttempt {
 		backends.responses <- serverErrorResponse
 	}
-	<-pausing.decided
-	if backends.ignored = pausing.missed; backends.ignored {
+	<-decider.decided
+	if backends.ignored = decider.missed; backends.ignored {
 		leave()
 		waitUntilClientsGone(t, srv)
 		backends.responses <- serverErrorResponse
@@ -139,8 +139,8 @@
 		return false
 	}
 	delayPeers(250 * time.Millisecond) // the attempt's record takes 0.5 s
-	close(pausing.release)
-	close(pausing.resume)
+	close(decider.release)
+	close(decider.resume)
 	_, err := srv.node.Status(t.Context())
 	require.NoError(t, err)
 	leave()
@@ -153,15 +153,16 @@
 	return true
 }
 
-// A client leaves, with a line behind its request, while the request log looks its key up. Once that was noticed only with the log's
-// reply, up to 1.5 s later, and the request was submitted first where the key was unused or the class proceeds without quorum.
-func TestClientThatLeavesDuringLookupIsNoticed(t *testing.T) {
+// A client sends a line break after its request and disconnects while the request log looks the key up. Formerly that was noticed
+// only with the log's reply, up to 1.5 s later, and the request was submitted first if the key was unused or the class proceeds
+// without quorum.
+func TestDisconnectDuringLookupIsNoticed(t *testing.T) {
 	backends := newAttemptRecorder(t, 0)
 	srv, delayPeers := startLoggingServer(t, backends, newPausingDecider(-1))
 	delayPeers(700 * time.Millisecond)
 	conn := connectAndSend(t, srv, withKey(requestWithCostHint("a", 1)))
 	require.Eventually(t, func() bool { return srv.openRequests.Load() == 1 }, 10*time.Second, time.Millisecond)
-	_, err := io.WriteString(conn, "\r\n") // net/http reads it and does not look for the client's end any more
+	_, err := io.WriteString(conn, "\r\n") // net/http reads it and stops watching for a disconnect
 	require.NoError(t, err)
 	start := time.Now()
 	closeConn(conn)
@@ -172,9 +173,9 @@
 }
 
 // The client of a logged request closes its sending side while an attempt is in flight, and still reads. The attempt goes on, so
-// its outcome is not known: the client is told to ask again with the key. Once it got the 200 with an empty body that net/http
-// sends for a handler that writes nothing, which says that the request was served.
-func TestHalfClosedClientOfALoggedRequestIsToldToAskAgain(t *testing.T) {
+// its outcome is unknown, and the client must get 409 and repeat the request with the key. Formerly it got the 200 with an empty
+// body that net/http sends for a handler that writes nothing, as if the request had been served.
+func TestHalfClosedClientOfLoggedRequestGetsConflict(t *testing.T) {
 	backends := newAttemptRecorder(t, 1)
 	srv, _ := startLoggingServer(t, backends, newPausingDecider(-1))
 	conn := connectAndSend(t, srv, withKey(requestWithCostHint("a", 1)))
--- a/internal/server/client_gone_test.go
+++ b/internal/server/client_gone_test.go
@@ -22,13 +22,13 @@
 	"pearknot/internal/discovery"
 )
 
-// A client that closes its connection or cancels has gone, and 0.1 s later no attempt may begin for it: no first attempt, retry or
-// hedge. A busy machine may take longer than that to notice the close at all. The tests therefore stop whatever would send at the
-// moment in question, let the client leave, wait until the server has noticed, and go on. From then on not one attempt may begin.
-// How soon the server notices is bounded by disconnectCheckInterval where net/http does not look.
+// From 0.1 s after a client has closed its connection or canceled, no attempt may begin for it: no first attempt, retry or hedge.
+// A busy machine may take longer than that to notice the close. The tests therefore pause the sender of the attempt at the moment
+// in question, let the client disconnect, wait until the server has noticed, and resume. From then on no attempt may begin.
+// The time until the server notices is bounded by disconnectCheckInterval if net/http does not watch.
 //
 // A cancel is the end of a connection here, since a connection carries one request at a time and TLS offers no protocol but
-// HTTP/1.1. It may be an HTTP client's own cancel, the end of its sending alone, or TLS's end with the TCP connection left open.
+// HTTP/1.1. It may be an HTTP client's own cancel, a half close, or TLS's close_notify with the TCP connection left open.
 
 // attemptRecorder runs backends and records the attempts that begin there: the first byte of each counts.
 type attemptRecorder struct {
@@ -40,7 +40,7 @@
 	mu      sync.Mutex
 	count   int
 	conns   int
-	ignored bool // the attempts came at another moment than the test is about: nothing is asserted
+	ignored bool // the attempts began at another moment than the test is about: nothing is asserted
 }
 
 func (a *attemptRecorder) hasAny() bool {
@@ -49,8 +49,8 @@
 	return a.count > 0
 }
 
-// newAttemptRecorder makes a recorder that expects want attempts. It asserts last, once the node has stopped: all that was written
-// to a backend has been read by then.
+// newAttemptRecorder returns a recorder that expects want attempts. It asserts that during cleanup, after the node has stopped and
+// all bytes written to a backend have been read.
 func newAttemptRecorder(t *testing.T, want int) *attemptRecorder {
 	t.Helper()
 	a := &attemptRecorder{t: t, began: make(chan bool, 64), responses: make(chan string, 1)}
@@ -68,8 +68,8 @@
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		if !a.ignored {
-			assert.Equal(t, want, a.count, "attempts in all")
-			assert.Equal(t, want, a.conns, "nor is a connection opened for another")
+			assert.Equal(t, want, a.count, "total attempts")
+			assert.Equal(t, want, a.conns, "no connection is opened for another attempt")
 		}
 	})
 	return a
@@ -80,7 +80,7 @@
 	a.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(a.t, err)
-	lastClient := net.IPv4(127, 0, 0, 2) // whose connection comes behind all others
+	lastClient := net.IPv4(127, 0, 0, 2) // whose connection is the last one
 	a.reading.Go(func() {
 		defer listener.Close()
 		for conn, err := listener.Accept(); err == nil; conn, err = listener.Accept() {
@@ -126,7 +126,7 @@
 }
 
 // startUnreachableBackend starts a backend to which no connection opens until allowConnection. isConnecting reports whether one is
-// being opened, and awaitArrival waits for it and what is written to it.
+// being opened, and awaitArrival waits for it and the bytes written to it.
 func (a *attemptRecorder) startUnreachableBackend() (address string, isConnecting func() bool, allowConnection, awaitArrival func()) {
 	a.t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
@@ -137,7 +137,7 @@
 	require.NoError(a.t, err)
 	port := name.(*unix.SockaddrInet4).Port
 	address = fmt.Sprintf("127.0.0.1:%d", port)
-	filler, err := net.Dial("tcp", address) // has the only place in the listener's queue
+	filler, err := net.Dial("tcp", address) // occupies the only place in the listener's queue
 	require.NoError(a.t, err)
 	var accepted []int
 	accept := func() bool {
@@ -147,7 +147,7 @@
 		}
 		return err == nil
 	}
-	a.t.Cleanup(func() { // the node has stopped: all that it wrote has arrived
+	a.t.Cleanup(func() { // the node has stopped, so all that it wrote has arrived
 		for accept() {
 		}
 		for _, conn := range accepted {
@@ -172,25 +172,25 @@
 	return address, isConnecting, allowConnection, awaitArrival
 }
 
-// pausingDecider is a balancer that stops before it gives out one attempt and again behind it, as one with very many backends and
-// decisions to make may. The node's actor hears of nothing meanwhile.
+// pausingDecider is a balancer that pauses before it returns one attempt and again after it, as one with very many backends and
+// decisions to make may. The node's actor processes no events meanwhile.
 type pausingDecider struct {
 	balancer.Decider
-	number     int // of the attempt at which it stops; -1 is none
+	number     int // of the attempt at which it pauses; -1 is none
 	decided    chan bool
-	release    chan bool // gives the attempt out
-	resume     chan bool // goes on behind the attempt
+	release    chan bool // returns the attempt
+	resume     chan bool // continues after the attempt
 	stage      pauseStage
-	isExpected func() bool // whether the attempt comes at the moment that the test is about; nil is always
-	missed     bool        // it did not: nothing was stopped
+	isExpected func() bool // whether the attempt begins at the moment that the test is about; nil is always
+	missed     bool        // it did not, so nothing was paused
 }
 
-// pauseStage is how far a pausingDecider is.
+// pauseStage is the progress of a pausingDecider.
 type pauseStage int
 
 const (
 	beforeAttempt pauseStage = iota
-	behindAttempt
+	afterAttempt
 	resumed
 )
 
@@ -204,7 +204,7 @@
 }
 
 func (p *pausingDecider) Next() (balancer.Decision, bool) {
-	if p.stage == behindAttempt {
+	if p.stage == afterAttempt {
 		p.stage = resumed
 		<-p.resume
 	}
@@ -214,32 +214,32 @@
 		close(p.decided)
 		p.stage = resumed
 		if !p.missed {
-			p.stage = behindAttempt
+			p.stage = afterAttempt
 			<-p.release
 		}
 	}
 	return decision, more
 }
 
-// departure is a way in which a client leaves. begin connects and sends a request, leave leaves.
-type departure struct {
+// disconnectMethod is a way in which a client disconnects. begin connects and sends a request, leave disconnects.
+type disconnectMethod struct {
 	name  string
 	begin func(t *testing.T, srv *Server, text string) (leave func())
 }
 
-// plainDeparture is one of a client over plain HTTP.
-func plainDeparture(leave func(net.Conn)) func(*testing.T, *Server, string) func() {
+// plainHTTP returns the begin function of a client that uses plain HTTP and disconnects by leave.
+func plainHTTP(leave func(net.Conn)) func(*testing.T, *Server, string) func() {
 	return func(t *testing.T, srv *Server, text string) func() {
 		conn := connectAndSend(t, srv, text)
 		return func() { leave(conn) }
 	}
 }
 
-var departures = []departure{
-	{"FIN", plainDeparture(closeConn)},
-	{"RST", plainDeparture(closeWithReset)},
-	{"end of its sending", plainDeparture(func(conn net.Conn) { _ = conn.(*net.TCPConn).CloseWrite() })},
-	{"TLS's own end alone", func(t *testing.T, srv *Server, text string) func() {
+var disconnectMethods = []disconnectMethod{
+	{"FIN", plainHTTP(closeConn)},
+	{"RST", plainHTTP(closeWithReset)},
+	{"half close", plainHTTP(func(conn net.Conn) { _ = conn.(*net.TCPConn).CloseWrite() })},
+	{"TLS close_notify only", func(t *testing.T, srv *Server, text string) func() {
 		conn, err := dialTLS(srv, &tls.Config{})
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = conn.Close() })
@@ -247,7 +247,7 @@
 		require.NoError(t, err)
 		return func() { _ = conn.CloseWrite() }
 	}},
-	{"an HTTP client's cancel", func(t *testing.T, srv *Server, text string) func() {
+	{"HTTP client cancel", func(t *testing.T, srv *Server, text string) func() {
 		request, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		require.NoError(t, err)
 		request.RequestURI, request.URL.Scheme, request.URL.Host = "", "http", srv.Address()
@@ -264,14 +264,14 @@
 	}},
 }
 
-// withLongBody is a departure with a body that is streamed, so that net/http does not look for the client's end.
-func withLongBody(how departure) departure {
-	begin := how.begin
-	how.begin = func(t *testing.T, srv *Server, text string) func() {
+// withLongBody adds a body that is streamed, so that net/http does not watch for a disconnect.
+func withLongBody(method disconnectMethod) disconnectMethod {
+	begin := method.begin
+	method.begin = func(t *testing.T, srv *Server, text string) func() {
 		return begin(t, srv, strings.Replace(text, "Content-Length: 0\r\n\r\n", "Content-Length: 70000\r\n\r\n"+strings.Repeat("x", 70_000), 1))
 	}
-	how.name += " behind a long body"
-	return how
+	method.name += " after a long body"
+	return method
 }
 
 const (
@@ -285,38 +285,38 @@
 func TestNoAttemptBeginsForClientThatHasGone(t *testing.T) {
 	type moment struct {
 		name string
-		play func(*testing.T, int, departure)
+		run  func(*testing.T, int, disconnectMethod)
 	}
 	const queued, dialing = "queued", "dialing"
 	for _, when := range []moment{{queued, goneWhileQueued}, {"in the actor's mailbox", goneWhileInMailbox},
-		{dialing, goneDuringDial}, {"dialing, the end in the mailbox", goneDuringDialUnnoticed}} {
+		{dialing, goneDuringDial}, {"dialing, the disconnect in the mailbox", goneDuringDialUnnoticed}} {
 		for kind, name := range []string{"first", "retry", "hedge"} {
-			ways := departures
+			methods := disconnectMethods
 			if kind == firstAttempt {
-				ways = append(ways[:len(ways):len(ways)], withLongBody(departures[0]), withLongBody(departures[1]))
+				methods = append(methods[:len(methods):len(methods)], withLongBody(disconnectMethods[0]), withLongBody(disconnectMethods[1]))
 			}
-			for _, how := range ways {
-				if kind == firstAttempt && (when.name == queued || when.name == dialing) && (how.name == "FIN" || how.name == "RST" || strings.Contains(how.name, "long")) {
-					continue // TestRequestWhoseClientHasGoneIsNotSent, TestRequestWhoseClientLeavesDuringDialIsNotSent
+			for _, method := range methods {
+				if kind == firstAttempt && (when.name == queued || when.name == dialing) && (method.name == "FIN" || method.name == "RST" || strings.Contains(method.name, "long")) {
+					continue // TestRequestWhoseClientHasGoneIsNotSent, TestRequestWhoseClientDisconnectsDuringDialIsNotSent
 				}
-				t.Run(fmt.Sprintf("%s %s, %s", name, when.name, how.name), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s %s, %s", name, when.name, method.name), func(t *testing.T) {
 					t.Parallel()
-					when.play(t, kind, how)
+					when.run(t, kind, method)
 				})
 			}
 		}
 	}
 }
 
-// startServerWithBackends starts a server of a node with the backends at addresses and a class that may be retried and hedged.
-func startServerWithBackends(t *testing.T, pausing *pausingDecider, addresses ...string) *Server {
+// startServerWithBackends starts a server whose node has the backends at addresses and a class that may be retried and hedged.
+func startServerWithBackends(t *testing.T, decider *pausingDecider, addresses ...string) *Server {
 	t.Helper()
 	endpoints := &discovery.List{Complete: true}
 	for i, address := range addresses {
 		endpoints.Endpoints = append(endpoints.Endpoints, testEndpoint(i, address))
 	}
 	srv, _, _ := startServer(t, 256, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 3, AllowHedging: true, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3,
-		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, pausing.decide, endpoints)
+		OverloadMultiple: 3, OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 50e3, PriorityWeight: 1, LateWeight: 1}}}, decider.decide, endpoints)
 	return srv
 }
 
@@ -333,32 +333,32 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-// waitUntilClientsGone waits until the server has noticed all clients' departure.
+// waitUntilClientsGone waits until the server has noticed that all clients have disconnected.
 func waitUntilClientsGone(t *testing.T, srv *Server) {
 	t.Helper()
 	require.Eventually(t, func() bool { return srv.openRequests.Load() == 0 }, 10*time.Second, time.Millisecond)
 }
 
-// requestWithCostHint is a request whose hedge is due about 4 * ms after its first attempt.
+// requestWithCostHint returns a request whose hedge is due about 4 * ms after its first attempt.
 func requestWithCostHint(id string, ms int) string {
 	return strings.Replace(requestText(id, 0), "X-Size-Hint: 100", fmt.Sprintf("X-Size-Hint: %d000", ms), 1)
 }
 
-// goneWhileQueued: the client leaves before the balancer has decided on the attempt. A first attempt waits for capacity, a retry for
-// the attempt before it, a hedge for its time.
-func goneWhileQueued(t *testing.T, kind int, how departure) {
+// goneWhileQueued tests a client that disconnects before the balancer has decided on the attempt. A first attempt waits for
+// capacity, a retry for the attempt before it, a hedge for its time.
+func goneWhileQueued(t *testing.T, kind int, method disconnectMethod) {
 	t.Helper()
 	attempts := map[int]int{firstAttempt: 4, retryAttempt: 1, hedgeAttempt: 1}[kind]
 	backends := newAttemptRecorder(t, attempts)
-	pausing := newPausingDecider(-1)
-	if kind == firstAttempt { // a node has four requests in flight at a backend of which it knows nothing
-		srv := startServerWithBackends(t, pausing, backends.startBackend())
+	decider := newPausingDecider(-1)
+	if kind == firstAttempt { // a node has four requests in flight at a backend that is new to it
+		srv := startServerWithBackends(t, decider, backends.startBackend())
 		var inFlight []net.Conn
 		for i := range attempts {
 			inFlight = append(inFlight, connectAndSend(t, srv, requestWithCostHint(fmt.Sprint("fill ", i), 1000)))
 			<-backends.began
 		}
-		leave := how.begin(t, srv, requestWithCostHint("a", 1000))
+		leave := method.begin(t, srv, requestWithCostHint("a", 1000))
 		require.Eventually(t, func() bool { return srv.openRequests.Load() == int64(attempts+1) }, 10*time.Second, time.Millisecond)
 		leave()
 		waitForOpenRequests(t, srv, attempts)
@@ -370,8 +370,8 @@
 		waitForOpenRequests(t, srv, 0)
 		return
 	}
-	srv := startServerWithBackends(t, pausing, backends.startBackend(), backends.startBackend(), backends.startBackend())
-	leave := how.begin(t, srv, requestWithCostHint("a", 2000))
+	srv := startServerWithBackends(t, decider, backends.startBackend(), backends.startBackend(), backends.startBackend())
+	leave := method.begin(t, srv, requestWithCostHint("a", 2000))
 	<-backends.began
 	leave()
 	waitUntilClientsGone(t, srv)
@@ -381,55 +381,56 @@
 	waitForOpenRequests(t, srv, 0)
 }
 
-// goneWhileInMailbox: the balancer has decided on the attempt, which has not begun, and the client's departure is in the mailbox of
-// an actor that has stopped.
-func goneWhileInMailbox(t *testing.T, kind int, how departure) {
+// goneWhileInMailbox tests a client that disconnects after the balancer has decided on the attempt, which has not begun. The
+// disconnect is in the mailbox of the node's actor, which is paused.
+func goneWhileInMailbox(t *testing.T, kind int, method disconnectMethod) {
 	t.Helper()
 	backends := newAttemptRecorder(t, map[int]int{firstAttempt: 0, retryAttempt: 1, hedgeAttempt: 1}[kind])
-	pausing := newPausingDecider(map[int]int{firstAttempt: 0, retryAttempt: 1, hedgeAttempt: 1}[kind])
-	srv := startServerWithBackends(t, pausing, backends.startBackend(), backends.startBackend(), backends.startBackend())
-	leave := how.begin(t, srv, requestWithCostHint("a", map[int]int{firstAttempt: 1, retryAttempt: 2000, hedgeAttempt: 1}[kind]))
+	decider := newPausingDecider(map[int]int{firstAttempt: 0, retryAttempt: 1, hedgeAttempt: 1}[kind])
+	srv := startServerWithBackends(t, decider, backends.startBackend(), backends.startBackend(), backends.startBackend())
+	leave := method.begin(t, srv, requestWithCostHint("a", map[int]int{firstAttempt: 1, retryAttempt: 2000, hedgeAttempt: 1}[kind]))
 	if kind != firstAttempt {
 		<-backends.began
 	}
 	if kind == retryAttempt {
 		backends.responses <- serverErrorResponse
 	}
-	<-pausing.decided
+	<-decider.decided
 	leave()
 	waitUntilClientsGone(t, srv)
-	close(pausing.release)
-	select { // an attempt would begin at once; that none does has no event to wait for
+	close(decider.release)
+	select { // an attempt would begin at once; no event shows that none does
 	case <-backends.began:
 	case <-time.After(100 * time.Millisecond):
 	}
-	close(pausing.resume)
+	close(decider.resume)
 	waitForOpenRequests(t, srv, 0)
 }
 
-// goneDuringDial: the attempt's connection does not open until the client has gone and the node's actor has heard of that.
-func goneDuringDial(t *testing.T, kind int, how departure) {
-	goneDuringDialOf(t, kind, how, newPausingDecider(-1))
+// goneDuringDial tests an attempt whose connection does not open until the client has disconnected and the node's actor has
+// processed that.
+func goneDuringDial(t *testing.T, kind int, method disconnectMethod) {
+	goneDuringDialWith(t, kind, method, newPausingDecider(-1))
 }
 
-// goneDuringDialUnnoticed: the same, and the node's actor has not heard of it.
-func goneDuringDialUnnoticed(t *testing.T, kind int, how departure) {
-	goneDuringDialOf(t, kind, how, newPausingDecider(map[int]int{firstAttempt: 0, retryAttempt: 1, hedgeAttempt: 1}[kind]))
+// goneDuringDialUnnoticed is like goneDuringDial, but the node's actor has not processed the disconnect.
+func goneDuringDialUnnoticed(t *testing.T, kind int, method disconnectMethod) {
+	goneDuringDialWith(t, kind, method, newPausingDecider(map[int]int{firstAttempt: 0, retryAttempt: 1, hedgeAttempt: 1}[kind]))
 }
 
-func goneDuringDialOf(t *testing.T, kind int, how departure, pausing *pausingDecider) {
+func goneDuringDialWith(t *testing.T, kind int, method disconnectMethod, decider *pausingDecider) {
 	t.Helper()
 	backends := newAttemptRecorder(t, map[int]int{firstAttempt: 0, retryAttempt: 1, hedgeAttempt: 1}[kind])
 	address, isConnecting, allowConnection, awaitArrival := backends.startUnreachableBackend()
-	close(pausing.release)
+	close(decider.release)
 	var srv *Server
 	var leave func()
 	if kind == firstAttempt {
-		srv = startServerWithBackends(t, pausing, address)
-		leave = how.begin(t, srv, requestWithCostHint("a", 1))
+		srv = startServerWithBackends(t, decider, address)
+		leave = method.begin(t, srv, requestWithCostHint("a", 1))
 	} else {
-		srv = startServerWithBackends(t, pausing, backends.startBackend())
-		leave = how.begin(t, srv, requestWithCostHint("a", map[int]int{retryAttempt: 2000, hedgeAttempt: 100}[kind]))
+		srv = startServerWithBackends(t, decider, backends.startBackend())
+		leave = method.begin(t, srv, requestWithCostHint("a", map[int]int{retryAttempt: 2000, hedgeAttempt: 100}[kind]))
 		<-backends.began
 		srv.node.EndpointsChanged(&discovery.List{Version: 1, Endpoints: []discovery.Endpoint{testEndpoint(9, address)}})
 		if kind == retryAttempt {
@@ -442,9 +443,9 @@
 	leave()
 	waitUntilClientsGone(t, srv)
 	allowConnection()
-	if pausing.number >= 0 {
+	if decider.number >= 0 {
 		awaitArrival()
-		close(pausing.resume)
+		close(decider.resume)
 	}
 	waitForOpenRequests(t, srv, 0)
 }
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// interruptDeadlineAge tells a read deadline by which net/http interrupts a read, which lies years in the past, from a
-	// deadline that has expired.
+	// interruptDeadlineAge distinguishes a read deadline by which net/http interrupts a read, which lies years in the past,
+	// from one that has expired.
 	interruptDeadlineAge = 24 * time.Hour
 
-	// lateReadTimeout is for reading bytes that had already come when a read deadline expired.
+	// lateReadTimeout is the timeout for reading bytes that had already arrived when a read deadline expired.
 	lateReadTimeout = 200 * time.Millisecond
 
-	// defaultTransitMs is the assumed time from the client to this machine where nothing better is known, in ms.
+	// defaultTransitMs is the assumed time from the client to this machine if no measurement is available, in ms.
 	defaultTransitMs = 2.0
 )
 
@@ -35,14 +35,14 @@
 	draining atomic.Bool
 }
 
-// Accept returns net.ErrClosed also when the queue is empty after drain.
+// Accept returns the next admitted connection. It returns net.ErrClosed also when the queue is empty after drain.
 func (l *listener) Accept() (net.Conn, error) {
 	if !l.budget.AcquireClient() {
 		return nil, net.ErrClosed
 	}
 	for {
 		if l.draining.Load() {
-			_ = l.SetDeadline(time.Now().Add(listenerQuiet))
+			_ = l.SetDeadline(time.Now().Add(listenerQuietPeriod))
 		}
 		tcp, err := l.AcceptTCP()
 		if err != nil {
@@ -61,13 +61,13 @@
 	}
 }
 
-// drain makes Accept end once no connection has come for listenerQuiet.
+// drain makes Accept end once no connection has arrived for listenerQuietPeriod.
 func (l *listener) drain() {
 	l.draining.Store(true)
-	_ = l.SetDeadline(time.Now().Add(listenerQuiet))
+	_ = l.SetDeadline(time.Now().Add(listenerQuietPeriod))
 }
 
-// resetConn resets a connection that was refused. An orderly close would leave its state in this kernel for a while.
+// resetConn resets a refused connection. After an orderly close the kernel would keep its state for a while.
 func resetConn(tcp *net.TCPConn) {
 	_ = tcp.SetLinger(0)
 	_ = tcp.Close()
@@ -75,22 +75,22 @@
 
 // clientConn is a client's connection. Closing it returns its descriptor to the budget, once.
 //
-// A connection is never closed while it has a request. net/http closes idle connections by a state that may be out of date,
-// and a client whose connection closes without a response sends its request again: a request that had already been taken
-// would run twice. Close therefore does nothing while the connection has a request.
+// A connection is never closed while it has a request. net/http closes idle connections based on a state that may be out of
+// date, and a client whose connection closes without a response sends its request again: a request that had already been
+// accepted would run twice. Close therefore does nothing while the connection has a request.
 type clientConn struct {
 	net.Conn    // the TCP connection, or the TLS one on it
 	tcp         *net.TCPConn
 	budget      *descriptors.Budget
 	admitter    *connectionAdmitter
-	admissionID uint64 // by which the admitter knows the connection; 0 is none
+	admissionID uint64 // id of the connection at the admitter; 0 is none
 
 	mu              sync.Mutex
 	hasRequest      bool
 	closed          bool
 	framing         framing
-	readInterrupted bool // net/http has interrupted its read: nothing is to be read now
-	pipelined       bool // bytes came behind a request before its response
+	readInterrupted bool // net/http has interrupted its read, so nothing may be read now
+	pipelined       bool // bytes arrived after a request and before its response
 	disconnectWatch
 }
 
@@ -106,7 +106,7 @@
 	return context.WithValue(ctx, connContextKey{}, conn)
 }
 
-// CloseWrite closes the sending side. net/http calls it before Close where the client may still be sending.
+// CloseWrite closes the sending side. net/http calls it before Close if the client may still be sending.
 func (c *clientConn) CloseWrite() error {
 	if conn, ok := c.Conn.(*tls.Conn); ok {
 		return conn.CloseWrite()
@@ -133,36 +133,36 @@
 	if c.framing.observe(buffer[:n]) {
 		c.pipelined = true
 	}
-	// net/http reads a single byte where it looks for a client that disconnects, and looks no more once that has come.
+	// net/http reads a single byte to notice a disconnect, and stops watching once that byte has arrived.
 	c.httpStoppedWatching = len(buffer) == 1 && n == 1
 	if c.httpStoppedWatching && c.hasRequest {
-		const reads = true
-		c.startWatch(reads)
+		const readsTrailing = true
+		c.startWatch(readsTrailing)
 	}
 	return n, err
 }
 
-// extendLateRead extends a read deadline that expired although the first bytes of a request had come. Then this process was
-// paused, not the client, which may have sent the whole request and must get a response.
+// extendLateRead extends a read deadline that expired although the first bytes of a request had arrived. Then this process
+// was paused, not the client, which may have sent the whole request and must get a response.
 func (c *clientConn) extendLateRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.readInterrupted || c.closed || c.framing.stage != stageBetween || c.Conn != net.Conn(c.tcp) {
+	if c.readInterrupted || c.closed || c.framing.stage != stageIdle || c.Conn != net.Conn(c.tcp) {
 		return false
 	}
 	n, _ := c.peek()
 	return n > 0 && c.tcp.SetReadDeadline(time.Now().Add(lateReadTimeout)) == nil
 }
 
-// isWithinRequest reports whether a part of a request has come. net/http's state shows that only once the header is
+// isWithinRequest reports whether a part of a request has arrived. net/http's state shows that only once the header is
 // complete, which may take seconds.
 func (c *clientConn) isWithinRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.framing.stage != stageBetween
+	return c.framing.stage != stageIdle
 }
 
-// framingError returns why the bytes read are not exactly one request; "" means that they are. The text is the body of a
+// framingError returns why the bytes read are not exactly one request, or "" if they are. The text is the body of a
 // 400 and must not change: "a length and an encoding" are Content-Length and Transfer-Encoding, and "a further op before the
 // answer" is a pipelined request.
 func (c *clientConn) framingError() string {
@@ -178,7 +178,7 @@
 }
 
 // beginResponse is called before a response's first byte. It reports whether the connection has to close after the
-// response: what is left of a request, or came behind it, must not be taken for the next one.
+// response: the unread rest of a request, or bytes after it, must not be parsed as the next one.
 func (c *clientConn) beginResponse() (isLast bool) {
 	c.stopWatch()
 	c.mu.Lock()
@@ -188,16 +188,16 @@
 	return isLast
 }
 
-// takeRequest marks the connection as having a request. It reports false if the connection was closed or evicted before.
-func (c *clientConn) takeRequest(isStreamed bool) bool {
+// beginRequest marks the connection as having a request. It reports false if the connection has been closed or evicted.
+func (c *clientConn) beginRequest(isStreamed bool) bool {
 	if c.admissionID != 0 && !c.admitter.requestBegan(c) {
 		return false
 	}
 	return c.claimForRequest(isStreamed)
 }
 
-// claimForRequest prevents the connection from being closed until releaseFromRequest. It starts a disconnectWatch where
-// net/http does not notice a disconnect: the body is streamed, or a byte has come behind the request.
+// claimForRequest prevents the connection from being closed until releaseFromRequest. It starts a disconnectWatch if
+// net/http does not notice a disconnect: the body is streamed, or a byte has arrived after the request.
 func (c *clientConn) claimForRequest(isStreamed bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -207,8 +207,8 @@
 	c.hasRequest = true
 	c.disconnectWatch = disconnectWatch{gone: make(chan struct{}), httpStoppedWatching: c.httpStoppedWatching}
 	if isStreamed || c.httpStoppedWatching {
-		reads := !isStreamed // of a streamed body the bytes are read elsewhere
-		c.startWatch(reads)
+		readsTrailing := !isStreamed // of a streamed body the bytes are read elsewhere
+		c.startWatch(readsTrailing)
 	}
 	return true
 }
@@ -221,7 +221,8 @@
 	c.hasRequest = false
 }
 
-// Close does nothing while the connection has a request: net/http closes it again after that when it shuts down.
+// Close closes the connection. It does nothing while the connection has a request: net/http closes it again after that when
+// it shuts down.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -236,7 +237,7 @@
 		defer c.budget.ReleaseClient()
 		return c.tcp.Close()
 	}
-	go func() { // TLS's last record may wait for a client that does not read
+	go func() { // writing TLS's close_notify may block on a client that does not read
 		defer c.budget.ReleaseClient()
 		_ = c.Conn.Close()
 	}()
@@ -244,7 +245,8 @@
 }
 
 // transitTimeMs returns how long ago the client sent the request that was just read, in ms: the time that its last bytes
-// waited on this machine, and half a round trip. A busy node reads late, but a request's time counts from its sending.
+// waited on this machine, and half a round trip. A busy node reads late, but a request's time to live counts from when the
+// client sent it.
 func (c *clientConn) transitTimeMs() float64 {
 	socket, err := c.tcp.SyscallConn()
 	if err != nil {
--- a/internal/server/decode.go
+++ b/internal/server/decode.go
@@ -13,8 +13,8 @@
 	"pearknot/internal/upstream"
 )
 
-// Header fields of requests. Their names are the protocol's; backends get them unchanged. The protocol's words in code: QoS
-// or category is a class, a customer a tenant, a second try a client's retry, a size hint a cost hint.
+// Header fields of requests. Their names are part of the protocol; backends get them unchanged. The protocol's QoS or category
+// is a class, its customer a tenant, its second try a client's retry, and its size hint a cost hint.
 const (
 	idHeader          = "X-Trace-Id"
 	classHeader       = "X-Qos"
@@ -26,9 +26,9 @@
 // maxTTLMs bounds a request's time to live to what a clock can hold, in ms.
 const maxTTLMs = 3600e3
 
-// requestError is why a request is refused. The client gets the status, and the reason as the body. Reasons are the
-// protocol's texts and must not change: "odd X" means that the field X is malformed, "no or several X" that it must be
-// there exactly once, and a category is a class.
+// requestError says why a request is refused. The client gets the status, and the reason as the body. Reasons are part of
+// the protocol and must not change: "odd X" means that the field X is malformed, "no or several X" that it must be present
+// exactly once, and a category is a class.
 type requestError struct {
 	status int
 	reason string
@@ -38,7 +38,7 @@
 	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// requestHeader is the decoded part of a request's header.
+// requestHeader holds the decoded fields of a request's header.
 type requestHeader struct {
 	class       int
 	ttlMs       float64
@@ -46,8 +46,8 @@
 	hasCostHint bool
 }
 
-// decode reads a request and its body, or of a body that is streamed its buffered beginning. It returns a requestError if
-// the request is malformed.
+// decode reads a request and its body; of a streamed body it reads the beginning that is buffered. It returns a requestError
+// if the request is malformed.
 func (s *Server) decode(w http.ResponseWriter, r *http.Request, conn *clientConn) (*node.Request, *requestError) {
 	if reason := conn.framingError(); reason != "" {
 		return nil, badRequest("%s", reason)
@@ -61,16 +61,16 @@
 	if malformed != nil {
 		return nil, malformed
 	}
-	if reason := conn.framingError(); reason != "" { // the body's last bytes may have brought more
+	if reason := conn.framingError(); reason != "" { // more bytes may have arrived with the end of the body
 		return nil, badRequest("%s", reason)
 	}
 	timeLeft := header.ttlMs
 	var streamed *upstream.StreamedBody
 	if len(body) > upstream.MaxBufferedBody {
-		// The rest is passed on as it comes, and the request's time begins with its last byte.
+		// The rest is passed on as it arrives, and the request's time to live counts from its last byte.
 		rest.conn = conn
 		streamed = &upstream.StreamedBody{Size: r.ContentLength, Timeout: clock.Duration(header.ttlMs - defaultTransitMs), Reader: rest}
-		timeLeft += maxBodyMs
+		timeLeft += maxBodyTimeMs
 	}
 	now := s.clock.Now()
 	request := node.NewRequest(upstream.NewMessage(r.Method, r.RequestURI, r.Host, r.Header, body, streamed))
@@ -92,7 +92,7 @@
 
 // decodeHeader reads a request's header fields.
 func decodeHeader(r *http.Request, deployment *config.Deployment) (header requestHeader, malformed *requestError) {
-	// A field must not be there twice: a backend may read the other one.
+	// A field must not occur twice: a backend may read the other one.
 	for _, name := range []string{idHeader, classHeader, upstream.ExpiresHeader} {
 		if r.Header.Get(name) == "" || len(r.Header[name]) > 1 {
 			return header, badRequest("no or several %s", name)
--- a/internal/server/disconnect.go
+++ b/internal/server/disconnect.go
@@ -10,50 +10,50 @@
 )
 
 // net/http notices a client that disconnects because it goes on reading while a request is in flight. It does not do so
-// while the request's body is unread, and it stops once a byte has come behind the request. No attempt may begin for a
-// client that has gone, so in these two cases disconnectWatch looks for the end of the connection.
+// while the request's body is unread, and it stops once a byte has arrived after the request. No attempt may begin for a
+// client that has disconnected, so in these two cases disconnectWatch checks for the end of the connection.
 //
-// That rule is a term of the operators' contract, see "A client that disconnects" in docs/design.md: from 0.1 s after a client
-// has closed its connection, no attempt begins for its request.
+// The operators' contract requires this, see "A client that disconnects" in docs/design.md: from 0.1 s after a client has
+// closed its connection, no attempt begins for its request.
 const (
 	// disconnectCheckInterval is a quarter of the contract's 0.1 s.
 	disconnectCheckInterval = 25 * time.Millisecond
 
-	// maxReadBehind bounds the bytes behind a request that are read between two checks. The end of the connection can be
+	// maxTrailingBytes bounds the bytes after a request that are read between two checks. The end of the connection can be
 	// seen only after them, but a client that floods the connection must not cost much.
-	maxReadBehind = 16 << 10
+	maxTrailingBytes = 16 << 10
 
-	// behindBufferBytes is the size of one such read.
-	behindBufferBytes = 4 << 10
+	// trailingBufferBytes is the size of the buffer for one such read.
+	trailingBufferBytes = 4 << 10
 )
 
-// disconnectWatch is the watch for a client that disconnects. Its fields are under its connection's lock.
+// disconnectWatch holds the state of the watch for a client's disconnect. The connection's lock protects its fields.
 type disconnectWatch struct {
-	gone                chan struct{} // closed when the client has gone while its request is in flight
+	gone                chan struct{} // closed when the client has disconnected while its request is in flight
 	stop                chan struct{} // ends the watch; nil while there is none
 	done                chan struct{} // closed when the watch has ended
-	reads               bool          // the watch reads what comes behind the request
-	httpStoppedWatching bool          // a byte has come behind the request, so net/http notices nothing more
-	responseBegun       bool          // no watch is needed: the writes show whether the client is there
+	readsTrailing       bool          // the watch reads the bytes after the request
+	httpStoppedWatching bool          // a byte has arrived after the request, so net/http no longer notices a disconnect
+	responseBegun       bool          // no watch is needed: writes fail if the client has disconnected
 }
 
-// startWatch begins to watch for the client's disconnect. reads says that the watch reads what comes behind the request.
-// The connection's lock must be held.
-func (c *clientConn) startWatch(reads bool) {
+// startWatch begins to watch for the client's disconnect. readsTrailing says whether the watch reads the bytes after the
+// request. The connection's lock must be held.
+func (c *clientConn) startWatch(readsTrailing bool) {
 	if c.stop == nil && !c.responseBegun {
-		c.stop, c.done, c.reads = make(chan struct{}), make(chan struct{}), reads
-		go c.watchForDisconnect(c.gone, c.stop, c.done, reads)
+		c.stop, c.done, c.readsTrailing = make(chan struct{}), make(chan struct{}), readsTrailing
+		go c.watchForDisconnect(c.gone, c.stop, c.done, readsTrailing)
 	}
 }
 
-func (c *clientConn) watchForDisconnect(gone chan<- struct{}, stop <-chan struct{}, done chan<- struct{}, reads bool) {
+func (c *clientConn) watchForDisconnect(gone chan<- struct{}, stop <-chan struct{}, done chan<- struct{}, readsTrailing bool) {
 	defer close(done)
 	tick := time.NewTicker(disconnectCheckInterval)
 	defer tick.Stop()
-	buffer := make([]byte, behindBufferBytes)
+	buffer := make([]byte, trailingBufferBytes)
 	for {
-		if reads {
-			isStopped, err := c.readBehind(buffer, stop)
+		if readsTrailing {
+			isStopped, err := c.readTrailing(buffer, stop)
 			if isStopped {
 				return
 			}
@@ -74,9 +74,9 @@
 	}
 }
 
-// readBehind reads up to maxReadBehind of what comes behind the request, until stop is closed or the connection ends.
-func (c *clientConn) readBehind(buffer []byte, stop <-chan struct{}) (isStopped bool, err error) {
-	for total := 0; total < maxReadBehind; {
+// readTrailing reads up to maxTrailingBytes of the bytes after the request, until stop is closed or the connection ends.
+func (c *clientConn) readTrailing(buffer []byte, stop <-chan struct{}) (isStopped bool, err error) {
+	for total := 0; total < maxTrailingBytes; {
 		n, err := c.Conn.Read(buffer)
 		total += n
 		c.mu.Lock()
@@ -96,19 +96,19 @@
 	return false, nil
 }
 
-// stopWatch ends the watch, if there is one, and lets none begin until the next request.
+// stopWatch ends the watch, if there is one, and prevents another from starting until the next request.
 func (c *clientConn) stopWatch() {
 	c.mu.Lock()
 	c.responseBegun = true
-	stop, done, reads := c.stop, c.done, c.reads
+	stop, done, readsTrailing := c.stop, c.done, c.readsTrailing
 	c.stop = nil
 	c.mu.Unlock()
 	if stop == nil {
 		return
 	}
 	close(stop)
-	if !reads {
-		// net/http may be reading. A deadline would interrupt that read, which net/http takes for a client that has gone,
+	if !readsTrailing {
+		// net/http may be reading. A deadline would interrupt that read, which net/http treats as a disconnect of the client
 		// for all further requests of the connection.
 		<-done
 		return
@@ -118,7 +118,7 @@
 	_ = c.Conn.SetReadDeadline(time.Time{})
 }
 
-// hasUnreadData reports whether the connection has something to read: bytes, or its end.
+// hasUnreadData reports whether the connection is readable: bytes have arrived, or its end.
 func (c *clientConn) hasUnreadData() bool {
 	n, err := c.peek()
 	return n > 0 || !errors.Is(err, unix.EAGAIN)
--- a/internal/server/disconnect_test.go
+++ b/internal/server/disconnect_test.go
@@ -28,13 +28,13 @@
 	"pearknot/internal/node"
 )
 
-// slowBackend is a backend that responds to each request only when release is received from or closed.
+// slowBackend is a backend that responds to a request only once release delivers a value or is closed.
 type slowBackend struct {
 	net.Listener
 	release chan struct{}
 
 	mu  sync.Mutex
-	ids []string // of the requests that came completely
+	ids []string // of the completely received requests
 }
 
 func startSlowBackend(t *testing.T) *slowBackend {
@@ -75,7 +75,7 @@
 	}
 }
 
-// requestIDs are the sorted ids of the requests that came completely.
+// requestIDs returns the sorted ids of the completely received requests.
 func (b *slowBackend) requestIDs() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,8 +84,8 @@
 	return ids
 }
 
-// startServerBefore starts a server of a node whose one backend is at address.
-func startServerBefore(t *testing.T, address string, limit int) (*Server, *descriptors.Budget) {
+// startServerWithBackend starts a server whose node has one backend, at address.
+func startServerWithBackend(t *testing.T, address string, limit int) (*Server, *descriptors.Budget) {
 	t.Helper()
 	srv, budget, _ := startServer(t, limit, &balancer.Config{Seed: 1, Nodes: 1, MaxAttempts: 1, CancelAttempts: true, PollEndpoints: true, PollInterval: 60e3, OverloadMultiple: 3,
 		OverloadWindow: 1000, Classes: []balancer.Class{{LatencyObjective: 60e3, PriorityWeight: 1, LateWeight: 1}}},
@@ -104,8 +104,8 @@
 	return conn
 }
 
-// occupyBackend sends as many requests as the node has in flight at a backend of which it knows nothing; further ones are
-// queued. It returns their connections.
+// occupyBackend sends as many requests as the node has in flight at a backend that is new to it; further ones are queued. It
+// returns their connections.
 func occupyBackend(t *testing.T, srv *Server, backend *slowBackend) (conns []net.Conn) {
 	t.Helper()
 	for i := range 4 {
@@ -125,43 +125,43 @@
 	assert.False(t, response.Close)
 }
 
-// requestText is a request's header, for a body of size bytes.
+// requestText returns a request's header, for a body of size bytes.
 func requestText(id string, size int) string {
 	return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: %s\r\nX-Qos: check\r\nX-Expires-In-Ms: 50000\r\nX-Size-Hint: 100\r\nContent-Length: %d\r\n\r\n", id, size)
 }
 
-// Clients disconnect in every way while their requests are queued. Not one of the requests may be sent afterwards. Clients with
-// bytes behind their request, or with an unread body, once went unnoticed, since net/http does not look for their end.
+// Clients disconnect in every way while their requests are queued. None of the requests may be sent afterwards. Disconnects of
+// clients with bytes after their request, or with an unread body, were formerly missed, since net/http does not watch for them.
 func TestRequestWhoseClientHasGoneIsNotSent(t *testing.T) {
 	const clientsEach = 24
-	departures := map[string]struct {
-		body, behind int // bytes
-		behindText   string
-		overTLS      bool
-		leave        func(conn net.Conn)
+	disconnects := map[string]struct {
+		body, trailing int // bytes
+		trailingText   string
+		overTLS        bool
+		leave          func(conn net.Conn)
 	}{
-		"close":                     {leave: closeConn},
-		"reset":                     {leave: closeWithReset},
-		"a request behind":          {behindText: "GET / HTTP/1.1\r\n\r\n", leave: closeConn},
-		"a line behind":             {behindText: "\r\n", leave: closeConn},
-		"reset behind a line":       {behindText: "\r\n\r\n", leave: closeWithReset},
-		"much behind":               {behind: 400_000, leave: closeConn},
-		"a long body":               {body: 70_000, leave: closeConn}, // its unread part fits into the socket's buffer, so that the end comes
-		"a long body, reset":        {body: 70_000, leave: closeWithReset},
-		"over TLS":                  {overTLS: true, leave: closeConn},
-		"over TLS, a byte behind":   {overTLS: true, behindText: "x", leave: closeConn},
-		"over TLS, TCP close alone": {overTLS: true, behindText: "x", leave: func(c net.Conn) { _ = c.(*tls.Conn).NetConn().Close() }},
+		"close":                    {leave: closeConn},
+		"reset":                    {leave: closeWithReset},
+		"trailing request":         {trailingText: "GET / HTTP/1.1\r\n\r\n", leave: closeConn},
+		"trailing line break":      {trailingText: "\r\n", leave: closeConn},
+		"reset after line breaks":  {trailingText: "\r\n\r\n", leave: closeWithReset},
+		"many trailing bytes":      {trailing: 400_000, leave: closeConn},
+		"a long body":              {body: 70_000, leave: closeConn}, // its unread part fits into the socket's buffer, so that the FIN arrives
+		"a long body, reset":       {body: 70_000, leave: closeWithReset},
+		"over TLS":                 {overTLS: true, leave: closeConn},
+		"over TLS, trailing byte":  {overTLS: true, trailingText: "x", leave: closeConn},
+		"over TLS, TCP close only": {overTLS: true, trailingText: "x", leave: func(c net.Conn) { _ = c.(*tls.Conn).NetConn().Close() }},
 	}
 	backend := startSlowBackend(t)
-	srv, budget := startServerBefore(t, backend.Addr().String(), 1500)
+	srv, budget := startServerWithBackend(t, backend.Addr().String(), 1500)
 	first := occupyBackend(t, srv, backend)
 	var conns []net.Conn
 	var leave []func(net.Conn)
-	for name, how := range departures {
+	for name, disconnect := range disconnects {
 		for i := range clientsEach {
-			text := requestText(fmt.Sprintf("left %s %d", name, i), how.body) + strings.Repeat("x", how.body)
+			text := requestText(fmt.Sprintf("left %s %d", name, i), disconnect.body) + strings.Repeat("x", disconnect.body)
 			var conn net.Conn
-			if how.overTLS {
+			if disconnect.overTLS {
 				var err error
 				conn, err = dialTLS(srv, &tls.Config{})
 				require.NoError(t, err)
@@ -170,10 +170,10 @@
 			} else {
 				conn = connectAndSend(t, srv, text)
 			}
-			conns, leave = append(conns, conn), append(leave, how.leave)
+			conns, leave = append(conns, conn), append(leave, disconnect.leave)
 			require.Eventually(t, func() bool { return srv.openRequests.Load() == int64(4+len(conns)) }, 10*time.Second, time.Millisecond, name)
-			if behind := how.behindText + strings.Repeat("x", how.behind); behind != "" {
-				go func() { _, _ = io.WriteString(conn, behind) }()
+			if trailing := disconnect.trailingText + strings.Repeat("x", disconnect.trailing); trailing != "" {
+				go func() { _, _ = io.WriteString(conn, trailing) }()
 			}
 		}
 	}
@@ -182,9 +182,9 @@
 		leaving.Go(func() { leave[i](conn) })
 	}
 	leaving.Wait()
-	require.Eventually(t, func() bool { return srv.openRequests.Load() == 4 }, 10*time.Second, time.Millisecond, "each departure is noticed")
+	require.Eventually(t, func() bool { return srv.openRequests.Load() == 4 }, 10*time.Second, time.Millisecond, "each disconnect is noticed")
 	close(backend.release)
-	for _, conn := range append(first, connectAndSend(t, srv, requestText("last", 0))) { // queued requests would go before it
+	for _, conn := range append(first, connectAndSend(t, srv, requestText("last", 0))) { // queued requests would be sent before it
 		requireServed(t, bufio.NewReader(conn))
 		_ = conn.Close()
 	}
@@ -193,13 +193,13 @@
 	assert.LessOrEqual(t, disconnectCheckInterval, 50*time.Millisecond, "no attempt may begin 0.1 s after a disconnect: half of that is for noticing it")
 }
 
-// A client sends a long body and disconnects. Unread bytes, here and at the client, keep the end of its connection from coming, so
-// the disconnect is noticed only while the body is streamed. The backend must not get the body's end, so that it runs nothing.
+// A client sends a long body and disconnects. Unread bytes, here and at the client, keep its FIN from arriving, so the disconnect
+// is noticed only while the body is streamed. The backend must not get the body's end, so that it runs nothing.
 func TestLongBodyWhoseClientHasGoneIsNotCompleted(t *testing.T) {
 	for _, form := range []string{"Content-Length: 300000\r\n\r\n" + strings.Repeat("x", 300_000),
 		"Transfer-Encoding: chunked\r\n\r\n493e0\r\n" + strings.Repeat("x", 300_000) + "\r\n0\r\n\r\n"} {
 		backend := startSlowBackend(t)
-		srv, _ := startServerBefore(t, backend.Addr().String(), 256)
+		srv, _ := startServerWithBackend(t, backend.Addr().String(), 256)
 		first := occupyBackend(t, srv, backend)
 		head, _, _ := strings.Cut(requestText("left", 0), "Content-Length")
 		conn := connectAndSend(t, srv, head+form)
@@ -221,9 +221,9 @@
 	_ = conn.Close()
 }
 
-// Clients disconnect while the connection to the backend is still being opened. When it opens at last, nothing may be written to
+// Clients disconnect while the connection to the backend is still being opened. When it finally opens, nothing may be written to
 // it.
-func TestRequestWhoseClientLeavesDuringDialIsNotSent(t *testing.T) {
+func TestRequestWhoseClientDisconnectsDuringDialIsNotSent(t *testing.T) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	defer unix.Close(fd)
@@ -232,10 +232,10 @@
 	name, err := unix.Getsockname(fd)
 	require.NoError(t, err)
 	address := fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port)
-	filler, err := net.Dial("tcp", address) // has the only place in the listener's queue
+	filler, err := net.Dial("tcp", address) // occupies the only place in the listener's queue
 	require.NoError(t, err)
 	defer filler.Close()
-	srv, _ := startServerBefore(t, address, 256)
+	srv, _ := startServerWithBackend(t, address, 256)
 	for _, leave := range []func(net.Conn){closeConn, closeWithReset} {
 		conn := connectAndSend(t, srv, requestText("a", 0))
 		require.Eventually(t, func() bool { return srv.openRequests.Load() == 1 }, 10*time.Second, time.Millisecond)
@@ -258,12 +258,12 @@
 	}
 }
 
-// A connection waits in the listener's queue for a descriptor, for longer than its client waits. Its request must not be sent; once
-// it was, at the moment when it was read.
-func TestRequestWhoseClientLeftInListenerQueueIsNotSent(t *testing.T) {
+// A connection waits in the listener's queue for a descriptor for longer than its client waits. Its request must not be sent;
+// formerly it was sent as soon as it was read.
+func TestRequestWhoseClientDisconnectsInListenerQueueIsNotSent(t *testing.T) {
 	backend := startSlowBackend(t)
 	close(backend.release)
-	srv, budget := startServerBefore(t, backend.Addr().String(), 256)
+	srv, budget := startServerWithBackend(t, backend.Addr().String(), 256)
 	require.Eventually(t, func() bool { return budget.Clients() == 2 }, 10*time.Second, time.Millisecond, "both listeners wait")
 	acquired := 0
 	for budget.Clients() < budget.MaxClients() {
@@ -284,37 +284,37 @@
 	assert.Equal(t, []string{"last"}, backend.requestIDs())
 }
 
-// A line behind a request, with which some clients end a body, must not cost the connection, nor must a long body. The watch for
-// the client of a long body ends with the response while net/http reads on; once net/http took that for a disconnect, and each
-// further request of the connection failed.
-func TestWatchedClientsKeepTheirConnections(t *testing.T) {
+// Neither a line break after a request, which some clients send after a body, nor a long body may cause the connection to close. The
+// disconnectWatch of a long body's client ends with the response while net/http reads on; formerly net/http treated that as a
+// disconnect, and each further request of the connection failed.
+func TestDisconnectWatchKeepsConnection(t *testing.T) {
 	backend := startSlowBackend(t)
-	srv, _ := startServerBefore(t, backend.Addr().String(), 256)
+	srv, _ := startServerWithBackend(t, backend.Addr().String(), 256)
 	conn := connectAndSend(t, srv, "")
 	reader := bufio.NewReader(conn)
 	for i, request := range []struct {
-		size   int
-		behind string
+		size     int
+		trailing string
 	}{{3, "\r\n"}, {3, "\r\n"}, {150_000, ""}, {0, ""}, {150_000, "\r\n"}, {3, ""}} {
 		_, err := io.WriteString(conn, requestText(fmt.Sprint(i), request.size)+strings.Repeat("x", request.size))
 		require.NoError(t, err)
 		require.Eventually(t, func() bool { return len(backend.requestIDs()) == i+1 }, 10*time.Second, time.Millisecond)
-		_, err = io.WriteString(conn, request.behind)
+		_, err = io.WriteString(conn, request.trailing)
 		require.NoError(t, err)
 		backend.release <- struct{}{}
 		requireServed(t, reader)
 	}
 }
 
-// A connection is evicted between a request's last byte and the moment it is taken. No response may go out. net/http writes a 200
-// for a handler that returns, and once that got out over TLS, or before the admitter closed the connection.
+// A connection is evicted between a request's last byte and the moment it is accepted. No response may be sent. net/http writes a
+// 200 for a handler that returns, and formerly that was sent over TLS, or before the admitter closed the connection.
 func TestRequestNotTakenIsNotAnswered(t *testing.T) {
 	conn, _ := connPair(t)
 	srv := &Server{log: slog.New(slog.DiscardHandler), clock: clock.New(), budget: conn.budget, openIDs: map[string]struct{}{},
 		admitter: &connectionAdmitter{controller: admission.New(admission.DefaultLimits(16))}}
 	srv.deployment.Store(&config.Deployment{Classes: []string{"check"}})
 	for name, evict := range map[string]func(){
-		"evicted": func() { conn.admissionID, conn.admitter = 7, srv.admitter }, // which does not know it any more
+		"evicted": func() { conn.admissionID, conn.admitter = 7, srv.admitter }, // which does not have the connection any more
 		"closed":  func() { conn.admissionID, conn.closed = 0, true },
 	} {
 		evict()
@@ -328,16 +328,16 @@
 
 // Unread data on an idle connection may be a request: the connection must not be closed.
 func TestCloseIdleKeepsUnreadData(t *testing.T) {
-	conn, far := connPair(t)
+	conn, client := connPair(t)
 	srv := &Server{idleConns: map[net.Conn]time.Time{conn: {}}}
-	_, err := io.WriteString(far, "G")
+	_, err := io.WriteString(client, "G")
 	require.NoError(t, err)
 	require.Eventually(t, conn.hasUnreadData, 10*time.Second, time.Millisecond)
 	srv.closeIdle(0, closePartial)
 	assert.Len(t, srv.idleConns, 1)
 	_, err = conn.Read(make([]byte, 9))
 	require.NoError(t, err)
-	srv.closeIdle(0, sparePartial)
+	srv.closeIdle(0, keepPartial)
 	assert.Len(t, srv.idleConns, 1, "within a request")
 	srv.closeIdle(0, closePartial)
 	assert.Empty(t, srv.idleConns)
@@ -354,7 +354,7 @@
 	return nil
 }
 
-// A node that stood still for seconds must not take its own deadline for a body for a client's disconnect, where there is no body.
+// A node that was paused for seconds must not treat its own read deadline as a client's disconnect if the request has no body.
 func TestNoReadDeadlineWithoutBody(t *testing.T) {
 	srv := &Server{clock: clock.New()}
 	srv.deployment.Store(&config.Deployment{Classes: []string{"check"}})
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// minShutdownQuiet is how long a node that shuts down must have had no request before it stops serving, and the least time
-	// that it goes on serving: until clients have noticed the failing health check, they still come.
-	minShutdownQuiet = 500 * time.Millisecond
+	// shutdownQuietPeriod is how long a node that shuts down must have had no request before it stops serving, and the minimum
+	// time that it goes on serving: new clients still connect until the failing health check has been noticed.
+	shutdownQuietPeriod = 500 * time.Millisecond
 
-	// listenerQuiet is how long a listener's queue must be empty before the listener closes, and the interval at which a node
-	// that shuts down looks whether requests still come.
-	listenerQuiet = 50 * time.Millisecond
+	// listenerQuietPeriod is how long a listener's queue must be empty before the listener closes, and the interval at which a
+	// node that shuts down checks whether requests still arrive.
+	listenerQuietPeriod = 50 * time.Millisecond
 )
 
-// ServeUntilQuiet goes on serving while requests come, for at most maxWait: clients use their connections as long as these
-// stay open, and may have no other node yet. It returns early once isHandedOff reports true. The caller then calls Drain,
-// or DrainForHandoff if another process serves in this one's place.
+// ServeUntilQuiet goes on serving while requests arrive, for at most maxWait: clients use their connections as long as these
+// stay open, and may not be connected to another node yet. It returns early once isHandedOff reports true. The caller then
+// calls Drain, or DrainForHandoff if another process has replaced this one.
 func (s *Server) ServeUntilQuiet(maxWait time.Duration, isHandedOff func() bool) {
 	s.shuttingDown.Store(true)
 	s.lastRequestAt.Store(time.Now().UnixMilli())
 	start := time.Now()
 	for time.Since(start) < maxWait && !isHandedOff() {
 		sinceRequest := time.Since(time.UnixMilli(s.lastRequestAt.Load()))
-		if time.Since(start) > minShutdownQuiet && sinceRequest > minShutdownQuiet && s.openRequests.Load() == 0 {
+		if time.Since(start) > shutdownQuietPeriod && sinceRequest > shutdownQuietPeriod && s.openRequests.Load() == 0 {
 			break
 		}
-		time.Sleep(listenerQuiet)
+		time.Sleep(listenerQuietPeriod)
 	}
 }
 
@@ -36,16 +36,16 @@
 func (s *Server) Drain(ctx context.Context) int64 {
 	s.shuttingDown.Store(true)
 	s.draining.Store(true)
-	// Clients whose idle connections are closed come back, and must still find the listener.
+	// Clients whose idle connections are closed reconnect, and the listener must still be open for them.
 	for range 2 {
-		s.closeIdle(listenerQuiet, sparePartial)
-		time.Sleep(listenerQuiet)
+		s.closeIdle(listenerQuietPeriod, keepPartial)
+		time.Sleep(listenerQuietPeriod)
 	}
 	for _, l := range s.listeners() {
 		l.drain()
 	}
-	s.closeUntilEmpty(ctx, func(time.Duration) time.Duration { return listenerQuiet })
-	_ = s.httpServer.Shutdown(ctx) // requests still open by then are counted
+	s.closeUntilEmpty(ctx, func(time.Duration) time.Duration { return listenerQuietPeriod })
+	_ = s.httpServer.Shutdown(ctx) // requests that are still open by then are counted in the result
 	return s.openRequests.Load()
 }
 
@@ -58,7 +58,7 @@
 	s.draining.Store(true)
 	for _, l := range s.listeners() {
 		if err := steerToNextProcess(l.TCPListener); err != nil {
-			s.log.Warn("new connections are not steered to the next process", "error", err)
+			s.log.Warn("steering new connections to the next process failed", "error", err)
 		}
 		l.drain()
 	}
@@ -73,7 +73,7 @@
 	return s.openRequests.Load()
 }
 
-// listeners are the TCP listeners of plain HTTP and, where it is served, TLS.
+// listeners returns the TCP listeners of plain HTTP and, if it is served, TLS.
 func (s *Server) listeners() []*listener {
 	if s.tlsListener == nil {
 		return []*listener{s.listener}
@@ -81,14 +81,14 @@
 	return []*listener{s.listener, s.tlsListener.inner}
 }
 
-// closeUntilEmpty closes idle connections until none is left or ctx is done; minIdle returns how long they must be idle, by
-// the time since the start. net/http's Shutdown comes after this, because it would also close connections with an unread
-// request.
+// closeUntilEmpty closes idle connections until none is left or ctx is done; minIdle returns how long they must be idle, as a
+// function of the time since the start. net/http's Shutdown is called after this, because it would also close connections
+// with an unread request.
 func (s *Server) closeUntilEmpty(ctx context.Context, minIdle func(elapsed time.Duration) time.Duration) {
-	start, tick := time.Now(), time.NewTicker(listenerQuiet)
+	start, tick := time.Now(), time.NewTicker(listenerQuietPeriod)
 	defer tick.Stop()
 	for ctx.Err() == nil && (s.budget.Clients() > 0 || !s.hasEnded()) {
-		s.closeIdle(minIdle(time.Since(start)), sparePartial)
+		s.closeIdle(minIdle(time.Since(start)), keepPartial)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
--- a/internal/server/framing.go
+++ b/internal/server/framing.go
@@ -6,58 +6,58 @@
 	"strings"
 )
 
-// framing tracks where the requests on a connection begin and end, from the bytes themselves. net/http alone is not enough:
-// it drops a Content-Length beside a Transfer-Encoding before a handler sees it, so that a request hidden in the body
-// (request smuggling) would pass, and it takes whatever follows a request for the next one.
+// framing tracks where the requests on a connection begin and end, by parsing the bytes that are read. net/http alone is not
+// enough: it drops a Content-Length beside a Transfer-Encoding before a handler sees it, so that a request hidden in the body
+// (request smuggling) would pass, and it parses any bytes after a request as the next one.
 type framing struct {
 	stage    framingStage
-	line     [48]byte // the beginning of the current header line, as far as it is needed
-	lineSize int      // of the whole line so far
-	bodyLeft int64
+	line     [48]byte // the beginning of the current header line; the rest is not needed
+	lineSize int      // bytes of the current header line so far
+	bodyLeft int64    // bytes of the body that have not arrived
 
 	hasLength    bool // the header has a Content-Length
 	hasEncoding  bool // the header has a Transfer-Encoding
-	ambiguous    bool // a request had both
-	mustBeLast   bool // the request's end is not tracked, so nothing may come after it
-	requestEnded bool // the latest request has come completely
+	ambiguous    bool // a request had both a Content-Length and a Transfer-Encoding
+	mustBeLast   bool // the request's end is not tracked, so no other request may follow
+	requestEnded bool // the latest request has arrived completely
 }
 
 type framingStage uint8
 
 const (
-	stageBetween framingStage = iota // no part of a request has come
-	stageHead
+	stageIdle framingStage = iota // between requests
+	stageHeader
 	stageBody
 	stageUntracked // mustBeLast: the rest of the connection is not tracked
 )
 
-// observe takes bytes that were read and reports whether any of them comes after a request's end.
-func (f *framing) observe(data []byte) (isBehind bool) {
+// observe parses bytes that were read and reports whether any of them follows a request's end.
+func (f *framing) observe(data []byte) (hasTrailing bool) {
 	for len(data) > 0 {
 		switch f.stage {
-		case stageBetween:
-			if data[0] == '\r' || data[0] == '\n' { // some clients end a body with a line
+		case stageIdle:
+			if data[0] == '\r' || data[0] == '\n' { // some clients send a line break after a body
 				data = data[1:]
 				continue
 			}
-			isBehind = isBehind || f.requestEnded
-			*f = framing{stage: stageHead, ambiguous: f.ambiguous}
-		case stageHead:
-			data = f.observeHead(data)
+			hasTrailing = hasTrailing || f.requestEnded
+			*f = framing{stage: stageHeader, ambiguous: f.ambiguous}
+		case stageHeader:
+			data = f.observeHeader(data)
 		case stageBody:
 			size := min(int64(len(data)), f.bodyLeft)
 			f.bodyLeft -= size
 			data = data[size:]
 			f.endBodyIfComplete()
 		case stageUntracked:
-			return isBehind
+			return hasTrailing
 		}
 	}
-	return isBehind
+	return hasTrailing
 }
 
-// observeHead takes bytes up to the end of a header line, and returns the rest.
-func (f *framing) observeHead(data []byte) (rest []byte) {
+// observeHeader parses bytes up to the end of a header line, and returns the rest.
+func (f *framing) observeHeader(data []byte) (rest []byte) {
 	part, rest, isLineEnd := bytes.Cut(data, []byte{'\n'})
 	if f.lineSize < len(f.line) {
 		copy(f.line[f.lineSize:], part)
@@ -69,7 +69,7 @@
 	return rest
 }
 
-// endLine evaluates a complete header line, if it concerns the body's length.
+// endLine evaluates a complete header line that concerns the body's length or ends the header.
 func (f *framing) endLine() {
 	line := string(f.line[:min(f.lineSize, len(f.line))])
 	isComplete := f.lineSize <= len(f.line)
@@ -77,7 +77,7 @@
 	name, value, _ := strings.Cut(line, ":")
 	switch {
 	case isComplete && (line == "" || line == "\r"):
-		f.endHead()
+		f.endHeader()
 	case strings.EqualFold(name, "Transfer-Encoding"):
 		f.hasEncoding, f.mustBeLast = true, true
 	case strings.EqualFold(name, "Content-Length"):
@@ -87,7 +87,7 @@
 	}
 }
 
-func (f *framing) endHead() {
+func (f *framing) endHeader() {
 	f.ambiguous = f.ambiguous || f.hasLength && f.hasEncoding
 	if f.mustBeLast {
 		f.stage = stageUntracked
@@ -99,6 +99,6 @@
 
 func (f *framing) endBodyIfComplete() {
 	if f.bodyLeft == 0 {
-		f.stage, f.requestEnded = stageBetween, true
+		f.stage, f.requestEnded = stageIdle, true
 	}
 }
--- a/internal/server/handler.go
+++ b/internal/server/handler.go
@@ -27,7 +27,7 @@
 	id := r.Header.Get(idHeader)
 	request, refusal := s.decode(w, r, conn)
 	if refusal == nil && !s.reserveID(id) {
-		refusal = &requestError{http.StatusConflict, "the id of an open op"} // the protocol's text; an op is a request
+		refusal = &requestError{http.StatusConflict, "the id of an open op"} // part of the protocol; an op is a request
 	}
 	if refusal != nil {
 		s.logMalformed(refusal.reason)
@@ -36,14 +36,14 @@
 		return
 	}
 	defer s.releaseID(id)
-	if !conn.takeRequest(request.Streamed) {
-		// The request was not taken. If this handler returned, net/http would send a 200, which could still reach the client
-		// while the connection is being closed.
+	if !conn.beginRequest(request.Streamed) {
+		// The request was not accepted. If this handler returned, net/http would send a 200, which could still reach the
+		// client while the connection is being closed.
 		panic(http.ErrAbortHandler)
 	}
 	defer conn.releaseFromRequest()
 	defer conn.reportToAdmission((*admission.Controller).RequestAnswered)
-	if conn.hasDisconnected() { // the connection may have waited for a descriptor for longer than its client did
+	if conn.hasDisconnected() { // the client may have given up while the connection waited for a descriptor
 		s.writeAnswer(w, conn, node.Answer{Status: node.Failed})
 		return
 	}
@@ -54,23 +54,23 @@
 	s.serveRequest(w, r, conn, request)
 }
 
-// recoverHandler answers a request whose handler panicked with 500, which says that the request may have run. Without it
-// net/http would close the connection, and a request that was taken would get no response.
-func (s *Server) recoverHandler(fault any, w http.ResponseWriter, conn *clientConn, request *node.Request) {
-	if fault == nil {
+// recoverHandler answers a request whose handler panicked with 500, which tells the client that the request may have run.
+// Otherwise net/http would close the connection, and an accepted request would get no response.
+func (s *Server) recoverHandler(panicValue any, w http.ResponseWriter, conn *clientConn, request *node.Request) {
+	if panicValue == nil {
 		return
 	}
-	if err, ok := fault.(error); ok && errors.Is(err, http.ErrAbortHandler) { // net/http's way to abort a response
-		panic(fault)
+	if err, ok := panicValue.(error); ok && errors.Is(err, http.ErrAbortHandler) { // net/http's way to abort a response
+		panic(panicValue)
 	}
-	s.log.Error("request handler panicked", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
+	s.log.Error("request handler panicked", "fault", fmt.Sprint(panicValue), "stack", string(debug.Stack()))
 	if request != nil {
 		s.node.Cancel(request)
 	}
 	s.writeResponse(w, conn, http.StatusInternalServerError, nil)
 }
 
-// reserveID reserves a request's id until releaseID. It reports false where another open request has the id.
+// reserveID reserves a request's id until releaseID. It reports false if another open request has the id.
 func (s *Server) reserveID(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +85,7 @@
 	delete(s.openIDs, id)
 }
 
-// logMalformed logs malformed requests at most once in malformedLogInterval, with their number since the last line.
+// logMalformed logs malformed requests at most once per malformedLogInterval, with their number since the last log line.
 func (s *Server) logMalformed(reason string) {
 	s.malformedLog.Event(func(sinceLast int64) {
 		s.log.Warn("malformed request", "error", reason, "since_last", sinceLast)
@@ -104,8 +104,8 @@
 	s.writeResponse(w, conn, http.StatusServiceUnavailable, []byte("not ready\n"))
 }
 
-// serveRequest passes a request to the node and writes its answer. It rejects the request itself, before the balancer sees
-// it, if too many are open or clients are being sent away; nothing of the request has been sent then.
+// serveRequest passes a request to the node and writes its answer. If too many requests are open, or the server is quiesced
+// and rejects new ones, it rejects the request before the balancer sees it, so no part of it has been sent.
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, conn *clientConn, request *node.Request) {
 	openRequests := s.openRequests.Add(1)
 	defer s.openRequests.Add(-1)
@@ -114,7 +114,7 @@
 	maxOpen := int64(deployment.MaxOpenRequests)
 	if maxOpen > 0 && openRequests > maxOpen || s.quiesce.rejecting.Load() {
 		rejection := node.Answer{Status: node.Rejected}
-		if deployment.BalancerConfig.SendRetryAfter { // a node that is that full stays full for a while
+		if deployment.BalancerConfig.SendRetryAfter { // a node with this many open requests stays full for a while
 			rejection.RetryAfter = deployment.BalancerConfig.MaxRetryAfter
 		}
 		s.writeAnswer(w, conn, rejection)
--- a/internal/server/quiesce.go
+++ b/internal/server/quiesce.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// The steps follow each other at these times after the call. The contract, in docs/operations.md ("quiesce"), is that
+	// The steps of a quiesce happen at these times after the call. The contract, in docs/operations.md ("quiesce"), is that
 	// clients are gone within four seconds: from then on no connection is idle or has had a request in the last two
 	// seconds.
 
-	// quiesceHeard is when the load balancer in front of the nodes has certainly noticed: it checks their health ten times
-	// a second, and sends no more clients 0.2 s after a check that failed. Until then only the health check changes,
-	// because clients that were sent away sooner would come back here.
-	quiesceHeard = 500 * time.Millisecond
+	// quiesceNoticed is the time by which the load balancer in front of the nodes has certainly noticed: it checks their
+	// health ten times a second, and sends no more clients 0.2 s after a failed check. Until then only the health check
+	// changes, because clients whose connections were closed sooner would reconnect to this node.
+	quiesceNoticed = 500 * time.Millisecond
 
-	// quiesceCloseAll is when all connections are closed as soon as they are idle. Until then connections in use are only
-	// asked to close with their next response, which costs their clients nothing.
+	// quiesceCloseAll is the time from which all connections are closed as soon as they are idle. Until then connections in
+	// use are only asked to close with their next response, at no cost to their clients.
 	quiesceCloseAll = 1600 * time.Millisecond
 
-	// quiesceReject is when new requests are rejected at once: they might not be answered, and their connections not
-	// closed, within the four seconds.
+	// quiesceReject is the time from which new requests are rejected at once: they might not be answered, and their
+	// connections not closed, within the four seconds.
 	quiesceReject = 1900 * time.Millisecond
 
 	// quiesceIdle is how long a connection must be idle to be closed before quiesceCloseAll.
@@ -31,14 +31,14 @@
 	quiesceTick = 50 * time.Millisecond
 )
 
-// quiesce is the state in which clients are sent away while the process goes on running.
+// quiesce holds the quiesced state, in which the server closes clients' connections while the process goes on running.
 type quiesce struct {
 	closing   atomic.Bool // responses ask clients to close their connections
 	rejecting atomic.Bool // new requests are rejected at once
 
 	mu    sync.Mutex
 	since time.Time
-	stop  chan struct{} // ends the state; nil while clients are taken
+	stop  chan struct{} // ends the state; nil while the server is not quiesced
 }
 
 func (q *quiesce) isOn() bool {
@@ -47,28 +47,28 @@
 	return q.stop != nil
 }
 
-// advance takes the steps that are due after the elapsed time, unless that state, identified by stop, has ended meanwhile.
+// advance performs the steps that are due after the elapsed time, unless the state identified by stop has ended meanwhile.
 func (q *quiesce) advance(stop <-chan struct{}, elapsed time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.stop == stop {
-		q.closing.Store(elapsed >= quiesceHeard)
+		q.closing.Store(elapsed >= quiesceNoticed)
 		q.rejecting.Store(elapsed >= quiesceReject)
 	}
 }
 
-// QuiescedFor returns for how long clients have been sent away, and whether they are.
+// QuiescedFor returns how long the server has been quiesced, and whether it is.
 func (s *Server) QuiescedFor() (elapsed time.Duration, on bool) {
 	s.quiesce.mu.Lock()
 	defer s.quiesce.mu.Unlock()
 	return time.Since(s.quiesce.since), s.quiesce.stop != nil
 }
 
-// SetQuiesced with on makes the health check fail and, once that has been noticed, sends clients away; without on it ends
-// that, at any point. It reports whether anything changed.
+// SetQuiesced starts (on) or ends the quiesced state, in which the health check fails and, once that has been noticed, clients'
+// connections are closed. The state may be ended at any point. It reports whether the state changed.
 func (s *Server) SetQuiesced(on bool) bool { return s.SetQuiescedSince(on, time.Now()) }
 
-// SetQuiescedSince is SetQuiesced for a state that began earlier, in another process of the node.
+// SetQuiescedSince is like SetQuiesced for a state that began earlier, in another process of the node.
 func (s *Server) SetQuiescedSince(on bool, since time.Time) bool {
 	q := &s.quiesce
 	q.mu.Lock()
@@ -80,7 +80,7 @@
 	if on {
 		q.stop = make(chan struct{})
 		q.since = since
-		go s.sendClientsAway(q.stop, since)
+		go s.closeQuiescedConns(q.stop, since)
 		return true
 	}
 	close(q.stop)
@@ -90,9 +90,9 @@
 	return true
 }
 
-// sendClientsAway closes idle connections until stop is closed. A request in flight keeps its connection until its
-// response is out.
-func (s *Server) sendClientsAway(stop <-chan struct{}, since time.Time) {
+// closeQuiescedConns closes idle connections until stop is closed or the server ends. A request in flight keeps its connection
+// until its response is sent.
+func (s *Server) closeQuiescedConns(stop <-chan struct{}, since time.Time) {
 	tick := time.NewTicker(quiesceTick)
 	defer tick.Stop()
 	for {
@@ -106,9 +106,9 @@
 		s.quiesce.advance(stop, time.Since(since))
 		switch elapsed := time.Since(since); {
 		case elapsed >= quiesceCloseAll:
-			s.closeIdle(quiesceTick, sparePartial)
-		case elapsed >= quiesceHeard:
-			s.closeIdle(quiesceIdle, sparePartial)
+			s.closeIdle(quiesceTick, keepPartial)
+		case elapsed >= quiesceNoticed:
+			s.closeIdle(quiesceIdle, keepPartial)
 		}
 	}
 }
--- a/internal/server/requestlogging.go
+++ b/internal/server/requestlogging.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// maxKeyBytes bounds a request's idempotency key.
+	// maxKeyBytes is the maximum length of a request's idempotency key, in bytes.
 	maxKeyBytes = 255
 
-	// answerRecordMs is the part of a logged request's time that is reserved for recording its answer, in ms: a round trip
-	// to a majority, within the node's answerRecordGraceMs (30 ms), and the writing of the response.
+	// answerRecordMs is the part of a logged request's time to live that is reserved for recording its answer, in ms: a round
+	// trip to a majority, within the node's answerRecordGraceMs (30 ms), and the writing of the response.
 	answerRecordMs = 40
 
-	// lookupTimeoutMs is how long the request log may take to look a key up. After that the request is treated as one whose
-	// log has no quorum. The node's attemptRecordTimeoutMs is the same, for the same reason.
+	// lookupTimeoutMs is the time that the request log may take to look a key up, in ms. After that the request is treated as
+	// one whose log has no quorum. The node's attemptRecordTimeoutMs is the same, for the same reason.
 	lookupTimeoutMs = requestlog.MaxElectionMs
 
 	// A key that is in flight is looked up again after minLookupPause, then after pauses that double up to maxLookupPause.
@@ -31,12 +31,12 @@
 	maxLookupPause = 100 * time.Millisecond
 )
 
-// WithoutQuorum is what becomes of a request that should be logged while its log has no quorum.
-type WithoutQuorum uint8
+// NoQuorumPolicy says how to handle a request that should be logged while its log has no quorum.
+type NoQuorumPolicy uint8
 
 const (
 	// RejectWithoutQuorum rejects the request.
-	RejectWithoutQuorum WithoutQuorum = iota
+	RejectWithoutQuorum NoQuorumPolicy = iota
 	// ProceedWithoutQuorum serves the request unlogged.
 	ProceedWithoutQuorum
 )
@@ -44,23 +44,23 @@
 // RequestLogging is the configuration of the replicated request log, which lets requests survive the loss of this node.
 type RequestLogging struct {
 	Peers          *peers.Peers
-	KeyHeader      string                   // the header field with a request's idempotency key; requests without one are not logged
-	Classes        map[string]WithoutQuorum // the logged classes, by name
-	MaxAnswerBytes int                      // bounds the header and body of an answer in the log
+	KeyHeader      string                    // header field with a request's idempotency key; requests without one are not logged
+	Classes        map[string]NoQuorumPolicy // policies of the logged classes, by name
+	MaxAnswerBytes int                       // maximum size of the header and body of an answer in the log
 }
 
 // LogRequests sets which requests are logged. It is called before Serve.
 func (s *Server) LogRequests(logging RequestLogging) { s.requestLogging = &logging }
 
-// loggedRequest returns the request's part for the request log, or nil if the request is not logged: it has no idempotency
-// key, its class is not logged, or its body is streamed.
+// loggedRequest returns what the request log needs of the request, or nil if the request is not logged because it has no
+// idempotency key, its class is not logged, or its body is streamed.
 func (s *Server) loggedRequest(r *http.Request, request *node.Request, body []byte) (*node.LoggedRequest, *requestError) {
 	keys := r.Header.Values(s.requestLogging.KeyHeader)
 	if len(keys) == 0 {
 		return nil, nil
 	}
 	class := s.deployment.Load().Classes[request.Class]
-	withoutQuorum, isLogged := s.requestLogging.Classes[class]
+	policy, isLogged := s.requestLogging.Classes[class]
 	if !isLogged || request.Streamed {
 		return nil, nil
 	}
@@ -68,17 +68,17 @@
 	if len(keys) > 1 || key == "" || len(key) > maxKeyBytes {
 		return nil, badRequest("odd %s", s.requestLogging.KeyHeader)
 	}
-	// Each tenant has its own keys, so that nobody can get another tenant's answer by guessing a key.
+	// Each tenant has its own keys, so that no client can get another tenant's answer by guessing a key.
 	tenant := config.NormalizeName(r.Header.Get(tenantHeader))
 	return &node.LoggedRequest{
 		IdempotencyKey:       tenant + "\x00" + key,
 		Fingerprint:          fingerprint(r, body),
-		ProceedWithoutQuorum: withoutQuorum == ProceedWithoutQuorum,
+		ProceedWithoutQuorum: policy == ProceedWithoutQuorum,
 		MaxAnswerBytes:       s.requestLogging.MaxAnswerBytes,
 	}, nil
 }
 
-// fingerprint returns a hash of what must be equal for two requests with one key to be the same request.
+// fingerprint returns a hash of the parts that are equal in two requests with one key if they are the same request.
 func fingerprint(r *http.Request, body []byte) uint64 {
 	hash := xxhash.New()
 	for _, part := range []string{r.Method, "\x00", r.RequestURI, "\x00"} {
@@ -88,11 +88,11 @@
 	return hash.Sum64()
 }
 
-// serveLogged serves a logged request: by its own outcome, or by that of an earlier request with the same key. It looks the
-// key up until that decides what to do, or the request's deadline passes, or the client goes.
+// serveLogged answers a logged request with its own outcome or that of an earlier request with the same key. It looks the
+// key up until the result determines the answer, the request's deadline passes, or the client disconnects.
 //
-// The answers here that are rejections are safe without a look at the class: nothing of this request was submitted, or the
-// request that was has been rejected itself. They carry Retry-After in any case, see retryAfterMs.
+// Rejecting the request here is safe for every class: either nothing has been submitted, or the request that was submitted
+// has itself been rejected. Rejections always carry Retry-After, see retryAfterMs.
 func (s *Server) serveLogged(w http.ResponseWriter, r *http.Request, conn *clientConn, request *node.Request) {
 	s.openRequests.Add(1)
 	defer s.openRequests.Add(-1)
@@ -105,7 +105,7 @@
 	for {
 		result, final := s.lookUp(ctx, conn.gone, logged, min(request.Deadline, s.clock.Now()+lookupTimeoutMs))
 		select {
-		case <-conn.gone: // must be noticed before Submit, or an attempt might begin for a client that has gone
+		case <-conn.gone: // must be noticed before Submit, or an attempt might begin for a client that has disconnected
 			cancel()
 		default:
 		}
@@ -123,7 +123,7 @@
 		case result == requestlog.NoQuorum && !isSubmitted:
 			s.serveWithoutQuorum(w, r, conn, request)
 			return
-		case s.writeLookedUp(w, conn, result, final):
+		case s.writeLookupResult(w, conn, result, final):
 			return
 		}
 		select {
@@ -134,7 +134,7 @@
 	}
 }
 
-// serveWithoutQuorum serves a request that has not been submitted, and whose log has no quorum, as its class says.
+// serveWithoutQuorum handles a request that has not been submitted and whose log has no quorum, by the policy of its class.
 func (s *Server) serveWithoutQuorum(w http.ResponseWriter, r *http.Request, conn *clientConn, request *node.Request) {
 	if request.Logged.ProceedWithoutQuorum {
 		request.Logged = nil
@@ -144,9 +144,10 @@
 	s.writeAnswer(w, conn, node.Answer{Status: node.Rejected, RetryAfter: 2 * requestlog.PeerTimeoutMs})
 }
 
-// writeLookedUp writes the answer that follows from the result of a lookup. It writes nothing, and reports false, if the
-// result decides nothing yet: the key is in flight, or the log has no quorum. The text is the protocol's: "op" is a request.
-func (s *Server) writeLookedUp(w http.ResponseWriter, conn *clientConn, result requestlog.Result, final requestlog.FinalAnswer) bool {
+// writeLookupResult writes the answer that the result of a lookup determines. It writes nothing and reports false if the
+// result determines none yet: the key is in flight, or the log has no quorum. The text is part of the protocol: "op" is a
+// request.
+func (s *Server) writeLookupResult(w http.ResponseWriter, conn *clientConn, result requestlog.Result, final requestlog.FinalAnswer) bool {
 	switch result {
 	case requestlog.KeyUnused: // the request that had the key was rejected, so this one is as well
 		s.writeAnswer(w, conn, node.Answer{Status: node.Rejected, RetryAfter: requestlog.PeerTimeoutMs / 4})
@@ -174,14 +175,14 @@
 	case <-r.Context().Done():
 	case <-conn.gone:
 	}
-	s.node.Cancel(request) // an attempt that has begun continues, for a client that asks again with the key
+	s.node.Cancel(request) // an attempt that has begun continues, for a client that repeats the request with the key
 	// A client that has closed only its sending side may still read. Without an answer net/http would send it an empty 200, which
 	// says that the request was served.
 	s.writeAnswer(w, conn, node.Answer{Status: node.RetryLater, RetryAfter: requestlog.PeerTimeoutMs})
 	return true
 }
 
-// lookUp asks the request log for a key. It returns NoQuorum also where ctx is done or the client has gone.
+// lookUp asks the request log for a key. It returns NoQuorum also if ctx is done or the client has disconnected.
 func (s *Server) lookUp(ctx context.Context, gone <-chan struct{}, logged *node.LoggedRequest, deadline float64) (requestlog.Result, requestlog.FinalAnswer) {
 	replies := make(chan requestlog.Reply, 1)
 	s.requestLogging.Peers.Lookup(logged.IdempotencyKey, logged.Fingerprint, deadline, func(reply requestlog.Reply) { replies <- reply })
--- a/internal/server/response.go
+++ b/internal/server/response.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// minRetryAfterMs is the shortest wait that Retry-After can state, in ms: the header has three decimals of a second,
-	// which is the protocol's form and not RFC 9110's. Where the balancer expects a shorter wait, the request was not
-	// rejected because of a queue but because backends refuse or break connections.
+	// minRetryAfterMs is the shortest wait that Retry-After can express, in ms: the header has three decimals of a second,
+	// as the protocol specifies, unlike RFC 9110. If the balancer expects a shorter wait, the request was rejected not
+	// because of a queue but because backends refuse or break connections.
 	minRetryAfterMs = 1.0
 
-	// defaultRetryAfterMs, in ms, bounds the wait that is stated where the answer has none. It is the balancer's review
-	// interval: a client that returns sooner would probably meet the same decision.
+	// defaultRetryAfterMs is the maximum wait, in ms, that is sent if the answer has none. It is the balancer's review
+	// interval: a client that retries sooner would probably get the same decision.
 	defaultRetryAfterMs = 100.0
 
-	// streamBufferBytes is how much of a long response is read and written at a time.
+	// streamBufferBytes is the size of the buffer by which a long response is read and written.
 	streamBufferBytes = 16 << 10
 )
 
-// writeAnswer writes a request's answer as a response. Texts and header fields are the protocol's and must not change: in
-// them "op" is a request, "in hand" means in flight, and "ask again with its key" tells the client to repeat the request with
-// the same idempotency key. Every attempt that has a response to pass on was answered with 200, because the protocol has no
-// other success: upstream's Reply.outcome takes any other status for a failed or rejected attempt.
+// writeAnswer writes a request's answer as a response. Texts and header fields are part of the protocol and must not change:
+// in them "op" is a request, "in hand" means in flight, and "ask again with its key" tells the client to repeat the request
+// with the same idempotency key. Every attempt that has a response to pass on was answered with 200, because the protocol has
+// no other success: upstream's Reply.outcome treats any other status as a failed or rejected attempt.
 func (s *Server) writeAnswer(w http.ResponseWriter, conn *clientConn, answer node.Answer) {
 	switch answer.Status {
 	case node.Served:
@@ -66,17 +66,17 @@
 	w.Header().Set("Retry-After", strconv.FormatFloat(ms/1e3, 'f', 3, 64))
 }
 
-// retryAfterMs returns after how many ms a rejected client should come back: the answer's own time. Where that is too short
-// to be stated, it is a random time from half of defaultRetryAfterMs to all of it, at most MaxRetryAfter if that is set.
-// Clients that are rejected together get different times, so that they don't come back together.
+// retryAfterMs returns after how many ms a rejected client should retry: the answer's own time. If that is too short to be
+// expressed, it is a random time from half of defaultRetryAfterMs to all of it, at most MaxRetryAfter if that is set. Clients
+// that are rejected together get different times, so that they don't retry together.
 //
-// Where the deployment sends no Retry-After (bounds.retryAfter is off), it is 0, and the response has no such header. The
-// exception is rejections for the sake of the request log, in serveLogged: those have a time in any case, for a client that
-// came back at once would meet the same log.
+// If the deployment sends no Retry-After (bounds.retryAfter is off), it is 0, and the response has no such header. The
+// exception is rejections because of the request log, in serveLogged: those always have a time, because a client that retried
+// at once would find the log in the same state.
 //
 // A deployment may leave out bounds.maxRetryAfter, so that MaxRetryAfter is 0. That means no maximum here; the balancer and
-// the node's rejections for the request log take the minimum with it and so state no wait, for which this function then
-// puts one in.
+// the node's rejections because of the request log take the minimum with it and so have no wait, and this function then
+// chooses one.
 func (s *Server) retryAfterMs(answer node.Answer) float64 {
 	config := s.deployment.Load().BalancerConfig
 	if answer.RetryAfter >= minRetryAfterMs || !config.SendRetryAfter {
@@ -91,7 +91,7 @@
 
 func (s *Server) writeResponse(w http.ResponseWriter, conn *clientConn, status int, body []byte) {
 	s.writeHeader(w, conn, status, int64(len(body)))
-	_, _ = w.Write(body) // an error means that the client has gone, which is no fault of the node
+	_, _ = w.Write(body) // an error means that the client has disconnected, which is not a fault of the node
 }
 
 // writeHeader writes a response's header. A negative bodySize means that the body's size is unknown.
@@ -107,7 +107,7 @@
 }
 
 // streamResponse passes a long response on as it arrives: the first bytes at once, the rest no faster than the client reads.
-// The client may be slow, but must take each part within writeTimeout. If the backend does not finish the response, the
+// The client may be slow, but must read each part within writeTimeout. If the backend does not finish the response, the
 // connection is aborted, so that the client can tell that the body is incomplete.
 func (s *Server) streamResponse(w http.ResponseWriter, conn *clientConn, reply *upstream.Reply) {
 	controller := http.NewResponseController(w)
@@ -116,7 +116,7 @@
 	reply.Body = nil
 	for {
 		if _, err := w.Write(part); err != nil || controller.Flush() != nil {
-			return // the client is gone or does not read
+			return // the client has disconnected or does not read
 		}
 		n, err := reply.Stream.Read(buffer)
 		part = buffer[:n]
--- a/internal/server/reuseport.go
+++ b/internal/server/reuseport.go
@@ -27,7 +27,7 @@
 	return optionErr
 }
 
-// steerToNextProcess has the kernel give all new connections to the second of the two listeners, which is the one that
+// steerToNextProcess makes the kernel assign all new connections to the second of the two listeners, which is the one that
 // was opened later. Connections already in this listener's queue stay there; closing the listener would reset them. If the
 // second listener closes, the program's result is an index without a listener, and the kernel distributes as before.
 func steerToNextProcess(l *net.TCPListener) error {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,12 +1,12 @@
-// Package server takes clients' requests on net/http's server and gives each its one response. Beyond net/http it decides
-// which connections to accept, tracks where requests begin and end on a connection, notices clients that disconnect, and
-// shuts down without losing a request that it has taken.
+// Package server receives clients' requests through net/http's server and sends exactly one response to each. Beyond net/http
+// it decides which connections to accept, tracks where requests begin and end on a connection, notices clients that
+// disconnect, and shuts down without losing a request that it has accepted.
 //
-// "Admission" in this package is that of connections, by internal/admission. The balancer has its own admission, of
+// "Admission" in this package means admission of connections, by internal/admission. The balancer has its own admission of
 // requests, in balancer/admission.go.
 //
-// The texts in the bodies of 4xx responses are part of the protocol. Clients and their operators match them, so they keep
-// their words: "op" is a request, "odd" means malformed, and "category" is a class.
+// The texts in the bodies of 4xx responses are part of the protocol. Clients and their operators match them, so they must not
+// change: "op" is a request, "odd" means malformed, and "category" is a class.
 package server
 
 import (
@@ -27,30 +27,30 @@
 )
 
 const (
-	// readTimeout is for reading a request, from its first byte or from the start of the connection. By the operators'
+	// readTimeout is the timeout for reading a request, from its first byte or from the start of the connection. By the operators'
 	// contract a client that sends no complete request gets a 4xx or the end of its connection within 3 s (docs/oncall.md,
 	// "Misbehaving clients"); the rest of that time is for a connection that waits for a file descriptor before it is accepted.
 	readTimeout = 2200 * time.Millisecond
 
-	// writeTimeout is for writing a response, and restarts with each part of a long one.
+	// writeTimeout is the timeout for writing a response; it restarts with each part of a long one.
 	writeTimeout = 5 * time.Second
 
-	// idleTimeout is for a connection between requests: some clients send one request and never close theirs.
+	// idleTimeout is the timeout of a connection between requests: some clients send one request and never close theirs.
 	idleTimeout = 5 * time.Second
 
-	// maxHeaderBytes bounds a request's header; net/http allows 4 KiB more.
+	// maxHeaderBytes is the maximum size of a request's header; net/http allows 4 KiB more.
 	maxHeaderBytes = 12 << 10
 
-	// minIdleBeforeClose is how long a connection has had no request when it may be closed to free its descriptor.
-	// Sooner, a request may be on its way, and would fail if it is the connection's first.
+	// minIdleBeforeClose is how long a connection must have had no request before it may be closed to free its descriptor.
+	// Sooner, a request may be in transit, and would fail if it is the connection's first.
 	minIdleBeforeClose = 2 * time.Second
 
-	// malformedLogInterval is the least time between two log lines on malformed requests.
+	// malformedLogInterval is the minimum time between two log lines about malformed requests.
 	malformedLogInterval = time.Second
 )
 
-// Server is the clients' side of a node. Its methods may be called from any goroutine, those that say so only before
-// Serve.
+// Server is the client-facing HTTP server of a node. Its methods may be called from any goroutine, but those documented as
+// such only before Serve.
 type Server struct {
 	node       *node.Node
 	deployment atomic.Pointer[config.Deployment]
@@ -60,27 +60,27 @@
 
 	httpServer     http.Server
 	listener       *listener
-	tlsListener    *tlsListener        // nil where no TLS is served
+	tlsListener    *tlsListener        // nil if TLS is not served
 	admitter       *connectionAdmitter // nil admits every connection
-	requestLogging *RequestLogging     // nil where no request is logged
+	requestLogging *RequestLogging     // nil if no request is logged
 	serveDone      chan struct{}       // closed when Serve has ended
 
 	outOfService  atomic.Bool  // set by an operator or the agent
-	shuttingDown  atomic.Bool  // the health check sends no more clients here
+	shuttingDown  atomic.Bool  // the health check fails, unless handedOff is set
 	draining      atomic.Bool  // responses ask clients to close their connections
-	handedOff     atomic.Bool  // another process serves in this one's place: the node stays in service
-	quiesce       quiesce      // whether clients are sent away while the node runs on
+	handedOff     atomic.Bool  // another process has replaced this one: the node stays in service
+	quiesce       quiesce      // whether clients' connections are closed while the node keeps running
 	lastRequestAt atomic.Int64 // Unix ms
-	openRequests  atomic.Int64 // requests that were taken and have no response yet
+	openRequests  atomic.Int64 // accepted requests without a response
 
 	mu        sync.Mutex
-	idleConns map[net.Conn]time.Time // connections without a request, and since when
-	openIDs   map[string]struct{}    // of the open requests
+	idleConns map[net.Conn]time.Time // connections without a request, with the time since when
+	openIDs   map[string]struct{}    // ids of the open requests
 
 	malformedLog *throttledlog.Throttle
 }
 
-// New makes a server that passes requests to n.
+// New returns a server that passes requests to n.
 func New(n *node.Node, deployment *config.Deployment, nodeClock *clock.Clock, budget *descriptors.Budget, log *slog.Logger) *Server {
 	s := &Server{
 		node:         n,
@@ -106,8 +106,8 @@
 	return s
 }
 
-// EnableAdmission limits clients' connections. It is called before Listen. onPressure is called whenever connections become
-// scarce (true) or suffice again (false); it must not block.
+// EnableAdmission limits clients' connections. It is called before Listen. onPressure is called whenever pressure begins (true)
+// or ends (false); it must not block.
 func (s *Server) EnableAdmission(limits admission.Limits, onPressure func(underPressure bool)) {
 	limits.MaxConnections = max(s.budget.MaxClients()-refusalReserve, 1)
 	s.admitter = &connectionAdmitter{
@@ -124,11 +124,11 @@
 // ClientStats returns which clients are connected. EnableAdmission must have been called.
 func (s *Server) ClientStats() ClientStats { return s.admitter.stats() }
 
-// Reconfigure sets the deployment for the requests that come from now on. The node must have it already.
+// Reconfigure sets the deployment for subsequent requests. The node must have it already.
 func (s *Server) Reconfigure(deployment *config.Deployment) { s.deployment.Store(deployment) }
 
-// Listen opens the address for plain HTTP; connections are taken from Serve on. With reusePort another process of the
-// node may listen there as well.
+// Listen opens the address for plain HTTP; connections are accepted once Serve runs. With reusePort another process of the
+// node may listen on the address as well.
 func (s *Server) Listen(address string, reusePort bool) error {
 	tcp, err := listenTCP(address, reusePort)
 	if err != nil {
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// ListenTLS opens the address for TLS; connections are taken from Serve on. They count towards the same descriptor budget,
+// ListenTLS opens the address for TLS; connections are accepted once Serve runs. They count towards the same descriptor budget,
 // whose size is maxDescriptors; at most a quarter of it may be in handshakes.
 func (s *Server) ListenTLS(config TLSConfig, maxDescriptors int) error {
 	tcp, err := listenTCP(config.Address, config.ReusePort)
@@ -175,7 +175,7 @@
 // TLSAddress returns the address at which TLS is served.
 func (s *Server) TLSAddress() string { return s.tlsListener.Addr().String() }
 
-// Serve takes connections until Drain or DrainForHandoff has ended it, or a listener fails.
+// Serve accepts connections until Drain or DrainForHandoff has ended it, or a listener fails.
 func (s *Server) Serve() error {
 	defer close(s.serveDone)
 	if s.tlsListener == nil {
@@ -185,7 +185,7 @@
 	ended := make(chan error, 2)
 	go func() { ended <- s.serveListener(s.tlsListener) }()
 	go func() { ended <- s.serveListener(s.listener) }()
-	if err := <-ended; err != nil { // the node ends with either
+	if err := <-ended; err != nil { // the failure of either listener ends the node
 		return err
 	}
 	return <-ended
@@ -208,11 +208,10 @@
 	}
 }
 
-// SetOutOfService sets whether the health check reports the node as out of service. Requests that come are served all the
-// same.
+// SetOutOfService sets whether the health check reports the node as out of service. Requests are still served.
 func (s *Server) SetOutOfService(out bool) { s.outOfService.Store(out) }
 
-// ServiceState reports whether the health check would send clients here, and whether the node is shutting down.
+// ServiceState reports whether the health check reports the node as in service, and whether the node is shutting down.
 func (s *Server) ServiceState() (inService, shuttingDown bool) {
 	shuttingDown = s.shuttingDown.Load()
 	inService = !s.outOfService.Load() && (!shuttingDown || s.handedOff.Load()) && !s.quiesce.isOn()
@@ -220,7 +219,7 @@
 }
 
 // CloseIdleConnections closes clients' connections that have had no request for a while, to free descriptors. A client
-// whose request crosses the close sends it again on another connection.
+// whose request is in transit during the close sends it again on another connection.
 func (s *Server) CloseIdleConnections() {
 	s.closeIdle(minIdleBeforeClose, closePartial)
 	if s.tlsListener != nil {
@@ -228,11 +227,11 @@
 	}
 }
 
-// partialRequests says what becomes of idle connections on which a part of a request has come.
+// partialRequests says whether to close idle connections on which a part of a request has arrived.
 type partialRequests bool
 
 const (
-	sparePartial partialRequests = false
+	keepPartial  partialRequests = false
 	closePartial partialRequests = true
 )
 
@@ -243,7 +242,7 @@
 	defer s.mu.Unlock()
 	for conn, since := range s.idleConns {
 		c := conn.(*clientConn)
-		if time.Since(since) < minIdle || partial == sparePartial && c.isWithinRequest() || c.hasUnreadData() {
+		if time.Since(since) < minIdle || partial == keepPartial && c.isWithinRequest() || c.hasUnreadData() {
 			continue
 		}
 		_ = c.Close()
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -26,20 +26,20 @@
 	"pearknot/internal/node"
 )
 
-// connPair is a client's connection as the server has it, and the client's end.
+// connPair returns the server's and the client's end of a client's connection.
 func connPair(t *testing.T) (*clientConn, net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
-	far, err := net.Dial("tcp", listener.Addr().String())
+	client, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
-	near, err := listener.Accept()
+	accepted, err := listener.Accept()
 	require.NoError(t, err)
 	budget := descriptors.New(64, func() {})
 	require.True(t, budget.AcquireClient())
-	t.Cleanup(func() { _ = far.Close() })
-	return newClientConn(near.(*net.TCPConn), budget), far
+	t.Cleanup(func() { _ = client.Close() })
+	return newClientConn(accepted.(*net.TCPConn), budget), client
 }
 
 func TestDecode(t *testing.T) {
@@ -75,7 +75,7 @@
 		request, malformed := srv.decode(httptest.NewRecorder(), r, conn)
 		if test.want == 0 {
 			require.Nil(t, malformed, name)
-			assert.Less(t, request.Deadline, srv.clock.Now()+maxTTLMs+maxBodyMs, name)
+			assert.Less(t, request.Deadline, srv.clock.Now()+maxTTLMs+maxBodyTimeMs, name)
 			assert.Equal(t, len(test.body) > 64<<10, request.Streamed, name)
 			continue
 		}
@@ -86,7 +86,7 @@
 	r := httptest.NewRequest("GET", "/api", nil)
 	r.Header = http.Header{"X-Trace-Id": {"a"}, "X-Qos": {"pay out"}, "X-Expires-In-Ms": {"480"}, "X-Size-Hint": {"1500"},
 		"X-Second-Try": {"1"}, "X-Customer": {"two"}}
-	conn, _ = connPair(t) // whose bytes were sent just now
+	conn, _ = connPair(t) // its bytes were sent just now
 	before := srv.clock.Now()
 	request, malformed := srv.decode(httptest.NewRecorder(), r, conn)
 	require.Nil(t, malformed)
@@ -95,57 +95,57 @@
 	assert.Greater(t, request.Deadline, before+480-100)
 }
 
-// A request that may hide another in its body, or has one behind it, is recognized whatever pieces it comes in.
+// A request that may hide another in its body, or has one after it, is recognized regardless of how it is split into reads.
 func TestFraming(t *testing.T) {
 	const get, post = "GET / HTTP/1.1\r\nHost: s\r\n\r\n", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
 	for name, test := range map[string]struct {
-		sent                          string
-		ambiguous, behind, mustBeLast bool
+		sent                               string
+		ambiguous, hasTrailing, mustBeLast bool
 	}{
-		"one":             {sent: get},
-		"a body":          {sent: post},
-		"a line behind":   {sent: post + "\r\n"},
-		"two":             {sent: get + get, behind: true},
-		"two with bodies": {sent: post + post, behind: true},
-		"chunks":          {sent: "POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n", mustBeLast: true},
-		"length, chunks":  {sent: "POST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", ambiguous: true, mustBeLast: true},
-		"chunks, length":  {sent: "POST / HTTP/1.1\nTRANSFER-ENCODING:chunked\nCONTENT-LENGTH:5\n\n0\r\n\r\n" + get, ambiguous: true, mustBeLast: true},
-		"a long length":   {sent: "POST / HTTP/1.1\r\nContent-Length: " + strings.Repeat("0", 90) + "3\r\n\r\nabc" + get, mustBeLast: true},
-		"negative length": {sent: "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n" + get, mustBeLast: true},
-		"a long line":     {sent: "GET / HTTP/1.1\r\nX: " + strings.Repeat("Content-Length: 5", 9) + "\r\n\r\n"},
+		"one":                   {sent: get},
+		"a body":                {sent: post},
+		"a line break after it": {sent: post + "\r\n"},
+		"two":                   {sent: get + get, hasTrailing: true},
+		"two with bodies":       {sent: post + post, hasTrailing: true},
+		"chunks":                {sent: "POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n", mustBeLast: true},
+		"length, chunks":        {sent: "POST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", ambiguous: true, mustBeLast: true},
+		"chunks, length":        {sent: "POST / HTTP/1.1\nTRANSFER-ENCODING:chunked\nCONTENT-LENGTH:5\n\n0\r\n\r\n" + get, ambiguous: true, mustBeLast: true},
+		"a long length":         {sent: "POST / HTTP/1.1\r\nContent-Length: " + strings.Repeat("0", 90) + "3\r\n\r\nabc" + get, mustBeLast: true},
+		"negative length":       {sent: "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n" + get, mustBeLast: true},
+		"a long line":           {sent: "GET / HTTP/1.1\r\nX: " + strings.Repeat("Content-Length: 5", 9) + "\r\n\r\n"},
 	} {
 		for size := 1; size <= len(test.sent); size += 1 + size/2 {
 			var f framing
-			behind := false
+			hasTrailing := false
 			for part := range slices.Chunk([]byte(test.sent), size) {
-				behind = f.observe(part) || behind
+				hasTrailing = f.observe(part) || hasTrailing
 			}
-			assert.Equal(t, []bool{test.ambiguous, test.behind, test.mustBeLast}, []bool{f.ambiguous, behind, f.mustBeLast}, "%s by %d", name, size)
+			assert.Equal(t, []bool{test.ambiguous, test.hasTrailing, test.mustBeLast}, []bool{f.ambiguous, hasTrailing, f.mustBeLast}, "%s by %d", name, size)
 		}
 	}
 }
 
-// net/http closes idle connections by a state that may be out of date. The client of a request that was just read would send
-// it again, and it would run twice, so a connection with a request stays open until its response is out.
+// net/http closes idle connections based on a state that may be out of date. The client of a request that was just read would
+// send it again, and it would run twice, so a connection with a request stays open until its response is sent.
 func TestConnectionWithRequestStaysOpen(t *testing.T) {
-	conn, far := connPair(t)
+	conn, client := connPair(t)
 	require.True(t, conn.claimForRequest(false))
 	require.NoError(t, conn.Close())
 	_, err := conn.Write([]byte("x"))
-	assert.NoError(t, err, "the response still goes out")
+	assert.NoError(t, err, "the response is still sent")
 	conn.releaseFromRequest()
 	require.NoError(t, conn.Close())
 	require.NoError(t, conn.Close(), "its descriptor is returned once")
-	assert.False(t, conn.claimForRequest(false), "a request that crosses the close is not taken")
-	_, _ = far.Read(make([]byte, 1))
-	_, err = far.Read(make([]byte, 1))
+	assert.False(t, conn.claimForRequest(false), "a request that arrives during the close is not accepted")
+	_, _ = client.Read(make([]byte, 1))
+	_, err = client.Read(make([]byte, 1))
 	assert.Error(t, err)
 }
 
-// The process stood still while a request came in on a connection that was there before, so its read deadline has run out when
-// it is first looked at. Once the connection was closed with the request unread, which was lost with it.
-func TestLateReadTakesWhatHasCome(t *testing.T) {
-	conn, far := connPair(t)
+// The process was paused while a request arrived on an existing connection, so its read deadline has expired when the request is
+// read. Formerly the connection was closed with the request unread, which was lost.
+func TestLateReadReturnsArrivedData(t *testing.T) {
+	conn, client := connPair(t)
 	expireDeadline := func() { require.NoError(t, conn.SetReadDeadline(time.Now().Add(-time.Second))) }
 	readLate := func() string {
 		b := make([]byte, 99)
@@ -156,7 +156,7 @@
 		return string(b[:n])
 	}
 	send := func(text string) {
-		_, err := io.WriteString(far, text)
+		_, err := io.WriteString(client, text)
 		require.NoError(t, err)
 		require.Eventually(t, conn.hasUnreadData, 20*time.Second, time.Millisecond)
 	}
@@ -176,7 +176,7 @@
 	assert.Empty(t, readLate(), "a client that was slow with the rest of its request")
 }
 
-// A node with as many open requests as it may have rejects the next one, and says when to come back.
+// A node with the maximum number of open requests rejects the next one, with a Retry-After.
 func TestMaxOpenRequests(t *testing.T) {
 	srv := &Server{budget: descriptors.New(64, func() {})}
 	srv.deployment.Store(&config.Deployment{MaxOpenRequests: 1, BalancerConfig: &balancer.Config{SendRetryAfter: true, MaxRetryAfter: 1500}})
@@ -189,14 +189,14 @@
 	assert.Equal(t, int64(1), srv.openRequests.Load())
 }
 
-// A request is rejected without a wait foreseen, here since the backend refuses its connection. The response has a Retry-After
-// all the same, within the deployment's bound, and clients rejected together get different ones. Where the deployment sends no
+// A request is rejected without a predicted wait, here because the backend refuses the connection. The response still has a
+// Retry-After, within the deployment's bound, and clients rejected together get different ones. If the deployment sends no
 // Retry-After, there is none.
 func TestRetryAfterWithoutForeseenWait(t *testing.T) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	defer unix.Close(fd)
-	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})) // nobody listens there, and nobody else can
+	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})) // nothing listens there, and nothing else can
 	address, err := unix.Getsockname(fd)
 	require.NoError(t, err)
 	refusing := net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: address.(*unix.SockaddrInet4).Port}
@@ -230,11 +230,11 @@
 	srv := &Server{}
 	srv.deployment.Store(&config.Deployment{BalancerConfig: &balancer.Config{SendRetryAfter: true, MaxRetryAfter: 2000}})
 	assert.NotEqual(t, srv.retryAfterMs(node.Answer{}), srv.retryAfterMs(node.Answer{}), "spread")
-	assert.Equal(t, 7.0, srv.retryAfterMs(node.Answer{RetryAfter: 7}), "as foreseen")
-	assert.Less(t, 49.0, srv.retryAfterMs(node.Answer{RetryAfter: 0.4}), "which Retry-After would state as 0.000")
+	assert.Equal(t, 7.0, srv.retryAfterMs(node.Answer{RetryAfter: 7}), "as predicted")
+	assert.Less(t, 49.0, srv.retryAfterMs(node.Answer{RetryAfter: 0.4}), "which Retry-After would express as 0.000")
 }
 
-// A handler that panics answers with 500: net/http would end the connection without a response.
+// A handler that panics answers with 500; otherwise net/http would close the connection without a response.
 func TestHandlerPanicIsAnswered(t *testing.T) {
 	conn, _ := connPair(t)
 	srv := &Server{log: slog.New(slog.DiscardHandler), budget: conn.budget} // without a deployment decode panics
--- a/internal/server/tlslistener.go
+++ b/internal/server/tlslistener.go
@@ -13,74 +13,74 @@
 )
 
 const (
-	// handshakeTimeout is for a whole handshake.
+	// handshakeTimeout is the timeout of a whole handshake.
 	handshakeTimeout = 2 * time.Second
 
-	// acceptRetryDelay is the wait after an Accept that failed for want of a resource.
+	// acceptRetryDelay is the wait after an Accept that failed because a resource was exhausted.
 	acceptRetryDelay = 5 * time.Millisecond
 
-	// A client's first message comes right behind its connection, and its second a round trip later. A handshake whose
-	// client has not sent the first after silentEvictionAge, or the second after spokenEvictionAge, may be evicted.
-	silentEvictionAge = 100 * time.Millisecond
-	spokenEvictionAge = 500 * time.Millisecond
+	// A client's first message arrives right after its connection, and its second a round trip later. A handshake whose
+	// client has not sent the first after silentEvictionAge, or the second after stalledEvictionAge, may be evicted.
+	silentEvictionAge  = 100 * time.Millisecond
+	stalledEvictionAge = 500 * time.Millisecond
 
-	// Handshakes in progress are bounded by maxHandshakes and by one for descriptorsPerHandshake descriptors, but
+	// Handshakes in progress are bounded by maxHandshakes and by one per descriptorsPerHandshake descriptors, but
 	// minHandshakes are always possible.
 	maxHandshakes           = 64
 	descriptorsPerHandshake = 4
 	minHandshakes           = 4
 
-	// acmeTLSProtocol is the protocol of tls-alpn-01 challenges, RFC 8737, 6.2.
+	// acmeTLSProtocol is the ALPN protocol of tls-alpn-01 challenges, RFC 8737, 6.2.
 	acmeTLSProtocol = "acme-tls/1"
 )
 
-// TLSConfig is the configuration of the address for TLS.
+// TLSConfig configures the address for TLS.
 type TLSConfig struct {
 	Address          string
-	ReusePort        bool // another process of the node may listen there as well
+	ReusePort        bool // another process of the node may listen on the address as well
 	GetCertificate   func(*tls.ClientHelloInfo) (*tls.Certificate, error)
-	AnswerChallenges bool // tls-alpn-01 is answered, by certificates that GetCertificate returns
+	AnswerChallenges bool // tls-alpn-01 challenges are answered with the certificates that GetCertificate returns
 }
 
 // tlsListener accepts connections whose handshake is complete. Handshakes run concurrently, bounded in number and time.
-// When all places are taken, a new handshake takes the place of one whose client keeps it waiting, so that a client that
-// opens connections and sends nothing can't lock the others out.
+// When the maximum is reached, a new handshake replaces one whose client keeps it waiting, so that a client that opens
+// connections and sends nothing can't lock the others out.
 type tlsListener struct {
 	inner         *listener
 	config        *tls.Config
 	maxHandshakes int
 	ready         chan net.Conn // connections whose handshake is complete
 	ended         chan struct{} // closed when the inner listener has ended
-	err           error         // the inner listener's; set before ended is closed
+	err           error         // the inner listener's error; set before ended is closed
 	handshakeDone chan struct{} // signals that a handshake has ended
 
 	mu         sync.Mutex
-	handshakes []*handshake // in progress, in the order in which they came
+	handshakes []*handshake // in progress, in order of arrival
 	counts     HandshakeStats
 }
 
 // HandshakeStats counts TLS handshakes since the start.
 type HandshakeStats struct {
 	Done    uint64 `json:"done"`
-	Resumed uint64 `json:"resumed"` // of those done
-	Failed  uint64 `json:"failed"`  // by the client or its timeout
-	Evicted uint64 `json:"evicted"` // for another handshake, or for a descriptor
+	Resumed uint64 `json:"resumed"` // also counted in Done
+	Failed  uint64 `json:"failed"`  // because of the client or the timeout
+	Evicted uint64 `json:"evicted"` // to admit another handshake, or to free a descriptor
 	Open    int    `json:"open"`    // in progress
 }
 
-// handshake is one in progress.
+// handshake holds the state of a handshake in progress.
 type handshake struct {
-	tcp       *net.TCPConn
-	startedAt time.Time
-	hasSpoken bool // the client has sent something
-	evicted   bool
+	tcp         *net.TCPConn
+	startedAt   time.Time
+	hasSentData bool // the client has sent something
+	evicted     bool
 }
 
 // newTLSListener returns a listener for TLS on top of inner; maxDescriptors is the size of the descriptor budget.
 func newTLSListener(inner *listener, config TLSConfig, maxDescriptors int) *tlsListener {
 	l := &tlsListener{
 		inner: inner,
-		// HTTP/1.1 alone: framing follows the requests by their bytes.
+		// Only HTTP/1.1, because framing parses the requests' bytes.
 		config:        &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: []string{"http/1.1"}, GetCertificate: config.GetCertificate},
 		maxHandshakes: min(maxHandshakes, max(maxDescriptors/descriptorsPerHandshake, minHandshakes)),
 		ready:         make(chan net.Conn),
@@ -113,16 +113,16 @@
 // Close closes the TCP listener.
 func (l *tlsListener) Close() error { return l.inner.Close() }
 
-// Addr is the TCP listener's address.
+// Addr returns the TCP listener's address.
 func (l *tlsListener) Addr() net.Addr { return l.inner.Addr() }
 
-// run makes handshakes until the inner listener ends.
+// run accepts connections and starts their handshakes until the inner listener ends.
 func (l *tlsListener) run() {
 	var running sync.WaitGroup
 	for {
 		conn, err := l.inner.Accept()
 		var netErr net.Error
-		if errors.As(err, &netErr) && netErr.Temporary() { //nolint:staticcheck // as net/http does: descriptors may be short
+		if errors.As(err, &netErr) && netErr.Temporary() { //nolint:staticcheck // as in net/http: descriptors may be exhausted
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -139,7 +139,7 @@
 	}
 }
 
-// add adds a handshake to those in progress. If all places are taken, it evicts one whose client keeps it waiting. If there
+// add adds a handshake to those in progress. If the maximum is reached, it evicts one whose client keeps it waiting. If there
 // is none it waits: handshakes that wait for this machine, and not for their clients, must not evict each other.
 func (l *tlsListener) add(h *handshake) {
 	for {
@@ -156,8 +156,8 @@
 	}
 }
 
-// tryAdd adds a handshake if there is a place. Otherwise it returns how long it takes until one may be evicted, should
-// none end before.
+// tryAdd adds a handshake if the maximum is not reached or one may be evicted. Otherwise it returns the time until one may be
+// evicted, if none ends before.
 func (l *tlsListener) tryAdd(h *handshake, now time.Time) (wait time.Duration, added bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,20 +173,20 @@
 }
 
 // evictionCandidate returns the index of the oldest handshake whose client has sent nothing for too long, or else of the
-// oldest one whose client has sent something and then fell silent. If there is neither, index is -1 and wait the time until
+// oldest one whose client has sent something and then stalled. If there is neither, index is -1 and wait is the time until
 // there will be one.
 func (l *tlsListener) evictionCandidate(now time.Time) (index int, wait time.Duration) {
 	index, wait = -1, handshakeTimeout
 	for i, h := range l.handshakes {
 		timeLeft := silentEvictionAge - now.Sub(h.startedAt)
 		if timeLeft <= 0 {
-			// What has come and is not read yet counts: then this machine is late, not the client.
+			// Bytes that have arrived and are not read yet count: then this machine is late, not the client.
 			if ago, received := h.lastReceived(); received {
-				h.hasSpoken = true
-				timeLeft = spokenEvictionAge - ago
+				h.hasSentData = true
+				timeLeft = stalledEvictionAge - ago
 			}
 		}
-		if timeLeft <= 0 && (index < 0 || l.handshakes[index].hasSpoken && !h.hasSpoken) {
+		if timeLeft <= 0 && (index < 0 || l.handshakes[index].hasSentData && !h.hasSentData) {
 			index = i
 		}
 		wait = min(wait, timeLeft)
@@ -194,7 +194,7 @@
 	return index, wait
 }
 
-// lastReceived asks the kernel how long ago the client last sent something, if it ever did.
+// lastReceived returns how long ago the client last sent something, if it ever did, as the kernel reports it.
 func (h *handshake) lastReceived() (ago time.Duration, received bool) {
 	socket, err := h.tcp.SyscallConn()
 	if err != nil {
@@ -209,7 +209,7 @@
 	return ago, received
 }
 
-// evict ends a handshake; its goroutine returns the descriptor. The lock is held.
+// evict ends a handshake; its goroutine returns the descriptor. The lock must be held.
 func (l *tlsListener) evict(index int) {
 	h := l.handshakes[index]
 	h.evicted = true
@@ -250,7 +250,7 @@
 	l.ready <- client
 }
 
-// remove takes a handshake that has ended off those in progress, and counts it.
+// remove removes a handshake that has ended from those in progress, and counts it.
 func (l *tlsListener) remove(h *handshake, conn *tls.Conn, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/server/tlslistener_test.go
+++ b/internal/server/tlslistener_test.go
@@ -31,7 +31,7 @@
 	"pearknot/internal/upstream"
 )
 
-// newCertificate makes a self-signed certificate for a host name.
+// newCertificate returns a self-signed certificate for a host name.
 func newCertificate(t testing.TB, name string) *tls.Certificate {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -47,7 +47,7 @@
 	return &tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key, Leaf: leaf}
 }
 
-// startTLSServer starts a server that serves TLS with the certificate stored at the moment. Its node knows no backend.
+// startTLSServer starts a server that serves TLS with the certificate that is currently stored. Its node has no backend.
 func startTLSServer(t testing.TB, limit int, configure ...func(*Server)) (srv *Server, budget *descriptors.Budget, certificate *atomic.Pointer[tls.Certificate]) {
 	t.Helper()
 	return startServer(t, limit, &balancer.Config{Nodes: 1, PollEndpoints: true, PollInterval: 60e3, Classes: []balancer.Class{{}}}, node.NewBalancer, &discovery.List{Complete: true}, configure...)
@@ -90,14 +90,14 @@
 	return srv, budget, certificate
 }
 
-// dialTLS makes a TLS connection to srv.
+// dialTLS opens a TLS connection to srv.
 func dialTLS(srv *Server, config *tls.Config) (*tls.Conn, error) {
 	config.InsecureSkipVerify = true
 	config.ServerName = "members.example"
 	return tls.DialWithDialer(&net.Dialer{Timeout: 5 * time.Second}, "tcp", srv.TLSAddress(), config)
 }
 
-// checkHealth makes a health check on conn, and returns the response's protocol and status.
+// checkHealth sends a health check on conn, and returns the response's protocol and status.
 func checkHealth(conn net.Conn) (string, error) {
 	if _, err := io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		return "", err
@@ -149,9 +149,9 @@
 		_, err := dialTLS(srv, c)
 		assert.Error(t, err)
 	}
-	proof, err := dialTLS(srv, &tls.Config{NextProtos: []string{"acme-tls/1"}})
+	challenge, err := dialTLS(srv, &tls.Config{NextProtos: []string{"acme-tls/1"}})
 	require.NoError(t, err)
-	_, err = checkHealth(proof)
+	_, err = checkHealth(challenge)
 	assert.Error(t, err, "such a connection carries no requests (RFC 8737, 3)")
 	certificate.Store(nil)
 	_, err = dialTLS(srv, &tls.Config{})
@@ -163,7 +163,7 @@
 	assert.Equal(t, uint64(3), stats.Failed)
 }
 
-// A client opens many connections and sends nothing. It must not lock others out: new handshakes take the silent ones' places.
+// A client opens many connections and sends nothing. It must not lock others out: new handshakes replace the silent ones.
 func TestSilentHandshakesAreEvicted(t *testing.T) {
 	srv, budget, _ := startTLSServer(t, 96)
 	var silent []net.Conn
@@ -177,12 +177,12 @@
 		require.NoError(t, err)
 		silent = append(silent, c)
 		if len(silent)%20 == 0 {
-			in, err := dialTLS(srv, &tls.Config{})
+			conn, err := dialTLS(srv, &tls.Config{})
 			require.NoError(t, err)
-			got, err := checkHealth(in)
+			got, err := checkHealth(conn)
 			require.NoError(t, err)
 			assert.Equal(t, "HTTP/1.1 200", got)
-			_ = in.Close()
+			_ = conn.Close()
 		}
 	}
 	stats := srv.HandshakeStats()
@@ -193,14 +193,14 @@
 	require.Eventually(t, func() bool { srv.tlsListener.evictSilent(0); return budget.Clients() == 2 }, 5*time.Second, time.Millisecond, "each descriptor is returned once")
 }
 
-// Without room for a new handshake, the oldest one whose client has sent nothing for a while is evicted, then the oldest whose
-// client has sent something and fell silent. A handshake that waits for this machine is not.
+// If the maximum of handshakes is reached, the oldest one whose client has sent nothing for a while is evicted, then the oldest
+// whose client has sent something and stalled. A handshake that waits for this machine is not evicted.
 func TestHandshakeEvictionOrder(t *testing.T) {
-	begun := time.Now()
+	now := time.Now()
 	for name, test := range map[string]struct {
-		spoke   [2]bool
-		ages    [2]time.Duration
-		evicted int // index; -1: the new one waits
+		hasSentData [2]bool
+		ages        [2]time.Duration
+		evicted     int // index; -1: the new one waits
 	}{
 		"all new":          {[2]bool{false, false}, [2]time.Duration{40 * time.Millisecond, 30 * time.Millisecond}, -1},
 		"both silent":      {[2]bool{false, false}, [2]time.Duration{170 * time.Millisecond, 160 * time.Millisecond}, 0},
@@ -210,30 +210,30 @@
 		l := &tlsListener{maxHandshakes: 2}
 		var all [2]*handshake
 		for i := range all {
-			conn, far := connPair(t)
-			all[i] = &handshake{tcp: conn.tcp, startedAt: begun.Add(-test.ages[i])}
-			if test.spoke[i] {
-				_, err := far.Write([]byte{22})
+			conn, client := connPair(t)
+			all[i] = &handshake{tcp: conn.tcp, startedAt: now.Add(-test.ages[i])}
+			if test.hasSentData[i] {
+				_, err := client.Write([]byte{22})
 				require.NoError(t, err)
-				require.Eventually(t, func() bool { _, spoke := all[i].lastReceived(); return spoke }, 5*time.Second, time.Millisecond)
+				require.Eventually(t, func() bool { _, received := all[i].lastReceived(); return received }, 5*time.Second, time.Millisecond)
 			}
-			_, entered := l.tryAdd(all[i], begun)
-			require.True(t, entered, name)
+			_, added := l.tryAdd(all[i], now)
+			require.True(t, added, name)
 		}
 		conn, _ := connPair(t)
-		wait, entered := l.tryAdd(&handshake{tcp: conn.tcp, startedAt: begun}, begun)
-		assert.Equal(t, test.evicted >= 0, entered, name)
+		wait, added := l.tryAdd(&handshake{tcp: conn.tcp, startedAt: now}, now)
+		assert.Equal(t, test.evicted >= 0, added, name)
 		for i, h := range all {
 			assert.Equal(t, i == test.evicted, h.evicted, name)
 		}
-		if !entered {
+		if !added {
 			assert.Positive(t, wait, name)
-			assert.LessOrEqual(t, wait, spokenEvictionAge, name)
+			assert.LessOrEqual(t, wait, stalledEvictionAge, name)
 		}
 	}
 }
 
-// BenchmarkHandshake measures both ends' work; Resumed uses a session ticket.
+// BenchmarkHandshake measures the work of both ends; Resumed uses a session ticket.
 func BenchmarkHandshake(b *testing.B) {
 	for _, resumed := range []bool{false, true} {
 		b.Run(map[bool]string{false: "Full", true: "Resumed"}[resumed], func(b *testing.B) {
