--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// maxAnswerBytes bounds what a client reads of an answer.
+// maxAnswerBytes bounds the size of an answer that a client reads.
 const maxAnswerBytes = 4 << 10
 
-// SendLine sends a command's line to an admin address and returns the answer's line without its newline. isYes reports
-// whether that is a YES or a NO; any other answer is an error, as is none before ctx is done.
+// SendLine sends a command line to an admin address and returns the answer without its newline. isYes reports whether the
+// answer is YES or NO. Any other answer is an error, and so is none before ctx is done.
 func SendLine(ctx context.Context, address, line string) (answer string, isYes bool, err error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -30,7 +30,7 @@
 	}
 	answer, err = bufio.NewReader(io.LimitReader(conn, maxAnswerBytes)).ReadString('\n')
 	if err != nil {
-		return "", false, fmt.Errorf("no answer: %w", err)
+		return "", false, fmt.Errorf("read answer: %w", err)
 	}
 	answer = strings.TrimSpace(answer)
 	switch word, _, _ := strings.Cut(answer, " "); word {
--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -1,10 +1,10 @@
-// Package admin is a node's admin address, a TCP address at which operators and load balancers send commands: one line on
-// a connection, one line as the answer. Operators' pages call it the second address; in the configuration it is "control",
-// although it is neither the control socket (package controlsocket, for everything that concerns the process) nor part of
-// the control plane (package controlplane, for the configuration of all nodes).
+// Package admin implements a node's admin address, a TCP address to which operators and load balancers send commands: each
+// connection carries one command line and one answer line. The operators' documentation calls it the second address. In the
+// configuration it is "control", although it is neither the control socket (package controlsocket, for everything that
+// concerns the process) nor part of the control plane (package controlplane, for the configuration of all nodes).
 //
-// command.go parses lines and formats answers without any I/O; server.go and client.go have the sockets. The verbs, the
-// answers and the times are a contract with callers, in docs/operations.md ("The admin address").
+// command.go parses lines and formats answers without any I/O; server.go and client.go handle the sockets. The verbs, the
+// answers and the timeouts are a contract with callers, documented in docs/operations.md ("The admin address").
 package admin
 
 import (
@@ -15,38 +15,38 @@
 	"unicode/utf8"
 )
 
-// Verb is what a command asks for.
+// Verb identifies the operation that a command requests.
 type Verb string
 
-// The verbs, as they are written in a line.
+// The verbs, as written in a command line.
 const (
 	Health   Verb = "health"   // whether this process is ready to serve
 	Cordon   Verb = "cordon"   // send no further requests to a backend
 	Uncordon Verb = "uncordon" // use the backend again
-	Quiesce  Verb = "quiesce"  // send clients away
-	Resume   Verb = "resume"   // take clients again
+	Quiesce  Verb = "quiesce"  // fail health checks and make clients disconnect
+	Resume   Verb = "resume"   // accept clients again
 )
 
-// takesBackend tells of each verb whether a backend's ID follows it.
+// takesBackend reports for each verb whether it is followed by a backend's ID.
 var takesBackend = map[Verb]bool{Health: false, Cordon: true, Uncordon: true, Quiesce: false, Resume: false}
 
-// Command is one line.
+// Command holds a parsed command line.
 type Command struct {
 	Verb    Verb
-	Backend string // its ID on the endpoint list; empty where the verb takes none
+	Backend string // ID in the endpoint list; empty if the verb takes none
 }
 
-// maxLineBytes bounds a line: the longest verb and a backend's ID fit in with room to spare.
+// maxLineBytes bounds a command line. It leaves ample room for the longest verb and a backend's ID.
 const maxLineBytes = 512
 
-// The errors of lines that can't be parsed. Their texts go to the caller, whose scripts may look for them.
+// Errors for lines that can't be parsed. Their texts are sent to the caller, whose scripts may match them.
 var (
 	errLineTooLong = fmt.Errorf("a line of more than %d bytes", maxLineBytes)
 	errNotText     = errors.New("no text")
 	errEmptyLine   = errors.New("an empty line")
 )
 
-// ParseCommand parses a line without its newline. Together with an error it returns the verb, if that is known by then.
+// ParseCommand parses a line without its newline. If it fails after the verb was read, it returns the verb with the error.
 func ParseCommand(line []byte) (Command, error) {
 	if len(line) > maxLineBytes {
 		return Command{}, errLineTooLong
@@ -80,12 +80,12 @@
 
 func isControlCharacter(r rune) bool { return r != '\t' && unicode.IsControl(r) }
 
-// FormatAnswer returns the line of an answer with its newline: YES and a text, or NO and the error.
+// FormatAnswer returns an answer line with its newline: YES and the text, or NO and the error.
 func FormatAnswer(text string, err error) string {
 	if err != nil {
-		return "NO " + inOneLine(err.Error()) + "\n"
+		return "NO " + collapseWhitespace(err.Error()) + "\n"
 	}
-	return strings.TrimSpace("YES "+inOneLine(text)) + "\n"
+	return strings.TrimSpace("YES "+collapseWhitespace(text)) + "\n"
 }
 
-func inOneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
+func collapseWhitespace(text string) string { return strings.Join(strings.Fields(text), " ") }
--- a/internal/admin/command_test.go
+++ b/internal/admin/command_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Lines and their answers, if a command that parses is answered with itself. Whatever bytes come, the answer is one line.
+// Checks the answer to valid and invalid lines; a valid command is answered with itself. Any input gets a one-line answer.
 func TestParseCommand(t *testing.T) {
 	for line, want := range map[string]string{
 		"health":                             "YES health ",
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -13,30 +13,31 @@
 )
 
 const (
-	// maxCallers bounds the connections at a time, as in the contract. A new caller takes the place of the one that has
-	// been silent for longest.
+	// maxCallers bounds the concurrent connections, as the contract states. A new caller replaces the one that has been
+	// silent for longest.
 	maxCallers = 8
-	// lineTimeout is how long a caller may take from connecting to the end of its line, as in the contract.
+	// lineTimeout bounds the time from the connection to the end of the caller's line, as the contract states.
 	lineTimeout = 5 * time.Second
-	// commandTimeout is how long a command may take from the end of its line. The contract with callers, in
-	// docs/operations.md ("The admin address"), is that the answer comes within a second however busy the node is; the
-	// rest of that second is for the connection and the two lines.
+	// commandTimeout bounds the execution of a command. The contract with callers, in docs/operations.md ("The admin
+	// address"), is that the answer comes within a second however busy the node is; the rest of that second is for the
+	// connection and the transfer of the two lines.
 	commandTimeout = 900 * time.Millisecond
-	// writeTimeout is how long the caller may take to read the answer.
+	// writeTimeout bounds the time that the caller takes to read the answer.
 	writeTimeout = time.Second
-	// closeTimeout is how long a caller may take to close after the answer.
+	// closeTimeout bounds the wait for the caller to close the connection after the answer.
 	closeTimeout = writeTimeout / 10
-	// maxDiscardedBytes bounds what is read of a caller that sends on after its line.
+	// maxDiscardedBytes bounds the data that is read and discarded from a caller that continues to send after its line.
 	maxDiscardedBytes = 1 << 20
-	// acceptRetryInterval is the pause after an error of Accept, such as a lack of descriptors.
+	// acceptRetryInterval is the wait after Accept fails, for example for lack of file descriptors.
 	acceptRetryInterval = 5 * time.Millisecond
 )
 
-// MaxDescriptors is how many file descriptors a server takes at most: its callers, one that comes, and the listener.
+// MaxDescriptors is the largest number of file descriptors that a server uses: for its callers, a caller that has just been
+// accepted, and the listener.
 const MaxDescriptors = maxCallers + 2
 
-// Handler carries out a command and returns the text of a YES, or an error whose text is the reason of a NO. Its context
-// ends after commandTimeout. It is called from several goroutines at once.
+// Handler executes a command. It returns the text of a YES answer, or an error whose text is the reason in a NO answer. Its
+// context ends after commandTimeout. It is called concurrently.
 type Handler func(ctx context.Context, command Command) (text string, err error)
 
 // Server answers commands until it is closed.
@@ -48,12 +49,12 @@
 
 	mu           sync.Mutex
 	callerChange *sync.Cond // signalled when a caller leaves and when the server is closed
-	silent       []net.Conn // callers whose line is not complete, in the order in which they came
-	callers      int        // the silent ones and those whose command is carried out
+	silent       []net.Conn // callers whose line is incomplete, in order of arrival
+	callers      int        // the silent ones and those whose command is being executed
 	closed       bool
 }
 
-// Start listens at an address and answers commands there.
+// Start listens at an address and starts answering commands.
 func Start(address string, handler Handler, log *slog.Logger) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -65,11 +66,11 @@
 	return s, nil
 }
 
-// Address returns the address at which it listens.
+// Address returns the address at which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close stops the server. Callers that have not sent a line are disconnected. Commands that are being carried out are
-// finished and answered before Close returns.
+// Close stops the server. It disconnects callers that have not sent a line, and waits until commands that are being executed
+// have been answered.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	s.closed = true
@@ -99,11 +100,11 @@
 	}
 }
 
-// admit makes room for a caller and reports false if the server is closed.
+// admit registers a new caller. It returns false if the server is closed.
 //
-// Callers that connect and send nothing, such as a port scanner or a health check that hangs, would otherwise keep out the
-// operator who has to act. So where all places are taken, the caller that has been silent for longest is disconnected. If
-// none is silent, all of them wait for an answer, which comes within commandTimeout, and admit waits for the first to leave.
+// Callers that connect and send nothing, such as a port scanner or a health check that hangs, must not lock out an operator.
+// If maxCallers are connected, admit therefore disconnects the one that has been silent for longest. If none is silent, all
+// of them wait for an answer, which comes within commandTimeout, and admit waits until one has left.
 func (s *Server) admit(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,8 +124,8 @@
 	return true
 }
 
-// lineReceived removes a caller from the silent ones, so that it is no longer disconnected for another. It reports false if
-// that has happened already.
+// lineReceived removes a caller from the silent ones, so that admit no longer disconnects it. It returns false if admit has
+// already done so.
 func (s *Server) lineReceived(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,28 +137,28 @@
 	return true
 }
 
-func (s *Server) callerLeft() {
+func (s *Server) removeCaller() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.callers--
 	s.callerChange.Signal()
 }
 
-// serve reads a caller's line, carries out its command and writes the answer.
+// serve reads a caller's line, executes its command and writes the answer.
 func (s *Server) serve(conn net.Conn) {
 	defer conn.Close()
 	line, err := readLine(conn)
 	if !s.lineReceived(conn) {
 		return
 	}
-	defer s.callerLeft()
+	defer s.removeCaller()
 	if errors.Is(err, errLineTooLong) {
 		writeAnswer(conn, FormatAnswer("", err))
 	}
 	if err != nil {
-		return // other errors: the caller is gone, or was silent for too long
+		return // the caller has disconnected or timed out
 	}
-	answer, verb := s.carryOut(line)
+	answer, verb := s.execute(line)
 	level := slog.LevelInfo
 	if verb == Health { // health checks come many times a second
 		level = slog.LevelDebug
@@ -166,9 +167,9 @@
 	writeAnswer(conn, answer)
 }
 
-// carryOut parses a line, carries out its command and returns the answer's line. The verb is that of the line, also where
-// the command is invalid.
-func (s *Server) carryOut(line []byte) (answer string, verb Verb) {
+// execute parses a line, executes its command and returns the answer line. It returns the line's verb even if the command is
+// invalid.
+func (s *Server) execute(line []byte) (answer string, verb Verb) {
 	command, err := ParseCommand(line)
 	if err != nil {
 		return FormatAnswer("", err), command.Verb
@@ -178,8 +179,8 @@
 	return FormatAnswer(s.handler(ctx, command)), command.Verb
 }
 
-// writeAnswer writes the answer's line and waits a moment for the caller to close. If the connection were closed with bytes of
-// the caller unread, the kernel would reset it, and the caller might lose the answer.
+// writeAnswer writes the answer line and waits up to closeTimeout for the caller to close the connection. If the connection
+// were closed with unread data from the caller, the kernel would reset it, and the caller might lose the answer.
 func writeAnswer(conn net.Conn, answer string) {
 	_ = conn.SetDeadline(time.Now().Add(writeTimeout))
 	if _, err := io.WriteString(conn, answer); err != nil {
@@ -191,7 +192,7 @@
 	}
 }
 
-// readLine reads up to the end of the line, or to the end of what the caller sends.
+// readLine reads up to a newline or the end of the caller's data.
 func readLine(conn net.Conn) ([]byte, error) {
 	_ = conn.SetReadDeadline(time.Now().Add(lineTimeout))
 	var line []byte
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -25,7 +25,7 @@
 	return server
 }
 
-// echo answers with the command, and refuses the backend "never".
+// echo answers with the command, and fails for the backend "never".
 func echo(_ context.Context, command Command) (string, error) {
 	if command.Backend == "never" {
 		return "", errors.New("never\nlisted")
@@ -33,8 +33,8 @@
 	return string(command.Verb) + " " + command.Backend, nil
 }
 
-// Commands are answered in one line; a line may end with the connection, only the first one of a connection counts, and one
-// that is too long is refused before it is read to its end.
+// Commands are answered in one line. A line may end with the connection instead of a newline, only the first line of a
+// connection is executed, and a line that is too long is rejected before it is read to its end.
 func TestCommands(t *testing.T) {
 	server := startServer(t, echo)
 	for line, want := range map[string]string{
@@ -66,8 +66,8 @@
 	}
 }
 
-// More callers connect than the server takes, and say nothing. A health check must not wait for them: the one that has been
-// silent for longest is disconnected, and the latest may still send its line.
+// More callers connect than the server accepts, and send nothing. A health check must not wait for them: the one that has
+// been silent for longest is disconnected, and the latest may still send its line.
 func TestSilentCallers(t *testing.T) {
 	server := startServer(t, echo)
 	var silent []net.Conn
@@ -91,8 +91,8 @@
 	assert.Equal(t, "YES health\n", string(received))
 }
 
-// A command takes longer than callers wait. It is answered with NO in time, and does not hold up another one.
-func TestSlowCommandsEnd(t *testing.T) {
+// A command that takes longer than commandTimeout is answered with NO in time, and does not delay another one.
+func TestSlowCommandTimesOut(t *testing.T) {
 	server := startServer(t, func(ctx context.Context, command Command) (string, error) {
 		if command.Verb == Health {
 			return "", nil
--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -1,16 +1,18 @@
-// Package descriptors keeps a node within its limit of file descriptors: each socket is counted here when it is opened and
-// when it is closed.
+// Package descriptors keeps a node within its limit of file descriptors by counting each socket when it is opened and when
+// it is closed.
 package descriptors
 
 import "sync"
 
 const (
-	// reservedDescriptors are neither clients' nor backends': standard streams, the poller, the listener, the connection to
-	// the discovery service and the one that replaces it, and what the runtime opens for a moment.
+	// reservedDescriptors is the number of descriptors kept for purposes other than clients and backends: standard streams,
+	// the poller, the listener, the connection to the discovery service and the one that replaces it, and those that the
+	// runtime opens briefly.
 	reservedDescriptors = 24
 
-	// minLimit is the least number of descriptors for clients and backends, so that a node with a tiny limit still works.
-	minLimit = 8
+	// minConnectionLimit is the smallest number of descriptors for clients and backends, so that a node with a very low limit
+	// still works.
+	minConnectionLimit = 8
 )
 
 // Budget shares descriptors between clients and backends. Its methods may be called from any goroutine.
@@ -18,7 +20,7 @@
 	onShortage func()
 
 	mu             sync.Mutex
-	available      *sync.Cond // signalled when a descriptor is given back
+	available      *sync.Cond // signalled when a descriptor is released
 	limit          int        // for clients and backends together
 	clients        int
 	backends       int
@@ -27,22 +29,22 @@
 	closed         bool
 }
 
-// New returns the budget of a process that may have limit descriptors. onShortage is called whenever a descriptor is wanted
-// and none is left; it must not block and must not call the budget.
+// New returns the budget of a process that may open limit descriptors. onShortage is called whenever a descriptor is needed
+// and none is available; it must not block and must not call the budget.
 func New(limit int, onShortage func()) *Budget {
-	b := &Budget{limit: forSockets(limit), onShortage: onShortage}
+	b := &Budget{limit: connectionLimit(limit), onShortage: onShortage}
 	b.available = sync.NewCond(&b.mu)
 	return b
 }
 
-// forSockets returns how many of the process's descriptors are for clients and backends.
-func forSockets(limit int) int { return max(limit-reservedDescriptors, minLimit) }
+// connectionLimit returns the number of the process's descriptors that clients and backends may use.
+func connectionLimit(limit int) int { return max(limit-reservedDescriptors, minConnectionLimit) }
 
-// SetLimit changes the number of descriptors that the process may have. Descriptors beyond it are given back as their
+// SetLimit changes the number of descriptors that the process may open. Descriptors in use beyond it are released as their
 // connections close.
 func (b *Budget) SetLimit(limit int) {
 	b.mu.Lock()
-	b.limit = forSockets(limit)
+	b.limit = connectionLimit(limit)
 	isExceeded := b.inUse() > b.limit
 	b.mu.Unlock()
 	if isExceeded {
@@ -54,33 +56,33 @@
 // inUse must be called with the lock held.
 func (b *Budget) inUse() int { return b.clients + b.backends }
 
-// maxClients leaves a quarter to the backends: each client's request needs a connection there, but few do at the same
-// moment. It must be called with the lock held.
+// maxClients returns the number of descriptors that clients may use. It leaves a quarter to the backends: each client's
+// request needs a backend connection, but few need one at the same time. It must be called with the lock held.
 func (b *Budget) maxClients() int { return b.limit * 3 / 4 }
 
-// Used returns how many descriptors the process may have open, with the reserved ones.
+// Used returns the number of descriptors that the process may have open, including the reserved ones.
 func (b *Budget) Used() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.inUse() + reservedDescriptors
 }
 
-// MaxClients returns how many descriptors clients may have.
+// MaxClients returns the number of descriptors that clients may use.
 func (b *Budget) MaxClients() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.maxClients()
 }
 
-// Clients returns how many descriptors clients have.
+// Clients returns the number of descriptors that clients use.
 func (b *Budget) Clients() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.clients
 }
 
-// AcquireClient waits for a client's descriptor. It returns false if the budget was closed. Meanwhile the client waits in
-// the listener's queue, and is accepted as soon as another client's connection closes.
+// AcquireClient waits until a descriptor for a client is available and takes it. It returns false if the budget was closed.
+// Meanwhile the client waits in the listener's queue, and is accepted as soon as another client's connection closes.
 func (b *Budget) AcquireClient() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -97,10 +99,10 @@
 	return true
 }
 
-// ReleaseClient gives a client's descriptor back.
+// ReleaseClient releases a client's descriptor.
 func (b *Budget) ReleaseClient() { b.release(&b.clients) }
 
-// TryAcquireBackend takes a descriptor for a connection to a backend. It returns false if none is left.
+// TryAcquireBackend takes a descriptor for a connection to a backend. It returns false if none is available.
 func (b *Budget) TryAcquireBackend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,7 +115,7 @@
 	return true
 }
 
-// ReleaseBackend gives a backend's descriptor back.
+// ReleaseBackend releases a backend's descriptor.
 func (b *Budget) ReleaseBackend() { b.release(&b.backends) }
 
 func (b *Budget) release(count *int) {
@@ -130,9 +132,9 @@
 	return b.clientWaiting
 }
 
-// ShouldCloseIdleBackends reports whether idle connections to backends are to be closed, for a backend that was refused a
-// descriptor, for a lower limit, or for a waiting client. If clients have all of their share, closing would not help the one
-// that waits, and each request would have to connect anew.
+// ShouldCloseIdleBackends reports whether idle connections to backends should be closed, because a backend was refused a
+// descriptor, the limit was lowered, or a client waits. If clients already use their whole share, closing would not help the
+// waiting client, and each request would need a new connection.
 func (b *Budget) ShouldCloseIdleBackends() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -143,7 +145,7 @@
 	return shouldClose
 }
 
-// ShouldCloseClients reports whether clients are to be asked to close their connections: they have more than three
+// ShouldCloseClients reports whether clients should be asked to close their connections, because they use more than three
 // quarters of their share.
 func (b *Budget) ShouldCloseClients() bool {
 	b.mu.Lock()
@@ -151,7 +153,7 @@
 	return b.clients > b.maxClients()*3/4
 }
 
-// Close ends all waiting for a client's descriptor.
+// Close makes all current and future calls of AcquireClient return false.
 func (b *Budget) Close() {
 	b.mu.Lock()
 	b.closed = true
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Clients and backends share a budget of 16 descriptors, of which clients may have 12. Backends are refused one at the limit,
-// clients wait until one is given back or the budget is closed.
-func TestShares(t *testing.T) {
+// Clients and backends share a budget of 16 descriptors, of which clients may use 12. At the limit, backends are refused a
+// descriptor, and clients wait until one is released or the budget is closed.
+func TestClientAndBackendLimits(t *testing.T) {
 	shortages := 0
 	b := New(reservedDescriptors+16, func() { shortages++ })
 	for range 9 {
@@ -25,7 +25,7 @@
 	assert.False(t, b.TryAcquireBackend(), "the limit is reached")
 	assert.Equal(t, 1, shortages)
 
-	// A client waits for the next descriptor that is given back, and another one until the budget is closed.
+	// A client waits for the next descriptor that is released, and another one until the budget is closed.
 	acquired := make(chan bool)
 	go func() { acquired <- b.AcquireClient() }()
 	b.ReleaseBackend()
@@ -35,7 +35,7 @@
 	assert.False(t, <-acquired)
 }
 
-// Idle connections to backends are closed where that helps whoever needs a descriptor, and only there.
+// Idle connections to backends are closed only if that makes a descriptor available to a client or backend that needs one.
 func TestShouldCloseIdleBackends(t *testing.T) {
 	b := New(reservedDescriptors+16, func() {})
 	acquired := make(chan bool)
@@ -52,7 +52,7 @@
 		assert.True(t, b.TryAcquireBackend())
 	}
 	waitForDescriptor()
-	assert.False(t, b.ShouldCloseIdleBackends(), "clients have their share: a descriptor that is given back would not go to them")
+	assert.False(t, b.ShouldCloseIdleBackends(), "clients use their whole share: a released descriptor would not go to them")
 	b.ReleaseClient()
 	assert.True(t, <-acquired)
 	assert.False(t, b.ShouldCloseIdleBackends(), "all descriptors are in use, and nobody waits")
@@ -69,7 +69,7 @@
 	assert.False(t, b.ShouldCloseIdleBackends())
 	b.clientWaiting = true
 	b.ReleaseClient()
-	assert.False(t, b.ShouldCloseIdleBackends(), "one was given back, and the waiting client only has to wake up")
+	assert.False(t, b.ShouldCloseIdleBackends(), "one was released, and the waiting client has yet to wake up")
 	b.clientWaiting = false
 	assert.True(t, b.AcquireClient())
 	b.SetLimit(reservedDescriptors + 14)
