--- a/cmd/pearknot/certs.go
+++ b/cmd/pearknot/certs.go
@@ -117,7 +117,7 @@
 		RunE: func(command *cobra.Command, args []string) error {
 			client := controlsocket.NewClient(args[0], certsCallTimeout)
 			account := controlsocket.Certificate{Authority: authority}
-			err := client.Call(command.Context(), "POST", controlsocket.KeyPath, account, nil)
+			err := client.Call(command.Context(), "POST", controlsocket.AccountKeyPath, account, nil)
 			if err == nil {
 				fmt.Fprintln(command.OutOrStdout(), "the account has a new key")
 			}
--- a/internal/controlsocket/client.go
+++ b/internal/controlsocket/client.go
@@ -11,25 +11,25 @@
 	"time"
 )
 
-// maxResponseBytes bounds what a client reads of an answer.
+// maxResponseBytes bounds the size of a response that a client reads.
 const maxResponseBytes = 64 << 20
 
-// ResponseError is an answer with a status other than 2xx.
+// ResponseError is the error in a response whose status is not 2xx.
 type ResponseError struct {
-	Status  int // of HTTP
+	Status  int // HTTP status code
 	Message string
 }
 
 func (e *ResponseError) Error() string { return e.Message }
 
-// Client calls one control socket. It may be used from several goroutines.
+// Client sends requests to one control socket. It may be used concurrently.
 type Client struct {
 	path string
 	http http.Client
 }
 
 // NewClient returns a client whose calls each take at most timeout. It keeps no connection open between calls, because the
-// server accepts only a few.
+// server accepts only maxConnections at a time.
 func NewClient(path string, timeout time.Duration) *Client {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		var dialer net.Dialer
@@ -39,8 +39,8 @@
 	return &Client{path: path, http: http.Client{Timeout: timeout, Transport: transport}}
 }
 
-// Call sends a request with in as its JSON body, or without a body if in is nil, and decodes the response's JSON into out,
-// unless that is nil. A response with an error status is returned as a *ResponseError.
+// Call sends a request with in as its JSON body, or without a body if in is nil, and decodes the JSON response into out,
+// unless out is nil. A response with an error status is returned as a *ResponseError.
 func (c *Client) Call(ctx context.Context, method, target string, in, out any) error {
 	request, err := newRequest(ctx, method, target, in)
 	if err != nil {
@@ -62,7 +62,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return fmt.Errorf("%s: answer: %w", c.path, err)
+		return fmt.Errorf("%s: decode response: %w", c.path, err)
 	}
 	return nil
 }
@@ -80,8 +80,8 @@
 	return http.NewRequestWithContext(ctx, method, anyHost+target, body)
 }
 
-// newResponseError returns the error that a response's body holds. If the body holds none, the server is not a control
-// socket of this program, and the status is the message.
+// newResponseError returns the error in a response's body. If the body holds none, the server is not a control socket of
+// this program, and the status text is the message.
 func newResponseError(response *http.Response, body []byte) *ResponseError {
 	var content errorResponse
 	if json.Unmarshal(body, &content) != nil || content.Error == "" {
--- a/internal/controlsocket/controlsocket_test.go
+++ b/internal/controlsocket/controlsocket_test.go
@@ -28,8 +28,8 @@
 	return path
 }
 
-// A node tells its status and is taken out of service. It knows its caller although its connections are limited, answers what
-// it can't do with a status that the caller can tell apart, and its socket is its user's alone.
+// A node reports its status and is taken out of service. The handler knows its caller although the connections are limited,
+// calls that fail are answered with a status that tells the cause, and only the process's user may access the socket.
 func TestNodeCalls(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) }) // after the server is closed
 	var lastService Service
@@ -75,7 +75,8 @@
 	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm())
 }
 
-// A killed process leaves its socket behind, and the next one replaces it. A socket that a process listens on is not replaced.
+// A killed process leaves its socket behind, and the next process replaces it. A socket that a process listens on is not
+// replaced.
 func TestListen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	listener, err := Listen(path)
@@ -89,7 +90,7 @@
 	require.NoError(t, listener.Close())
 }
 
-// More callers come than the socket takes connections. The others wait, and all are served.
+// More callers connect than the socket accepts at a time. The others wait, and all are served.
 func TestLimitConnections(t *testing.T) {
 	var mu sync.Mutex
 	open, maxOpen := 0, 0
@@ -114,7 +115,7 @@
 	assert.LessOrEqual(t, maxOpen, maxConnections)
 }
 
-func TestControlPlaneInATable(t *testing.T) {
+func TestControlPlaneString(t *testing.T) {
 	age := 1600.0
 	for want, c := range map[string]*ControlPlane{
 		"":                                    nil,
--- a/internal/controlsocket/listener.go
+++ b/internal/controlsocket/listener.go
@@ -1,8 +1,8 @@
-// Package controlsocket is the control socket of a process, by which its state is read and changed on its own machine: HTTP
-// over a Unix socket of mode 0600, whose callers the kernel identifies (SO_PEERCRED). Nodes, the agent and the members of
-// the control plane each serve one; the program's commands and the agent call them.
+// Package controlsocket implements the control socket of a process, through which its state is read and changed on the local
+// machine: HTTP over a Unix socket of mode 0600, whose callers the kernel identifies (SO_PEERCRED). Nodes, the agent and the
+// members of the control plane each serve one; the program's commands and the agent call them.
 //
-// Two other things have similar names. A node's admin address (package admin, "control" in its configuration) takes a few
+// Two other interfaces have similar names. A node's admin address (package admin, "control" in its configuration) accepts a few
 // commands over TCP. The control plane (package controlplane) distributes the configuration to all nodes.
 package controlsocket
 
@@ -18,10 +18,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxConnections bounds the connections of a control socket at a time: a node has few descriptors to spare.
+// maxConnections bounds the concurrent connections of a control socket, because a node has few descriptors to spare.
 const maxConnections = 8
 
-// Listen opens a control socket at a path. A socket that a killed process has left there is replaced. If a process still
+// Listen opens a control socket at a path. A socket that was left there by a killed process is replaced. If a process still
 // listens on it, Listen returns an error.
 func Listen(path string) (net.Listener, error) {
 	if conn, err := net.DialTimeout("unix", path, time.Second); err == nil {
@@ -31,7 +31,7 @@
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("control socket: %w", err)
 	}
-	// The umask gives the socket its mode as it is created. With a chmod afterwards, any user could connect in between.
+	// The umask sets the socket's mode at its creation. With a chmod afterwards, any user could connect in between.
 	previous := unix.Umask(0o177)
 	listener, err := net.Listen("unix", path)
 	unix.Umask(previous)
@@ -41,7 +41,7 @@
 	return listener, nil
 }
 
-// LimitConnections bounds a listener's open connections. Further ones wait in the listener's queue.
+// LimitConnections limits a listener to maxConnections open connections. Further ones wait in the listener's queue.
 func LimitConnections(listener net.Listener) net.Listener {
 	return &limitedListener{listener, make(chan struct{}, maxConnections)}
 }
@@ -51,7 +51,7 @@
 	open chan struct{} // holds a token for each open connection
 }
 
-// Accept waits for one of the open connections to close if there are too many.
+// Accept waits for an open connection to close if the limit is reached, and accepts the next one.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	l.open <- struct{}{}
 	conn, err := l.Listener.Accept()
@@ -62,7 +62,7 @@
 	return &limitedConn{Conn: conn, open: l.open}, nil
 }
 
-// limitedConn gives its token back when it is closed for the first time.
+// limitedConn returns its token when it is closed for the first time.
 type limitedConn struct {
 	net.Conn
 	once sync.Once
--- a/internal/controlsocket/node.go
+++ b/internal/controlsocket/node.go
@@ -10,34 +10,34 @@
 
 // Paths of a node's control socket.
 const (
-	StatusPath  = "/v1/status"
-	ServicePath = "/v1/service"
-	CapturePath = "/v1/capture"
-	ClientsPath = "/v1/clients"
-	PeersPath   = "/v1/peers"
-	RenewPath   = "/v1/certs/renew"
-	RevokePath  = "/v1/certs/revoke"
-	KeyPath     = "/v1/certs/account-key"
+	StatusPath     = "/v1/status"
+	ServicePath    = "/v1/service"
+	CapturePath    = "/v1/capture"
+	ClientsPath    = "/v1/clients"
+	PeersPath      = "/v1/peers"
+	RenewPath      = "/v1/certs/renew"
+	RevokePath     = "/v1/certs/revoke"
+	AccountKeyPath = "/v1/certs/account-key"
 )
 
-// NodeCalls carries out the calls of a node's control socket. Calls that are nil, except Status and SetService, are answered
-// with 404 and the reason.
+// NodeCalls holds the handlers of a node's control socket. Status and SetService are required. Calls to any other handler
+// that is nil are answered with 404 and the reason.
 type NodeCalls struct {
 	Status       func(context.Context) (Status, error)
 	SetService   func(Service) error
-	DumpCapture  func() (fileName string, err error) // nil without a capture in memory
-	Certificates CertificateCalls                    // nil without TLS
+	DumpCapture  func() (fileName string, err error) // nil if there is no capture in memory
+	Certificates CertificateCalls                    // nil if the node serves no TLS
 	Clients      func() server.ClientStats           // nil if clients are not tracked
 	Peers        func(context.Context) (requestlog.Status, error)
 }
 
-// CertificateCalls carries out the calls about certificates.
+// CertificateCalls handles the calls that concern certificates.
 type CertificateCalls interface {
-	// Renew orders a certificate, whatever its age.
+	// Renew orders a certificate regardless of its age.
 	Renew(ctx context.Context, name string) error
 	// Revoke revokes a certificate and orders another.
 	Revoke(ctx context.Context, name string) error
-	// Rollover changes the key of the account at an authority.
+	// Rollover changes the account key at an authority.
 	Rollover(ctx context.Context, authority int) error
 }
 
@@ -51,7 +51,7 @@
 	mux.HandleFunc("GET "+PeersPath, calls.servePeers)
 	mux.HandleFunc("POST "+RenewPath, calls.serveRenew)
 	mux.HandleFunc("POST "+RevokePath, calls.serveRevoke)
-	mux.HandleFunc("POST "+KeyPath, calls.serveRollover)
+	mux.HandleFunc("POST "+AccountKeyPath, calls.serveRollover)
 	return mux
 }
 
--- a/internal/controlsocket/server.go
+++ b/internal/controlsocket/server.go
@@ -16,12 +16,12 @@
 const (
 	maxBodyBytes   = 8 << 20 // of a request
 	maxHeaderBytes = 8 << 10
-	// requestTimeout is how long a caller may take to send its request. One that hangs would otherwise keep one of the few
-	// connections.
+	// requestTimeout bounds the time that a caller takes to send its request, so that a caller that hangs does not occupy one
+	// of the few connections.
 	requestTimeout = 10 * time.Second
 )
 
-// Caller is the process at the other end of a connection, as the kernel identifies it.
+// Caller identifies the process at the other end of a connection, as reported by the kernel.
 type Caller struct {
 	PID int32
 	UID uint32
@@ -30,13 +30,13 @@
 // callerKey is the key of the Caller in a request's context.
 type callerKey struct{}
 
-// CallerOf returns the caller of the request that ctx belongs to. It is the zero Caller for any other context.
+// CallerOf returns the caller of the request that ctx belongs to, or the zero Caller for any other context.
 func CallerOf(ctx context.Context) Caller {
 	caller, _ := ctx.Value(callerKey{}).(Caller)
 	return caller
 }
 
-// NewServer returns a server for a control socket. Callers of other users than this process's and root get 403.
+// NewServer returns a server for a control socket. Callers get 403 unless their user is this process's or root.
 func NewServer(handler http.Handler) *http.Server {
 	ownUID := uint32(os.Getuid())
 	return &http.Server{
@@ -48,7 +48,7 @@
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			caller, isKnown := r.Context().Value(callerKey{}).(Caller)
 			if !isKnown || caller.UID != ownUID && caller.UID != 0 {
-				// The text is part of the JSON that callers get, so it stays. It means: permission denied.
+				// Permission denied. The text is part of the JSON interface and must not change.
 				WriteError(w, http.StatusForbidden, "not yours to call")
 				return
 			}
@@ -58,8 +58,8 @@
 	}
 }
 
-// withCaller adds the caller to the context of a connection's requests. If the kernel can't identify the caller, none is
-// added, and its requests get 403.
+// withCaller adds the caller to the context of a connection's requests. If the kernel can't identify the caller, no caller is
+// added, and the requests get 403.
 func withCaller(ctx context.Context, conn net.Conn) context.Context {
 	caller, err := peerCredentials(conn)
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 	unixConn, ok := conn.(*net.UnixConn)
 	if !ok {
-		return Caller{}, fmt.Errorf("no Unix socket: %T", conn)
+		return Caller{}, fmt.Errorf("not a Unix socket: %T", conn)
 	}
 	raw, err := unixConn.SyscallConn()
 	if err != nil {
@@ -91,7 +91,7 @@
 	return Caller{PID: credentials.Pid, UID: credentials.Uid}, nil
 }
 
-// WriteJSON answers a request with a value as JSON.
+// WriteJSON writes a response with a value as its JSON body.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -102,17 +102,17 @@
 	_, _ = w.Write(append(data, '\n'))
 }
 
-// WriteError answers a request with an error, which Client returns as a *ResponseError.
+// WriteError writes an error response, which Client returns as a *ResponseError.
 func WriteError(w http.ResponseWriter, status int, message string) {
 	WriteJSON(w, status, errorResponse{message})
 }
 
-// errorResponse is the body of an answer with an error.
+// errorResponse is the body of an error response.
 type errorResponse struct {
 	Error string `json:"error"`
 }
 
-// DecodeBody reads a request's body as JSON into a value. Unknown fields are an error.
+// DecodeBody decodes a request's JSON body into a value. Unknown fields are an error.
 func DecodeBody(r *http.Request, into any) error {
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
--- a/internal/hotrestart/connect.go
+++ b/internal/hotrestart/connect.go
@@ -11,22 +11,23 @@
 )
 
 const (
-	// connectTimeout bounds the search for a predecessor. By the contract in docs/operations.md a new process answers its
-	// health check with YES within 6 s; the remaining 1.5 s are for getting an endpoint list and listening.
+	// connectTimeout bounds the time to connect to a predecessor and get its state. By the contract in docs/operations.md, a
+	// new process answers its health check with YES within 6 s; the remaining 1.5 s are for getting an endpoint list and
+	// listening.
 	connectTimeout = 4500 * time.Millisecond
 
-	// retryInterval is the time between two attempts to connect, or to accept a connection.
+	// retryInterval is the wait between two attempts to connect, or to accept a connection.
 	retryInterval = 50 * time.Millisecond
 )
 
-// errBusy means that the predecessor has another successor, or is ending.
+// errBusy indicates that the predecessor has another successor, or is shutting down.
 var errBusy = errors.New("the predecessor process has another successor")
 
-// Connect connects to the predecessor that listens at path, if there is one, and gets its state. Without a predecessor the
-// link, the state and the error are all nil. An error says why the predecessor's state can't be used; the link and the state
-// are nil then, too. In both cases the process starts without a state.
+// Connect connects to the predecessor that listens at path, if there is one, and gets its state. Without a predecessor, the
+// link, the state and the error are all nil. If the predecessor's state can't be used, Connect returns an error and the link
+// and the state are nil. In both cases the process starts without a predecessor's state.
 //
-// handleCall is called for each call that the predecessor passes on. onDescriptorLimit is called with the number of
+// handleCall is called for each call that the predecessor forwards. onDescriptorLimit is called with the number of
 // descriptors that the predecessor may still have open. Both are called from the link's goroutines.
 func Connect(ctx context.Context, path, name string, handleCall CallHandler, onDescriptorLimit func(descriptors int)) (*Link, *State, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
@@ -34,13 +35,13 @@
 	for {
 		link, state, err := connectOnce(ctx, path, name, handleCall, onDescriptorLimit)
 		if !errors.Is(err, errBusy) {
-			if isNobodyListening(err) {
+			if isNotListening(err) {
 				err = nil
 			}
 			return link, state, err
 		}
-		// The running process already has a successor. Either that one takes over, and listens itself once its predecessor
-		// has ended, or it fails, and the running process is free again. Both take a moment.
+		// The running process already has a successor. Either the successor takes over, and listens itself once its
+		// predecessor has ended, or it fails, and the running process accepts another one. Both take some time.
 		select {
 		case <-ctx.Done():
 			return nil, nil, err
@@ -49,8 +50,8 @@
 	}
 }
 
-// isNobodyListening reports whether there is no socket, or only that of a process that was killed.
-func isNobodyListening(err error) bool {
+// isNotListening reports whether there is no socket, or only one left by a process that was killed.
+func isNotListening(err error) bool {
 	return errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED)
 }
 
@@ -71,7 +72,7 @@
 	return link, state, nil
 }
 
-// requestState introduces this process to the predecessor and reads its state.
+// requestState sends a hello to the predecessor and reads its state.
 func requestState(ctx context.Context, conn *frameConn, name string) (*State, error) {
 	deadline, _ := ctx.Deadline()
 	_ = conn.SetReadDeadline(deadline)
@@ -86,7 +87,7 @@
 		return nil, errBusy
 	}
 	if answer.Kind != kindState || answer.State == nil || answer.Version != Version {
-		return nil, fmt.Errorf("the predecessor process speaks version %d, this one %d", answer.Version, Version)
+		return nil, fmt.Errorf("the predecessor process uses protocol version %d, this one %d", answer.Version, Version)
 	}
 	_ = conn.SetReadDeadline(time.Time{})
 	return answer.State, nil
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -6,5 +6,5 @@
 	"pearknot/internal/goldentest"
 )
 
-// Two builds meet on a link when one takes over from the other, so each must read the other's messages.
-func TestMessageForm(t *testing.T) { goldentest.JSON(t, "message.json", &message{}) }
+// When a process of one build takes over from one of another build, each must read the other's messages.
+func TestMessageEncoding(t *testing.T) { goldentest.JSON(t, "message.json", &message{}) }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// socketPath returns a path that is short enough for a socket, which t.TempDir may not be.
+// socketPath returns a path that is short enough for a Unix socket, unlike those under t.TempDir.
 func socketPath(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "pk")
@@ -27,7 +27,7 @@
 	return SocketPath(dir, "n1")
 }
 
-// listen starts the listener of a running process. It sends to successorGone when its successor has ended.
+// listen starts the listener of a running process, which sends to successorGone when its successor has ended.
 func listen(t *testing.T, path string, successorGone chan<- bool) *Listener {
 	t.Helper()
 	listener, err := Listen(path, Predecessor{Name: "n1", Log: slog.New(slog.DiscardHandler), OnSuccessorGone: func() { successorGone <- true },
@@ -47,8 +47,8 @@
 
 func handleAtSuccessor(_ context.Context, c Call) (string, error) { return "successor " + c.Verb, nil }
 
-// A process takes over from a running one: it gets its state, both pass calls on, the predecessor gives descriptors back, and
-// each notices that the other has ended.
+// A process takes over from a running one: it gets the predecessor's state, both forward calls, the predecessor releases
+// descriptors, and each notices that the other has ended.
 func TestLink(t *testing.T) {
 	path, successorGone := socketPath(t), make(chan bool, 1)
 	listener := listen(t, path, successorGone)
@@ -76,7 +76,7 @@
 	listener.Successor().SendDescriptorLimit(17)
 	assert.Equal(t, 17, <-used)
 
-	// A third process waits until the second is gone, and connects to the first then.
+	// A third process waits until the second has ended, and then connects to the first.
 	third := make(chan error, 1)
 	go func() {
 		link, _, err := Connect(t.Context(), path, "n1", handleAtSuccessor, nil)
@@ -96,15 +96,16 @@
 
 	link, _, err = Connect(t.Context(), path, "n1", handleAtSuccessor, nil)
 	require.NoError(t, err)
-	listener.Close() // the predecessor has ended: it does not go on alone
+	listener.Close() // the predecessor is shutting down, so OnSuccessorGone is not called
 	<-link.Done()
 	assert.Empty(t, successorGone)
 }
 
-// The socket's path may have anything: nothing, a file, another node's process, one that is silent or sends something
-// malformed. The new process starts fresh, with an error if somebody was there, and can listen at the path itself.
+// At the socket's path there may be nothing, a file, another node's process, or a process that is silent or sends malformed
+// messages. The new process starts without a state, with an error if a process was listening, and can listen at the path
+// itself.
 func TestNoUsablePredecessor(t *testing.T) {
-	listenAndSend := func(what string) func(t *testing.T, path string) {
+	listenAndSend := func(data string) func(t *testing.T, path string) {
 		return func(t *testing.T, path string) {
 			l, err := net.Listen("unix", path)
 			require.NoError(t, err)
@@ -115,8 +116,8 @@
 					if err != nil {
 						return
 					}
-					_, _ = io.WriteString(c, what)
-					if what != "" {
+					_, _ = io.WriteString(c, data)
+					if data != "" {
 						_, _ = c.Read(make([]byte, 999))
 						_ = c.Close()
 					} else {
@@ -138,13 +139,13 @@
 			_ = l.Close()
 		}, ""},
 		"a file":          {func(t *testing.T, path string) { require.NoError(t, os.WriteFile(path, []byte("x"), 0o600)) }, ""},
-		"another node's":  {func(t *testing.T, path string) { listen(t, path, nil).predecessor.Name = "n1" }, "speaks version"},
+		"another node's":  {func(t *testing.T, path string) { listen(t, path, nil).predecessor.Name = "n1" }, "uses protocol version"},
 		"silent":          {listenAndSend(""), "i/o timeout"},
 		"cut off":         {listenAndSend("\x00\x00\x01\x00{"), "EOF"},
-		"too long":        {listenAndSend("\xff\xff\xff\xff"), "message of 4294967295 bytes"},
+		"too long":        {listenAndSend("\xff\xff\xff\xff"), "message too long: 4294967295 bytes"},
 		"malformed":       {listenAndSend(frame("hello")), "invalid character"},
-		"another version": {listenAndSend(frame(`{"Kind":"state","Version":9,"State":{}}`)), "speaks version 9"},
-		"no state":        {listenAndSend(frame(`{"Kind":"state","Version":1}`)), "speaks version"},
+		"another version": {listenAndSend(frame(`{"Kind":"state","Version":9,"State":{}}`)), "uses protocol version 9"},
+		"no state":        {listenAndSend(frame(`{"Kind":"state","Version":1}`)), "uses protocol version"},
 		"no kind":         {listenAndSend(frame(`{}`)), "without a kind"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -7,30 +7,30 @@
 	"sync"
 )
 
-// ErrNoPeer means that there is no other process, or that it has ended.
+// ErrNoPeer indicates that there is no other process, or that it has ended.
 var ErrNoPeer = errors.New("no other process")
 
-// maxDescriptors bounds the number of descriptors that a predecessor may report, so that any value that is received fits an
-// int.
-const maxDescriptors = 1 << 20
+// maxReportedDescriptors bounds the number of descriptors that a predecessor may report, so that any received value fits in
+// an int.
+const maxReportedDescriptors = 1 << 20
 
-// CallHandler carries out a call that the other process has passed on. The context ends after sendTimeout. It may be called
-// from several goroutines at once.
+// CallHandler executes a call that the other process has forwarded. The context ends after sendTimeout. It may be called
+// concurrently.
 type CallHandler func(ctx context.Context, c Call) (text string, err error)
 
-// Link connects a process to the other one while both run. Its methods may be called from any goroutine.
+// Link is the connection between the two processes of a node while both run. Its methods may be called from any goroutine.
 type Link struct {
 	conn              *frameConn
 	handleCall        CallHandler
-	onDescriptorLimit func(descriptors int) // nil at the predecessor
+	onDescriptorLimit func(descriptors int) // nil in the predecessor
 
-	peerReady     chan struct{} // closed when the other process, a successor, serves
+	peerReady     chan struct{} // closed when the other process, a successor, serves clients
 	peerReadyOnce sync.Once
 	done          chan struct{}
 
 	mu       sync.Mutex
 	lastCall uint64
-	pending  map[uint64]chan message // calls that wait for their results, by number
+	pending  map[uint64]chan message // result channels of pending calls, by call number
 }
 
 func newLink(conn *frameConn, handleCall CallHandler, onDescriptorLimit func(int)) *Link {
@@ -44,38 +44,38 @@
 	}
 }
 
-// Done is closed when the other process, or the link to it, has ended.
+// Done returns a channel that is closed when the other process, or the link to it, has ended.
 func (l *Link) Done() <-chan struct{} { return l.done }
 
-// PeerReady is closed once the other process, a successor, serves clients.
+// PeerReady returns a channel that is closed once the other process, a successor, serves clients.
 func (l *Link) PeerReady() <-chan struct{} { return l.peerReady }
 
 // SendReady tells the predecessor that this process serves clients.
 func (l *Link) SendReady() error { return l.conn.send(message{Kind: kindReady}) }
 
-// SendDescriptorLimit tells the successor how many descriptors this process may still have open. If the link has ended,
-// Done says so.
+// SendDescriptorLimit tells the successor how many descriptors this process may still have open. It returns no error: Done
+// reports the end of the link.
 func (l *Link) SendDescriptorLimit(descriptors int) {
-	_ = l.conn.send(message{Kind: kindUsing, N: uint64(max(descriptors, 0))})
+	_ = l.conn.send(message{Kind: kindDescriptorLimit, Number: uint64(max(descriptors, 0))})
 }
 
-// Close ends the link.
+// Close closes the link.
 func (l *Link) Close() { _ = l.conn.Close() }
 
-// Call has the other process carry out a call and returns its text or error. If the link ends meanwhile, it returns
-// ErrNoPeer, which callers need not treat as a failure: no other process is left that would have to know of the call.
+// Call executes a call in the other process and returns its text or error. If the link ends meanwhile, it returns ErrNoPeer,
+// which callers need not treat as a failure: no other process is left that the call applies to.
 func (l *Link) Call(ctx context.Context, c Call) (text string, err error) {
 	result := make(chan message, 1)
 	number := l.addPending(result)
 	defer l.removePending(number)
-	if err := l.conn.send(message{Kind: kindCall, N: number, Call: &c}); err != nil {
+	if err := l.conn.send(message{Kind: kindCall, Number: number, Call: &c}); err != nil {
 		l.Close()
 		return "", ErrNoPeer
 	}
 	select {
 	case m := <-result:
-		if m.Fault != "" {
-			return "", errors.New(m.Fault)
+		if m.Error != "" {
+			return "", errors.New(m.Error)
 		}
 		return m.Text, nil
 	case <-l.done:
@@ -85,7 +85,7 @@
 	}
 }
 
-// addPending registers a call and returns its number.
+// addPending registers the result channel of a call and returns the call's number.
 func (l *Link) addPending(result chan message) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,7 +94,7 @@
 	return l.lastCall
 }
 
-// removePending returns the channel of a call that waits for its result, nil if it no longer waits.
+// removePending unregisters a call and returns its result channel, or nil if the call is no longer pending.
 func (l *Link) removePending(number uint64) chan message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,7 +103,7 @@
 	return result
 }
 
-// run receives messages until the link ends, and returns why it ended.
+// run receives messages until the link ends, and returns the error that ended it.
 func (l *Link) run() error {
 	defer close(l.done)
 	defer l.Close()
@@ -115,32 +115,32 @@
 		switch m.Kind {
 		case kindReady:
 			l.peerReadyOnce.Do(func() { close(l.peerReady) })
-		case kindUsing:
+		case kindDescriptorLimit:
 			if l.onDescriptorLimit != nil {
-				l.onDescriptorLimit(int(min(m.N, maxDescriptors)))
+				l.onDescriptorLimit(int(min(m.Number, maxReportedDescriptors)))
 			}
-		case kindDone:
-			if result := l.removePending(m.N); result != nil {
+		case kindResult:
+			if result := l.removePending(m.Number); result != nil {
 				result <- m
 			}
 		case kindCall:
 			if m.Call == nil {
 				return errors.New("call message without a call")
 			}
-			go l.serveCall(m.N, *m.Call)
+			go l.serveCall(m.Number, *m.Call)
 		}
 	}
 }
 
-// serveCall carries out a call and sends its result.
+// serveCall executes a call and sends its result.
 func (l *Link) serveCall(number uint64, c Call) {
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
-	result := message{Kind: kindDone, N: number}
+	result := message{Kind: kindResult, Number: number}
 	text, err := l.handleCall(ctx, c)
 	result.Text = text
 	if err != nil {
-		result.Fault = err.Error()
+		result.Error = err.Error()
 	}
-	_ = l.conn.send(result) // if the link has ended, nobody waits for it
+	_ = l.conn.send(result) // if the link has ended, the result is not needed
 }
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -12,22 +12,23 @@
 	"time"
 )
 
-// helloTimeout bounds the wait for a successor's first message, and the collection of the state for it.
+// helloTimeout bounds the wait for a successor's hello, and separately the time to collect the state for it.
 const helloTimeout = time.Second
 
-// SocketPath returns the path of the socket of a node of that name.
+// SocketPath returns the path of the socket for the node of a given name.
 func SocketPath(dir, name string) string { return filepath.Join(dir, "pearknot-"+name+".sock") }
 
-// Predecessor is what a Listener needs of the running process. Its functions are called from any goroutine.
+// Predecessor holds the name, callbacks and logger of the running process for a Listener. The functions are called from any
+// goroutine.
 type Predecessor struct {
 	Name            string                                    // of the node
 	CollectState    func(ctx context.Context) (*State, error) // called when a successor connects
-	OnSuccessorGone func()                                    // called when a successor has ended and this process goes on
-	HandleCall      CallHandler                               // carries out calls that a successor passes on
+	OnSuccessorGone func()                                    // called when a successor has ended and this process continues
+	HandleCall      CallHandler                               // executes calls that a successor forwards
 	Log             *slog.Logger
 }
 
-// Listener waits at a socket for a successor. It has one successor at a time.
+// Listener accepts successors at a socket, one at a time.
 type Listener struct {
 	predecessor Predecessor
 	socket      *net.UnixListener
@@ -38,7 +39,7 @@
 	closed    bool
 }
 
-// Listen starts to wait for a successor at path. A socket that a killed process has left there is replaced.
+// Listen listens for successors at path. A socket that was left there by a killed process is replaced.
 func Listen(path string, predecessor Predecessor) (*Listener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
@@ -47,7 +48,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// By the time this process closes its socket, its successor may listen at the same path: its socket must not be removed.
+	// By the time this process closes its socket, its successor may listen at the same path, and the successor's socket must
+	// not be removed.
 	socket.SetUnlinkOnClose(false)
 	l := &Listener{predecessor: predecessor, socket: socket}
 	l.goroutines.Add(1)
@@ -55,14 +57,14 @@
 	return l, nil
 }
 
-// Successor returns the link to the process that takes over, or nil.
+// Successor returns the link to the successor, or nil.
 func (l *Listener) Successor() *Link {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.successor
 }
 
-// Close stops listening and ends the link to the successor, which goes on alone.
+// Close stops listening and closes the link to the successor, which continues alone.
 func (l *Listener) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -81,7 +83,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // a lack of descriptors, which may end
+		if err != nil { // for example a lack of descriptors, which may be temporary
 			time.Sleep(retryInterval)
 			continue
 		}
@@ -105,7 +107,7 @@
 	if !l.setSuccessor(link) {
 		return conn.send(message{Kind: kindBusy})
 	}
-	defer l.successorGone()
+	defer l.removeSuccessor()
 	if err := l.sendState(conn); err != nil {
 		return err
 	}
@@ -120,14 +122,14 @@
 		return err
 	}
 	if hello.Kind != kindHello || hello.Version != Version || hello.Name != l.predecessor.Name {
-		_ = conn.send(message{Kind: kindOther, Version: Version})
+		_ = conn.send(message{Kind: kindMismatch, Version: Version})
 		return fmt.Errorf("unexpected %s message of version %d for node %q", hello.Kind, hello.Version, hello.Name)
 	}
 	_ = conn.SetReadDeadline(time.Time{})
 	return nil
 }
 
-// setSuccessor makes a link the successor's. It reports false if there is a successor already.
+// setSuccessor registers a successor's link. It returns false if there already is a successor.
 func (l *Listener) setSuccessor(link *Link) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,9 +140,9 @@
 	return true
 }
 
-// successorGone removes a successor that has ended. OnSuccessorGone is called unless this process has closed the listener
-// itself, since it is ending then.
-func (l *Listener) successorGone() {
+// removeSuccessor unregisters a successor that has ended. It calls OnSuccessorGone unless this process has closed the
+// listener itself, because then this process is shutting down.
+func (l *Listener) removeSuccessor() {
 	l.mu.Lock()
 	l.successor = nil
 	closed := l.closed
