--- a/cmd/pearknot-lab/play.go
+++ b/cmd/pearknot-lab/play.go
@@ -105,7 +105,7 @@
 		if node != 0 {
 			return decider
 		}
-		start := capture.Start{Name: "n0", Epoch: uint64(incarnation), Build: cli.Version(), Config: config}
+		start := capture.StartInfo{Name: "n0", Epoch: uint64(incarnation), Build: cli.Version(), Config: config}
 		options := capture.Options{SnapshotIntervalMs: snapshotIntervalMs, Sink: writer.Put}
 		recorder, err := capture.NewRecorder(decider, now, start, options)
 		if err != nil {
--- a/cmd/pearknot/capture.go
+++ b/cmd/pearknot/capture.go
@@ -293,10 +293,10 @@
 		Short: "The records, a line each; late ones are marked",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			var notes capture.LateNotes
+			var notes capture.LateArrivalDetector
 			return eachRecord(command, args[0], func(record capture.Record) error {
 				line := record.String()
-				if note := notes.Note(record); note != "" {
+				if note := notes.Check(record); note != "" {
 					line += "   <- " + note
 				}
 				_, err := io.WriteString(command.OutOrStdout(), line+"\n")
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -52,7 +52,7 @@
 		if uint64(instance) != wanted {
 			return d
 		}
-		r, err := capture.NewRecorder(d, now, capture.Start{Name: number, Epoch: epoch, Config: t}, capture.Options{SnapshotIntervalMs: 10e3, Sink: w.Put})
+		r, err := capture.NewRecorder(d, now, capture.StartInfo{Name: number, Epoch: epoch, Config: t}, capture.Options{SnapshotIntervalMs: 10e3, Sink: w.Put})
 		if err != nil {
 			panic(err) // plain values
 		}
--- a/internal/capture/bench_test.go
+++ b/internal/capture/bench_test.go
@@ -48,20 +48,20 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		config := benchmarkConfig(size.nodes)
-		b.Run(fmt.Sprintf("%d/off", size.backends), func(b *testing.B) { decide(b, balancer.New(config, 1), size.backends) })
+		b.Run(fmt.Sprintf("%d/off", size.backends), func(b *testing.B) { serveRequests(b, balancer.New(config, 1), size.backends) })
 		b.Run(fmt.Sprintf("%d/on", size.backends), func(b *testing.B) {
 			bytes := 0
 			options := Options{SnapshotIntervalMs: 10e3, Sink: func(batch Batch) { bytes += len(batch.Data) }}
-			recorder, err := NewRecorder(balancer.New(config, 1), 1, Start{Name: "n", Config: config}, options)
+			recorder, err := NewRecorder(balancer.New(config, 1), 1, StartInfo{Name: "n", Config: config}, options)
 			require.NoError(b, err)
-			decide(b, recorder, size.backends)
+			serveRequests(b, recorder, size.backends)
 			b.ReportMetric(float64(bytes)/float64(b.N), "bytes/request-unpacked")
 		})
 	}
 }
 
-// decide has a decider serve b.N requests.
-func decide(b *testing.B, decider balancer.Decider, backends int) {
+// serveRequests measures a decider that serves b.N requests.
+func serveRequests(b *testing.B, decider balancer.Decider, backends int) {
 	endpoints := benchmarkEndpoints(backends)
 	decider.EndpointsChanged(1, endpoints, true, false)
 	b.ReportAllocs()
--- a/internal/capture/encoding.go
+++ b/internal/capture/encoding.go
@@ -72,7 +72,7 @@
 	number(fieldCount, r.Count)
 	for _, endpoint := range r.Endpoints {
 		encoded = protowire.AppendTag(encoded, fieldEndpoint, protowire.BytesType)
-		encoded = protowire.AppendBytes(encoded, endpoint.append(nil)) // also an empty one: it counts
+		encoded = protowire.AppendBytes(encoded, endpoint.append(nil)) // an empty encoding too: it counts as an endpoint
 	}
 	text(fieldData, r.Data)
 	text(fieldState, r.State)
@@ -170,10 +170,10 @@
 	return encoded
 }
 
-// errInvalidRecord reports bytes that are no record although their checksum is right.
-var errInvalidRecord = errors.New("odd record")
+// errInvalidRecord is returned for bytes that do not encode a record although their checksum is right.
+var errInvalidRecord = errors.New("invalid record")
 
-// walkFields calls handle for each field of an encoded message: value is a number's, data that of bytes.
+// walkFields calls handle for each field of an encoded message: value is set for a number, data for bytes.
 func walkFields(encoded []byte, handle func(field protowire.Number, value uint64, data []byte) error) error {
 	return snapshot.WalkFields(encoded, errInvalidRecord,
 		func(field protowire.Number, _ protowire.Type, value uint64, data []byte) error {
@@ -258,7 +258,7 @@
 	case fieldLoad:
 		r.Load, err = decodeLoad(data)
 	case fieldData:
-		r.Data = append([]byte{}, data...) // the reader uses its buffer again
+		r.Data = append([]byte{}, data...) // the reader reuses its buffer
 	case fieldState:
 		r.State = append([]byte{}, data...)
 	case fieldRequests:
@@ -277,7 +277,7 @@
 	return int(value), nil
 }
 
-// decodeEndpoint decodes an Endpoint, and refuses values that are out of range.
+// decodeEndpoint decodes an Endpoint, and rejects values that are out of range.
 func decodeEndpoint(encoded []byte) (Endpoint, error) {
 	var endpoint Endpoint
 	err := walkFields(encoded, func(field protowire.Number, value uint64, _ []byte) error {
--- a/internal/capture/explain.go
+++ b/internal/capture/explain.go
@@ -7,20 +7,20 @@
 	"pearknot/balancer"
 )
 
-// Explainer is a replay that prints why one request went where it went: each backend that the balancer considered
-// for it, with the balancer's own reason and estimates.
+// Explainer is a Replayer that prints how the backends of one request were selected: each backend that the balancer
+// considered for it, with the balancer's own reason and estimates.
 type Explainer struct {
 	Replayer
-	RequestNumber uint64 // of the request, in the capture
+	RequestNumber uint64 // the request's number in the capture
 	Out           io.Writer
 
-	listReceivedAt float64            // when the endpoint list last arrived
-	reportedAt     map[uint64]float64 // by number of the backend
-	considered     []string           // lines for what was considered since the latest decision
+	listReceivedAt float64            // time of the last endpoint list that was not cached, in ms
+	reportedAt     map[uint64]float64 // time of each backend's last load report in ms, by the backend's number
+	considered     []string           // lines about the backends considered for the latest record
 	found          bool
 }
 
-// Feed takes the next record, see Replayer.Feed.
+// Feed processes the next record, see Replayer.Feed.
 func (e *Explainer) Feed(record Record) error {
 	if e.reportedAt == nil {
 		e.reportedAt = map[uint64]float64{}
@@ -57,7 +57,8 @@
 	return nil
 }
 
-// recordConsidered receives each backend that the balancer considered, and nil where it looked for none.
+// recordConsidered adds a line about a backend that the balancer considered. A nil backend means that it considered
+// none, for the given reason.
 func (e *Explainer) recordConsidered(
 	core *balancer.Balancer, request *balancer.Request, backend *balancer.Backend, reason balancer.Reason,
 ) {
@@ -67,7 +68,7 @@
 	if backend == nil {
 		text := "    queued: no backend is eligible now"
 		if reason == balancer.ReasonPoisonRequest {
-			text = "    no backend looked for: " + reason.String()
+			text = "    no backend considered: " + reason.String()
 		}
 		e.considered = append(e.considered, text)
 		return
@@ -94,21 +95,21 @@
 	e.considered = append(e.considered, line)
 }
 
-// now is the time of the latest record.
+// now returns the time of the latest record in ms.
 func (e *Explainer) now() float64 { return e.Result.To }
 
 // Found reports whether a decision about the request was replayed.
 func (e *Explainer) Found() bool { return e.found }
 
-// LateNotes marks what arrived late, in the order of a capture: an endpoint list older than the one in use, an answer
-// that answers to later attempts had overtaken, the end of an attempt after its request's final answer.
-type LateNotes struct {
+// LateArrivalDetector detects late arrivals in the order of a capture: an endpoint list older than the one in use, an
+// answer that answers to later attempts had overtaken, the end of an attempt after its request's final answer.
+type LateArrivalDetector struct {
 	newestStart    map[uint64]float64     // start time of each backend, by the newest list
 	answered       map[uint64]bool        // requests with a final answer and an attempt in flight
 	inFlight       map[uint64]int         // attempts in flight, by request
-	sentAt         map[attemptKey]float64 // when each attempt in flight was sent
+	sentAt         map[attemptKey]float64 // send time of each attempt in flight
 	sentTo         map[attemptKey]uint64  // the backend of each attempt in flight
-	newestAnswered map[uint64]float64     // by backend: when the newest attempt was sent that it has answered
+	newestAnswered map[uint64]float64     // by backend: send time of the newest attempt that it has answered
 }
 
 // attemptKey identifies an attempt in a capture.
@@ -117,10 +118,10 @@
 	attempt int
 }
 
-// Note returns a remark on the next record, or nothing.
-func (n *LateNotes) Note(record Record) string {
-	if n.newestStart == nil || record.Kind == Begin {
-		*n = LateNotes{
+// Check processes the next record and describes in which way it is late, with an empty text if it is not.
+func (d *LateArrivalDetector) Check(record Record) string {
+	if d.newestStart == nil || record.Kind == Begin {
+		*d = LateArrivalDetector{
 			newestStart:    map[uint64]float64{},
 			answered:       map[uint64]bool{},
 			inFlight:       map[uint64]int{},
@@ -133,52 +134,53 @@
 	switch record.Kind {
 	case EndpointsChanged:
 		for _, endpoint := range record.Endpoints {
-			if endpoint.Started < n.newestStart[endpoint.Backend] {
+			if endpoint.Started < d.newestStart[endpoint.Backend] {
 				return fmt.Sprintf("older than what is known of backend %d", endpoint.Backend)
 			}
-			n.newestStart[endpoint.Backend] = endpoint.Started
+			d.newestStart[endpoint.Backend] = endpoint.Started
 		}
 	case Decided:
 		switch record.Decision {
 		case balancer.DoAttempt:
-			n.sentAt[attempt], n.sentTo[attempt] = record.Now, record.Backend
-			n.inFlight[record.Request]++
+			d.sentAt[attempt], d.sentTo[attempt] = record.Now, record.Backend
+			d.inFlight[record.Request]++
 		case balancer.DoReject, balancer.DoFail:
-			n.requestAnswered(record.Request)
+			d.requestAnswered(record.Request)
 		}
 	case AttemptEnded:
-		sentAt, backend := n.sentAt[attempt], n.sentTo[attempt]
-		delete(n.sentAt, attempt)
-		delete(n.sentTo, attempt)
-		defer n.attemptEnded(record.Request)
-		isOvertaken := n.newestAnswered[backend] > sentAt
+		sentAt, backend := d.sentAt[attempt], d.sentTo[attempt]
+		delete(d.sentAt, attempt)
+		delete(d.sentTo, attempt)
+		defer d.attemptEnded(record.Request)
+		isOvertaken := d.newestAnswered[backend] > sentAt
 		if record.Outcome == balancer.OutcomeAnswered {
-			n.newestAnswered[backend] = max(n.newestAnswered[backend], sentAt)
+			d.newestAnswered[backend] = max(d.newestAnswered[backend], sentAt)
 		}
 		switch {
-		case n.answered[record.Request]:
+		case d.answered[record.Request]:
 			return "after the request's final answer"
 		case isOvertaken && record.Outcome == balancer.OutcomeAnswered:
 			return "overtaken by an answer to a later attempt"
 		}
 		if record.Flags&flagFinished != 0 {
-			n.answered[record.Request] = true
+			d.answered[record.Request] = true
 		}
 	}
 	return ""
 }
 
-// requestAnswered notes a request's final answer, unless no attempt is in flight of which a record could follow.
-func (n *LateNotes) requestAnswered(request uint64) {
-	if n.inFlight[request] > 0 {
-		n.answered[request] = true
+// requestAnswered stores that a request has its final answer, unless it has no attempt in flight whose record could
+// follow.
+func (d *LateArrivalDetector) requestAnswered(request uint64) {
+	if d.inFlight[request] > 0 {
+		d.answered[request] = true
 	}
 }
 
-// attemptEnded forgets the request with its last attempt in flight.
-func (n *LateNotes) attemptEnded(request uint64) {
-	if n.inFlight[request]--; n.inFlight[request] <= 0 {
-		delete(n.inFlight, request)
-		delete(n.answered, request)
+// attemptEnded counts an attempt as ended, and removes the request with its last attempt in flight.
+func (d *LateArrivalDetector) attemptEnded(request uint64) {
+	if d.inFlight[request]--; d.inFlight[request] <= 0 {
+		delete(d.inFlight, request)
+		delete(d.answered, request)
 	}
 }
--- a/internal/capture/explain_test.go
+++ b/internal/capture/explain_test.go
@@ -36,13 +36,13 @@
 	}
 	assert.Positive(t, reasons[balancer.Eligible.String()])
 	assert.Greater(t, len(reasons), 1)
-	passedOver := 0
+	ineligible := 0
 	for name, count := range reasons {
 		if name != balancer.Eligible.String() {
-			passedOver += count
+			ineligible += count
 		}
 	}
-	assert.Positive(t, passedOver, reasons)
+	assert.Positive(t, ineligible, reasons)
 	explainer := &Explainer{RequestNumber: 1 << 40, Out: io.Discard}
 	for _, record := range records {
 		require.NoError(t, explainer.Feed(record))
@@ -50,15 +50,15 @@
 	assert.False(t, explainer.Found())
 }
 
-// Lists, answers and ends of attempts that arrive late are marked where they arrived.
-func TestLateArrivalsAreMarked(t *testing.T) {
+// Lists, answers and ends of attempts that arrive late are reported at the record of their arrival.
+func TestLateArrivalsAreDetected(t *testing.T) {
 	attempt := func(request, backend uint64, now float64) Record {
 		return Record{Kind: Decided, Decision: balancer.DoAttempt, Now: now, Request: request, Backend: backend}
 	}
 	end := func(request uint64, now float64, flags uint64) Record {
 		return Record{Kind: AttemptEnded, Outcome: balancer.OutcomeAnswered, Now: now, Request: request, Flags: flags}
 	}
-	var notes LateNotes
+	var notes LateArrivalDetector
 	for _, test := range []struct {
 		record Record
 		want   string
@@ -73,7 +73,7 @@
 		{Record{Kind: Decided, Decision: balancer.DoReject, Request: 3, Now: 41}, ""},
 		{end(3, 45, 0), "after the request's final answer"},
 	} {
-		assert.Equal(t, test.want, notes.Note(test.record), test.record)
+		assert.Equal(t, test.want, notes.Check(test.record), test.record)
 	}
 	assert.Empty(t, notes.answered)
 	assert.Empty(t, notes.inFlight)
--- a/internal/capture/export_test.go
+++ b/internal/capture/export_test.go
@@ -11,7 +11,7 @@
 
 // RestoreFromOwnState replaces the decider by one restored from its own snapshot, so that tests see whether both
 // decide alike from there on.
-func (r *Replayer) RestoreFromOwnState(start Start) error {
+func (r *Replayer) RestoreFromOwnState(start StartInfo) error {
 	state, err := r.encodedState()
 	if err != nil {
 		return err
@@ -21,10 +21,10 @@
 		return err
 	}
 	record := Record{Kind: Snapshot, Data: startJSON, State: state}
-	for _, request := range inNumberOrder(r.requestNumbers) {
+	for _, request := range sortedByNumber(r.requestNumbers) {
 		record.Requests = append(record.Requests, r.requestNumbers[request])
 	}
-	for _, backend := range inNumberOrder(r.backendNumbers) {
+	for _, backend := range sortedByNumber(r.backendNumbers) {
 		record.Backends = append(record.Backends, r.backendNumbers[backend])
 	}
 	return r.restore(record)
--- a/internal/capture/file.go
+++ b/internal/capture/file.go
@@ -17,15 +17,15 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// The layout of a segment file: magic, version, then blocks. A block has a header of 12 bytes (length and xxhash of
-// the compressed bytes), then zstd data. Decompressed, that is a sequence of records, each with a header of 8
-// bytes: its length and the lower half of its xxhash. Half is enough beside the block's full checksum, and
-// checksums are most of what does not compress. A record has a checksum of its own so that the complete records of
-// a truncated block can be read.
+// The layout of a segment file: segmentMagic, formatVersion, then blocks. A block has a header of 12 bytes (length
+// and xxhash of the compressed bytes), then zstd data. Decompressed, that is a sequence of records, each with a
+// header of 8 bytes: its length and the lower half of its xxhash. Half is enough beside the block's full checksum,
+// and checksums are most of what does not compress. A record has a checksum of its own so that the complete records
+// of a truncated block can be read.
 const (
-	magic            = "pkcapture"
-	version          = 2
-	suffix           = ".pkcap"
+	segmentMagic     = "pkcapture"
+	formatVersion    = 2
+	segmentSuffix    = ".pkcap"
 	blockHeaderSize  = 12      // bytes
 	recordHeaderSize = 8       // bytes
 	maxRecordBytes   = 4 << 20 // a complete endpoint list of some ten thousand backends
@@ -34,7 +34,7 @@
 
 var emptyRecordHeader [recordHeaderSize]byte
 
-// fillRecordHeader writes the length and checksum of the record that follows the header in b.
+// fillRecordHeader writes the length and checksum of the record that follows the header in framed.
 func fillRecordHeader(framed []byte) {
 	record := framed[recordHeaderSize:]
 	binary.LittleEndian.PutUint32(framed, uint32(len(record)))
@@ -42,7 +42,7 @@
 }
 
 // segmentHeader is the first bytes of every segment.
-var segmentHeader = append([]byte(magic), version)
+var segmentHeader = append([]byte(segmentMagic), formatVersion)
 
 // newEncoder returns a compressor for blocks that needs little memory. Entropy coding is off: it is half of the
 // cost and gains 7% on captures.
@@ -83,8 +83,8 @@
 	return renameio.WriteFile(name, out, 0o600)
 }
 
-// targetBlockBytes is the size of a block before compression: enough for a good ratio, and little to lose with a
-// truncated block.
+// targetBlockBytes is the size of a block before compression: enough for a good compression ratio, and small enough
+// that a truncated block loses little.
 const targetBlockBytes = 64 << 10
 
 // Frame encodes a record with its header, as Write takes it.
@@ -106,7 +106,7 @@
 	return fmt.Sprintf("%s: truncated at byte %d: %s", e.File, e.Offset, e.Reason)
 }
 
-// CorruptError reports a segment whose bytes are not what was written.
+// CorruptError reports a segment whose bytes differ from what was written.
 type CorruptError struct {
 	File   string
 	Record int   // records that were read before, in the whole segment
@@ -127,19 +127,20 @@
 	if !info.IsDir() {
 		return []string{path}, nil
 	}
-	files, err := filepath.Glob(filepath.Join(path, "*"+suffix))
+	files, err := filepath.Glob(filepath.Join(path, "*"+segmentSuffix))
 	if err != nil {
 		return nil, err
 	}
 	if len(files) == 0 {
-		return nil, fmt.Errorf("%s: no captures (*%s)", path, suffix)
+		return nil, fmt.Errorf("%s: no captures (*%s)", path, segmentSuffix)
 	}
 	slices.Sort(files) // names begin with the time in a fixed width, see Name
 	return files, nil
 }
 
-// Read calls f with each record of a segment file in order, until f returns an error, which Read returns, or the
-// segment ends. Its own errors are a *TruncatedError or a *CorruptError, after all complete records were handed on.
+// Read calls handle with each record of a segment file in order, until handle returns an error, which Read returns,
+// or the segment ends. Its own errors are a *TruncatedError or a *CorruptError, after all complete records were
+// passed to handle.
 func Read(name string, handle func(Record) error) error {
 	file, err := os.Open(name)
 	if err != nil {
@@ -149,7 +150,7 @@
 	return ReadFrom(name, file, handle)
 }
 
-// ReadFrom is Read for a segment from any reader; name stands in errors.
+// ReadFrom is Read for a segment from any reader; errors contain name.
 func ReadFrom(name string, reader io.Reader, handle func(Record) error) error {
 	input := bufio.NewReaderSize(reader, 64<<10)
 	if err := readSegmentHeader(name, input); err != nil {
@@ -173,7 +174,7 @@
 		}
 		size := binary.LittleEndian.Uint32(header[:])
 		if size > maxBlockBytes {
-			return &CorruptError{name, recordNumber, offset, fmt.Sprintf("a block of %d bytes", size)}
+			return &CorruptError{name, recordNumber, offset, fmt.Sprintf("block of %d bytes is too large", size)}
 		}
 		block := &checksumReader{io.LimitReader(input, int64(size)), xxhash.New(), 0}
 		if err := decoder.Reset(block); err != nil {
@@ -197,17 +198,17 @@
 	}
 }
 
-// readSegmentHeader reads the first bytes of a segment, and fails for what is not a capture of this version.
+// readSegmentHeader reads the first bytes of a segment, and fails if it is not a capture of this version.
 func readSegmentHeader(name string, input io.Reader) error {
 	header := make([]byte, len(segmentHeader))
 	if count, err := io.ReadFull(input, header); err != nil {
 		return &TruncatedError{name, int64(count), "incomplete header"}
 	}
-	if string(header[:len(magic)]) != magic {
+	if string(header[:len(segmentMagic)]) != segmentMagic {
 		return &CorruptError{name, 0, 0, "not a capture"}
 	}
-	if header[len(magic)] != version {
-		return fmt.Errorf("%s: version %d, this program reads %d", name, header[len(magic)], version)
+	if header[len(segmentMagic)] != formatVersion {
+		return fmt.Errorf("%s: capture format version %d, this program reads %d", name, header[len(segmentMagic)], formatVersion)
 	}
 	return nil
 }
@@ -241,11 +242,11 @@
 		if _, err := io.ReadFull(input, header[:]); errors.Is(err, io.EOF) {
 			return recordNumber, nil
 		} else if err != nil {
-			return recordNumber, &CorruptError{name, recordNumber, offset, "head: " + err.Error()}
+			return recordNumber, &CorruptError{name, recordNumber, offset, "record header: " + err.Error()}
 		}
 		size := binary.LittleEndian.Uint32(header[:])
 		if size > maxRecordBytes {
-			return recordNumber, &CorruptError{name, recordNumber, offset, fmt.Sprintf("a record of %d bytes", size)}
+			return recordNumber, &CorruptError{name, recordNumber, offset, fmt.Sprintf("record of %d bytes is too large", size)}
 		}
 		// The buffer grows with the data that arrives, so a wrong length in a damaged file allocates next to nothing.
 		buffer = buffer[:0]
@@ -253,7 +254,7 @@
 			start := len(buffer)
 			buffer = append(buffer, make([]byte, min(int(size)-start, 16<<10))...)
 			if _, err := io.ReadFull(input, buffer[start:]); err != nil {
-				return recordNumber, &CorruptError{name, recordNumber, offset, "record: " + err.Error()}
+				return recordNumber, &CorruptError{name, recordNumber, offset, "record body: " + err.Error()}
 			}
 		}
 		if uint32(xxhash.Sum64(buffer)) != binary.LittleEndian.Uint32(header[4:]) {
@@ -270,13 +271,14 @@
 	}
 }
 
-// Name returns a segment's file name. It begins with time and count, so that names sort in the order of writing.
-func Name(node string, unixMs float64, count int) string {
-	clean := strings.Map(func(r rune) rune {
+// SegmentName returns a segment's file name. It begins with time and count, so that names sort in the order of
+// writing.
+func SegmentName(node string, unixMs float64, count int) string {
+	sanitizedNode := strings.Map(func(r rune) rune {
 		if r == '/' || r < ' ' {
 			return '_'
 		}
 		return r
 	}, node)
-	return fmt.Sprintf("%015.0f-%06d-%s%s", unixMs, count, clean, suffix)
+	return fmt.Sprintf("%015.0f-%06d-%s%s", unixMs, count, sanitizedNode, segmentSuffix)
 }
--- a/internal/capture/capture_rig_test.go
+++ b/internal/capture/fixture_test.go
@@ -28,7 +28,7 @@
 		if index != node {
 			return decider
 		}
-		start := Start{Name: fmt.Sprint("n", index), Epoch: uint64(epoch), Build: "test", Config: config}
+		start := StartInfo{Name: fmt.Sprint("n", index), Epoch: uint64(epoch), Build: "test", Config: config}
 		recorder, err := NewRecorder(decider, now, start, options)
 		require.NoError(t, err)
 		return recorder
@@ -73,8 +73,7 @@
 	return replayer.Result, nil
 }
 
-// newTestWriter returns a writer to a directory of its own, with a configuration that may be changed, and that
-// configuration.
+// newTestWriter returns a writer to a directory of its own, and its configuration, which change may modify.
 func newTestWriter(t *testing.T, change func(*WriterConfig)) (*Writer, WriterConfig) {
 	t.Helper()
 	config := WriterConfig{
@@ -97,8 +96,8 @@
 	return writer, config
 }
 
-// readRecordsOf returns the records of a capture file or of all in a directory, up to the first error.
-func readRecordsOf(t *testing.T, path string) (records []Record, err error) {
+// readCapture returns the records of a capture file or of all in a directory, up to the first error.
+func readCapture(t *testing.T, path string) (records []Record, err error) {
 	t.Helper()
 	files, err := Segments(path)
 	require.NoError(t, err)
@@ -118,8 +117,8 @@
 	}
 }
 
-// disk is a disk that is full, or blocks writes.
-type disk struct {
+// faultyDisk is a segment on a disk that is full, or blocks writes.
+type faultyDisk struct {
 	mu      sync.Mutex
 	full    bool
 	blocked chan struct{} // writes wait here
@@ -127,7 +126,7 @@
 }
 
 // Write fails halfway if the disk is full, and waits while it is blocked.
-func (d *disk) Write(data []byte) (int, error) {
+func (d *faultyDisk) Write(data []byte) (int, error) {
 	d.mu.Lock()
 	full, blocked := d.full, d.blocked
 	d.mu.Unlock()
@@ -135,17 +134,17 @@
 		<-blocked
 	}
 	if full {
-		written, _ := d.file.Write(data[:len(data)/2]) // a torn write
+		written, _ := d.file.Write(data[:len(data)/2]) // a partial write
 		return written, errors.New("no space left on device")
 	}
 	return d.file.Write(data)
 }
 
 // Sync does nothing.
-func (d *disk) Sync() error { return nil }
+func (d *faultyDisk) Sync() error { return nil }
 
 // Close closes the file.
-func (d *disk) Close() error { return d.file.Close() }
+func (d *faultyDisk) Close() error { return d.file.Close() }
 
 // countRecords counts records, and those that gaps say are missing.
 func countRecords(records []Record) (count int, missing uint64) {
--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -11,11 +11,11 @@
 	"pearknot/internal/goldentest"
 )
 
-// The start of a capture is stored as JSON, whose keys stay.
-func TestStartRecordJSON(t *testing.T) { goldentest.JSON(t, "start.json", &Start{}) }
+// The start of a capture is stored as JSON, whose keys must not change.
+func TestStartRecordJSON(t *testing.T) { goldentest.JSON(t, "start.json", &StartInfo{}) }
 
-// Captures, snapshots and frames store these numbers, so they stay as they are.
-func TestStoredNumbersStay(t *testing.T) {
+// Captures, snapshots and frames store these numbers, so they must not change.
+func TestStoredNumbersAreStable(t *testing.T) {
 	text := ""
 	put := func(name string, values ...any) {
 		for _, value := range values {
@@ -27,7 +27,7 @@
 		EndpointsChanged,
 		PollFailed,
 		RequestArrived,
-		ClientGone,
+		RequestAbandoned,
 		ResponseStarted,
 		AttemptEnded,
 		LoadReported,
@@ -70,7 +70,7 @@
 
 // A capture that an earlier build wrote is replayed. It has the same states and the same decisions.
 func TestCaptureOfEarlierBuildIsReplayed(t *testing.T) {
-	records, err := readRecordsOf(t, "testdata/earlier.pkcap")
+	records, err := readCapture(t, "testdata/earlier.pkcap")
 	require.NoError(t, err)
 	result, err := replayRecords(records)
 	require.NoError(t, err)
--- a/internal/capture/memory.go
+++ b/internal/capture/memory.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// MemoryRing keeps the latest batches in memory, within a size, for machines without a lasting disk. The oldest batch
-// that it keeps holds a snapshot, so that a replay may begin there. It is written to a file on request.
+// MemoryRing keeps the latest batches in memory, within a size, for machines without a persistent disk. The oldest
+// batch that it keeps holds a snapshot, so that a replay may begin there. It is written to a file on request.
 type MemoryRing struct {
-	maxBytes int // bytes
+	maxBytes int // of records
 
 	mu      sync.Mutex
 	batches []Batch
@@ -30,7 +30,7 @@
 		return
 	}
 	first := 0
-	for first < len(m.batches) && (m.bytes > m.maxBytes || !m.batches[first].Restart) {
+	for first < len(m.batches) && (m.bytes > m.maxBytes || !m.batches[first].HasSnapshot) {
 		m.bytes -= len(m.batches[first].Data)
 		m.dropped += uint64(m.batches[first].Records)
 		first++
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -12,21 +12,21 @@
 	"pearknot/balancer"
 )
 
-// Kind says what a record is about. The numbers are stored: they never change their meaning.
+// Kind is the type of a record. The numbers are stored: they never change their meaning.
 type Kind uint8
 
 // The kinds of a record. Inputs of a balancer.Decider are EndpointsChanged to DeadlineShortened, ProcessesChanged,
 // RequestBodySent and ConfigChanged, each named as its method; EarlierAttempt is a part of the RequestArrived that
-// follows. Begin, Decided, BatchEnd, Gap, Snapshot and BackendForgotten are no inputs. Record says which of its
-// fields each kind has.
+// follows. Begin, Decided, BatchEnd, Gap, Snapshot and BackendForgotten are not inputs. The comments of Record's
+// fields list the kinds that use them.
 const (
 	// Begin is a decider's start.
 	Begin Kind = iota + 1
 	EndpointsChanged
 	PollFailed
 	RequestArrived
-	// RequestAbandoned is recorded for every request that the node abandons, also where its client is still there.
-	ClientGone
+	// RequestAbandoned is recorded for every request that the node abandons, even if its client is still connected.
+	RequestAbandoned
 	// ResponseStarted is not recorded by nodes, which do not stream responses; simulators pass it on.
 	ResponseStarted
 	AttemptEnded
@@ -36,17 +36,17 @@
 	DeadlineShortened
 	// Decided is a decision that the host took.
 	Decided
-	// BatchEnd says that no decision was left.
+	// BatchEnd marks the end of a batch: the decider has no decision left.
 	BatchEnd
 	// Gap stands for records that were not stored.
 	Gap
 	// Snapshot is the decider's state at a batch's end, from which a replay may begin.
 	Snapshot
-	// BackendForgotten says that the host released a backend. If it is listed again it gets another number.
+	// BackendForgotten reports that the host released a backend. If it is listed again it gets another number.
 	BackendForgotten
-	// ProcessesChanged says how many processes the node consists of.
+	// ProcessesChanged reports the number of processes of the node.
 	ProcessesChanged
-	// RequestBodySent says that the last byte of a streamed request was sent.
+	// RequestBodySent reports that the last byte of a streamed request was sent.
 	RequestBodySent
 	ConfigChanged
 	// EarlierAttempt precedes a RequestArrived: an attempt that another node began for a request that was taken
@@ -59,7 +59,7 @@
 	EndpointsChanged:  "endpoints changed",
 	PollFailed:        "poll failed",
 	RequestArrived:    "request arrived",
-	ClientGone:        "client gone",
+	RequestAbandoned:  "client gone",
 	ResponseStarted:   "response started",
 	AttemptEnded:      "attempt ended",
 	LoadReported:      "load reported",
@@ -87,10 +87,10 @@
 // ms on the node's clock. Fields that a record's kind does not name are 0 and take no space.
 type Record struct {
 	Kind Kind
-	Now  float64 // when the input was passed on or the decision taken
+	Now  float64 // time at which the input was passed on or the decision taken
 
-	// Request is the request's number, counted from 1 in order of arrival: RequestArrived, EarlierAttempt, RequestAbandoned,
-	// DeadlineShortened, ResponseStarted, RequestBodySent, AttemptEnded, and Decided about a request.
+	// Request is the request's number, counted from 1 in order of arrival: RequestArrived, EarlierAttempt,
+	// RequestAbandoned, DeadlineShortened, ResponseStarted, RequestBodySent, AttemptEnded, and Decided about a request.
 	Request uint64
 	// ID is the host's ID of the request, hashed if Options.HashKey is set: RequestArrived.
 	ID uint64
@@ -100,9 +100,9 @@
 	// Backend is the backend's number, counted from 1 in order of its first listing: LoadReported,
 	// BackendForgotten, and Decided about an attempt.
 	Backend uint64
-	// Decision is what was decided: Decided.
+	// Decision is the kind of the decision: Decided.
 	Decision balancer.DecisionKind
-	// Outcome is how the attempt ended: AttemptEnded; as far as the other node knew: EarlierAttempt.
+	// Outcome is the attempt's outcome: AttemptEnded; as far as the other node knew it: EarlierAttempt.
 	Outcome balancer.Outcome
 	// Value is, in ms,
 	//   - AttemptEnded: the time that the attempt took;
@@ -119,7 +119,7 @@
 	Tenant   int
 	CostHint float64
 	Deadline float64
-	// Key is the request's affinity and ordering key, never hashed because decisions follow from it: RequestArrived.
+	// Key is the request's affinity and ordering key, never hashed because decisions depend on it: RequestArrived.
 	Key uint64
 
 	// Count is a number of missing records: Gap; of the node's processes: ProcessesChanged.
@@ -135,7 +135,7 @@
 	Requests []uint64
 	// Backends are the numbers of the state's backends, in its order: Snapshot.
 	Backends []uint64
-	// Load is what the backend reported: LoadReported.
+	// Load is the backend's load report: LoadReported.
 	Load balancer.LoadReport
 }
 
@@ -163,22 +163,22 @@
 	flagPreviousConfig                    // RequestArrived: under the configuration before the one in force
 )
 
-// Start describes the process whose decider a Begin record starts. Its JSON is stored in captures and keeps the
-// word of earlier builds for the configuration.
-type Start struct {
+// StartInfo describes the process whose decider a Begin record starts. Its JSON is stored in captures, where the
+// configuration keeps the key "terms" of earlier builds.
+type StartInfo struct {
 	Name   string           `json:"name"`  // of the node; its processes share the name
-	Epoch  uint64           `json:"epoch"` // tells the processes of one node apart
+	Epoch  uint64           `json:"epoch"` // distinguishes the processes of one node
 	Build  string           `json:"build"`
 	Config *balancer.Config `json:"terms"`
 }
 
 // startInfo decodes the Start in the data of a Begin, Snapshot or ConfigChanged record.
-func (r Record) startInfo() (start Start, err error) {
+func (r Record) startInfo() (start StartInfo, err error) {
 	if err := json.Unmarshal(r.Data, &start); err != nil {
-		return start, fmt.Errorf("begin: %w", err)
+		return start, fmt.Errorf("decode start info: %w", err)
 	}
 	if start.Config == nil {
-		return start, errors.New("begin: no configuration")
+		return start, errors.New("decode start info: no configuration")
 	}
 	return start, nil
 }
@@ -210,7 +210,7 @@
 			text += fmt.Sprintf(", to backend %x", r.Endpoints[0].ID)
 		}
 		return text
-	case ClientGone, DeadlineShortened:
+	case RequestAbandoned, DeadlineShortened:
 		return fmt.Sprintf("request %d", r.Request)
 	case ResponseStarted:
 		return fmt.Sprintf("request %d attempt %d", r.Request, r.Attempt)
--- a/internal/capture/record_test.go
+++ b/internal/capture/record_test.go
@@ -93,7 +93,7 @@
 func FuzzReader(f *testing.F) {
 	var data bytes.Buffer
 	record := Record{Kind: TimerFired, Now: 3}
-	data.WriteString(magic + "\x02")
+	data.WriteString(segmentMagic + "\x02")
 	f.Add(data.Bytes())
 	f.Add(append(data.Bytes(), Frame(record)...))
 	f.Fuzz(func(_ *testing.T, data []byte) {
@@ -105,19 +105,19 @@
 	})
 }
 
-// Files that are no captures of this version are refused with the reason, as is a directory without captures.
-func TestReadRefusesOtherFiles(t *testing.T) {
+// Files that are not captures of this version are rejected with the reason, as is a directory without captures.
+func TestReadRejectsInvalidFiles(t *testing.T) {
 	for text, want := range map[string]string{
-		"":                  "incomplete header",
-		"nonsense and more": "not a capture",
-		magic + "\x63":      "version 99, this program reads 2",
+		"":                    "incomplete header",
+		"nonsense and more":   "not a capture",
+		segmentMagic + "\x63": "version 99, this program reads 2",
 	} {
 		err := ReadFrom("f", bytes.NewReader([]byte(text)), func(Record) error { return nil })
 		assert.ErrorContains(t, err, want)
 	}
 	_, err := Segments(t.TempDir())
 	assert.ErrorContains(t, err, "no captures")
-	assert.Equal(t, "000000000001234-000007-a_b"+suffix, filepath.Base(Name("a/b", 1234, 7)))
+	assert.Equal(t, "000000000001234-000007-a_b"+segmentSuffix, filepath.Base(SegmentName("a/b", 1234, 7)))
 }
 
 // A load report keeps values that were not reported apart from the zeros of an idle backend. Earlier builds stored
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -12,22 +12,22 @@
 	"pearknot/internal/snapshot"
 )
 
-// Batch is the encoded records of one batch: the inputs that the host passed on together, and the decisions
+// Batch holds the encoded records of one batch: the inputs that the host passed on together, and the decisions
 // that followed.
 type Batch struct {
-	Records int
-	Data    []byte // framed records
-	Restart bool   // it holds a snapshot, so a replay may begin in it
+	Records     int
+	Data        []byte // framed records
+	HasSnapshot bool   // Data holds a snapshot, so a replay may begin in this batch
 }
 
 // Options configure a Recorder.
 type Options struct {
-	// SnapshotIntervalMs is the least time between snapshots; 0 takes none after the first.
+	// SnapshotIntervalMs is the minimum time between snapshots; 0 takes none after the first.
 	SnapshotIntervalMs float64
 	// HashKey is the key that request IDs are hashed with; empty stores the IDs as they are. All nodes of a fleet
 	// need the same key, so that a request can be found in the captures of several.
 	HashKey []byte
-	// Sink receives each batch. It must neither block nor keep the bytes.
+	// Sink receives each batch. It must neither block nor retain the bytes.
 	Sink func(Batch)
 }
 
@@ -36,7 +36,7 @@
 type Recorder struct {
 	inner        balancer.Decider
 	options      Options
-	startInfo    Start
+	startInfo    StartInfo
 	startJSON    []byte  // startInfo as JSON
 	nextSnapshot float64 // when the next snapshot is due
 	hasSnapshot  bool    // the current batch has a snapshot
@@ -50,7 +50,7 @@
 }
 
 // NewRecorder begins a capture of a decider that was created at now.
-func NewRecorder(inner balancer.Decider, now float64, start Start, options Options) (*Recorder, error) {
+func NewRecorder(inner balancer.Decider, now float64, start StartInfo, options Options) (*Recorder, error) {
 	data, err := json.Marshal(start)
 	if err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 	return recorder, nil
 }
 
-// recordSnapshot records the decider's state, if it has one to give.
+// recordSnapshot records the decider's state, if the decider supports snapshots.
 func (r *Recorder) recordSnapshot() {
 	snapshotter, ok := r.inner.(interface {
 		Snapshot(requests []*balancer.Request, backends []*balancer.Backend) (*balancer.Snapshot, error)
@@ -76,12 +76,12 @@
 	if !ok {
 		return
 	}
-	requests, backends := inNumberOrder(r.requests), inNumberOrder(r.backends)
+	requests, backends := sortedByNumber(r.requests), sortedByNumber(r.backends)
 	state, err := snapshotter.Snapshot(requests, backends)
-	if err != nil { // in the middle of a batch: the next interval will do
+	if err != nil { // in the middle of a batch: a later call takes the snapshot
 		return
 	}
-	for i := range state.Requests { // the decider itself goes on with the original IDs
+	for i := range state.Requests { // the decider itself keeps the original IDs
 		state.Requests[i].ID = r.hashID(state.Requests[i].ID)
 	}
 	record := Record{Kind: Snapshot, Now: r.now, Data: r.startJSON, State: snapshot.Encode(state)}
@@ -95,8 +95,8 @@
 	r.nextSnapshot, r.hasSnapshot = r.now+r.options.SnapshotIntervalMs, true
 }
 
-// inNumberOrder returns the keys of a map in the order of their numbers.
-func inNumberOrder[T comparable](numbers map[T]uint64) []T {
+// sortedByNumber returns the keys of a map in the order of their numbers.
+func sortedByNumber[T comparable](numbers map[T]uint64) []T {
 	return slices.SortedFunc(maps.Keys(numbers), func(a, b T) int {
 		if numbers[a] < numbers[b] {
 			return -1
@@ -105,7 +105,8 @@
 	})
 }
 
-// hashID returns what stands for a request's ID where IDs are confidential. It is never 0, which means no ID.
+// hashID returns the hash of a request's ID with Options.HashKey, for hosts whose IDs are confidential, or the ID
+// itself without a key. A hash is never 0, which means no ID.
 func (r *Recorder) hashID(id uint64) uint64 {
 	if len(r.options.HashKey) == 0 || id == 0 {
 		return id
@@ -133,8 +134,8 @@
 	}
 }
 
-// numberOf numbers a backend when it is first named.
-func (r *Recorder) numberOf(backend *balancer.Backend) uint64 {
+// backendNumber returns a backend's number, and assigns the next one at the backend's first use.
+func (r *Recorder) backendNumber(backend *balancer.Backend) uint64 {
 	number, known := r.backends[backend]
 	if !known {
 		r.lastBackend++
@@ -155,7 +156,7 @@
 	}
 	for _, endpoint := range endpoints {
 		record.Endpoints = append(record.Endpoints, Endpoint{
-			Backend:  r.numberOf(endpoint.Backend),
+			Backend:  r.backendNumber(endpoint.Backend),
 			ID:       endpoint.Backend.ID,
 			State:    endpoint.State,
 			Zone:     endpoint.Zone,
@@ -213,7 +214,7 @@
 // recordEarlierAttempt records an attempt that another node began for the request that arrives.
 func (r *Recorder) recordEarlierAttempt(now float64, attempt *balancer.Attempt) {
 	backend := attempt.Backend
-	endpoint := Endpoint{Backend: r.numberOf(backend), ID: backend.ID, Zone: backend.Zone, Cell: backend.Cell}
+	endpoint := Endpoint{Backend: r.backendNumber(backend), ID: backend.ID, Zone: backend.Zone, Cell: backend.Cell}
 	r.record(&Record{
 		Kind:      EarlierAttempt,
 		Now:       now,
@@ -226,7 +227,7 @@
 
 // RequestAbandoned implements balancer.Decider.
 func (r *Recorder) RequestAbandoned(now float64, request *balancer.Request) {
-	r.record(&Record{Kind: ClientGone, Now: now, Request: r.requests[request]})
+	r.record(&Record{Kind: RequestAbandoned, Now: now, Request: r.requests[request]})
 	r.inner.RequestAbandoned(now, request)
 	r.forgetIfDone(request)
 }
@@ -291,7 +292,7 @@
 func (r *Recorder) ConfigChanged(now float64, config *balancer.Config, formerIndexes []int) {
 	start := r.startInfo
 	start.Config = config
-	if data, err := json.Marshal(start); err == nil { // fails for no configuration that the first one did not fail for
+	if data, err := json.Marshal(start); err == nil { // does not fail: the first configuration was encoded too
 		r.startJSON, r.startInfo = data, start
 	}
 	record := Record{Kind: ConfigChanged, Now: now, Data: r.startJSON}
@@ -328,14 +329,14 @@
 	return decision, more
 }
 
-// BackendForgotten records that the host has released a backend. Should the backend return, it is a new one to the
-// decider as well.
+// BackendForgotten records that the host has released a backend. If the backend is listed again, it is a new one to
+// the decider as well.
 func (r *Recorder) BackendForgotten(backend *balancer.Backend) {
 	r.record(&Record{Kind: BackendForgotten, Now: r.now, Backend: r.backends[backend]})
 	delete(r.backends, backend)
 }
 
-// forgetIfDone releases a request that has ended: nothing that happens to it later reaches the decider either.
+// forgetIfDone releases a request that has ended: its later events do not reach the decider either.
 func (r *Recorder) forgetIfDone(request *balancer.Request) {
 	if request.IsDone() {
 		delete(r.requests, request)
@@ -350,7 +351,7 @@
 		Kind:     Decided,
 		Decision: decision.Kind,
 		Value:    decision.Wait,
-		Data:     []byte(storedEvent(decision.Event)),
+		Data:     []byte(storedEventText(decision.Event)),
 	}
 	if decision.Request != nil {
 		record.Request = requests[decision.Request]
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -9,33 +9,33 @@
 	"pearknot/internal/snapshot"
 )
 
-// MismatchError is the first place at which a replay decided otherwise than the capture says.
+// MismatchError reports the first record at which a replay's decision differs from the captured one.
 type MismatchError struct {
-	RecordNumber int // counts from 1
+	RecordNumber int // counted from 1
 	Now          float64
 	Captured     string
 	Replayed     string
-	Inputs       []Record // of the batch that it stands in
+	Inputs       []Record // of the batch that contains the record
 }
 
-func (d *MismatchError) Error() string {
-	text := fmt.Sprintf("record %d at %.3f: captured %s, replayed %s", d.RecordNumber, d.Now, d.Captured, d.Replayed)
-	for _, input := range d.Inputs {
+func (e *MismatchError) Error() string {
+	text := fmt.Sprintf("record %d at %.3f: captured %s, replayed %s", e.RecordNumber, e.Now, e.Captured, e.Replayed)
+	for _, input := range e.Inputs {
 		text += "\n    " + input.String()
 	}
 	return text
 }
 
-// Result sums up what a replay has verified.
+// Result counts what a replay has processed and verified.
 type Result struct {
 	Records        int
 	Decisions      int // that matched, bit for bit
 	Epochs         int // processes whose start was replayed
 	Restored       int // snapshots that the replay was restored from
 	Gaps           int
-	MissingRecords uint64 // records in the gaps
-	Unverified     int    // records after a gap: the state is unknown until the next start or snapshot
-	From, To       float64
+	MissingRecords uint64  // records in the gaps
+	Unverified     int     // records after a gap: the state is unknown until the next start or snapshot
+	From, To       float64 // times of the first and the latest record, in ms
 }
 
 // Replayer passes the recorded inputs to a decider of its own and compares its decisions with the recorded ones.
@@ -54,12 +54,12 @@
 	backendNumbers  map[*balancer.Backend]uint64
 	config          *balancer.Config // in force
 	previousConfig  *balancer.Config
-	earlierAttempts []Record // of the next request, begun by another node
+	earlierAttempts []Record // attempts that another node began for the next request
 	inputs          []Record
 	afterGap        bool // the state is unknown since a gap
 }
 
-// Feed takes the next record. The error is a *MismatchError, or says what is inconsistent in the capture itself.
+// Feed processes the next record. The error is a *MismatchError, or describes an inconsistency in the capture itself.
 func (r *Replayer) Feed(record Record) error {
 	r.Result.Records++
 	if r.Result.From == 0 {
@@ -173,7 +173,7 @@
 	if !ok {
 		return nil, nil
 	}
-	state, err := core.Snapshot(inNumberOrder(r.requestNumbers), inNumberOrder(r.backendNumbers))
+	state, err := core.Snapshot(sortedByNumber(r.requestNumbers), sortedByNumber(r.backendNumbers))
 	if err != nil {
 		return nil, err
 	}
@@ -211,7 +211,7 @@
 
 // applyInput passes a recorded input to the decider.
 func (r *Replayer) applyInput(record Record) error {
-	request, attempt, err := r.subjects(record)
+	request, attempt, err := r.requestAndAttempt(record)
 	if err != nil {
 		return err
 	}
@@ -223,7 +223,7 @@
 		r.decider.PollFailed(record.Now)
 	case EarlierAttempt:
 		if len(record.Endpoints) != 1 {
-			return r.errorf(record, "an attempt of another node without its backend")
+			return r.errorf(record, "earlier attempt of another node must have exactly one backend")
 		}
 		r.earlierAttempts = append(r.earlierAttempts, record)
 	case RequestArrived:
@@ -231,7 +231,7 @@
 			return err
 		}
 		r.decider.RequestArrived(record.Now, request)
-	case ClientGone:
+	case RequestAbandoned:
 		r.decider.RequestAbandoned(record.Now, request)
 	case DeadlineShortened:
 		request.Deadline = record.Value
@@ -270,23 +270,23 @@
 	return fmt.Errorf("record %d at %.3f: %s", r.Result.Records, record.Now, fmt.Sprintf(format, args...))
 }
 
-// subjects returns the request that a record is about, and its attempt, for the kinds that must have them.
-func (r *Replayer) subjects(record Record) (*balancer.Request, *balancer.Attempt, error) {
+// requestAndAttempt returns the request that a record is about, and its attempt, for the kinds that must have them.
+func (r *Replayer) requestAndAttempt(record Record) (*balancer.Request, *balancer.Attempt, error) {
 	request := r.requests[record.Request]
 	switch record.Kind {
-	case ClientGone, DeadlineShortened, ResponseStarted, RequestBodySent, AttemptEnded:
+	case RequestAbandoned, DeadlineShortened, ResponseStarted, RequestBodySent, AttemptEnded:
 	default:
 		return request, nil, nil
 	}
 	if request == nil {
 		return nil, nil, r.errorf(record, "request %d never arrived", record.Request)
 	}
-	if record.Kind == ClientGone || record.Kind == DeadlineShortened {
+	if record.Kind == RequestAbandoned || record.Kind == DeadlineShortened {
 		return request, nil, nil
 	}
 	if record.Attempt >= len(request.Attempts) {
 		captured := fmt.Sprintf("request %d has attempt %d", record.Request, record.Attempt)
-		return nil, nil, r.mismatch(record, captured, fmt.Sprintf("it has %d attempts", len(request.Attempts)))
+		return nil, nil, r.mismatch(record, captured, fmt.Sprintf("request has %d attempts", len(request.Attempts)))
 	}
 	return request, request.Attempts[record.Attempt], nil
 }
@@ -314,7 +314,7 @@
 	return endpoints
 }
 
-// arrivedRequest makes the request of a RequestArrived record, with the attempts of other nodes that precede it.
+// arrivedRequest builds the request of a RequestArrived record, with the attempts of other nodes that precede it.
 func (r *Replayer) arrivedRequest(record Record) (*balancer.Request, error) {
 	request := &balancer.Request{
 		ID:            record.ID,
@@ -332,7 +332,7 @@
 		request.Config = r.previousConfig
 	}
 	if request.Class >= len(request.Config.Classes) {
-		return nil, r.errorf(record, "class %d of %d", request.Class, len(request.Config.Classes))
+		return nil, r.errorf(record, "class %d is out of range of %d classes", request.Class, len(request.Config.Classes))
 	}
 	for _, earlier := range r.earlierAttempts {
 		endpoint := earlier.Endpoints[0]
--- a/internal/capture/replay_test.go
+++ b/internal/capture/replay_test.go
@@ -50,10 +50,10 @@
 	}
 }
 
-// Capturing changes no decision: not while the disk blocks and records are dropped, nor with a sink that
-// ignores all.
-func TestCapturingChangesNothing(t *testing.T) {
-	play := func(options *Options) string {
+// Capturing changes no decision: neither while the disk blocks and records are dropped, nor with a sink that
+// discards all records.
+func TestRecorderChangesNoDecision(t *testing.T) {
+	runExperiment := func(options *Options) string {
 		experimentConfig, err := experiment.Read("../../experiments/roll-in-a-shrink.toml")
 		require.NoError(t, err)
 		experimentConfig.Seconds = 15
@@ -61,7 +61,7 @@
 			if options == nil {
 				return decider
 			}
-			recorder, err := NewRecorder(decider, now, Start{Config: config}, *options)
+			recorder, err := NewRecorder(decider, now, StartInfo{Config: config}, *options)
 			require.NoError(t, err)
 			return recorder
 		}
@@ -76,18 +76,18 @@
 		config.MaxPendingMB, config.BlockKB = 0.05, 1
 		config.create = func(name string) (segment, error) {
 			file, err := os.Create(name)
-			return &disk{blocked: blocked, file: file}, err
+			return &faultyDisk{blocked: blocked, file: file}, err
 		}
 	})
-	plain := play(nil)
-	assert.Equal(t, plain, play(&Options{SnapshotIntervalMs: 500, Sink: writer.Put}), "a disk that blocks")
+	withoutRecorder := runExperiment(nil)
+	assert.Equal(t, withoutRecorder, runExperiment(&Options{SnapshotIntervalMs: 500, Sink: writer.Put}), "a disk that blocks")
 	assert.Positive(t, writer.Dropped())
 	close(blocked)
 	writer.Close()
-	assert.Equal(t, plain, play(&Options{Sink: func(Batch) {}}))
+	assert.Equal(t, withoutRecorder, runExperiment(&Options{Sink: func(Batch) {}}))
 }
 
-// A host uses request IDs again and its clock steps back. The capture has both as they came, and can be replayed.
+// A host reuses request IDs and its clock steps back. The capture has both as they came, and can be replayed.
 func TestReplayWithReusedIDsAndClockSteps(t *testing.T) {
 	config := &balancer.Config{
 		Seed:           2,
@@ -98,7 +98,7 @@
 		Classes:        []balancer.Class{{LatencyObjective: 100, PriorityWeight: 1}},
 	}
 	var records []Record
-	recorder, err := NewRecorder(balancer.New(config, 1000), 1000, Start{Config: config}, Options{
+	recorder, err := NewRecorder(balancer.New(config, 1000), 1000, StartInfo{Config: config}, Options{
 		SnapshotIntervalMs: 10,
 		Sink:               func(batch Batch) { records = append(records, decodeBatch(batch.Data)...) },
 	})
@@ -144,7 +144,7 @@
 		Classes:        []balancer.Class{class},
 	}
 	var records []Record
-	recorder, err := NewRecorder(balancer.New(config, 1000), 1000, Start{Config: config}, Options{
+	recorder, err := NewRecorder(balancer.New(config, 1000), 1000, StartInfo{Config: config}, Options{
 		SnapshotIntervalMs: 10,
 		Sink:               func(batch Batch) { records = append(records, decodeBatch(batch.Data)...) },
 	})
@@ -198,7 +198,7 @@
 
 // If a recorded decision is changed in its last bit, or the balancer has another configuration, the replay reports
 // the first difference with its batch.
-func TestChangedRecordIsFound(t *testing.T) {
+func TestReplayDetectsChangedRecord(t *testing.T) {
 	records := captureRecords(t, "hung", 12, 0)
 	found := 0
 	for index, record := range records {
@@ -215,7 +215,7 @@
 		found++
 	}
 	assert.Positive(t, found)
-	// A balancer with another seed is not the one that was captured.
+	// A balancer with another seed takes other decisions than the captured one.
 	replayer := &Replayer{New: func(config *balancer.Config, now float64) balancer.Decider {
 		config.Seed ^= 0xff00 // the lowest bits do not reach the random numbers
 		return balancer.New(config, now)
@@ -247,12 +247,12 @@
 		experimentConfig.Clients.Load = rapid.Float64Range(0.2, 1.2).Draw(t, "load")
 		experimentConfig.Backend.CongestionQueue = 3
 		replayer := &Replayer{Strict: true}
-		var start Start
+		var start StartInfo
 		wrap := func(node, _ int, decider balancer.Decider, config *balancer.Config, now float64) balancer.Decider {
 			if node != 1 {
 				return decider
 			}
-			start = Start{Name: "n1", Config: config}
+			start = StartInfo{Name: "n1", Config: config}
 			recorder, err := NewRecorder(decider, now, start, Options{SnapshotIntervalMs: 500, Sink: func(batch Batch) {
 				for _, record := range decodeBatch(batch.Data) {
 					if err := replayer.Feed(record); err != nil {
@@ -296,7 +296,7 @@
 	writer, config := newTestWriter(t, func(config *WriterConfig) { config.MaxTotalMB = 0.15 })
 	captureExperiment(t, "hung", 30, 0, Options{SnapshotIntervalMs: 1000, Sink: writer.Put})
 	writer.Close()
-	remaining, err := readRecordsOf(t, config.Dir)
+	remaining, err := readCapture(t, config.Dir)
 	require.NoError(t, err)
 	result, err := replayRecords(remaining)
 	require.NoError(t, err)
@@ -314,7 +314,7 @@
 			HashKey:            []byte(secret),
 			Sink:               func(batch Batch) { records = append(records, decodeBatch(batch.Data)...) },
 		})
-		replayer := &Replayer{Strict: true} // names in the snapshots are hashed as well
+		replayer := &Replayer{Strict: true} // request IDs in the snapshots are hashed as well
 		for _, record := range records {
 			require.NoError(t, replayer.Feed(record))
 		}
@@ -341,18 +341,18 @@
 	records := captureRecords(t, "nodes", 30, 0)
 	complete, err := replayRecords(records)
 	require.NoError(t, err)
-	cut := append(append([]Record{}, records[:100]...), Record{Kind: Gap, Now: records[100].Now, Count: 50})
-	cut = append(cut, records[150:]...)
-	result, err := replayRecords(cut)
+	withGap := append(append([]Record{}, records[:100]...), Record{Kind: Gap, Now: records[100].Now, Count: 50})
+	withGap = append(withGap, records[150:]...)
+	result, err := replayRecords(withGap)
 	require.NoError(t, err)
 	assert.Equal(t, uint64(50), result.MissingRecords)
 	assert.Less(t, result.Decisions, complete.Decisions)
-	assert.Equal(t, len(cut), result.Records)
+	assert.Equal(t, len(withGap), result.Records)
 }
 
 // A cordoned backend, a second process and a new configuration are replayed as they came, also for a request that
 // arrived under the earlier configuration.
-func TestOperatorsInputsAreReplayed(t *testing.T) {
+func TestReplayOfOperatorInputs(t *testing.T) {
 	configuration := func(idempotency balancer.Idempotency) *balancer.Config {
 		return &balancer.Config{
 			Seed:           2,
@@ -364,7 +364,7 @@
 	}
 	first, second := configuration(balancer.Idempotent), configuration(balancer.AtMostOnce)
 	var records []Record
-	recorder, err := NewRecorder(balancer.New(first, 1000), 1000, Start{Config: first}, Options{
+	recorder, err := NewRecorder(balancer.New(first, 1000), 1000, StartInfo{Config: first}, Options{
 		Sink: func(batch Batch) { records = append(records, decodeBatch(batch.Data)...) },
 	})
 	require.NoError(t, err)
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -12,14 +12,14 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Sync says when written data is made durable.
-type Sync string
+// SyncPolicy selects when written data is made durable.
+type SyncPolicy string
 
 // The values of Sync.
 const (
-	SyncNever   Sync = "never"   // left to the operating system
-	SyncSegment Sync = "segment" // when a segment is complete
-	SyncBlock   Sync = "block"   // after each block
+	SyncNever   SyncPolicy = "never"   // left to the operating system
+	SyncSegment SyncPolicy = "segment" // when a segment is complete
+	SyncBlock   SyncPolicy = "block"   // after each block
 )
 
 // WriterConfig configures a Writer: where segments are stored, and the size and age beyond which the oldest are
@@ -33,7 +33,7 @@
 	FlushInterval time.Duration // longest time until a block is written
 	BlockKB       int           // pending records that are written before FlushInterval is over
 	MaxPendingMB  float64       // records waiting for the disk; what exceeds it is dropped and recorded as a gap
-	Sync          Sync
+	Sync          SyncPolicy
 	Log           *slog.Logger
 	Now           func() float64 // Unix ms
 
@@ -181,8 +181,8 @@
 		missing := w.unwritten
 		block := w.block
 		if missing > 0 {
-			left := missing
-			block = append(w.appendGap(nil, &left), w.block...)
+			gapRecords := missing
+			block = append(w.appendGap(nil, &gapRecords), w.block...)
 		}
 		err := w.writeBlock(block)
 		if err == nil {
@@ -215,7 +215,7 @@
 	}
 	if w.segment == nil {
 		w.segments++
-		file, err := w.config.create(filepath.Join(w.config.Dir, Name(w.config.NodeName, w.config.Now(), w.segments)))
+		file, err := w.config.create(filepath.Join(w.config.Dir, SegmentName(w.config.NodeName, w.config.Now(), w.segments)))
 		if err != nil {
 			return err
 		}
--- a/internal/capture/writer_test.go
+++ b/internal/capture/writer_test.go
@@ -12,17 +12,17 @@
 	"go.uber.org/goleak"
 )
 
-// The ring in memory keeps within its size, and the file written from it begins with a batch that a replay may
+// The ring in memory stays within its size, and the file written from it begins with a batch that a replay may
 // begin in.
-func TestMemoryRingKeepsWithinItsSize(t *testing.T) {
+func TestMemoryRingStaysWithinMaxBytes(t *testing.T) {
 	ring := NewMemoryRing(300_000)
 	captureExperiment(t, "hung", 30, 0, Options{SnapshotIntervalMs: 2000, Sink: ring.Put})
 	size, dropped := ring.Size()
 	assert.LessOrEqual(t, size, 300_000)
 	assert.Positive(t, dropped)
-	name := filepath.Join(t.TempDir(), "dump"+suffix)
+	name := filepath.Join(t.TempDir(), "dump"+segmentSuffix)
 	require.NoError(t, ring.WriteTo(name))
-	records, err := readRecordsOf(t, name)
+	records, err := readCapture(t, name)
 	require.NoError(t, err)
 	result, err := replayRecords(records)
 	require.NoError(t, err)
@@ -41,7 +41,7 @@
 	files, err := Segments(config.Dir)
 	require.NoError(t, err)
 	assert.Greater(t, len(files), 2)
-	records, err := readRecordsOf(t, config.Dir)
+	records, err := readCapture(t, config.Dir)
 	require.NoError(t, err)
 	result, err := replayRecords(records)
 	require.NoError(t, err)
@@ -63,7 +63,7 @@
 		total += info.Size()
 	}
 	assert.LessOrEqual(t, total, int64(210_000))
-	records, err := readRecordsOf(t, config.Dir)
+	records, err := readCapture(t, config.Dir)
 	require.NoError(t, err)
 	result, err := replayRecords(records)
 	require.NoError(t, err)
@@ -80,7 +80,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			file, err := os.Create(name)
-			return &disk{full: full, file: file}, err
+			return &faultyDisk{full: full, file: file}, err
 		}
 	})
 	setFull := func(isFull bool) {
@@ -105,7 +105,7 @@
 	require.NoError(t, err)
 	var records []Record
 	for _, file := range files {
-		_ = Read(file, appendTo(&records)) // the torn ones
+		_ = Read(file, appendTo(&records)) // fails for segments that end in a partial write
 	}
 	count, missing := countRecords(records)
 	assert.Equal(t, writer.Dropped(), missing)
@@ -119,7 +119,7 @@
 		config.MaxPendingMB, config.BlockKB, config.SegmentMB = 0.01, 1, 100
 		config.create = func(name string) (segment, error) {
 			file, err := os.Create(name)
-			return &disk{blocked: blocked, file: file}, err
+			return &faultyDisk{blocked: blocked, file: file}, err
 		}
 	})
 	startedAt := time.Now()
@@ -131,7 +131,7 @@
 	assert.Greater(t, writer.Dropped(), uint64(15_000))
 	close(blocked)
 	writer.Close()
-	records, err := readRecordsOf(t, config.Dir)
+	records, err := readCapture(t, config.Dir)
 	require.NoError(t, err)
 	count, missing := countRecords(records)
 	assert.Equal(t, uint64(20_000), uint64(count)+missing, "each record is stored or counted as missing")
--- a/internal/lab/capacity/rig_capture.go
+++ b/internal/lab/capacity/rig_capture.go
@@ -78,7 +78,7 @@
 		return 0, err
 	}
 	config := newConfig(0)
-	start := capture.Start{Name: "n", Config: config}
+	start := capture.StartInfo{Name: "n", Config: config}
 	options := capture.Options{SnapshotIntervalMs: 10e3, Sink: writer.Put}
 	recorder, err := capture.NewRecorder(balancer.New(config, 1), 1, start, options)
 	if err != nil {
--- a/internal/serve/capture.go
+++ b/internal/serve/capture.go
@@ -68,7 +68,7 @@
 		if err := os.MkdirAll(s.ring.Dir, 0o700); err != nil {
 			return "", err
 		}
-		name := filepath.Join(s.ring.Dir, capture.Name(s.nodeName, s.ring.Now(), int(dumps.Add(1))))
+		name := filepath.Join(s.ring.Dir, capture.SegmentName(s.nodeName, s.ring.Now(), int(dumps.Add(1))))
 		return name, memory.WriteTo(name)
 	}
 }
@@ -81,7 +81,7 @@
 	epoch := uint64(s.ring.Now())
 	options.NewDecider = func(config *balancer.Config, now float64) balancer.Decider {
 		decider := newDecider(config, now)
-		start := capture.Start{Name: s.nodeName, Epoch: epoch, Build: options.Version, Config: config}
+		start := capture.StartInfo{Name: s.nodeName, Epoch: epoch, Build: options.Version, Config: config}
 		recorder, err := capture.NewRecorder(decider, now, start, capture.Options{
 			SnapshotIntervalMs: captureOptions.SnapshotInterval,
 			HashKey:            captureOptions.RedactionKey,
@@ -140,7 +140,7 @@
 			FlushInterval: clock.Duration(content.EveryMs),
 			BlockKB:       content.BlockKB,
 			MaxPendingMB:  content.MailboxMB,
-			Sync:          capture.Sync(content.Sync),
+			Sync:          capture.SyncPolicy(content.Sync),
 		},
 	}, nil
 }
@@ -162,7 +162,7 @@
 			return file.Errorf(limit.key, "%v is not above 0, to %v", limit.value, limit.max)
 		}
 	}
-	switch sync := capture.Sync(f.Sync); {
+	switch sync := capture.SyncPolicy(f.Sync); {
 	case f.Dir == "":
 		return file.Errorf("dir", "none given")
 	case f.MostMB < 2*f.SegmentMB:
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -11,8 +11,9 @@
 	"pearknot/internal/snapshot"
 )
 
-// filled returns a snapshot with a distinct value in each field, so that the test notices two fields that were swapped.
-func filled() *balancer.Snapshot {
+// filledSnapshot returns a snapshot with a distinct value in each field, so that the test detects two fields that were
+// swapped.
+func filledSnapshot() *balancer.Snapshot {
 	return &balancer.Snapshot{Now: 2.5,
 		ArmedFor:             3.5,
 		ReviewAt:             4.5,
@@ -129,11 +130,11 @@
 
 // An earlier build wrote the file, as a node may find it after an upgrade. This build must write the same bytes and read
 // each value into the field that it came from.
-func TestSnapshotForm(t *testing.T) {
-	goldentest.Equal(t, "snapshot-v2.bin", snapshot.Encode(filled()))
+func TestSnapshotEncodingIsStable(t *testing.T) {
+	goldentest.Equal(t, "snapshot-v2.bin", snapshot.Encode(filledSnapshot()))
 	data, err := os.ReadFile("testdata/snapshot-v2.bin")
 	require.NoError(t, err)
 	got, err := snapshot.Decode(data)
 	require.NoError(t, err)
-	require.Equal(t, filled(), got)
+	require.Equal(t, filledSnapshot(), got)
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -11,8 +11,9 @@
 	"pearknot/balancer"
 )
 
-// sample has the values that are easily lost: infinities, minus zero, zero elements of lists, and negative numbers.
-func sample() *balancer.Snapshot {
+// sampleSnapshot returns a snapshot with the values that are easily lost: infinities, minus zero, zero elements of
+// lists, and negative numbers.
+func sampleSnapshot() *balancer.Snapshot {
 	return &balancer.Snapshot{
 		Now:          5,
 		ArmedFor:     math.Inf(1),
@@ -36,16 +37,16 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	data := Encode(sample())
+	data := Encode(sampleSnapshot())
 	got, err := Decode(data)
 	require.NoError(t, err)
-	assert.Equal(t, sample(), got)
+	assert.Equal(t, sampleSnapshot(), got)
 	assert.True(t, math.Signbit(got.Hints[2]), "bit for bit")
 
 	addedField := protowire.AppendVarint(protowire.AppendTag(nil, 200, protowire.VarintType), 7)
 	got, err = Decode(append(data, addedField...))
 	require.NoError(t, err)
-	assert.Equal(t, sample(), got, "a field of a later build is skipped")
+	assert.Equal(t, sampleSnapshot(), got, "a field of a later build is skipped")
 }
 
 func TestOtherVersionIsRejected(t *testing.T) {
@@ -55,10 +56,10 @@
 	assert.Equal(t, "snapshot of another version: 99, this build reads 2", err.Error())
 }
 
-// A file that was cut short, as by a full disk, must not pass for a smaller snapshot.
+// A file that was cut short, as by a full disk, must not be decoded as a smaller snapshot.
 func TestTruncatedSnapshotIsRejected(t *testing.T) {
 	const versionSize = 2 // a tag and a number of one byte each
-	data := Encode(sample())
+	data := Encode(sampleSnapshot())
 	for size := range data[:len(data)-1] {
 		if _, err := Decode(data[:size]); err == nil {
 			assert.Equal(t, versionSize, size, "the version alone is an empty snapshot")
@@ -68,7 +69,7 @@
 
 // Whatever the data, neither Decode nor a balancer that is restored from the result panics.
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(sample()))
+	f.Add(Encode(sampleSnapshot()))
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		state, err := Decode(data)
 		if err != nil {
