--- a/internal/acme/client.go
+++ b/internal/acme/client.go
@@ -30,29 +30,29 @@
 	// idleConnTimeout is how long a connection to an authority stays open without a call.
 	idleConnTimeout = 10 * time.Second
 
-	// maxNonceRetries is how often a call is repeated at once for a nonce that was rejected.
+	// maxNonceRetries is the number of immediate retries of a call whose nonce was rejected.
 	maxNonceRetries = 3
 )
 
-// The kinds of challenges that are answered, the preferred one first.
+// The supported challenge types, in order of preference.
 const (
 	challengeTLS  = "tls-alpn-01"
 	challengeHTTP = "http-01"
 )
 
-// Authority is a certificate authority.
+// Authority holds the settings of a certificate authority.
 type Authority struct {
 	Directory string // URL
 	Contact   []string
-	Roots     *x509.CertPool // of the authority's own server, and of what it issues; nil is the system's
-	KeyID     string         // of an external account binding; empty is none
+	Roots     *x509.CertPool // trusted for the authority's server and for the certificates it issues; nil is the system pool
+	KeyID     string         // of the external account binding; empty for none
 	KeyHMAC   []byte
 }
 
 // limitedTransport bounds responses to maxResponseBytes.
 type limitedTransport struct{ http.RoundTripper }
 
-// RoundTrip makes a call.
+// RoundTrip sends a request and limits the length of the response's body.
 func (t limitedTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	response, err := t.RoundTripper.RoundTrip(request)
 	if err == nil {
@@ -124,14 +124,14 @@
 	return order.URI, nil
 }
 
-// answerFunc answers a challenge of a host until withdraw is called.
+// answerFunc publishes the answer to a host's challenge until withdraw is called.
 type answerFunc func(challenge *acme.Challenge, host string) (withdraw func(), err error)
 
-// errNotAnswered means that a kind of challenge is not answered here.
-var errNotAnswered = errors.New("not answered here")
+// errUnsupportedChallenge is returned for a challenge type that is not enabled.
+var errUnsupportedChallenge = errors.New("unsupported challenge type")
 
-// continueOrder takes an order as far as it goes now: it has its challenges answered, finalizes it with the order's key
-// and fetches the certificate's chain.
+// continueOrder advances an order as far as possible now: it answers the challenges, finalizes the order with its key
+// and fetches the certificate chain.
 func (c *client) continueOrder(ctx context.Context, url string, names []string, key crypto.Signer, answer answerFunc) ([][]byte, error) {
 	if err := c.register(ctx); err != nil {
 		return nil, err
@@ -156,9 +156,9 @@
 	case acme.StatusValid:
 		return c.acme.FetchCert(ctx, order.CertURL, true)
 	case acme.StatusInvalid:
-		reason := errors.New("the order is invalid")
+		reason := errors.New("order is invalid")
 		if order.Error != nil {
-			reason = oneLine(order.Error)
+			reason = singleLineError(order.Error)
 		}
 		return nil, orderRejected(reason)
 	}
@@ -171,13 +171,13 @@
 		return nil, localFailure(err)
 	}
 	chain, _, err := c.acme.CreateOrderCert(ctx, order.FinalizeURL, request, true)
-	if err != nil && ctx.Err() != nil { // it waits for an order in processing until ctx is done
+	if err != nil && ctx.Err() != nil { // CreateOrderCert polls an order in processing until ctx is done
 		return nil, orderPending()
 	}
 	return chain, err
 }
 
-// authorize proves control of one host by the first challenge that is answered here.
+// authorize proves control of one host by the first supported challenge.
 func (c *client) authorize(ctx context.Context, url string, answer answerFunc) error {
 	authorization, err := c.acme.GetAuthorization(ctx, url)
 	if err != nil {
@@ -189,7 +189,7 @@
 		return nil
 	case acme.StatusPending:
 	default:
-		return orderRejected(fmt.Errorf("authorization of %s is %s", host, authorization.Status))
+		return orderRejected(fmt.Errorf("authorization for %s is %s", host, authorization.Status))
 	}
 	for _, kind := range []string{challengeTLS, challengeHTTP} {
 		for _, challenge := range authorization.Challenges {
@@ -197,7 +197,7 @@
 				continue
 			}
 			withdraw, err := answer(challenge, host)
-			if errors.Is(err, errNotAnswered) {
+			if errors.Is(err, errUnsupportedChallenge) {
 				continue
 			}
 			if err != nil {
@@ -207,10 +207,10 @@
 			return c.acceptChallenge(ctx, challenge, authorization.URI)
 		}
 	}
-	return orderRejected(fmt.Errorf("%s: no challenge that could be answered here", host))
+	return orderRejected(fmt.Errorf("%s: authority offers no supported challenge", host))
 }
 
-// acceptChallenge has the authority check a challenge that is answered, and waits for the outcome.
+// acceptChallenge asks the authority to validate a challenge whose answer is published, and waits for the outcome.
 func (c *client) acceptChallenge(ctx context.Context, challenge *acme.Challenge, authorizationURL string) error {
 	if _, err := c.acme.Accept(ctx, challenge); err != nil {
 		return err
@@ -218,12 +218,12 @@
 	_, err := c.acme.WaitAuthorization(ctx, authorizationURL)
 	var rejected *acme.AuthorizationError
 	if errors.As(err, &rejected) {
-		return orderRejected(oneLine(rejected))
+		return orderRejected(singleLineError(rejected))
 	}
 	return err
 }
 
-// rollover gives the account another key (RFC 8555, 7.3.5).
+// rollover replaces the account's key (RFC 8555, 7.3.5).
 func (c *client) rollover(ctx context.Context, key *ecdsa.PrivateKey) error {
 	if err := c.register(ctx); err != nil {
 		return err
@@ -239,22 +239,22 @@
 	return c.acme.RevokeCert(ctx, nil, der, acme.CRLReasonUnspecified)
 }
 
-// renewalID is a certificate's identifier by RFC 9773, 4.1; empty where it does not name its issuer's key.
+// renewalID returns a certificate's identifier (RFC 9773, 4.1), or "" if it has no authority key identifier.
 func renewalID(leaf *x509.Certificate) string {
 	if len(leaf.AuthorityKeyId) == 0 {
 		return ""
 	}
 	serial := leaf.SerialNumber.Bytes()
-	if len(serial) == 0 || serial[0]&0x80 != 0 { // as DER encodes a positive integer
+	if len(serial) == 0 || serial[0]&0x80 != 0 { // DER encodes a positive integer with a leading zero bit
 		serial = append([]byte{0}, serial...)
 	}
 	return base64.RawURLEncoding.EncodeToString(leaf.AuthorityKeyId) + "." + base64.RawURLEncoding.EncodeToString(serial)
 }
 
-// renewalInfo is an authority's renewal information of a certificate.
+// renewalInfo holds an authority's renewal information for a certificate.
 type renewalInfo struct {
-	windowStart, windowEnd time.Time     // the Unix epoch where the authority offers none
-	retryAfter             time.Duration // until it is to be asked again; 0 where it did not say
+	windowStart, windowEnd time.Time     // the Unix epoch if the authority suggests no window
+	retryAfter             time.Duration // until the next fetch; 0 if the authority states none
 }
 
 // renewalInfo fetches the renewal information (RFC 9773) of a certificate.
@@ -272,13 +272,13 @@
 		return none, err
 	}
 	window := content.SuggestedWindow
-	if !window.End.After(window.Start) { // RFC 9773, 4.2: as if there were none
-		return none, errors.New("renewal information whose window ends before it begins")
+	if !window.End.After(window.Start) { // RFC 9773, 4.2: treated as no window
+		return none, errors.New("renewal window does not end after its start")
 	}
 	return renewalInfo{window.Start, window.End, retryAfter(header)}, nil
 }
 
-// getJSON gets a resource without authentication.
+// getJSON fetches a resource without authentication and decodes it.
 func (c *client) getJSON(ctx context.Context, url string, into any) (http.Header, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -295,11 +295,11 @@
 	return response.Header, json.NewDecoder(response.Body).Decode(into)
 }
 
-// verifyChain checks that a chain is for the key and the names, valid now, and leads to a trusted root. It returns the
-// leaf.
+// verifyChain checks that a chain is issued for the key and the names, is valid now and leads to a trusted root. It
+// returns the leaf.
 func verifyChain(chain [][]byte, key crypto.Signer, names []string, roots *x509.CertPool, now time.Time) (*x509.Certificate, error) {
 	if len(chain) == 0 {
-		return nil, errors.New("no certificate")
+		return nil, errors.New("certificate chain is empty")
 	}
 	leaf, err := x509.ParseCertificate(chain[0])
 	if err != nil {
--- a/internal/acme/process_test.go
+++ b/internal/acme/process_test.go
@@ -37,7 +37,7 @@
 	childMaxFileSize = "PEARKNOT_TEST_FULL"  // in bytes; longer writes fail as on a full disk
 )
 
-// TestMain runs a keeper in place of the tests in a child process.
+// TestMain runs a manager in place of the tests in a child process.
 func TestMain(m *testing.M) {
 	if os.Getenv(childDir) == "" {
 		os.Exit(m.Run())
@@ -56,7 +56,7 @@
 		if err != nil {
 			return err
 		}
-		signal.Ignore(syscall.SIGXFSZ) // the write is to fail
+		signal.Ignore(syscall.SIGXFSZ) // the write returns an error instead
 		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: maxSize, Max: maxSize}); err != nil {
 			return err
 		}
@@ -70,7 +70,7 @@
 	roots.AppendCertsFromPEM(data)
 	limits := certs.DefaultLimits()
 	limits.MinBackoff = 50
-	keeper, err := New(Options{Dir: dir, Names: map[string][]string{"pay": {"pay.example.org"}}, AnswerHTTP: true, Log: slog.New(slog.NewTextHandler(os.Stderr, nil)),
+	manager, err := New(Options{Dir: dir, Names: map[string][]string{"pay": {"pay.example.org"}}, AnswerHTTP: true, Log: slog.New(slog.NewTextHandler(os.Stderr, nil)),
 		Authorities: []Authority{{Directory: os.Getenv(childDirectory), Roots: roots}}, Limits: limits, OnStep: func(p string) {
 			if p == os.Getenv(childStep) {
 				_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
@@ -86,37 +86,37 @@
 	}
 	go func() {
 		_ = http.Serve(listener, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			text, _ := keeper.Challenge(r.URL.Path)
+			text, _ := manager.Challenge(r.URL.Path)
 			_, _ = io.WriteString(w, text)
 		}))
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	for ctx.Err() == nil {
-		wait := keeper.Step(ctx)
-		if _, err := keeper.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org"}); err == nil && keeper.Status()[0].Stage == certs.StageFine && keeper.Status()[0].Order == "" {
-			return keeper.Close()
+		wait := manager.Step(ctx)
+		if _, err := manager.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org"}); err == nil && manager.Status()[0].Stage == certs.StageFine && manager.Status()[0].Order == "" {
+			return manager.Close()
 		}
-		sleep(ctx, min(wait, time.Second))
+		sleepContext(ctx, min(wait, time.Second))
 	}
-	return errors.New("nothing came of it")
+	return errors.New("no certificate within the time limit")
 }
 
-// newChildWorld makes an authority on the machine's clock, a store, and a function that runs a keeper on the store in a child process.
-func newChildWorld(t *testing.T) (w *testWorld, dir string, run func(environment ...string) (string, error)) {
+// newChildFixture creates an authority on the machine's clock, a store, and a function that runs a manager on the store in a child process.
+func newChildFixture(t *testing.T) (f *fixture, dir string, run func(environment ...string) (string, error)) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := free.Addr().String()
 	require.NoError(t, free.Close())
-	w = newTestWorld(t, func(o *acmestub.Options) {
+	f = newFixture(t, func(o *acmestub.Options) {
 		o.Now = time.Now
 		o.HTTPChallengeAddress = func(string) string { return address }
 	})
-	dir = filepath.Join(w.dir, "store")
-	require.NoError(t, os.WriteFile(filepath.Join(w.dir, "roots.pem"), w.authority.RootPEM(), 0o600))
-	return w, dir, func(environment ...string) (string, error) {
+	dir = filepath.Join(f.dir, "store")
+	require.NoError(t, os.WriteFile(filepath.Join(f.dir, "roots.pem"), f.authority.RootPEM(), 0o600))
+	return f, dir, func(environment ...string) (string, error) {
 		command := exec.Command(os.Args[0])
-		command.Env = append(append(os.Environ(), childDir+"="+dir, childDirectory+"="+w.server.URL+"/directory", childListen+"="+address), environment...)
+		command.Env = append(append(os.Environ(), childDir+"="+dir, childDirectory+"="+f.server.URL+"/directory", childListen+"="+address), environment...)
 		var output bytes.Buffer
 		command.Stderr = &output
 		err := command.Run()
@@ -128,7 +128,7 @@
 func TestSigkillAtEveryStep(t *testing.T) {
 	for _, step := range StepNames {
 		t.Run(step, func(t *testing.T) {
-			w, dir, run := newChildWorld(t)
+			f, dir, run := newChildFixture(t)
 			text, err := run(childStep + "=" + step)
 			var exit *exec.ExitError
 			require.ErrorAs(t, err, &exit, text)
@@ -139,7 +139,7 @@
 			if step == "ordered" { // its URL is lost with the process: the authority alone knows of that order
 				maxOrders = 2
 			}
-			assert.LessOrEqual(t, w.authority.OrderCount(), maxOrders)
+			assert.LessOrEqual(t, f.authority.OrderCount(), maxOrders)
 			certificate, err := (&store{dir: dir}).loadCertificate("pay")
 			require.NoError(t, err)
 			require.NotNil(t, certificate)
@@ -152,35 +152,35 @@
 // forgotten. Once there is room, the next process obtains a certificate.
 func TestFullDisk(t *testing.T) {
 	for _, maxFileSize := range []string{"20", "150", "230", "700"} {
-		w, dir, run := newChildWorld(t)
+		f, dir, run := newChildFixture(t)
 		text, err := run(childMaxFileSize + "=" + maxFileSize)
 		require.Error(t, err, maxFileSize)
 		assert.Contains(t, text, "file too large", maxFileSize)
-		assert.Contains(t, text, "nothing came of it", "%s: it keeps running", maxFileSize)
-		assert.LessOrEqual(t, w.authority.OrderCount(), 1, maxFileSize)
+		assert.Contains(t, text, "no certificate within the time limit", "%s: it keeps running", maxFileSize)
+		assert.LessOrEqual(t, f.authority.OrderCount(), 1, maxFileSize)
 		certificate, err := (&store{dir: dir}).loadCertificate("pay")
 		require.NoError(t, err, maxFileSize)
 		assert.Nil(t, certificate, maxFileSize)
 		text, err = run()
 		require.NoError(t, err, text)
-		assert.LessOrEqual(t, w.authority.OrderCount(), 2, maxFileSize)
+		assert.LessOrEqual(t, f.authority.OrderCount(), 2, maxFileSize)
 	}
 }
 
 // Several instances share a store. The first one orders; the others serve its certificates and its answers to challenges. When it ends,
 // one of the others orders.
 func TestInstancesShareStore(t *testing.T) {
-	w := newTestWorld(t, nil)
-	options := w.options("pay.example.org")
+	f := newFixture(t, nil)
+	options := f.options("pay.example.org")
 	var keys [2][][32]byte
-	first, err := Open(options, func(keeper [][32]byte) { keys[0] = keeper })
+	first, err := Open(options, func(newKeys [][32]byte) { keys[0] = newKeys })
 	require.NoError(t, err)
-	second, err := Open(options, func(keeper [][32]byte) { keys[1] = keeper })
+	second, err := Open(options, func(newKeys [][32]byte) { keys[1] = newKeys })
 	require.NoError(t, err)
-	here, _ := first.Orders()
-	assert.True(t, here)
-	here, pid := second.Orders()
-	assert.False(t, here)
+	isLocal, _ := first.OrderingProcess()
+	assert.True(t, isLocal)
+	isLocal, pid := second.OrderingProcess()
+	assert.False(t, isLocal)
 	assert.Equal(t, os.Getpid(), pid)
 	assert.Len(t, keys[0], 1)
 	assert.Equal(t, keys[0], keys[1], "tickets of one can be used at the other")
@@ -189,9 +189,9 @@
 	_, err = second.Certificate(hello)
 	assert.Error(t, err)
 
-	keeper := first.leadingKeeper()
-	w.keeper = keeper
-	withdraw, err := keeper.store.publishToken("/.well-known/acme-challenge/x", "token.proof")
+	manager := first.activeManager()
+	f.manager = manager
+	withdraw, err := manager.store.publishHTTPAnswer("/.well-known/acme-challenge/x", "token.proof")
 	require.NoError(t, err)
 	answer, _ := second.Challenge("/.well-known/acme-challenge/x")
 	assert.Equal(t, "token.proof", answer)
@@ -200,18 +200,18 @@
 	assert.False(t, ok)
 	_, ok = second.Challenge("/../../../lock")
 	assert.False(t, ok, "a path that is asked for names no file")
-	client, err := keeper.clientFor(0)
+	client, err := manager.clientFor(0)
 	require.NoError(t, err)
 	cert, err := client.acme.TLSALPN01ChallengeCert("x", "pay.example.org")
 	require.NoError(t, err)
-	withdraw, err = keeper.store.publishProof("pay.example.org", &cert)
+	withdraw, err = manager.store.publishTLSAnswer("pay.example.org", &cert)
 	require.NoError(t, err)
 	got, err := second.Certificate(&tls.ClientHelloInfo{ServerName: "pay.example.org", SupportedProtos: []string{"acme-tls/1"}})
 	require.NoError(t, err)
 	assert.Equal(t, cert.Certificate, got.Certificate)
 	withdraw()
 
-	w.runUntil(keeper, w.clock().Add(time.Minute))
+	f.runUntil(manager, f.clock().Add(time.Minute))
 	second.readStore()
 	served, err := first.Certificate(hello)
 	require.NoError(t, err)
@@ -220,25 +220,25 @@
 	assert.Equal(t, served.Certificate, followed.Certificate)
 	assert.Equal(t, first.Status(), second.Status())
 
-	w.advance(ticketKeyLifetime)
+	f.advance(ticketKeyLifetime)
 	require.NoError(t, first.rotateTicketKeys())
 	second.readStore()
 	assert.Len(t, keys[0], 2)
 	assert.Equal(t, keys[0], keys[1])
 	for range 5 {
-		w.advance(ticketKeyLifetime)
+		f.advance(ticketKeyLifetime)
 		require.NoError(t, first.rotateTicketKeys())
 	}
 	assert.Len(t, keys[0], maxTicketKeys)
 
 	require.NoError(t, first.Close())
 	require.NoError(t, second.tryLead())
-	here, _ = second.Orders()
-	assert.True(t, here)
+	isLocal, _ = second.OrderingProcess()
+	assert.True(t, isLocal)
 	require.NoError(t, second.Close())
 }
 
-// FuzzResponses replaces one of the authority's responses: the keeper must end the step in bounded memory with a one-line reason, and keep
+// FuzzResponses replaces one of the authority's responses: the manager must end the step in bounded memory with a one-line reason, and keep
 // trying.
 func FuzzResponses(f *testing.F) {
 	f.Add(uint8(0), uint16(200), "application/json", []byte(`{"newNonce":`))
@@ -248,10 +248,10 @@
 	f.Add(uint8(4), uint16(500), "", []byte{0, 255, 10})
 	f.Add(uint8(9), uint16(200), "application/pem-certificate-chain", []byte("-----BEGIN CERTIFICATE-----\nAAAA\n-----END CERTIFICATE-----\n"))
 	f.Fuzz(func(t *testing.T, callIndex uint8, status uint16, kind string, body []byte) {
-		w := newTestWorld(t, nil)
+		fx := newFixture(t, nil)
 		calls := 0
-		inner := w.server.Config.Handler
-		w.server.Config.Handler = http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
+		inner := fx.server.Config.Handler
+		fx.server.Config.Handler = http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 			calls++
 			if calls-1 != int(callIndex%12) || status < 200 || status > 599 {
 				inner.ServeHTTP(response, request)
@@ -263,14 +263,14 @@
 			response.WriteHeader(int(status))
 			_, _ = response.Write(body)
 		})
-		options := w.options("pay.example.org")
+		options := fx.options("pay.example.org")
 		options.StepTimeout = 500 * time.Millisecond
-		keeper := w.openKeeper(options)
+		manager := fx.openManager(options)
 		for range 6 {
-			wait := keeper.Step(t.Context())
-			require.LessOrEqual(t, len(keeper.Status()[0].LastFailure), 400)
-			require.NotContains(t, keeper.Status()[0].LastFailure, "\n")
-			w.advance(wait)
+			wait := manager.Step(t.Context())
+			require.LessOrEqual(t, len(manager.Status()[0].LastFailure), 400)
+			require.NotContains(t, manager.Status()[0].LastFailure, "\n")
+			fx.advance(wait)
 		}
 	})
 }
--- a/internal/acme/status.go
+++ b/internal/acme/status.go
@@ -8,7 +8,7 @@
 	"pearknot/internal/certs"
 )
 
-// Status is what operators see of one certificate.
+// Status holds the state of one certificate as shown to operators.
 type Status struct {
 	Name          string      `json:"name"`
 	Names         []string    `json:"names"`
@@ -22,34 +22,34 @@
 	LastFailureAt time.Time   `json:"fault_at,omitzero"`
 }
 
-// Status is the status of all certificates, by name.
-func (k *Keeper) Status() []Status {
-	k.mu.RLock()
-	defer k.mu.RUnlock()
-	return slices.Clone(k.status)
+// Status returns the status of all certificates, in order of names.
+func (m *Manager) Status() []Status {
+	m.mu.RLock()
+	defer m.mu.RUnlock()
+	return slices.Clone(m.status)
 }
 
 // publishStatus makes the scheduler's state visible to Status.
-func (k *Keeper) publishStatus() {
-	now := k.nowMs()
+func (m *Manager) publishStatus() {
+	now := m.nowMs()
 	var all []Status
-	for _, name := range k.names {
-		all = append(all, k.statusOf(name, now))
+	for _, name := range m.names {
+		all = append(all, m.statusOf(name, now))
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.status = all
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.status = all
 }
 
-func (k *Keeper) statusOf(name string, now float64) Status {
-	nameState := k.scheduler.Names[name]
+func (m *Manager) statusOf(name string, now float64) Status {
+	nameState := m.scheduler.Names[name]
 	status := Status{
 		Name:          name,
-		Names:         k.options.Names[name],
-		Stage:         k.scheduler.Stage(now, name),
+		Names:         m.options.Names[name],
+		Stage:         m.scheduler.Stage(now, name),
 		LastFailure:   nameState.LastFailure,
 		LastFailureAt: fromMs(nameState.LastFailureAt),
-		RenewAt:       fromMs(k.scheduler.RenewAt(name)),
+		RenewAt:       fromMs(m.scheduler.RenewAt(name)),
 	}
 	if nameState.Certificate != nil {
 		status.Serial = nameState.Certificate.Serial
@@ -64,7 +64,7 @@
 	return status
 }
 
-// fromMs is a time of the scheduler's; the zero time where there is none.
+// fromMs converts a time of the scheduler; no time becomes the zero time.
 func fromMs(ms float64) time.Time {
 	if ms <= 0 || math.IsInf(ms, 0) {
 		return time.Time{}
--- a/internal/acme/store.go
+++ b/internal/acme/store.go
@@ -25,17 +25,17 @@
 	"pearknot/internal/certs"
 )
 
-// The store's files. Each is written completely or not at all.
+// The store's files. Each is written atomically.
 const (
-	lockFile        = "lock"       // its holder's process ID
+	lockFile        = "lock"       // contains its holder's process ID
 	stateFile       = "state.json" // certs.State
 	namesDir        = "names"      // a directory for each certificate, with certificateFile and orderKeyName
 	certificateFile = "served.pem" // the chain that is served, and its key
 	orderKeyName    = "order.key"  // the open order's key
-	answersDir      = "open"       // answers to challenges, for instances that follow
+	answersDir      = "open"       // answers to challenges, for instances that do not order
 )
 
-// The PEM types of what the store has.
+// The PEM types of the store's blocks.
 const (
 	pemCertificate = "CERTIFICATE"
 	pemECKey       = "EC PRIVATE KEY"
@@ -44,8 +44,8 @@
 
 // The kinds of published answers.
 const (
-	answerToken = "token" // of http-01
-	answerProof = "proof" // of tls-alpn-01
+	answerKindHTTP = "token" // of http-01
+	answerKindTLS  = "proof" // of tls-alpn-01
 )
 
 const (
@@ -53,16 +53,16 @@
 	privateFile = 0o600
 )
 
-// ErrStoreLocked means that another process has the store.
-var ErrStoreLocked = errors.New("another process has it")
+// ErrStoreLocked is returned when another process holds the store's lock.
+var ErrStoreLocked = errors.New("locked by another process")
 
-// store is a directory with the accounts' keys, the state and the certificates. One process has its lock.
+// store is a directory with the accounts' keys, the state and the certificates. One process holds its lock.
 type store struct {
 	dir  string
-	lock *os.File // nil where the store is only read
+	lock *os.File // nil if the store is only read
 }
 
-// openStore locks the store. It returns ErrStoreLocked where another process has it.
+// openStore locks the store. It returns ErrStoreLocked if another process holds the lock.
 func openStore(dir string) (*store, error) {
 	if err := os.MkdirAll(filepath.Join(dir, namesDir), privateDir); err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 		_ = lock.Close()
 		return nil, fmt.Errorf("%s: %w", dir, ErrStoreLocked)
 	}
-	// Answers that a killed process has left are of no order any more.
+	// Answers that a killed process has left belong to no order any more.
 	if err := errors.Join(writeHolder(lock), os.RemoveAll(filepath.Join(dir, answersDir))); err != nil {
 		_ = lock.Close()
 		return nil, err
@@ -83,14 +83,14 @@
 	return &store{dir, lock}, nil
 }
 
-// writeHolder writes this process's ID into the lock's file.
+// writeHolder writes this process's ID to the lock file.
 func writeHolder(lock *os.File) error {
 	truncateErr := lock.Truncate(0)
 	_, writeErr := lock.WriteAt([]byte(strconv.Itoa(os.Getpid())), 0)
 	return errors.Join(truncateErr, writeErr)
 }
 
-// lockHolder is the process that has a store; 0 is unknown.
+// lockHolder returns the ID of the process that holds a store's lock; 0 is unknown.
 func lockHolder(dir string) (pid int) {
 	if data, err := os.ReadFile(filepath.Join(dir, lockFile)); err == nil {
 		pid, _ = strconv.Atoi(strings.TrimSpace(string(data)))
@@ -100,8 +100,8 @@
 
 func (s *store) close() error { return s.lock.Close() }
 
-// path is a file of a certificate's.
-func (s *store) path(name, file string) string {
+// filePath returns the path of one of a certificate's files.
+func (s *store) filePath(name, file string) string {
 	return filepath.Join(s.dir, namesDir, strings.ReplaceAll(name, "/", "_"), file)
 }
 
@@ -109,14 +109,14 @@
 	return filepath.Join(s.dir, fmt.Sprintf("account-%d.key", authority))
 }
 
-func (s *store) orderKeyFile(name string) string { return s.path(name, orderKeyName) }
+func (s *store) orderKeyFile(name string) string { return s.filePath(name, orderKeyName) }
 
 func (s *store) exists(file string) bool {
 	_, err := os.Stat(file)
 	return err == nil
 }
 
-// writeFile writes a file, completely or not at all.
+// writeFile writes a file atomically.
 func writeFile(name string, data []byte) error {
 	if err := os.MkdirAll(filepath.Dir(name), privateDir); err != nil {
 		return err
@@ -124,34 +124,37 @@
 	return renameio.WriteFile(name, data, privateFile)
 }
 
-// publishToken publishes the answer to an http-01 challenge for the instances that follow, until withdraw is called.
-func (s *store) publishToken(path, answer string) (withdraw func(), err error) {
-	return publishAnswer(answerFile(s.dir, answerToken, path), []byte(answer))
+// publishHTTPAnswer publishes the answer to an http-01 challenge for the instances that do not order, until withdraw is
+// called.
+func (s *store) publishHTTPAnswer(path, answer string) (withdraw func(), err error) {
+	return publishAnswer(answerFile(s.dir, answerKindHTTP, path), []byte(answer))
 }
 
-// publishProof publishes the answer to a tls-alpn-01 challenge for the instances that follow, until withdraw is called.
-func (s *store) publishProof(host string, proof *tls.Certificate) (withdraw func(), err error) {
+// publishTLSAnswer publishes the answer to a tls-alpn-01 challenge for the instances that do not order, until withdraw is
+// called.
+func (s *store) publishTLSAnswer(host string, proof *tls.Certificate) (withdraw func(), err error) {
 	key, err := x509.MarshalPKCS8PrivateKey(proof.PrivateKey)
 	if err != nil {
 		return nil, err
 	}
 	data := pem.EncodeToMemory(&pem.Block{Type: pemCertificate, Bytes: proof.Certificate[0]})
 	data = append(data, pem.EncodeToMemory(&pem.Block{Type: pemPKCS8Key, Bytes: key})...)
-	return publishAnswer(answerFile(s.dir, answerProof, host), data)
+	return publishAnswer(answerFile(s.dir, answerKindTLS, host), data)
 }
 
 func publishAnswer(name string, data []byte) (withdraw func(), err error) {
 	return func() { _ = os.Remove(name) }, writeFile(name, data)
 }
 
-// answerFile is the file of a published answer. What a client asks for is hashed, so that it can name no other file.
-func answerFile(dir, kind, asked string) string {
-	sum := sha256.Sum256([]byte(asked))
+// answerFile returns the path of a published answer. The challenge ID comes from a client and is hashed, so that it can't
+// name any other file.
+func answerFile(dir, kind, challengeID string) string {
+	sum := sha256.Sum256([]byte(challengeID))
 	return filepath.Join(dir, answersDir, kind+"-"+hex.EncodeToString(sum[:16]))
 }
 
-// loadState reads the scheduler's state, which is empty in a new store. One that can't be read is set aside and reported
-// as damaged: the certificates are in files of their own.
+// loadState reads the scheduler's state, which is empty in a new store. A state that can't be decoded is renamed and
+// reported as damaged: the certificates are in files of their own.
 func (s *store) loadState() (state certs.State, damaged error, err error) {
 	name := filepath.Join(s.dir, stateFile)
 	data, err := os.ReadFile(name)
@@ -167,7 +170,7 @@
 	return state, nil, nil
 }
 
-// readState reads the scheduler's state and changes nothing.
+// readState reads the scheduler's state without modifying the store.
 func (s *store) readState() (certs.State, error) {
 	var state certs.State
 	data, err := os.ReadFile(filepath.Join(s.dir, stateFile))
@@ -197,7 +200,7 @@
 	}
 	block, _ := pem.Decode(data)
 	if block == nil {
-		return nil, fmt.Errorf("%s: no key", file)
+		return nil, fmt.Errorf("%s: no PEM block", file)
 	}
 	key, err := x509.ParseECPrivateKey(block.Bytes)
 	if err != nil {
@@ -229,9 +232,9 @@
 	return pem.EncodeToMemory(&pem.Block{Type: pemECKey, Bytes: der}), nil
 }
 
-// loadCertificate reads the certificate that is served under a name, and its key; nil is none yet.
+// loadCertificate reads the certificate that is served under a name, and its key; it returns nil if there is none yet.
 func (s *store) loadCertificate(name string) (*tls.Certificate, error) {
-	file := s.path(name, certificateFile)
+	file := s.filePath(name, certificateFile)
 	data, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -246,12 +249,12 @@
 	return &certificate, nil
 }
 
-// saveCertificate stores a certificate and its key in one file, so that there is no moment at which they don't match.
-// The order's key is removed: the next order gets its own.
+// saveCertificate stores a certificate and its key in one file, so that the two match at any time. The order's key is
+// removed: the next order gets a key of its own.
 func (s *store) saveCertificate(name string, chain [][]byte, key crypto.Signer) error {
 	ecKey, ok := key.(*ecdsa.PrivateKey)
 	if !ok {
-		return fmt.Errorf("a key of kind %T", key)
+		return fmt.Errorf("unsupported key type %T", key)
 	}
 	encodedKey, err := encodeKey(ecKey)
 	if err != nil {
@@ -261,7 +264,7 @@
 	for _, der := range chain {
 		data = append(data, pem.EncodeToMemory(&pem.Block{Type: pemCertificate, Bytes: der})...)
 	}
-	if err := writeFile(s.path(name, certificateFile), append(data, encodedKey...)); err != nil {
+	if err := writeFile(s.filePath(name, certificateFile), append(data, encodedKey...)); err != nil {
 		return err
 	}
 	if err := os.Remove(s.orderKeyFile(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/acme/ticketkeys.go
+++ b/internal/acme/ticketkeys.go
@@ -19,14 +19,14 @@
 	ticketKeySize = 32 // bytes
 )
 
-// ticketKeyPath is the file with the session ticket keys, the newest first. All instances on a store use the same ones,
-// so that a client can resume a session at any of them.
+// ticketKeyPath returns the path of the file with the session ticket keys, the newest first. All instances that share a
+// store use the same keys, so that a client can resume a session at any of them.
 func ticketKeyPath(dir string) string { return filepath.Join(dir, "tickets") }
 
-// rotateTicketKeys adds a session ticket key where the newest is too old, and publishes the keys. Only the instance that
-// orders does so.
+// rotateTicketKeys adds a session ticket key if the newest is too old, and publishes the keys. It does nothing on an
+// instance that does not order.
 func (i *Instance) rotateTicketKeys() error {
-	if i.leadingKeeper() == nil {
+	if i.activeManager() == nil {
 		return nil
 	}
 	name := ticketKeyPath(i.options.Dir)
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// addTicketKey writes a new key and the newest of the former ones, and returns them. Damaged ones are dropped.
+// addTicketKey writes a new key and the newest of the former ones, and returns them. Former keys are dropped if their
+// data is damaged.
 func (i *Instance) addTicketKey(name string, former []byte) ([]byte, error) {
 	data := make([]byte, ticketKeySize, ticketKeySize*maxTicketKeys)
 	if _, err := rand.Read(data); err != nil {
@@ -67,7 +68,7 @@
 	return data, nil
 }
 
-// publishTicketKeys hands the keys in data to onTicketKeys, unless it has them. The lock is held.
+// publishTicketKeys passes the keys in data to onTicketKeys, unless they are unchanged. The caller holds i.mu.
 func (i *Instance) publishTicketKeys(data []byte) {
 	isValid := len(data) > 0 && len(data)%ticketKeySize == 0
 	if i.onTicketKeys == nil || !isValid || bytes.Equal(data, i.ticketKeyData) {
--- a/internal/certs/failure.go
+++ b/internal/certs/failure.go
@@ -5,25 +5,25 @@
 	"math"
 )
 
-// FailureKind is why an action came to nothing.
+// FailureKind is the cause of an action's failure.
 type FailureKind string
 
-// The kinds of failures, by who is to blame.
+// The kinds of failures, by cause.
 const (
-	AuthorityUnavailable FailureKind = "away"    // no answer, or an error of the authority's own
-	RateLimited          FailureKind = "limited" // the authority has had too many orders
-	OrderRejected        FailureKind = "refused" // a challenge did not hold, or the authority does not issue for the name
-	CertificateUnusable  FailureKind = "unfit"   // the certificate does not fit its key, names or the time
+	AuthorityUnavailable FailureKind = "away"    // no answer, or an internal error of the authority
+	RateLimited          FailureKind = "limited" // the authority's rate limit is exceeded
+	OrderRejected        FailureKind = "refused" // a challenge failed, or the authority does not issue for the name
+	CertificateUnusable  FailureKind = "unfit"   // the certificate does not match its key or names, or is not valid now
 	OrderPending         FailureKind = "pending" // no failure: the order is not complete yet
 	LocalFailure         FailureKind = "own"     // the disk, the store, or a challenge that could not be served
 )
 
-// ActionFailed takes the end of an action that came to nothing. retryAfter is for how long the authority wants not to be
-// called, in ms, 0 where it did not say. An order that isOver is dropped; any other continues.
-func (s *Scheduler) ActionFailed(now float64, name string, kind FailureKind, reason string, retryAfter float64, isOver bool) {
+// ActionFailed records the failure of an action. retryAfter is the wait that the authority requests, in ms; 0 if it
+// requests none. The order is discarded if dropOrder is set, and continues otherwise.
+func (s *Scheduler) ActionFailed(now float64, name string, kind FailureKind, reason string, retryAfter float64, dropOrder bool) {
 	state := s.Names[name]
 	authority := s.authorityOf(state)
-	if isOver {
+	if dropOrder {
 		state.Order = nil
 	}
 	if kind == OrderPending {
@@ -36,20 +36,20 @@
 	switch kind {
 	case AuthorityUnavailable:
 		authority.Failures++
-		// All names wait for an unavailable authority together: each for itself, ten names would call ten times as often.
+		// All names share one backoff for an unavailable authority: with one each, ten names would call ten times as often.
 		authorityWait := math.Max(s.backoff("", authority.Failures, now), retryAfter)
 		authority.RetryAt = math.Max(authority.RetryAt, now+authorityWait)
 	case RateLimited:
 		authority.RetryAt = math.Max(authority.RetryAt, now+wait)
 	}
-	if authority.Failures == s.limits.FallBackAfter {
-		authority.ReplacedAt = now
+	if authority.Failures == s.limits.FallbackAfter {
+		authority.FallbackStartedAt = now
 	}
 	state.RetryAt = now + wait
 	state.RenewalInfoAt = math.Max(state.RenewalInfoAt, state.RetryAt)
 }
 
-// authorityOf is the authority that a name's action was about.
+// authorityOf returns the state of the authority that a name's action was for.
 func (s *Scheduler) authorityOf(state *NameState) *AuthorityState {
 	switch {
 	case state.Order != nil:
@@ -60,8 +60,9 @@
 	return &s.Authorities[0]
 }
 
-// backoff is the wait after so many failures in a row, in ms, spread so that instances don't retry at the same time.
+// backoff returns the wait after a number of consecutive failures, in ms, with jitter so that instances don't retry at the
+// same time.
 func (s *Scheduler) backoff(name string, failures int, now float64) float64 {
 	wait := math.Min(s.limits.MinBackoff*math.Exp2(float64(failures-1)), s.limits.MaxBackoff)
-	return wait * (0.5 + s.spread(name, fmt.Sprint(failures, now)))
+	return wait * (0.5 + s.jitter(name, fmt.Sprint(failures, now)))
 }
--- a/internal/certs/golden_test.go
+++ b/internal/certs/golden_test.go
@@ -6,5 +6,5 @@
 	"pearknot/internal/goldentest"
 )
 
-// The state outlives a process, and so may be read by another build.
-func TestStateForm(t *testing.T) { goldentest.JSON(t, "state.json", &State{}) }
+// The state is stored, and so may be read by another build.
+func TestStateEncoding(t *testing.T) { goldentest.JSON(t, "state.json", &State{}) }
--- a/internal/certs/scheduler.go
+++ b/internal/certs/scheduler.go
@@ -1,9 +1,9 @@
-// Package certs decides when a certificate is ordered, from which authority, and when a failed order is tried again.
-// Rule: a certificate is renewed in the window that its authority suggests, or else from two thirds of its lifetime on;
-// failures back off, and a second authority stands in for a first one that stays unavailable.
+// Package certs decides when a certificate is ordered, from which authority, and when a failed order is retried. A
+// certificate is renewed in the window that its authority suggests, or else from two thirds of its lifetime on; retries
+// back off, and a second authority is the fallback for a first one that stays unavailable.
 //
-// The package does no I/O and has no clock: times are Unix ms that the caller passes in. What must outlive the process
-// is in State, which the caller stores; after a restart an open order continues.
+// The package does no I/O and has no clock: times are Unix ms that the caller passes in. What must persist across
+// restarts is in State, which the caller stores; after a restart an open order continues.
 package certs
 
 import (
@@ -19,47 +19,47 @@
 )
 
 const (
-	// minOrderPollDelay is the least wait until an order that is not complete is looked at again, in ms.
+	// minOrderPollDelay is the minimum wait until an order that is not complete is polled again, in ms.
 	minOrderPollDelay = 2e3
 
 	// Renewal information is fetched again no sooner than minRenewalInfoDelay and no later than maxRenewalInfoDelay,
-	// whatever the authority says.
+	// in ms, whatever the authority states.
 	minRenewalInfoDelay = minute
 	maxRenewalInfoDelay = 24 * hour
 )
 
-// Limits are how an instance behaves towards authorities. Times are in ms.
+// Limits holds the rate limit, the fallback and the retry intervals for calls to authorities. Times are in ms.
 type Limits struct {
-	Instance            string  // spreads the renewals of instances with the same names
-	AuthorityCount      int     // the first is preferred, the others stand in for it
-	OrdersPerHour       int     // of all names together; far below any authority's public limit
-	FallBackAfter       int     // failures in a row of one authority until the next is used
-	ReturnAfter         float64 // until a replaced authority is tried again
+	Instance            string  // seeds the jitter, so that instances with the same names renew at different times
+	AuthorityCount      int     // the first is preferred, the others are its fallbacks
+	OrdersPerHour       int     // for all names together; far below any authority's public limit
+	FallbackAfter       int     // consecutive failures of one authority until the next is used
+	RetryPreferredAfter float64 // until an authority is tried again after the fallback from it
 	MinBackoff          float64 // after the first failure; doubles with each
 	MaxBackoff          float64
-	RenewalInfoInterval float64 // between fetches of the renewal information, where the authority states no other
+	RenewalInfoInterval float64 // between fetches of the renewal information, if the authority states no other
 }
 
-// DefaultLimits are the limits of a service with a few names.
+// DefaultLimits returns the limits for a service with a few names.
 func DefaultLimits() Limits {
 	return Limits{
 		AuthorityCount:      1,
 		OrdersPerHour:       6,
-		FallBackAfter:       4,
-		ReturnAfter:         24 * hour,
+		FallbackAfter:       4,
+		RetryPreferredAfter: 24 * hour,
 		MinBackoff:          minute,
 		MaxBackoff:          hour,
 		RenewalInfoInterval: 6 * hour,
 	}
 }
 
-// Scheduler decides. It is not safe for concurrent use.
+// Scheduler decides which action is due for which name, and when. It is not safe for concurrent use.
 type Scheduler struct {
 	State
 	limits Limits
 }
 
-// New makes a scheduler of a stored state for the wanted names; other names are dropped.
+// New creates a scheduler from a stored state for the wanted names; other names are dropped.
 func New(stored State, wanted []string, limits Limits) *Scheduler {
 	s := &Scheduler{limits: limits}
 	s.Names = map[string]*NameState{}
@@ -79,7 +79,7 @@
 	return s
 }
 
-// ActionKind is what is to be done.
+// ActionKind is the kind of an Action.
 type ActionKind string
 
 // The kinds of an Action.
@@ -89,16 +89,16 @@
 	FetchRenewalInfo ActionKind = "info" // RFC 9773
 )
 
-// Action is one thing to do about a name.
+// Action is a call to an authority for one name.
 type Action struct {
 	Kind      ActionKind
 	Name      string
 	Authority int
-	URL       string // of the order, for ContinueOrder; empty where the process ended while it was being created
+	URL       string // of the order, for ContinueOrder; empty if the process ended while it was being created
 }
 
-// Next returns the action that is due first, if any is. The caller carries out one action at a time for a name, and
-// reports its end.
+// Next returns the action that is due first, if any is. The caller executes one action at a time for a name, and reports
+// its outcome.
 func (s *Scheduler) Next(now float64) (Action, bool) {
 	for _, name := range s.namesByExpiry() {
 		if action, isDue := s.dueAction(now, name); isDue {
@@ -108,8 +108,8 @@
 	return Action{}, false
 }
 
-// namesByExpiry are the names, that whose certificate expires first before the others: where the rate limit of orders
-// binds, it binds the others.
+// namesByExpiry returns the names in order of their certificates' expiry: the rate limit of orders delays those that
+// expire last.
 func (s *Scheduler) namesByExpiry() []string {
 	names := make([]string, 0, len(s.Names))
 	for name := range s.Names {
@@ -121,7 +121,7 @@
 	return names
 }
 
-// expiry is when a name's certificate expires; a name without one is before all.
+// expiry returns the time at which a name's certificate expires; 0, which sorts first, for a name without one.
 func (s *Scheduler) expiry(name string) float64 {
 	if certificate := s.Names[name].Certificate; certificate != nil {
 		return certificate.NotAfter
@@ -151,12 +151,13 @@
 	return Action{}, false
 }
 
-// issuer is the authority to ask about a name's certificate; there may be fewer now than when it was issued.
+// issuer returns the index of the authority to ask about a name's certificate; fewer may be configured now than when it
+// was issued.
 func (s *Scheduler) issuer(state *NameState) int {
 	return state.Certificate.Authority % len(s.Authorities)
 }
 
-// WaitMs is the time until something may be due, in ms; +Inf where nothing will be by itself.
+// WaitMs returns the time until an action may be due, in ms; +Inf if none will be due without a call.
 func (s *Scheduler) WaitMs(now float64) float64 {
 	if _, isDue := s.Next(now); isDue {
 		return 0
@@ -168,13 +169,13 @@
 	return math.Max(at-now, 0)
 }
 
-// nextDueAt is when something may be due for a name for which nothing is now.
+// nextDueAt returns the time at which an action may be due for a name for which none is due now.
 func (s *Scheduler) nextDueAt(now float64, name string, state *NameState) float64 {
 	if state.Order != nil {
 		return math.Max(state.RetryAt, s.Authorities[state.Order.Authority].RetryAt)
 	}
 	at := math.Max(s.RenewAt(name), state.RetryAt)
-	if at <= now { // due, but for an authority or the rate limit
+	if at <= now { // due, but delayed by an authority or the rate limit
 		at = s.nextOrderAt(now)
 	}
 	if state.hasRenewalInfo() {
@@ -183,7 +184,7 @@
 	return at
 }
 
-// nextOrderAt is when an authority or the rate limit may allow an order again.
+// nextOrderAt returns the time at which an authority or the rate limit may allow an order again.
 func (s *Scheduler) nextOrderAt(now float64) float64 {
 	at := math.Inf(1)
 	for _, authority := range s.Authorities {
@@ -197,20 +198,20 @@
 	return at
 }
 
-// chooseAuthority is the authority for a new order: the first one, unless it has failed too often or asks to wait for
-// long. ok is false where the order should wait.
+// chooseAuthority returns the authority for a new order: the first one, unless it has failed too often or requests a long
+// wait. ok is false if the order must wait.
 func (s *Scheduler) chooseAuthority(now float64) (index int, ok bool) {
 	for i := range s.Authorities {
 		authority := &s.Authorities[i]
 		isLast := i == len(s.Authorities)-1
-		isReplaced := authority.Failures >= s.limits.FallBackAfter && now < authority.ReplacedAt+s.limits.ReturnAfter
-		if isReplaced && !isLast {
+		isFallenBack := authority.Failures >= s.limits.FallbackAfter && now < authority.FallbackStartedAt+s.limits.RetryPreferredAfter
+		if isFallenBack && !isLast {
 			continue
 		}
 		if now >= authority.RetryAt {
 			return i, true
 		}
-		if isLast || authority.RetryAt-now < hour { // the others stand in for one that is gone, not for a short wait
+		if isLast || authority.RetryAt-now < hour { // a short wait is no reason to fall back
 			return 0, false
 		}
 	}
@@ -223,36 +224,36 @@
 	return len(s.OrderTimes) < s.limits.OrdersPerHour
 }
 
-// OrderBegun notes that an order is about to be created. The caller stores the state before it calls the authority, so
-// that a restart does not create a second one.
+// OrderBegun records that an order is about to be created. The caller stores the state before it calls the authority, so
+// that a restart does not create a second order.
 func (s *Scheduler) OrderBegun(now float64, action Action) {
 	s.Names[action.Name].Order = &Order{Authority: action.Authority, CreatedAt: now}
 	s.OrderTimes = append(s.OrderTimes, now)
 }
 
-// OrderCreated notes the order's URL.
+// OrderCreated records the order's URL.
 func (s *Scheduler) OrderCreated(name, url string) {
 	if order := s.Names[name].Order; order != nil {
 		order.URL = url
 	}
 }
 
-// CertificateIssued takes a certificate that the caller has checked against its key, its names and the time.
+// CertificateIssued records a certificate that the caller has checked against its key, its names and the time.
 func (s *Scheduler) CertificateIssued(now float64, name string, certificate Certificate) {
 	state := s.Names[name]
 	if state.Order != nil {
 		certificate.Authority = state.Order.Authority
 		authority := &s.Authorities[certificate.Authority]
-		authority.Failures, authority.ReplacedAt = 0, 0
+		authority.Failures, authority.FallbackStartedAt = 0, 0
 	}
 	*state = NameState{
 		Certificate:   &certificate,
-		RenewalInfoAt: now + s.limits.RenewalInfoInterval*(0.5+s.spread(name, certificate.Serial)),
+		RenewalInfoAt: now + s.limits.RenewalInfoInterval*(0.5+s.jitter(name, certificate.Serial)),
 	}
 }
 
-// RenewalInfoFetched takes the renewal information of RFC 9773. wait is for how long the authority wants not to be asked
-// again, in ms; 0 where it did not say.
+// RenewalInfoFetched records the renewal information of RFC 9773. wait is the time until the next fetch that the authority
+// requests, in ms; 0 if it requests none.
 func (s *Scheduler) RenewalInfoFetched(now float64, name string, windowStart, windowEnd, wait float64) {
 	state := s.Names[name]
 	if state.Certificate == nil {
--- a/internal/certs/scheduler_test.go
+++ b/internal/certs/scheduler_test.go
@@ -19,13 +19,13 @@
 	return limits
 }
 
-// testCertificate is valid for so many days.
+// testCertificate returns a certificate that is valid for a number of days.
 func testCertificate(from, days float64) Certificate {
 	return Certificate{RenewalID: "x.y", Serial: fmt.Sprint(from), NotBefore: from, NotAfter: from + days*day}
 }
 
-// succeed reports an action's success.
-func succeed(scheduler *Scheduler, now float64, action Action) {
+// reportSuccess reports an action's success.
+func reportSuccess(scheduler *Scheduler, now float64, action Action) {
 	switch action.Kind {
 	case CreateOrder:
 		scheduler.OrderBegun(now, action)
@@ -43,10 +43,10 @@
 	action, due := scheduler.Next(now)
 	require.True(t, due)
 	assert.Equal(t, Action{CreateOrder, "a", 0, ""}, action)
-	succeed(scheduler, now, action)
+	reportSuccess(scheduler, now, action)
 	action, _ = scheduler.Next(now)
 	assert.Equal(t, Action{ContinueOrder, "a", 0, "order"}, action, "never an order while one is open")
-	succeed(scheduler, now, action)
+	reportSuccess(scheduler, now, action)
 	assert.Equal(t, StageFine, scheduler.Stage(now, "a"))
 	assert.InDelta(t, now+(60+4.5)*day, scheduler.RenewAt("a"), 4.6*day)
 	for at, want := range map[float64]Stage{now + 59*day: StageFine, now + 70*day: StageRenewalDue, now + 82*day: StageLate, now + 91*day: StageExpired, now - 1: StageNotYetValid} {
@@ -62,7 +62,7 @@
 	for name, test := range map[string]struct {
 		kind       FailureKind
 		retryAfter float64
-		isOver     bool
+		dropOrder  bool
 		minWait    float64
 		next       ActionKind
 	}{
@@ -79,7 +79,7 @@
 		action, _ := scheduler.Next(now)
 		scheduler.OrderBegun(now, action)
 		scheduler.OrderCreated("a", "url")
-		scheduler.ActionFailed(now, "a", test.kind, "why", test.retryAfter, test.isOver)
+		scheduler.ActionFailed(now, "a", test.kind, "why", test.retryAfter, test.dropOrder)
 		_, due := scheduler.Next(now + test.minWait - 1)
 		assert.False(t, due, name)
 		wait := scheduler.WaitMs(now)
@@ -111,7 +111,7 @@
 	assert.True(t, due, "retries never end")
 }
 
-// A second authority stands in for one that stays unavailable, and the first one is tried again after a time.
+// Orders fall back to a second authority when the first stays unavailable, and the first one is tried again after a time.
 func TestFallbackAuthority(t *testing.T) {
 	scheduler := New(State{}, []string{"a"}, testLimits(2))
 	now, ordersBy := 1e12, map[int]int{}
@@ -162,7 +162,7 @@
 		if action.Kind == CreateOrder {
 			orderedAt = append(orderedAt, now)
 		}
-		succeed(scheduler, now, action)
+		reportSuccess(scheduler, now, action)
 	}
 	for i := range orderedAt {
 		if i >= 6 {
@@ -227,7 +227,7 @@
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "how") {
 			case 0:
-				succeed(scheduler, now, Action{Kind: map[bool]ActionKind{true: FetchRenewalInfo, false: ContinueOrder}[action.Kind == FetchRenewalInfo], Name: action.Name})
+				reportSuccess(scheduler, now, Action{Kind: map[bool]ActionKind{true: FetchRenewalInfo, false: ContinueOrder}[action.Kind == FetchRenewalInfo], Name: action.Name})
 			default:
 				failure := rapid.SampledFrom([]FailureKind{AuthorityUnavailable, RateLimited, OrderRejected, CertificateUnusable, OrderPending, LocalFailure}).Draw(t, "fault")
 				scheduler.ActionFailed(now, action.Name, failure, "why", rapid.Float64Range(0, 5*hour).Draw(t, "after"), rapid.Bool().Draw(t, "over"))
--- a/internal/certs/state.go
+++ b/internal/certs/state.go
@@ -1,28 +1,28 @@
 package certs
 
-// Certificate is a certificate that can be served.
+// Certificate holds the scheduler's record of a certificate that can be served. Times are in Unix ms.
 type Certificate struct {
-	RenewalID string  `json:"id"` // RFC 9773, 4.1; empty where the authority offers no renewal information
+	RenewalID string  `json:"id"` // RFC 9773, 4.1; empty if the certificate has no identifier for renewal information
 	Serial    string  `json:"serial"`
 	NotBefore float64 `json:"not_before"`
 	NotAfter  float64 `json:"not_after"`
 	Authority int     `json:"authority"` // that issued it
 
-	// The window that the authority suggests for the renewal (RFC 9773, 4.2); empty without one.
+	// The window that the authority suggests for the renewal (RFC 9773, 4.2); empty if there is none.
 	WindowStart float64 `json:"window_from,omitempty"`
 	WindowEnd   float64 `json:"window_to,omitempty"`
 
-	RenewNow bool `json:"now,omitempty"` // an operator or a revocation wants it renewed at once
+	RenewNow bool `json:"now,omitempty"` // an operator or a revocation requested its renewal at once
 }
 
-// Order is an order that is open at an authority. A name has one at most.
+// Order is an open order at an authority. A name has at most one.
 type Order struct {
 	Authority int     `json:"authority"`
 	URL       string  `json:"url,omitempty"` // empty until the authority has answered
 	CreatedAt float64 `json:"at"`
 }
 
-// NameState is what is known of one name.
+// NameState holds the scheduling state of one name.
 type NameState struct {
 	Certificate   *Certificate `json:"held,omitempty"`
 	Order         *Order       `json:"order,omitempty"`
@@ -37,14 +37,14 @@
 	return n.Certificate != nil && n.Certificate.RenewalID != ""
 }
 
-// AuthorityState is what is known of one authority.
+// AuthorityState holds the scheduling state of one authority.
 type AuthorityState struct {
-	Failures   int     `json:"failures,omitempty"` // in a row, of any name, for which the authority is to blame
-	RetryAt    float64 `json:"next_at,omitempty"`  // no call before then
-	ReplacedAt float64 `json:"left_at,omitempty"`  // when another one began to stand in for it
+	Failures          int     `json:"failures,omitempty"` // consecutive, of any name, caused by the authority
+	RetryAt           float64 `json:"next_at,omitempty"`  // no call before then
+	FallbackStartedAt float64 `json:"left_at,omitempty"`  // when orders fell back to another one
 }
 
-// State is what outlives a process. Its JSON is stored.
+// State holds what persists across restarts. It is stored as JSON.
 type State struct {
 	Names       map[string]*NameState `json:"names"`
 	Authorities []AuthorityState      `json:"authorities"`
--- a/internal/serve/certificates.go
+++ b/internal/serve/certificates.go
@@ -58,7 +58,7 @@
 	if options.ChallengeAddress != "" {
 		running.Go(func() { serveChallenges(ctx, options.ChallengeAddress, certificates, p.log) })
 	}
-	orders, orderedBy := certificates.Orders()
+	orders, orderedBy := certificates.OrderingProcess()
 	p.log.Info("serving TLS", "address", p.server.TLSAddress(), "certificates", len(acmeOptions.Names), "orders", orders, "ordered_by", orderedBy)
 	return running.Wait, nil
 }
--- a/internal/serve/controlsocket.go
+++ b/internal/serve/controlsocket.go
@@ -93,7 +93,7 @@
 			Handshakes:   p.server.HandshakeStats(),
 			Certificates: p.certificates.Status(),
 		}
-		status.TLS.Orders, status.TLS.OrderedBy = p.certificates.Orders()
+		status.TLS.Orders, status.TLS.OrderedBy = p.certificates.OrderingProcess()
 	}
 	if p.settings != nil {
 		status.ControlPlane = p.settings.status(ctx)
--- a/internal/serve/tlsfile.go
+++ b/internal/serve/tlsfile.go
@@ -110,8 +110,8 @@
 func tlsLimitsOf(limits certs.Limits) tlsLimits {
 	return tlsLimits{
 		OrdersPerHour: limits.OrdersPerHour,
-		FallBackAfter: limits.FallBackAfter,
-		ReturnAfterH:  limits.ReturnAfter / msPerHour,
+		FallBackAfter: limits.FallbackAfter,
+		ReturnAfterH:  limits.RetryPreferredAfter / msPerHour,
 		BackoffS:      limits.MinBackoff / 1e3,
 		BackoffMostS:  limits.MaxBackoff / 1e3,
 		InfoEveryH:    limits.RenewalInfoInterval / msPerHour,
@@ -121,8 +121,8 @@
 func (l *tlsLimits) limits() certs.Limits {
 	return certs.Limits{
 		OrdersPerHour:       l.OrdersPerHour,
-		FallBackAfter:       l.FallBackAfter,
-		ReturnAfter:         l.ReturnAfterH * msPerHour,
+		FallbackAfter:       l.FallBackAfter,
+		RetryPreferredAfter: l.ReturnAfterH * msPerHour,
 		MinBackoff:          l.BackoffS * 1e3,
 		MaxBackoff:          l.BackoffMostS * 1e3,
 		RenewalInfoInterval: l.InfoEveryH * msPerHour,
