--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command simhost runs balancers on the protocol of the operators' simulator, over its standard input and output.
+// Command simhost runs balancers for the operators' simulator, and speaks its protocol on standard input and output.
 package main
 
 import (
@@ -16,12 +16,12 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // a simulated node has little processor time a second, and its live heap is small
-	h := simprotocol.NewHost()
-	end, err := captured(h, os.Getenv(captureVariable))
+	debug.SetGCPercent(800) // a simulated node gets little CPU time per second, and its live heap is small
+	host := simprotocol.NewHost()
+	stop, err := setUpCapture(host, os.Getenv(captureVariable))
 	if err == nil {
-		err = h.Serve(os.Stdin, os.Stdout)
-		end()
+		err = host.Serve(os.Stdin, os.Stdout)
+		stop()
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
@@ -29,35 +29,35 @@
 	}
 }
 
-// captureVariable names the environment variable that captures one instance, as INSTANCE:DIR.
+// captureVariable is the environment variable that makes simhost capture one instance, as INSTANCE:DIR.
 const captureVariable = "PEARKNOT_SIM_CAPTURE"
 
-func captured(h *simprotocol.Host, text string) (end func(), err error) {
-	if text == "" {
+func setUpCapture(host *simprotocol.Host, setting string) (stop func(), err error) {
+	if setting == "" {
 		return func() {}, nil
 	}
-	number, dir, ok := strings.Cut(text, ":")
-	wanted, err := strconv.ParseUint(number, 10, 32)
+	number, dir, ok := strings.Cut(setting, ":")
+	captured, err := strconv.ParseUint(number, 10, 32)
 	if err != nil || !ok || dir == "" {
-		return nil, fmt.Errorf("%s=%s is not INSTANCE:DIR", captureVariable, text)
+		return nil, fmt.Errorf("%s=%s is not INSTANCE:DIR", captureVariable, setting)
 	}
-	// The simulator runs faster than the wall clock, so as much as it brings may be pending.
-	w, err := capture.NewWriter(capture.WriterConfig{Dir: dir, NodeName: number, SegmentMB: 16, MaxTotalMB: 1 << 10, FlushInterval: time.Second, BlockKB: 64, MaxPendingMB: 1 << 10,
+	// The simulator runs faster than the wall clock, so MaxPendingMB allows as much pending data as the total.
+	writer, err := capture.NewWriter(capture.WriterConfig{Dir: dir, NodeName: number, SegmentMB: 16, MaxTotalMB: 1 << 10, FlushInterval: time.Second, BlockKB: 64, MaxPendingMB: 1 << 10,
 		Sync: capture.SyncSegment, Log: slog.New(slog.NewTextHandler(os.Stderr, nil)), Now: func() float64 { return float64(time.Now().UnixMilli()) }})
 	if err != nil {
 		return nil, err
 	}
 	epoch := uint64(0)
-	h.Wrap = func(instance uint32, d balancer.Decider, t *balancer.Config, now float64) balancer.Decider {
-		if uint64(instance) != wanted {
-			return d
+	host.Wrap = func(instance uint32, decider balancer.Decider, config *balancer.Config, now float64) balancer.Decider {
+		if uint64(instance) != captured {
+			return decider
 		}
-		r, err := capture.NewRecorder(d, now, capture.Start{Name: number, Epoch: epoch, Config: t}, capture.Options{SnapshotIntervalMs: 10e3, Sink: w.Put})
+		recorder, err := capture.NewRecorder(decider, now, capture.Start{Name: number, Epoch: epoch, Config: config}, capture.Options{SnapshotIntervalMs: 10e3, Sink: writer.Put})
 		if err != nil {
-			panic(err) // plain values
+			panic(err) // the configuration holds only plain values, whose encoding does not fail
 		}
 		epoch++
-		return r
+		return recorder
 	}
-	return w.Close, nil
+	return writer.Close, nil
 }
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -11,12 +11,12 @@
 // Codes of event records.
 const (
 	eventStart           = iota // an instance starts, with its settings
-	eventHealthCheck            // the answer to a health check; this host sends none
+	eventHealthCheck            // the result of a health check; this host sends none
 	eventDefineList             // a numbered endpoint list
-	eventResponseStarted        // a backend has begun to answer
+	eventResponseStarted        // a backend has started its response
 	eventAttemptEnded
 	eventEndpoints // an instance is notified of a list, or its poll has failed
-	eventGossip    // a message of another instance; nodes share nothing
+	eventGossip    // a message of another instance, ignored: nodes share nothing
 	eventClientGone
 	eventStop // an instance ends
 	eventTimer
@@ -26,7 +26,7 @@
 // Modes of eventEndpoints.
 const (
 	endpointsChanges    = 0
-	endpointsCached     = 2 // complete, from before the instance's start
+	endpointsCached     = 2 // a complete list from before the instance's start
 	endpointsPollFailed = 3
 )
 
@@ -37,19 +37,19 @@
 )
 
 const (
-	maxLists     = 16
-	endpointSize = 23 // bytes of an endpoint in a list
-	maxState     = 2
+	maxLists        = 16
+	endpointSize    = 23 // of an endpoint in a list, in bytes
+	maxBackendState = 2
 )
 
-// outcomes maps the protocol's codes for how an attempt ended.
+// outcomes maps the protocol's outcome codes to the outcomes of an attempt.
 var outcomes = map[byte]balancer.Outcome{
 	10: balancer.OutcomeAnswered, 20: balancer.OutcomeFailed, 30: balancer.OutcomeRejected, 40: balancer.OutcomeTimedOut,
 	50: balancer.OutcomeConnectFailed, 60: balancer.OutcomeConnectionReset, 70: balancer.OutcomeCanceled, 80: balancer.OutcomeNotSent,
 }
 
-// readEvent decodes one record and passes it on. A record is decoded completely before any input of a decider is called, so
-// that a malformed one changes nothing.
+// readEvent decodes one record and passes it to its instance. A record is decoded completely before any method of a
+// decider is called, so that a malformed one changes nothing.
 func (h *Host) readEvent(r *reader) {
 	code := r.u8()
 	if code == eventDefineList {
@@ -93,7 +93,7 @@
 	}
 }
 
-// input calls f for an instance that runs, unless the record was malformed.
+// input calls f if the instance is running and the record is well formed.
 func (h *Host) input(r *reader, i *instance, f func()) {
 	if r.err == nil && i != nil && !i.stopped {
 		h.touch(i)
@@ -101,7 +101,7 @@
 	}
 }
 
-// readStart starts an instance, in place of one with the same number.
+// readStart starts an instance, and replaces one with the same number.
 func (h *Host) readStart(r *reader, number uint32) {
 	seed := r.u64()
 	deployment, err := config.ParseLines(r.take(int(r.u32())))
@@ -131,10 +131,10 @@
 func (h *Host) readEndpoints(r *reader, i *instance) {
 	mode, _, list := r.u8(), r.u32(), r.u16()
 	if r.err == nil && mode > endpointsPollFailed {
-		r.fail("unknown kind of list %d", mode)
+		r.fail("unknown endpoint list mode %d", mode)
 	}
 	if r.err == nil && mode != endpointsPollFailed && (list >= maxLists || h.lists[list] == nil) {
-		r.fail("list %d is not set", list)
+		r.fail("endpoint list %d is not defined", list)
 	}
 	h.input(r, i, func() {
 		if mode == endpointsPollFailed {
@@ -153,7 +153,7 @@
 	request.Key = r.u64()
 	request.Class, request.Tenant = int(r.u8()), int(r.u16())
 	if r.err == nil && i != nil && request.Class >= i.classes {
-		r.fail("class %d of %d", request.Class, i.classes)
+		r.fail("class %d is not below the number of classes %d", request.Class, i.classes)
 	}
 	h.input(r, i, func() {
 		i.requests[request.ID] = request
@@ -203,19 +203,19 @@
 	})
 }
 
-// readList stores a numbered endpoint list, which instances are then notified of by its number.
+// readList stores a numbered endpoint list. Later events refer to it by its number.
 func (h *Host) readList(r *reader) {
 	number := r.u16()
 	endpoints := r.take(int(r.u32()) * endpointSize)
 	if r.err == nil && number >= maxLists {
-		r.fail("list number %d is over %d", number, maxLists-1)
+		r.fail("endpoint list number %d exceeds %d", number, maxLists-1)
 	}
 	for at := 0; r.err == nil && at < len(endpoints); at += endpointSize {
 		started := math.Float64frombits(binary.BigEndian.Uint64(endpoints[at+15:]))
-		if state := endpoints[at+10]; state > maxState {
-			r.fail("unknown readiness %d in line %d", state, at/endpointSize)
+		if state := endpoints[at+10]; state > maxBackendState {
+			r.fail("unknown backend state %d in endpoint %d", state, at/endpointSize)
 		} else if math.IsNaN(started) || math.IsInf(started, 0) {
-			r.fail("start time in line %d is not finite", at/endpointSize)
+			r.fail("start time in endpoint %d is not finite", at/endpointSize)
 		}
 	}
 	if r.err == nil {
@@ -223,7 +223,7 @@
 	}
 }
 
-// endpoints decodes a list for an instance, whose backends are its own.
+// endpoints decodes a list for an instance. Each instance has its own backend objects.
 func (i *instance) endpoints(data []byte) []balancer.Endpoint {
 	list := make([]balancer.Endpoint, 0, len(data)/endpointSize)
 	for ; len(data) > 0; data = data[endpointSize:] {
@@ -246,15 +246,15 @@
 	return list
 }
 
-// backendID is a backend's address and port as one number.
+// backendID returns a backend's address and port as one number.
 func backendID(b []byte) uint64 {
 	return uint64(binary.BigEndian.Uint32(b))<<16 | uint64(binary.BigEndian.Uint16(b[4:]))
 }
 
-// reportFields are the names of a load report's values, in the order in which the values come.
+// reportFields lists the names of a load report's values, in the order of the values in a record.
 type reportFields []string
 
-// decode reads a report's values. A value that is missing, negative or infinite counts as not reported.
+// decode decodes a report's values. A value that is missing, negative, infinite or NaN counts as not reported.
 func (f reportFields) decode(values []byte) balancer.LoadReport {
 	report := balancer.EmptyLoadReport()
 	for k := 0; k < len(f) && 4*k+4 <= len(values); k++ {
--- a/internal/simprotocol/reader.go
+++ b/internal/simprotocol/reader.go
@@ -6,25 +6,25 @@
 	"math"
 )
 
-// reader reads the records of a frame. After the first error it returns zeros, so that only err has to be checked.
+// reader decodes the records of a frame. After the first error it returns zeros, so that callers only check err.
 type reader struct {
-	data  []byte
-	at    int
-	start int
-	err   error
+	data        []byte
+	offset      int
+	recordStart int
+	err         error
 }
 
 func (r *reader) fail(format string, args ...any) { r.err = fmt.Errorf(format, args...) }
 
 func (r *reader) take(n int) []byte {
-	if r.err == nil && (n < 0 || n > len(r.data)-r.at) {
-		r.fail("%d bytes wanted at byte %d, %d there", n, headerSize+r.at, len(r.data)-r.at)
+	if r.err == nil && (n < 0 || n > len(r.data)-r.offset) {
+		r.fail("need %d bytes at byte %d, have %d", n, headerSize+r.offset, len(r.data)-r.offset)
 	}
 	if r.err != nil {
 		return nil
 	}
-	r.at += n
-	return r.data[r.at-n : r.at]
+	r.offset += n
+	return r.data[r.offset-n : r.offset]
 }
 
 func (r *reader) u8() byte {
@@ -60,7 +60,7 @@
 func (r *reader) time() float64 {
 	x := r.f64()
 	if r.err == nil && (math.IsNaN(x) || math.IsInf(x, 0)) {
-		r.fail("time at byte %d is not finite", headerSize+r.at-8)
+		r.fail("time at byte %d is not finite", headerSize+r.offset-8)
 	}
 	return x
 }
--- a/internal/simprotocol/simprotocol.go
+++ b/internal/simprotocol/simprotocol.go
@@ -1,8 +1,8 @@
-// Package simprotocol hosts balancers on the protocol of the operators' simulator. It turns the simulator's events into
-// inputs of a balancer and its decisions into actions. The protocol's own names end in this package: an instance is a node,
-// an op a request, a try an attempt.
+// Package simprotocol hosts balancers behind the protocol of the operators' simulator. It converts the simulator's events
+// to calls of a balancer, and the balancer's decisions to actions. The protocol's own terms are not used outside this
+// package: an instance is a node, an op a request, a try an attempt.
 //
-// A frame is a batch: a clock and a number of event records come in, a number of action records goes out.
+// A frame is a batch: each frame of a clock and event records is answered with a frame of action records.
 package simprotocol
 
 import (
@@ -23,17 +23,17 @@
 // Host runs the balancers of one process, one for each instance that the simulator names.
 type Host struct {
 	// Wrap, if set, returns the decider to use in place of an instance's balancer.
-	Wrap func(instance uint32, d balancer.Decider, t *balancer.Config, now float64) balancer.Decider
+	Wrap func(instance uint32, decider balancer.Decider, config *balancer.Config, now float64) balancer.Decider
 
 	instances map[uint32]*instance
 	touched   []*instance // instances with an event in the current frame, in the order of their first one
 	lists     [maxLists][]byte
 	now       float64
 	reply     []byte // the reply's frame, reused
-	records   uint32 // in reply
+	records   uint32 // number of records in reply
 }
 
-// instance is one node of the simulation.
+// instance holds one node of the simulation.
 type instance struct {
 	number       uint32
 	decider      balancer.Decider
@@ -64,7 +64,7 @@
 			return fmt.Errorf("frame length %d at byte 0 is shorter than its header", size)
 		}
 		body.Reset()
-		// The buffer grows with the data that arrives, so a wrong length allocates nothing.
+		// The buffer grows as data arrives, so a wrong length in the header causes no large allocation.
 		if n, err := io.CopyN(&body, in, int64(size)-headerSize); err != nil {
 			return fmt.Errorf("frame of %d bytes ends at byte %d: %w", size, headerSize+n, err)
 		}
@@ -82,8 +82,8 @@
 	}
 }
 
-// Batch processes the records of one frame and returns the reply's frame, which is valid until the next call. An error gives
-// the number and offset of the record that can't be read.
+// Batch processes the records of one frame and returns the reply's frame, which is valid until the next call. An error
+// contains the number and offset of the record that can't be decoded.
 func (h *Host) Batch(now float64, count uint32, body []byte) ([]byte, error) {
 	if math.IsNaN(now) || math.IsInf(now, 0) {
 		return nil, errors.New("clock at byte 8 of the frame is not finite")
@@ -92,14 +92,14 @@
 	h.reply = append(h.reply[:0], 0, 0, 0, 0, 0, 0, 0, 0)
 	r := &reader{data: body}
 	for k := range count {
-		r.start = r.at
+		r.recordStart = r.offset
 		h.readEvent(r)
 		if r.err != nil {
-			return nil, fmt.Errorf("record %d at byte %d: %w", k, headerSize+r.start, r.err)
+			return nil, fmt.Errorf("record %d at byte %d: %w", k, headerSize+r.recordStart, r.err)
 		}
 	}
-	if r.at != len(body) {
-		return nil, fmt.Errorf("frame goes on at byte %d after its %d records", headerSize+r.at, count)
+	if r.offset != len(body) {
+		return nil, fmt.Errorf("frame has trailing data at byte %d after its %d records", headerSize+r.offset, count)
 	}
 	for _, i := range h.touched {
 		i.isTouched = false
@@ -112,7 +112,7 @@
 	return h.reply, nil
 }
 
-// recoverFrom runs f and reports a panic in it as the crash of that instance alone.
+// recoverFrom runs f and reports a panic in it as the crash of this instance. The others continue.
 func (h *Host) recoverFrom(i *instance, f func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -124,7 +124,7 @@
 	f()
 }
 
-// touch has the instance's decisions written at the end of the frame.
+// touch marks an instance, so that its decisions are written at the end of the frame.
 func (h *Host) touch(i *instance) {
 	if !i.isTouched {
 		i.isTouched = true
