--- a/cmd/pearknot/configchange.go
+++ b/cmd/pearknot/configchange.go
@@ -92,7 +92,7 @@
 		var invalid *client.InvalidError
 		if errors.As(err, &invalid) {
 			line, column := settingPlace(text, invalid.Detail)
-			err = &tomlfile.Error{File: file, Line: line, Column: column, What: invalid.Detail}
+			err = &tomlfile.Error{File: file, Line: line, Column: column, Message: invalid.Detail}
 		}
 		return version, err
 	})
--- a/cmd/pearknot/settingplace.go
+++ b/cmd/pearknot/settingplace.go
@@ -17,11 +17,11 @@
 func wrongSettings(file string, err error) error {
 	match := linePrefix.FindStringSubmatch(err.Error())
 	if match == nil {
-		return &tomlfile.Error{File: file, Line: 1, Column: 1, What: err.Error()}
+		return &tomlfile.Error{File: file, Line: 1, Column: 1, Message: err.Error()}
 	}
 	line, _ := strconv.Atoi(match[1])
 	column, _ := strconv.Atoi(match[2])
-	return &tomlfile.Error{File: file, Line: line, Column: column, What: err.Error()[len(match[0]):]}
+	return &tomlfile.Error{File: file, Line: line, Column: column, Message: err.Error()[len(match[0]):]}
 }
 
 // settingInError is how a member's error names a setting.
--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -1,5 +1,5 @@
-// Package boltfile detects damage in bbolt files, whichever program writes them: values carry a checksum, and both of the
-// file's meta pages must be intact.
+// Package boltfile detects damage in bbolt files, whichever program writes them: values carry a checksum, and both meta
+// pages of a file must be intact.
 package boltfile
 
 import (
@@ -12,20 +12,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrDamaged is a file or a value that can't be trusted.
+// ErrDamaged is returned for a file or a value that is corrupt.
 var ErrDamaged = errors.New("damaged")
 
 // checksumBytes is the size of the checksum before a value.
 const checksumBytes = 8
 
-// EncodeValue returns a value with its checksum before it, as it is stored.
+// EncodeValue returns a value in its stored form, prefixed with its checksum.
 func EncodeValue(value string) []byte {
 	encoded := make([]byte, 0, checksumBytes+len(value))
 	encoded = binary.BigEndian.AppendUint64(encoded, xxhash.Sum64String(value))
 	return append(encoded, value...)
 }
 
-// DecodeValue returns the value of what EncodeValue has returned, or ErrDamaged if its checksum is wrong.
+// DecodeValue returns the value that EncodeValue encoded, or ErrDamaged if the checksum does not match.
 func DecodeValue(encoded []byte) (string, error) {
 	if len(encoded) < checksumBytes {
 		return "", ErrDamaged
@@ -37,26 +37,26 @@
 	return value, nil
 }
 
-// The layout of a meta page, of which a bbolt file begins with two: a page header, and the meta data whose last bytes are
-// their checksum.
+// The layout of the two meta pages at the start of a bbolt file: a page header, and the meta data, which end with their
+// checksum.
 const (
-	metaPages       = 2
-	pageHeaderBytes = 16
-	metaBytes       = 64
-	metaSumAt       = metaBytes - 8
+	metaPages          = 2
+	pageHeaderBytes    = 16
+	metaBytes          = 64
+	metaChecksumOffset = metaBytes - 8
 )
 
 // CheckMetaPages returns an error that wraps ErrDamaged unless both meta pages of a file are intact.
 //
-// Each transaction writes one of the two in turn. Where the newer one is damaged, bbolt goes on with the older one, and so with
-// the state before the last transaction. Whoever wrote that has already acknowledged it, so here such a file counts as
-// damaged.
+// Transactions write the two pages alternately. If the newer one is damaged, bbolt falls back to the older one, and so to
+// the state before the last transaction. The writer has already acknowledged that transaction, so such a file counts as
+// damaged here.
 func CheckMetaPages(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // only read from
+	defer func() { _ = file.Close() }() // opened only for reading
 	for page := range metaPages {
 		var data [pageHeaderBytes + metaBytes]byte
 		if _, err := file.ReadAt(data[:], int64(page*os.Getpagesize())); err != nil {
@@ -64,8 +64,8 @@
 		}
 		meta := data[pageHeaderBytes:]
 		hash := fnv.New64a()
-		_, _ = hash.Write(meta[:metaSumAt])
-		if binary.LittleEndian.Uint64(meta[metaSumAt:]) != hash.Sum64() {
+		_, _ = hash.Write(meta[:metaChecksumOffset])
+		if binary.LittleEndian.Uint64(meta[metaChecksumOffset:]) != hash.Sum64() {
 			return fmt.Errorf("%s: %w: meta page %d", path, ErrDamaged, page)
 		}
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli has what the project's command lines share: exit statuses, errors that mean one, and the version.
+// Package cli holds what the project's commands share: exit statuses, errors that carry one, and the version.
 package cli
 
 import (
@@ -18,14 +18,14 @@
 	StatusOK          = 0
 	StatusFailed      = 1
 	StatusUsage       = 2 // the command line or an operator's file can't be read
-	StatusCheckFailed = 3 // a check says no: a rule was broken, something differs, another change came first
+	StatusCheckFailed = 3 // a check failed: a rule was broken, something differs, another change came first
 )
 
-// Error is an error with the exit status that it means.
+// Error is an error with an exit status.
 type Error struct {
 	Status int
 	Err    error
-	Silent bool // the command has printed what went wrong
+	Silent bool // the command has already printed the error
 }
 
 // Error implements error.
@@ -34,7 +34,7 @@
 // Unwrap returns the error without its status.
 func (e *Error) Unwrap() error { return e.Err }
 
-// UsageError returns err as an error of the command line, or of a file that it names.
+// UsageError wraps err as an error in the command line or in a file that it names.
 func UsageError(err error) error { return &Error{Status: StatusUsage, Err: err} }
 
 // UsageIfNotExist returns a UsageError if err says that a file does not exist, and err itself otherwise.
@@ -45,7 +45,7 @@
 	return err
 }
 
-// usagePrefixes begin the errors that cobra returns for a wrong command line. It has no types for them.
+// usagePrefixes are the prefixes of the errors that cobra returns for a wrong command line. It has no types for them.
 var usagePrefixes = []string{"unknown command", "accepts ", "requires ", "required flag"}
 
 // Exit prints an error in one line and returns its exit status. err may be nil.
@@ -60,7 +60,7 @@
 	}
 	var fileError *tomlfile.Error
 	if errors.As(err, &fileError) {
-		fmt.Fprintln(stderr, err) // begins with file:line:column, for editors, so without the program's name
+		fmt.Fprintln(stderr, err) // without the program's name: editors expect file:line:column first
 		return StatusUsage
 	}
 	if errors.Is(err, context.Canceled) {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -13,9 +13,9 @@
 	"pearknot/internal/tomlfile"
 )
 
-// A command ends with any kind of error. Scripts go by the exit status, and operators read a single line.
+// Each kind of error yields its exit status, which scripts rely on, and a single line for operators.
 func TestExit(t *testing.T) {
-	fileError := &tomlfile.Error{File: "f.toml", Line: 2, Column: 3, What: "unknown key x"}
+	fileError := &tomlfile.Error{File: "f.toml", Line: 2, Column: 3, Message: "unknown key x"}
 	for _, c := range []struct {
 		name   string
 		err    error
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,7 +1,7 @@
-// Package goldentest compares what this build writes or sends with files that an earlier build wrote.
+// Package goldentest compares what this build writes or sends with golden files that an earlier build wrote.
 //
-// A stored or sent form must stay readable by the builds before and after, so each one has a small file in its
-// package's testdata directory. A test that differs from its file has changed a form, and needs a new version of it
+// A stored or sent format must stay readable by the builds before and after, so each one has a small golden file in its
+// package's testdata directory. If a test no longer matches its file, the format has changed, and needs a new version
 // rather than a new file.
 package goldentest
 
@@ -17,8 +17,8 @@
 	"pearknot/internal/snapshot"
 )
 
-// Fill sets every exported field that v points to, however deep, to a value of its own. Slices and maps get one
-// element, pointers a new value. The same type is always filled alike.
+// Fill sets every exported field of the value that v points to, recursively, to a distinct value. Slices and maps get one
+// element, pointers a new value. The result depends only on the type.
 func Fill(v any) {
 	next := 0
 	fill(reflect.ValueOf(v).Elem(), &next)
@@ -62,7 +62,7 @@
 	}
 }
 
-// Equal requires that data is what the file of that name in testdata holds.
+// Equal requires that data equals the content of the named file in testdata.
 func Equal(t *testing.T, name string, data []byte) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", name))
@@ -70,9 +70,8 @@
 	require.Equal(t, string(want), string(data), name)
 }
 
-// Positional requires that v is encoded by internal/snapshot as the file says, and that the file is decoded into the same
-// value. Fields of that form go by their position: v must have a value of its own in each, so that two fields that change
-// places are noticed.
+// Positional requires that internal/snapshot encodes v as in the file, and decodes the file into the same value. That
+// format identifies fields by position: v must have a distinct value in each field, so that swapped fields are detected.
 func Positional(t *testing.T, name string, v any) {
 	t.Helper()
 	Equal(t, name, snapshot.AppendStruct(nil, v))
@@ -83,7 +82,7 @@
 	require.Equal(t, v, read, name)
 }
 
-// JSON requires that v, filled, is encoded as the file says, and that the file is decoded into the same value.
+// JSON requires that v, filled, is encoded as in the file, and that the file is decoded into the same value.
 func JSON(t *testing.T, name string, v any) {
 	t.Helper()
 	Fill(v)
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,7 +1,7 @@
-// Package mailbox holds the queue of messages of an actor, which is a goroutine that alone uses its fields and learns of
-// everything else by messages.
+// Package mailbox implements the message queue of an actor: a goroutine that has exclusive access to its fields and
+// receives all other information as messages.
 //
-// Putting a message never blocks, so no two actors can wait for each other. A mailbox has no bound of its own: its length is
+// Putting a message never blocks, so no two actors can wait for each other. A mailbox has no capacity limit: its length is
 // bounded by what its senders have in flight, such as requests on open connections, their attempts and one poll of the
 // endpoint list.
 package mailbox
@@ -11,7 +11,7 @@
 	"sync"
 )
 
-// Box holds the messages that were put and not yet taken, in order. All its methods may be called from any goroutine.
+// Box is an unbounded queue of the messages that were put and not yet taken. It is safe for concurrent use.
 type Box[T any] struct {
 	mu       sync.Mutex
 	messages []T
@@ -21,7 +21,7 @@
 // New returns an empty mailbox.
 func New[T any]() *Box[T] { return &Box[T]{ready: make(chan struct{}, 1)} }
 
-// Put adds a message behind all others.
+// Put adds a message at the end of the queue.
 func (b *Box[T]) Put(message T) {
 	b.mu.Lock()
 	b.messages = append(b.messages, message)
@@ -29,7 +29,7 @@
 	b.signal()
 }
 
-// PutFirst adds a message before all others. It is meant for calls of operators, who wait for the answer.
+// PutFirst adds a message at the front of the queue. It is meant for calls of operators, who wait for the answer.
 func (b *Box[T]) PutFirst(message T) {
 	b.mu.Lock()
 	b.messages = slices.Insert(b.messages, 0, message)
@@ -44,11 +44,11 @@
 	}
 }
 
-// Ready returns a channel that can be received from when there may be messages. A receiver has to call TakeAll after it, as
+// Ready returns a channel that can be received from when there may be messages. The receiver must then call TakeAll, as
 // one signal may stand for many messages.
 func (b *Box[T]) Ready() <-chan struct{} { return b.ready }
 
-// TakeAll empties the mailbox and returns its messages. The slice spare, whose messages have been handled, is cleared and
+// TakeAll empties the mailbox and returns its messages. The slice spare, whose messages have been processed, is cleared and
 // becomes the mailbox's next buffer.
 func (b *Box[T]) TakeAll(spare []T) []T {
 	clear(spare)
--- a/internal/raftlogger/raftlogger.go
+++ b/internal/raftlogger/raftlogger.go
@@ -1,4 +1,4 @@
-// Package raftlogger has the logger that this project's raft nodes write to.
+// Package raftlogger provides the logger of this project's raft nodes.
 package raftlogger
 
 import (
@@ -8,11 +8,11 @@
 	"go.etcd.io/raft/v3"
 )
 
-// Silent drops what a raft node logs: the process logs itself what concerns operators. Fatal and Panic keep the effect that
-// they have at the logger inside, because a raft node calls them when its state is corrupt and must not go on.
+// Silent discards the log messages of a raft node: the process itself logs what concerns operators. Fatal and Panic behave
+// as in the embedded logger, because a raft node calls them when its state is corrupt and it must not continue.
 type Silent struct{ raft.Logger }
 
-// NewSilent returns a logger that writes nothing and panics where a raft node asks for it.
+// NewSilent returns a logger that writes nothing, and whose Fatal and Panic end the process or panic.
 func NewSilent() Silent {
 	return Silent{&raft.DefaultLogger{Logger: stdlog.New(io.Discard, "", 0)}}
 }
--- a/internal/testlog/testlog.go
+++ b/internal/testlog/testlog.go
@@ -1,4 +1,4 @@
-// Package testlog collects what a process or a component logs while a test runs.
+// Package testlog collects the log of a process or a component under test.
 package testlog
 
 import (
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Buffer collects log lines. It may be written by several goroutines, and read while they write. The zero value is empty.
+// Buffer collects log lines. It is safe for concurrent use. The zero value is empty.
 type Buffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -27,5 +27,5 @@
 	return b.buffer.String()
 }
 
-// Count returns how often a text was written so far.
+// Count returns the number of occurrences of a text in what was written so far.
 func (b *Buffer) Count(text string) int { return strings.Count(b.String(), text) }
--- a/internal/throttledlog/throttledlog.go
+++ b/internal/throttledlog/throttledlog.go
@@ -1,4 +1,4 @@
-// Package throttledlog bounds how often an event is logged that a client or a peer can cause at will.
+// Package throttledlog limits the rate of log lines for events that a client or a peer can cause at will.
 package throttledlog
 
 import (
@@ -8,13 +8,13 @@
 	"golang.org/x/time/rate"
 )
 
-// Throttle lets one line be logged in each interval, and counts the events. It may be used by several goroutines.
+// Throttle allows one log line per interval, and counts the events. It is safe for concurrent use.
 type Throttle struct {
 	sometimes rate.Sometimes
 	unlogged  atomic.Int64 // events since the last line
 }
 
-// New returns a throttle that lets the first event be logged, and then at most one in each interval.
+// New returns a throttle that allows a log line for the first event, and then at most one per interval.
 func New(interval time.Duration) *Throttle {
 	return &Throttle{sometimes: rate.Sometimes{Interval: interval}}
 }
--- a/internal/throttledlog/throttledlog_test.go
+++ b/internal/throttledlog/throttledlog_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Ten events come at once, and one after the interval. Two lines are logged, and each says how many events it stands for.
+// Ten events occur at once, and one after the interval. Two lines are logged, each with the number of events it covers.
 func TestOneLineInEachInterval(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	throttle := New(interval)
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,6 +1,6 @@
-// Package tomlfile reads the operators' TOML files. Whatever is wrong with one is reported in a single line,
-// file:line:column: what, whether the reader finds it (an unknown key, a text instead of a number) or its caller (a zone
-// that does not exist).
+// Package tomlfile reads the operators' TOML files. Any error in one is reported in a single line,
+// file:line:column: message, whether the reader detects it (an unknown key, a text instead of a number) or its caller (a
+// zone that does not exist).
 package tomlfile
 
 import (
@@ -15,32 +15,32 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// File is a file that was read. It knows where each of its keys stands.
+// File holds the name of a file that was read and the positions of its keys.
 type File struct {
 	Name      string
 	positions map[string]position // by the key's path, see keyPositions
 }
 
-// position counts from 1.
+// position is a line and a column, both counted from 1.
 type position struct{ line, column int }
 
-// start is the position of what stands nowhere.
-var start = position{1, 1}
+// fileStart is the position of an error without one of its own.
+var fileStart = position{1, 1}
 
-// Error says what is wrong with a file, and where.
+// Error describes an error in a file and its position.
 type Error struct {
 	File         string
 	Line, Column int
-	What         string
+	Message      string
 }
 
-// Error returns file:line:column: what.
+// Error returns file:line:column: message.
 func (e *Error) Error() string {
-	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.What)
+	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
 }
 
-// Read reads a file into a struct. A key that the struct has no field for is an Error, as is any other mistake in the file.
-// If the file can't be opened, the error is that of os.ReadFile.
+// Read decodes a file into a struct. A key that the struct has no field for is an Error, as is any other error in the file.
+// If the file can't be read, the error is that of os.ReadFile.
 func Read(name string, into any) (*File, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -49,18 +49,18 @@
 	return Decode(name, data, into)
 }
 
-// Decode is Read for data that came from elsewhere. Errors name it as a file of that name.
+// Decode is like Read for data that is not read from a file. Errors report it as a file of that name.
 func Decode(name string, data []byte, into any) (*File, error) {
 	decoder := toml.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		return nil, newError(name, err)
+		return nil, convertError(name, err)
 	}
 	return &File{Name: name, positions: keyPositions(data)}, nil
 }
 
-// newError converts an error of the TOML library.
-func newError(name string, err error) *Error {
+// convertError converts an error of the TOML library.
+func convertError(name string, err error) *Error {
 	var unknownKeys *toml.StrictMissingError
 	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
 		first := unknownKeys.Errors[0]
@@ -70,16 +70,16 @@
 	var malformed *toml.DecodeError
 	if errors.As(err, &malformed) {
 		line, column := malformed.Position()
-		what := strings.TrimPrefix(malformed.Error(), "toml: ")
+		message := strings.TrimPrefix(malformed.Error(), "toml: ")
 		if key := strings.Join(malformed.Key(), "."); key != "" {
-			what = key + ": " + what
+			message = key + ": " + message
 		}
-		return &Error{name, line, column, what}
+		return &Error{name, line, column, message}
 	}
-	return &Error{name, start.line, start.column, strings.TrimPrefix(err.Error(), "toml: ")}
+	return &Error{name, fileStart.line, fileStart.column, strings.TrimPrefix(err.Error(), "toml: ")}
 }
 
-// keyPositions parses the text once more for the positions of its keys, which the library does not pass on. A key's path
+// keyPositions parses the data again for the positions of its keys, which the decoder does not expose. A key's path
 // joins the names of its tables with dots; the elements of an array of tables count from 0, as in fault.2.zone.
 func keyPositions(data []byte) map[string]position {
 	found, elements, table := map[string]position{}, map[string]int{}, ""
@@ -118,23 +118,23 @@
 	return strings.Join(parts, "."), at
 }
 
-// Errorf returns an Error at a key. If the file lacks the key, the position is that of the innermost table that should
-// have it.
+// Errorf returns an Error at a key. If the file lacks the key, the position is that of the innermost table that would
+// contain it.
 func (f *File) Errorf(key, format string, args ...any) error {
-	what := key + ": " + fmt.Sprintf(format, args...)
-	at := f.find(key)
-	return &Error{f.Name, at.line, at.column, what}
+	message := key + ": " + fmt.Sprintf(format, args...)
+	at := f.positionOf(key)
+	return &Error{f.Name, at.line, at.column, message}
 }
 
-// find returns the position of a key or of the innermost table around it.
-func (f *File) find(path string) position {
+// positionOf returns the position of a key or of the innermost table around it.
+func (f *File) positionOf(path string) position {
 	for {
 		if at, ok := f.positions[path]; ok {
 			return at
 		}
 		dot := strings.LastIndexByte(path, '.')
 		if dot < 0 {
-			return start
+			return fileStart
 		}
 		path = path[:dot]
 	}
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// An operator makes a mistake in a file. The error is one line that names its place, whether the library, a key without a
-// field or the caller finds it.
+// An error in a file is reported in one line with its position, whether it comes from the library, from a key without a
+// field or from the caller.
 func TestErrorPositions(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"unknown key":      {"name = 'a'\nnames = 'b'\n", "f.toml:2:1: unknown key names"},
