--- a/internal/acme/client.go
+++ b/internal/acme/client.go
@@ -27,7 +27,7 @@
 	// callTimeout bounds a call.
 	callTimeout = 30 * time.Second
 
-	// idleConnTimeout is how long a connection to an authority stays open without a call.
+	// idleConnTimeout is the time after which an idle connection to an authority is closed.
 	idleConnTimeout = 10 * time.Second
 
 	// maxNonceRetries is the number of immediate retries of a call whose nonce was rejected.
--- a/internal/acme/process_test.go
+++ b/internal/acme/process_test.go
@@ -136,7 +136,7 @@
 			text, err = run()
 			require.NoError(t, err, text)
 			maxOrders := 1
-			if step == "ordered" { // its URL is lost with the process: the authority alone knows of that order
+			if step == "ordered" { // the URL is lost with the process: only the authority knows that order
 				maxOrders = 2
 			}
 			assert.LessOrEqual(t, f.authority.OrderCount(), maxOrders)
--- a/internal/acme/store.go
+++ b/internal/acme/store.go
@@ -30,7 +30,7 @@
 	lockFile        = "lock"       // contains its holder's process ID
 	stateFile       = "state.json" // certs.State
 	namesDir        = "names"      // a directory for each certificate, with certificateFile and orderKeyName
-	certificateFile = "served.pem" // the chain that is served, and its key
+	certificateFile = "served.pem" // the served chain and its key
 	orderKeyName    = "order.key"  // the open order's key
 	answersDir      = "open"       // answers to challenges, for instances that do not order
 )
--- a/internal/certs/scheduler_test.go
+++ b/internal/certs/scheduler_test.go
@@ -56,7 +56,7 @@
 	assert.InDelta(t, now+11*day, scheduler.RenewAt("a"), day, "the authority's window comes first")
 }
 
-// Whatever fails, the retry comes after a wait that is as long as the authority asks for, and an open order continues.
+// After any failure the retry waits at least as long as the authority requests, and an open order continues.
 func TestRetryAfterFailure(t *testing.T) {
 	now := 1e12
 	for name, test := range map[string]struct {
--- a/internal/certs/state.go
+++ b/internal/certs/state.go
@@ -6,7 +6,7 @@
 	Serial    string  `json:"serial"`
 	NotBefore float64 `json:"not_before"`
 	NotAfter  float64 `json:"not_after"`
-	Authority int     `json:"authority"` // that issued it
+	Authority int     `json:"authority"` // index of the authority that issued it
 
 	// The window that the authority suggests for the renewal (RFC 9773, 4.2); empty if there is none.
 	WindowStart float64 `json:"window_from,omitempty"`
@@ -26,7 +26,7 @@
 type NameState struct {
 	Certificate   *Certificate `json:"held,omitempty"`
 	Order         *Order       `json:"order,omitempty"`
-	Failures      int          `json:"failures,omitempty"` // in a row
+	Failures      int          `json:"failures,omitempty"` // consecutive
 	RetryAt       float64      `json:"next_at,omitempty"`  // no order before then
 	RenewalInfoAt float64      `json:"info_at,omitempty"`  // no fetch of renewal information before then
 	LastFailure   string       `json:"fault,omitempty"`
@@ -48,5 +48,5 @@
 type State struct {
 	Names       map[string]*NameState `json:"names"`
 	Authorities []AuthorityState      `json:"authorities"`
-	OrderTimes  []float64             `json:"orders"` // of the orders within the hour
+	OrderTimes  []float64             `json:"orders"` // creation times of the orders in the last hour
 }
