--- a/cmd/pearknot-lab/rollingchange.go
+++ b/cmd/pearknot-lab/rollingchange.go
@@ -40,7 +40,7 @@
 	agent          *testAgent
 	experiment     *experiment.Experiment
 	maxUnavailable int
-	declared       agent.Write // the instances, as they are declared first
+	declared       agent.WriteRequest // the instances, as they are declared first
 	outcome        rollingChangeOutcome
 	changed        chan error // gets the rolling change's result
 }
@@ -64,7 +64,7 @@
 		agent:          hostAgent,
 		experiment:     e,
 		maxUnavailable: maxUnavailable,
-		declared: agent.Write{
+		declared: agent.WriteRequest{
 			Command: "apply",
 			Configs: map[string]string{},
 			Options: &fleet.Options{MaxUnavailable: unlimitedUnavailable},
@@ -153,7 +153,7 @@
 // stop stops all instances and then the agent. If the agent refuses to stop the instances there are none.
 func (a *testAgent) stop() error {
 	var err error
-	write := agent.Write{Command: "stop", Options: &fleet.Options{MaxUnavailable: unlimitedUnavailable}}
+	write := agent.WriteRequest{Command: "stop", Options: &fleet.Options{MaxUnavailable: unlimitedUnavailable}}
 	if a.write(write) == nil {
 		err = a.waitForChange()
 	}
@@ -162,7 +162,7 @@
 }
 
 // change makes a change of the fleet and waits until it has succeeded.
-func (a *testAgent) change(write agent.Write) error {
+func (a *testAgent) change(write agent.WriteRequest) error {
 	if err := a.write(write); err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 }
 
 // write sends a change, made from the fleet's current revision.
-func (a *testAgent) write(write agent.Write) error {
+func (a *testAgent) write(write agent.WriteRequest) error {
 	var view agent.View
 	if err := a.client.Call(a.ctx, http.MethodGet, agent.FleetPath, nil, &view); err != nil {
 		return err
--- a/cmd/pearknot/agent.go
+++ b/cmd/pearknot/agent.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return cli.UsageError(err)
 	}
-	if options.OnPoint, err = agent.KillAt(os.Getenv(agent.KillVariable)); err != nil {
+	if options.OnCrashPoint, err = agent.ParseCrashPoint(os.Getenv(agent.CrashPointVariable)); err != nil {
 		return cli.UsageError(err)
 	}
 	log := slog.New(slog.NewTextHandler(command.ErrOrStderr(), &slog.HandlerOptions{Level: f.logLevel}))
--- a/cmd/pearknot/fleet.go
+++ b/cmd/pearknot/fleet.go
@@ -181,7 +181,7 @@
 		return err
 	}
 	return t.show(command, logs, func(out io.Writer) {
-		for _, line := range append(logs.Lines, logs.Out...) {
+		for _, line := range append(logs.Lines, logs.Output...) {
 			fmt.Fprintln(out, line)
 		}
 	})
--- a/cmd/pearknot/fleetchange.go
+++ b/cmd/pearknot/fleetchange.go
@@ -51,7 +51,7 @@
 }
 
 // write sends a change and, with --wait, waits for its end.
-func (t *fleetTool) write(command *cobra.Command, write agent.Write) error {
+func (t *fleetTool) write(command *cobra.Command, write agent.WriteRequest) error {
 	ctx := command.Context()
 	view, err := t.view(ctx)
 	if err != nil {
@@ -62,14 +62,14 @@
 	if t.revision >= 0 {
 		write.Revision = uint64(t.revision)
 	}
-	var written agent.Written
+	var written agent.WriteResponse
 	err = t.client().Call(ctx, http.MethodPost, agent.WritePath, write, &written)
 	var refused *controlsocket.ResponseError
 	if errors.As(err, &refused) {
 		switch refused.Status {
 		case http.StatusConflict:
 			return &cli.Error{Status: cli.StatusCheckFailed, Err: err}
-		case agent.NothingToChange:
+		case agent.StatusNothingToChange:
 			fmt.Fprintln(command.OutOrStdout(), "nothing to change")
 			return nil
 		}
@@ -139,7 +139,7 @@
 			if err != nil {
 				return cli.UsageError(err)
 			}
-			return t.write(command, agent.Write{Command: "apply", Instances: instances, Configs: configs})
+			return t.write(command, agent.WriteRequest{Command: "apply", Instances: instances, Configs: configs})
 		},
 	})
 }
@@ -150,7 +150,7 @@
 		Use:   verb + " [NAME ...]",
 		Short: strings.ToUpper(verb[:1]) + verb[1:] + " instances, all where none is named",
 		RunE: func(command *cobra.Command, args []string) error {
-			return t.write(command, agent.Write{Command: verb, Names: args})
+			return t.write(command, agent.WriteRequest{Command: verb, Names: args})
 		},
 	})
 }
@@ -171,7 +171,7 @@
 	if err != nil {
 		return cli.UsageError(err)
 	}
-	write := agent.Write{Command: "reconfigure", Configs: map[string]string{}}
+	write := agent.WriteRequest{Command: "reconfigure", Configs: map[string]string{}}
 	for _, name := range names {
 		index := slices.IndexFunc(instances, func(instance fleet.Instance) bool { return instance.Name == name })
 		if index < 0 {
@@ -191,7 +191,7 @@
 		Short: "Roll back the change in progress, or go back to a generation",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			return t.write(command, agent.Write{Command: "rollback", To: generation})
+			return t.write(command, agent.WriteRequest{Command: "rollback", To: generation})
 		},
 	})
 	command.Flags().Uint64Var(&generation, "to", 0, "a stored generation: see history")
--- a/cmd/pearknot/tls_test.go
+++ b/cmd/pearknot/tls_test.go
@@ -267,5 +267,5 @@
 	put("fleet.toml", "[[instance]]\nname = 'i1'\nconfig = 'node.json'\ntls_listen = 'x'\n")
 	status, text = runProgram("fleet", "--socket", socket, "apply", fleetFile, "--reason", "odd")
 	assert.Equal(t, 2, status, text)
-	assert.Contains(t, text, "fleet.toml:4:1: instance.0.tls_listen: goes with tls")
+	assert.Contains(t, text, "fleet.toml:4:1: instance.0.tls_listen: requires tls")
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,4 +1,4 @@
-// Package agent looks after the instances of the program on one host. It carries out what internal/fleet decides,
+// Package agent supervises the instances of the program on one host. It executes the steps that internal/fleet plans,
 // stores the state, and serves the API that operators call. Instances outlive the agent; the next one finds them by
 // their locks and adopts them.
 package agent
@@ -31,11 +31,11 @@
 	CallTimeout       time.Duration // for an instance's answer on its control socket
 	CheckLists        bool          // compare instances' endpoint lists with their sources
 	ListCheckInterval time.Duration
-	OnPoint           func(name string) // called at the named points of a change, see Points; nil but in tests
+	OnCrashPoint      func(name string) // called at each of CrashPoints; nil except in tests
 }
 
-// Agent is an actor: the goroutine of Run alone uses the fields from store to writeError. Others reach it by onActor; done and
-// probes may be used by any goroutine.
+// Agent is an actor: only the goroutine of Run uses the fields from store to writeError, and other goroutines go
+// through onActor. Any goroutine may use done and probes.
 type Agent struct {
 	options Options
 	clock   *clock.Clock
@@ -56,8 +56,8 @@
 
 // New opens the stored state of a directory. Nothing is started or observed before Run.
 func New(options Options, log *slog.Logger) (*Agent, error) {
-	if options.OnPoint == nil {
-		options.OnPoint = func(string) {}
+	if options.OnCrashPoint == nil {
+		options.OnCrashPoint = func(string) {}
 	}
 	if err := makeDirectories(options.Dir); err != nil {
 		return nil, err
@@ -95,10 +95,10 @@
 	return nil
 }
 
-// now is the agent's clock, in Unix ms.
+// now returns the agent's time, in Unix ms.
 func (a *Agent) now() float64 { return a.clock.Now() }
 
-// Run serves the API and looks after the instances until ctx ends. The instances go on running.
+// Run serves the API and supervises the instances until ctx ends. The instances keep running after it returns.
 func (a *Agent) Run(ctx context.Context) error {
 	listener, err := controlsocket.Listen(a.options.Socket)
 	if err != nil {
@@ -145,7 +145,7 @@
 	case <-done:
 		return nil
 	case <-a.done:
-		return errors.New("the agent ends")
+		return errors.New("agent is shutting down")
 	case <-ctx.Done():
 		return ctx.Err()
 	}
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -22,7 +22,7 @@
 	LogsPath    = "/v1/logs"
 )
 
-// View is the fleet as the agent knows it: what is declared, what was observed, and when. Its JSON keeps the names
+// View holds the fleet as the agent knows it: what is declared, what was observed, and when. Its JSON keeps the names
 // of earlier versions.
 type View struct {
 	Revision   uint64         `json:"revision"`
@@ -35,7 +35,7 @@
 	Rolling    fleet.Options  `json:"rolling"`          // the options of a change that gives none
 }
 
-// InstanceView is one instance in a View.
+// InstanceView holds one instance of a View.
 type InstanceView struct {
 	Name           string                `json:"name"`
 	Declared       *fleet.Instance       `json:"declared,omitempty"`
@@ -46,21 +46,21 @@
 	LastFailure    string                `json:"latest_fault,omitempty"`
 }
 
-// Write is a change that an operator asks for.
-type Write struct {
-	Revision  uint64            `json:"revision"` // that the change is based on
+// WriteRequest holds a change that an operator requests.
+type WriteRequest struct {
+	Revision  uint64            `json:"revision"` // the one that the change is based on
 	Command   string            `json:"what"`     // apply, start, stop, restart, reconfigure, rollback
 	Reason    string            `json:"reason"`
 	Instances []fleet.Instance  `json:"instances,omitempty"` // apply: all; reconfigure: those that change
 	Configs   map[string]string `json:"configs,omitempty"`   // texts, by name of the instance
-	Names     []string          `json:"names,omitempty"`     // start, stop, restart; none is all
+	Names     []string          `json:"names,omitempty"`     // start, stop, restart; all instances if empty
 	To        uint64            `json:"to,omitempty"`        // rollback: the generation; 0 for the change in progress
 	Options   *fleet.Options    `json:"options,omitempty"`
 	DryRun    bool              `json:"dry_run,omitempty"`
 }
 
-// Written answers a Write.
-type Written struct {
+// WriteResponse holds the result of a WriteRequest.
+type WriteResponse struct {
 	Revision  uint64       `json:"revision"`
 	Change    fleet.Change `json:"change"`
 	Instances []string     `json:"differs"` // the instances that it changes
@@ -138,23 +138,23 @@
 		case <-next:
 		case <-ctx.Done():
 		case <-a.done:
-			controlsocket.WriteError(w, http.StatusServiceUnavailable, "the agent ends")
+			controlsocket.WriteError(w, http.StatusServiceUnavailable, "agent is shutting down")
 			return
 		}
 	}
 }
 
-// postWrite takes an operator's change. Its status says why it was refused.
+// postWrite applies an operator's change. The HTTP status of a refused one tells the cause.
 func (a *Agent) postWrite(w http.ResponseWriter, r *http.Request) {
-	var write Write
+	var write WriteRequest
 	if err := controlsocket.DecodeBody(r, &write); err != nil {
 		controlsocket.WriteError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	author := author(controlsocket.CallerOf(r.Context()))
-	var written Written
+	var response WriteResponse
 	var err error
-	if actorErr := a.onActor(r.Context(), func() { written, err = a.applyWrite(write, author) }); actorErr != nil {
+	if actorErr := a.onActor(r.Context(), func() { response, err = a.applyWrite(write, author) }); actorErr != nil {
 		controlsocket.WriteError(w, http.StatusServiceUnavailable, actorErr.Error())
 		return
 	}
@@ -162,11 +162,11 @@
 	var busy *fleet.BusyError
 	switch {
 	case err == nil:
-		controlsocket.WriteJSON(w, http.StatusOK, written)
+		controlsocket.WriteJSON(w, http.StatusOK, response)
 	case errors.As(err, &conflict), errors.As(err, &busy):
 		controlsocket.WriteError(w, http.StatusConflict, err.Error())
 	case errors.Is(err, fleet.ErrNoChange):
-		controlsocket.WriteError(w, NothingToChange, err.Error())
+		controlsocket.WriteError(w, StatusNothingToChange, err.Error())
 	case errors.Is(err, errStateNotWritten):
 		controlsocket.WriteError(w, http.StatusInsufficientStorage, err.Error())
 	default:
@@ -174,10 +174,10 @@
 	}
 }
 
-// NothingToChange is the status of a write that would change nothing.
-const NothingToChange = http.StatusPreconditionFailed
+// StatusNothingToChange is the HTTP status of a write that would change nothing.
+const StatusNothingToChange = http.StatusPreconditionFailed
 
-// errStateNotWritten refuses a write that could not be stored. Nothing is changed by it.
+// errStateNotWritten is returned for a write that could not be stored. Such a write changes nothing.
 var errStateNotWritten = errors.New("state can't be written")
 
 // author returns the caller's user name, or its uid if the system knows no name.
@@ -189,10 +189,10 @@
 	return "uid " + id
 }
 
-// applyWrite takes an operator's change. The change is durable before it is answered and before its first step.
-func (a *Agent) applyWrite(write Write, author string) (Written, error) {
+// applyWrite applies an operator's change. The change is durable before the response and before its first step.
+func (a *Agent) applyWrite(write WriteRequest, author string) (WriteResponse, error) {
 	if write.Reason == "" {
-		return Written{}, errors.New("give a reason")
+		return WriteResponse{}, errors.New("no reason given")
 	}
 	options := a.options.Rolling
 	if write.Options != nil {
@@ -201,7 +201,7 @@
 	before := a.fleet.CopyState()
 	set, err := a.declaredSet(write)
 	if err != nil {
-		return Written{}, err
+		return WriteResponse{}, err
 	}
 	var change fleet.Change
 	if write.Command == "rollback" && write.To == 0 {
@@ -215,28 +215,28 @@
 		change, err = a.fleet.Propose(a.now(), write.Revision, set, proposed)
 	}
 	if err != nil {
-		return Written{}, err
+		return WriteResponse{}, err
 	}
-	written := Written{Revision: a.fleet.Revision, Change: change, Instances: slices.Clone(change.Order)}
+	response := WriteResponse{Revision: a.fleet.Revision, Change: change, Instances: slices.Clone(change.Order)}
 	if write.DryRun {
 		a.fleet.RestoreState(before)
-		return written, nil
+		return response, nil
 	}
-	a.options.OnPoint("proposed")
+	a.options.OnCrashPoint("proposed")
 	if !a.save() {
 		a.fleet.RestoreState(before)
-		return Written{}, fmt.Errorf("%w: %w", errStateNotWritten, a.writeError)
+		return WriteResponse{}, fmt.Errorf("%w: %w", errStateNotWritten, a.writeError)
 	}
-	a.options.OnPoint("planned")
+	a.options.OnCrashPoint("planned")
 	a.log.Info("change", "id", change.ID, "what", change.Command, "author", author, "reason", write.Reason,
 		"instances", len(change.Order))
 	a.removeUnusedConfigs()
 	a.scheduleRound()
-	return written, nil
+	return response, nil
 }
 
 // declaredSet returns the set of instances that a write asks for.
-func (a *Agent) declaredSet(write Write) (fleet.Set, error) {
+func (a *Agent) declaredSet(write WriteRequest) (fleet.Set, error) {
 	current := a.fleet.Current().Set.Clone()
 	switch write.Command {
 	case "apply":
@@ -259,11 +259,11 @@
 }
 
 // appliedSet returns the instances of an apply, which declares all that are to exist.
-func (a *Agent) appliedSet(write Write) (fleet.Set, error) {
+func (a *Agent) appliedSet(write WriteRequest) (fleet.Set, error) {
 	set := fleet.Set{}
 	for _, instance := range write.Instances {
-		if _, isTwice := set[instance.Name]; isTwice {
-			return nil, fmt.Errorf("instance %s declared twice", instance.Name)
+		if _, isDuplicate := set[instance.Name]; isDuplicate {
+			return nil, fmt.Errorf("instance %s: declared twice", instance.Name)
 		}
 		if err := a.declare(set, instance, write.Configs); err != nil {
 			return nil, err
@@ -273,10 +273,10 @@
 }
 
 // reconfigure replaces declared instances in a set.
-func (a *Agent) reconfigure(set fleet.Set, write Write) error {
+func (a *Agent) reconfigure(set fleet.Set, write WriteRequest) error {
 	for _, instance := range write.Instances {
 		if _, isDeclared := a.fleet.Current().Set[instance.Name]; !isDeclared {
-			return fmt.Errorf("instance %s is not declared", instance.Name)
+			return fmt.Errorf("instance %s: not declared", instance.Name)
 		}
 		if err := a.declare(set, instance, write.Configs); err != nil {
 			return err
@@ -285,11 +285,12 @@
 	return nil
 }
 
-// declare adds an instance to a set, with its stored configuration and with the restarts that were asked for so far.
+// declare adds an instance to a set, with the digest of its stored configuration and with the number of restarts that
+// were asked for so far.
 func (a *Agent) declare(set fleet.Set, instance fleet.Instance, configs map[string]string) error {
 	text, ok := configs[instance.Name]
 	if !ok {
-		return fmt.Errorf("instance %s: no text of its configuration", instance.Name)
+		return fmt.Errorf("instance %s: no configuration given", instance.Name)
 	}
 	digest, err := a.storeConfig(text)
 	if err != nil {
@@ -300,8 +301,8 @@
 	return nil
 }
 
-// setDesiredState carries out start, stop and restart on the named instances of a set, or on all.
-func setDesiredState(set fleet.Set, write Write) error {
+// setDesiredState applies start, stop or restart to the named instances of a set, or to all if none is named.
+func setDesiredState(set fleet.Set, write WriteRequest) error {
 	names := write.Names
 	if len(names) == 0 {
 		names = set.Names()
@@ -309,7 +310,7 @@
 	for _, name := range names {
 		instance, ok := set[name]
 		if !ok {
-			return fmt.Errorf("instance %s is not declared", name)
+			return fmt.Errorf("instance %s: not declared", name)
 		}
 		instance.Desired = fleet.Running
 		switch write.Command {
@@ -323,7 +324,7 @@
 	return nil
 }
 
-// What an answer holds if the caller gives no number: a terminal's height.
+// Number of entries in a response if the caller asks for no number: about the height of a terminal.
 const (
 	defaultHistory  = 20 // changes
 	defaultLogLines = 50
@@ -357,10 +358,10 @@
 	controlsocket.WriteJSON(w, http.StatusOK, history)
 }
 
-// Logs are the last lines of an instance's log.
+// Logs holds the last lines of an instance's log.
 type Logs struct {
-	Lines []string `json:"lines"`
-	Out   []string `json:"standard_output,omitempty"` // what it wrote to its standard output and error
+	Lines  []string `json:"lines"`
+	Output []string `json:"standard_output,omitempty"` // standard output and standard error
 }
 
 // getLogs answers with the last lines of an instance's log and output, defaultLogLines if no number is given.
@@ -376,7 +377,7 @@
 		return
 	}
 	if !known {
-		controlsocket.WriteError(w, http.StatusNotFound, fmt.Sprintf("instance %s is not known", name))
+		controlsocket.WriteError(w, http.StatusNotFound, fmt.Sprintf("instance %s: not found", name))
 		return
 	}
 	files := instanceFiles{a.options.Dir, name}
@@ -384,6 +385,6 @@
 	if logs.Lines, err = tail(files.logFile(), lines); err != nil {
 		logs.Lines = nil
 	}
-	logs.Out, _ = tail(files.outputFile(), lines)
+	logs.Output, _ = tail(files.outputFile(), lines)
 	controlsocket.WriteJSON(w, http.StatusOK, logs)
 }
--- a/internal/agent/rig_test.go
+++ b/internal/agent/fixture_test.go
@@ -29,8 +29,7 @@
 	"pearknot/internal/serve"
 )
 
-// TestMain lets the test's own program be an agent, and a stand-in for an instance that behaves as its configuration
-// says.
+// TestMain also runs the test binary as an agent, or as a simulated instance that behaves as its configuration says.
 func TestMain(m *testing.M) {
 	switch {
 	case len(os.Args) > 1 && os.Args[1] == "serve":
@@ -38,7 +37,7 @@
 	case len(os.Args) > 2 && os.Args[1] == "agent":
 		options, err := ReadOptions(os.Args[2])
 		if err == nil {
-			options.OnPoint, err = KillAt(os.Getenv(KillVariable))
+			options.OnCrashPoint, err = ParseCrashPoint(os.Getenv(CrashPointVariable))
 		}
 		signal.Ignore(syscall.SIGXFSZ) // so that a write beyond the file size limit fails, as on a full disk
 		var agent *Agent
@@ -69,10 +68,10 @@
 	os.Exit(status)
 }
 
-// nodeProgram is the path of the real node, as TestMain has built it.
+// nodeProgram is the path of the real node's program, which TestMain builds.
 var nodeProgram string
 
-// simulatedInstance is an instance without a data path: it has its lock and control socket, and behaves as its
+// simulatedInstance runs an instance without a data path: it has its lock and control socket, and behaves as its
 // configuration says.
 func simulatedInstance(args []string) int {
 	flags := map[string]string{}
@@ -149,8 +148,8 @@
 	return 0
 }
 
-// agentRig is an agent's directory with the agent as a process of its own.
-type agentRig struct {
+// agentFixture holds an agent's directory and the agent, which runs as a process of its own.
+type agentFixture struct {
 	t         *testing.T
 	dir       string
 	file      string
@@ -160,18 +159,18 @@
 	client    *controlsocket.Client
 }
 
-// newRig returns a rig whose agent runs a program as its instances; extra is added to the agent's file.
-func newRig(t *testing.T, binary, extra string) *agentRig {
+// newFixture returns a fixture whose agent runs a program as its instances; extra is added to the agent's file.
+func newFixture(t *testing.T, binary, extra string) *agentFixture {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "pk") // short: a socket's path is bounded
 	require.NoError(t, err)
-	rig := &agentRig{
+	fixture := &agentFixture{
 		t:      t,
 		dir:    dir,
 		file:   filepath.Join(dir, "agent.toml"),
 		client: controlsocket.NewClient(filepath.Join(dir, "agent.sock"), 20*time.Second),
 	}
-	require.NoError(t, os.WriteFile(rig.file, fmt.Appendf(nil, `dir = %q
+	require.NoError(t, os.WriteFile(fixture.file, fmt.Appendf(nil, `dir = %q
 binary = [%q]
 [rolling]
 health_ms = 100
@@ -182,13 +181,13 @@
 start_within_ms = 3000
 %s`, dir, binary, extra), 0o600))
 	t.Cleanup(func() {
-		rig.stop()
-		for _, pid := range rig.processIDs("") {
+		fixture.stop()
+		for _, pid := range fixture.processIDs("") {
 			_ = syscall.Kill(pid, syscall.SIGKILL)
 		}
 		_ = os.RemoveAll(dir)
 	})
-	return rig
+	return fixture
 }
 
 // testProgram returns the path of the test's own program, see TestMain.
@@ -200,67 +199,67 @@
 }
 
 // start starts the agent, to be killed at a point if one is given, and waits until it answers.
-func (r *agentRig) start(killAt string) {
-	r.t.Helper()
-	r.agent = exec.Command(testProgram(r.t), "agent", r.file)
-	r.agent.Env = append(os.Environ(), KillVariable+"="+killAt)
-	log, err := os.OpenFile(filepath.Join(r.dir, "agent.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	require.NoError(r.t, err)
+func (f *agentFixture) start(killAt string) {
+	f.t.Helper()
+	f.agent = exec.Command(testProgram(f.t), "agent", f.file)
+	f.agent.Env = append(os.Environ(), CrashPointVariable+"="+killAt)
+	log, err := os.OpenFile(filepath.Join(f.dir, "agent.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	require.NoError(f.t, err)
 	defer log.Close()
-	r.agent.Stderr = log
-	require.NoError(r.t, r.agent.Start())
+	f.agent.Stderr = log
+	require.NoError(f.t, f.agent.Start())
 	ended := make(chan error, 1)
-	r.exited = ended
-	go func(command *exec.Cmd) { ended <- command.Wait() }(r.agent)
-	require.Eventually(r.t, func() bool {
-		_, err := r.view()
+	f.exited = ended
+	go func(command *exec.Cmd) { ended <- command.Wait() }(f.agent)
+	require.Eventually(f.t, func() bool {
+		_, err := f.view()
 		return err == nil
 	}, 10*time.Second, 5*time.Millisecond)
 }
 
 // stop ends the agent, if it runs, and waits for it.
-func (r *agentRig) stop() {
-	if r.agent != nil {
-		_ = r.agent.Process.Signal(syscall.SIGTERM)
-		if err := <-r.exited; err != nil {
-			r.t.Logf("the agent ended with %v", err)
+func (f *agentFixture) stop() {
+	if f.agent != nil {
+		_ = f.agent.Process.Signal(syscall.SIGTERM)
+		if err := <-f.exited; err != nil {
+			f.t.Logf("agent exited: %v", err)
 		}
-		r.agent = nil
+		f.agent = nil
 	}
 }
 
 // view asks the agent for the fleet.
-func (r *agentRig) view() (view View, err error) {
+func (f *agentFixture) view() (view View, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	err = r.client.Call(ctx, http.MethodGet, FleetPath, nil, &view)
+	err = f.client.Call(ctx, http.MethodGet, FleetPath, nil, &view)
 	return view, err
 }
 
 // write sends a change, from the current revision and with a reason if it has none.
-func (r *agentRig) write(write Write) (Written, error) {
+func (f *agentFixture) write(write WriteRequest) (WriteResponse, error) {
 	if write.Revision == 0 {
-		view, err := r.view()
+		view, err := f.view()
 		if err != nil {
-			return Written{}, err
+			return WriteResponse{}, err
 		}
 		write.Revision = view.Revision
 	}
 	if write.Reason == "" {
 		write.Reason = "test"
 	}
-	var written Written
-	err := r.client.Call(r.t.Context(), http.MethodPost, WritePath, write, &written)
+	var written WriteResponse
+	err := f.client.Call(f.t.Context(), http.MethodPost, WritePath, write, &written)
 	return written, err
 }
 
 // waitFor returns the first view for which a condition holds, and fails the test after a time.
-func (r *agentRig) waitFor(timeout time.Duration, condition string, holds func(View) bool) (view View) {
-	r.t.Helper()
+func (f *agentFixture) waitFor(timeout time.Duration, condition string, holds func(View) bool) (view View) {
+	f.t.Helper()
 	hasHeld := false
 	for startedAt := time.Now(); time.Since(startedAt) < timeout; {
 		var err error
-		if view, err = r.view(); err == nil && holds(view) {
+		if view, err = f.view(); err == nil && holds(view) {
 			hasHeld = true
 			break
 		}
@@ -268,8 +267,8 @@
 	}
 	if !hasHeld {
 		data, _ := json.MarshalIndent(view, "", " ")
-		log, _ := tail(filepath.Join(r.dir, "agent.log"), 40)
-		r.t.Fatalf("not within %v: %s\n%s\n%s", timeout, condition, data, strings.Join(log, "\n"))
+		log, _ := tail(filepath.Join(f.dir, "agent.log"), 40)
+		f.t.Fatalf("not within %v: %s\n%s\n%s", timeout, condition, data, strings.Join(log, "\n"))
 	}
 	return view
 }
@@ -289,8 +288,8 @@
 
 // processIDs returns the ids of an instance's processes, found by their command lines; of all instances if name is
 // empty.
-func (r *agentRig) processIDs(name string) (ids []int) {
-	want := filepath.Join(r.dir, "run", name)
+func (f *agentFixture) processIDs(name string) (ids []int) {
+	want := filepath.Join(f.dir, "run", name)
 	if name != "" {
 		want += ".sock"
 	}
@@ -305,10 +304,10 @@
 }
 
 // processCounts returns how many processes each instance has now.
-func (r *agentRig) processCounts() map[string]int {
+func (f *agentFixture) processCounts() map[string]int {
 	counts := map[string]int{}
 	paths, _ := filepath.Glob("/proc/[0-9]*/cmdline")
-	run := filepath.Join(r.dir, "run") + "/"
+	run := filepath.Join(f.dir, "run") + "/"
 	for _, path := range paths {
 		line, err := os.ReadFile(path)
 		if err != nil {
@@ -324,13 +323,13 @@
 
 // watchForDoubleStarts watches, until the function that it returns is called, for instances that have more than one
 // process. That function returns their names.
-func (r *agentRig) watchForDoubleStarts() (end func() map[string]bool) {
+func (f *agentFixture) watchForDoubleStarts() (end func() map[string]bool) {
 	done := make(chan struct{})
 	var watcher sync.WaitGroup
 	startedTwice := map[string]bool{}
 	watcher.Go(func() {
 		for {
-			for name, count := range r.processCounts() {
+			for name, count := range f.processCounts() {
 				if count > 1 {
 					startedTwice[name] = true
 				}
@@ -349,10 +348,10 @@
 	}
 }
 
-// applyOf returns a write that declares simulated instances with a behaviour each. The mark makes configurations
-// differ.
-func applyOf(names []string, behaviour func(string) string, mark string) Write {
-	write := Write{Command: "apply", Configs: map[string]string{}}
+// newApplyRequest returns a write that declares simulated instances with a behaviour each. The mark makes
+// configurations differ.
+func newApplyRequest(names []string, behaviour func(string) string, mark string) WriteRequest {
+	write := WriteRequest{Command: "apply", Configs: map[string]string{}}
 	for index, name := range names {
 		instance := fleet.Instance{
 			Name:      name,
@@ -367,14 +366,14 @@
 	return write
 }
 
-// newRunningRig returns a rig whose agent runs count instances.
-func newRunningRig(t *testing.T, count int, extra string) (*agentRig, View) {
+// newRunningFixture returns a fixture whose agent runs count instances.
+func newRunningFixture(t *testing.T, count int, extra string) (*agentFixture, View) {
 	t.Helper()
-	rig := newRig(t, testProgram(t), extra)
-	rig.start("")
-	_, err := rig.write(applyOf(instanceNames(count), wellBehaved, "a"))
+	fixture := newFixture(t, testProgram(t), extra)
+	fixture.start("")
+	_, err := fixture.write(newApplyRequest(instanceNames(count), wellBehaved, "a"))
 	require.NoError(t, err)
-	return rig, rig.waitFor(10*time.Second, "all run", isSettled)
+	return fixture, fixture.waitFor(10*time.Second, "all run", isSettled)
 }
 
 // wellBehaved is the behaviour of instances that serve until SIGTERM.
@@ -388,9 +387,10 @@
 	return names
 }
 
-// realNodes declares instances that run the real nodeProgram, each at an address of its own, and a list for them.
-func (r *agentRig) realNodes(names []string) Write {
-	t := r.t
+// newRealNodeRequest returns a write that declares instances that run the real nodeProgram, each at an address of its
+// own, and serves an endpoint list for them.
+func (f *agentFixture) newRealNodeRequest(names []string) WriteRequest {
+	t := f.t
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		if request.URL.Query().Get("from") != "" {
@@ -402,14 +402,14 @@
 			return
 		}
 		uid := "s-1"
-		if r.otherList.Load() && request.UserAgent() != "" { // an agent's call: nodes have no such header
+		if f.otherList.Load() && request.UserAgent() != "" { // an agent's call: nodes have no such header
 			uid = "s-2"
 		}
 		fmt.Fprintf(response, `{"rev":41,"all":true,"targets":[{"uid":%q,"endpoint":"127.0.0.1:1","az":"a","model":"m",`+
 			`"pod_group":0,"state":"up","capacity_hint":1,"boot_ms":0}]}`, uid)
 	}))
 	t.Cleanup(server.Close)
-	write := Write{Command: "apply", Configs: map[string]string{}}
+	write := WriteRequest{Command: "apply", Configs: map[string]string{}}
 	for index, name := range names {
 		// An address that no outgoing connection is given, so that the port stays free between two runs.
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 100+os.Getpid()%100, os.Getpid()/100%250, index+1))
@@ -429,7 +429,7 @@
 	return write
 }
 
-// settings are the settings of the real nodes.
+// settings is the settings document of the real nodes.
 const settings = `{"az":0,"balancers":1,"benefitBy":"request","bounds":{"cancel":true,"connIdle":15000,"connectTimeout":250,
 "mostHeld":20000,"mostPushes":3,"retryAfter":true,"maxRetryAfter":2000,"secondCopies":true},"categories":[
 {"benefit":1,"idempotency":"pure","name":"check","overdueBenefit":0.2,"targetLatency":500,"ttl":1000}],
--- a/internal/agent/fleetfile.go
+++ b/internal/agent/fleetfile.go
@@ -12,28 +12,28 @@
 	"pearknot/internal/tomlfile"
 )
 
-// fleetFile is deploy/fleet.toml.
+// fleetFile holds the declarations of deploy/fleet.toml.
 type fleetFile struct {
 	Instance []instanceEntry `toml:"instance"`
 }
 
 // instanceEntry declares an instance. Values other than Name and Config replace those of the configuration file.
 type instanceEntry struct {
-	Name     string  `toml:"name"`
-	Config   string  `toml:"config"` // the configuration file
-	State    string  `toml:"state"`  // running, which is the default, or stopped
-	Listen   string  `toml:"listen"`
-	List     string  `toml:"list"` // address of the endpoint list's source
-	Cores    float64 `toml:"cores"`
-	MemoryMB float64 `toml:"memory_mb"`
-	Sockets  int     `toml:"sockets"`
-	TLS      string  `toml:"tls"`        // a tls.toml
-	TLSAt    string  `toml:"tls_listen"` // replaces the listen of that file
-	Edge     string  `toml:"edge"`       // an edge.toml
+	Name        string  `toml:"name"`
+	Config      string  `toml:"config"` // the configuration file
+	State       string  `toml:"state"`  // running, which is the default, or stopped
+	Listen      string  `toml:"listen"`
+	ListAddress string  `toml:"list"` // address of the endpoint list's source
+	Cores       float64 `toml:"cores"`
+	MemoryMB    float64 `toml:"memory_mb"`
+	Sockets     int     `toml:"sockets"`
+	TLS         string  `toml:"tls"`        // a tls.toml
+	TLSListen   string  `toml:"tls_listen"` // replaces the listen of that file
+	Edge        string  `toml:"edge"`       // an edge.toml
 }
 
 // ReadFleet reads the file in which an operator declares instances. It returns them, and for each the text of its
-// configuration: its configuration file with the values from here in place of those there.
+// configuration: its configuration file, with the values from the fleet file in place of those there.
 func ReadFleet(name string) (instances []fleet.Instance, configs map[string]string, err error) {
 	var file fleetFile
 	positions, err := tomlfile.Read(name, &file)
@@ -59,13 +59,13 @@
 	return instances, configs, nil
 }
 
-// validate refuses an entry that lacks something, has values out of range, or has the name of one before it. The
-// prefix is that of the entry's keys.
+// validate refuses an entry that lacks a required value, has values out of range, or has the name of an earlier
+// entry. The prefix is that of the entry's keys.
 func (e *instanceEntry) validate(positions *tomlfile.File, prefix string, earlier map[string]string) error {
 	if e.Name == "" {
 		return positions.Errorf(prefix+"name", "none given")
 	}
-	if _, isTwice := earlier[e.Name]; isTwice {
+	if _, isDuplicate := earlier[e.Name]; isDuplicate {
 		return positions.Errorf(prefix+"name", "%s declared twice", e.Name)
 	}
 	if e.Config == "" {
@@ -93,8 +93,8 @@
 			return fleet.Instance{}, "", positions.Errorf(prefix+key, "%v", err)
 		}
 	}
-	if e.TLS == "" && e.TLSAt != "" {
-		return fleet.Instance{}, "", positions.Errorf(prefix+"tls_listen", "goes with tls")
+	if e.TLS == "" && e.TLSListen != "" {
+		return fleet.Instance{}, "", positions.Errorf(prefix+"tls_listen", "requires tls")
 	}
 	text, listen, list, err := Configure(data, e.values(), e.limits())
 	if err != nil {
@@ -110,7 +110,7 @@
 	return instance, text, nil
 }
 
-// existingFile returns the absolute path of a file that must exist, and nothing for no file.
+// existingFile returns the absolute path of a file that must exist, and an empty path if no file is given.
 func existingFile(dir, file string) (string, error) {
 	if file == "" {
 		return "", nil
@@ -123,14 +123,14 @@
 	return path, err
 }
 
-// values returns what an entry replaces in its configuration, by key.
+// values returns the configuration values that an entry replaces, by key.
 func (e *instanceEntry) values() map[string]any {
 	return map[string]any{
 		"name":       e.Name,
 		"listen":     e.Listen,
-		"discovery":  e.List,
+		"discovery":  e.ListAddress,
 		"tls":        e.TLS,
-		"tls_listen": e.TLSAt,
+		"tls_listen": e.TLSListen,
 		"edge":       e.Edge,
 	}
 }
@@ -157,7 +157,7 @@
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.UseNumber() // a number keeps its text
 	if err := decoder.Decode(&config); err != nil {
-		return "", "", "", fmt.Errorf("no configuration: %w", err)
+		return "", "", "", fmt.Errorf("invalid configuration: %w", err)
 	}
 	for key, value := range values {
 		if value != "" {
@@ -165,14 +165,14 @@
 		}
 	}
 	if len(limits) > 0 {
-		former, _ := config["limits"].(map[string]any)
-		if former == nil {
-			former = map[string]any{}
+		existing, _ := config["limits"].(map[string]any)
+		if existing == nil {
+			existing = map[string]any{}
 		}
 		for key, value := range limits {
-			former[key] = value
+			existing[key] = value
 		}
-		config["limits"] = former
+		config["limits"] = existing
 	}
 	listen, _ = config["listen"].(string)
 	list, _ = config["discovery"].(string)
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -17,8 +17,8 @@
 func TestJSONForms(t *testing.T) {
 	for file, form := range map[string]any{
 		"view.json":    &View{},
-		"write.json":   &Write{},
-		"written.json": &Written{},
+		"write.json":   &WriteRequest{},
+		"written.json": &WriteResponse{},
 		"state.json":   &fleet.State{},
 		"holder.json":  &serve.LockHolder{},
 	} {
--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -22,7 +22,7 @@
 // call is an operator's read or write.
 type call struct {
 	write    bool
-	revision uint64 // from which a write was made
+	revision uint64 // that a write is based on
 	value    string
 }
 
@@ -60,7 +60,7 @@
 // linearizable: there is one order of all operations that agrees with every answer.
 func TestOperatorsAreLinearizable(t *testing.T) {
 	for round := range 25 {
-		agent := serveStoppedFleet(t)
+		agent := newServedAgent(t)
 		var mu sync.Mutex
 		var history []porcupine.Operation
 		startedAt := time.Now()
@@ -107,9 +107,9 @@
 	shutDown func() // ends the server and closes the store
 }
 
-// serveStoppedFleet serves an agent whose instances are all stopped. It observes them after each call, so that a
-// change has ended before the next one is proposed.
-func serveStoppedFleet(t *testing.T) servedAgent {
+// newServedAgent serves an agent whose instances are all stopped. It observes them after each call, so that a change
+// has ended before the next one is proposed.
+func newServedAgent(t *testing.T) servedAgent {
 	t.Helper()
 	dir := t.TempDir()
 	stateStore, state, _, err := openStore(dir, discard)
@@ -119,7 +119,7 @@
 		options: Options{
 			Dir:          dir,
 			Socket:       dir + "/s",
-			OnPoint:      func(string) {},
+			OnCrashPoint: func(string) {},
 			BusyInterval: time.Hour,
 			IdleInterval: time.Hour,
 		},
@@ -160,7 +160,8 @@
 	}}
 }
 
-// endChange lets the agent's fleet see that all instances are stopped, with which a change to stopped instances ends.
+// endChange passes observations of stopped instances to the agent's fleet, with which a change to stopped instances
+// ends.
 func endChange(agent *Agent) {
 	for _, name := range agent.fleet.Names() {
 		agent.fleet.Observe(name, fleet.Observation{Phase: fleet.PhaseDown, ObservedAt: agent.now()})
@@ -181,14 +182,14 @@
 		}
 		return output, nil
 	}
-	write := Write{
+	write := WriteRequest{
 		Command:   "apply",
 		Reason:    input.value,
 		Revision:  input.revision,
 		Instances: []fleet.Instance{{Name: "n", Listen: "127.0.0.1:1", Desired: fleet.Stopped}},
 		Configs:   map[string]string{"n": input.value},
 	}
-	var written Written
+	var written WriteResponse
 	err := client.Call(ctx, http.MethodPost, WritePath, write, &written)
 	if statusOf(err) == http.StatusConflict {
 		return answer{}, nil
--- a/internal/agent/lists.go
+++ b/internal/agent/lists.go
@@ -11,7 +11,7 @@
 	"pearknot/internal/fleet"
 )
 
-// maxListBytes bounds what is read of an endpoint list: some ten thousand backends.
+// maxListBytes bounds the bytes that are read of an endpoint list. It fits some ten thousand backends.
 const maxListBytes = 4 << 20
 
 // checkLists reads the declared sources of endpoint lists, so that each instance's list can be compared with its
@@ -30,10 +30,10 @@
 			digest, err := readSourceDigest(source, a.options.CallTimeout)
 			digest.ReadAt = a.now()
 			a.mailbox.Put(func() {
-				if err != nil { // no witness is no verdict
+				if err != nil { // without the list from its source there is nothing to compare
 					a.log.Debug("endpoint list read failed", "source", source, "error", err)
 				}
-				a.fleet.SourceRead(source, digest)
+				a.fleet.ObserveSource(source, digest)
 			})
 		}()
 	}
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -40,14 +40,14 @@
 	return filepath.Join(files.dir, "logs", files.name+".out")
 }
 
-// configFile is the file that a configuration is stored in, by its digest.
+// configFile returns the path of the file in which the configuration with a digest is stored.
 func configFile(dir, digest string) string { return filepath.Join(dir, "configs", digest+".json") }
 
 // tryLock takes an instance's lock. It returns nil without an error if a process holds it.
 //
 // An instance's process holds its lock as long as it lives: it inherits the open file, and the kernel releases the
-// lock when the process is gone, whatever became of the agent. So a lock that can be taken proves that no process
-// runs, and one that can't proves that one does. Process ids prove neither, since they are reused.
+// lock when the process is gone, whether or not the agent still runs. So a lock that can be taken proves that no
+// process runs, and one that can't proves that one does. Process ids prove neither, since they are reused.
 func (files instanceFiles) tryLock() (*os.File, error) {
 	file, err := os.OpenFile(files.lockFile(), os.O_RDWR|os.O_CREATE|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return file, nil
 }
 
-// lockHolder reads what the holder of the lock has written into it.
+// lockHolder reads what the holder of the lock has written into the lock file.
 func (files instanceFiles) lockHolder() (holder serve.LockHolder, err error) {
 	data, err := os.ReadFile(files.lockFile())
 	if err != nil {
@@ -79,20 +79,20 @@
 	return hex.EncodeToString(token)
 }
 
-// start starts an instance's process and returns its id. It calls onPoint at the points that it passes, and onExit
-// when the process has exited, if the agent still lives.
+// start starts an instance's process and returns its id. It calls onCrashPoint at the crash points that it reaches,
+// and onExit when the process has exited, if the agent still runs then.
 func (files instanceFiles) start(
-	binary []string, instance fleet.Instance, token string, onPoint func(string), onExit func(error),
+	binary []string, instance fleet.Instance, token string, onCrashPoint func(string), onExit func(error),
 ) (pid int, err error) {
 	lock, err := files.tryLock()
 	if err != nil {
 		return 0, err
 	}
 	if lock == nil {
-		return 0, fmt.Errorf("%s: held by a process, not started again", files.lockFile())
+		return 0, fmt.Errorf("%s: lock held by a process, instance not started again", files.lockFile())
 	}
 	defer func() { _ = lock.Close() }()
-	onPoint("locked")
+	onCrashPoint("locked")
 	if err := lock.Truncate(0); err != nil {
 		return 0, err
 	}
@@ -107,12 +107,12 @@
 	if err := command.Start(); err != nil {
 		return 0, err
 	}
-	onPoint("executed")
+	onCrashPoint("executed")
 	go func() { onExit(command.Wait()) }()
 	if data, err := json.Marshal(serve.LockHolder{PID: command.Process.Pid, Token: token}); err == nil {
-		_, _ = lock.WriteAt(data, 0) // the process writes the same itself; either may be first
+		_, _ = lock.WriteAt(data, 0) // the process writes the same itself; either may come first
 	}
-	onPoint("noted")
+	onCrashPoint("noted")
 	return command.Process.Pid, nil
 }
 
@@ -124,7 +124,7 @@
 		"--held",
 		"--log-file", files.logFile())
 	command := exec.Command(binary[0], args...)
-	command.Env = append(withoutOwnVariables(os.Environ()),
+	command.Env = append(withoutNodeVariables(os.Environ()),
 		serve.TokenVariable+"="+token,
 		serve.LockVariable+"="+files.lockFile(),
 		fmt.Sprintf("%s=%d", serve.EpochVariable, instance.Epoch))
@@ -133,8 +133,8 @@
 	return command
 }
 
-// withoutOwnVariables removes variables that would give a node another identity or configuration.
-func withoutOwnVariables(env []string) []string {
+// withoutNodeVariables removes variables that would give a node another identity or configuration.
+func withoutNodeVariables(env []string) []string {
 	var remaining []string
 	for _, variable := range env {
 		if !strings.HasPrefix(variable, "PEARKNOT_") && !strings.HasPrefix(variable, "ROUTER_") {
@@ -165,10 +165,10 @@
 	return nil
 }
 
-// verifyHolder checks that the lock is held, by a process with that token.
+// verifyHolder returns an error unless the lock is held by the process with that token.
 func (files instanceFiles) verifyHolder(holder serve.LockHolder, token string) error {
 	if token == "" || holder.Token != token || holder.PID <= 1 {
-		return fmt.Errorf("%s: holder is not the one that was started", files.lockFile())
+		return fmt.Errorf("%s: lock holder is not the process that was started", files.lockFile())
 	}
 	lock, err := files.tryLock()
 	if err != nil {
@@ -176,7 +176,7 @@
 	}
 	if lock != nil {
 		_ = lock.Close()
-		return fmt.Errorf("%s: nobody holds it: process %d is another program's", files.lockFile(), holder.PID)
+		return fmt.Errorf("%s: lock not held: process %d belongs to another program", files.lockFile(), holder.PID)
 	}
 	return nil
 }
@@ -185,7 +185,7 @@
 func (files instanceFiles) remove() error {
 	lock, err := files.tryLock()
 	if err != nil || lock == nil {
-		return errors.Join(err, errors.New("still held"))
+		return errors.Join(err, errors.New("lock still held"))
 	}
 	defer func() { _ = lock.Close() }()
 	for _, name := range []string{files.socket(), files.lockFile()} {
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// observe returns what an instance is now. It changes nothing.
+// observe returns the current state of an instance. It changes nothing.
 func (files instanceFiles) observe(
 	ctx context.Context, record fleet.Record, now func() float64, timeout time.Duration,
 ) fleet.Observation {
@@ -212,7 +212,7 @@
 	isProven := err == nil && record.Token != "" && holder.Token == record.Token
 	status, err := files.status(ctx, timeout)
 	if err != nil {
-		return observeSilent(record, holder, isProven, now(), err)
+		return observeUnresponsive(record, holder, isProven, now(), err)
 	}
 	return observeStatus(record, status, now())
 }
@@ -225,9 +225,10 @@
 	return status, err
 }
 
-// observeSilent returns what an instance is whose lock is held and which does not answer. A proven process is taken
-// to be starting until it was ready once, and to be shutting down after its SIGTERM; else its phase is unknown.
-func observeSilent(
+// observeUnresponsive returns the observation of an instance whose lock is held but which does not answer. A proven
+// process counts as starting until it was ready once, and as shutting down after its SIGTERM; otherwise its phase is
+// unknown.
+func observeUnresponsive(
 	record fleet.Record, holder serve.LockHolder, isProven bool, now float64, err error,
 ) fleet.Observation {
 	observation := fleet.Observation{ObservedAt: now, IsProven: isProven}
@@ -244,7 +245,7 @@
 	return observation
 }
 
-// observeStatus returns what an instance is by its own answer.
+// observeStatus returns the observation of an instance that answered with its status.
 func observeStatus(record fleet.Record, status controlsocket.Status, now float64) fleet.Observation {
 	if status.Token != record.Token {
 		reason := fmt.Sprintf("process %d answers with another token", status.PID)
@@ -281,10 +282,10 @@
 	return observation
 }
 
-// Bounds of what tail reads of a file.
+// Bounds of what tail reads of a file, in bytes.
 const (
-	usualLineBytes = 512     // longer lines than this on average are read in part
-	maxTailBytes   = 4 << 20 // an answer on the control socket
+	tailBytesPerLine = 512     // for each requested line; fewer lines are returned if they are longer on average
+	maxTailBytes     = 4 << 20 // an answer on the control socket
 )
 
 // tail returns the last lines of a file, fewer where they are long.
@@ -298,7 +299,7 @@
 	if err != nil {
 		return nil, err
 	}
-	start := max(0, info.Size()-int64(lines)*usualLineBytes)
+	start := max(0, info.Size()-int64(lines)*tailBytesPerLine)
 	if _, err := file.Seek(start, io.SeekStart); err != nil {
 		return nil, err
 	}
--- a/internal/agent/rebuild.go
+++ b/internal/agent/rebuild.go
@@ -36,8 +36,8 @@
 	return a.store.save(a.fleet.State)
 }
 
-// adoptIfRunning declares an instance in a set as it runs, and reports whether it did. A process is adopted only if
-// its answer and the holder of its lock agree on token and process id.
+// adoptIfRunning declares an instance in a set as it was found running, and reports whether it did. A process is
+// adopted only if its answer and the holder of its lock agree on token and process id.
 func (a *Agent) adoptIfRunning(set fleet.Set, files instanceFiles) (bool, error) {
 	lock, err := files.tryLock()
 	if err != nil {
--- a/internal/agent/rounds.go
+++ b/internal/agent/rounds.go
@@ -18,8 +18,8 @@
 // scheduleRound makes the next round begin at once.
 func (a *Agent) scheduleRound() { a.nextRound.Reset(0) }
 
-// runRound observes all instances, lets the fleet plan, and carries out the steps that are due. The next round
-// follows after BusyInterval while something is in progress, else after IdleInterval.
+// runRound observes all instances, lets the fleet plan, and executes the steps that are due. The next round follows
+// after BusyInterval while something is in progress, else after IdleInterval.
 func (a *Agent) runRound(ctx context.Context) {
 	a.observeAll(ctx)
 	if ctx.Err() != nil {
@@ -30,13 +30,13 @@
 		a.checkLists()
 	}
 	actions := a.fleet.Plan(a.now())
-	a.carryOut(ctx, actions)
+	a.executeActions(ctx, actions)
 	a.notifyWatchers()
 	change := a.fleet.Latest()
 	isBusy := len(actions) > 0 || change != nil && !change.Status.IsFinal()
 	if !isBusy {
 		isBusy = a.isAnyInTransition()
-		a.snapshotIfNewer()
+		a.snapshotIfStale()
 	}
 	wait := a.options.IdleInterval
 	if isBusy {
@@ -56,15 +56,15 @@
 	return false
 }
 
-// snapshotIfNewer writes the snapshot file if the state has changed since.
-func (a *Agent) snapshotIfNewer() {
-	if !a.store.newerThanSnapshot {
+// snapshotIfStale writes the snapshot file if the state has changed since it was last written.
+func (a *Agent) snapshotIfStale() {
+	if !a.store.snapshotStale {
 		return
 	}
 	if err := a.store.snapshot(); err != nil {
 		a.log.Error("state snapshot write failed", "error", err)
 	}
-	a.options.OnPoint("snapshot")
+	a.options.OnCrashPoint("snapshot")
 }
 
 // observeAll observes every instance, maxParallelProbes at a time.
@@ -110,7 +110,7 @@
 	a.fleet.InstanceExited(a.now(), name, reason)
 }
 
-// save stores the state. While that fails no step is taken, and what runs goes on.
+// save stores the state. While that fails no step is executed, and running instances keep running.
 func (a *Agent) save() bool {
 	err := a.store.save(a.fleet.State)
 	switch {
@@ -123,9 +123,9 @@
 	return err == nil
 }
 
-// carryOut takes steps. They are stored as pending first, then taken, then stored as done, so that an agent that
-// crashes anywhere between leaves a record of what it may have done.
-func (a *Agent) carryOut(ctx context.Context, actions []fleet.Action) {
+// executeActions stores the steps as pending, executes them, and stores them as done, so that an agent that crashes
+// anywhere in between leaves a record of what it may have done.
+func (a *Agent) executeActions(ctx context.Context, actions []fleet.Action) {
 	if len(actions) == 0 {
 		a.save()
 		return
@@ -140,27 +140,27 @@
 		a.fleet.RestoreState(before)
 		return
 	}
-	a.options.OnPoint("begun")
+	a.options.OnCrashPoint("begun")
 	for i, action := range actions {
-		pid, err := a.carryOutStep(ctx, action, tokens[i])
+		pid, err := a.executeAction(ctx, action, tokens[i])
 		if err != nil {
 			a.log.Error("step failed", "step", action.Step, "instance", action.Name, "error", err)
 		} else {
-			a.log.Info("step taken", "step", action.Step, "instance", action.Name, "why", action.Reason, "pid", pid)
+			a.log.Info("step executed", "step", action.Step, "instance", action.Name, "why", action.Reason, "pid", pid)
 		}
-		a.options.OnPoint(string(action.Step))
+		a.options.OnCrashPoint(string(action.Step))
 		a.fleet.StepEnded(a.now(), action, pid, err)
 	}
-	a.save() // if it fails, the stored records say that the steps are pending: they are looked at again
-	a.options.OnPoint("ended")
+	a.save() // if this fails, the steps remain stored as pending and are checked again
+	a.options.OnCrashPoint("ended")
 }
 
-// carryOutStep takes one step and returns the process id for StepStart.
-func (a *Agent) carryOutStep(ctx context.Context, action fleet.Action, token string) (pid int, err error) {
+// executeAction executes one step and returns the process id for StepStart.
+func (a *Agent) executeAction(ctx context.Context, action fleet.Action, token string) (pid int, err error) {
 	files := instanceFiles{a.options.Dir, action.Name}
 	switch action.Step {
 	case fleet.StepStart:
-		return files.start(a.options.Binary, action.Instance, token, a.options.OnPoint, a.processExited)
+		return files.start(a.options.Binary, action.Instance, token, a.options.OnCrashPoint, a.processExited)
 	case fleet.StepTerminate:
 		return 0, files.signal(a.fleet.Records[action.Name].Token, syscall.SIGTERM)
 	case fleet.StepKill:
--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -23,33 +23,33 @@
 	"pearknot/internal/fleet"
 )
 
-// schema is the version of the stored form; another one is refused.
-const schema = 1
+// schemaVersion is the version of the stored format; any other version is refused.
+const schemaVersion = 1
 
 const (
 	stateFile    = "state.db"
 	snapshotFile = "state.snapshot"
 )
 
-var bucket = []byte("state")
+var bucketName = []byte("state")
 
-// store is the agent's durable state, with one writer. Every value has a checksum, and one key holds the checksum
-// of all, so that truncated or altered data is found when it is read.
+// store holds the agent's durable state; it has one writer. Every value has a checksum, and one key holds the
+// checksum of all, so that truncated or altered data is found when it is read.
 type store struct {
-	dir               string
-	db                *bbolt.DB
-	onDisk            map[string]string // keys and values as stored
-	newerThanSnapshot bool              // the database has what the snapshot file has not
-	log               *slog.Logger
+	dir           string
+	db            *bbolt.DB
+	onDisk        map[string]string // keys and values as stored
+	snapshotStale bool              // the database has changes that the snapshot file lacks
+	log           *slog.Logger
 }
 
 var errDamaged = boltfile.ErrDamaged
 
 // errLocked means that another agent has the state open.
-var errLocked = errors.New("another agent has it")
+var errLocked = errors.New("in use by another agent")
 
 // errSchema means that another version of the agent wrote the state. The file is left as it is.
-var errSchema = errors.New("another schema")
+var errSchema = errors.New("unsupported schema")
 
 // openStore opens the state of a directory. A corrupt file is moved aside and replaced by the latest snapshot;
 // recovered reports that, and that what is observed to run takes precedence over what was read.
@@ -67,9 +67,9 @@
 	case errors.Is(err, errSchema), errors.Is(err, errLocked), errors.Is(err, os.ErrPermission):
 		return nil, state, false, err
 	case err != nil:
-		aside := fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())
-		log.Error("state file corrupt, moved aside", "error", err, "as", aside)
-		if err := os.Rename(path, aside); err != nil {
+		damagedPath := fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())
+		log.Error("state file corrupt, moved aside", "error", err, "as", damagedPath)
+		if err := os.Rename(path, damagedPath); err != nil {
 			return nil, state, false, err
 		}
 		stored, recovered = nil, true
@@ -80,10 +80,10 @@
 			stored = nil
 		}
 	}
-	if state, err = decode(stored); err != nil { // its checksums are right, so an operator has to look
+	if state, err = decode(stored); err != nil { // the checksums match, so this needs an operator
 		return nil, state, false, fmt.Errorf("%s: %w", path, err)
 	}
-	// The content is written to a new file, so that damage in a place that reading does not touch ends here.
+	// The content is written to a new file, so that damage in pages that were not read is not carried over.
 	if err := opened.createDatabase(path, stored); err != nil {
 		return nil, state, false, err
 	}
@@ -145,7 +145,7 @@
 		delete(next, key)
 	}
 	err := s.db.Update(func(tx *bbolt.Tx) error {
-		stateBucket, err := tx.CreateBucketIfNotExists(bucket)
+		stateBucket, err := tx.CreateBucketIfNotExists(bucketName)
 		if err != nil {
 			return err
 		}
@@ -162,7 +162,7 @@
 		return stateBucket.Put([]byte("sum"), checksumOfAll(next))
 	})
 	if err == nil {
-		s.onDisk, s.newerThanSnapshot = next, true
+		s.onDisk, s.snapshotStale = next, true
 	}
 	return err
 }
@@ -177,7 +177,7 @@
 	if err := renameio.WriteFile(filepath.Join(s.dir, snapshotFile), value, 0o600); err != nil {
 		return err
 	}
-	s.newerThanSnapshot = false
+	s.snapshotStale = false
 	return nil
 }
 
@@ -199,7 +199,7 @@
 		return nil, err
 	}
 	// bbolt maps the file: one that was truncated is mapped beyond its end, and altered pages may point anywhere.
-	// Either shows as a fault of the memory or a panic in bbolt.
+	// Either causes a memory fault or a panic in bbolt.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -219,14 +219,14 @@
 	defer func() { _ = db.Close() }()
 	stored = map[string]string{}
 	var sum []byte
-	steps := 0
+	keyCount := 0
 	err = db.View(func(tx *bbolt.Tx) error {
-		stateBucket := tx.Bucket(bucket)
+		stateBucket := tx.Bucket(bucketName)
 		if stateBucket == nil {
 			return errDamaged
 		}
 		return stateBucket.ForEach(func(key, encoded []byte) error {
-			if steps++; steps > 1_000_000 { // altered pages that form a cycle
+			if keyCount++; keyCount > 1_000_000 { // altered pages that form a cycle
 				return errDamaged
 			}
 			if string(key) == "sum" {
@@ -248,8 +248,8 @@
 }
 
 func checkSchema(stored map[string]string, path string) error {
-	if version := stored["schema"]; version != "" && version != fmt.Sprint(schema) {
-		return fmt.Errorf("%s: %w: version %s, this agent has %d", path, errSchema, version, schema)
+	if version := stored["schema"]; version != "" && version != fmt.Sprint(schemaVersion) {
+		return fmt.Errorf("%s: %w: version %s, this agent supports %d", path, errSchema, version, schemaVersion)
 	}
 	return nil
 }
@@ -272,7 +272,7 @@
 
 // encode maps a state to keys and values, one for each record, so that a step writes its record alone.
 func encode(state fleet.State) (map[string]string, error) {
-	all := map[string]string{"schema": fmt.Sprint(schema), "revision": fmt.Sprint(state.Revision)}
+	all := map[string]string{"schema": fmt.Sprint(schemaVersion), "revision": fmt.Sprint(state.Revision)}
 	put := func(key string, value any) error {
 		data, err := json.Marshal(value)
 		all[key] = string(data)
--- a/internal/agent/store_test.go
+++ b/internal/agent/store_test.go
@@ -15,7 +15,7 @@
 	"pearknot/internal/fleet"
 )
 
-// discard is a log that nobody reads.
+// discard is a logger without output.
 var discard = slog.New(slog.DiscardHandler)
 
 // sampleState returns the state of a fleet of five instances whose starts are pending.
@@ -66,7 +66,7 @@
 
 // A state file has a flipped bit at some byte, or is truncated at some byte. It is read as it was written, or
 // reported as damaged: never read as another state, and never with a panic.
-func TestStateDamagedAtEveryByteIsFound(t *testing.T) {
+func TestDamagedStateIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	stateStore, _, _, err := openStore(dir, discard)
 	require.NoError(t, err)
--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -24,7 +24,7 @@
 	if latest != nil && latest.Status == Stuck {
 		// What runs is a mixture of two generations. It becomes a generation of its own, to which a rollback may
 		// return.
-		from = Generation{from.Number + 1, f.effective()}
+		from = Generation{from.Number + 1, f.effectiveSet()}
 	}
 	order := f.changeOrder(from.Set, target)
 	if len(order) == 0 {
@@ -38,7 +38,7 @@
 	change.HealthySince, change.Healthy = map[string]float64{}, map[string]bool{}
 	change.Options.MaxUnavailable = max(change.Options.MaxUnavailable, 1)
 	for _, name := range order {
-		f.forgetFailures(name)
+		f.clearFailures(name)
 	}
 	f.Generations = append(f.Generations, Generation{Number: change.To, Set: target.Clone()})
 	f.Changes = append(f.Changes, change)
@@ -61,8 +61,8 @@
 	return order
 }
 
-// forgetFailures lets an instance be started again at once, whatever its failures: an operator has changed it.
-func (f *Fleet) forgetFailures(name string) {
+// clearFailures lets an instance be started again at once in spite of its failures, since an operator has changed it.
+func (f *Fleet) clearFailures(name string) {
 	if record, ok := f.Records[name]; ok {
 		record.CrashLooping, record.Failures, record.NextStartAt = false, nil, 0
 		f.Records[name] = record
@@ -77,7 +77,7 @@
 	}
 	latest := f.Latest()
 	if latest == nil || latest.Status.IsFinal() {
-		return Change{}, errors.New("no change is on its way: roll back to a generation by its number")
+		return Change{}, errors.New("no change in progress: roll back to a generation by its number")
 	}
 	if latest.Status == RollingBack {
 		return Change{}, &BusyError{latest.Clone()}
@@ -87,23 +87,23 @@
 	return latest.Clone(), nil
 }
 
-// validate refuses a set with a name that is no file name, an unknown desired state, or two running instances at one
-// address. Port 0 is exempt: the kernel gives each instance its own.
+// validate refuses a set with a name that is not valid as a file name, an unknown desired state, or two running
+// instances at one address. Port 0 is exempt: the kernel gives each instance its own.
 func validate(set Set) error {
-	listeners := map[string]string{}
+	nameByAddress := map[string]string{}
 	for _, name := range set.Names() {
 		instance := set[name]
 		if name == "" || name != instance.Name || strings.ContainsAny(name, "/ \x00") || strings.HasPrefix(name, ".") {
-			return fmt.Errorf("instance %q: no name for a file", name)
+			return fmt.Errorf("instance %q: not a valid file name", name)
 		}
 		if instance.Desired != Running && instance.Desired != Stopped {
 			return fmt.Errorf("instance %s: wanted is %q, not running or stopped", name, instance.Desired)
 		}
 		if instance.Desired == Running {
-			if other, taken := listeners[instance.Listen]; taken && !strings.HasSuffix(instance.Listen, ":0") {
+			if other, taken := nameByAddress[instance.Listen]; taken && !strings.HasSuffix(instance.Listen, ":0") {
 				return fmt.Errorf("instance %s: listens on %s, as %s does", name, instance.Listen, other)
 			}
-			listeners[instance.Listen] = name
+			nameByAddress[instance.Listen] = name
 		}
 	}
 	return nil
@@ -126,13 +126,13 @@
 	return names
 }
 
-// target returns what an instance is to be now. Within a change in progress, or one that is stuck, instances that
-// it has not reached are still to be as in the generation before. The second result is false if the instance is not
-// to exist.
+// target returns the declaration that applies to an instance now. Within a change in progress, or one that is stuck,
+// that of an instance that it has not reached is still the one of the generation before. The second result is false
+// if the instance is not to exist.
 func (f *Fleet) target(name string) (Instance, bool) {
 	current := f.Current()
 	if change := f.Latest(); change != nil && (!change.Status.IsFinal() || change.Status == Stuck) {
-		if position, isPart := f.orderOf(change, name); isPart && position >= change.Reached {
+		if position, isPart := f.orderPosition(change, name); isPart && position >= change.Reached {
 			if from, ok := f.Generation(change.From); ok {
 				instance, exists := from.Set[name]
 				return instance, exists
@@ -143,8 +143,8 @@
 	return instance, exists
 }
 
-// effective returns what all instances are to be now.
-func (f *Fleet) effective() Set {
+// effectiveSet returns the declarations that apply to all instances now.
+func (f *Fleet) effectiveSet() Set {
 	set := Set{}
 	for _, name := range f.Names() {
 		if instance, declared := f.target(name); declared {
@@ -154,10 +154,11 @@
 	return set
 }
 
-// orderOf returns an instance's position in a change's order. The index is rebuilt when another change is asked about.
-func (f *Fleet) orderOf(change *Change, name string) (int, bool) {
-	if f.orderIndexOf != change.ID || f.orderIndex == nil {
-		f.orderIndexOf, f.orderIndex = change.ID, make(map[string]int, len(change.Order))
+// orderPosition returns an instance's position in a change's order. The index is rebuilt if it belongs to another
+// change.
+func (f *Fleet) orderPosition(change *Change, name string) (int, bool) {
+	if f.orderIndexChangeID != change.ID || f.orderIndex == nil {
+		f.orderIndexChangeID, f.orderIndex = change.ID, make(map[string]int, len(change.Order))
 		for position, ordered := range change.Order {
 			f.orderIndex[ordered] = position
 		}
@@ -172,12 +173,12 @@
 	if change == nil || change.Status.IsFinal() {
 		return false
 	}
-	_, isPart := f.orderOf(change, name)
+	_, isPart := f.orderPosition(change, name)
 	return isPart
 }
 
-// advanceChange lets the change in progress reach the next instances once those before them are healthy, within
-// MaxUnavailable and Canary. An instance that fails stops the change, also one that was healthy before.
+// advanceChange extends the change in progress to the next instances once those before them are healthy, within
+// MaxUnavailable and Canary. An instance that fails stops the change, even one that was healthy before.
 func (f *Fleet) advanceChange(now float64) {
 	change := f.Latest()
 	if change == nil || change.Status.IsFinal() {
@@ -189,7 +190,7 @@
 	}
 	for _, name := range change.Order[:change.Reached] {
 		if !change.Healthy[name] && f.isHealthy(now, name) {
-			change.noteHealthy(now, name)
+			change.markHealthy(now, name)
 			continue
 		}
 		if !change.Healthy[name] {
@@ -213,8 +214,8 @@
 	}
 }
 
-// noteHealthy records that an instance is healthy now; after HealthMs of it the next ones may follow.
-func (c *Change) noteHealthy(now float64, name string) {
+// markHealthy records that an instance is healthy now. Once it has been so for HealthMs, the next ones may follow.
+func (c *Change) markHealthy(now float64, name string) {
 	if _, known := c.HealthySince[name]; !known {
 		c.HealthySince[name] = now
 	}
@@ -223,7 +224,7 @@
 	}
 }
 
-// advanceRollback takes further instances back, no more at once than the change went forward.
+// advanceRollback rolls back further instances, at most MaxUnavailable at a time, as the change did.
 func (f *Fleet) advanceRollback(now float64, change *Change) {
 	unavailable := 0
 	for _, name := range change.Order[change.Reached:change.MaxReached] {
@@ -243,14 +244,14 @@
 	}
 	if unavailable == 0 {
 		change.Status, change.EndedAt = RolledBack, now
-		if from, ok := f.Generation(change.From); ok { // declared anew: numbers only grow
+		if from, ok := f.Generation(change.From); ok { // declared under a new number, since numbers only grow
 			f.Generations = append(f.Generations, Generation{Number: f.Current().Number + 1, Set: from.Set.Clone()})
 			f.dropOldHistory()
 		}
 	}
 }
 
-// failureOf returns what stops the change at an instance, or nothing.
+// failureOf returns the failure of an instance that stops the change, or an empty string.
 func (f *Fleet) failureOf(now float64, name string) string {
 	if verdict, reason := f.Verdict(now, name); verdict.needsOperator() {
 		return string(verdict) + ": " + reason
@@ -262,7 +263,7 @@
 	return ""
 }
 
-// failChange stops the change, and rolls it back unless the operator has ruled that out.
+// failChange stops the change, and rolls it back unless NoRollback is set.
 func (f *Fleet) failChange(now float64, reason string) {
 	change := f.Latest()
 	if change.Options.NoRollback {
@@ -272,8 +273,8 @@
 	f.startRollback(now, reason)
 }
 
-// startRollback has all reached instances go back. Those that are not healthy go at once, since they serve nobody;
-// the others follow in their turn.
+// startRollback begins to roll back all reached instances. Those that are not healthy are rolled back at once, since
+// they serve no requests; the others follow within MaxUnavailable.
 func (f *Fleet) startRollback(now float64, reason string) {
 	change := f.Latest()
 	change.Status, change.Failure, change.MaxReached = RollingBack, reason, change.Reached
@@ -284,7 +285,7 @@
 		} else {
 			unhealthy = append(unhealthy, name)
 		}
-		f.forgetFailures(name)
+		f.clearFailures(name)
 	}
 	copy(change.Order, append(healthy, unhealthy...))
 	change.Reached, f.orderIndex = len(healthy), nil
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Fleet decides what is to be done about the instances of one host. It is not safe for concurrent use.
+// Fleet plans the steps for the instances of one host. It is not safe for concurrent use.
 type Fleet struct {
 	State
-	timing        Timing
-	observations  map[string]Observation  // by name, also outdated ones: see Observation
-	sourceDigests map[string]SourceDigest // by address of the endpoint list's source
-	orderIndex    map[string]int          // positions of names in Change.Order, see orderOf
-	orderIndexOf  uint64                  // the ID of the change that orderIndex is of
+	timing             Timing
+	observations       map[string]Observation  // by name, also outdated ones: see Observation
+	sourceDigests      map[string]SourceDigest // by address of the endpoint list's source
+	orderIndex         map[string]int          // positions of names in Change.Order, see orderPosition
+	orderIndexChangeID uint64                  // ID of the change that orderIndex belongs to
 }
 
 // New returns a fleet that continues from stored state; the zero State is an empty fleet.
@@ -113,7 +113,7 @@
 	f.dropOldHistory()
 }
 
-// CopyState returns a copy of the state. RestoreState takes it back if what followed could not be stored.
+// CopyState returns a copy of the state. RestoreState restores it if what followed could not be stored.
 func (f *Fleet) CopyState() State {
 	state := f.State
 	state.Generations = slices.Clone(state.Generations)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -244,9 +244,9 @@
 	other.Listen = two["n000"].Listen
 	two["n001"] = other
 	for message, invalid := range map[string]Set{
-		"listens on":         two,
-		"no name for a file": {"../x": Instance{Name: "../x", Desired: Running}},
-		"wanted is":          {"x": Instance{Name: "x", Desired: "maybe"}},
+		"listens on":            two,
+		"not a valid file name": {"../x": Instance{Name: "../x", Desired: Running}},
+		"wanted is":             {"x": Instance{Name: "x", Desired: "maybe"}},
 	} {
 		_, err := New(State{}, DefaultTiming()).Propose(0, 0, invalid, Change{})
 		assert.ErrorContains(t, err, message)
@@ -255,7 +255,7 @@
 	assert.ErrorIs(t, err, ErrNoChange)
 }
 
-// An instance ignores SIGTERM. It is killed, not before ShutdownTimeout is over.
+// An instance ignores SIGTERM. It is killed, not before ShutdownTimeoutMs is over.
 func TestInstanceIgnoringSIGTERMIsKilled(t *testing.T) {
 	host := newSimulatedHost(nil)
 	host.ignoresSIGTERM = true
@@ -270,7 +270,7 @@
 		host.runRound(-1)
 		require.Less(t, host.now, 1.1e6)
 	}
-	assert.GreaterOrEqual(t, host.now-terminatedAt, DefaultTiming().ShutdownTimeout)
+	assert.GreaterOrEqual(t, host.now-terminatedAt, DefaultTiming().ShutdownTimeoutMs)
 }
 
 // Instances that were added, removed or changed are named, in order.
--- a/internal/fleet/host_rig_test.go
+++ b/internal/fleet/simulatedhost_test.go
@@ -40,10 +40,10 @@
 	t              *rapid.T
 	now            float64
 	fleet          *Fleet
-	disk           []byte // the stored state
+	storedState    []byte // State as JSON
 	processes      map[string]*simulatedProcess
 	neverReady     map[string]bool // digests with which a process never becomes ready
-	exitsByItself  map[string]bool // digests with which it ends by itself
+	exitsByItself  map[string]bool // digests with which it exits by itself
 	ignoresSIGTERM bool            // processes ignore SIGTERM
 	isUnobservable map[string]bool // instances that can't be observed now
 	lastToken      int
@@ -68,7 +68,7 @@
 // save stores the state, as the agent does before and after a step.
 func (host *simulatedHost) save() {
 	var err error
-	if host.disk, err = json.Marshal(host.fleet.State); err != nil {
+	if host.storedState, err = json.Marshal(host.fleet.State); err != nil {
 		panic(err)
 	}
 }
@@ -76,7 +76,7 @@
 // crash replaces the agent by one that continues from the stored state.
 func (host *simulatedHost) crash() {
 	var state State
-	if err := json.Unmarshal(host.disk, &state); err != nil {
+	if err := json.Unmarshal(host.storedState, &state); err != nil {
 		panic(err)
 	}
 	host.fleet = New(state, DefaultTiming())
@@ -123,15 +123,15 @@
 	}
 }
 
-// takeStep takes one action and reports whether the agent got through it. It crashes at the point cut: 0 after the
-// step was stored as pending, 1 after it was taken, 2 after its result was recorded, 3 after that was stored; -1 is
-// no crash.
-func (host *simulatedHost) takeStep(action Action, cut int) bool {
+// executeAction executes one action and reports whether the agent completed it. The agent crashes at crashPoint: 0
+// after the step was stored as pending, 1 after it was executed, 2 after its result was recorded, 3 after that was
+// stored; -1 is no crash.
+func (host *simulatedHost) executeAction(action Action, crashPoint int) bool {
 	host.lastToken++
 	token := fmt.Sprint("t", host.lastToken)
 	host.fleet.StepStarted(host.now, action, token)
 	host.save()
-	if cut == 0 {
+	if crashPoint == 0 {
 		return false
 	}
 	process := host.processes[action.Name]
@@ -167,20 +167,20 @@
 	case StepWithdraw:
 		process.isInService = false
 	}
-	if cut == 1 {
+	if crashPoint == 1 {
 		return false
 	}
 	host.fleet.StepEnded(host.now, action, 1, nil)
-	if cut == 2 {
+	if crashPoint == 2 {
 		return false
 	}
 	host.save()
-	return cut != 3
+	return crashPoint != 3
 }
 
-// runRound is one round of the agent: observe, plan, take the steps. The agent crashes at the point cut, counted
+// runRound runs one round of the agent: observe, plan, execute the steps. The agent crashes at crashPoint, counted
 // over all steps of the round; -1 is no crash.
-func (host *simulatedHost) runRound(cut int) {
+func (host *simulatedHost) runRound(crashPoint int) {
 	host.now += 200
 	for name, process := range host.processes {
 		if host.exitsByItself[process.digest] && host.now-process.startedAt > 300 {
@@ -191,18 +191,18 @@
 	}
 	host.observeAll()
 	for _, action := range host.fleet.Plan(host.now) {
-		if cut >= 0 && cut < 4 {
-			if !host.takeStep(action, cut) {
+		if crashPoint >= 0 && crashPoint < 4 {
+			if !host.executeAction(action, crashPoint) {
 				host.crash()
 				return
 			}
 		}
-		cut -= 4
-		if cut < -1 {
-			cut = -1
+		crashPoint -= 4
+		if crashPoint < -1 {
+			crashPoint = -1
 		}
-		if !host.takeStep(action, -1) {
-			host.t.Fatal("not cut")
+		if !host.executeAction(action, -1) {
+			host.t.Fatal("crashed without a crash point")
 		}
 	}
 	host.save()
@@ -218,7 +218,7 @@
 	return err
 }
 
-// mismatch says how what runs differs from the declared generation, and nothing if it does not.
+// mismatch describes how the running processes differ from the declared generation. It is empty if they do not.
 func (host *simulatedHost) mismatch() string {
 	generation := host.fleet.Current()
 	for name, instance := range generation.Set {
--- a/internal/fleet/steps.go
+++ b/internal/fleet/steps.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// StepStarted records a step before it is taken; the caller stores the state first. The token is for StepStart. A
-// crash between the two leaves a pending step, which is looked at again by the next agent.
+// StepStarted records a step before it is executed; the caller stores the state before it executes the step. The
+// token is for StepStart. A crash between the two leaves a pending step, which the next agent checks again.
 func (f *Fleet) StepStarted(now float64, action Action, token string) {
 	record := f.Records[action.Name]
 	record.Name, record.PendingStep = action.Name, action.Step
@@ -26,7 +26,7 @@
 	f.Records[action.Name] = record
 }
 
-// StepEnded records how a step went. What was observed before it no longer counts.
+// StepEnded records the result of a step. Observations from before it no longer count.
 func (f *Fleet) StepEnded(now float64, action Action, pid int, err error) {
 	if action.Step == StepForget {
 		delete(f.Records, action.Name)
@@ -39,7 +39,7 @@
 		record.PID = pid
 		if err != nil {
 			f.recordFailure(now, &record, err.Error())
-			record.StartedAt = 0 // nothing was started that could be found gone
+			record.StartedAt = 0 // no process was started whose exit could be observed
 		}
 	}
 	f.Records[action.Name] = record
@@ -54,7 +54,7 @@
 		return
 	}
 	if record.TerminatedAt == 0 && record.PendingStep != StepStart {
-		// A pending start was interrupted by the agent's own end: that no process exists is not the instance's
+		// A pending start was interrupted by the agent's own exit: that no process exists is not the instance's
 		// failure.
 		f.recordFailure(now, &record, reason)
 	}
@@ -75,12 +75,12 @@
 }
 
 // recordFailure records a start that failed. The next start is delayed by exponential backoff with jitter, so that
-// instances that failed together do not start together; too many failures within CrashLoopWindow are a crash loop,
+// instances that failed together do not start together; too many failures within CrashLoopWindowMs are a crash loop,
 // which is not started again.
 func (f *Fleet) recordFailure(now float64, record *Record, reason string) {
-	isForgotten := func(failedAt float64) bool { return now-failedAt > f.timing.CrashLoopWindow }
+	isExpired := func(failedAt float64) bool { return now-failedAt > f.timing.CrashLoopWindowMs }
 	record.LastFailure = reason
-	record.Failures = append(slices.DeleteFunc(slices.Clone(record.Failures), isForgotten), now)
+	record.Failures = append(slices.DeleteFunc(slices.Clone(record.Failures), isExpired), now)
 	if len(record.Failures) >= f.timing.CrashLoopCount {
 		record.CrashLooping = true
 	}
@@ -88,8 +88,8 @@
 	record.NextStartAt = now + math.Min(backoff, f.timing.MaxBackoffMs)*backoffJitter(now, record)
 }
 
-// backoffJitter returns a factor from 0.5 to 1.5 that follows from the instance and its failures, so that it is the
-// same when the state is computed again.
+// backoffJitter returns a factor from 0.5 to 1.5 that is derived from the instance and its failures, so that it is
+// the same when the state is computed again.
 func backoffJitter(now float64, record *Record) float64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%s %d %v", record.Name, len(record.Failures), now)
--- a/internal/fleet/types.go
+++ b/internal/fleet/types.go
@@ -1,14 +1,14 @@
-// Package fleet decides what is to be done about the instances of the program on one host. The declared instances
-// and what was observed of them come in, the next steps come out; changes are rolled out a few instances at a time,
-// and rolled back when one fails. The package has no I/O and no clock: times are ms that the caller passes in.
+// Package fleet plans the steps for the instances of the program on one host. It compares the declared instances with
+// what was observed of them; changes are rolled out a few instances at a time, and rolled back when one fails. The
+// package has no I/O and no clock: times are ms that the caller passes in.
 //
 // What must survive a crash of the agent is in State, which the caller stores before and after each step. A crash
 // between the two is safe, because steps follow from what is observed, not from what was intended: the next agent
 // observes again.
 //
-// JSON names and the strings of enumerations are stored, and are part of the agent's API. They keep words of
-// earlier versions ("wanted" for desired, "alien" for foreign, "no_revert" for no rollback): this package is where
-// they are mapped.
+// JSON names and the strings of enumerations are stored, and are part of the agent's API. They keep names of earlier
+// versions ("wanted" for desired, "alien" for foreign, "no_revert" for no rollback), which this package maps to its
+// own.
 package fleet
 
 import (
@@ -16,7 +16,7 @@
 	"slices"
 )
 
-// DesiredState is whether an instance is to run.
+// DesiredState tells whether an instance is declared to run.
 type DesiredState string
 
 // The desired states.
@@ -25,7 +25,7 @@
 	Stopped DesiredState = "stopped"
 )
 
-// Instance is a declared instance.
+// Instance holds the declaration of an instance.
 type Instance struct {
 	Name      string       `json:"name"`
 	Listen    string       `json:"listen"`
@@ -36,7 +36,7 @@
 	Epoch     uint64       `json:"epoch"` // number of restarts that operators have asked for
 }
 
-// Set is a set of declared instances, by name.
+// Set holds declared instances by name.
 type Set map[string]Instance
 
 // Names returns the names, sorted.
@@ -45,7 +45,7 @@
 // Clone returns a copy.
 func (s Set) Clone() Set { return maps.Clone(s) }
 
-// Generation is a set with its number. Numbers only grow.
+// Generation holds a set and its number. Numbers only grow.
 type Generation struct {
 	Number uint64 `json:"number"`
 	Set    Set    `json:"set"`
@@ -56,15 +56,15 @@
 
 // The phases.
 const (
-	PhaseUnknown      Phase = "unknown" // it can't be told now; the last known phase is not assumed
+	PhaseUnknown      Phase = "unknown" // it can't be observed now; the last known phase is not assumed
 	PhaseDown         Phase = "down"    // proven: no process holds its lock
 	PhaseStarting     Phase = "starting"
 	PhaseReady        Phase = "ready" // it has an endpoint list and could serve
 	PhaseShuttingDown Phase = "ending"
-	PhaseForeign      Phase = "alien" // a process that can't prove to be the instance holds its lock: left alone
+	PhaseForeign      Phase = "alien" // its lock is held by a process that can't prove to be the instance: left alone
 )
 
-// Observation is what was observed of an instance.
+// Observation holds the observed state of an instance.
 type Observation struct {
 	Phase        Phase   `json:"phase"`
 	ObservedAt   float64 `json:"at"` // ms
@@ -79,12 +79,12 @@
 	MemoryMB     float64 `json:"memory_mb,omitempty"`
 	CertStage    string  `json:"cert_stage,omitempty"` // of the certificate that expires first
 	CertExpiry   float64 `json:"cert_ends,omitempty"`  // Unix ms; 0 if the certificate is missing
-	Settings     string  `json:"settings,omitempty"`   // in force by the control plane: version, digest, age, member
+	Settings     string  `json:"settings,omitempty"`   // in force from the control plane: version, digest, age, member
 	Reason       string  `json:"why,omitempty"`        // for PhaseUnknown and PhaseForeign
 	IsProven     bool    `json:"proven"`               // the process that holds its lock is the one that was started
 }
 
-// SourceDigest is the version and digest of an endpoint list as the agent itself has read it from its source.
+// SourceDigest holds the version and digest of an endpoint list that the agent itself has read from its source.
 type SourceDigest struct {
 	ReadAt  float64
 	Version uint64
@@ -106,7 +106,7 @@
 // IsFinal reports whether the change is over.
 func (s Status) IsFinal() bool { return s == Succeeded || s == RolledBack || s == Stuck }
 
-// Options say how a change is rolled out.
+// Options control how a change is rolled out.
 type Options struct {
 	MaxUnavailable int     `json:"at_once"`   // instances that are out of service for the change at a time; at least 1
 	Canary         int     `json:"canary"`    // instances that are changed first, before all others
@@ -120,7 +120,7 @@
 	StartedAt    float64            `json:"at"`
 	Author       string             `json:"author"`
 	Reason       string             `json:"reason"`
-	Command      string             `json:"what"` // what the operator called
+	Command      string             `json:"what"` // the command that the operator gave
 	From         uint64             `json:"from"`
 	To           uint64             `json:"to"`
 	Options      Options            `json:"options"`
@@ -140,7 +140,7 @@
 	return c
 }
 
-// Step is what the agent does to one instance.
+// Step is an operation of the agent on one instance.
 type Step string
 
 // The steps.
@@ -153,10 +153,10 @@
 	StepForget    Step = "forget"    // remove the files of an instance that is neither declared nor running
 )
 
-// Record is what is stored of an instance across restarts of the agent. Times are ms.
+// Record holds what is stored of an instance across restarts of the agent. Times are ms.
 type Record struct {
 	Name         string    `json:"name"`
-	PendingStep  Step      `json:"doing,omitempty"` // stored before the step is taken, cleared after
+	PendingStep  Step      `json:"doing,omitempty"` // stored before the step is executed, cleared after
 	Token        string    `json:"token,omitempty"` // with which the process proves to be the instance
 	PID          int       `json:"pid,omitempty"`
 	Digest       string    `json:"digest,omitempty"` // of the configuration that it was last started with
@@ -165,12 +165,12 @@
 	TerminatedAt float64   `json:"term_at,omitempty"`    // when SIGTERM was sent; 0 before
 	WasReady     bool      `json:"was_ready,omitempty"`  // since that start
 	Failures     []float64 `json:"tries,omitempty"`      // recent starts that failed or exited by themselves
-	NextStartAt  float64   `json:"next_at,omitempty"`    // not started before
+	NextStartAt  float64   `json:"next_at,omitempty"`    // no start before this time
 	CrashLooping bool      `json:"halted,omitempty"`     // not started again until an operator changes it
-	LastFailure  string    `json:"fault,omitempty"`      // why the latest failure happened
+	LastFailure  string    `json:"fault,omitempty"`      // cause of the latest failure
 }
 
-// State is all that must survive the agent.
+// State holds all that must survive the agent.
 type State struct {
 	Revision    uint64            `json:"revision"`
 	Generations []Generation      `json:"generations"` // oldest first
@@ -184,26 +184,26 @@
 	maxChanges     = 200
 )
 
-// Timing has time limits, in ms.
+// Timing holds time limits, in ms.
 type Timing struct {
-	StartTimeout    float64 // from start to ready
-	ShutdownTimeout float64 // from SIGTERM to SIGKILL, for the answers to requests in flight
-	BaseBackoffMs   float64 // after a failed start; doubled with each further failure
-	MaxBackoffMs    float64
-	CrashLoopCount  int // failures within CrashLoopWindow that are a crash loop
-	CrashLoopWindow float64
-	ObservationTTL  float64 // an older observation counts as unknown
+	StartTimeoutMs    float64 // from start to ready
+	ShutdownTimeoutMs float64 // from SIGTERM to SIGKILL, for the answers to requests in flight
+	BaseBackoffMs     float64 // after a failed start; doubled with each further failure
+	MaxBackoffMs      float64
+	CrashLoopCount    int // failures within CrashLoopWindowMs that count as a crash loop
+	CrashLoopWindowMs float64
+	ObservationTTLMs  float64 // an older observation counts as unknown
 }
 
-// DefaultTiming fits a node with deadlines of a few seconds.
+// DefaultTiming returns limits that fit a node with deadlines of a few seconds.
 func DefaultTiming() Timing {
 	return Timing{
-		StartTimeout:    15e3,
-		ShutdownTimeout: 10e3,
-		BaseBackoffMs:   500,
-		MaxBackoffMs:    60e3,
-		CrashLoopCount:  5,
-		CrashLoopWindow: 120e3,
-		ObservationTTL:  5e3,
+		StartTimeoutMs:    15e3,
+		ShutdownTimeoutMs: 10e3,
+		BaseBackoffMs:     500,
+		MaxBackoffMs:      60e3,
+		CrashLoopCount:    5,
+		CrashLoopWindowMs: 120e3,
+		ObservationTTLMs:  5e3,
 	}
 }
--- a/internal/fleet/verdict.go
+++ b/internal/fleet/verdict.go
@@ -5,32 +5,33 @@
 	"strings"
 )
 
-// Observe records what was observed of an instance.
+// Observe records an observation of an instance.
 func (f *Fleet) Observe(name string, observation Observation) {
 	f.observations[name] = observation
 	if record, ok := f.Records[name]; ok && observation.Phase == PhaseReady && !record.WasReady {
-		record.WasReady = true // from now on an instance that does not answer is no longer taken to be starting
+		record.WasReady = true // from now on an instance that does not answer no longer counts as starting
 		f.Records[name] = record
 	}
 }
 
-// SourceRead records what the agent itself has read from a discovery address.
-func (f *Fleet) SourceRead(source string, digest SourceDigest) { f.sourceDigests[source] = digest }
+// ObserveSource records what the agent itself has read from an endpoint list's source.
+func (f *Fleet) ObserveSource(source string, digest SourceDigest) { f.sourceDigests[source] = digest }
 
-// Observation returns what is known of an instance now: an observation older than ObservationTTL counts as unknown,
-// never as the last good value.
+// Observation returns the latest observation of an instance. One older than ObservationTTLMs counts as unknown; the
+// last good value is never assumed.
 func (f *Fleet) Observation(now float64, name string) Observation {
 	observation, ok := f.observations[name]
 	switch {
 	case !ok:
 		return Observation{Phase: PhaseUnknown, Reason: "never seen"}
-	case now-observation.ObservedAt > f.timing.ObservationTTL:
+	case now-observation.ObservedAt > f.timing.ObservationTTLMs:
 		return Observation{Phase: PhaseUnknown, ObservedAt: observation.ObservedAt, Reason: "not seen lately"}
 	}
 	return observation
 }
 
-// InstanceVerdict compares an instance with what it is to be. Its text is part of the agent's API.
+// InstanceVerdict is the result of comparing an instance's observed state with its declaration. Its text is part of
+// the agent's API.
 type InstanceVerdict string
 
 // The verdicts on an instance.
@@ -46,12 +47,12 @@
 	VerdictUndeclared  InstanceVerdict = "not declared"        // its files remain until they are removed
 )
 
-// needsOperator reports whether the agent can't mend what the verdict says: a change stops there.
+// needsOperator reports whether the agent can't correct the state by itself: a change stops there.
 func (v InstanceVerdict) needsOperator() bool {
 	return v == VerdictCrashLoop || v == VerdictWrongList || v == VerdictForeign
 }
 
-// Verdict returns what an instance is, against what it is to be, and the reason in words for the operator.
+// Verdict compares an instance's observed state with its declaration. The reason is text for the operator.
 func (f *Fleet) Verdict(now float64, name string) (verdict InstanceVerdict, reason string) {
 	target, declared := f.target(name)
 	observation, record := f.Observation(now, name), f.Records[name]
@@ -90,8 +91,8 @@
 	return VerdictAsDeclared, ""
 }
 
-// listMismatch says how an instance's endpoint list differs from the declared one: by its source, or, at the same
-// version of the same source, by its content.
+// listMismatch describes how an instance's endpoint list differs from the declared one: by its source, or, at the
+// same version of the same source, by its content. It returns an empty string if they agree.
 func (f *Fleet) listMismatch(declared Instance, observation Observation) string {
 	source, isRead := f.sourceDigests[declared.Discovery]
 	if observation.Discovery != declared.Discovery {
@@ -106,7 +107,7 @@
 	return ""
 }
 
-// shortDigest returns as much of a digest as people compare.
+// shortDigest returns the first characters of a digest, enough for people to compare.
 func shortDigest(digest string) string {
 	if digest == "" {
 		return "unknown"
@@ -114,7 +115,7 @@
 	return digest[:min(len(digest), 12)]
 }
 
-// isHealthy reports whether an instance is what it is to be.
+// isHealthy reports whether an instance is in its declared state.
 func (f *Fleet) isHealthy(now float64, name string) bool {
 	verdict, _ := f.Verdict(now, name)
 	return verdict == VerdictAsDeclared || verdict == VerdictUndeclared
--- a/internal/fleet/verdict_test.go
+++ b/internal/fleet/verdict_test.go
@@ -111,7 +111,7 @@
 			Generations: []Generation{{1, Set{"n1": newInstance("n1", "a")}}},
 			Records:     map[string]Record{"n1": {Name: "n1", Digest: "a", StartedAt: 1000}},
 		}, DefaultTiming())
-		fleet.SourceRead("list:1", SourceDigest{Version: 7, Digest: "good"})
+		fleet.ObserveSource("list:1", SourceDigest{Version: 7, Digest: "good"})
 		test.observation.ObservedAt = 1000
 		fleet.Observe("n1", test.observation)
 		verdict, reason := fleet.Verdict(1000, "n1")
@@ -123,7 +123,7 @@
 		} else if assert.Len(t, actions, 1, name) {
 			assert.Equal(t, test.wantStep, actions[0].Step, name)
 		}
-		verdict, reason = fleet.Verdict(1000+DefaultTiming().ObservationTTL+1, "n1")
+		verdict, reason = fleet.Verdict(1000+DefaultTiming().ObservationTTLMs+1, "n1")
 		assert.Equal(t, VerdictUnknown, verdict, "an outdated observation is not used")
 		assert.NotEmpty(t, reason)
 	}
@@ -148,7 +148,7 @@
 			if action.Step == StepStart {
 				starts[action.Name] = append(starts[action.Name], host.now)
 			}
-			host.takeStep(action, -1)
+			host.executeAction(action, -1)
 		}
 	}
 	assert.Equal(t, Stuck, host.fleet.Latest().Status)
