--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -50,7 +50,7 @@
 	viewDigest     uint64         // of the view at viewVersion
 	changed        chan struct{}  // closed when viewVersion grows, and replaced
 	listsCheckedAt time.Time      // when checkLists last began
-	writeError     error          // why the state could not be stored; no step is taken until it can
+	writeError     error          // why the state could not be stored; no step is executed until it can
 	probes         sync.WaitGroup // goroutines that observe instances or read endpoint lists
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -269,7 +269,7 @@
 }
 
 // The state file is truncated, overwritten or missing, once with its snapshot. The agent continues with all
-// instances, whose processes go on running.
+// instances, whose processes keep running.
 func TestCorruptStateStopsNothing(t *testing.T) {
 	fixture, view := newRunningFixture(t, 3, "")
 	var pids []int
@@ -358,7 +358,7 @@
 		options: Options{Dir: dir, OnCrashPoint: func(string) {}},
 	}
 	require.True(t, agent.save())
-	require.NoError(t, stateStore.close()) // whatever is written now fails
+	require.NoError(t, stateStore.close()) // every write fails from now on
 	before := fleetState.CopyState()
 	assert.False(t, agent.save() && fleetState.Revision == 99)
 	fleetState.StepStarted(1, fleet.Action{Step: fleet.StepStart, Name: "x"}, "t")
@@ -390,7 +390,7 @@
 	fixture.waitFor(10*time.Second, "started again", isSettled)
 }
 
-// The disk of a running agent is full: writes are refused and instances go on running. Once there is room the agent
+// The disk of a running agent is full: writes are refused and instances keep running. Once there is room the agent
 // accepts writes again.
 func TestRunningAgentSurvivesFullDisk(t *testing.T) {
 	fixture, view := newRunningFixture(t, 3, "")
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -88,7 +88,7 @@
 		Rolling:    a.options.Rolling,
 	}
 	if change := a.fleet.Latest(); change != nil {
-		copied := change.Clone() // the actor goes on changing it while the answer is encoded
+		copied := change.Clone() // the actor keeps changing it while the response is encoded
 		view.Change = &copied
 	}
 	if a.writeError != nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-// postWrite applies an operator's change. The HTTP status of a refused one tells the cause.
+// postWrite applies an operator's change. The HTTP status of a refused one gives the cause.
 func (a *Agent) postWrite(w http.ResponseWriter, r *http.Request) {
 	var write WriteRequest
 	if err := controlsocket.DecodeBody(r, &write); err != nil {
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -45,7 +45,7 @@
 
 // tryLock takes an instance's lock. It returns nil without an error if a process holds it.
 //
-// An instance's process holds its lock as long as it lives: it inherits the open file, and the kernel releases the
+// An instance's process holds its lock while it runs: it inherits the open file, and the kernel releases the
 // lock when the process is gone, whether or not the agent still runs. So a lock that can be taken proves that no
 // process runs, and one that can't proves that one does. Process ids prove neither, since they are reused.
 func (files instanceFiles) tryLock() (*os.File, error) {
--- a/internal/fleet/plan_test.go
+++ b/internal/fleet/plan_test.go
@@ -51,7 +51,7 @@
 // Ten thousand instances are planned in under 50 ms of processor time, in the middle of a change of all of them.
 func TestPlanTimeOfTenThousandInstances(t *testing.T) {
 	fleet, now := fleetDuringChange(10_000)
-	runtime.LockOSThread() // a plan is one thread's work: its processor time, whatever else the machine does
+	runtime.LockOSThread() // a plan runs on one thread: its processor time does not include other load on the machine
 	defer runtime.UnlockOSThread()
 	best := time.Hour
 	for range 9 {
--- a/internal/fleet/steps.go
+++ b/internal/fleet/steps.go
@@ -47,7 +47,7 @@
 	f.observations[action.Name] = Observation{Phase: PhaseUnknown, ObservedAt: now, Reason: reason}
 }
 
-// InstanceExited records that an instance that was to run has exited without having been told to.
+// InstanceExited records that an instance that was to run has exited by itself.
 func (f *Fleet) InstanceExited(now float64, name, reason string) {
 	record, ok := f.Records[name]
 	if !ok || record.StartedAt == 0 {
