--- a/internal/lab/baselines/baselines.go
+++ b/internal/lab/baselines/baselines.go
@@ -20,8 +20,8 @@
 	rotationStarts = 1009
 )
 
-// New returns the policy of a name: the balancer itself for "cda", or a baseline. Estimate is used by "all-seeing"
-// alone, and may be nil for the others. It returns an error for an unknown name, and for "all-seeing" without an
+// New returns the policy with the given name: the balancer itself for "cda", or a baseline. Only "all-seeing" uses the
+// estimate, which may be nil for the others. New returns an error for an unknown name, and for "all-seeing" without an
 // estimate.
 func New(name string, config *balancer.Config, now float64, estimate CompletionEstimate) (balancer.Decider, error) {
 	if name == "cda" {
@@ -49,7 +49,7 @@
 		p.pick = p.pickOfTwo
 	case "all-seeing":
 		if estimate == nil {
-			return nil, fmt.Errorf("policy %s: only in virtual time", name)
+			return nil, fmt.Errorf("policy %q is available only in virtual time", name)
 		}
 		p.estimate = estimate
 		p.pick = p.pickByEstimate
@@ -74,13 +74,13 @@
 	inFlight map[*balancer.Backend]int // this node's attempts
 	requests map[*balancer.Request]*requestState
 
-	isWatching  bool // the endpoint list is being followed
+	isWatching  bool // a watch on the endpoint list is active
 	pollAt      float64
 	timerAt     float64 // 0 if no timer is set
 	failedPolls int     // in a row
 }
 
-// requestState is what a baseline stores of a request that isn't answered.
+// requestState holds a baseline's state of a request that isn't answered.
 type requestState struct {
 	inFlight map[*balancer.Attempt]bool
 	outcomes map[*balancer.Attempt]balancer.Outcome
@@ -115,7 +115,7 @@
 	delete(state.inFlight, attempt)
 	state.outcomes[attempt] = outcome
 	if outcome.NeverRan() && state.firstRun == attempt {
-		state.firstRun = firstThatMayHaveRun(attempt.Request, state)
+		state.firstRun = firstPossiblyExecuted(attempt.Request, state)
 	}
 	if finished {
 		p.endRequest(attempt.Request)
@@ -124,8 +124,8 @@
 	}
 }
 
-// firstThatMayHaveRun returns a request's first attempt that isn't known never to have run, or nil.
-func firstThatMayHaveRun(request *balancer.Request, state *requestState) *balancer.Attempt {
+// firstPossiblyExecuted returns a request's first attempt that may have run, or nil.
+func firstPossiblyExecuted(request *balancer.Request, state *requestState) *balancer.Attempt {
 	for _, attempt := range request.Attempts {
 		if outcome, ended := state.outcomes[attempt]; !ended || !outcome.NeverRan() {
 			return attempt
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// ConfigChanged takes a new configuration, which applies to open requests, too.
+// ConfigChanged sets a new configuration, which also applies to open requests.
 func (p *policy) ConfigChanged(now float64, config *balancer.Config, _ []int) {
 	p.now, p.config = now, config
 }
@@ -145,7 +145,7 @@
 // ProcessesChanged has no effect on a baseline.
 func (p *policy) ProcessesChanged(now float64, _ int) { p.now = now }
 
-// DeadlineShortened has no effect on a baseline: its host ends what is late.
+// DeadlineShortened has no effect on a baseline: its host ends requests that are past their deadline.
 func (p *policy) DeadlineShortened(now float64, _ *balancer.Request) { p.now = now }
 
 // ResponseStarted has no effect on a baseline.
@@ -164,7 +164,7 @@
 	return p.nextPoll()
 }
 
-// startAttempt sends a request to a backend, preferably one that it wasn't sent to before. A request that can't be sent
+// startAttempt sends a request to a backend, preferably one without an earlier attempt of it. A request that can't be sent
 // is rejected or failed.
 func (p *policy) startAttempt(request *balancer.Request) {
 	state := p.requests[request]
@@ -253,7 +253,7 @@
 	p.endRequest(request)
 }
 
-// endRequest forgets a request and cancels its attempts in flight, in the order in which they started.
+// endRequest deletes a request and cancels its attempts in flight, in the order in which they started.
 func (p *policy) endRequest(request *balancer.Request) {
 	state := p.requests[request]
 	if state == nil {
--- a/internal/lab/baselines/baselines_test.go
+++ b/internal/lab/baselines/baselines_test.go
@@ -50,8 +50,8 @@
 	return decisions
 }
 
-// A comparison with a baseline that spread load unevenly would flatter the balancer: with equal backends and one request
-// at a time each baseline gives every backend its share.
+// With equal backends and one request at a time, each baseline must distribute the load evenly: comparing the balancer
+// with an uneven baseline would overstate its benefit.
 func TestBaselinesSpreadEvenly(t *testing.T) {
 	for _, name := range []string{"random", "rotation", "fewest", "two-choices"} {
 		decider, backends := newPolicy(t, name, nil)
@@ -75,7 +75,7 @@
 	assert.Error(t, err)
 }
 
-// A baseline is simple, not reckless: it sends nothing to draining backends, and retries only as the class allows.
+// A baseline sends nothing to draining backends, and retries only as the class allows.
 func TestBaselinesRetrySafely(t *testing.T) {
 	for name, c := range map[string]struct {
 		class   int
@@ -106,8 +106,8 @@
 	}
 }
 
-// The all-seeing policy bounds what any policy can reach: it takes the backend that completes first, and wastes no
-// capacity on a request that nobody completes in time.
+// The all-seeing policy is an upper bound for all policies: it picks the backend that completes first, and uses no
+// capacity for a request that no backend completes in time.
 func TestAllSeeing(t *testing.T) {
 	decider, backends := newPolicy(t, "all-seeing", func(_ float64, backend *balancer.Backend, _ *balancer.Request) float64 {
 		return map[uint64]float64{1: 50, 2: 20, 3: math.Inf(1)}[backend.ID]
--- a/internal/lab/baselines/endpoints.go
+++ b/internal/lab/baselines/endpoints.go
@@ -12,7 +12,7 @@
 	pollBackoffMax = 4e3   // ms, before jitter
 )
 
-// EndpointsChanged takes the complete endpoint list or changes to it.
+// EndpointsChanged applies the complete endpoint list, or changes to it.
 func (p *policy) EndpointsChanged(now float64, endpoints []balancer.Endpoint, complete, cached bool) {
 	p.now = now
 	if !cached {
@@ -37,14 +37,14 @@
 }
 
 // PollFailed schedules the next poll, with exponential backoff and jitter. A timer that is set may fire later than
-// that, so it is set anew.
+// that, so it is set again.
 func (p *policy) PollFailed(now float64) {
 	p.now, p.isWatching, p.timerAt = now, false, 0
 	p.pollAt = now + math.Min(pollBackoffMin*math.Exp2(float64(p.failedPolls)), pollBackoffMax)*(0.5+p.rng.Float64())
 	p.failedPolls++
 }
 
-// TimerFired notes that the timer for the next poll has fired.
+// TimerFired clears the timer for the next poll.
 func (p *policy) TimerFired(now float64) {
 	p.now = now
 	p.timerAt = 0
--- a/internal/lab/baselines/selection.go
+++ b/internal/lab/baselines/selection.go
@@ -6,8 +6,8 @@
 	"pearknot/balancer"
 )
 
-// CompletionEstimate returns what only an all-seeing policy can know: the time in which a backend would complete a
-// request, in ms, or +Inf if it never would.
+// CompletionEstimate returns the time in which a backend would complete a request, in ms, or +Inf if it never would. Only
+// a simulation can provide it.
 type CompletionEstimate func(now float64, backend *balancer.Backend, request *balancer.Request) float64
 
 // pickRandom picks any of the candidates.
@@ -45,8 +45,8 @@
 	return first
 }
 
-// pickByEstimate picks the candidate that completes the request first. It returns nil if none does in time to earn
-// anything: such a request only takes capacity from others.
+// pickByEstimate picks the candidate that completes the request first. It returns nil if none completes it in time to
+// earn anything: such a request would only take capacity from others.
 func (p *policy) pickByEstimate(candidates []*balancer.Backend, request *balancer.Request) *balancer.Backend {
 	start := p.rng.IntN(len(candidates))
 	var best *balancer.Backend
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -10,8 +10,8 @@
 	"pearknot/internal/lab/experiment"
 )
 
-// decode returns a small experiment with the given faults.
-func decode(t *testing.T, faults string) *experiment.Experiment {
+// decodeExperiment returns a small experiment with the given faults.
+func decodeExperiment(t *testing.T, faults string) *experiment.Experiment {
 	t.Helper()
 	e, err := experiment.Decode("e", []byte(`seconds = 60
 [fleet]
@@ -36,9 +36,9 @@
 }
 
 // A schedule is the same on every run of a seed, so that policies can be compared on the same faults; another seed
-// hits other backends. A backend whose fault ends at the moment at which the next begins must be free for it.
+// selects other backends. At the same time, ends come before beginnings, so that a backend is up again for the next fault.
 func TestSchedule(t *testing.T) {
-	e := decode(t, `
+	e := decodeExperiment(t, `
 [[trouble]]
 kind = "crash"
 at_s = 10
@@ -68,9 +68,9 @@
 	assert.True(t, differs)
 }
 
-// During an incident several faults hit the same machine. Their effects combine, and the end of one leaves the others.
+// Several faults may be active on the same machine. Their effects combine, and the end of one doesn't affect the others.
 func TestFaultsOverlap(t *testing.T) {
-	e := decode(t, `
+	e := decodeExperiment(t, `
 [[trouble]]
 kind = "slow"
 share = 1
@@ -123,9 +123,9 @@
 	assert.False(t, state.IsPartitioned(0, 1))
 }
 
-// A backend that joins during the experiment must not exist before, also where another fault has it as a target.
+// A backend that joins during the experiment must not exist before, even if another fault has it as a target.
 func TestJoiningBackends(t *testing.T) {
-	e := decode(t, `
+	e := decodeExperiment(t, `
 [[trouble]]
 kind = "join"
 at_s = 10
--- a/internal/lab/faults/schedule.go
+++ b/internal/lab/faults/schedule.go
@@ -13,12 +13,12 @@
 // Transition is the beginning or the end of a fault.
 type Transition struct {
 	At      float64 // ms
-	On      bool    // whether the fault begins
+	On      bool    // true if the fault begins, false if it ends
 	Index   int     // of the fault in the experiment
 	Targets []int   // numbers of backends or nodes, by the kind of fault
 }
 
-// Schedule selects the targets of each fault by the seed, and returns all transitions in the order of time.
+// Schedule selects the targets of each fault by the seed, and returns all transitions in order of time.
 func Schedule(e *experiment.Experiment, seed uint64) []Transition {
 	var transitions []Transition
 	for i, fault := range e.Faults {
@@ -27,13 +27,13 @@
 			Transition{At: fault.StartSeconds * 1e3, On: true, Index: i, Targets: targets},
 			Transition{At: fault.EndMs(), On: false, Index: i, Targets: targets})
 	}
-	slices.SortStableFunc(transitions, compare)
+	slices.SortStableFunc(transitions, compareTransitions)
 	return transitions
 }
 
-// compare orders transitions by time. Of those at the same time, ends come first: a backend restarted by the end of
+// compareTransitions orders transitions by time. Of those at the same time, ends come first: a backend restarted by the end of
 // one fault can then be hit by the next.
-func compare(a, b Transition) int {
+func compareTransitions(a, b Transition) int {
 	switch {
 	case a.At != b.At:
 		return cmp.Compare(a.At, b.At)
@@ -65,7 +65,7 @@
 	return targets
 }
 
-// targetCount returns how many of the candidates a fault hits: its count, or its share rounded, at least one.
+// targetCount returns the number of targets of a fault: its count, or its share of the candidates, rounded to at least one.
 func targetCount(fault experiment.Fault, candidates int) int {
 	if fault.Count != 0 {
 		return fault.Count
--- a/internal/lab/faults/state.go
+++ b/internal/lab/faults/state.go
@@ -43,7 +43,7 @@
 	return active
 }
 
-// BackendFaults returns all that is active at one backend's machine, combined.
+// BackendFaults returns the combined effects of all faults that are active on a backend's machine.
 func (s *State) BackendFaults(backend int) (combined backendmodel.Faults) {
 	combine := func(kind string, add func(fault experiment.Fault)) {
 		s.forEach(kind, func(fault experiment.Fault, targets []int) {
@@ -98,7 +98,7 @@
 	return factor
 }
 
-// CostIncrease returns the probability that a request of a class costs more than its hint foresees, and the factor.
+// CostIncrease returns the probability that a request of a class costs more than its hint says, and the factor.
 func (s *State) CostIncrease(class int) (chance, factor float64) {
 	s.forEach(experiment.FaultCostly, func(fault experiment.Fault, _ []int) {
 		if s.experiment.Classes[class].Name == fault.Class {
@@ -118,8 +118,8 @@
 	return chance
 }
 
-// PoisonDowntime returns how long a backend stays down after a poison request, in ms. It doesn't ask whether the fault
-// is active: a poison request may be retried after the fault has ended.
+// PoisonDowntime returns the time that a backend stays down after a poison request, in ms. It doesn't depend on whether
+// the fault is active: a poison request may be retried after the fault has ended.
 func (s *State) PoisonDowntime() (downtime float64) {
 	for _, fault := range s.experiment.Faults {
 		if fault.Kind == experiment.FaultPoisonRequests {
@@ -147,7 +147,7 @@
 // ListDown reports whether the discovery service is down.
 func (s *State) ListDown() bool { return s.isActive(experiment.FaultListDown) }
 
-// ListLag returns how far the endpoint list lags behind the truth, in ms.
+// ListLag returns the lag of the endpoint list behind the actual state, in ms.
 func (s *State) ListLag() float64 {
 	lag := s.experiment.EndpointList.LagMs
 	s.forEach(experiment.FaultListDelay, func(fault experiment.Fault, _ []int) { lag *= fault.Factor })
--- a/internal/lab/loopback/backend.go
+++ b/internal/lab/loopback/backend.go
@@ -10,34 +10,34 @@
 	"pearknot/internal/lab/backendmodel"
 )
 
-// backend is the stand-in for one backend: the lab's model of a machine behind real sockets. It has a listener for the nodes of each
-// zone, so that it can be cut off from one zone alone.
+// backend simulates one backend: the lab's model of a machine behind real sockets. It has a listener for the nodes of each zone, so
+// that it can be partitioned from a single zone.
 type backend struct {
 	monitor   *monitor
 	number    int
 	zone      int
-	kind      int         // of machine, by its place in the experiment
+	kind      int         // index of the machine type in the experiment
 	listeners []*listener // by the zone of the nodes
 
 	mu       sync.Mutex
 	machine  *backendmodel.Machine
 	inFlight map[uint64]*execution // by ID
-	lastID   uint64                // of an execution
+	lastID   uint64                // last execution ID assigned
 	timer    *time.Timer           // for the machine's next event
-	silent   bool                  // its machine is gone from the network
+	silent   bool                  // the machine is off the network: packets to it are dropped
 	closed   bool
 }
 
-// execution is an attempt that the machine has accepted.
+// execution represents an attempt that the machine has accepted.
 type execution struct {
 	id   uint64
 	done chan struct{} // closed when the machine has finished it
 }
 
-// backendStatus is the state of a backend's process.
+// backendStatus holds the state of a backend's process.
 type backendStatus struct{ isUp, isDraining, isOverloaded bool }
 
-// newBackend opens the listeners of a backend, whose process is down. Its addresses are known from here on.
+// newBackend returns a backend whose process is down, with open listeners so that its addresses are known.
 func newBackend(m *monitor, number int, machine *backendmodel.Machine) (*backend, error) {
 	zones := len(m.experiment.Fleet.Zones)
 	b := &backend{
@@ -63,7 +63,7 @@
 // name returns the ID of the backend on the endpoint list.
 func (b *backend) name() string { return fmt.Sprintf("s-%d", b.number) }
 
-// networkDelay returns the delay of one way between a zone's nodes and the backend. Loopback itself has next to none.
+// networkDelay returns the one-way delay between a zone's nodes and the backend. That of loopback itself is negligible.
 func (b *backend) networkDelay(zone int) time.Duration {
 	if zone == b.zone {
 		return 0
@@ -71,7 +71,7 @@
 	return milliseconds(b.monitor.experiment.Fleet.CrossZoneDelayMs)
 }
 
-// advance brings the machine up to the present, and sets the timer for its next event.
+// advance updates the machine to the current time, and sets the timer for its next event.
 func (b *backend) advance() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// start starts the backend's process and opens its listeners; a warm process has been running for long.
+// start starts the backend's process and opens its listeners. A warm process has completed its warm-up.
 func (b *backend) start(warm bool) error {
 	const minStartTime = 1e-3 // ms: 0 would mean that it started before the run
 	b.mu.Lock()
@@ -136,7 +136,7 @@
 	b.advanceLocked()
 }
 
-// stop ends the backend's process. Its connections are reset, or fall silent together with the machine.
+// stop stops the backend's process. Its connections are reset, or if silent, all their packets are dropped as on a lost machine.
 func (b *backend) stop(silent bool) {
 	b.mu.Lock()
 	b.machine.Stop(b.monitor.now())
@@ -144,11 +144,11 @@
 	b.inFlight = map[uint64]*execution{}
 	b.mu.Unlock()
 	for _, l := range b.listeners {
-		l.shut(silent)
+		l.shutDown(silent)
 	}
 }
 
-// beginDrain begins a graceful shutdown. It reports whether the process is up.
+// beginDrain starts a graceful shutdown. It reports whether the process is up.
 func (b *backend) beginDrain() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -159,19 +159,19 @@
 	return isUp
 }
 
-// close ends the stand-in, and waits until all its connections have ended.
+// close closes the simulated backend, and waits until all its connections are closed.
 func (b *backend) close() {
 	b.mu.Lock()
 	b.closed = true
 	b.timer.Stop()
 	b.mu.Unlock()
 	for _, l := range b.listeners {
-		l.shut(false)
+		l.shutDown(false)
 		l.wg.Wait()
 	}
 }
 
-// accept hands an attempt to the machine. The execution is only meaningful if the machine accepted it.
+// accept passes an attempt to the machine. The execution is valid only if the machine accepted it.
 func (b *backend) accept(work float64, newConnection bool) (*execution, backendmodel.Verdict) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -185,7 +185,7 @@
 	return e, verdict
 }
 
-// cancel tells the machine that nobody waits for an execution any more.
+// cancel cancels an execution whose response is no longer needed.
 func (b *backend) cancel(e *execution) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -215,7 +215,7 @@
 	return b.silent
 }
 
-// workDone returns the work that the machine has done up to the present.
+// workDone returns the work that the machine has done up to the current time.
 func (b *backend) workDone() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/lab/loopback/blackhole.go
+++ b/internal/lab/loopback/blackhole.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// blackhole is a listening socket whose queue is full: a connection to it never comes up, as to a machine that is gone.
+// blackhole is a listening socket whose accept queue is full. Connecting to it times out, as if the machine were off the network.
 type blackhole struct {
 	fd      int
-	fillers []net.Conn // fill the queue
+	fillers []net.Conn // connections that fill the accept queue
 }
 
 const (
-	blackholeFillers     = 4 // a queue of length 0 takes one or two
+	blackholeFillers     = 4 // a backlog of 0 still accepts one or two connections
 	blackholeDialTimeout = 20 * time.Millisecond
 )
 
-// openBlackhole opens a blackhole at an address. It returns nil where that fails: connections are then refused.
+// openBlackhole opens a blackhole at an address. It returns nil on failure; connections are then refused.
 func openBlackhole(address string) *blackhole {
 	resolved, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return b
 }
 
-// listenWithoutQueue returns a socket that listens with a backlog of 0, which net.Listen can't.
+// listenWithoutQueue returns a socket that listens with a backlog of 0, which net.Listen doesn't support.
 func listenWithoutQueue(address *net.TCPAddr) (fd int, err error) {
 	fd, err = syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return fd, err
 }
 
-// close closes the blackhole: connections to it are refused from then on. It does nothing for nil.
+// close closes the blackhole, so that connections to it are refused. It does nothing for nil.
 func (b *blackhole) close() {
 	if b == nil {
 		return
--- a/internal/lab/loopback/clients.go
+++ b/internal/lab/loopback/clients.go
@@ -9,20 +9,21 @@
 	"pearknot/internal/lab/workload"
 )
 
-// maxIdleConns is how many connections to a node a device keeps.
+// maxIdleConns is the number of idle connections that a device keeps to each node.
 const maxIdleConns = 100
 
-// clients are all clients of the experiment. They send when the workload says so, whether or not earlier requests are answered.
+// clients simulates all clients of the experiment. They form an open loop: requests are sent at the workload's arrival times, whether
+// or not earlier requests are answered.
 type clients struct {
 	monitor *monitor
-	source  *workload.Source // guarded by the monitor's lock once the load has begun
+	source  *workload.Source // guarded by the monitor's lock while the load runs
 	useTLS  bool
-	devices []*http.Client // each with connections of its own
+	devices []*http.Client // each with its own connection pool
 	wg      sync.WaitGroup
 
 	mu          sync.Mutex
 	nodesByZone [][]*node
-	nextNode    []int // by zone, the position of the round robin among its nodes
+	nextNode    []int // round-robin position among the nodes, by zone
 }
 
 func newClients(m *monitor, source *workload.Source, nodes []*node, tls *tlsSetup, devices int) *clients {
@@ -47,7 +48,7 @@
 	return c
 }
 
-// run sends requests until the experiment's end, and waits until all are finished or the context ends.
+// run sends requests until the experiment's end, and waits until all are finished. It stops early when the context ends.
 func (c *clients) run(ctx context.Context) {
 	defer func() {
 		for _, device := range c.devices {
@@ -60,13 +61,13 @@
 			break
 		}
 		if request := c.nextRequest(); request != nil {
-			c.wg.Go(func() { c.follow(ctx, request) })
+			c.wg.Go(func() { c.sendWithRetries(ctx, request) })
 		}
 	}
 	c.wg.Wait()
 }
 
-// nextRequest takes the next request from the workload, or nil if the workload leaves this arrival out.
+// nextRequest returns the next request of the workload, or nil if the workload drops this arrival.
 func (c *clients) nextRequest() *workload.Request {
 	m := c.monitor
 	m.mu.Lock()
@@ -79,8 +80,8 @@
 	return request
 }
 
-// follow sends a request, and again for as long as its client retries.
-func (c *clients) follow(ctx context.Context, request *workload.Request) {
+// sendWithRetries sends a request, and repeats it as often as its client retries.
+func (c *clients) sendWithRetries(ctx context.Context, request *workload.Request) {
 	for number := 0; ctx.Err() == nil; number++ {
 		result := c.send(ctx, request, number)
 		wait, isRetried := c.finishTry(request, number, result)
@@ -91,7 +92,7 @@
 	}
 }
 
-// finishTry records the result of a try, and returns whether the client retries and after how many ms.
+// finishTry records the result of a try. It returns whether the client retries, and the wait before that in ms.
 func (c *clients) finishTry(request *workload.Request, number int, result tryResult) (wait float64, isRetried bool) {
 	m := c.monitor
 	m.mu.Lock()
@@ -118,7 +119,7 @@
 	return wait, isRetried
 }
 
-// pickNode returns the next node of a zone by round robin among those believed alive, or nil if there is none.
+// pickNode returns the zone's next node by round robin, without those known to be dead, or nil if there is none.
 func (c *clients) pickNode(zone int) *node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,14 +128,14 @@
 	for range candidates {
 		n := candidates[c.nextNode[zone]%len(candidates)]
 		c.nextNode[zone]++
-		if n.isBelievedAlive(now) {
+		if n.isPresumedAlive(now) {
 			return n
 		}
 	}
 	return nil
 }
 
-// recordClientGone records that a try's client has disconnected and no answer is owed.
+// recordClientGone records that a try's client has disconnected, so that the auditor expects no answer.
 func (c *clients) recordClientGone(tryID uint64) {
 	c.monitor.recordEvent(invariants.Event{Kind: invariants.ClientGone, Request: tryID})
 }
--- a/internal/lab/loopback/connection.go
+++ b/internal/lab/loopback/connection.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	errorDelay   = time.Millisecond // until a backend responds with an error
+	errorDelay   = time.Millisecond // before a backend responds with an error
 	writeTimeout = 5 * time.Second
 )
 
@@ -24,15 +24,15 @@
 type connection struct {
 	*listener
 	conn  *net.TCPConn
-	isNew bool // no attempt has come on it yet
+	isNew bool // no attempt has been received on it yet
 }
 
-// receivedAttempt is an attempt as it was read from a connection.
+// receivedAttempt holds an attempt that was read from a connection.
 type receivedAttempt struct {
 	tryID  uint64
 	number int
 	work   float64
-	ok     bool // it is an attempt at a try of this run
+	ok     bool // whether it belongs to a try of this run
 }
 
 // serve serves attempts from one connection, one at a time, until either side closes it.
@@ -45,7 +45,7 @@
 	defer func() {
 		_ = conn.Close()
 		close(closed)
-		l.forget(conn)
+		l.removeConnection(conn)
 	}()
 	l.wg.Add(1)
 	go func() {
@@ -66,8 +66,8 @@
 	}
 }
 
-// readAttempts reads attempts until the connection is closed. It reads ahead, so that it notices while an attempt is executed that the
-// node hangs up.
+// readAttempts reads attempts until the connection is closed. It reads ahead, so that it detects when the node closes the connection
+// during an execution.
 func (c *connection) readAttempts(attempts chan<- receivedAttempt, closed <-chan struct{}) {
 	reader := bufio.NewReader(c.conn)
 	for {
@@ -90,7 +90,7 @@
 	}
 }
 
-// receive notes that an attempt has reached the backend.
+// receive records that an attempt has reached the backend.
 func (c *connection) receive(request *http.Request) receivedAttempt {
 	tryID, err := strconv.ParseUint(request.Header.Get(headerTraceID), 16, 64)
 	if err != nil {
@@ -101,13 +101,13 @@
 	return receivedAttempt{tryID: tryID, number: number, work: work, ok: ok}
 }
 
-// handle handles one attempt. It reports whether the connection stays up.
+// handle processes one attempt. It reports whether the connection stays open.
 func (c *connection) handle(ctx context.Context, attempt receivedAttempt) bool {
 	if !attempt.ok {
 		c.respond("400 Bad Request", "", "no request of this run")
 		return false
 	}
-	if !c.passNetwork(ctx, attempt) {
+	if !c.simulateNetwork(ctx, attempt) {
 		return false
 	}
 	execution, verdict := c.backend.accept(attempt.work, c.isNew)
@@ -124,13 +124,13 @@
 	case backendmodel.VerdictDown:
 		c.recordOutcome(attempt, balancer.OutcomeConnectionReset)
 		c.stopIfOverloaded()
-		_ = c.conn.SetLinger(0) // serve closes it
+		_ = c.conn.SetLinger(0) // serve then closes the connection with a RST
 		return false
 	}
 	return c.finish(ctx, attempt, execution)
 }
 
-// finish waits for an execution and responds.
+// finish waits for an execution to complete and sends the response. It reports whether the connection stays open.
 func (c *connection) finish(ctx context.Context, attempt receivedAttempt, execution *execution) bool {
 	b := c.backend
 	b.monitor.recordEvent(invariants.Event{Kind: invariants.AttemptRan, Request: attempt.tryID, Attempt: attempt.number, Backend: b.number})
@@ -141,7 +141,7 @@
 		c.recordOutcome(attempt, balancer.OutcomeCanceled)
 		return false
 	}
-	if !c.passNetwork(ctx, attempt) {
+	if !c.simulateNetwork(ctx, attempt) {
 		return false
 	}
 	c.recordOutcome(attempt, balancer.OutcomeAnswered)
@@ -152,8 +152,9 @@
 	return c.respond("200 OK", header, responseBody(attempt.tryID))
 }
 
-// passNetwork waits for the network's delay of one way. If packets get lost it waits until the node gives up, and returns false.
-func (c *connection) passNetwork(ctx context.Context, attempt receivedAttempt) bool {
+// simulateNetwork waits for the one-way network delay and returns true. If packets are dropped, it waits until the node closes the
+// connection, and returns false.
+func (c *connection) simulateNetwork(ctx context.Context, attempt receivedAttempt) bool {
 	sleep(ctx, c.backend.networkDelay(c.zone))
 	if c.isSilent(c.conn) {
 		return c.waitUntilTimedOut(ctx, attempt)
@@ -168,7 +169,8 @@
 	return false
 }
 
-// stopIfOverloaded stops the backend if it has just gone down under its load. That closes this connection too, so it isn't waited for.
+// stopIfOverloaded stops the backend if it has just crashed from overload. Stopping closes this connection too, so it runs in the
+// background.
 func (c *connection) stopIfOverloaded() {
 	b := c.backend
 	if status := b.status(); !status.isUp || !status.isOverloaded {
@@ -189,10 +191,10 @@
 	})
 }
 
-// responseBody returns what only a backend that got the try would respond.
+// responseBody returns the response body for a try. It contains the try's ID, so that the client can check that a backend made it.
 func responseBody(tryID uint64) string { return fmt.Sprintf("done %016x", tryID) }
 
-// respond writes a response, with a header of complete lines. It reports whether the connection stays up.
+// respond writes a response. The header consists of complete lines, each with its CRLF. It reports whether the connection stays open.
 func (c *connection) respond(status, header, body string) bool {
 	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := fmt.Fprintf(c.conn, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
--- a/internal/lab/loopback/discovery.go
+++ b/internal/lab/loopback/discovery.go
@@ -15,11 +15,11 @@
 	"pearknot/internal/lab/discoverystub"
 )
 
-// maxHoldMs is how long a watch waits for a change at most, whatever it asks for.
+// maxHoldMs limits the time that a watch waits for a change, even if it requests more.
 const maxHoldMs = 60_000
 
-// discoveryServer is the stand-in for the discovery service: the lab's model of it behind HTTP. It has an endpoint for each node, so
-// that it knows which node it notifies of what.
+// discoveryServer simulates the discovery service: it serves the lab's model of it over HTTP. It has a separate HTTP endpoint for each
+// node, so that it can record which node is notified of which change.
 type discoveryServer struct {
 	monitor  *monitor
 	backends []*backend
@@ -28,7 +28,7 @@
 
 	mu      sync.Mutex
 	service *discoverystub.Service
-	changed chan struct{} // closed when watches must look again
+	changed chan struct{} // closed to make watches check again
 	timer   *time.Timer   // for the next publication
 }
 
@@ -39,7 +39,7 @@
 	Entries    []listEntry `json:"targets"`
 }
 
-// listEntry is a backend on the endpoint list.
+// listEntry describes a backend on the endpoint list.
 type listEntry struct {
 	ID        string  `json:"uid"`
 	Address   string  `json:"endpoint"`
@@ -57,7 +57,7 @@
 	balancer.BackendRemoved:  "removed",
 }
 
-// newDiscoveryServer returns a server that lists all backends but those that join later as ready.
+// newDiscoveryServer returns a server that lists all backends as ready, except those that join later.
 func newDiscoveryServer(m *monitor, backends []*backend, joining map[int]bool) *discoveryServer {
 	d := &discoveryServer{
 		monitor:  m,
@@ -75,7 +75,7 @@
 	return d
 }
 
-// open opens a node's own endpoint of the service.
+// open opens the HTTP endpoint of the service for a node, and returns its address.
 func (d *discoveryServer) open(node, zone int) (address string, err error) {
 	socket, err := net.Listen("tcp", d.monitor.ip+":0")
 	if err != nil {
@@ -101,7 +101,7 @@
 	d.wg.Wait()
 }
 
-// update has the service learn of a backend's new state, after the list's current lag.
+// update reports a backend's new state to the service, which publishes it after the list's current lag.
 func (d *discoveryServer) update(b *backend, state balancer.BackendState) {
 	d.monitor.mu.Lock()
 	lag := d.monitor.faults.ListLag()
@@ -115,7 +115,7 @@
 	d.timer.Reset(max(0, time.Until(d.monitor.wallTime(d.service.NextPublish()))))
 }
 
-// publish wakes the watches if the service has learned of changes, and sets the timer for the next ones.
+// publish wakes the watches if changes are due, and sets the timer for the next changes.
 func (d *discoveryServer) publish() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -127,7 +127,7 @@
 	}
 }
 
-// wakeWatches has all watches look again, such as when the service goes down.
+// wakeWatches makes all watches check again, for instance when the service goes down.
 func (d *discoveryServer) wakeWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -145,7 +145,7 @@
 	return d.monitor.faults.ListDown()
 }
 
-// listAt returns the complete list as it was at a time.
+// listAt returns the complete list as of the given time, in ms.
 func (d *discoveryServer) listAt(at float64, zone int) listResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -153,7 +153,7 @@
 	return listResponse{Version: version, IsComplete: true, Entries: d.encodeEntries(entries, zone)}
 }
 
-// encodeEntries returns entries of the list with the addresses for the nodes of a zone.
+// encodeEntries converts list entries to the protocol's form, with the addresses for the nodes of a zone.
 func (d *discoveryServer) encodeEntries(entries []discoverystub.Entry, zone int) []listEntry {
 	encoded := make([]listEntry, 0, len(entries))
 	for _, entry := range entries {
@@ -176,7 +176,7 @@
 	return encoded
 }
 
-// listQuery is what a node asks for: the complete list or, in a watch, the changes since a version as soon as there are any.
+// listQuery holds a node's query: a poll for the complete list, or a watch for the changes since a version.
 type listQuery struct {
 	isWatch bool
 	since   int           // a version
@@ -205,11 +205,11 @@
 	response := listResponse{Version: version, IsComplete: !query.isWatch, Entries: d.encodeEntries(entries, zone)}
 	data, err := json.Marshal(response)
 	if err != nil {
-		panic(err) // it has plain values only
+		panic(err) // the response has no value that JSON can't encode
 	}
-	// A node may use a backend at the moment at which it reads that the backend is ready again, which may be before the write returns
-	// here. The auditor must know by then, or it takes that for an attempt at a draining backend. All other states bind the node only
-	// once it has read them, so the auditor learns of them after the write.
+	// A node may use a backend as soon as it reads that the backend is ready again, which may be before the write returns here. The
+	// auditor must be notified before that, or it would report an attempt to a draining backend. All other states apply to the node only
+	// once it has read them, so the auditor is notified of them after the write.
 	d.notify(node, entries, true)
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	if _, err := w.Write(data); err != nil {
@@ -224,8 +224,8 @@
 	}
 }
 
-// waitForAnswer waits until there is something to answer: at once, or for a watch until there are changes or its time is over. It
-// returns false if the service is down or the node has hung up.
+// waitForAnswer returns at once for a poll. For a watch it waits until there are changes or the hold time is over. It returns false if
+// the service is down or the node has closed the connection.
 func (d *discoveryServer) waitForAnswer(ctx context.Context, query listQuery) bool {
 	timeout := time.NewTimer(query.hold)
 	defer timeout.Stop()
@@ -249,8 +249,8 @@
 	}
 }
 
-// callService charges the service with an answer. It returns the entries and version to answer with, and when the service answers and
-// whether it does.
+// callService adds the cost of an answer to the service's load. It returns the entries and the version to answer with, the time of the
+// answer in ms, and whether the service answers at all.
 func (d *discoveryServer) callService(query listQuery) (entries []discoverystub.Entry, version int, done float64, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -261,14 +261,14 @@
 		entries = d.service.List()
 	}
 	lines := max(1, len(entries))
-	if query.isWatch && len(entries) == 0 { // a watch that is kept up costs next to nothing
+	if query.isWatch && len(entries) == 0 { // renewing a watch without changes costs almost nothing
 		lines = 0
 	}
 	done, ok = d.service.Call(d.monitor.now(), lines)
 	return entries, version, done, ok
 }
 
-// notify records that a node is notified of those entries that are ready, or of those that are not.
+// notify records that a node is notified of the entries that are ready or, if ready is false, of the others.
 func (d *discoveryServer) notify(node int, entries []discoverystub.Entry, ready bool) {
 	for _, entry := range entries {
 		if (entry.State == balancer.BackendReady) != ready {
--- a/internal/lab/loopback/faults.go
+++ b/internal/lab/loopback/faults.go
@@ -10,8 +10,8 @@
 	"pearknot/internal/lab/faults"
 )
 
-// playFaults applies the transitions of the schedule at their times.
-func (t *testbed) playFaults(ctx context.Context) {
+// runFaultSchedule applies the scheduled transitions at their times.
+func (t *testbed) runFaultSchedule(ctx context.Context) {
 	for _, transition := range t.transitions {
 		t.sleepUntil(ctx, transition.At)
 		if ctx.Err() != nil {
@@ -24,8 +24,8 @@
 	}
 }
 
-// applyTransition begins or ends a fault. Kinds that aren't named here act only through the state of faults, which the workload and
-// the network ask.
+// applyTransition begins or ends a fault. Kinds that aren't handled here take effect only through the fault state, which the workload
+// and the simulated network query.
 func (t *testbed) applyTransition(ctx context.Context, transition faults.Transition) error {
 	t.mu.Lock()
 	t.faults.Apply(transition)
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// applyNodeFault begins or ends a fault at one node.
+// applyNodeFault begins or ends a fault on one node.
 func (t *testbed) applyNodeFault(ctx context.Context, n *node, kind string, on bool) error {
 	switch kind {
 	case experiment.FaultNodeCrash:
@@ -73,14 +73,14 @@
 	return nil
 }
 
-// restartNode starts a node that was killed, with an endpoint list that was stale already when it died.
+// restartNode starts a node that was killed, with an endpoint list that was already stale when the node was killed.
 func (t *testbed) restartNode(ctx context.Context, n *node) {
 	if err := n.start(n.diedAt - t.experiment.EndpointList.StaleByMs); err != nil && ctx.Err() == nil {
 		t.reportFailure(err)
 	}
 }
 
-// applyBackendFault begins or ends a fault at one backend.
+// applyBackendFault begins or ends a fault on one backend.
 func (t *testbed) applyBackendFault(ctx context.Context, b *backend, kind string, on bool) error {
 	switch kind {
 	case experiment.FaultSwallow, experiment.FaultErrors, experiment.FaultSlow, experiment.FaultPauses, experiment.FaultWrongReports:
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// updatePartitions cuts the listeners of backends off from the zones that can't reach them now, and connects the others.
+// updatePartitions partitions the backends' listeners from the zones that can't reach them now, and reconnects the others.
 func (t *testbed) updatePartitions() error {
 	for _, b := range t.backends {
 		for _, listener := range b.listeners {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// setCordoned has all nodes cordon or uncordon a backend. To the auditor a node that confirms a cordon has been notified of a drain.
+// setCordoned makes all nodes cordon or uncordon a backend. For the auditor, a node that confirms a cordon has been notified of a drain.
 func (t *testbed) setCordoned(b *backend, cordoned bool) error {
 	command, state := "uncordon", balancer.BackendReady
 	if cordoned {
@@ -133,7 +133,7 @@
 		if !cordoned {
 			t.recordEvent(notified)
 		}
-		if err := n.callOperator(fmt.Sprintf("%s %s", command, b.name())); err != nil {
+		if err := n.callAdmin(fmt.Sprintf("%s %s", command, b.name())); err != nil {
 			return err
 		}
 		if cordoned {
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// crashBackend stops a backend that is up, with its machine if silent, and has it removed from the endpoint list.
+// crashBackend stops a backend that is up, and reports it as removed to the discovery service. If silent, its machine is lost too.
 func (t *testbed) crashBackend(b *backend, silent bool) {
 	if !b.status().isUp {
 		return
@@ -152,7 +152,7 @@
 	t.discovery.update(b, balancer.BackendRemoved)
 }
 
-// restartBackend starts a backend that is down or draining. One that went down under its load stays down.
+// restartBackend starts a backend that is down or draining. One that crashed from overload stays down.
 func (t *testbed) restartBackend(b *backend) error {
 	status := b.status()
 	if status.isOverloaded || status.isUp && !status.isDraining {
--- a/internal/lab/loopback/listener.go
+++ b/internal/lab/loopback/listener.go
@@ -5,29 +5,29 @@
 	"sync"
 )
 
-// listener is where the nodes of one zone connect to a backend.
+// listener accepts the connections of one zone's nodes to a backend.
 type listener struct {
 	backend *backend
 	zone    int // of the nodes
 	wg      sync.WaitGroup
 
-	// isPartitioned is true while the zone and the backend's can't reach each other. It belongs to the goroutine that plays faults;
-	// open reads it under the lock.
+	// isPartitioned is true while the nodes' zone and the backend's can't reach each other. Only the goroutine of runFaultSchedule
+	// writes it, under the lock; open reads it under the lock.
 	isPartitioned bool
 
 	mu        sync.Mutex
-	address   string       // of its first opening, and from then on of all
-	socket    net.Listener // nil while it is shut
-	blackhole *blackhole   // in place of the socket while the machine is gone or the zones are partitioned
+	address   string       // assigned when first opened, and reused after that
+	socket    net.Listener // nil while the listener is shut down
+	blackhole *blackhole   // replaces the socket while the machine is off the network or the zones are partitioned
 	conns     map[*net.TCPConn]connState
 }
 
-// connState tells whether packets pass on a connection.
+// connState tells whether a connection delivers packets.
 type connState bool
 
 const (
-	connPasses connState = false
-	connSilent connState = true // nothing arrives any more; it is reset when packets pass again
+	connDelivering connState = false
+	connSilent     connState = true // packets are dropped; the connection is reset when packets are delivered again
 )
 
 func newListener(b *backend, zone int) *listener {
@@ -40,8 +40,8 @@
 	_ = conn.Close()
 }
 
-// open listens, on the address that it had before if it was open, and resets the connections that have fallen silent. It does nothing
-// if it is open or partitioned.
+// open listens, on the same address as before if it was open already, and resets the silent connections. It does nothing if the
+// listener is open or partitioned.
 func (l *listener) open() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// serveIfOpen serves a connection, unless its socket was shut right after it came up.
+// serveIfOpen serves a connection, unless the listener was shut down right after it was accepted.
 func (l *listener) serveIfOpen(socket net.Listener, conn *net.TCPConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,14 +83,14 @@
 		reset(conn)
 		return
 	}
-	l.conns[conn] = connPasses
+	l.conns[conn] = connDelivering
 	l.wg.Add(1)
 	go l.serve(conn)
 }
 
-// shut has new connections refused and resets those that are up. If silent, packets get lost instead: new connections don't come up,
-// and nothing arrives on those that are up.
-func (l *listener) shut(silent bool) {
+// shutDown closes the socket, so that new connections are refused, and resets the existing ones. If silent, packets are dropped instead:
+// new connections time out, and existing ones deliver nothing.
+func (l *listener) shutDown(silent bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.socket != nil {
@@ -123,26 +123,26 @@
 	l.isPartitioned = partitioned
 	l.mu.Unlock()
 	if partitioned {
-		l.shut(true)
+		l.shutDown(true)
 		return nil
 	}
 	switch {
 	case l.backend.status().isUp:
 		return l.open()
 	case !l.backend.isSilent():
-		l.shut(false)
+		l.shutDown(false)
 	}
 	return nil
 }
 
-// isSilent reports whether nothing arrives on a connection.
+// isSilent reports whether packets on a connection are dropped.
 func (l *listener) isSilent(conn *net.TCPConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conns[conn] == connSilent
 }
 
-func (l *listener) forget(conn *net.TCPConn) {
+func (l *listener) removeConnection(conn *net.TCPConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, conn)
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -1,6 +1,6 @@
-// Package loopback plays an experiment on sockets: real processes of the program, with stand-ins for backends, the discovery
-// service and clients around them, all on loopback addresses. The stand-ins run the same models as internal/lab/virtual does in
-// virtual time. However a run ends, its processes and ports end with it.
+// Package loopback runs an experiment on sockets: real node processes with simulated backends, discovery service and clients, all
+// on loopback addresses. The simulations use the same models as internal/lab/virtual does in virtual time. However a run ends, its
+// processes are ended and its ports closed.
 package loopback
 
 import (
@@ -17,30 +17,30 @@
 var ErrNeedsVirtualTime = errors.New(
 	"an endpoint list that empties, stuck load reports, poison requests and connection limits: only in virtual time")
 
-// Options are how a run is played. Callbacks must not block.
+// Options holds the settings of a run. Callbacks must not block.
 type Options struct {
-	Command       []string               // that starts a node; --config FILE is added
-	Dir           string                 // for the nodes' files; if empty a temporary one, which is removed
+	Command       []string               // command that starts a node; --config FILE is appended
+	Dir           string                 // directory of the nodes' files; if empty, a temporary one that is removed afterwards
 	Watch         func(invariants.Event) // if set, receives every event before the auditor does
 	OnProgress    func(Progress)         // if set, is called once a second
-	OnLoadStarted func()                 // if set, is called when everything is up, right before the load begins
+	OnLoadStarted func()                 // if set, is called when everything is ready, right before the load begins
 
 	TLS     *TLS // if nil, clients speak plain HTTP
-	Devices int  // that clients are spread over, each with connections of its own; 0 is one
+	Devices int  // number of devices that clients are spread over, each with its own connections; 0 means one
 
-	// StartNodes, if set, starts the nodes in place of the testbed and returns when all are ready. Whoever gave it also ends them.
+	// StartNodes, if set, starts the nodes in place of the testbed and returns when all are ready. The caller of Run must end them.
 	StartNodes func([]ExternalNode) error
 }
 
 // ExternalNode is a node that the caller of Run starts and ends.
 type ExternalNode struct {
 	Name    string
-	Address string // that it is to serve
-	Config  string // its configuration file's text
+	Address string // address on which it must listen
+	Config  string // text of its configuration file
 }
 
-// Run plays one seed. It returns when the experiment is over, when the context ends, or when something of the testbed itself has
-// failed, such as a node that ended by itself. With an error the run holds what was measured until then.
+// Run runs the experiment with one seed. It returns when the experiment is over, when the context ends, or when the testbed itself has
+// failed, for instance because a node exited unexpectedly. With an error, the returned run holds what was measured until then.
 func Run(ctx context.Context, e *experiment.Experiment, seed uint64, options Options) (run metrics.Run, err error) {
 	if e.NeedsVirtualTime() {
 		return run, ErrNeedsVirtualTime
@@ -66,6 +66,6 @@
 	if err = t.beginLoad(ctx); err != nil {
 		return run, err
 	}
-	err = t.playLoad(ctx, cancel)
+	err = t.runLoad(ctx, cancel)
 	return t.finish(), err
 }
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -24,7 +24,7 @@
 	"pearknot/internal/lab/program"
 )
 
-// nodeProgram is the program that the tests start as nodes.
+// nodeProgram is the path of the program that the tests start as nodes.
 var nodeProgram string
 
 func TestMain(m *testing.M) {
@@ -41,7 +41,7 @@
 	os.Exit(status)
 }
 
-// nodeCommand starts a node of the program under test.
+// nodeCommand returns the command that starts a node of the program under test.
 func nodeCommand() []string { return []string{nodeProgram, "serve"} }
 
 // calmExperiment returns an experiment with little load, a few nodes and backends, and the given faults.
@@ -57,7 +57,8 @@
 	return e
 }
 
-// processesOf returns the processes that have a directory on their command lines, by ID. It may be called in any goroutine.
+// processesOf returns the command lines of the processes that have a directory in theirs, by process ID. It may be called in any
+// goroutine.
 func processesOf(t *testing.T, dir string) map[int]string {
 	t.Helper()
 	files, err := filepath.Glob("/proc/[0-9]*/cmdline")
@@ -94,8 +95,8 @@
 	return addresses
 }
 
-// requireNothingLeft checks that a run in a directory has left no process, and no port that accepts connections.
-func requireNothingLeft(t *testing.T, dir string) {
+// requireNoLeftovers checks that a run in a directory left no running process and no port that accepts connections.
+func requireNoLeftovers(t *testing.T, dir string) {
 	t.Helper()
 	assert.Empty(t, processesOf(t, dir))
 	for _, address := range configuredAddresses(t, dir) {
@@ -106,8 +107,8 @@
 	}
 }
 
-// One of nearly every kind of fault happens within a few seconds. The rules are kept, most requests are served, and the auditor hears
-// of every kind of event.
+// Runs a fault of nearly every kind within a few seconds: no rule is broken, most requests are served, and the auditor receives every
+// kind of event.
 func TestRunWithFaults(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	e := calmExperiment(t, 6,
@@ -134,12 +135,12 @@
 			assert.Positive(t, eventsOfKind[kind], kind)
 		}
 	}
-	requireNothingLeft(t, dir)
+	requireNoLeftovers(t, dir)
 }
 
-// Clients speak TLS. The certificate is renewed twice under load, and in between the node that orders it is killed. No request is lost,
+// Clients use TLS. The certificate is renewed twice under load, and in between the node that orders it is killed. No request is lost,
 // and no handshake fails.
-func TestCertificateSwapUnderLoad(t *testing.T) {
+func TestCertificateRenewalUnderLoad(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	e := calmExperiment(t, 7, experiment.Fault{Kind: experiment.FaultNodeCrash, StartSeconds: 2.5, DurationSeconds: 1, Count: 1})
 	var stats TLSStats
@@ -162,12 +163,12 @@
 	assert.Positive(t, stats.Handshakes)
 }
 
-// However a run ends, it leaves no process and no port.
-func TestNothingIsLeft(t *testing.T) {
+// A run leaves no process and no open port, whether it is interrupted or fails.
+func TestRunLeavesNoProcessOrPort(t *testing.T) {
 	for name, test := range map[string]struct {
 		end       func(t *testing.T, cancel context.CancelFunc, dir string)
 		wantError string
-		rulesKept bool // no answer is owed when a run is interrupted, but one is for what a crashed node had accepted
+		rulesKept bool // an interrupted run owes no answers, but a crashed node does for the requests that it had accepted
 	}{
 		"interrupted": {
 			end:       func(_ *testing.T, cancel context.CancelFunc, _ string) { cancel() },
@@ -181,7 +182,7 @@
 					break
 				}
 			},
-			wantError: "ended by itself",
+			wantError: "exited unexpectedly",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -200,7 +201,7 @@
 			})
 			require.ErrorContains(t, err, test.wantError)
 			assert.Positive(t, run.Requests)
-			requireNothingLeft(t, dir)
+			requireNoLeftovers(t, dir)
 			if test.rulesKept {
 				assert.True(t, run.Verdict.Kept, run.Verdict.Evidence)
 			}
@@ -208,24 +209,24 @@
 	}
 }
 
-// A program that is no node gives an error that says so, and nothing is left.
-func TestProgramIsNoNode(t *testing.T) {
+// A command that can't be started, or that exits at once, gives an error that says so, and no goroutine is left.
+func TestCommandIsNotANode(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	_, err := Run(t.Context(), calmExperiment(t, 5), 1, Options{Command: []string{"/bin/false"}})
-	assert.ErrorContains(t, err, "ended before it was ready")
+	assert.ErrorContains(t, err, "exited before it was ready")
 	_, err = Run(t.Context(), calmExperiment(t, 5), 1, Options{Command: []string{"/nowhere"}})
 	assert.ErrorContains(t, err, "/nowhere")
 }
 
-// Faults that only the simulation has are refused before anything starts.
+// Faults that only the simulation supports are rejected before anything starts.
 func TestNeedsVirtualTime(t *testing.T) {
 	e := calmExperiment(t, 5, experiment.Fault{Kind: experiment.FaultListEmpty, StartSeconds: 1, DurationSeconds: 1})
 	_, err := Run(t.Context(), e, 1, Options{Command: nodeCommand()})
 	assert.ErrorIs(t, err, ErrNeedsVirtualTime)
 }
 
-// Nothing else of the run takes the address that a node is configured to listen on, however many nodes there are. With 30 nodes one
-// of their own endpoints of the discovery service took one in one run of twenty, and that node ended at its start.
+// Nothing else of the run takes the address that a node is configured to listen on, however many nodes there are. With 30 nodes, an
+// endpoint of the discovery service took such an address in one run of twenty, and that node exited at its start.
 func TestNodeAddressesStayUnused(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	e := calmExperiment(t, 5)
@@ -244,7 +245,7 @@
 	require.ErrorIs(t, err, errSeen)
 }
 
-// No connection to a machine that is gone comes up. When the machine is back without a process, they are refused.
+// Connections to a machine that is off the network time out. When the machine is back without a process, they are refused.
 func TestBlackhole(t *testing.T) {
 	address, err := unusedAddress("127.0.0.1")
 	require.NoError(t, err)
@@ -260,8 +261,8 @@
 }
 
 // Under load, operators cordon backends, quiesce a node and upgrade nodes, one of them several times. No request is lost, none runs
-// twice, and nothing new reaches a backend that is cordoned.
-func TestOperatorsCalls(t *testing.T) {
+// twice, and no new attempt reaches a cordoned backend.
+func TestOperatorCallsUnderLoad(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	const nodes = 3
 	e := calmExperiment(t, 7,
@@ -294,5 +295,5 @@
 		assert.GreaterOrEqual(t, takeovers, 2)
 		assert.Equal(t, takeovers, stops-1, "every process stops without an unanswered request; the first has no predecessor")
 	}
-	requireNothingLeft(t, dir)
+	requireNoLeftovers(t, dir)
 }
--- a/internal/lab/loopback/monitor.go
+++ b/internal/lab/loopback/monitor.go
@@ -15,31 +15,32 @@
 	"pearknot/internal/lab/workload"
 )
 
-// forgetTryAfterMs is how long past its deadline an attempt at a try can still reach a backend.
-const forgetTryAfterMs = 5e3
+// tryRetentionMs is the time after a try's deadline for which its attempts may still reach a backend.
+const tryRetentionMs = 5e3
 
-// monitor is what all stand-ins share: the experiment, the run's clock and, in one order, everything that is observed.
+// monitor holds the state shared by the simulated clients, backends and discovery service: the experiment, the run's clock, and all
+// observed events in a single order.
 type monitor struct {
 	experiment *experiment.Experiment
-	ip         string // that everything of the run listens on
+	ip         string // on which everything of the run listens
 	clock      *clock.Clock
-	startBits  atomic.Uint64 // the clock's reading at the run's start; set anew once, when the load begins
+	startBits  atomic.Uint64 // clock reading at the run's start; updated once, when the load begins
 	watch      func(invariants.Event)
 
-	mu         sync.Mutex // of the following, and of calls to watch
+	mu         sync.Mutex // guards the following fields and calls to watch
 	auditor    *invariants.Auditor
 	recorder   *metrics.Recorder
 	faults     *faults.State
 	tries      map[uint64]acceptedTry // by ID
-	overloaded int                    // backends that went down under their load
+	overloaded int                    // number of backends that crashed from overload
 	progress   Progress
 }
 
-// acceptedTry is what the stand-ins know of a client's try that a node has accepted.
+// acceptedTry holds the state of a client's try that a node has accepted.
 type acceptedTry struct {
 	node     int
 	work     float64
-	attempts int // that have reached backends
+	attempts int // number of attempts that have reached backends
 	deadline float64
 }
 
@@ -48,13 +49,13 @@
 
 func (m *monitor) setStartTime(reading float64) { m.startBits.Store(math.Float64bits(reading)) }
 
-// now returns the time since the run's start in ms. It is far below 0 until the load begins.
+// now returns the time since the run's start, in ms. It is strongly negative until the load begins.
 func (m *monitor) now() float64 { return m.clock.Now() - m.startTime() }
 
-// clockTime converts a time of the run, in ms, to the clock's.
+// clockTime converts a time of the run, in ms, to a clock reading.
 func (m *monitor) clockTime(ms float64) float64 { return m.startTime() + ms }
 
-// wallTime converts a time of the run, in ms, to one that timers can use.
+// wallTime converts a time of the run, in ms, to wall time for timers.
 func (m *monitor) wallTime(ms float64) time.Time { return m.clock.Time(m.clockTime(ms)) }
 
 // sleepUntil waits until a time of the run, in ms, or until the context ends.
@@ -76,7 +77,7 @@
 // milliseconds converts a time in ms to a duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// recordEvent stamps an event with the current time and passes it to the watcher and the auditor.
+// recordEvent sets an event's time to now and passes it to the watch callback and the auditor.
 func (m *monitor) recordEvent(e invariants.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -92,19 +93,19 @@
 	m.auditor.Record(e)
 }
 
-// requestAccepted notes that a node's connection has taken the last byte of a try.
+// requestAccepted records that the last byte of a try was written to the node's connection.
 func (m *monitor) requestAccepted(tryID uint64, node int, request *workload.Request, deadline float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, known := m.tries[tryID]; known { // net/http has sent it again on a new connection
+	if _, known := m.tries[tryID]; known { // net/http has resent it on a new connection
 		return
 	}
 	m.tries[tryID] = acceptedTry{node: node, work: request.Work, deadline: deadline}
 	m.recordEventLocked(invariants.Event{Kind: invariants.RequestAccepted, Node: node, Request: tryID, Class: request.Class, Deadline: deadline})
 }
 
-// attemptStarted notes that an attempt has reached a backend, and returns its number and its work. It reports false if it is no
-// attempt at a try of this run.
+// attemptStarted records that an attempt has reached a backend, and returns its number and its work. It returns false if the attempt
+// doesn't belong to a try of this run.
 func (m *monitor) attemptStarted(tryID uint64, backend int, isCrossZone bool) (number int, work float64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -128,13 +129,13 @@
 	return number, try.work, true
 }
 
-// forgetOldTries removes the tries whose deadline is long over.
-func (m *monitor) forgetOldTries() {
+// removeExpiredTries removes the tries whose retention time is over.
+func (m *monitor) removeExpiredTries() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	for id, try := range m.tries {
-		if now > try.deadline+forgetTryAfterMs {
+		if now > try.deadline+tryRetentionMs {
 			delete(m.tries, id)
 		}
 	}
--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -19,146 +19,146 @@
 	healthCheckTimeout   = time.Second
 	readyPollInterval    = 5 * time.Millisecond
 	readyTimeout         = 10 * time.Second
-	operatorCallTimeout  = time.Second
+	adminCallTimeout     = time.Second
 	hotRestartTimeout    = 6 * time.Second // until a process that takes over from another one is ready
-	gracefulStopTimeout  = 5 * time.Second // after SIGTERM; then the process is killed
-	diedAtWhileAlive     = -1.0
+	gracefulStopTimeout  = 5 * time.Second // from SIGTERM until the process is killed
+	neverDied            = -1.0            // diedAt of a node that is alive
 	successorPollTimeout = time.Second
 )
 
-// node is one node: a process of the program, or two during a hot restart.
+// node represents one node: one process of the program, or two during a hot restart.
 type node struct {
 	monitor   *monitor
 	discovery *discoveryServer
 	number    int
 	zone      int
-	dir       string   // for its files
-	command   []string // that starts its process; --config FILE is added
-	arguments []string // more of them
+	dir       string   // directory of its files
+	command   []string // command that starts its process; --config FILE is appended
+	arguments []string // further arguments
 
 	address          string
 	tlsAddress       string // "" without TLS
-	operatorAddress  string // of the admin calls; "" without any
-	discoveryAddress string // its own endpoint of the discovery service
-	tempDir          string // TMPDIR of its processes, which a hot restart shares; "" is the machine's
+	adminAddress     string // of the admin calls; "" if the experiment has none
+	discoveryAddress string // HTTP endpoint of the discovery service for this node
+	tempDir          string // TMPDIR of its processes, shared in a hot restart; "" means the inherited one
 
-	incarnation   int         // counts its processes from 1
-	reportFailure func(error) // told of a process that ended by itself
+	incarnation   int         // number of its latest process, from 1
+	reportFailure func(error) // called when a process exits unexpectedly
 
 	mu      sync.Mutex
-	process *process // the latest
+	process *process // the latest one
 	ready   bool
-	diedAt  float64       // ms, or diedAtWhileAlive
-	cpu     time.Duration // of its processes that have ended
+	diedAt  float64       // ms, or neverDied
+	cpu     time.Duration // processor time of its processes that have exited
 }
 
 func (n *node) name() string { return fmt.Sprintf("n%d", n.number) }
 
 func (n *node) file(suffix string) string { return filepath.Join(n.dir, n.name()+suffix) }
 
-// start starts a process with the endpoint list as it was at a time, and waits until it is ready.
+// start starts a process with the endpoint list as of the given time, in ms, and waits until it is ready.
 func (n *node) start(listAt float64) error {
 	p, err := n.startProcess(listAt)
 	if err != nil {
 		return err
 	}
 	n.mu.Lock()
-	former := n.process
+	predecessor := n.process
 	n.process = p
 	n.mu.Unlock()
-	go n.waitForEnd(p)
-	if former != nil && !former.hasEnded() {
-		return n.waitUntilTakenOver(p)
+	go n.waitForExit(p)
+	if predecessor != nil && !predecessor.hasExited() {
+		return n.waitForTakeover(p)
 	}
 	return n.waitUntilReady(p)
 }
 
-// waitForEnd waits for the end of a process, which is a failure unless the testbed caused it.
-func (n *node) waitForEnd(p *process) {
+// waitForExit waits until a process exits. It reports a failure unless the testbed caused the exit.
+func (n *node) waitForExit(p *process) {
 	err := p.wait()
 	n.mu.Lock()
-	isLatest, isExpected := n.process == p, p.endExpected
-	if isLatest { // otherwise another one goes on as this node
+	isLatest, exitExpected := n.process == p, p.exitExpected
+	if isLatest { // otherwise its successor continues as this node
 		n.ready, n.diedAt = false, n.monitor.now()
 	}
 	n.cpu += p.cpu()
 	n.mu.Unlock()
-	if isExpected && isLatest {
+	if exitExpected && isLatest {
 		n.monitor.recordEvent(invariants.Event{Kind: invariants.NodeKilled, Node: n.number})
 	}
-	close(p.ended)
-	if !isExpected {
-		n.reportFailure(fmt.Errorf("node %d ended by itself: %w, see %s", n.number, err, p.logName()))
+	close(p.exited)
+	if !exitExpected {
+		n.reportFailure(fmt.Errorf("node %d exited unexpectedly: %w, see %s", n.number, err, p.logName()))
 	}
 }
 
-// waitUntilReady waits until a process that has no predecessor serves.
+// waitUntilReady waits until a process that has no predecessor is serving.
 func (n *node) waitUntilReady(p *process) error {
 	client := newHealthClient()
-	for begun := time.Now(); time.Since(begun) < readyTimeout; {
+	for startedAt := time.Now(); time.Since(startedAt) < readyTimeout; {
 		if n.isHealthy(client) {
 			n.mu.Lock()
-			n.ready, n.diedAt = true, diedAtWhileAlive
+			n.ready, n.diedAt = true, neverDied
 			n.mu.Unlock()
 			return nil
 		}
 		select {
-		case <-p.ended:
-			return fmt.Errorf("node %d ended before it was ready", n.number)
+		case <-p.exited:
+			return fmt.Errorf("node %d exited before it was ready", n.number)
 		case <-time.After(readyPollInterval):
 		}
 	}
-	return fmt.Errorf("node %d not ready within %v", n.number, readyTimeout)
+	return fmt.Errorf("node %d is not ready within %v", n.number, readyTimeout)
 }
 
-// waitUntilTakenOver waits until a process has taken over from its predecessor. It asks at the operators' address, which is the
-// process's own: the health of the node is the predecessor's until then.
-func (n *node) waitUntilTakenOver(p *process) error {
-	for begun := time.Now(); time.Since(begun) < hotRestartTimeout; {
+// waitForTakeover waits until a process has taken over from its predecessor. It queries the admin address, which each process has of
+// its own: until the takeover, the predecessor answers the node's health checks.
+func (n *node) waitForTakeover(p *process) error {
+	for startedAt := time.Now(); time.Since(startedAt) < hotRestartTimeout; {
 		ctx, cancel := context.WithTimeout(context.Background(), successorPollTimeout)
-		_, isHealthy, err := admin.SendLine(ctx, n.operatorAddress, "health")
+		_, isHealthy, err := admin.SendLine(ctx, n.adminAddress, "health")
 		cancel()
 		if err == nil && isHealthy {
 			return nil
 		}
 		select {
-		case <-p.ended:
-			return fmt.Errorf("node %d: its next process ended before it was ready", n.number)
+		case <-p.exited:
+			return fmt.Errorf("node %d: successor process exited before it was ready", n.number)
 		case <-time.After(readyPollInterval):
 		}
 	}
-	return fmt.Errorf("node %d: its next process not ready within %v", n.number, hotRestartTimeout)
+	return fmt.Errorf("node %d: successor process is not ready within %v", n.number, hotRestartTimeout)
 }
 
-// upgrade is a hot restart: it starts the next process beside the current one, and ends that one once the next has taken over.
+// upgrade does a hot restart: it starts a successor process, and stops the current one after the successor has taken over.
 func (n *node) upgrade() error {
 	n.mu.Lock()
-	former := n.process
+	predecessor := n.process
 	n.mu.Unlock()
 	var err error
-	if n.operatorAddress, err = unusedAddress(n.monitor.ip); err != nil {
+	if n.adminAddress, err = unusedAddress(n.monitor.ip); err != nil {
 		return err
 	}
 	if err := n.start(n.monitor.now()); err != nil {
 		return err
 	}
 	n.mu.Lock()
-	former.endExpected = true
+	predecessor.exitExpected = true
 	n.mu.Unlock()
-	_ = former.signal(syscall.SIGTERM)
+	_ = predecessor.signal(syscall.SIGTERM)
 	select {
-	case <-former.ended:
+	case <-predecessor.exited:
 		return nil
 	case <-time.After(gracefulStopTimeout):
-		return fmt.Errorf("node %d: its former process did not end within %v", n.number, gracefulStopTimeout)
+		return fmt.Errorf("node %d: predecessor process did not exit within %v", n.number, gracefulStopTimeout)
 	}
 }
 
-// callOperator makes an operator's call, and returns an error unless the node confirms it.
-func (n *node) callOperator(line string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), operatorCallTimeout)
+// callAdmin makes an admin call, and returns an error unless the node confirms it.
+func (n *node) callAdmin(line string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), adminCallTimeout)
 	defer cancel()
-	reply, confirmed, err := admin.SendLine(ctx, n.operatorAddress, line)
+	reply, confirmed, err := admin.SendLine(ctx, n.adminAddress, line)
 	if err == nil && !confirmed {
 		err = errors.New(reply)
 	}
@@ -168,13 +168,13 @@
 	return nil
 }
 
-// setQuiesced has the node send its clients to other nodes, or take them again. Clients follow at once.
+// setQuiesced makes the node direct its clients to other nodes, or accept them again. The simulated clients comply at once.
 func (n *node) setQuiesced(quiesced bool) error {
 	call := "resume"
 	if quiesced {
 		call = "quiesce"
 	}
-	if err := n.callOperator(call); err != nil {
+	if err := n.callAdmin(call); err != nil {
 		return err
 	}
 	n.mu.Lock()
@@ -196,8 +196,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// followHealth checks the health of an external node, as the clients' load balancer does, until the context ends.
-func (n *node) followHealth(ctx context.Context) {
+// pollHealth checks the health of an external node, as the clients' load balancer does, until the context ends.
+func (n *node) pollHealth(ctx context.Context) {
 	client := newHealthClient()
 	for ctx.Err() == nil {
 		isHealthy := n.isHealthy(client)
@@ -211,15 +211,16 @@
 	}
 }
 
-// kill kills the node's process, and waits until it has ended.
+// kill kills the node's process, and waits until it has exited.
 func (n *node) kill() { n.stop(syscall.SIGKILL, 0) }
 
-// stop sends a signal to the node's process, kills it if it doesn't end within a time, and waits until it has ended.
+// stop sends a signal to the node's process, kills it if it doesn't exit within the timeout, and waits until it has exited. A timeout of
+// 0 means no limit.
 func (n *node) stop(signal syscall.Signal, timeout time.Duration) {
 	n.mu.Lock()
 	p := n.process
 	if p != nil {
-		p.endExpected = true
+		p.exitExpected = true
 	}
 	n.mu.Unlock()
 	if p == nil {
@@ -228,26 +229,26 @@
 	_ = p.signal(signal)
 	if timeout > 0 {
 		select {
-		case <-p.ended:
+		case <-p.exited:
 			return
 		case <-time.After(timeout):
 			_ = p.signal(syscall.SIGKILL)
 		}
 	}
-	<-p.ended
+	<-p.exited
 }
 
-// expectEnd notes that the node's process may end from now on.
-func (n *node) expectEnd() {
+// expectExit marks the exit of the node's process as expected from now on.
+func (n *node) expectExit() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != nil {
-		n.process.endExpected = true
+		n.process.exitExpected = true
 	}
 }
 
-// isBelievedAlive reports whether clients may be sent to the node: it is ready, or is dead and nobody has noticed yet.
-func (n *node) isBelievedAlive(now float64) bool {
+// isPresumedAlive reports whether clients still use the node: it is ready, or its death has not been detected yet.
+func (n *node) isPresumedAlive(now float64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	hasDied := n.diedAt >= 0 && n.incarnation > 0
--- a/internal/lab/loopback/nodeconfig.go
+++ b/internal/lab/loopback/nodeconfig.go
@@ -7,10 +7,10 @@
 	"pearknot/internal/lab/experiment"
 )
 
-// maxOpenRequests is the limit that nodes are given.
+// maxOpenRequests is the limit on open requests in the nodes' configuration.
 const maxOpenRequests = 20000
 
-// nodeConfig is the configuration file of a node, with the protocol's names.
+// nodeConfig holds the contents of a node's configuration file, with the protocol's names.
 type nodeConfig struct {
 	Control   string         `json:"control"`
 	Discovery string         `json:"discovery"`
@@ -28,15 +28,15 @@
 	Descriptors int     `json:"sockets"`
 }
 
-// config returns the text of the configuration file for the node's next process, with the endpoint list as it was at a time.
+// config returns the text of the configuration file for the node's next process, with the endpoint list as of the given time, in ms.
 func (n *node) config(listAt float64) (string, error) {
 	n.incarnation++
 	e := n.monitor.experiment
-	// In service each process of a node draws anew: so the seed differs between runs too.
+	// In production each process of a node has a new seed, so the seed differs between runs too.
 	runSeed := uint64(n.monitor.startTime())
 	seed := uint64(n.number)*7919 + uint64(n.incarnation)*104729 + runSeed*31 + 12345
 	data, err := json.MarshalIndent(nodeConfig{
-		Control:   n.operatorAddress,
+		Control:   n.adminAddress,
 		Discovery: n.discoveryAddress,
 		Known:     n.discovery.listAt(listAt, n.zone),
 		Limits:    nodeLimits{Cores: e.Fleet.NodeCores, MemoryMB: e.Fleet.NodeMemoryMB, Descriptors: e.Fleet.NodeDescriptors},
--- a/internal/lab/loopback/process.go
+++ b/internal/lab/loopback/process.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// process is one process of a node.
+// process represents one process of a node.
 type process struct {
 	command *exec.Cmd
 	log     *os.File
-	ended   chan struct{} // closed when it has
+	exited  chan struct{} // closed when the process has exited
 
-	endExpected bool // the testbed causes its end; guarded by the node's lock
+	exitExpected bool // whether the testbed causes the exit; guarded by the node's lock
 }
 
 // startProcess writes the node's configuration file and starts a process with it, which logs to a file.
@@ -38,23 +38,23 @@
 	if n.tempDir != "" {
 		command.Env = append(os.Environ(), "TMPDIR="+n.tempDir)
 	}
-	// If the testbed itself is killed its nodes end with it. A process group of their own keeps a terminal's interrupt from them.
+	// If the testbed itself is killed, its nodes are killed too. Their own process group protects them from a terminal's interrupt.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		_ = log.Close()
 		return nil, fmt.Errorf("node %d: %w", n.number, err)
 	}
-	return &process{command: command, log: log, ended: make(chan struct{})}, nil
+	return &process{command: command, log: log, exited: make(chan struct{})}, nil
 }
 
-// wait waits until the process has ended. It must be called once.
+// wait waits until the process has exited. It must be called once.
 func (p *process) wait() error {
 	err := p.command.Wait()
 	_ = p.log.Close()
 	return err
 }
 
-// cpu returns the processor time that a process took which has ended.
+// cpu returns the processor time that the process used. The process must have exited.
 func (p *process) cpu() time.Duration {
 	return p.command.ProcessState.UserTime() + p.command.ProcessState.SystemTime()
 }
@@ -63,9 +63,9 @@
 
 func (p *process) logName() string { return p.log.Name() }
 
-func (p *process) hasEnded() bool {
+func (p *process) hasExited() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
--- a/internal/lab/loopback/progress.go
+++ b/internal/lab/loopback/progress.go
@@ -7,26 +7,26 @@
 	"pearknot/internal/lab/metrics"
 )
 
-// Progress is what has happened in a run so far, for a table that is refreshed.
+// Progress holds the totals of a run so far, for a table that is refreshed.
 type Progress struct {
 	Second     int // since the load began
-	Requests   int // of clients
+	Requests   int // requests of clients
 	Served     int
-	Rejected   int // answers, of which a request may get several
-	Failed     int // answers, likewise
-	Lost       int // requests whose clients gave up
+	Rejected   int // answers; a request may get several
+	Failed     int // answers; a request may get several
+	Lost       int // requests that were not served and are not retried
 	Attempts   int
 	InTime     int // served within the latency objective
 	Violations int
 
-	// Nodes and Backends have a letter for each: U for a node that is ready; for a backend the tenth of it that is busy, d if it is
-	// draining, ? if its machine is gone; - for whatever is down.
+	// Nodes and Backends have a character for each node or backend. A node has U if it is ready. A backend has its load in tenths of its
+	// capacity (0 to 9), d if it is draining, or ? if its machine is off the network. Both have - if they are down.
 	Nodes, Backends string
 
-	Faults []string // the kinds of the active ones
+	Faults []string // kinds of the active faults
 }
 
-// The letters of Progress.
+// Characters in Progress.Nodes and Progress.Backends.
 const (
 	letterReady    = 'U'
 	letterDown     = '-'
@@ -34,10 +34,10 @@
 	letterSilent   = '?'
 )
 
-// samplesPerReport is how many samples of the load lie between two calls of Options.OnProgress.
+// samplesPerReport is the number of load samples per call of Options.OnProgress.
 const samplesPerReport = 2
 
-// sampleLoad records how busy the backends are at regular intervals, and reports the progress.
+// sampleLoad records the backends' load at regular intervals, and reports the progress.
 func (t *testbed) sampleLoad(ctx context.Context) {
 	sampledWork := make([]float64, len(t.backends))
 	for sample := 1; ; sample++ {
@@ -50,7 +50,7 @@
 		for i, b := range t.backends {
 			busy[i], letters[i] = b.sample(&sampledWork[i])
 		}
-		t.forgetOldTries()
+		t.removeExpiredTries()
 		progress := t.updateProgress(busy, string(letters))
 		if t.options.OnProgress != nil && sample%samplesPerReport == 0 {
 			t.options.OnProgress(progress)
@@ -58,8 +58,8 @@
 	}
 }
 
-// sample returns the share of the last interval in which a backend was busy, and its letter. It moves sampledWork, the work that
-// the backend had done at the sample before, on to the present.
+// sample returns the share of its capacity that a backend used in the last interval, and its letter. It updates sampledWork, the work
+// that the backend had done at the previous sample, to the current value.
 func (b *backend) sample(sampledWork *float64) (busy float64, letter byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -78,7 +78,7 @@
 	return busy, '0' + byte(min(max(int(busy*10), 0), 9))
 }
 
-// updateProgress records a sample, and returns a copy of the progress.
+// updateProgress records a load sample, and returns a copy of the updated progress.
 func (t *testbed) updateProgress(busy []float64, backendLetters string) Progress {
 	nodeLetters := make([]byte, len(t.nodes))
 	for i, n := range t.nodes {
--- a/internal/lab/loopback/testbed.go
+++ b/internal/lab/loopback/testbed.go
@@ -16,11 +16,11 @@
 	"pearknot/internal/lab/workload"
 )
 
-// beforeLoadMs is longer than any testbed takes to start. Until the load begins the run's start is set that far into the future, so
-// that all times are long before the run and nothing of the start counts in it.
-const beforeLoadMs = 3600e3
+// preLoadOffsetMs is longer than any testbed takes to start. Until the load begins, the run's start is set that far in the future, so that
+// all times are before the run and nothing that happens during the start is counted.
+const preLoadOffsetMs = 3600e3
 
-// testbed is one run: the nodes' processes and the stand-ins around them.
+// testbed holds everything of one run: the node processes, and the simulated clients, backends and discovery service.
 type testbed struct {
 	*monitor
 	options     Options
@@ -56,11 +56,11 @@
 		transitions: faults.Schedule(e, seed),
 		failed:      make(chan error, 1),
 	}
-	t.setStartTime(t.clock.Now() + beforeLoadMs)
+	t.setStartTime(t.clock.Now() + preLoadOffsetMs)
 	return t
 }
 
-// reportFailure ends the run with an error, unless another one has come first.
+// reportFailure ends the run with an error. Only the first error is kept.
 func (t *testbed) reportFailure(err error) {
 	select {
 	case t.failed <- err:
@@ -68,7 +68,7 @@
 	}
 }
 
-// start starts everything but the load, and waits until all nodes are ready.
+// start starts everything except the load, and waits until all nodes are ready.
 func (t *testbed) start(ctx context.Context) error {
 	if err := t.addBackends(); err != nil {
 		return err
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// addNodes gives all nodes their addresses and files. An address is only known to be unused, and stays so until its node listens: so
-// everything else of the run must listen by then, or would now and then take one.
+// addNodes assigns all nodes their addresses and files. A node's address is unused but not reserved until the node listens on it.
+// Everything else of the run must therefore listen before, or it would occasionally take one of these addresses.
 func (t *testbed) addNodes() error {
 	var nodes []*node
 	for number := range t.experiment.Fleet.Nodes {
@@ -120,7 +120,7 @@
 			zone:          number % len(t.experiment.Fleet.Zones),
 			dir:           t.dir,
 			command:       t.options.Command,
-			diedAt:        diedAtWhileAlive,
+			diedAt:        neverDied,
 			reportFailure: t.reportFailure,
 		}
 		var err error
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// assignAddresses gives a node the addresses that it listens on, and what else of the testbed it needs.
+// assignAddresses sets the addresses that a node listens on, its TLS arguments and its temporary directory.
 func (t *testbed) assignAddresses(n *node) (err error) {
 	if n.address, err = t.addressForNode(); err != nil {
 		return err
@@ -152,7 +152,7 @@
 		}
 	}
 	if t.experiment.NeedsOperator() {
-		if n.operatorAddress, err = unusedAddress(t.ip); err != nil {
+		if n.adminAddress, err = unusedAddress(t.ip); err != nil {
 			return err
 		}
 		// Not in the run's directory, whose name may be long: a Unix socket's path is limited to about 100 bytes.
@@ -191,12 +191,12 @@
 	return nil
 }
 
-// beginLoad starts the run's clock and the backends, and then everything that happens by the clock except the load itself.
+// beginLoad starts the run's clock and the backends, and then everything that is scheduled by the clock except the load itself.
 func (t *testbed) beginLoad(ctx context.Context) error {
 	t.setStartTime(t.clock.Now())
 	joining := faults.JoiningBackends(t.experiment, t.transitions)
 	for _, b := range t.backends {
-		if joining[b.number] { // it was listening only to have its addresses
+		if joining[b.number] { // it listened only so that its addresses are known
 			b.stop(false)
 			continue
 		}
@@ -212,10 +212,10 @@
 	if t.options.StartNodes != nil {
 		for _, n := range t.nodes {
 			n.ready = true // StartNodes has returned
-			t.wg.Go(func() { n.followHealth(ctx) })
+			t.wg.Go(func() { n.pollHealth(ctx) })
 		}
 	}
-	t.wg.Go(func() { t.playFaults(ctx) })
+	t.wg.Go(func() { t.runFaultSchedule(ctx) })
 	if t.tls != nil {
 		t.wg.Go(func() { t.tls.renew(ctx) })
 	}
@@ -223,9 +223,9 @@
 	return nil
 }
 
-// playLoad plays the load to its end, to the end of the context or to a failure of the testbed. It then ends the context and waits
-// until everything that goes by it has ended.
-func (t *testbed) playLoad(ctx context.Context, cancel context.CancelFunc) error {
+// runLoad runs the load until it is complete, the context ends or the testbed fails. It then cancels the context and waits until all
+// goroutines that use it have ended.
+func (t *testbed) runLoad(ctx context.Context, cancel context.CancelFunc) error {
 	loadEnded := make(chan struct{})
 	go func() {
 		t.clients.run(ctx)
@@ -248,12 +248,12 @@
 		t.tls.reportStats(context.Background())
 	}
 	for _, n := range t.nodes {
-		n.expectEnd()
+		n.expectExit()
 	}
 	return err
 }
 
-// finish returns the run's figures.
+// finish returns the metrics of the run.
 func (t *testbed) finish() metrics.Run {
 	workDone := 0.0
 	for _, b := range t.backends {
@@ -269,11 +269,11 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.auditor.Finish(t.now()) // all requests but those that the end of the run cut off have had their time
+	t.auditor.Finish(t.now()) // all requests except those interrupted by the end of the run have reached their deadline
 	return t.recorder.Finish(t.auditor, workDone, t.overloaded, spans)
 }
 
-// nodeCPUPerRequest returns the processor time of all nodes from start to end, in µs for each of so many requests.
+// nodeCPUPerRequest returns the processor time of all nodes from start to end, divided by the number of requests, in µs.
 func (t *testbed) nodeCPUPerRequest(requests int) float64 {
 	total := time.Duration(0)
 	for _, n := range t.nodes {
@@ -282,7 +282,7 @@
 	return float64(total.Microseconds()) / float64(max(requests, 1))
 }
 
-// close ends all processes and closes all ports.
+// close stops all processes and closes all ports.
 func (t *testbed) close() {
 	var wg sync.WaitGroup
 	for _, n := range t.nodes {
--- a/internal/lab/loopback/tls.go
+++ b/internal/lab/loopback/tls.go
@@ -18,20 +18,20 @@
 	"pearknot/internal/server"
 )
 
-// TLS has clients speak TLS with the nodes, whose certificates come from a stand-in for an ACME authority. All nodes share one
-// certificate store, as the instances of a host do: one of them orders, the others use what it got and answer challenges too.
+// TLS holds the settings of a run in which clients use TLS. The nodes' certificates come from a simulated ACME authority. All nodes share
+// one certificate store, as the instances of a host do: one of them orders, the others use its certificate and answer challenges too.
 type TLS struct {
-	RenewAtSeconds []float64      // at which the certificate is ordered anew
+	RenewAtSeconds []float64      // times at which the certificate is renewed
 	OnFinished     func(TLSStats) // if set, is called at the end of a run
-	ResumeSessions bool           // clients use session tickets
+	ResumeSessions bool           // whether clients use session tickets
 }
 
-// TLSStats are the numbers of renewals, certificates and handshakes in a run.
+// TLSStats counts the renewals, certificates and handshakes in a run.
 type TLSStats struct {
 	RenewalsRequested  int
 	RenewalsRefused    int
-	CertificatesIssued int    // with the first one
-	Handshakes         uint64 // like the following, by the processes that live at the end, under load
+	CertificatesIssued int    // including the first one
+	Handshakes         uint64 // this and the following: under load, by the processes that are alive at the end
 	Resumed            uint64
 	Failed             uint64
 }
@@ -45,11 +45,11 @@
 	tlsDialTimeout    = time.Second
 	renewCallTimeout  = 5 * time.Second
 	statusCallTimeout = time.Second
-	// renewalWindowStart is where in a certificate's life the authority's renewal window begins.
+	// renewalWindowStart is the share of a certificate's lifetime after which the authority's renewal window begins.
 	renewalWindowStart = 0.7
 )
 
-// tlsSetup is the testbed's part of TLS.
+// tlsSetup holds the testbed's simulated ACME authority and the clients' TLS configuration.
 type tlsSetup struct {
 	options      TLS
 	testbed      *testbed
@@ -58,11 +58,11 @@
 	clientConfig *tls.Config
 
 	handshakesBefore map[int]server.HandshakeStats // at the beginning of the load, by process ID
-	requested        int
-	refused          int
+	requested        int                           // renewals
+	refused          int                           // renewals
 }
 
-// newTLSSetup starts the authority. It validates challenges at the last node that is ready, which is seldom the one that orders.
+// newTLSSetup starts the authority. It validates challenges at the last node that is ready, which is rarely the one that orders.
 func newTLSSetup(t *testbed, options TLS) (*tlsSetup, error) {
 	s := &tlsSetup{options: options, testbed: t}
 	var err error
@@ -89,7 +89,7 @@
 	return s, os.WriteFile(filepath.Join(t.dir, rootsFile), s.authority.RootPEM(), 0o600)
 }
 
-// configureNode writes a node's TLS file, and returns the arguments with which the node serves TLS.
+// configureNode writes a node's TLS configuration file, and returns the command-line arguments that enable TLS.
 func (s *tlsSetup) configureNode(n *node) (arguments []string, err error) {
 	text := fmt.Sprintf(`listen = %q
 dir = %q
@@ -112,14 +112,14 @@
 // waitUntilReady waits until all nodes serve TLS.
 func (s *tlsSetup) waitUntilReady(ctx context.Context) error {
 	for _, n := range s.testbed.nodes {
-		for begun := time.Now(); ; sleep(ctx, tlsPollInterval) {
+		for startedAt := time.Now(); ; sleep(ctx, tlsPollInterval) {
 			conn, err := tls.DialWithDialer(&net.Dialer{Timeout: tlsDialTimeout}, "tcp", n.tlsAddress, s.clientConfig)
 			if err == nil {
 				_ = conn.Close()
 				break
 			}
-			if ctx.Err() != nil || time.Since(begun) > tlsReadyTimeout {
-				return fmt.Errorf("node %d serves no TLS: %w", n.number, err)
+			if ctx.Err() != nil || time.Since(startedAt) > tlsReadyTimeout {
+				return fmt.Errorf("node %d does not serve TLS: %w", n.number, err)
 			}
 		}
 	}
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// renew has the certificate ordered anew at the times given, by the first node that accepts that.
+// renew requests certificate renewals at the configured times, each from the first node that accepts.
 func (s *tlsSetup) renew(ctx context.Context) {
 	for _, at := range s.options.RenewAtSeconds {
 		s.testbed.sleepUntil(ctx, at*1e3)
@@ -141,14 +141,14 @@
 	}
 }
 
-// renewCertificate asks the node to order its certificate anew, and reports whether it accepts that.
+// renewCertificate asks the node to renew its certificate, and reports whether the node accepts.
 func (n *node) renewCertificate(ctx context.Context) bool {
 	client := controlsocket.NewClient(n.controlSocket(), renewCallTimeout)
 	certificate := controlsocket.Certificate{Name: certificateName}
 	return client.Call(ctx, http.MethodPost, controlsocket.RenewPath, certificate, nil) == nil
 }
 
-// handshakes returns the counts of the processes that live now, by process ID.
+// handshakes returns the handshake counts of the running processes, by process ID.
 func (s *tlsSetup) handshakes(ctx context.Context) map[int]server.HandshakeStats {
 	byPID := map[int]server.HandshakeStats{}
 	for _, n := range s.testbed.nodes {
@@ -162,7 +162,7 @@
 	return byPID
 }
 
-// reportStats reports what happened since the load began.
+// reportStats passes the numbers since the load began to OnFinished.
 func (s *tlsSetup) reportStats(ctx context.Context) {
 	stats := TLSStats{RenewalsRequested: s.requested, RenewalsRefused: s.refused, CertificatesIssued: s.authority.IssuedCount()}
 	for pid, now := range s.handshakes(ctx) {
--- a/internal/lab/loopback/tries.go
+++ b/internal/lab/loopback/tries.go
@@ -15,7 +15,7 @@
 	"pearknot/internal/lab/workload"
 )
 
-// The headers of the protocol that clients send.
+// Headers that clients send.
 const (
 	headerTraceID     = "X-Trace-Id"
 	headerClass       = "X-Qos"
@@ -25,15 +25,16 @@
 )
 
 const (
-	// slackMs is how much later than its deadline an answer may come for what sockets and processes take.
+	// slackMs is the tolerance for answers after the deadline, which covers the delays of sockets and processes.
 	slackMs = 50.0
-	// maxAnswerBytes is how much of an answer is read.
+	// maxAnswerBytes is the maximum number of bytes of an answer that are read.
 	maxAnswerBytes = 1 << 20
-	// answerOfNobody stands for the attempt of a served request whose answer no backend made. The auditor takes it for a violation.
-	answerOfNobody = invariants.AnyAttempt - 1
+	// answerWithoutBackend is the attempt number for a served request whose answer came from no backend. The auditor reports it as a
+	// violation.
+	answerWithoutBackend = invariants.AnyAttempt - 1
 )
 
-// try is one sending of a client's request.
+// try represents one time that a client sends a request.
 type try struct {
 	id       uint64
 	request  *workload.Request
@@ -41,17 +42,17 @@
 	behavior workload.Behavior
 	node     *node
 	sentAt   float64
-	accepted atomic.Bool // the node's connection has taken all of it
+	accepted atomic.Bool // whether the try was written to the node's connection completely
 }
 
-// tryResult is how a try ended for its client.
+// tryResult holds the result of a try for its client.
 type tryResult struct {
 	outcome    workload.Outcome
-	retryAfter float64 // ms that a rejection asked the client to wait
-	clientGone bool    // the client has disconnected, and does not retry
+	retryAfter float64 // Retry-After of a rejection, in ms
+	clientGone bool    // whether the client has disconnected, and so doesn't retry
 }
 
-// nodeAnswer is a node's answer, read to its end.
+// nodeAnswer holds a node's complete answer.
 type nodeAnswer struct {
 	status int
 	header http.Header
@@ -79,16 +80,16 @@
 	defer cancel()
 	answer, err := c.roundTrip(tryCtx, t)
 	if err == nil {
-		return c.judgeAnswer(t, answer)
+		return c.recordAnswer(t, answer)
 	}
 	switch {
-	case ctx.Err() != nil: // the run has ended, and no answer is owed
+	case ctx.Err() != nil: // the run has ended, and no answer is expected
 		c.recordClientGone(t.id)
 		return tryResult{outcome: workload.OutcomeLost, clientGone: true}
 	case behavior.DisconnectAfter > 0 && errors.Is(err, context.DeadlineExceeded):
 		c.recordClientGone(t.id)
 		return tryResult{outcome: workload.OutcomeLost, clientGone: true}
-	case tryCtx.Err() != nil: // the auditor finds out whether an answer was owed
+	case tryCtx.Err() != nil: // the auditor determines whether an answer was due
 		m.mu.Lock()
 		m.recorder.ClientTimedOut()
 		m.mu.Unlock()
@@ -114,12 +115,12 @@
 	if err != nil {
 		return nodeAnswer{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes)) // to the end, so that the connection can be used again
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes)) // to the end, so that the connection can be reused
 	_ = response.Body.Close()
 	return nodeAnswer{status: response.StatusCode, header: response.Header, body: body, isLate: m.now() > deadline}, err
 }
 
-// httpRequest returns a try as it goes to the node.
+// httpRequest returns the HTTP request of a try.
 func (c *clients) httpRequest(ctx context.Context, t *try) *http.Request {
 	class := c.monitor.experiment.Classes[t.request.Class]
 	method, body := http.MethodGet, []byte(nil)
@@ -146,8 +147,8 @@
 	return r
 }
 
-// judgeAnswer records a node's answer, and returns what it is to the client.
-func (c *clients) judgeAnswer(t *try, answer nodeAnswer) tryResult {
+// recordAnswer records a node's answer, and returns the try's result for the client.
+func (c *clients) recordAnswer(t *try, answer nodeAnswer) tryResult {
 	m := c.monitor
 	kind := answerKind(answer.status)
 	event := invariants.Event{
@@ -158,7 +159,7 @@
 		Attempt: invariants.AnyAttempt,
 	}
 	if kind == invariants.Served && string(answer.body) != responseBody(t.id) {
-		event.Attempt = answerOfNobody
+		event.Attempt = answerWithoutBackend
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -179,7 +180,7 @@
 	return tryResult{outcome: workload.OutcomeServed}
 }
 
-// answerKind returns what a node's answer says, by its status.
+// answerKind returns the kind of a node's answer by its status code.
 func answerKind(status int) invariants.Answer {
 	switch status {
 	case http.StatusOK:
--- a/internal/lab/metrics/compare.go
+++ b/internal/lab/metrics/compare.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Difference is by how much two results differ in one metric.
+// Difference holds the difference of two results in one metric.
 type Difference struct {
 	Metric string
 	Estimate
@@ -40,7 +40,7 @@
 			}
 		}
 		if len(samples) == 0 {
-			return nil, errors.New("no seed is in both results")
+			return nil, errors.New("the results have no seed in common")
 		}
 		differences = append(differences, Difference{Metric: metric.name, Estimate: NewEstimate(samples)})
 	}
--- a/internal/lab/metrics/compare_test.go
+++ b/internal/lab/metrics/compare_test.go
@@ -19,5 +19,5 @@
 	assert.Equal(t, 2, service.N)
 	assert.False(t, service.IncludesZero())
 	_, err = Compare(a, Result{Runs: []Run{{Seed: 5}}})
-	assert.ErrorContains(t, err, "no seed is in both results")
+	assert.ErrorContains(t, err, "the results have no seed in common")
 }
--- a/internal/lab/metrics/finish.go
+++ b/internal/lab/metrics/finish.go
@@ -19,7 +19,7 @@
 	run.CrossZonePerRequest = float64(r.crossZone) / requests
 	run.BackendCrashes = crashes
 	if workDone > 0 {
-		run.WastedWork = math.Max(0, 1-r.workForServed/workDone)
+		run.WastedWork = math.Max(0, 1-r.usefulWork/workDone)
 	}
 	run.Classes = r.classResults()
 	run.Service = r.service()
--- a/internal/lab/metrics/herding.go
+++ b/internal/lab/metrics/herding.go
@@ -6,14 +6,14 @@
 )
 
 // herdingSpanMs is the length of the spans in which attempts are counted, in ms. Within so short a time the nodes hardly
-// learn from each other's attempts: a backend that looks best to all of them gets them all.
+// learn of each other's attempts: a backend that all of them rate best gets all their attempts.
 const herdingSpanMs = 100.0
 
-// herding measures how unevenly attempts arrive at the backends.
+// herding measures the imbalance of attempts across the backends over short spans.
 type herding struct {
 	spanStart float64   // ms
 	attempts  []int     // in the current span, by backend
-	ratios    []float64 // of each finished span with attempts: the most that a backend got, over an even share
+	ratios    []float64 // for each finished span with attempts: the most that a backend got, divided by an even share
 }
 
 func newHerding(backends int) herding { return herding{attempts: make([]int, backends)} }
--- a/internal/lab/metrics/hysteresis.go
+++ b/internal/lab/metrics/hysteresis.go
@@ -11,7 +11,7 @@
 const (
 	// loadBinWidth is the width of a level of offered load, as a multiple of the experiment's rate.
 	loadBinWidth = 0.05
-	// minRampPoints is the fewest points of a ramp that goes up and down again.
+	// minRampPoints is the minimum number of points of a ramp that goes up and down again.
 	minRampPoints = 3
 )
 
--- a/internal/lab/metrics/hysteresis_test.go
+++ b/internal/lab/metrics/hysteresis_test.go
@@ -8,7 +8,7 @@
 )
 
 // The load rises for 20 s and falls for 20 s. While it falls, nothing is served for the first half: the curve of the
-// falling load lies below the other one, and the area between them is what the overload cost after its cause was gone.
+// falling load lies below the other one, and the area between them measures the loss after the overload's cause ended.
 func TestHysteresisArea(t *testing.T) {
 	e := decodeExperiment(t, "ramp = [[0, 0.5], [20, 1.5], [40, 0.5]]")
 	run := record(e, func(arrivesAt float64) float64 {
--- a/internal/lab/metrics/recorder.go
+++ b/internal/lab/metrics/recorder.go
@@ -27,14 +27,14 @@
 	classes    []balancer.Class
 	open       map[uint64]bool // IDs of requests that arrived, and are neither served nor ended
 
-	run           Run           // its counts so far; Finish adds the rest
-	byClass       []classTotals // in the order of the experiment's classes
-	windows       []windowTotals
-	herding       herding
-	sends         int
-	attempts      int
-	crossZone     int     // attempts
-	workForServed float64 // ms of a standard core
+	run        Run           // its counts so far; Finish adds the rest
+	byClass    []classTotals // in the order of the experiment's classes
+	windows    []windowTotals
+	herding    herding
+	sends      int
+	attempts   int
+	crossZone  int     // attempts
+	usefulWork float64 // of the served requests, in ms of a standard core
 }
 
 // classTotals are the sums of one class of requests.
@@ -68,7 +68,7 @@
 	return r
 }
 
-// windowAt returns the window of a time, which it adds if it is the first to be recorded there.
+// windowAt returns the window that contains a time, and adds it if it doesn't exist yet.
 func (r *Recorder) windowAt(ms float64) *windowTotals {
 	index := max(int(ms/windowMs), 0)
 	for len(r.windows) <= index {
@@ -91,7 +91,7 @@
 	return weight
 }
 
-// RequestArrived is called when a client first wants a request, before it is sent, and not again for a client retry.
+// RequestArrived is called once for each request, before it is first sent, and not again for a client retry.
 func (r *Recorder) RequestArrived(request *workload.Request) {
 	weight := r.priorityWeight(request)
 	window := r.windowAt(request.ArrivesAt)
@@ -122,7 +122,7 @@
 	// Both values are within the histograms' bounds, so that no error can occur.
 	_ = class.latencies.RecordValue(latency)
 	_ = window.latencies.RecordValue(max(latency, minWindowLatencyUs))
-	r.workForServed += request.Work
+	r.usefulWork += request.Work
 }
 
 // RequestEnded is called when a request is not served and its client doesn't retry any more, or has disconnected.
--- a/internal/lab/metrics/recorder_test.go
+++ b/internal/lab/metrics/recorder_test.go
@@ -15,7 +15,7 @@
 	requestWorkMs     = 10
 )
 
-// decodeExperiment returns an experiment of 40 s with two backends, whose clients have further settings.
+// decodeExperiment returns an experiment of 40 s with two backends, with the given additional client settings.
 func decodeExperiment(t *testing.T, clients string) *experiment.Experiment {
 	t.Helper()
 	e, err := experiment.Decode("e", []byte(`seconds = 40
--- a/internal/lab/metrics/recovery.go
+++ b/internal/lab/metrics/recovery.go
@@ -7,7 +7,7 @@
 	recoveredShare = 0.95
 	// baselineWindows is the length, in windows, of the time before a fault that recovery is measured against: 10 s.
 	baselineWindows = 20
-	// recoverySpanWindows is the length, in windows, of the spans that are held against it: 1 s. A single window may have
+	// recoverySpanWindows is the length, in windows, of the spans that are compared with it: 1 s. A single window may have
 	// few requests, and then its service varies too much.
 	recoverySpanWindows = 2
 )
@@ -48,8 +48,8 @@
 	return recovery
 }
 
-// recoveredWindow returns the first window after a fault from which on two successive spans have service as before, so
-// that one good moment doesn't count as recovery. At the end of the run a single span is enough.
+// recoveredWindow returns the first window after a fault at which two successive spans have service as before, so that a
+// single good span doesn't count as recovery. At the end of the run a single span is enough.
 func recoveredWindow(windows []Window, fault FaultSpan, serviceBefore float64) (index int, recovered bool) {
 	isGood := func(i int) bool {
 		span := windows[i:min(i+recoverySpanWindows, len(windows))]
--- a/internal/lab/metrics/result.go
+++ b/internal/lab/metrics/result.go
@@ -116,7 +116,7 @@
 	Latencies [4]float64 `json:"answer_ms_50_90_99_999"`
 }
 
-// Recovery holds what one fault did to service.
+// Recovery holds the effect of one fault on service.
 type Recovery struct {
 	Kind            string  `json:"kind"`
 	From            float64 `json:"from_s"`
@@ -138,7 +138,7 @@
 	Area float64 `json:"area"`
 }
 
-// Verdict is what the auditor found.
+// Verdict holds the auditor's findings.
 type Verdict struct {
 	Kept       bool     `json:"kept"`
 	Violations [6]int   `json:"breaches"` // by rule, the first rule first
--- a/internal/lab/metrics/service.go
+++ b/internal/lab/metrics/service.go
@@ -23,8 +23,8 @@
 	return ratio(earned, offered)
 }
 
-// worstService returns the least service of any span of so many successive windows, or that of all windows if there are
-// fewer.
+// worstService returns the least service of any span of the given number of successive windows, or that of all windows if
+// there are fewer.
 func worstService(windows []Window, span int) float64 {
 	worst := math.Min(1, serviceOver(windows[:min(span, len(windows))]))
 	for first := 1; first+span <= len(windows); first++ {
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -13,9 +13,9 @@
 	"pearknot/internal/lab/virtual"
 )
 
-// RunVirtual runs an experiment on each of its seeds, as many at once as there are processors. A run depends on its seed
-// alone. The runs of the result are in the order of the experiment's seeds. The first error, or the end of the context,
-// keeps further runs from starting.
+// RunVirtual runs an experiment with each of its seeds, with at most GOMAXPROCS runs in parallel. A run depends on its seed
+// alone. The runs of the result are in the order of the experiment's seeds. After the first error, or after the end of the
+// context, no further runs start.
 func RunVirtual(ctx context.Context, e *experiment.Experiment, options virtual.Options) (metrics.Result, error) {
 	runs := make([]metrics.Run, len(e.Seeds))
 	group, ctx := errgroup.WithContext(ctx)
--- a/internal/lab/runner/runner_test.go
+++ b/internal/lab/runner/runner_test.go
@@ -12,7 +12,7 @@
 	"pearknot/internal/lab/virtual"
 )
 
-func readCalm(t *testing.T) *experiment.Experiment {
+func readCalmExperiment(t *testing.T) *experiment.Experiment {
 	t.Helper()
 	e, err := experiment.Read("../../../experiments/calm.toml")
 	require.NoError(t, err)
@@ -20,9 +20,9 @@
 	return e
 }
 
-// The runs of a result are in the order of the experiment's seeds, although they end in any order.
-func TestRunsAreInTheOrderOfSeeds(t *testing.T) {
-	e := readCalm(t)
+// The runs of a result are in the order of the experiment's seeds, although they may finish in any order.
+func TestRunsInSeedOrder(t *testing.T) {
+	e := readCalmExperiment(t)
 	e.Seeds = []uint64{3, 1, 2}
 	result, err := RunVirtual(t.Context(), e, virtual.Options{})
 	require.NoError(t, err)
@@ -36,7 +36,7 @@
 }
 
 func TestRunErrorNamesExperimentAndSeed(t *testing.T) {
-	e := readCalm(t)
+	e := readCalmExperiment(t)
 	e.Name, e.Seeds = "calm", []uint64{7}
 	e.Faults = []experiment.Fault{{Kind: experiment.FaultUpgrade, StartSeconds: 1, Count: 1}}
 	_, err := RunVirtual(t.Context(), e, virtual.Options{})
@@ -44,9 +44,9 @@
 	assert.ErrorContains(t, err, "calm, seed 7: ")
 }
 
-func TestNoRunStartsAfterTheContextEnds(t *testing.T) {
+func TestNoRunStartsAfterContextEnd(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := RunVirtual(ctx, readCalm(t), virtual.Options{})
+	_, err := RunVirtual(ctx, readCalmExperiment(t), virtual.Options{})
 	assert.ErrorIs(t, err, context.Canceled)
 }
--- a/internal/lab/workload/client.go
+++ b/internal/lab/workload/client.go
@@ -7,13 +7,13 @@
 	"pearknot/balancer"
 )
 
-// maxTries bounds the tries of a request, so that the IDs of two requests' tries never meet.
+// maxTries bounds the tries of a request, so that tries of different requests never have the same ID.
 const maxTries = 32
 
 // TryID returns the ID that a request has on the wire in one of its tries, counted from 0.
 func TryID(request uint64, number int) uint64 { return request*maxTries + uint64(number) }
 
-// Outcome is how a try ended for the client.
+// Outcome is the result of a try for the client.
 type Outcome uint8
 
 // Outcomes of a try.
@@ -24,13 +24,13 @@
 	OutcomeUnreachable // no node accepted it
 )
 
-// Behavior is what the client does in one of its tries.
+// Behavior holds how a client behaves in one try. Times are in ms.
 type Behavior struct {
-	Timeout         float64 // how long it waits for the response
-	DisconnectAfter float64 // after how long it goes away for good; 0 never
+	Timeout         float64 // time that the client waits for the response
+	DisconnectAfter float64 // time until the client disconnects and doesn't retry; 0 means never
 }
 
-// Behavior draws what a client does in a try.
+// Behavior draws the client's behavior in a try.
 func (s *Source) Behavior(request *Request, number int) Behavior {
 	rng := rand.New(rand.NewPCG(s.seed, request.ID<<8+1+uint64(number)))
 	clients := s.experiment.Clients
@@ -43,8 +43,8 @@
 	return behavior
 }
 
-// Retry returns whether the client retries after a try, and after how long. It honors the Retry-After of a rejection,
-// in ms, if the experiment's clients do. A request that may have run is only retried if it is idempotent.
+// Retry returns whether the client retries after a try, and the wait before that in ms. It honors the Retry-After of a
+// rejection, in ms, if the experiment's clients do. A request that may have run is only retried if it is idempotent.
 func (s *Source) Retry(request *Request, number int, outcome Outcome, retryAfter float64) (wait float64, retry bool) {
 	clients := s.experiment.Clients
 	if number >= clients.Retries || outcome == OutcomeServed {
@@ -60,7 +60,7 @@
 	return clients.RetryBackoffMs * (0.5 + rng.Float64()), true
 }
 
-// EarnedShare returns the share of its priority weight that a request earns when it is served after so long.
+// EarnedShare returns the share of its priority weight that a request earns when it is served after the elapsed time.
 func EarnedShare(class *balancer.Class, elapsed, ttl float64) float64 {
 	switch {
 	case elapsed <= class.LatencyObjective:
--- a/internal/lab/workload/source.go
+++ b/internal/lab/workload/source.go
@@ -16,11 +16,11 @@
 	// keySkew is the power of a uniform draw that picks a request's key: about half of the requests have one of a
 	// sixteenth of the keys.
 	keySkew = 4
-	// otherSpread is the spread of the costs from which a misleading hint is drawn.
-	otherSpread = 1
+	// misleadingHintSpread is the log-normal spread of the costs from which misleading hints are drawn.
+	misleadingHintSpread = 1
 )
 
-// Request is what a client wants, through all its tries.
+// Request holds the properties of a client's request, which are the same in all its tries.
 type Request struct {
 	ID          uint64
 	Class       int
@@ -30,18 +30,18 @@
 	HasCostHint bool
 	Key         uint64  // idempotency key; 0 is none
 	IsPoison    bool    // it crashes the backend that starts it
-	ArrivesAt   float64 // when it is sent first
+	ArrivesAt   float64 // time of the first try
 }
 
 // Source generates the requests of an experiment. It is not safe for concurrent use.
 type Source struct {
 	experiment *experiment.Experiment
 	faults     *faults.State
-	rng        *rand.Rand // of the arrivals
+	rng        *rand.Rand // for the arrivals
 	seed       uint64
 
-	next  float64 // arrival
-	rate  float64 // requests a ms at a load factor of 1
+	next  float64 // next arrival
+	rate  float64 // requests per ms at a load factor of 1
 	peak  float64 // upper bound of the rate
 	count uint64
 
@@ -49,7 +49,7 @@
 	classWeights []float64
 }
 
-// New returns a source. It asks the state for the bursts, and for the requests that are costly or poison.
+// New returns a source. The state provides the active bursts, and the probabilities of costly and poison requests.
 func New(e *experiment.Experiment, state *faults.State, seed uint64) *Source {
 	s := &Source{experiment: e, faults: state, rng: rand.New(rand.NewPCG(seed, 1)), seed: seed, rate: e.RequestsPerSecond() / 1e3}
 	s.peak = s.rate * e.MaxLoadMultiple() * faults.MaxLoadFactor(e)
@@ -73,11 +73,11 @@
 // drawNextArrival draws the time until the next arrival at the peak rate.
 func (s *Source) drawNextArrival() { s.next += s.rng.ExpFloat64() / s.peak }
 
-// NextArrival returns when to call Arrive next.
+// NextArrival returns the time at which Arrive must be called next.
 func (s *Source) NextArrival() float64 { return s.next }
 
-// Arrive returns the request that arrives at NextArrival, or nil. Arrivals are drawn at the peak rate, and thinned out
-// to the rate of the moment.
+// Arrive returns the request that arrives at NextArrival, or nil. Arrivals are drawn at the peak rate and thinned to the
+// current rate.
 func (s *Source) Arrive() *Request {
 	at := s.next
 	isKept := s.rng.Float64()*s.peak <= s.rate*s.experiment.LoadMultiple(at)*s.faults.LoadFactor()
@@ -99,7 +99,7 @@
 	class := s.experiment.Classes[request.Class]
 	request.Work = logNormal(rng, class.WorkMs, class.WorkSpread)
 	hintNoise := rng.NormFloat64()
-	otherWork := logNormal(rng, class.WorkMs, otherSpread)
+	otherWork := logNormal(rng, class.WorkMs, misleadingHintSpread)
 	costDraw := rng.Float64()
 	s.setHint(request, hintNoise, otherWork)
 	if keys := s.experiment.Clients.Keys; keys > 0 {
@@ -107,13 +107,13 @@
 	}
 	poisonChance := s.faults.PoisonChance(request.Class)
 	request.IsPoison = poisonChance > 0 && rng.Float64() < poisonChance
-	if chance, factor := s.faults.CostIncrease(request.Class); costDraw < chance { // after the hint: none foresees it
+	if chance, factor := s.faults.CostIncrease(request.Class); costDraw < chance { // after the hint, which must not include it
 		request.Work *= factor
 	}
 	return request
 }
 
-// setHint gives a request its cost hint, by the quality of hints in the experiment.
+// setHint sets a request's cost hint according to the experiment's hint quality.
 func (s *Source) setHint(request *Request, noise, otherWork float64) {
 	clients := s.experiment.Clients
 	switch clients.Hints {
--- a/internal/lab/workload/workload_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -13,7 +13,7 @@
 	"pearknot/internal/lab/faults"
 )
 
-// experimentFile is an experiment of two classes, with requests of one that turn costly. HINTS is to be replaced.
+// experimentFile is an experiment with two classes, one of which has a fault of costly requests. HINTS is a placeholder.
 const experimentFile = `seconds = 100
 [fleet]
 zones = ["a", "b"]
@@ -51,7 +51,7 @@
 category = "pay"
 `
 
-// newSource returns a source with a quality of hints, and with the fault of costly requests if active.
+// newSource returns a source with the given hint quality, and with the fault of costly requests if active.
 func newSource(t *testing.T, hints string, active bool) (*Source, *experiment.Experiment) {
 	t.Helper()
 	e, err := experiment.Decode("e.toml", []byte(strings.Replace(experimentFile, "HINTS", hints, 1)))
@@ -73,8 +73,8 @@
 	return requests
 }
 
-// The figures of an experiment mean something only if the load is what its file says: the rate and its ramp, the mix
-// of zones and classes, and the mean cost.
+// The generated load must match the experiment's file, or its figures would be meaningless: the rate and its ramp, the
+// mix of zones and classes, and the mean cost.
 func TestLoadMatchesExperiment(t *testing.T) {
 	source, e := newSource(t, "exact", false)
 	requests := generate(source, e)
@@ -149,8 +149,8 @@
 	assert.Equal(t, calm.Behavior(want[5], 1), faulty.Behavior(got[5], 1))
 }
 
-// A client that retried what may have run would pay twice, so a payment is only retried if it surely didn't run. A
-// Retry-After is honored, the number of tries bounded, and no two tries share an ID.
+// Retrying a payment that may have run could charge twice, so a payment is only retried if it is known not to have run.
+// Retry-After is honored, the number of tries is bounded, and no two tries share an ID.
 func TestRetry(t *testing.T) {
 	source, _ := newSource(t, "rough", false)
 	look, pay := &Request{ID: 1}, &Request{ID: 2, Class: 1}
