--- a/internal/lab/capacity/cost.go
+++ b/internal/lab/capacity/cost.go
@@ -7,21 +7,21 @@
 	"strings"
 )
 
-// Cost is what a role spends at the target's size, beside its limit.
+// Cost holds the cost of a role at the target's size, and its limit.
 type Cost struct {
 	Role          string
 	Event         string
 	Description   string
 	Unit          string
-	Value         float64 // NaN where a slope in it was not measured
-	Limit         float64 // 0 where none is stated
-	Extrapolation float64 // the most that a slope in it was extrapolated, as a multiple of its largest size
-	SlopeKeys     string  // of the slopes in it, separated by commas
-	Mechanism     string  // what in the program spends it
-	IsWallClock   bool    // the machine's other work shows in it
+	Value         float64 // NaN if one of its slopes was not measured
+	Limit         float64 // 0 if none is stated
+	Extrapolation float64 // the largest extrapolation of its slopes, as a multiple of the largest size measured
+	SlopeKeys     string  // of its slopes, separated by commas
+	Mechanism     string  // the part of the program that causes it
+	IsWallClock   bool    // affected by other load on the machine
 }
 
-// LimitShare is the cost as a share of its limit: 0 where there is none, NaN where the cost was not measured.
+// LimitShare returns the cost as a share of its limit: 0 if there is no limit, NaN if the cost was not measured.
 func (c Cost) LimitShare() float64 {
 	if c.Limit == 0 {
 		return 0
@@ -29,10 +29,10 @@
 	return c.Value / c.Limit
 }
 
-// ExceedsLimit tells whether the cost is above its limit.
+// ExceedsLimit reports whether the cost is above its limit.
 func (c Cost) ExceedsLimit() bool { return c.LimitShare() > 1 }
 
-// Mechanisms, as the tables name them.
+// Mechanisms, as written in the tables.
 const (
 	mechanismWatch        = "each node asks discovery, a call held for 1.2 s"
 	mechanismFile         = "a file and SIGHUP for each process, read whole"
@@ -50,7 +50,7 @@
 	mechanismCheck        = "pearknot check"
 )
 
-// Roles and events that stand in several functions.
+// Roles and events that several functions use.
 const (
 	roleNodeControl  = "a node, control"
 	roleNodeRequests = "a node, requests"
@@ -73,7 +73,7 @@
 	megabytesPerByte = 1.0 / (1 << 20)
 )
 
-// costSheet collects costs role by role and event by event.
+// costSheet collects costs by role and event.
 type costSheet struct {
 	slopes slopeSet
 	target *Target
@@ -82,7 +82,7 @@
 	costs  []Cost
 }
 
-// Costs estimates what a target's fleet costs, role by role and event by event.
+// Costs estimates the costs of a target's fleet by role and event.
 func Costs(slopes []*Slope, target *Target) []Cost {
 	s := &costSheet{slopes: newSlopeSet(slopes), target: target}
 	s.addNodeControl()
@@ -98,8 +98,8 @@
 	return s.costs
 }
 
-// begin sets role and event of the costs that are added next.
-func (s *costSheet) begin(role, event string) { s.role, s.event = role, event }
+// beginSection sets the role and event of the costs added next.
+func (s *costSheet) beginSection(role, event string) { s.role, s.event = role, event }
 
 func (s *costSheet) add(description string, value estimate, unit string, limit float64, mechanism string) {
 	s.costs = append(s.costs, Cost{
@@ -125,7 +125,7 @@
 	return distinct
 }
 
-// MissingParts are the parts of a target that nothing in the program carries.
+// MissingParts returns the parts of a target that the program does not support.
 func MissingParts() []Cost {
 	missing := func(role, description string) Cost {
 		return Cost{Role: role, Event: "always", Description: description, Value: math.NaN(), Mechanism: mechanismMissing}
@@ -136,7 +136,7 @@
 	}
 }
 
-// OverLimit are the costs that exceed their limits, worst first, those of wall-clock time among the others.
+// OverLimit returns the costs that exceed their limits, those of wall-clock time included, largest share first.
 func OverLimit(costs []Cost) (over []Cost) {
 	for _, c := range costs {
 		if c.ExceedsLimit() {
--- a/internal/lab/capacity/cost_node.go
+++ b/internal/lab/capacity/cost_node.go
@@ -1,30 +1,30 @@
 package capacity
 
 const (
-	linkGroupSize      = 5.0  // processes that link to each other in place of all
-	recordsKeptSeconds = 60.0 // for which takeover keeps the records of requests
+	linkGroupSize      = 5.0  // processes per group, where each links only to its own group
+	recordsKeptSeconds = 60.0 // how long takeover keeps the records of requests
 )
 
-// listChangesPerDay counts the changes of the endpoint list in a day.
+// listChangesPerDay returns the number of changes of the endpoint list in a day.
 func (t *Target) listChangesPerDay() float64 {
 	return t.Day.Failures*t.Assumed.LinesPerFailure + t.Day.Restarts*t.Assumed.LinesPerRestart
 }
 
-// backendShare is the share of the machines that are backends.
+// backendShare returns the share of the machines that are backends.
 func (t *Target) backendShare() float64 { return t.Backends / (t.Backends + t.Nodes) }
 
-// nodeRequestRate is the requests per second of one node at the peak.
+// nodeRequestRate returns the requests per second of one node at the peak.
 func (t *Target) nodeRequestRate() float64 { return t.RequestsPerSecond / t.Nodes }
 
-// backendsPerService is the mean size of a service.
+// backendsPerService returns the mean number of backends of a service.
 func (t *Target) backendsPerService() float64 { return t.Backends / t.Services }
 
-// nodeCoreMs is the processor time, in ms per second, that a node may spend on control.
+// nodeCoreMs returns the processor time, in ms per second, that a node may spend on control.
 func (t *Target) nodeCoreMs() float64 { return t.Limit.NodeCoreShare * msPerSecond }
 
 func (s *costSheet) addNodeControl() {
 	t, core := s.target, s.target.nodeCoreMs()
-	s.begin(roleNodeControl, eventQuiet)
+	s.beginSection(roleNodeControl, eventQuiet)
 	memory := s.slopes.at("start.backends.rss", t.Backends).plus(s.slopes.increase("start.tenants.rss", t.Tenants))
 	s.add("memory: backends, tenants", memory, "MB", t.Limit.NodeMemoryMB, mechanismProcess)
 	s.add("watch on discovery, both ways", s.slopes.at("node.bytes", t.Backends),
@@ -37,17 +37,17 @@
 		"B/s", t.Limit.NodeBytesPerSecond, mechanismMesh)
 }
 
-// addNodeChanges adds what a node spends on changes of its configuration and of the endpoint list.
+// addNodeChanges adds a node's costs of changes of its configuration and of the endpoint list.
 func (s *costSheet) addNodeChanges() {
 	t, core := s.target, s.target.nodeCoreMs()
 	rate, inForce := t.Limit.NodeBytesPerSecond, t.Limit.InForceSeconds
 	settings, reading := s.slopes.at("settings.bytes", t.Tenants), s.slopes.at("settings.cpu", t.Tenants)
 
-	s.begin(roleNodeControl, eventDayOfChanges)
+	s.beginSection(roleNodeControl, eventDayOfChanges)
 	s.add("settings got, whole each time", settings.times(t.Day.ConfigChanges/secondsPerDay), "B/s", rate, mechanismFile)
 	s.add("settings read, whole each time", reading.times(t.Day.ConfigChanges/secondsPerDay), "ms/s", core, mechanismFile)
 
-	s.begin(roleNodeControl, eventConfigChange)
+	s.beginSection(roleNodeControl, eventConfigChange)
 	s.add("seconds on the wire at the node's rate", settings.times(1/rate), "s", inForce, mechanismFile)
 	s.add("seconds of reading at the node's share of a core", reading.times(1/core), "s", inForce, mechanismFile)
 	s.add("processor time of a real node for it, seconds at its share of a core",
@@ -55,36 +55,36 @@
 	peak := s.slopes.at("start.backends.rss", t.Backends).plus(s.slopes.increase("reload.peak", t.Tenants))
 	s.add("most memory of a real node meanwhile", peak, "MB", t.Limit.NodeMemoryMB, mechanismFile)
 
-	s.begin(roleNodeControl, eventDayOfFailures)
+	s.beginSection(roleNodeControl, eventDayOfFailures)
 	changesPerSecond := t.listChangesPerDay() * t.backendShare() / secondsPerDay
 	s.add("changes of the list, got", s.slopes.at("node.change.bytes", t.Backends).times(changesPerSecond),
 		"B/s", rate, mechanismWatch)
 	s.add("changes of the list, processor time", s.slopes.at("node.change.cpu", t.Backends).times(changesPerSecond),
 		"ms/s", core, mechanismWatch)
 
-	s.begin(roleNodeControl, "a rack goes")
+	s.beginSection(roleNodeControl, "a rack goes")
 	s.add("seconds to hear of it at the node's rate", s.slopes.at("list.bytes", t.Assumed.RackMachines).times(1/rate),
 		"s", inForce, mechanismWatch)
 
-	s.begin(roleNodeControl, eventZoneFails)
+	s.beginSection(roleNodeControl, eventZoneFails)
 	s.add("seconds to hear of it at the node's rate", s.slopes.at("node.zone.bytes", t.Backends).times(zonesPerList/t.Zones/rate),
 		"s", inForce, mechanismWatch)
 	s.add("processor time for it, seconds at the node's share of a core",
 		s.slopes.at("node.zone.cpu", t.Backends).times(zonesPerList/t.Zones/core), "s", inForce, mechanismWatch)
 }
 
-// addNodeStart adds what a node spends to become ready, and to catch up after its region was cut off.
+// addNodeStart adds a node's costs of becoming ready, and of catching up after its region was cut off.
 func (s *costSheet) addNodeStart() {
 	t, rate := s.target, s.target.Limit.NodeBytesPerSecond
 	settings := s.slopes.at("settings.bytes", t.Tenants)
 
-	s.begin(roleNodeControl, "start")
+	s.beginSection(roleNodeControl, "start")
 	ready := s.slopes.at("start.backends.ready", t.Backends).plus(s.slopes.increase("start.tenants.ready", t.Tenants))
 	s.add("start to ready, by backends and tenants", ready.times(secondsPerMs), "s", t.Limit.ReadySeconds, mechanismProcess)
 	s.add("seconds of list and settings at the node's rate", s.slopes.at("list.bytes", t.Backends).plus(settings).times(1/rate),
 		"s", t.Limit.ReadySeconds, mechanismFullList+"; "+mechanismFile)
 
-	s.begin(roleNodeControl, "its region alone for an hour, and back")
+	s.beginSection(roleNodeControl, "its region alone for an hour, and back")
 	missedChanges := t.listChangesPerDay() * t.backendShare() / hoursPerDay
 	s.add("seconds of missed changes of the list at the node's rate", s.slopes.at("list.bytes", missedChanges).times(1/rate),
 		"s", t.Limit.InForceSeconds, mechanismWatch)
@@ -93,7 +93,7 @@
 
 func (s *costSheet) addNodeRequests() {
 	t, limit := s.target, s.target.Limit.AddedMs
-	s.begin(roleNodeRequests, "peak")
+	s.beginSection(roleNodeRequests, "peak")
 	s.addAddedLatency("added.64.")
 	s.add("a request decided, all backends in one list", s.slopes.at("module.backends.decided", t.Backends).times(msPerUs),
 		"ms", limit, mechanismScan)
@@ -108,11 +108,11 @@
 		s.slopes.at("added.64.backends.cpu", t.backendsPerService()).times(perSecond), "ms/s", 0, mechanismScan)
 	s.add("1,000 connections of clients, memory", s.slopes.increase("connections.rss", 1000), "MB", 0, mechanismProcess)
 	s.add("1,000 requests that wait, memory", s.slopes.increase("waiting.rss", 1000), "MB", 0, mechanismProcess)
-	s.begin(roleNodeRequests, "ten times the peak")
+	s.beginSection(roleNodeRequests, "ten times the peak")
 	s.addAddedLatency("added.640.")
 }
 
-// addAddedLatency adds the latency that a node adds to a request, by the slopes of one request rate.
+// addAddedLatency adds the latency that a node adds to a request, from the slopes of one request rate.
 func (s *costSheet) addAddedLatency(keyPrefix string) {
 	t, limit := s.target, s.target.Limit.AddedMs
 	s.add("added for 99 in 100, all backends in one list", s.slopes.at(keyPrefix+"backends.99", t.Backends),
@@ -122,14 +122,14 @@
 		s.slopes.at(keyPrefix+"backends.99", t.backendsPerService()), "ms", limit, mechanismScan)
 }
 
-// addNodeRecords adds what a node keeps of its requests, in captures and for takeover.
+// addNodeRecords adds the costs of a node's records of requests, in captures and for takeover.
 func (s *costSheet) addNodeRecords() {
 	rate := s.target.nodeRequestRate()
-	s.begin(roleNodeRequests, "an hour, with capture")
+	s.beginSection(roleNodeRequests, "an hour, with capture")
 	requests := rate * secondsPerHour
 	s.add("capture on disk", s.slopes.increase("capture.bytes", requests).times(megabytesPerByte), "MB", 0, mechanismRing)
 	s.add("capture, processor time", s.slopes.increase("capture.cpu", requests).times(1/secondsPerHour), "ms/s", 0, mechanismRing)
-	s.begin(roleNodeRequests, "a minute, with takeover")
+	s.beginSection(roleNodeRequests, "a minute, with takeover")
 	s.add("records of requests kept, memory", s.slopes.increase("kept.heap", rate*recordsKeptSeconds).times(megabytesPerByte),
 		"MB", s.target.Limit.NodeMemoryMB, mechanismTakeover)
 }
--- a/internal/lab/capacity/cost_test.go
+++ b/internal/lab/capacity/cost_test.go
@@ -13,7 +13,7 @@
 	return &Slope{Key: key, Description: "a thing", Unit: "B/s", SizeName: "members", Points: pointsOf(cost, sizes...)}
 }
 
-// newLinksSlope is a slope of links.bytes that grows with the square.
+// newLinksSlope returns a slope of links.bytes that grows with the square of the size.
 func newLinksSlope() *Slope {
 	return newSlope("links.bytes", func(n float64) float64 { return 1000 + 2*n*n }, 5, 10, 20, 60)
 }
@@ -52,7 +52,7 @@
 
 	unmeasured := findCost(t, costs, "memory: backends, tenants")
 	assert.True(t, math.IsNaN(unmeasured.Value))
-	assert.False(t, unmeasured.ExceedsLimit(), "what was not measured exceeds nothing")
+	assert.False(t, unmeasured.ExceedsLimit(), "a cost that was not measured exceeds no limit")
 	assert.Equal(t, "not measured", unmeasured.formatShare())
 	assert.Equal(t, "start.backends.rss, start.tenants.rss", unmeasured.SlopeKeys)
 
@@ -70,7 +70,7 @@
 	}
 }
 
-// Each key names one slope, and each key that a cost asks for is that of a row.
+// Each key belongs to one metric only, and each slope key of a cost is measured by some row.
 func TestSlopeKeys(t *testing.T) {
 	isMeasured := map[string]bool{}
 	for _, m := range allMeasurements() {
--- a/internal/lab/capacity/discovery_server.go
+++ b/internal/lab/capacity/discovery_server.go
@@ -17,10 +17,10 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// maxHoldTimeMs bounds how long a caller can have a poll held.
+// maxHoldTimeMs is the longest hold time that a caller can request for a poll.
 const maxHoldTimeMs = 60_000
 
-// discoveryServer is a stand-in for the discovery service, which counts calls and bytes. All backends have one address.
+// discoveryServer is a stub of the discovery service that counts calls and bytes. All backends share one address.
 type discoveryServer struct {
 	address        string
 	backendAddress string
@@ -34,7 +34,7 @@
 	changed chan struct{} // closed and replaced at each change
 }
 
-// listEntry is an endpoint as the list's JSON has it.
+// listEntry is an endpoint as encoded in the list's JSON.
 type listEntry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -46,7 +46,7 @@
 	BootMs   float64 `json:"boot_ms"`
 }
 
-// listResponse is the endpoint list, or what changed of it.
+// listResponse holds the complete endpoint list or the changes since a revision.
 type listResponse struct {
 	Revision   int         `json:"rev"`
 	IsComplete bool        `json:"all"`
@@ -59,7 +59,7 @@
 	balancer.BackendRemoved:  "removed",
 }
 
-func newDiscovery(backends int, backendAddress string) (*discoveryServer, error) {
+func newDiscoveryServer(backends int, backendAddress string) (*discoveryServer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -84,8 +84,8 @@
 	d.wg.Wait()
 }
 
-// change gives backends a new state, all in one revision.
-func (d *discoveryServer) change(state balancer.BackendState, backends ...int) {
+// setState changes the state of backends, all in one revision.
+func (d *discoveryServer) setState(state balancer.BackendState, backends ...int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, backend := range backends {
@@ -96,7 +96,7 @@
 	d.changed = make(chan struct{})
 }
 
-// fullList is the complete list.
+// fullList returns the complete list.
 func (d *discoveryServer) fullList() listResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -119,14 +119,14 @@
 	return entries
 }
 
-// serve answers a caller that names no revision with the complete list, and one that does with the changes since, for
-// which the call is held until there are some or its hold time is over.
+// serve answers a call without a revision with the complete list, and a call with one with the changes since then. The
+// latter is held until there are changes or its hold time has passed.
 func (d *discoveryServer) serve(w http.ResponseWriter, r *http.Request) {
 	d.calls.Add(1)
 	query := r.URL.Query()
 	revision, err := strconv.Atoi(query.Get("from"))
 	isWatch := err == nil
-	holdMs, _ := strconv.Atoi(query.Get("hold_ms")) // 0 where there is none
+	holdMs, _ := strconv.Atoi(query.Get("hold_ms")) // 0 if absent or malformed
 	holdTimer := time.NewTimer(time.Duration(min(holdMs, maxHoldTimeMs)) * time.Millisecond)
 	defer holdTimer.Stop()
 	d.mu.Lock()
@@ -151,7 +151,7 @@
 	d.mu.Unlock()
 	data, err := json.Marshal(response)
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // cannot happen: the values are plain
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	_, _ = w.Write(data)
--- a/internal/lab/capacity/estimate.go
+++ b/internal/lab/capacity/estimate.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// estimate is a figure put together from slopes.
+// estimate is a value computed from slopes.
 type estimate struct {
-	value         float64 // NaN where a slope in it was not measured
-	extrapolation float64 // the most that a slope in it was extrapolated, as a multiple of its largest size
+	value         float64 // NaN if one of its slopes was not measured
+	extrapolation float64 // the largest extrapolation of its slopes, as a multiple of the largest size measured
 	slopeKeys     []string
 	isWallClock   bool
 }
@@ -38,7 +38,7 @@
 	return set
 }
 
-// at is a slope's cost at a size. A slope that was not measured gives NaN, and so does every sum that it is part of.
+// at returns a slope's cost at a size. A slope that was not measured gives NaN, and so does every sum that includes it.
 func (s slopeSet) at(key string, size float64) estimate {
 	slope, isMeasured := s[key]
 	if !isMeasured {
@@ -52,7 +52,7 @@
 	}
 }
 
-// increase is what a slope adds at a size to its cost at size 0.
+// increase returns a slope's cost at a size minus its cost at size 0.
 func (s slopeSet) increase(key string, size float64) estimate {
 	increase := s.at(key, size)
 	increase.value -= s.at(key, 0).value
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Point is what was measured at one size: the median, least and greatest value of some runs.
+// Point holds the median, least and greatest value of the runs at one size.
 type Point struct {
 	Size   float64 `json:"size"`
 	Median float64 `json:"median"`
@@ -16,7 +16,7 @@
 	Runs   int     `json:"runs"`
 }
 
-// pointDigits are the significant digits of a stored value; more would be noise.
+// pointDigits is the number of significant digits of a stored value; more would be noise.
 const pointDigits = 4
 
 // newPoint summarizes the values of some runs.
@@ -33,7 +33,7 @@
 
 // roundDigits rounds to a number of significant digits.
 func roundDigits(x float64, digits int) float64 {
-	x, _ = strconv.ParseFloat(strconv.FormatFloat(x, 'g', digits, 64), 64) // of a number's own text
+	x, _ = strconv.ParseFloat(strconv.FormatFloat(x, 'g', digits, 64), 64) // cannot fail: the text is a formatted number
 	return x
 }
 
@@ -43,11 +43,11 @@
 	Description string  `json:"what"`
 	Unit        string  `json:"unit"`
 	SizeName    string  `json:"by"`             // what the sizes count
-	IsWallClock bool    `json:"wall,omitempty"` // the machine's other work shows in it
+	IsWallClock bool    `json:"wall,omitempty"` // affected by other load on the machine
 	Points      []Point `json:"points"`
 }
 
-// MaxSize is the largest size measured.
+// MaxSize returns the largest size measured.
 func (s *Slope) MaxSize() float64 {
 	largest := 0.0
 	for _, p := range s.Points {
@@ -56,7 +56,7 @@
 	return largest
 }
 
-// Shape is how a cost grows with the size.
+// Shape is the growth of a cost with the size.
 type Shape int
 
 // Shapes, simplest first.
@@ -69,10 +69,10 @@
 
 func (s Shape) String() string { return [...]string{"constant", "linear", "n log n", "square"}[s] }
 
-// formula is the text of what basis computes.
+// formula returns the text form of basis.
 func (s Shape) formula() string { return [...]string{"0", "n", "n log2 n", "n^2"}[s] }
 
-// basis is the function of the size that a curve of this shape multiplies by its slope.
+// basis computes the function of the size that a curve of this shape multiplies by its slope.
 func (s Shape) basis(n float64) float64 {
 	switch s {
 	case ShapeLinear:
@@ -86,15 +86,15 @@
 	}
 }
 
-// Fit is a curve through points: Base + Slope x basis(size).
+// Fit is a curve fitted to points: Base + Slope x basis(size).
 type Fit struct {
 	Shape    Shape
 	Base     float64
 	Slope    float64
-	Residual float64 // root mean square of the differences, each as a share of its point
+	Residual float64 // root mean square of the differences, each relative to its point
 }
 
-// At is the curve's value.
+// At returns the curve's value at a size.
 func (f Fit) At(n float64) float64 { return f.Base + f.Slope*f.Shape.basis(n) }
 
 func (f Fit) String() string {
@@ -109,15 +109,15 @@
 }
 
 const (
-	// simplerShapeTolerance is how many times the best shape's residual a simpler shape may have and still be preferred:
-	// an exponent that the points don't show must not decide what they cost at a hundred times the size.
+	// simplerShapeTolerance is the largest ratio of a simpler shape's residual to the best one at which the simpler shape is
+	// preferred: an exponent that the points don't support must not decide the cost at a hundred times the size.
 	simplerShapeTolerance = 1.25
-	// noiseResidual is a residual below which a shape fits as well as any: runs on a shared machine vary by more.
+	// noiseResidual is the residual below which all shapes fit equally well: runs on a shared machine vary by more.
 	noiseResidual = 0.03
 )
 
-// FitPoints fits the simplest shape whose residual is hardly larger than the best one's. Differences count as shares of
-// each point, so that small sizes weigh as much as large ones; neither base nor slope is below 0, since no cost is.
+// FitPoints fits the simplest shape whose residual is close to the best one's. Differences are relative to each point, so
+// that small sizes weigh as much as large ones; neither base nor slope is below 0, since no cost is.
 func FitPoints(points []Point) Fit {
 	var fits []Fit
 	best := math.Inf(1)
@@ -170,11 +170,11 @@
 	return fit
 }
 
-// zeroPointShare is the share of the largest point by which a point of 0 is weighed. Its own value would give it no
-// finite weight, and to leave it out would lose that nothing was spent at its size.
+// zeroPointShare is the share of the largest point that sets the weight of a point of 0. Its own value would give it no
+// finite weight, and leaving it out would lose the fact that the cost was 0 at its size.
 const zeroPointShare = 0.05
 
-// pointWeights make the difference at each point count as a share of the point.
+// pointWeights returns weights that make the difference at each point relative to the point.
 func pointWeights(points []Point) []float64 {
 	largest := 0.0
 	for _, p := range points {
--- a/internal/lab/capacity/fit_test.go
+++ b/internal/lab/capacity/fit_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// pointsOf are points without spread of a cost at some sizes.
+// pointsOf returns points without spread of a cost at some sizes.
 func pointsOf(cost func(n float64) float64, sizes ...float64) (points []Point) {
 	for _, n := range sizes {
 		points = append(points, Point{Size: n, Median: cost(n), Low: cost(n), High: cost(n), Runs: 5})
@@ -38,14 +38,14 @@
 			assert.Less(t, fit.Residual, 0.03)
 		})
 	}
-	t.Run("falling", func(t *testing.T) { // no cost falls for ever: its line would go below 0
+	t.Run("falling", func(t *testing.T) { // a falling line would go below 0 at larger sizes
 		fit := FitPoints(pointsOf(func(n float64) float64 { return 1e5 - 7*n }, 30, 200, 2000, 12000))
 		assert.Equal(t, ShapeConstant, fit.Shape)
 	})
 	t.Run("no points", func(t *testing.T) {
 		assert.Equal(t, Fit{}, FitPoints(nil))
 	})
-	t.Run("links as first measured", func(t *testing.T) { // between 5 to 60 processes: the square, with a base
+	t.Run("links as first measured", func(t *testing.T) { // 5 to 60 processes: a square with a base
 		fit := FitPoints([]Point{
 			{Size: 5, Median: 18},
 			{Size: 10, Median: 36},
@@ -59,8 +59,8 @@
 	})
 }
 
-// Whatever the curve, noise of a few percent leaves the fit near what was measured, no part of the fit is below 0, and
-// the unit of the costs doesn't matter.
+// For any curve with noise of a few percent, the fit stays near the measured points, no part of it is below 0, and the
+// unit of the costs does not matter.
 func TestFitPointsWithNoise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shape := Shape(rapid.IntRange(0, 3).Draw(t, "shape"))
--- a/internal/lab/capacity/rig_added.go
+++ b/internal/lab/capacity/fixture_added.go
@@ -11,36 +11,36 @@
 	"time"
 )
 
-// Requests per second at which a node's costs are measured: at the peak of the target, and ten times that.
+// Requests per second at which a node's costs are measured: the peak of the target, and ten times that.
 const (
-	nodeRate     = 64.0
-	busyNodeRate = 640.0
+	peakRate        = 64.0
+	tenfoldPeakRate = 640.0
 )
 
-// addedLatencyMeasurements send each request to a node and to its backend itself, at a fixed rate, whatever becomes of
-// the requests before. The difference of a quantile of the two latencies is what the node adds, without what clients
-// themselves wait on this machine.
+// addedLatencyMeasurements send each request both to a node and directly to its backend, at a fixed rate that does not
+// depend on the outcome of earlier requests (open loop). The latency that the node adds is the difference of a quantile of
+// the two, which leaves out the delay of the client itself on this machine.
 func addedLatencyMeasurements() (rows []measurement) {
-	for _, rate := range []float64{nodeRate, busyNodeRate} {
+	for _, rate := range []float64{peakRate, tenfoldPeakRate} {
 		rows = append(rows,
 			measurement{
 				name:                fmt.Sprintf("added-%g-backends", rate),
 				sizeName:            "backends",
 				sizes:               []float64{30, 200, 2000, 12000},
-				runsTogether:        rate == nodeRate,
+				runsTogether:        rate == peakRate,
 				runsTogetherIfQuick: true,
 				metrics:             addedLatencyMetrics(rate, "backends"),
-				newRig:              newAddedLatencyRig(rate, variableSize, fixedSize(10)),
+				newFixture:          newAddedLatencyFixture(rate, variableSize, fixedSize(10)),
 			},
 			measurement{
 				name:                fmt.Sprintf("added-%g-tenants", rate),
 				sizeName:            "tenants",
 				sizes:               []float64{10, 1000, 10000, 140000},
 				quickSizes:          []float64{10, 1000, 10000, 50000},
-				runsTogether:        rate == nodeRate,
+				runsTogether:        rate == peakRate,
 				runsTogetherIfQuick: true,
 				metrics:             addedLatencyMetrics(rate, "tenants"),
-				newRig:              newAddedLatencyRig(rate, fixedSize(30), variableSize),
+				newFixture:          newAddedLatencyFixture(rate, fixedSize(30), variableSize),
 			})
 	}
 	return rows
@@ -49,7 +49,7 @@
 func addedLatencyMetrics(rate float64, sizeName string) []metric {
 	prefix := fmt.Sprintf("added.%g.%s.", rate, sizeName)
 	tail := "the same, 999 in 1,000"
-	if rate == nodeRate {
+	if rate == peakRate {
 		tail = "the same, the worst of a run's 192" // too few for a quantile
 	}
 	return []metric{
@@ -61,40 +61,40 @@
 	}
 }
 
-// addedLatencyRig is a running node with a client that compares it with its backend.
-type addedLatencyRig struct {
-	site        *nodeSite
-	node        *nodeProcess
-	client      *http.Client
-	rate        float64
-	tenants     int
-	requestsRun int // since the rig was set up; numbers requests and spreads them over tenants
+// addedLatencyFixture is a running node with a client that compares its latency with its backend's.
+type addedLatencyFixture struct {
+	env          *nodeEnvironment
+	node         *nodeProcess
+	client       *http.Client
+	rate         float64
+	tenants      int
+	requestsSent int // since the fixture was created; numbers requests and spreads them over tenants
 }
 
-func newAddedLatencyRig(rate float64, backends, tenants func(size float64) float64) rigFunc {
-	return func(ctx context.Context, bench *Bench, size float64) (*rig, error) {
-		site, err := newNodeSite(int(backends(size)), int(tenants(size)), false)
+func newAddedLatencyFixture(rate float64, backends, tenants func(size float64) float64) fixtureFunc {
+	return func(ctx context.Context, bench *Bench, size float64) (*fixture, error) {
+		env, err := newNodeEnvironment(int(backends(size)), int(tenants(size)), false)
 		if err != nil {
 			return nil, err
 		}
-		node, err := bench.startNode(ctx, site)
+		node, err := bench.startNode(ctx, env)
 		if err != nil {
-			site.close()
+			env.close()
 			return nil, err
 		}
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 10000}}
-		r := &addedLatencyRig{site: site, node: node, client: client, rate: rate, tenants: int(tenants(size))}
+		r := &addedLatencyFixture{env: env, node: node, client: client, rate: rate, tenants: int(tenants(size))}
 		span := bench.RunDuration
-		if rate == nodeRate {
-			span *= 2 // for enough requests
+		if rate == peakRate {
+			span *= 2 // for enough requests at the lower rate
 		}
 		r.sendRequests(ctx, bench.RunDuration/2) // opens the first connections
 		run := func(ctx context.Context) ([]float64, error) { return r.run(ctx, span), nil }
-		return &rig{run: run, close: r.close}, nil
+		return &fixture{run: run, close: r.close}, nil
 	}
 }
 
-func (r *addedLatencyRig) run(ctx context.Context, span time.Duration) []float64 {
+func (r *addedLatencyFixture) run(ctx context.Context, span time.Duration) []float64 {
 	cpuBefore := r.node.cpu()
 	sample := r.sendRequests(ctx, span)
 	cpu := r.node.cpu() - cpuBefore
@@ -108,10 +108,10 @@
 	}
 }
 
-func (r *addedLatencyRig) close() {
+func (r *addedLatencyFixture) close() {
 	r.node.kill()
 	r.client.CloseIdleConnections()
-	r.site.close()
+	r.env.close()
 }
 
 // latencySample holds the latencies of a run, in ms, sorted.
@@ -121,13 +121,13 @@
 	notServed   int       // by the node
 }
 
-// added is the difference of a quantile through the node and directly, at least 0.
+// added returns the difference of a quantile through the node and directly, at least 0.
 func (s *latencySample) added(q float64) float64 {
 	return max(quantile(s.throughNode, q)-quantile(s.direct, q), 0)
 }
 
-// sendRequests sends requests at the rig's rate for a while, and waits for all responses.
-func (r *addedLatencyRig) sendRequests(ctx context.Context, span time.Duration) *latencySample {
+// sendRequests sends requests at the fixture's rate for span, and waits for all responses.
+func (r *addedLatencyFixture) sendRequests(ctx context.Context, span time.Duration) *latencySample {
 	sample := &latencySample{}
 	var mu sync.Mutex // guards sample
 	var inFlight sync.WaitGroup
@@ -135,9 +135,9 @@
 	started := time.Now()
 	for at := time.Duration(0); at < span && ctx.Err() == nil; at += interval {
 		sleep(ctx, at-time.Since(started))
-		r.requestsRun++
-		id := fmt.Sprintf("%016x", r.requestsRun)
-		tenant := tenantName(r.requestsRun * 7919 % max(r.tenants, 1)) // a prime, so that all tenants have their turn
+		r.requestsSent++
+		id := fmt.Sprintf("%016x", r.requestsSent)
+		tenant := tenantName(r.requestsSent * 7919 % max(r.tenants, 1)) // a prime, so that all tenants get requests
 		inFlight.Go(func() {
 			ms, isServed := sendRequest(ctx, r.client, r.node.address, id, tenant)
 			mu.Lock()
@@ -148,7 +148,7 @@
 			}
 		})
 		inFlight.Go(func() {
-			ms, _ := sendRequest(ctx, r.client, r.site.backendAddress, id, tenant)
+			ms, _ := sendRequest(ctx, r.client, r.env.backendAddress, id, tenant)
 			mu.Lock()
 			defer mu.Unlock()
 			sample.direct = append(sample.direct, ms)
@@ -160,7 +160,7 @@
 	return sample
 }
 
-// requestHeaders are a client's, by the deployment of deploymentSettings.
+// requestHeaders returns a client's headers under the deployment of deploymentSettings.
 func requestHeaders(id, tenant string, deadline time.Duration) [][2]string {
 	return [][2]string{
 		{"X-Trace-Id", id},
@@ -171,11 +171,11 @@
 	}
 }
 
-// sendRequest sends a request and gives its latency in ms, and whether the response had status 200.
+// sendRequest sends a request and returns its latency in ms and whether the response had status 200.
 func sendRequest(ctx context.Context, client *http.Client, address, id, tenant string) (latencyMs float64, isServed bool) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/api", nil)
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // cannot happen: the values are plain
 	}
 	for _, header := range requestHeaders(id, tenant, 2*time.Second) {
 		request.Header.Set(header[0], header[1])
@@ -190,7 +190,7 @@
 	return milliseconds(time.Since(started)), err == nil && response.StatusCode == http.StatusOK
 }
 
-// quantile of sorted values; 0 of none.
+// quantile returns a quantile of sorted values, or 0 if there are none.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/lab/capacity/rig_capture.go
+++ b/internal/lab/capacity/fixture_capture.go
@@ -13,7 +13,7 @@
 
 const captureBackends = 30
 
-// captureMeasurements drive a balancer whose inputs and decisions are captured on disk, and one without.
+// captureMeasurements drive one balancer whose inputs and decisions are captured on disk, and one without capture.
 func captureMeasurements() []measurement {
 	return []measurement{{
 		name:       "capture",
@@ -24,11 +24,11 @@
 			{"capture.bytes", "capture, 30 backends: bytes on disk, packed", "B", false},
 			{"capture.cpu", "the same, processor time beyond that without", "ms", false},
 		},
-		newRig: newCaptureRig,
+		newFixture: newCaptureFixture,
 	}}
 }
 
-func newCaptureRig(_ context.Context, _ *Bench, size float64) (*rig, error) {
+func newCaptureFixture(_ context.Context, _ *Bench, size float64) (*fixture, error) {
 	run := func(context.Context) ([]float64, error) {
 		runtime.GC()
 		plainCPU := serveCPU(balancer.New(newConfig(0), 1), int(size))
@@ -47,10 +47,10 @@
 		}
 		return []float64{bytes, max(capturedCPU-plainCPU, 0)}, nil
 	}
-	return &rig{run: run}, nil
+	return &fixture{run: run}, nil
 }
 
-// serveCPU is the processor time, in ms, that a module takes to serve requests.
+// serveCPU returns the processor time, in ms, that a module takes to serve requests.
 func serveCPU(module balancer.Decider, requests int) float64 {
 	driver := newModuleDriver(module, 0, captureBackends)
 	before := processCPU()
@@ -58,7 +58,7 @@
 	return processCPU() - before
 }
 
-// captureRequests serves requests with a capture in dir, and gives the processor time in ms until all is written.
+// captureRequests serves requests with a capture in dir, and returns the processor time in ms until all is written.
 func captureRequests(dir string, requests int) (cpuMs float64, err error) {
 	now := clock.New()
 	writer, err := capture.NewWriter(capture.WriterConfig{
@@ -98,7 +98,7 @@
 		return 0, err
 	}
 	for _, file := range files {
-		if info, err := file.Info(); err == nil { // else it is gone since
+		if info, err := file.Info(); err == nil { // otherwise it has been removed meanwhile
 			bytes += float64(info.Size())
 		}
 	}
--- a/internal/lab/capacity/rig_discovery.go
+++ b/internal/lab/capacity/fixture_discovery.go
@@ -13,14 +13,14 @@
 
 var deploymentNames = discovery.DeploymentNames{Zones: []string{"a", "b"}, Kinds: []string{"m"}}
 
-// unusedAddress is the backends' where nothing connects to them.
+// unusedAddress is the address of backends to which nothing connects.
 const unusedAddress = "127.0.0.1:65000"
 
-// pollHoldTime is how long a poll of an unchanged list waits for a change. Runs last a multiple of it: polls that a
-// change has synchronized would else count once more in some runs than in others.
+// pollHoldTime is how long a poll of an unchanged list waits for a change. Runs last a multiple of it: otherwise polls
+// that a change has synchronized would count once more in some runs than in others.
 const pollHoldTime = 1200 * time.Millisecond
 
-// zonesPerList is the part of the backends, 1 in so many, that changes at once as when a zone fails.
+// zonesPerList is the number of zones of the list: 1 in zonesPerList backends change at once when a zone fails.
 const zonesPerList = 12
 
 func discoveryMeasurements() []measurement {
@@ -33,7 +33,7 @@
 				{"list.bytes", "discovery: the whole list, as it is told", "B", false},
 				{"list.cpu", "the same, read by a node", "ms", false},
 			},
-			newRig: newListRig,
+			newFixture: newListFixture,
 		},
 		{
 			name:         "node",
@@ -49,7 +49,7 @@
 				{"node.zone.bytes", "discovery: a twelfth of the backends at once told to a node, bytes", "B", false},
 				{"node.zone.cpu", "the same, processor time of the node", "ms", false},
 			},
-			newRig: newNodeWatchRig,
+			newFixture: newNodeWatchFixture,
 		},
 		{
 			name:                "watchers",
@@ -65,14 +65,14 @@
 				{"watchers.change.cpu", "the same, processor time as above", "ms", false},
 				{"watchers.change.ms", "the same, until the last one has it", "ms", true},
 			},
-			newRig: newWatchersRig,
+			newFixture: newWatchersFixture,
 		},
 	}
 }
 
-// newListRig decodes a complete endpoint list.
-func newListRig(_ context.Context, _ *Bench, size float64) (*rig, error) {
-	server, err := newDiscovery(int(size), unusedAddress)
+// newListFixture decodes a complete endpoint list.
+func newListFixture(_ context.Context, _ *Bench, size float64) (*fixture, error) {
+	server, err := newDiscoveryServer(int(size), unusedAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rounds := int(max(6000/size, 1)) // enough for a run to be longer than the clock's steps
+	rounds := int(max(6000/size, 1)) // makes a run longer than the clock's resolution
 	run := func(context.Context) ([]float64, error) {
 		runtime.GC()
 		cpuBefore := processCPU()
@@ -92,10 +92,10 @@
 		}
 		return []float64{float64(len(text)), (processCPU() - cpuBefore) / float64(rounds)}, nil
 	}
-	return &rig{run: run}, nil
+	return &fixture{run: run}, nil
 }
 
-// watchUsage is what a watch of the endpoint list spent in a span of time.
+// watchUsage is the cost of watching the endpoint list over a span of time.
 type watchUsage struct {
 	seconds float64
 	calls   float64
@@ -103,15 +103,15 @@
 	cpu     float64 // ms
 }
 
-// beyond is what was spent in addition to what an idle watch spends in the same time, divided among some changes.
-func (u watchUsage) beyond(idle watchUsage, changes float64) (bytes, cpu float64) {
+// excessOver returns the cost per change beyond that of an idle watch over the same time.
+func (u watchUsage) excessOver(idle watchUsage, changes float64) (bytes, cpu float64) {
 	idleSpans := u.seconds / idle.seconds
 	bytes = max(u.bytes-idle.bytes*idleSpans, 0) / changes
 	cpu = max(u.cpu-idle.cpu*idleSpans, 0) / changes
 	return bytes, cpu
 }
 
-// measureUsage measures while action runs, and at least for a span.
+// measureUsage measures while action runs, and for at least span.
 func (d *discoveryServer) measureUsage(ctx context.Context, span time.Duration, cpu func() float64, action func()) watchUsage {
 	callsBefore, bytesBefore, cpuBefore := d.calls.Load(), d.bytes.Load(), cpu()
 	started := time.Now()
@@ -125,27 +125,28 @@
 	}
 }
 
-// newNodeWatchRig has a real node watch a list that first rests, then changes backend by backend, then a zone at once.
-func newNodeWatchRig(ctx context.Context, bench *Bench, size float64) (*rig, error) {
+// newNodeWatchFixture lets a real node watch a list that is idle at first, then changes backend by backend, then a zone
+// at once.
+func newNodeWatchFixture(ctx context.Context, bench *Bench, size float64) (*fixture, error) {
 	const (
 		changes     = 8
 		changePause = 150 * time.Millisecond // longer than the time between polls
 		changesSpan = 1300 * time.Millisecond
 		zoneSpan    = 800 * time.Millisecond
 		idleSpan    = 2 * pollHoldTime
-		siteTenants = 10
+		tenants     = 10
 	)
-	site, err := newNodeSite(int(size), siteTenants, false)
+	env, err := newNodeEnvironment(int(size), tenants, false)
 	if err != nil {
 		return nil, err
 	}
-	node, err := bench.startNode(ctx, site)
+	node, err := bench.startNode(ctx, env)
 	if err != nil {
-		site.close()
+		env.close()
 		return nil, err
 	}
-	sleep(ctx, bench.RunDuration) // until the node's start shows no more
-	server := site.discovery
+	sleep(ctx, bench.RunDuration) // until the node's start no longer affects the figures
+	server := env.discovery
 	zone := make([]int, max(int(size)/zonesPerList, 1))
 	for i := range zone {
 		zone[i] = i
@@ -153,17 +154,17 @@
 	zoneState := balancer.BackendReady
 	run := func(ctx context.Context) ([]float64, error) {
 		idle := server.measureUsage(ctx, idleSpan, node.cpu, func() {})
-		single := server.measureUsage(ctx, changesSpan, node.cpu, func() {
+		changesUsage := server.measureUsage(ctx, changesSpan, node.cpu, func() {
 			states := [...]balancer.BackendState{balancer.BackendDraining, balancer.BackendReady}
 			for i := range changes {
-				server.change(states[i/2%2], i%int(size))
+				server.setState(states[i/2%2], i%int(size))
 				sleep(ctx, changePause)
 			}
 		})
 		zoneState = balancer.BackendDraining + balancer.BackendReady - zoneState // the other of the two
-		whole := server.measureUsage(ctx, zoneSpan, node.cpu, func() { server.change(zoneState, zone...) })
-		changeBytes, changeCPU := single.beyond(idle, changes)
-		zoneBytes, zoneCPU := whole.beyond(idle, 1)
+		zoneUsage := server.measureUsage(ctx, zoneSpan, node.cpu, func() { server.setState(zoneState, zone...) })
+		changeBytes, changeCPU := changesUsage.excessOver(idle, changes)
+		zoneBytes, zoneCPU := zoneUsage.excessOver(idle, 1)
 		return []float64{
 			idle.calls / idle.seconds,
 			idle.bytes / idle.seconds,
@@ -176,19 +177,20 @@
 	}
 	closeAll := func() {
 		node.kill()
-		site.close()
+		env.close()
 	}
-	return &rig{run: run, close: closeAll}, nil
+	return &fixture{run: run, close: closeAll}, nil
 }
 
-// newWatchersRig has many watches of nodes, in this process, watch a list that first rests and then changes once.
-func newWatchersRig(ctx context.Context, _ *Bench, size float64) (*rig, error) {
+// newWatchersFixture runs the watches of many nodes, in this process, on a list that is idle at first and then changes
+// once.
+func newWatchersFixture(ctx context.Context, _ *Bench, size float64) (*fixture, error) {
 	const (
-		backends     = 200
-		startSettles = 200 * time.Millisecond
-		changeSettle = 150 * time.Millisecond
+		backends         = 200
+		startSettleTime  = 200 * time.Millisecond
+		changeSettleTime = 150 * time.Millisecond
 	)
-	server, err := newDiscovery(backends, unusedAddress)
+	server, err := newDiscoveryServer(backends, unusedAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -196,17 +198,17 @@
 	var listsReceived atomic.Int64 // by all watches
 	startWatches(ctx, server, int(size), &listsReceived)
 	awaitCount(ctx, &listsReceived, int64(size))
-	sleep(ctx, startSettles)
+	sleep(ctx, startSettleTime)
 	changes := 0
 	run := func(ctx context.Context) ([]float64, error) {
 		idle := server.measureUsage(ctx, pollHoldTime, processCPU, func() {})
 		change := server.measureUsage(ctx, 0, processCPU, func() {
 			receivedBefore := listsReceived.Load()
 			changes++
-			server.change(balancer.BackendState(1+changes%2), changes%backends) // ready and draining in turn
+			server.setState(balancer.BackendState(1+changes%2), changes%backends) // ready and draining in turn
 			awaitCount(ctx, &listsReceived, receivedBefore+int64(size))
 		})
-		sleep(ctx, changeSettle)
+		sleep(ctx, changeSettleTime)
 		return []float64{
 			idle.calls / idle.seconds,
 			idle.bytes / idle.seconds,
@@ -220,11 +222,11 @@
 		cancel()
 		server.close()
 	}
-	return &rig{run: run, close: closeAll}, nil
+	return &fixture{run: run, close: closeAll}, nil
 }
 
-// startWatches starts watches of the endpoint list as nodes have them, spread over the hold time as nodes' starts are.
-// Each list with endpoints that one receives is counted.
+// startWatches starts watches of the endpoint list as nodes do, spread over the hold time as nodes' starts are.
+// listsReceived counts each list with endpoints that a watch receives.
 func startWatches(ctx context.Context, server *discoveryServer, count int, listsReceived *atomic.Int64) {
 	for range count {
 		watch := &discovery.Watch{Address: server.address, Deployment: deploymentNames, Log: discardLog}
@@ -240,7 +242,7 @@
 	}
 }
 
-// awaitCount waits until a count is reached, for 20 s at most.
+// awaitCount waits until count reaches target, for 20 s at most.
 func awaitCount(ctx context.Context, count *atomic.Int64, target int64) {
 	for started := time.Now(); count.Load() < target; sleep(ctx, time.Millisecond) {
 		if ctx.Err() != nil || time.Since(started) > 20*time.Second {
--- a/internal/lab/capacity/rig_links.go
+++ b/internal/lab/capacity/fixture_links.go
@@ -8,8 +8,8 @@
 	"pearknot/internal/lab/simcluster"
 )
 
-// logsSettled is the virtual time, in ms, after which each log of a started cluster has its leader and its copies.
-const logsSettled = 3500.0
+// logSettleMs is the virtual time, in ms, after which each log of a started cluster has its leader and its replicas.
+const logSettleMs = 3500.0
 
 // linkMeasurements measure the links between all members of a simulated cluster that has no requests.
 func linkMeasurements() []measurement {
@@ -23,15 +23,15 @@
 			{"links.frames", "the same, frames", "1/s", false},
 			{"links.cpu", "the same, processor time a node (simulated cluster: no sockets, no proofs)", "ms/s", false},
 		},
-		newRig: newLinksRig,
+		newFixture: newLinksFixture,
 	}}
 }
 
-func newLinksRig(_ context.Context, _ *Bench, size float64) (*rig, error) {
+func newLinksFixture(_ context.Context, _ *Bench, size float64) (*fixture, error) {
 	const runMs = 1000.0 // of virtual time
 	cluster := simcluster.New(1, int(size), 3)
 	cluster.Start()
-	cluster.Advance(logsSettled)
+	cluster.Advance(logSettleMs)
 	run := func(context.Context) ([]float64, error) {
 		bytes, frames, cpu := cluster.BytesSent, cluster.FramesSent, processCPU()
 		cluster.Advance(runMs)
@@ -42,7 +42,7 @@
 			(processCPU() - cpu) / nodeSeconds,
 		}, nil
 	}
-	return &rig{run: run}, nil
+	return &fixture{run: run}, nil
 }
 
 // takeoverMeasurements measure the records of requests that processes replicate to each other for takeover.
@@ -57,11 +57,11 @@
 			{"kept.cpu", "the same, processor time a process for all of them", "ms", false},
 			{"kept.bytes", "the same, bytes that a process sends for all of them", "B", false},
 		},
-		newRig: newTakeoverRig,
+		newFixture: newTakeoverFixture,
 	}}
 }
 
-func newTakeoverRig(_ context.Context, _ *Bench, size float64) (*rig, error) {
+func newTakeoverFixture(_ context.Context, _ *Bench, size float64) (*fixture, error) {
 	const (
 		members           = 3
 		requestsPerSecond = 320.0
@@ -71,7 +71,7 @@
 	run := func(context.Context) ([]float64, error) {
 		cluster := simcluster.New(1, members, 3)
 		cluster.Start()
-		cluster.Advance(logsSettled)
+		cluster.Advance(logSettleMs)
 		heapBefore := heapInUse()
 		bytesBefore, cpuBefore := cluster.BytesSent, processCPU()
 		requestsMs := size / requestsPerSecond * 1e3
@@ -80,10 +80,10 @@
 		cpu, bytes := processCPU()-cpuBefore, cluster.BytesSent-bytesBefore
 		heapGrowth := max(heapInUse()-heapBefore, 0)
 		if cluster.LoggedAnswers != int(size) {
-			return nil, fmt.Errorf("%d of %g requests kept: the logs are full", cluster.LoggedAnswers, size)
+			return nil, fmt.Errorf("%d of %g requests logged: the logs are full", cluster.LoggedAnswers, size)
 		}
 		runtime.KeepAlive(cluster)
 		return []float64{heapGrowth / members, cpu / members, float64(bytes) / members}, nil
 	}
-	return &rig{run: run}, nil
+	return &fixture{run: run}, nil
 }
--- a/internal/lab/capacity/rig_module.go
+++ b/internal/lab/capacity/fixture_module.go
@@ -8,10 +8,10 @@
 	"pearknot/balancer"
 )
 
-// warmupRequests are as many as the balancer needs to have seen cost hints.
+// warmupRequests is the number of requests after which the balancer has seen enough cost hints.
 const warmupRequests = 60
 
-// newConfig is the configuration of a node among many, with a number of tenants.
+// newConfig returns the configuration of one node among many, with a number of tenants.
 func newConfig(tenants int) *balancer.Config {
 	config := &balancer.Config{
 		Seed:             1,
@@ -60,7 +60,7 @@
 	return d
 }
 
-// pullDecisions takes all decisions, and gives the attempt among them; nil where there is none.
+// pullDecisions takes all pending decisions and returns the attempt among them, or nil if there is none.
 func (d *moduleDriver) pullDecisions() (attempt *balancer.Attempt) {
 	for decision, ok := d.module.Next(); ok; decision, ok = d.module.Next() {
 		if decision.Kind == balancer.DoAttempt {
@@ -70,9 +70,9 @@
 	return attempt
 }
 
-// sendRequest has a request arrive, and gives the attempt that was decided.
+// sendRequest lets a request arrive and returns the attempt that was decided, or nil.
 func (d *moduleDriver) sendRequest() *balancer.Attempt {
-	d.now += 1e3 / nodeRate
+	d.now += 1e3 / peakRate
 	request := &balancer.Request{Deadline: d.now + 2000, CostHint: 30, HasCostHint: true}
 	if d.tenants > 0 {
 		request.Tenant = d.random.IntN(d.tenants)
@@ -91,7 +91,7 @@
 	d.pullDecisions()
 }
 
-// serve has a number of requests arrive and answered.
+// serve lets requests arrive and answers them.
 func (d *moduleDriver) serve(requests int) {
 	for range requests {
 		if attempt := d.sendRequest(); attempt != nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// measureRequests serves requests and gives values for moduleMetrics.
+// measureRequests serves requests and returns the values of moduleMetrics.
 func (d *moduleDriver) measureRequests(requests int) []float64 {
 	runtime.GC()
 	allocatedBefore := readAllocations()
@@ -137,11 +137,11 @@
 func moduleMeasurements() []measurement {
 	return []measurement{
 		{
-			name:     "module-backends",
-			sizeName: "backends",
-			sizes:    []float64{30, 200, 2000, 12000},
-			metrics:  moduleMetrics("backends"),
-			newRig:   newModuleRig(variableSize, fixedSize(0)),
+			name:       "module-backends",
+			sizeName:   "backends",
+			sizes:      []float64{30, 200, 2000, 12000},
+			metrics:    moduleMetrics("backends"),
+			newFixture: newModuleFixture(variableSize, fixedSize(0)),
 		},
 		{
 			name:       "module-tenants",
@@ -149,7 +149,7 @@
 			sizes:      []float64{10, 1000, 10000, 140000},
 			quickSizes: []float64{10, 1000, 10000, 50000},
 			metrics:    moduleMetrics("tenants"),
-			newRig:     newModuleRig(fixedSize(200), variableSize),
+			newFixture: newModuleFixture(fixedSize(200), variableSize),
 		},
 		{
 			name:       "module-instances",
@@ -160,23 +160,23 @@
 				{"instances.heap", "modules of 30 backends each in one process: heap", "B", false},
 				{"instances.decided", "the same, a request taken, decided and answered by one of them", "us", false},
 			},
-			newRig: newInstancesRig,
+			newFixture: newInstancesFixture,
 		},
 	}
 }
 
-func newModuleRig(backends, tenants func(size float64) float64) rigFunc {
-	return func(_ context.Context, bench *Bench, size float64) (*rig, error) {
+func newModuleFixture(backends, tenants func(size float64) float64) fixtureFunc {
+	return func(_ context.Context, bench *Bench, size float64) (*fixture, error) {
 		config := newConfig(int(tenants(size)))
 		driver := newModuleDriver(balancer.New(config, 1), len(config.Tenants), int(backends(size)))
 		driver.serve(warmupRequests)
 		requests := moduleRequests(bench, backends(size), tenants(size))
 		run := func(context.Context) ([]float64, error) { return driver.measureRequests(requests), nil }
-		return &rig{run: run}, nil
+		return &fixture{run: run}, nil
 	}
 }
 
-// moduleRequests is so many requests that a run takes a fraction of a second.
+// moduleRequests returns a number of requests that makes a run take a fraction of a second.
 func moduleRequests(bench *Bench, backends, tenants float64) int {
 	requests := 4e6 / (2000 + backends*60 + tenants*2)
 	if bench.IsQuick {
@@ -185,8 +185,8 @@
 	return int(min(max(requests, 40), 2000))
 }
 
-// newInstancesRig drives many balancers in one process in turn.
-func newInstancesRig(_ context.Context, _ *Bench, size float64) (*rig, error) {
+// newInstancesFixture drives many balancers in one process in turn.
+func newInstancesFixture(_ context.Context, _ *Bench, size float64) (*fixture, error) {
 	const backends, rounds = 30, 10
 	run := func(context.Context) ([]float64, error) {
 		heapBefore := heapInUse()
@@ -205,5 +205,5 @@
 		runtime.KeepAlive(drivers)
 		return []float64{max(heapAfter-heapBefore, 0), cpuUs}, nil
 	}
-	return &rig{run: run}, nil
+	return &fixture{run: run}, nil
 }
--- a/internal/lab/capacity/rig_settings.go
+++ b/internal/lab/capacity/fixture_settings.go
@@ -9,7 +9,7 @@
 	"pearknot/internal/config"
 )
 
-// deploymentSettings are the settings of a deployment with a number of tenants, in the protocol's names.
+// deploymentSettings returns the settings of a deployment with a number of tenants, under the protocol's names.
 func deploymentSettings(tenants int) map[string]any {
 	tenantSettings := make([]map[string]any, tenants)
 	for i := range tenantSettings {
@@ -68,16 +68,16 @@
 			{"settings.allocated", "the same, allocated while they are read", "B", false},
 			{"settings.heap", "the same, kept of them", "B", false},
 		},
-		newRig: newSettingsRig,
+		newFixture: newSettingsFixture,
 	}}
 }
 
-func newSettingsRig(_ context.Context, _ *Bench, size float64) (*rig, error) {
+func newSettingsFixture(_ context.Context, _ *Bench, size float64) (*fixture, error) {
 	text, err := json.Marshal(deploymentSettings(int(size)))
 	if err != nil {
 		return nil, err
 	}
-	rounds := int(min(max(2e4/size, 1), 50)) // enough for a run to be longer than the clock's steps
+	rounds := int(min(max(2e4/size, 1), 50)) // makes a run longer than the clock's resolution
 	run := func(context.Context) ([]float64, error) {
 		heapBefore := heapInUse()
 		allocatedBefore, cpuBefore := readAllocations(), processCPU()
@@ -94,5 +94,5 @@
 		runtime.KeepAlive(deployment)
 		return []float64{cpu, float64(len(text)), allocated, heapGrowth}, nil
 	}
-	return &rig{run: run}, nil
+	return &fixture{run: run}, nil
 }
--- a/internal/lab/capacity/rig_start.go
+++ b/internal/lab/capacity/fixture_start.go
@@ -2,15 +2,15 @@
 
 import "context"
 
-// startMeasurements start a real node, and have the one of many tenants reload its configuration.
+// startMeasurements start a real node; those by tenants also make it reload its configuration.
 func startMeasurements() []measurement {
 	return []measurement{
 		{
-			name:     "start-backends",
-			sizeName: "backends",
-			sizes:    []float64{30, 200, 2000, 12000},
-			metrics:  startMetrics("backends"),
-			newRig:   newStartRig(variableSize, fixedSize(10), false),
+			name:       "start-backends",
+			sizeName:   "backends",
+			sizes:      []float64{30, 200, 2000, 12000},
+			metrics:    startMetrics("backends"),
+			newFixture: newStartFixture(variableSize, fixedSize(10), false),
 		},
 		{
 			name:       "start-tenants",
@@ -20,7 +20,7 @@
 			metrics: append(startMetrics("tenants"),
 				metric{"reload.cpu", "a real node: its configuration taken up anew, processor time", "ms", false},
 				metric{"reload.peak", "the same, the most memory it had held by then", "MB", false}),
-			newRig: newStartRig(fixedSize(30), variableSize, true),
+			newFixture: newStartFixture(fixedSize(30), variableSize, true),
 		},
 	}
 }
@@ -35,14 +35,14 @@
 	}
 }
 
-func newStartRig(backends, tenants func(size float64) float64, reloads bool) rigFunc {
-	return func(_ context.Context, bench *Bench, size float64) (*rig, error) {
-		site, err := newNodeSite(int(backends(size)), int(tenants(size)), false)
+func newStartFixture(backends, tenants func(size float64) float64, reloads bool) fixtureFunc {
+	return func(_ context.Context, bench *Bench, size float64) (*fixture, error) {
+		env, err := newNodeEnvironment(int(backends(size)), int(tenants(size)), false)
 		if err != nil {
 			return nil, err
 		}
 		run := func(ctx context.Context) ([]float64, error) {
-			node, err := bench.startNode(ctx, site)
+			node, err := bench.startNode(ctx, env)
 			if err != nil {
 				return nil, err
 			}
@@ -58,6 +58,6 @@
 			}
 			return append(values, reloadCPU, node.memory().peak), nil
 		}
-		return &rig{run: run, close: site.close}, nil
+		return &fixture{run: run, close: env.close}, nil
 	}
 }
--- a/internal/lab/capacity/rig_test.go
+++ b/internal/lab/capacity/fixture_test.go
@@ -20,7 +20,7 @@
 
 var nodeProgram string
 
-// TestMain builds the node that the rigs start.
+// TestMain builds the node that the fixtures start.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "pearknot-capacity-test")
 	if err != nil {
@@ -35,7 +35,7 @@
 	os.Exit(status)
 }
 
-// positiveKeys are those of costs that are never 0, however few runs there are and whatever else the machine does.
+// positiveKeys lists the keys of metrics that are never 0, whatever the number of runs and other load on the machine.
 var positiveKeys = []string{
 	"links.bytes",
 	"links.frames",
@@ -61,8 +61,9 @@
 	"kept.bytes",
 }
 
-// Each rig can be set up, measures and leaves nothing behind. The agent's needs the lab's program, and is tested there.
-func TestRigs(t *testing.T) {
+// Each fixture can be created, measures and leaves no goroutines or files behind. The agent's needs the lab's program and
+// is tested there.
+func TestFixtures(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Setenv("TMPDIR", t.TempDir())
 	const size = 12
@@ -98,31 +99,31 @@
 	}
 }
 
-// A node that does not start is an error that says why, and nothing is left of it.
+// A node that does not start gives an error with the reason, and leaves no goroutines behind.
 func TestStartNodeFails(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	bench := &Bench{NodeCommand: []string{nodeProgram, "nonsense"}, Runs: 1}
-	site, err := newNodeSite(3, 3, false)
+	env, err := newNodeEnvironment(3, 3, false)
 	require.NoError(t, err)
-	defer site.close()
-	_, err = bench.startNode(t.Context(), site)
+	defer env.close()
+	_, err = bench.startNode(t.Context(), env)
 	assert.ErrorContains(t, err, "ended before it was ready")
 	bench.NodeCommand = []string{"/nowhere"}
-	_, err = bench.startNode(t.Context(), site)
+	_, err = bench.startNode(t.Context(), env)
 	assert.Error(t, err)
 }
 
-// The stand-in for discovery gives the complete list, and what changed after a revision.
+// The discovery stub returns the complete list, and the changes after a revision.
 func TestDiscoveryServer(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	server, err := newDiscovery(3, unusedAddress)
+	server, err := newDiscoveryServer(3, unusedAddress)
 	require.NoError(t, err)
 	defer server.close()
 	list := server.fullList()
 	require.Len(t, list.Targets, 3)
 	assert.True(t, list.IsComplete)
 	assert.Equal(t, 3, list.Revision)
-	server.change(balancer.BackendRemoved, 1)
+	server.setState(balancer.BackendRemoved, 1)
 	list = server.fullList()
 	assert.Len(t, list.Targets, 2)
 	assert.Equal(t, 4, list.Revision)
--- a/internal/lab/capacity/rig_waiting.go
+++ b/internal/lab/capacity/fixture_waiting.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	clientTimeout   = 5 * time.Second
-	waitingDeadline = 15 * time.Second // of requests that wait, longer than a run
-	requestsSettle  = 300 * time.Millisecond
+	clientTimeout     = 5 * time.Second
+	waitingDeadline   = 15 * time.Second // of requests that wait, longer than a run
+	requestSettleTime = 300 * time.Millisecond
 )
 
-// memoryMeasurements measure a node's memory by what its clients leave open.
+// memoryMeasurements measure a node's memory by its clients' open connections and waiting requests.
 func memoryMeasurements() []measurement {
 	return []measurement{
 		{
@@ -27,7 +27,7 @@
 			metrics: []metric{
 				{"connections.rss", "a real node, idle connections of clients: memory held", "MB", false},
 			},
-			newRig: newMemoryRig(false, openIdleConnections),
+			newFixture: newMemoryFixture(false, openIdleConnections),
 		},
 		{
 			name:       "waiting",
@@ -37,21 +37,21 @@
 			metrics: []metric{
 				{"waiting.rss", "a real node, requests that wait while backends hold their answers: memory held", "MB", false},
 			},
-			newRig: newMemoryRig(true, sendWaitingRequests),
+			newFixture: newMemoryFixture(true, sendWaitingRequests),
 		},
 	}
 }
 
-// newMemoryRig starts a node for each run and measures its memory while load's connections are open. Load gives those
-// that it has opened also where it fails.
-func newMemoryRig(holdsResponses bool, load func(ctx context.Context, address string, count int) ([]net.Conn, error)) rigFunc {
-	return func(_ context.Context, bench *Bench, size float64) (*rig, error) {
-		site, err := newNodeSite(30, 10, holdsResponses)
+// newMemoryFixture starts a node for each run and measures its memory while the connections opened by load are open.
+// On failure, load also returns the connections that it has opened.
+func newMemoryFixture(holdsResponses bool, load func(ctx context.Context, address string, count int) ([]net.Conn, error)) fixtureFunc {
+	return func(_ context.Context, bench *Bench, size float64) (*fixture, error) {
+		env, err := newNodeEnvironment(30, 10, holdsResponses)
 		if err != nil {
 			return nil, err
 		}
 		run := func(ctx context.Context) ([]float64, error) {
-			node, err := bench.startNode(ctx, site)
+			node, err := bench.startNode(ctx, env)
 			if err != nil {
 				return nil, err
 			}
@@ -67,11 +67,11 @@
 			}
 			return []float64{node.memory().current}, nil
 		}
-		return &rig{run: run, close: site.close}, nil
+		return &fixture{run: run, close: env.close}, nil
 	}
 }
 
-// openIdleConnections opens connections and has a health check answered on each.
+// openIdleConnections opens connections and completes a health check on each.
 func openIdleConnections(_ context.Context, address string, count int) (connections []net.Conn, err error) {
 	for range count {
 		connection, err := net.DialTimeout("tcp", address, clientTimeout)
@@ -90,7 +90,7 @@
 	return connections, nil
 }
 
-// sendWaitingRequests sends a request on each of some connections, and gives the node a moment to take them up.
+// sendWaitingRequests opens count connections, sends a request on each, and gives the node time to accept them.
 func sendWaitingRequests(ctx context.Context, address string, count int) (connections []net.Conn, err error) {
 	for i := range count {
 		connection, err := net.DialTimeout("tcp", address, clientTimeout)
@@ -106,6 +106,6 @@
 			return connections, err
 		}
 	}
-	sleep(ctx, requestsSettle)
+	sleep(ctx, requestSettleTime)
 	return connections, nil
 }
--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -14,46 +14,46 @@
 
 // Bench holds the settings of a series of measurements.
 type Bench struct {
-	NodeCommand []string      // starts the program; arguments are appended
-	LabCommand  []string      // starts the lab's program; arguments are appended
-	RunDuration time.Duration // of a run that measures something over time
+	NodeCommand []string      // command line of the program; arguments are appended
+	LabCommand  []string      // command line of the lab's program; arguments are appended
+	RunDuration time.Duration // of runs that measure over time
 	Runs        int           // for each size
-	IsQuick     bool          // small sizes, to see whether the rigs work
-	Progress    io.Writer     // gets a line for each row
+	IsQuick     bool          // small sizes, to check that the fixtures work
+	Progress    io.Writer     // receives a line for each row
 }
 
-// metric is one of the values that a run gives.
+// metric is one of the values that a run returns.
 type metric struct {
-	key         string // of the slope that it becomes
+	key         string // of the slope made of its values
 	description string
 	unit        string
-	isWallClock bool // the machine's other work shows in it
+	isWallClock bool // affected by other load on the machine
 }
 
-// rig is what is set up to measure one size.
-type rig struct {
-	run   func(ctx context.Context) ([]float64, error) // a value for each metric
-	close func()                                       // nil where nothing is to be closed
+// fixture is the set-up that measures one size.
+type fixture struct {
+	run   func(ctx context.Context) ([]float64, error) // returns a value for each metric
+	close func()                                       // nil if there is nothing to close
 }
 
-// rigFunc sets a rig up for a size.
-type rigFunc func(ctx context.Context, bench *Bench, size float64) (*rig, error)
+// fixtureFunc creates a fixture for a size.
+type fixtureFunc func(ctx context.Context, bench *Bench, size float64) (*fixture, error)
 
-// measurement is a row: costs that are measured together by one size.
+// measurement is a row: metrics that are measured together against one size.
 type measurement struct {
 	name       string
 	sizeName   string // what the sizes count
 	sizes      []float64
-	quickSizes []float64 // of a quick bench; nil is sizes
+	quickSizes []float64 // of a quick bench; sizes if nil
 	metrics    []metric
-	// runsTogether has the rigs of all sizes run at once, where their metrics don't depend on the machine's other work.
-	// runsTogetherIfQuick does so on a quick bench alone, for rigs that mostly wait.
+	// runsTogether runs the fixtures of all sizes concurrently; for metrics that don't depend on other load on the machine.
+	// runsTogetherIfQuick does so on a quick bench only, for fixtures that mostly wait.
 	runsTogether        bool
 	runsTogetherIfQuick bool
-	newRig              rigFunc
+	newFixture          fixtureFunc
 }
 
-// allMeasurements lists all rows, most important first.
+// allMeasurements returns all rows, most important first.
 func allMeasurements() []measurement {
 	return slices.Concat(
 		linkMeasurements(),
@@ -69,7 +69,7 @@
 	)
 }
 
-// RowNames are the names of the rows that can be measured alone.
+// RowNames returns the names of all rows, each of which can be measured alone.
 func RowNames() (names []string) {
 	for _, m := range allMeasurements() {
 		names = append(names, m.name)
@@ -77,10 +77,10 @@
 	return names
 }
 
-// ErrUnknownRow is the error of Measure where no row's name has the prefix.
+// ErrUnknownRow is returned by Measure if no row's name has the prefix.
 var ErrUnknownRow = errors.New("no such row")
 
-// Measure measures all rows whose names have a prefix.
+// Measure measures all rows whose names have the prefix.
 func Measure(ctx context.Context, bench *Bench, rowPrefix string) (*Result, error) {
 	result := &Result{
 		Machine:   fmt.Sprintf("%d shared cores, %s, %s/%s", runtime.NumCPU(), runtime.Version(), runtime.GOOS, runtime.GOARCH),
@@ -109,7 +109,7 @@
 	return result, nil
 }
 
-// measure measures all sizes and gives a slope for each metric.
+// measure measures all sizes and returns a slope for each metric.
 func (m *measurement) measure(ctx context.Context, bench *Bench) ([]*Slope, error) {
 	sizes := m.sizes
 	if bench.IsQuick && m.quickSizes != nil {
@@ -136,7 +136,7 @@
 	return slopes, nil
 }
 
-// measureSizes gives the points of each size, by metric. One after the other, it ends at the first size that fails.
+// measureSizes returns the points of each size, by metric. When run sequentially, it stops at the first size that fails.
 func (m *measurement) measureSizes(ctx context.Context, bench *Bench, sizes []float64) ([][]Point, error) {
 	points := make([][]Point, len(sizes))
 	errs := make([]error, len(sizes))
@@ -155,14 +155,14 @@
 	return points, errors.Join(errs...)
 }
 
-// measureAt measures one size, and gives a point for each metric.
+// measureAt measures one size and returns a point for each metric.
 func (m *measurement) measureAt(ctx context.Context, bench *Bench, size float64) ([]Point, error) {
-	rig, err := m.newRig(ctx, bench, size)
+	f, err := m.newFixture(ctx, bench, size)
 	if err != nil {
 		return nil, fmt.Errorf("%s %g: %w", m.sizeName, size, err)
 	}
-	if rig.close != nil {
-		defer rig.close()
+	if f.close != nil {
+		defer f.close()
 	}
 	runtime.GC()
 	valuesByMetric := make([][]float64, len(m.metrics))
@@ -170,7 +170,7 @@
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
-		values, err := rig.run(ctx)
+		values, err := f.run(ctx)
 		if err != nil {
 			return nil, fmt.Errorf("%s %g: %w", m.sizeName, size, err)
 		}
@@ -185,14 +185,15 @@
 	return points, nil
 }
 
-// fixedSize is a size function for rigs in which something doesn't grow, and variableSize for what does.
+// fixedSize returns a size function for a quantity that stays the same at all sizes; variableSize is the one for a
+// quantity that grows.
 func fixedSize(n float64) func(size float64) float64 {
 	return func(float64) float64 { return n }
 }
 
 func variableSize(size float64) float64 { return size }
 
-// sleep waits for a while, or until the context ends.
+// sleep waits for d, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -202,5 +203,5 @@
 	}
 }
 
-// milliseconds of a duration, to the microsecond.
+// milliseconds converts a duration to ms, with a resolution of a microsecond.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1e3 }
--- a/internal/lab/capacity/node_process.go
+++ b/internal/lab/capacity/node_process.go
@@ -21,54 +21,54 @@
 )
 
 const (
-	nodeDescriptors = 15000            // file descriptors that a node may open
-	nodeReadyWithin = 60 * time.Second // from its start, and from a reload of its configuration
+	maxNodeDescriptors = 15000            // file descriptors that a node may open
+	nodeReadyTimeout   = 60 * time.Second // from its start, and from the signal to reload its configuration
 )
 
-// nodeSite is what a node needs around it: a backend, discovery, and a configuration that names both.
-type nodeSite struct {
+// nodeEnvironment holds what a node needs to run: a backend, discovery, and a configuration that names both.
+type nodeEnvironment struct {
 	dir            string
 	discovery      *discoveryServer
 	backend        *http.Server
 	backendAddress string
-	release        chan struct{} // the backend's responses wait until it is closed; nil where they don't wait
+	release        chan struct{} // closed to release the backend's responses; nil if they are not held
 	configFile     string
 	wg             sync.WaitGroup
 }
 
-// newNodeSite starts discovery with a number of backends, all of which are one server. That answers at once, or only once
-// the site closes.
-func newNodeSite(backends, tenants int, holdsResponses bool) (site *nodeSite, err error) {
-	site = &nodeSite{}
+// newNodeEnvironment starts discovery with a number of backends, all of which are one server. The server answers at once,
+// or with holdsResponses only when the environment is closed.
+func newNodeEnvironment(backends, tenants int, holdsResponses bool) (env *nodeEnvironment, err error) {
+	env = &nodeEnvironment{}
 	if holdsResponses {
-		site.release = make(chan struct{})
+		env.release = make(chan struct{})
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	site.backendAddress = listener.Addr().String()
-	site.backend = &http.Server{Handler: http.HandlerFunc(site.serveBackend)}
-	site.wg.Go(func() { _ = site.backend.Serve(listener) }) // until closed
+	env.backendAddress = listener.Addr().String()
+	env.backend = &http.Server{Handler: http.HandlerFunc(env.serveBackend)}
+	env.wg.Go(func() { _ = env.backend.Serve(listener) }) // until closed
 	defer func() {
 		if err != nil {
-			site.close()
+			env.close()
 		}
 	}()
-	if site.discovery, err = newDiscovery(backends, site.backendAddress); err != nil {
+	if env.discovery, err = newDiscoveryServer(backends, env.backendAddress); err != nil {
 		return nil, err
 	}
-	if site.dir, err = os.MkdirTemp("", "pearknot-capacity"); err != nil {
+	if env.dir, err = os.MkdirTemp("", "pearknot-capacity"); err != nil {
 		return nil, err
 	}
-	return site, site.writeConfig(tenants)
+	return env, env.writeConfig(tenants)
 }
 
-func (s *nodeSite) serveBackend(w http.ResponseWriter, r *http.Request) {
+func (env *nodeEnvironment) serveBackend(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
-	if s.release != nil {
+	if env.release != nil {
 		select {
-		case <-s.release:
+		case <-env.release:
 		case <-r.Context().Done():
 		}
 	}
@@ -93,65 +93,65 @@
 	Sockets  int `json:"sockets"`
 }
 
-func (s *nodeSite) writeConfig(tenants int) error {
-	s.configFile = filepath.Join(s.dir, "n.json")
+func (env *nodeEnvironment) writeConfig(tenants int) error {
+	env.configFile = filepath.Join(env.dir, "n.json")
 	text, err := json.Marshal(nodeConfig{
 		Name:      "n",
 		Listen:    "127.0.0.1:0",
-		Discovery: s.discovery.address,
+		Discovery: env.discovery.address,
 		Seed:      "8c1f",
-		Limits:    nodeLimits{Cores: 1, MemoryMB: 2048, Sockets: nodeDescriptors},
-		Known:     s.discovery.fullList(),
+		Limits:    nodeLimits{Cores: 1, MemoryMB: 2048, Sockets: maxNodeDescriptors},
+		Known:     env.discovery.fullList(),
 		Settings:  deploymentSettings(tenants),
 	})
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(s.configFile, text, 0o600)
+	return os.WriteFile(env.configFile, text, 0o600)
 }
 
-func (s *nodeSite) close() {
-	if s.release != nil {
-		close(s.release)
+func (env *nodeEnvironment) close() {
+	if env.release != nil {
+		close(env.release)
 	}
-	if s.discovery != nil {
-		s.discovery.close()
+	if env.discovery != nil {
+		env.discovery.close()
 	}
-	_ = s.backend.Close()
-	s.wg.Wait()
-	if s.dir != "" {
-		_ = os.RemoveAll(s.dir)
+	_ = env.backend.Close()
+	env.wg.Wait()
+	if env.dir != "" {
+		_ = os.RemoveAll(env.dir)
 	}
 }
 
-// nodeProcess is a running node of the real program.
+// nodeProcess is a running process of the real node program.
 type nodeProcess struct {
 	command  *exec.Cmd
 	address  string
 	ready    time.Duration // from its start until its health check succeeded
-	serving  chan string   // gets the address at which it serves
-	reloaded chan struct{} // gets a value when it has reloaded its configuration
+	serving  chan string   // receives the address at which it serves
+	reloaded chan struct{} // receives a value when it has reloaded its configuration
 	ended    chan struct{} // closed once the process has ended and lastLine is complete
 	lastLine string        // of its log
 }
 
-// Log lines that tell what a node has done.
+// Log messages by which a node's progress is followed.
 var servingMessage = regexp.MustCompile(`msg=serving .*address=(\S+)`)
 
 const reloadedMessage = `msg="configuration reloaded"`
 
 // startNode starts a node and waits until it is ready.
-func (b *Bench) startNode(ctx context.Context, site *nodeSite) (*nodeProcess, error) {
+func (b *Bench) startNode(ctx context.Context, env *nodeEnvironment) (*nodeProcess, error) {
 	started := time.Now()
 	node := &nodeProcess{
-		command:  exec.Command(b.NodeCommand[0], slices.Concat(b.NodeCommand[1:], []string{"--config", site.configFile})...),
+		command:  exec.Command(b.NodeCommand[0], slices.Concat(b.NodeCommand[1:], []string{"--config", env.configFile})...),
 		serving:  make(chan string, 1),
 		reloaded: make(chan struct{}, 1),
 		ended:    make(chan struct{}),
 	}
-	node.command.Env = append(os.Environ(), "TMPDIR="+site.dir)
-	// Should the lab itself be killed, its nodes end with it; a process group of their own keeps a terminal's interrupt from
-	// them.
+	node.command.Env = append(os.Environ(), "TMPDIR="+env.dir)
+	// Pdeathsig ends the node if the lab itself is killed; a process group of its own keeps a terminal's interrupt from
+	// reaching it.
 	node.command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	log, err := node.command.StderrPipe()
 	if err != nil {
@@ -168,7 +168,7 @@
 	return node, nil
 }
 
-// readLog watches the log until the process has ended.
+// readLog reads the log until the process has ended.
 func (n *nodeProcess) readLog(log io.Reader) {
 	defer close(n.ended)
 	lines := bufio.NewScanner(log)
@@ -193,7 +193,7 @@
 
 // awaitReady waits until the node serves and its health check succeeds.
 func (n *nodeProcess) awaitReady(ctx context.Context, started time.Time) error {
-	timeout := time.NewTimer(nodeReadyWithin)
+	timeout := time.NewTimer(nodeReadyTimeout)
 	defer timeout.Stop()
 	select {
 	case n.address = <-n.serving:
@@ -202,10 +202,10 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-timeout.C:
-		return fmt.Errorf("the node does not serve within %v", nodeReadyWithin)
+		return fmt.Errorf("the node does not serve within %v", nodeReadyTimeout)
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
-	for ctx.Err() == nil && time.Since(started) < nodeReadyWithin {
+	for ctx.Err() == nil && time.Since(started) < nodeReadyTimeout {
 		if response, err := client.Get("http://" + n.address + "/_health"); err == nil {
 			_ = response.Body.Close()
 			if response.StatusCode == http.StatusOK {
@@ -215,7 +215,7 @@
 		}
 		sleep(ctx, 2*time.Millisecond)
 	}
-	return errors.Join(ctx.Err(), fmt.Errorf("the node is not ready within %v", nodeReadyWithin))
+	return errors.Join(ctx.Err(), fmt.Errorf("the node is not ready within %v", nodeReadyTimeout))
 }
 
 // kill ends the process and waits for its end.
@@ -224,27 +224,27 @@
 	<-n.ended
 }
 
-// reload has the node reload its configuration, and gives the processor time that it took, in ms.
+// reload makes the node reload its configuration and returns the processor time that it took, in ms.
 func (n *nodeProcess) reload(ctx context.Context) (cpuMs float64, err error) {
 	before := n.cpu()
 	if err := n.command.Process.Signal(syscall.SIGHUP); err != nil {
 		return 0, err
 	}
-	timeout := time.NewTimer(nodeReadyWithin)
+	timeout := time.NewTimer(nodeReadyTimeout)
 	defer timeout.Stop()
 	select {
 	case <-n.reloaded:
 		return n.cpu() - before, nil
 	case <-n.ended:
-		return 0, errors.New("the node ended as it was to reload its configuration")
+		return 0, errors.New("the node ended before it had reloaded its configuration")
 	case <-timeout.C:
-		return 0, fmt.Errorf("the node does not reload its configuration within %v", nodeReadyWithin)
+		return 0, fmt.Errorf("the node does not reload its configuration within %v", nodeReadyTimeout)
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 }
 
-// cpu is the processor time that the node has spent, in ms.
+// cpu returns the processor time that the node has used, in ms.
 func (n *nodeProcess) cpu() float64 { return processCPUOf(n.command.Process.Pid) }
 
 func (n *nodeProcess) memory() processMemory { return readProcessMemory(n.command.Process.Pid) }
--- a/internal/lab/capacity/resources.go
+++ b/internal/lab/capacity/resources.go
@@ -11,11 +11,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// processCPU is the processor time of this process, in ms. What others on the machine do shows less in it than in time
-// on the wall.
+// processCPU returns the processor time of this process, in ms. Other load on the machine affects it less than
+// wall-clock time.
 func processCPU() float64 { return cpuClock(unix.CLOCK_PROCESS_CPUTIME_ID) }
 
-// processCPUOf is the processor time of another process, in ms; 0 where it has ended.
+// processCPUOf returns the processor time of another process, in ms; 0 if it has ended.
 func processCPUOf(pid int) float64 {
 	clockID := int32(^pid<<3 | 2) // as clock_getcpuclockid(3) computes it
 	return cpuClock(clockID)
@@ -29,7 +29,7 @@
 	return float64(t.Nano()) / 1e6
 }
 
-// heapInUse is this process's heap after a collection, in bytes.
+// heapInUse returns the size of this process's heap after a garbage collection, in bytes.
 func heapInUse() float64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -37,7 +37,7 @@
 	return float64(stats.HeapAlloc)
 }
 
-// allocations counts what this process has allocated since its start.
+// allocations counts the objects and bytes that this process has allocated since its start.
 type allocations struct {
 	objects float64
 	bytes   float64
@@ -49,18 +49,18 @@
 	return allocations{objects: float64(stats.Mallocs), bytes: float64(stats.TotalAlloc)}
 }
 
-// since is what was allocated after an earlier count.
+// since returns the allocations after an earlier count.
 func (a allocations) since(earlier allocations) allocations {
 	return allocations{objects: a.objects - earlier.objects, bytes: a.bytes - earlier.bytes}
 }
 
-// processMemory is what a process holds, in MB.
+// processMemory is the resident memory of a process, in MB.
 type processMemory struct {
 	current float64
 	peak    float64
 }
 
-// readProcessMemory reads the resident memory of a process; all is 0 where it has ended.
+// readProcessMemory reads the resident memory of a process; all values are 0 if it has ended.
 func readProcessMemory(pid int) (memory processMemory) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -71,7 +71,7 @@
 		if len(fields) < 2 {
 			continue
 		}
-		kilobytes, _ := strconv.ParseFloat(fields[1], 64) // of the two lines below always a number
+		kilobytes, _ := strconv.ParseFloat(fields[1], 64) // always a number in the two lines below
 		switch fields[0] {
 		case "VmRSS:":
 			memory.current = kilobytes / 1024
@@ -82,7 +82,7 @@
 	return memory
 }
 
-// PeakMemory is the most memory, in MB, that this process and the largest of its ended children have held.
+// PeakMemory returns the peak resident memory, in MB, of this process and of the largest of its ended children.
 func PeakMemory() (self, child float64) {
 	peak := func(who int) float64 {
 		var usage syscall.Rusage
@@ -94,8 +94,8 @@
 	return peak(syscall.RUSAGE_SELF), peak(syscall.RUSAGE_CHILDREN)
 }
 
-// checkMemory fails where this process and a child have held more than half of the machine's memory, both in MB: on a
-// shared machine a larger size would take it from others.
+// checkMemory fails if this process and a child, both in MB, have used more than half of the machine's memory: on a
+// shared machine a larger size would take memory from other processes.
 func checkMemory(self, child float64) error {
 	var info unix.Sysinfo_t
 	if err := unix.Sysinfo(&info); err != nil {
@@ -103,7 +103,7 @@
 	}
 	machine := float64(info.Totalram) * float64(info.Unit) / (1 << 20)
 	if self+child > machine/2 {
-		return fmt.Errorf("%.0f MB held, over half of the machine's %.0f", self+child, machine)
+		return fmt.Errorf("peak memory of %.0f MB is over half of the machine's %.0f MB", self+child, machine)
 	}
 	return nil
 }
--- a/internal/lab/capacity/result.go
+++ b/internal/lab/capacity/result.go
@@ -9,22 +9,22 @@
 	"strings"
 )
 
-// Result is what was measured.
+// Result holds measured slopes and the conditions under which they were measured.
 type Result struct {
 	Machine   string   `json:"machine"`
-	IsQuick   bool     `json:"quick,omitempty"` // few runs at small sizes, no measurement
-	RowPrefix string   `json:"part,omitempty"`  // of the names of the rows that were measured; empty is all
+	IsQuick   bool     `json:"quick,omitempty"` // few runs at small sizes, not a valid measurement
+	RowPrefix string   `json:"part,omitempty"`  // of the names of the measured rows; empty for all rows
 	Load      Load     `json:"load"`
 	Slopes    []*Slope `json:"slopes"`
 }
 
-// Load is the range of the machine's load average, with this program's work and that of others, as rows ended.
+// Load is the range of the machine's load average, from all processes including this one, sampled at the end of each row.
 type Load struct {
 	Min float64 `json:"Least"`
 	Max float64 `json:"Most"`
 }
 
-// observe takes the load of the last minute into the range; where the system doesn't tell it, the range stays.
+// observe extends the range by the load of the last minute, if the system reports it.
 func (l *Load) observe() {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -41,7 +41,7 @@
 	l.Max = max(l.Max, load)
 }
 
-// ReadResult reads a file that holds what Encode gave.
+// ReadResult reads a file with the output of Encode.
 func ReadResult(name string) (*Result, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -53,16 +53,18 @@
 	}
 	for _, slope := range result.Slopes {
 		if slope == nil || slope.Key == "" || len(slope.Points) == 0 {
-			return nil, fmt.Errorf("%s: a slope without its key or points", name)
+			return nil, fmt.Errorf("%s: slope without key or points", name)
 		}
 	}
 	return result, nil
 }
 
-// Merge replaces the slopes that were measured again and appends new ones. Both results must be of one machine.
+// Merge replaces the slopes that were measured again and appends new ones. Both results must be of one machine, and both
+// quick or neither.
 func (r *Result) Merge(newer *Result) error {
 	if newer.Machine != r.Machine || newer.IsQuick != r.IsQuick {
-		return fmt.Errorf("measured on %s, and what stood on %s: they don't go into one table", newer.Machine, r.Machine)
+		return fmt.Errorf("cannot merge a result measured on %s into one measured on %s: machine and quick mode must be equal",
+			newer.Machine, r.Machine)
 	}
 	for _, slope := range newer.Slopes {
 		i := slices.IndexFunc(r.Slopes, func(existing *Slope) bool { return existing.Key == slope.Key })
@@ -76,11 +78,11 @@
 	return nil
 }
 
-// Encode gives the result as a file holds it.
+// Encode returns the result in the format of its file.
 func (r *Result) Encode() []byte {
 	data, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // cannot happen: the values are plain
 	}
 	return append(data, '\n')
 }
--- a/internal/lab/capacity/result_test.go
+++ b/internal/lab/capacity/result_test.go
@@ -38,7 +38,7 @@
 	require.NoError(t, result.Merge(newer))
 	want := &Result{Machine: "m", Load: Load{Min: 2, Max: 9}, Slopes: []*Slope{slope("a", 1), slope("b", 3), slope("c", 1)}}
 	assert.Equal(t, want, result)
-	assert.ErrorContains(t, result.Merge(&Result{Machine: "n"}), "measured on n, and what stood on m")
+	assert.ErrorContains(t, result.Merge(&Result{Machine: "n"}), "measured on n into one measured on m")
 	assert.Error(t, result.Merge(&Result{Machine: "m", IsQuick: true}))
 }
 
--- a/internal/lab/capacity/table.go
+++ b/internal/lab/capacity/table.go
@@ -12,9 +12,9 @@
 	notMeasured   = "not measured"
 	noLimitStated = "none stated"
 
-	// tableDigits are the significant digits of a figure in a table.
+	// tableDigits is the number of significant digits of a figure in a table.
 	tableDigits = 3
-	// farExtrapolation is the extrapolation, as a multiple of the largest size measured, above which a table says so.
+	// farExtrapolation is the extrapolation, as a multiple of the largest size measured, above which tables flag it.
 	farExtrapolation = 10.0
 )
 
@@ -54,7 +54,7 @@
 	b.WriteString("\n")
 }
 
-// Render writes a result and what it means for a target in Markdown, as docs/CAPACITY.md has it.
+// Render returns a result and the costs that follow for a target in Markdown, as docs/CAPACITY.md includes it.
 func Render(result *Result, target *Target) string {
 	b := &strings.Builder{}
 	writeIntroduction(b, result)
@@ -113,7 +113,7 @@
 	b.WriteString(strings.Join(figures, ", ") + "\n\n")
 }
 
-// writeCosts writes all costs. Of a partial result, those that were not measured are left out.
+// writeCosts writes all costs. For a partial result, it leaves out those that were not measured.
 func writeCosts(b *strings.Builder, costs []Cost, isPartial bool) {
 	b.WriteString("### Roles at the target\n\n")
 	var rows [][]string
@@ -152,7 +152,7 @@
 	writeRanking(b, over, true)
 }
 
-// writeRanking numbers the costs that are, or are not, of wall-clock time.
+// writeRanking writes a numbered table of those costs whose IsWallClock matches.
 func writeRanking(b *strings.Builder, costs []Cost, isWallClock bool) {
 	var rows [][]string
 	for _, c := range costs {
@@ -205,7 +205,7 @@
 	return FormatNumber(c.LimitShare()*100) + "%"
 }
 
-// formatExtrapolation tells how far beyond what was measured the target lies.
+// formatExtrapolation describes how far the target lies beyond the measured sizes.
 func (c Cost) formatExtrapolation() string {
 	text := "no"
 	switch {
@@ -222,18 +222,18 @@
 	return text
 }
 
-// Marks between which a page holds what Render writes.
+// Markers between which a page holds the output of Render.
 const (
 	tablesBegin = "<!-- capacity: as `pearknot-lab capacity --from docs/capacity.json` prints it -->\n"
 	tablesEnd   = "<!-- capacity: end -->\n"
 )
 
-// ReplaceTables puts a text between the marks of a page, and also gives what was there before.
+// ReplaceTables replaces the text between the markers of a page, and also returns the previous text.
 func ReplaceTables(page, text string) (changed, previous string, err error) {
 	before, rest, hasBegin := strings.Cut(page, tablesBegin)
 	previous, after, hasEnd := strings.Cut(rest, tablesEnd)
 	if !hasBegin || !hasEnd {
-		return "", "", errors.New("the page lacks the marks between which the tables stand")
+		return "", "", errors.New("the page lacks the begin or end marker of the tables")
 	}
 	return before + tablesBegin + text + tablesEnd + after, previous, nil
 }
--- a/internal/lab/capacity/table_test.go
+++ b/internal/lab/capacity/table_test.go
@@ -41,7 +41,7 @@
 	assert.Contains(t, text, "| 1 | a node, control | quiet | links to all other members, sent | ")
 	assert.Contains(t, text, "| 4.9 ms | not measured |")
 	result.RowPrefix = "links"
-	assert.NotContains(t, Render(result, target), "| not measured |", "a partial result has its own costs alone")
+	assert.NotContains(t, Render(result, target), "| not measured |", "a partial result lists only the costs it measured")
 	result.IsQuick = true
 	assert.Contains(t, Render(result, target), "no measurement")
 }
@@ -62,19 +62,19 @@
 	resultFile = "../../../docs/capacity.json"
 )
 
-// The page holds what the command prints of the file of measured slopes and of the target's file.
+// The page holds the command's output for the file of measured slopes and the target's file.
 func TestPageHasTables(t *testing.T) {
 	result, err := ReadResult(resultFile)
 	require.NoError(t, err)
-	assert.False(t, result.IsQuick, "no quick look is a measurement")
-	assert.Empty(t, result.RowPrefix, "the page is of all rows")
+	assert.False(t, result.IsQuick, "a quick run is not a valid measurement")
+	assert.Empty(t, result.RowPrefix, "the page covers all rows")
 	target := readTarget(t)
 	data, err := os.ReadFile(pageFile)
 	require.NoError(t, err)
 	page := string(data)
 	sentence := fmt.Sprintf("%s nodes before %s backends in %s services, %s routes and %s tenants", FormatNumber(target.Nodes),
 		FormatNumber(target.Backends), FormatNumber(target.Services), FormatNumber(target.Routes), FormatNumber(target.Tenants))
-	assert.Contains(t, joinLines(page), sentence, "the target as the page tells it")
+	assert.Contains(t, joinLines(page), sentence, "the target as the page states it")
 	want := Render(result, target)
 	_, previous, err := ReplaceTables(page, want)
 	require.NoError(t, err)
@@ -109,7 +109,7 @@
 	assert.Greater(t, len(figures), 30)
 	tableNumbers := strings.FieldsFunc(tables, func(c rune) bool { return !strings.ContainsRune("0123456789.,", c) })
 	for _, figure := range figures {
-		assert.Contains(t, tableNumbers, figure[1], "%q is told in words, and stands in no table", figure[0])
+		assert.Contains(t, tableNumbers, figure[1], "%q is in the page's text but in no table", figure[0])
 	}
 }
 
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -1,6 +1,6 @@
-// Package capacity estimates what a fleet of a planned size would cost. It measures slopes, each at several sizes with
-// the program's own code, fits a curve to each, and puts a target's figures into the curves, role by role, beside each
-// limit. Fits, costs and tables are pure; the rigs that measure are in files of their own.
+// Package capacity estimates the costs of a fleet of a planned size. It measures slopes, each at several sizes with the
+// program's own code, fits a curve to each, and evaluates the curves at a target's figures, role by role, next to each
+// limit. Fits, costs and tables are pure; the fixtures that measure are in files of their own.
 package capacity
 
 import (
@@ -25,7 +25,7 @@
 	Assumed           Assumed `toml:"assumed"`
 }
 
-// Limits are what a role may cost at most.
+// Limits holds the maximum costs of roles.
 type Limits struct {
 	AddedMs            float64 `toml:"added_ms"`              // added to a request, for 99 in 100
 	InForceSeconds     float64 `toml:"in_force_s"`            // from a change of configuration until every node applies it
@@ -43,7 +43,7 @@
 	Restarts      float64 `toml:"restarts"` // machines restarted or replaced
 }
 
-// Assumed are figures that the operators have not stated.
+// Assumed holds figures that the operators have not stated.
 type Assumed struct {
 	RackMachines    float64 `toml:"rack_machines"`     // that fail together with a rack or a switch
 	LinesPerFailure float64 `toml:"lines_per_failure"` // changes of the endpoint list
@@ -59,14 +59,14 @@
 	return DecodeTarget(name, data)
 }
 
-// DecodeTarget is ReadTarget for a text; name is that of its file in errors.
+// DecodeTarget decodes the text of a target's file; name is the file's name in errors.
 func DecodeTarget(name string, data []byte) (*Target, error) {
 	target := &Target{}
 	file, err := tomlfile.Decode(name, data, target)
 	if err != nil {
 		return nil, err
 	}
-	return target, target.check(file)
+	return target, target.validate(file)
 }
 
 // figure is a number of a target's file.
@@ -75,7 +75,7 @@
 	value float64
 }
 
-// figures are all numbers of a target, in the file's order.
+// figures returns all numbers of a target, in the file's order.
 func (t *Target) figures() []figure {
 	return []figure{
 		{"nodes", t.Nodes},
@@ -102,10 +102,10 @@
 	}
 }
 
-// maxFigure is beyond any fleet, and far below where its square would overflow.
+// maxFigure is larger than any fleet, and small enough that its square does not overflow.
 const maxFigure = 1e12
 
-func (t *Target) check(file *tomlfile.File) error {
+func (t *Target) validate(file *tomlfile.File) error {
 	for _, f := range t.figures() {
 		if !(f.value > 0 && f.value <= maxFigure) || math.IsNaN(f.value) {
 			return file.Errorf(f.key, "%v is not above 0 and at most %g", f.value, maxFigure)
--- a/internal/lab/capacity/target_test.go
+++ b/internal/lab/capacity/target_test.go
@@ -20,14 +20,14 @@
 
 func TestTarget(t *testing.T) {
 	target := readTarget(t)
-	assert.InDelta(t, nodeRate, target.RequestsPerSecond/target.Nodes, 0, "requests a second a node, at which the rigs ask")
+	assert.InDelta(t, peakRate, target.RequestsPerSecond/target.Nodes, 0, "requests per second per node in the fixtures")
 	data, err := os.ReadFile(targetFile)
 	require.NoError(t, err)
 	text := string(data)
 	for _, f := range target.figures() {
 		assert.Positive(t, f.value, f.key)
 		key := f.key[strings.LastIndexByte(f.key, '.')+1:]
-		assert.Contains(t, text, "\n"+key+" = ", "each of the file's keys is in the page")
+		assert.Contains(t, text, "\n"+key+" = ", "each figure's key is in the target's file")
 	}
 	change := func(old, new string) string {
 		require.Contains(t, text, old)
