--- a/cmd/pearknot-lab/scale.go
+++ b/cmd/pearknot-lab/scale.go
@@ -61,7 +61,7 @@
 		Pearknot:      nodeCommand[0],
 		HollowCommand: []string{self, "hollow"},
 		Out:           command.ErrOrStderr(),
-		Fair:          t.compareHollow,
+		CompareHollow: t.compareHollow,
 		Dir:           t.dir,
 	})
 	var tooBig *scale.TooBigError
--- a/internal/lab/scale/auditor.go
+++ b/internal/lab/scale/auditor.go
@@ -7,29 +7,29 @@
 	"slices"
 )
 
-// Span is a time in ms, from its start to before its end.
+// Span is the half-open time interval from From to To, in ms.
 type Span struct{ From, To float64 }
 
-// Auditor checks what nodes report against what was committed and when. It trusts no node's account of how old its copy is.
+// Auditor checks what nodes report against what was committed and when. It doesn't rely on a node's own statement of how old its copy is.
 type Auditor struct {
 	p99BoundMs, maxBoundMs float64
 
-	committed      map[uint64]string  // digests of what was committed
-	acknowledgedAt map[uint64]float64 // when the operator had the answer
+	committed      map[uint64]string  // digests of the committed documents, by version
+	acknowledgedAt map[uint64]float64 // when the operator received the answer, by version
 	startedAt      map[string]float64 // by node
 	applied        map[string][]appliedVersion
 	digests        map[uint64]map[string]string // reported, by version and node
 	violations     []string
 }
 
-// appliedVersion is a version that a node has applied, and since when.
+// appliedVersion is a version that a node has applied, and the time since which it applies, in ms.
 type appliedVersion struct {
 	version uint64
 	at      float64
 }
 
-// NewAuditor makes an auditor with the bounds on staleness, in ms: of 99 in 100 changes at nodes that could be reached all the time, and
-// of all changes.
+// NewAuditor returns an auditor with two bounds on staleness, in ms: p99BoundMs for 99 in 100 changes at nodes that were always reachable,
+// and maxBoundMs for all changes.
 func NewAuditor(p99BoundMs, maxBoundMs float64) *Auditor {
 	return &Auditor{
 		p99BoundMs:     p99BoundMs,
@@ -42,7 +42,7 @@
 	}
 }
 
-// VersionCommitted records what a version is: by the answer to its change, or by the log if that was lost.
+// VersionCommitted records the digest of a version: from the answer to its change, or from the log if the answer was lost.
 func (a *Auditor) VersionCommitted(version uint64, digest string) {
 	if earlier, ok := a.committed[version]; ok && earlier != digest {
 		a.violation("version %d was committed as %.12s and as %.12s", version, earlier, digest)
@@ -50,11 +50,11 @@
 	a.committed[version] = digest
 }
 
-// VersionAcknowledged records when a version's answer came.
+// VersionAcknowledged records when the answer to a version's change arrived.
 func (a *Auditor) VersionAcknowledged(version uint64, at float64) { a.acknowledgedAt[version] = at }
 
-// NodeStarted adds a node, which is checked also if it never reports anything. What was acknowledged before it had applied its first
-// version is no change to it.
+// NodeStarted adds a node, which is checked even if it never reports anything. Versions acknowledged before the node applied its first one
+// don't count as changes for it.
 func (a *Auditor) NodeStarted(node string, at float64) {
 	a.startedAt[node] = at
 	if _, isKnown := a.applied[node]; !isKnown {
@@ -62,7 +62,7 @@
 	}
 }
 
-// VersionReported records a node's report of what it has applied, and since when. Version 0 is nothing.
+// VersionReported records a node's report of the version that it has applied, and since when. Version 0 means none.
 func (a *Auditor) VersionReported(node string, version uint64, digest string, since float64) {
 	if version == 0 {
 		return
@@ -88,13 +88,13 @@
 	a.violations = append(a.violations, fmt.Sprintf(format, args...))
 }
 
-// Staleness is of changes at nodes, in ms.
+// Staleness summarizes how late changes were applied at nodes, in ms.
 type Staleness struct {
-	Pairs         int // of a change and a node
+	Pairs         int // pairs of a change and a node
 	P50, P99, Max float64
 }
 
-// newStaleness sorts the values.
+// newStaleness returns the percentiles of values, which it sorts.
 func newStaleness(values []float64) Staleness {
 	slices.Sort(values)
 	count := len(values)
@@ -105,22 +105,22 @@
 	return Staleness{Pairs: count, P50: percentile(0.5), P99: percentile(0.99), Max: values[count-1]}
 }
 
-// Findings are what the auditor found.
+// Findings holds the result of an audit.
 type Findings struct {
-	Changes     int       // acknowledged, and checked at a node
-	Reachable   Staleness // of nodes that could be reached all the time, from the acknowledgement
-	CutOff      Staleness // of the others, from when they could be reached
-	Start       Staleness // of nodes, from their start to their first version: no bound is on it
+	Changes     int       // acknowledged changes that were checked at one node or more
+	Reachable   Staleness // of nodes that were always reachable, from the acknowledgement
+	CutOff      Staleness // of the other nodes, from when they became reachable
+	Start       Staleness // from a node's start to its first version; not bounded
 	CutOffNodes int
-	Behind      int // nodes that have not applied the last version at the end
+	Behind      int // nodes that had not applied the latest version at the end
 	Violations  []string
 }
 
-// audit is what Finish counts over all nodes.
+// audit holds what Finish accumulates over all nodes.
 type audit struct {
 	*Auditor
 	end    float64
-	newest uint64 // acknowledged
+	newest uint64 // newest acknowledged version
 
 	reachable, cutOff, start []float64 // staleness, in ms
 	checkedVersions          map[uint64]bool
@@ -128,7 +128,7 @@
 	behind                   int
 }
 
-// Finish checks what was reported until a time. unreachable gives the spans in which a node could not be reached, in order.
+// Finish checks the reports up to the time end, in ms. unreachable returns the spans in which a node was unreachable, in order of time.
 func (a *Auditor) Finish(end float64, unreachable func(node string) []Span) Findings {
 	a.checkDigests()
 	result := &audit{Auditor: a, end: end, checkedVersions: map[uint64]bool{}}
@@ -156,7 +156,7 @@
 	return findings
 }
 
-// checkDigests checks that every version that a node reported is the one that was committed.
+// checkDigests checks that the digest of every reported version is the committed one.
 func (a *Auditor) checkDigests() {
 	for version, byNode := range a.digests {
 		committed, ok := a.committed[version]
@@ -171,22 +171,22 @@
 	}
 }
 
-// checkNode checks how late each acknowledged version was at a node. Only the first that is too late is a violation.
+// checkNode checks how late each acknowledged version was applied at a node. Only the first one found too late is a violation.
 func (a *audit) checkNode(node string, applied []appliedVersion, unreachable []Span) {
 	if len(applied) == 0 || applied[len(applied)-1].version < a.newest {
 		a.behind++
 	}
-	begun := math.Inf(-1)
+	firstAppliedAt := math.Inf(-1)
 	if at, ok := a.startedAt[node]; ok && len(applied) > 0 {
-		begun = applied[0].at
-		a.start = append(a.start, begun-at)
+		firstAppliedAt = applied[0].at
+		a.start = append(a.start, firstAppliedAt-at)
 	}
 	isLate, wasCutOff := false, false
 	for version, acknowledgedAt := range a.acknowledgedAt {
-		if acknowledgedAt < begun {
+		if acknowledgedAt < firstAppliedAt {
 			continue
 		}
-		delay, ok := a.delayOf(version, acknowledgedAt, applied, unreachable)
+		delay, ok := a.versionDelay(version, acknowledgedAt, applied, unreachable)
 		if !ok {
 			continue
 		}
@@ -207,27 +207,27 @@
 	}
 }
 
-// delay is how long a version took to a node.
+// delay holds how long a version took to reach a node.
 type delay struct {
-	ms     float64 // from when the node could have applied it to when it had
-	cutOff bool    // the node could not be reached meanwhile
+	ms     float64 // from when the node could have applied it to when it did
+	cutOff bool    // whether the node was unreachable for part of the time
 }
 
-// delayOf is a version's delay at a node. A version that the node never applied counts as applied at the end; not ok is one whose time
-// was not over by then.
-func (a *audit) delayOf(version uint64, acknowledgedAt float64, applied []appliedVersion, unreachable []Span) (_ delay, ok bool) {
+// versionDelay returns a version's delay at a node. A version that the node never applied counts as applied at the end. ok is false if the
+// bound for such a version had not passed by the end.
+func (a *audit) versionDelay(version uint64, acknowledgedAt float64, applied []appliedVersion, unreachable []Span) (_ delay, ok bool) {
 	byVersion := func(x appliedVersion, version uint64) int { return cmp.Compare(x.version, version) }
 	index, _ := slices.BinarySearchFunc(applied, version, byVersion)
 	if index < len(applied) {
-		return a.delay(acknowledgedAt, applied[index].at, unreachable), true
+		return a.delayBetween(acknowledgedAt, applied[index].at, unreachable), true
 	}
-	untilEnd := a.delay(acknowledgedAt, a.end, unreachable)
+	untilEnd := a.delayBetween(acknowledgedAt, a.end, unreachable)
 	return untilEnd, untilEnd.ms > a.maxBoundMs
 }
 
-// delay counts from the first moment after the acknowledgement from which on the node could be reached for as long as the bound, or until
-// it had applied the change.
-func (a *Auditor) delay(acknowledgedAt, appliedAt float64, unreachable []Span) delay {
+// delayBetween measures from the first time after the acknowledgement from which the node stayed reachable for as long as the bound, or
+// until it had applied the change.
+func (a *Auditor) delayBetween(acknowledgedAt, appliedAt float64, unreachable []Span) delay {
 	from, cutOff := acknowledgedAt, false
 	for _, span := range unreachable {
 		if span.To > from && span.From < min(appliedAt, from+a.maxBoundMs) {
--- a/internal/lab/scale/auditor_test.go
+++ b/internal/lab/scale/auditor_test.go
@@ -10,14 +10,14 @@
 
 const (
 	auditEnd  = 100e3 // ms
-	auditNode = "n10" // beside n0 to n9, which are in time
+	auditNode = "n10" // in addition to n0 to n9, which apply changes in time
 )
 
 func digestOf(version uint64) string { return fmt.Sprint("digest ", version) }
 
 func reachable(string) []Span { return nil }
 
-// cutOffUntil20s is of auditNode only.
+// cutOffUntil20s returns a span that cuts off auditNode, and none for other nodes.
 func cutOffUntil20s(node string) []Span {
 	if node == auditNode {
 		return []Span{{500, 20e3}}
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// healthyAuditor has seen three versions, acknowledged at 1, 2 and 3 s, applied 0.1 s later by ten nodes.
+// healthyAuditor returns an auditor with three versions, acknowledged at 1, 2 and 3 s and applied 0.1 s later by ten nodes.
 func healthyAuditor() *Auditor {
 	a := NewAuditor(2e3, 6e3)
 	for version := uint64(1); version <= 3; version++ {
@@ -45,7 +45,7 @@
 	assert.Equal(t, Findings{Changes: 3, Reachable: Staleness{Pairs: 30, P50: 100, P99: 100, Max: 100}}, findings)
 }
 
-// What nodes may report, and the auditor's violation for it: one thing wrong each, and none of the others.
+// Each case makes one kind of report, and expects the auditor's violation for it, or none.
 func TestAuditorViolations(t *testing.T) {
 	report := func(node string, version uint64, digest string, since float64) func(*Auditor) {
 		return func(a *Auditor) { a.VersionReported(node, version, digest, since) }
@@ -53,7 +53,7 @@
 	for name, test := range map[string]struct {
 		change      func(a *Auditor)
 		unreachable func(string) []Span
-		violation   string // "" is none
+		violation   string // "" for none
 	}{
 		"an older version": {
 			report("n0", 2, "digest 2", 9e3), reachable, "n0 went back from version 3 to 2",
@@ -131,7 +131,7 @@
 	}
 }
 
-// A change so late that its bound is not over at the end is not checked.
+// A change is not checked if its bound has not passed by the end of the run.
 func TestChangeTooLateToBeChecked(t *testing.T) {
 	a := healthyAuditor()
 	a.VersionAcknowledged(4, auditEnd-5e3)
@@ -141,7 +141,7 @@
 	assert.Equal(t, 10, findings.Behind)
 }
 
-// Bounds too small for what was measured are violated at each node, and for 99 in 100.
+// Bounds below the measured delays are violated once per node, and once for the 99th percentile.
 func TestBoundsTooSmall(t *testing.T) {
 	a := healthyAuditor()
 	a.p99BoundMs, a.maxBoundMs = 50, 90
--- a/internal/lab/scale/document.go
+++ b/internal/lab/scale/document.go
@@ -15,23 +15,23 @@
 //go:embed load.toml
 var loadFile []byte
 
-const requestsPerSecondAndNode = 5
+const requestsPerSecondPerNode = 5
 
-// realNodeLoad is what the real nodes are under.
+// realNodeLoad returns the load experiment that the real nodes run.
 func realNodeLoad(realNodes int, seconds float64) (*experiment.Experiment, error) {
 	load, err := experiment.Decode("load.toml", loadFile)
 	if err != nil {
 		return nil, err
 	}
 	load.Fleet.Nodes, load.Seconds = max(realNodes, 1), seconds
-	load.Clients.RequestsPerSecond = requestsPerSecondAndNode * float64(max(realNodes, 1))
+	load.Clients.RequestsPerSecond = requestsPerSecondPerNode * float64(max(realNodes, 1))
 	return load, nil
 }
 
-// document is the settings that operators change: those of the load, with tenants.
+// document holds the settings that operators change: those of the load, plus tenants.
 type document struct {
 	settings map[string]any
-	quotas   []int // by tenant, in tenths of a request a second
+	quotas   []int // by tenant, in tenths of a request per second
 	rng      *rand.Rand
 }
 
@@ -53,14 +53,14 @@
 
 func (d *document) drawQuota() int { return 100 + d.rng.IntN(900) }
 
-// change gives other quotas to as many tenants, all over the document, as have about so many bytes.
-func (d *document) change(bytes int) {
+// changeQuotas draws new quotas for tenants spread over the document, as many as take up about the given number of bytes.
+func (d *document) changeQuotas(bytes int) {
 	for range max((bytes+tenantBytes/2)/tenantBytes, 1) {
 		d.quotas[d.rng.IntN(len(d.quotas))] = d.drawQuota()
 	}
 }
 
-// encode gives the document as operators would write it, with the digest that the control plane must compute for it.
+// encode returns the document as operators would write it, and the digest that the control plane must compute for it.
 func (d *document) encode() (text []byte, digest string, err error) {
 	tenants := make([]map[string]any, len(d.quotas))
 	for tenant, quota := range d.quotas {
--- a/internal/lab/scale/estimate.go
+++ b/internal/lab/scale/estimate.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// What a run takes at most of memory, as measured (docs/lab.md): a process of each kind without nodes or document, in MB; what each node
-// adds, in KB; and how many times a process holds the document.
+// Peak memory of a run (docs/lab.md): of a process of each kind without nodes or document, in MB; added by each node, in KB; and the
+// number of copies of the document that a process holds.
 const (
-	labMB, memberMB, hollowMB, realMB               = 150, 45, 30, 70
-	labNodeKB, memberNodeKB, hollowNodeKB           = 150, 60, 150
-	memberDocuments, hollowDocuments, realDocuments = 16, 4, 12
+	labMB, memberMB, hollowMB, realMB                              = 150, 45, 30, 70
+	labNodeKB, memberNodeKB, hollowNodeKB                          = 150, 60, 150
+	memberDocumentCopies, hollowDocumentCopies, realDocumentCopies = 16, 4, 12
 )
 
-// Sizes in the document.
+// Sizes in the document, in bytes.
 const (
-	tenantBytes        = 44   // of a tenant's line
-	emptyDocumentBytes = 2000 // of a document without tenants
+	tenantBytes        = 44   // a tenant's line
+	emptyDocumentBytes = 2000 // a document without tenants
 )
 
-// How long a real node takes to read the settings and put them in force, as measured from 10 to 140,000 tenants.
+// Time that a real node takes to read the settings and apply them, for 10 to 140,000 tenants.
 const (
 	readMs          = 0.3
 	readMsPerTenant = 0.0054
@@ -24,13 +24,13 @@
 
 const mebibyte = 1 << 20
 
-// Estimate is what a run will take.
+// Estimate holds the resources that a run is expected to use, at its peak.
 type Estimate struct {
 	Processes int
 	MemoryMB  float64
 }
 
-// TooBigError is why this machine may not be asked to play an experiment.
+// TooBigError reports that an experiment exceeds its limits or what this machine may be asked to run.
 type TooBigError struct{ Err error }
 
 func (e *TooBigError) Error() string { return e.Err.Error() }
@@ -42,21 +42,21 @@
 	return (e.hollowNodes() + e.HollowPerProcess - 1) / e.HollowPerProcess
 }
 
-// Estimate gives a run's processes and peak memory, this process included.
+// Estimate returns a run's expected number of processes and peak memory, this process included.
 func (e *Experiment) Estimate() Estimate {
 	documentMB := float64(e.Tenants*tenantBytes+emptyDocumentBytes) / mebibyte
 	nodes, real, members := float64(e.Nodes), float64(e.RealNodes), float64(e.Members.Count)
 	lab := labMB + nodes*labNodeKB/1024
-	control := members*(memberMB+memberDocuments*documentMB) + nodes*memberNodeKB/1024
-	hollow := float64(e.hollowProcesses())*hollowMB + float64(e.hollowNodes())*(hollowNodeKB/1024.0+hollowDocuments*documentMB)
+	control := members*(memberMB+memberDocumentCopies*documentMB) + nodes*memberNodeKB/1024
+	hollow := float64(e.hollowProcesses())*hollowMB + float64(e.hollowNodes())*(hollowNodeKB/1024.0+hollowDocumentCopies*documentMB)
 	return Estimate{
 		Processes: 1 + e.Members.Count + e.hollowProcesses() + e.RealNodes,
-		MemoryMB:  lab + control + hollow + real*(realMB+realDocuments*documentMB),
+		MemoryMB:  lab + control + hollow + real*(realMB+realDocumentCopies*documentMB),
 	}
 }
 
-// Fits returns why a run may not begin on a machine with so much memory, or nil.
-func (e *Experiment) Fits(machineMB float64) error {
+// CheckLimits returns an error if a run exceeds its limits of processes or memory on a machine with machineMB of memory.
+func (e *Experiment) CheckLimits(machineMB float64) error {
 	estimate := e.Estimate()
 	maxMB := e.memoryLimitMB(machineMB)
 	switch {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// memoryLimitMB is what a run may take on a machine with so much memory.
+// memoryLimitMB returns the memory that a run may use on a machine with machineMB of memory.
 func (e *Experiment) memoryLimitMB(machineMB float64) float64 {
 	return min(machineMB/2, float64(e.Limits.MemoryMB))
 }
--- a/internal/lab/scale/experiment_test.go
+++ b/internal/lab/scale/experiment_test.go
@@ -11,7 +11,7 @@
 
 const validExperiment = "name = \"x\"\nnodes = 30\nregions = 3\nzones = 6\n[members]\ncount = 6\nvoters = 3\n"
 
-// Whatever is not valid in a file is one line with its place.
+// An error in a file is reported in one line, with its position.
 func TestFileErrors(t *testing.T) {
 	e, err := Decode("x.toml", []byte(validExperiment))
 	require.NoError(t, err)
@@ -24,16 +24,16 @@
 		"nodes = 4\nregions = 7\nzones= 6":                        "x.toml:3:1: zones: 6 is not 7 to 84",
 		"nodes = 4\n[members]\nvoters = 4":                        "x.toml:3:1: members.voters: 4 is not 1, 3 or 5, each in another of 6 regions",
 		"nodes = 4\n[members]\ncount = 22":                        "x.toml:3:1: members.count: 22 is not 6 to 21",
-		"nodes = 4\ntenants = 1":                                  "changes.bytes: 400 are more than 1 tenants have",
+		"nodes = 4\ntenants = 1":                                  "changes.bytes: 400 exceeds the size of 1 tenants",
 		"nodes = 4\n[limits]\nprocesses = 301":                    "limits.processes: 301 is not 1 to 300",
 		"nodes = 4\n[[fault]]\nkind = \"x\"":                      "x.toml:3:1: fault.0.kind: \"x\" is none of kill",
 		"nodes = 4\n[[fault]]\nkind = \"kill\"\nmember = \"m22\"": "x.toml:4:1: fault.0.member: \"m22\" is not m1 to m21",
-		"nodes = 4\n[[fault]]\nkind = \"kill\"\nmember = \"m1\"\nzone = \"z1\"":       "fault.0.member: a fault of a member has no region or zone",
-		"nodes = 4\n[[fault]]\nkind = \"cut\"":                                        "fault.0.region: give a region or a zone",
+		"nodes = 4\n[[fault]]\nkind = \"kill\"\nmember = \"m1\"\nzone = \"z1\"":       "fault.0.member: a fault of a member can't have a region or zone",
+		"nodes = 4\n[[fault]]\nkind = \"cut\"":                                        "fault.0.region: either a region or a zone is required",
 		"nodes = 4\n[[fault]]\nkind = \"cut\"\nregion = \"r7\"":                       "fault.0.region: \"r7\" is not r1 to r6",
-		"nodes = 4\n[[fault]]\nkind = \"slow\"\nregion = \"r1\"":                      "fault.0.bytes_per_second: give it, or delay_ms, above 0",
+		"nodes = 4\n[[fault]]\nkind = \"slow\"\nregion = \"r1\"":                      "fault.0.bytes_per_second: this or delay_ms must be above 0",
 		"nodes = 4\n[[fault]]\nkind = \"cut\"\nregion = \"r1\"\nat_s = 31":            "fault.0.at_s: 31 is not 0 to 30",
-		"nodes = 4\n[[fault]]\nkind = \"cut\"\nregion = \"r1\"\nmember = \"leader\"":  "fault.0.member: a fault of a region has no member",
+		"nodes = 4\n[[fault]]\nkind = \"cut\"\nregion = \"r1\"\nmember = \"leader\"":  "fault.0.member: a fault of a region can't have a member",
 		"nodes = 4\n[[fault]]\nkind = \"slow\"\nregion = \"r1\"\nbytes_per_second=-1": "fault.0.bytes_per_second: -1 is not 0",
 	} {
 		_, err := Decode("x.toml", []byte(text))
@@ -44,7 +44,7 @@
 	}
 }
 
-// The shipped experiments are valid and named after their files, and fit a machine with 24 GB.
+// The shipped experiments are valid, named after their files and within the limits of a machine with 24 GB.
 func TestShippedExperiments(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/scale-*.toml")
 	require.NoError(t, err)
@@ -53,21 +53,21 @@
 		e, err := Read(name)
 		require.NoError(t, err, name)
 		assert.Equal(t, strings.TrimSuffix(filepath.Base(name), ".toml"), e.Name)
-		assert.NoError(t, e.Fits(24<<10), name)
+		assert.NoError(t, e.CheckLimits(24<<10), name)
 	}
 }
 
-// A run that would take too much is refused in one line before anything starts.
+// An experiment that needs too many processes or too much memory is rejected before anything starts.
 func TestTooBigExperimentDoesNotFit(t *testing.T) {
 	e, err := Decode("x.toml", []byte(validExperiment))
 	require.NoError(t, err)
-	require.NoError(t, e.Fits(8<<10))
+	require.NoError(t, e.CheckLimits(8<<10))
 	assert.Equal(t, 1+6+1, e.Estimate().Processes)
-	assert.ErrorContains(t, e.Fits(100), "MB of memory, over 50")
+	assert.ErrorContains(t, e.CheckLimits(100), "MB of memory, over 50")
 	e.Nodes, e.HollowPerProcess = 301, 1
-	assert.ErrorContains(t, e.Fits(24<<10), "308 processes, over 300")
+	assert.ErrorContains(t, e.CheckLimits(24<<10), "308 processes, over 300")
 	e.Nodes, e.HollowPerProcess, e.Tenants = 1500, 250, 140_000
-	assert.ErrorContains(t, e.Fits(24<<10), "MB of memory, over 12288")
+	assert.ErrorContains(t, e.CheckLimits(24<<10), "MB of memory, over 12288")
 	e.Tenants, e.Limits.MemoryMB = 10, 200
-	assert.ErrorContains(t, e.Fits(24<<10), "MB of memory, over 200")
+	assert.ErrorContains(t, e.CheckLimits(24<<10), "MB of memory, over 200")
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -18,20 +18,21 @@
 	"pearknot/internal/controlsocket"
 )
 
-// hollowServer is one process of hollow nodes. Each has the node's own link to the control plane. It applies a version by recording it,
-// after as long as a real node takes to read it: in between a node reports to its member what it has stored, and so do these.
+// hollowServer is a process of hollow nodes, each with the control-plane client of a real node. A hollow node applies a version by
+// recording it, after the time that a real node takes to read it: meanwhile a node reports the version to its member as stored, and so
+// does a hollow one.
 type hollowServer struct {
 	clock    *clock.Clock
 	clients  []*client.Client
 	lateness timerLateness
-	falsify  func(*appliedEvent) // changes what is reported, in tests; else nil
+	falsify  func(*appliedEvent) // changes the reports, in tests; nil otherwise
 
 	mu       sync.Mutex
-	received int            // events that the asker has, which are no longer stored
-	events   []appliedEvent // after these
+	received int            // number of events that the caller has received, which are no longer stored
+	events   []appliedEvent // that follow the received ones
 }
 
-// RunHollow runs a process of hollow nodes, as a file configures it, until ctx ends.
+// RunHollow runs a process of hollow nodes with the configuration in file, until ctx ends.
 func RunHollow(ctx context.Context, file string, log *slog.Logger) error {
 	return runHollow(ctx, file, log, nil)
 }
@@ -87,7 +88,7 @@
 	return config, nil
 }
 
-// newClients makes each node's link to the control plane. Nodes of a zone share what is read from its file.
+// newClients creates each node's control-plane client. Nodes of a zone share the settings read from the zone's file.
 func (h *hollowServer) newClients(ctx context.Context, config hollowConfig, log *slog.Logger) error {
 	controlPlanes := map[string]*client.ControlPlane{}
 	for number, node := range config.Nodes {
@@ -133,7 +134,7 @@
 	h.events = append(h.events, event)
 }
 
-// ServeHTTP answers at hollowPath.
+// ServeHTTP serves hollowPath.
 func (h *hollowServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, err := strconv.Atoi(query.Get("since"))
@@ -153,8 +154,8 @@
 	controlsocket.WriteJSON(w, http.StatusOK, report)
 }
 
-// eventsSince returns the events after the one with a number, and the number of the last. The one asker has all up to that number, so
-// these are dropped.
+// eventsSince returns the events after the one with number since, and the number of the last event. The only caller has received the
+// events up to since, so these are dropped.
 func (h *hollowServer) eventsSince(since int) (events []appliedEvent, seq int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/scale/hollow_protocol.go
+++ b/internal/lab/scale/hollow_protocol.go
@@ -9,39 +9,39 @@
 	"pearknot/internal/controlsocket"
 )
 
-// hollowConfig is a hollow process's configuration file: its nodes, and the control socket on which it answers for them.
+// hollowConfig is the configuration file of a hollow process: its nodes, and the control socket on which it reports their state.
 type hollowConfig struct {
 	Socket      string
 	StoreCopies bool    `json:"Copies"`
-	ReadMs      float64 // that a hollow node waits before it applies a version, as long as a real one reads, without the processor's work
+	ReadMs      float64 // delay before a node applies a version: a real node's reading time, without its processor time
 	Nodes       []hollowNode
 }
 
 type hollowNode struct {
 	Name string
-	File string // of the control plane
+	File string // control plane's configuration file
 }
 
-// hollowPath is where a hollow process answers: ?since=N has the versions applied after the Nth, &nodes=1 each node's state.
+// hollowPath is the path of a hollow process's report: ?since=N returns the events after the Nth, &nodes=1 adds each node's state.
 const hollowPath = "/v1/hollow"
 
-// hollowReport is the answer.
+// hollowReport is the answer at hollowPath.
 type hollowReport struct {
 	Seq        int            // number of the last event
-	Events     []appliedEvent // after the one asked for
-	Nodes      []hollowState  // by the process's numbers
-	LatenessMs [2]float64     `json:"LateMs"` // of the process's timers since its start: Lateness.MaxMs and SumMs
+	Events     []appliedEvent // after the requested number
+	Nodes      []hollowState  // by number in the process
+	LatenessMs [2]float64     `json:"LateMs"` // Lateness.MaxMs and SumMs of the process's timers since its start
 }
 
-// appliedEvent is a version that a node has applied.
+// appliedEvent records that a node has applied a version.
 type appliedEvent struct {
-	Node    int // by the process's numbers
+	Node    int // number in the process
 	Version uint64
 	Digest  string  // of the text that the node was given to apply
 	At      float64 // Unix ms
 }
 
-// hollowState is a node's own account of its state.
+// hollowState is a node's state as reported by its control-plane client.
 type hollowState struct {
 	StoredVersion   uint64 `json:"Held"`
 	AppliedVersion  uint64 `json:"InForce"`
@@ -50,14 +50,14 @@
 	client.Counters
 }
 
-// hollowClient asks a hollow process for its nodes.
+// hollowClient reads the reports of a hollow process.
 type hollowClient struct {
 	socket *controlsocket.Client
-	nodes  []int // numbers in the site, by the process's
-	seq    int   // of the last event that was received
+	nodes  []int // numbers in the testbed, by number in the process
+	seq    int   // number of the last received event
 }
 
-// nextEvents returns the events since the last call. Events already received need not be stored there any more.
+// nextEvents returns the events since the last call. The hollow process may then drop the events received before.
 func (c *hollowClient) nextEvents(ctx context.Context) ([]appliedEvent, error) {
 	var report hollowReport
 	if err := c.socket.Call(ctx, http.MethodGet, fmt.Sprintf("%s?since=%d", hollowPath, c.seq), nil, &report); err != nil {
--- a/internal/lab/scale/lateness.go
+++ b/internal/lab/scale/lateness.go
@@ -8,17 +8,17 @@
 
 const (
 	latenessInterval  = 20 * time.Millisecond
-	minSummedLateness = 250 * time.Millisecond // lateness up to this is not added up
+	minSummedLateness = 250 * time.Millisecond // lateness up to this is not summed
 )
 
-// Lateness is how late a process's timers were.
+// Lateness holds how late a process's timers fired.
 type Lateness struct {
 	MaxMs float64
-	SumMs float64 // the whole lateness of the timers that were later than minSummedLateness
+	SumMs float64 // total lateness of the timers that were later than minSummedLateness
 }
 
-// timerLateness measures how late a process's own timers are. While a process gets no processor, or is stopped, its figures say nothing
-// of the control plane.
+// timerLateness measures how late the timers of its own process fire. Figures taken while a process gets no processor time or is stopped
+// say nothing about the control plane.
 type timerLateness struct{ max, sum atomic.Int64 } // ns
 
 // watch measures until ctx ends.
@@ -34,12 +34,12 @@
 	}
 }
 
-// total is the lateness until now.
+// total returns the lateness so far.
 func (l *timerLateness) total() Lateness {
 	return Lateness{MaxMs: float64(l.max.Load()) / 1e6, SumMs: float64(l.sum.Load()) / 1e6}
 }
 
-// wait waits for a while. False is that ctx has ended.
+// wait waits for d, and returns false if ctx ends first.
 func wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/lab/scale/link.go
+++ b/internal/lab/scale/link.go
@@ -5,7 +5,7 @@
 	"pearknot/internal/lab/faultproxy"
 )
 
-// noMember is the caller of a link that is not a member's.
+// noMember is the calling member of a link that nodes open.
 const noMember = -1
 
 // link is a relay from the nodes of one kind in one zone, or from one member, to a member.
@@ -17,9 +17,9 @@
 }
 
 // openLinks opens the links from one place to all members but the caller, and returns their addresses by member.
-func (s *site) openLinks(kind ProcessKind, zone, caller int) ([]string, error) {
-	addresses := make([]string, len(s.memberAddresses))
-	for member, target := range s.memberAddresses {
+func (t *testbed) openLinks(kind ProcessKind, zone, caller int) ([]string, error) {
+	addresses := make([]string, len(t.memberAddresses))
+	for member, target := range t.memberAddresses {
 		if member == caller {
 			continue
 		}
@@ -27,11 +27,11 @@
 		if err != nil {
 			return nil, err
 		}
-		s.links = append(s.links, &link{
+		t.links = append(t.links, &link{
 			Proxy:        proxy,
 			callerKind:   kind,
 			callerZone:   zone,
-			toZone:       s.experiment.zoneOf(member),
+			toZone:       t.experiment.zoneOf(member),
 			callerMember: caller,
 			member:       member,
 		})
@@ -40,14 +40,14 @@
 	return addresses, nil
 }
 
-// setFaults applies the faults that are active to all links.
-func (s *site) setFaults(active []Fault) {
-	for _, l := range s.links {
-		l.SetFault(l.proxyFault(s.experiment, active))
+// setFaults applies the active faults to all links.
+func (t *testbed) setFaults(active []Fault) {
+	for _, l := range t.links {
+		l.SetFault(l.proxyFault(t.experiment, active))
 	}
 }
 
-// proxyFault is what the active faults do to a link.
+// proxyFault returns the combined effect of the active faults on a link.
 func (l *link) proxyFault(e *Experiment, active []Fault) (result faultproxy.Fault) {
 	for _, fault := range active {
 		fromPlace, toPlace := fault.affectsZone(e, l.callerZone), fault.affectsZone(e, l.toZone)
@@ -60,7 +60,7 @@
 			if fromPlace == toPlace {
 				continue
 			}
-			// The caller sends towards the target: out of the place if the caller is in it, into it if the target is.
+			// The caller sends towards the target: outbound if the caller is in the affected place, inbound if the target is.
 			if fromPlace == (fault.Kind == FaultCutOutbound) {
 				result = stall(result, faultproxy.ToTarget)
 			} else {
@@ -84,7 +84,7 @@
 	return result
 }
 
-// stall adds a direction in which nothing passes to a fault.
+// stall returns the fault with traffic in the given direction stalled too.
 func stall(fault faultproxy.Fault, direction faultproxy.Direction) faultproxy.Fault {
 	if fault.Stalled && fault.Direction != direction {
 		direction = faultproxy.BothDirections
@@ -93,18 +93,18 @@
 	return fault
 }
 
-// resetLinks resets the connections of the nodes at a fault's place to the members there.
-func (s *site) resetLinks(fault Fault) {
-	for _, l := range s.links {
-		if l.callerKind != KindMember && fault.affectsZone(s.experiment, l.callerZone) && fault.affectsZone(s.experiment, l.toZone) {
+// resetLinks resets the connections between nodes and members that are both in the fault's region or zone.
+func (t *testbed) resetLinks(fault Fault) {
+	for _, l := range t.links {
+		if l.callerKind != KindMember && fault.affectsZone(t.experiment, l.callerZone) && fault.affectsZone(t.experiment, l.toZone) {
 			l.ResetConnections()
 		}
 	}
 }
 
-// bytesOf is the bytes that links of callers of a kind have carried, both ways.
-func (s *site) bytesOf(kind ProcessKind) (sum int64) {
-	for _, l := range s.links {
+// callerBytes returns the bytes that the links of callers of a kind have carried, in both directions.
+func (t *testbed) callerBytes(kind ProcessKind) (sum int64) {
+	for _, l := range t.links {
 		if l.callerKind == kind {
 			sum += l.BytesForwarded()
 		}
@@ -112,9 +112,9 @@
 	return sum
 }
 
-// memberBytes is the bytes that a member's links have carried, whoever opened them.
-func (s *site) memberBytes(member int) (sum int64) {
-	for _, l := range s.links {
+// memberBytes returns the bytes that a member's links have carried, whichever side opened them.
+func (t *testbed) memberBytes(member int) (sum int64) {
+	for _, l := range t.links {
 		if l.member == member || l.callerMember == member {
 			sum += l.BytesForwarded()
 		}
--- a/internal/lab/scale/link_test.go
+++ b/internal/lab/scale/link_test.go
@@ -10,7 +10,7 @@
 	"pearknot/internal/lab/faultproxy"
 )
 
-// What active faults do to a link: by who opened it, where it begins and ends, and which way things pass.
+// The effect of active faults on a link depends on the kind of its caller, the zones of both ends and the direction.
 func TestProxyFaults(t *testing.T) {
 	e, err := Decode("x.toml", []byte(validExperiment)) // three regions of two zones each, six members, one a zone
 	require.NoError(t, err)
--- a/internal/lab/scale/measurement.go
+++ b/internal/lab/scale/measurement.go
@@ -9,21 +9,21 @@
 	"pearknot/internal/controlplane/client"
 )
 
-// measurement is what has been taken up to a moment.
+// measurement holds the resources used up to a point in time.
 type measurement struct {
 	at             time.Time
 	bytes          map[ProcessKind]int64 // on the links of callers of a kind
-	frames         map[ProcessKind]int64 // by the nodes' own account
+	frames         map[ProcessKind]int64 // as counted by the nodes
 	cpu            map[ProcessKind]time.Duration
 	memberBytes    []int64
 	hollowLateness Lateness      // the largest of each figure among hollow processes
-	nodes          []linkTraffic // by the nodes' own account
+	nodes          []linkTraffic // as counted by the nodes
 }
 
-// linkTraffic is what a node says that its links have carried, both ways.
+// linkTraffic holds what a node's links have carried in both directions, as counted by the node.
 type linkTraffic struct{ bytes, frames int64 }
 
-// measure asks all nodes. What that costs is on none of the links.
+// measure reads the counters of all nodes and processes. Its own traffic is on none of the measured links.
 func (r *run) measure(ctx context.Context) (measurement, error) {
 	m := measurement{
 		at:     time.Now(),
@@ -33,10 +33,10 @@
 		nodes:  make([]linkTraffic, r.experiment.Nodes),
 	}
 	for _, kind := range []ProcessKind{KindHollow, KindReal, KindMember} {
-		m.bytes[kind] = r.site.bytesOf(kind)
+		m.bytes[kind] = r.testbed.callerBytes(kind)
 	}
 	for member := range r.members {
-		m.memberBytes = append(m.memberBytes, r.site.memberBytes(member))
+		m.memberBytes = append(m.memberBytes, r.testbed.memberBytes(member))
 	}
 	r.mu.Lock()
 	for _, p := range r.processes {
@@ -47,13 +47,13 @@
 	if err := r.measureNodes(ctx, &m); err != nil {
 		return m, err
 	}
-	for number, n := range r.site.nodes {
+	for number, n := range r.testbed.nodes {
 		m.frames[n.kind] += m.nodes[number].frames
 	}
 	return m, nil
 }
 
-// measureNodes fills in the nodes' own account.
+// measureNodes fills in the traffic as counted by the nodes.
 func (r *run) measureNodes(ctx context.Context, m *measurement) error {
 	for _, c := range r.hollowClients {
 		report, err := c.nodeStates(ctx)
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// costsBetween is what one node or member of each kind has taken between two measurements.
+// costsBetween returns the resources that one node or member of each kind has used between two measurements.
 func (r *run) costsBetween(before, after measurement) map[ProcessKind]Cost {
 	costs := map[ProcessKind]Cost{}
 	counts := map[ProcessKind]int{
@@ -90,17 +90,17 @@
 		if count == 0 {
 			continue
 		}
-		each := seconds * float64(count)
+		nodeSeconds := seconds * float64(count)
 		cost := Cost{
 			Count:    count,
-			Bytes:    float64(after.bytes[kind]-before.bytes[kind]) / each,
-			Messages: float64(after.frames[kind]-before.frames[kind]) / each,
-			Core:     (after.cpu[kind] - before.cpu[kind]).Seconds() / each,
+			Bytes:    float64(after.bytes[kind]-before.bytes[kind]) / nodeSeconds,
+			Messages: float64(after.frames[kind]-before.frames[kind]) / nodeSeconds,
+			Core:     (after.cpu[kind] - before.cpu[kind]).Seconds() / nodeSeconds,
 		}
 		if kind == KindMember {
-			// A member's bytes are the busiest one's, on all of its links; its messages those with nodes, the mean.
+			// Bytes are those of the busiest member, on all of its links; messages are those exchanged with nodes, per member on average.
 			nodeFrames := after.frames[KindHollow] + after.frames[KindReal] - before.frames[KindHollow] - before.frames[KindReal]
-			cost.Messages = float64(nodeFrames) / each
+			cost.Messages = float64(nodeFrames) / nodeSeconds
 			cost.Bytes = 0
 			for member := range after.memberBytes {
 				cost.Bytes = max(cost.Bytes, float64(after.memberBytes[member]-before.memberBytes[member])/seconds)
@@ -111,8 +111,8 @@
 	return costs
 }
 
-// finish fills in the report.
-func (r *run) finish(atStart, beforeChanges, afterChanges measurement, log []client.LogEntry) {
+// completeReport fills in the report.
+func (r *run) completeReport(atStart, beforeChanges, afterChanges measurement, log []client.LogEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	report := &r.report
@@ -122,7 +122,7 @@
 		cost.WorstSecond = report.worstSecond[kind] / float64(cost.Count)
 		report.Changing[kind] = cost
 	}
-	if report.Fair {
+	if report.ComparesHollow {
 		report.Medians = r.mediansBetween(atStart, afterChanges)
 	}
 	report.MemoryMB = r.memoryByKind()
@@ -137,7 +137,7 @@
 	report.Findings = r.auditor.Finish(r.clock.Now(), r.cutOffSpans)
 }
 
-// memoryByKind is the largest RSS of members and real nodes, and the mean of hollow nodes.
+// memoryByKind returns the largest RSS among members and among real nodes, and the mean per hollow node, in MB.
 func (r *run) memoryByKind() map[ProcessKind]float64 {
 	memoryMB := map[ProcessKind]float64{}
 	for _, p := range r.processes {
@@ -154,28 +154,28 @@
 	return memoryMB
 }
 
-// cutOffSpans are the times at which a node could not be reached.
+// cutOffSpans returns the spans in which a node was unreachable.
 func (r *run) cutOffSpans(name string) (spans []Span) {
-	index := slices.IndexFunc(r.site.nodes, func(n node) bool { return n.name == name })
+	index := slices.IndexFunc(r.testbed.nodes, func(n node) bool { return n.name == name })
 	if index < 0 {
 		return nil
 	}
 	for _, cut := range r.cutOffs {
-		if cut.affectsZone(r.experiment, r.site.nodes[index].zone) {
+		if cut.affectsZone(r.experiment, r.testbed.nodes[index].zone) {
 			spans = append(spans, cut.Span)
 		}
 	}
 	return spans
 }
 
-// mediansBetween is the median of what nodes of each kind have taken between two measurements. A mean would count a node that connected
-// anew, and was sent a snapshot, which is not what a node usually costs.
+// mediansBetween returns the median traffic per second of the nodes of each kind between two measurements. A mean would include nodes
+// that reconnected and were sent a snapshot, which is not the usual cost of a node.
 func (r *run) mediansBetween(before, after measurement) map[string]map[ProcessKind]float64 {
 	medians := map[string]map[ProcessKind]float64{"bytes": {}, "messages": {}}
 	seconds := after.at.Sub(before.at).Seconds()
 	for _, kind := range nodeKinds {
 		var bytes, frames []float64
-		for number, n := range r.site.nodes {
+		for number, n := range r.testbed.nodes {
 			if n.kind == kind {
 				bytes = append(bytes, float64(after.nodes[number].bytes-before.nodes[number].bytes))
 				frames = append(frames, float64(after.nodes[number].frames-before.nodes[number].frames))
@@ -186,7 +186,7 @@
 	return medians
 }
 
-// median sorts the values, of which there is at least one.
+// median returns the median of values, which it sorts. There must be at least one.
 func median(values []float64) float64 {
 	slices.Sort(values)
 	return (values[(len(values)-1)/2] + values[len(values)/2]) / 2
--- a/internal/lab/scale/placement.go
+++ b/internal/lab/scale/placement.go
@@ -6,30 +6,30 @@
 	"strings"
 )
 
-// Zones are assigned to regions in turn, and members and nodes to zones.
+// Zones are assigned to regions round-robin, and members and nodes to zones.
 
-// regionOf is the region of a zone.
+// regionOf returns the region of a zone.
 func (e *Experiment) regionOf(zone int) string { return fmt.Sprintf("r%d", zone%e.Regions+1) }
 
-// zoneOf is the zone of the member or node with a number.
+// zoneOf returns the zone of the member or node with the given number.
 func (e *Experiment) zoneOf(number int) int { return number % e.Zones }
 
 func zoneName(zone int) string { return fmt.Sprintf("z%d", zone+1) }
 
 func memberName(member int) string { return fmt.Sprintf("m%d", member+1) }
 
-// memberNumber is the number of the member with a name that was checked.
+// memberNumber returns the number of the member with a validated name.
 func memberNumber(name string) int {
 	number, _ := strconv.Atoi(strings.TrimPrefix(name, "m"))
 	return number - 1
 }
 
-// affectsZone reports whether a fault is of a zone or of its region.
+// affectsZone reports whether a fault applies to the zone or to its region.
 func (f Fault) affectsZone(e *Experiment, zone int) bool {
 	return f.Zone == zoneName(zone) || f.Region == e.regionOf(zone)
 }
 
-// cutsOff reports whether nodes at the fault's place can't exchange anything with members elsewhere.
+// cutsOff reports whether the fault stops the traffic of nodes in its region or zone with members elsewhere.
 func (f Fault) cutsOff() bool {
 	return f.Kind == FaultCut || f.Kind == FaultCutInbound || f.Kind == FaultCutOutbound
 }
--- a/internal/lab/scale/realnode.go
+++ b/internal/lab/scale/realnode.go
@@ -9,14 +9,14 @@
 	"pearknot/internal/controlsocket"
 )
 
-var errNoControlPlane = errors.New("it follows no control plane")
+var errNoControlPlane = errors.New("node has no control plane")
 
 const healthTimeout = time.Second
 
-// realNodeState is what a real node reports of its control plane.
+// realNodeState is a real node's report of its control-plane client.
 type realNodeState struct {
-	version uint64 // applied
-	digest  string // of what it has applied
+	version uint64 // applied version
+	digest  string // digest of the applied version
 	traffic linkTraffic
 }
 
--- a/internal/lab/scale/report_print.go
+++ b/internal/lab/scale/report_print.go
@@ -10,15 +10,15 @@
 
 const maxPrintedViolations = 12
 
-// costFootnote says what the table's figures are of.
+// costFootnote explains the figures in the table of costs.
 const costFootnote = `
-Both ways. Bytes are counted on the links, and a member's are the busiest one's; messages by the nodes, and a member's are those with
-nodes, the mean. A hollow node's processor time and memory are its process's, divided by its nodes; a real node's are
-all it does, its load among them. Memory is the largest RSS, of members and real nodes the largest one's.
+Sent and received. Bytes are counted on the links, for members those of the busiest one; messages are counted by the nodes, for members
+the mean of those exchanged with nodes. A hollow node's processor time and memory are those of its process divided by its number of nodes;
+a real node's include its load. Memory is the peak RSS, for members and real nodes that of the largest one.
 
 `
 
-// Print prints the table and the verdict.
+// Print prints the experiment, the machine's state, the table of costs, the findings and the violations.
 func (r *Report) Print(w io.Writer) {
 	r.printExperiment(w)
 	r.printMachine(w)
@@ -34,30 +34,30 @@
 	fmt.Fprintf(w, "%d tenants in a document of %d KB, %g changes a second of about %d bytes for %g s; hollow nodes' copies on disk: %v\n",
 		e.Tenants, r.DocumentBytes>>10, e.Changes.PerSecond, e.Changes.Bytes, e.ChangeSeconds, e.HollowCopies)
 	for _, fault := range e.Faults {
-		fmt.Fprintf(w, "fault: %s from %g s on for %g s", fault, fault.AtSeconds, fault.ForSeconds)
+		fmt.Fprintf(w, "fault: %s at %g s for %g s", fault, fault.AtSeconds, fault.ForSeconds)
 		if fault.BytesPerSecond > 0 {
 			fmt.Fprintf(w, ", %d bytes a second", fault.BytesPerSecond)
 		}
 		if fault.DelayMs > 0 {
-			fmt.Fprintf(w, ", %g ms later", fault.DelayMs)
+			fmt.Fprintf(w, ", %g ms of delay", fault.DelayMs)
 		}
 		fmt.Fprintln(w)
 	}
 }
 
-// printMachine prints what the machine had to do besides, which may be in the figures that follow.
+// printMachine prints the other load and the delays of the machine, which may affect the figures that follow.
 func (r *Report) printMachine(w io.Writer) {
-	fmt.Fprintf(w, "machine: %d processors, %.0f GB, shared: load average %s at the begin, %s at the end; %d processes and %d MB of them at most; %s\n",
-		runtime.NumCPU(), r.MachineMB/1024, r.LoadAverageBegin, r.LoadAverageEnd, r.Processes, r.PeakMB, runtime.Version())
+	fmt.Fprintf(w, "machine: %d processors, %.0f GB, shared: load average %s at the start, %s at the end; at most %d processes and %d MB together; %s\n",
+		runtime.NumCPU(), r.MachineMB/1024, r.LoadAverageStart, r.LoadAverageEnd, r.Processes, r.PeakMB, runtime.Version())
 	lab, hollow := r.LabLateness, r.HollowLateness
-	fmt.Fprintf(w, `the lab itself took %.2f of a core with changes; %.0f%% of the processors' time went to other machines of the host; the lab's timers were
-up to %.2f s late, %.1f s in sum, those of a hollow process up to %.2f s, %.1f s in sum: so much of what follows may be this machine's
+	fmt.Fprintf(w, `the lab process used %.2f of a core during changes; %.0f%% of the processor time went to other machines of the host; the lab's timers were
+up to %.2f s late, %.1f s in total, those of a hollow process up to %.2f s, %.1f s in total: the delays below may include this much
 
 `, r.LabCore, 100*r.StolenShare, lab.MaxMs/1e3, lab.SumMs/1e3, hollow.MaxMs/1e3, hollow.SumMs/1e3)
 }
 
-// tableKinds are the table's columns.
-var tableKinds = []ProcessKind{KindHollow, KindReal, KindMember}
+// columnKinds lists the kinds in the order of the table's columns.
+var columnKinds = []ProcessKind{KindHollow, KindReal, KindMember}
 
 func (r *Report) printCosts(w io.Writer) {
 	fmt.Fprintf(w, "%-34s %12s %12s %12s\n", "", "hollow node", "real node", "member")
@@ -68,26 +68,26 @@
 		{"quiet", r.Quiet},
 		{"with changes", r.Changing},
 	} {
-		printRow(w, "bytes a second, "+phase.name, "%.0f", phase.costs, tableKinds, func(c Cost) float64 { return c.Bytes })
-		printRow(w, "messages a second, "+phase.name, "%.2f", phase.costs, tableKinds, func(c Cost) float64 { return c.Messages })
-		printRow(w, "% of a core, "+phase.name, "%.2f", phase.costs, tableKinds, func(c Cost) float64 { return 100 * c.Core })
+		printRow(w, "bytes a second, "+phase.name, "%.0f", phase.costs, columnKinds, func(c Cost) float64 { return c.Bytes })
+		printRow(w, "messages a second, "+phase.name, "%.2f", phase.costs, columnKinds, func(c Cost) float64 { return c.Messages })
+		printRow(w, "% of a core, "+phase.name, "%.2f", phase.costs, columnKinds, func(c Cost) float64 { return 100 * c.Core })
 	}
 	printRow(w, "bytes, worst second", "%.0f", r.Changing, nodeKinds, func(c Cost) float64 { return c.WorstSecond })
 	fmt.Fprintf(w, "%-34s", "memory, MB")
-	for _, kind := range tableKinds {
+	for _, kind := range columnKinds {
 		fmt.Fprintf(w, " %12.1f", r.MemoryMB[kind])
 	}
 	fmt.Fprint(w, costFootnote)
 	for _, what := range slices.Sorted(maps.Keys(r.Medians)) {
-		fmt.Fprintf(w, "%s a second over all of it, of the node in the middle by its own word: hollow %.2f, real %.2f\n",
+		fmt.Fprintf(w, "%s a second over the whole run, of the median node by its own counters: hollow %.2f, real %.2f\n",
 			what, r.Medians[what][KindHollow], r.Medians[what][KindReal])
 	}
 }
 
-// printRow prints a row of the table, with a dash for kinds without a value or of which there is no process.
+// printRow prints a row of the table, with a dash for kinds that are not in valued or have no process.
 func printRow(w io.Writer, name, format string, costs map[ProcessKind]Cost, valued []ProcessKind, value func(Cost) float64) {
 	fmt.Fprintf(w, "%-34s", name)
-	for _, kind := range tableKinds {
+	for _, kind := range columnKinds {
 		text := "-"
 		if cost := costs[kind]; cost.Count > 0 && slices.Contains(valued, kind) {
 			text = fmt.Sprintf(format, value(cost))
@@ -100,15 +100,15 @@
 func (r *Report) printFindings(w io.Writer) {
 	nodes, findings := r.Experiment.Nodes, r.Findings
 	commits := newStaleness(slices.Clone(r.CommitMs))
-	fmt.Fprintf(w, "%d changes acknowledged, after %s; %d without an answer, %d not begun\n",
-		len(r.CommitMs), commits, r.Unanswered, r.NotBegun)
-	fmt.Fprintf(w, "all nodes started at once; to their first version in force: %s\n", findings.Start)
-	fmt.Fprintf(w, "from the acknowledgement to in force, %d changes at %d nodes: %s\n", findings.Changes, nodes, findings.Reachable)
+	fmt.Fprintf(w, "%d changes acknowledged, commit times %s; %d without an answer, %d not started\n",
+		len(r.CommitMs), commits, r.Unanswered, r.NotStarted)
+	fmt.Fprintf(w, "all nodes started at once; time until the first version was applied: %s\n", findings.Start)
+	fmt.Fprintf(w, "time from acknowledged to applied, %d changes at %d nodes: %s\n", findings.Changes, nodes, findings.Reachable)
 	if findings.CutOff.Pairs > 0 {
-		fmt.Fprintf(w, "%d nodes were cut off; from when they could be reached to in force, %d changes at nodes: %s\n",
+		fmt.Fprintf(w, "%d nodes were cut off; time from reachable to applied, %d pairs of a change and a node: %s\n",
 			findings.CutOffNodes, findings.CutOff.Pairs, findings.CutOff)
 	}
-	fmt.Fprintf(w, "%d of %d nodes at the last version at the end\n", nodes-findings.Behind, nodes)
+	fmt.Fprintf(w, "%d of %d nodes had the latest version at the end\n", nodes-findings.Behind, nodes)
 	if r.Load.Requests > 0 {
 		fmt.Fprintf(w, "load of the real nodes: %d requests, service %.3f, %s\n", r.Load.Requests, r.Load.Service, r.Load.Verdict.Text)
 	}
@@ -128,5 +128,5 @@
 }
 
 func (s Staleness) String() string {
-	return fmt.Sprintf("%.2f s half of them, %.2f s 99 in 100, %.2f s the worst", s.P50/1e3, s.P99/1e3, s.Max/1e3)
+	return fmt.Sprintf("p50 %.2f s, p99 %.2f s, max %.2f s", s.P50/1e3, s.P99/1e3, s.Max/1e3)
 }
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -15,25 +15,25 @@
 	"pearknot/internal/controlsocket"
 )
 
-// Options are how an experiment is played.
+// Options configures how an experiment is run.
 type Options struct {
-	Pearknot      string    // the node's program, which is the members' too
-	HollowCommand []string  // starts a process of hollow nodes; its configuration file is added
+	Pearknot      string    // program of nodes and members
+	HollowCommand []string  // command that starts a process of hollow nodes, without its argument, the configuration file
 	Out           io.Writer // for progress
-	Fair          bool      // eight hollow nodes beside eight real ones, which must cost the same
-	Dir           string    // for files and logs, which stay; a temporary one, removed, if empty
+	CompareHollow bool      // run eight hollow nodes and eight real ones, whose costs must be equal
+	Dir           string    // for files and logs, which are kept; if empty, a temporary directory that is removed
 }
 
-// fairNodes is how many nodes of each kind Options.Fair compares.
-const fairNodes = 8
+// comparedNodes is the number of nodes of each kind that Options.CompareHollow compares.
+const comparedNodes = 8
 
-// run is one experiment as it is played.
+// run holds the state of a running experiment.
 type run struct {
 	experiment *Experiment
 	options    Options
 	clock      *clock.Clock
-	site       *site
-	operator   *client.ControlPlane // as operators reach it
+	testbed    *testbed
+	operator   *client.ControlPlane // the operator's connection to the members
 	document   *document
 	failures   chan error
 	background sync.WaitGroup
@@ -44,40 +44,41 @@
 	realSockets      []*controlsocket.Client // by node
 
 	mu              sync.Mutex
-	processes       []*process // all that were ever started
+	processes       []*process // all that have been started, running or not
 	members         []*process // by number; nil while killed
 	auditor         *Auditor
 	appliedVersions []uint64 // by node
-	newestVersion   uint64   // acknowledged
+	newestVersion   uint64   // newest acknowledged version
 	activeFaults    []Fault
 	cutOffs         []cutOff
-	maxRSSBytes     int64 // of all processes together
+	maxRSSBytes     int64 // peak of all processes together
 	maxProcesses    int
 	report          Report
 }
 
-// cutOff is a fault that cuts nodes off, and when it was active.
+// cutOff is a fault that cuts nodes off, and the span in which it was active.
 type cutOff struct {
 	Fault
 	Span
 }
 
-// Run plays an experiment. It returns when the experiment is over, ctx ends, or something of the lab's own failed. Whatever ends it, its
-// processes end before. An experiment that this machine can't play is a *TooBigError.
+// Run runs an experiment. It returns when the experiment has finished, ctx ends, or a part of the lab itself has failed. All of its
+// processes have ended by then. It returns a *TooBigError for an experiment that this machine can't run.
 func Run(ctx context.Context, e *Experiment, options Options) (_ *Report, err error) {
-	if options.Fair {
-		e = e.fairVariant()
+	if options.CompareHollow {
+		e = e.comparisonVariant()
 	}
 	machineMB, err := machineMemoryMB()
 	if err != nil {
 		return nil, err
 	}
-	if err := e.Fits(machineMB); err != nil {
+	if err := e.CheckLimits(machineMB); err != nil {
 		return nil, &TooBigError{err}
 	}
 	estimate := e.Estimate()
-	fmt.Fprintf(options.Out, "%s: up to %d processes and %.0f MB of %.0f expected\n", e.Name, estimate.Processes, estimate.MemoryMB, machineMB)
-	dir, removeDir, err := runDir(options.Dir)
+	fmt.Fprintf(options.Out, "%s: expecting up to %d processes and %.0f MB of memory, of %.0f MB\n",
+		e.Name, estimate.Processes, estimate.MemoryMB, machineMB)
+	dir, removeDir, err := createRunDir(options.Dir)
 	if err != nil {
 		return nil, err
 	}
@@ -96,8 +97,8 @@
 		case <-ctx.Done():
 		}
 	})
-	if r.site, err = newSite(e, dir); err == nil {
-		err = r.play(ctx)
+	if r.testbed, err = newTestbed(e, dir); err == nil {
+		err = r.execute(ctx)
 	}
 	if ctx.Err() != nil {
 		err = context.Cause(ctx)
@@ -109,17 +110,17 @@
 	return &r.report, nil
 }
 
-// fairVariant is an experiment with as many hollow nodes as real ones, and without faults.
-func (e *Experiment) fairVariant() *Experiment {
-	fair := *e
-	fair.Name, fair.Nodes, fair.RealNodes, fair.Faults = e.Name+" --fair", 2*fairNodes, fairNodes, nil
-	return &fair
+// comparisonVariant returns a copy of an experiment with as many hollow nodes as real ones, and without faults.
+func (e *Experiment) comparisonVariant() *Experiment {
+	variant := *e
+	variant.Name, variant.Nodes, variant.RealNodes, variant.Faults = e.Name+" --fair", 2*comparedNodes, comparedNodes, nil
+	return &variant
 }
 
-// runDir makes the directory for a run's files. remove removes it if it is temporary.
-func runDir(dir string) (path string, remove func(), err error) {
+// createRunDir creates the directory for a run's files. The returned remove deletes it if it is temporary.
+func createRunDir(dir string) (path string, remove func(), err error) {
 	if dir == "" {
-		path, err = os.MkdirTemp("", "pkscale") // short: the length of a socket's path is bounded
+		path, err = os.MkdirTemp("", "pkscale") // short, because the length of a socket's path is limited
 		return path, func() { _ = os.RemoveAll(path) }, err
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -139,13 +140,13 @@
 		members:          make([]*process, e.Members.Count),
 		auditor:          NewAuditor(e.Bounds.P99StalenessMs, e.Bounds.MaxStalenessMs),
 		appliedVersions:  make([]uint64, e.Nodes),
-		report:           Report{Experiment: e, MachineMB: machineMB, Fair: options.Fair},
+		report:           Report{Experiment: e, MachineMB: machineMB, ComparesHollow: options.CompareHollow},
 	}
-	r.report.LoadAverageBegin = loadAverage()
+	r.report.LoadAverageStart = loadAverage()
 	return r
 }
 
-// fail ends the run with an error. The first one counts.
+// fail ends the run with an error. Only the first error is reported.
 func (r *run) fail(err error) {
 	select {
 	case r.failures <- err:
@@ -164,12 +165,12 @@
 	for _, p := range processes {
 		<-p.ended
 	}
-	if r.site != nil {
-		r.site.close()
+	if r.testbed != nil {
+		r.testbed.close()
 	}
 }
 
-// start starts a process of the run. Nothing starts after ctx has ended, or it could outlive close.
+// start starts a process of the run. It starts nothing after ctx has ended, since such a process could outlive close.
 func (r *run) start(ctx context.Context, kind ProcessKind, name string, command ...string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -181,7 +182,7 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	p, err := startProcess(kind, name, r.site.dir, command...)
+	p, err := startProcess(kind, name, r.testbed.dir, command...)
 	if err == nil {
 		r.processes = append(r.processes, p)
 	}
@@ -190,7 +191,7 @@
 
 func (r *run) startMember(ctx context.Context, member int, flags ...string) error {
 	name := memberName(member)
-	command := append([]string{r.options.Pearknot, "control-plane", r.site.filePath(name), "--name", name}, flags...)
+	command := append([]string{r.options.Pearknot, "control-plane", r.testbed.filePath(name), "--name", name}, flags...)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p, err := r.startLocked(ctx, KindMember, name, command...)
@@ -200,8 +201,8 @@
 	return err
 }
 
-// nodesAt counts the nodes that have applied a version or a later one.
-func (r *run) nodesAt(version uint64) (count int) {
+// countNodesAt returns the number of nodes that have applied the version or a later one.
+func (r *run) countNodesAt(version uint64) (count int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, applied := range r.appliedVersions {
--- a/internal/lab/scale/run_changes.go
+++ b/internal/lab/scale/run_changes.go
@@ -12,20 +12,20 @@
 
 const commitTimeout = 8 * time.Second
 
-// makeChanges commits one change after the other, as many a second as the experiment says. A change without an answer is counted.
-func (r *run) makeChanges(ctx context.Context, begun time.Time) error {
+// makeChanges commits changes one after the other, at the experiment's rate. A failed commit is counted as unanswered.
+func (r *run) makeChanges(ctx context.Context, start time.Time) error {
 	e := r.experiment
 	changes := int(e.ChangeSeconds * e.Changes.PerSecond)
 	for index := range changes {
 		dueMs := float64(index) / e.Changes.PerSecond * 1e3
-		if !wait(ctx, time.Until(begun.Add(clock.Duration(dueMs)))) {
+		if !wait(ctx, time.Until(start.Add(clock.Duration(dueMs)))) {
 			return context.Cause(ctx)
 		}
-		if time.Since(begun).Seconds() > e.ChangeSeconds { // earlier commits took too long
-			r.report.NotBegun += changes - index
+		if time.Since(start).Seconds() > e.ChangeSeconds { // earlier commits took too long
+			r.report.NotStarted += changes - index
 			return nil
 		}
-		r.document.change(e.Changes.Bytes)
+		r.document.changeQuotas(e.Changes.Bytes)
 		err := r.commitInTime(ctx, fmt.Sprint("change ", index))
 		var invalid *client.InvalidError
 		switch {
@@ -47,7 +47,7 @@
 	return r.commit(limited, reason)
 }
 
-// commit commits the document as it is.
+// commit commits the document in its present state.
 func (r *run) commit(ctx context.Context, reason string) error {
 	text, digest, err := r.document.encode()
 	if err != nil {
@@ -57,14 +57,14 @@
 	base := r.report.head
 	r.report.DocumentBytes = len(text)
 	r.mu.Unlock()
-	begun := r.clock.Now()
+	start := r.clock.Now()
 	version, err := r.operator.Apply(ctx, base, text, "lab", reason)
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var conflict *client.ConflictError
 	switch {
-	case errors.As(err, &conflict): // an earlier change was committed, and its answer lost
+	case errors.As(err, &conflict): // an earlier change was committed, but its answer was lost
 		r.report.head = conflict.Head
 		return err
 	case err != nil:
@@ -74,6 +74,6 @@
 	r.auditor.VersionCommitted(version, digest)
 	r.auditor.VersionAcknowledged(version, now)
 	r.newestVersion = version
-	r.report.CommitMs = append(r.report.CommitMs, now-begun)
+	r.report.CommitMs = append(r.report.CommitMs, now-start)
 	return nil
 }
--- a/internal/lab/scale/run_faults.go
+++ b/internal/lab/scale/run_faults.go
@@ -13,48 +13,48 @@
 
 const (
 	leaderLookups = 10
-	foreverMs     = 1e12 // the length of a cut whose end is not known yet
+	foreverMs     = 1e12 // length of a cut-off whose end is not known yet
 )
 
-// faultSwitch is the begin or the end of a fault.
-type faultSwitch struct {
+// faultTransition is the beginning or end of a fault.
+type faultTransition struct {
 	atSeconds float64
-	fault     int // index in the experiment
+	fault     int // index in Experiment.Faults
 	begins    bool
 }
 
-// faultSwitches are the begins and ends of an experiment's faults, in order.
-func (e *Experiment) faultSwitches() (switches []faultSwitch) {
+// faultTransitions returns the beginnings and ends of an experiment's faults, in order of time.
+func (e *Experiment) faultTransitions() (transitions []faultTransition) {
 	for index, fault := range e.Faults {
-		switches = append(switches,
-			faultSwitch{fault.AtSeconds, index, true},
-			faultSwitch{fault.AtSeconds + fault.ForSeconds, index, false})
+		transitions = append(transitions,
+			faultTransition{fault.AtSeconds, index, true},
+			faultTransition{fault.AtSeconds + fault.ForSeconds, index, false})
 	}
-	slices.SortStableFunc(switches, func(a, b faultSwitch) int { return cmp.Compare(a.atSeconds, b.atSeconds) })
-	return switches
+	slices.SortStableFunc(transitions, func(a, b faultTransition) int { return cmp.Compare(a.atSeconds, b.atSeconds) })
+	return transitions
 }
 
-// playFaults begins and ends the experiment's faults.
-func (r *run) playFaults(ctx context.Context, begun time.Time) error {
-	faults := slices.Clone(r.experiment.Faults) // in which the leader's name takes the place of leaderName
-	for _, next := range r.experiment.faultSwitches() {
-		if !wait(ctx, time.Until(begun.Add(clock.Duration(next.atSeconds*1e3)))) {
+// runFaults begins and ends the experiment's faults on schedule.
+func (r *run) runFaults(ctx context.Context, start time.Time) error {
+	faults := slices.Clone(r.experiment.Faults) // currentLeader is replaced by the leader's name
+	for _, next := range r.experiment.faultTransitions() {
+		if !wait(ctx, time.Until(start.Add(clock.Duration(next.atSeconds*1e3)))) {
 			return nil
 		}
 		fault := &faults[next.fault]
-		if next.begins && fault.Member == leaderName {
+		if next.begins && fault.Member == currentLeader {
 			if fault.Member = r.findLeader(ctx); fault.Member == "" {
-				return fmt.Errorf("fault %d: nobody leads", next.fault)
+				return fmt.Errorf("fault %d: no member is the leader", next.fault)
 			}
 		}
-		if err := r.switchFault(ctx, *fault, next.begins); err != nil {
+		if err := r.setFaultActive(ctx, *fault, next.begins); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// findLeader returns the name of the member that says that it leads, or "".
+// findLeader returns the name of a member that reports itself as the leader, or "".
 func (r *run) findLeader(ctx context.Context) string {
 	for range leaderLookups {
 		for _, result := range r.operator.MemberStatuses(ctx) {
@@ -66,18 +66,18 @@
 	return ""
 }
 
-// switchFault begins or ends a fault.
-func (r *run) switchFault(ctx context.Context, fault Fault, begins bool) error {
+// setFaultActive begins or ends a fault.
+func (r *run) setFaultActive(ctx context.Context, fault Fault, begins bool) error {
 	r.setLinkFaults(fault, begins)
-	what := "begins"
+	state := "begins"
 	if !begins {
-		what = "is over"
+		state = "is over"
 	}
-	fmt.Fprintf(r.options.Out, "%s %s\n", fault, what)
+	fmt.Fprintf(r.options.Out, "%s %s\n", fault, state)
 	switch fault.Kind {
 	case FaultLoseMembers:
 		if begins {
-			r.site.resetLinks(fault)
+			r.testbed.resetLinks(fault)
 		}
 	case FaultFreeze:
 		signal := syscall.SIGCONT
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// setLinkFaults sets on all links what the faults that are now active do to them, and records when nodes are cut off.
+// setLinkFaults updates the active faults, applies them to all links, and records when nodes are cut off.
 func (r *run) setLinkFaults(fault Fault, begins bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,13 +107,13 @@
 	} else {
 		r.activeFaults = slices.DeleteFunc(r.activeFaults, func(active Fault) bool { return active == fault })
 	}
-	r.site.setFaults(r.activeFaults)
+	r.testbed.setFaults(r.activeFaults)
 	if begins {
 		return
 	}
 	for index := range r.cutOffs {
 		if cut := &r.cutOffs[index]; cut.Fault == fault {
-			cut.To = r.clock.Now() // not before the links carry anything again
+			cut.To = r.clock.Now() // read after the links carry traffic again
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	return r.members[memberNumber(name)]
 }
 
-// killMember ends a member. It is no longer among the members before it ends, or its end would fail the run.
+// killMember kills a member. It removes the member from r.members first, since the end of a listed member fails the run.
 func (r *run) killMember(name string) {
 	r.mu.Lock()
 	p := r.members[memberNumber(name)]
--- a/internal/lab/scale/run_nodes.go
+++ b/internal/lab/scale/run_nodes.go
@@ -17,15 +17,15 @@
 	startPollInterval  = 50 * time.Millisecond
 	hollowPollInterval = 250 * time.Millisecond
 	realPollInterval   = 100 * time.Millisecond
-	socketTimeout      = 5 * time.Second // of a call on a control socket
+	socketTimeout      = 5 * time.Second // per call on a control socket
 )
 
 const firstVersion = 1
 
-// startNodes starts all nodes, and waits until each has applied the first version and the real ones serve.
+// startNodes starts all nodes, and waits until each has applied the first version and the real ones serve requests.
 func (r *run) startNodes(ctx context.Context, realNodes []loopback.ExternalNode) error {
 	r.mu.Lock()
-	for _, n := range r.site.nodes {
+	for _, n := range r.testbed.nodes {
 		r.auditor.NodeStarted(n.name, r.clock.Now())
 	}
 	r.mu.Unlock()
@@ -37,7 +37,7 @@
 	if err := r.startHollowProcesses(ctx); err != nil {
 		return err
 	}
-	err := waitForAll(ctx, r.experiment.Nodes, "nodes have the first version", func() int { return r.nodesAt(firstVersion) })
+	err := waitForAll(ctx, r.experiment.Nodes, "nodes have the first version", func() int { return r.countNodesAt(firstVersion) })
 	if err != nil {
 		return err
 	}
@@ -52,14 +52,14 @@
 }
 
 func (r *run) startRealNode(ctx context.Context, number int, n loopback.ExternalNode) error {
-	config := filepath.Join(r.site.dir, n.Name+".json")
-	socket := filepath.Join(r.site.dir, n.Name+".sock")
+	config := filepath.Join(r.testbed.dir, n.Name+".json")
+	socket := filepath.Join(r.testbed.dir, n.Name+".sock")
 	if err := os.WriteFile(config, []byte(n.Config), 0o600); err != nil {
 		return err
 	}
 	command := []string{
 		r.options.Pearknot, "serve", "--config", config, "--control", socket,
-		"--control-plane", r.site.filePath(zoneFile(KindReal, r.site.nodes[number].zone)),
+		"--control-plane", r.testbed.filePath(zoneFile(KindReal, r.testbed.nodes[number].zone)),
 	}
 	if err := r.start(ctx, KindReal, n.Name, command...); err != nil {
 		return err
@@ -71,7 +71,7 @@
 }
 
 func (r *run) startHollowProcesses(ctx context.Context) error {
-	processes, err := r.site.writeHollowFiles()
+	processes, err := r.testbed.writeHollowFiles()
 	if err != nil {
 		return err
 	}
@@ -87,14 +87,14 @@
 	return nil
 }
 
-// waitForAll waits until a count is reached, for startTimeout at most.
+// waitForAll polls count until it reaches want, for startTimeout at most.
 func waitForAll(ctx context.Context, want int, what string, count func() int) error {
-	for begun := time.Now(); ; {
+	for start := time.Now(); ; {
 		reached := count()
 		if reached >= want {
 			return nil
 		}
-		if time.Since(begun) > startTimeout {
+		if time.Since(start) > startTimeout {
 			return fmt.Errorf("%d of %d %s after %v", reached, want, what, startTimeout)
 		}
 		if !wait(ctx, startPollInterval) {
@@ -103,8 +103,8 @@
 	}
 }
 
-// pollHollowProcess asks a hollow process again and again what its nodes have applied. An error is not one of the run: the end of the
-// process itself is noticed elsewhere.
+// pollHollowProcess polls a hollow process for the versions that its nodes have applied. An error doesn't fail the run: sampling detects
+// the end of the process itself.
 func (r *run) pollHollowProcess(ctx context.Context, client *hollowClient) {
 	for wait(ctx, hollowPollInterval) {
 		events, err := client.nextEvents(ctx)
@@ -117,7 +117,7 @@
 	}
 }
 
-// pollRealNode asks a real node again and again what it has applied. A version counts from when the answer has come.
+// pollRealNode polls a real node for the version that it has applied. A version counts as applied from when the answer arrives.
 func (r *run) pollRealNode(ctx context.Context, number int, socket *controlsocket.Client) {
 	for wait(ctx, realPollInterval) {
 		if state, err := fetchRealNodeState(ctx, socket); err == nil {
@@ -129,6 +129,6 @@
 func (r *run) versionReported(node int, version uint64, digest string, since float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.auditor.VersionReported(r.site.nodes[node].name, version, digest, since)
+	r.auditor.VersionReported(r.testbed.nodes[node].name, version, digest, since)
 	r.appliedVersions[node] = version
 }
--- a/internal/lab/scale/run_sample.go
+++ b/internal/lab/scale/run_sample.go
@@ -13,22 +13,22 @@
 	progressInterval = 5 * time.Second
 )
 
-// sample is how the run stands at a moment.
+// sample holds the state of the run at a point in time.
 type sample struct {
-	processes    int // that are alive, this one included
+	processes    int // running processes, this one included
 	rssBytes     int64
 	membersUp    int
-	newest       uint64 // version acknowledged
+	newest       uint64 // newest acknowledged version
 	activeFaults []string
 }
 
-// sampleRegularly looks at all processes every second, fails the run if they take more than they may or one has ended, and prints
-// progress.
+// sampleRegularly samples all processes every sampleInterval, fails the run if they exceed its limits or one has ended unexpectedly, and
+// prints progress.
 func (r *run) sampleRegularly(ctx context.Context) {
 	limits := r.experiment.Limits
 	maxBytes := int64(r.experiment.memoryLimitMB(r.report.MachineMB) * mebibyte)
-	begun := time.Now()
-	lastProgress := begun
+	start := time.Now()
+	lastProgress := start
 	linkBytes := map[ProcessKind]int64{} // at the last sample
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
@@ -40,23 +40,23 @@
 		}
 		s := r.sample(linkBytes)
 		if s.rssBytes > maxBytes || s.processes > limits.Processes {
-			r.fail(fmt.Errorf("%d processes with %d MB: over what the run may take", s.processes, s.rssBytes/mebibyte))
+			r.fail(fmt.Errorf("%d processes with %d MB exceed the limits of the run", s.processes, s.rssBytes/mebibyte))
 			return
 		}
 		if time.Since(lastProgress) >= progressInterval {
 			lastProgress = time.Now()
-			r.printProgress(time.Since(begun), s)
+			r.printProgress(time.Since(start), s)
 		}
 	}
 }
 
 func (r *run) printProgress(elapsed time.Duration, s sample) {
 	fmt.Fprintf(r.options.Out, "%4.0f s: version %d at %d of %d nodes, %d members up, %d processes, %d MB %s\n",
-		elapsed.Seconds(), s.newest, r.nodesAt(s.newest), r.experiment.Nodes, s.membersUp, s.processes, s.rssBytes/mebibyte,
+		elapsed.Seconds(), s.newest, r.countNodesAt(s.newest), r.experiment.Nodes, s.membersUp, s.processes, s.rssBytes/mebibyte,
 		strings.Join(s.activeFaults, ", "))
 }
 
-// sample looks at all processes and links. linkBytes is what the links had carried by the last sample, and is updated.
+// sample measures all processes and links. linkBytes holds the bytes that the links had carried at the last sample, and is updated.
 func (r *run) sample(linkBytes map[ProcessKind]int64) sample {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,9 +70,9 @@
 	r.maxRSSBytes, r.maxProcesses = max(r.maxRSSBytes, s.rssBytes), max(r.maxProcesses, s.processes)
 	r.failIfAnyEnded()
 	for _, kind := range nodeKinds {
-		bytes := r.site.bytesOf(kind)
+		bytes := r.testbed.callerBytes(kind)
 		if r.report.countsWorstSecond {
-			r.report.addSecond(kind, bytes-linkBytes[kind])
+			r.report.recordSecond(kind, bytes-linkBytes[kind])
 		}
 		linkBytes[kind] = bytes
 	}
@@ -87,7 +87,7 @@
 	return s
 }
 
-// failIfAnyEnded fails the run if a process has ended that was not killed by a fault.
+// failIfAnyEnded fails the run if a process has ended other than by a fault.
 func (r *run) failIfAnyEnded() {
 	for _, p := range r.processes {
 		if p.kind != KindMember && !p.isAlive() {
@@ -101,7 +101,7 @@
 	}
 }
 
-// countWorstSecond switches whether samples count towards the worst second.
+// countWorstSecond sets whether samples count towards the busiest second.
 func (r *run) countWorstSecond(counts bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -18,7 +18,7 @@
 	"pearknot/internal/lab/program"
 )
 
-// The test's own binary is the process of hollow nodes too, honest or not.
+// The test binary also serves as the process of hollow nodes, with correct or falsified reports.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 {
 		if falsify, ok := hollowCommands[os.Args[1]]; ok {
@@ -32,19 +32,19 @@
 	honestHollow     = "hollow"
 	aheadHollow      = "hollow-ahead"
 	backwardsHollow  = "hollow-back"
-	falsifyingHollow = 3 // the number of the node whose reports are not so
+	falsifyingHollow = 3 // number of the node whose reports are falsified
 )
 
-// hollowCommands are what the processes of hollow nodes do to the reports of their nodes.
+// hollowCommands holds, by the name of the command, how a process of hollow nodes falsifies its reports; nil leaves them as they are.
 var hollowCommands = map[string]func(*appliedEvent){
 	honestHollow: nil,
-	// A node reports a version that it doesn't have: the next one, when it was given this one.
+	// A node reports the version after the one that it was given, which it doesn't have.
 	aheadHollow: func(event *appliedEvent) {
 		if event.Node == falsifyingHollow && event.Version > 3 {
 			event.Version++
 		}
 	},
-	// A node goes back.
+	// A node reports an earlier version than before.
 	backwardsHollow: func(event *appliedEvent) {
 		if event.Node == falsifyingHollow && event.Version >= 6 {
 			event.Version = 2
@@ -52,7 +52,7 @@
 	},
 }
 
-// runHollowCommand returns the exit status.
+// runHollowCommand runs a process of hollow nodes and returns its exit status.
 func runHollowCommand(file string, falsify func(*appliedEvent)) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -88,11 +88,11 @@
 for_s = 4
 `
 
-// relaxStaleness allows changes the time that they may take where tests share few processors with much else. The promise itself is checked
-// in virtual time and by the runs of experiments/scale-*.toml; here everything else is.
+// relaxStaleness raises the staleness bounds to what changes may take where tests share few processors with other load. The guarantee
+// itself is checked in virtual time and by the runs of experiments/scale-*.toml; these tests check everything else.
 func relaxStaleness(e *Experiment) { e.Bounds.P99StalenessMs, e.Bounds.MaxStalenessMs = 10e3, 20e3 }
 
-// temporaryDir makes a short directory, as the length of a socket's path is bounded, in which the test's temporary files are made.
+// temporaryDir creates the directory for the test's temporary files. Its path is short, because the length of a socket's path is limited.
 func temporaryDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "pk")
@@ -109,7 +109,7 @@
 	assert.Empty(t, left)
 }
 
-// runExperiment plays an experiment that change, if not nil, may change before.
+// runExperiment runs an experiment, after passing it to change if that is not nil.
 func runExperiment(t *testing.T, text string, options Options, change func(*Experiment)) *Report {
 	t.Helper()
 	e, err := Decode("x.toml", []byte(text))
@@ -138,8 +138,8 @@
 
 func hollowCommand(name string) []string { return []string{os.Args[0], name} }
 
-// Hollow nodes in two processes follow three members, and one region of three is cut off for a while. All nodes have changes within the
-// bound, those of the region from when it can be reached again.
+// Hollow nodes in two processes follow three members, and one region of three is cut off for 4 s. All nodes apply changes within the
+// bound, those of the region measured from when it is reachable again.
 func TestRegionCutOff(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	options := Options{Pearknot: buildPearknot(t), HollowCommand: hollowCommand(honestHollow)}
@@ -150,8 +150,8 @@
 	assert.Equal(t, 1+3+2, report.Processes)
 }
 
-// A run must notice nodes that report what is not so, and bounds too small for what was measured: otherwise its pass would show nothing.
-func TestRunNoticesViolations(t *testing.T) {
+// A run must detect false reports by nodes, and measured values over the bounds: otherwise a passing run would prove nothing.
+func TestRunDetectsViolations(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	withoutFaults, _, found := strings.Cut(smallExperiment, "[[fault]]")
 	require.True(t, found)
@@ -172,10 +172,10 @@
 	}
 }
 
-// A hollow node costs what a real one does, and applies the same order of versions.
-func TestHollowNodesCostWhatRealOnesDo(t *testing.T) {
+// A hollow node costs as much as a real one, and applies versions in the same order.
+func TestHollowNodeCostMatchesRealNode(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	options := Options{Pearknot: buildPearknot(t), HollowCommand: hollowCommand(honestHollow), Fair: true}
+	options := Options{Pearknot: buildPearknot(t), HollowCommand: hollowCommand(honestHollow), CompareHollow: true}
 	report := runExperiment(t, smallExperiment, options, func(e *Experiment) { e.Changes.PerSecond = 1 })
 	for _, violation := range report.Violations { // the load's rules are tested by the loopback lab
 		assert.Contains(t, violation, "the real nodes broke a rule", violation)
@@ -184,7 +184,7 @@
 	assert.Len(t, report.Medians, 2)
 }
 
-// interrupter reads progress, and interrupts the run when the members are up.
+// interrupter reads the progress output, and interrupts the run when the members are up.
 type interrupter struct{ interrupt context.CancelFunc }
 
 func (i interrupter) Write(progress []byte) (int, error) {
@@ -194,14 +194,15 @@
 	return len(progress), nil
 }
 
-// Whatever ends a run, its processes and files end with it: an interrupt, or a process that ends by itself, which is reported in a line.
+// A run that ends early leaves no processes or files: after an interrupt, or when a process exits unexpectedly, which is reported in one
+// line.
 func TestProcessesAndFilesEndWithTheRun(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	e, err := Decode("x.toml", []byte(smallExperiment))
 	require.NoError(t, err)
 	pearknot := buildPearknot(t)
 	dir := temporaryDir(t)
-	for reason, program := range map[string]string{"context canceled": pearknot, "m1 ended by itself (exit status 1): ": "/bin/false"} {
+	for reason, program := range map[string]string{"context canceled": pearknot, "m1 exited unexpectedly (exit status 1): ": "/bin/false"} {
 		ctx, cancel := context.WithCancel(t.Context())
 		_, err := Run(ctx, e, Options{Pearknot: program, HollowCommand: hollowCommand(honestHollow), Out: interrupter{cancel}})
 		cancel()
@@ -211,7 +212,7 @@
 	}
 }
 
-// requireNoProcessWith fails if a process of this machine has a text in its command line.
+// requireNoProcessWith fails if a process of this machine has the text in its command line.
 func requireNoProcessWith(t *testing.T, text string) {
 	t.Helper()
 	files, err := filepath.Glob("/proc/[0-9]*/cmdline")
--- a/internal/lab/scale/run_timeline.go
+++ b/internal/lab/scale/run_timeline.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	settleSeconds        = 2.0 // after the last change, on top of the longest bound
-	minSettleSeconds     = 1.0 // if all nodes have the last version before
-	maxLoadSettleSeconds = 8.0 // that the load goes on after the last change
+	settleSeconds        = 2.0 // after the last change, in addition to the longest bound
+	minSettleSeconds     = 1.0 // even if all nodes have the latest version earlier
+	maxLoadSettleSeconds = 8.0 // duration of the load after the last change
 )
 
 const maxLogEntries = 1 << 20
 
-// play starts the members, commits the first version, starts the nodes and plays the timeline.
-func (r *run) play(ctx context.Context) error {
+// execute starts the members, commits the first version, starts the nodes and runs the timeline.
+func (r *run) execute(ctx context.Context) error {
 	for member := range r.experiment.Members.Count {
 		var flags []string
 		if member < r.experiment.Members.Voters {
@@ -37,16 +37,16 @@
 		return err
 	}
 	if r.experiment.RealNodes > 0 {
-		return r.playWithLoad(ctx)
+		return r.runWithLoad(ctx)
 	}
 	if err := r.startNodes(ctx, nil); err != nil {
 		return err
 	}
-	return r.playTimeline(ctx)
+	return r.runTimeline(ctx)
 }
 
 func (r *run) commitFirstVersion(ctx context.Context) (err error) {
-	if r.operator, err = client.ReadFile(r.site.filePath("operator")); err != nil {
+	if r.operator, err = client.ReadFile(r.testbed.filePath("operator")); err != nil {
 		return err
 	}
 	if r.document, err = newDocument(r.experiment); err != nil {
@@ -55,13 +55,13 @@
 	limited, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := r.commit(limited, "first"); err != nil {
-		return fmt.Errorf("the first version is not committed: %w", err)
+		return fmt.Errorf("commit the first version: %w", err)
 	}
 	return nil
 }
 
-// playWithLoad plays the timeline while real nodes, which are started for it, are under load.
-func (r *run) playWithLoad(ctx context.Context) error {
+// runWithLoad starts the real nodes, and runs the timeline while they are under load.
+func (r *run) runWithLoad(ctx context.Context) error {
 	e := r.experiment
 	seconds := e.QuietSeconds + e.ChangeSeconds + min(r.maxSettleSeconds(), maxLoadSettleSeconds)
 	load, err := realNodeLoad(e.RealNodes, seconds)
@@ -69,28 +69,28 @@
 		return err
 	}
 	timelineEnded := make(chan error, 1)
-	hasBegun := false
+	loadStarted := false
 	result, err := loopback.Run(ctx, load, 1, loopback.Options{
-		Dir:        filepath.Join(r.site.dir, "load"),
+		Dir:        filepath.Join(r.testbed.dir, "load"),
 		StartNodes: func(nodes []loopback.ExternalNode) error { return r.startNodes(ctx, nodes) },
 		OnLoadStarted: func() {
-			hasBegun = true
-			go func() { timelineEnded <- r.playTimeline(ctx) }()
+			loadStarted = true
+			go func() { timelineEnded <- r.runTimeline(ctx) }()
 		},
 	})
 	if err != nil {
 		r.fail(err) // so that the timeline ends too
 	}
-	if hasBegun {
+	if loadStarted {
 		err = cmp.Or(<-timelineEnded, err)
 	}
 	r.report.Load = result
 	return err
 }
 
-// playTimeline is the experiment itself, once everything runs: a quiet time, then changes and faults, then until all nodes have the last
-// version. An error ends the run.
-func (r *run) playTimeline(ctx context.Context) (err error) {
+// runTimeline runs the experiment itself once all processes run: a quiet period, then changes and faults, then a wait until all nodes have
+// the latest version. An error ends the run.
+func (r *run) runTimeline(ctx context.Context) (err error) {
 	defer func() {
 		if err != nil {
 			r.fail(err)
@@ -108,7 +108,7 @@
 		return err
 	}
 	r.countWorstSecond(true)
-	if err := r.playChangesAndFaults(ctx); err != nil {
+	if err := r.runChangesAndFaults(ctx); err != nil {
 		return err
 	}
 	r.countWorstSecond(false)
@@ -123,17 +123,17 @@
 	if err != nil {
 		return err
 	}
-	r.finish(atStart, beforeChanges, afterChanges, log)
+	r.completeReport(atStart, beforeChanges, afterChanges, log)
 	return nil
 }
 
-// playChangesAndFaults makes the changes and plays the faults side by side. An error of one ends the run, and by that the other.
-func (r *run) playChangesAndFaults(ctx context.Context) error {
-	begun := time.Now()
+// runChangesAndFaults makes the changes and runs the faults concurrently. An error of either ends the run, and thereby the other.
+func (r *run) runChangesAndFaults(ctx context.Context) error {
+	start := time.Now()
 	ended := make(chan error, 2)
-	for _, play := range []func(context.Context, time.Time) error{r.makeChanges, r.playFaults} {
+	for _, task := range []func(context.Context, time.Time) error{r.makeChanges, r.runFaults} {
 		go func() {
-			err := play(ctx, begun)
+			err := task(ctx, start)
 			if err != nil {
 				r.fail(err)
 			}
@@ -143,19 +143,19 @@
 	return cmp.Or(<-ended, <-ended)
 }
 
-// maxSettleSeconds is how long a run goes on after its last change, at most.
+// maxSettleSeconds returns the longest time that a run continues after its last change.
 func (r *run) maxSettleSeconds() float64 {
 	return settleSeconds + r.experiment.Bounds.MaxStalenessMs/1e3
 }
 
-// settle waits until all nodes have the last version, or must have it.
+// settle waits until all nodes have the latest version, for maxSettleSeconds at most.
 func (r *run) settle(ctx context.Context) error {
-	for begun := time.Now(); ; {
+	for start := time.Now(); ; {
 		r.mu.Lock()
 		newest := r.newestVersion
 		r.mu.Unlock()
-		seconds := time.Since(begun).Seconds()
-		if seconds > r.maxSettleSeconds() || seconds > minSettleSeconds && r.nodesAt(newest) == r.experiment.Nodes {
+		seconds := time.Since(start).Seconds()
+		if seconds > r.maxSettleSeconds() || seconds > minSettleSeconds && r.countNodesAt(newest) == r.experiment.Nodes {
 			return nil
 		}
 		if !wait(ctx, hollowPollInterval) {
--- a/internal/lab/scale/usage.go
+++ b/internal/lab/scale/usage.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// usage is what a process has taken.
+// usage holds the processor time and memory that a process has used.
 type usage struct {
 	cpu                   time.Duration
 	rssBytes, maxRSSBytes int64
@@ -20,22 +20,22 @@
 	// ticksPerSecond is the unit in which the kernel counts processor time.
 	ticksPerSecond = 100
 
-	// Fields of /proc/PID/stat, counted behind the process's name.
+	// Fields of /proc/PID/stat, counted after the process's name.
 	userTicksField, systemTicksField = 11, 12
 
-	// stealField and lastField are the fields of /proc/stat that count time taken by the host, and the last one that is not part of
-	// another: guests' time is in users' already.
+	// stealField is the field of /proc/stat that counts time taken by the host. lastField is the last field that is not included in
+	// another: user time already includes guest time.
 	stealField, lastField = 8, 8
 )
 
-// readUsage reads a process's usage. One that has ended has a zero usage.
+// readUsage returns a process's usage, which is zero if the process has ended.
 func readUsage(pid int) usage {
 	dir := "/proc/" + strconv.Itoa(pid)
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
 		return usage{}
 	}
-	_, afterName, ok := bytes.Cut(stat, []byte(") ")) // the name may have spaces
+	_, afterName, ok := bytes.Cut(stat, []byte(") ")) // the name may contain spaces
 	fields := strings.Fields(string(afterName))
 	if !ok || len(fields) <= systemTicksField {
 		return usage{}
@@ -46,19 +46,19 @@
 	if errors.Join(userErr, systemErr, statusErr) != nil {
 		return usage{}
 	}
-	bytesOf := func(key string) (kb int64) {
+	statusBytes := func(key string) (kb int64) {
 		_, value, _ := strings.Cut(string(status), key+":")
 		_, _ = fmt.Sscan(value, &kb)
 		return kb << 10
 	}
 	return usage{
 		cpu:         time.Duration(user+system) * time.Second / ticksPerSecond,
-		rssBytes:    bytesOf("VmRSS"),
-		maxRSSBytes: bytesOf("VmHWM"),
+		rssBytes:    statusBytes("VmRSS"),
+		maxRSSBytes: statusBytes("VmHWM"),
 	}
 }
 
-// machineMemoryMB is this machine's memory.
+// machineMemoryMB returns the memory of this machine.
 func machineMemoryMB() (float64, error) {
 	data, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -77,9 +77,9 @@
 	return lastMinute
 }
 
-// processorTime is of all of this machine's processors since it started, in ticks.
+// processorTime holds the time of all processors since the machine started, in ticks.
 type processorTime struct {
-	stolen float64 // by the host, for other machines
+	stolen float64 // used by the host for other machines
 	total  float64
 }
 
@@ -99,7 +99,7 @@
 	return t
 }
 
-// stolenShareSince is the share of the time since an earlier reading that was stolen.
+// stolenShareSince returns the fraction of the processor time since an earlier reading that was stolen.
 func (t processorTime) stolenShareSince(earlier processorTime) float64 {
 	return (t.stolen - earlier.stolen) / (t.total - earlier.total)
 }
