--- a/cmd/pearknot/call_test.go
+++ b/cmd/pearknot/call_test.go
@@ -60,7 +60,7 @@
 		args          []string
 		output        string
 		status        int
-		requestStatus int // what a request gets after it
+		requestStatus int // of a request sent after the call
 	}{
 		{[]string{"health"}, "YES ready\n", 0, 200},
 		{[]string{"cordon", "s-1"}, "YES out\n", 0, 503},
@@ -83,7 +83,7 @@
 		assert.Equal(t, c.requestStatus, got, c.args)
 	}
 	status, _ := runProgram("call", "127.0.0.1:1", "health")
-	assert.Equal(t, 1, status, "nobody there")
+	assert.Equal(t, 1, status, "nothing listens there")
 }
 
 // An operator sends the clients of a node away (quiesce). The health check fails at once. Idle connections are closed, a
@@ -92,12 +92,12 @@
 func TestQuiesceSendsClientsAway(t *testing.T) {
 	node, adminAddress := startOperatedNode(t)
 	healthy := func() bool {
-		answer, err := newClient().Get("http://" + node.address + "/_health")
+		response, err := newClient().Get("http://" + node.address + "/_health")
 		require.NoError(t, err)
-		defer answer.Body.Close()
-		return answer.StatusCode == http.StatusOK
+		defer response.Body.Close()
+		return response.StatusCode == http.StatusOK
 	}
-	slow, err := net.Dial("tcp", node.address) // one that takes its time for a head, and is not idle
+	slow, err := net.Dial("tcp", node.address) // sends its request head slowly, and is not idle
 	require.NoError(t, err)
 	defer slow.Close()
 	closed := make(chan time.Time, 1)
@@ -111,16 +111,16 @@
 		_, _ = idle.Read(make([]byte, 1))
 		closed <- time.Now()
 	}()
-	answers := bufio.NewReader(busy)
-	ask := func(id string) *http.Response { // on one connection, as long as it stays
+	reader := bufio.NewReader(busy)
+	sendRequest := func(id string) *http.Response { // on one connection, while it stays open
 		fmt.Fprintf(busy, "GET /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: %s\r\nX-Qos: check\r\nX-Expires-In-Ms: 2000\r\n\r\n", id)
-		answer, err := http.ReadResponse(answers, nil)
-		require.NoError(t, err, "never cut off")
-		_, err = io.Copy(io.Discard, answer.Body)
+		response, err := http.ReadResponse(reader, nil)
+		require.NoError(t, err, "the connection is never cut off")
+		_, err = io.Copy(io.Discard, response.Body)
 		require.NoError(t, err)
-		return answer
+		return response
 	}
-	require.False(t, ask("a").Close)
+	require.False(t, sendRequest("a").Close)
 	require.True(t, healthy())
 	startedAt := time.Now()
 	status, _ := runProgram("call", adminAddress, "quiesce")
@@ -132,17 +132,17 @@
 	time.AfterFunc(1200*time.Millisecond, func() {
 		_, _ = io.WriteString(slow, "X-Expires-In-Ms: 2000\r\n\r\n")
 		status := 0
-		if answer, err := http.ReadResponse(bufio.NewReader(slow), nil); err == nil {
-			status = answer.StatusCode
+		if response, err := http.ReadResponse(bufio.NewReader(slow), nil); err == nil {
+			status = response.StatusCode
 		}
 		statusOf <- status
 	})
 	pace := time.NewTicker(20 * time.Millisecond)
 	defer pace.Stop()
-	for k := 0; ; k++ { // in use, it is asked to close with an answer
-		answer := ask(fmt.Sprint("b", k))
-		assert.Equal(t, 200, answer.StatusCode)
-		if answer.Close {
+	for k := 0; ; k++ { // a connection in use is asked to close with a response
+		response := sendRequest(fmt.Sprint("b", k))
+		assert.Equal(t, 200, response.StatusCode)
+		if response.Close {
 			break
 		}
 		require.Less(t, time.Since(startedAt), 3*time.Second)
@@ -150,7 +150,7 @@
 	}
 	assert.Equal(t, 200, <-statusOf)
 	assert.Less(t, (<-closed).Sub(startedAt), 3500*time.Millisecond)
-	require.Eventually(t, func() bool { // what comes later could not be gone in time
+	require.Eventually(t, func() bool { // later requests are rejected: their clients could not leave in time
 		status, _, _, err := node.send(newClient(), "GET", fmt.Sprint(time.Now()), "check", "2000")
 		return err == nil && status == 503
 	}, 3*time.Second, 20*time.Millisecond)
@@ -165,12 +165,12 @@
 // A reload (SIGHUP) puts new settings in force completely or not at all. Classes are added, removed and change their
 // idempotency; a request in flight keeps the class that it arrived with.
 func TestReloadChangesSettingsWholeOrNotAtAll(t *testing.T) {
-	inFlight, answer := make(chan bool, 9), make(chan bool)
+	inFlight, release := make(chan bool, 9), make(chan bool)
 	node := startNode(t, 1024, func(rw http.ResponseWriter, request *http.Request) {
 		if strings.HasPrefix(request.Header.Get("X-Trace-Id"), "slow") {
 			inFlight <- true
-			<-answer
-			panic(http.ErrAbortHandler) // it may have run
+			<-release
+			panic(http.ErrAbortHandler) // the request may have run
 		}
 	})
 	status := func(id, class string) int {
@@ -199,7 +199,7 @@
 	require.Eventually(t, func() bool { return status("a", "look") == 200 }, 10*time.Second, 10*time.Millisecond)
 	assert.Equal(t, 400, status("b", "new"), "nothing of the invalid files was put in force")
 	assert.Equal(t, 400, status("c", "pay"), "dropped")
-	close(answer)
+	close(release)
 	assert.Equal(t, 503, <-slow, "idempotent, as it arrived: rejected")
 	assert.Equal(t, 502, status("slow-2", "check"), "at-most-once now: it fails")
 }
--- a/cmd/pearknot/capture_test.go
+++ b/cmd/pearknot/capture_test.go
@@ -134,10 +134,10 @@
 		}
 		return nil
 	}))
-	why := call(0, "explain", second, fmt.Sprint(last.Request))
-	assert.Contains(t, why, "decided: attempt request")
-	assert.Regexp(t, ": "+balancer.Eligible.String()+`; [0-9.]+ ms expected \(`, why)
-	assert.Equal(t, why, call(0, "explain", second, fmt.Sprintf("x%x", last.ID)))
+	explanation := call(0, "explain", second, fmt.Sprint(last.Request))
+	assert.Contains(t, explanation, "decided: attempt request")
+	assert.Regexp(t, ": "+balancer.Eligible.String()+`; [0-9.]+ ms expected \(`, explanation)
+	assert.Equal(t, explanation, call(0, "explain", second, fmt.Sprintf("x%x", last.ID)))
 	part := filepath.Join(dir, "part.pkcap")
 	call(0, "capture", "cut", second, "--from", fmt.Sprintf("%f", last.Now), "--out", part)
 	assert.Contains(t, call(0, "replay", part), "from 0 starts and 1 snapshots")
@@ -150,9 +150,9 @@
 	assert.Contains(t, call(2, "serve", "--config", node.file, "--capture", file), "capture.toml:2:1: most_mb: 3 is less than two segments")
 }
 
-// One comparison in the balancer is inverted, in a build of its own. A replay against that build notices, since its decisions
-// differ from the captured ones.
-func TestFlippedComparisonIsCaught(t *testing.T) {
+// A build with one inverted comparison in the balancer makes decisions that differ from the captured ones. A replay against that
+// build detects this.
+func TestReplayDetectsInvertedComparison(t *testing.T) {
 	dir := t.TempDir()
 	captures := filepath.Join(dir, "captures")
 	lab := exec.Command("go", "run", "pearknot/cmd/pearknot-lab", "run", "../../experiments/burst.toml", "--virtual", "--seeds", "1", "--capture", captures)
@@ -161,26 +161,26 @@
 	var out, errs bytes.Buffer
 	require.Equal(t, 0, run([]string{"replay", captures}, &out, &errs), out.String()+errs.String())
 	require.Equal(t, 0, run([]string{"replay", captures, "--against", nodeProgram}, &out, &errs), errs.String())
-	for k, flip := range []struct{ file, right, wrong string }{
+	for k, mutation := range []struct{ file, original, mutated string }{
 		{"selection.go", "candidates == nil || rank > bestRank", "candidates == nil || rank < bestRank"},
 		{"selection.go", "steps < nextSteps", "steps > nextSteps"},
 		{"attempt.go", "if overdueAfter < lb.timeLeft(attempt.Request) {", "if overdueAfter > lb.timeLeft(attempt.Request) {"},
 		{"request.go", "request.isLong = request.CostHint > lb.cutoff", "request.isLong = request.CostHint < lb.cutoff"},
 	} {
-		source, err := filepath.Abs(filepath.Join("../../balancer", flip.file))
+		source, err := filepath.Abs(filepath.Join("../../balancer", mutation.file))
 		require.NoError(t, err)
 		data, err := os.ReadFile(source)
 		require.NoError(t, err)
-		require.Equal(t, 1, strings.Count(string(data), flip.right), flip.right)
+		require.Equal(t, 1, strings.Count(string(data), mutation.original), mutation.original)
 		mutant := filepath.Join(dir, fmt.Sprint(k, ".go"))
-		require.NoError(t, os.WriteFile(mutant, []byte(strings.Replace(string(data), flip.right, flip.wrong, 1)), 0o600))
+		require.NoError(t, os.WriteFile(mutant, []byte(strings.Replace(string(data), mutation.original, mutation.mutated, 1)), 0o600))
 		overlay, err := json.Marshal(map[string]any{"Replace": map[string]string{source: mutant}})
 		require.NoError(t, err)
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "overlay.json"), overlay, 0o600))
 		build, err := program.Build(t.Context(), t.TempDir(), "-overlay", filepath.Join(dir, "overlay.json"))
 		require.NoError(t, err)
 		var out, errs bytes.Buffer
-		assert.Equal(t, 3, run([]string{"replay", captures, "--against", build}, &out, &errs), flip.wrong)
-		assert.Contains(t, out.String(), "captured", flip.wrong)
+		assert.Equal(t, 3, run([]string{"replay", captures, "--against", build}, &out, &errs), mutation.mutated)
+		assert.Contains(t, out.String(), "captured", mutation.mutated)
 	}
 }
--- a/cmd/pearknot/cluster_rig_test.go
+++ b/cmd/pearknot/cluster_fixture_test.go
@@ -30,9 +30,9 @@
 	"pearknot/internal/testlog"
 )
 
-// cluster is several real processes that log each other's requests. Each directed link between two of them goes through a
-// fault-injecting proxy. Backends count what runs, and an auditor checks the outcomes that clients get.
-type cluster struct {
+// testCluster is a set of real processes that log each other's requests. Each directed link between two of them goes through a
+// fault-injecting proxy. Backends count the effects, and an auditor checks the outcomes that clients get.
+type testCluster struct {
 	t               *testing.T
 	replicas        int
 	dir             string
@@ -43,16 +43,16 @@
 	nodes           []*clusterNode
 
 	mu           sync.Mutex
-	ran          map[string]int // effects by key
+	effects      map[string]int // by key
 	started      map[string]chan struct{}
-	blocked      map[string]chan struct{} // backends answer once it is closed
-	keys         *invariants.KeyAuditor
+	blocked      map[string]chan struct{} // the backend responds once it is closed
+	auditor      *invariants.KeyAuditor
 	logs         []*testlog.Buffer // of all incarnations
 	incarnations int
 	served       int
 	failed       int
-	maxDelay     time.Duration // that backends take at most
-	listen       string        // of node 0, where another process of it may come beside it
+	maxDelay     time.Duration // upper bound of a backend's random delay
+	listen       string        // fixed address of node 0, where another process of it may start beside it
 }
 
 type clusterNode struct {
@@ -80,11 +80,13 @@
 	return l.Addr().String()
 }
 
-func newCluster(t *testing.T, size, copies int) *cluster { return newClusterAt(t, size, copies, "") }
+func newTestCluster(t *testing.T, size, replicas int) *testCluster {
+	return newTestClusterAt(t, size, replicas, "")
+}
 
-func newClusterAt(t *testing.T, size, copies int, listen string) *cluster {
-	c := &cluster{listen: listen, t: t, replicas: copies, dir: t.TempDir(), ran: map[string]int{}, started: map[string]chan struct{}{}, blocked: map[string]chan struct{}{},
-		keys: invariants.NewKeyAuditor()}
+func newTestClusterAt(t *testing.T, size, replicas int, listen string) *testCluster {
+	c := &testCluster{listen: listen, t: t, replicas: replicas, dir: t.TempDir(), effects: map[string]int{}, started: map[string]chan struct{}{}, blocked: map[string]chan struct{}{},
+		auditor: invariants.NewKeyAuditor()}
 	var targets []string
 	for k := range 3 {
 		b := httptest.NewServer(http.HandlerFunc(c.serve))
@@ -103,10 +105,10 @@
 		c.proxies = append(c.proxies, make([]*faultproxy.Proxy, size))
 		for to := range size {
 			if to != from {
-				w, err := faultproxy.Open(c.memberAddresses[to])
+				proxy, err := faultproxy.Open(c.memberAddresses[to])
 				require.NoError(t, err)
-				t.Cleanup(w.Close)
-				c.proxies[from][to] = w
+				t.Cleanup(proxy.Close)
+				c.proxies[from][to] = proxy
 			}
 		}
 	}
@@ -119,7 +121,7 @@
 }
 
 // start starts a process of node k, or the next incarnation of it.
-func (c *cluster) start(k int) {
+func (c *testCluster) start(k int) {
 	var peers strings.Builder
 	fmt.Fprintf(&peers, "fleet = %q\nkey_file = \"peers.key\"\ncopies = %d\n", "cluster "+c.memberAddresses[0], c.replicas)
 	for m, port := range c.memberAddresses {
@@ -153,10 +155,10 @@
 }
 
 // waitUntilComplete waits until each running process says that all logs have their replicas.
-func (c *cluster) waitUntilComplete() {
+func (c *testCluster) waitUntilComplete() {
 	var last []byte
 	for end := time.Now().Add(20 * time.Second); ; {
-		good := true
+		complete := true
 		for _, n := range c.nodes {
 			select {
 			case <-n.ended:
@@ -165,32 +167,32 @@
 			}
 			out, err := exec.Command(nodeProgram, "peers", n.control).Output()
 			if err != nil {
-				good, last = false, out
+				complete, last = false, out
 			}
 		}
-		if good {
+		if complete {
 			return
 		}
-		require.True(c.t, time.Now().Before(end), "not complete:\n%s", last)
+		require.True(c.t, time.Now().Before(end), "logs not complete:\n%s", last)
 	}
 }
 
-func (c *cluster) serve(w http.ResponseWriter, request *http.Request) {
+func (c *testCluster) serve(w http.ResponseWriter, request *http.Request) {
 	body, _ := io.ReadAll(request.Body)
 	key := request.Header.Get("Idempotency-Key")
 	c.mu.Lock()
-	c.ran[key]++
-	n := c.ran[key]
+	c.effects[key]++
+	n := c.effects[key]
 	effect := balancer.AtMostOnce
 	if request.Header.Get("X-Qos") == "check" {
 		effect = balancer.Idempotent
 	}
-	c.keys.EffectRan(nowMs(), key, effect)
-	c.keys.RequestStored(nowMs(), key, effect, nowMs()+9000)
-	begun, unblock := c.started[key], c.blocked[key]
+	c.auditor.EffectRan(nowMs(), key, effect)
+	c.auditor.RequestStored(nowMs(), key, effect, nowMs()+9000)
+	started, unblock := c.started[key], c.blocked[key]
 	c.mu.Unlock()
-	if begun != nil && n == 1 {
-		close(begun)
+	if started != nil && n == 1 {
+		close(started)
 	}
 	if unblock != nil && n == 1 { // only the first attempt is blocked
 		select {
@@ -211,62 +213,62 @@
 	fmt.Fprintf(w, "run %d of %s %s", n, key, body)
 }
 
-// blockFirstAttempt makes backends block the first attempt of a key until unblock is closed. begun is closed once the
-// attempt is there.
-func (c *cluster) blockFirstAttempt(key string) (begun, unblock chan struct{}) {
-	begun, unblock = make(chan struct{}), make(chan struct{})
+// blockFirstAttempt makes backends block the first attempt of a key until unblock is closed. started is closed once the
+// attempt has arrived.
+func (c *testCluster) blockFirstAttempt(key string) (started, unblock chan struct{}) {
+	started, unblock = make(chan struct{}), make(chan struct{})
 	c.mu.Lock()
-	c.started[key], c.blocked[key] = begun, unblock
+	c.started[key], c.blocked[key] = started, unblock
 	c.mu.Unlock()
-	return begun, unblock
+	return started, unblock
 }
 
-func (c *cluster) attemptsOf(key string) int {
+func (c *testCluster) attemptsOf(key string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ran[key]
+	return c.effects[key]
 }
 
 // send sends a request to a node and reports the outcome that its client got, served or failed, to the auditor.
-func (c *cluster) send(k int, class, key, ttl, body string) (int, string) {
+func (c *testCluster) send(k int, class, key, ttl, body string) (int, string) {
 	request, err := http.NewRequest("POST", "http://"+c.node(k).address+"/pay", strings.NewReader(body))
 	require.NoError(c.t, err)
 	for name, value := range map[string]string{"X-Trace-Id": fmt.Sprintf("%s-%d", key, time.Now().UnixNano()), "X-Qos": class,
 		"X-Expires-In-Ms": ttl, "Idempotency-Key": key} {
 		request.Header.Set(name, value)
 	}
-	answer, err := newClient().Do(request)
+	response, err := newClient().Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, err.Error()
 	}
-	if answer.StatusCode == 200 || answer.StatusCode == 502 {
+	if response.StatusCode == 200 || response.StatusCode == 502 {
 		c.mu.Lock()
-		c.keys.OutcomeReported(nowMs(), key, fmt.Sprintf("%d %s", answer.StatusCode, text))
-		if answer.StatusCode == 200 {
+		c.auditor.OutcomeReported(nowMs(), key, fmt.Sprintf("%d %s", response.StatusCode, text))
+		if response.StatusCode == 200 {
 			c.served++
 		} else {
 			c.failed++
 		}
 		c.mu.Unlock()
 	}
-	return answer.StatusCode, string(text)
+	return response.StatusCode, string(text)
 }
 
 // checkOutcomes fails the test if the auditor has found a violation.
-func (c *cluster) checkOutcomes() {
+func (c *testCluster) checkOutcomes() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	broken := c.keys.Violations(nowMs(), 5000)
-	assert.Empty(c.t, broken, "the auditor")
+	violations := c.auditor.Violations(nowMs(), 5000)
+	assert.Empty(c.t, violations, "violations found by the auditor")
 }
 
 // logLinesWith returns the lines of all incarnations' logs that contain one of some texts, sorted.
-func (c *cluster) logLinesWith(words ...string) string {
+func (c *testCluster) logLinesWith(words ...string) string {
 	var lines []string
 	for k, log := range c.logs {
 		for line := range strings.Lines(log.String()) {
@@ -282,25 +284,25 @@
 // nowMs returns the time of the auditor's clock, in ms.
 func nowMs() float64 { return float64(time.Now().UnixMicro()) / 1e3 }
 
-func (c *cluster) kill(k int) {
+func (c *testCluster) kill(k int) {
 	require.NoError(c.t, c.nodes[k].cmd.Process.Kill())
 	select {
 	case <-c.nodes[k].ended:
 	case <-time.After(5 * time.Second):
-		c.t.Fatal("killed and not ended")
+		c.t.Fatal("process did not end after SIGKILL")
 	}
 }
 
 // setLinksOfNode0 sets a fault on all links from and to node 0.
-func (c *cluster) setLinksOfNode0(fault faultproxy.Fault) {
+func (c *testCluster) setLinksOfNode0(fault faultproxy.Fault) {
 	for k := 1; k < len(c.nodes); k++ {
 		c.proxies[0][k].SetFault(fault)
 		c.proxies[k][0].SetFault(fault)
 	}
 }
 
-// openRequests returns the number of requests that a node has in flight, or -1 if it does not say.
-func (c *cluster) openRequests(k int) int64 {
+// openRequests returns the number of requests that a node has in flight, or -1 if the status call fails.
+func (c *testCluster) openRequests(k int) int64 {
 	var status controlsocket.Status
 	client := controlsocket.NewClient(c.nodes[k].control, 5*time.Second)
 	if err := client.Call(c.t.Context(), "GET", controlsocket.StatusPath, nil, &status); err != nil {
@@ -309,9 +311,9 @@
 	return status.OpenRequests
 }
 
-// waitUntilLeadsOwnLog waits until a node leads its own request log. waitUntilComplete does not say so: a log is complete
-// under any leader, and after a start or a partition another node leads it for a while.
-func (c *cluster) waitUntilLeadsOwnLog(k int) {
+// waitUntilLeadsOwnLog waits until a node leads its own request log. waitUntilComplete does not imply that: a log is
+// complete under any leader, and after a start or a partition another node leads it for a while.
+func (c *testCluster) waitUntilLeadsOwnLog(k int) {
 	c.t.Helper()
 	name := fmt.Sprintf("n%d", k)
 	require.Eventually(c.t, func() bool {
@@ -326,13 +328,13 @@
 	}, 20*time.Second, 10*time.Millisecond)
 }
 
-// sendUntilTaken has clients send requests to node 0 whose links are slow, and calls leave with their connections once one of
-// the requests is in flight. It returns the keys of all requests that it sent.
+// sendUntilInFlight has clients send requests to node 0 whose links are slow, and calls disconnect with their connections once
+// one of the requests is in flight. It returns the keys of all requests that it sent.
 //
-// Node 0 takes the requests whose log it leads itself. The round trip to another leader is longer than a call waits for its
-// reply, so the others are rejected after a while. On a crowded machine node 0 may lose the leadership meanwhile; then all are
-// rejected, and clients are sent anew.
-func (c *cluster) sendUntilTaken(name string, leave func([]net.Conn)) []string {
+// Node 0 admits the requests whose log it leads itself. The round trip to another leader is longer than a call waits for its
+// reply, so the others are rejected after a while. On a busy machine node 0 may lose the leadership meanwhile; then all are
+// rejected, and new clients send requests.
+func (c *testCluster) sendUntilInFlight(name string, disconnect func([]net.Conn)) []string {
 	c.t.Helper()
 	const (
 		clients   = 8
@@ -349,7 +351,7 @@
 		}
 		for end := time.Now().Add(roundTime); time.Now().Before(end); time.Sleep(time.Millisecond) {
 			if c.openRequests(0) > 0 {
-				leave(conns)
+				disconnect(conns)
 				return keys
 			}
 		}
@@ -357,12 +359,12 @@
 			_ = conn.Close()
 		}
 	}
-	c.t.Fatal("no request was taken")
+	c.t.Fatal("no request was admitted")
 	return nil
 }
 
 // sendPay sends a request of class pay to a node on a connection of its own.
-func (c *cluster) sendPay(k int, key string) net.Conn {
+func (c *testCluster) sendPay(k int, key string) net.Conn {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", c.nodes[k].address)
 	require.NoError(c.t, err)
@@ -372,7 +374,7 @@
 	return conn
 }
 
-func (c *cluster) node(k int) *clusterNode {
+func (c *testCluster) node(k int) *clusterNode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nodes[k]
@@ -380,7 +382,7 @@
 
 // sendUntilAnswered sends requests with a key, to nodes at random, until one is served or failed. It reports false if none is
 // in time.
-func (c *cluster) sendUntilAnswered(key, class, ttl string, rng *rand.Rand, within time.Duration) bool {
+func (c *testCluster) sendUntilAnswered(key, class, ttl string, rng *rand.Rand, within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); {
 		status, _ := c.send(rng.IntN(len(c.memberAddresses)), class, key, ttl, "x")
 		if status == 200 || status == 502 {
@@ -393,20 +395,20 @@
 
 // startLoad starts clients that send at-most-once requests, each again until its key has an outcome. stop ends them and
 // returns how many keys were sent, and how many have an outcome.
-func (c *cluster) startLoad(clientCount int, ttl string, seed uint64) (stop func() (asked, settled int64)) {
-	over := make(chan struct{})
+func (c *testCluster) startLoad(clientCount int, ttl string, seed uint64) (stop func() (sent, settled int64)) {
+	done := make(chan struct{})
 	var clients sync.WaitGroup
-	var asked, settled atomic.Int64
+	var sent, settled atomic.Int64
 	for client := range clientCount {
 		clients.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, uint64(client)))
 			for n := 0; ; n++ {
 				select {
-				case <-over:
+				case <-done:
 					return
 				default:
 				}
-				asked.Add(1)
+				sent.Add(1)
 				if c.sendUntilAnswered(fmt.Sprintf("pay-%d-%d", client, n), "pay", ttl, rng, 8*time.Second) {
 					settled.Add(1)
 				}
@@ -414,28 +416,28 @@
 		})
 	}
 	return func() (int64, int64) {
-		close(over)
+		close(done)
 		clients.Wait()
-		return asked.Load(), settled.Load()
+		return sent.Load(), settled.Load()
 	}
 }
 
 // stop sends SIGTERM to a process and waits until it has ended.
-func (c *cluster) stop(n *clusterNode) {
+func (c *testCluster) stop(n *clusterNode) {
 	require.NoError(c.t, n.cmd.Process.Signal(syscall.SIGTERM))
 	select {
 	case <-n.ended:
 	case <-time.After(8 * time.Second):
-		c.t.Fatal("did not end after SIGTERM")
+		c.t.Fatal("process did not end after SIGTERM")
 	}
 }
 
 // requireNothingTakenOver requires that each key has an outcome and that no request had to be taken over: a process that is
 // stopped by SIGTERM finishes its own.
-func (c *cluster) requireNothingTakenOver(asked, settled int64) {
+func (c *testCluster) requireNothingTakenOver(sent, settled int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.t.Logf("%d keys, %d settled, %d failed", asked, settled, c.failed)
-	require.Equal(c.t, asked, settled)
+	c.t.Logf("%d keys, %d settled, %d failed", sent, settled, c.failed)
+	require.Equal(c.t, sent, settled)
 	require.Empty(c.t, c.logLinesWith("request taken over"))
 }
--- a/cmd/pearknot/clusterfaults_test.go
+++ b/cmd/pearknot/clusterfaults_test.go
@@ -30,12 +30,12 @@
 	if n, err := strconv.ParseUint(os.Getenv("PEARKNOT_CLUSTER_SEED"), 10, 64); err == nil {
 		seed = n
 	}
-	cluster := newCluster(t, 5, 3+2*int(seed%2)) // two killed at once are a majority of three replicas
+	cluster := newTestCluster(t, 5, 3+2*int(seed%2)) // two killed at once are a majority of three replicas
 	cluster.maxDelay = 300 * time.Millisecond
 	defer cluster.checkOutcomes()
 	until := time.Now().Add(time.Duration(seconds) * time.Second)
 	var clients sync.WaitGroup
-	var asked, settled, open atomic.Int64
+	var sent, settled, unsettledCount atomic.Int64
 	var unsettled sync.Map
 	for client := range 24 {
 		clients.Go(func() {
@@ -45,12 +45,12 @@
 				if rng.IntN(4) == 0 {
 					key, class = "check"+key[3:], "check"
 				}
-				asked.Add(1)
+				sent.Add(1)
 				if cluster.sendUntilAnswered(key, class, "2500", rng, 6*time.Second) {
 					settled.Add(1)
 				} else {
 					unsettled.Store(key, class)
-					open.Add(1)
+					unsettledCount.Add(1)
 				}
 			}
 		})
@@ -60,23 +60,23 @@
 	cluster.waitUntilComplete()
 	rng := rand.New(rand.NewPCG(seed, 7))
 	unsettled.Range(func(key, class any) bool {
-		assert.True(t, cluster.sendUntilAnswered(key.(string), class.(string), "2500", rng, 8*time.Second), "survives: %v has no outcome", key)
+		assert.True(t, cluster.sendUntilAnswered(key.(string), class.(string), "2500", rng, 8*time.Second), "key %v has no outcome", key)
 		return true
 	})
 	cluster.mu.Lock()
 	served, failed := cluster.served, cluster.failed
 	cluster.mu.Unlock()
-	t.Logf("seed %d: %d keys, %d settled within 6 s, %d served, %d failed, %d kills", seed, asked.Load(), settled.Load(), served, failed, kills)
+	t.Logf("seed %d: %d keys, %d settled within 6 s, %d served, %d failed, %d kills", seed, sent.Load(), settled.Load(), served, failed, kills)
 	require.Greater(t, served, 20)
 }
 
-// This measures the figures of docs/takeover.md: PEARKNOT_MEASURE_PEERS=1 go test -run TestMeasureRequestLogging -v
+// Measures the figures of docs/takeover.md: PEARKNOT_MEASURE_PEERS=1 go test -run TestMeasureRequestLogging -v
 // ./cmd/pearknot
 func TestMeasureRequestLogging(t *testing.T) {
 	if os.Getenv("PEARKNOT_MEASURE_PEERS") == "" {
 		t.Skip("a measurement")
 	}
-	cluster := newCluster(t, 5, 3)
+	cluster := newTestCluster(t, 5, 3)
 	defer cluster.checkOutcomes()
 	quantile := func(times []time.Duration, q float64) time.Duration {
 		slices.Sort(times)
@@ -97,10 +97,10 @@
 			if isLogged {
 				request.Header.Set("Idempotency-Key", key)
 			}
-			answer, err := client.Do(request)
+			response, err := client.Do(request)
 			require.NoError(t, err)
-			_ = answer.Body.Close()
-			if answer.StatusCode == 200 {
+			_ = response.Body.Close()
+			if response.StatusCode == 200 {
 				took = append(took, time.Since(startedAt))
 			}
 		}
@@ -110,17 +110,17 @@
 	var times []time.Duration
 	var mu sync.Mutex
 	for round := range 10 {
-		const open = 5 // fewer than a node that has seen few answers may have in flight
+		const inFlight = 5 // less than the in-flight limit of a node that has seen few responses
 		var unblock []chan struct{}
 		var keys []string
-		for n := range open {
+		for n := range inFlight {
 			key := fmt.Sprintf("pay-k-%d-%d", round, n)
-			begun, h := cluster.blockFirstAttempt(key)
-			unblock, keys = append(unblock, h), append(keys, key)
+			started, release := cluster.blockFirstAttempt(key)
+			unblock, keys = append(unblock, release), append(keys, key)
 			go cluster.send(0, "pay", key, "8000", "x")
-			<-begun
+			<-started
 		}
-		killed := time.Now()
+		killedAt := time.Now()
 		cluster.kill(0)
 		var waits sync.WaitGroup
 		for k, key := range keys {
@@ -130,13 +130,13 @@
 				status, text := cluster.send(1+k%4, "pay", key, "7000", "x")
 				assert.Equal(t, 502, status, text)
 				mu.Lock()
-				times = append(times, time.Since(killed))
+				times = append(times, time.Since(killedAt))
 				mu.Unlock()
 			}()
 		}
 		waits.Wait()
-		for _, h := range unblock {
-			close(h)
+		for _, release := range unblock {
+			close(release)
 		}
 		cluster.start(0)
 		cluster.waitUntilComplete()
@@ -145,25 +145,25 @@
 	t.Logf("kill to outcome, %d requests: 50%% %v, 99%% %v, worst %v", len(times), quantile(times, 0.5), quantile(times, 0.99), quantile(times, 1))
 }
 
-// Of what the links carry, one piece in 200 is 300 ms late, under a light load. No process may be taken for lost.
+// One chunk in 200 on the links is delayed by 300 ms, under a light load. No process may be considered lost.
 // PEARKNOT_CLUSTER_CALM_SECONDS=600 runs for ten minutes.
-func TestNoTakeoverUnderCalmLoad(t *testing.T) {
+func TestNoTakeoverUnderLightLoad(t *testing.T) {
 	seconds := 4
 	if n, err := strconv.Atoi(os.Getenv("PEARKNOT_CLUSTER_CALM_SECONDS")); err == nil {
 		seconds = n
 	}
-	cluster := newCluster(t, 5, 3)
+	cluster := newTestCluster(t, 5, 3)
 	defer cluster.checkOutcomes()
 	for _, row := range cluster.proxies {
-		for _, w := range row {
-			if w != nil {
-				w.SetFault(faultproxy.Fault{Delay: 300 * time.Millisecond, DelayedShare: 0.005})
+		for _, proxy := range row {
+			if proxy != nil {
+				proxy.SetFault(faultproxy.Fault{Delay: 300 * time.Millisecond, DelayedShare: 0.005})
 			}
 		}
 	}
 	until := time.Now().Add(time.Duration(seconds) * time.Second)
 	var clients sync.WaitGroup
-	var served, other atomic.Int64
+	var served, notServed atomic.Int64
 	for client := range 5 {
 		clients.Go(func() {
 			tick := time.NewTicker(10 * time.Millisecond)
@@ -173,19 +173,19 @@
 				if status, _ := cluster.send(client, "pay", fmt.Sprintf("pay-%d-%d", client, n), "4000", "x"); status == 200 {
 					served.Add(1)
 				} else {
-					other.Add(1)
+					notServed.Add(1)
 				}
 			}
 		})
 	}
 	clients.Wait()
-	took := 0
+	takenOver := 0
 	for _, n := range cluster.nodes {
-		took += strings.Count(n.log.String(), "request taken over")
+		takenOver += strings.Count(n.log.String(), "request taken over")
 	}
-	t.Logf("%d s: %d served, %d not, %d taken over", seconds, served.Load(), other.Load(), took)
-	require.Zero(t, took)
-	require.Greater(t, served.Load(), other.Load()*50)
+	t.Logf("%d s: %d served, %d not, %d taken over", seconds, served.Load(), notServed.Load(), takenOver)
+	require.Zero(t, takenOver)
+	require.Greater(t, served.Load(), notServed.Load()*50)
 }
 
 // All processes are restarted in turn under load, each once the logs are complete again: by SIGTERM with three replicas, by
@@ -193,7 +193,7 @@
 // came during a transfer were once refused as if the log were full, so that outcomes were not recorded.
 func TestRestartOfAllNodesInTurn(t *testing.T) {
 	t.Run("SIGTERM", func(t *testing.T) {
-		cluster := newCluster(t, 5, 3)
+		cluster := newTestCluster(t, 5, 3)
 		cluster.maxDelay = 100 * time.Millisecond
 		defer cluster.checkOutcomes()
 		stop := cluster.startLoad(10, "3000", 5)
@@ -205,7 +205,7 @@
 		cluster.requireNothingTakenOver(stop())
 	})
 	t.Run("killed", func(t *testing.T) {
-		cluster := newCluster(t, 5, 5)
+		cluster := newTestCluster(t, 5, 5)
 		cluster.maxDelay = 100 * time.Millisecond
 		defer cluster.checkOutcomes()
 		stop := cluster.startLoad(10, "3000", 5)
@@ -216,9 +216,9 @@
 			cluster.waitUntilComplete()
 		}
 		took := time.Since(startedAt)
-		asked, settled := stop()
-		t.Logf("%v for five, %d keys, %d failed", took.Round(time.Millisecond), asked, cluster.failed)
-		require.Equal(t, asked, settled)
+		sent, settled := stop()
+		t.Logf("%v for five, %d keys, %d failed", took.Round(time.Millisecond), sent, cluster.failed)
+		require.Equal(t, sent, settled)
 	})
 }
 
@@ -229,7 +229,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
 	t.Setenv("TMPDIR", dir)
-	cluster := newClusterAt(t, 3, 3, reserveAddress(t))
+	cluster := newTestClusterAt(t, 3, 3, reserveAddress(t))
 	cluster.maxDelay = 200 * time.Millisecond
 	defer cluster.checkOutcomes()
 	stop := cluster.startLoad(9, "3500", 6)
@@ -245,20 +245,20 @@
 // Processes that start at the same time connect, bootstrap their logs, and complete them.
 func TestClusterBootstraps(t *testing.T) {
 	for k := range 3 {
-		t.Run(strconv.Itoa(k), func(t *testing.T) { newCluster(t, 5, 5) })
+		t.Run(strconv.Itoa(k), func(t *testing.T) { newTestCluster(t, 5, 5) })
 	}
 }
 
 // injectFaults injects one fault after the other until a time, on one link or all links of a node. The generator draws the
 // schedule: processes are killed and restarted, or frozen and resumed; links are cut in both directions or one, slowed,
 // delayed, and reset once or repeatedly. It returns the number of kills.
-func (c *cluster) injectFaults(rng *rand.Rand, until time.Time, log func(string, ...any)) (kills int) {
+func (c *testCluster) injectFaults(rng *rand.Rand, until time.Time, log func(string, ...any)) (kills int) {
 	size := len(c.nodes)
-	setFault := func(node int, others []int, f faultproxy.Fault, both bool) {
+	setFault := func(node int, others []int, f faultproxy.Fault, bothDirections bool) {
 		for _, peer := range others {
 			if node != peer {
 				c.proxies[node][peer].SetFault(f)
-				if both {
+				if bothDirections {
 					c.proxies[peer][node].SetFault(f)
 				}
 			}
--- a/cmd/pearknot/deploy_test.go
+++ b/cmd/pearknot/deploy_test.go
@@ -19,12 +19,12 @@
 // ignoreHangup is the only thing that may precede the program in the deploy file's run line.
 const ignoreHangup = "trap '' HUP; "
 
-// SIGHUP comes while the run line's shell becomes the program, which takes 4 ms or more until it handles signals. Without
-// ignoreHangup it would end the process. The configuration is read after that, so nothing is lost with the signal; a later one
-// is handled.
-func TestHangupBeforeTheProgramHandlesIt(t *testing.T) {
-	first, asked := newRecordedDiscovery(t)
-	second, askedSecond := newRecordedDiscovery(t)
+// SIGHUP arrives while the run line's shell executes the program, which takes 4 ms or more until it handles signals. Without
+// ignoreHangup the signal would end the process. The configuration is read after that, so nothing is lost with the signal; a
+// later one is handled.
+func TestHangupBeforeSignalHandling(t *testing.T) {
+	first, firstQueries := newRecordedDiscovery(t)
+	second, secondQueries := newRecordedDiscovery(t)
 	config, err := os.ReadFile(writeConfig(t, &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1}, 192, 256, "", settings))
 	require.NoError(t, err)
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -32,14 +32,14 @@
 		require.NoError(t, os.WriteFile(file, discoveryKey.ReplaceAll(config, fmt.Appendf(nil, `"discovery":%q`, discovery)), 0o600))
 	}
 	write(first)
-	// The shell sends the signal to itself right before it becomes the program.
+	// The shell sends the signal to itself right before it executes the program.
 	process := exec.Command("sh", "-c", ignoreHangup+"kill -HUP $$; exec "+nodeProgram+" serve -config "+file)
 	require.NoError(t, process.Start())
 	t.Cleanup(func() { _ = process.Process.Kill(); _ = process.Wait() })
-	assert.Equal(t, "from=41&hold_ms=1", <-asked)
+	assert.Equal(t, "from=41&hold_ms=1", <-firstQueries)
 	write(second)
 	require.NoError(t, process.Process.Signal(syscall.SIGHUP))
-	assert.Equal(t, "", <-askedSecond)
+	assert.Equal(t, "", <-secondQueries)
 }
 
 // The benchmark of large fleets preloads a library into the node. That takes a program that is linked against the C library
@@ -51,8 +51,8 @@
 	require.NoError(t, toml.Unmarshal(data, &deploy))
 
 	run, ok := strings.CutPrefix(deploy.Run, ignoreHangup+"exec ")
-	require.True(t, ok, "run ends by exec: %s", deploy.Run)
-	assert.False(t, strings.ContainsAny(run, "|&;<>()`$\n"), "and starts nothing beside: %s", run)
+	require.True(t, ok, "run must end with exec: %s", deploy.Run)
+	assert.False(t, strings.ContainsAny(run, "|&;<>()`$\n"), "run must start no other process: %s", run)
 
 	require.Contains(t, deploy.Build, "-o bin/ ./cmd/...")
 	dir := t.TempDir()
@@ -63,7 +63,7 @@
 	built, err := elf.Open(filepath.Join(dir, "pearknot"))
 	require.NoError(t, err)
 	defer built.Close()
-	require.NotNil(t, built.Section(".interp"), "it names the C library's loader")
+	require.NotNil(t, built.Section(".interp"), "the program must name the C library's loader")
 	libraries, err := built.ImportedLibraries()
 	require.NoError(t, err)
 	assert.Contains(t, strings.Join(libraries, " "), "libc.so")
@@ -81,7 +81,7 @@
 	require.NoError(t, err)
 	var want []string
 	for name := range strings.Lines(string(out)) {
-		if name, ours := strings.CutPrefix(strings.TrimSpace(name), "pearknot/"); ours && name != "balancer" {
+		if name, isLocal := strings.CutPrefix(strings.TrimSpace(name), "pearknot/"); isLocal && name != "balancer" {
 			want = append(want, name)
 		}
 	}
--- a/cmd/pearknot/discovery_test.go
+++ b/cmd/pearknot/discovery_test.go
@@ -18,17 +18,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// When a whole fleet restarts, discovery is overloaded: it rejects calls, breaks responses off, or answers something
-// unexpected. The node goes on with its list, answers each request that it takes, and follows the list again once discovery is
-// well.
+// When a whole fleet restarts, discovery is overloaded: it rejects calls, aborts responses, or sends unexpected ones.
+// The node continues with its list, answers each request that it admits, and follows the list again once discovery has
+// recovered.
 func TestFaultyDiscoveryAnswers(t *testing.T) {
 	refuse := func(rw http.ResponseWriter, _, _ string) { rw.WriteHeader(http.StatusServiceUnavailable) }
 	for name, c := range map[string]struct {
-		serve func(rw http.ResponseWriter, old, fresh string)
-		want  []int // statuses that requests may have meanwhile
-		now   bool  // a rejection is at once, not when the request's time is over
+		serve     func(rw http.ResponseWriter, old, fresh string)
+		want      []int // statuses that requests may have meanwhile
+		immediate bool  // a rejection comes at once, not at the request's deadline
 	}{
-		"turned away": {refuse, []int{200}, false},
+		"calls rejected": {refuse, []int{200}, false},
 		"half a list": {func(rw http.ResponseWriter, old, _ string) {
 			rw.Header().Set("Content-Length", "900")
 			_, _ = io.WriteString(rw, old[:30])
@@ -66,14 +66,14 @@
 			require.Eventually(t, func() bool {
 				mu.Lock()
 				defer mu.Unlock()
-				return calls > 1 // it has taken in the first answer and asked again
+				return calls > 1 // it has applied the first response and polled again
 			}, 10*time.Second, time.Millisecond)
 			for k := range 20 {
 				startedAt := time.Now()
 				status, _, _, err := node.send(client, "GET", fmt.Sprint("a", k), "check", "6000")
 				require.NoError(t, err)
 				assert.Contains(t, c.want, status)
-				if c.now {
+				if c.immediate {
 					assert.Less(t, time.Since(startedAt), 3*time.Second)
 				}
 			}
@@ -83,14 +83,14 @@
 			require.Eventually(t, func() bool {
 				status, _, _, err := node.send(client, "GET", "b", "check", "6000")
 				return err == nil && status == http.StatusOK
-			}, 10*time.Second, 10*time.Millisecond, "it comes back with the list")
+			}, 10*time.Second, 10*time.Millisecond, "it serves again once it has the list")
 		})
 	}
 }
 
 // The known list in a configuration is a delta only. It is not used: a watch that continued from its version would never learn
 // of the other backends.
-func TestKnownChangesAloneAreNoList(t *testing.T) {
+func TestKnownDeltaIsNotUsed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
--- a/cmd/pearknot/edge_rig_test.go
+++ b/cmd/pearknot/edge_fixture_test.go
@@ -16,14 +16,14 @@
 	return &net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(address)}}
 }
 
-// floodKind is one kind of abusive client: so many connections per second from so many addresses, what each sends, and how
-// long it stays.
+// floodKind describes abusive clients: their connections per second, their number of addresses, what each connection sends, and
+// how long it stays open.
 type floodKind struct {
 	name      string
 	rate      rate.Limit
 	addresses int
-	sends     string
-	stays     time.Duration
+	payload   string
+	duration  time.Duration
 }
 
 // start opens connections until ctx ends, at most 400 at a time.
@@ -45,8 +45,8 @@
 					return
 				}
 				defer c.Close()
-				_, _ = io.WriteString(c, flood.sends)
-				_ = c.SetReadDeadline(time.Now().Add(flood.stays))
+				_, _ = io.WriteString(c, flood.payload)
+				_ = c.SetReadDeadline(time.Now().Add(flood.duration))
 				stop := context.AfterFunc(ctx, func() { _ = c.SetReadDeadline(time.Now()) })
 				defer stop()
 				_, _ = io.Copy(io.Discard, io.LimitReader(c, 1<<16))
@@ -56,7 +56,7 @@
 	return &all
 }
 
-func pauseFor(ctx context.Context, d time.Duration) {
+func sleepContext(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/cmd/pearknot/faultydiscovery_test.go
+++ b/cmd/pearknot/faultydiscovery_test.go
@@ -16,18 +16,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// discoveryMode is how discovery treats its callers.
+// discoveryMode selects how discovery responds to calls.
 type discoveryMode string
 
 const (
-	discoveryWell       discoveryMode = "well"
-	discoverySlow       discoveryMode = "slow"         // answers after 1.5 s
-	discoveryTrickling  discoveryMode = "trickling"    // one byte at a time, over 1 s
-	discoverySilent     discoveryMode = "silent"       // accepts, and never answers; its connections stay so, whatever comes after
-	discoveryOverloaded discoveryMode = "turned away"  // 503: too many callers
-	discoveryRefusing   discoveryMode = "refusing"     // nobody listens
-	discoveryFull       discoveryMode = "full"         // nobody accepts, and the listener's queue is full
-	discoveryClosing    discoveryMode = "shuts unread" // accepts, and closes at once
+	discoveryHealthy    discoveryMode = "well"
+	discoverySlow       discoveryMode = "slow"          // answers after 1.5 s
+	discoveryTrickling  discoveryMode = "trickling"     // one byte at a time, over 1 s
+	discoverySilent     discoveryMode = "silent"        // accepts and never responds; its connections stay silent in later modes
+	discoveryOverloaded discoveryMode = "responds 503"  // too many callers
+	discoveryRefusing   discoveryMode = "refusing"      // nothing listens
+	discoveryFull       discoveryMode = "full"          // connections are not accepted, and the listener's queue is full
+	discoveryClosing    discoveryMode = "closes unread" // accepts, and closes at once
 )
 
 // faultyDiscovery is a discovery service that keeps its address while its mode changes.
@@ -38,17 +38,17 @@
 	mu              sync.Mutex
 	mode            discoveryMode
 	list            string               // the list, without its version
-	delta           string               // what changed since the version before
-	version         uint64               // of both
-	changed         chan struct{}        // closed when the version moves on
+	delta           string               // changes since the previous version
+	version         uint64               // of list and delta
+	changed         chan struct{}        // closed when the version increases
 	calls           int                  // in this mode
-	firstCalledWith map[uint64]time.Time // when a call first came from a node that has this version
-	closeListener   func()               // of whatever listens
+	firstCalledWith map[uint64]time.Time // time of the first call from a node with this version
+	closeListener   func()               // closes the current listener
 }
 
 func newFaultyDiscovery(t testing.TB, version uint64, list string) *faultyDiscovery {
 	discovery := &faultyDiscovery{t: t, address: reserveAddress(t), version: version, list: list, changed: make(chan struct{}), firstCalledWith: map[uint64]time.Time{}, closeListener: func() {}}
-	discovery.setMode(discoveryWell)
+	discovery.setMode(discoveryHealthy)
 	t.Cleanup(func() { discovery.setMode(discoveryRefusing) })
 	return discovery
 }
@@ -57,7 +57,7 @@
 func (discovery *faultyDiscovery) Network() string { return "tcp" }
 func (discovery *faultyDiscovery) String() string  { return discovery.address }
 
-// publish publishes the next version of the list: the delta and the whole.
+// publish publishes the next version of the list: the delta and the whole list.
 func (discovery *faultyDiscovery) publish(delta, list string) {
 	discovery.mu.Lock()
 	defer discovery.mu.Unlock()
@@ -67,7 +67,7 @@
 	discovery.changed = make(chan struct{})
 }
 
-// firstSeenWith returns when a call first came from a node that has a version; the zero time is never.
+// firstSeenWith returns the time of the first call from a node with a version, or the zero time if there was none.
 func (discovery *faultyDiscovery) firstSeenWith(version uint64) time.Time {
 	discovery.mu.Lock()
 	defer discovery.mu.Unlock()
@@ -81,7 +81,7 @@
 	return discovery.calls
 }
 
-// setMode closes all connections and starts anew in another mode.
+// setMode closes all connections but those of discoverySilent, and restarts the service in another mode.
 func (discovery *faultyDiscovery) setMode(mode discoveryMode) {
 	discovery.closeListener()
 	discovery.mu.Lock()
@@ -93,7 +93,7 @@
 	case discoveryFull:
 		discovery.listenWithFullQueue()
 	default:
-		// The address is held by a socket that does not listen, beside which this one does.
+		// reserveAddress holds the address with a socket that does not listen. With SO_REUSEPORT this one can listen there.
 		l, err := (&net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 			_ = raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
 			return err
@@ -121,21 +121,21 @@
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(discovery.t, err)
 	require.NoError(discovery.t, unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1))
-	at := &unix.SockaddrInet4{Port: to.Port}
-	copy(at.Addr[:], to.IP.To4())
-	require.NoError(discovery.t, unix.Bind(fd, at))
+	address := &unix.SockaddrInet4{Port: to.Port}
+	copy(address.Addr[:], to.IP.To4())
+	require.NoError(discovery.t, unix.Bind(fd, address))
 	require.NoError(discovery.t, unix.Listen(fd, 0))
-	var inQueue []net.Conn
-	for { // as long as any comes up
+	var queued []net.Conn
+	for { // until a connection is not accepted
 		conn, err := net.DialTimeout("tcp", discovery.address, 200*time.Millisecond)
 		if err != nil {
 			break
 		}
-		inQueue = append(inQueue, conn)
+		queued = append(queued, conn)
 	}
 	discovery.closeListener = func() {
 		_ = unix.Close(fd)
-		for _, conn := range inQueue {
+		for _, conn := range queued {
 			_ = conn.Close()
 		}
 	}
@@ -143,17 +143,17 @@
 
 func (discovery *faultyDiscovery) serve(mode discoveryMode, w http.ResponseWriter, request *http.Request) {
 	from, err := strconv.ParseUint(request.URL.Query().Get("from"), 10, 64)
-	watch := err == nil
-	hold, _ := strconv.Atoi(request.URL.Query().Get("hold_ms"))
+	isWatch := err == nil
+	holdMs, _ := strconv.Atoi(request.URL.Query().Get("hold_ms"))
 	discovery.mu.Lock()
 	if mode == discovery.mode {
 		discovery.calls++
 	}
 	changed := discovery.changed
-	if discovery.firstCalledWith[from].IsZero() && watch {
+	if discovery.firstCalledWith[from].IsZero() && isWatch {
 		discovery.firstCalledWith[from] = time.Now()
 	}
-	news := !watch || from != discovery.version
+	hasUpdate := !isWatch || from != discovery.version
 	discovery.mu.Unlock()
 	switch mode {
 	case discoverySilent:
@@ -169,35 +169,35 @@
 			return
 		}
 	}
-	if !news {
+	if !hasUpdate {
 		select {
 		case <-changed:
-		case <-time.After(time.Duration(hold) * time.Millisecond):
+		case <-time.After(time.Duration(holdMs) * time.Millisecond):
 		case <-request.Context().Done():
 			return
 		}
 	}
 	discovery.mu.Lock()
-	answer := fmt.Sprintf(`{"rev":%d,"all":true,"targets":[%s]}`, discovery.version, discovery.list)
-	if watch && from == discovery.version {
-		answer = fmt.Sprintf(`{"rev":%d,"all":false,"targets":[]}`, discovery.version)
-	} else if watch && from+1 == discovery.version {
-		answer = fmt.Sprintf(`{"rev":%d,"all":false,"targets":[%s]}`, discovery.version, discovery.delta)
+	response := fmt.Sprintf(`{"rev":%d,"all":true,"targets":[%s]}`, discovery.version, discovery.list)
+	if isWatch && from == discovery.version {
+		response = fmt.Sprintf(`{"rev":%d,"all":false,"targets":[]}`, discovery.version)
+	} else if isWatch && from+1 == discovery.version {
+		response = fmt.Sprintf(`{"rev":%d,"all":false,"targets":[%s]}`, discovery.version, discovery.delta)
 	}
 	discovery.mu.Unlock()
 	if mode != discoveryTrickling {
-		_, _ = io.WriteString(w, answer)
+		_, _ = io.WriteString(w, response)
 		return
 	}
-	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
+	w.Header().Set("Content-Length", strconv.Itoa(len(response)))
 	startedAt := time.Now()
-	for k := range len(answer) { // each at its own time, so that a late one does not delay the rest
+	for k := range len(response) { // each at its own time, so that a late one does not delay the rest
 		select {
-		case <-time.After(time.Until(startedAt.Add(time.Duration(k) * time.Second / time.Duration(len(answer))))):
+		case <-time.After(time.Until(startedAt.Add(time.Duration(k) * time.Second / time.Duration(len(response))))):
 		case <-request.Context().Done():
 			return
 		}
-		_, _ = io.WriteString(w, answer[k:k+1])
+		_, _ = io.WriteString(w, response[k:k+1])
 		_ = http.NewResponseController(w).Flush()
 	}
 }
--- a/cmd/pearknot/framing_test.go
+++ b/cmd/pearknot/framing_test.go
@@ -18,18 +18,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-const bulk = 24 << 20 // bytes, of which three are over the memory limit of the node below
+const bodySize = 24 << 20 // bytes; three bodies exceed the memory limit of the node below
 
 // Request bodies and responses that together are far larger than the node's memory limit pass through it complete, at their
 // clients' pace, and other clients do not wait for them.
-func TestLongBodiesPassInLittleMemory(t *testing.T) {
+func TestLargeBodiesAreStreamed(t *testing.T) {
 	block := bytes.Repeat([]byte("0123456789abcdef"), 4<<10)
 	node := startNode(t, 256, func(rw http.ResponseWriter, request *http.Request) {
 		if strings.HasPrefix(request.Header.Get("X-Trace-Id"), "down") {
 			if request.Header.Get("X-Trace-Id") != "down-0" { // that one in chunks
-				rw.Header().Set("Content-Length", strconv.Itoa(bulk))
+				rw.Header().Set("Content-Length", strconv.Itoa(bodySize))
 			}
-			for range bulk / len(block) {
+			for range bodySize / len(block) {
 				_, _ = rw.Write(block)
 			}
 			return
@@ -37,7 +37,7 @@
 		n, _ := io.Copy(io.Discard, request.Body)
 		fmt.Fprint(rw, n)
 	})
-	memory := func() int { // in kB
+	peakMemory := func() int { // in kB
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", node.process.Process.Pid))
 		require.NoError(t, err)
 		_, rest, _ := strings.Cut(string(text), "VmHWM:")
@@ -46,39 +46,39 @@
 		return kB
 	}
 	var all sync.WaitGroup
-	slow, begins := make(chan struct{}), make(chan struct{}, 1)
+	resume, starting := make(chan struct{}), make(chan struct{}, 1)
 	for k := range 6 {
-		begins <- struct{}{} // one after the other, so that none is rejected for the others
+		starting <- struct{}{} // one after the other, so that none is rejected because of the others
 		all.Go(func() {
 			request, _ := http.NewRequest("GET", "http://"+node.address+"/api", nil)
 			request.Header = http.Header{"X-Trace-Id": {fmt.Sprint("down-", k)}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"1500"}}
-			answer, err := newClient().Do(request)
+			response, err := newClient().Do(request)
 			if !assert.NoError(t, err) {
 				return
 			}
-			defer answer.Body.Close()
+			defer response.Body.Close()
 			first := make([]byte, 1000)
-			_, err = io.ReadFull(answer.Body, first)
+			_, err = io.ReadFull(response.Body, first)
 			assert.NoError(t, err, "the first bytes at once")
-			<-begins
-			<-slow // and then far beyond the request's time
-			n, err := io.Copy(io.Discard, answer.Body)
+			<-starting
+			<-resume // and then long after the request's deadline
+			n, err := io.Copy(io.Discard, response.Body)
 			assert.NoError(t, err)
-			assert.Equal(t, int64(bulk-1000), n)
+			assert.Equal(t, int64(bodySize-1000), n)
 		})
 		all.Go(func() {
-			request, _ := http.NewRequest("POST", "http://"+node.address+"/api", io.LimitReader(endlessReader{}, bulk))
-			if request.ContentLength = bulk; k%2 == 0 {
+			request, _ := http.NewRequest("POST", "http://"+node.address+"/api", io.LimitReader(endlessReader{}, bodySize))
+			if request.ContentLength = bodySize; k%2 == 0 {
 				request.ContentLength = -1
 			}
 			request.Header = http.Header{"X-Trace-Id": {fmt.Sprint("up-", k)}, "X-Qos": {"pay"}, "X-Expires-In-Ms": {"4000"}}
-			answer, err := newClient().Do(request)
+			response, err := newClient().Do(request)
 			if !assert.NoError(t, err) {
 				return
 			}
-			defer answer.Body.Close()
-			output, _ := io.ReadAll(answer.Body)
-			assert.Equal(t, strconv.Itoa(bulk), string(output))
+			defer response.Body.Close()
+			output, _ := io.ReadAll(response.Body)
+			assert.Equal(t, strconv.Itoa(bodySize), string(output))
 		})
 	}
 	client, startedAt, served, k := newClient(), time.Now(), 0, 0
@@ -92,16 +92,16 @@
 		assert.Less(t, time.Since(asked), time.Second)
 	}
 	assert.Greater(t, served, k*9/10)
-	close(slow)
+	close(resume)
 	all.Wait()
-	assert.Less(t, memory(), 64<<10, "of %d MB that went through", 12*bulk>>20)
+	assert.Less(t, peakMemory(), 64<<10, "of %d MB transferred", 12*bodySize>>20)
 }
 
 type endlessReader struct{}
 
 func (endlessReader) Read(b []byte) (int, error) { return len(b), nil }
 
-// Requests are framed in all valid ways, however their bytes are split, and are served. A request that could hide another one
+// Requests in all valid framings are served, however their bytes are split. A request that could hide another one
 // (request smuggling) is refused.
 func TestRequestFramings(t *testing.T) {
 	node := startNode(t, 256, func(rw http.ResponseWriter, request *http.Request) {
@@ -147,14 +147,14 @@
 			_, err = io.WriteString(to, sent)
 			require.NoError(t, err)
 			from := bufio.NewReader(to)
-			answer, err := http.ReadResponse(from, nil)
-			if err == nil && answer.StatusCode == 100 {
-				answer, err = http.ReadResponse(from, nil)
+			response, err := http.ReadResponse(from, nil)
+			if err == nil && response.StatusCode == 100 {
+				response, err = http.ReadResponse(from, nil)
 			}
 			require.NoError(t, err)
-			output, err := io.ReadAll(answer.Body)
+			output, err := io.ReadAll(response.Body)
 			require.NoError(t, err)
-			assert.Equal(t, c.status, answer.StatusCode)
+			assert.Equal(t, c.status, response.StatusCode)
 			if c.status == 200 {
 				assert.Equal(t, c.body, string(output))
 			}
@@ -162,9 +162,9 @@
 	}
 }
 
-// A backend breaks off its response after it has begun. The client sees that the response is incomplete, and the request is
+// A backend aborts its response after it has begun. The client sees that the response is incomplete, and the request is
 // not sent again.
-func TestBackendBreaksOffItsResponse(t *testing.T) {
+func TestBackendAbortsItsResponse(t *testing.T) {
 	for name, chunked := range map[string]bool{"a length": false, "chunks": true} {
 		node := startNode(t, 256, func(rw http.ResponseWriter, _ *http.Request) {
 			if !chunked {
@@ -176,11 +176,11 @@
 		})
 		request, _ := http.NewRequest("GET", "http://"+node.address+"/api", nil)
 		request.Header = http.Header{"X-Trace-Id": {"a"}, "X-Qos": {"check"}, "X-Expires-In-Ms": {"2000"}}
-		answer, err := newClient().Do(request)
+		response, err := newClient().Do(request)
 		require.NoError(t, err, name)
-		_, err = io.Copy(io.Discard, answer.Body)
+		_, err = io.Copy(io.Discard, response.Body)
 		assert.Error(t, err, name)
-		_ = answer.Body.Close()
+		_ = response.Body.Close()
 		assert.Equal(t, 1, node.attemptsOf("a"), name)
 	}
 }
--- a/cmd/pearknot/node_rig_test.go
+++ b/cmd/pearknot/node_fixture_test.go
@@ -27,9 +27,9 @@
 
 var nodeProgram string
 
-// otherBuild names a program of another build. If it is set, tests of processes that talk to each other, or that succeed one
-// another, start every second one with it. The tests look for log messages, so a build with other messages has to be built
-// with the present ones.
+// otherBuild is the path of a program of another build. If it is set, tests of processes that communicate with each other, or
+// that replace one another, start every second one with it. The tests match log messages, so a build with other messages has
+// to be built with the present ones.
 var otherBuild = os.Getenv("PEARKNOT_OTHER_BUILD")
 
 var startedPrograms atomic.Int64
@@ -64,9 +64,9 @@
 	file     string // its configuration
 	address  string
 	ended    chan error
-	changes  chan string // entries that discovery tells next
+	changes  chan string // backend states that discovery reports next
 	mu       sync.Mutex
-	attempts []string // ids that the backend got
+	attempts []string // IDs that the backend got
 }
 
 func endpointEntry(address, state string) string {
@@ -82,11 +82,11 @@
 "coldFrom":0.3,"drainGrace":500,"fallMultiple":4,"overloadFor":2000,"warmWithin":9000},"tenants":[],"zones":["a"]}`
 
 // writeConfig writes a configuration file with a list of known backends, and returns its name.
-func writeConfig(t testing.TB, discovery net.Addr, memory, sockets int, list, settings string) string {
+func writeConfig(t testing.TB, discovery net.Addr, memoryMB, sockets int, list, settings string) string {
 	file := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, `{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f",
 "limits":{"cores":1,"memory_mb":%d,"sockets":%d},"known":{"rev":41,"all":true,"targets":[%s]},"settings":%s}`,
-		discovery, memory, sockets, list, settings), 0o600))
+		discovery, memoryMB, sockets, list, settings), 0o600))
 	return file
 }
 
@@ -105,7 +105,7 @@
 	return launchProgram(t, nodeProgram, args...)
 }
 
-// launchProgram is launch with another program.
+// launchProgram is like launch, with another program.
 func launchProgram(t testing.TB, name string, args ...string) (process *exec.Cmd, address string, stderr io.Reader) {
 	process = exec.Command(name, args...)
 	stderr, err := process.StderrPipe()
@@ -123,17 +123,17 @@
 }
 
 // startNode runs a node whose one backend responds by handler. startNodeWith does so with other settings.
-func startNode(t testing.TB, sockets int, handler http.HandlerFunc, more ...string) *testNode {
-	return startNodeWith(t, settings, sockets, handler, more...)
+func startNode(t testing.TB, sockets int, handler http.HandlerFunc, args ...string) *testNode {
+	return startNodeWith(t, settings, sockets, handler, args...)
 }
 
-func startNodeWith(t testing.TB, settings string, sockets int, handler http.HandlerFunc, more ...string) *testNode {
+func startNodeWith(t testing.TB, settings string, sockets int, handler http.HandlerFunc, args ...string) *testNode {
 	node := &testNode{t: t, ended: make(chan error, 1), changes: make(chan string)}
 	backend := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, request *http.Request) {
 		node.mu.Lock()
 		node.attempts = append(node.attempts, request.Header.Get("X-Trace-Id"))
 		node.mu.Unlock()
-		body, _ := io.ReadAll(request.Body) // a context tells of a closed connection only once all is read
+		body, _ := io.ReadAll(request.Body) // a context reports a closed connection only once the body is read
 		request.Body = io.NopCloser(bytes.NewReader(body))
 		handler(rw, request)
 	}))
@@ -149,14 +149,14 @@
 	t.Cleanup(discovery.Close)
 	node.file = writeConfig(t, discovery.Listener.Addr(), max(192, sockets/4), sockets, endpointEntry(address, "up"), settings)
 	var stderr io.Reader
-	node.process, node.address, stderr = launch(t, append([]string{"serve", "-config", node.file}, more...)...)
+	node.process, node.address, stderr = launch(t, append([]string{"serve", "-config", node.file}, args...)...)
 	go func() {
 		_, _ = io.Copy(io.Discard, stderr)
 		node.ended <- node.process.Wait()
 	}()
 	require.Eventually(t, func() bool {
-		answer, err := http.Get("http://" + node.address + "/_health")
-		return err == nil && answer.Body.Close() == nil && answer.StatusCode == http.StatusOK
+		response, err := http.Get("http://" + node.address + "/_health")
+		return err == nil && response.Body.Close() == nil && response.StatusCode == http.StatusOK
 	}, 5*time.Second, time.Millisecond)
 	return node
 }
@@ -170,13 +170,13 @@
 			request.Header.Set(name, value)
 		}
 	}
-	answer, err := client.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, "", nil, err
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
-	return answer.StatusCode, string(body), answer.Header, err
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	return response.StatusCode, string(body), response.Header, err
 }
 
 // newClient returns a client that shares no connections with others.
@@ -241,7 +241,7 @@
 	}
 }
 
-// runProgram runs the program within the test and returns its exit status and output.
+// runProgram runs the program in the test process and returns its exit status and output.
 func runProgram(args ...string) (int, string) {
 	var stdout, stderr bytes.Buffer
 	status := run(args, &stdout, &stderr)
--- a/cmd/pearknot/pearknot_test.go
+++ b/cmd/pearknot/pearknot_test.go
@@ -52,10 +52,10 @@
 		{"GET", "a", "check", "2000", 200, "GET /api?x=1 ", 1},
 		{"POST", "b", "pay", "2000", 200, "POST /api?x=1 paid", 1},
 		{"GET", "full-1", "check", "2000", 503, "", 1},
-		{"POST", "full-2", "pay", "2000", 503, "", 1}, // proved never to have run: harmless to come again
+		{"POST", "full-2", "pay", "2000", 503, "", 1}, // proved not to have run, so a retry is safe
 		{"POST", "fails-1", "pay", "2000", 502, "", 1},
 		{"POST", "breaks-1", "pay", "2000", 502, "", 1},
-		{"POST", "odd-1", "pay", "2000", 502, "", 1}, // a backend's 429 proves nothing
+		{"POST", "odd-1", "pay", "2000", 502, "", 1}, // a backend's 429 does not prove that it did not run
 		{"POST", "silent-1", "pay", "300", 502, "", 1},
 		{"GET", "", "check", "2000", 400, "no or several X-Trace-Id\n", 0},
 		{"GET", "c", "other", "2000", 400, "unknown category \"other\"\n", 0},
@@ -73,11 +73,11 @@
 	}
 
 	node := startNode(t, 1024, handler)
-	// Once the list says that the backend drains, it gets nothing new, and the request is answered at once.
+	// Once the list says that the backend drains, it gets no new requests, and the request is answered at once.
 	select {
 	case node.changes <- "draining":
 	case <-time.After(5 * time.Second):
-		t.Fatal("the node watches no list")
+		t.Fatal("the node does not watch the list")
 	}
 	require.Eventually(t, func() bool {
 		status, _, _, err := node.send(client, "GET", "e", "check", "6000")
@@ -111,15 +111,15 @@
 	assert.Empty(t, header.Get("Connection"))
 	startedAt := time.Now()
 	require.NoError(t, node.process.Process.Signal(syscall.SIGTERM))
-	paces := time.NewTicker(120 * time.Millisecond) // with gaps in which the listener's queue is empty
-	defer paces.Stop()
+	pace := time.NewTicker(120 * time.Millisecond) // with gaps in which the listener's queue is empty
+	defer pace.Stop()
 	for n := 0; time.Since(startedAt) < 1500*time.Millisecond; n++ {
-		<-paces.C
+		<-pace.C
 		for name, client := range map[string]*http.Client{"kept": keepAliveClient, "new": newClient()} {
 			status, _, header, err := node.send(client, "GET", fmt.Sprint(name, n), "check", "2000")
 			require.NoError(t, err, name)
 			assert.Equal(t, 200, status, name)
-			assert.Empty(t, header.Get("Connection"), "they may have no other node yet")
+			assert.Empty(t, header.Get("Connection"), "clients may have no other node yet")
 		}
 	}
 	assert.Equal(t, 502, <-slow, "it may have run, and the node can't wait")
@@ -130,11 +130,11 @@
 // A reload (SIGHUP) changes the address of discovery while a request is in flight. A file that can't be read changes nothing,
 // and neither ends the program.
 func TestReloadChangesDiscovery(t *testing.T) {
-	inFlight, answer := make(chan bool, 1), make(chan bool)
+	inFlight, release := make(chan bool, 1), make(chan bool)
 	node := startNode(t, 1024, func(rw http.ResponseWriter, request *http.Request) {
 		if request.Header.Get("X-Trace-Id") == "slow" {
 			inFlight <- true
-			<-answer
+			<-release
 		}
 	})
 	slow := make(chan int, 1)
@@ -143,9 +143,9 @@
 		slow <- status
 	}()
 	<-inFlight
-	asked := make(chan string, 9)
+	queries := make(chan string, 9)
 	discovery := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, request *http.Request) {
-		asked <- request.URL.RawQuery
+		queries <- request.URL.RawQuery
 		if request.URL.RawQuery != "" {
 			<-request.Context().Done()
 		}
@@ -162,21 +162,21 @@
 		require.NoError(t, err)
 		assert.Contains(t, []int{200, 503}, status)
 	}
-	assert.Equal(t, "", <-asked)
-	assert.Equal(t, "from=3&hold_ms=1200", <-asked, "the list was taken")
-	require.Eventually(t, func() bool { // it names no backend
+	assert.Equal(t, "", <-queries)
+	assert.Equal(t, "from=3&hold_ms=1200", <-queries, "the list was applied")
+	require.Eventually(t, func() bool { // the list names no backend
 		status, _, _, err := node.send(newClient(), "GET", "b", "check", "2000")
 		return err == nil && status == 503
 	}, 5*time.Second, time.Millisecond)
-	close(answer)
-	assert.Equal(t, 200, <-slow, "what was in hand is answered")
+	close(release)
+	assert.Equal(t, 200, <-slow, "the request in flight is answered")
 }
 
 // More clients connect than the node has descriptors for. Each connection that was accepted gets its answer all the same.
 func TestMoreClientsThanDescriptors(t *testing.T) {
 	const limit, clients = 64, 150
 	node := startNode(t, limit, func(http.ResponseWriter, *http.Request) {})
-	open := func() int {
+	openFiles := func() int {
 		files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", node.process.Process.Pid))
 		require.NoError(t, err)
 		return len(files)
@@ -188,20 +188,20 @@
 		require.NoError(t, err)
 		defer conns[k].Close()
 	}
-	require.Eventually(t, func() bool { return open() > limit/2 }, 5*time.Second, time.Millisecond, "as many as may")
-	conns = conns[limit/2:] // the others bring nothing, and must not keep these out for as long as a request may take to come
+	require.Eventually(t, func() bool { return openFiles() > limit/2 }, 5*time.Second, time.Millisecond, "clients fill the available descriptors")
+	conns = conns[limit/2:] // the others send nothing, and must not keep these out for as long as a request may take to arrive
 	startedAt := time.Now()
 	var all sync.WaitGroup
 	for k, c := range conns {
 		all.Go(func() {
 			_, err := fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: %d\r\nX-Qos: check\r\nX-Expires-In-Ms: 6000\r\n\r\n", k)
 			assert.NoError(t, err)
-			answer, err := http.ReadResponse(bufio.NewReader(c), nil)
+			response, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if assert.NoError(t, err) {
-				assert.Contains(t, []int{200, 503}, answer.StatusCode)
+				assert.Contains(t, []int{200, 503}, response.StatusCode)
 			}
 		})
-		assert.LessOrEqual(t, open(), limit)
+		assert.LessOrEqual(t, openFiles(), limit)
 	}
 	all.Wait()
 	assert.Less(t, time.Since(startedAt), 6*time.Second)
@@ -212,11 +212,11 @@
 func TestMalformedRequests(t *testing.T) {
 	const request = "X-Trace-Id: odd\r\nX-Qos: check\r\nX-Expires-In-Ms: 2000\r\n"
 	const hidden = "GET /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: hidden\r\nX-Qos: check\r\nX-Expires-In-Ms: 2000\r\n\r\n"
-	inFlight, answer := make(chan bool, 1), make(chan bool)
+	inFlight, release := make(chan bool, 1), make(chan bool)
 	node := startNode(t, 1024, func(_ http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Trace-Id") == "slow" {
 			inFlight <- true
-			<-answer
+			<-release
 		}
 	})
 	slow := make(chan int, 1)
@@ -225,40 +225,40 @@
 		slow <- status
 	}()
 	<-inFlight
-	for name, c := range map[string]struct{ sends, status string }{
-		"no HTTP":           {"\x16\x03\x01\x02\x00hello\r\n\r\n", "400"},
-		"hides a request":   {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n" + request + "\r\n0\r\n\r\n" + hidden, "400"},
-		"several at once":   {"GET /api HTTP/1.1\r\nHost: s\r\n" + request + "\r\n" + hidden, "400"},
-		"an open id":        {"GET /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: slow\r\nX-Qos: check\r\nX-Expires-In-Ms: 2000\r\n\r\n", "409"},
-		"a huge length":     {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 60000000\r\n" + request + "\r\n", "413"},
-		"half a body":       {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 9\r\n" + request + "\r\nab", "400"},
-		"half a head":       {"GET /api HTTP/1.1\r\nHost: s\r\n" + request, "end"},
-		"silence":           {"", "end"},
-		"no host":           {"GET /api HTTP/1.1\r\n" + request + "\r\n", "400"},
-		"odd length":        {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: -1\r\n" + request + "\r\n", "400"},
-		"two lengths":       {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 1\r\nContent-Length: 2\r\n" + request + "\r\nab", "400"},
-		"odd chunk":         {"POST /api HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n" + request + "\r\nxyz\r\n", "400"},
-		"odd encoding":      {"POST /api HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: odd\r\n" + request + "\r\n", "501"},
-		"endless head":      {"GET /api HTTP/1.1\r\nHost: s\r\nX-Long: " + strings.Repeat("x", 80<<10) + "\r\n\r\n", "431"},
-		"a body too long":   {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 33554433\r\n" + request + "\r\n" + strings.Repeat("x", 70000), "413"},
-		"half a long body":  {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 90000\r\n" + request + "\r\n" + strings.Repeat("x", 70000), "50"},
-		"an unknown number": {"GET /api HTTP/9.9\r\nHost: s\r\n" + request + "\r\n", "505"},
-		"chunks":            {"POST /api HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n" + request + "\r\n2\r\nab\r\n0\r\n\r\n", "200"},
-		"an old client":     {"GET /api HTTP/1.0\r\n" + request + "\r\n", "200"},
-		"leaves at once":    {"GET /api HTTP/1.1\r\nHost: s\r\n" + request, ""},
+	for name, c := range map[string]struct{ payload, status string }{
+		"no HTTP":               {"\x16\x03\x01\x02\x00hello\r\n\r\n", "400"},
+		"hides a request":       {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n" + request + "\r\n0\r\n\r\n" + hidden, "400"},
+		"several at once":       {"GET /api HTTP/1.1\r\nHost: s\r\n" + request + "\r\n" + hidden, "400"},
+		"an ID in flight":       {"GET /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: slow\r\nX-Qos: check\r\nX-Expires-In-Ms: 2000\r\n\r\n", "409"},
+		"a huge length":         {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 60000000\r\n" + request + "\r\n", "413"},
+		"half a body":           {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 9\r\n" + request + "\r\nab", "400"},
+		"half a head":           {"GET /api HTTP/1.1\r\nHost: s\r\n" + request, "end"},
+		"silence":               {"", "end"},
+		"no host":               {"GET /api HTTP/1.1\r\n" + request + "\r\n", "400"},
+		"negative length":       {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: -1\r\n" + request + "\r\n", "400"},
+		"two lengths":           {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 1\r\nContent-Length: 2\r\n" + request + "\r\nab", "400"},
+		"invalid chunk":         {"POST /api HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n" + request + "\r\nxyz\r\n", "400"},
+		"unknown encoding":      {"POST /api HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: odd\r\n" + request + "\r\n", "501"},
+		"endless head":          {"GET /api HTTP/1.1\r\nHost: s\r\nX-Long: " + strings.Repeat("x", 80<<10) + "\r\n\r\n", "431"},
+		"a body too long":       {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 33554433\r\n" + request + "\r\n" + strings.Repeat("x", 70000), "413"},
+		"half a long body":      {"POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 90000\r\n" + request + "\r\n" + strings.Repeat("x", 70000), "50"},
+		"unknown version":       {"GET /api HTTP/9.9\r\nHost: s\r\n" + request + "\r\n", "505"},
+		"chunks":                {"POST /api HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n" + request + "\r\n2\r\nab\r\n0\r\n\r\n", "200"},
+		"an old client":         {"GET /api HTTP/1.0\r\n" + request + "\r\n", "200"},
+		"client leaves at once": {"GET /api HTTP/1.1\r\nHost: s\r\n" + request, ""},
 	} {
 		conn, err := net.Dial("tcp", node.address)
 		require.NoError(t, err)
 		_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
-		_, _ = io.WriteString(conn, c.sends)
-		if c.status == "end" { // no answer, within the time that docs/oncall.md states
+		_, _ = io.WriteString(conn, c.payload)
+		if c.status == "end" { // closed without an answer, within the time that docs/oncall.md states
 			_ = conn.SetDeadline(time.Now().Add(3 * time.Second))
 			_, err := conn.Read(make([]byte, 1))
 			assert.ErrorIs(t, err, io.EOF, name)
 		} else if c.status != "" {
-			answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if assert.NoError(t, err, name) {
-				assert.Regexp(t, "^"+c.status, strconv.Itoa(answer.StatusCode), name)
+				assert.Regexp(t, "^"+c.status, strconv.Itoa(response.StatusCode), name)
 			}
 		}
 		_ = conn.Close()
@@ -266,14 +266,14 @@
 	status, _, _, err := node.send(newClient(), "GET", "after", "check", "2000")
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
-	assert.Zero(t, node.attemptsOf("hidden"), "nothing of a request that may hide another goes on")
-	close(answer)
+	assert.Zero(t, node.attemptsOf("hidden"), "no part of a request that may hide another is forwarded")
+	close(release)
 	assert.Equal(t, 200, <-slow, "the request whose ID another client took")
 	assert.Equal(t, 1, node.attemptsOf("slow"))
 }
 
-// The node is stopped for longer than a request's time. The deadline counts from when the client sent the request, so nothing
-// is sent to a backend once the node runs again.
+// The node is stopped until a request's deadline has passed. The deadline counts from when the client sent the request, so
+// nothing is sent to a backend once the node runs again.
 func TestDeadlinePassesWhileNodeIsStopped(t *testing.T) {
 	node := startNode(t, 1024, func(http.ResponseWriter, *http.Request) {})
 	keepAliveClient := newClient()
@@ -288,7 +288,7 @@
 			assert.Equal(t, 503, status, name)
 		})
 	}
-	<-time.After(time.Second) // the stall
+	<-time.After(time.Second) // longer than the requests' deadline
 	require.NoError(t, node.process.Process.Signal(syscall.SIGCONT))
 	all.Wait()
 	assert.Zero(t, node.attemptsOf("kept")+node.attemptsOf("new"))
@@ -298,30 +298,30 @@
 // Two of three such connections were once closed with their request unread.
 func TestRequestsSentWhileNodeIsStopped(t *testing.T) {
 	node := startNode(t, 1024, func(http.ResponseWriter, *http.Request) {})
-	open := func() int {
+	openFiles := func() int {
 		files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", node.process.Process.Pid))
 		require.NoError(t, err)
 		return len(files)
 	}
-	before, conns := open(), make([]net.Conn, 20)
+	before, conns := openFiles(), make([]net.Conn, 20)
 	for k := range conns {
 		c, err := net.Dial("tcp", node.address)
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
 		conns[k] = c
 	}
-	require.Eventually(t, func() bool { return open() >= before+len(conns)-2 }, 20*time.Second, time.Millisecond) // but for two of the start's own
+	require.Eventually(t, func() bool { return openFiles() >= before+len(conns)-2 }, 20*time.Second, time.Millisecond) // two from the start may be closed
 	require.NoError(t, node.process.Process.Signal(syscall.SIGSTOP))
 	for k, c := range conns {
 		_, err := fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: %d\r\nX-Qos: check\r\nX-Expires-In-Ms: 20000\r\n\r\n", k)
 		require.NoError(t, err)
 	}
-	<-time.After(2500 * time.Millisecond) // the standstill
+	<-time.After(2500 * time.Millisecond) // longer than a request may take to arrive
 	require.NoError(t, node.process.Process.Signal(syscall.SIGCONT))
 	for _, c := range conns {
-		answer, err := http.ReadResponse(bufio.NewReader(c), nil)
+		response, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if assert.NoError(t, err) {
-			assert.Contains(t, []int{200, 503}, answer.StatusCode)
+			assert.Contains(t, []int{200, 503}, response.StatusCode)
 		}
 	}
 }
@@ -343,27 +343,27 @@
 		status int
 		output string
 	}{
-		"version":          {[]string{"version"}, 0, "pearknot "},
-		"help":             {[]string{"help"}, 0, "Usage:"},
-		"check":            {[]string{"check", "-config", write("whole", config)}, 0, "n1 on 127.0.0.1:0"},
-		"odd known list":   {[]string{"check", "-config", write("known", strings.Replace(config, `"seed"`, `"known":[],"seed"`, 1))}, 0, "0 known"},
-		"unknown command":  {[]string{"dance"}, 2, "unknown command"},
-		"unknown, asked":   {[]string{"dance", "--help"}, 2, "unknown command"},
-		"two dashes":       {[]string{"check", "--config=" + write("two", config)}, 0, "n1 on 127.0.0.1:0"},
-		"one dash, equals": {[]string{"check", "-config=" + write("one", config)}, 0, "n1 on 127.0.0.1:0"},
-		"completion":       {[]string{"completion", "bash"}, 0, "bash completion"},
-		"no agent":         {[]string{"fleet", "status"}, 2, "no agent"},
-		"agent's file":     {[]string{"agent", "check", "--config", write("a.toml", "dir = 'x'\nsocket = 3\n")}, 2, "a.toml:2:10: "},
-		"JSON in line 3":   {[]string{"check", "-config", write("three", "{\n\"name\":\"x\",\n oops}")}, 1, "three:3:2: "},
-		"unknown flag":     {[]string{"serve", "-x"}, 2, "unknown shorthand"},
-		"too many words":   {[]string{"check", "it"}, 2, "unknown command"},
-		"no configuration": {[]string{"serve"}, 1, "no configuration"},
-		"no file":          {[]string{"check", "-config", dir + "/none"}, 1, "no such file"},
-		"no JSON":          {[]string{"serve", "-config", write("json", "{")}, 1, "json:1:1: no configuration: unexpected end"},
-		"no settings":      {[]string{"serve", "-config", write("bare", `{"listen":"a:1","discovery":"a:1","seed":"1"}`)}, 1, "no settings"},
-		"a setting gone":   {[]string{"serve", "-config", write("gone", strings.Replace(config, `"az":0,`, "", 1))}, 1, "az is missing"},
-		"no seed":          {[]string{"serve", "-config", write("seed", strings.Replace(config, "8c", "", 1))}, 1, "seed"},
-		"no address":       {[]string{"serve", "-config", write("addr", strings.Replace(config, "127.0.0.1:0", "x", 1))}, 1, "listen"},
+		"version":                    {[]string{"version"}, 0, "pearknot "},
+		"help":                       {[]string{"help"}, 0, "Usage:"},
+		"check":                      {[]string{"check", "-config", write("whole", config)}, 0, "n1 on 127.0.0.1:0"},
+		"invalid known list":         {[]string{"check", "-config", write("known", strings.Replace(config, `"seed"`, `"known":[],"seed"`, 1))}, 0, "0 known"},
+		"unknown command":            {[]string{"dance"}, 2, "unknown command"},
+		"help of an unknown command": {[]string{"dance", "--help"}, 2, "unknown command"},
+		"two dashes":                 {[]string{"check", "--config=" + write("two", config)}, 0, "n1 on 127.0.0.1:0"},
+		"one dash, equals":           {[]string{"check", "-config=" + write("one", config)}, 0, "n1 on 127.0.0.1:0"},
+		"completion":                 {[]string{"completion", "bash"}, 0, "bash completion"},
+		"no agent":                   {[]string{"fleet", "status"}, 2, "no agent"},
+		"agent's file":               {[]string{"agent", "check", "--config", write("a.toml", "dir = 'x'\nsocket = 3\n")}, 2, "a.toml:2:10: "},
+		"JSON in line 3":             {[]string{"check", "-config", write("three", "{\n\"name\":\"x\",\n oops}")}, 1, "three:3:2: "},
+		"unknown flag":               {[]string{"serve", "-x"}, 2, "unknown shorthand"},
+		"too many arguments":         {[]string{"check", "it"}, 2, "unknown command"},
+		"no configuration":           {[]string{"serve"}, 1, "no configuration"},
+		"no file":                    {[]string{"check", "-config", dir + "/none"}, 1, "no such file"},
+		"invalid JSON":               {[]string{"serve", "-config", write("json", "{")}, 1, "json:1:1: no configuration: unexpected end"},
+		"no settings":                {[]string{"serve", "-config", write("bare", `{"listen":"a:1","discovery":"a:1","seed":"1"}`)}, 1, "no settings"},
+		"missing setting":            {[]string{"serve", "-config", write("gone", strings.Replace(config, `"az":0,`, "", 1))}, 1, "az is missing"},
+		"no seed":                    {[]string{"serve", "-config", write("seed", strings.Replace(config, "8c", "", 1))}, 1, "seed"},
+		"no address":                 {[]string{"serve", "-config", write("addr", strings.Replace(config, "127.0.0.1:0", "x", 1))}, 1, "listen"},
 		"address taken": {[]string{"serve", "-config", write("used", strings.Replace(config, "127.0.0.1:0",
 			taken.Addr().String(), 1))}, 1, "in use"},
 	} {
--- a/cmd/pearknot/peersfile_test.go
+++ b/cmd/pearknot/peersfile_test.go
@@ -15,13 +15,13 @@
 func TestPeersFileIsStrict(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/peers.toml")
 	require.NoError(t, err)
-	readPeersFile := func(spoil func(text, dir string) string) (int, string) {
+	readPeersFile := func(corrupt func(text, dir string) string) (int, string) {
 		dir := t.TempDir()
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "peers.key"), []byte(strings.Repeat("0f", 32)+"\n"), 0o600))
 		config := filepath.Join(dir, "node.json")
 		require.NoError(t, os.WriteFile(config, []byte(`{"name":"n9","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":`+settings+`}`), 0o600))
 		file := filepath.Join(dir, "peers.toml")
-		require.NoError(t, os.WriteFile(file, []byte(spoil(string(text), dir)), 0o600))
+		require.NoError(t, os.WriteFile(file, []byte(corrupt(string(text), dir)), 0o600))
 		var out, errs bytes.Buffer
 		status := run([]string{"serve", "-config", config, "--peers", file}, &out, &errs)
 		return status, strings.ReplaceAll(errs.String(), file, "peers.toml")
@@ -29,7 +29,7 @@
 	replace := func(old, to string) func(string, string) string {
 		return func(text, _ string) string { return strings.Replace(text, old, to, 1) }
 	}
-	for want, spoil := range map[string]func(string, string) string{
+	for want, corrupt := range map[string]func(string, string) string{
 		`peers.toml:6:1: copies: 4 is not 3 or 5`:      replace("copies = 3", "copies = 4"),
 		`peers.toml:8:1: keep_s: 0 is not 1 to 3600`:   replace("keep_s = 60", "keep_s = 0"),
 		`unknown key extra`:                            func(text, _ string) string { return "extra = 1\n" + text },
@@ -43,7 +43,7 @@
 			return text
 		},
 	} {
-		status, output := readPeersFile(spoil)
+		status, output := readPeersFile(corrupt)
 		require.Equal(t, 2, status, output)
 		require.Contains(t, output, want)
 		require.Equal(t, 1, strings.Count(output, "\n"), output)
--- a/cmd/pearknot/ready_rig_test.go
+++ b/cmd/pearknot/ready_fixture_test.go
@@ -22,12 +22,12 @@
 	file    string
 	address string
 
-	process *exec.Cmd
-	log     *logLines
-	begun   time.Time
+	process   *exec.Cmd
+	log       *logLines
+	startedAt time.Time
 }
 
-// newRestartedNode starts a node for the first time, while discovery is well. known says whether its configuration has a list
+// newRestartedNode starts a node for the first time, while discovery is healthy. known says whether its configuration has a list
 // of known backends.
 func newRestartedNode(t testing.TB, mode string, known bool) *restartedNode {
 	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -56,7 +56,7 @@
 }
 
 func (node *restartedNode) start() {
-	node.process, node.begun = exec.Command(nodeProgram, "serve", "-config", node.file), time.Now()
+	node.process, node.startedAt = exec.Command(nodeProgram, "serve", "-config", node.file), time.Now()
 	stderr, err := node.process.StderrPipe()
 	require.NoError(node.t, err)
 	require.NoError(node.t, node.process.Start())
@@ -65,47 +65,47 @@
 	node.log = followLog(node.t, stderr)
 }
 
-func (node *restartedNode) stop(how syscall.Signal) {
-	require.NoError(node.t, node.process.Process.Signal(how))
+func (node *restartedNode) stop(signal syscall.Signal) {
+	require.NoError(node.t, node.process.Process.Signal(signal))
 	<-node.log.ended
-	if err := node.process.Wait(); how == syscall.SIGTERM {
+	if err := node.process.Wait(); signal == syscall.SIGTERM {
 		require.NoError(node.t, err)
 	}
 }
 
 // restartTime restarts the node while discovery is in a mode, and returns how long it took to become ready: from its start, or
 // from discovery's return if the node can't be ready before that.
-func (node *restartedNode) restartTime(mode discoveryMode, how syscall.Signal, known bool) time.Duration {
+func (node *restartedNode) restartTime(mode discoveryMode, signal syscall.Signal, known bool) time.Duration {
 	node.list.setMode(mode)
-	node.stop(how)
+	node.stop(signal)
 	before := node.list.callCount()
 	node.start()
-	since := node.begun
-	if !known && !modesWithList[mode] {
+	since := node.startedAt
+	if !known && !listAvailable[mode] {
 		require.Eventually(node.t, func() bool {
 			return node.log.Count(`msg="endpoint list poll failed"`) > 0 && node.log.Count("msg=serving") > 0
 		},
 			20*time.Second, time.Millisecond)
 		require.Equal(node.t, http.StatusServiceUnavailable, node.health())
-		if mode == discoverySilent { // it returns while the next call is out, which is lost
+		if mode == discoverySilent { // discovery recovers while the next call is in flight, and that call is lost
 			require.Eventually(node.t, func() bool { return node.list.callCount() > before+1 }, 20*time.Second, time.Millisecond)
 		}
 		since = time.Now()
-		node.list.setMode(discoveryWell)
+		node.list.setMode(discoveryHealthy)
 	}
 	return node.waitUntilReady().Sub(since)
 }
 
-// health returns the status of the health check, or 0 if nobody answers.
+// health returns the status of the health check, or 0 if there is no answer.
 func (node *restartedNode) health() int {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 5 * time.Second}
-	answer, err := client.Get("http://" + node.address + "/_health")
+	response, err := client.Get("http://" + node.address + "/_health")
 	if err != nil {
 		return 0
 	}
-	_, _ = io.Copy(io.Discard, answer.Body)
-	_ = answer.Body.Close()
-	return answer.StatusCode
+	_, _ = io.Copy(io.Discard, response.Body)
+	_ = response.Body.Close()
+	return response.StatusCode
 }
 
 // waitUntilReady waits until the node is ready and returns when it was.
--- a/cmd/pearknot/ready_test.go
+++ b/cmd/pearknot/ready_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// modesWithList are the modes in which a node may have to start, and whether it can get a list in them.
-var modesWithList = map[discoveryMode]bool{
+// listAvailable has the modes in which a node may have to start, and whether it can get a list in them.
+var listAvailable = map[discoveryMode]bool{
 	discoverySlow:       true,
 	discoveryTrickling:  true,
 	discoverySilent:     false,
@@ -21,20 +21,20 @@
 	discoveryClosing:    false,
 }
 
-// A node is stopped or killed and started again. It is ready within 10 s whatever state discovery is in: by its list if it has
-// one or can get one, otherwise 10 s after discovery has returned. Ready means that it serves a request.
+// A node is stopped or killed and started again. It is ready within 10 s whatever state discovery is in: with its list if it
+// has one or can get one, otherwise 10 s after discovery has returned. Ready means that it serves a request.
 func TestReadyDespiteFaultyDiscovery(t *testing.T) {
-	for m := range modesWithList {
+	for m := range listAvailable {
 		for _, mode := range []string{"subscribe", "automatic"} {
 			for _, known := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%s/%s/known=%v", m, mode, known), func(t *testing.T) {
 					t.Parallel()
 					node := newRestartedNode(t, mode, known)
-					for _, how := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
-						took := node.restartTime(m, how, known)
-						assert.Less(t, took, 10*time.Second, how)
+					for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
+						took := node.restartTime(m, signal, known)
+						assert.Less(t, took, 10*time.Second, signal)
 						node := &testNode{t: t, address: node.address}
-						node.sendUntilServed(newClient(), how.String())
+						node.sendUntilServed(newClient(), signal.String())
 					}
 				})
 			}
@@ -45,21 +45,21 @@
 // BenchmarkReady measures the time from a start until the node is ready, by the mode of discovery; from discovery's return if
 // the node has no list and can't get one. Run it with -benchtime 20x.
 func BenchmarkReady(b *testing.B) {
-	for _, m := range []discoveryMode{discoveryWell, discoverySlow, discoveryTrickling, discoverySilent, discoveryOverloaded, discoveryRefusing, discoveryFull, discoveryClosing} {
+	for _, m := range []discoveryMode{discoveryHealthy, discoverySlow, discoveryTrickling, discoverySilent, discoveryOverloaded, discoveryRefusing, discoveryFull, discoveryClosing} {
 		for _, mode := range []string{"subscribe", "automatic"} {
 			for _, known := range []bool{true, false} {
 				b.Run(fmt.Sprintf("%s/%s/known=%v", m, mode, known), func(b *testing.B) {
 					node := newRestartedNode(b, mode, known)
 					var times []float64
 					for b.Loop() {
-						how := syscall.SIGTERM
+						signal := syscall.SIGTERM
 						if len(times)%2 == 1 {
-							how = syscall.SIGKILL
+							signal = syscall.SIGKILL
 						}
-						times = append(times, float64(node.restartTime(m, how, known || m == discoveryWell).Microseconds())/1e3)
+						times = append(times, float64(node.restartTime(m, signal, known || m == discoveryHealthy).Microseconds())/1e3)
 					}
 					slices.Sort(times)
-					b.ReportMetric(0, "ns/op") // which would be with the end before
+					b.ReportMetric(0, "ns/op") // would include the end of the previous process
 					b.ReportMetric(times[len(times)/2], "median-ms")
 					b.ReportMetric(times[(9*len(times)+9)/10-1], "p90-ms")
 					b.ReportMetric(times[len(times)-1], "worst-ms")
--- a/cmd/pearknot/settingplace_test.go
+++ b/cmd/pearknot/settingplace_test.go
@@ -10,7 +10,7 @@
 // contain it.
 func TestSettingPlace(t *testing.T) {
 	text := []byte("{\"az\": 1, \"bounds\": {\"x\": [1, 2]},\n \"categories\": [\n  {\"name\": \"a\\\"b\", \"ttl\": 1},\n  {\"name\": \"b\"}]}")
-	for why, want := range map[string][2]int{
+	for message, want := range map[string][2]int{
 		"setting az is no number":                      {1, 2},
 		"setting bounds.x is odd":                      {1, 22},
 		"setting bounds.y is missing":                  {1, 11},
@@ -22,8 +22,8 @@
 		"setting zones is [b], and only a start takes": {1, 1},
 		"something else":                               {1, 1},
 	} {
-		line, column := settingPlace(text, why)
-		assert.Equal(t, want, [2]int{line, column}, why)
+		line, column := settingPlace(text, message)
+		assert.Equal(t, want, [2]int{line, column}, message)
 	}
 }
 
@@ -31,8 +31,8 @@
 	f.Add([]byte(`{"a":[{"b":1},2],"c":{}}`), "setting a.0.b is odd")
 	f.Add([]byte(`[1,`), "setting 1 is odd")
 	f.Add([]byte(`{"":{"":0}}`), "setting . is odd")
-	f.Fuzz(func(t *testing.T, text []byte, why string) {
-		line, column := settingPlace(text, why)
+	f.Fuzz(func(t *testing.T, text []byte, message string) {
+		line, column := settingPlace(text, message)
 		assert.True(t, line >= 1 && column >= 1)
 	})
 }
--- a/cmd/pearknot/signals_test.go
+++ b/cmd/pearknot/signals_test.go
@@ -19,26 +19,26 @@
 )
 
 // newRecordedDiscovery starts a discovery service with an empty list, and returns its address and the queries of its calls.
-func newRecordedDiscovery(t *testing.T) (address string, asked chan string) {
-	asked = make(chan string, 99)
+func newRecordedDiscovery(t *testing.T) (address string, queries chan string) {
+	queries = make(chan string, 99)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
-		asked <- request.URL.RawQuery
+		queries <- request.URL.RawQuery
 		if request.URL.RawQuery != "" {
 			<-request.Context().Done()
 		}
 		fmt.Fprint(w, `{"rev":3,"all":true,"targets":[]}`)
 	}))
 	t.Cleanup(s.Close)
-	return s.Listener.Addr().String(), asked
+	return s.Listener.Addr().String(), queries
 }
 
 var discoveryKey = regexp.MustCompile(`"discovery":"[^"]*"`)
 
-// A signal comes while a starting node still reads its configuration, here from a pipe. SIGHUP once ended the process, and
-// SIGTERM was swallowed by the command line, so that the node served on until it was killed.
+// A signal arrives while a starting node still reads its configuration, here from a pipe. SIGHUP once ended the process, and
+// SIGTERM was lost in the command line's code, so that the node kept serving until it was killed.
 func TestSignalsDuringTheStart(t *testing.T) {
-	first, askedFirst := newRecordedDiscovery(t)
-	second, askedSecond := newRecordedDiscovery(t)
+	first, firstQueries := newRecordedDiscovery(t)
+	second, secondQueries := newRecordedDiscovery(t)
 	for name, signal := range map[string]os.Signal{"SIGHUP": syscall.SIGHUP, "SIGTERM": syscall.SIGTERM} {
 		l := httptest.NewServer(http.NotFoundHandler())
 		config, err := os.ReadFile(writeConfig(t, l.Listener.Addr(), 192, 256, "", settings))
@@ -47,7 +47,7 @@
 		file := filepath.Join(t.TempDir(), "pipe")
 		require.NoError(t, syscall.Mkfifo(file, 0o600))
 		text := discoveryKey.ReplaceAll(config, fmt.Appendf(nil, `"discovery":%q`, first))
-		to, err := os.OpenFile(file, os.O_RDWR, 0) // so that it waits for no reader
+		to, err := os.OpenFile(file, os.O_RDWR, 0) // O_RDWR does not wait for a reader
 		require.NoError(t, err)
 		_, err = to.Write(text[:100])
 		require.NoError(t, err)
@@ -56,22 +56,22 @@
 		t.Cleanup(func() { _ = process.Process.Kill() })
 		ended := make(chan error, 1)
 		go func() { ended <- process.Wait() }()
-		require.Eventually(t, func() bool { // it is being read
-			left, err := unix.IoctlGetInt(int(to.Fd()), unix.TIOCINQ)
-			return err == nil && left == 0
+		require.Eventually(t, func() bool { // the node has begun to read it
+			unread, err := unix.IoctlGetInt(int(to.Fd()), unix.TIOCINQ)
+			return err == nil && unread == 0
 		}, 20*time.Second, time.Millisecond)
 		require.NoError(t, process.Process.Signal(signal))
 		require.NoError(t, os.WriteFile(file+"-next", discoveryKey.ReplaceAll(config, fmt.Appendf(nil, `"discovery":%q`, second)), 0o600))
-		require.NoError(t, os.Rename(file+"-next", file)) // what is read once more is another file
+		require.NoError(t, os.Rename(file+"-next", file)) // a second read gets another file
 		_, err = to.Write(text[100:])
 		require.NoError(t, err)
 		require.NoError(t, to.Close())
 		if signal == syscall.SIGHUP {
 			select {
-			case query := <-askedSecond:
+			case query := <-secondQueries:
 				assert.Equal(t, "", query, name)
 			case <-time.After(20 * time.Second):
-				t.Fatal(name, "not heard")
+				t.Fatal(name, "was not handled")
 			}
 			require.NoError(t, process.Process.Signal(syscall.SIGTERM))
 		}
@@ -79,13 +79,13 @@
 		case err := <-ended:
 			assert.NoError(t, err, name)
 		case <-time.After(20 * time.Second):
-			t.Fatal(name, "not heard")
+			t.Fatal(name, "was not handled")
 		}
 	}
-	assert.LessOrEqual(t, len(askedFirst), 2)
+	assert.LessOrEqual(t, len(firstQueries), 2)
 }
 
-// SIGHUP comes while a node drains, or together with SIGTERM. The node follows the list at its new address all the same, since
+// SIGHUP arrives while a node drains, or together with SIGTERM. The node follows the list at its new address all the same, since
 // the old address no longer serves it.
 func TestReloadDuringDrain(t *testing.T) {
 	inFlight := make(chan bool, 1)
@@ -99,17 +99,17 @@
 		slow <- status
 	}()
 	<-inFlight
-	next, asked := newRecordedDiscovery(t)
+	next, queries := newRecordedDiscovery(t)
 	config, err := os.ReadFile(node.file)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(node.file, discoveryKey.ReplaceAll(config, fmt.Appendf(nil, `"discovery":%q`, next)), 0o600))
 	require.NoError(t, node.process.Process.Signal(syscall.SIGTERM))
 	require.Eventually(t, func() bool { // the drain has begun
-		answer, err := http.Get("http://" + node.address + "/_health")
-		return err == nil && answer.Body.Close() == nil && answer.StatusCode == http.StatusServiceUnavailable
+		response, err := http.Get("http://" + node.address + "/_health")
+		return err == nil && response.Body.Close() == nil && response.StatusCode == http.StatusServiceUnavailable
 	}, 5*time.Second, time.Millisecond)
 	require.NoError(t, node.process.Process.Signal(syscall.SIGHUP))
-	assert.Equal(t, "", <-asked)
+	assert.Equal(t, "", <-queries)
 	assert.Equal(t, 502, <-slow)
 	assert.NoError(t, <-node.ended)
 }
--- a/cmd/pearknot/tls_bench_test.go
+++ b/cmd/pearknot/tls_bench_test.go
@@ -24,22 +24,22 @@
 	require.NoError(b, err)
 	system, err := strconv.ParseInt(fields[12], 10, 64)
 	require.NoError(b, err)
-	return time.Duration(user+system) * 10 * time.Millisecond // of the system's ticks, a hundred a second
+	return time.Duration(user+system) * 10 * time.Millisecond // clock ticks, 100 per second
 }
 
 // BenchmarkConnections measures the processor time that a node takes for a connection with one health check, and how many per
 // second 8 clients can make: plain, with a full TLS handshake, and with a resumed one.
 func BenchmarkConnections(b *testing.B) {
-	rig := newTLSRig(b)
-	node, address, _ := rig.startNode("n1", 1024)
-	rig.waitForSerial(address, func(string) bool { return true })
+	fixture := newTLSFixture(b)
+	node, address, _ := fixture.startNode("n1", 1024)
+	fixture.waitForSerial(address, func(string) bool { return true })
 	for _, kind := range []string{"plain", "full", "resumed"} {
 		b.Run(kind, func(b *testing.B) {
-			config := rig.clients.Clone()
+			config := fixture.clientTLS.Clone()
 			if kind == "resumed" {
 				config.ClientSessionCache = tls.NewLRUClientSessionCache(64)
 			}
-			begun := processorTime(b, node.process.Process.Pid)
+			before := processorTime(b, node.process.Process.Pid)
 			b.SetParallelism(1)
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
@@ -59,7 +59,7 @@
 					_ = c.Close()
 				}
 			})
-			b.ReportMetric(float64((processorTime(b, node.process.Process.Pid)-begun).Microseconds())/float64(b.N), "node-us/op")
+			b.ReportMetric(float64((processorTime(b, node.process.Process.Pid)-before).Microseconds())/float64(b.N), "node-us/op")
 		})
 	}
 }
@@ -69,9 +69,9 @@
 	const count = 500
 	for _, kind := range []string{"plain", "tls"} {
 		b.Run(kind, func(b *testing.B) {
-			rig := newTLSRig(b)
-			node, address, _ := rig.startNode("n1", 2048)
-			rig.waitForSerial(address, func(string) bool { return true })
+			fixture := newTLSFixture(b)
+			node, address, _ := fixture.startNode("n1", 2048)
+			fixture.waitForSerial(address, func(string) bool { return true })
 			resident := func() float64 {
 				data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", node.process.Process.Pid))
 				require.NoError(b, err)
@@ -86,7 +86,7 @@
 				if kind == "plain" {
 					c, err = net.Dial("tcp", node.address)
 				} else {
-					c, err = tls.Dial("tcp", address, rig.clients)
+					c, err = tls.Dial("tcp", address, fixture.clientTLS)
 				}
 				require.NoError(b, err)
 				defer c.Close()
--- a/cmd/pearknot/upgrade_rig_test.go
+++ b/cmd/pearknot/upgrade_fixture_test.go
@@ -24,8 +24,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// upgradeRig is a node whose processes succeed each other at one address, with two backends and clients that never stop.
-type upgradeRig struct {
+// upgradeFixture is a node whose processes replace each other at one address, with two backends and clients under constant load.
+type upgradeFixture struct {
 	t            *testing.T
 	dir          string // TMPDIR of all its processes
 	address      string
@@ -33,38 +33,38 @@
 	backends     [2]atomic.Int64 // attempts
 	mu           sync.Mutex
 	attempts     map[string]int // by id
-	clientErrors []string       // what clients met
+	clientErrors []string       // of clients' requests
 	rejected     []string       // ids
-	asked        atomic.Int64
+	sent         atomic.Int64
 }
 
-func newUpgradeRig(t *testing.T) *upgradeRig {
+func newUpgradeFixture(t *testing.T) *upgradeFixture {
 	dir, err := os.MkdirTemp("", "pk") // short: a socket's path is bounded
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	rig := &upgradeRig{t: t, dir: dir, attempts: map[string]int{}, address: reserveAddress(t)}
+	fixture := &upgradeFixture{t: t, dir: dir, attempts: map[string]int{}, address: reserveAddress(t)}
 	list := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() }))
 	t.Cleanup(list.Close)
 	var entries []string
 	for k := range 2 {
 		s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
-			rig.backends[k].Add(1)
-			rig.mu.Lock()
-			defer rig.mu.Unlock()
-			rig.attempts[request.Header.Get("X-Trace-Id")]++
+			fixture.backends[k].Add(1)
+			fixture.mu.Lock()
+			defer fixture.mu.Unlock()
+			fixture.attempts[request.Header.Get("X-Trace-Id")]++
 		}))
 		t.Cleanup(s.Close)
 		entries = append(entries, strings.Replace(endpointEntry(s.Listener.Addr().String(), "up"), "s-1", fmt.Sprint("s-", k+1), 1))
 	}
-	rig.file = writeConfig(t, list.Listener.Addr(), 64, 256, strings.Join(entries, ","), settings)
-	text, err := os.ReadFile(rig.file)
+	fixture.file = writeConfig(t, list.Listener.Addr(), 64, 256, strings.Join(entries, ","), settings)
+	text, err := os.ReadFile(fixture.file)
 	require.NoError(t, err)
-	text = bytes.Replace(text, []byte(`"listen":"127.0.0.1:0"`), fmt.Appendf(nil, `"control":"127.0.0.1:0","listen":%q`, rig.address), 1)
-	require.NoError(t, os.WriteFile(rig.file, text, 0o600))
-	return rig
+	text = bytes.Replace(text, []byte(`"listen":"127.0.0.1:0"`), fmt.Appendf(nil, `"control":"127.0.0.1:0","listen":%q`, fixture.address), 1)
+	require.NoError(t, os.WriteFile(fixture.file, text, 0o600))
+	return fixture
 }
 
-// reserveAddress returns an address that nobody else gets until the test's end: a socket is bound to it, but does not listen.
+// reserveAddress returns an address that nothing else gets until the test's end: a socket is bound to it, but does not listen.
 func reserveAddress(t testing.TB) string {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
@@ -84,13 +84,13 @@
 	log          testlog.Buffer
 }
 
-// startProcess starts a process. If serves is set it waits until the process is ready.
-func (rig *upgradeRig) startProcess(serves bool) *upgradeProcess {
-	process := &upgradeProcess{Cmd: exec.Command(nextProgram(), "serve", "-config", rig.file), ended: make(chan struct{})}
-	process.Env = append(os.Environ(), "TMPDIR="+rig.dir)
+// startProcess starts a process. If waitReady is set it waits until the process is ready.
+func (fixture *upgradeFixture) startProcess(waitReady bool) *upgradeProcess {
+	process := &upgradeProcess{Cmd: exec.Command(nextProgram(), "serve", "-config", fixture.file), ended: make(chan struct{})}
+	process.Env = append(os.Environ(), "TMPDIR="+fixture.dir)
 	stderr, err := process.StderrPipe()
-	require.NoError(rig.t, err)
-	require.NoError(rig.t, process.Start())
+	require.NoError(fixture.t, err)
+	require.NoError(fixture.t, process.Start())
 	serving := make(chan string, 1)
 	go func() {
 		defer close(process.ended)
@@ -102,20 +102,20 @@
 		}
 		_ = process.Wait()
 	}()
-	rig.t.Cleanup(func() { _ = process.Process.Kill(); <-process.ended })
-	if serves {
+	fixture.t.Cleanup(func() { _ = process.Process.Kill(); <-process.ended })
+	if waitReady {
 		select {
 		case process.adminAddress = <-serving:
 		case <-time.After(20 * time.Second):
-			rig.t.Fatal("never served: " + process.log.String())
+			fixture.t.Fatal("process did not become ready: " + process.log.String())
 		}
-		require.Eventually(rig.t, func() bool { status, _ := runProgram("call", process.adminAddress, "health"); return status == 0 }, 10*time.Second, 5*time.Millisecond)
+		require.Eventually(fixture.t, func() bool { status, _ := runProgram("call", process.adminAddress, "health"); return status == 0 }, 10*time.Second, 5*time.Millisecond)
 	}
 	return process
 }
 
-// startLoad starts clients that send requests until stop is called. Anything but an answer is an error.
-func (rig *upgradeRig) startLoad(clients int) (stop func()) {
+// startLoad starts clients that send requests until stop is called. Any outcome but a status of 200 or 503 is an error.
+func (fixture *upgradeFixture) startLoad(clients int) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for c := range clients {
@@ -127,25 +127,25 @@
 			for k := 0; ctx.Err() == nil; k++ {
 				<-pace.C
 				id := fmt.Sprintf("%d-%d", c, k)
-				request, _ := http.NewRequest("POST", "http://"+rig.address+"/api", strings.NewReader("paid"))
+				request, _ := http.NewRequest("POST", "http://"+fixture.address+"/api", strings.NewReader("paid"))
 				request.Header = http.Header{"X-Trace-Id": {id}, "X-Qos": {"pay"}, "X-Expires-In-Ms": {"4000"}}
-				answer, err := client.Do(request)
+				response, err := client.Do(request)
 				if err == nil {
-					_, err = io.Copy(io.Discard, answer.Body)
-					_ = answer.Body.Close()
-					if answer.StatusCode == http.StatusServiceUnavailable {
-						rig.mu.Lock()
-						rig.rejected = append(rig.rejected, id)
-						rig.mu.Unlock()
-					} else if answer.StatusCode != http.StatusOK {
-						err = fmt.Errorf("status %d", answer.StatusCode)
+					_, err = io.Copy(io.Discard, response.Body)
+					_ = response.Body.Close()
+					if response.StatusCode == http.StatusServiceUnavailable {
+						fixture.mu.Lock()
+						fixture.rejected = append(fixture.rejected, id)
+						fixture.mu.Unlock()
+					} else if response.StatusCode != http.StatusOK {
+						err = fmt.Errorf("status %d", response.StatusCode)
 					}
 				}
-				rig.asked.Add(1)
+				fixture.sent.Add(1)
 				if err != nil {
-					rig.mu.Lock()
-					rig.clientErrors = append(rig.clientErrors, id+": "+err.Error())
-					rig.mu.Unlock()
+					fixture.mu.Lock()
+					fixture.clientErrors = append(fixture.clientErrors, id+": "+err.Error())
+					fixture.mu.Unlock()
 				}
 			}
 		})
@@ -153,19 +153,19 @@
 	return func() { cancel(); all.Wait() }
 }
 
-// waitForRequests waits until clients have sent so many more requests.
-func (rig *upgradeRig) waitForRequests(asks int64) {
-	until := rig.asked.Load() + asks
-	require.Eventually(rig.t, func() bool { return rig.asked.Load() >= until }, 30*time.Second, time.Millisecond)
+// waitForRequests waits until clients have sent count more requests.
+func (fixture *upgradeFixture) waitForRequests(count int64) {
+	until := fixture.sent.Load() + count
+	require.Eventually(fixture.t, func() bool { return fixture.sent.Load() >= until }, 30*time.Second, time.Millisecond)
 }
 
 // stop ends a process by SIGTERM, in the time that the platform allows.
-func (rig *upgradeRig) stop(process *upgradeProcess) {
-	require.NoError(rig.t, process.Process.Signal(syscall.SIGTERM))
+func (fixture *upgradeFixture) stop(process *upgradeProcess) {
+	require.NoError(fixture.t, process.Process.Signal(syscall.SIGTERM))
 	select {
 	case <-process.ended:
 	case <-time.After(3700 * time.Millisecond):
-		rig.t.Fatal("SIGKILL would have come: " + process.log.String())
+		fixture.t.Fatal("process did not end before the platform's SIGKILL: " + process.log.String())
 	}
-	assert.Contains(rig.t, process.log.String(), `msg="node stopped" unanswered=0`)
+	assert.Contains(fixture.t, process.log.String(), `msg="node stopped" unanswered=0`)
 }
