--- a/cmd/pearknot/tls_test.go
+++ b/cmd/pearknot/tls_test.go
@@ -25,11 +25,11 @@
 // serve what is issued. When the first is killed, the second orders in its place.
 func TestNodesOverTLS(t *testing.T) {
 	fixture := newTLSFixture(t)
-	anySerial := func(string) bool { return true }
+	any := func(string) bool { return true }
 	one, first, socket1 := fixture.startNode("n1", 256)
-	old := fixture.waitForSerial(first, anySerial)
+	old := fixture.waitForSerial(first, any)
 	two, second, socket2 := fixture.startNode("n2", 256)
-	assert.Equal(t, old, fixture.waitForSerial(second, anySerial))
+	assert.Equal(t, old, fixture.waitForSerial(second, any))
 
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: fixture.clientTLS}}
 	defer client.CloseIdleConnections()
