--- a/cmd/pearknot/agent.go
+++ b/cmd/pearknot/agent.go
@@ -12,26 +12,26 @@
 	"pearknot/internal/cli"
 )
 
-// agentFlags are the flags of agent.
+// agentFlags holds the flags of the agent command.
 type agentFlags struct {
 	file     string
 	logLevel slog.Level
 }
 
-// agentCommand runs the agent of a host.
+// agentCommand returns the command that runs the agent of a host.
 func agentCommand() *cobra.Command {
 	agentFlags := &agentFlags{}
 	command := &cobra.Command{
 		Use:   "agent --config FILE",
-		Short: "Look after the instances of this host",
+		Short: "Manage the instances of this host",
 		Args:  cobra.NoArgs,
 		RunE:  agentFlags.run,
 	}
-	command.PersistentFlags().StringVar(&agentFlags.file, "config", "deploy/agent.toml", "the agent's file")
-	command.Flags().TextVar(&agentFlags.logLevel, "log", slog.LevelInfo, "least level of log lines")
+	command.PersistentFlags().StringVar(&agentFlags.file, "config", "deploy/agent.toml", "the agent's configuration file")
+	command.Flags().TextVar(&agentFlags.logLevel, "log", slog.LevelInfo, "minimum level of log lines: debug, info, warn, error")
 	command.AddCommand(&cobra.Command{
 		Use:   "check",
-		Short: "Read the agent's file, tell what it says, and end",
+		Short: "Read the agent's configuration file, print a summary, and exit",
 		Args:  cobra.NoArgs,
 		RunE:  agentFlags.check,
 	})
@@ -59,7 +59,7 @@
 	if err != nil {
 		return cli.UsageError(err)
 	}
-	fmt.Fprintf(command.OutOrStdout(), "state in %s, socket %s, node %s; %d at once, %d canaries\n",
+	fmt.Fprintf(command.OutOrStdout(), "state in %s, socket %s, node %s; %d unavailable at most, %d canaries\n",
 		options.Dir, options.Socket, strings.Join(options.Binary, " "),
 		options.Rolling.MaxUnavailable, options.Rolling.Canary)
 	return nil
--- a/cmd/pearknot/call.go
+++ b/cmd/pearknot/call.go
@@ -14,22 +14,22 @@
 	"pearknot/internal/cli"
 )
 
-// callCommand makes an operator's call at a node's admin address.
+// callCommand returns the command that sends an operator's command to a node's admin address.
 func callCommand() *cobra.Command {
 	var timeout time.Duration
 	command := &cobra.Command{
 		Use:   "call ADDRESS health|cordon ID|uncordon ID|quiesce|resume",
-		Short: "Make a call at a node's admin address; 3 where the answer is no, 1 where there is none",
+		Short: "Send a command to a node's admin address; exit status 3 if the answer is NO, 1 if there is none",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
-			return makeCall(command, args[0], strings.Join(args[1:], " "), timeout)
+			return sendAdminCommand(command, args[0], strings.Join(args[1:], " "), timeout)
 		},
 	}
 	command.Flags().DurationVar(&timeout, "within", time.Second, "how long to wait for the answer")
 	return command
 }
 
-func makeCall(command *cobra.Command, address, line string, timeout time.Duration) error {
+func sendAdminCommand(command *cobra.Command, address, line string, timeout time.Duration) error {
 	if _, err := admin.ParseCommand([]byte(line)); err != nil {
 		return cli.UsageError(err)
 	}
--- a/cmd/pearknot/capture.go
+++ b/cmd/pearknot/capture.go
@@ -20,7 +20,7 @@
 	"pearknot/internal/controlsocket"
 )
 
-// eachRecord calls handle with all records of a capture. A truncated segment is reported on standard error and is no
+// eachRecord calls handle for each record of a capture. A truncated segment is reported on standard error and is not an
 // error.
 func eachRecord(command *cobra.Command, path string, handle func(capture.Record) error) error {
 	files, err := capture.Segments(path)
@@ -43,20 +43,20 @@
 	return nil
 }
 
-// dumpTimeout is how long a node may take to write its memory out.
+// dumpTimeout limits how long a node may take to write its in-memory capture to a file.
 const dumpTimeout = 30 * time.Second
 
-// errDecisionsDiffer ends a replay whose first difference was printed.
+// errDecisionsDiffer is returned by a replay that has printed the first difference.
 var errDecisionsDiffer = &cli.Error{Status: cli.StatusCheckFailed, Err: errors.New("decisions differ"), Silent: true}
 
-// replayOptions are the flags of replay.
+// replayOptions holds the flags of the replay command.
 type replayOptions struct {
 	times   int
 	from    float64 // ms of the capture; 0 for its start
-	against string  // another build's program
+	against string  // program of another build
 }
 
-// replayCommand replays a capture and compares the decisions.
+// replayCommand returns the command that replays a capture and compares the decisions.
 func replayCommand() *cobra.Command {
 	var options replayOptions
 	command := &cobra.Command{
@@ -71,10 +71,10 @@
 		},
 	}
 	flags := command.Flags()
-	flags.IntVar(&options.times, "times", 1, "how often to replay")
+	flags.IntVar(&options.times, "times", 1, "number of replays")
 	flags.Float64Var(&options.from, "from", 0,
 		"begin at the latest start or snapshot up to this time, in the capture's ms")
-	flags.StringVar(&options.against, "against", "", "another build's program, whose balancer is to decide")
+	flags.StringVar(&options.against, "against", "", "program of another build, whose balancer makes the decisions")
 	return command
 }
 
@@ -147,14 +147,14 @@
 	return skip, err
 }
 
-// explainCommand prints why one request went where it went.
+// explainCommand returns the command that explains the balancer's decisions about one request.
 func explainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain FILE|DIR REQUEST",
-		Short: "Print why a request went where it went, by the balancer's own reasons",
+		Short: "Explain the balancer's decisions about a request, with its own reasons",
 		Long: `explain replays the capture and prints, for each decision about the request, the backends that the balancer considered, what it
-expected of each at that moment, and why it was passed over. REQUEST is the request's number in the capture, or its ID with an x before
-it, both as 'capture cat' prints them: 12 or x9b1f03aa.`,
+expected of each at that moment, and why it was passed over. REQUEST is the request's number in the capture, or x followed by its
+ID, both as 'capture cat' prints them: 12 or x9b1f03aa.`,
 		Args: cobra.ExactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			return explain(command, args[0], args[1])
@@ -218,9 +218,9 @@
 	return fmt.Errorf("%s replay: %w", program, err)
 }
 
-// captureCommand prints, copies and verifies captures.
+// captureCommand returns the commands that list, print, copy, dump and verify captures.
 func captureCommand() *cobra.Command {
-	root := &cobra.Command{Use: "capture", Short: "Look into captures"}
+	root := &cobra.Command{Use: "capture", Short: "List, print, copy, dump and verify captures"}
 	root.AddCommand(
 		captureListCommand(),
 		captureCatCommand(),
@@ -234,7 +234,7 @@
 func captureListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "ls FILE|DIR",
-		Short: "The segments: sizes, times, records",
+		Short: "List the segments with their sizes, times and record counts",
 		Args:  cobra.ExactArgs(1),
 		RunE:  listSegments,
 	}
@@ -290,7 +290,7 @@
 func captureCatCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "cat FILE|DIR",
-		Short: "The records, a line each; late ones are marked",
+		Short: "Print the records, one per line; late ones are marked",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			var notes capture.LateNotes
@@ -306,7 +306,7 @@
 	}
 }
 
-// cutOptions are the flags of capture cut.
+// cutOptions holds the flags of the capture cut command.
 type cutOptions struct {
 	from, to float64 // ms of the capture
 	out      string
@@ -357,7 +357,7 @@
 func captureDumpCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "dump SOCKET",
-		Short: "Have a node write its capture in memory to a file, by its control socket",
+		Short: "Have a node write its in-memory capture to a file, through its control socket",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			client := controlsocket.NewClient(args[0], dumpTimeout)
--- a/cmd/pearknot/certs.go
+++ b/cmd/pearknot/certs.go
@@ -25,17 +25,17 @@
 	minTimeLeft      = 24 * time.Hour // a certificate that expires sooner should have been renewed
 )
 
-// certsCommand shows certificates and acts on them.
+// certsCommand returns the commands that show, check, renew and revoke certificates.
 func certsCommand() *cobra.Command {
-	root := &cobra.Command{Use: "certs", Short: "Certificates: what is served, and what becomes of it"}
+	root := &cobra.Command{Use: "certs", Short: "Show, check, renew and revoke certificates"}
 	root.AddCommand(
 		certsStatusCommand(),
 		certsCheckCommand(),
 		accountKeyCommand(),
 		certificateCommand("renew", controlsocket.RenewPath,
-			"Have a certificate ordered anew now, whatever its age", "is ordered anew"),
+			"Order a new certificate now, whatever the age of the current one", "renewal requested"),
 		certificateCommand("revoke", controlsocket.RevokePath,
-			"Revoke a certificate at its authority; another is ordered at once", "revoked, and ordered anew"),
+			"Revoke a certificate at its authority; a new one is ordered at once", "revoked, new certificate requested"),
 	)
 	return root
 }
@@ -43,8 +43,8 @@
 func certsStatusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "status SOCKET|FILE",
-		Short: "Show a node's certificates, by its control socket or by its tls.toml; " +
-			"3 where one is late, expired or missing",
+		Short: "Show a node's certificates, from its control socket or its tls.toml; " +
+			"exit status 3 if one is late, expired or missing",
 		Args: cobra.ExactArgs(1),
 		RunE: certsStatus,
 	}
@@ -67,14 +67,14 @@
 	}
 	handshakes := status.TLS.Handshakes
 	fmt.Fprintf(command.OutOrStdout(), "%s, store %s, ordered by %s; "+
-		"handshakes: %d done, %d of them resumed, %d failed, %d ended for others, %d open\n",
+		"handshakes: %d done, %d of them resumed, %d failed, %d evicted, %d open\n",
 		status.TLS.Listen, status.TLS.Dir, orderedBy,
 		handshakes.Done, handshakes.Resumed, handshakes.Failed, handshakes.Evicted, handshakes.Open)
 	return printCertificates(command.OutOrStdout(), status.TLS.Certificates)
 }
 
-// printStoredCertificates prints the certificates in the store of a tls.toml. The call's error is returned if the
-// path is a control socket after all.
+// printStoredCertificates prints the certificates in the store of a tls.toml. It returns callErr if the path is a
+// control socket instead.
 func printStoredCertificates(command *cobra.Command, path string, callErr error) error {
 	config, err := serve.ReadTLS(path)
 	if err != nil {
@@ -87,7 +87,8 @@
 	return printCertificates(command.OutOrStdout(), acme.ReadStatus(config.ACME))
 }
 
-// certificateCommand returns a command that has a node act on one certificate.
+// certificateCommand returns a command that sends a request for one certificate to a node, and prints done if the node
+// accepts it.
 func certificateCommand(verb, path, short, done string) *cobra.Command {
 	return &cobra.Command{
 		Use:   verb + " SOCKET NAME",
@@ -112,19 +113,19 @@
 	var authority int
 	command := &cobra.Command{
 		Use:   "account-key SOCKET",
-		Short: "Give the account at an authority a new key",
+		Short: "Replace the key of the account at an authority",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			client := controlsocket.NewClient(args[0], certsCallTimeout)
 			account := controlsocket.Certificate{Authority: authority}
 			err := client.Call(command.Context(), "POST", controlsocket.KeyPath, account, nil)
 			if err == nil {
-				fmt.Fprintln(command.OutOrStdout(), "the account has a new key")
+				fmt.Fprintln(command.OutOrStdout(), "account key replaced")
 			}
 			return err
 		},
 	}
-	command.Flags().IntVar(&authority, "authority", 0, "which one of the file, from 0")
+	command.Flags().IntVar(&authority, "authority", 0, "index of the authority in the file, from 0")
 	return command
 }
 
@@ -132,8 +133,8 @@
 	var address string
 	command := &cobra.Command{
 		Use: "check FILE",
-		Short: "Read a tls.toml, and make a handshake for each name where an address is given; " +
-			"3 where what is served will not do",
+		Short: "Read a tls.toml and, with --address, make a handshake for each name; " +
+			"exit status 3 if one fails or its certificate expires within a day",
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			config, err := serve.ReadTLS(args[0])
@@ -148,11 +149,11 @@
 			return nil
 		},
 	}
-	command.Flags().StringVar(&address, "address", "", "host:port of a listener to look at")
+	command.Flags().StringVar(&address, "address", "", "host:port of the listener to check")
 	return command
 }
 
-// isSocket reports whether a process listens on a Unix socket of that name.
+// isSocket reports whether a process listens on the Unix socket of that name.
 func isSocket(name string) bool {
 	connection, err := net.DialTimeout("unix", name, dialTimeout)
 	if err == nil {
@@ -161,14 +162,14 @@
 	return err == nil
 }
 
-// printCertificates prints a table. Its error says that an operator has something to do.
+// printCertificates prints a table of certificates. It returns an error if any of them needs an operator's attention.
 func printCertificates(out io.Writer, statuses []acme.Status) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "name\tstage\texpires\trenewed from\tnext try\torder\tlatest fault")
-	bad := 0
+	fmt.Fprintln(table, "name\tstage\texpires\trenewal due\tnext retry\torder\tlast failure")
+	needAttention := 0
 	for _, status := range statuses {
 		if status.Stage != certs.StageFine && status.Stage != certs.StageRenewalDue {
-			bad++
+			needAttention++
 		}
 		order, failure := "-", "-"
 		if status.Order != "" {
@@ -180,14 +181,14 @@
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", status.Name, status.Stage,
 			formatTime(status.NotAfter), formatTime(status.RenewAt), formatTime(status.RetryAt), order, failure)
 	}
-	if err := table.Flush(); err != nil || bad == 0 {
+	if err := table.Flush(); err != nil || needAttention == 0 {
 		return err
 	}
-	err := fmt.Errorf("%d of %d certificates want looking after", bad, len(statuses))
+	err := fmt.Errorf("%d of %d certificates need attention", needAttention, len(statuses))
 	return &cli.Error{Status: cli.StatusCheckFailed, Err: err}
 }
 
-// formatTime returns a time for a table, with a dash for none.
+// formatTime formats a time for a table, the zero time as a dash.
 func formatTime(when time.Time) string {
 	if when.IsZero() {
 		return "-"
@@ -197,7 +198,7 @@
 
 // checkHandshakes makes a handshake for each name, as a client would.
 func checkHandshakes(out io.Writer, address string, config *serve.TLS, now time.Time) error {
-	bad := 0
+	failed := 0
 	for _, names := range config.ACME.Names {
 		for _, name := range names {
 			timeLeft, err := checkHandshake(out, address, name, config, now)
@@ -205,19 +206,19 @@
 				fmt.Fprintf(out, "%s: %v\n", name, err)
 			}
 			if err != nil || timeLeft < minTimeLeft {
-				bad++
+				failed++
 			}
 		}
 	}
-	if bad > 0 {
-		err := fmt.Errorf("%d names are not served as they should", bad)
+	if failed > 0 {
+		err := fmt.Errorf("%d names failed the check or have a certificate that expires within a day", failed)
 		return &cli.Error{Status: cli.StatusCheckFailed, Err: err}
 	}
 	return nil
 }
 
-// checkHandshake makes a handshake for one name, and returns how long the certificate is still valid. Whichever of the
-// authorities has issued it is trusted.
+// checkHandshake makes a handshake for one name, and returns how long the certificate is still valid. A
+// certificate from any of the configured authorities is trusted.
 func checkHandshake(out io.Writer, address, name string, config *serve.TLS, now time.Time) (time.Duration, error) {
 	var connection *tls.Conn
 	var err error
@@ -234,7 +235,7 @@
 	leaf := connection.ConnectionState().PeerCertificates[0]
 	_ = connection.Close()
 	timeLeft := leaf.NotAfter.Sub(now)
-	fmt.Fprintf(out, "%s: serial %s, ends %s, in %s\n",
+	fmt.Fprintf(out, "%s: serial %s, expires %s, in %s\n",
 		name, leaf.SerialNumber, leaf.NotAfter.UTC().Format(time.RFC3339), timeLeft.Round(time.Minute))
 	return timeLeft, nil
 }
--- a/cmd/pearknot/clients.go
+++ b/cmd/pearknot/clients.go
@@ -15,29 +15,29 @@
 	"pearknot/internal/server"
 )
 
-// clearScreen moves a terminal's cursor to the top of a cleared screen.
+// clearScreen is the escape sequence that moves the cursor home and clears the terminal.
 const clearScreen = "\x1b[H\x1b[2J"
 
-// clientsOptions are the flags of clients.
+// clientsOptions holds the flags of the clients command.
 type clientsOptions struct {
-	intervalSeconds float64 // 0 to ask once
+	intervalSeconds float64 // 0 to query once
 	maxAddresses    int
 }
 
-// clientsCommand prints who holds connections of a node.
+// clientsCommand returns the command that prints the connections of a node by client address.
 func clientsCommand() *cobra.Command {
 	var options clientsOptions
 	command := &cobra.Command{
 		Use: "clients SOCKET",
-		Short: "Who holds connections of a node, and who was refused and why; " +
-			"3 while the node chooses among them",
+		Short: "Show a node's connections by client address, and how many were refused or evicted and why; " +
+			"exit status 3 while the node is under pressure",
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			return showClients(command, args[0], options)
 		},
 	}
-	command.Flags().Float64Var(&options.intervalSeconds, "every", 0, "seconds between queries; 0 asks once")
-	command.Flags().IntVar(&options.maxAddresses, "most", 20, "addresses shown")
+	command.Flags().Float64Var(&options.intervalSeconds, "every", 0, "seconds between queries; 0 queries once")
+	command.Flags().IntVar(&options.maxAddresses, "most", 20, "maximum number of addresses shown")
 	return command
 }
 
@@ -60,7 +60,7 @@
 			return err
 		}
 		if !isWatching && stats.UnderPressure {
-			err := fmt.Errorf("%d of %d connections: the node chooses among its clients", stats.Open, stats.Limit)
+			err := fmt.Errorf("%d of %d connections: the node is under pressure", stats.Open, stats.Limit)
 			return &cli.Error{Status: cli.StatusCheckFailed, Err: err, Silent: true}
 		}
 		if !isWatching {
@@ -74,7 +74,7 @@
 	}
 }
 
-// printClients prints the table of a node's clients.
+// printClients prints a node's connection counts and the table of its client addresses.
 func printClients(out io.Writer, stats server.ClientStats, maxAddresses int) error {
 	state := "calm"
 	if stats.UnderPressure {
@@ -82,9 +82,9 @@
 	}
 	fmt.Fprintf(out, "%d of %d connections, %s\n", stats.Open, stats.Limit, state)
 	printReasons(out, "refused", stats.Refused)
-	printReasons(out, "let go", stats.Evicted)
+	printReasons(out, "evicted connections", stats.Evicted)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(table, "address\tknown\tconnections\twithout a request\tgood\todd\t")
+	fmt.Fprintln(table, "address\tknown\tconnections\twithout a request\tanswered\tmisbehavior\t")
 	for _, address := range stats.Addresses[:min(maxAddresses, len(stats.Addresses))] {
 		fmt.Fprintf(table, "%s\t%v\t%d\t%d\t%.1f\t%.1f\t\n", address.Address, address.Known,
 			address.Connections, address.Unproven, address.Answered, address.Misbehavior)
@@ -92,9 +92,9 @@
 	return table.Flush()
 }
 
-// printReasons prints how many connections something happened to, by reason.
-func printReasons(out io.Writer, what string, counts map[string]uint64) {
+// printReasons prints the number of connections with an outcome for each reason.
+func printReasons(out io.Writer, outcome string, counts map[string]uint64) {
 	for _, reason := range slices.Sorted(maps.Keys(counts)) {
-		fmt.Fprintf(out, "%s: %d, %s\n", what, counts[reason], reason)
+		fmt.Fprintf(out, "%s: %d, %s\n", outcome, counts[reason], reason)
 	}
 }
--- a/cmd/pearknot/config.go
+++ b/cmd/pearknot/config.go
@@ -13,67 +13,67 @@
 	"pearknot/internal/controlsocket"
 )
 
-// configTool is what the config commands have in common: the values of their flags.
-type configTool struct {
+// configCommands holds the values of the flags that the config commands share.
+type configCommands struct {
 	file    string
 	timeout time.Duration
 	json    bool
 }
 
-// configCommand changes and shows the settings that the control plane holds.
+// configCommand returns the commands that change and show the settings that the control plane holds.
 func configCommand() *cobra.Command {
-	tool := &configTool{}
+	commands := &configCommands{}
 	root := &cobra.Command{
 		Use:   "config",
-		Short: "The settings that the control plane holds: change them, look, go back",
-		Long: "The settings that the control plane holds.\n\n" +
+		Short: "Change, show and roll back the settings that the control plane holds",
+		Long: "Change, show and roll back the settings that the control plane holds.\n\n" +
 			"Exit status: 0 done, 1 failed, 2 a file can't be read or its settings can't be put in force, " +
 			"3 another change came first,\nor a node is behind or refuses, or a member does not answer.",
 	}
 	flags := root.PersistentFlags()
-	flags.StringVar(&tool.file, "file", "control-plane.toml", "file of the control plane")
-	flags.DurationVar(&tool.timeout, "within", 10*time.Second, "how long to try")
-	flags.BoolVar(&tool.json, "json", false, "as JSON")
+	flags.StringVar(&commands.file, "file", "control-plane.toml", "the control plane's file")
+	flags.DurationVar(&commands.timeout, "within", 10*time.Second, "timeout of the command")
+	flags.BoolVar(&commands.json, "json", false, "print JSON")
 	root.AddCommand(
-		tool.applyCommand(),
-		tool.getCommand(),
-		tool.logCommand(),
-		tool.rollbackCommand(),
-		tool.statusCommand(),
-		tool.nodeCommand(),
+		commands.applyCommand(),
+		commands.getCommand(),
+		commands.logCommand(),
+		commands.rollbackCommand(),
+		commands.statusCommand(),
+		commands.nodeCommand(),
 	)
 	return root
 }
 
 // controlPlane reads the control plane's file and returns a context with the command's timeout.
-func (t *configTool) controlPlane(
+func (c *configCommands) controlPlane(
 	command *cobra.Command,
 ) (*client.ControlPlane, context.Context, context.CancelFunc, error) {
-	controlPlane, err := readControlPlane(t.file)
+	controlPlane, err := readControlPlane(c.file)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	ctx, cancel := context.WithTimeout(command.Context(), t.timeout)
+	ctx, cancel := context.WithTimeout(command.Context(), c.timeout)
 	return controlPlane, ctx, cancel, nil
 }
 
-// getCommand prints a version's settings.
-func (t *configTool) getCommand() *cobra.Command {
+// getCommand returns the command that prints a version's settings.
+func (c *configCommands) getCommand() *cobra.Command {
 	var version uint64
 	command := &cobra.Command{
 		Use:   "get",
 		Short: "Print a version's settings",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			return t.get(command, version)
+			return c.get(command, version)
 		},
 	}
-	command.Flags().Uint64Var(&version, "version", 0, "which one (default: the head)")
+	command.Flags().Uint64Var(&version, "version", 0, "version to print (default: the head)")
 	return command
 }
 
-func (t *configTool) get(command *cobra.Command, version uint64) error {
-	controlPlane, ctx, cancel, err := t.controlPlane(command)
+func (c *configCommands) get(command *cobra.Command, version uint64) error {
+	controlPlane, ctx, cancel, err := c.controlPlane(command)
 	if err != nil {
 		return err
 	}
@@ -82,8 +82,8 @@
 	if err != nil {
 		return err
 	}
-	t.warnIfStale(command, age)
-	if t.json {
+	c.warnIfStale(command, age)
+	if c.json {
 		answer := map[string]any{"version": actual, "settings": json.RawMessage(text)}
 		return json.NewEncoder(command.OutOrStdout()).Encode(answer)
 	}
@@ -91,34 +91,34 @@
 	return err
 }
 
-// warnIfStale warns of an answer that no majority of the voters confirms.
-func (t *configTool) warnIfStale(command *cobra.Command, age *float64) {
+// warnIfStale warns if no majority of the voters confirms the answer or its age is unknown.
+func (c *configCommands) warnIfStale(command *cobra.Command, age *float64) {
 	switch {
 	case age == nil:
-		fmt.Fprintln(command.ErrOrStderr(), "pearknot: no voter that answers knows how old this is")
+		fmt.Fprintln(command.ErrOrStderr(), "pearknot: the age of this answer is unknown to all voters that responded")
 	case *age > client.MaxBehindMs:
 		fmt.Fprintf(command.ErrOrStderr(),
-			"pearknot: this may be %.0f s old: no majority of the voters is reached\n", *age/1e3)
+			"pearknot: this answer may be %.0f s old: no majority of the voters is reachable\n", *age/1e3)
 	}
 }
 
-// logCommand prints the latest changes.
-func (t *configTool) logCommand() *cobra.Command {
+// logCommand returns the command that prints the latest changes.
+func (c *configCommands) logCommand() *cobra.Command {
 	var count int
 	command := &cobra.Command{
 		Use:   "log",
-		Short: "The last changes: who, when, why",
+		Short: "Print the latest changes with time, author and reason",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			return t.log(command, count)
+			return c.log(command, count)
 		},
 	}
-	command.Flags().IntVarP(&count, "lines", "n", 20, "changes at most")
+	command.Flags().IntVarP(&count, "lines", "n", 20, "maximum number of changes")
 	return command
 }
 
-func (t *configTool) log(command *cobra.Command, count int) error {
-	controlPlane, ctx, cancel, err := t.controlPlane(command)
+func (c *configCommands) log(command *cobra.Command, count int) error {
+	controlPlane, ctx, cancel, err := c.controlPlane(command)
 	if err != nil {
 		return err
 	}
@@ -127,8 +127,8 @@
 	if err != nil {
 		return err
 	}
-	t.warnIfStale(command, age)
-	if t.json {
+	c.warnIfStale(command, age)
+	if c.json {
 		return json.NewEncoder(command.OutOrStdout()).Encode(changes)
 	}
 	table := tabwriter.NewWriter(command.OutOrStdout(), 0, 0, 2, ' ', 0)
@@ -141,17 +141,17 @@
 	return table.Flush()
 }
 
-// nodeCommand shows what a node has in force, by its own status.
-func (t *configTool) nodeCommand() *cobra.Command {
+// nodeCommand returns the command that shows the settings version that a node has in force, from the node's own status.
+func (c *configCommands) nodeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "node SOCKET",
-		Short: "What a node has in force, by its own word at its control socket",
+		Short: "Show the settings version that a node has in force, from its control socket",
 		Args:  cobra.ExactArgs(1),
-		RunE:  t.node,
+		RunE:  c.node,
 	}
 }
 
-func (t *configTool) node(command *cobra.Command, args []string) error {
+func (c *configCommands) node(command *cobra.Command, args []string) error {
 	var status controlsocket.Status
 	socket := controlsocket.NewClient(args[0], dialTimeout)
 	if err := socket.Call(command.Context(), "GET", controlsocket.StatusPath, nil, &status); err != nil {
@@ -161,7 +161,7 @@
 	if settings == nil {
 		return fmt.Errorf("%s follows no control plane: it was started without --control-plane", status.Name)
 	}
-	if t.json {
+	if c.json {
 		return json.NewEncoder(command.OutOrStdout()).Encode(settings)
 	}
 	followed := settings.FollowedMember
--- a/cmd/pearknot/configchange.go
+++ b/cmd/pearknot/configchange.go
@@ -16,7 +16,7 @@
 	"pearknot/internal/tomlfile"
 )
 
-// changeFlags are the flags of commands that make a new version.
+// changeFlags holds the flags of the commands that create a new version.
 type changeFlags struct {
 	base   uint64
 	by     string
@@ -27,13 +27,13 @@
 func (f *changeFlags) addTo(command *cobra.Command) *cobra.Command {
 	flags := command.Flags()
 	flags.Uint64Var(&f.base, "base", 0,
-		"the version that the change was made from (default: the head as the command begins)")
-	flags.StringVar(&f.by, "by", caller(), "who changes")
-	flags.StringVar(&f.reason, "reason", "", "why, for the log")
+		"version that the change is based on (default: the head when the command starts)")
+	flags.StringVar(&f.by, "by", caller(), "author of the change")
+	flags.StringVar(&f.reason, "reason", "", "reason for the change, recorded in the log")
 	return command
 }
 
-// caller returns the user's name, or nothing if the system has none.
+// caller returns the user's name, or an empty string if the system has none.
 func caller() string {
 	if account, err := user.Current(); err == nil {
 		return account.Username
@@ -51,60 +51,60 @@
 	return controlPlane.HeadVersion(ctx)
 }
 
-// printVersion prints the version that was made, or returns why there is none.
-func (t *configTool) printVersion(command *cobra.Command, version uint64, err error) error {
+// printVersion prints the version that was created, or returns the error that prevented it.
+func (c *configCommands) printVersion(command *cobra.Command, version uint64, err error) error {
 	var conflict *client.ConflictError
 	switch {
 	case errors.As(err, &conflict):
 		return &cli.Error{Status: cli.StatusCheckFailed, Err: err}
 	case err != nil:
 		return err
-	case t.json:
+	case c.json:
 		return json.NewEncoder(command.OutOrStdout()).Encode(map[string]uint64{"version": version})
 	}
 	_, err = fmt.Fprintln(command.OutOrStdout(), "version", version)
 	return err
 }
 
-// applyCommand makes a file of settings the next version.
-func (t *configTool) applyCommand() *cobra.Command {
+// applyCommand returns the command that makes a file of settings the next version.
+func (c *configCommands) applyCommand() *cobra.Command {
 	change := &changeFlags{}
 	return change.addTo(&cobra.Command{
 		Use:   "apply FILE",
-		Short: "Make a file of settings the next version; it is on a majority's disks when this ends",
+		Short: "Make a file of settings the next version; returns when a majority of the voters has it on disk",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			return t.apply(command, args[0], change)
+			return c.apply(command, args[0], change)
 		},
 	})
 }
 
-func (t *configTool) apply(command *cobra.Command, file string, change *changeFlags) error {
+func (c *configCommands) apply(command *cobra.Command, file string, change *changeFlags) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return cli.UsageError(err)
 	}
 	if _, err := controlplane.Parse(text); err != nil {
-		return wrongSettings(file, err)
+		return withPosition(file, err)
 	}
-	return t.makeVersion(command, change, func(ctx context.Context, controlPlane *client.ControlPlane, base uint64) (uint64, error) {
+	return c.makeVersion(command, change, func(ctx context.Context, controlPlane *client.ControlPlane, base uint64) (uint64, error) {
 		version, err := controlPlane.Apply(ctx, base, text, change.by, change.reason)
 		var invalid *client.InvalidError
 		if errors.As(err, &invalid) {
-			line, column := settingPlace(text, invalid.Detail)
+			line, column := settingPosition(text, invalid.Detail)
 			err = &tomlfile.Error{File: file, Line: line, Column: column, What: invalid.Detail}
 		}
 		return version, err
 	})
 }
 
-// makeVersion makes a new version by a call of the control plane, which gets the version that the change is based on, and
-// prints it.
-func (t *configTool) makeVersion(
+// makeVersion creates a new version with a call to the control plane, which is given the version that the change is based
+// on, and prints the new version.
+func (c *configCommands) makeVersion(
 	command *cobra.Command, change *changeFlags,
 	call func(ctx context.Context, controlPlane *client.ControlPlane, base uint64) (uint64, error),
 ) error {
-	controlPlane, ctx, cancel, err := t.controlPlane(command)
+	controlPlane, ctx, cancel, err := c.controlPlane(command)
 	if err != nil {
 		return err
 	}
@@ -114,30 +114,30 @@
 		return err
 	}
 	version, err := call(ctx, controlPlane, base)
-	return t.printVersion(command, version, err)
+	return c.printVersion(command, version, err)
 }
 
-// rollbackCommand makes an earlier version's settings the next version.
-func (t *configTool) rollbackCommand() *cobra.Command {
+// rollbackCommand returns the command that makes an earlier version's settings the next version.
+func (c *configCommands) rollbackCommand() *cobra.Command {
 	change, version := &changeFlags{}, uint64(0)
 	command := change.addTo(&cobra.Command{
 		Use:   "rollback --to VERSION",
 		Short: "Make an earlier version's settings the next version",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			return t.rollback(command, version, change)
+			return c.rollback(command, version, change)
 		},
 	})
-	command.Flags().Uint64Var(&version, "to", 0, "the version to go back to: see log")
+	command.Flags().Uint64Var(&version, "to", 0, "version to roll back to, as listed by log")
 	_ = command.MarkFlagRequired("to")
 	return command
 }
 
-func (t *configTool) rollback(command *cobra.Command, to uint64, change *changeFlags) error {
+func (c *configCommands) rollback(command *cobra.Command, to uint64, change *changeFlags) error {
 	if change.reason == "" {
 		change.reason = fmt.Sprintf("back to version %d", to)
 	}
-	return t.makeVersion(command, change, func(ctx context.Context, controlPlane *client.ControlPlane, base uint64) (uint64, error) {
+	return c.makeVersion(command, change, func(ctx context.Context, controlPlane *client.ControlPlane, base uint64) (uint64, error) {
 		version, err := controlPlane.Rollback(ctx, to, base, change.by, change.reason)
 		if errors.Is(err, client.ErrVersionNotFound) {
 			err = cli.UsageError(fmt.Errorf("version %d: %w", to, err))
--- a/cmd/pearknot/configstatus.go
+++ b/cmd/pearknot/configstatus.go
@@ -14,34 +14,34 @@
 	"pearknot/internal/controlplane/client"
 )
 
-// statusCommand prints the members and the nodes that are behind.
-func (t *configTool) statusCommand() *cobra.Command {
+// statusCommand returns the command that prints the members and the nodes that are behind.
+func (c *configCommands) statusCommand() *cobra.Command {
 	var watch bool
 	command := &cobra.Command{
 		Use: "status",
-		Short: "The version, the members, nodes behind and by how long; " +
-			"3 while one is behind for over 6 s or refuses, or a member does not answer",
+		Short: "Show the version, the members, and which nodes are behind and for how long; " +
+			"exit status 3 while one is behind for over 6 s or refuses, or a member does not answer",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			return t.status(command, watch)
+			return c.status(command, watch)
 		},
 	}
-	command.Flags().BoolVar(&watch, "watch", false, "again every second")
+	command.Flags().BoolVar(&watch, "watch", false, "repeat every second")
 	return command
 }
 
-func (t *configTool) status(command *cobra.Command, watch bool) error {
+func (c *configCommands) status(command *cobra.Command, watch bool) error {
 	for {
-		controlPlane, ctx, cancel, err := t.controlPlane(command)
+		controlPlane, ctx, cancel, err := c.controlPlane(command)
 		if err != nil {
 			return err
 		}
 		report := client.NewReport(controlPlane.MemberStatuses(ctx))
 		cancel()
-		if watch && !t.json {
+		if watch && !c.json {
 			fmt.Fprint(command.OutOrStdout(), clearScreen)
 		}
-		if err := t.printReport(command.OutOrStdout(), report); err != nil {
+		if err := c.printReport(command.OutOrStdout(), report); err != nil {
 			return err
 		}
 		if !watch {
@@ -59,8 +59,8 @@
 }
 
 // printReport prints the state of the control plane: members, regions, and nodes that are behind.
-func (t *configTool) printReport(out io.Writer, report *client.Report) error {
-	if t.json {
+func (c *configCommands) printReport(out io.Writer, report *client.Report) error {
+	if c.json {
 		return json.NewEncoder(out).Encode(report)
 	}
 	leader := report.Leader
@@ -102,7 +102,7 @@
 
 func printNodesBehind(table io.Writer, nodes []client.ReportNode) {
 	if len(nodes) > 0 {
-		fmt.Fprintln(table, "node behind\tregion\tin force\tstored\tfor\tmember\trefuses")
+		fmt.Fprintln(table, "node behind\tregion\tin force\tstored\tbehind for\tmember\trefuses")
 	}
 	for _, node := range nodes {
 		rejection := ""
@@ -114,7 +114,7 @@
 	}
 }
 
-// formatSeconds returns a number of ms as seconds, for a table.
+// formatSeconds formats a duration in ms as seconds, for a table; nil is unknown.
 func formatSeconds(ms *float64) string {
 	if ms == nil {
 		return "unknown"
--- a/cmd/pearknot/controlplane.go
+++ b/cmd/pearknot/controlplane.go
@@ -12,14 +12,14 @@
 	"pearknot/internal/tomlfile"
 )
 
-// controlPlaneFlags are the flags of control-plane.
+// controlPlaneFlags holds the flags of the control-plane command.
 type controlPlaneFlags struct {
 	name     string
 	logLevel slog.Level
 	options  member.Options
 }
 
-// controlPlaneCommand runs a member of the control plane.
+// controlPlaneCommand returns the command that runs a member of the control plane.
 func controlPlaneCommand() *cobra.Command {
 	memberFlags := &controlPlaneFlags{options: member.Options{Version: cli.Version()}}
 	command := &cobra.Command{
@@ -29,8 +29,8 @@
 		RunE:  memberFlags.run,
 	}
 	flags := command.Flags()
-	flags.StringVar(&memberFlags.name, "name", "", "which of the file's members this process is")
-	flags.BoolVar(&memberFlags.options.Bootstrap, "bootstrap", false, "a voter's first start: begin its store")
+	flags.StringVar(&memberFlags.name, "name", "", "name of the member in the file that this process runs as")
+	flags.BoolVar(&memberFlags.options.Bootstrap, "bootstrap", false, "create the store at a voter's first start")
 	flags.StringVar(&memberFlags.options.Control, "control", "", "path of a control socket")
 	flags.TextVar(&memberFlags.logLevel, "log", slog.LevelInfo, "minimum level of log lines: debug, info, warn, error")
 	_ = command.MarkFlagRequired("name")
@@ -46,7 +46,8 @@
 	return member.Run(command.Context(), controlPlane, f.name, f.options, log)
 }
 
-// readControlPlane reads the control plane's file. An error in its text says the place; any other is one of usage.
+// readControlPlane reads the control plane's file. An error in its text has a position; any other
+// error is returned as a usage error.
 func readControlPlane(file string) (*client.ControlPlane, error) {
 	controlPlane, err := client.ReadFile(file)
 	var textErr *tomlfile.Error
--- a/cmd/pearknot/fleetchange.go
+++ b/cmd/pearknot/fleetchange.go
@@ -19,51 +19,51 @@
 )
 
 // withChangeFlags adds the flags of commands that change the fleet.
-func (t *fleetTool) withChangeFlags(command *cobra.Command) *cobra.Command {
+func (c *fleetCommands) withChangeFlags(command *cobra.Command) *cobra.Command {
 	flags := command.Flags()
-	flags.StringVar(&t.reason, "reason", "", "why, for the history")
-	flags.Int64Var(&t.revision, "revision", -1, "the revision that this was made from")
-	flags.BoolVar(&t.wait, "wait", false, "wait for the end of the change")
-	flags.DurationVar(&t.waitTimeout, "within", 10*time.Minute, "wait no longer")
-	flags.BoolVar(&t.dryRun, "dry-run", false, "only print what would be changed")
-	flags.IntVar(&t.options.MaxUnavailable, "at-once", 0, "instances out of service at a time (default: the agent's)")
-	flags.IntVar(&t.options.Canary, "canary", -1, "instances that go first (default: the agent's)")
-	flags.Float64Var(&t.options.HealthMs, "health-ms", -1, "time that one must stay well (default: the agent's)")
-	flags.BoolVar(&t.options.NoRollback, "no-revert", false, "stop on failure and leave it there")
+	flags.StringVar(&c.reason, "reason", "", "reason for the change, recorded in the history")
+	flags.Int64Var(&c.revision, "revision", -1, "revision that the change is based on; below 0 the one just read")
+	flags.BoolVar(&c.wait, "wait", false, "wait for the end of the change")
+	flags.DurationVar(&c.waitTimeout, "within", 10*time.Minute, "longest time to wait")
+	flags.BoolVar(&c.dryRun, "dry-run", false, "only print what would change")
+	flags.IntVar(&c.options.MaxUnavailable, "at-once", 0, "instances out of service at a time (default: the agent's)")
+	flags.IntVar(&c.options.Canary, "canary", -1, "instances that are changed first (default: the agent's)")
+	flags.Float64Var(&c.options.HealthMs, "health-ms", -1, "ms that an instance must stay healthy (default: the agent's)")
+	flags.BoolVar(&c.options.NoRollback, "no-revert", false, "stop on failure without rolling back")
 	_ = command.MarkFlagRequired("reason")
 	return command
 }
 
-// changeOptions returns the agent's options with those that the flags give in their place.
-func (t *fleetTool) changeOptions(agentOptions fleet.Options) *fleet.Options {
+// changeOptions returns the agent's options, overridden by those given as flags.
+func (c *fleetCommands) changeOptions(agentOptions fleet.Options) *fleet.Options {
 	options := agentOptions
-	if t.options.MaxUnavailable > 0 {
-		options.MaxUnavailable = t.options.MaxUnavailable
+	if c.options.MaxUnavailable > 0 {
+		options.MaxUnavailable = c.options.MaxUnavailable
 	}
-	if t.options.Canary >= 0 {
-		options.Canary = t.options.Canary
+	if c.options.Canary >= 0 {
+		options.Canary = c.options.Canary
 	}
-	if t.options.HealthMs >= 0 {
-		options.HealthMs = t.options.HealthMs
+	if c.options.HealthMs >= 0 {
+		options.HealthMs = c.options.HealthMs
 	}
-	options.NoRollback = options.NoRollback || t.options.NoRollback
+	options.NoRollback = options.NoRollback || c.options.NoRollback
 	return &options
 }
 
 // write sends a change and, with --wait, waits for its end.
-func (t *fleetTool) write(command *cobra.Command, write agent.Write) error {
+func (c *fleetCommands) write(command *cobra.Command, write agent.Write) error {
 	ctx := command.Context()
-	view, err := t.view(ctx)
+	view, err := c.view(ctx)
 	if err != nil {
 		return err
 	}
-	write.Revision, write.Reason, write.DryRun = view.Revision, t.reason, t.dryRun
-	write.Options = t.changeOptions(view.Rolling)
-	if t.revision >= 0 {
-		write.Revision = uint64(t.revision)
+	write.Revision, write.Reason, write.DryRun = view.Revision, c.reason, c.dryRun
+	write.Options = c.changeOptions(view.Rolling)
+	if c.revision >= 0 {
+		write.Revision = uint64(c.revision)
 	}
 	var written agent.Written
-	err = t.client().Call(ctx, http.MethodPost, agent.WritePath, write, &written)
+	err = c.client().Call(ctx, http.MethodPost, agent.WritePath, write, &written)
 	var refused *controlsocket.ResponseError
 	if errors.As(err, &refused) {
 		switch refused.Status {
@@ -77,47 +77,47 @@
 	if err != nil {
 		return err
 	}
-	if t.dryRun {
-		return t.show(command, written, func(out io.Writer) {
+	if c.dryRun {
+		return c.show(command, written, func(out io.Writer) {
 			names := strings.Join(written.Instances, " ")
-			fmt.Fprintf(out, "would touch %d instances: %s\n", len(written.Instances), names)
+			fmt.Fprintf(out, "would change %d instances: %s\n", len(written.Instances), names)
 		})
 	}
-	if t.wait {
-		if written.Change, err = t.waitForChange(ctx, written.Change.ID); err != nil {
+	if c.wait {
+		if written.Change, err = c.waitForChange(ctx, written.Change.ID); err != nil {
 			return err
 		}
 	}
 	change := written.Change
-	if err := t.show(command, written, func(out io.Writer) { printChange(out, change) }); err != nil {
+	if err := c.show(command, written, func(out io.Writer) { printChange(out, change) }); err != nil {
 		return err
 	}
 	isDone := change.Status == fleet.Succeeded || write.Command == "rollback" && change.Status == fleet.RolledBack
-	if t.wait && !isDone {
+	if c.wait && !isDone {
 		err := fmt.Errorf("change %d: %s: %s", change.ID, change.Status, change.Failure)
 		return &cli.Error{Status: cli.StatusFailed, Err: err}
 	}
 	return nil
 }
 
-// waitForChange waits until a change is over.
-func (t *fleetTool) waitForChange(ctx context.Context, id uint64) (fleet.Change, error) {
-	ctx, cancel := context.WithTimeout(ctx, t.waitTimeout)
+// waitForChange waits until a change has ended, and returns it.
+func (c *fleetCommands) waitForChange(ctx context.Context, id uint64) (fleet.Change, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.waitTimeout)
 	defer cancel()
 	since := uint64(0)
 	for {
 		path := fmt.Sprintf("%s?since=%d&wait_ms=5000", agent.FleetPath, since)
 		var view agent.View
-		err := t.client().Call(ctx, http.MethodGet, path, nil, &view)
+		err := c.client().Call(ctx, http.MethodGet, path, nil, &view)
 		switch {
 		case ctx.Err() != nil:
-			return fleet.Change{}, fmt.Errorf("change %d is not over after %v", id, t.waitTimeout)
+			return fleet.Change{}, fmt.Errorf("change %d has not ended after %v", id, c.waitTimeout)
 		case err != nil: // the agent may be restarting
 			select {
 			case <-time.After(agentRetryDelay):
 			case <-ctx.Done():
 			}
-			since = 0 // the next agent counts its views anew
+			since = 0 // a restarted agent numbers its views from the start
 			continue
 		case view.Change != nil && view.Change.ID == id && view.Change.Status.IsFinal():
 			return *view.Change, nil
@@ -128,44 +128,44 @@
 	}
 }
 
-// applyCommand declares all instances.
-func (t *fleetTool) applyCommand() *cobra.Command {
-	return t.withChangeFlags(&cobra.Command{
+// applyCommand returns the command that declares all instances.
+func (c *fleetCommands) applyCommand() *cobra.Command {
+	return c.withChangeFlags(&cobra.Command{
 		Use:   "apply FILE",
-		Short: "Declare all instances, as a file has them",
+		Short: "Declare all instances as listed in a file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			instances, configs, err := agent.ReadFleet(args[0])
 			if err != nil {
 				return cli.UsageError(err)
 			}
-			return t.write(command, agent.Write{Command: "apply", Instances: instances, Configs: configs})
+			return c.write(command, agent.Write{Command: "apply", Instances: instances, Configs: configs})
 		},
 	})
 }
 
-// lifecycleCommand starts, stops or restarts instances.
-func (t *fleetTool) lifecycleCommand(verb string) *cobra.Command {
-	return t.withChangeFlags(&cobra.Command{
+// lifecycleCommand returns the command that starts, stops or restarts instances.
+func (c *fleetCommands) lifecycleCommand(verb string) *cobra.Command {
+	return c.withChangeFlags(&cobra.Command{
 		Use:   verb + " [NAME ...]",
-		Short: strings.ToUpper(verb[:1]) + verb[1:] + " instances, all where none is named",
+		Short: strings.ToUpper(verb[:1]) + verb[1:] + " instances, all if none is named",
 		RunE: func(command *cobra.Command, args []string) error {
-			return t.write(command, agent.Write{Command: verb, Names: args})
+			return c.write(command, agent.Write{Command: verb, Names: args})
 		},
 	})
 }
 
-// reconfigureCommand declares some instances anew.
-func (t *fleetTool) reconfigureCommand() *cobra.Command {
-	return t.withChangeFlags(&cobra.Command{
+// reconfigureCommand returns the command that declares some instances again.
+func (c *fleetCommands) reconfigureCommand() *cobra.Command {
+	return c.withChangeFlags(&cobra.Command{
 		Use:   "reconfigure FILE NAME [NAME ...]",
-		Short: "Give some instances what a file has for them, and leave the others",
+		Short: "Declare some instances again as listed in a file, and leave the others unchanged",
 		Args:  cobra.MinimumNArgs(2),
-		RunE:  t.reconfigure,
+		RunE:  c.reconfigure,
 	})
 }
 
-func (t *fleetTool) reconfigure(command *cobra.Command, args []string) error {
+func (c *fleetCommands) reconfigure(command *cobra.Command, args []string) error {
 	file, names := args[0], args[1:]
 	instances, configs, err := agent.ReadFleet(file)
 	if err != nil {
@@ -180,20 +180,20 @@
 		write.Instances = append(write.Instances, instances[index])
 		write.Configs[name] = configs[name]
 	}
-	return t.write(command, write)
+	return c.write(command, write)
 }
 
-// rollbackCommand rolls back the change in progress, or declares a stored generation again.
-func (t *fleetTool) rollbackCommand() *cobra.Command {
+// rollbackCommand returns the command that rolls back the change in progress, or declares a stored generation again.
+func (c *fleetCommands) rollbackCommand() *cobra.Command {
 	var generation uint64
-	command := t.withChangeFlags(&cobra.Command{
+	command := c.withChangeFlags(&cobra.Command{
 		Use:   "rollback [--to GENERATION]",
-		Short: "Roll back the change in progress, or go back to a generation",
+		Short: "Roll back the change in progress, or return to a stored generation",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			return t.write(command, agent.Write{Command: "rollback", To: generation})
+			return c.write(command, agent.Write{Command: "rollback", To: generation})
 		},
 	})
-	command.Flags().Uint64Var(&generation, "to", 0, "a stored generation: see history")
+	command.Flags().Uint64Var(&generation, "to", 0, "stored generation to return to, as listed by history")
 	return command
 }
--- a/cmd/pearknot/fleetdiff.go
+++ b/cmd/pearknot/fleetdiff.go
@@ -14,27 +14,27 @@
 	"pearknot/internal/fleet"
 )
 
-// diffCommand prints what apply would change.
-func (t *fleetTool) diffCommand() *cobra.Command {
+// diffCommand returns the command that prints what apply would change.
+func (c *fleetCommands) diffCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff FILE",
-		Short: "Tell what apply would change",
+		Short: "Print what apply would change",
 		Args:  cobra.ExactArgs(1),
-		RunE:  t.diff,
+		RunE:  c.diff,
 	}
 }
 
-func (t *fleetTool) diff(command *cobra.Command, args []string) error {
+func (c *fleetCommands) diff(command *cobra.Command, args []string) error {
 	instances, configs, err := agent.ReadFleet(args[0])
 	if err != nil {
 		return cli.UsageError(err)
 	}
-	view, err := t.view(command.Context())
+	view, err := c.view(command.Context())
 	if err != nil {
 		return err
 	}
 	differences := fleetDifferences(view, instances, configs)
-	if err := t.show(command, differences, func(out io.Writer) {
+	if err := c.show(command, differences, func(out io.Writer) {
 		for _, difference := range differences {
 			fmt.Fprintf(out, "%s\t%s\t%s\t%s\n", difference.Name, difference.What, difference.Was, difference.Now)
 		}
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// fleetDifference is one value in which a file differs from what is declared.
+// fleetDifference holds one value that differs between the declared fleet and a file.
 type fleetDifference struct {
 	Name string `json:"name"`
 	What string `json:"what"` // new, gone, or what differs
@@ -55,7 +55,7 @@
 	Now  string
 }
 
-// fleetDifferences compares what is declared with the instances of a file, in the order of names.
+// fleetDifferences returns the differences between the declared instances and those of a file, sorted by name.
 func fleetDifferences(view agent.View, instances []fleet.Instance, configs map[string]string) []fleetDifference {
 	differences := []fleetDifference{}
 	declared := map[string]fleet.Instance{}
--- a/cmd/pearknot/fleetprint.go
+++ b/cmd/pearknot/fleetprint.go
@@ -16,11 +16,11 @@
 		change.From, change.To, len(change.Healthy), len(change.Order), change.Failure)
 }
 
-// printFleet prints what is declared, what was observed, and when.
+// printFleet prints the declared and the observed state of each instance, and how old the observation is.
 func printFleet(out io.Writer, view agent.View) {
 	fmt.Fprintf(out, "revision %d, generation %d\n", view.Revision, view.Generation)
 	if view.WriteError != "" {
-		fmt.Fprintf(out, "the state can't be written, nothing is changed until it can: %s\n", view.WriteError)
+		fmt.Fprintf(out, "the state can't be written, no changes until it can: %s\n", view.WriteError)
 	}
 	if change := view.Change; change != nil && !change.Status.IsFinal() {
 		printChange(out, *change)
@@ -54,7 +54,7 @@
 		certificateTimeLeft(observation, now), cmp.Or(observation.Settings, "-"), instance.Reason)
 }
 
-// certificateTimeLeft says how long the instance's certificate that expires first is still valid.
+// certificateTimeLeft returns the stage of the instance's certificate that expires first, and how long it is still valid.
 func certificateTimeLeft(observation fleet.Observation, now float64) string {
 	const dayMs = 24 * 3600e3
 	switch {
--- a/cmd/pearknot/main.go
+++ b/cmd/pearknot/main.go
@@ -1,5 +1,5 @@
-// Command pearknot is the load balancer: its node, the agent that looks after many nodes of a host, members of the
-// control plane, and the operators' tools for all of them.
+// Command pearknot runs the load balancer's nodes, the agent that manages the nodes of a host, and the members of the
+// control plane, and provides the operators' tools for all of them.
 package main
 
 import (
@@ -21,10 +21,10 @@
 	"pearknot/internal/serve"
 )
 
-// Bounds of a log file and of its rotated predecessors.
+// Limits of log file rotation.
 const (
-	maxLogMB    = 20
-	rotatedLogs = 5
+	maxLogMB       = 20
+	maxRotatedLogs = 5
 )
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
@@ -34,17 +34,17 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root := nodeCommand("pearknot", "serve")
-	root.Short = "A load balancer's node, and the agent and tool for many of them"
+	root.Short = "HTTP load balancer: node, host agent, control plane and operators' tools"
 	root.Long = `pearknot is a load balancer's node. Without a command it serves, as 'pearknot serve' does.
 
-Exit status: 0 done, 1 failed, 2 the command line or an operator's file can't be read, 3 a check says no, or another
-operator's command came first.`
+Exit status: 0 done, 1 failed, 2 the command line or an operator's file can't be read, 3 a check failed, or another
+operator's change came first.`
 	root.Args = nil // an unknown word is an unknown command, whatever follows it
 	root.SilenceUsage, root.SilenceErrors = true, true
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return cli.UsageError(err) })
 	serveCommand, checkCommand := nodeCommand("serve", "serve"), nodeCommand("check", "check")
 	serveCommand.Short = "Serve clients in the foreground until SIGTERM"
-	checkCommand.Short = "Read the configuration, print what it says, and end"
+	checkCommand.Short = "Read the configuration, print a summary, and exit"
 	root.AddCommand(
 		serveCommand,
 		checkCommand,
@@ -78,7 +78,7 @@
 	}
 }
 
-// withLongFlags gives the node's oldest flags a second dash where they have one: operators' scripts write them so.
+// withLongFlags gives -config and -log, the node's oldest flags, a second dash: operators' scripts use the form with one.
 func withLongFlags(args []string) []string {
 	long := make([]string, 0, len(args))
 	for i, arg := range args {
@@ -96,7 +96,7 @@
 	return long
 }
 
-// nodeFlags are the flags of serve and check.
+// nodeFlags holds the flags of serve and check.
 type nodeFlags struct {
 	configFile       string
 	captureFile      string
@@ -128,7 +128,7 @@
 	flags := command.Flags()
 	flags.StringVar(&n.configFile, "config", os.Getenv("ROUTER_CONFIG"), "configuration file (default $ROUTER_CONFIG)")
 	flags.StringVar(&n.options.AdmissionFile, "edge", "",
-		"file of the admission of connections when descriptors run short, such as deploy/edge.toml")
+		"file of connection admission when file descriptors run short, such as deploy/edge.toml")
 	flags.TextVar(&n.logLevel, "log", slog.LevelInfo, "minimum level of log lines: debug, info, warn, error")
 }
 
@@ -136,28 +136,28 @@
 func (n *nodeFlags) addServeFlagsTo(command *cobra.Command) {
 	flags := command.Flags()
 	flags.StringVar(&n.options.ControlSocket, "control", "", "path of a control socket")
-	flags.StringVar(&n.captureFile, "capture", "", "file of a capture, such as deploy/capture.toml")
+	flags.StringVar(&n.captureFile, "capture", "", "file of capture settings, such as deploy/capture.toml")
 	flags.StringVar(&n.tlsFile, "tls", "", "file of a TLS listener and its certificates, such as deploy/tls.toml")
 	flags.StringVar(&n.peersFile, "peers", "",
-		"file of the processes that log requests in flight for each other, such as deploy/peers.toml")
+		"file of the peers that replicate each other's logs of requests in flight, such as deploy/peers.toml")
 	flags.StringVar(&n.controlPlaneFile, "control-plane", "",
-		"file of the control plane whose settings it follows, such as deploy/control-plane.toml")
+		"file of the control plane whose settings the node follows, such as deploy/control-plane.toml")
 	flags.BoolVar(&n.options.OutOfService, "held", false,
-		"stay out of service until the control socket says otherwise")
-	flags.StringVar(&n.logFile, "log-file", "", "log to a file, rotated, and not to standard error")
+		"start out of service, until put into service over the control socket")
+	flags.StringVar(&n.logFile, "log-file", "", "log to this file, with rotation, instead of standard error")
 }
 
 // logger returns a logger to standard error, or to the log file if one is given, and the function that closes it.
 func (n *nodeFlags) logger(command *cobra.Command) (log *slog.Logger, closeLog func()) {
 	sink, closeLog := command.ErrOrStderr(), func() {}
 	if n.logFile != "" {
-		rotated := &lumberjack.Logger{Filename: n.logFile, MaxSize: maxLogMB, MaxBackups: rotatedLogs}
+		rotated := &lumberjack.Logger{Filename: n.logFile, MaxSize: maxLogMB, MaxBackups: maxRotatedLogs}
 		sink, closeLog = rotated, func() { _ = rotated.Close() }
 	}
 	return slog.New(slog.NewTextHandler(sink, &slog.HandlerOptions{Level: n.logLevel})), closeLog
 }
 
-// check prints what the configuration says.
+// check prints a summary of the configuration.
 func (n *nodeFlags) check(command *cobra.Command, _ []string) error {
 	log, closeLog := n.logger(command)
 	defer closeLog()
@@ -174,7 +174,7 @@
 
 // serve runs a node until SIGTERM.
 func (n *nodeFlags) serve(command *cobra.Command, _ []string) error {
-	reload := serve.NotifyReload() // first of all: an unhandled SIGHUP would end the process
+	reload := serve.NotifyReload() // before anything else: an unhandled SIGHUP would end the process
 	log, closeLog := n.logger(command)
 	defer closeLog()
 	if err := serve.WriteLockHolder(); err != nil {
--- a/cmd/pearknot/peers.go
+++ b/cmd/pearknot/peers.go
@@ -15,29 +15,30 @@
 	"pearknot/internal/requestlog"
 )
 
-// watchInterval is the time between queries of commands that print again.
+// watchInterval is the time between two queries of a command with --watch.
 const watchInterval = time.Second
 
-// peersOptions are the flags of peers.
+// peersOptions holds the flags of the peers command.
 type peersOptions struct {
 	json  bool
 	watch bool
 }
 
-// peersCommand prints the request logs that processes replicate for each other, as one of them sees them.
+// peersCommand returns the command that prints the request logs that processes replicate for each other, as one of them
+// sees them.
 func peersCommand() *cobra.Command {
 	var options peersOptions
 	command := &cobra.Command{
 		Use: "peers SOCKET",
-		Short: "Links to other processes, who leads and replicates which log, and what was taken over; " +
-			"3 while a log lacks replicas",
+		Short: "Show links to other processes, the leader and replicas of each request log, and the requests taken over; " +
+			"exit status 3 while a log lacks replicas",
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			return showPeers(command, args[0], options)
 		},
 	}
-	command.Flags().BoolVar(&options.json, "json", false, "as JSON")
-	command.Flags().BoolVar(&options.watch, "watch", false, "print it again every second")
+	command.Flags().BoolVar(&options.json, "json", false, "print JSON")
+	command.Flags().BoolVar(&options.watch, "watch", false, "repeat every second")
 	return command
 }
 
@@ -65,7 +66,7 @@
 	}
 }
 
-// checkReplicas returns an error that names a log that lacks replicas.
+// checkReplicas returns an error that names the first log that lacks replicas.
 func checkReplicas(status requestlog.Status) error {
 	for _, log := range status.Logs {
 		if !log.Complete {
--- a/cmd/pearknot/settingplace_test.go
+++ b/cmd/pearknot/settingplace_test.go
@@ -22,7 +22,7 @@
 		"setting zones is [b], and only a start takes": {1, 1},
 		"something else":                               {1, 1},
 	} {
-		line, column := settingPlace(text, why)
+		line, column := settingPosition(text, why)
 		assert.Equal(t, want, [2]int{line, column}, why)
 	}
 }
@@ -32,7 +32,7 @@
 	f.Add([]byte(`[1,`), "setting 1 is odd")
 	f.Add([]byte(`{"":{"":0}}`), "setting . is odd")
 	f.Fuzz(func(t *testing.T, text []byte, why string) {
-		line, column := settingPlace(text, why)
+		line, column := settingPosition(text, why)
 		assert.True(t, line >= 1 && column >= 1)
 	})
 }
--- a/cmd/pearknot/settingplace.go
+++ b/cmd/pearknot/settingposition.go
@@ -10,12 +10,13 @@
 	"pearknot/internal/tomlfile"
 )
 
-// linePrefix is the place with which errors of controlplane.Parse begin.
-var linePrefix = regexp.MustCompile(`^(\d+):(\d+): `)
+// positionPrefix matches the position, line:column, with which errors of controlplane.Parse begin.
+var positionPrefix = regexp.MustCompile(`^(\d+):(\d+): `)
 
-// wrongSettings adds the file to an error that begins with line:column.
-func wrongSettings(file string, err error) error {
-	match := linePrefix.FindStringSubmatch(err.Error())
+// withPosition returns an error in a settings file as a tomlfile.Error, at the line:column with which err begins, or at the
+// start of the file if it has none.
+func withPosition(file string, err error) error {
+	match := positionPrefix.FindStringSubmatch(err.Error())
 	if match == nil {
 		return &tomlfile.Error{File: file, Line: 1, Column: 1, What: err.Error()}
 	}
@@ -24,11 +25,11 @@
 	return &tomlfile.Error{File: file, Line: line, Column: column, What: err.Error()[len(match[0]):]}
 }
 
-// settingInError is how a member's error names a setting.
+// settingInError matches the setting that a member's error names.
 var settingInError = regexp.MustCompile(`setting ([A-Za-z0-9_.]+)`)
 
-// settingPlace returns the place of the setting that an error names, or of the nearest object that should contain it.
-func settingPlace(text []byte, reason string) (line, column int) {
+// settingPosition returns the position of the setting that an error names, or of the nearest object that should contain it.
+func settingPosition(text []byte, reason string) (line, column int) {
 	offset := 0
 	if match := settingInError.FindStringSubmatch(reason); match != nil {
 		offset = nearestOffset(settingOffsets(text), strings.TrimSuffix(match[1], "."))
@@ -52,7 +53,7 @@
 }
 
 // settingOffsets returns the offsets at which the keys and list elements of a JSON text begin, by path; elements count
-// from 0. Of a text with an error it returns those before the error.
+// from 0. For malformed text it returns those before the error.
 func settingOffsets(text []byte) map[string]int {
 	scanner := &offsetScanner{text: text, decoder: json.NewDecoder(bytes.NewReader(text)), offsets: map[string]int{}}
 	_ = scanner.scan("")
@@ -66,7 +67,7 @@
 	offsets map[string]int
 }
 
-// scan reads the next value, whose path is given.
+// scan reads the next value, which has the given path, and records the offsets within it.
 func (s *offsetScanner) scan(path string) error {
 	opened, err := s.decoder.Token()
 	if err != nil || opened != json.Delim('{') && opened != json.Delim('[') {
@@ -79,7 +80,7 @@
 			if err != nil {
 				return err
 			}
-			elementPath = joinPath(path, token.(string)) // the decoder gives a string for a key
+			elementPath = joinPath(path, token.(string)) // a key's token is a string
 			end := int(s.decoder.InputOffset())
 			s.offsets[elementPath] = max(bytes.LastIndexByte(s.text[:end-1], '"'), 0)
 		} else {
