--- a/cmd/pearknot/settingplace_test.go
+++ b/cmd/pearknot/settingplace_test.go
@@ -22,7 +22,7 @@
 		"setting zones is [b], and only a start takes": {1, 1},
 		"something else":                               {1, 1},
 	} {
-		line, column := settingPlace(text, message)
+		line, column := settingPosition(text, message)
 		assert.Equal(t, want, [2]int{line, column}, message)
 	}
 }
@@ -32,7 +32,7 @@
 	f.Add([]byte(`[1,`), "setting 1 is odd")
 	f.Add([]byte(`{"":{"":0}}`), "setting . is odd")
 	f.Fuzz(func(t *testing.T, text []byte, message string) {
-		line, column := settingPlace(text, message)
+		line, column := settingPosition(text, message)
 		assert.True(t, line >= 1 && column >= 1)
 	})
 }
