--- a/cmd/pearknot/settingplace_test.go
+++ b/cmd/pearknot/settingposition_test.go
@@ -8,7 +8,7 @@
 
 // The place of the setting that an error names is found in the operator's text, or that of the nearest object that should
 // contain it.
-func TestSettingPlace(t *testing.T) {
+func TestSettingPosition(t *testing.T) {
 	text := []byte("{\"az\": 1, \"bounds\": {\"x\": [1, 2]},\n \"categories\": [\n  {\"name\": \"a\\\"b\", \"ttl\": 1},\n  {\"name\": \"b\"}]}")
 	for message, want := range map[string][2]int{
 		"setting az is no number":                      {1, 2},
@@ -27,7 +27,7 @@
 	}
 }
 
-func FuzzSettingPlace(f *testing.F) {
+func FuzzSettingPosition(f *testing.F) {
 	f.Add([]byte(`{"a":[{"b":1},2],"c":{}}`), "setting a.0.b is odd")
 	f.Add([]byte(`[1,`), "setting 1 is odd")
 	f.Add([]byte(`{"":{"":0}}`), "setting . is odd")
