--- a/cmd/pearknot/clients.go
+++ b/cmd/pearknot/clients.go
@@ -92,7 +92,7 @@
 	return table.Flush()
 }
 
-// printReasons prints the number of connections with an outcome for each reason.
+// printReasons prints, for each reason, how many connections had the outcome (refused or evicted).
 func printReasons(out io.Writer, outcome string, counts map[string]uint64) {
 	for _, reason := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Fprintf(out, "%s: %d, %s\n", outcome, counts[reason], reason)
--- a/internal/lab/baselines/selection.go
+++ b/internal/lab/baselines/selection.go
@@ -45,8 +45,9 @@
 	return first
 }
 
-// pickByEstimate picks the candidate that completes the request first. It returns nil if none completes it in time to
-// earn anything: such a request would only take capacity from others.
+// pickByEstimate picks the candidate that completes the request first. It returns nil if no candidate would
+// complete it by its deadline and, if its class gives late answers no weight, within the class's latency objective: the
+// request would earn nothing and only take capacity from others.
 func (p *policy) pickByEstimate(candidates []*balancer.Backend, request *balancer.Request) *balancer.Backend {
 	start := p.rng.IntN(len(candidates))
 	var best *balancer.Backend
--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -16,7 +16,7 @@
 type Bench struct {
 	NodeCommand []string      // command line of the program; arguments are appended
 	LabCommand  []string      // command line of the lab's program; arguments are appended
-	RunDuration time.Duration // of runs that measure over time
+	RunDuration time.Duration // base length of the runs that measure over a period of time, and of warm-ups
 	Runs        int           // for each size
 	IsQuick     bool          // small sizes, to check that the fixtures work
 	Progress    io.Writer     // receives a line for each row
@@ -24,7 +24,7 @@
 
 // metric is one of the values that a run returns.
 type metric struct {
-	key         string // of the slope made of its values
+	key         string // Key of the Slope that is built from the metric's values
 	description string
 	unit        string
 	isWallClock bool // affected by other load on the machine
@@ -185,12 +185,12 @@
 	return points, nil
 }
 
-// fixedSize returns a size function for a quantity that stays the same at all sizes; variableSize is the one for a
-// quantity that grows.
+// fixedSize returns a function from a measurement's size to a quantity that is n at all sizes.
 func fixedSize(n float64) func(size float64) float64 {
 	return func(float64) float64 { return n }
 }
 
+// variableSize is the counterpart of fixedSize for a quantity that grows with the measurement's size: it equals the size.
 func variableSize(size float64) float64 { return size }
 
 // sleep waits for d, or until the context ends.
--- a/internal/lab/scale/auditor.go
+++ b/internal/lab/scale/auditor.go
@@ -22,14 +22,14 @@
 	violations     []string
 }
 
-// appliedVersion is a version that a node has applied, and the time since which it applies, in ms.
+// appliedVersion is a version that a node has applied, and when the node applied it, in ms.
 type appliedVersion struct {
 	version uint64
 	at      float64
 }
 
-// NewAuditor returns an auditor with two bounds on staleness, in ms: p99BoundMs for 99 in 100 changes at nodes that were always reachable,
-// and maxBoundMs for all changes.
+// NewAuditor returns an auditor with two bounds on staleness, in ms: p99BoundMs for 99 in 100 of the pairs of a change and a
+// node in which the delay is measured from the acknowledgement (Findings.Reachable), and maxBoundMs for all pairs.
 func NewAuditor(p99BoundMs, maxBoundMs float64) *Auditor {
 	return &Auditor{
 		p99BoundMs:     p99BoundMs,
@@ -108,8 +108,8 @@
 // Findings holds the result of an audit.
 type Findings struct {
 	Changes     int       // acknowledged changes that were checked at one node or more
-	Reachable   Staleness // of nodes that were always reachable, from the acknowledgement
-	CutOff      Staleness // of the other nodes, from when they became reachable
+	Reachable   Staleness // of the pairs with delay.cutOff false; from the acknowledgement
+	CutOff      Staleness // of the pairs with delay.cutOff true; from when the node became reachable
 	Start       Staleness // from a node's start to its first version; not bounded
 	CutOffNodes int
 	Behind      int // nodes that had not applied the latest version at the end
@@ -171,7 +171,8 @@
 	}
 }
 
-// checkNode checks how late each acknowledged version was applied at a node. Only the first one found too late is a violation.
+// checkNode checks how late each acknowledged version was applied at a node. At most one version that is
+// too late is recorded as a violation for each node: whichever is found first, in no particular order.
 func (a *audit) checkNode(node string, applied []appliedVersion, unreachable []Span) {
 	if len(applied) == 0 || applied[len(applied)-1].version < a.newest {
 		a.behind++
@@ -210,11 +211,11 @@
 // delay holds how long a version took to reach a node.
 type delay struct {
 	ms     float64 // from when the node could have applied it to when it did
-	cutOff bool    // whether the node was unreachable for part of the time
+	cutOff bool    // whether ms starts at the end of an unreachable span instead of at the acknowledgement
 }
 
-// versionDelay returns a version's delay at a node. A version that the node never applied counts as applied at the end. ok is false if the
-// bound for such a version had not passed by the end.
+// versionDelay returns a version's delay at a node. A version that the node never applied counts as applied at the end. For such a version,
+// ok is false unless the delay exceeds maxBoundMs: until then, it is too early to judge.
 func (a *audit) versionDelay(version uint64, acknowledgedAt float64, applied []appliedVersion, unreachable []Span) (_ delay, ok bool) {
 	byVersion := func(x appliedVersion, version uint64) int { return cmp.Compare(x.version, version) }
 	index, _ := slices.BinarySearchFunc(applied, version, byVersion)
@@ -225,8 +226,8 @@
 	return untilEnd, untilEnd.ms > a.maxBoundMs
 }
 
-// delayBetween measures from the first time after the acknowledgement from which the node stayed reachable for as long as the bound, or
-// until it had applied the change.
+// delayBetween returns the delay until appliedAt. The delay starts at the acknowledgement, or at the end of an unreachable span:
+// at the first time after which the node stayed reachable for maxBoundMs, or until it had applied the change if that was sooner.
 func (a *Auditor) delayBetween(acknowledgedAt, appliedAt float64, unreachable []Span) delay {
 	from, cutOff := acknowledgedAt, false
 	for _, span := range unreachable {
