--- a/internal/invariants/drain.go
+++ b/internal/invariants/drain.go
@@ -24,7 +24,7 @@
 func (a *Auditor) checkDrain(e Event) {
 	notice, notified := a.drainNotices[nodeBackend{e.Node, e.Backend}]
 	if notified && e.At > notice.At+a.config.DrainGrace+a.config.Tolerance {
-		a.addViolation(DrainRespected, []Event{notice, e}, "backend %d got a push from node %d %.1f ms after that node was notified", e.Backend,
+		a.addViolation(DrainRespected, []Event{notice, e}, "backend %d got a push from node %d %.1f ms after that node was told", e.Backend,
 			e.Node, e.At-notice.At)
 	}
 }
--- a/internal/invariants/effects.go
+++ b/internal/invariants/effects.go
@@ -28,7 +28,7 @@
 	if !a.config.AllowHedging {
 		for _, t := range r.attempts {
 			if t.inFlight {
-				a.addViolation(NoEffectTwice, r.events, "op %d pushed while push %d is in flight, although hedging is not allowed", r.id, t.number)
+				a.addViolation(NoEffectTwice, r.events, "op %d pushed while push %d is out, where no second copies are allowed", r.id, t.number)
 				return
 			}
 		}
@@ -42,7 +42,7 @@
 func (a *Auditor) checkDedup(r *request, class *balancer.Class, first *attempt, e Event) {
 	sinceFirst := e.At - first.started
 	if sinceFirst >= class.DedupWindow+a.config.Tolerance {
-		a.addViolation(NoEffectTwice, r.events, "deduplicated op %d pushed again after %.1f ms, its idempotency key is stored for %.1f ms", r.id, sinceFirst, class.DedupWindow)
+		a.addViolation(NoEffectTwice, r.events, "deduplicated op %d pushed again after %.1f ms, its mark is kept for %.1f", r.id, sinceFirst, class.DedupWindow)
 		return
 	}
 	if class.DedupScope == balancer.DedupByAll {
@@ -50,13 +50,13 @@
 	}
 	from, to := a.backends[first.backend], a.backends[e.Backend]
 	if from == nil || to == nil {
-		a.addViolation(NoEffectTwice, r.events, "deduplicated op %d pushed again, but the deduplication scope of a backend is unknown", r.id)
+		a.addViolation(NoEffectTwice, r.events, "deduplicated op %d pushed again to a backend of an unknown group", r.id)
 		return
 	}
 	otherZone := class.DedupScope == balancer.DedupByZone && from.zone != to.zone
 	otherCell := class.DedupScope == balancer.DedupByCell && from.cell != to.cell
 	if otherZone || otherCell {
-		a.addViolation(NoEffectTwice, r.events, "deduplicated op %d pushed again outside its deduplication scope", r.id)
+		a.addViolation(NoEffectTwice, r.events, "deduplicated op %d pushed again outside its group", r.id)
 	}
 }
 
--- a/internal/invariants/keyaudit.go
+++ b/internal/invariants/keyaudit.go
@@ -45,7 +45,7 @@
 
 // RequestStored records that a request was acknowledged as stored.
 func (k *KeyAuditor) RequestStored(at float64, key string, idempotency balancer.Idempotency, deadline float64) {
-	history := k.history(key, "%.1f stored, %v", at, idempotency)
+	history := k.history(key, "%.1f taken, %v", at, idempotency)
 	history.stored = true
 	history.idempotency = idempotency
 	history.deadline = max(history.deadline, deadline)
@@ -69,7 +69,7 @@
 
 // RequestClosed records that the request is closed according to its log, or that no process has its key.
 func (k *KeyAuditor) RequestClosed(at float64, key string) {
-	k.history(key, "%.1f closed, according to its log", at).closed = true
+	k.history(key, "%.1f over, by its log", at).closed = true
 }
 
 // ExcludeKey records that a majority of the log's replicas was lost at once, which voids all guarantees for the key.
--- a/internal/invariants/keyorder.go
+++ b/internal/invariants/keyorder.go
@@ -59,7 +59,7 @@
 	}
 	isRetry := len(r.attempts) > 0
 	if !isRetry && e.At < r.queue.cooldownUntil-a.config.Tolerance {
-		a.addViolation(KeyOrder, r.events, "op %d pushed %.1f ms before the end of its key's cooldown", r.id, r.queue.cooldownUntil-e.At)
+		a.addViolation(KeyOrder, r.events, "op %d pushed %.1f ms before the end of its key's rest", r.id, r.queue.cooldownUntil-e.At)
 	}
 }
 
--- a/internal/invariants/requests.go
+++ b/internal/invariants/requests.go
@@ -89,7 +89,7 @@
 		return
 	}
 	if e.Class < 0 || e.Class >= len(a.config.Classes) {
-		a.addViolation(NoRequestLost, []Event{e}, "op %d of class %d, which is not configured", e.Request, e.Class)
+		a.addViolation(NoRequestLost, []Event{e}, "op %d of category %d, which the terms don't name", e.Request, e.Class)
 		return
 	}
 	a.requestCount++
@@ -126,7 +126,7 @@
 	}
 	if e.Answer == Served {
 		if !r.hasResponse(e.Attempt) {
-			a.addViolation(NoRequestLost, r.events, "op %d acked without a response from a backend", e.Request)
+			a.addViolation(NoRequestLost, r.events, "op %d acked with an answer that no backend made", e.Request)
 		}
 		return
 	}
@@ -144,7 +144,7 @@
 	total, waited := r.deadline-r.accepted, e.At-r.idleSince
 	isLate := e.At-r.accepted > withheldAfterShare*total
 	if isLate && waited > withheldIdleShare*total+a.config.Tolerance {
-		a.addViolation(NoRequestLost, r.events, "op %d %s %.1f ms after its last push ended: withheld until its TTL was near", e.Request,
+		a.addViolation(NoRequestLost, r.events, "op %d %s %.1f ms after its last push ended: sat on until its TTL was near", e.Request,
 			e.Answer, waited)
 	}
 }
--- a/internal/invariants/slowstart.go
+++ b/internal/invariants/slowstart.go
@@ -81,7 +81,7 @@
 		nodes[attempt.Node] = true
 	}
 	a.addViolation(SlowStartPerNode, b.notifiedAttempts[max(0, len(b.notifiedAttempts)-maxEvidence):],
-		"backend %d, started %.1f ms ago, was sent %.1f ms of work in %.1f ms by %d nodes, and can take %.1f", e.Backend, age,
+		"backend %d, started %.1f ms ago, was sent %.1f ms of work in %.1f ms by %d nodes, and stands %.1f", e.Backend, age,
 		b.notifiedWork, a.config.OverloadWindow, len(nodes), allowed)
 }
 
@@ -121,8 +121,8 @@
 			evidence = append(evidence, attempt.Event)
 		}
 	}
-	a.addViolation(SlowStartFleetwide, evidence, "backend %d, started %.1f ms ago, failed: %.1f ms of work in %.1f ms by %d nodes, %.1f of it by those notified of "+
-		"the start; the limit is %.1f, and with the chance allowance %.1f", e.Backend, age, b.work, a.config.OverloadWindow, len(nodes), b.workFromNotified, allowed, threshold)
+	a.addViolation(SlowStartFleetwide, evidence, "backend %d, started %.1f ms ago, fell: %.1f ms of work in %.1f ms by %d nodes, %.1f of it by those told of the "+
+		"start; it is allowed %.1f, and with chance %.1f", e.Backend, age, b.work, a.config.OverloadWindow, len(nodes), b.workFromNotified, allowed, threshold)
 }
 
 // slideWindow removes the attempts up to the start of the window.
