--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -12,14 +12,17 @@
 	Eligible Reason = iota
 	// ReasonAlreadyTried means that the request has been sent there before.
 	ReasonAlreadyTried
-	// ReasonEjected means that the backend's suspicion is at or above the threshold for the request. That is ejectionThreshold
-	// (2), but atMostOnceThreshold (0.6) for AtMostOnce requests, and at most longSuspicion (1) for long requests: those two
-	// pass over a backend that is not ejected for others (whyUnfit, whyUnfitForLong).
+	// ReasonEjected means that the backend's suspicion is at or above the threshold for the request. The threshold is
+	// ejectionThreshold (2), or atMostOnceThreshold (0.6) for AtMostOnce requests; for long requests it is the lower of that
+	// and longSuspicion (1). AtMostOnce and long requests therefore pass over some backends that other requests still use.
+	// whyUnfit and whyUnfitForLong return it.
 	ReasonEjected
-	// ReasonAtCapacity means one of five things: the node's limit of attempts in flight is reached, the backend's limit is
-	// reached, the backend is paused after a rejection or a failed connect or by a limit below 1 (all isAtCapacity), it is
-	// not among the other zones' backends that the node uses in this period (mayUse), or it is not in the node's subset where
-	// connections cost (mayUse, whyUnfitForLong).
+	// ReasonAtCapacity means one of:
+	//   - the node's limit of attempts in flight is reached (isAtCapacity);
+	//   - the backend's limit of attempts in flight is reached (isAtCapacity);
+	//   - the backend is paused, after a rejection, after a failed connect or because its limit is below 1 (isAtCapacity);
+	//   - the backend is in another zone, and the node does not use it in this period (mayUse);
+	//   - connections cost, and the backend is not in the node's subset (mayUse, whyUnfitForLong).
 	ReasonAtCapacity
 	// ReasonBusy means that the request is long and the backend has attempts of this node in flight, or may still run one that
 	// timed out or was canceled.
@@ -28,18 +31,21 @@
 	ReasonWarmingUp
 	// ReasonCrossZoneCost means that the request is long and its value does not justify the cost of crossing zones.
 	ReasonCrossZoneCost
-	// ReasonTooSlow means that the answer is expected too late, or the wait to be longer than the request's patience.
+	// ReasonTooSlow means that the answer is expected after the deadline, or the expected wait is longer than the request's
+	// patience.
 	ReasonTooSlow
 	// ReasonRequestDone (rule 1) means that the request has ended, its deadline has passed, or its attempts are used up.
 	ReasonRequestDone
 	// ReasonNoHedging means that an attempt is in flight and hedging is not allowed.
 	ReasonNoHedging
-	// ReasonMayHaveRun (rule 2) means that an earlier attempt may have run, and the class does not allow another one there.
+	// ReasonMayHaveRun (rule 2) means that an earlier attempt may have run, and the request's class then does not allow an
+	// attempt at this backend.
 	ReasonMayHaveRun
 	// ReasonNotReady (rule 3) means that the backend is draining in the endpoint list or removed from it, or that an operator has
 	// cordoned it; see isUsable.
 	ReasonNotReady
-	// ReasonSlowStartBudget (rule 4) means that the backend warms up and this node has used up its share of what it can serve.
+	// ReasonSlowStartBudget (rule 4) means that the backend is warming up, and this node has used up its own share of
+	// the load that the backend can serve by now.
 	ReasonSlowStartBudget
 	// ReasonOutOfOrder (rule 5) means that an earlier request of the same key has not ended, or the key's cooldown runs.
 	ReasonOutOfOrder
@@ -82,16 +88,16 @@
 
 // BackendEstimates holds the balancer's estimates of a backend for a request. Times are in ms.
 type BackendEstimates struct {
-	IsNear          bool    // it is in the node's own zone, or crossing zones costs nothing
-	AnswerTime      float64 // predicted answer time
-	Alone           float64 // answer time without any wait
-	InFlight        int     // attempts of this node in flight there
-	MaxInFlight     float64 // this node's limit of them; below 1 it means pauses between attempts
-	Suspicion       float64 // ejected from 2 on, for AtMostOnce requests from 0.6, and for long requests from 1
-	SlowStartFactor float64 // share of its capacity that it has by now, 1 once it has warmed up
-	RotationShare   float64 // how often it takes a turn in the rotation, against 1 for an average backend
-	AnsweredAgo     float64 // time since the latest answered attempt was sent; -1 if none has been answered
-	RotationPass    float64 // place in the rotation, relative to its position: the lowest has the next turn
+	IsNear                bool    // it is in the node's own zone, or crossing zones costs nothing
+	AnswerTime            float64 // predicted answer time
+	AnswerTimeWithoutWait float64 // predicted answer time if the request doesn't have to wait
+	InFlight              int     // attempts of this node in flight there
+	MaxInFlight           float64 // this node's limit of them; below 1 it means pauses between attempts
+	Suspicion             float64 // ejected from 2 on, for AtMostOnce requests from 0.6, and for long requests from 1
+	SlowStartFactor       float64 // fraction of its full capacity that the backend has reached by now; 1 once it has warmed up
+	RotationShare         float64 // how often it takes a turn in the rotation, against 1 for an average backend
+	AnsweredAgo           float64 // time since the latest answered attempt was sent; -1 if none has been answered
+	RotationPass          float64 // the backend's place in the rotation minus the rotation's position; the lowest has the next turn
 }
 
 // BackendEstimates returns the balancer's estimates of a backend for a request, as of the latest input.
@@ -101,15 +107,15 @@
 		answeredAgo = lb.now - backend.lastAnsweredSentAt
 	}
 	return BackendEstimates{
-		IsNear:          lb.isNear(backend),
-		AnswerTime:      lb.predictAnswerTime(backend, request),
-		Alone:           request.work * lb.paceOf(backend),
-		InFlight:        len(backend.inFlight),
-		MaxInFlight:     backend.maxInFlight,
-		Suspicion:       lb.suspicionOf(backend),
-		SlowStartFactor: lb.slowStartFactor(backend),
-		RotationShare:   lb.rotationShare(backend),
-		AnsweredAgo:     answeredAgo,
-		RotationPass:    backend.rotationPass - lb.rotation.position,
+		IsNear:                lb.isNear(backend),
+		AnswerTime:            lb.predictAnswerTime(backend, request),
+		AnswerTimeWithoutWait: request.work * lb.paceOf(backend),
+		InFlight:              len(backend.inFlight),
+		MaxInFlight:           backend.maxInFlight,
+		Suspicion:             lb.suspicionOf(backend),
+		SlowStartFactor:       lb.slowStartFactor(backend),
+		RotationShare:         lb.rotationShare(backend),
+		AnsweredAgo:           answeredAgo,
+		RotationPass:          backend.rotationPass - lb.rotation.position,
 	}
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -11,9 +11,9 @@
 // into an overload. When the budget is spent, or no backend is expected to answer in time, the request is rejected or
 // failed.
 //
-// An attempt is overdue when it has been in flight for longer than nearly all answers take, in relation to their predicted
-// answer times. The overrun of an answer is its answer time divided by the predicted one; a high quantile of the overruns
-// seen sets the limit.
+// The overrun of an answer is its answer time divided by its predicted answer time. An attempt is overdue when its time in
+// flight exceeds its predicted answer time multiplied by a high quantile of the overruns seen, plus overdueBaseMs, so that
+// nearly all answers come before their attempts are overdue.
 
 const (
 	// retryTokensPerRequest is the number of tokens that each arriving request adds. Retries and hedges thereby add at most a
@@ -35,8 +35,9 @@
 	// overrunStep is the relative step by which the estimate of that quantile follows each answer. It is small, so that a
 	// short burst of slow answers does not raise it much.
 	overrunStep = 0.02
-	// hedgeSuspicion is the suspicion from which on an overdue attempt is canceled and moved, where hedging is not allowed.
-	hedgeSuspicion = ejectionThreshold / 2
+	// moveSuspicion is a backend's lowest suspicion at which an overdue attempt is canceled so that its request can be moved
+	// to another backend. It applies if hedging is not allowed.
+	moveSuspicion = ejectionThreshold / 2
 )
 
 // retryState holds the retry budget and the estimates that determine when an attempt is overdue.
@@ -49,8 +50,9 @@
 // retryOrEnd decides on a request whose attempts have all ended without an answer. It retries the request at another
 // backend, or ends it.
 //
-// A retry costs one token, but none if no attempt has run: then the attempts caused the backends no work. When many
-// backends are replaced at the same time, they reject many attempts, which must not use up the budget.
+// A retry costs one token. It is free if none of the attempts can have run, since they caused the backends no work: when
+// many backends are replaced at the same time, those that shut down reject many attempts, and retrying these must not use
+// up the budget.
 //
 // A request of which an attempt was reset is not retried while suspectsPoisonRequest holds, even if it is idempotent. One
 // reset at any backend thereby blocks such retries for poisonWindowMs, unless an answer shows that resets are isolated.
@@ -82,6 +84,8 @@
 	}
 	attempt.isOverdue = true
 	if attempt.isOvertaken() {
+		// The backend has answered an attempt that was sent later, so the connection is at fault and not the backend. The
+		// attempt no longer counts toward the backend's attempts in flight.
 		backend.removeInFlight(lb.now, attempt)
 		lb.queue.hasFreedCapacity = true
 	} else {
@@ -94,21 +98,23 @@
 	}
 }
 
-// mayHedgeOrMove reports whether the request of an overdue attempt may be sent to another backend. Where hedging is not
-// allowed, the first attempt must be canceled for that, while its backend goes on with the work. That is only worth it if
-// this backend alone is silent: a later attempt has been answered by some backend, and this one is suspected.
+// mayHedgeOrMove reports whether the request of an overdue attempt may be sent to another backend. If hedging is not
+// allowed, the attempt has to be canceled first, although its backend keeps working on it. That is only worth it if no other
+// backend is silent, which two signs must show: some backend has answered an attempt that was sent later, and the attempt's
+// own backend is suspected.
 func (lb *Balancer) mayHedgeOrMove(attempt *Attempt) bool {
 	request := attempt.Request
 	if request.class.Idempotency == AtMostOnce || lb.retries.tokens < 1 || request.inFlightCount() > 1 {
 		return false
 	}
 	return request.Config.AllowHedging ||
-		lb.retries.latestAnsweredSentAt > attempt.SentAt && lb.suspicionOf(attempt.Backend) >= hedgeSuspicion
+		lb.retries.latestAnsweredSentAt > attempt.SentAt && lb.suspicionOf(attempt.Backend) >= moveSuspicion
 }
 
-// hedgeOrMove sends the request of an overdue attempt to a second backend if hedging is allowed; only Idempotent requests
-// are hedged. If hedging is not allowed it cancels the attempt. When the attempt has ended, retryOrEnd decides on the
-// request again. Nothing is done if no other backend is expected to answer in time.
+// hedgeOrMove acts on the request of an overdue attempt if another backend is expected to answer in time. If hedging is
+// allowed, it also sends the request to that backend if the request is Idempotent, and otherwise leaves it alone. If hedging
+// is not allowed, it moves the request: it cancels the attempt, and when that has ended, retryOrEnd decides on the request
+// again.
 func (lb *Balancer) hedgeOrMove(attempt *Attempt) {
 	request := attempt.Request
 	request.assumesCanceled = !request.Config.AllowHedging
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -37,7 +37,7 @@
 	speed float64 // their weights, each divided by its backend's pace
 }
 
-// slowStartFactor returns the share of its capacity that a backend has by now: 1 once it has warmed up.
+// slowStartFactor returns the fraction of its full capacity that a backend has reached by now: 1 once it has warmed up.
 //
 // A backend that restarts accepts connections before it can answer, so its first responses fail and its attempt count
 // looks idle, which would draw the whole rotation to it. The time therefore counts from its announced start, or from when
--- a/internal/acme/ticketkeys.go
+++ b/internal/acme/ticketkeys.go
@@ -23,8 +23,8 @@
 // store use the same keys, so that a client can resume a session at any of them.
 func ticketKeyPath(dir string) string { return filepath.Join(dir, "tickets") }
 
-// rotateTicketKeys adds a session ticket key if the newest is too old, and publishes the keys. It does nothing on an
-// instance that does not order.
+// rotateTicketKeys adds a session ticket key if the newest is too old or the file with the keys is missing or damaged, and
+// publishes the keys. It does nothing on an instance that does not order.
 func (i *Instance) rotateTicketKeys() error {
 	if i.activeManager() == nil {
 		return nil
--- a/internal/capture/explain.go
+++ b/internal/capture/explain.go
@@ -75,7 +75,7 @@
 	}
 	belief, backendNumber := core.BackendEstimates(request, backend), e.backendNumbers[backend]
 	line := fmt.Sprintf("    backend %d (%x): %s; %.1f ms expected (%.1f when idle), ",
-		backendNumber, backend.ID, reason, belief.AnswerTime, belief.Alone)
+		backendNumber, backend.ID, reason, belief.AnswerTime, belief.AnswerTimeWithoutWait)
 	line += fmt.Sprintf("%d of %.1f attempts in flight, suspicion %.2f, slow start %.2f, rotation %.2f",
 		belief.InFlight, belief.MaxInFlight, belief.Suspicion, belief.SlowStartFactor, belief.RotationPass)
 	if !belief.IsNear {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -11,7 +11,7 @@
 )
 
 // ErrNoObject is returned for a JSON text that is not an object.
-var ErrNoObject = errors.New("settings: no object")
+var ErrNoObject = errors.New("settings: the JSON text is not an object")
 
 // ParseLines parses path=value lines, the simulator's format. Lines without a "=" are ignored. The error is a *SettingError.
 func ParseLines(data []byte) (*Deployment, error) {
@@ -38,8 +38,8 @@
 var nodeSettings = []string{"az", "me"}
 
 // ParseShared parses settings that are the same for all nodes of a deployment, as the control plane distributes them. The
-// zone, the index and the seed are taken from local, whatever the shared text has for them. If local is nil, as for a check,
-// they are 0.
+// zone, the seed and, if local's settings contain one, the index are taken from local, whatever the shared text has for them.
+// If local is nil, as for a check, the zone and the index are set to 0, and the seed remains 0.
 func ParseShared(data []byte, local *Deployment) (*Deployment, error) {
 	tree, err := decodeObject(data)
 	if err != nil {
@@ -87,7 +87,7 @@
 	d.present = s.present()
 	for k, name := range d.Classes { // requests select their class by name
 		if name == "" || slices.Index(d.Classes, name) < k {
-			s.fail(fmt.Sprintf("categories.%d.name", k), "is missing or another's: %q", name)
+			s.fail(fmt.Sprintf("categories.%d.name", k), "is empty or the name of an earlier category: %q", name)
 		}
 	}
 	return d, s.err
@@ -129,7 +129,8 @@
 	}
 }
 
-// readTenantList stores the tenants' names and quotas without a path for each. An item that is not an object is a tenant
+// readTenantList stores the tenants' names and quotas in s.tenants instead of under a path for each value, since there may be
+// very many. An item that is not an object is a tenant
 // without name and quota.
 func (s *settings) readTenantList(items []any) {
 	s.tenants = make([]tenantSetting, len(items))
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -14,11 +14,12 @@
 )
 
 // MaxDescriptors is the maximum number of file descriptors that a node's link uses: the connection, a new one that is dialed while the
-// previous one is being closed, the lock, and the copy while it is written.
+// previous one is being closed, the copy store's lock, and the stored copy's file while it is written.
 const MaxDescriptors = 4
 
-// RejectedLogInterval is the minimum time between two log lines about rejected connections: to members that don't prove the key, and
-// in package member from any peer. It keeps an unauthenticated peer that connects in a loop from filling the log.
+// RejectedLogInterval is the minimum time between two log lines about rejected connections. Here these are connections to
+// members that don't prove that they have the key; in package member, which uses the interval too, they are connections from any peer.
+// The interval keeps an unauthenticated peer that connects in a loop from filling the log.
 const RejectedLogInterval = time.Second
 
 // errStopped is returned by State once the client has stopped.
@@ -28,7 +29,7 @@
 type Config struct {
 	Fleet, Name, Region string
 	Members             []Member
-	Keys                [][]byte // the first is proven to members, all are accepted
+	Keys                [][]byte // this node proves to members that it has the first; a member may prove that it has any of them
 	CopyFile            string   // path of the last applied version's copy; empty stores none
 	Kind                string   // controlplane.KindNode by default
 }
@@ -56,8 +57,8 @@
 	nextToApply chan controlplane.VersionedDocument // holds at most one
 }
 
-// New returns a client, and reads the stored copy. apply applies a version. If it returns an error, which states why the version can't
-// be applied, the previous version must still be applied in full.
+// New returns a client, and reads the stored copy. apply applies a version. If it can't apply the version, it returns an
+// error that states why, and must leave the previous version in force as a whole.
 func New(config Config, apply func(version uint64, text []byte) error, clock *clock.Clock, log *slog.Logger) (*Client, error) {
 	c := &Client{
 		clock:       clock,
@@ -157,7 +158,7 @@
 	}
 }
 
-// LogMemberChange logs a change of the member that a follower is connected to; empty is none.
+// LogMemberChange logs a change of the member that a follower is connected to. An empty name means none.
 func LogMemberChange(log *slog.Logger, previous, current string) {
 	switch current {
 	case previous:
--- a/internal/controlplane/stored_state.go
+++ b/internal/controlplane/stored_state.go
@@ -9,7 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bootstrap returns the initial state of a voter's store. It is the same for all voters of one list.
+// Bootstrap returns the initial state of a voter's store. All voters that are given the same voters, in any order,
+// get the same state.
 func Bootstrap(voters []uint64) *StoredState {
 	confState := &pb.ConfState{Voters: slices.Sorted(slices.Values(voters))}
 	return &StoredState{
@@ -41,7 +42,8 @@
 	}
 }
 
-// validate returns an error if a voter can't continue from the state. A raft node would panic, or vote without a part of its log.
+// validate returns an error if a voter can't continue from the state. Started from such a state, a raft node would panic, or
+// vote although a part of its log is missing.
 func (s *StoredState) validate(config *VoterConfig) error {
 	if s == nil || s.Snapshot == nil || s.HardState == nil {
 		return errors.New("missing or incomplete state")
@@ -60,12 +62,12 @@
 			continue
 		}
 		if e.GetIndex() != lastIndex+1 || e.GetTerm() < lastTerm || e.GetType() != pb.EntryNormal {
-			return fmt.Errorf("entry %d of term %d follows entry %d of term %d", e.GetIndex(), e.GetTerm(), lastIndex, lastTerm)
+			return fmt.Errorf("stored entries are not consecutive normal entries of non-decreasing terms: entry %d of term %d follows entry %d of term %d", e.GetIndex(), e.GetTerm(), lastIndex, lastTerm)
 		}
 		lastIndex, lastTerm = e.GetIndex(), e.GetTerm()
 	}
 	if commit := s.HardState.GetCommit(); commit > lastIndex || s.HardState.GetTerm() < lastTerm {
-		return fmt.Errorf("hard state with commit index %d of term %d, last entry is %d of term %d",
+		return fmt.Errorf("hard state does not match the log: its commit index is %d and its term %d, the last entry is %d of term %d",
 			commit, s.HardState.GetTerm(), lastIndex, lastTerm)
 	}
 	return nil
--- a/internal/controlplane/voter_test.go
+++ b/internal/controlplane/voter_test.go
@@ -296,8 +296,8 @@
 			s.Snapshot.Data = s.Snapshot.Data[:len(s.Snapshot.Data)/2]
 			return s
 		},
-		"voter's store: entry 4 of term 2 follows entry 2 of term 2": func(s *StoredState) *StoredState { s.Entries = slices.Delete(s.Entries, 1, 2); return s },
-		"voter's store: hard state with commit index 99 of term 2, last entry is 7 of term 2": func(s *StoredState) *StoredState {
+		"voter's store: stored entries are not consecutive normal entries of non-decreasing terms: entry 4 of term 2 follows entry 2 of term 2": func(s *StoredState) *StoredState { s.Entries = slices.Delete(s.Entries, 1, 2); return s },
+		"voter's store: hard state does not match the log: its commit index is 99 and its term 2, the last entry is 7 of term 2": func(s *StoredState) *StoredState {
 			s.HardState = &pb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(99)}
 			return s
 		},
--- a/internal/fleet/types.go
+++ b/internal/fleet/types.go
@@ -29,8 +29,8 @@
 type Instance struct {
 	Name      string       `json:"name"`
 	Listen    string       `json:"listen"`
-	Config    string       `json:"config"` // the operator's file, of which the instance runs the copy with Digest
-	Digest    string       `json:"digest"` // of that copy
+	Config    string       `json:"config"` // path of the operator's configuration file
+	Digest    string       `json:"digest"` // of the copy of that file that the instance runs
 	Discovery string       `json:"list"`   // address of the endpoint list's source
 	Desired   DesiredState `json:"wanted"`
 	Epoch     uint64       `json:"epoch"` // number of restarts that operators have asked for
@@ -61,7 +61,7 @@
 	PhaseStarting     Phase = "starting"
 	PhaseReady        Phase = "ready" // it has an endpoint list and could serve
 	PhaseShuttingDown Phase = "ending"
-	PhaseForeign      Phase = "alien" // its lock is held by a process that can't prove to be the instance: left alone
+	PhaseForeign      Phase = "alien" // its lock is held by a process that can't prove that it is the instance; left alone
 )
 
 // Observation holds the observed state of an instance.
@@ -125,7 +125,7 @@
 	To           uint64             `json:"to"`
 	Options      Options            `json:"options"`
 	Order        []string           `json:"order"`   // the instances that are changed, in their order
-	Reached      int                `json:"reached"` // instances of Order, from its first, that are to be as in To
+	Reached      int                `json:"reached"` // number of instances, counted from the start of Order, that are meant to be as in generation To by now
 	MaxReached   int                `json:"most"`    // Reached when the rollback began
 	HealthySince map[string]float64 `json:"well"`    // since when a reached instance is healthy, ms
 	Healthy      map[string]bool    `json:"done"`    // reached instances that stayed healthy for HealthMs
@@ -157,7 +157,7 @@
 type Record struct {
 	Name         string    `json:"name"`
 	PendingStep  Step      `json:"doing,omitempty"` // stored before the step is executed, cleared after
-	Token        string    `json:"token,omitempty"` // with which the process proves to be the instance
+	Token        string    `json:"token,omitempty"` // with which the process proves that it is the instance
 	PID          int       `json:"pid,omitempty"`
 	Digest       string    `json:"digest,omitempty"` // of the configuration that it was last started with
 	Epoch        uint64    `json:"epoch,omitempty"`
@@ -166,7 +166,7 @@
 	WasReady     bool      `json:"was_ready,omitempty"`  // since that start
 	Failures     []float64 `json:"tries,omitempty"`      // recent starts that failed or exited by themselves
 	NextStartAt  float64   `json:"next_at,omitempty"`    // no start before this time
-	CrashLooping bool      `json:"halted,omitempty"`     // not started again until an operator changes it
+	CrashLooping bool      `json:"halted,omitempty"`     // in a crash loop: not started again until an operator applies a change, which always includes such instances
 	LastFailure  string    `json:"fault,omitempty"`      // cause of the latest failure
 }
 
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -53,8 +53,8 @@
 // SendReady tells the predecessor that this process serves clients.
 func (l *Link) SendReady() error { return l.conn.send(message{Kind: kindReady}) }
 
-// SendDescriptorLimit tells the successor how many descriptors this process may still have open. It returns no error: Done
-// reports the end of the link.
+// SendDescriptorLimit tells the successor the highest number of descriptors that this process will have open from now on. It
+// returns no error: Done reports the end of the link.
 func (l *Link) SendDescriptorLimit(descriptors int) {
 	_ = l.conn.send(message{Kind: kindDescriptorLimit, Number: uint64(max(descriptors, 0))})
 }
@@ -62,8 +62,8 @@
 // Close closes the link.
 func (l *Link) Close() { _ = l.conn.Close() }
 
-// Call executes a call in the other process and returns its text or error. If the link ends meanwhile, it returns ErrNoPeer,
-// which callers need not treat as a failure: no other process is left that the call applies to.
+// Call executes a call in the other process and returns its text or error. If the link ends meanwhile, it returns ErrNoPeer.
+// Callers need not treat that as a failure: no other process is left in which the call would have to be executed.
 func (l *Link) Call(ctx context.Context, c Call) (text string, err error) {
 	result := make(chan message, 1)
 	number := l.addPending(result)
--- a/internal/hotrestart/messages.go
+++ b/internal/hotrestart/messages.go
@@ -64,7 +64,7 @@
 	kindBusy            messageKind = "busy"  // predecessor's answer: it has a successor already
 	kindMismatch        messageKind = "other" // predecessor's answer: another node, or another Version
 	kindReady           messageKind = "ready" // successor: ready, it serves clients
-	kindDescriptorLimit messageKind = "using" // predecessor: Number of descriptors that it may still have open
+	kindDescriptorLimit messageKind = "using" // predecessor: Number is the most descriptors that it will have open from now on
 	kindCall            messageKind = "call"  // either: Call with its Number
 	kindResult          messageKind = "done"  // either: result of the call with that Number, Text or Error
 )
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -13,7 +13,7 @@
 type backend struct {
 	*balancer.Backend
 	endpoint discovery.Endpoint
-	upstream *upstream.Backend // its connections; nil once the endpoint is removed
+	upstream *upstream.Backend // its connections; nil once they are closed after a removal, see setEndpoint
 }
 
 // forgottenBackendObserver is implemented by a decider that has to be notified when the node forgets a backend, such as
@@ -27,7 +27,8 @@
 	n.mailbox.Put(func() { n.applyEndpoints(list, fromDiscovery) })
 }
 
-// PollFailed notifies the node of a failed poll of the endpoint list. A node that has a cached list becomes ready.
+// PollFailed notifies the node of a failed poll of the endpoint list. A node that has only a cached list so far
+// becomes ready with it, since no newer one is to be had.
 func (n *Node) PollFailed() {
 	n.mailbox.Put(func() {
 		n.decider.PollFailed(n.now)
@@ -40,7 +41,7 @@
 
 const (
 	fromDiscovery listSource = false // a new list, or changes to one
-	fromCache     listSource = true  // an earlier list of the node or of the process before it
+	fromCache     listSource = true  // a stored list that this process, or the node's process before it, had received
 )
 
 // applyEndpoints updates the backends from an endpoint list and passes the list to the balancer.
@@ -54,7 +55,8 @@
 	n.hasEndpoints, n.endpointsVersion = true, list.Version
 	n.log.Debug("endpoint list applied", "version", list.Version, "complete", list.Complete, "endpoints", len(changes))
 	// A watch reports the current state as soon as it is connected. A backend that is ready in the cached list may be
-	// draining by now, so a node with a watch becomes ready only when the watch has reported or failed (PollFailed).
+	// draining by now, so a node with a watch becomes ready only when the watch has reported or failed (PollFailed). A
+	// node that polls becomes ready with the cached list at once.
 	if source == fromDiscovery || n.deployment.BalancerConfig.PollEndpoints {
 		n.markReady()
 	}
@@ -77,8 +79,9 @@
 			endpoint = endpoint.MergeInto(b.endpoint)
 		}
 		if list.Complete && listed[b] {
-			// In a list of changes the entries are ordered, and the last one applies. A complete list is unordered:
-			// of two entries for a backend, neither may override a draining state or a later start time in the other.
+			// In a list of changes the entries are ordered, and the last one applies. A complete list is unordered, so
+			// of two entries for a backend, the more cautious value of each field applies: draining before ready (the
+			// states are ordered so that min yields it), and the later start time.
 			endpoint.State = min(endpoint.State, b.endpoint.State)
 			endpoint.Started = max(endpoint.Started, b.endpoint.Started)
 		}
@@ -149,8 +152,8 @@
 }
 
 // setEndpoint sets a backend's entry and opens or closes its connections. It is called before the balancer is notified of
-// the entry, so b.State is the previous state. Where a removal is only a hint, a removed backend keeps its connections until
-// the balancer forgets it, unless it was draining.
+// the entry, so b.State is the previous state. If RemovalIsHint is set, a removed backend that was not
+// draining keeps its connections until the balancer forgets it.
 func (n *Node) setEndpoint(b *backend, endpoint discovery.Endpoint) {
 	b.endpoint = endpoint
 	switch {
--- a/internal/requestlog/bootstrap.go
+++ b/internal/requestlog/bootstrap.go
@@ -9,8 +9,8 @@
 	"pearknot/internal/snapshot"
 )
 
-// quorumLostAfterMs is the time for which the members' statuses must show, without a change, that a log has lost its quorum
-// before it is bootstrapped again: enough for several elections.
+// quorumLostAfterMs is the time for which the members' statuses must show, unchanged, that a log has lost its quorum; only
+// then is the log bootstrapped again. The time is enough for several elections.
 const quorumLostAfterMs = 3000.0
 
 // maybeBootstrap bootstraps this member's own log, with its own replica as the only voter, if the log does not exist or has
@@ -18,12 +18,12 @@
 //
 // Two generations at once could let two requests with the same key run, so:
 //   - only the member itself bootstraps its log, so no two members do;
-//   - it does so for the first time only if the members whose state it does not know are too few to hold a majority of the
-//     log's replicas, and none of the others knows the log;
-//   - after that it must know the state of all members, and this must show, unchanged for quorumLostAfterMs, that no member
-//     leads the log and that no majority of its replicas is left;
-//   - only heartbeats that echo this process's current nonce count. Heartbeats from before a pause of this process may be
-//     outdated; counting them led to a second generation while the first was still active.
+//   - if it knows of no earlier generation, it bootstraps only when no member that it has heard from knows the log, and the
+//     members that it has not heard from are too few to hold a majority of the log's replicas;
+//   - if it knows of an earlier generation, it must have heard from all members, and their statuses must show, unchanged for
+//     quorumLostAfterMs, that no member leads the log and that no majority of the log's replicas is left;
+//   - a heartbeat counts only if it echoes this process's current nonce. One from before a pause of this process may be
+//     outdated; counting such heartbeats led to a second generation while the first was still active.
 func (m *Member) maybeBootstrap() {
 	own := m.config.Self
 	replica := m.replicas[own]
@@ -33,12 +33,12 @@
 	}
 	evidence := m.collectBootstrapEvidence()
 	if m.knownGenerations[own] == 0 {
-		if evidence.withoutHeartbeat <= (m.config.Replicas-1)/2 {
+		if evidence.unheardMembers <= (m.config.Replicas-1)/2 {
 			m.bootstrap()
 		}
 		return
 	}
-	if digest := evidence.digest(); evidence.withoutHeartbeat > 0 || evidence.hasLeader || digest != m.bootstrapDigest {
+	if digest := evidence.digest(); evidence.unheardMembers > 0 || evidence.hasLeader || digest != m.bootstrapDigest {
 		m.bootstrapDigest, m.bootstrapDigestSince = digest, m.now
 		return
 	}
@@ -58,9 +58,9 @@
 
 // bootstrapEvidence summarizes what the members' heartbeats report about this member's own log.
 type bootstrapEvidence struct {
-	withoutHeartbeat int         // number of members without a heartbeat since this process started, was paused or lost its link to them
-	hasLeader        bool        // whether a member reports that it leads the log
-	statuses         []LogStatus // statuses of the members with a replica
+	unheardMembers int         // number of members from which no heartbeat has arrived since this process last started, was paused or lost its link to them
+	hasLeader      bool        // whether a member reports that it leads the log
+	statuses       []LogStatus // statuses of the members with a replica
 }
 
 func (m *Member) collectBootstrapEvidence() bootstrapEvidence {
@@ -75,7 +75,7 @@
 		}
 		peer := &m.peers[i]
 		if peer.heartbeat == nil || !peer.connected || peer.heartbeat.EchoedNonces[own] != m.nonce {
-			evidence.withoutHeartbeat++
+			evidence.unheardMembers++
 			continue
 		}
 		for _, status := range peer.heartbeat.Logs {
@@ -118,8 +118,9 @@
 	return 2*count > len(voters)
 }
 
-// bootstrap begins a new generation of this member's own log. Generations are numbered by time, so that a number is not reused
-// even if no member knows the earlier generations any more.
+// bootstrap begins a new generation of this member's own log. The generation's number is the current time,
+// or the known generation's number plus 1 if that is higher, so that a number is not reused even if no member knows the
+// earlier generations any more.
 func (m *Member) bootstrap() {
 	own := m.config.Self
 	generation := max(m.knownGenerations[own]+1, uint64(m.now))
--- a/internal/server/decode.go
+++ b/internal/server/decode.go
@@ -13,8 +13,9 @@
 	"pearknot/internal/upstream"
 )
 
-// Header fields of requests. Their names are part of the protocol; backends get them unchanged. The protocol's QoS or category
-// is a class, its customer a tenant, its second try a client's retry, and its size hint a cost hint.
+// Header fields of requests. Their names are part of the protocol; backends get them unchanged. The code uses other names
+// than the protocol: class for its QoS or category, tenant for its customer, client retry for its second try, and cost hint for
+// its size hint.
 const (
 	idHeader          = "X-Trace-Id"
 	classHeader       = "X-Qos"
@@ -23,7 +24,8 @@
 	costHintHeader    = "X-Size-Hint" // in thousandths
 )
 
-// maxTTLMs bounds a request's time to live to what a clock can hold, in ms.
+// maxTTLMs is the longest time to live of a request, in ms; a longer one is shortened to it. Clients may send up to 2^63-1 ms,
+// which a clock can't hold.
 const maxTTLMs = 3600e3
 
 // requestError says why a request is refused. The client gets the status, and the reason as the body. Reasons are part of
@@ -67,7 +69,9 @@
 	timeLeft := header.ttlMs
 	var streamed *upstream.StreamedBody
 	if len(body) > upstream.MaxBufferedBody {
-		// The rest is passed on as it arrives, and the request's time to live counts from its last byte.
+		// The rest of the body is passed on as it arrives. The time to live counts from the body's last byte, so the deadline
+		// allows for the longest time that a body may take. The time-out is shorter by the time that the last byte is assumed
+		// to have taken from the client to here.
 		rest.conn = conn
 		streamed = &upstream.StreamedBody{Size: r.ContentLength, Timeout: clock.Duration(header.ttlMs - defaultTransitMs), Reader: rest}
 		timeLeft += maxBodyTimeMs
@@ -92,7 +96,7 @@
 
 // decodeHeader reads a request's header fields.
 func decodeHeader(r *http.Request, deployment *config.Deployment) (header requestHeader, malformed *requestError) {
-	// A field must not occur twice: a backend may read the other one.
+	// These fields must occur exactly once: of two, a backend might read a different one than this server.
 	for _, name := range []string{idHeader, classHeader, upstream.ExpiresHeader} {
 		if r.Header.Get(name) == "" || len(r.Header[name]) > 1 {
 			return header, badRequest("no or several %s", name)
