--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -46,7 +46,7 @@
 var errDamaged = boltfile.ErrDamaged
 
 // errLocked means that another agent has the state open.
-var errLocked = errors.New("in use by another agent")
+var errLocked = errors.New("locked by another process")
 
 // errSchema means that another version of the agent wrote the state. The file is left as it is.
 var errSchema = errors.New("unsupported schema")
--- a/internal/controlplane/client/link.go
+++ b/internal/controlplane/client/link.go
@@ -39,7 +39,7 @@
 		return "", err
 	}
 	if header.Version != ProtocolVersion {
-		return "", fmt.Errorf("protocol version %d is not supported, this build supports version %d", header.Version, ProtocolVersion)
+		return "", fmt.Errorf("unsupported protocol version %d, this build supports %d", header.Version, ProtocolVersion)
 	}
 	return header.Purpose, nil
 }
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -130,7 +130,7 @@
 		return 0, nil, errMalformedFrame
 	}
 	if data[0] != protocolVersion {
-		return 0, nil, fmt.Errorf("unsupported protocol version %d, this build has %d", data[0], protocolVersion)
+		return 0, nil, fmt.Errorf("unsupported protocol version %d, this build supports %d", data[0], protocolVersion)
 	}
 	return data[1], data[2:], nil
 }
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -167,7 +167,7 @@
 func readCell(field json.RawMessage) (int, error) {
 	cell, err := readField[int](field)
 	if err == nil && (cell < 0 || cell > math.MaxUint16) {
-		err = fmt.Errorf("pod_group %d is out of range [0, 65535]", cell)
+		err = fmt.Errorf("pod_group: %d is out of range 0 to 65535", cell)
 	}
 	return cell, err
 }
--- a/internal/hotrestart/connect.go
+++ b/internal/hotrestart/connect.go
@@ -87,7 +87,7 @@
 		return nil, errBusy
 	}
 	if answer.Kind != kindState || answer.State == nil || answer.Version != Version {
-		return nil, fmt.Errorf("the predecessor process uses protocol version %d, this one %d", answer.Version, Version)
+		return nil, fmt.Errorf("predecessor process: unsupported protocol version %d, this build supports %d", answer.Version, Version)
 	}
 	_ = conn.SetReadDeadline(time.Time{})
 	return answer.State, nil
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -139,13 +139,13 @@
 			_ = l.Close()
 		}, ""},
 		"a file":          {func(t *testing.T, path string) { require.NoError(t, os.WriteFile(path, []byte("x"), 0o600)) }, ""},
-		"another node's":  {func(t *testing.T, path string) { listen(t, path, nil).predecessor.Name = "n1" }, "uses protocol version"},
+		"another node's":  {func(t *testing.T, path string) { listen(t, path, nil).predecessor.Name = "n1" }, "predecessor process: unsupported protocol version"},
 		"silent":          {listenAndSend(""), "i/o timeout"},
 		"cut off":         {listenAndSend("\x00\x00\x01\x00{"), "EOF"},
 		"too long":        {listenAndSend("\xff\xff\xff\xff"), "message too long: 4294967295 bytes"},
 		"malformed":       {listenAndSend(frame("hello")), "invalid character"},
-		"another version": {listenAndSend(frame(`{"Kind":"state","Version":9,"State":{}}`)), "uses protocol version 9"},
-		"no state":        {listenAndSend(frame(`{"Kind":"state","Version":1}`)), "uses protocol version"},
+		"another version": {listenAndSend(frame(`{"Kind":"state","Version":9,"State":{}}`)), "predecessor process: unsupported protocol version 9, this build supports 1"},
+		"no state":        {listenAndSend(frame(`{"Kind":"state","Version":1}`)), "predecessor process: unsupported protocol version"},
 		"no kind":         {listenAndSend(frame(`{}`)), "without a kind"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/peers/transport/handshake.go
+++ b/internal/peers/transport/handshake.go
@@ -75,7 +75,7 @@
 func (h *Hello) check(fleet, from, to string) error {
 	switch {
 	case h.Version != version:
-		return fmt.Errorf("unsupported handshake version: %d, this build supports %d", h.Version, version)
+		return fmt.Errorf("unsupported protocol version %d, this build supports %d", h.Version, version)
 	case h.Fleet != fleet:
 		return fmt.Errorf("wrong fleet %.40q, expected %.40q", h.Fleet, fleet)
 	case from != "" && h.From != from || h.To != to:
