--- a/balancer/request.go
+++ b/balancer/request.go
@@ -151,7 +151,7 @@
 
 // RequestAbandoned records that nobody waits for the request's answer any more: the request ends, and its attempts in flight are
 // canceled. The host reports this when a client has closed its connection, and also for a client that is still there, when the
-// host answers the request itself: because an attempt of it may not be sent (withdraw in internal/node), or because the
+// host answers the request itself: because an attempt of it may not be sent (abortRequest in internal/node), or because the
 // node shuts down.
 func (lb *Balancer) RequestAbandoned(now float64, request *Request) {
 	lb.now = now
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -151,7 +151,7 @@
 		case <-ticker.C:
 			c.link.Tick(c.clock.Now())
 		}
-		c.link.CarryOutDecisions()
+		c.link.ExecuteDecisions()
 		member := c.link.State(c.clock.Now()).Member
 		LogMemberChange(c.log, followedMember, member)
 		followedMember = member
--- a/internal/controlplane/client/follower_link.go
+++ b/internal/controlplane/client/follower_link.go
@@ -12,7 +12,7 @@
 // maxQueuedFrames bounds the frames of the connection in the actor's mailbox; reading pauses while it is reached.
 const maxQueuedFrames = 16
 
-// FollowerLink holds a follower and its connection. It belongs to an actor, which calls all methods, and calls CarryOutDecisions after
+// FollowerLink holds a follower and its connection. It belongs to an actor, which calls all methods, and calls ExecuteDecisions after
 // each of its steps.
 type FollowerLink struct {
 	*controlplane.Follower
@@ -31,7 +31,7 @@
 	Now        func() float64                    // the actor's clock, in ms
 	Post       func(func())                      // queues a function to run on the actor; may be called from any goroutine
 	Go         func(func())                      // starts a goroutine, which ends with the link's context; the actor waits for it
-	OnUpdate   func(controlplane.DocumentUpdate) // called by CarryOutDecisions
+	OnUpdate   func(controlplane.DocumentUpdate) // called by ExecuteDecisions
 	OnRejected func(member string, err error)    // called from any goroutine after a handshake failed because of a wrong key
 }
 
@@ -56,8 +56,8 @@
 	return &FollowerLink{Follower: follower, config: config, ctx: ctx, host: host}
 }
 
-// CarryOutDecisions carries out the follower's decisions.
-func (l *FollowerLink) CarryOutDecisions() {
+// ExecuteDecisions executes the follower's decisions.
+func (l *FollowerLink) ExecuteDecisions() {
 	for output, ok := l.Next(); ok; output, ok = l.Next() {
 		switch {
 		case output.Dial:
--- a/internal/controlplane/member/member.go
+++ b/internal/controlplane/member/member.go
@@ -166,7 +166,7 @@
 	defer m.closeConnections()
 	var messages []func()
 	for {
-		m.carryOutDecisions()
+		m.executeDecisions()
 		select {
 		case <-ctx.Done():
 			return
@@ -220,26 +220,26 @@
 	}
 }
 
-// carryOutDecisions carries out the core's decisions in their order: first the role's, which may change the history, then the
+// executeDecisions executes the core's decisions in their order: first the role's, which may change the history, then the
 // server's.
-func (m *Member) carryOutDecisions() {
+func (m *Member) executeDecisions() {
 	if m.isVoter() {
-		if err := m.carryOutVoterDecisions(); err != nil {
+		if err := m.executeVoterDecisions(); err != nil {
 			m.stop(fmt.Errorf("voter's store: %w", err))
 			return
 		}
 	} else {
-		m.carryOutFollowerDecisions()
+		m.executeFollowerDecisions()
 	}
 	history, freshAsOf := m.history(), m.freshAsOf()
 	if head, _ := history.Head(); head != m.served.version || freshAsOf != m.served.freshAsOf {
 		m.served.version, m.served.freshAsOf = head, freshAsOf
 		m.server.SetHistory(m.clock.Now(), history, freshAsOf)
 	}
-	m.carryOutServerDecisions()
+	m.executeServerDecisions()
 }
 
-func (m *Member) carryOutServerDecisions() {
+func (m *Member) executeServerDecisions() {
 	for output, ok := m.server.Next(); ok; output, ok = m.server.Next() {
 		follower := m.followers[output.Conn]
 		switch {
--- a/internal/controlplane/member/relay.go
+++ b/internal/controlplane/member/relay.go
@@ -56,8 +56,8 @@
 	m.copyStore.QueueWrite(controlplane.VersionedDocument{Version: update.Version, Document: update.Document})
 }
 
-func (m *Member) carryOutFollowerDecisions() {
-	m.followerLink.CarryOutDecisions()
+func (m *Member) executeFollowerDecisions() {
+	m.followerLink.ExecuteDecisions()
 	member := m.followerLink.State(m.clock.Now()).Member
 	client.LogMemberChange(m.log, m.followedMember, member)
 	m.followedMember = member
--- a/internal/controlplane/member/voter.go
+++ b/internal/controlplane/member/voter.go
@@ -62,9 +62,9 @@
 	return nil
 }
 
-// carryOutVoterDecisions carries out the voter's decisions in their order. After an error the voter must not continue, because the core
+// executeVoterDecisions executes the voter's decisions in their order. After an error the voter must not continue, because the core
 // assumes that all its decisions so far are durable: a later message could acknowledge data that is not on disk.
-func (m *Member) carryOutVoterDecisions() error {
+func (m *Member) executeVoterDecisions() error {
 	for output, ok := m.voter.Next(); ok; output, ok = m.voter.Next() {
 		switch {
 		case output.Persist != nil:
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -7,8 +7,8 @@
 	"pearknot/internal/clock"
 )
 
-// carryOutDecisions carries out the balancer's decisions until it has none left.
-func (n *Node) carryOutDecisions() {
+// executeDecisions executes the balancer's decisions until it has none left.
+func (n *Node) executeDecisions() {
 	for {
 		decision, more := n.decider.Next()
 		if !more {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -246,7 +246,7 @@
 		for _, message := range messages {
 			n.runWithRecovery(message)
 		}
-		n.runWithRecovery(n.carryOutDecisions)
+		n.runWithRecovery(n.executeDecisions)
 		for _, callback := range n.afterBatch {
 			callback()
 		}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -187,7 +187,7 @@
 		case <-ticker.C:
 			p.member.Tick(p.clock.Now())
 		}
-		p.processOutputs(ctx)
+		p.executeDecisions(ctx)
 	}
 }
 
@@ -201,8 +201,8 @@
 	}
 }
 
-// processOutputs processes the member's outputs until there are none left.
-func (p *Peers) processOutputs(ctx context.Context) {
+// executeDecisions executes the member's decisions until there are none left.
+func (p *Peers) executeDecisions(ctx context.Context) {
 	for {
 		output, ok := p.member.Next()
 		if !ok {
