--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -75,12 +75,12 @@
 		"no flag":               {"cancel=true", "cancel=yes", "neither true nor false"},
 		"unknown value":         {"idempotency=pure", "idempotency=odd", "unknown value"},
 		"count too high":        {"categories.count=2", "categories.count=2000", "can't be"},
-		"no nodes":              {"balancers=3", "balancers=0", "balancers is 0, out of range 1"},
-		"poll interval 0":       {"askWithin=10000.0", "askWithin=0", "rules.askWithin is 0, out of range 1 to"},
-		"poll interval below 0": {"askWithin=10000.0", "askWithin=-5", "rules.askWithin is -5, out of range 1 to"},
-		"poll interval near 0":  {"askWithin=10000.0", "askWithin=1e-12", "rules.askWithin is 1e-12, out of range 1 to"},
+		"no nodes":              {"balancers=3", "balancers=0", "balancers is 0, not from 1"},
+		"poll interval 0":       {"askWithin=10000.0", "askWithin=0", "rules.askWithin is 0, not from 1 to"},
+		"poll interval below 0": {"askWithin=10000.0", "askWithin=-5", "rules.askWithin is -5, not from 1 to"},
+		"poll interval near 0":  {"askWithin=10000.0", "askWithin=1e-12", "rules.askWithin is 1e-12, not from 1 to"},
 		"quota below 0":         {"quotaPerS=20", "quotaPerS=-20", "tenants.0.quotaPerS is -20"},
-		"share above 1":         {"az=1\n", "az=1\nexcessBenefit=1.5\n", "excessBenefit is 1.5, out of range 0 to 1"},
+		"share above 1":         {"az=1\n", "az=1\nexcessBenefit=1.5\n", "excessBenefit is 1.5, not from 0 to 1"},
 		"late weight above 1":   {"categories.0.benefit=3.0", "categories.0.benefit=3.0\ncategories.0.overdueBenefit=2", "categories.0.overdueBenefit is 2"},
 	} {
 		_, err := ParseLines([]byte(strings.Replace(lineSettings, c.from, c.to, 1)))
@@ -133,7 +133,7 @@
 	for line, want := range map[string]string{
 		"categories.1.keepOrder=si\n":       `setting categories.1.keepOrder is neither true nor false: "si"`,
 		"prices.connection=0.06\n":          "setting me is missing",
-		"rules.settleAfterDoubt=-1\n":       "setting rules.settleAfterDoubt is -1, out of range 0 to 1.7976931348623157e+308",
+		"rules.settleAfterDoubt=-1\n":       "setting rules.settleAfterDoubt is -1, not from 0 to 1.7976931348623157e+308",
 		"rules.removalNotBinding=perhaps\n": `setting rules.removalNotBinding is neither true nor false: "perhaps"`,
 	} {
 		_, err := ParseLines([]byte(lineSettings + line))
@@ -146,7 +146,7 @@
 func TestTenantsInLinesAndJSON(t *testing.T) {
 	for tenants, want := range map[string]string{
 		`[{"name":"one","quotaPerS":20},{"name":"two words"},{"quotaPerS":0.5},3,null]`: "",
-		`[{"name":"one","quotaPerS":-1}]`:                                               "tenants.0.quotaPerS is -1, out of range 0",
+		`[{"name":"one","quotaPerS":-1}]`:                                               "tenants.0.quotaPerS is -1, not from 0",
 		`[{"name":"one"},{"name":"two","quotaPerS":"few"}]`:                             `tenants.1.quotaPerS is no number: "few"`,
 		`[{"name":"one"},{"name":"two","quotaPerS":1e999}]`:                             "tenants.1.quotaPerS is no number",
 		`[{"name":"one","quotaPerS":"NaN"}]`:                                            "tenants.0.quotaPerS is no number",
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -11,7 +11,7 @@
 )
 
 // ErrNoObject is returned for a JSON text that is not an object.
-var ErrNoObject = errors.New("settings: the JSON text is not an object")
+var ErrNoObject = errors.New("settings: no object")
 
 // ParseLines parses path=value lines, the simulator's format. Lines without a "=" are ignored. The error is a *SettingError.
 func ParseLines(data []byte) (*Deployment, error) {
@@ -87,7 +87,7 @@
 	d.present = s.present()
 	for k, name := range d.Classes { // requests select their class by name
 		if name == "" || slices.Index(d.Classes, name) < k {
-			s.fail(fmt.Sprintf("categories.%d.name", k), "is empty or the name of an earlier category: %q", name)
+			s.fail(fmt.Sprintf("categories.%d.name", k), "is missing or another's: %q", name)
 		}
 	}
 	return d, s.err
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -70,7 +70,7 @@
 
 func (s *settings) checkBounds(path string, x, low, high float64) float64 {
 	if x < low || x > high {
-		s.fail(path, "is %v, out of range %v to %v", x, low, high)
+		s.fail(path, "is %v, not from %v to %v", x, low, high)
 	}
 	return x
 }
